--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
@@ -93,8 +93,10 @@
         @Parameters(
                 paramLabel = "KEY VALUE",
                 description = {
-                    "setting/BLOCK.NAME TEXT, shard/TOPIC/NUMBER BACKEND, suspension/BACKEND REASON,",
-                    "backend/NAME address=HOST:PORT,zone=Z,cell=N,state=READY|DRAINING|GONE,weight=W"
+                    "setting/BLOCK.NAME TEXT, shard/TOPIC/NUMBER BACKEND, suspension/BACKEND"
+                            + " REASON,",
+                    "backend/NAME"
+                            + " address=HOST:PORT,zone=Z,cell=N,state=READY|DRAINING|GONE,weight=W"
                 })
         private List<String> pairs = List.of();
 
@@ -149,7 +151,8 @@
     @Command(
             name = "get",
             description =
-                    "Shows the entries in force whose keys begin so; exit code 1 where there is none.",
+                    "Shows the entries in force whose keys begin so; exit code 1 where there is"
+                            + " none.",
             mixinStandardHelpOptions = true)
     static final class Get implements Callable<Integer> {
         /** The first name of any kind, in the order of keys. */
@@ -314,8 +317,10 @@
     @Command(
             name = "rollback",
             description = {
-                "Writes what brings all entries back to what they were at a revision, as new revisions:",
-                "one where that is small enough, else several. Refused where the history does not reach",
+                "Writes what brings all entries back to what they were at a revision, as new"
+                        + " revisions:",
+                "one where that is small enough, else several. Refused where the history does not"
+                        + " reach",
                 "back so far, or somebody else changes one of the entries meanwhile."
             },
             mixinStandardHelpOptions = true)
@@ -373,7 +378,8 @@
     @Command(
             name = "status",
             description =
-                    "Shows by zone how many relays have confirmed a revision, and which are behind.",
+                    "Shows by zone how many relays have confirmed a revision, and which are"
+                            + " behind.",
             mixinStandardHelpOptions = true)
     static final class Status implements Callable<Integer> {
         @CommandLine.Mixin private Group group;
--- a/coordinator/src/main/java/saltstage/coordinator/command/WindowCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/WindowCommand.java
@@ -79,7 +79,8 @@
             name = "agree",
             mixinStandardHelpOptions = true,
             description =
-                    "Puts the block 'fleet' of a file in force: regions, nodes, floors, black-outs.")
+                    "Puts the block 'fleet' of a file in force: regions, nodes, floors,"
+                            + " black-outs.")
     static final class Agree implements Callable<Integer> {
         @CommandLine.Mixin private Group group;
 
--- a/coordinator/src/main/java/saltstage/coordinator/replica/PeerDirectory.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/PeerDirectory.java
@@ -67,7 +67,8 @@
             return Identity.OTHER_DISK
                     + ": "
                     + who.from()
-                    + " was on another disk; remove it, and let the new one join under a name of its own";
+                    + " was on another disk; remove it, and let the new one join under a name of"
+                    + " its own";
         }
         if (who.speaks() < level) {
             return "its build knows level " + who.speaks() + ", the group works at " + level;
--- a/coordinator/src/main/java/saltstage/coordinator/window/FleetPlan.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/FleetPlan.java
@@ -107,8 +107,8 @@
                 || spacingMs < 0
                 || coldPermille < 0
                 || coldPermille > 1_000) {
-            return "a plan takes a slot of 100 ms to an hour, at least one region, mostRegions from 1 on,"
-                    + " no negative spacing and a cold share of 0 to 1000 thousandths";
+            return "a plan takes a slot of 100 ms to an hour, at least one region, mostRegions from"
+                    + " 1 on, no negative spacing and a cold share of 0 to 1000 thousandths";
         }
         if (regions.size() > 100
                 || floors.size() > 150
--- a/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
@@ -253,8 +253,8 @@
         Thread.sleep(500);
         String change =
                 "{\"client\":\"w\",\"seq\":%d,\"command\":{\"op\":\"change-configuration\",\"author\":"
-                        + "\"ana\",\"expected\":{},\"mutations\":[{\"key\":\"shard/t/%d\",\"shard\":"
-                        + "{\"backend\":\"gw-1\"}}]}}";
+                    + "\"ana\",\"expected\":{},\"mutations\":[{\"key\":\"shard/t/%d\",\"shard\":"
+                    + "{\"backend\":\"gw-1\"}}]}}";
         for (int seq = 1; !watched.isDone() && seq < 100; seq++) {
             post("/v1/do", String.format(change, seq, seq));
             Thread.sleep(100);
--- a/relay/src/main/java/com/bertramlabs/plugins/hcl4j/HclSymbols.java
+++ b/relay/src/main/java/com/bertramlabs/plugins/hcl4j/HclSymbols.java
@@ -6,12 +6,11 @@
 import java.util.List;
 
 /**
- * The symbols that hcl4j's lexer reads, with their positions. The lexer is visible to its own package only,
- * and the library's public parser evaluates what it reads and forgets where it stood.
+ * The symbols that hcl4j's lexer reads, with their positions. The lexer is visible to its own
+ * package only, and the library's public parser evaluates what it reads and forgets where it stood.
  */
 public final class HclSymbols {
-    private HclSymbols() {
-    }
+    private HclSymbols() {}
 
     /** The attributes and blocks of the file's top level. */
     public static List<Symbol> read(Reader text) throws IOException, HCLParserException {
--- a/relay/src/main/java/saltstage/Api.java
+++ b/relay/src/main/java/saltstage/Api.java
@@ -4,34 +4,59 @@
 import java.util.Map;
 
 /**
- * What {@link Logic} speaks: its types, the events a host program calls in and the actions it gets back.
+ * What {@link Logic} speaks: its types, the events a host program calls in and the actions it gets
+ * back.
  *
  * <p>All times are microseconds on the host's own clock; a number that is absent is {@link #NONE}.
  */
 public final class Api {
     /** Stands for a key, group, hint or other number that was not given. */
     public static final long NONE = -1;
+
     /** How many servers a node probes at most, however many are listed. */
     public static final int MOST_PROBED = 128;
 
-    private Api() {
-    }
+    private Api() {}
 
     /** How safe it is to repeat a request. */
-    public enum Effect { SAFE, KEYED, UNSAFE }
+    public enum Effect {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** Which servers discard the repeats of a keyed request. */
-    public enum Scope { ALL, ZONE, CELL }
+    public enum Scope {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** What the server list says of a server. */
-    public enum Health { READY, DRAINING, GONE }
+    public enum Health {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /** The kind of a list event; REFUSED means that a call failed and the old list stands. */
-    public enum Listing { CHANGES, ALL, REMEMBERED, REFUSED }
+    public enum Listing {
+        CHANGES,
+        ALL,
+        REMEMBERED,
+        REFUSED
+    }
 
     /** How an attempt ended. */
     public enum Outcome {
-        SERVED, ERROR, FULL, TIMEOUT, UNREACHABLE, RESET, CANCELLED, MOOT;
+        SERVED,
+        ERROR,
+        FULL,
+        TIMEOUT,
+        UNREACHABLE,
+        RESET,
+        CANCELLED,
+        MOOT;
 
         /** Whether this outcome proves that the attempt had no effect. */
         public boolean neverRan() {
@@ -39,43 +64,93 @@
         }
     }
 
-    /** What is told of an open connection: its load (work a second) or the delay of messages (ms). */
-    public enum Note { LOAD, DELAY }
+    /**
+     * What is told of an open connection: its load (work a second) or the delay of messages (ms).
+     */
+    public enum Note {
+        LOAD,
+        DELAY
+    }
 
     /** One class of request. */
-    public record ServiceClass(long aim, long giveUp, Effect effect, Scope scope, long memory, double worth,
-            long messageAim) { }
+    public record ServiceClass(
+            long aim,
+            long giveUp,
+            Effect effect,
+            Scope scope,
+            long memory,
+            double worth,
+            long messageAim) {}
 
     /** What the four rules ask, in figures. */
-    public record Rules(long drainGrace, double coldFrom, long cold, double tipMultiple, long fall,
-            long askEvery) { }
+    public record Rules(
+            long drainGrace,
+            double coldFrom,
+            long cold,
+            double tipMultiple,
+            long fall,
+            long askEvery) {}
 
     /** What a node is told once, at its start. */
-    public record Settings(int fleetSize, int zone, List<ServiceClass> classes, List<Long> tenantQuotas,
-            double overShareWorth, int maxAttempts, long connectTimeout, boolean asksForList,
-            boolean comparableWeights, double crossZoneCost, long maxRetryAfter, long tick, boolean probes,
-            Rules rules) { }
+    public record Settings(
+            int fleetSize,
+            int zone,
+            List<ServiceClass> classes,
+            List<Long> tenantQuotas,
+            double overShareWorth,
+            int maxAttempts,
+            long connectTimeout,
+            boolean asksForList,
+            boolean comparableWeights,
+            double crossZoneCost,
+            long maxRetryAfter,
+            long tick,
+            boolean probes,
+            Rules rules) {}
 
     /** A server as the list has it; startedAt is 0 for long ago. */
-    public record Server(String id, int zone, int cell, Health health, double weight, long startedAt) { }
+    public record Server(
+            String id, int zone, int cell, Health health, double weight, long startedAt) {}
 
     /** A client's request; again: it came back after a break or a move. */
-    public record Request(long id, int serviceClass, int tenant, long key, long group, long hint,
-            long deadline, boolean again, boolean midFlow) { }
+    public record Request(
+            long id,
+            int serviceClass,
+            int tenant,
+            long key,
+            long group,
+            long hint,
+            long deadline,
+            boolean again,
+            boolean midFlow) {}
 
     /**
-     * What a node has learnt of a server, as plain data: set-up latencies and how much longer it is to be
-     * left alone, in microseconds; startedAt tells which process of the server it was learnt from.
+     * What a node has learnt of a server, as plain data: set-up latencies and how much longer it is
+     * to be left alone, in microseconds; startedAt tells which process of the server it was learnt
+     * from.
      */
-    public record LearntServer(String id, long startedAt, double setup, double deviation, double lowest,
-            int strikes, long shunnedFor) { }
+    public record LearntServer(
+            String id,
+            long startedAt,
+            double setup,
+            double deviation,
+            double lowest,
+            int strikes,
+            long shunnedFor) {}
 
     /**
-     * What a node has learnt; part is what it may send of what a warm server of weight 1 can do, as load;
-     * shares are parts of the open connections by group, the largest groups only.
+     * What a node has learnt; part is what it may send of what a warm server of weight 1 can do, as
+     * load; shares are parts of the open connections by group, the largest groups only.
      */
-    public record Learnt(double setup, double deviation, double load, double life, double meanShare,
-            double part, List<LearntServer> servers, Map<Long, Double> shares) { }
+    public record Learnt(
+            double setup,
+            double deviation,
+            double load,
+            double life,
+            double meanShare,
+            double part,
+            List<LearntServer> servers,
+            Map<Long, Double> shares) {}
 
     /** The events of one node, in the order of their arrival. */
     public interface Events {
--- a/relay/src/main/java/saltstage/PlacementTable.java
+++ b/relay/src/main/java/saltstage/PlacementTable.java
@@ -6,11 +6,15 @@
 import java.util.function.ToDoubleFunction;
 import saltstage.State.Host;
 
-/** Maglev hashing: keys are looked up in a table that is the same at every node with the same list. */
+/**
+ * Maglev hashing: keys are looked up in a table that is the same at every node with the same list.
+ */
 final class PlacementTable {
     static final PlacementTable EMPTY = new PlacementTable(new Host[0]);
+
     /** At least; odd skips visit every slot of a power of two. */
     private static final int SLOTS = 2048;
+
     /** Else some servers of a wide fleet would have no slot. */
     private static final int SLOTS_PER_SERVER = 7;
 
@@ -20,7 +24,9 @@
         this.slots = slots;
     }
 
-    /** Each server in turn, as often as its weight says, claims the next free slot of its own order. */
+    /**
+     * Each server in turn, as often as its weight says, claims the next free slot of its own order.
+     */
     static PlacementTable of(List<Host> members, ToDoubleFunction<Host> weight) {
         if (members.isEmpty()) {
             return EMPTY;
@@ -31,7 +37,7 @@
         double[] credit = new double[members.size()];
         double[] weights = members.stream().mapToDouble(weight).toArray();
         double most = Arrays.stream(weights).max().orElse(1);
-        for (int filled = 0; filled < size;) {
+        for (int filled = 0; filled < size; ) {
             for (int i = 0; i < next.length && filled < size; i++) {
                 credit[i] += weights[i] / most;
                 if (credit[i] < 1) {
--- a/relay/src/main/java/saltstage/ProbeSelection.java
+++ b/relay/src/main/java/saltstage/ProbeSelection.java
@@ -7,13 +7,16 @@
 import saltstage.State.Host;
 
 /**
- * Which servers a node probes: all of them, or in a wide fleet those that matter to it, in this order: that
- * hold its connections, that a request was lately considered for, that are cold or have failed.
+ * Which servers a node probes: all of them, or in a wide fleet those that matter to it, in this
+ * order: that hold its connections, that a request was lately considered for, that are cold or have
+ * failed.
  */
 final class ProbeSelection {
     private static final long CHOOSE_EVERY_US = 1_000_000;
+
     /** After a request might have gone there. */
     private static final long CONSIDERED_US = 10_000_000;
+
     private static final int NO_CONCERN = 3;
 
     private final Predicate<Host> cold;
@@ -31,11 +34,18 @@
         }
         if (now - chosenAt >= CHOOSE_EVERY_US) {
             chosenAt = now;
-            chosen = hosts.stream().filter(h -> concern(h, now) < NO_CONCERN)
-                .sorted(Comparator.comparingInt((Host h) -> concern(h, now))
-                    .thenComparing(Comparator.comparingLong((Host h) -> h.consideredAt).reversed())
-                    .thenComparingLong(h -> h.hash))
-                .limit(Api.MOST_PROBED).toList();
+            chosen =
+                    hosts.stream()
+                            .filter(h -> concern(h, now) < NO_CONCERN)
+                            .sorted(
+                                    Comparator.comparingInt((Host h) -> concern(h, now))
+                                            .thenComparing(
+                                                    Comparator.comparingLong(
+                                                                    (Host h) -> h.consideredAt)
+                                                            .reversed())
+                                            .thenComparingLong(h -> h.hash))
+                            .limit(Api.MOST_PROBED)
+                            .toList();
         }
         return chosen;
     }
--- a/relay/src/main/java/saltstage/State.java
+++ b/relay/src/main/java/saltstage/State.java
@@ -14,11 +14,11 @@
 final class State {
     /** Weight of a new sample in a running mean. */
     private static final double GAIN = 0.2;
+
     /** d: a node sees few connections of a server; a longer table would mark all. */
     private static final int MOST = 4;
 
-    private State() {
-    }
+    private State() {}
 
     /** A running mean that starts at its first sample, with the mean deviation. */
     static final class Mean {
@@ -48,7 +48,9 @@
         int used;
         int arrivals;
 
-        /** RAP: a newcomer to a full table takes the least counter's place by chance (paper, II-C). */
+        /**
+         * RAP: a newcomer to a full table takes the least counter's place by chance (paper, II-C).
+         */
         void add(long who, double weight, Random random) {
             int least = 0;
             for (int i = 0; i < used; i++) {
@@ -100,15 +102,24 @@
             tables = new Table[windows];
         }
 
-        /** The load asked of it now: reports are late, and what comes from here meanwhile grows alike. */
+        /**
+         * The load asked of it now: reports are late, and what comes from here meanwhile grows
+         * alike.
+         */
         double asked() {
-            double alike = placedThen > 0 ? asked * Math.max(0.5, Math.min(2, placed / placedThen)) : asked;
-            // Where little stood here the ratio tells nothing: a node that just started would feed one.
+            double alike =
+                    placedThen > 0
+                            ? asked * Math.max(0.5, Math.min(2, placed / placedThen))
+                            : asked;
+            // Where little stood here the ratio tells nothing: a node that just started would feed
+            // one.
             double more = placed - placedThen;
             return can > 0 && more > 0 ? Math.max(alike, asked + more / can) : alike;
         }
 
-        /** A set-up has succeeded here; where it sets up and then resets, that alone is no proof. */
+        /**
+         * A set-up has succeeded here; where it sets up and then resets, that alone is no proof.
+         */
         void heard(long latency, long now, long proof) {
             shunUntil = doubtful ? now + proof : now;
             setup.add(latency);
--- a/relay/src/main/java/saltstage/admin/AdminListener.java
+++ b/relay/src/main/java/saltstage/admin/AdminListener.java
@@ -16,16 +16,19 @@
 import saltstage.log.Log;
 
 /**
- * Listens for operators. One thread, without blocking: a caller that says nothing, says it byte by byte or
- * reads nothing is a few hundred bytes and an entry here, and in no other caller's way.
+ * Listens for operators. One thread, without blocking: a caller that says nothing, says it byte by
+ * byte or reads nothing is a few hundred bytes and an entry here, and in no other caller's way.
  */
 public final class AdminListener {
     /** Descriptors that it may take: the listener, the selector's three, and its callers. */
     public static final int DESCRIPTORS = 28;
+
     private static final int MOST_CALLERS = 24;
     private static final int BACKLOG = 256;
+
     /** Who came so lately may have its line on the way: it is not sent off for another newcomer. */
     private static final Duration YOUNG = Duration.ofMillis(100);
+
     private static final Duration SWEEP = Duration.ofMillis(50);
 
     private final Selector selector;
@@ -76,7 +79,10 @@
         accept();
     }
 
-    /** Takes who waits, as far as there is room: for a newcomer, who has long said nothing whole must go. */
+    /**
+     * Takes who waits, as far as there is room: for a newcomer, who has long said nothing whole
+     * must go.
+     */
     private void accept() throws IOException {
         while (callers.size() < MOST_CALLERS || sendOneOff()) {
             SocketChannel channel = listener.accept();
@@ -118,14 +124,18 @@
 
     private void answer(Caller caller, String line) {
         try {
-            Call.parse(line).answer(desk).whenComplete((answer, fault) -> {
-                String told = answer != null ? answer : Call.error("failed, see the log");
-                if (fault != null) {
-                    Log.error("admin.fault", fault);
-                }
-                answers.add(() -> caller.say(told));
-                selector.wakeup();
-            });
+            Call.parse(line)
+                    .answer(desk)
+                    .whenComplete(
+                            (answer, fault) -> {
+                                String told =
+                                        answer != null ? answer : Call.error("failed, see the log");
+                                if (fault != null) {
+                                    Log.error("admin.fault", fault);
+                                }
+                                answers.add(() -> caller.say(told));
+                                selector.wakeup();
+                            });
         } catch (Call.BadCallException bad) {
             Log.warn("admin.refused", "from", caller.remote(), "why", bad.getMessage());
             caller.say(Call.error(bad.getMessage()));
--- a/relay/src/main/java/saltstage/admin/Call.java
+++ b/relay/src/main/java/saltstage/admin/Call.java
@@ -6,8 +6,12 @@
 
 /** One call: a word and, where it takes one, a backend's id, parted by one blank. */
 record Call(String word, String id) {
-    /** The longest line, its end not counted: a word, a blank and the longest id that a list may have. */
+    /**
+     * The longest line, its end not counted: a word, a blank and the longest id that a list may
+     * have.
+     */
     static final int MOST = 160;
+
     private static final Pattern ID = Pattern.compile("[!-~]{1,128}");
 
     /** A call that cannot be taken; the message is what its caller is told. */
@@ -24,14 +28,17 @@
         String[] parts = line.strip().split(" +", 3);
         boolean named = parts[0].equals("SUSPEND") || parts[0].equals("RESTORE");
         if (!named && !parts[0].equals("STATUS") && !parts[0].equals("METRICS")) {
-            throw new BadCallException(parts[0].isEmpty() ? "empty call"
-                : "unknown call, known: STATUS, METRICS, SUSPEND ID, RESTORE ID");
+            throw new BadCallException(
+                    parts[0].isEmpty()
+                            ? "empty call"
+                            : "unknown call, known: STATUS, METRICS, SUSPEND ID, RESTORE ID");
         }
         if (named && parts.length < 2) {
             throw new BadCallException(parts[0] + " takes the id of a backend");
         }
         if (parts.length > (named ? 2 : 1)) {
-            throw new BadCallException(parts[0] + (named ? " takes one id" : " takes nothing more"));
+            throw new BadCallException(
+                    parts[0] + (named ? " takes one id" : " takes nothing more"));
         }
         if (named && !ID.matcher(parts[1]).matches()) {
             throw new BadCallException("that is no id of a backend");
@@ -44,13 +51,16 @@
         switch (word) {
             case "STATUS":
                 String why = desk.notReady();
-                return CompletableFuture.completedFuture(why == null ? "done ready\r\n" : error(why));
+                return CompletableFuture.completedFuture(
+                        why == null ? "done ready\r\n" : error(why));
             case "METRICS":
                 return CompletableFuture.completedFuture(desk.figures() + "end\r\n");
             case "SUSPEND":
-                return desk.suspend(id).thenApply(bad -> bad == null ? "done suspended\r\n" : error(bad));
+                return desk.suspend(id)
+                        .thenApply(bad -> bad == null ? "done suspended\r\n" : error(bad));
             default:
-                return desk.restore(id).thenApply(bad -> bad == null ? "done restored\r\n" : error(bad));
+                return desk.restore(id)
+                        .thenApply(bad -> bad == null ? "done restored\r\n" : error(bad));
         }
     }
 
--- a/relay/src/main/java/saltstage/admin/Caller.java
+++ b/relay/src/main/java/saltstage/admin/Caller.java
@@ -8,13 +8,24 @@
 import java.time.Duration;
 import java.util.function.BiConsumer;
 
-/** One connection of an operator's: reads its line, waits for the answer, writes it, ends. Never blocks. */
+/**
+ * One connection of an operator's: reads its line, waits for the answer, writes it, ends. Never
+ * blocks.
+ */
 final class Caller {
-    /** Longer than a person needs at a keyboard that sends whole lines; a script needs milliseconds. */
+    /**
+     * Longer than a person needs at a keyboard that sends whole lines; a script needs milliseconds.
+     */
     private static final Duration LINE = Duration.ofSeconds(6);
+
     private static final Duration TAKES_ANSWER = Duration.ofSeconds(2);
 
-    private enum Phase { READING, ASKED, WRITING, CLOSED }
+    private enum Phase {
+        READING,
+        ASKED,
+        WRITING,
+        CLOSED
+    }
 
     private final SocketChannel channel;
     private final SelectionKey key;
@@ -91,7 +102,8 @@
             channel.shutdownOutput();
             key.interestOps(SelectionKey.OP_READ);
         }
-        // What is still unread would make of a close a reset, and that might take the answer with it.
+        // What is still unread would make of a close a reset, and that might take the answer with
+        // it.
         in.clear();
         int read = channel.read(in);
         if (read < 0 || read == in.capacity()) {
--- a/relay/src/main/java/saltstage/admin/Desk.java
+++ b/relay/src/main/java/saltstage/admin/Desk.java
@@ -10,7 +10,10 @@
     /** The figures, each line with its end. */
     String figures();
 
-    /** Nothing more to this backend; null, or why not, once that holds and will outlive this process. */
+    /**
+     * Nothing more to this backend; null, or why not, once that holds and will outlive this
+     * process.
+     */
     CompletionStage<String> suspend(String id);
 
     /** Uses that backend again; null, or why not. */
--- a/relay/src/main/java/saltstage/amqp/AmqpFront.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpFront.java
@@ -39,11 +39,15 @@
     private static final Connection.Bounds BOUNDS = new Connection.Bounds(256 << 10, 16 << 20);
     private static final int BACKLOG = 1_024;
     private static final Duration BEAT = Duration.ofMillis(100);
+
     /** Links of one backend that leaves are moved within about so many beats, not all at once. */
     private static final int BEATS_TO_MOVE = 5;
+
     private static final int LEAST_MOVED = 20;
+
     /** Connections beyond the limit that are told so; more than that are reset. */
     private static final int MOST_TOLD = 64;
+
     /** Connections to backends, beside those of clients. */
     private static final int BACKEND_SOCKETS = 64;
 
@@ -76,17 +80,26 @@
     private volatile boolean leaving;
 
     /** A front of these settings before the stages of the chain; the transport ends with it. */
-    public AmqpFront(AmqpSettings settings, Configuration config, Chain chain, MonotonicClock clock,
-            Transport transport) throws MalformedException {
+    public AmqpFront(
+            AmqpSettings settings,
+            Configuration config,
+            Chain chain,
+            MonotonicClock clock,
+            Transport transport)
+            throws MalformedException {
         this.config = config;
         this.chain = chain;
         this.clock = clock;
         this.transport = transport;
         rules = Rules.of(settings, config);
-        // Links' names are unique for a container: neither a relay of the same name nor its own former life,
+        // Links' names are unique for a container: neither a relay of the same name nor its own
+        // former life,
         // which a backend may still think alive, may be taken for this one.
-        container = "saltstage-" + config.name() + "-"
-            + Integer.toHexString(new SecureRandom().nextInt());
+        container =
+                "saltstage-"
+                        + config.name()
+                        + "-"
+                        + Integer.toHexString(new SecureRandom().nextInt());
         for (Loop loop : transport.loops()) {
             pools.put(loop, new BackendPool(this, transport, loop));
         }
@@ -103,7 +116,8 @@
     }
 
     private void reserve() {
-        int wanted = Math.min(config.sockets() / 2, settings().limits().connections() + BACKEND_SOCKETS);
+        int wanted =
+                Math.min(config.sockets() / 2, settings().limits().connections() + BACKEND_SOCKETS);
         chain.admit().reserve(wanted - reserved);
         reserved = wanted;
     }
@@ -115,8 +129,8 @@
     }
 
     /**
-     * Checks other settings, with the file of secrets as it is now. What stands keeps the limits that it came
-     * under; new connections, links and logins get the new ones.
+     * Checks other settings, with the file of secrets as it is now. What stands keeps the limits
+     * that it came under; new connections, links and logins get the new ones.
      */
     public Change change(AmqpSettings next) throws MalformedException {
         Rules checked = Rules.of(next, config);
@@ -136,24 +150,30 @@
             Log.warn("amqp.full", "from", connection.remote(), "connections", now);
             return null;
         }
-        ClientPeering made = new ClientPeering(this, pools.get(connection.loop()), connection,
-            now > settings().limits().connections());
+        ClientPeering made =
+                new ClientPeering(
+                        this,
+                        pools.get(connection.loop()),
+                        connection,
+                        now > settings().limits().connections());
         clients.add(made);
         return made;
     }
 
     private void beat(Loop loop) {
-        loop.after(BEAT, () -> {
-            beat(loop);
-            Instant now = now();
-            for (ClientPeering client : clients) {
-                if (client.loop() == loop) {
-                    client.beat(now);
-                }
-            }
-            pools.get(loop).sweep();
-            moveFromLeavers();
-        });
+        loop.after(
+                BEAT,
+                () -> {
+                    beat(loop);
+                    Instant now = now();
+                    for (ClientPeering client : clients) {
+                        if (client.loop() == loop) {
+                            client.beat(now);
+                        }
+                    }
+                    pools.get(loop).sweep();
+                    moveFromLeavers();
+                });
     }
 
     /** A backend that drains keeps its links until they are moved; a few at each beat. */
@@ -161,15 +181,18 @@
         Map<Object, Integer> found = new HashMap<>();
         for (ClientLink link : links) {
             Try up = link.standing();
-            if (up != null && up.peer().entry().state() == HostList.State.DRAINING
-                && up.moveReason() == null) {
+            if (up != null
+                    && up.peer().entry().state() == HostList.State.DRAINING
+                    && up.moveReason() == null) {
                 found.merge(up.peer(), 1, Integer::sum);
             }
         }
         if (found.isEmpty()) {
             return;
         }
-        found.replaceAll((peer, count) -> Math.max(LEAST_MOVED, (count + BEATS_TO_MOVE - 1) / BEATS_TO_MOVE));
+        found.replaceAll(
+                (peer, count) ->
+                        Math.max(LEAST_MOVED, (count + BEATS_TO_MOVE - 1) / BEATS_TO_MOVE));
         for (ClientLink link : links) {
             Try up = link.standing();
             if (up != null && found.getOrDefault(up.peer(), 0) > 0 && chain.move(up, "drain")) {
@@ -209,10 +232,36 @@
 
     /** Writes what became of deliveries to the log. */
     public void logTotals() {
-        Log.info("amqp.totals", "connections", clients.size(), "links", links.size(), "taken", taken,
-            "presettled", presettled, "accepted", accepted, "rejected", rejected, "released", released,
-            "modified", modified, "other", other, "expired", expired, "handed", handed, "moved", moved,
-            "replaced", replaced, "logins_failed", logins);
+        Log.info(
+                "amqp.totals",
+                "connections",
+                clients.size(),
+                "links",
+                links.size(),
+                "taken",
+                taken,
+                "presettled",
+                presettled,
+                "accepted",
+                accepted,
+                "rejected",
+                rejected,
+                "released",
+                released,
+                "modified",
+                modified,
+                "other",
+                other,
+                "expired",
+                expired,
+                "handed",
+                handed,
+                "moved",
+                moved,
+                "replaced",
+                replaced,
+                "logins_failed",
+                logins);
     }
 
     Instant now() {
@@ -294,8 +343,14 @@
     }
 
     void outcome(DeliveryState state) {
-        LongAdder kind = state instanceof Accepted ? accepted : state instanceof Rejected ? rejected
-            : state instanceof Released ? released : state instanceof Modified ? modified : other;
+        LongAdder kind =
+                state instanceof Accepted
+                        ? accepted
+                        : state instanceof Rejected
+                                ? rejected
+                                : state instanceof Released
+                                        ? released
+                                        : state instanceof Modified ? modified : other;
         kind.increment();
     }
 
--- a/relay/src/main/java/saltstage/amqp/BackendLink.java
+++ b/relay/src/main/java/saltstage/amqp/BackendLink.java
@@ -16,9 +16,9 @@
 import saltstage.wire.BackendConnection;
 
 /**
- * One try: a link to a backend, on a session that it shares at most with links of the same client's session,
- * so that a backend that takes nothing holds up this client and no other. It ends once: unreachable, refused,
- * timed out, reset, or up and then over.
+ * One try: a link to a backend, on a session that it shares at most with links of the same client's
+ * session, so that a backend that takes nothing holds up this client and no other. It ends once:
+ * unreachable, refused, timed out, reset, or up and then over.
  */
 final class BackendLink implements BackendConnection {
     /** The link's other half. */
@@ -39,7 +39,12 @@
         void roomAgain();
     }
 
-    private enum State { CONNECTING, ATTACHING, UP, DONE }
+    private enum State {
+        CONNECTING,
+        ATTACHING,
+        UP,
+        DONE
+    }
 
     private final AmqpFront front;
     private final Try begun;
@@ -50,8 +55,10 @@
     private BackendSession session;
     private Link<?> link;
     private State state = State.CONNECTING;
+
     /** What ends it where it takes too long; a link that stands or is over keeps none. */
     private Loop.Timer connects;
+
     private Loop.Timer attaches;
 
     BackendLink(AmqpFront front, Loop loop, Try begun, Instant until, Owner owner) {
@@ -77,16 +84,22 @@
             return;
         }
         Duration within = connect.compareTo(left) < 0 ? connect : left;
-        connects = loop.after(within, () -> {
-            if (state == State.CONNECTING) {
-                done(Outcome.UNREACHABLE);
-            }
-        });
-        attaches = loop.after(left, () -> {
-            if (state == State.ATTACHING) {
-                done(Outcome.TIMEOUT);
-            }
-        });
+        connects =
+                loop.after(
+                        within,
+                        () -> {
+                            if (state == State.CONNECTING) {
+                                done(Outcome.UNREACHABLE);
+                            }
+                        });
+        attaches =
+                loop.after(
+                        left,
+                        () -> {
+                            if (state == State.ATTACHING) {
+                                done(Outcome.TIMEOUT);
+                            }
+                        });
         pool.attach(this, within);
     }
 
@@ -121,30 +134,35 @@
         if (state != State.CONNECTING) {
             return;
         }
-        // Connecting takes time: the backend may have been told to drain, or the request's time be up.
+        // Connecting takes time: the backend may have been told to drain, or the request's time be
+        // up.
         if (!begun.peer().takesNew() || !front.now().isBefore(until)) {
             done(Outcome.UNREACHABLE);
             return;
         }
         try {
             session = peering.session(owner.sessionKey());
-        } catch (IllegalStateException full) { // the backend allows no more sessions on this connection
+        } catch (
+                IllegalStateException
+                        full) { // the backend allows no more sessions on this connection
             done(Outcome.UNREACHABLE);
             return;
         }
         state = State.ATTACHING;
         session.enter(this);
-        // Names are unique for a pair of containers (2.6.1), and the relay is one container to the backend:
+        // Names are unique for a pair of containers (2.6.1), and the relay is one container to the
+        // backend:
         // two clients that chose the same name must not take each other's link.
         link = owner.make(session.session(), peering, begun.context().terms().name());
         link.closeHandler(ended -> detached(ended.getRemoteCondition()))
-            .detachHandler(ended -> detached(ended.getRemoteCondition()))
-            .openHandler(opened -> attached());
+                .detachHandler(ended -> detached(ended.getRemoteCondition()))
+                .openHandler(opened -> attached());
         link.open();
     }
 
     private void attached() {
-        boolean refused = link.isSender() ? link.getRemoteTarget() == null : link.getRemoteSource() == null;
+        boolean refused =
+                link.isSender() ? link.getRemoteTarget() == null : link.getRemoteSource() == null;
         if (state != State.ATTACHING || refused) {
             return; // a detach that says why is on its way (2.6.3)
         }
@@ -159,17 +177,26 @@
         if (state == State.ATTACHING) {
             done(outcome(why));
         } else if (state == State.UP) {
-            Log.info("amqp.link.detached", "peer", peer().entry().uid(), "name",
-                begun.context().terms().name(), "why", why == null ? "none" : why.getCondition());
+            Log.info(
+                    "amqp.link.detached",
+                    "peer",
+                    peer().entry().uid(),
+                    "name",
+                    begun.context().terms().name(),
+                    "why",
+                    why == null ? "none" : why.getCondition());
             over(why == null ? Outcome.SERVED : Outcome.RESET);
         }
     }
 
-    /** A backend that is full says so in the condition of the specification; all else is an error. */
+    /**
+     * A backend that is full says so in the condition of the specification; all else is an error.
+     */
     static Outcome outcome(ErrorCondition why) {
         Symbol condition = why == null ? null : why.getCondition();
-        boolean full = AmqpError.RESOURCE_LIMIT_EXCEEDED.equals(condition)
-            || AmqpError.RESOURCE_LOCKED.equals(condition);
+        boolean full =
+                AmqpError.RESOURCE_LIMIT_EXCEEDED.equals(condition)
+                        || AmqpError.RESOURCE_LOCKED.equals(condition);
         return full ? Outcome.FULL : Outcome.ERROR;
     }
 
@@ -204,14 +231,17 @@
 
     @Override
     public void close() {
-        loop.run(() -> {
-            if (state == State.CONNECTING || state == State.ATTACHING) {
-                done(Outcome.CANCELLED);
-            }
-        });
+        loop.run(
+                () -> {
+                    if (state == State.CONNECTING || state == State.ATTACHING) {
+                        done(Outcome.CANCELLED);
+                    }
+                });
     }
 
-    /** Its client has ended or was moved: the backend's half ends too, and nothing is told of it. */
+    /**
+     * Its client has ended or was moved: the backend's half ends too, and nothing is told of it.
+     */
     void end() {
         shut();
     }
--- a/relay/src/main/java/saltstage/amqp/BackendPeering.java
+++ b/relay/src/main/java/saltstage/amqp/BackendPeering.java
@@ -32,8 +32,10 @@
     private final BackendPool pool;
     private final Peer peer;
     private final Set<BackendLink> links = new LinkedHashSet<>();
+
     /** By the client's session, which is its own key. */
     private final Map<Object, BackendSession> shared = new HashMap<>();
+
     private boolean opened;
     private Instant idleSince;
 
@@ -49,18 +51,21 @@
     void begin() {
         Engine made = EngineFactory.PROTON.createEngine();
         made.saslDriver().client().setListener(new Anonymous());
-        made.connection().setContainerId(front.container())
-            .setMaxFrameSize(front.settings().limits().frameBytes())
-            .setIdleTimeout(front.settings().times().backendIdle().toMillis())
-            .openHandler(up -> {
-                opened = true;
-                List.copyOf(links).forEach(BackendLink::connected);
-            })
-            .closeHandler(up -> {
-                ErrorCondition why = up.getRemoteCondition();
-                lost(why == null ? "closed" : String.valueOf(why.getCondition()));
-                close(null);
-            });
+        made.connection()
+                .setContainerId(front.container())
+                .setMaxFrameSize(front.settings().limits().frameBytes())
+                .setIdleTimeout(front.settings().times().backendIdle().toMillis())
+                .openHandler(
+                        up -> {
+                            opened = true;
+                            List.copyOf(links).forEach(BackendLink::connected);
+                        })
+                .closeHandler(
+                        up -> {
+                            ErrorCondition why = up.getRemoteCondition();
+                            lost(why == null ? "closed" : String.valueOf(why.getCondition()));
+                            close(null);
+                        });
         start(made);
         made.connection().open();
     }
@@ -70,7 +75,8 @@
         @Override
         public void handleSaslMechanisms(SaslClientContext context, Symbol[] mechanisms) {
             ProtonBuffer name =
-                ProtonByteArrayBufferAllocator.wrapped("saltstage".getBytes(StandardCharsets.UTF_8));
+                    ProtonByteArrayBufferAllocator.wrapped(
+                            "saltstage".getBytes(StandardCharsets.UTF_8));
             context.sendChosenMechanism(ANONYMOUS, null, name);
         }
 
@@ -80,7 +86,8 @@
         }
 
         @Override
-        public void handleSaslOutcome(SaslClientContext context, SaslOutcome outcome, ProtonBuffer more) {
+        public void handleSaslOutcome(
+                SaslClientContext context, SaslOutcome outcome, ProtonBuffer more) {
             if (outcome != SaslOutcome.SASL_OK) {
                 context.saslFailure(new SaslException("the backend takes no ANONYMOUS"));
             }
@@ -112,14 +119,19 @@
         }
     }
 
-    /** A session for a link: one that it shares with others of this key, or its own where there is none. */
+    /**
+     * A session for a link: one that it shares with others of this key, or its own where there is
+     * none.
+     */
     BackendSession session(Object key) {
         BackendSession held = key == null ? null : shared.get(key);
         if (held != null && held.hasRoom()) {
             return held;
         }
-        Session made = engine().connection().session()
-            .setIncomingCapacity(front.settings().limits().linkBytes());
+        Session made =
+                engine().connection()
+                        .session()
+                        .setIncomingCapacity(front.settings().limits().linkBytes());
         BackendSession[] it = new BackendSession[1];
         it[0] = new BackendSession(made, () -> shared.remove(key, it[0]));
         if (key != null) {
@@ -149,7 +161,14 @@
     private void lost(String why) {
         pool.ended(this);
         if (!links.isEmpty()) {
-            Log.warn("amqp.backend.lost", "peer", peer.entry().uid(), "links", links.size(), "why", why);
+            Log.warn(
+                    "amqp.backend.lost",
+                    "peer",
+                    peer.entry().uid(),
+                    "links",
+                    links.size(),
+                    "why",
+                    why);
         }
         List<BackendLink> all = List.copyOf(links);
         links.clear();
--- a/relay/src/main/java/saltstage/amqp/BackendPool.java
+++ b/relay/src/main/java/saltstage/amqp/BackendPool.java
@@ -13,10 +13,13 @@
 import saltstage.net.Loop;
 import saltstage.net.Transport;
 
-/** The connections of one loop to the backends: links share them, a session each; on that loop only. */
+/**
+ * The connections of one loop to the backends: links share them, a session each; on that loop only.
+ */
 final class BackendPool {
     /** What is unsent to a backend holds its links up from the first figure on. */
     private static final Connection.Bounds BOUNDS = new Connection.Bounds(256 << 10, 64 << 20);
+
     private static final int MOST_LINKS = 2_000;
 
     private final AmqpFront front;
--- a/relay/src/main/java/saltstage/amqp/BackendSession.java
+++ b/relay/src/main/java/saltstage/amqp/BackendSession.java
@@ -6,9 +6,9 @@
 import org.apache.qpid.protonj2.engine.Session;
 
 /**
- * A session to a backend. The sending links of one session of a client share one, since they share a window
- * at their client too: who is held up by it was so already. A receiving link has one of its own. On the loop
- * of its connection only.
+ * A session to a backend. The sending links of one session of a client share one, since they share
+ * a window at their client too: who is held up by it was so already. A receiving link has one of
+ * its own. On the loop of its connection only.
  */
 final class BackendSession {
     /** Each peer allows that many handles (2.7.2 lets it say fewer than the usual 2^32). */
@@ -17,11 +17,15 @@
     private final Session session;
     private final Runnable empty;
     private final Set<BackendLink> links = new LinkedHashSet<>();
+
     /** Links with something to send that the window had no room for. */
     private final Set<BackendLink> heldUp = new LinkedHashSet<>();
+
     private boolean over;
 
-    /** Over this session of the library's, not open yet; empty is told once no link is left on it. */
+    /**
+     * Over this session of the library's, not open yet; empty is told once no link is left on it.
+     */
     BackendSession(Session session, Runnable empty) {
         this.session = session;
         this.empty = empty;
--- a/relay/src/main/java/saltstage/amqp/ClientLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientLink.java
@@ -18,12 +18,16 @@
 import saltstage.memory.Try;
 
 /**
- * A client's link, which is a request until it stands and a connection at a backend from then on. It is
- * placed, answered, moved and, where its backend is lost, placed anew through the same stages as a line's.
- * All state is the loop's of its connection; calls from elsewhere are handed over to it.
+ * A client's link, which is a request until it stands and a connection at a backend from then on.
+ * It is placed, answered, moved and, where its backend is lost, placed anew through the same stages
+ * as a line's. All state is the loop's of its connection; calls from elsewhere are handed over to
+ * it.
  */
 abstract class ClientLink implements ClientConnection, BackendLink.Owner {
-    /** Backends lost one after the other without one outcome between: the fault may lie in what it sends. */
+    /**
+     * Backends lost one after the other without one outcome between: the fault may lie in what it
+     * sends.
+     */
     private static final int MOST_LOST = 6;
 
     private enum State {
@@ -33,7 +37,9 @@
         STANDING,
         /** Its backend was lost and it asks for another; its client notices nothing. */
         REPLACING,
-        /** It is to be detached, once what is under way from its client has come and was answered. */
+        /**
+         * It is to be detached, once what is under way from its client has come and was answered.
+         */
         CLOSING,
         /** Nothing is owed any more. */
         ENDED
@@ -72,7 +78,10 @@
         front.admit().take(this, mapped.terms(), mapped.patience(), taken -> context = taken);
     }
 
-    /** An attach that is not to be: answered without source or target, and detached with why (2.6.3). */
+    /**
+     * An attach that is not to be: answered without source or target, and detached with why
+     * (2.6.3).
+     */
     final void turnAway(ErrorCondition why) {
         state = State.ENDED;
         owner.detached(this);
@@ -112,14 +121,17 @@
 
     @Override
     public final void attempt(Try begun, Instant until) {
-        owner.loop().run(() -> {
-            if (state == State.ENDED || begun.context() != context) {
-                begun.giveUp();
-                front.book().ended(begun, Outcome.CANCELLED);
-            } else {
-                new BackendLink(front, owner.loop(), begun, until, this).begin(owner.pool());
-            }
-        });
+        owner.loop()
+                .run(
+                        () -> {
+                            if (state == State.ENDED || begun.context() != context) {
+                                begun.giveUp();
+                                front.book().ended(begun, Outcome.CANCELLED);
+                            } else {
+                                new BackendLink(front, owner.loop(), begun, until, this)
+                                        .begin(owner.pool());
+                            }
+                        });
     }
 
     @Override
@@ -147,15 +159,19 @@
         }
     }
 
-    /** No place is left for a link that stood: what it holds is answered, and it is detached with why. */
+    /**
+     * No place is left for a link that stood: what it holds is answered, and it is detached with
+     * why.
+     */
     private void giveUp(ErrorCondition why) {
         unplaced();
         close(why);
     }
 
     /**
-     * Takes its credit back before it is detached: what its client has sent until then would else cross with
-     * the detach and get no outcome. A client that does not answer that is detached after a while.
+     * Takes its credit back before it is detached: what its client has sent until then would else
+     * cross with the detach and get no outcome. A client that does not answer that is detached
+     * after a while.
      */
     private void close(ErrorCondition why) {
         state = State.CLOSING;
@@ -190,8 +206,9 @@
 
     @Override
     public final boolean up(BackendLink at) {
-        if (state != State.PLACING && state != State.REPLACING || at.begun().context() != context
-            || !front.book().standing(at.begun(), false)) {
+        if (state != State.PLACING && state != State.REPLACING
+                || at.begun().context() != context
+                || !front.book().standing(at.begun(), false)) {
             return false;
         }
         backend = at;
@@ -203,7 +220,10 @@
         return true;
     }
 
-    /** The attach is answered as the backend has answered it: its terminus, its capabilities, its bounds. */
+    /**
+     * The attach is answered as the backend has answered it: its terminus, its capabilities, its
+     * bounds.
+     */
     private void answerAttach() {
         Link<?> far = backendLink();
         answerSettings();
@@ -216,8 +236,8 @@
             link.setTarget(target);
         }
         link.setSenderSettleMode(far.getRemoteSenderSettleMode())
-            .setReceiverSettleMode(far.getRemoteReceiverSettleMode())
-            .setMaxMessageSize(far.getRemoteMaxMessageSize());
+                .setReceiverSettleMode(far.getRemoteReceiverSettleMode())
+                .setMaxMessageSize(far.getRemoteMaxMessageSize());
         Symbol[] offered = far.getRemoteOfferedCapabilities();
         if (offered != null) {
             link.setOfferedCapabilities(offered);
@@ -235,11 +255,11 @@
         to.setSource(link.getRemoteSource());
         to.setTarget(target);
         to.setSenderSettleMode(link.getRemoteSenderSettleMode())
-            .setReceiverSettleMode(link.getRemoteReceiverSettleMode())
-            .setMaxMessageSize(link.getRemoteMaxMessageSize())
-            .setDesiredCapabilities(link.getRemoteDesiredCapabilities())
-            .setOfferedCapabilities(link.getRemoteOfferedCapabilities())
-            .setProperties(link.getRemoteProperties());
+                .setReceiverSettleMode(link.getRemoteReceiverSettleMode())
+                .setMaxMessageSize(link.getRemoteMaxMessageSize())
+                .setDesiredCapabilities(link.getRemoteDesiredCapabilities())
+                .setOfferedCapabilities(link.getRemoteOfferedCapabilities())
+                .setProperties(link.getRemoteProperties());
     }
 
     @Override
@@ -292,8 +312,14 @@
         if (state != State.STANDING || backend == null || backend.begun() != up) {
             return;
         }
-        Log.info("relay.move", "why", reason, "peer", up.peer().entry().uid(), "id",
-            up.context().terms().name());
+        Log.info(
+                "relay.move",
+                "why",
+                reason,
+                "peer",
+                up.peer().entry().uid(),
+                "id",
+                up.context().terms().name());
         if (reason.startsWith("peer")) {
             backend.lost(true); // nothing more will come from there: what waits goes elsewhere
             return;
@@ -301,7 +327,9 @@
         close(Errors.moved(reason));
     }
 
-    /** The client has detached, ended its session or lost its connection: nothing is owed any more. */
+    /**
+     * The client has detached, ended its session or lost its connection: nothing is owed any more.
+     */
     final void clientLeft() {
         if (state == State.ENDED) {
             return;
@@ -336,8 +364,7 @@
     }
 
     /** Time has passed. */
-    void beat(Instant now) {
-    }
+    void beat(Instant now) {}
 
     protected final AmqpFront front() {
         return front;
@@ -385,8 +412,7 @@
     protected abstract void stopTaking();
 
     /** The link is over; told once. */
-    protected void ends() {
-    }
+    protected void ends() {}
 
     /** Whether nothing is under way, so that it can be moved. */
     protected abstract boolean isSettled();
--- a/relay/src/main/java/saltstage/amqp/ClientPeering.java
+++ b/relay/src/main/java/saltstage/amqp/ClientPeering.java
@@ -43,8 +43,13 @@
     private static final Symbol PLAIN = Symbol.valueOf("PLAIN");
     private static final int HEADER = 8;
     private static final int PROTOCOL_ID = 4;
-    /** Empty frames only keep a connection alive; who sends more than this a second does something else. */
+
+    /**
+     * Empty frames only keep a connection alive; who sends more than this a second does something
+     * else.
+     */
     private static final int MOST_EMPTY = 100;
+
     private static final int MOST_SECRET = 1_024;
     private static final Duration FAILED_LOGIN = Duration.ofMillis(500);
 
@@ -70,12 +75,19 @@
         this.overfull = overfull;
         settings = front.settings();
         remote = String.valueOf(net.remote());
-        net.loop().after(settings.times().open(), () -> {
-            if (!opened && !over()) {
-                Log.warn("amqp.client.silent", "from", remote);
-                close(Errors.limit("no open within " + settings.times().open().toMillis() + " ms"));
-            }
-        });
+        net.loop()
+                .after(
+                        settings.times().open(),
+                        () -> {
+                            if (!opened && !over()) {
+                                Log.warn("amqp.client.silent", "from", remote);
+                                close(
+                                        Errors.limit(
+                                                "no open within "
+                                                        + settings.times().open().toMillis()
+                                                        + " ms"));
+                            }
+                        });
     }
 
     String remote() {
@@ -106,30 +118,41 @@
         ingest(came);
     }
 
-    /** A client that offers no SASL is ANONYMOUS, where that may come in; else it is told to (5.3.2). */
+    /**
+     * A client that offers no SASL is ANONYMOUS, where that may come in; else it is told to
+     * (5.3.2).
+     */
     private void begin(boolean bare) {
         boolean anonymous = settings.access().anonymousTenant() != null;
-        Engine made = bare && anonymous ? EngineFactory.PROTON.createNonSaslEngine()
-            : EngineFactory.PROTON.createEngine();
+        Engine made =
+                bare && anonymous
+                        ? EngineFactory.PROTON.createNonSaslEngine()
+                        : EngineFactory.PROTON.createEngine();
         if (!bare || !anonymous) {
             made.saslDriver().server().setListener(new Login());
         }
-        // Frames come in from the last handler on: the counter must stand behind the one that takes them.
-        EngineHandler performatives = made.pipeline().find(ProtonConstants.AMQP_PERFORMATIVE_HANDLER);
-        made.pipeline().remove(performatives).addFirst("count", new Counter())
-            .addFirst(ProtonConstants.AMQP_PERFORMATIVE_HANDLER, performatives);
-        made.connection().setContainerId(front.container())
-            .setMaxFrameSize(settings.limits().frameBytes())
-            .setChannelMax(settings.limits().sessions() - 1)
-            .setIdleTimeout(settings.times().idle().toMillis())
-            .openHandler(this::opens)
-            .closeHandler(ended -> {
-                leave();
-                close(null);
-            })
-            .sessionOpenHandler(this::begins)
-            .senderOpenHandler(this::attaches)
-            .receiverOpenHandler(this::attaches);
+        // Frames come in from the last handler on: the counter must stand behind the one that takes
+        // them.
+        EngineHandler performatives =
+                made.pipeline().find(ProtonConstants.AMQP_PERFORMATIVE_HANDLER);
+        made.pipeline()
+                .remove(performatives)
+                .addFirst("count", new Counter())
+                .addFirst(ProtonConstants.AMQP_PERFORMATIVE_HANDLER, performatives);
+        made.connection()
+                .setContainerId(front.container())
+                .setMaxFrameSize(settings.limits().frameBytes())
+                .setChannelMax(settings.limits().sessions() - 1)
+                .setIdleTimeout(settings.times().idle().toMillis())
+                .openHandler(this::opens)
+                .closeHandler(
+                        ended -> {
+                            leave();
+                            close(null);
+                        })
+                .sessionOpenHandler(this::begins)
+                .senderOpenHandler(this::attaches)
+                .receiverOpenHandler(this::attaches);
         start(made);
     }
 
@@ -139,14 +162,18 @@
         public void handleSaslHeader(SaslServerContext context, AMQPHeader header) {
             boolean anonymous = settings.access().anonymousTenant() != null;
             boolean plain = front.secrets().size() > 0;
-            context.sendMechanisms(anonymous && plain ? new Symbol[] {PLAIN, ANONYMOUS}
-                : new Symbol[] {plain ? PLAIN : ANONYMOUS});
+            context.sendMechanisms(
+                    anonymous && plain
+                            ? new Symbol[] {PLAIN, ANONYMOUS}
+                            : new Symbol[] {plain ? PLAIN : ANONYMOUS});
         }
 
         @Override
-        public void handleSaslInit(SaslServerContext context, Symbol mechanism, ProtonBuffer response) {
-            boolean fits = ANONYMOUS.equals(mechanism) && settings.access().anonymousTenant() != null
-                || PLAIN.equals(mechanism) && plain(response);
+        public void handleSaslInit(
+                SaslServerContext context, Symbol mechanism, ProtonBuffer response) {
+            boolean fits =
+                    ANONYMOUS.equals(mechanism) && settings.access().anonymousTenant() != null
+                            || PLAIN.equals(mechanism) && plain(response);
             if (fits) {
                 context.sendOutcome(SaslOutcome.SASL_OK, null);
             } else {
@@ -171,7 +198,8 @@
             }
             String name = new String(bytes, first + 1, next - first - 1, StandardCharsets.UTF_8);
             String acts = new String(bytes, 0, first, StandardCharsets.UTF_8);
-            boolean fits = front.secrets().fits(name, Arrays.copyOfRange(bytes, next + 1, bytes.length));
+            boolean fits =
+                    front.secrets().fits(name, Arrays.copyOfRange(bytes, next + 1, bytes.length));
             if (!fits || !acts.isEmpty() && !acts.equals(name)) {
                 return false;
             }
@@ -244,14 +272,15 @@
         }
         session.setIncomingCapacity(settings.limits().linkBytes());
         session.setLinkedResource(new Window());
-        session.closeHandler(ended -> {
-            for (ClientLink link : List.copyOf(links)) {
-                if (link.session() == ended) {
-                    link.clientLeft();
-                }
-            }
-            ended.close();
-        });
+        session.closeHandler(
+                ended -> {
+                    for (ClientLink link : List.copyOf(links)) {
+                        if (link.session() == ended) {
+                            link.clientLeft();
+                        }
+                    }
+                    ended.close();
+                });
         session.open();
     }
 
@@ -260,15 +289,21 @@
     private void attaches(Receiver link) {
         Target target = link.getRemoteTarget() instanceof Target plain ? plain : null;
         boolean dynamic = target != null && target.isDynamic();
-        attach(link, target == null ? null : target.getAddress(), dynamic, asked ->
-            new SendingLink(front, this, link, asked, front.repeatable(asked)));
+        attach(
+                link,
+                target == null ? null : target.getAddress(),
+                dynamic,
+                asked -> new SendingLink(front, this, link, asked, front.repeatable(asked)));
     }
 
     private void attaches(Sender link) {
         Source source = link.getRemoteSource();
         boolean dynamic = source != null && source.isDynamic();
-        attach(link, source == null ? null : source.getAddress(), dynamic, asked ->
-            new ReceivingLink(front, this, link, asked));
+        attach(
+                link,
+                source == null ? null : source.getAddress(),
+                dynamic,
+                asked -> new ReceivingLink(front, this, link, asked));
     }
 
     private interface Making {
@@ -280,14 +315,23 @@
             flood("attaches");
             return;
         }
-        if (link.getLinkedResource() != null) { // the same name a second time while it is attached (2.6.1)
-            close(new ErrorCondition(LinkError.STOLEN, "link " + link.getName() + " is attached already"));
+        if (link.getLinkedResource()
+                != null) { // the same name a second time while it is attached (2.6.1)
+            close(
+                    new ErrorCondition(
+                            LinkError.STOLEN, "link " + link.getName() + " is attached already"));
             leave();
             return;
         }
         Map<Symbol, Object> properties = link.getRemoteProperties();
-        ClientLink made = making.of(new Mapping.Asked(address, engine().connection().getRemoteContainerId(),
-            link.getName(), user, properties));
+        ClientLink made =
+                making.of(
+                        new Mapping.Asked(
+                                address,
+                                engine().connection().getRemoteContainerId(),
+                                link.getName(),
+                                user,
+                                properties));
         link.setLinkedResource(made);
         link.closeHandler(ended -> made.clientLeft());
         link.detachHandler(ended -> made.clientLeft());
@@ -297,7 +341,8 @@
             made.turnAway(Errors.notImplemented("dynamic addresses"));
         } else if (front.leaving()) {
             made.turnAway(Errors.leaving());
-        } else if (links.size() >= settings.limits().linksPerConnection() || !front.hasRoomForLink()) {
+        } else if (links.size() >= settings.limits().linksPerConnection()
+                || !front.hasRoomForLink()) {
             Log.warn("amqp.links.full", "from", remote, "links", links.size());
             made.turnAway(Errors.refused(front.config().longestRetryAfter()));
         } else {
@@ -332,7 +377,9 @@
     void reads(Link<?> link, int bytes) {
         Window window = link.getSession().getLinkedResource();
         int frames = settings.limits().linkBytes() / settings.limits().frameBytes();
-        if (window.transfers >= frames / 2 && engineRuns() && !link.getSession().isRemotelyClosed()) {
+        if (window.transfers >= frames / 2
+                && engineRuns()
+                && !link.getSession().isRemotelyClosed()) {
             window.transfers = 0;
             Flows.readsNext(link.getSession(), bytes);
         }
@@ -345,7 +392,9 @@
 
     /** Bytes of a session's window that a link which is no more has used. */
     void giveBack(Link<?> link, int bytes) {
-        if (engineRuns() && link.getSession().isLocallyOpen() && !link.getSession().isRemotelyClosed()) {
+        if (engineRuns()
+                && link.getSession().isLocallyOpen()
+                && !link.getSession().isRemotelyClosed()) {
             Flows.giveBack(link.getSession(), bytes);
         }
     }
--- a/relay/src/main/java/saltstage/amqp/Errors.java
+++ b/relay/src/main/java/saltstage/amqp/Errors.java
@@ -9,23 +9,27 @@
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 import org.apache.qpid.protonj2.types.transport.LinkError;
 
-/** The error conditions that the relay says, each with the section of the specification that names it. */
+/**
+ * The error conditions that the relay says, each with the section of the specification that names
+ * it.
+ */
 final class Errors {
     /** Milliseconds until a refused client should come again, in the info map of the error. */
     static final Symbol RETRY_AFTER = Symbol.valueOf("saltstage:retry-after-ms");
+
     /** Set in the info map where a link was moved: attaching again at once is what is asked for. */
     static final Symbol COME_AGAIN = Symbol.valueOf("saltstage:come-again");
 
-    private Errors() {
-    }
+    private Errors() {}
 
     /** Refused for now (2.8.15). */
     static ErrorCondition refused(Duration retryAfter) {
         return retryAfter.isZero()
-            ? new ErrorCondition(AmqpError.RESOURCE_LIMIT_EXCEEDED, "refused, come again")
-            : new ErrorCondition(AmqpError.RESOURCE_LIMIT_EXCEEDED,
-                "refused, come again in " + retryAfter.toMillis() + " ms",
-                Map.of(RETRY_AFTER, UnsignedInteger.valueOf(retryAfter.toMillis())));
+                ? new ErrorCondition(AmqpError.RESOURCE_LIMIT_EXCEEDED, "refused, come again")
+                : new ErrorCondition(
+                        AmqpError.RESOURCE_LIMIT_EXCEEDED,
+                        "refused, come again in " + retryAfter.toMillis() + " ms",
+                        Map.of(RETRY_AFTER, UnsignedInteger.valueOf(retryAfter.toMillis())));
     }
 
     /** Failed; nothing is promised (2.8.15). */
@@ -50,14 +54,16 @@
 
     /** The link is moved: its client is to attach again (2.8.17). */
     static ErrorCondition moved(String why) {
-        return new ErrorCondition(LinkError.DETACH_FORCED, "moved, attach again: " + why,
-            Map.of(COME_AGAIN, true));
+        return new ErrorCondition(
+                LinkError.DETACH_FORCED, "moved, attach again: " + why, Map.of(COME_AGAIN, true));
     }
 
     /** The relay leaves (2.8.16). */
     static ErrorCondition leaving() {
-        return new ErrorCondition(ConnectionError.CONNECTION_FORCED, "relay leaves, connect again",
-            Map.of(COME_AGAIN, true));
+        return new ErrorCondition(
+                ConnectionError.CONNECTION_FORCED,
+                "relay leaves, connect again",
+                Map.of(COME_AGAIN, true));
     }
 
     /** What came is no AMQP, or breaks its rules (2.8.16). */
--- a/relay/src/main/java/saltstage/amqp/Forwarding.java
+++ b/relay/src/main/java/saltstage/amqp/Forwarding.java
@@ -13,10 +13,11 @@
 import org.apache.qpid.protonj2.types.transport.DeliveryState;
 
 /**
- * The deliveries of one sending client, on their way to the backend where its link stands: in order, each
- * unsettled one owed exactly one outcome. Where the backend is lost, those that may be repeated wait for the
- * next one. Free of I/O, threads and clocks: times come with the calls, what is to be done goes to the two
- * sides. All bounds hold here: deliveries without an outcome, bytes held, tries, time.
+ * The deliveries of one sending client, on their way to the backend where its link stands: in
+ * order, each unsettled one owed exactly one outcome. Where the backend is lost, those that may be
+ * repeated wait for the next one. Free of I/O, threads and clocks: times come with the calls, what
+ * is to be done goes to the two sides. All bounds hold here: deliveries without an outcome, bytes
+ * held, tries, time.
  */
 final class Forwarding {
     /** The client's side. */
@@ -33,7 +34,10 @@
         /** Whether a piece would be taken now: credit, window, room on the connection. */
         boolean sendable();
 
-        /** Sends a piece from an offset on, with which the delivery may end; returns the bytes taken. */
+        /**
+         * Sends a piece from an offset on, with which the delivery may end; returns the bytes
+         * taken.
+         */
         int stream(Delivery delivery, byte[] piece, int from, boolean last);
 
         /** Takes back a delivery that was begun and not ended. */
@@ -44,7 +48,7 @@
     }
 
     /** The bounds; see {@link saltstage.config.AmqpSettings}. */
-    record Bounds(int unsettled, int heldBytes, int repeatBytes, int tries, Duration within) { }
+    record Bounds(int unsettled, int heldBytes, int repeatBytes, int tries, Duration within) {}
 
     /** One delivery. */
     static final class Delivery {
@@ -109,10 +113,13 @@
     private final Bounds bounds;
     private final boolean repeatable;
     private final Client client;
+
     /** Not wholly sent to the present backend, in order. */
     private final Deque<Delivery> waiting = new ArrayDeque<>();
+
     /** Sent and without an outcome, in order. */
     private final Set<Delivery> sent = new LinkedHashSet<>();
+
     private Backend backend;
     private int backendCredit;
     private int granted;
@@ -133,7 +140,10 @@
         backendCredit = 0;
     }
 
-    /** The backend has room for so many deliveries in all; called also where it has room for bytes again. */
+    /**
+     * The backend has room for so many deliveries in all; called also where it has room for bytes
+     * again.
+     */
     void credit(int credit) {
         backendCredit = credit;
         pump();
@@ -196,15 +206,16 @@
     }
 
     /**
-     * The backend is lost. What may run once more waits for the next backend, in its old order; what may not,
-     * was too large to keep or has been tried often enough is answered now.
+     * The backend is lost. What may run once more waits for the next backend, in its old order;
+     * what may not, was too large to keep or has been tried often enough is answered now.
      */
     void lost() {
         backend = null;
         backendCredit = 0;
         for (Delivery delivery : all()) {
-            boolean again = !delivery.everBegun
-                || repeatable && !delivery.dropped && delivery.tries < bounds.tries();
+            boolean again =
+                    !delivery.everBegun
+                            || repeatable && !delivery.dropped && delivery.tries < bounds.tries();
             if (delivery.settled && delivery.everBegun) {
                 again = false; // owed nothing, and perhaps there already
             }
@@ -278,15 +289,19 @@
         return expired;
     }
 
-    /** Failed where it may have run; where no byte has left the relay it is handed back as it was. */
+    /**
+     * Failed where it may have run; where no byte has left the relay it is handed back as it was.
+     */
     private void giveUp(Delivery delivery) {
         if (delivery.answered) {
             return;
         }
         delivery.answered = true;
         if (!delivery.settled) {
-            client.outcome(delivery, delivery.everBegun ? new Modified(true, false) : Released.getInstance(),
-                true);
+            client.outcome(
+                    delivery,
+                    delivery.everBegun ? new Modified(true, false) : Released.getInstance(),
+                    true);
         }
         abandon(delivery);
         forget(delivery);
@@ -323,7 +338,9 @@
         welcome();
     }
 
-    /** Sends what has come of it; false where it is not through yet, so that no later one may go. */
+    /**
+     * Sends what has come of it; false where it is not through yet, so that no later one may go.
+     */
     private boolean send(Delivery delivery) {
         while (true) {
             boolean more = delivery.piece < delivery.pieces.size();
--- a/relay/src/main/java/saltstage/amqp/Frames.java
+++ b/relay/src/main/java/saltstage/amqp/Frames.java
@@ -4,9 +4,10 @@
 import java.util.Arrays;
 
 /**
- * Cuts what comes into whole frames (2.3.1) and protocol headers (2.2). protonj2 1.0.0 joins the pieces of a
- * frame that came in parts in a composite buffer, in which an array of symbols is read at a wrong offset; so
- * it is shown whole frames only. What can be no frame is passed on as it is: the engine refuses it.
+ * Cuts what comes into whole frames (2.3.1) and protocol headers (2.2). protonj2 1.0.0 joins the
+ * pieces of a frame that came in parts in a composite buffer, in which an array of symbols is read
+ * at a wrong offset; so it is shown whole frames only. What can be no frame is passed on as it is:
+ * the engine refuses it.
  */
 final class Frames {
     private static final int HEADER = 8;
--- a/relay/src/main/java/saltstage/amqp/Mapping.java
+++ b/relay/src/main/java/saltstage/amqp/Mapping.java
@@ -12,9 +12,9 @@
 import saltstage.wire.MalformedException;
 
 /**
- * How a link becomes a request: its address is {@code CLASS} or {@code CLASS/GROUP}, its tenant is the SASL
- * user, its key the container id with the link's name. Properties that the operator names go before those.
- * Free of I/O.
+ * How a link becomes a request: its address is {@code CLASS} or {@code CLASS/GROUP}, its tenant is
+ * the SASL user, its key the container id with the link's name. Properties that the operator names
+ * go before those. Free of I/O.
  */
 final class Mapping {
     private static final Pattern GROUP = Pattern.compile("[!-~]{1,128}");
@@ -36,11 +36,15 @@
     }
 
     /** A link as its client asks for it; user is null for ANONYMOUS. */
-    record Asked(String address, String container, String link, String user,
-            Map<Symbol, Object> properties) { }
+    record Asked(
+            String address,
+            String container,
+            String link,
+            String user,
+            Map<Symbol, Object> properties) {}
 
     /** What it asks for, and how long its client waits for the attach to be answered. */
-    record Mapped(Terms terms, Duration patience, boolean repeatable) { }
+    record Mapped(Terms terms, Duration patience, boolean repeatable) {}
 
     private final Configuration config;
     private final AmqpSettings.Mapping names;
@@ -52,10 +56,13 @@
         anonymousTenant = settings.access().anonymousTenant();
     }
 
-    /** Maps a link; again: it stood before and its backend was lost. The name is the relay's own. */
+    /**
+     * Maps a link; again: it stood before and its backend was lost. The name is the relay's own.
+     */
     Mapped map(Asked asked, String name, boolean again) throws Unmapped {
         if (asked.address() == null || asked.address().isEmpty()) {
-            throw new Unmapped(Errors.notImplemented("a link needs an address, CLASS or CLASS/GROUP"));
+            throw new Unmapped(
+                    Errors.notImplemented("a link needs an address, CLASS or CLASS/GROUP"));
         }
         int slash = asked.address().indexOf('/');
         String word = slash < 0 ? asked.address() : asked.address().substring(0, slash);
@@ -83,8 +90,10 @@
             throw new Unmapped(Errors.notFound("the user is no tenant"));
         }
         boolean repeatable = config.settings().classes().get(place).effect() == Api.Effect.SAFE;
-        return new Mapped(new Terms(name, place, tenant, key, group, Api.NONE, again),
-            patience(asked, config.giveUp(place)), repeatable);
+        return new Mapped(
+                new Terms(name, place, tenant, key, group, Api.NONE, again),
+                patience(asked, config.giveUp(place)),
+                repeatable);
     }
 
     private Duration patience(Asked asked, Duration most) throws Unmapped {
@@ -104,7 +113,8 @@
     }
 
     private static Object property(Asked asked, String name) {
-        return name == null || asked.properties() == null ? null
-            : asked.properties().get(Symbol.valueOf(name));
+        return name == null || asked.properties() == null
+                ? null
+                : asked.properties().get(Symbol.valueOf(name));
     }
 }
--- a/relay/src/main/java/saltstage/amqp/OutcomeFrames.java
+++ b/relay/src/main/java/saltstage/amqp/OutcomeFrames.java
@@ -13,18 +13,21 @@
 import org.apache.qpid.protonj2.types.transport.Role;
 
 /**
- * Says in one frame what became of many deliveries (2.7.6: a disposition covers first to last). Outcomes
- * come from several backends in one round of the loop, one by one; those that are the usual one, accepted and
- * settled, wait for the end of the round and go out as ranges. All others go out at once. Nothing is held
- * over the end of its link, session or connection, and nothing longer than the round.
+ * Says in one frame what became of many deliveries (2.7.6: a disposition covers first to last).
+ * Outcomes come from several backends in one round of the loop, one by one; those that are the
+ * usual one, accepted and settled, wait for the end of the round and go out as ranges. All others
+ * go out at once. Nothing is held over the end of its link, session or connection, and nothing
+ * longer than the round.
  */
 final class OutcomeFrames implements EngineHandler {
     private final Consumer<Runnable> afterRound;
     private final AMQPPerformativeEnvelopePool<OutgoingAMQPEnvelope> envelopes =
-        AMQPPerformativeEnvelopePool.outgoingEnvelopePool();
+            AMQPPerformativeEnvelopePool.outgoingEnvelopePool();
     private final Disposition frame = new Disposition();
+
     /** By session, and by which side of the deliveries this is. */
     private final Map<Integer, Ranges> sending = new LinkedHashMap<>();
+
     private final Map<Integer, Ranges> receiving = new LinkedHashMap<>();
     private boolean due;
 
@@ -36,23 +39,27 @@
     @Override
     public void handleWrite(EngineHandlerContext context, OutgoingAMQPEnvelope envelope) {
         Performative said = envelope.getBody();
-        if (said instanceof Disposition one && one.getSettled() && one.getState() instanceof Accepted
-            && !one.hasLast()) {
-            of(one.getRole()).computeIfAbsent(envelope.getChannel(), any -> new Ranges())
-                .add((int) one.getFirst());
+        if (said instanceof Disposition one
+                && one.getSettled()
+                && one.getState() instanceof Accepted
+                && !one.hasLast()) {
+            of(one.getRole())
+                    .computeIfAbsent(envelope.getChannel(), any -> new Ranges())
+                    .add((int) one.getFirst());
             envelope.release();
             if (!due) {
                 due = true;
-                afterRound.accept(() -> {
-                    due = false;
-                    flush(context);
-                });
+                afterRound.accept(
+                        () -> {
+                            due = false;
+                            flush(context);
+                        });
             }
             return;
         }
         switch (said.getPerformativeType()) {
             case DETACH, END, CLOSE -> flush(context); // an outcome after these is none
-            default -> { }
+            default -> {}
         }
         context.fireWrite(envelope);
     }
@@ -74,12 +81,19 @@
         }
         Map<Integer, Ranges> now = new LinkedHashMap<>(all);
         all.clear();
-        now.forEach((channel, ranges) -> ranges.drain((first, last) -> {
-            frame.reset().setRole(role).setFirst(first).setSettled(true).setState(Accepted.getInstance());
-            if (last != first) {
-                frame.setLast(last);
-            }
-            context.fireWrite(envelopes.take(frame, channel, null));
-        }));
+        now.forEach(
+                (channel, ranges) ->
+                        ranges.drain(
+                                (first, last) -> {
+                                    frame.reset()
+                                            .setRole(role)
+                                            .setFirst(first)
+                                            .setSettled(true)
+                                            .setState(Accepted.getInstance());
+                                    if (last != first) {
+                                        frame.setLast(last);
+                                    }
+                                    context.fireWrite(envelopes.take(frame, channel, null));
+                                }));
     }
 }
--- a/relay/src/main/java/saltstage/amqp/Peering.java
+++ b/relay/src/main/java/saltstage/amqp/Peering.java
@@ -19,12 +19,14 @@
 import saltstage.net.Loop;
 
 /**
- * An AMQP connection: joins an engine to a connection of the transport, on its loop only. Bytes go in, frames
- * go out, time goes by. An engine that fails has said so in a close frame of its own before the end.
+ * An AMQP connection: joins an engine to a connection of the transport, on its loop only. Bytes go
+ * in, frames go out, time goes by. An engine that fails has said so in a close frame of its own
+ * before the end.
  */
 public abstract class Peering implements Handler {
     /** A close must reach the other side before the end of the connection does. */
     private static final Duration LINGER = Duration.ofMillis(500);
+
     private static final Duration CALM_TICK = Duration.ofSeconds(1);
     private static final Duration LEAST_TICK = Duration.ofMillis(20);
 
@@ -46,22 +48,28 @@
     protected final void start(Engine with) {
         engine = with;
         // Frames go out from the first handler on: what makes them stays before what joins them.
-        EngineHandler performatives = engine.pipeline().find(ProtonConstants.AMQP_PERFORMATIVE_HANDLER);
-        engine.pipeline().remove(performatives).addFirst("outcomes", new OutcomeFrames(loop()::run))
-            .addFirst(ProtonConstants.AMQP_PERFORMATIVE_HANDLER, performatives);
-        engine.outputHandler((buffer, done) -> {
-            try (ProtonBufferComponentAccessor parts = buffer.componentAccessor()) {
-                for (ProtonBufferComponent part = parts.firstReadable(); part != null;
-                        part = parts.nextReadable()) {
-                    ByteBuffer bytes = part.getReadableBuffer();
-                    // protonj2 1.0.0 shows all of the array here, also what was not written to it
-                    net.write(bytes.limit(bytes.position() + part.getReadableBytes()));
-                }
-            }
-            if (done != null) { // the buffer is not closed: headers are shared ones
-                done.run();
-            }
-        });
+        EngineHandler performatives =
+                engine.pipeline().find(ProtonConstants.AMQP_PERFORMATIVE_HANDLER);
+        engine.pipeline()
+                .remove(performatives)
+                .addFirst("outcomes", new OutcomeFrames(loop()::run))
+                .addFirst(ProtonConstants.AMQP_PERFORMATIVE_HANDLER, performatives);
+        engine.outputHandler(
+                (buffer, done) -> {
+                    try (ProtonBufferComponentAccessor parts = buffer.componentAccessor()) {
+                        for (ProtonBufferComponent part = parts.firstReadable();
+                                part != null;
+                                part = parts.nextReadable()) {
+                            ByteBuffer bytes = part.getReadableBuffer();
+                            // protonj2 1.0.0 shows all of the array here, also what was not written
+                            // to it
+                            net.write(bytes.limit(bytes.position() + part.getReadableBytes()));
+                        }
+                    }
+                    if (done != null) { // the buffer is not closed: headers are shared ones
+                        done.run();
+                    }
+                });
         engine.errorHandler(failed -> failed(failed.failureCause()));
         engine.start();
         tick();
@@ -94,8 +102,11 @@
 
     /** Whether frames can still be sent. */
     final boolean engineRuns() {
-        return !over && engine != null && engine.isRunning() && !engine.connection().isLocallyClosed()
-            && !engine.connection().isRemotelyClosed();
+        return !over
+                && engine != null
+                && engine.isRunning()
+                && !engine.connection().isLocallyClosed()
+                && !engine.connection().isRemotelyClosed();
     }
 
     /** Whether it has ended. */
@@ -148,7 +159,10 @@
         }
     }
 
-    /** protonj2 1.0.0 drops what a handler of transfers throws: here it ends the connection, and is told. */
+    /**
+     * protonj2 1.0.0 drops what a handler of transfers throws: here it ends the connection, and is
+     * told.
+     */
     final <T> EventHandler<T> guarded(EventHandler<T> handler) {
         return event -> {
             try {
@@ -199,12 +213,15 @@
                 if (due > 0) {
                     next = Duration.ofMillis(due - now);
                 }
-            } catch (RuntimeException told) { // an idle time-out fails the engine, which has told so
+            } catch (
+                    RuntimeException told) { // an idle time-out fails the engine, which has told so
                 return;
             }
         }
-        Duration wait = next.compareTo(LEAST_TICK) < 0 ? LEAST_TICK
-            : next.compareTo(CALM_TICK) > 0 ? CALM_TICK : next;
+        Duration wait =
+                next.compareTo(LEAST_TICK) < 0
+                        ? LEAST_TICK
+                        : next.compareTo(CALM_TICK) > 0 ? CALM_TICK : next;
         loop().after(wait, this::tick);
     }
 
--- a/relay/src/main/java/saltstage/amqp/Ranges.java
+++ b/relay/src/main/java/saltstage/amqp/Ranges.java
@@ -3,8 +3,9 @@
 import java.util.Arrays;
 
 /**
- * Delivery ids gathered in any order and given out as ranges of ids that follow one another. Ids are serial
- * numbers (RFC 1982) that wrap; all that are gathered at a time lie within half of their circle. Free of I/O.
+ * Delivery ids gathered in any order and given out as ranges of ids that follow one another. Ids
+ * are serial numbers (RFC 1982) that wrap; all that are gathered at a time lie within half of their
+ * circle. Free of I/O.
  */
 final class Ranges {
     private static final int FIRST_ROOM = 16;
@@ -16,6 +17,7 @@
 
     /** Distances from the first id that was gathered: these do not wrap. */
     private int[] distances = new int[FIRST_ROOM];
+
     private int base;
     private int count;
 
@@ -38,7 +40,7 @@
         int held = count;
         count = 0;
         Arrays.sort(distances, 0, held);
-        for (int i = 0; i < held;) {
+        for (int i = 0; i < held; ) {
             int last = i;
             while (last + 1 < held && distances[last + 1] - distances[last] <= 1) {
                 last++;
--- a/relay/src/main/java/saltstage/amqp/Rules.java
+++ b/relay/src/main/java/saltstage/amqp/Rules.java
@@ -6,24 +6,38 @@
 import saltstage.config.Configuration;
 import saltstage.wire.MalformedException;
 
-/** All that the operator's settings say of the front, read and checked as a whole; replaced as a whole. */
+/**
+ * All that the operator's settings say of the front, read and checked as a whole; replaced as a
+ * whole.
+ */
 record Rules(AmqpSettings settings, Mapping mapping, Secrets secrets, Forwarding.Bounds bounds) {
     /** Checks what the settings alone cannot know: the tenant of ANONYMOUS, the file of secrets. */
     static Rules of(AmqpSettings settings, Configuration config) throws MalformedException {
-        Secrets secrets = settings.access().secrets() == null ? Secrets.none()
-            : Secrets.read(settings.access().secrets());
+        Secrets secrets =
+                settings.access().secrets() == null
+                        ? Secrets.none()
+                        : Secrets.read(settings.access().secrets());
         if (settings.access().anonymousTenant() != null) {
             try {
                 config.tenant(settings.access().anonymousTenant());
             } catch (MalformedException unknown) {
-                throw new MalformedException("amqp: anonymous_tenant '"
-                    + settings.access().anonymousTenant() + "' is not in the settings");
+                throw new MalformedException(
+                        "amqp: anonymous_tenant '"
+                                + settings.access().anonymousTenant()
+                                + "' is not in the settings");
             }
         }
         AmqpSettings.Limits limits = settings.limits();
-        return new Rules(settings, new Mapping(config, settings), secrets,
-            new Forwarding.Bounds(limits.unsettled(), limits.linkBytes(), limits.repeatBytes(),
-                config.settings().maxAttempts(), settings.times().delivery()));
+        return new Rules(
+                settings,
+                new Mapping(config, settings),
+                secrets,
+                new Forwarding.Bounds(
+                        limits.unsettled(),
+                        limits.linkBytes(),
+                        limits.repeatBytes(),
+                        config.settings().maxAttempts(),
+                        settings.times().delivery()));
     }
 
     /** What of the next rules cannot take effect before a restart; none of it is taken over. */
--- a/relay/src/main/java/saltstage/amqp/Secrets.java
+++ b/relay/src/main/java/saltstage/amqp/Secrets.java
@@ -10,14 +10,15 @@
 import java.util.Map;
 import saltstage.wire.MalformedException;
 
-/** Users and their secrets, from a file of lines {@code USER:SECRET}; {@code #} begins a comment. */
+/**
+ * Users and their secrets, from a file of lines {@code USER:SECRET}; {@code #} begins a comment.
+ */
 final class Secrets {
     private static final byte[] NOBODYS = "nobody has this one".getBytes(StandardCharsets.UTF_8);
 
     private final Map<String, byte[]> secrets = new HashMap<>();
 
-    private Secrets() {
-    }
+    private Secrets() {}
 
     /** Nobody is known. */
     static Secrets none() {
@@ -44,7 +45,8 @@
             }
             byte[] secret = line.substring(colon + 1).getBytes(StandardCharsets.UTF_8);
             if (read.secrets.put(line.substring(0, colon), secret) != null) {
-                throw new MalformedException(file + ":" + (i + 1) + ": this user stands there twice");
+                throw new MalformedException(
+                        file + ":" + (i + 1) + ": this user stands there twice");
             }
         }
         return read;
--- a/relay/src/main/java/saltstage/amqp/SendingLink.java
+++ b/relay/src/main/java/saltstage/amqp/SendingLink.java
@@ -20,33 +20,42 @@
 import org.apache.qpid.protonj2.types.transport.SessionError;
 import saltstage.amqp.Forwarding.Delivery;
 
-/** The link of a client that sends. {@link Forwarding} decides; this joins it to the two engines. */
+/**
+ * The link of a client that sends. {@link Forwarding} decides; this joins it to the two engines.
+ */
 final class SendingLink extends ClientLink implements Forwarding.Client, Forwarding.Backend {
     private static final byte[] NOTHING = {};
 
     private final Receiver client;
     private final Forwarding forwarding;
+
     /** Deliveries with bytes that were not read yet: the client's session is held up by them. */
     private final Deque<IncomingDelivery> unread = new ArrayDeque<>();
+
     private Sender sender;
     private boolean drainAsked;
 
-    SendingLink(AmqpFront front, ClientPeering owner, Receiver client, Mapping.Asked asked,
+    SendingLink(
+            AmqpFront front,
+            ClientPeering owner,
+            Receiver client,
+            Mapping.Asked asked,
             boolean repeatable) {
         super(front, owner, client, asked);
         this.client = client;
         forwarding = new Forwarding(front.bounds(), repeatable, this);
         client.deliveryReadHandler(owner.guarded(this::came))
-            .deliveryAbortedHandler(owner.guarded(this::aborted))
-            .deliveryStateUpdatedHandler(this::settledByClient)
-            .creditStateUpdateHandler(any -> {
-                if (client.getCredit() == 0 && !client.isDraining()) {
-                    forwarding.letGo();
-                }
-                drained();
-                progress();
-                Flows.echo(client);
-            });
+                .deliveryAbortedHandler(owner.guarded(this::aborted))
+                .deliveryStateUpdatedHandler(this::settledByClient)
+                .creditStateUpdateHandler(
+                        any -> {
+                            if (client.getCredit() == 0 && !client.isDraining()) {
+                                forwarding.letGo();
+                            }
+                            drained();
+                            progress();
+                            Flows.echo(client);
+                        });
     }
 
     // ---- from the client
@@ -62,7 +71,9 @@
             in.setLinkedResource(begins);
             front().taken(begins.settled());
             if (!forwarding.begins(begins)) {
-                breaks(new ErrorCondition(LinkError.TRANSFER_LIMIT_EXCEEDED, "no credit for this delivery"));
+                breaks(
+                        new ErrorCondition(
+                                LinkError.TRANSFER_LIMIT_EXCEEDED, "no credit for this delivery"));
                 return;
             }
         }
@@ -70,7 +81,9 @@
             unread.add(in);
         }
         if (in.available() > 2 * front().settings().limits().linkBytes()) {
-            breaks(new ErrorCondition(SessionError.WINDOW_VIOLATION, "more bytes than the session's window"));
+            breaks(
+                    new ErrorCondition(
+                            SessionError.WINDOW_VIOLATION, "more bytes than the session's window"));
             return;
         }
         read();
@@ -94,8 +107,9 @@
             if (whole) {
                 progress();
             }
-            if (whole && (delivery.settled() || delivery.answered() && !in.isSettled())
-                && !ended()) {
+            if (whole
+                    && (delivery.settled() || delivery.answered() && !in.isSettled())
+                    && !ended()) {
                 in.settle(); // told already, while its bytes still came; or nothing is owed
             }
         }
@@ -143,7 +157,8 @@
             return;
         }
         if (in.getLinkedResource() instanceof Delivery delivery
-            && delivery.backends() instanceof OutgoingDelivery out && canSpeak(out)) {
+                && delivery.backends() instanceof OutgoingDelivery out
+                && canSpeak(out)) {
             out.settle();
         }
         if (!in.isSettled()) {
@@ -170,7 +185,8 @@
         IncomingDelivery in = (IncomingDelivery) delivery.clients();
         front().outcome(state);
         if (owner().engineRuns() && client.isRemotelyOpen() && client.isLocallyOpen()) {
-            // One that still comes is settled when it has ended: until then the engine must know it.
+            // One that still comes is settled when it has ended: until then the engine must know
+            // it.
             in.disposition(state, settled && !in.isPartial());
         }
     }
@@ -202,7 +218,8 @@
                 out.settle();
             }
         }
-        ProtonBuffer bytes = ProtonByteArrayBufferAllocator.wrapped(piece, from, piece.length - from);
+        ProtonBuffer bytes =
+                ProtonByteArrayBufferAllocator.wrapped(piece, from, piece.length - from);
         int before = bytes.getReadableBytes();
         out.streamBytes(bytes, last);
         if (last && !bytes.isReadable()) {
@@ -301,7 +318,8 @@
     public Link<?> make(Session session, Peering on, String name) {
         sender = session.sender(name);
         copyAsked(sender);
-        return sender.creditStateUpdateHandler(this::credit).deliveryStateUpdatedHandler(this::told);
+        return sender.creditStateUpdateHandler(this::credit)
+                .deliveryStateUpdatedHandler(this::told);
     }
 
     @Override
--- a/relay/src/main/java/saltstage/config/Configuration.java
+++ b/relay/src/main/java/saltstage/config/Configuration.java
@@ -21,6 +21,7 @@
 public final class Configuration {
     /** What the relay itself needs, the least doorway, and a request with its backend. */
     private static final int LEAST_SOCKETS = 50;
+
     private static final long MOST_BYTES = 64 << 20;
 
     private final String name;
@@ -41,21 +42,29 @@
         name = json.get("name") instanceof String given ? given : "relay";
         listen = HostList.address(Json.member(json, "listen", String.class));
         discovery = HostList.address(Json.member(json, "discovery", String.class));
-        admin = json.get("admin") == null ? null : HostList.address(Json.member(json, "admin", String.class));
+        admin =
+                json.get("admin") == null
+                        ? null
+                        : HostList.address(Json.member(json, "admin", String.class));
         seed = seed(Json.member(json, "seed", String.class));
         Map<String, Object> limits = Json.asObject(json.get("limits"), "limits");
         sockets = Json.member(limits, "sockets", Double.class).intValue();
         flatten("", Json.member(json, "settings", Map.class));
         try {
-            settings = new SettingsReader(pairs, (key, what) ->
-                new IllegalArgumentException("settings: " + key + ": " + what)).read();
+            settings =
+                    new SettingsReader(
+                                    pairs,
+                                    (key, what) ->
+                                            new IllegalArgumentException(
+                                                    "settings: " + key + ": " + what))
+                            .read();
         } catch (IllegalArgumentException bad) {
             throw new MalformedException(bad.getMessage());
         }
         known = HostList.of(Json.asObject(json.get("known"), "known"));
         if (sockets < LEAST_SOCKETS) {
-            throw new MalformedException("limits: sockets: " + sockets + "; " + LEAST_SOCKETS
-                + " or more would do");
+            throw new MalformedException(
+                    "limits: sockets: " + sockets + "; " + LEAST_SOCKETS + " or more would do");
         }
         names("Services.", classes);
         names("Realms.", tenants);
@@ -87,10 +96,13 @@
         }
     }
 
-    /** The settings as the simulator's wire has them: path and value, plain lists joined by commas. */
+    /**
+     * The settings as the simulator's wire has them: path and value, plain lists joined by commas.
+     */
     private void flatten(String at, Object value) {
         if (value instanceof Map<?, ?> members) {
-            members.forEach((name, member) -> flatten(at.isEmpty() ? "" + name : at + "." + name, member));
+            members.forEach(
+                    (name, member) -> flatten(at.isEmpty() ? "" + name : at + "." + name, member));
         } else if (value instanceof List<?> items) {
             if (items.stream().noneMatch(item -> item instanceof Map || item instanceof List)) {
                 pairs.put(at, items.stream().map(String::valueOf).collect(Collectors.joining(",")));
@@ -109,8 +121,13 @@
         for (int i = 0; pairs.containsKey(list + i + ".Name"); i++) {
             String name = pairs.get(list + i + ".Name");
             if (into.contains(name)) { // requests could mean either
-                throw new MalformedException("settings: " + list + i + ".Name: " + name
-                    + " is there twice; a name of its own would do");
+                throw new MalformedException(
+                        "settings: "
+                                + list
+                                + i
+                                + ".Name: "
+                                + name
+                                + " is there twice; a name of its own would do");
             }
             into.add(name);
         }
@@ -124,7 +141,9 @@
         }
     }
 
-    /** What a reload does not change: the parts that need a restart to differ from those in force. */
+    /**
+     * What a reload does not change: the parts that need a restart to differ from those in force.
+     */
     public List<String> differsFrom(Configuration inForce) {
         List<String> parts = new ArrayList<>();
         if (!listen.equals(inForce.listen)) {
@@ -235,7 +254,8 @@
 
     /** The shortest time within which any class wants its messages answered. */
     public Duration shortestMessageAim() {
-        return span(settings.classes().stream().mapToLong(ServiceClass::messageAim).min().orElse(0));
+        return span(
+                settings.classes().stream().mapToLong(ServiceClass::messageAim).min().orElse(0));
     }
 
     private static Duration span(long micros) {
--- a/relay/src/main/java/saltstage/config/HclBlock.java
+++ b/relay/src/main/java/saltstage/config/HclBlock.java
@@ -14,14 +14,15 @@
 import saltstage.wire.MalformedException;
 
 /**
- * One block of an operator's file. Its attributes are asked for by name, each checked where it is asked for;
- * {@link #finish} then refuses whatever nobody has asked for. Every complaint names file, line and name.
+ * One block of an operator's file. Its attributes are asked for by name, each checked where it is
+ * asked for; {@link #finish} then refuses whatever nobody has asked for. Every complaint names
+ * file, line and name.
  */
 public final class HclBlock {
     private static final Pattern SPAN = Pattern.compile("(\\d{1,9})(ms|s|m|h|d)");
     private static final Pattern SIZE = Pattern.compile("(\\d{1,12})(B|KiB|MiB|GiB)?");
 
-    private record Given(Object value, int line) { }
+    private record Given(Object value, int line) {}
 
     private final String file;
     private final String type;
@@ -96,7 +97,8 @@
     }
 
     /** One of the constants of an enum, written in small letters. */
-    public <E extends Enum<E>> E word(String name, Class<E> of, E absent) throws MalformedException {
+    public <E extends Enum<E>> E word(String name, Class<E> of, E absent)
+            throws MalformedException {
         String text = text(name, null);
         if (text == null) {
             return absent;
@@ -106,7 +108,8 @@
                 return constant;
             }
         }
-        throw wrong(name, "one of " + Arrays.toString(of.getEnumConstants()).toLowerCase(Locale.ROOT));
+        throw wrong(
+                name, "one of " + Arrays.toString(of.getEnumConstants()).toLowerCase(Locale.ROOT));
     }
 
     /** A whole number within bounds. */
@@ -116,7 +119,9 @@
             return absent;
         }
         if (!(given.value() instanceof Double d) || d != Math.rint(d) || d < least || d > most) {
-            throw at(given.line(), "'" + name + "' takes a whole number from " + least + " to " + most);
+            throw at(
+                    given.line(),
+                    "'" + name + "' takes a whole number from " + least + " to " + most);
         }
         return d.longValue();
     }
@@ -125,8 +130,10 @@
     public List<String> texts(String name) throws MalformedException {
         Given given = take(name);
         List<String> texts = new ArrayList<>();
-        for (Object item : given == null ? List.of() : given.value() instanceof List<?> items ? items
-                : List.of(0.0)) {
+        for (Object item :
+                given == null
+                        ? List.of()
+                        : given.value() instanceof List<?> items ? items : List.of(0.0)) {
             if (!(item instanceof String text) || text.isBlank()) {
                 throw at(given.line(), "'" + name + "' takes a list of texts");
             }
@@ -139,11 +146,19 @@
     public List<Long> wholes(String name, long least, long most) throws MalformedException {
         Given given = take(name);
         List<Long> numbers = new ArrayList<>();
-        for (Object item : given == null ? List.of() : given.value() instanceof List<?> items ? items
-                : List.of("")) {
+        for (Object item :
+                given == null
+                        ? List.of()
+                        : given.value() instanceof List<?> items ? items : List.of("")) {
             if (!(item instanceof Double d) || d != Math.rint(d) || d < least || d > most) {
-                throw at(given.line(), "'" + name + "' takes a list of whole numbers from " + least + " to "
-                    + most);
+                throw at(
+                        given.line(),
+                        "'"
+                                + name
+                                + "' takes a list of whole numbers from "
+                                + least
+                                + " to "
+                                + most);
             }
             numbers.add(d.longValue());
         }
@@ -172,19 +187,25 @@
         Matcher parts = SPAN.matcher(text);
         if (parts.matches()) {
             long n = Long.parseLong(parts.group(1));
-            Duration span = switch (parts.group(2)) {
-                case "ms" -> Duration.ofMillis(n);
-                case "s" -> Duration.ofSeconds(n);
-                case "m" -> Duration.ofMinutes(n);
-                case "h" -> Duration.ofHours(n);
-                default -> Duration.ofDays(n);
-            };
+            Duration span =
+                    switch (parts.group(2)) {
+                        case "ms" -> Duration.ofMillis(n);
+                        case "s" -> Duration.ofSeconds(n);
+                        case "m" -> Duration.ofMinutes(n);
+                        case "h" -> Duration.ofHours(n);
+                        default -> Duration.ofDays(n);
+                    };
             if (span.compareTo(least) >= 0 && span.compareTo(most) <= 0) {
                 return span;
             }
         }
-        throw wrong(name, "a span such as \"250ms\", \"10s\" or \"24h\", from " + least.toMillis() + " ms to "
-            + most.toMillis() + " ms");
+        throw wrong(
+                name,
+                "a span such as \"250ms\", \"10s\" or \"24h\", from "
+                        + least.toMillis()
+                        + " ms to "
+                        + most.toMillis()
+                        + " ms");
     }
 
     /** A size in bytes such as "64KiB" or "8MiB" within bounds. */
@@ -195,18 +216,21 @@
         }
         Matcher parts = SIZE.matcher(text);
         if (parts.matches()) {
-            int shift = switch (parts.group(2) == null ? "B" : parts.group(2)) {
-                case "KiB" -> 10;
-                case "MiB" -> 20;
-                case "GiB" -> 30;
-                default -> 0;
-            };
+            int shift =
+                    switch (parts.group(2) == null ? "B" : parts.group(2)) {
+                        case "KiB" -> 10;
+                        case "MiB" -> 20;
+                        case "GiB" -> 30;
+                        default -> 0;
+                    };
             long n = Long.parseLong(parts.group(1));
             if (n <= Long.MAX_VALUE >> shift && n << shift >= least && n << shift <= most) {
                 return n << shift;
             }
         }
-        throw wrong(name, "a size such as \"64KiB\" or \"8MiB\", from " + least + " to " + most + " bytes");
+        throw wrong(
+                name,
+                "a size such as \"64KiB\" or \"8MiB\", from " + least + " to " + most + " bytes");
     }
 
     /** Refuses what nobody has asked for. */
@@ -239,6 +263,7 @@
     }
 
     private MalformedException at(int where, String what) {
-        return new MalformedException(file + ":" + where + ": " + (type.isEmpty() ? "" : type + ": ") + what);
+        return new MalformedException(
+                file + ":" + where + ": " + (type.isEmpty() ? "" : type + ": ") + what);
     }
 }
--- a/relay/src/main/java/saltstage/config/HclFile.java
+++ b/relay/src/main/java/saltstage/config/HclFile.java
@@ -18,10 +18,11 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Reads an operator's HCL file into {@link HclBlock}s. The text is parsed by hcl4j, which drops in silence
- * what it cannot place: a block that is never closed, stray words, a lone brace. So every token of the file
- * is counted against what the library made of it, and the first that is not accounted for is refused with
- * its line. Only plain values are taken: no functions, variables, templates or here-documents.
+ * Reads an operator's HCL file into {@link HclBlock}s. The text is parsed by hcl4j, which drops in
+ * silence what it cannot place: a block that is never closed, stray words, a lone brace. So every
+ * token of the file is counted against what the library made of it, and the first that is not
+ * accounted for is refused with its line. Only plain values are taken: no functions, variables,
+ * templates or here-documents.
  */
 public final class HclFile {
     private static final Pattern WHERE = Pattern.compile("line: (\\d+)");
@@ -29,7 +30,7 @@
     private static final Pattern NUMBER = Pattern.compile("-?\\d{1,15}(\\.\\d{1,9})?");
     private static final int MOST_BYTES = 1 << 20;
 
-    private record Token(String text, int line) { }
+    private record Token(String text, int line) {}
 
     private final String name;
     private final List<String> read = new ArrayList<>();
@@ -38,7 +39,10 @@
         this.name = name;
     }
 
-    /** Parses the text of a file that errors shall call by this name; the block returned is its top level. */
+    /**
+     * Parses the text of a file that errors shall call by this name; the block returned is its top
+     * level.
+     */
     public static HclBlock parse(String name, String text) throws MalformedException {
         return new HclFile(name).top(text);
     }
@@ -53,7 +57,9 @@
         } catch (HCLParserException bad) {
             Matcher where = WHERE.matcher(String.valueOf(bad.getMessage()));
             throw at(where.find() ? Integer.parseInt(where.group(1)) : 1, "not HCL");
-        } catch (IOException | RuntimeException | Error bad) { // JFlex throws Error on what it cannot match
+        } catch (IOException
+                | RuntimeException
+                | Error bad) { // JFlex throws Error on what it cannot match
             throw new MalformedException(name + ": not HCL: " + bad.getMessage());
         }
         HclBlock top = new HclBlock(name, "", List.of(), 1);
@@ -83,8 +89,12 @@
             into.put(symbol.getName(), value(symbol.getName(), values.get(0)), line(symbol));
         } else if (symbol instanceof HCLBlock block) {
             read.addAll(block.blockNames);
-            HclBlock inner = new HclBlock(name, block.blockNames.get(0),
-                block.blockNames.subList(1, block.blockNames.size()), line(symbol));
+            HclBlock inner =
+                    new HclBlock(
+                            name,
+                            block.blockNames.get(0),
+                            block.blockNames.subList(1, block.blockNames.size()),
+                            line(symbol));
             read.add("{");
             for (Symbol child : children(symbol)) {
                 add(inner, child);
@@ -107,8 +117,9 @@
             return items;
         }
         if (!(symbol instanceof HCLValue plain) || plain.value == null) {
-            throw at(line(symbol),
-                "'" + of + "' takes plain values only: texts, numbers, true, false, lists");
+            throw at(
+                    line(symbol),
+                    "'" + of + "' takes plain values only: texts, numbers, true, false, lists");
         }
         String text = plain.value.toString();
         read.add(text);
--- a/relay/src/main/java/saltstage/config/OperatorSettings.java
+++ b/relay/src/main/java/saltstage/config/OperatorSettings.java
@@ -13,22 +13,33 @@
 import saltstage.wire.MalformedException;
 
 /**
- * The operator's own settings, an HCL file: what this program offers beyond the platform's configuration.
- * Everything in it is off, or as it always was, unless it is named; {@code deploy/saltstage.hcl} shows all.
+ * The operator's own settings, an HCL file: what this program offers beyond the platform's
+ * configuration. Everything in it is off, or as it always was, unless it is named; {@code
+ * deploy/saltstage.hcl} shows all.
  */
 public final class OperatorSettings {
     /** The levels of a log line, the least that is written. */
-    public enum Level { DEBUG, INFO, WARN, ERROR }
+    public enum Level {
+        DEBUG,
+        INFO,
+        WARN,
+        ERROR
+    }
 
     /** How the log is written. */
-    public record Logging(LogSetup.Format format, Level level) { }
+    public record Logging(LogSetup.Format format, Level level) {}
 
     /**
-     * Where state is kept and how: segments of this size, learnt state no older than this, so many accepted
-     * configurations, and so many bytes a second that compaction may copy.
+     * Where state is kept and how: segments of this size, learnt state no older than this, so many
+     * accepted configurations, and so many bytes a second that compaction may copy.
      */
-    public record Keeping(Path dir, int segmentBytes, Duration learntFor, Duration every, int configurations,
-            long compactionRate) { }
+    public record Keeping(
+            Path dir,
+            int segmentBytes,
+            Duration learntFor,
+            Duration every,
+            int configurations,
+            long compactionRate) {}
 
     /**
      * Where configuration by revision comes from.
@@ -38,7 +49,7 @@
      * @param name what sources call this relay; empty: the relay's own name
      * @param dir where what was accepted outlives a restart
      */
-    public record Following(List<String> sources, String zone, String name, Path dir) { }
+    public record Following(List<String> sources, String zone, String name, Path dir) {}
 
     private static final Pattern ZONE = Pattern.compile("[A-Za-z0-9._-]{0,60}");
     private static final Pattern FOLLOWER = Pattern.compile("[!-~]{0,160}");
@@ -51,8 +62,8 @@
     private final AmqpSettings amqp;
     private final Following following;
 
-    private OperatorSettings(String text, Logging logging, Keeping keeping, AmqpSettings amqp,
-            Following following) {
+    private OperatorSettings(
+            String text, Logging logging, Keeping keeping, AmqpSettings amqp, Following following) {
         this.text = text;
         this.logging = logging;
         this.keeping = keeping;
@@ -62,7 +73,8 @@
 
     /** What holds where no file is named. */
     public static OperatorSettings none() {
-        return new OperatorSettings("", new Logging(LogSetup.Format.TEXT, Level.INFO), null, null, null);
+        return new OperatorSettings(
+                "", new Logging(LogSetup.Format.TEXT, Level.INFO), null, null, null);
     }
 
     /** Reads the file; what is wrong with it is said in one line, with file, line and name. */
@@ -83,28 +95,43 @@
         HclBlock store = top.one("store");
         HclBlock amqp = top.one("amqp");
         HclBlock configuration = top.one("configuration");
-        OperatorSettings read = new OperatorSettings(text,
-            log == null ? none().logging : logging(log), store == null ? null : keeping(store),
-            amqp == null ? null : AmqpSettings.of(amqp),
-            configuration == null ? null : following(configuration));
+        OperatorSettings read =
+                new OperatorSettings(
+                        text,
+                        log == null ? none().logging : logging(log),
+                        store == null ? null : keeping(store),
+                        amqp == null ? null : AmqpSettings.of(amqp),
+                        configuration == null ? null : following(configuration));
         top.finish();
         return read;
     }
 
     private static Logging logging(HclBlock log) throws MalformedException {
-        Logging read = new Logging(log.word("format", LogSetup.Format.class, LogSetup.Format.TEXT),
-            log.word("level", Level.class, Level.INFO));
+        Logging read =
+                new Logging(
+                        log.word("format", LogSetup.Format.class, LogSetup.Format.TEXT),
+                        log.word("level", Level.class, Level.INFO));
         log.finish();
         return read;
     }
 
     private static Keeping keeping(HclBlock store) throws MalformedException {
-        Keeping read = new Keeping(Path.of(store.need("dir")),
-            (int) store.size("segment", MIB, 64 * KIB, 256 * MIB),
-            store.span("learnt_for", Duration.ofMinutes(10), Duration.ofSeconds(1), Duration.ofDays(30)),
-            store.span("every", Duration.ofSeconds(2), Duration.ofMillis(100), Duration.ofHours(1)),
-            (int) store.whole("configurations", 50, 2, 10_000),
-            store.size("compaction_rate", 4 * MIB, 64 * KIB, 1L << 40));
+        Keeping read =
+                new Keeping(
+                        Path.of(store.need("dir")),
+                        (int) store.size("segment", MIB, 64 * KIB, 256 * MIB),
+                        store.span(
+                                "learnt_for",
+                                Duration.ofMinutes(10),
+                                Duration.ofSeconds(1),
+                                Duration.ofDays(30)),
+                        store.span(
+                                "every",
+                                Duration.ofSeconds(2),
+                                Duration.ofMillis(100),
+                                Duration.ofHours(1)),
+                        (int) store.whole("configurations", 50, 2, 10_000),
+                        store.size("compaction_rate", 4 * MIB, 64 * KIB, 1L << 40));
         store.finish();
         return read;
     }
@@ -117,8 +144,12 @@
         for (String source : sources) {
             checkAddress(configuration, source);
         }
-        Following read = new Following(List.copyOf(sources), configuration.text("zone", ""),
-            configuration.text("name", ""), Path.of(configuration.need("dir")));
+        Following read =
+                new Following(
+                        List.copyOf(sources),
+                        configuration.text("zone", ""),
+                        configuration.text("name", ""),
+                        Path.of(configuration.need("dir")));
         if (!ZONE.matcher(read.zone()).matches()) {
             throw configuration.wrong("zone", "up to 60 letters, digits, '.', '_' and '-'");
         }
@@ -129,12 +160,13 @@
         return read;
     }
 
-    private static void checkAddress(HclBlock configuration, String source) throws MalformedException {
+    private static void checkAddress(HclBlock configuration, String source)
+            throws MalformedException {
         try {
             HostList.address(source);
         } catch (MalformedException bad) {
-            throw configuration.wrong("sources",
-                "addresses in figures with a port, such as \"127.0.0.1:7300\"");
+            throw configuration.wrong(
+                    "sources", "addresses in figures with a port, such as \"127.0.0.1:7300\"");
         }
     }
 
--- a/relay/src/main/java/saltstage/handover/Bans.java
+++ b/relay/src/main/java/saltstage/handover/Bans.java
@@ -16,8 +16,9 @@
 import saltstage.log.Log;
 
 /**
- * The backends that operators have suspended. One file holds them for both processes of a relay; a change is
- * made under a lock between the two, so that none undoes the other's. Reading the set waits for nothing.
+ * The backends that operators have suspended. One file holds them for both processes of a relay; a
+ * change is made under a lock between the two, so that none undoes the other's. Reading the set
+ * waits for nothing.
  */
 public final class Bans {
     private static final Duration LOCK = Duration.ofMillis(400);
@@ -37,8 +38,11 @@
         file = dir == null ? null : new Whole(path, "bans 1");
         if (dir != null) {
             Files.createDirectories(dir);
-            lock = FileChannel.open(dir.resolve(name + ".bans.lock"), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE);
+            lock =
+                    FileChannel.open(
+                            dir.resolve(name + ".bans.lock"),
+                            StandardOpenOption.CREATE,
+                            StandardOpenOption.WRITE);
         } else {
             lock = null;
         }
@@ -65,8 +69,9 @@
     }
 
     /**
-     * Replaces the backends that configuration suspends, beside those that operators of this relay have
-     * suspended: one lifts only what it has set. They are in no file; each process hears of them itself.
+     * Replaces the backends that configuration suspends, beside those that operators of this relay
+     * have suspended: one lifts only what it has set. They are in no file; each process hears of
+     * them itself.
      */
     public void configure(Set<String> suspended) {
         configured = Set.copyOf(suspended);
@@ -82,7 +87,10 @@
             try {
                 read();
             } catch (IOException bad) {
-                Log.warn("bans.unreadable", "why", bad.getMessage()); // what is known here replaces it
+                Log.warn(
+                        "bans.unreadable",
+                        "why",
+                        bad.getMessage()); // what is known here replaces it
             }
             if (ids.contains(id) != banned || torn) {
                 Set<String> now = changed(id, banned);
--- a/relay/src/main/java/saltstage/handover/Slots.java
+++ b/relay/src/main/java/saltstage/handover/Slots.java
@@ -11,21 +11,32 @@
 import java.time.Duration;
 
 /**
- * A file with a slot for each of the two processes that a relay may have at a time. Its process holds a lock
- * on it, which ends with the process however that ends, and writes there how far it is and how many
- * descriptors it may use. The channel stays open: closing any channel of a file ends all locks on it.
+ * A file with a slot for each of the two processes that a relay may have at a time. Its process
+ * holds a lock on it, which ends with the process however that ends, and writes there how far it is
+ * and how many descriptors it may use. The channel stays open: closing any channel of a file ends
+ * all locks on it.
  */
 public final class Slots {
     /** How far a process is. */
-    public enum Phase { STARTING, READY, LEAVING }
+    public enum Phase {
+        STARTING,
+        READY,
+        LEAVING
+    }
 
     private static final int COUNT = 2;
     private static final int BYTES = 16;
     private static final int FORMAT = 0x53_4c_54_31; // "SLT1"
+
     /** A look at a slot locks it for a moment; who comes to take it just then tries again. */
     private static final Duration CLAIM = Duration.ofSeconds(1);
+
     private static final Duration PAUSE = Duration.ofMillis(20);
-    /** Descriptors beyond those in use that a process keeps when another comes: for what it still accepts. */
+
+    /**
+     * Descriptors beyond those in use that a process keeps when another comes: for what it still
+     * accepts.
+     */
     private static final int GROWTH = 16;
 
     private final FileChannel file;
@@ -41,13 +52,17 @@
     }
 
     /** What the other process has written; budget 0 where it has not yet seen this one. */
-    private record Other(Phase phase, int budget) { }
+    private record Other(Phase phase, int budget) {}
 
     /** Takes a slot; this process and the other may together hold so many descriptors. */
     public static Slots claim(Path path, int limit) throws IOException {
         Files.createDirectories(path.toAbsolutePath().getParent());
-        FileChannel file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.READ,
-            StandardOpenOption.WRITE);
+        FileChannel file =
+                FileChannel.open(
+                        path,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.READ,
+                        StandardOpenOption.WRITE);
         long until = System.nanoTime() + CLAIM.toNanos();
         do {
             for (int i = 0; i < COUNT; i++) {
@@ -68,7 +83,9 @@
     private static FileLock lock(FileChannel file, int slot) throws IOException {
         try {
             return file.tryLock((long) slot * BYTES, BYTES, false);
-        } catch (OverlappingFileLockException held) { // by this process, which may have two in a test
+        } catch (
+                OverlappingFileLockException
+                        held) { // by this process, which may have two in a test
             return null;
         }
     }
@@ -100,9 +117,9 @@
     }
 
     /**
-     * How many descriptors this process may use now, where it uses so many. Who is alone may use all; who
-     * serves and sees another keeps what it has, half at least; a starting one gets what that leaves, and
-     * until it was seen a quarter.
+     * How many descriptors this process may use now, where it uses so many. Who is alone may use
+     * all; who serves and sees another keeps what it has, half at least; a starting one gets what
+     * that leaves, and until it was seen a quarter.
      */
     public synchronized int share(int used) throws IOException {
         Other other = other();
@@ -112,7 +129,12 @@
         } else if (phase == Phase.STARTING || other.phase() == Phase.LEAVING) {
             now = other.budget() > 0 && other.budget() < limit ? limit - other.budget() : limit / 4;
         } else if (budget < limit) {
-            now = Math.min(budget, Math.max(limit / 2, used + GROWTH)); // it only shrinks while two are here
+            now =
+                    Math.min(
+                            budget,
+                            Math.max(
+                                    limit / 2,
+                                    used + GROWTH)); // it only shrinks while two are here
         } else {
             now = Math.max(limit / 2, Math.min(used + GROWTH, limit * 3 / 4));
         }
--- a/relay/src/main/java/saltstage/handover/Whole.java
+++ b/relay/src/main/java/saltstage/handover/Whole.java
@@ -11,7 +11,10 @@
 import java.util.Arrays;
 import java.util.zip.CRC32C;
 
-/** A small file, read whole or not at all: written aside, forced, renamed, with a name and a checksum. */
+/**
+ * A small file, read whole or not at all: written aside, forced, renamed, with a name and a
+ * checksum.
+ */
 public final class Whole {
     private static final long MOST = 64 << 20;
     private static final int SUM_BYTES = 4;
@@ -32,17 +35,24 @@
         ByteBuffer all = ByteBuffer.allocate(head.length + content.length + SUM_BYTES);
         all.put(head).put(content);
         all.putInt(sum(all.array(), all.position())).flip();
-        try (FileChannel file = FileChannel.open(aside, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel file =
+                FileChannel.open(
+                        aside,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING)) {
             while (all.hasRemaining()) {
                 file.write(all);
             }
             file.force(true);
         }
-        Files.move(aside, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                aside, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** The content, or null where there is no such file; an IOException names what is wrong with it. */
+    /**
+     * The content, or null where there is no such file; an IOException names what is wrong with it.
+     */
     public byte[] read() throws IOException {
         if (!Files.exists(path)) {
             return null;
--- a/relay/src/main/java/saltstage/keep/Codec.java
+++ b/relay/src/main/java/saltstage/keep/Codec.java
@@ -17,14 +17,16 @@
 import saltstage.Api.LearntServer;
 import saltstage.wire.HostList;
 
-/** The bytes of what is kept, each with a version in front; one that is not known is refused, not guessed. */
+/**
+ * The bytes of what is kept, each with a version in front; one that is not known is refused, not
+ * guessed.
+ */
 final class Codec {
     private static final int VERSION = 1;
     private static final int LEARNT_VERSION = 2;
     private static final int MOST = 1 << 20;
 
-    private Codec() {
-    }
+    private Codec() {}
 
     private interface Writing {
         void to(DataOutputStream out) throws IOException;
@@ -53,7 +55,8 @@
         return read(bytes, what, VERSION, reading);
     }
 
-    private static <T> T read(byte[] bytes, String what, int known, Reading<T> reading) throws IOException {
+    private static <T> T read(byte[] bytes, String what, int known, Reading<T> reading)
+            throws IOException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int version = in.readByte();
             if (version != known) {
@@ -78,82 +81,121 @@
     }
 
     static byte[] entry(HostList.Entry entry) {
-        return bytes(out -> {
-            out.writeUTF(entry.uid());
-            byte[] ip = entry.endpoint().getAddress().getAddress();
-            out.writeByte(ip.length);
-            out.write(ip);
-            out.writeShort(entry.endpoint().getPort());
-            out.writeUTF(entry.zone());
-            out.writeInt(entry.cell());
-            out.writeUTF(entry.state().name());
-            out.writeDouble(entry.weight());
-            out.writeLong(entry.startedAt().toEpochMilli());
-        });
+        return bytes(
+                out -> {
+                    out.writeUTF(entry.uid());
+                    byte[] ip = entry.endpoint().getAddress().getAddress();
+                    out.writeByte(ip.length);
+                    out.write(ip);
+                    out.writeShort(entry.endpoint().getPort());
+                    out.writeUTF(entry.zone());
+                    out.writeInt(entry.cell());
+                    out.writeUTF(entry.state().name());
+                    out.writeDouble(entry.weight());
+                    out.writeLong(entry.startedAt().toEpochMilli());
+                });
     }
 
     static HostList.Entry entry(byte[] bytes) throws IOException {
-        return read(bytes, "list entry", in -> {
-            String uid = in.readUTF();
-            byte[] ip = in.readNBytes(in.readByte());
-            InetSocketAddress at = new InetSocketAddress(InetAddress.getByAddress(ip),
-                in.readUnsignedShort());
-            return new HostList.Entry(uid, at, in.readUTF(), in.readInt(),
-                HostList.State.valueOf(in.readUTF()), in.readDouble(), Instant.ofEpochMilli(in.readLong()));
-        });
+        return read(
+                bytes,
+                "list entry",
+                in -> {
+                    String uid = in.readUTF();
+                    byte[] ip = in.readNBytes(in.readByte());
+                    InetSocketAddress at =
+                            new InetSocketAddress(
+                                    InetAddress.getByAddress(ip), in.readUnsignedShort());
+                    return new HostList.Entry(
+                            uid,
+                            at,
+                            in.readUTF(),
+                            in.readInt(),
+                            HostList.State.valueOf(in.readUTF()),
+                            in.readDouble(),
+                            Instant.ofEpochMilli(in.readLong()));
+                });
     }
 
     /** What was learnt, and when. */
-    record Dated(Instant at, Learnt learnt) { }
+    record Dated(Instant at, Learnt learnt) {}
 
     static byte[] learnt(Dated dated) {
-        return bytes(LEARNT_VERSION, out -> {
-            Learnt learnt = dated.learnt();
-            out.writeLong(dated.at().toEpochMilli());
-            for (double figure : new double[] {learnt.setup(), learnt.deviation(), learnt.load(),
-                learnt.life(), learnt.meanShare()}) {
-                out.writeDouble(figure);
-            }
-            out.writeInt(learnt.servers().size());
-            for (LearntServer server : learnt.servers()) {
-                out.writeUTF(server.id());
-                out.writeLong(server.startedAt());
-                out.writeDouble(server.setup());
-                out.writeDouble(server.deviation());
-                out.writeDouble(server.lowest());
-                out.writeInt(server.strikes());
-                out.writeLong(server.shunnedFor());
-            }
-            out.writeInt(learnt.shares().size());
-            for (Map.Entry<Long, Double> share : learnt.shares().entrySet()) {
-                out.writeLong(share.getKey());
-                out.writeDouble(share.getValue());
-            }
-            out.writeDouble(learnt.part());
-        });
+        return bytes(
+                LEARNT_VERSION,
+                out -> {
+                    Learnt learnt = dated.learnt();
+                    out.writeLong(dated.at().toEpochMilli());
+                    for (double figure :
+                            new double[] {
+                                learnt.setup(),
+                                learnt.deviation(),
+                                learnt.load(),
+                                learnt.life(),
+                                learnt.meanShare()
+                            }) {
+                        out.writeDouble(figure);
+                    }
+                    out.writeInt(learnt.servers().size());
+                    for (LearntServer server : learnt.servers()) {
+                        out.writeUTF(server.id());
+                        out.writeLong(server.startedAt());
+                        out.writeDouble(server.setup());
+                        out.writeDouble(server.deviation());
+                        out.writeDouble(server.lowest());
+                        out.writeInt(server.strikes());
+                        out.writeLong(server.shunnedFor());
+                    }
+                    out.writeInt(learnt.shares().size());
+                    for (Map.Entry<Long, Double> share : learnt.shares().entrySet()) {
+                        out.writeLong(share.getKey());
+                        out.writeDouble(share.getValue());
+                    }
+                    out.writeDouble(learnt.part());
+                });
     }
 
     static Dated learnt(byte[] bytes) throws IOException {
         boolean first = bytes.length > 0 && bytes[0] == VERSION; // without the part of the capacity
-        return read(bytes, "learnt state", first ? VERSION : LEARNT_VERSION, in -> {
-            Instant at = Instant.ofEpochMilli(in.readLong());
-            double[] figures = new double[5];
-            for (int i = 0; i < figures.length; i++) {
-                figures[i] = figure(in);
-            }
-            List<LearntServer> servers = new ArrayList<>();
-            for (int n = count(in); n > 0; n--) {
-                servers.add(new LearntServer(in.readUTF(), in.readLong(), figure(in), figure(in), figure(in),
-                    in.readInt(), in.readLong()));
-            }
-            Map<Long, Double> shares = new TreeMap<>();
-            for (int n = count(in); n > 0; n--) {
-                shares.put(in.readLong(), figure(in));
-            }
-            double part = first ? 0 : figure(in);
-            return new Dated(at, new Learnt(figures[0], figures[1], figures[2], figures[3], figures[4], part,
-                servers, shares));
-        });
+        return read(
+                bytes,
+                "learnt state",
+                first ? VERSION : LEARNT_VERSION,
+                in -> {
+                    Instant at = Instant.ofEpochMilli(in.readLong());
+                    double[] figures = new double[5];
+                    for (int i = 0; i < figures.length; i++) {
+                        figures[i] = figure(in);
+                    }
+                    List<LearntServer> servers = new ArrayList<>();
+                    for (int n = count(in); n > 0; n--) {
+                        servers.add(
+                                new LearntServer(
+                                        in.readUTF(),
+                                        in.readLong(),
+                                        figure(in),
+                                        figure(in),
+                                        figure(in),
+                                        in.readInt(),
+                                        in.readLong()));
+                    }
+                    Map<Long, Double> shares = new TreeMap<>();
+                    for (int n = count(in); n > 0; n--) {
+                        shares.put(in.readLong(), figure(in));
+                    }
+                    double part = first ? 0 : figure(in);
+                    return new Dated(
+                            at,
+                            new Learnt(
+                                    figures[0],
+                                    figures[1],
+                                    figures[2],
+                                    figures[3],
+                                    figures[4],
+                                    part,
+                                    servers,
+                                    shares));
+                });
     }
 
     private static int count(DataInputStream in) throws IOException {
@@ -173,17 +215,26 @@
     }
 
     static byte[] version(History.Version version) {
-        return bytes(out -> {
-            out.writeLong(version.at().toEpochMilli());
-            out.writeUTF(version.hash());
-            text(out, version.configuration());
-            text(out, version.settings());
-        });
+        return bytes(
+                out -> {
+                    out.writeLong(version.at().toEpochMilli());
+                    out.writeUTF(version.hash());
+                    text(out, version.configuration());
+                    text(out, version.settings());
+                });
     }
 
     static History.Version version(long number, byte[] bytes) throws IOException {
-        return read(bytes, "configuration " + number, in -> new History.Version(number,
-            Instant.ofEpochMilli(in.readLong()), in.readUTF(), text(in), text(in)));
+        return read(
+                bytes,
+                "configuration " + number,
+                in ->
+                        new History.Version(
+                                number,
+                                Instant.ofEpochMilli(in.readLong()),
+                                in.readUTF(),
+                                text(in),
+                                text(in)));
     }
 
     private static void text(DataOutputStream out, String text) throws IOException {
--- a/relay/src/main/java/saltstage/keep/History.java
+++ b/relay/src/main/java/saltstage/keep/History.java
@@ -18,20 +18,28 @@
     private static final byte[] TO = key("config0"); // the byte behind the slash
     private static final String FORM = "config/%016x";
 
-    /** One accepted configuration: the platform's JSON and the operator's settings, which may be empty. */
-    public record Version(long number, Instant at, String hash, String configuration, String settings) { }
+    /**
+     * One accepted configuration: the platform's JSON and the operator's settings, which may be
+     * empty.
+     */
+    public record Version(
+            long number, Instant at, String hash, String configuration, String settings) {}
 
-    private History() {
-    }
+    private History() {}
 
     static byte[] key(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
     private static String hash(String configuration, String settings) {
-        HashValue128 hash = Hashing.murmur3_128().hashStream().putString(configuration).putString(settings)
-            .get();
-        return String.format("%016x%016x", hash.getMostSignificantBits(), hash.getLeastSignificantBits());
+        HashValue128 hash =
+                Hashing.murmur3_128()
+                        .hashStream()
+                        .putString(configuration)
+                        .putString(settings)
+                        .get();
+        return String.format(
+                "%016x%016x", hash.getMostSignificantBits(), hash.getLeastSignificantBits());
     }
 
     /** All that are kept, oldest first. */
@@ -41,7 +49,10 @@
             Snapshot.Scan scan = now.scan(FROM, TO);
             while (scan.next()) {
                 String key = new String(scan.key(), StandardCharsets.UTF_8);
-                all.add(Codec.version(Long.parseLong(key.substring("config/".length()), 16), scan.value()));
+                all.add(
+                        Codec.version(
+                                Long.parseLong(key.substring("config/".length()), 16),
+                                scan.value()));
             }
         }
         return all;
@@ -53,18 +64,31 @@
         return found == null ? Optional.empty() : Optional.of(Codec.version(number, found));
     }
 
-    /** Adds what was accepted, unless it is the newest already; the oldest beyond the bound go with it. */
+    /**
+     * Adds what was accepted, unless it is the newest already; the oldest beyond the bound go with
+     * it.
+     */
     static long accept(Store store, String configuration, String settings, Instant at, int most)
             throws IOException {
         List<Version> all = all(store);
         Version newest = all.isEmpty() ? null : all.get(all.size() - 1);
-        if (newest != null && newest.configuration().equals(configuration)
-            && newest.settings().equals(settings)) {
+        if (newest != null
+                && newest.configuration().equals(configuration)
+                && newest.settings().equals(settings)) {
             return newest.number();
         }
         long number = newest == null ? 1 : newest.number() + 1;
-        Batch batch = new Batch().put(key(String.format(FORM, number)), Codec.version(
-            new Version(number, at, hash(configuration, settings), configuration, settings)));
+        Batch batch =
+                new Batch()
+                        .put(
+                                key(String.format(FORM, number)),
+                                Codec.version(
+                                        new Version(
+                                                number,
+                                                at,
+                                                hash(configuration, settings),
+                                                configuration,
+                                                settings)));
         for (int i = 0; i < all.size() + 1 - most; i++) {
             batch.delete(key(String.format(FORM, all.get(i).number())));
         }
--- a/relay/src/main/java/saltstage/keep/Keeper.java
+++ b/relay/src/main/java/saltstage/keep/Keeper.java
@@ -26,12 +26,17 @@
 import saltstage.wire.HostList;
 
 /**
- * Keeps the relay's state. What is to be written is handed over and written by one thread, the newest only;
- * nobody who hands over waits. Whatever goes wrong with the store, the relay serves on without it.
+ * Keeps the relay's state. What is to be written is handed over and written by one thread, the
+ * newest only; nobody who hands over waits. Whatever goes wrong with the store, the relay serves on
+ * without it.
  */
 public final class Keeper {
     /** How the store stands, as the totals tell it. */
-    public enum State { OK, FULL, LOST }
+    public enum State {
+        OK,
+        FULL,
+        LOST
+    }
 
     private static final byte[] LIST_REV = History.key("list/rev");
     private static final String TARGET = "list/target/";
@@ -40,7 +45,7 @@
     private static final byte[] LEARNT = History.key("learnt");
     private static final Duration RETRY = Duration.ofSeconds(5);
 
-    private record Accepted(String configuration, String settings, Instant at) { }
+    private record Accepted(String configuration, String settings, Instant at) {}
 
     private final Keeping settings;
     private final Supplier<Instant> clock;
@@ -71,8 +76,12 @@
     static Keeper open(Keeping settings, Supplier<Instant> clock, Place place) {
         Keeper keeper = new Keeper(settings, clock);
         try {
-            keeper.store = Store.open(place.find(),
-                new StoreOptions(settings.segmentBytes(), true, settings.compactionRate()), Log::warn);
+            keeper.store =
+                    Store.open(
+                            place.find(),
+                            new StoreOptions(
+                                    settings.segmentBytes(), true, settings.compactionRate()),
+                            Log::warn);
         } catch (IOException | RuntimeException e) {
             keeper.lose(e);
         }
@@ -95,43 +104,70 @@
 
     /** The newest list of backends, if one was kept and can be read. */
     public Optional<HostList> keptList() {
-        return kept("list", now -> {
-            byte[] rev = now.get(LIST_REV);
-            if (rev == null) {
-                return null;
-            }
-            List<HostList.Entry> entries = new ArrayList<>();
-            Snapshot.Scan scan = now.scan(TARGETS_FROM, TARGETS_TO);
-            while (scan.next()) {
-                entries.add(Codec.entry(scan.value()));
-            }
-            return new HostList(Codec.number(rev), true, entries);
-        });
+        return kept(
+                "list",
+                now -> {
+                    byte[] rev = now.get(LIST_REV);
+                    if (rev == null) {
+                        return null;
+                    }
+                    List<HostList.Entry> entries = new ArrayList<>();
+                    Snapshot.Scan scan = now.scan(TARGETS_FROM, TARGETS_TO);
+                    while (scan.next()) {
+                        entries.add(Codec.entry(scan.value()));
+                    }
+                    return new HostList(Codec.number(rev), true, entries);
+                });
     }
 
     /** What was learnt, unless it is too old; spans are shorter by its age. */
     public Optional<Learnt> keptLearnt() {
-        return kept("learnt", now -> {
-            byte[] bytes = now.get(LEARNT);
-            if (bytes == null) {
-                return null;
-            }
-            Codec.Dated dated = Codec.learnt(bytes);
-            Duration age = Duration.between(dated.at(), clock.get());
-            // Of a clock that went back nobody can say how old it is.
-            boolean fresh = !age.isNegative() && age.compareTo(settings.learntFor()) <= 0;
-            Log.info("keep.learnt", "age_s", age.toSeconds(), "servers", dated.learnt().servers().size(),
-                "taken", fresh);
-            return fresh ? aged(dated.learnt(), age.toNanos() / 1_000) : null;
-        });
+        return kept(
+                "learnt",
+                now -> {
+                    byte[] bytes = now.get(LEARNT);
+                    if (bytes == null) {
+                        return null;
+                    }
+                    Codec.Dated dated = Codec.learnt(bytes);
+                    Duration age = Duration.between(dated.at(), clock.get());
+                    // Of a clock that went back nobody can say how old it is.
+                    boolean fresh = !age.isNegative() && age.compareTo(settings.learntFor()) <= 0;
+                    Log.info(
+                            "keep.learnt",
+                            "age_s",
+                            age.toSeconds(),
+                            "servers",
+                            dated.learnt().servers().size(),
+                            "taken",
+                            fresh);
+                    return fresh ? aged(dated.learnt(), age.toNanos() / 1_000) : null;
+                });
     }
 
     private static Learnt aged(Learnt learnt, long micros) {
-        List<LearntServer> servers = learnt.servers().stream().map(s -> new LearntServer(s.id(),
-            s.startedAt(), s.setup(), s.deviation(), s.lowest(), s.strikes(),
-            Math.max(0, s.shunnedFor() - micros))).toList();
-        return new Learnt(learnt.setup(), learnt.deviation(), learnt.load(), learnt.life(),
-            learnt.meanShare(), learnt.part(), servers, new TreeMap<>(learnt.shares()));
+        List<LearntServer> servers =
+                learnt.servers().stream()
+                        .map(
+                                s ->
+                                        new LearntServer(
+                                                s.id(),
+                                                s.startedAt(),
+                                                s.setup(),
+                                                s.deviation(),
+                                                s.lowest(),
+                                                s.strikes(),
+                                                Math.max(0, s.shunnedFor() - micros)))
+                        .toList();
+        return new Learnt(
+                learnt.setup(),
+                learnt.deviation(),
+                learnt.load(),
+                learnt.life(),
+                learnt.meanShare(),
+                learnt.part(),
+                servers,
+                new TreeMap<>(learnt.shares()));
     }
 
     private interface Reading<T> {
@@ -200,7 +236,9 @@
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-        } catch (IOException | RuntimeException | Error e) { // the relay must not be told by its absence
+        } catch (IOException
+                | RuntimeException
+                | Error e) { // the relay must not be told by its absence
             lose(e instanceof Exception known ? known : new IllegalStateException(e));
         } finally {
             closeStore();
@@ -217,8 +255,7 @@
 
     /** Waits until there is something to write, or the interval is over; true at the end. */
     private synchronized boolean await() throws InterruptedException {
-        long until = System.nanoTime()
-            + (state == State.FULL ? RETRY : settings.every()).toNanos();
+        long until = System.nanoTime() + (state == State.FULL ? RETRY : settings.every()).toNanos();
         while (!over && (state == State.FULL || list == null && accepted.isEmpty())) {
             long left = (until - System.nanoTime()) / 1_000_000;
             if (left <= 0) {
@@ -286,8 +323,13 @@
 
     private void writeAccepted(Accepted one) throws IOException {
         try {
-            long number = History.accept(store, one.configuration(), one.settings(), one.at(),
-                settings.configurations());
+            long number =
+                    History.accept(
+                            store,
+                            one.configuration(),
+                            one.settings(),
+                            one.at(),
+                            settings.configurations());
             Log.info("keep.configuration", "version", number);
         } catch (IllegalArgumentException tooLarge) {
             Log.warn("keep.unwritten", "what", "configuration", "why", tooLarge.getMessage());
--- a/relay/src/main/java/saltstage/keep/Takeover.java
+++ b/relay/src/main/java/saltstage/keep/Takeover.java
@@ -13,7 +13,10 @@
 import saltstage.Api.Learnt;
 import saltstage.wire.HostList;
 
-/** What a process leaves to the one that replaces it: its list, what it has learnt, every id ever listed. */
+/**
+ * What a process leaves to the one that replaces it: its list, what it has learnt, every id ever
+ * listed.
+ */
 public record Takeover(HostList list, Instant at, Learnt learnt, Set<String> listed) {
     private static final int MOST = 1 << 20;
 
@@ -57,7 +60,8 @@
         for (int n = count(data, MOST); n > 0; n--) {
             listed.add(data.readUTF());
         }
-        return new Takeover(new HostList(rev, true, entries), dated.at(), dated.learnt(), Set.copyOf(listed));
+        return new Takeover(
+                new HostList(rev, true, entries), dated.at(), dated.learnt(), Set.copyOf(listed));
     }
 
     private static List<byte[]> parts(DataInputStream data) throws IOException {
--- a/relay/src/main/java/saltstage/lifecycle/BackendEntries.java
+++ b/relay/src/main/java/saltstage/lifecycle/BackendEntries.java
@@ -57,19 +57,38 @@
     }
 
     private static HostList.Entry gone(HostList.Entry before) {
-        return new HostList.Entry(before.uid(), before.endpoint(), before.zone(), before.cell(),
-            HostList.State.GONE, before.weight(), before.startedAt());
+        return new HostList.Entry(
+                before.uid(),
+                before.endpoint(),
+                before.zone(),
+                before.cell(),
+                HostList.State.GONE,
+                before.weight(),
+                before.startedAt());
     }
 
-    /** Null where lists cannot carry it; that is logged, and the backend is as one that is deleted. */
+    /**
+     * Null where lists cannot carry it; that is logged, and the backend is as one that is deleted.
+     */
     private static HostList.Entry entry(String id, EntryValue.Backend value) {
         if (id.length() > LONGEST_ID) {
-            Log.warn("configuration.backend.refused", "peer", id, "why", "an id of over 128 characters");
+            Log.warn(
+                    "configuration.backend.refused",
+                    "peer",
+                    id,
+                    "why",
+                    "an id of over 128 characters");
             return null;
         }
         try {
-            return new HostList.Entry(id, HostList.address(value.address()), value.zone(), value.cell(),
-                state(value.state()), value.weight(), Instant.ofEpochMilli(value.startedAtMs()));
+            return new HostList.Entry(
+                    id,
+                    HostList.address(value.address()),
+                    value.zone(),
+                    value.cell(),
+                    state(value.state()),
+                    value.weight(),
+                    Instant.ofEpochMilli(value.startedAtMs()));
         } catch (MalformedException notInFigures) {
             Log.warn("configuration.backend.refused", "peer", id, "why", notInFigures.getMessage());
             return null;
--- a/relay/src/main/java/saltstage/lifecycle/Clerk.java
+++ b/relay/src/main/java/saltstage/lifecycle/Clerk.java
@@ -31,12 +31,17 @@
 import saltstage.wire.HostList;
 
 /**
- * Does for operators what takes a file or the module's lock, on one thread: bans, what the other process of
- * this relay is left, its part of the descriptors. Who asks for figures reads what was last looked at.
+ * Does for operators what takes a file or the module's lock, on one thread: bans, what the other
+ * process of this relay is left, its part of the descriptors. Who asks for figures reads what was
+ * last looked at.
  */
 final class Clerk implements Desk {
-    /** Long enough that the others are not flooded; a machine is not restarted sooner than that by hand. */
+    /**
+     * Long enough that the others are not flooded; a machine is not restarted sooner than that by
+     * hand.
+     */
     private static final Duration MOVES = Duration.ofSeconds(2);
+
     private static final Duration LOOK = Duration.ofMillis(200);
     private static final int LOOKS_PER_TAKEOVER = 5;
     private static final Duration ANSWER = Duration.ofMillis(700);
@@ -59,7 +64,13 @@
     private int looks;
 
     /** Slots and folder are null where no process is ever replaced by another beside it. */
-    Clerk(MonotonicClock clock, Peers peers, Chain chain, Counts counts, Bans bans, Slots slots,
+    Clerk(
+            MonotonicClock clock,
+            Peers peers,
+            Chain chain,
+            Counts counts,
+            Bans bans,
+            Slots slots,
             Path takeover) {
         this.clock = clock;
         this.peers = peers;
@@ -104,20 +115,29 @@
             return CompletableFuture.completedFuture("never listed: " + id);
         }
         CompletableFuture<String> answer = new CompletableFuture<>();
-        boolean queued = calls.offer(() -> {
-            try {
-                bans.set(id, banned);
-                apply();
-                Log.info(banned ? "backend.suspended" : "backend.restored", "peer", id);
-                answer.complete(!banned && bans.isConfigured(id) ? "still suspended by configuration: " + id
-                    : null);
-            } catch (IOException failed) {
-                Log.warn("bans.unwritten", "peer", id, "why", failed.getMessage());
-                answer.complete("not kept: " + failed.getMessage());
-            }
-        });
-        return queued ? answer.completeOnTimeout("busy, call again", ANSWER.toMillis(), TimeUnit.MILLISECONDS)
-            : CompletableFuture.completedFuture("busy, call again");
+        boolean queued =
+                calls.offer(
+                        () -> {
+                            try {
+                                bans.set(id, banned);
+                                apply();
+                                Log.info(
+                                        banned ? "backend.suspended" : "backend.restored",
+                                        "peer",
+                                        id);
+                                answer.complete(
+                                        !banned && bans.isConfigured(id)
+                                                ? "still suspended by configuration: " + id
+                                                : null);
+                            } catch (IOException failed) {
+                                Log.warn("bans.unwritten", "peer", id, "why", failed.getMessage());
+                                answer.complete("not kept: " + failed.getMessage());
+                            }
+                        });
+        return queued
+                ? answer.completeOnTimeout(
+                        "busy, call again", ANSWER.toMillis(), TimeUnit.MILLISECONDS)
+                : CompletableFuture.completedFuture("busy, call again");
     }
 
     // ---- what is told
@@ -127,8 +147,12 @@
         notReady = why;
         if (slots != null) {
             try {
-                slots.say(why == null ? Slots.Phase.READY
-                    : why.equals("leaving") ? Slots.Phase.LEAVING : Slots.Phase.STARTING);
+                slots.say(
+                        why == null
+                                ? Slots.Phase.READY
+                                : why.equals("leaving")
+                                        ? Slots.Phase.LEAVING
+                                        : Slots.Phase.STARTING);
             } catch (IOException e) {
                 Log.warn("handover.fault", "why", e.getMessage());
             }
@@ -186,7 +210,8 @@
             chain.descriptors(slots.share(chain.descriptorsInUse()));
             if (++looks % LOOKS_PER_TAKEOVER == 0 && notReady == null) {
                 Instant now = clock.now();
-                takeover.write(new Takeover(peers.list(), now, chain.route().learnt(), listed).bytes());
+                takeover.write(
+                        new Takeover(peers.list(), now, chain.route().learnt(), listed).bytes());
             }
         } catch (IOException failed) {
             Log.warn("handover.fault", "why", failed.getMessage());
@@ -206,7 +231,10 @@
         }
     }
 
-    /** Clients do not stand where a backend is about to be restarted: they are moved in time, few at once. */
+    /**
+     * Clients do not stand where a backend is about to be restarted: they are moved in time, few at
+     * once.
+     */
     private void moveOff() {
         since.keySet().retainAll(bans.all());
         Instant now = clock.now();
--- a/relay/src/main/java/saltstage/lifecycle/ClientListener.java
+++ b/relay/src/main/java/saltstage/lifecycle/ClientListener.java
@@ -10,22 +10,27 @@
 import saltstage.log.Log;
 
 /**
- * The socket where clients come in: at an address of the relay's own, or one that the platform holds and that
- * every process of the relay inherits. The latter is neither shut down nor closed here: it is the other
- * process's too, and the JVM, when it closes an inherited channel, takes standard error away with it.
+ * The socket where clients come in: at an address of the relay's own, or one that the platform
+ * holds and that every process of the relay inherits. The latter is neither shut down nor closed
+ * here: it is the other process's too, and the JVM, when it closes an inherited channel, takes
+ * standard error away with it.
  */
 final class ClientListener {
-    /** Connections that may wait to be accepted: all that were open before a start may come at once. */
+    /**
+     * Connections that may wait to be accepted: all that were open before a start may come at once.
+     */
     private static final int BACKLOG = 4096;
+
     private static final int ATTEMPTS = 10;
     private static final Duration PAUSE = Duration.ofMillis(100);
 
-    private ClientListener() {
-    }
+    private ClientListener() {}
 
-    /** Listens at this address; a want of descriptors may pass, an address that is taken does not. */
+    /**
+     * Listens at this address; a want of descriptors may pass, an address that is taken does not.
+     */
     static ServerSocketChannel at(InetSocketAddress address) throws IOException {
-        for (int attempt = 1;; attempt++) {
+        for (int attempt = 1; ; attempt++) {
             try {
                 return open(address);
             } catch (BindException refused) {
@@ -73,7 +78,8 @@
             throw new IOException("descriptor 0 is no listening socket");
         }
         ServerSocketChannel listener = (ServerSocketChannel) channel;
-        // The other process may take what woke this one: accepting must not block. The mode is the shared
+        // The other process may take what woke this one: accepting must not block. The mode is the
+        // shared
         // socket's own; a JVM copes that accepts in the other.
         listener.configureBlocking(false);
         return listener;
--- a/relay/src/main/java/saltstage/lifecycle/ConfigCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/ConfigCommand.java
@@ -21,19 +21,26 @@
 import saltstage.wire.MalformedException;
 
 /** The configurations that a relay has accepted. */
-@Command(name = "config", mixinStandardHelpOptions = true, description = {
-    "Shows the configurations that a relay has accepted, and brings one back.",
-    "They are read from the store of the settings, also while the relay runs."},
-    subcommands = {ConfigCommand.ListAll.class, ConfigCommand.Show.class, ConfigCommand.Rollback.class,
-        CommandLine.HelpCommand.class})
+@Command(
+        name = "config",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Shows the configurations that a relay has accepted, and brings one back.",
+            "They are read from the store of the settings, also while the relay runs."
+        },
+        subcommands = {
+            ConfigCommand.ListAll.class,
+            ConfigCommand.Show.class,
+            ConfigCommand.Rollback.class,
+            CommandLine.HelpCommand.class
+        })
 final class ConfigCommand implements Callable<Integer> {
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
-        throw new CommandLine.ParameterException(spec.commandLine(),
-            "a sub-command is needed; see 'config help'");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(), "a sub-command is needed; see 'config help'");
     }
 
     private interface Reading<T> {
@@ -42,13 +49,21 @@
 
     /** Where the relay keeps them. */
     static final class Where {
-        @Option(names = "--settings", paramLabel = "FILE", required = true,
-            description = "the operator's settings, whose store block names the directory")
+        @Option(
+                names = "--settings",
+                paramLabel = "FILE",
+                required = true,
+                description = "the operator's settings, whose store block names the directory")
         private Path file;
 
         private <T> T read(Reading<T> reading) throws IOException, MalformedException {
-            OperatorSettings.Keeping keeping = OperatorSettings.read(file).keeping()
-                .orElseThrow(() -> new MalformedException(file + ": there is no store block"));
+            OperatorSettings.Keeping keeping =
+                    OperatorSettings.read(file)
+                            .keeping()
+                            .orElseThrow(
+                                    () ->
+                                            new MalformedException(
+                                                    file + ": there is no store block"));
             if (!Files.isDirectory(keeping.dir())) {
                 throw new IOException(keeping.dir() + ": there is no store");
             }
@@ -61,16 +76,19 @@
 
         private History.Version find(long number) throws IOException, MalformedException {
             return read(store -> History.find(store, number))
-                .orElseThrow(() -> new MalformedException("there is no version " + number));
+                    .orElseThrow(() -> new MalformedException("there is no version " + number));
         }
     }
 
     /** Lists. */
-    @Command(name = "history", mixinStandardHelpOptions = true,
-        description = "Lists the versions that are kept: number, time, hash, and the sizes of the two texts.")
+    @Command(
+            name = "history",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Lists the versions that are kept: number, time, hash, and the sizes of the two"
+                            + " texts.")
     static final class ListAll implements Callable<Integer> {
-        @CommandLine.Mixin
-        private Where where;
+        @CommandLine.Mixin private Where where;
 
         @Option(names = "--json", description = "one JSON object a line")
         private boolean json;
@@ -80,30 +98,44 @@
             for (History.Version v : where.read(History::all)) {
                 int configuration = v.configuration().getBytes(StandardCharsets.UTF_8).length;
                 int settings = v.settings().getBytes(StandardCharsets.UTF_8).length;
-                System.out.printf(json ? "{\"version\":%d,\"at\":\"%s\",\"hash\":\"%s\","
-                    + "\"configuration_bytes\":%d,\"settings_bytes\":%d}%n"
-                    : "%d %s %s configuration=%d settings=%d%n", v.number(), v.at(), v.hash(), configuration,
-                    settings);
+                System.out.printf(
+                        json
+                                ? "{\"version\":%d,\"at\":\"%s\",\"hash\":\"%s\","
+                                        + "\"configuration_bytes\":%d,\"settings_bytes\":%d}%n"
+                                : "%d %s %s configuration=%d settings=%d%n",
+                        v.number(),
+                        v.at(),
+                        v.hash(),
+                        configuration,
+                        settings);
             }
             return 0;
         }
     }
 
     /** The two texts of a version. */
-    enum Part { configuration, settings }
+    enum Part {
+        configuration,
+        settings
+    }
 
     /** Shows. */
-    @Command(name = "show", mixinStandardHelpOptions = true,
-        description = "Prints a version as it was accepted.")
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
+            description = "Prints a version as it was accepted.")
     static final class Show implements Callable<Integer> {
-        @CommandLine.Mixin
-        private Where where;
+        @CommandLine.Mixin private Where where;
 
         @Parameters(index = "0", paramLabel = "N", description = "the version")
         private long number;
 
-        @Option(names = "--part", defaultValue = "configuration",
-            description = "configuration (the platform's JSON, default) or settings (the operator's HCL)")
+        @Option(
+                names = "--part",
+                defaultValue = "configuration",
+                description =
+                        "configuration (the platform's JSON, default) or settings (the operator's"
+                                + " HCL)")
         private Part part;
 
         @Override
@@ -116,19 +148,26 @@
     }
 
     /** Rolls back. */
-    @Command(name = "rollback", mixinStandardHelpOptions = true, description = {
-        "Checks a version and puts its texts in place of the files, whole or not at all each. The relay takes"
-            ,
-        "them on SIGHUP or at its next start, and that is a new version. One that is not sound is refused."})
+    @Command(
+            name = "rollback",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Checks a version and puts its texts in place of the files, whole or not at all"
+                        + " each. The relay takes",
+                "them on SIGHUP or at its next start, and that is a new version. One that is not"
+                        + " sound is refused."
+            })
     static final class Rollback implements Callable<Integer> {
-        @CommandLine.Mixin
-        private Where where;
+        @CommandLine.Mixin private Where where;
 
         @Parameters(index = "0", paramLabel = "N", description = "the version")
         private long number;
 
-        @Option(names = "--config", paramLabel = "FILE", required = true,
-            description = "the configuration file to replace")
+        @Option(
+                names = "--config",
+                paramLabel = "FILE",
+                required = true,
+                description = "the configuration file to replace")
         private Path config;
 
         @Option(names = "--keep-settings", description = "replace the configuration only")
@@ -138,17 +177,25 @@
         public Integer call() throws IOException, MalformedException {
             History.Version version = where.find(number);
             Configuration.of(version.configuration());
-            OperatorSettings settings = OperatorSettings.of("version " + number, version.settings());
+            OperatorSettings settings =
+                    OperatorSettings.of("version " + number, version.settings());
             if (!keepSettings && settings.keeping().isEmpty()) {
-                throw new MalformedException("version " + number
-                    + ": its settings keep no history; give --keep-settings");
+                throw new MalformedException(
+                        "version "
+                                + number
+                                + ": its settings keep no history; give --keep-settings");
             }
             replace(config, version.configuration());
             if (!keepSettings) {
                 replace(where.file, version.settings());
             }
-            System.out.println("version " + number + " is in " + config + (keepSettings ? "" : " and "
-                + where.file) + "; send SIGHUP to the relay");
+            System.out.println(
+                    "version "
+                            + number
+                            + " is in "
+                            + config
+                            + (keepSettings ? "" : " and " + where.file)
+                            + "; send SIGHUP to the relay");
             return 0;
         }
 
--- a/relay/src/main/java/saltstage/lifecycle/ConfiguredSettings.java
+++ b/relay/src/main/java/saltstage/lifecycle/ConfiguredSettings.java
@@ -10,9 +10,9 @@
 import saltstage.log.LogSetup;
 
 /**
- * The settings that configuration changes while the relay runs: {@code log.level} and {@code log.format}.
- * They go before those of the operator's file, which hold again once they are deleted. All others take a
- * restart with another file; each is named in the log once.
+ * The settings that configuration changes while the relay runs: {@code log.level} and {@code
+ * log.format}. They go before those of the operator's file, which hold again once they are deleted.
+ * All others take a restart with another file; each is named in the log once.
  */
 final class ConfiguredSettings {
     private static final String LEVEL = "log.level";
@@ -57,9 +57,10 @@
 
     /** Puts what was set in force. */
     synchronized void apply() {
-        OperatorSettings.Logging wanted = new OperatorSettings.Logging(
-            word(FORMAT, LogSetup.Format.class, file.format()),
-            word(LEVEL, OperatorSettings.Level.class, file.level()));
+        OperatorSettings.Logging wanted =
+                new OperatorSettings.Logging(
+                        word(FORMAT, LogSetup.Format.class, file.format()),
+                        word(LEVEL, OperatorSettings.Level.class, file.level()));
         if (!wanted.equals(inForce)) {
             inForce = wanted;
             LogSetup.use(wanted.format(), wanted.level().name());
--- a/relay/src/main/java/saltstage/lifecycle/Drain.java
+++ b/relay/src/main/java/saltstage/lifecycle/Drain.java
@@ -11,21 +11,25 @@
 import saltstage.stage.Pace;
 
 /**
- * The end after SIGTERM. SIGKILL comes 0.7 s after the longest deadline at the earliest, which counts as 3 s
- * where it is longer. New clients are taken as before; those that stand are moved a few at a time, not at
- * once: one that is moved sooner has nowhere to go where the other relay is only just starting. What still
- * waits is rejected after that, and all is over 0.5 s before SIGKILL. A relay whose core is busy with a crowd
- * hears of SIGTERM up to 0.4 s late and moves 170 clients no faster than in a second: the rest is for that.
+ * The end after SIGTERM. SIGKILL comes 0.7 s after the longest deadline at the earliest, which
+ * counts as 3 s where it is longer. New clients are taken as before; those that stand are moved a
+ * few at a time, not at once: one that is moved sooner has nowhere to go where the other relay is
+ * only just starting. What still waits is rejected after that, and all is over 0.5 s before
+ * SIGKILL. A relay whose core is busy with a crowd hears of SIGTERM up to 0.4 s late and moves 170
+ * clients no faster than in a second: the rest is for that.
  */
 final class Drain {
     private static final Duration MOST_DEADLINE = Duration.ofSeconds(3);
     private static final Duration LATE = Duration.ofMillis(600);
     private static final Duration MOVES = Duration.ofMillis(1_600);
     private static final Duration AFTER_MOVES = Duration.ofMillis(800);
+
     /** New clients come for up to 0.4 s more; the front then sends them elsewhere. */
     private static final Duration AT_LEAST = Duration.ofMillis(900);
+
     /** So long who has been told that the relay ends may take to hang up. */
     private static final Duration HANG_UP = Duration.ofMillis(400);
+
     private static final Duration STEP = Duration.ofMillis(50);
 
     private final MonotonicClock clock;
@@ -36,13 +40,21 @@
     private final Duration over;
     private final boolean succeeded;
 
-    /** A drain that began so late after SIGTERM, as far as known; succeeded: another process serves. */
-    Drain(MonotonicClock clock, Chain chain, Duration longestDeadline, Duration late, boolean succeeded) {
+    /**
+     * A drain that began so late after SIGTERM, as far as known; succeeded: another process serves.
+     */
+    Drain(
+            MonotonicClock clock,
+            Chain chain,
+            Duration longestDeadline,
+            Duration late,
+            boolean succeeded) {
         this.succeeded = succeeded;
         this.clock = clock;
         this.chain = chain;
         start = clock.now().minus(late);
-        Duration most = longestDeadline.compareTo(MOST_DEADLINE) < 0 ? longestDeadline : MOST_DEADLINE;
+        Duration most =
+                longestDeadline.compareTo(MOST_DEADLINE) < 0 ? longestDeadline : MOST_DEADLINE;
         Duration last = notNegative(most.minus(LATE));
         movesFrom = succeeded ? Duration.ZERO : notNegative(last.minus(MOVES));
         movesUntil = succeeded && MOVES.compareTo(last) < 0 ? MOVES : last;
@@ -50,8 +62,16 @@
     }
 
     void run() {
-        Log.info("drain.start", "late_ms", since().toMillis(), "standing", chain.book().standing().size(),
-            "clients", clients(), "succeeded", succeeded);
+        Log.info(
+                "drain.start",
+                "late_ms",
+                since().toMillis(),
+                "standing",
+                chain.book().standing().size(),
+                "clients",
+                clients(),
+                "succeeded",
+                succeeded);
         if (!succeeded) { // else nobody comes any more, and who has come is served
             chain.fronts().forEach(Front::leave);
         }
@@ -71,8 +91,14 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        Log.info("drain.over", "standing", chain.book().standing().size(),
-            "clients", clients(), "after_ms", since().toMillis());
+        Log.info(
+                "drain.over",
+                "standing",
+                chain.book().standing().size(),
+                "clients",
+                clients(),
+                "after_ms",
+                since().toMillis());
     }
 
     /** Each time: who comes or asks after the first one has to be answered too. */
@@ -98,10 +124,13 @@
             return clients() == 0; // also those whose first line is still on its way
         }
         return since().compareTo(AT_LEAST) > 0
-            && chain.fronts().stream().allMatch(front -> front.requests() == 0);
+                && chain.fronts().stream().allMatch(front -> front.requests() == 0);
     }
 
-    /** As many of those that stand as the steps that are left ask for, so that the others are not flooded. */
+    /**
+     * As many of those that stand as the steps that are left ask for, so that the others are not
+     * flooded.
+     */
     private void moveSome() {
         if (since().compareTo(movesFrom) < 0) {
             return;
--- a/relay/src/main/java/saltstage/lifecycle/Hangups.java
+++ b/relay/src/main/java/saltstage/lifecycle/Hangups.java
@@ -4,8 +4,8 @@
 import sun.misc.SignalHandler;
 
 /**
- * SIGHUP, from the process's first moment on. The JVM's own handler ends the process, and all connections
- * with it; one that comes while the relay still starts is kept until it can be obeyed.
+ * SIGHUP, from the process's first moment on. The JVM's own handler ends the process, and all
+ * connections with it; one that comes while the relay still starts is kept until it can be obeyed.
  */
 final class Hangups {
     private Runnable reload;
@@ -18,7 +18,10 @@
         ignored = before == SignalHandler.SIG_IGN;
     }
 
-    /** Whether the process was started with SIGHUP ignored, as under nohup: the JVM then never hears one. */
+    /**
+     * Whether the process was started with SIGHUP ignored, as under nohup: the JVM then never hears
+     * one.
+     */
     boolean ignored() {
         return ignored;
     }
--- a/relay/src/main/java/saltstage/lifecycle/Main.java
+++ b/relay/src/main/java/saltstage/lifecycle/Main.java
@@ -24,10 +24,18 @@
 import saltstage.wire.MalformedException;
 
 /** The command line. */
-@Command(name = "saltstage", description = "A relay for long-lived connections.",
-    mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
-    subcommands = {Main.Serve.class, Main.Check.class, Main.Wirehost.class, Main.ShowVersion.class,
-        CommandLine.HelpCommand.class})
+@Command(
+        name = "saltstage",
+        description = "A relay for long-lived connections.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
+        subcommands = {
+            Main.Serve.class,
+            Main.Check.class,
+            Main.Wirehost.class,
+            Main.ShowVersion.class,
+            CommandLine.HelpCommand.class
+        })
 public final class Main implements Callable<Integer> {
     private static final Hangups HANGUPS = new Hangups();
     private static final int FAILED = 1;
@@ -42,16 +50,20 @@
         System.exit(commandLine(serving).execute(args));
     }
 
-    /** A relay that restarts on half a core does not read the commands that it cannot be asked for. */
+    /**
+     * A relay that restarts on half a core does not read the commands that it cannot be asked for.
+     */
     private static CommandLine commandLine(boolean serving) {
         CommandLine line = new CommandLine(new Main());
         if (!serving) {
-            line.addSubcommand(new StoreCommand()).addSubcommand(new ConfigCommand())
-                .addSubcommand(new OperatorCommand());
+            line.addSubcommand(new StoreCommand())
+                    .addSubcommand(new ConfigCommand())
+                    .addSubcommand(new OperatorCommand());
         }
         // One plain line, whatever is wrong: picocli would add the whole usage.
         line.setParameterExceptionHandler((e, args) -> complain(e.getMessage(), USAGE));
-        line.setExecutionExceptionHandler((e, at, all) -> complain(String.valueOf(e.getMessage()), FAILED));
+        line.setExecutionExceptionHandler(
+                (e, at, all) -> complain(String.valueOf(e.getMessage()), FAILED));
         return line;
     }
 
@@ -76,8 +88,10 @@
 
     /** Where the configuration is. */
     static final class ConfigOption {
-        @Option(names = "--config", description = "the configuration file (default: what GW_CONFIG names)",
-            defaultValue = "${env:GW_CONFIG}")
+        @Option(
+                names = "--config",
+                description = "the configuration file (default: what GW_CONFIG names)",
+                defaultValue = "${env:GW_CONFIG}")
         private Path file;
 
         boolean given() {
@@ -94,8 +108,11 @@
 
     /** Where the operator's settings are, if there are any. */
     static final class SettingsOption {
-        @Option(names = "--settings", paramLabel = "FILE",
-            description = "the operator's settings in HCL (default: none; all as on the platform)")
+        @Option(
+                names = "--settings",
+                paramLabel = "FILE",
+                description =
+                        "the operator's settings in HCL (default: none; all as on the platform)")
         private Path file;
 
         OperatorSettings read() throws MalformedException {
@@ -104,14 +121,14 @@
     }
 
     /** Serves. */
-    @Command(name = "serve", description = "Runs the relay until SIGTERM; SIGHUP reads the file anew.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "serve",
+            description = "Runs the relay until SIGTERM; SIGHUP reads the file anew.",
+            mixinStandardHelpOptions = true)
     static final class Serve implements Callable<Integer> {
-        @CommandLine.Mixin
-        private ConfigOption config;
+        @CommandLine.Mixin private ConfigOption config;
 
-        @CommandLine.Mixin
-        private SettingsOption settings;
+        @CommandLine.Mixin private SettingsOption settings;
 
         @Override
         public Integer call() throws MalformedException, IOException, InterruptedException {
@@ -121,11 +138,16 @@
                 Log.warn("reload.ignored", "why", "the process was started with SIGHUP ignored");
             }
             Program program = new Program(config.read(), chosen, Surroundings.of(System.getenv()));
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                if (program.drain()) {
-                    Runtime.getRuntime().halt(0); // a planned end is no failure
-                }
-            }, "drain"));
+            Runtime.getRuntime()
+                    .addShutdownHook(
+                            new Thread(
+                                    () -> {
+                                        if (program.drain()) {
+                                            Runtime.getRuntime()
+                                                    .halt(0); // a planned end is no failure
+                                        }
+                                    },
+                                    "drain"));
             program.start();
             HANGUPS.obey(() -> program.reload(config::read, settings::read));
             new CountDownLatch(1).await();
@@ -134,14 +156,14 @@
     }
 
     /** Checks. */
-    @Command(name = "check", description = "Reads the configuration and says whether it is sound.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "check",
+            description = "Reads the configuration and says whether it is sound.",
+            mixinStandardHelpOptions = true)
     static final class Check implements Callable<Integer> {
-        @CommandLine.Mixin
-        private ConfigOption config;
+        @CommandLine.Mixin private ConfigOption config;
 
-        @CommandLine.Mixin
-        private SettingsOption settings;
+        @CommandLine.Mixin private SettingsOption settings;
 
         @Override
         public Integer call() throws MalformedException {
@@ -162,8 +184,7 @@
     /** Says the version. */
     @Command(name = "version", description = "Prints the version.", mixinStandardHelpOptions = true)
     static final class ShowVersion implements Callable<Integer> {
-        @CommandLine.Spec
-        private CommandLine.Model.CommandSpec spec;
+        @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
         @Override
         public Integer call() {
@@ -175,15 +196,19 @@
     }
 
     /** The simulator's adapter. */
-    @Command(name = "wirehost", description = "Speaks the simulator's wire on standard input and output.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "wirehost",
+            description = "Speaks the simulator's wire on standard input and output.",
+            mixinStandardHelpOptions = true)
     static final class Wirehost implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
             BufferedReader in =
-                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
+                    new BufferedReader(
+                            new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
             OutputStreamWriter out =
-                new OutputStreamWriter(new FileOutputStream(FileDescriptor.out), StandardCharsets.UTF_8);
+                    new OutputStreamWriter(
+                            new FileOutputStream(FileDescriptor.out), StandardCharsets.UTF_8);
             try {
                 new WireHost(in, out).run();
                 return 0;
--- a/relay/src/main/java/saltstage/lifecycle/OperatorCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/OperatorCommand.java
@@ -19,34 +19,48 @@
 import saltstage.wire.MalformedException;
 
 /** The calls of operators to a relay that runs. */
-@Command(name = "call", mixinStandardHelpOptions = true, description = {
-    "Calls a relay that runs, where its GW_ADMIN or the admin of its configuration says.",
-    "Ends with 0 where the relay said yes, 1 where it said no, 3 where it did not answer."},
-    subcommands = {OperatorCommand.Status.class, OperatorCommand.Metrics.class, OperatorCommand.Suspend.class,
-        OperatorCommand.Restore.class, CommandLine.HelpCommand.class})
+@Command(
+        name = "call",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Calls a relay that runs, where its GW_ADMIN or the admin of its configuration says.",
+            "Ends with 0 where the relay said yes, 1 where it said no, 3 where it did not answer."
+        },
+        subcommands = {
+            OperatorCommand.Status.class,
+            OperatorCommand.Metrics.class,
+            OperatorCommand.Suspend.class,
+            OperatorCommand.Restore.class,
+            CommandLine.HelpCommand.class
+        })
 final class OperatorCommand implements Callable<Integer> {
     private static final int NO = 1;
     private static final int SILENT = 3;
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
-        throw new CommandLine.ParameterException(spec.commandLine(),
-            "a sub-command is needed; see 'call help'");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(), "a sub-command is needed; see 'call help'");
     }
 
     /** Where the relay is called, and how its answer is shown. */
     static final class Relay {
         private static final int MOST_BYTES = 1 << 20;
 
-        @Option(names = "--admin", paramLabel = "IP:PORT", defaultValue = "${env:GW_ADMIN}",
-            description = "where the relay is called (default: what GW_ADMIN names)")
+        @Option(
+                names = "--admin",
+                paramLabel = "IP:PORT",
+                defaultValue = "${env:GW_ADMIN}",
+                description = "where the relay is called (default: what GW_ADMIN names)")
         private String admin;
 
-        @Option(names = "--timeout", paramLabel = "MS", defaultValue = "2000",
-            description = "how long to wait, in milliseconds (default: ${DEFAULT-VALUE})")
+        @Option(
+                names = "--timeout",
+                paramLabel = "MS",
+                defaultValue = "2000",
+                description = "how long to wait, in milliseconds (default: ${DEFAULT-VALUE})")
         private int timeout;
 
         @Option(names = "--json", description = "one JSON object instead of lines")
@@ -61,7 +75,8 @@
             try {
                 lines = answer(at, call);
             } catch (IOException silent) {
-                System.err.println("saltstage: " + admin + " did not answer: " + silent.getMessage());
+                System.err.println(
+                        "saltstage: " + admin + " did not answer: " + silent.getMessage());
                 return SILENT;
             }
             String last = lines.isEmpty() ? "" : lines.get(lines.size() - 1);
@@ -70,7 +85,8 @@
                 System.err.println("saltstage: " + admin + " did not answer whole");
                 return SILENT;
             }
-            System.out.println(json ? json(yes, lines) : String.join(System.lineSeparator(), lines));
+            System.out.println(
+                    json ? json(yes, lines) : String.join(System.lineSeparator(), lines));
             return yes ? 0 : NO;
         }
 
@@ -81,7 +97,7 @@
                 socket.getOutputStream().write((call + "\r\n").getBytes(StandardCharsets.US_ASCII));
                 InputStream in = socket.getInputStream();
                 StringBuilder text = new StringBuilder();
-                for (int c = 0; c >= 0 && text.length() < MOST_BYTES;) {
+                for (int c = 0; c >= 0 && text.length() < MOST_BYTES; ) {
                     socket.setSoTimeout((int) Math.max(1, (until - System.nanoTime()) / 1_000_000));
                     c = in.read();
                     if (c >= 0) {
@@ -111,10 +127,12 @@
     }
 
     /** Whether it serves. */
-    @Command(name = "status", description = "Whether this process serves.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "status",
+            description = "Whether this process serves.",
+            mixinStandardHelpOptions = true)
     static final class Status implements Callable<Integer> {
-        @CommandLine.Mixin
-        private Relay relay;
+        @CommandLine.Mixin private Relay relay;
 
         @Override
         public Integer call() throws MalformedException {
@@ -123,10 +141,12 @@
     }
 
     /** Its figures. */
-    @Command(name = "metrics", description = "The figures of this process.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "metrics",
+            description = "The figures of this process.",
+            mixinStandardHelpOptions = true)
     static final class Metrics implements Callable<Integer> {
-        @CommandLine.Mixin
-        private Relay relay;
+        @CommandLine.Mixin private Relay relay;
 
         @Override
         public Integer call() throws MalformedException {
@@ -135,11 +155,12 @@
     }
 
     /** Takes a backend out. */
-    @Command(name = "suspend", description = "Nothing more to a backend, until it is restored.",
-        mixinStandardHelpOptions = true)
+    @Command(
+            name = "suspend",
+            description = "Nothing more to a backend, until it is restored.",
+            mixinStandardHelpOptions = true)
     static final class Suspend implements Callable<Integer> {
-        @CommandLine.Mixin
-        private Relay relay;
+        @CommandLine.Mixin private Relay relay;
 
         @Parameters(paramLabel = "ID", description = "the backend, as discovery names it")
         private String id;
@@ -151,10 +172,12 @@
     }
 
     /** Puts a backend back. */
-    @Command(name = "restore", description = "Uses a backend again.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "restore",
+            description = "Uses a backend again.",
+            mixinStandardHelpOptions = true)
     static final class Restore implements Callable<Integer> {
-        @CommandLine.Mixin
-        private Relay relay;
+        @CommandLine.Mixin private Relay relay;
 
         @Parameters(paramLabel = "ID", description = "the backend, as discovery names it")
         private String id;
