--- a/relay/src/main/java/saltstage/lifecycle/Program.java
+++ b/relay/src/main/java/saltstage/lifecycle/Program.java
@@ -40,6 +40,7 @@
 
     /** It answers at once; a start must not wait longer for one that is silent. */
     private static final Duration AGENT = Duration.ofSeconds(1);
+
     private static final Duration LAST_WRITE = Duration.ofMillis(200);
 
     private final Configuration config;
@@ -76,7 +77,8 @@
         OperatorSettings read() throws MalformedException;
     }
 
-    Program(Configuration config, OperatorSettings operator, Surroundings surroundings) throws IOException {
+    Program(Configuration config, OperatorSettings operator, Surroundings surroundings)
+            throws IOException {
         this.surroundings = surroundings;
         this.config = config;
         this.operator = operator;
@@ -87,13 +89,32 @@
         counts = new Counts(config.classes());
         peers = new Peers(bans::has);
         chain = new Chain(config, clock, timers, peers, counts, this::watch);
-        clerk = new Clerk(clock, peers, chain, counts, bans, handsOver ? claim(folder) : null,
-            handsOver ? folder.resolve(config.name() + ".takeover") : null);
-        subscription = new Subscription(config.discovery(), !config.settings().asksForList(), timers,
-            peers::rev, this::heard, chain.route()::listRefused);
-        shared = operator.following().isEmpty() ? null
-            : SharedConfiguration.open(operator.following().get(), operator.logging(), config.name(), bans,
-                this::heard);
+        clerk =
+                new Clerk(
+                        clock,
+                        peers,
+                        chain,
+                        counts,
+                        bans,
+                        handsOver ? claim(folder) : null,
+                        handsOver ? folder.resolve(config.name() + ".takeover") : null);
+        subscription =
+                new Subscription(
+                        config.discovery(),
+                        !config.settings().asksForList(),
+                        timers,
+                        peers::rev,
+                        this::heard,
+                        chain.route()::listRefused);
+        shared =
+                operator.following().isEmpty()
+                        ? null
+                        : SharedConfiguration.open(
+                                operator.following().get(),
+                                operator.logging(),
+                                config.name(),
+                                bans,
+                                this::heard);
     }
 
     private Slots claim(Path folder) {
@@ -151,8 +172,10 @@
         if (operator.amqp().isPresent()) {
             startAmqp(operator.amqp().get());
         }
-        ServerSocketChannel clients = surroundings.inheritsListener() ? ClientListener.inherited()
-            : ClientListener.at(config.listen());
+        ServerSocketChannel clients =
+                surroundings.inheritsListener()
+                        ? ClientListener.inherited()
+                        : ClientListener.at(config.listen());
         if (admin() != null || surroundings.inheritsListener() || shared != null) {
             clerk.look(); // bans and the part of the descriptors hold before the first client
             Threads.loop("clerk", clerk::round);
@@ -166,18 +189,28 @@
         chain.takeIn().acceptor().start(clients);
         accepting = true;
         clerk.ready(null);
-        Log.info("relay.ready", "name", config.name(), "listen", clients.getLocalAddress(),
-            "rev", peers.rev(), "peers", peers.all().size());
+        Log.info(
+                "relay.ready",
+                "name",
+                config.name(),
+                "listen",
+                clients.getLocalAddress(),
+                "rev",
+                peers.rev(),
+                "peers",
+                peers.all().size());
     }
 
     /**
-     * Where lists are pushed, what the agent has counts as told from a process' first moment, and the list it
-     * was started with may be old: nobody is sent anywhere before the agent has been heard. It is silent
-     * while discovery is down; a relay that came to nothing but its last list has to serve all the same.
+     * Where lists are pushed, what the agent has counts as told from a process' first moment, and
+     * the list it was started with may be old: nobody is sent anywhere before the agent has been
+     * heard. It is silent while discovery is down; a relay that came to nothing but its last list
+     * has to serve all the same.
      */
     private void awaitAgent() throws IOException {
         try {
-            if (!config.settings().asksForList() && shared == null
+            if (!config.settings().asksForList()
+                    && shared == null
                     && !firstList.await(AGENT.toMillis(), TimeUnit.MILLISECONDS)) {
                 Log.warn("discovery.none", "rev", peers.rev());
             }
@@ -187,20 +220,26 @@
     }
 
     private HostList known(Takeover left) {
-        return shared == null ? newestKnown(left) : shared.knownList().orElseGet(() -> newestKnown(left));
+        return shared == null
+                ? newestKnown(left)
+                : shared.knownList().orElseGet(() -> newestKnown(left));
     }
 
     private void beginToHearLists() {
         if (shared != null) {
             shared.start();
         } else if (!config.settings().asksForList()) {
-            subscription.ask(); // the module does not: to it, lists that are pushed come by themselves
+            subscription
+                    .ask(); // the module does not: to it, lists that are pushed come by themselves
         }
     }
 
     private void startAmqp(AmqpSettings settings) throws IOException {
-        Transport transport = new NettyTransport(settings.loops(), true, (where, fault) ->
-            Log.error("loop.fault." + where, fault));
+        Transport transport =
+                new NettyTransport(
+                        settings.loops(),
+                        true,
+                        (where, fault) -> Log.error("loop.fault." + where, fault));
         try {
             amqp = new AmqpFront(settings, config, chain, clock, transport);
             amqp.start();
@@ -211,7 +250,8 @@
 
     /** The list as the platform remembers it, or as this relay has kept it, whichever is newer. */
     private HostList newestKnown(Takeover left) {
-        HostList kept = left != null ? left.list() : keeper == null ? null : keeper.keptList().orElse(null);
+        HostList kept =
+                left != null ? left.list() : keeper == null ? null : keeper.keptList().orElse(null);
         boolean newer = kept != null && kept.rev() > config.known().rev();
         if (kept != null) {
             Log.info("keep.list", "rev", kept.rev(), "known", config.known().rev(), "taken", newer);
@@ -220,12 +260,15 @@
     }
 
     /**
-     * SIGHUP: reads the configuration anew. Discovery is watched at its new address at once, resumed after
-     * what was heard: the old address may go on answering for a while, but what it does not tell any more
-     * counts as told. The list, the module's state and all connections stay. A bad file changes nothing.
+     * SIGHUP: reads the configuration anew. Discovery is watched at its new address at once,
+     * resumed after what was heard: the old address may go on answering for a while, but what it
+     * does not tell any more counts as told. The list, the module's state and all connections stay.
+     * A bad file changes nothing.
      */
     void reload(Source source, SettingsSource operator) {
-        synchronized (reloading) { // not this: a file that is slow to read may hold up neither beat nor end
+        synchronized (
+                reloading) { // not this: a file that is slow to read may hold up neither beat nor
+            // end
             reloadOne(source, operator);
         }
     }
@@ -235,15 +278,20 @@
             OperatorSettings chosen = operator.read();
             Configuration read = source.read();
             List<String> later = new ArrayList<>(read.differsFrom(config));
-            AmqpFront.Change change = amqp == null || chosen.amqp().isEmpty() ? null
-                : amqp.change(chosen.amqp().get()); // all is checked before anything is in force
+            AmqpFront.Change change =
+                    amqp == null || chosen.amqp().isEmpty()
+                            ? null
+                            : amqp.change(
+                                    chosen.amqp()
+                                            .get()); // all is checked before anything is in force
             if (shared == null) {
                 subscription.moveTo(read.discovery());
             }
             if (change != null) {
                 later.addAll(change.apply());
             } else if (amqp != null || chosen.amqp().isPresent()) {
-                later.add("amqp"); // a front is neither begun nor ended beside connections that stand
+                later.add(
+                        "amqp"); // a front is neither begun nor ended beside connections that stand
             }
             if (!chosen.following().equals(this.operator.following())) {
                 later.add("configuration");
@@ -266,7 +314,10 @@
         }
     }
 
-    /** SIGTERM: moves all clients, returns when none is left or time is up; false where the start failed. */
+    /**
+     * SIGTERM: moves all clients, returns when none is left or time is up; false where the start
+     * failed.
+     */
     boolean drain() {
         if (failed) {
             return false; // the process ends with what went wrong, not as if it had been told to
@@ -292,8 +343,9 @@
     }
 
     /**
-     * How late things happen here just now, by the beat. On a core that is busy with a crowd SIGTERM was
-     * heard 2.3 s after it came; a drain that counts from then still has clients to move when SIGKILL comes.
+     * How late things happen here just now, by the beat. On a core that is busy with a crowd
+     * SIGTERM was heard 2.3 s after it came; a drain that counts from then still has clients to
+     * move when SIGKILL comes.
      */
     private synchronized Duration lateness() {
         Duration now = Duration.between(beatDue, clock.now());
@@ -336,7 +388,8 @@
     private void heard(HostList list) {
         clerk.listed(list);
         chain.listed(peers.update(list), list);
-        if (keeper != null && shared == null) { // else its revisions are the configuration's, kept with it
+        if (keeper != null
+                && shared == null) { // else its revisions are the configuration's, kept with it
             keeper.listed(peers.list());
         }
         firstList.countDown();
--- a/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
+++ b/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
@@ -40,8 +40,8 @@
 
 /**
  * Configuration by revision as this relay follows it: what the disk holds is in force at once, what
- * sources tell once it is on the disk. Backends go the way of discovery's lists, suspensions that of
- * operators' calls. Loaded only where the operator's settings name a source.
+ * sources tell once it is on the disk. Backends go the way of discovery's lists, suspensions that
+ * of operators' calls. Loaded only where the operator's settings name a source.
  */
 final class SharedConfiguration {
     /** Connections to sources, the client's selector and the store's files. */
@@ -49,14 +49,16 @@
 
     /** A follower hears at least every 25 s; three times that without a word is too long. */
     private static final Duration STALE = Duration.ofSeconds(75);
+
     private static final Duration STALE_CHECK = Duration.ofSeconds(15);
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
     private final ConfigurationDirectory directory;
     private final ConfigurationClient client;
     private final ScheduledExecutorService scheduler =
-        Executors.newSingleThreadScheduledExecutor(daemon("configuration"));
-    private final ExecutorService writer = Executors.newSingleThreadExecutor(daemon("configuration-store"));
+            Executors.newSingleThreadScheduledExecutor(daemon("configuration"));
+    private final ExecutorService writer =
+            Executors.newSingleThreadExecutor(daemon("configuration-store"));
     private final Bans bans;
     private final Consumer<HostList> listed;
     private final BackendEntries backends = new BackendEntries();
@@ -66,8 +68,13 @@
     private volatile Instant confirmedAt;
     private boolean listHandedOver;
 
-    private SharedConfiguration(OperatorSettings.Following following, OperatorSettings.Logging logging,
-            String relayName, Bans bans, Consumer<HostList> listed) throws IOException {
+    private SharedConfiguration(
+            OperatorSettings.Following following,
+            OperatorSettings.Logging logging,
+            String relayName,
+            Bans bans,
+            Consumer<HostList> listed)
+            throws IOException {
         this.bans = bans;
         this.listed = listed;
         settings = new ConfiguredSettings(logging);
@@ -76,15 +83,31 @@
         confirmedAt = held.confirmedAt();
         takeAll(held.view());
         listHandedOver = !backends.isEmpty(); // as the list that is known at the start
-        Log.info("configuration.kept", "rev", held.view().revision(), "entries", held.view().entries().size(),
-            "age_ms", age());
-        client = new ConfigurationClient(options(following, relayName), resources(), directory, held.view(),
-            new Listener());
+        Log.info(
+                "configuration.kept",
+                "rev",
+                held.view().revision(),
+                "entries",
+                held.view().entries().size(),
+                "age_ms",
+                age());
+        client =
+                new ConfigurationClient(
+                        options(following, relayName),
+                        resources(),
+                        directory,
+                        held.view(),
+                        new Listener());
     }
 
     /** Opens the directory and puts what it holds in force; the client is not started. */
-    static SharedConfiguration open(OperatorSettings.Following following, OperatorSettings.Logging logging,
-            String relayName, Bans bans, Consumer<HostList> listed) throws IOException {
+    static SharedConfiguration open(
+            OperatorSettings.Following following,
+            OperatorSettings.Logging logging,
+            String relayName,
+            Bans bans,
+            Consumer<HostList> listed)
+            throws IOException {
         return new SharedConfiguration(following, logging, relayName, bans, listed);
     }
 
@@ -92,7 +115,8 @@
         try {
             return new ConfigurationDirectory(dir, Log::warn);
         } catch (IOException unusable) { // without a disk nothing could ever be confirmed
-            throw new IOException("configuration: cannot open dir " + dir + ": " + unusable, unusable);
+            throw new IOException(
+                    "configuration: cannot open dir " + dir + ": " + unusable, unusable);
         }
     }
 
@@ -103,8 +127,12 @@
     }
 
     private FollowerResources resources() {
-        HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(CONNECT_TIMEOUT).executor(scheduler).build();
+        HttpClient http =
+                HttpClient.newBuilder()
+                        .version(HttpClient.Version.HTTP_1_1)
+                        .connectTimeout(CONNECT_TIMEOUT)
+                        .executor(scheduler)
+                        .build();
         RandomGenerator random = () -> ThreadLocalRandom.current().nextLong();
         return new FollowerResources(http, scheduler, writer, Clock.systemUTC(), random);
     }
@@ -130,8 +158,11 @@
     /** Begins to follow. */
     void start() {
         client.start();
-        scheduler.scheduleWithFixedDelay(this::checkAge, STALE_CHECK.toMillis(), STALE_CHECK.toMillis(),
-            TimeUnit.MILLISECONDS);
+        scheduler.scheduleWithFixedDelay(
+                this::checkAge,
+                STALE_CHECK.toMillis(),
+                STALE_CHECK.toMillis(),
+                TimeUnit.MILLISECONDS);
     }
 
     /** The operator's file was read anew. */
@@ -164,8 +195,14 @@
     private void checkAge() {
         long age = age();
         if (age < 0 || age > STALE.toMillis()) {
-            Log.warn("configuration.stale", "rev", client.revision(), "age_ms", age, "source",
-                client.source());
+            Log.warn(
+                    "configuration.stale",
+                    "rev",
+                    client.revision(),
+                    "age_ms",
+                    age,
+                    "source",
+                    client.source());
         }
     }
 
@@ -184,7 +221,8 @@
         String name = key.name();
         switch (key.kind()) {
             case BACKEND -> backends.set(name, (EntryValue.Backend) value);
-            case SETTING -> settings.set(name, value == null ? null : ((EntryValue.Setting) value).text());
+            case SETTING ->
+                    settings.set(name, value == null ? null : ((EntryValue.Setting) value).text());
             case SUSPENSION -> suspend(name, value != null);
             case SHARD -> place(name, (EntryValue.Shard) value);
         }
@@ -208,7 +246,8 @@
 
     private void putInForce() {
         settings.apply();
-        bans.configure(suspended); // before the list: a new backend may be suspended from its first moment
+        bans.configure(
+                suspended); // before the list: a new backend may be suspended from its first moment
     }
 
     private void handOver(HostList list) {
@@ -244,12 +283,18 @@
         public void snapshotInForce(ConfigurationView view) {
             synchronized (SharedConfiguration.this) {
                 takeAll(view);
-                handOver(listHandedOver || !backends.isEmpty() ? backends.all(view.revision()) : null);
+                handOver(
+                        listHandedOver || !backends.isEmpty()
+                                ? backends.all(view.revision())
+                                : null);
             }
             applied(view.revision());
         }
 
-        /** The platform's list stays in force until the configuration is known whole and names a backend. */
+        /**
+         * The platform's list stays in force until the configuration is known whole and names a
+         * backend.
+         */
         @Override
         public void confirmed(long revision) {
             confirmedAt = client.confirmedAt();
@@ -267,8 +312,16 @@
 
         @Override
         public void sourceLeft(URI source, URI next, String reason) {
-            Log.warn("configuration.source.left", "source", source, "next", next, "why", reason,
-                "rev", client.revision());
+            Log.warn(
+                    "configuration.source.left",
+                    "source",
+                    source,
+                    "next",
+                    next,
+                    "why",
+                    reason,
+                    "rev",
+                    client.revision());
         }
 
         @Override
--- a/relay/src/main/java/saltstage/lifecycle/StoreCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/StoreCommand.java
@@ -25,21 +25,33 @@
 import saltstage.store.StoreOptions;
 
 /** What can be done with a store by hand or by a script. */
-@Command(name = "store", mixinStandardHelpOptions = true, description = "Works with an embedded store.",
-    footer = {"",
-        "Keys and values are bytes, one pair a line: key TAB value, with \\t, \\n and \\\\ for a tab, a",
-        "line end and a backslash. Exits 0; 1 with one line on standard error; 2 on a wrong command line."},
-    subcommands = {StoreCommand.Load.class, StoreCommand.Dump.class, StoreCommand.Get.class,
-        StoreCommand.Verify.class, StoreCommand.Compact.class, StoreCommand.Show.class,
-        CommandLine.HelpCommand.class})
+@Command(
+        name = "store",
+        mixinStandardHelpOptions = true,
+        description = "Works with an embedded store.",
+        footer = {
+            "",
+            "Keys and values are bytes, one pair a line: key TAB value, with \\t, \\n"
+                    + " and \\\\ for a tab, a",
+            "line end and a backslash. Exits 0; 1 with one line on standard error; 2 on a wrong"
+                    + " command line."
+        },
+        subcommands = {
+            StoreCommand.Load.class,
+            StoreCommand.Dump.class,
+            StoreCommand.Get.class,
+            StoreCommand.Verify.class,
+            StoreCommand.Compact.class,
+            StoreCommand.Show.class,
+            CommandLine.HelpCommand.class
+        })
 final class StoreCommand implements Callable<Integer> {
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
-        throw new CommandLine.ParameterException(spec.commandLine(),
-            "a sub-command is needed; see 'store help'");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(), "a sub-command is needed; see 'store help'");
     }
 
     private interface Work {
@@ -130,8 +142,8 @@
                 }
                 int which = ++i < to ? "tn\\".indexOf(text[i]) : -1;
                 if (which < 0) {
-                    throw new StoreException("line " + line
-                        + ": a backslash takes t, n or another behind it");
+                    throw new StoreException(
+                            "line " + line + ": a backslash takes t, n or another behind it");
                 }
                 out.write("\t\n\\".charAt(which));
             }
@@ -156,19 +168,30 @@
     }
 
     /** Loads. */
-    @Command(name = "load", mixinStandardHelpOptions = true, description = {
-        "Reads pairs from standard input and commits each; a key alone deletes. Prints 'acked SEQ' once a",
-        "commit is durable. A bad line ends it: its batch is not committed, what was acked stays."})
+    @Command(
+            name = "load",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Reads pairs from standard input and commits each; a key alone deletes. Prints"
+                        + " 'acked SEQ' once a",
+                "commit is durable. A bad line ends it: its batch is not committed, what was acked"
+                        + " stays."
+            })
     static final class Load implements Callable<Integer> {
-        @CommandLine.Mixin
-        private Where where;
+        @CommandLine.Mixin private Where where;
 
-        @Option(names = "--batch", paramLabel = "N", defaultValue = "1",
-            description = "so many lines are one atomic batch (default 1)")
+        @Option(
+                names = "--batch",
+                paramLabel = "N",
+                defaultValue = "1",
+                description = "so many lines are one atomic batch (default 1)")
         private int lines;
 
-        @Option(names = "--segment", paramLabel = "BYTES", defaultValue = "8388608",
-            description = "size of a log segment (default 8 MiB)")
+        @Option(
+                names = "--segment",
+                paramLabel = "BYTES",
+                defaultValue = "8388608",
+                description = "size of a log segment (default 8 MiB)")
         private int segment;
 
         @Override
@@ -204,121 +227,178 @@
     }
 
     /** Dumps. */
-    @Command(name = "dump", mixinStandardHelpOptions = true,
-        description = "Prints the live pairs in the order of their keys, in the form that load reads.")
+    @Command(
+            name = "dump",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Prints the live pairs in the order of their keys, in the form that load"
+                            + " reads.")
     static final class Dump implements Callable<Integer> {
-        @CommandLine.Mixin
-        private Where where;
+        @CommandLine.Mixin private Where where;
 
         @Override
         public Integer call() throws IOException {
-            return where.read(store -> {
-                try (Snapshot now = store.snapshot(); OutputStream out = standardOut()) {
-                    Snapshot.Scan scan = now.scan(null, null);
-                    while (scan.next()) {
-                        Lines.write(out, scan.key());
-                        out.write('\t');
-                        Lines.write(out, scan.value());
-                        out.write('\n');
-                    }
-                }
-                return 0;
-            });
+            return where.read(
+                    store -> {
+                        try (Snapshot now = store.snapshot();
+                                OutputStream out = standardOut()) {
+                            Snapshot.Scan scan = now.scan(null, null);
+                            while (scan.next()) {
+                                Lines.write(out, scan.key());
+                                out.write('\t');
+                                Lines.write(out, scan.value());
+                                out.write('\n');
+                            }
+                        }
+                        return 0;
+                    });
         }
     }
 
     /** Gets. */
-    @Command(name = "get", mixinStandardHelpOptions = true,
-        description = "Prints a key's value, escaped as in dump. Exits 1 if the key is not there.")
+    @Command(
+            name = "get",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Prints a key's value, escaped as in dump. Exits 1 if the key is not there.")
     static final class Get implements Callable<Integer> {
-        @CommandLine.Mixin
-        private Where where;
+        @CommandLine.Mixin private Where where;
 
         @Parameters(index = "1", paramLabel = "KEY", description = "the key, escaped as in dump")
         private String key;
 
         @Override
         public Integer call() throws IOException {
-            byte[] wanted = new Lines(InputStream.nullInputStream())
-                .plain(key.getBytes(StandardCharsets.UTF_8), 0, key.getBytes(StandardCharsets.UTF_8).length);
-            return where.read(store -> {
-                byte[] value = store.get(wanted);
-                if (value == null) {
-                    throw new StoreException("there is no such key");
-                }
-                try (OutputStream out = standardOut()) {
-                    Lines.write(out, value);
-                    out.write('\n');
-                }
-                return 0;
-            });
+            byte[] wanted =
+                    new Lines(InputStream.nullInputStream())
+                            .plain(
+                                    key.getBytes(StandardCharsets.UTF_8),
+                                    0,
+                                    key.getBytes(StandardCharsets.UTF_8).length);
+            return where.read(
+                    store -> {
+                        byte[] value = store.get(wanted);
+                        if (value == null) {
+                            throw new StoreException("there is no such key");
+                        }
+                        try (OutputStream out = standardOut()) {
+                            Lines.write(out, value);
+                            out.write('\n');
+                        }
+                        return 0;
+                    });
         }
     }
 
     /** Verifies. */
-    @Command(name = "verify", mixinStandardHelpOptions = true,
-        description = "Reads every record and live value; prints one line, or refuses with file and offset.")
+    @Command(
+            name = "verify",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Reads every record and live value; prints one line, or refuses with file and"
+                            + " offset.")
     static final class Verify implements Callable<Integer> {
-        @CommandLine.Mixin
-        private Where where;
+        @CommandLine.Mixin private Where where;
 
         @Override
         public Integer call() throws IOException {
-            return where.read(store -> {
-                Store.Verified all = store.verify();
-                System.out.println("ok records=" + all.records() + " live=" + all.live() + " seq="
-                    + all.seq());
-                return 0;
-            });
+            return where.read(
+                    store -> {
+                        Store.Verified all = store.verify();
+                        System.out.println(
+                                "ok records="
+                                        + all.records()
+                                        + " live="
+                                        + all.live()
+                                        + " seq="
+                                        + all.seq());
+                        return 0;
+                    });
         }
     }
 
     /** Compacts. */
-    @Command(name = "compact", mixinStandardHelpOptions = true,
-        description = "Gives back the space of deleted and overwritten data; not while another one writes.")
+    @Command(
+            name = "compact",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Gives back the space of deleted and overwritten data; not while another one"
+                            + " writes.")
     static final class Compact implements Callable<Integer> {
-        @CommandLine.Mixin
-        private Where where;
+        @CommandLine.Mixin private Where where;
 
         @Override
         public Integer call() throws IOException {
             StoreOptions usual = StoreOptions.usual();
-            return where.write(new StoreOptions(usual.segmentBytes(), false, usual.compactionRate()),
-                store -> {
-                long before = store.stat().fileBytes();
-                long copied = store.compact();
-                System.out.println("compacted copied=" + copied + " before=" + before + " after="
-                    + store.stat().fileBytes());
-                return 0;
-            });
+            return where.write(
+                    new StoreOptions(usual.segmentBytes(), false, usual.compactionRate()),
+                    store -> {
+                        long before = store.stat().fileBytes();
+                        long copied = store.compact();
+                        System.out.println(
+                                "compacted copied="
+                                        + copied
+                                        + " before="
+                                        + before
+                                        + " after="
+                                        + store.stat().fileBytes());
+                        return 0;
+                    });
         }
     }
 
     /** Shows how it stands. */
-    @Command(name = "stat", mixinStandardHelpOptions = true, description = "Prints what a store holds.")
+    @Command(
+            name = "stat",
+            mixinStandardHelpOptions = true,
+            description = "Prints what a store holds.")
     static final class Show implements Callable<Integer> {
-        @CommandLine.Mixin
-        private Where where;
+        @CommandLine.Mixin private Where where;
 
         @Option(names = "--json", description = "one JSON object")
         private boolean json;
 
         @Override
         public Integer call() throws IOException {
-            return where.read(store -> {
-                Store.Stat s = store.stat();
-                String[] names = {"live", "seq", "segments", "file_bytes", "live_bytes", "dead_bytes",
-                    "checkpoint_seq", "checkpoint_bytes", "log_since"};
-                long[] values = {s.live(), s.seq(), s.segments(), s.fileBytes(), s.liveBytes(), s.deadBytes(),
-                    s.checkpointSeq(), s.checkpointBytes(), s.logSince()};
-                StringBuilder out = new StringBuilder();
-                for (int i = 0; i < names.length; i++) {
-                    out.append(json ? (i == 0 ? "{" : ",") + "\"" + names[i] + "\":" + values[i]
-                        : names[i] + "=" + values[i] + "\n");
-                }
-                System.out.print(out + (json ? "}\n" : ""));
-                return 0;
-            });
+            return where.read(
+                    store -> {
+                        Store.Stat s = store.stat();
+                        String[] names = {
+                            "live",
+                            "seq",
+                            "segments",
+                            "file_bytes",
+                            "live_bytes",
+                            "dead_bytes",
+                            "checkpoint_seq",
+                            "checkpoint_bytes",
+                            "log_since"
+                        };
+                        long[] values = {
+                            s.live(),
+                            s.seq(),
+                            s.segments(),
+                            s.fileBytes(),
+                            s.liveBytes(),
+                            s.deadBytes(),
+                            s.checkpointSeq(),
+                            s.checkpointBytes(),
+                            s.logSince()
+                        };
+                        StringBuilder out = new StringBuilder();
+                        for (int i = 0; i < names.length; i++) {
+                            out.append(
+                                    json
+                                            ? (i == 0 ? "{" : ",")
+                                                    + "\""
+                                                    + names[i]
+                                                    + "\":"
+                                                    + values[i]
+                                            : names[i] + "=" + values[i] + "\n");
+                        }
+                        System.out.print(out + (json ? "}\n" : ""));
+                        return 0;
+                    });
         }
     }
 }
--- a/relay/src/main/java/saltstage/lifecycle/Subscription.java
+++ b/relay/src/main/java/saltstage/lifecycle/Subscription.java
@@ -18,19 +18,28 @@
 import saltstage.wire.MalformedException;
 
 /**
- * The relay's one subscription to discovery. A call that is not answered is not hung up on: where the service
- * works through calls in turn, it would be the last again, and the list would never come. It is not waited
- * for alone either: it may hang at a machine that is gone while the service could be reached. So another call
- * is made beside it; the first that delivers a list is the watch, and all others end.
+ * The relay's one subscription to discovery. A call that is not answered is not hung up on: where
+ * the service works through calls in turn, it would be the last again, and the list would never
+ * come. It is not waited for alone either: it may hang at a machine that is gone while the service
+ * could be reached. So another call is made beside it; the first that delivers a list is the watch,
+ * and all others end.
  *
- * <p>What happens to which call is decided by {@link DiscoveryCalls}, which states what is guaranteed; this
- * class has the lock, the threads and the timers.
+ * <p>What happens to which call is decided by {@link DiscoveryCalls}, which states what is
+ * guaranteed; this class has the lock, the threads and the timers.
  */
 final class Subscription {
-    /** A change counts as told after 6 s: this, the module's longest pause (3 s) and an answer fit in. */
+    /**
+     * A change counts as told after 6 s: this, the module's longest pause (3 s) and an answer fit
+     * in.
+     */
     static final Duration UNANSWERED = Duration.ofMillis(1_250);
-    /** An agent on the relay's machine answers at once, at no cost; what it has counts as told at once. */
+
+    /**
+     * An agent on the relay's machine answers at once, at no cost; what it has counts as told at
+     * once.
+     */
     private static final Duration AGENT_UNANSWERED = Duration.ofMillis(500);
+
     private static final Duration AGENT_PAUSE = Duration.ofMillis(100);
 
     private final Timers timers;
@@ -46,14 +55,20 @@
      * A subscription that has not asked yet.
      *
      * @param address where discovery is
-     * @param pushed whether lists are pushed by an agent: it is asked again from here after a failed call
+     * @param pushed whether lists are pushed by an agent: it is asked again from here after a
+     *     failed call
      * @param timers when something is due later
      * @param heldRevision the version of the list held, after which a call resumes
      * @param listener takes the lists, one at a time, none of them older than the one held
      * @param refused told of each failed call where lists are not pushed; it sees to {@link #ask}
      */
-    Subscription(InetSocketAddress address, boolean pushed, Timers timers, LongSupplier heldRevision,
-            Consumer<HostList> listener, Runnable refused) {
+    Subscription(
+            InetSocketAddress address,
+            boolean pushed,
+            Timers timers,
+            LongSupplier heldRevision,
+            Consumer<HostList> listener,
+            Runnable refused) {
         this.address = address;
         this.pushed = pushed;
         this.timers = timers;
@@ -67,7 +82,10 @@
         handle(DiscoveryCalls::ask);
     }
 
-    /** Discovery is elsewhere from now on: nothing from the old address is delivered after the return. */
+    /**
+     * Discovery is elsewhere from now on: nothing from the old address is delivered after the
+     * return.
+     */
     synchronized void moveTo(InetSocketAddress to) {
         if (to.equals(address)) {
             return;
@@ -80,7 +98,9 @@
         return address;
     }
 
-    /** Takes an event in; a loss is reported without the lock, as the listener of it takes its own. */
+    /**
+     * Takes an event in; a loss is reported without the lock, as the listener of it takes its own.
+     */
     private void handle(Function<DiscoveryCalls, Step> event) {
         Step step;
         synchronized (this) {
@@ -113,7 +133,9 @@
             handle(calls -> calls.startFailed(id));
             return;
         }
-        timers.after(pushed ? AGENT_UNANSWERED : UNANSWERED, () -> handle(calls -> calls.answerTimedOut(id)));
+        timers.after(
+                pushed ? AGENT_UNANSWERED : UNANSWERED,
+                () -> handle(calls -> calls.answerTimedOut(id)));
     }
 
     private void run(long id, DiscoveryClient client) {
@@ -132,10 +154,11 @@
     }
 
     private void ended(long id, String why) {
-        handle(calls -> {
-            clients.remove(id);
-            return calls.callEnded(id, why);
-        });
+        handle(
+                calls -> {
+                    clients.remove(id);
+                    return calls.callEnded(id, why);
+                });
     }
 
     private void reportLost(String why) {
--- a/relay/src/main/java/saltstage/lifecycle/Surroundings.java
+++ b/relay/src/main/java/saltstage/lifecycle/Surroundings.java
@@ -7,9 +7,9 @@
 import saltstage.wire.MalformedException;
 
 /**
- * What the relay is told by its environment, apart from its configuration: the folder that it shares with a
- * process that replaces it (null: none), where operators call (null: as the configuration says), and
- * whether descriptor 0 is the clients' listening socket.
+ * What the relay is told by its environment, apart from its configuration: the folder that it
+ * shares with a process that replaces it (null: none), where operators call (null: as the
+ * configuration says), and whether descriptor 0 is the clients' listening socket.
  */
 record Surroundings(Path folder, InetSocketAddress admin, boolean inheritsListener) {
     /** Reads the environment. */
@@ -18,12 +18,14 @@
         String admin = environment.getOrDefault("GW_ADMIN", "");
         String descriptor = environment.getOrDefault("GW_LISTEN_FD", "");
         if (!descriptor.isEmpty() && !descriptor.equals("0")) {
-            throw new MalformedException("GW_LISTEN_FD: only descriptor 0 can be taken over, not '"
-                + descriptor + "'");
+            throw new MalformedException(
+                    "GW_LISTEN_FD: only descriptor 0 can be taken over, not '" + descriptor + "'");
         }
         try {
-            return new Surroundings(folder.isEmpty() ? null : Path.of(folder, "saltstage"),
-                admin.isEmpty() ? null : HostList.address(admin), !descriptor.isEmpty());
+            return new Surroundings(
+                    folder.isEmpty() ? null : Path.of(folder, "saltstage"),
+                    admin.isEmpty() ? null : HostList.address(admin),
+                    !descriptor.isEmpty());
         } catch (MalformedException bad) {
             throw new MalformedException("GW_ADMIN: " + bad.getMessage());
         }
--- a/relay/src/main/java/saltstage/log/EventAppender.java
+++ b/relay/src/main/java/saltstage/log/EventAppender.java
@@ -13,8 +13,8 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * Standard error with a bound: no event fills the log. More lines of one event within a second than the
- * bound are counted, not written, and the count is told with the first line after that second.
+ * Standard error with a bound: no event fills the log. More lines of one event within a second than
+ * the bound are counted, not written, and the count is told with the first line after that second.
  */
 final class EventAppender extends ConsoleAppender<ILoggingEvent> {
     static final int MOST_A_SECOND = 20;
@@ -34,13 +34,15 @@
                 second = now;
                 Map<String, int[]> before = Map.copyOf(written);
                 written.clear();
-                before.forEach((name, count) -> {
-                    if (count[0] > MOST_A_SECOND) {
-                        super.append(suppressed(event, name, count[0] - MOST_A_SECOND));
-                    }
-                });
+                before.forEach(
+                        (name, count) -> {
+                            if (count[0] > MOST_A_SECOND) {
+                                super.append(suppressed(event, name, count[0] - MOST_A_SECOND));
+                            }
+                        });
             }
-            if (++written.computeIfAbsent(event.getMessage(), name -> new int[1])[0] > MOST_A_SECOND) {
+            if (++written.computeIfAbsent(event.getMessage(), name -> new int[1])[0]
+                    > MOST_A_SECOND) {
                 return;
             }
             super.append(event);
@@ -49,8 +51,10 @@
 
     private ILoggingEvent suppressed(ILoggingEvent at, String event, int lines) {
         Logger logger = ((LoggerContext) getContext()).getLogger(at.getLoggerName());
-        LoggingEvent told = new LoggingEvent(null, logger, Level.WARN, "log.suppressed", null, null);
-        told.setKeyValuePairs(List.of(new KeyValuePair("event", event), new KeyValuePair("lines", lines)));
+        LoggingEvent told =
+                new LoggingEvent(null, logger, Level.WARN, "log.suppressed", null, null);
+        told.setKeyValuePairs(
+                List.of(new KeyValuePair("event", event), new KeyValuePair("lines", lines)));
         return told;
     }
 }
--- a/relay/src/main/java/saltstage/log/EventLayout.java
+++ b/relay/src/main/java/saltstage/log/EventLayout.java
@@ -6,18 +6,29 @@
 import java.time.temporal.ChronoUnit;
 import org.slf4j.event.KeyValuePair;
 
-/** One line an event, {@code TIME LEVEL event name=value ...}: plain ASCII, so that nobody forges a line. */
+/**
+ * One line an event, {@code TIME LEVEL event name=value ...}: plain ASCII, so that nobody forges a
+ * line.
+ */
 final class EventLayout extends LayoutBase<ILoggingEvent> {
     @Override
     public String doLayout(ILoggingEvent event) {
         StringBuilder line = new StringBuilder(120);
-        line.append(Instant.ofEpochMilli(event.getTimeStamp()).truncatedTo(ChronoUnit.MILLIS)).append(' ')
-            .append(event.getLevel()).append(' ').append(printable(event.getFormattedMessage()));
+        line.append(Instant.ofEpochMilli(event.getTimeStamp()).truncatedTo(ChronoUnit.MILLIS))
+                .append(' ')
+                .append(event.getLevel())
+                .append(' ')
+                .append(printable(event.getFormattedMessage()));
         if (event.getKeyValuePairs() != null) {
             for (KeyValuePair pair : event.getKeyValuePairs()) {
                 String value = printable(String.valueOf(pair.value));
-                line.append(' ').append(pair.key).append('=')
-                    .append(value.indexOf(' ') >= 0 ? '"' + value.replace('"', '\'') + '"' : value);
+                line.append(' ')
+                        .append(pair.key)
+                        .append('=')
+                        .append(
+                                value.indexOf(' ') >= 0
+                                        ? '"' + value.replace('"', '\'') + '"'
+                                        : value);
             }
         }
         return line.append('\n').toString();
--- a/relay/src/main/java/saltstage/log/Log.java
+++ b/relay/src/main/java/saltstage/log/Log.java
@@ -5,12 +5,13 @@
 import org.slf4j.event.Level;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** The relay's events over SLF4J: a name that ONCALL.md explains, then pairs of a name and a value. */
+/**
+ * The relay's events over SLF4J: a name that ONCALL.md explains, then pairs of a name and a value.
+ */
 public final class Log {
     private static final Logger LOGGER = LoggerFactory.getLogger("saltstage");
 
-    private Log() {
-    }
+    private Log() {}
 
     /** Something that happens in ordinary service. */
     public static void info(String event, Object... pairs) {
--- a/relay/src/main/java/saltstage/log/LogSetup.java
+++ b/relay/src/main/java/saltstage/log/LogSetup.java
@@ -13,12 +13,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets Logback up in code: standard error, one line an event. No XML is read: a relay restarts on half a
- * core, and a parser for a file that nobody changes would be most of what logging costs at the start.
+ * Sets Logback up in code: standard error, one line an event. No XML is read: a relay restarts on
+ * half a core, and a parser for a file that nobody changes would be most of what logging costs at
+ * the start.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
     /** The forms of a line: as ONCALL.md shows it, or one JSON object. */
-    public enum Format { TEXT, JSON }
+    public enum Format {
+        TEXT,
+        JSON
+    }
 
     private static final String APPENDER = "standard-error";
 
@@ -30,7 +34,10 @@
 
     /** Changes the form and the least level (debug, info, warn or error) while the program runs. */
     public static void use(Format format, String level) {
-        apply((LoggerContext) LoggerFactory.getILoggerFactory(), format, Level.toLevel(level, Level.INFO));
+        apply(
+                (LoggerContext) LoggerFactory.getILoggerFactory(),
+                format,
+                Level.toLevel(level, Level.INFO));
     }
 
     private static void apply(LoggerContext context, Format format, Level level) {
--- a/relay/src/main/java/saltstage/memory/ClientConnection.java
+++ b/relay/src/main/java/saltstage/memory/ClientConnection.java
@@ -4,8 +4,9 @@
 import java.time.Instant;
 
 /**
- * The client's side of one request, whatever protocol it speaks: how it is answered, how a try is made for
- * it, how it is moved. The stages decide and book; what is spoken lies behind this. None of it blocks.
+ * The client's side of one request, whatever protocol it speaks: how it is answered, how a try is
+ * made for it, how it is moved. The stages decide and book; what is spoken lies behind this. None
+ * of it blocks.
  */
 public interface ClientConnection {
     /** Final answer: refused, trying again is harmless; zero gives no advice when. */
--- a/relay/src/main/java/saltstage/memory/MonotonicClock.java
+++ b/relay/src/main/java/saltstage/memory/MonotonicClock.java
@@ -2,7 +2,10 @@
 
 import java.time.Instant;
 
-/** The relay's one clock: wall time at the start, carried on by the monotonic clock, so spans are true. */
+/**
+ * The relay's one clock: wall time at the start, carried on by the monotonic clock, so spans are
+ * true.
+ */
 public final class MonotonicClock {
     private final Instant wallStart = Instant.now();
     private final long nanoStart = System.nanoTime();
--- a/relay/src/main/java/saltstage/memory/Peer.java
+++ b/relay/src/main/java/saltstage/memory/Peer.java
@@ -10,9 +10,12 @@
 import java.util.function.Predicate;
 import saltstage.wire.HostList;
 
-/** A backend process as this relay knows it: its place in the list and the tries that stand there. */
+/**
+ * A backend process as this relay knows it: its place in the list and the tries that stand there.
+ */
 public final class Peer {
     private static final int MOST_SAMPLES = 64;
+
     /** One late line may be the relay's own fault. */
     private static final int LEAST_SAMPLES = 2;
 
@@ -53,7 +56,9 @@
         return !ended && entry.state() == HostList.State.READY && !suspended();
     }
 
-    /** Whether operators have suspended it: nothing more may be sent there, whatever the list says. */
+    /**
+     * Whether operators have suspended it: nothing more may be sent there, whatever the list says.
+     */
     public boolean suspended() {
         return suspendedOnes.test(entry.uid());
     }
@@ -69,8 +74,8 @@
     }
 
     /**
-     * What messages took since the last call, as the middle one; null where none went through. Unanswered
-     * messages count with their age: a backend that answers nothing is not a fast one.
+     * What messages took since the last call, as the middle one; null where none went through.
+     * Unanswered messages count with their age: a backend that answers nothing is not a fast one.
      */
     public synchronized Duration takeDelay(Instant now) {
         int held = Math.min(sampled, MOST_SAMPLES);
@@ -92,7 +97,9 @@
         return all.isEmpty() ? null : all.get(all.size() / 2);
     }
 
-    /** Whether a figure told on this connection is a message delay in milliseconds, and not a load. */
+    /**
+     * Whether a figure told on this connection is a message delay in milliseconds, and not a load.
+     */
     public synchronized boolean tellsDelay(Try on, double figure, Instant now) {
         return teller.isDelay(on, figure, now);
     }
--- a/relay/src/main/java/saltstage/memory/RequestContext.java
+++ b/relay/src/main/java/saltstage/memory/RequestContext.java
@@ -4,8 +4,14 @@
 
 /** A client's request, then the connection it became; it gets exactly one final answer. */
 public final class RequestContext {
-    /** WAITING for its final answer, STANDING at a backend, ENDED: answered, left, moved or over. */
-    public enum Phase { WAITING, STANDING, ENDED }
+    /**
+     * WAITING for its final answer, STANDING at a backend, ENDED: answered, left, moved or over.
+     */
+    public enum Phase {
+        WAITING,
+        STANDING,
+        ENDED
+    }
 
     private final long id;
     private final Terms terms;
--- a/relay/src/main/java/saltstage/memory/Teller.java
+++ b/relay/src/main/java/saltstage/memory/Teller.java
@@ -4,18 +4,28 @@
 import java.time.Instant;
 
 /**
- * Tells a backend's two kinds of figures apart; both come as LOAD. A load is in microseconds of work a second
- * and comes whenever it changes. A message delay is in milliseconds and comes on one connection, each second
- * while it is long and once more after: always at the same part of the second, with whole seconds between.
+ * Tells a backend's two kinds of figures apart; both come as LOAD. A load is in microseconds of
+ * work a second and comes whenever it changes. A message delay is in milliseconds and comes on one
+ * connection, each second while it is long and once more after: always at the same part of the
+ * second, with whole seconds between.
  */
 final class Teller {
-    /** From here on a figure is a load: no queue that clients still wait in is five seconds long. */
+    /**
+     * From here on a figure is a load: no queue that clients still wait in is five seconds long.
+     */
     private static final double MOST_DELAY = 5_000;
-    private static final double LEAST_LOAD = 500; // of 1,000,000 a core; the least loads seen: 714, 789, 944
-    /** A small load may come too: but not on a connection that asked for so many times more before. */
+
+    private static final double LEAST_LOAD =
+            500; // of 1,000,000 a core; the least loads seen: 714, 789, 944
+
+    /**
+     * A small load may come too: but not on a connection that asked for so many times more before.
+     */
     private static final double MOST_DROP = 20;
+
     private static final long RHYTHM_MS = 1_000;
-    private static final long SLACK_MS = 20; // tellings were seen within 10 ms of their part of the second
+    private static final long SLACK_MS =
+            20; // tellings were seen within 10 ms of their part of the second
     private static final Duration MEMORY = Duration.ofMinutes(1);
 
     private Instant delayAt;
@@ -24,9 +34,15 @@
 
     /** Whether this figure, told on this connection, is a delay. */
     boolean isDelay(Try on, double figure, Instant now) {
-        boolean delay = figure < MOST_DELAY && (inRhythm(delayAt, now, MEMORY)
-            || doubtful == on && inRhythm(doubtfulAt, now, Duration.ofMillis(RHYTHM_MS + SLACK_MS))
-            || figure < LEAST_LOAD && figure * MOST_DROP < on.load());
+        boolean delay =
+                figure < MOST_DELAY
+                        && (inRhythm(delayAt, now, MEMORY)
+                                || doubtful == on
+                                        && inRhythm(
+                                                doubtfulAt,
+                                                now,
+                                                Duration.ofMillis(RHYTHM_MS + SLACK_MS))
+                                || figure < LEAST_LOAD && figure * MOST_DROP < on.load());
         if (delay) {
             delayAt = now;
         } else if (figure < MOST_DELAY) {
--- a/relay/src/main/java/saltstage/memory/Timers.java
+++ b/relay/src/main/java/saltstage/memory/Timers.java
@@ -7,11 +7,11 @@
 
 /** What is due later, run in order of time on one thread of its own; what runs must not block. */
 public final class Timers {
-    private record Due(Instant at, long order, Runnable task) { }
+    private record Due(Instant at, long order, Runnable task) {}
 
     private final MonotonicClock clock;
     private final PriorityQueue<Due> queue =
-        new PriorityQueue<>(Comparator.comparing(Due::at).thenComparingLong(Due::order));
+            new PriorityQueue<>(Comparator.comparing(Due::at).thenComparingLong(Due::order));
     private long order;
 
     /** Timers on this clock; {@link #next} feeds the thread that runs them. */
--- a/relay/src/main/java/saltstage/memory/Try.java
+++ b/relay/src/main/java/saltstage/memory/Try.java
@@ -67,7 +67,8 @@
         if (backend != null) {
             backend.close();
         } else if (dialled != null) {
-            dialled.close(); // else it would take a place at the backend, and a descriptor here, for nobody
+            dialled.close(); // else it would take a place at the backend, and a descriptor here,
+            // for nobody
         }
     }
 
--- a/relay/src/main/java/saltstage/metrics/Counts.java
+++ b/relay/src/main/java/saltstage/metrics/Counts.java
@@ -8,7 +8,11 @@
     private static final String PREFIX = "app.";
 
     /** How a connection has ended up. */
-    public enum End { PASSED, DROPPED, BAD_GATEWAY }
+    public enum End {
+        PASSED,
+        DROPPED,
+        BAD_GATEWAY
+    }
 
     private final List<String> classes;
     private final LongAdder[][] ends;
@@ -40,8 +44,13 @@
         StringBuilder text = new StringBuilder(64 * (3 * classes.size() + 4));
         for (int c = 0; c < ends.length; c++) {
             for (End how : End.values()) {
-                count(text, "handled." + classes.get(c) + "." + how.name().toLowerCase(java.util.Locale.ROOT),
-                    ends[c][how.ordinal()].sum());
+                count(
+                        text,
+                        "handled."
+                                + classes.get(c)
+                                + "."
+                                + how.name().toLowerCase(java.util.Locale.ROOT),
+                        ends[c][how.ordinal()].sum());
             }
         }
         count(text, "upstream_tries", tries.sum());
--- a/relay/src/main/java/saltstage/metrics/ProcessUsage.java
+++ b/relay/src/main/java/saltstage/metrics/ProcessUsage.java
@@ -6,18 +6,20 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** What this process uses of the platform, and what its host has dropped before any process saw it. */
+/**
+ * What this process uses of the platform, and what its host has dropped before any process saw it.
+ */
 public final class ProcessUsage {
     /** Where a figure cannot be read, as without a descriptor to read it with. */
     public static final long UNKNOWN = -1;
+
     private static final File THREADS = new File("/proc/self/task");
     private static final File DESCRIPTORS = new File("/proc/self/fd");
     private static final Path HOST_COUNTERS = Path.of("/proc/net/netstat");
     private static final String TCP_COUNTERS = "TcpExt:";
     private static final String LISTEN_OVERFLOWS = "ListenOverflows";
 
-    private ProcessUsage() {
-    }
+    private ProcessUsage() {}
 
     /** How many threads it has. */
     public static long threads() {
@@ -34,7 +36,10 @@
         return names == null ? UNKNOWN : names.length;
     }
 
-    /** Connections that the host has dropped since its start as the queue of a listening socket was full. */
+    /**
+     * Connections that the host has dropped since its start as the queue of a listening socket was
+     * full.
+     */
     public static long listenOverflows() {
         try {
             return counter(Files.readAllLines(HOST_COUNTERS), LISTEN_OVERFLOWS);
--- a/relay/src/main/java/saltstage/net/Connection.java
+++ b/relay/src/main/java/saltstage/net/Connection.java
@@ -20,8 +20,8 @@
     }
 
     /**
-     * How much may be unsent: from the first figure of bytes on the connection is not writable, and writable
-     * again at half of it; what would exceed the second ends the connection.
+     * How much may be unsent: from the first figure of bytes on the connection is not writable, and
+     * writable again at half of it; what would exceed the second ends the connection.
      */
     record Bounds(int soft, int most) {
         /** Checks. */
@@ -44,7 +44,9 @@
     /** How many bytes were written and not yet taken by the system. */
     long unsent();
 
-    /** Whether bytes shall be received from now on; what the other side sends meanwhile waits there. */
+    /**
+     * Whether bytes shall be received from now on; what the other side sends meanwhile waits there.
+     */
     void reading(boolean wanted);
 
     /** Ends the sending, after what was written. */
--- a/relay/src/main/java/saltstage/net/Handler.java
+++ b/relay/src/main/java/saltstage/net/Handler.java
@@ -11,8 +11,7 @@
     void inputEnded(Connection on);
 
     /** What is unsent has passed the soft bound, or has come down again. */
-    default void writable(Connection on, boolean now) {
-    }
+    default void writable(Connection on, boolean now) {}
 
     /** It is over; the last that is told, exactly once. */
     void closed(Connection on, Connection.Cause why);
--- a/relay/src/main/java/saltstage/net/NettyConnection.java
+++ b/relay/src/main/java/saltstage/net/NettyConnection.java
@@ -15,8 +15,12 @@
 
 /** A connection on a channel of Netty's. */
 final class NettyConnection extends ChannelInboundHandlerAdapter implements Connection {
-    /** Room for the first write of a round, which most often is the only one, and for all that follow it. */
+    /**
+     * Room for the first write of a round, which most often is the only one, and for all that
+     * follow it.
+     */
     private static final int FIRST = 512;
+
     private static final int GATHERED = 16 << 10;
 
     private final SocketChannel channel;
@@ -30,10 +34,15 @@
     private boolean outputEnded;
     private boolean over;
     private boolean flushing;
-    /** What was written in this round of the loop and is not handed to the channel yet; null: nothing. */
+
+    /**
+     * What was written in this round of the loop and is not handed to the channel yet; null:
+     * nothing.
+     */
     private ByteBuf gathered;
 
-    NettyConnection(SocketChannel channel, Loop loop, Bounds bounds, BiConsumer<String, Throwable> faults) {
+    NettyConnection(
+            SocketChannel channel, Loop loop, Bounds bounds, BiConsumer<String, Throwable> faults) {
         this.channel = channel;
         this.loop = loop;
         this.bounds = bounds;
@@ -76,18 +85,25 @@
         if (gathered != null && gathered.maxWritableBytes() < bytes.remaining()) {
             handOver();
         }
-        if (gathered == null) { // many small writes cost the channel an entry, a buffer and a promise each
-            gathered = channel.alloc().ioBuffer(Math.max(bytes.remaining(), flushing ? GATHERED : FIRST),
-                Math.max(bytes.remaining(), GATHERED));
+        if (gathered
+                == null) { // many small writes cost the channel an entry, a buffer and a promise
+            // each
+            gathered =
+                    channel.alloc()
+                            .ioBuffer(
+                                    Math.max(bytes.remaining(), flushing ? GATHERED : FIRST),
+                                    Math.max(bytes.remaining(), GATHERED));
         }
         gathered.writeBytes(bytes);
         if (!flushing) { // one call of the system for all that is written in this round of the loop
             flushing = true;
-            channel.eventLoop().execute(() -> {
-                flushing = false;
-                handOver();
-                channel.flush();
-            });
+            channel.eventLoop()
+                    .execute(
+                            () -> {
+                                flushing = false;
+                                handOver();
+                                channel.flush();
+                            });
         }
     }
 
@@ -103,7 +119,7 @@
     public long unsent() {
         ChannelOutboundBuffer out = channel.unsafe().outboundBuffer();
         return (out == null ? 0 : out.totalPendingWriteBytes())
-            + (gathered == null ? 0 : gathered.readableBytes());
+                + (gathered == null ? 0 : gathered.readableBytes());
     }
 
     @Override
@@ -116,8 +132,11 @@
         if (!outputEnded) {
             outputEnded = true;
             handOver();
-            channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(sent -> channel.shutdownOutput()
-                .addListener(done -> closeIfBothEnded()));
+            channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
+                    .addListener(
+                            sent ->
+                                    channel.shutdownOutput()
+                                            .addListener(done -> closeIfBothEnded()));
         }
     }
 
--- a/relay/src/main/java/saltstage/net/NettyTransport.java
+++ b/relay/src/main/java/saltstage/net/NettyTransport.java
@@ -29,7 +29,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 
-/** The transport on Netty's event loops: epoll where its library loads, else the JDK's selectors. */
+/**
+ * The transport on Netty's event loops: epoll where its library loads, else the JDK's selectors.
+ */
 public final class NettyTransport implements Transport {
     private static final long END_MS = 5_000;
 
@@ -43,7 +45,10 @@
     public NettyTransport(int threads, boolean epollIfThere, BiConsumer<String, Throwable> faults) {
         boolean epoll = epollIfThere && Epoll.isAvailable();
         DefaultThreadFactory daemons = new DefaultThreadFactory("loop", true);
-        group = epoll ? new EpollEventLoopGroup(threads, daemons) : new NioEventLoopGroup(threads, daemons);
+        group =
+                epoll
+                        ? new EpollEventLoopGroup(threads, daemons)
+                        : new NioEventLoopGroup(threads, daemons);
         serverType = epoll ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
         clientType = epoll ? EpollSocketChannel.class : NioSocketChannel.class;
         this.faults = faults;
@@ -72,32 +77,39 @@
     }
 
     private Loop loopOf(Channel channel) {
-        return loops.stream().filter(loop -> ((NettyLoop) loop).events() == channel.eventLoop()).findFirst()
-            .orElseThrow();
+        return loops.stream()
+                .filter(loop -> ((NettyLoop) loop).events() == channel.eventLoop())
+                .findFirst()
+                .orElseThrow();
     }
 
     @Override
-    public Listener listen(InetSocketAddress at, int backlog, Connection.Bounds bounds, Acceptor acceptor)
+    public Listener listen(
+            InetSocketAddress at, int backlog, Connection.Bounds bounds, Acceptor acceptor)
             throws IOException {
-        ServerBootstrap server = new ServerBootstrap().group(group).channel(serverType)
-            .option(ChannelOption.SO_BACKLOG, backlog)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel channel) {
-                    NettyConnection connection = prepare(channel, bounds);
-                    Handler handler = acceptor.accept(connection);
-                    if (handler == null) {
-                        connection.refuse();
-                    } else {
-                        connection.handler(handler);
-                    }
-                }
-            });
+        ServerBootstrap server =
+                new ServerBootstrap()
+                        .group(group)
+                        .channel(serverType)
+                        .option(ChannelOption.SO_BACKLOG, backlog)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .childHandler(
+                                new ChannelInitializer<SocketChannel>() {
+                                    @Override
+                                    protected void initChannel(SocketChannel channel) {
+                                        NettyConnection connection = prepare(channel, bounds);
+                                        Handler handler = acceptor.accept(connection);
+                                        if (handler == null) {
+                                            connection.refuse();
+                                        } else {
+                                            connection.handler(handler);
+                                        }
+                                    }
+                                });
         ChannelFuture bound = server.bind(at).awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IOException("cannot listen on " + at + ": " + bound.cause().getMessage(),
-                bound.cause());
+            throw new IOException(
+                    "cannot listen on " + at + ": " + bound.cause().getMessage(), bound.cause());
         }
         return new NettyListener(bound.channel());
     }
@@ -122,30 +134,46 @@
     private NettyConnection prepare(SocketChannel channel, Connection.Bounds bounds) {
         channel.config().setTcpNoDelay(true);
         channel.config().setAllowHalfClosure(true);
-        channel.config().setWriteBufferWaterMark(new WriteBufferWaterMark(bounds.soft() / 2, bounds.soft()));
+        channel.config()
+                .setWriteBufferWaterMark(
+                        new WriteBufferWaterMark(bounds.soft() / 2, bounds.soft()));
         NettyConnection connection = new NettyConnection(channel, loopOf(channel), bounds, faults);
         channel.pipeline().addLast(connection);
         return connection;
     }
 
     @Override
-    public void connect(Loop on, InetSocketAddress to, Duration limit, Connection.Bounds bounds,
+    public void connect(
+            Loop on,
+            InetSocketAddress to,
+            Duration limit,
+            Connection.Bounds bounds,
             Connecting connecting) {
-        Bootstrap client = new Bootstrap().group(((NettyLoop) on).events()).channel(clientType)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, limit.toMillis()))
-            .handler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel channel) {
-                    prepare(channel, bounds).connecting(connecting);
-                }
-            });
-        client.connect(to).addListener(done -> {
-            if (!done.isSuccess()) {
-                Throwable why = done.cause();
-                connecting.failed(why instanceof IOException io ? io : new IOException(why.getMessage(),
-                    why));
-            }
-        });
+        Bootstrap client =
+                new Bootstrap()
+                        .group(((NettyLoop) on).events())
+                        .channel(clientType)
+                        .option(
+                                ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                                (int) Math.max(1, limit.toMillis()))
+                        .handler(
+                                new ChannelInitializer<SocketChannel>() {
+                                    @Override
+                                    protected void initChannel(SocketChannel channel) {
+                                        prepare(channel, bounds).connecting(connecting);
+                                    }
+                                });
+        client.connect(to)
+                .addListener(
+                        done -> {
+                            if (!done.isSuccess()) {
+                                Throwable why = done.cause();
+                                connecting.failed(
+                                        why instanceof IOException io
+                                                ? io
+                                                : new IOException(why.getMessage(), why));
+                            }
+                        });
     }
 
     @Override
--- a/relay/src/main/java/saltstage/net/Transport.java
+++ b/relay/src/main/java/saltstage/net/Transport.java
@@ -26,7 +26,9 @@
         /** Where it listens. */
         InetSocketAddress address();
 
-        /** Whether newcomers are accepted; while they are not, they wait in the system's backlog. */
+        /**
+         * Whether newcomers are accepted; while they are not, they wait in the system's backlog.
+         */
         void accepting(boolean wanted);
 
         /** Listens no more. */
@@ -38,7 +40,11 @@
             throws IOException;
 
     /** Connects on this loop within the limit. */
-    void connect(Loop on, InetSocketAddress to, Duration limit, Connection.Bounds bounds,
+    void connect(
+            Loop on,
+            InetSocketAddress to,
+            Duration limit,
+            Connection.Bounds bounds,
             Connecting connecting);
 
     /** The loops, at least one. */
--- a/relay/src/main/java/saltstage/sim/Line.java
+++ b/relay/src/main/java/saltstage/sim/Line.java
@@ -24,7 +24,9 @@
     String find(String name) {
         for (int at = text.indexOf('\t'); at >= 0; at = text.indexOf('\t', at + 1)) {
             int equals = at + 1 + name.length();
-            if (text.startsWith(name, at + 1) && equals < text.length() && text.charAt(equals) == '=') {
+            if (text.startsWith(name, at + 1)
+                    && equals < text.length()
+                    && text.charAt(equals) == '=') {
                 int end = text.indexOf('\t', equals);
                 return end < 0 ? text.substring(equals + 1) : text.substring(equals + 1, end);
             }
--- a/relay/src/main/java/saltstage/sim/WireHost.java
+++ b/relay/src/main/java/saltstage/sim/WireHost.java
@@ -31,7 +31,7 @@
     private long now;
 
     /** One instance: its settings, for checks, and its decisions. */
-    private record Instance(Settings settings, Logic logic) { }
+    private record Instance(Settings settings, Logic logic) {}
 
     /** A host that reads there and replies here. */
     public WireHost(BufferedReader in, Writer out) {
@@ -81,9 +81,13 @@
             throw m;
         } catch (RuntimeException failure) {
             StackTraceElement[] trace = failure.getStackTrace();
-            reply.append("CRASH\tWho=").append(who).append("\tLine=")
-                .append((failure + (trace.length > 0 ? " at " + trace[0] : "")).replaceAll("\\s+", " "))
-                .append('\n');
+            reply.append("CRASH\tWho=")
+                    .append(who)
+                    .append("\tLine=")
+                    .append(
+                            (failure + (trace.length > 0 ? " at " + trace[0] : ""))
+                                    .replaceAll("\\s+", " "))
+                    .append('\n');
         }
     }
 
@@ -106,14 +110,14 @@
             case "JOB_IN" -> logic.request(now, request(e, at.settings()));
             case "OPEN" -> logic.open(now, request(e, at.settings()), e.need("Host"));
             case "STREAMING" ->
-                logic.streaming(now, id(e), e.number("DelaySeen", 0, Long.MAX_VALUE));
+                    logic.streaming(now, id(e), e.number("DelaySeen", 0, Long.MAX_VALUE));
             case "VERDICT" -> logic.outcome(now, id(e), outcome(e), e.flag("Ended"));
             case "DROPPED" -> logic.gone(now, id(e));
             case "NOTICE" -> note(e, logic);
             case "ECHO" -> logic.probed(now, e.need("Host"), outcome(e), asked(e));
             case "REMINDER" -> logic.timer(now, e.need("Token"));
             case "EXIT" -> instances.remove(who);
-            default -> { } // peers are not used; what is unknown is passed over
+            default -> {} // peers are not used; what is unknown is passed over
         }
     }
 
@@ -158,20 +162,27 @@
     }
 
     private static Request request(Line e, Settings settings) {
-        return new Request(id(e), (int) e.number("Qos", 0, settings.classes().size() - 1),
-            (int) e.number("Billing", 0, 0, Integer.MAX_VALUE), e.number("NameKey", Api.NONE, 0, MOST_KEY),
-            e.number("Room", Api.NONE, 0, MOST_KEY), e.number("Estimate", Api.NONE, 0, Long.MAX_VALUE),
-            e.number("Deadline", 0, Long.MAX_VALUE), e.flag("Again"), e.flag("MidFlow"));
+        return new Request(
+                id(e),
+                (int) e.number("Qos", 0, settings.classes().size() - 1),
+                (int) e.number("Billing", 0, 0, Integer.MAX_VALUE),
+                e.number("NameKey", Api.NONE, 0, MOST_KEY),
+                e.number("Room", Api.NONE, 0, MOST_KEY),
+                e.number("Estimate", Api.NONE, 0, Long.MAX_VALUE),
+                e.number("Deadline", 0, Long.MAX_VALUE),
+                e.flag("Again"),
+                e.flag("MidFlow"));
     }
 
     private void list(Line e, Logic logic) throws IOException {
-        Listing kind = switch (e.need("Scope")) {
-            case "changes" -> Listing.CHANGES;
-            case "all" -> Listing.ALL;
-            case "remembered" -> Listing.REMEMBERED;
-            case "refused" -> Listing.REFUSED;
-            default -> throw e.malformed("Scope", "unknown: " + e.find("Scope"));
-        };
+        Listing kind =
+                switch (e.need("Scope")) {
+                    case "changes" -> Listing.CHANGES;
+                    case "all" -> Listing.ALL;
+                    case "remembered" -> Listing.REMEMBERED;
+                    case "refused" -> Listing.REFUSED;
+                    default -> throw e.malformed("Scope", "unknown: " + e.find("Scope"));
+                };
         long rows = e.number("RowsIn", 0, 0, Integer.MAX_VALUE);
         List<Server> servers = new ArrayList<>();
         for (long i = 0; i < rows; i++) {
@@ -185,15 +196,20 @@
     }
 
     private static Server server(Line m) {
-        Health health = switch (m.need("Health")) {
-            case "Ready" -> Health.READY;
-            case "Terminating" -> Health.DRAINING;
-            case "Gone" -> Health.GONE;
-            default -> throw m.malformed("Health", "unknown: " + m.find("Health"));
-        };
-        return new Server(m.need("Host"), (int) m.number("Zone", 0, 0, Integer.MAX_VALUE),
-            (int) m.number("Cluster", 0, 0, Integer.MAX_VALUE), health,
-            m.find("Units") == null ? 1 : m.decimal("Units"), m.number("Launched", 0, 0, Long.MAX_VALUE));
+        Health health =
+                switch (m.need("Health")) {
+                    case "Ready" -> Health.READY;
+                    case "Terminating" -> Health.DRAINING;
+                    case "Gone" -> Health.GONE;
+                    default -> throw m.malformed("Health", "unknown: " + m.find("Health"));
+                };
+        return new Server(
+                m.need("Host"),
+                (int) m.number("Zone", 0, 0, Integer.MAX_VALUE),
+                (int) m.number("Cluster", 0, 0, Integer.MAX_VALUE),
+                health,
+                m.find("Units") == null ? 1 : m.decimal("Units"),
+                m.number("Launched", 0, 0, Long.MAX_VALUE));
     }
 
     /** Writes the actions of one instance. */
@@ -238,7 +254,12 @@
 
         @Override
         public void timer(String token, long delay) {
-            action("TIMER").append("\tToken=").append(token).append("\tIn=").append(delay).append('\n');
+            action("TIMER")
+                    .append("\tToken=")
+                    .append(token)
+                    .append("\tIn=")
+                    .append(delay)
+                    .append('\n');
         }
 
         @Override
--- a/relay/src/main/java/saltstage/stage/Admit.java
+++ b/relay/src/main/java/saltstage/stage/Admit.java
@@ -18,16 +18,25 @@
 import saltstage.wire.MalformedException;
 import saltstage.wire.OpenLine;
 
-/** Decides whether the relay itself can take a request: room for sockets, names that the settings know. */
+/**
+ * Decides whether the relay itself can take a request: room for sockets, names that the settings
+ * know.
+ */
 public final class Admit {
-    /** Descriptors of the relay itself: the jar, the listener, discovery, the log, a reload, probes. */
+    /**
+     * Descriptors of the relay itself: the jar, the listener, discovery, the log, a reload, probes.
+     */
     private static final int RESERVED_SOCKETS = 40;
+
     private static final int MOST_IN_DOORWAY = 512;
     private static final int LEAST_IN_DOORWAY = 8;
+
     /** The answer takes its way back too: the relay's clock must run out before the client's. */
     private static final Duration MARGIN = Duration.ofMillis(15);
+
     /** A module that has not answered so long after the deadline has lost the request. */
     private static final Duration OVERDUE = Duration.ofMillis(25);
+
     private static final Duration RESTORE = Duration.ofSeconds(35);
 
     private final Configuration config;
@@ -41,7 +50,13 @@
     private final AtomicLong ids = new AtomicLong();
     private final Set<String> open = ConcurrentHashMap.newKeySet();
 
-    Admit(Configuration config, MonotonicClock clock, Timers timers, Route route, LineTry tries, Book book) {
+    Admit(
+            Configuration config,
+            MonotonicClock clock,
+            Timers timers,
+            Route route,
+            LineTry tries,
+            Book book) {
         this.config = config;
         sockets = config.sockets();
         this.clock = clock;
@@ -51,7 +66,10 @@
         this.book = book;
     }
 
-    /** Room for connections without a request: what a third for clients and as much for backends leaves. */
+    /**
+     * Room for connections without a request: what a third for clients and as much for backends
+     * leaves.
+     */
     static int doorway(int sockets) {
         int left = sockets - 2 * (sockets / 3) - RESERVED_SOCKETS;
         return Math.max(LEAST_IN_DOORWAY, Math.min(MOST_IN_DOORWAY, left));
@@ -63,8 +81,9 @@
     }
 
     /**
-     * Whether a request is refused as there is no room for it beside those that are admitted and so many that
-     * are about to be: the last descriptors are for the backends of those that are already here.
+     * Whether a request is refused as there is no room for it beside those that are admitted and so
+     * many that are about to be: the last descriptors are for the backends of those that are
+     * already here.
      */
     boolean refuses(OpenLine line, int arriving) throws MalformedException {
         if (open.size() + arriving < requests(sockets - reserved)) {
@@ -84,13 +103,21 @@
     RequestContext admit(LineClient client, OpenLine line) throws MalformedException, IOException {
         Instant now = clock.now();
         int serviceClass = config.serviceClass(line.field("c"));
-        Terms terms = new Terms(line.id(), serviceClass, config.tenant(line.field("t")), line.key(),
-            line.field("g"), line.number("h", Api.NONE), line.marked("again"));
+        Terms terms =
+                new Terms(
+                        line.id(),
+                        serviceClass,
+                        config.tenant(line.field("t")),
+                        line.key(),
+                        line.field("g"),
+                        line.number("h", Api.NONE),
+                        line.marked("again"));
         String at = line.field("at");
         Duration patience = line.patience(config.giveUp(serviceClass));
         Instant deadline = now.plus(at != null ? RESTORE : patience).minus(MARGIN);
         if (client.lines().moreHasCome()) {
-            // Several commands at once: the first would stand, and the others would come to its backend.
+            // Several commands at once: the first would stand, and the others would come to its
+            // backend.
             throw new MalformedException(Book.ONE_LINE);
         }
         if (!open.add(line.id())) {
@@ -101,7 +128,8 @@
         RequestContext context = new RequestContext(ids.incrementAndGet(), terms, deadline, client);
         book.taken();
         if (client.lines().isOver()) {
-            // Its line was read late, and it did not wait: nothing may be sent anywhere for who has left.
+            // Its line was read late, and it did not wait: nothing may be sent anywhere for who has
+            // left.
             context.end(RequestContext.Phase.WAITING);
             book.left(context);
         } else if (open.size() > requests(sockets - reserved)) {
@@ -116,14 +144,18 @@
     }
 
     /**
-     * Takes a request of a front that knows its own limits and has it routed. The context is handed over
-     * before that, as the answer may come at once and on another thread.
+     * Takes a request of a front that knows its own limits and has it routed. The context is handed
+     * over before that, as the answer may come at once and on another thread.
      */
-    public void take(ClientConnection client, Terms terms, Duration patience,
+    public void take(
+            ClientConnection client,
+            Terms terms,
+            Duration patience,
             Consumer<RequestContext> taken) {
         Instant now = clock.now();
-        RequestContext context = new RequestContext(ids.incrementAndGet(), terms,
-            now.plus(patience).minus(MARGIN), client);
+        RequestContext context =
+                new RequestContext(
+                        ids.incrementAndGet(), terms, now.plus(patience).minus(MARGIN), client);
         book.taken();
         taken.accept(context);
         begin(context, now);
@@ -131,7 +163,8 @@
 
     private void begin(RequestContext context, Instant now) {
         route.request(context);
-        timers.after(Duration.between(now, context.deadline()).plus(OVERDUE), () -> overdue(context));
+        timers.after(
+                Duration.between(now, context.deadline()).plus(OVERDUE), () -> overdue(context));
     }
 
     /** So many descriptors are another front's; said before clients come. */
--- a/relay/src/main/java/saltstage/stage/Book.java
+++ b/relay/src/main/java/saltstage/stage/Book.java
@@ -24,10 +24,14 @@
 import saltstage.metrics.ProcessUsage;
 import saltstage.wire.Answer;
 
-/** Books what became of requests: the one final answer, the outcome for the module, loads and delays. */
+/**
+ * Books what became of requests: the one final answer, the outcome for the module, loads and
+ * delays.
+ */
 public final class Book {
     /** A close with unread input resets the connection and may take the answer with it. */
     static final Duration LINGER = Duration.ofMillis(800);
+
     /** What a client is told that says more than its first line before it has its answer. */
     static final String ONE_LINE = "only one line before the answer";
 
@@ -103,8 +107,9 @@
     }
 
     /**
-     * The relay leaves: what waits gets its final answer, and the try that is out is given up. What may have
-     * run is refused only where it may simply be repeated; the module hears of no end that it could act on.
+     * The relay leaves: what waits gets its final answer, and the try that is out is given up. What
+     * may have run is refused only where it may simply be repeated; the module hears of no end that
+     * it could act on.
      */
     void leave(RequestContext context) {
         if (!context.end(Phase.WAITING)) {
@@ -112,8 +117,9 @@
         }
         Try out = context.current(); // the last one: who has ended begins none
         ServiceClass service = config.settings().classes().get(context.terms().serviceClass());
-        boolean harmless = service.effect() == Effect.SAFE
-            || service.effect() == Effect.KEYED && service.scope() == Scope.ALL;
+        boolean harmless =
+                service.effect() == Effect.SAFE
+                        || service.effect() == Effect.KEYED && service.scope() == Scope.ALL;
         if (out == null || harmless) {
             tellRejected(context, Duration.ZERO);
         } else {
@@ -127,10 +133,18 @@
         fail(context, "failed");
     }
 
-    /** The client has not waited for its answer: what it asked in that form is nothing a backend may get. */
+    /**
+     * The client has not waited for its answer: what it asked in that form is nothing a backend may
+     * get.
+     */
     void failEarly(RequestContext context) {
         if (fail(context, ONE_LINE)) {
-            Log.warn("client.malformed", "from", context.client().remote(), "answer", "ERR " + ONE_LINE);
+            Log.warn(
+                    "client.malformed",
+                    "from",
+                    context.client().remote(),
+                    "answer",
+                    "ERR " + ONE_LINE);
             route.left(context);
         }
     }
@@ -161,7 +175,10 @@
         giveUp(out);
     }
 
-    /** The module sent what could not be sent: the peer has left the list, or nothing is owed any more. */
+    /**
+     * The module sent what could not be sent: the peer has left the list, or nothing is owed any
+     * more.
+     */
     void unsent(RequestContext context) {
         route.outcome(context, Outcome.MOOT, context.phase() == Phase.ENDED);
     }
@@ -220,8 +237,9 @@
     }
 
     /**
-     * A told figure. Backends use the one word LOAD for both notes: taken as a load, a message delay of 300
-     * ms would make its connection the lightest of all, and the module would never hear of the jam.
+     * A told figure. Backends use the one word LOAD for both notes: taken as a load, a message
+     * delay of 300 ms would make its connection the lightest of all, and the module would never
+     * hear of the jam.
      */
     private void told(Try up, double figure) {
         if (figure < 0) {
@@ -234,7 +252,9 @@
         }
     }
 
-    /** Once a second: tells the module where messages take long, on one connection each, or no more. */
+    /**
+     * Once a second: tells the module where messages take long, on one connection each, or no more.
+     */
     void tellDelays() {
         Instant now = clock.now();
         for (Peer peer : peers.all()) {
@@ -252,11 +272,36 @@
     /** Writes the totals to the log; accepted: how many connections have come since the start. */
     void logTotals(int clients, long accepted, Object... more) {
         Runtime jvm = Runtime.getRuntime();
-        Object[] pairs = {"clients", clients, "accepted", accepted, "standing", standing.size(),
-            "taken", taken, "stood", stood, "rejected", rejected, "failed", failed, "left", left,
-            "resets", resets, "threadless", threadless, "threads", ProcessUsage.threads(),
-            "descriptors", ProcessUsage.descriptors(), "host_overflows", ProcessUsage.listenOverflows(),
-            "heap_kb", (jvm.totalMemory() - jvm.freeMemory()) >> 10};
+        Object[] pairs = {
+            "clients",
+            clients,
+            "accepted",
+            accepted,
+            "standing",
+            standing.size(),
+            "taken",
+            taken,
+            "stood",
+            stood,
+            "rejected",
+            rejected,
+            "failed",
+            failed,
+            "left",
+            left,
+            "resets",
+            resets,
+            "threadless",
+            threadless,
+            "threads",
+            ProcessUsage.threads(),
+            "descriptors",
+            ProcessUsage.descriptors(),
+            "host_overflows",
+            ProcessUsage.listenOverflows(),
+            "heap_kb",
+            (jvm.totalMemory() - jvm.freeMemory()) >> 10
+        };
         Object[] all = Arrays.copyOf(pairs, pairs.length + more.length);
         System.arraycopy(more, 0, all, pairs.length, more.length);
         Log.info("totals", all);
--- a/relay/src/main/java/saltstage/stage/Chain.java
+++ b/relay/src/main/java/saltstage/stage/Chain.java
@@ -34,14 +34,27 @@
     private final List<Front> fronts = new CopyOnWriteArrayList<>();
 
     /** Joins the stages; watch subscribes to discovery. */
-    public Chain(Configuration config, MonotonicClock clock, Timers timers, Peers peers, Counts counts,
+    public Chain(
+            Configuration config,
+            MonotonicClock clock,
+            Timers timers,
+            Peers peers,
+            Counts counts,
             Runnable watch) {
         this(config, clock, timers, peers, counts, watch, SocketChannel::socket);
     }
 
-    /** Joins the stages; clients that have asked are met through these sockets of their channels. */
-    public Chain(Configuration config, MonotonicClock clock, Timers timers, Peers peers, Counts counts,
-            Runnable watch, Function<SocketChannel, Socket> sockets) {
+    /**
+     * Joins the stages; clients that have asked are met through these sockets of their channels.
+     */
+    public Chain(
+            Configuration config,
+            MonotonicClock clock,
+            Timers timers,
+            Peers peers,
+            Counts counts,
+            Runnable watch,
+            Function<SocketChannel, Socket> sockets) {
         this.timers = timers;
         book = new Book(config, clock, peers, counts);
         relay = new LineRelay(clock, timers, book);
@@ -52,14 +65,27 @@
         route = new Route(config, clock, timers, effects(send, probe, watch), peers::suspended);
         book.route(route);
         probe.route(route);
-        probedPeers = () -> config.settings().probes()
-            ? Math.min(peers.all().size(), Probe.MOST_CONNECTIONS) : 0;
+        probedPeers =
+                () ->
+                        config.settings().probes()
+                                ? Math.min(peers.all().size(), Probe.MOST_CONNECTIONS)
+                                : 0;
         descriptors = config.sockets();
         admit = new Admit(config, clock, timers, route, tries, book);
-        takeIn = new TakeIn(Admit.doorway(config.sockets()), admit,
-            asking -> new LineClient(sockets.apply(asking.channel()), asking.takeRest(), timers, tries,
-                relay),
-            relay, book, threads);
+        takeIn =
+                new TakeIn(
+                        Admit.doorway(config.sockets()),
+                        admit,
+                        asking ->
+                                new LineClient(
+                                        sockets.apply(asking.channel()),
+                                        asking.takeRest(),
+                                        timers,
+                                        tries,
+                                        relay),
+                        relay,
+                        book,
+                        threads);
         fronts.add(takeIn);
     }
 
@@ -127,14 +153,24 @@
         fronts.add(front);
     }
 
-    /** Has a standing try's client moved, whatever it speaks; a reason "peer..." is the backend's fault. */
+    /**
+     * Has a standing try's client moved, whatever it speaks; a reason "peer..." is the backend's
+     * fault.
+     */
     public boolean move(Try up, String reason) {
         return up.context().client().move(up, reason);
     }
 
     /** Discovery has told something, and these processes have ended by it. */
     public void listed(List<Peer> ended, HostList list) {
-        Log.info("discovery.list", "rev", list.rev(), "all", list.all(), "targets", list.targets().size());
+        Log.info(
+                "discovery.list",
+                "rev",
+                list.rev(),
+                "all",
+                list.all(),
+                "targets",
+                list.targets().size());
         descriptors(descriptors);
         route.list(list);
         for (Peer peer : ended) {
@@ -172,7 +208,9 @@
         book.logTotals(clients, takeIn.acceptor().accepted(), more);
     }
 
-    /** The relay leaves: what still waits is answered, and may mostly come again elsewhere at once. */
+    /**
+     * The relay leaves: what still waits is answered, and may mostly come again elsewhere at once.
+     */
     public void rejectWaiting() {
         route.all().forEach(book::leave);
     }
--- a/relay/src/main/java/saltstage/stage/ClientAcceptor.java
+++ b/relay/src/main/java/saltstage/stage/ClientAcceptor.java
@@ -23,22 +23,34 @@
 import saltstage.log.Log;
 
 /**
- * Accepts connections, hears first lines and waits for those that were answered to hang up, all on one thread
- * that waits for nobody. A connection costs no other thread before it has asked. Those without a request have
- * room of their own; where it is full, who came first must go, as clients ask as soon as they come.
+ * Accepts connections, hears first lines and waits for those that were answered to hang up, all on
+ * one thread that waits for nobody. A connection costs no other thread before it has asked. Those
+ * without a request have room of their own; where it is full, who came first must go, as clients
+ * ask as soon as they come.
  */
 public final class ClientAcceptor {
-    /** A client that has sent no whole first line by then has nothing to say; 3 s is what it is owed. */
+    /**
+     * A client that has sent no whole first line by then has nothing to say; 3 s is what it is
+     * owed.
+     */
     private static final Duration FIRST_LINE = Duration.ofSeconds(2);
+
     /** How long a client that was answered may take to hang up. */
     private static final Duration LINGER = Duration.ofMillis(800);
-    /** To read all that somebody sends on and on would cost more than an honest client ever does. */
+
+    /**
+     * To read all that somebody sends on and on would cost more than an honest client ever does.
+     */
     private static final int MOST_IGNORED_BYTES = 64 << 10;
+
     /** Nobody has to go sooner after coming: clients ask as soon as they come. */
     private static final Duration GRACE = Duration.ofMillis(100);
+
     private static final int SCRATCH_BYTES = 8 << 10;
+
     /** A fault that stays, as a want of descriptors, must not eat the one core. */
     private static final Duration ACCEPT_PAUSE = Duration.ofMillis(50);
+
     private static final Duration ROOM_PAUSE = Duration.ofMillis(5);
     private static final int MOST_CLOSED = 8;
     private static final Duration LAST_ACCEPT = Duration.ofMillis(300);
@@ -58,8 +70,10 @@
     private int closed;
     private volatile int room;
     private volatile int size;
+
     /** Those that were handed back and are not lingering yet. */
     private final AtomicInteger returning = new AtomicInteger();
+
     private volatile boolean stopping;
 
     /** What is done with first lines, on the acceptor's thread; must not block. */
@@ -132,17 +146,18 @@
     /** Takes a client that was answered after it had asked: it may hang up, and is then closed. */
     void seeOff(SocketChannel channel) {
         returning.incrementAndGet();
-        run(() -> {
-            returning.decrementAndGet();
-            try {
-                channel.configureBlocking(false);
-                PendingClient client = new PendingClient(channel);
-                channel.register(selector, SelectionKey.OP_READ, client);
-                linger(client);
-            } catch (IOException gone) {
-                close(channel);
-            }
-        });
+        run(
+                () -> {
+                    returning.decrementAndGet();
+                    try {
+                        channel.configureBlocking(false);
+                        PendingClient client = new PendingClient(channel);
+                        channel.register(selector, SelectionKey.OP_READ, client);
+                        linger(client);
+                    } catch (IOException gone) {
+                        close(channel);
+                    }
+                });
     }
 
     /** Answers a client that has no request, and lets it hang up; on the acceptor's thread only. */
@@ -243,7 +258,9 @@
         acceptAgainAt = until;
     }
 
-    /** Makes room if need be: who has its answer goes first, then who has been silent the longest. */
+    /**
+     * Makes room if need be: who has its answer goes first, then who has been silent the longest.
+     */
     private boolean hasRoom() {
         if (pending() < room) {
             return true;
@@ -315,7 +332,10 @@
         }
     }
 
-    /** A channel blocks again only once the selector has let go of it, so all are let go of together. */
+    /**
+     * A channel blocks again only once the selector has let go of it, so all are let go of
+     * together.
+     */
     private void handOver() throws IOException {
         if (asking.isEmpty()) {
             return;
@@ -351,11 +371,15 @@
     /** Deadlines of a set are in the order in which its members came. */
     private static long soonest(Set<PendingClient> clients) {
         Iterator<PendingClient> first = clients.iterator();
-        return first.hasNext() ? Math.max(0, first.next().deadline() - System.nanoTime()) : Long.MAX_VALUE;
+        return first.hasNext()
+                ? Math.max(0, first.next().deadline() - System.nanoTime())
+                : Long.MAX_VALUE;
     }
 
     private void expire() {
-        if (accepting.isValid() && accepting.interestOps() == 0 && System.nanoTime() - acceptAgainAt >= 0) {
+        if (accepting.isValid()
+                && accepting.interestOps() == 0
+                && System.nanoTime() - acceptAgainAt >= 0) {
             accepting.interestOps(SelectionKey.OP_ACCEPT);
         }
         while (!silent.isEmpty() && soonest(silent) == 0) {
--- a/relay/src/main/java/saltstage/stage/LineClient.java
+++ b/relay/src/main/java/saltstage/stage/LineClient.java
@@ -22,7 +22,8 @@
     private volatile OpenLine open;
 
     /** A client that has asked, with what it has said behind its first line. */
-    LineClient(Socket socket, byte[] rest, Timers timers, LineTry tries, LineRelay relay) throws IOException {
+    LineClient(Socket socket, byte[] rest, Timers timers, LineTry tries, LineRelay relay)
+            throws IOException {
         super(socket, rest);
         this.timers = timers;
         this.tries = tries;
--- a/relay/src/main/java/saltstage/stage/LineRelay.java
+++ b/relay/src/main/java/saltstage/stage/LineRelay.java
@@ -13,20 +13,29 @@
 import saltstage.wire.LineConnection;
 
 /**
- * Passes the lines of standing connections on, both ways, whole and unchanged, and ends or moves them. The
- * try's thread is the only one that writes to a client that has its UP: MOVE always falls between two lines.
+ * Passes the lines of standing connections on, both ways, whole and unchanged, and ends or moves
+ * them. The try's thread is the only one that writes to a client that has its UP: MOVE always falls
+ * between two lines.
  */
 final class LineRelay {
-    /** How long an ended side may linger: a close with unread input would reset what was sent before it. */
+    /**
+     * How long an ended side may linger: a close with unread input would reset what was sent before
+     * it.
+     */
     private static final Duration LINGER = Duration.ofMillis(800);
+
     /** A client that takes no more must not hold a moved connection. */
     private static final Duration MOVE_LIMIT = Duration.ofMillis(1_200);
+
     private static final Duration PARTIAL_LINE = Duration.ofMillis(300);
+
     /**
-     * Clients speak every 2 s and are answered at once (0.15 ms was measured at a jammed backend too). 7 s
-     * with nothing back is the limit: 2 s, this, a beat and the rest of a line stay well within.
+     * Clients speak every 2 s and are answered at once (0.15 ms was measured at a jammed backend
+     * too). 7 s with nothing back is the limit: 2 s, this, a beat and the rest of a line stay well
+     * within.
      */
     private static final Duration SILENCE = Duration.ofSeconds(3);
+
     private static final Duration AFTER_CLIENT = Duration.ofSeconds(3);
 
     private final MonotonicClock clock;
@@ -72,7 +81,8 @@
                 }
                 boolean whole = piece[piece.length - 1] == '\n';
                 if (!whole && !midLine && up.moveReason() != null) {
-                    break; // it crossed the end of reading: the client has nothing of it and needs its MOVE
+                    break; // it crossed the end of reading: the client has nothing of it and needs
+                    // its MOVE
                 }
                 Answer answer = Answer.of(piece);
                 last = answer.kind();
@@ -113,7 +123,9 @@
     private Outcome moved(Try up) {
         LineClient client = client(up);
         try {
-            client.send("MOVE"); // before its end is told: a client that speaks in that moment is hung up on
+            client.send(
+                    "MOVE"); // before its end is told: a client that speaks in that moment is hung
+            // up on
         } catch (IOException gone) {
             up.clientEnded();
         }
@@ -134,17 +146,20 @@
             backend(up).close();
             return Outcome.RESET;
         }
-        client.endSending(); // half-close: what the client still sends goes on to the backend for a moment
+        client.endSending(); // half-close: what the client still sends goes on to the backend for
+        // a moment
         if (clientFirst) {
             up.context().end(Phase.STANDING);
             client.close();
             backend(up).close();
         } else {
-            timers.after(LINGER, () -> {
-                up.context().end(Phase.STANDING);
-                client.close();
-                backend(up).close();
-            });
+            timers.after(
+                    LINGER,
+                    () -> {
+                        up.context().end(Phase.STANDING);
+                        client.close();
+                        backend(up).close();
+                    });
         }
         if (last == Answer.Kind.BYE) {
             return Outcome.SERVED;
@@ -152,7 +167,10 @@
         return clientFirst || last == Answer.Kind.MOVE ? Outcome.CANCELLED : Outcome.RESET;
     }
 
-    /** Passes on what the client sent; the thread that reads the backend notices where it takes no more. */
+    /**
+     * Passes on what the client sent; the thread that reads the backend notices where it takes no
+     * more.
+     */
     void toBackend(Try up, byte[] piece) {
         try {
             up.asked(clock.now());
@@ -177,25 +195,37 @@
         }
     }
 
-    /** Has a standing connection's client moved; never blocks. A reason "peer..." is the backend's fault. */
+    /**
+     * Has a standing connection's client moved; never blocks. A reason "peer..." is the backend's
+     * fault.
+     */
     boolean move(Try up, String reason) {
         if (up.context().phase() != Phase.STANDING || !up.askMove(reason)) {
             return false;
         }
-        Log.info("relay.move", "why", reason, "peer", up.peer().entry().uid(),
-            "id", up.context().terms().name());
+        Log.info(
+                "relay.move",
+                "why",
+                reason,
+                "peer",
+                up.peer().entry().uid(),
+                "id",
+                up.context().terms().name());
         LineConnection backend = backend(up);
         if (backend.lines().midLine()) {
-            timers.after(PARTIAL_LINE, backend::endReading); // the line may still be ended within that
+            timers.after(
+                    PARTIAL_LINE, backend::endReading); // the line may still be ended within that
         } else {
             backend.endReading();
         }
-        timers.after(MOVE_LIMIT, () -> {
-            if (up.context().phase() == Phase.STANDING) {
-                client(up).close();
-                backend.close();
-            }
-        });
+        timers.after(
+                MOVE_LIMIT,
+                () -> {
+                    if (up.context().phase() == Phase.STANDING) {
+                        client(up).close();
+                        backend.close();
+                    }
+                });
         return true;
     }
 
@@ -204,8 +234,16 @@
         Instant limit = clock.now().minus(SILENCE);
         for (Try up : book.standing()) {
             Instant since = up.unansweredSince();
-            if (since != null && since.isBefore(limit) && !up.hasClientEnded() && move(up, "peer silent")) {
-                Log.info("relay.silent", "peer", up.peer().entry().uid(), "id", up.context().terms().name());
+            if (since != null
+                    && since.isBefore(limit)
+                    && !up.hasClientEnded()
+                    && move(up, "peer silent")) {
+                Log.info(
+                        "relay.silent",
+                        "peer",
+                        up.peer().entry().uid(),
+                        "id",
+                        up.context().terms().name());
             }
         }
     }
--- a/relay/src/main/java/saltstage/stage/LineTry.java
+++ b/relay/src/main/java/saltstage/stage/LineTry.java
@@ -31,7 +31,12 @@
     private final LineRelay relay;
     private final ThreadBudget threads;
 
-    LineTry(Configuration config, MonotonicClock clock, Peers peers, Book book, LineRelay relay,
+    LineTry(
+            Configuration config,
+            MonotonicClock clock,
+            Peers peers,
+            Book book,
+            LineRelay relay,
             ThreadBudget threads) {
         this.threads = threads;
         this.config = config;
@@ -77,9 +82,11 @@
             backend = LineConnection.open(socket, peer.entry().endpoint(), connect);
             begun.connected(backend);
             Duration left = Duration.between(clock.now(), until);
-            // Connecting takes time: the backend may have been told to drain, or the request's time be up.
+            // Connecting takes time: the backend may have been told to drain, or the request's time
+            // be up.
             if (peer.suspended() || repeatsTooLate(begun.context())) {
-                return Outcome.MOOT; // it came about while this connected: nothing against the backend
+                return Outcome
+                        .MOOT; // it came about while this connected: nothing against the backend
             }
             if (!restore && !peer.takesNew() || left.isNegative() || left.isZero()) {
                 return Outcome.UNREACHABLE;
@@ -99,19 +106,24 @@
         }
     }
 
-    /** Repeats are discarded for so long only; the module asked that before the connection came up. */
+    /**
+     * Repeats are discarded for so long only; the module asked that before the connection came up.
+     */
     private boolean repeatsTooLate(RequestContext context) {
         ServiceClass service = config.settings().classes().get(context.terms().serviceClass());
         Instant since = context.mayHaveRunSince();
-        return since != null && service.effect() == Effect.KEYED
-            && !clock.now().isBefore(since.plus(service.memory(), ChronoUnit.MICROS));
+        return since != null
+                && service.effect() == Effect.KEYED
+                && !clock.now().isBefore(since.plus(service.memory(), ChronoUnit.MICROS));
     }
 
     private Outcome judge(Try begun, byte[] piece, boolean restore) {
         Answer answer = Answer.of(piece);
         switch (answer.kind()) {
             case UP:
-                return book.standing(begun, restore) ? relay.accepted(begun, piece) : Outcome.CANCELLED;
+                return book.standing(begun, restore)
+                        ? relay.accepted(begun, piece)
+                        : Outcome.CANCELLED;
             case BUSY:
                 return Outcome.FULL;
             case MOVE:
@@ -119,14 +131,24 @@
             case ERR:
                 return Outcome.ERROR;
             default:
-                // A backend that answers what no backend may say has failed; its words go no further.
-                Log.warn("try.malformed", "peer", begun.peer().entry().uid(), "kind", answer.kind(),
-                    "line", answer.argument());
+                // A backend that answers what no backend may say has failed; its words go no
+                // further.
+                Log.warn(
+                        "try.malformed",
+                        "peer",
+                        begun.peer().entry().uid(),
+                        "kind",
+                        answer.kind(),
+                        "line",
+                        answer.argument());
                 return Outcome.ERROR;
         }
     }
 
-    /** Sends a connection that was open before the relay started back to its backend, until it stands. */
+    /**
+     * Sends a connection that was open before the relay started back to its backend, until it
+     * stands.
+     */
     void restore(RequestContext context, String uid) {
         if (!threads.start("restore", () -> restoreOrFail(context, uid))) {
             book.fail(context);
@@ -146,7 +168,8 @@
         while (context.phase() == Phase.WAITING && clock.now().isBefore(context.deadline())) {
             Peer peer = peers.find(uid);
             Try begun = peer == null ? null : context.begin(peer, clock.now());
-            Outcome outcome = begun == null ? Outcome.MOOT : attempt(begun, context.deadline(), true);
+            Outcome outcome =
+                    begun == null ? Outcome.MOOT : attempt(begun, context.deadline(), true);
             if (outcome == null) {
                 relay.carry(begun);
                 return;
--- a/relay/src/main/java/saltstage/stage/NonBlocking.java
+++ b/relay/src/main/java/saltstage/stage/NonBlocking.java
@@ -6,8 +6,7 @@
 
 /** Writing on channels that do not block. */
 final class NonBlocking {
-    private NonBlocking() {
-    }
+    private NonBlocking() {}
 
     /** Writes a few bytes, in as many parts as the system takes; fails where it takes no more. */
     static void writeWhole(SocketChannel channel, byte[] bytes) throws IOException {
--- a/relay/src/main/java/saltstage/stage/PendingClient.java
+++ b/relay/src/main/java/saltstage/stage/PendingClient.java
@@ -8,7 +8,10 @@
 import java.util.Arrays;
 import saltstage.wire.LineReader;
 
-/** A connection that has no request: one that has not asked yet, or one that was answered and may hang up. */
+/**
+ * A connection that has no request: one that has not asked yet, or one that was answered and may
+ * hang up.
+ */
 final class PendingClient {
     private static final int FIRST_SIZE = 256;
     private static final int MOST_WITH_END = LineReader.MOST + 2;
@@ -77,8 +80,8 @@
     }
 
     /**
-     * Takes its first line with its end, or null where that has not come. A piece without an end is a part of
-     * an overlong line, or what came before the end of input.
+     * Takes its first line with its end, or null where that has not come. A piece without an end is
+     * a part of an overlong line, or what came before the end of input.
      */
     byte[] takeLine() {
         for (int i = 0; i < length; i++) {
@@ -109,12 +112,16 @@
         return piece;
     }
 
-    /** Writes a line whole; there is room for it on a connection that carried next to none before. */
+    /**
+     * Writes a line whole; there is room for it on a connection that carried next to none before.
+     */
     void send(String line) throws IOException {
         NonBlocking.writeWhole(channel, (line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Half-close: a close over unread bytes would reset the connection and take the answer with it. */
+    /**
+     * Half-close: a close over unread bytes would reset the connection and take the answer with it.
+     */
     void endSending() throws IOException {
         channel.shutdownOutput();
     }
--- a/relay/src/main/java/saltstage/stage/Probe.java
+++ b/relay/src/main/java/saltstage/stage/Probe.java
@@ -18,15 +18,22 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Asks backends for their load, all of them on one thread. Each has one connection that stays open, as a new
- * one costs the backend time and work; however many backends are listed, only so many connections are kept.
+ * Asks backends for their load, all of them on one thread. Each has one connection that stays open,
+ * as a new one costs the backend time and work; however many backends are listed, only so many
+ * connections are kept.
  */
 final class Probe {
-    /** To backends that the module asks no more: it may soon ask them again, and a new connection costs. */
+    /**
+     * To backends that the module asks no more: it may soon ask them again, and a new connection
+     * costs.
+     */
     private static final int KEPT_BEYOND = 64;
+
     /** Beyond them, whoever was not asked for the longest time gives way. */
     static final int MOST_CONNECTIONS = Api.MOST_PROBED + KEPT_BEYOND;
+
     private static final Duration LIMIT = Duration.ofMillis(250);
+
     /** How often connections to backends that are not listed any more are looked for. */
     private static final Duration LOOK = Duration.ofSeconds(5);
 
@@ -58,8 +65,8 @@
     }
 
     /**
-     * Asks a backend soon; one that has not answered yet is not asked twice. Where no thread could be had, or
-     * it has ended by a fault, the next call tries to start one.
+     * Asks a backend soon; one that has not answered yet is not asked twice. Where no thread could
+     * be had, or it has ended by a fault, the next call tries to start one.
      */
     void ask(String uid) {
         Peer peer = peers.find(uid);
@@ -171,7 +178,8 @@
             }
         } catch (ProbeConnection.EndedException ended) {
             end(connection);
-            if (wasAsked && connection.hasAnsweredBefore()) { // closed as idle while it was asked again
+            if (wasAsked
+                    && connection.hasAnsweredBefore()) { // closed as idle while it was asked again
                 connect(connection.peer());
             } else if (wasAsked) {
                 tell(connection, Outcome.RESET, Api.NONE);
@@ -190,7 +198,12 @@
             LoadReport report = LoadReport.of(line);
             load = report == null ? Api.NONE : report.field("x0");
         } catch (MalformedException bad) {
-            Log.warn("probe.malformed", "peer", connection.peer().entry().uid(), "why", bad.getMessage());
+            Log.warn(
+                    "probe.malformed",
+                    "peer",
+                    connection.peer().entry().uid(),
+                    "why",
+                    bad.getMessage());
         }
         boolean reported = wasAsked && load != Api.NONE;
         if (!reported) {
--- a/relay/src/main/java/saltstage/stage/ProbeConnection.java
+++ b/relay/src/main/java/saltstage/stage/ProbeConnection.java
@@ -11,7 +11,10 @@
 import saltstage.memory.Peer;
 import saltstage.wire.LineReader;
 
-/** A connection over which one backend is asked for its load, again and again; none of its calls blocks. */
+/**
+ * A connection over which one backend is asked for its load, again and again; none of its calls
+ * blocks.
+ */
 final class ProbeConnection {
     private static final byte[] QUESTION = "STATS\r\n".getBytes(StandardCharsets.US_ASCII);
     private static final int FIRST_SIZE = 128;
@@ -53,7 +56,10 @@
         return asked;
     }
 
-    /** Whether it has brought an answer before: its end then may only mean that it was idle for too long. */
+    /**
+     * Whether it has brought an answer before: its end then may only mean that it was idle for too
+     * long.
+     */
     boolean hasAnsweredBefore() {
         return answeredBefore;
     }
@@ -77,7 +83,8 @@
     }
 
     /**
-     * Goes on with what has come about; returns the line that answers, or null where it is still awaited.
+     * Goes on with what has come about; returns the line that answers, or null where it is still
+     * awaited.
      *
      * @throws EndedException where the backend has ended the connection without an answer
      */
--- a/relay/src/main/java/saltstage/stage/Route.java
+++ b/relay/src/main/java/saltstage/stage/Route.java
@@ -30,9 +30,10 @@
 import saltstage.wire.HostList;
 
 /**
- * The owner of the decisions: feeds {@link Logic} one event at a time, in order, on one clock. What it
- * decides is gathered under the lock and done after it, by the thread that brought the event; none of that
- * blocks. Only here are the relay's names and times turned into the module's ids and microseconds and back.
+ * The owner of the decisions: feeds {@link Logic} one event at a time, in order, on one clock. What
+ * it decides is gathered under the lock and done after it, by the thread that brought the event;
+ * none of that blocks. Only here are the relay's names and times turned into the module's ids and
+ * microseconds and back.
  */
 public final class Route {
     private static final long MOST_KEY = (1L << 53) - 1;
@@ -73,7 +74,11 @@
     }
 
     /** The decisions for this configuration. */
-    public Route(Configuration config, MonotonicClock clock, Timers timers, Effects effects,
+    public Route(
+            Configuration config,
+            MonotonicClock clock,
+            Timers timers,
+            Effects effects,
             Predicate<String> suspended) {
         this.suspended = suspended;
         this.config = config;
@@ -101,11 +106,12 @@
 
     /** Operators have suspended or restored a backend: to the module it drains, or no more. */
     public void relist(Peer peer) {
-        feed((logic, now) -> {
-            if (!peer.ended()) { // else the module is told of its end, or has been
-                logic.list(now, Listing.CHANGES, List.of(server(peer.entry())));
-            }
-        });
+        feed(
+                (logic, now) -> {
+                    if (!peer.ended()) { // else the module is told of its end, or has been
+                        logic.list(now, Listing.CHANGES, List.of(server(peer.entry())));
+                    }
+                });
     }
 
     /** The backends that the module leaves alone just now. */
@@ -165,8 +171,10 @@
 
     /** Messages take so long at the backend of this try. */
     public void delay(Try standing, Duration delay) {
-        feed((logic, now) ->
-            logic.note(now, standing.context().id(), Note.DELAY, micros(delay) / 1000.0));
+        feed(
+                (logic, now) ->
+                        logic.note(
+                                now, standing.context().id(), Note.DELAY, micros(delay) / 1000.0));
     }
 
     /** A probe has come back. */
@@ -200,7 +208,8 @@
         try {
             event.feed(logic, toModule(clock.now()));
         } catch (RuntimeException fault) {
-            // A fault of the module costs this event; the deadline guard of Admit answers its request.
+            // A fault of the module costs this event; the deadline guard of Admit answers its
+            // request.
             Log.error("module.fault", fault);
         } finally {
             todo = gathered;
@@ -225,22 +234,39 @@
     }
 
     private Server server(HostList.Entry entry) {
-        Health health = switch (entry.state()) {
-            case READY -> suspended.test(entry.uid()) ? Health.DRAINING : Health.READY;
-            case DRAINING -> Health.DRAINING;
-            case GONE -> Health.GONE;
-        };
-        return new Server(entry.uid(), config.zone(entry.zone()), entry.cell(), health, entry.weight(),
-            toModule(entry.startedAt()));
+        Health health =
+                switch (entry.state()) {
+                    case READY -> suspended.test(entry.uid()) ? Health.DRAINING : Health.READY;
+                    case DRAINING -> Health.DRAINING;
+                    case GONE -> Health.GONE;
+                };
+        return new Server(
+                entry.uid(),
+                config.zone(entry.zone()),
+                entry.cell(),
+                health,
+                entry.weight(),
+                toModule(entry.startedAt()));
     }
 
     private Request moduleRequest(RequestContext context) {
         Terms terms = context.terms();
-        return new Request(context.id(), terms.serviceClass(), terms.tenant(), key(terms.key()),
-            key(terms.group()), terms.hint(), toModule(context.deadline()), terms.again(), false);
+        return new Request(
+                context.id(),
+                terms.serviceClass(),
+                terms.tenant(),
+                key(terms.key()),
+                key(terms.group()),
+                terms.hint(),
+                toModule(context.deadline()),
+                terms.again(),
+                false);
     }
 
-    /** FNV-1a: keys are texts on sockets and numbers in the module, and all relays must agree on them. */
+    /**
+     * FNV-1a: keys are texts on sockets and numbers in the module, and all relays must agree on
+     * them.
+     */
     private static long key(String text) {
         if (text == null) {
             return Api.NONE;
--- a/relay/src/main/java/saltstage/stage/Send.java
+++ b/relay/src/main/java/saltstage/stage/Send.java
@@ -24,7 +24,8 @@
     void start(RequestContext context, String uid, Duration limit) {
         Instant now = clock.now();
         Instant most = now.plus(limit);
-        Instant until = limit.isZero() || most.isAfter(context.deadline()) ? context.deadline() : most;
+        Instant until =
+                limit.isZero() || most.isAfter(context.deadline()) ? context.deadline() : most;
         Peer peer = peers.find(uid);
         Try begun = peer == null ? null : context.begin(peer, now);
         if (begun == null) {
--- a/relay/src/main/java/saltstage/stage/TakeIn.java
+++ b/relay/src/main/java/saltstage/stage/TakeIn.java
@@ -10,7 +10,10 @@
 import saltstage.wire.MalformedException;
 import saltstage.wire.OpenLine;
 
-/** Takes clients in: judges first lines, answers PING, turns bad input away, carries what clients send. */
+/**
+ * Takes clients in: judges first lines, answers PING, turns bad input away, carries what clients
+ * send.
+ */
 public final class TakeIn implements Front, ClientAcceptor.FirstLines {
     private final ClientAcceptor acceptor;
     private final Admit admit;
@@ -20,20 +23,30 @@
     private final ThreadBudget threads;
     private final LinkedBlockingQueue<Request> asked = new LinkedBlockingQueue<>();
     private final Queue<OpenLine> parsed = new java.util.ArrayDeque<>();
+
     /** Requests that have been heard and are not admitted yet. */
     private final AtomicInteger arriving = new AtomicInteger();
+
     private volatile boolean leaving;
 
     /** A client that has asked, with its request. */
-    private record Request(PendingClient client, OpenLine line) { }
+    private record Request(PendingClient client, OpenLine line) {}
 
-    /** Makes a client of a connection that has asked, with what it has said behind its first line. */
+    /**
+     * Makes a client of a connection that has asked, with what it has said behind its first line.
+     */
     interface Clients {
         /** The client. */
         LineClient of(PendingClient asking) throws IOException;
     }
 
-    TakeIn(int room, Admit admit, Clients clients, LineRelay relay, Book book, ThreadBudget threads) {
+    TakeIn(
+            int room,
+            Admit admit,
+            Clients clients,
+            LineRelay relay,
+            Book book,
+            ThreadBudget threads) {
         acceptor = new ClientAcceptor(room, this);
         this.admit = admit;
         this.clients = clients;
@@ -47,7 +60,10 @@
         return acceptor;
     }
 
-    /** Starts what takes requests over from the acceptor, which may not wait for the start of threads. */
+    /**
+     * Starts what takes requests over from the acceptor, which may not wait for the start of
+     * threads.
+     */
     public void start() {
         Threads.loop("starter", () -> begin(asked.take()));
     }
@@ -114,8 +130,12 @@
 
     @Override
     public void late(PendingClient client) {
-        // Who has said nothing may ask in this moment: that it was refused is true of what it asks too.
-        turnAway(client, "client.silent", client.hasBegunLine() ? "ERR first line too slow" : "BUSY");
+        // Who has said nothing may ask in this moment: that it was refused is true of what it asks
+        // too.
+        turnAway(
+                client,
+                "client.silent",
+                client.hasBegunLine() ? "ERR first line too slow" : "BUSY");
     }
 
     @Override
@@ -194,7 +214,9 @@
         }
     }
 
-    /** A fault of ours, as a class that cannot be loaded: its client is owed an answer all the same. */
+    /**
+     * A fault of ours, as a class that cannot be loaded: its client is owed an answer all the same.
+     */
     private void failByFault(LineClient client, RequestContext context) {
         if (context == null) {
             book.tell(client, "ERR failed");
@@ -209,7 +231,12 @@
         try {
             return admit.admit(client, line);
         } catch (MalformedException bad) {
-            Log.warn("client.malformed", "from", client.remote(), "answer", "ERR " + bad.getMessage());
+            Log.warn(
+                    "client.malformed",
+                    "from",
+                    client.remote(),
+                    "answer",
+                    "ERR " + bad.getMessage());
             book.tell(client, "ERR " + bad.getMessage());
             client.endSending();
             acceptor.seeOff(client.channel());
@@ -228,7 +255,10 @@
         acceptor.seeOff(client.channel());
     }
 
-    /** Reads the client to its end; the connection must not be closed while the other side may still send. */
+    /**
+     * Reads the client to its end; the connection must not be closed while the other side may still
+     * send.
+     */
     private void carry(LineClient client, RequestContext context) throws InterruptedException {
         boolean reset = false;
         try {
--- a/relay/src/main/java/saltstage/stage/ThreadBudget.java
+++ b/relay/src/main/java/saltstage/stage/ThreadBudget.java
@@ -6,22 +6,29 @@
 import saltstage.metrics.ProcessUsage;
 
 /**
- * How many requests there are threads for. A platform with a limit on threads tells it only by refusing one,
- * and then none is left for a signal, which the JVM handles on a new thread. So room is proven before it is
- * given away: threads are started for a moment, and a reserve of what was proven is never given to requests.
+ * How many requests there are threads for. A platform with a limit on threads tells it only by
+ * refusing one, and then none is left for a signal, which the JVM handles on a new thread. So room
+ * is proven before it is given away: threads are started for a moment, and a reserve of what was
+ * proven is never given to requests.
  */
 final class ThreadBudget {
     /** One that reads the client and one that reads the backend. */
     static final int THREADS_PER_REQUEST = 2;
+
     /** Kept free for signals, calls to discovery, operators' calls and the JVM's own threads. */
     static final int RESERVE = 24;
+
     /** How much more room is proven at a time. */
     private static final int STEP = 32;
+
     /** A refusal that lasts this often as long as the pause is none of a moment. */
     private static final int ATTEMPTS = 50;
+
     private static final Duration PAUSE = Duration.ofMillis(2);
+
     /** Other threads may have begun meanwhile. */
     private static final int REAPED_BUT = 4;
+
     /** A platform that has refused a thread is not tried again sooner. */
     private static final Duration RETRY = Duration.ofSeconds(1);
 
@@ -42,9 +49,13 @@
         this.starter = starter;
     }
 
-    /** Takes the threads of one request; false where the platform has no room for them beside the reserve. */
+    /**
+     * Takes the threads of one request; false where the platform has no room for them beside the
+     * reserve.
+     */
     synchronized boolean tryAcquire() {
-        if (granted + THREADS_PER_REQUEST > proven && (!limited || System.nanoTime() - retryAt >= 0)) {
+        if (granted + THREADS_PER_REQUEST > proven
+                && (!limited || System.nanoTime() - retryAt >= 0)) {
             prove();
         }
         if (granted + THREADS_PER_REQUEST > proven) {
@@ -59,7 +70,10 @@
         granted -= THREADS_PER_REQUEST;
     }
 
-    /** Starts a thread of a request that has acquired it; what is refused for a moment is tried again. */
+    /**
+     * Starts a thread of a request that has acquired it; what is refused for a moment is tried
+     * again.
+     */
     boolean start(String name, Threads.Work work) {
         count(1);
         for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
@@ -108,7 +122,12 @@
         int room = startTogether(wanted);
         proven = running + room - RESERVE;
         if (room < wanted && !limited) {
-            Log.warn("threads.limited", "requests", proven / THREADS_PER_REQUEST, "threads", running + room);
+            Log.warn(
+                    "threads.limited",
+                    "requests",
+                    proven / THREADS_PER_REQUEST,
+                    "threads",
+                    running + room);
         }
         limited = room < wanted;
         retryAt = System.nanoTime() + RETRY.toNanos();
@@ -145,7 +164,8 @@
         }
     }
 
-    private static void awaitThenEnd(CountDownLatch over, CountDownLatch ended) throws InterruptedException {
+    private static void awaitThenEnd(CountDownLatch over, CountDownLatch ended)
+            throws InterruptedException {
         try {
             over.await();
         } finally {
--- a/relay/src/main/java/saltstage/stage/Threads.java
+++ b/relay/src/main/java/saltstage/stage/Threads.java
@@ -4,11 +4,13 @@
 
 /** Platform threads with small stacks; none of them ends the relay, or ends unseen. */
 public final class Threads {
-    /** Two threads stand for each connection: the usual megabyte each is address space that nothing uses. */
+    /**
+     * Two threads stand for each connection: the usual megabyte each is address space that nothing
+     * uses.
+     */
     private static final long STACK_BYTES = 256 << 10;
 
-    private Threads() {
-    }
+    private Threads() {}
 
     /** What a thread does. */
     public interface Work {
--- a/relay/src/main/java/saltstage/store/Acknowledged.java
+++ b/relay/src/main/java/saltstage/store/Acknowledged.java
@@ -4,17 +4,20 @@
 import java.nio.ByteBuffer;
 
 /**
- * The file that says up to which number the store has acknowledged: a witness apart from the log, so that a
- * log whose end was damaged, or whose files were put back from an older day, is not taken for a shorter one.
- * It is written after a group is durable and before it is acknowledged, so it never says too much; it is
- * forced only when writing rests, so it may say too little after a loss of power. Of its two slots one is
- * always durable and left alone: a write that is cut off spoils the other only.
+ * The file that says up to which number the store has acknowledged: a witness apart from the log,
+ * so that a log whose end was damaged, or whose files were put back from an older day, is not taken
+ * for a shorter one. It is written after a group is durable and before it is acknowledged, so it
+ * never says too much; it is forced only when writing rests, so it may say too little after a loss
+ * of power. Of its two slots one is always durable and left alone: a write that is cut off spoils
+ * the other only.
  */
 final class Acknowledged {
     static final String NAME = "acked";
     static final String NEXT = "acked.tmp";
+
     /** Slots lie a sector apart: a sector is what a disk writes whole. */
     static final int SLOT = 512;
+
     static final int SIZE = 2 * SLOT;
     private static final long MAGIC = 0x53414c5441434b01L; // SALTACK, 1
     private static final int USED = 40;
@@ -51,7 +54,9 @@
         return new Acknowledged(disk.open(NAME, true), store, 0, seq);
     }
 
-    /** The last number acknowledged as far as the file says; a damaged or foreign file is refused. */
+    /**
+     * The last number acknowledged as far as the file says; a damaged or foreign file is refused.
+     */
     static long read(Disk disk, Frames.StoreId store) throws IOException {
         try (Disk.File file = disk.open(NAME, false)) {
             long[] slots = slots(file, store);
@@ -65,7 +70,8 @@
         boolean opened = false;
         try {
             long[] slots = slots(file, store);
-            // What the last run wrote may never have been forced: the slot that says more is not left alone.
+            // What the last run wrote may never have been forced: the slot that says more is not
+            // left alone.
             Acknowledged made = new Acknowledged(file, store, slots[0] >= slots[1] ? 0 : 1, seq);
             made.put();
             made.settle();
@@ -82,8 +88,9 @@
     static long saidByAny(Disk.File file) throws IOException {
         ByteBuffer first = slot(file, 0);
         ByteBuffer second = slot(file, 1);
-        return Math.max(first == null ? -1 : first.getLong(SEQ_AT),
-            second == null ? -1 : second.getLong(SEQ_AT));
+        return Math.max(
+                first == null ? -1 : first.getLong(SEQ_AT),
+                second == null ? -1 : second.getLong(SEQ_AT));
     }
 
     /** Says that this number is durable; under the write lock, before anybody is told. */
@@ -92,7 +99,10 @@
         put();
     }
 
-    /** Makes what was said durable where writing has rested since the last call; under the write lock. */
+    /**
+     * Makes what was said durable where writing has rested since the last call; under the write
+     * lock.
+     */
     void rest() throws IOException {
         if (settledAt != seq) {
             settle();
@@ -118,8 +128,14 @@
 
     private static byte[] encoded(Frames.StoreId store, long seq) {
         ByteBuffer slot = ByteBuffer.allocate(USED);
-        slot.putLong(MAGIC).putShort(Frames.FORMAT).putShort((short) 0).putInt(0).putLong(store.high())
-            .putLong(store.low()).putLong(seq).flip();
+        slot.putLong(MAGIC)
+                .putShort(Frames.FORMAT)
+                .putShort((short) 0)
+                .putInt(0)
+                .putLong(store.high())
+                .putLong(store.low())
+                .putLong(seq)
+                .flip();
         slot.putInt(CRC_AT, Frames.crcAround(slot, CRC_AT));
         return slot.array();
     }
@@ -137,8 +153,10 @@
     /** What each slot says; -1 for one that a write was cut off in, which never happens to both. */
     private static long[] slots(Disk.File file, Frames.StoreId store) throws IOException {
         if (file.size() != SIZE) {
-            throw new StoreException.Damaged(NAME, Math.min(file.size(), SIZE), "the file is " + file.size()
-                + " bytes long; " + SIZE + " were taken for it");
+            throw new StoreException.Damaged(
+                    NAME,
+                    Math.min(file.size(), SIZE),
+                    "the file is " + file.size() + " bytes long; " + SIZE + " were taken for it");
         }
         long[] said = {-1, -1};
         for (int i = 0; i < 2; i++) {
@@ -147,11 +165,17 @@
                 continue;
             }
             if (in.getShort(8) != Frames.FORMAT) {
-                throw new StoreException(NAME + ": format " + in.getShort(8) + " is not known; "
-                    + Frames.FORMAT + " is");
+                throw new StoreException(
+                        NAME
+                                + ": format "
+                                + in.getShort(8)
+                                + " is not known; "
+                                + Frames.FORMAT
+                                + " is");
             }
             if (in.getLong(16) != store.high() || in.getLong(24) != store.low()) {
-                throw new StoreException.Damaged(NAME, (long) i * SLOT + 16, "it belongs to another store");
+                throw new StoreException.Damaged(
+                        NAME, (long) i * SLOT + 16, "it belongs to another store");
             }
             said[i] = in.getLong(SEQ_AT);
         }
--- a/relay/src/main/java/saltstage/store/Batch.java
+++ b/relay/src/main/java/saltstage/store/Batch.java
@@ -3,12 +3,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Puts and deletes that happen together or not at all, on conditions; for one use by one thread. */
+/**
+ * Puts and deletes that happen together or not at all, on conditions; for one use by one thread.
+ */
 public final class Batch {
     /** The longest key, in bytes; the shortest has one. */
     public static final int MOST_KEY = 4 << 10;
+
     /** The longest value, in bytes. */
     public static final int MOST_VALUE = 16 << 20;
+
     /** The most that a batch may hold, in bytes as the log has it. */
     public static final int MOST_BYTES = 32 << 20;
 
@@ -20,7 +24,7 @@
     }
 
     /** The version that a key must have; 0: it must not be there. */
-    record Expected(byte[] key, long version) { }
+    record Expected(byte[] key, long version) {}
 
     private final List<Change> changes = new ArrayList<>();
     private final List<Expected> expected = new ArrayList<>();
@@ -29,8 +33,8 @@
     /** Sets a key's value. */
     public Batch put(byte[] key, byte[] value) {
         if (value.length > MOST_VALUE) {
-            throw new IllegalArgumentException("value of " + value.length + " bytes; " + MOST_VALUE
-                + " is the most");
+            throw new IllegalArgumentException(
+                    "value of " + value.length + " bytes; " + MOST_VALUE + " is the most");
         }
         return add(new Change(checked(key), value.clone()));
     }
@@ -57,8 +61,8 @@
 
     private static byte[] checked(byte[] key) {
         if (key.length == 0 || key.length > MOST_KEY) {
-            throw new IllegalArgumentException("key of " + key.length + " bytes; 1 to " + MOST_KEY
-                + " are allowed");
+            throw new IllegalArgumentException(
+                    "key of " + key.length + " bytes; 1 to " + MOST_KEY + " are allowed");
         }
         return key.clone();
     }
--- a/relay/src/main/java/saltstage/store/Core.java
+++ b/relay/src/main/java/saltstage/store/Core.java
@@ -6,28 +6,36 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Predicate;
 
-/** What the parts of an open store share. All but the view and the reason to have stopped is under a lock. */
+/**
+ * What the parts of an open store share. All but the view and the reason to have stopped is under a
+ * lock.
+ */
 final class Core {
     /** One state of the store that readers may hold: nothing in it changes. */
-    record View(Index index, SegmentSet set, long seq) { }
+    record View(Index index, SegmentSet set, long seq) {}
 
     final Disk disk;
     final StoreOptions options;
     final StoreEvents events;
+
     /**
-     * Held by whoever writes the log, changes the set of segments or publishes a manifest. Fair: a compaction
-     * that comes again at once must not keep the writers out.
+     * Held by whoever writes the log, changes the set of segments or publishes a manifest. Fair: a
+     * compaction that comes again at once must not keep the writers out.
      */
     final ReentrantLock writing = new ReentrantLock(true);
+
     private volatile View view;
     private volatile StoreException.Stopped stopped;
     private volatile boolean full;
     Manifest manifest;
     Segment active;
+
     /** What says how far was acknowledged; null where the store is read only. */
     Acknowledged acknowledged;
+
     long nextSeq;
     long nextId;
+
     /** Bytes of log since the checkpoint in force. */
     long logSince;
 
@@ -96,12 +104,19 @@
     }
 
     /**
-     * Puts a manifest with these segments and checkpoint in force; under the write lock. What fails before
-     * the rename leaves the old one in force and is passed on; from the rename on it stops the store.
+     * Puts a manifest with these segments and checkpoint in force; under the write lock. What fails
+     * before the rename leaves the old one in force and is passed on; from the rename on it stops
+     * the store.
      */
     void publish(List<Manifest.Part> parts, Manifest.CheckpointRef checkpoint) throws IOException {
-        Manifest next = new Manifest(Manifest.FORMAT, manifest.store(), manifest.generation() + 1, nextId,
-            checkpoint, parts);
+        Manifest next =
+                new Manifest(
+                        Manifest.FORMAT,
+                        manifest.store(),
+                        manifest.generation() + 1,
+                        nextId,
+                        checkpoint,
+                        parts);
         next.prepare(disk);
         try {
             Manifest.publish(disk);
@@ -117,9 +132,15 @@
         for (Segment segment : set.all()) {
             if (!leaveOut.test(segment)) {
                 boolean sealed = segment != active;
-                parts.add(new Manifest.Part(segment.id(), segment.header().kind(), sealed,
-                    segment.header().size(), sealed ? segment.used() : 0, segment.header().baseSeq(),
-                    sealed ? lastSeq(segment) : 0));
+                parts.add(
+                        new Manifest.Part(
+                                segment.id(),
+                                segment.header().kind(),
+                                sealed,
+                                segment.header().size(),
+                                sealed ? segment.used() : 0,
+                                segment.header().baseSeq(),
+                                sealed ? lastSeq(segment) : 0));
             }
         }
         return parts;
--- a/relay/src/main/java/saltstage/store/Disk.java
+++ b/relay/src/main/java/saltstage/store/Disk.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * One directory of files, as the store uses it: the seam at which tests crash, tear, fail and fill. What is
- * written is durable only after {@link File#force}; a created, renamed or deleted name only after
- * {@link #syncDirectory}. Until then any part of it may survive a crash, in any order.
+ * One directory of files, as the store uses it: the seam at which tests crash, tear, fail and fill.
+ * What is written is durable only after {@link File#force}; a created, renamed or deleted name only
+ * after {@link #syncDirectory}. Until then any part of it may survive a crash, in any order.
  */
 public interface Disk {
     /** No room is left; everything that was there still is. */
@@ -23,13 +23,21 @@
 
     /** An open file. */
     interface File extends Closeable {
-        /** Reads at this position until the buffer is full or the file ends; returns the bytes read. */
+        /**
+         * Reads at this position until the buffer is full or the file ends; returns the bytes read.
+         */
         int read(ByteBuffer into, long position) throws IOException;
 
-        /** Writes at this position; returns the bytes written, fewer than were there if it fell short. */
+        /**
+         * Writes at this position; returns the bytes written, fewer than were there if it fell
+         * short.
+         */
         int write(ByteBuffer from, long position) throws IOException;
 
-        /** Makes what was written durable. After a failure nothing may be assumed of any unforced write. */
+        /**
+         * Makes what was written durable. After a failure nothing may be assumed of any unforced
+         * write.
+         */
         void force() throws IOException;
 
         /** The length in bytes. */
--- a/relay/src/main/java/saltstage/store/FileDisk.java
+++ b/relay/src/main/java/saltstage/store/FileDisk.java
@@ -49,14 +49,20 @@
 
     @Override
     public File create(String name) throws IOException {
-        return told(() -> new Handle(dir.resolve(name), StandardOpenOption.CREATE_NEW,
-            StandardOpenOption.READ, StandardOpenOption.WRITE));
+        return told(
+                () ->
+                        new Handle(
+                                dir.resolve(name),
+                                StandardOpenOption.CREATE_NEW,
+                                StandardOpenOption.READ,
+                                StandardOpenOption.WRITE));
     }
 
     @Override
     public File open(String name, boolean toWrite) throws IOException {
-        return toWrite ? new Handle(dir.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE)
-            : new Handle(dir.resolve(name), StandardOpenOption.READ);
+        return toWrite
+                ? new Handle(dir.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE)
+                : new Handle(dir.resolve(name), StandardOpenOption.READ);
     }
 
     @Override
@@ -72,17 +78,19 @@
     @Override
     public void syncDirectory() throws IOException {
         try (Handle handle = new Handle(dir, StandardOpenOption.READ)) {
-            handle.use(open -> {
-                open.force(true);
-                return null;
-            });
+            handle.use(
+                    open -> {
+                        open.force(true);
+                        return null;
+                    });
         }
     }
 
     @Override
     public Closeable lock(String name) throws IOException {
-        FileChannel channel = FileChannel.open(dir.resolve(name), StandardOpenOption.CREATE,
-            StandardOpenOption.WRITE);
+        FileChannel channel =
+                FileChannel.open(
+                        dir.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock = null;
         try {
             lock = channel.tryLock();
@@ -116,8 +124,9 @@
     }
 
     /**
-     * An open file. The JDK closes a channel under a thread that is interrupted while it uses it; the store's
-     * files must not end with some caller's thread, so the channel is opened anew and the step done again.
+     * An open file. The JDK closes a channel under a thread that is interrupted while it uses it;
+     * the store's files must not end with some caller's thread, so the channel is opened anew and
+     * the step done again.
      */
     private static final class Handle implements File {
         private final Path path;
@@ -128,8 +137,10 @@
         Handle(Path path, OpenOption... options) throws IOException {
             this.path = path;
             channel = FileChannel.open(path, options);
-            again = java.util.Arrays.stream(options)
-                .filter(option -> option != StandardOpenOption.CREATE_NEW).toArray(OpenOption[]::new);
+            again =
+                    java.util.Arrays.stream(options)
+                            .filter(option -> option != StandardOpenOption.CREATE_NEW)
+                            .toArray(OpenOption[]::new);
         }
 
         private interface Use<T> {
@@ -146,7 +157,9 @@
                         return told(() -> use.with(open));
                     } catch (ClosedByInterruptException e) {
                         interrupted = true;
-                    } catch (ClosedChannelException e) { // another thread that uses it was interrupted
+                    } catch (
+                            ClosedChannelException
+                                    e) { // another thread that uses it was interrupted
                         if (isClosed()) {
                             throw e;
                         }
@@ -173,37 +186,40 @@
         @Override
         public int read(ByteBuffer into, long position) throws IOException {
             int start = into.position();
-            return use(open -> {
-                into.position(start);
-                while (into.hasRemaining()) {
-                    if (open.read(into, position + into.position() - start) < 0) {
-                        break;
-                    }
-                }
-                return into.position() - start;
-            });
+            return use(
+                    open -> {
+                        into.position(start);
+                        while (into.hasRemaining()) {
+                            if (open.read(into, position + into.position() - start) < 0) {
+                                break;
+                            }
+                        }
+                        return into.position() - start;
+                    });
         }
 
         @Override
         public int write(ByteBuffer from, long position) throws IOException {
             int start = from.position();
-            return use(open -> {
-                from.position(start);
-                while (from.hasRemaining()) {
-                    if (open.write(from, position + from.position() - start) <= 0) {
-                        break;
-                    }
-                }
-                return from.position() - start;
-            });
+            return use(
+                    open -> {
+                        from.position(start);
+                        while (from.hasRemaining()) {
+                            if (open.write(from, position + from.position() - start) <= 0) {
+                                break;
+                            }
+                        }
+                        return from.position() - start;
+                    });
         }
 
         @Override
         public void force() throws IOException {
-            use(open -> {
-                open.force(false);
-                return null;
-            });
+            use(
+                    open -> {
+                        open.force(false);
+                        return null;
+                    });
         }
 
         @Override
--- a/relay/src/main/java/saltstage/store/GroupCommit.java
+++ b/relay/src/main/java/saltstage/store/GroupCommit.java
@@ -6,8 +6,9 @@
 import java.util.Queue;
 
 /**
- * Lets writers share the price of a force. Whoever comes while nobody writes leads: it writes for all that
- * wait by then. Who comes meanwhile waits, and the first of them leads next. A lone writer pays no hand-over.
+ * Lets writers share the price of a force. Whoever comes while nobody writes leads: it writes for
+ * all that wait by then. Who comes meanwhile waits, and the first of them leads next. A lone writer
+ * pays no hand-over.
  */
 final class GroupCommit {
     /** The most bytes of one group: what waits behind it should not wait long. */
@@ -46,7 +47,7 @@
         synchronized (waiting) {
             int bytes = 0;
             while (!waiting.isEmpty()
-                && (group.isEmpty() || bytes + waiting.peek().batch().bytes() <= MOST_BYTES)) {
+                    && (group.isEmpty() || bytes + waiting.peek().batch().bytes() <= MOST_BYTES)) {
                 bytes += waiting.peek().batch().bytes();
                 group.add(waiting.remove());
             }
@@ -55,7 +56,8 @@
             sink.write(group);
         } catch (StoreException e) {
             group.forEach(pending -> pending.refuse(e));
-        } catch (RuntimeException | Error e) { // the others must not wait for ever for a leader that is gone
+        } catch (RuntimeException
+                | Error e) { // the others must not wait for ever for a leader that is gone
             StoreException fault = new StoreException("fault: " + e, e);
             group.forEach(pending -> pending.refuse(fault));
             throw e;
--- a/relay/src/main/java/saltstage/store/Index.java
+++ b/relay/src/main/java/saltstage/store/Index.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * Ordered keys to where their values stand: a tree that is never changed. A change gives a new tree that
- * shares all but the path to it, so a reader of an old one is never in a writer's way. Leaves pack their keys
- * into one array: an object a key would cost more than the key.
+ * Ordered keys to where their values stand: a tree that is never changed. A change gives a new tree
+ * that shares all but the path to it, so a reader of an old one is never in a writer's way. Leaves
+ * pack their keys into one array: an object a key would cost more than the key.
  */
 final class Index {
     static final Index EMPTY = new Index(null, 0);
@@ -115,8 +115,12 @@
         }
 
         static Leaf of(byte[] key, Place place) {
-            return new Leaf(key.clone(), new int[] {key.length}, new long[] {place.at()},
-                new long[] {place.version()}, new int[] {place.valueLength()});
+            return new Leaf(
+                    key.clone(),
+                    new int[] {key.length},
+                    new long[] {place.at()},
+                    new long[] {place.version()},
+                    new int[] {place.valueLength()});
         }
 
         private int start(int i) {
@@ -137,7 +141,9 @@
             int high = ends.length - 1;
             while (low <= high) {
                 int middle = (low + high) >>> 1;
-                int order = Arrays.compareUnsigned(keys, start(middle), ends[middle], key, 0, key.length);
+                int order =
+                        Arrays.compareUnsigned(
+                                keys, start(middle), ends[middle], key, 0, key.length);
                 if (order == 0) {
                     return middle;
                 }
@@ -195,8 +201,12 @@
             for (int j = to; j < n; j++) {
                 newEnds[j + 1] = ends[j] + key.length;
             }
-            return new Leaf(newKeys, newEnds, with(at, to, place.at()), with(version, to, place.version()),
-                with(length, to, place.valueLength()));
+            return new Leaf(
+                    newKeys,
+                    newEnds,
+                    with(at, to, place.at()),
+                    with(version, to, place.version()),
+                    with(length, to, place.valueLength()));
         }
 
         private static long[] with(long[] all, int to, long value) {
@@ -221,9 +231,12 @@
             for (int i = from; i < to; i++) {
                 newEnds[i - from] = ends[i] - shift;
             }
-            return new Leaf(Arrays.copyOfRange(keys, shift, ends[to - 1]), newEnds,
-                Arrays.copyOfRange(at, from, to), Arrays.copyOfRange(version, from, to),
-                Arrays.copyOfRange(length, from, to));
+            return new Leaf(
+                    Arrays.copyOfRange(keys, shift, ends[to - 1]),
+                    newEnds,
+                    Arrays.copyOfRange(at, from, to),
+                    Arrays.copyOfRange(version, from, to),
+                    Arrays.copyOfRange(length, from, to));
         }
 
         Leaf join(Leaf right) {
@@ -234,8 +247,12 @@
             }
             byte[] newKeys = Arrays.copyOf(keys, keys.length + right.keys.length);
             System.arraycopy(right.keys, 0, newKeys, keys.length, right.keys.length);
-            return new Leaf(newKeys, newEnds, both(at, right.at), both(version, right.version),
-                both(length, right.length));
+            return new Leaf(
+                    newKeys,
+                    newEnds,
+                    both(at, right.at),
+                    both(version, right.version),
+                    both(length, right.length));
         }
 
         private static long[] both(long[] a, long[] b) {
@@ -321,7 +338,8 @@
         }
 
         private static Branch part(Node[] children, byte[][] lows, int from, int to) {
-            return new Branch(Arrays.copyOfRange(children, from, to), Arrays.copyOfRange(lows, from, to));
+            return new Branch(
+                    Arrays.copyOfRange(children, from, to), Arrays.copyOfRange(lows, from, to));
         }
 
         @Override
@@ -357,7 +375,10 @@
             if (a.count() + b.count() > FILL) {
                 return this;
             }
-            Node one = a instanceof Leaf left ? left.join((Leaf) b) : join((Branch) a, (Branch) b, first);
+            Node one =
+                    a instanceof Leaf left
+                            ? left.join((Leaf) b)
+                            : join((Branch) a, (Branch) b, first);
             Branch fewer = without(first + 1);
             fewer.children[first] = one; // its own copy, seen by nobody yet
             return fewer;
@@ -497,7 +518,8 @@
             while (level.size() > 1) {
                 List<Node> above = new ArrayList<>();
                 for (int i = 0; i < level.size(); i += FILL) {
-                    Node[] children = level.subList(i, Math.min(level.size(), i + FILL)).toArray(Node[]::new);
+                    Node[] children =
+                            level.subList(i, Math.min(level.size(), i + FILL)).toArray(Node[]::new);
                     above.add(new Branch(children, lows(children)));
                 }
                 level = above;
--- a/relay/src/main/java/saltstage/store/LogWriter.java
+++ b/relay/src/main/java/saltstage/store/LogWriter.java
@@ -11,10 +11,11 @@
     private static final byte[] ZEROS = new byte[64 << 10];
 
     /**
-     * A segment made ready beforehand: filled, durable, and without a number. It gets that when it is begun:
-     * the log is read in the order of its segments' numbers, and others may have begun meanwhile.
+     * A segment made ready beforehand: filled, durable, and without a number. It gets that when it
+     * is begun: the log is read in the order of its segments' numbers, and others may have begun
+     * meanwhile.
      */
-    record Spare(String name, Disk.File file, long size) { }
+    record Spare(String name, Disk.File file, long size) {}
 
     private final Core core;
     private ByteBuffer buffer = ByteBuffer.allocateDirect(64 << 10);
@@ -44,7 +45,9 @@
         }
     }
 
-    /** Commits these, each whole or refused; what they wait for is set, and done or failed for each. */
+    /**
+     * Commits these, each whole or refused; what they wait for is set, and done or failed for each.
+     */
     void write(List<Pending> taken) throws StoreException {
         core.writing.lock();
         try {
@@ -110,8 +113,8 @@
         return null;
     }
 
-    private static void append(ByteBuffer out, Batch batch, long seq, long segment, long offset,
-            Effects effects) {
+    private static void append(
+            ByteBuffer out, Batch batch, long seq, long segment, long offset, Effects effects) {
         out.putInt(batch.changes().size());
         for (Batch.Change change : batch.changes()) {
             long at = Index.Place.at(segment, offset + out.position());
@@ -121,14 +124,18 @@
                 effects.index = effects.index.delete(change.key());
             } else {
                 Frames.entry(out, Frames.PUT, change.key(), change.value(), seq);
-                effects.index = effects.index.put(change.key(),
-                    new Index.Place(at, seq, change.value().length));
+                effects.index =
+                        effects.index.put(
+                                change.key(), new Index.Place(at, seq, change.value().length));
                 effects.added += change.bytes();
             }
         }
     }
 
-    /** A small group goes out with its mirror; behind a large one comes its mark, once it is durable. */
+    /**
+     * A small group goes out with its mirror; behind a large one comes its mark, once it is
+     * durable.
+     */
     private static void makeDurable(Segment segment, ByteBuffer out, Frames.Head head, long offset)
             throws IOException {
         boolean mirrored = head.total() <= Frames.MOST_MIRRORED;
@@ -173,12 +180,17 @@
         return buffer.clear();
     }
 
-    /** Goes on in a new segment with room for such a group; a full disk refuses, and may have room later. */
+    /**
+     * Goes on in a new segment with room for such a group; a full disk refuses, and may have room
+     * later.
+     */
     void roll(int groupTotal) throws StoreException {
         try {
             long need = Frames.HEADER + (long) Frames.room(groupTotal);
-            Spare ready = spare != null && spare.size() >= need ? spare
-                : prepare(Math.max(core.options.segmentBytes(), need));
+            Spare ready =
+                    spare != null && spare.size() >= need
+                            ? spare
+                            : prepare(Math.max(core.options.segmentBytes(), need));
             if (ready == spare) {
                 spare = null;
             }
@@ -196,14 +208,17 @@
 
     private void begin(Spare ready) throws IOException {
         long id = core.nextId++;
-        Frames.Header header = new Frames.Header(Frames.LOG_SEGMENT, core.manifest.store(), id, ready.size(),
-            core.nextSeq);
+        Frames.Header header =
+                new Frames.Header(
+                        Frames.LOG_SEGMENT, core.manifest.store(), id, ready.size(), core.nextSeq);
         ByteBuffer out = Frames.header(header);
         if (ready.file().write(out, 0) < Frames.HEADER) {
             throw new IOException("short write of a header");
         }
         ready.file().force();
-        ready.file().close(); // it is opened anew by the name that it keeps: an open file knows where it is
+        ready.file()
+                .close(); // it is opened anew by the name that it keeps: an open file knows where
+        // it is
         String name = Segment.name(id, Frames.LOG_SEGMENT);
         core.disk.rename(ready.name(), name);
         core.disk.syncDirectory(); // a manifest must not be durable before the names that are in it
@@ -244,8 +259,8 @@
     }
 
     /**
-     * A file of this size, filled with zeros: all its room is taken now, so that no commit in it can meet a
-     * full disk, its length no longer changes, and a file that is shorter has been cut.
+     * A file of this size, filled with zeros: all its room is taken now, so that no commit in it
+     * can meet a full disk, its length no longer changes, and a file that is shorter has been cut.
      */
     private Spare prepare(long wanted) throws IOException {
         long size = (wanted + Frames.ALIGN - 1) & -Frames.ALIGN;
@@ -258,7 +273,7 @@
         String name = String.format("%016x.tmp", id);
         Disk.File file = core.disk.create(name);
         try {
-            for (long at = 0; at < size;) {
+            for (long at = 0; at < size; ) {
                 int bytes = (int) Math.min(ZEROS.length, size - at);
                 if (file.write(ByteBuffer.wrap(ZEROS, 0, bytes), at) < bytes) {
                     throw new IOException("short write of " + name);
--- a/relay/src/main/java/saltstage/store/Maintenance.java
+++ b/relay/src/main/java/saltstage/store/Maintenance.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Checkpoints and compaction: one at a time, beside the writers. What lives in a segment worth emptying is
- * copied into new ones, the index is pointed there a few entries at a time, and a checkpoint with a manifest
- * of the new segments puts it in force; only then do the old files go. A crash anywhere finds the old
- * manifest with all that it names, or the new one.
+ * Checkpoints and compaction: one at a time, beside the writers. What lives in a segment worth
+ * emptying is copied into new ones, the index is pointed there a few entries at a time, and a
+ * checkpoint with a manifest of the new segments puts it in force; only then do the old files go. A
+ * crash anywhere finds the old manifest with all that it names, or the new one.
  */
 final class Maintenance {
     private static final int CHUNK = 128 << 10;
@@ -32,7 +32,7 @@
     }
 
     /** One entry that was copied. */
-    private record Moved(byte[] key, long from, Index.Place to) { }
+    private record Moved(byte[] key, long from, Index.Place to) {}
 
     /** What is due by the policy; a full disk or a file that cannot be written puts it off. */
     void tend() {
@@ -57,8 +57,10 @@
         core.writing.lock();
         try {
             core.mustBeOpen();
-            return core.view().set().all().stream().filter(s -> s != core.active)
-                .map(s -> new SpacePolicy.Sealed(s.id(), s.used() - Frames.HEADER, s.live())).toList();
+            return core.view().set().all().stream()
+                    .filter(s -> s != core.active)
+                    .map(s -> new SpacePolicy.Sealed(s.id(), s.used() - Frames.HEADER, s.live()))
+                    .toList();
         } finally {
             core.writing.unlock();
         }
@@ -74,7 +76,10 @@
         closing = now;
     }
 
-    /** Rewrites every segment with anything dead in it, as fast as it goes; returns the bytes copied. */
+    /**
+     * Rewrites every segment with anything dead in it, as fast as it goes; returns the bytes
+     * copied.
+     */
     long compactAll(LogWriter writer) throws IOException {
         running.lock();
         try {
@@ -82,7 +87,8 @@
             core.writing.lock();
             try {
                 core.mustBeOpen();
-                if (core.active.used() > Frames.HEADER && core.active.live() < core.active.used() / 2) {
+                if (core.active.used() > Frames.HEADER
+                        && core.active.live() < core.active.used() / 2) {
                     writer.roll(Frames.HEAD);
                 }
             } finally {
@@ -112,14 +118,25 @@
                 from = core.active.id();
                 offset = core.active.used();
                 log = core.logSince;
-                seen.set().all().stream().filter(s -> s != core.active && s.live() == 0).forEach(dead::add);
+                seen.set().all().stream()
+                        .filter(s -> s != core.active && s.live() == 0)
+                        .forEach(dead::add);
             } finally {
                 core.writing.unlock();
             }
             try {
                 Checkpoint.Written written = write(id, seen);
-                putInForce(new Manifest.CheckpointRef(id, seen.seq(), from, offset, written.bytes(),
-                    written.crc(), seen.index().size()), dead, log);
+                putInForce(
+                        new Manifest.CheckpointRef(
+                                id,
+                                seen.seq(),
+                                from,
+                                offset,
+                                written.bytes(),
+                                written.crc(),
+                                seen.index().size()),
+                        dead,
+                        log);
             } finally {
                 seen.set().leave();
             }
@@ -132,8 +149,14 @@
         String name = Checkpoint.name(id);
         boolean done = false;
         try (Disk.File file = core.disk.create(name)) {
-            Checkpoint.Written written = Checkpoint.write(file, core.manifest.store(), id, seen.seq(),
-                seen.index(), bytes -> goOn());
+            Checkpoint.Written written =
+                    Checkpoint.write(
+                            file,
+                            core.manifest.store(),
+                            id,
+                            seen.seq(),
+                            seen.index(),
+                            bytes -> goOn());
             core.disk.syncDirectory();
             done = true;
             return written;
@@ -158,7 +181,8 @@
         }
     }
 
-    private void putInForce(Manifest.CheckpointRef ref, Set<Segment> dead, long log) throws IOException {
+    private void putInForce(Manifest.CheckpointRef ref, Set<Segment> dead, long log)
+            throws IOException {
         Manifest.CheckpointRef before = core.manifest.checkpoint();
         core.writing.lock();
         try {
@@ -167,7 +191,8 @@
             }
             SegmentSet set = core.view().set();
             core.publish(core.parts(set, dead::contains), ref);
-            dead.forEach(Segment::doom); // before their last reader, who may be the one below, lets go
+            dead.forEach(
+                    Segment::doom); // before their last reader, who may be the one below, lets go
             core.logSince -= log;
             if (!dead.isEmpty()) {
                 core.show(new Core.View(core.view().index(), set.without(dead), core.view().seq()));
@@ -205,8 +230,8 @@
     /** Copies what lives into new segments. */
     private final class Copier {
         private final RateLimit limit;
-        private final ByteBuffer chunk = ByteBuffer.allocate(CHUNK + Frames.HEAD + Frames.BATCH_HEAD
-            + Frames.ALIGN);
+        private final ByteBuffer chunk =
+                ByteBuffer.allocate(CHUNK + Frames.HEAD + Frames.BATCH_HEAD + Frames.ALIGN);
         private List<Moved> inChunk = new ArrayList<>();
         private final List<Moved> moved = new ArrayList<>();
         private Disk.File out;
@@ -219,13 +244,14 @@
 
         void empty(Segment victim) throws IOException {
             SegmentReader reader = new SegmentReader(victim);
-            for (long at = Frames.HEADER; at < victim.used();) {
+            for (long at = Frames.HEADER; at < victim.used(); ) {
                 SegmentReader.Found found = reader.at(at);
                 if (found == null) {
                     throw new StoreException.Damaged(victim.name(), at, "no sound record");
                 }
                 if (found.head().kind() == Frames.GROUP || found.head().kind() == Frames.COPY) {
-                    reader.entries(found, (entry, batch, offset, raw) -> take(victim, entry, offset, raw));
+                    reader.entries(
+                            found, (entry, batch, offset, raw) -> take(victim, entry, offset, raw));
                 }
                 pause(found.head().total());
                 at = found.end();
@@ -241,8 +267,11 @@
             }
             if (raw.remaining() > CHUNK) {
                 flush();
-                write(ByteBuffer.allocate(raw.remaining() + Frames.HEAD + Frames.BATCH_HEAD + Frames.ALIGN),
-                    List.of(raw), List.of(new Moved(entry.key(), from, place)));
+                write(
+                        ByteBuffer.allocate(
+                                raw.remaining() + Frames.HEAD + Frames.BATCH_HEAD + Frames.ALIGN),
+                        List.of(raw),
+                        List.of(new Moved(entry.key(), from, place)));
                 return;
             }
             if (chunk.position() == 0) {
@@ -262,7 +291,8 @@
             into.putInt(0);
         }
 
-        private void write(ByteBuffer into, List<ByteBuffer> entries, List<Moved> of) throws IOException {
+        private void write(ByteBuffer into, List<ByteBuffer> entries, List<Moved> of)
+                throws IOException {
             begin(into);
             entries.forEach(into::put);
             write(into, of);
@@ -278,7 +308,8 @@
 
         /** Writes a frame of entries; where each of them now stands is known from here on. */
         private void write(ByteBuffer frame, List<Moved> of) throws IOException {
-            if (out != null && end + frame.position() + Frames.ALIGN > core.options.segmentBytes()) {
+            if (out != null
+                    && end + frame.position() + Frames.ALIGN > core.options.segmentBytes()) {
                 finishSegment();
             }
             if (out == null) {
@@ -292,8 +323,14 @@
             }
             long at = end + Frames.HEAD + Frames.BATCH_HEAD;
             for (Moved entry : of) {
-                moved.add(new Moved(entry.key(), entry.from(), new Index.Place(Index.Place.at(id, at),
-                    entry.to().version(), entry.to().valueLength())));
+                moved.add(
+                        new Moved(
+                                entry.key(),
+                                entry.from(),
+                                new Index.Place(
+                                        Index.Place.at(id, at),
+                                        entry.to().version(),
+                                        entry.to().valueLength())));
                 at += Frames.ENTRY_HEAD + entry.key().length + entry.to().valueLength();
             }
             end += bytes;
@@ -322,11 +359,13 @@
 
         /** Completes a segment of copies, and points the index into it. */
         private void finishSegment() throws IOException {
-            Frames.Header header = new Frames.Header(Frames.COPY_SEGMENT, core.manifest.store(), id, end, 0);
+            Frames.Header header =
+                    new Frames.Header(Frames.COPY_SEGMENT, core.manifest.store(), id, end, 0);
             if (out.write(Frames.header(header), 0) < Frames.HEADER) {
                 throw new IOException("short write of " + name());
             }
-            out.force(); // its name becomes durable with that of the checkpoint which points into it
+            out.force(); // its name becomes durable with that of the checkpoint which points
+            // into it
             Segment segment = new Segment(core.disk, name(), out, header);
             segment.used(end);
             out = null;
@@ -383,7 +422,9 @@
                 return;
             }
             long until = System.nanoTime() + limit.take(bytes, System.nanoTime());
-            for (long left = until - System.nanoTime(); left > 0; left = until - System.nanoTime()) {
+            for (long left = until - System.nanoTime();
+                    left > 0;
+                    left = until - System.nanoTime()) {
                 goOn();
                 LockSupport.parkNanos(Math.min(left, LONGEST_PAUSE));
             }
--- a/relay/src/main/java/saltstage/store/Pending.java
+++ b/relay/src/main/java/saltstage/store/Pending.java
@@ -40,7 +40,10 @@
         LockSupport.unpark(thread);
     }
 
-    /** Waits to be done, or to lead: true. An interrupt is kept for later: the batch is out of our hands. */
+    /**
+     * Waits to be done, or to lead: true. An interrupt is kept for later: the batch is out of our
+     * hands.
+     */
     boolean awaitTurn() {
         boolean interrupted = false;
         while (state == WAITS) {
--- a/relay/src/main/java/saltstage/store/RateLimit.java
+++ b/relay/src/main/java/saltstage/store/RateLimit.java
@@ -1,6 +1,8 @@
 package saltstage.store;
 
-/** A budget of bytes a second with a burst of a tenth of that; pure, its time comes with the calls. */
+/**
+ * A budget of bytes a second with a burst of a tenth of that; pure, its time comes with the calls.
+ */
 final class RateLimit {
     private static final double SECOND = 1e9;
     private static final int BURSTS = 10;
--- a/relay/src/main/java/saltstage/store/Recovery.java
+++ b/relay/src/main/java/saltstage/store/Recovery.java
@@ -18,6 +18,7 @@
     private final List<Segment> segments = new ArrayList<>();
     private Index index = Index.EMPTY;
     private long nextSeq;
+
     /** The last number that is known to have been acknowledged; -1 where nothing says so. */
     private long acknowledged = -1;
 
@@ -38,14 +39,17 @@
             names = core.disk.list();
         }
         try {
-            // A writer goes on beside a reader: what was acknowledged is read before what must hold it.
+            // A writer goes on beside a reader: what was acknowledged is read before what must hold
+            // it.
             manifest = Manifest.read(core.disk);
             readAcknowledged(names);
             manifest = Manifest.read(core.disk);
             openParts(names);
             List<String> leftovers = toWrite ? leftovers(names) : List.of();
-            index = manifest.checkpoint().id() == 0 ? Index.EMPTY
-                : Checkpoint.read(core.disk, manifest.store(), manifest.checkpoint());
+            index =
+                    manifest.checkpoint().id() == 0
+                            ? Index.EMPTY
+                            : Checkpoint.read(core.disk, manifest.store(), manifest.checkpoint());
             nextSeq = manifest.checkpoint().seq() + 1;
             replay();
             for (String name : leftovers) { // only once all else has turned out sound
@@ -79,17 +83,23 @@
         }
         for (String name : names) {
             if (name.endsWith(".index") || name.endsWith(".copy")) {
-                throw new StoreException.Damaged(Manifest.NAME, 0, "the file is missing, but " + name
-                    + " is there");
+                throw new StoreException.Damaged(
+                        Manifest.NAME, 0, "the file is missing, but " + name + " is there");
             }
             if (name.endsWith(".log")) {
                 try (Disk.File file = core.disk.open(name, false)) {
                     Frames.Header header = readHeader(name, file);
                     Segment segment = new Segment(core.disk, name, file, header);
-                    if (new SegmentReader(segment).at(Frames.HEADER) != null || header.baseSeq() != 1
-                        || !new SegmentReader(segment).tail(Frames.HEADER, 1).evidence().restIsZero()) {
-                        throw new StoreException.Damaged(Manifest.NAME, 0, "the file is missing, but " + name
-                            + " holds records");
+                    if (new SegmentReader(segment).at(Frames.HEADER) != null
+                            || header.baseSeq() != 1
+                            || !new SegmentReader(segment)
+                                    .tail(Frames.HEADER, 1)
+                                    .evidence()
+                                    .restIsZero()) {
+                        throw new StoreException.Damaged(
+                                Manifest.NAME,
+                                0,
+                                "the file is missing, but " + name + " holds records");
                     }
                 }
                 core.disk.delete(name);
@@ -102,8 +112,14 @@
         try (Disk.File file = core.disk.open(Acknowledged.NAME, false)) {
             long said = Acknowledged.saidByAny(file);
             if (said > 0) {
-                throw new StoreException.Damaged(Manifest.NAME, 0, "the file is missing, but "
-                    + Acknowledged.NAME + " says that record " + said + " was acknowledged");
+                throw new StoreException.Damaged(
+                        Manifest.NAME,
+                        0,
+                        "the file is missing, but "
+                                + Acknowledged.NAME
+                                + " says that record "
+                                + said
+                                + " was acknowledged");
             }
         }
         core.disk.delete(Acknowledged.NAME);
@@ -114,7 +130,8 @@
         SecureRandom random = new SecureRandom();
         Frames.StoreId id = new Frames.StoreId(random.nextLong(), random.nextLong());
         Acknowledged.create(core.disk, id, 0).close();
-        core.manifest = new Manifest(Manifest.FORMAT, id, 0, 1, Manifest.CheckpointRef.NONE, List.of());
+        core.manifest =
+                new Manifest(Manifest.FORMAT, id, 0, 1, Manifest.CheckpointRef.NONE, List.of());
         core.nextId = 1;
         core.nextSeq = 1;
         core.show(new Core.View(Index.EMPTY, new SegmentSet(List.of()), 0));
@@ -148,7 +165,8 @@
             }
         }
         if (manifest.checkpoint().id() != 0 && !names.contains(manifest.checkpoint().name())) {
-            throw new StoreException.Damaged(manifest.checkpoint().name(), 0, "the file is missing");
+            throw new StoreException.Damaged(
+                    manifest.checkpoint().name(), 0, "the file is missing");
         }
         if (manifest.parts().stream().filter(part -> !part.sealed()).count() != 1) {
             throw new StoreException.Damaged(Manifest.NAME, 0, "not one segment is open");
@@ -163,19 +181,26 @@
 
     private void check(Manifest.Part part, Frames.Header header, long size) throws StoreException {
         if (!header.store().equals(manifest.store())) {
-            throw new StoreException.Damaged(part.name(), 16, "the segment belongs to another store");
+            throw new StoreException.Damaged(
+                    part.name(), 16, "the segment belongs to another store");
         }
-        if (header.id() != part.id() || header.kind() != part.kind() || header.size() != part.size()
-            || header.baseSeq() != part.baseSeq()) {
+        if (header.id() != part.id()
+                || header.kind() != part.kind()
+                || header.size() != part.size()
+                || header.baseSeq() != part.baseSeq()) {
             throw new StoreException.Damaged(part.name(), 32, "not the segment of the manifest");
         }
         if (size != part.size()) {
-            throw new StoreException.Damaged(part.name(), Math.min(size, part.size()), "the file is " + size
-                + " bytes long; " + part.size() + " were taken for it");
+            throw new StoreException.Damaged(
+                    part.name(),
+                    Math.min(size, part.size()),
+                    "the file is " + size + " bytes long; " + part.size() + " were taken for it");
         }
     }
 
-    /** What an unfinished or finished step left; what could hold acknowledged records is refused. */
+    /**
+     * What an unfinished or finished step left; what could hold acknowledged records is refused.
+     */
     private List<String> leftovers(List<String> names) throws IOException {
         Set<String> known = new HashSet<>(List.of(Manifest.NAME, Acknowledged.NAME, LOCK));
         List<String> left = new ArrayList<>();
@@ -188,8 +213,9 @@
             if (name.matches("[0-9a-f]{16}\\.(log|copy)")) {
                 refuseUnlessLeft(name);
             }
-            if (name.matches("[0-9a-f]{16}\\.(log|copy|index|tmp)") || name.equals(Manifest.NEXT)
-                || name.equals(Acknowledged.NEXT)) {
+            if (name.matches("[0-9a-f]{16}\\.(log|copy|index|tmp)")
+                    || name.equals(Manifest.NEXT)
+                    || name.equals(Acknowledged.NEXT)) {
                 left.add(name);
             }
         }
@@ -197,11 +223,13 @@
     }
 
     /**
-     * A log segment that the manifest does not know yet is empty; else the manifest is older than the log.
+     * A log segment that the manifest does not know yet is empty; else the manifest is older than
+     * the log.
      */
     private void refuseUnlessLeft(String name) throws IOException {
-        boolean newer = name.endsWith(".log")
-            && Long.parseUnsignedLong(name.substring(0, 16), 16) >= manifest.nextId();
+        boolean newer =
+                name.endsWith(".log")
+                        && Long.parseUnsignedLong(name.substring(0, 16), 16) >= manifest.nextId();
         try (Disk.File file = core.disk.open(name, false)) {
             Frames.Header header;
             try {
@@ -215,10 +243,14 @@
             if (!header.store().equals(manifest.store())) {
                 throw new StoreException.Damaged(name, 16, "the segment belongs to another store");
             }
-            if (newer && new SegmentReader(new Segment(core.disk, name, file,
-                header)).at(Frames.HEADER) != null) {
-                throw new StoreException.Damaged(name, Frames.HEADER,
-                    "the segment has records, but the manifest does not know it");
+            if (newer
+                    && new SegmentReader(new Segment(core.disk, name, file, header))
+                                    .at(Frames.HEADER)
+                            != null) {
+                throw new StoreException.Damaged(
+                        name,
+                        Frames.HEADER,
+                        "the segment has records, but the manifest does not know it");
             }
         }
     }
@@ -233,9 +265,10 @@
             }
             long start = part.id() == from ? manifest.checkpoint().replayOffset() : Frames.HEADER;
             if (part.id() != from && part.baseSeq() != nextSeq) {
-                throw new StoreException.Damaged(part.name(), 48, "begins with record " + part.baseSeq()
-                    + "; "
-                    + nextSeq + " was to come");
+                throw new StoreException.Damaged(
+                        part.name(),
+                        48,
+                        "begins with record " + part.baseSeq() + "; " + nextSeq + " was to come");
             }
             if (part.sealed()) {
                 replaySealed(segment, part, start);
@@ -256,16 +289,20 @@
             at = found.end();
         }
         if (at != part.used() || nextSeq != part.lastSeq() + 1) {
-            throw new StoreException.Damaged(part.name(), at, "ends with record " + (nextSeq - 1) + "; "
-                + part.lastSeq() + " was sealed");
+            throw new StoreException.Damaged(
+                    part.name(),
+                    at,
+                    "ends with record " + (nextSeq - 1) + "; " + part.lastSeq() + " was sealed");
         }
     }
 
     /** Reads and applies the group that must come next; null where there is no sound one. */
     private SegmentReader.Found next(SegmentReader reader, long at) throws IOException {
         SegmentReader.Found found = reader.at(at);
-        if (found == null || found.head().kind() != Frames.GROUP || found.head().firstSeq() != nextSeq
-            || found.head().count() < 1) {
+        if (found == null
+                || found.head().kind() != Frames.GROUP
+                || found.head().firstSeq() != nextSeq
+                || found.head().count() < 1) {
             return null;
         }
         apply(reader, found.payload().duplicate(), found.head(), at + Frames.HEAD);
@@ -275,16 +312,31 @@
     private void apply(SegmentReader reader, ByteBuffer payload, Frames.Head head, long offset)
             throws IOException {
         long segment = reader.segmentId();
-        reader.entries(payload, head, offset, (entry, batch, at, raw) -> {
-            long seq = head.firstSeq() + batch;
-            if (entry.version() != seq) {
-                throw new StoreException.Damaged(reader.name(), at, "the entry is of record "
-                    + entry.version() + ", its group of " + seq);
-            }
-            index = entry.op() == Frames.DELETE ? index.delete(entry.key())
-                : index.put(entry.key(), new Index.Place(Index.Place.at(segment, at), seq,
-                    entry.valueLength()));
-        });
+        reader.entries(
+                payload,
+                head,
+                offset,
+                (entry, batch, at, raw) -> {
+                    long seq = head.firstSeq() + batch;
+                    if (entry.version() != seq) {
+                        throw new StoreException.Damaged(
+                                reader.name(),
+                                at,
+                                "the entry is of record "
+                                        + entry.version()
+                                        + ", its group of "
+                                        + seq);
+                    }
+                    index =
+                            entry.op() == Frames.DELETE
+                                    ? index.delete(entry.key())
+                                    : index.put(
+                                            entry.key(),
+                                            new Index.Place(
+                                                    Index.Place.at(segment, at),
+                                                    seq,
+                                                    entry.valueLength()));
+                });
         nextSeq += head.count();
     }
 
@@ -302,16 +354,19 @@
             }
             SegmentReader.Tail tail = reader.tail(at, nextSeq);
             TailJudge.Verdict verdict = TailJudge.judge(tail.evidence(), acknowledged >= nextSeq);
-            if (verdict == TailJudge.Verdict.REFUSE || verdict == TailJudge.Verdict.RESTORE
-                && restored == at) {
-                throw new StoreException.Damaged(segment.name(), at, "record " + nextSeq
-                    + " was acknowledged and cannot be read");
+            if (verdict == TailJudge.Verdict.REFUSE
+                    || verdict == TailJudge.Verdict.RESTORE && restored == at) {
+                throw new StoreException.Damaged(
+                        segment.name(),
+                        at,
+                        "record " + nextSeq + " was acknowledged and cannot be read");
             }
             if (verdict != TailJudge.Verdict.RESTORE) {
                 settle(segment, last, at, tail, verdict);
                 break;
             }
-            core.events.tell("store.restored", "file", segment.name(), "offset", at, "record", nextSeq);
+            core.events.tell(
+                    "store.restored", "file", segment.name(), "offset", at, "record", nextSeq);
             restored = at; // a disk that does not take it is not asked for ever
             at = restore(segment, reader, tail.mirror(), at);
             reader = new SegmentReader(segment);
@@ -322,14 +377,17 @@
         segment.used(at);
     }
 
-    /** Puts a damaged group back from its mirror; where nothing may be written it is read from there. */
+    /**
+     * Puts a damaged group back from its mirror; where nothing may be written it is read from
+     * there.
+     */
     private long restore(Segment segment, SegmentReader reader, SegmentReader.Found mirror, long at)
             throws IOException {
         ByteBuffer copy = mirror.payload().duplicate().position(Frames.MIRROR_HEAD).slice();
         Frames.Head head = Frames.frame(copy.duplicate(), segment.seed(), at);
         if (head == null || head.kind() != Frames.GROUP || head.firstSeq() != nextSeq) {
-            throw new StoreException.Damaged(segment.name(), mirror.offset(),
-                "the mirror holds another record");
+            throw new StoreException.Damaged(
+                    segment.name(), mirror.offset(), "the mirror holds another record");
         }
         if (toWrite) {
             ByteBuffer out = copy.duplicate();
@@ -340,17 +398,34 @@
             segment.file().force();
             return at;
         }
-        apply(reader, copy.position(Frames.HEAD).limit(Frames.HEAD + head.length()).slice(), head,
-            mirror.offset() + Frames.HEAD + Frames.MIRROR_HEAD + Frames.HEAD);
+        apply(
+                reader,
+                copy.position(Frames.HEAD).limit(Frames.HEAD + head.length()).slice(),
+                head,
+                mirror.offset() + Frames.HEAD + Frames.MIRROR_HEAD + Frames.HEAD);
         return at + head.total();
     }
 
-    /** Clears what a cut-off write left, and puts the mirror or mark of the last group back behind it. */
-    private void settle(Segment segment, SegmentReader.Found last, long at, SegmentReader.Tail tail,
-            TailJudge.Verdict verdict) throws IOException {
+    /**
+     * Clears what a cut-off write left, and puts the mirror or mark of the last group back behind
+     * it.
+     */
+    private void settle(
+            Segment segment,
+            SegmentReader.Found last,
+            long at,
+            SegmentReader.Tail tail,
+            TailJudge.Verdict verdict)
+            throws IOException {
         if (verdict == TailJudge.Verdict.TORN) {
-            core.events.tell("store.torn", "file", segment.name(), "offset", at, "length",
-                tail.nonZero() - at);
+            core.events.tell(
+                    "store.torn",
+                    "file",
+                    segment.name(),
+                    "offset",
+                    at,
+                    "length",
+                    tail.nonZero() - at);
         }
         if (!toWrite || tail.evidence().mirrorOrMarkOfLast() || last == null) {
             if (toWrite && verdict == TailJudge.Verdict.TORN) {
@@ -359,7 +434,8 @@
             return;
         }
         clear(segment, at, tail.nonZero());
-        ByteBuffer out = ByteBuffer.allocate(last.head().total() + Frames.behind(last.head().total()));
+        ByteBuffer out =
+                ByteBuffer.allocate(last.head().total() + Frames.behind(last.head().total()));
         out.limit(last.head().total());
         segment.file().read(out, last.offset());
         out.limit(out.capacity()).position(last.head().total());
@@ -386,12 +462,14 @@
 
     private void finish() throws IOException {
         SegmentSet set = new SegmentSet(segments);
-        for (Index.Cursor cursor = index.cursor(null); cursor.advance();) {
+        for (Index.Cursor cursor = index.cursor(null); cursor.advance(); ) {
             Index.Place place = cursor.place();
             Segment segment = set.get(place.segment());
             if (segment == null) {
-                throw new StoreException.Damaged(manifest.checkpoint().name(), 0,
-                    "an entry points to a segment that is not there");
+                throw new StoreException.Damaged(
+                        manifest.checkpoint().name(),
+                        0,
+                        "an entry points to a segment that is not there");
             }
             segment.live(Frames.ENTRY_HEAD + cursor.key().length + place.valueLength());
         }
@@ -410,9 +488,12 @@
                 core.active = segment;
             }
             if (segment.header().kind() == Frames.LOG_SEGMENT
-                && segment.id() >= manifest.checkpoint().replayFrom()) {
-                core.logSince += segment.used() - (segment.id() == manifest.checkpoint().replayFrom()
-                    ? manifest.checkpoint().replayOffset() : Frames.HEADER);
+                    && segment.id() >= manifest.checkpoint().replayFrom()) {
+                core.logSince +=
+                        segment.used()
+                                - (segment.id() == manifest.checkpoint().replayFrom()
+                                        ? manifest.checkpoint().replayOffset()
+                                        : Frames.HEADER);
             }
         }
         core.show(new Core.View(index, set, nextSeq - 1));
--- a/relay/src/main/java/saltstage/store/Segment.java
+++ b/relay/src/main/java/saltstage/store/Segment.java
@@ -15,8 +15,13 @@
     private final Frames.Seed seed;
     private final AtomicInteger holders = new AtomicInteger();
     private volatile boolean doomed;
-    /** The end of the last frame, and the bytes of entries that the index points to; under the write lock. */
+
+    /**
+     * The end of the last frame, and the bytes of entries that the index points to; under the write
+     * lock.
+     */
     private long used = Frames.HEADER;
+
     private long live;
 
     Segment(Disk disk, String name, Disk.File file, Frames.Header header) {
@@ -79,9 +84,12 @@
             throw new StoreException.Damaged(name, offset, "the file ends in an entry");
         }
         Frames.Entry entry = Frames.entry(in.flip());
-        if (entry == null || entry.op() != Frames.PUT || entry.version() != place.version()
-            || !java.util.Arrays.equals(entry.key(), key)) {
-            throw new StoreException.Damaged(name, offset, "no sound entry where the index has one");
+        if (entry == null
+                || entry.op() != Frames.PUT
+                || entry.version() != place.version()
+                || !java.util.Arrays.equals(entry.key(), key)) {
+            throw new StoreException.Damaged(
+                    name, offset, "no sound entry where the index has one");
         }
         return java.util.Arrays.copyOfRange(in.array(), bytes - entry.valueLength(), bytes);
     }
