--- a/relay/src/main/java/saltstage/store/SegmentReader.java
+++ b/relay/src/main/java/saltstage/store/SegmentReader.java
@@ -3,7 +3,10 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** Reads a segment's frames through a window of memory; what is not a sound frame is null, never a guess. */
+/**
+ * Reads a segment's frames through a window of memory; what is not a sound frame is null, never a
+ * guess.
+ */
 final class SegmentReader {
     private static final int WINDOW = 1 << 20;
 
@@ -44,8 +47,9 @@
             return null;
         }
         int length = window.getInt((int) (offset - windowStart) + 8);
-        if (length < 0 || offset + Frames.HEAD + (long) length > size
-            || !load(offset, Frames.HEAD + length)) {
+        if (length < 0
+                || offset + Frames.HEAD + (long) length > size
+                || !load(offset, Frames.HEAD + length)) {
             return null;
         }
         ByteBuffer frame = window.duplicate();
@@ -55,7 +59,8 @@
             return null;
         }
         int payload = frame.position() + Frames.HEAD;
-        return new Found(head, offset, frame.limit(payload + head.length()).position(payload).slice());
+        return new Found(
+                head, offset, frame.limit(payload + head.length()).position(payload).slice());
     }
 
     private boolean load(long offset, int bytes) throws IOException {
@@ -76,7 +81,8 @@
     }
 
     /** Visits the entries of a payload whose first byte has this offset. */
-    void entries(ByteBuffer payload, Frames.Head head, long offset, Visitor visitor) throws IOException {
+    void entries(ByteBuffer payload, Frames.Head head, long offset, Visitor visitor)
+            throws IOException {
         for (int batch = 0; batch < head.count(); batch++) {
             int changes = payload.remaining() < Frames.BATCH_HEAD ? -1 : payload.getInt();
             for (int i = 0; i < changes; i++) {
@@ -85,20 +91,26 @@
                 if (entry == null) {
                     throw new StoreException.Damaged(segment.name(), offset + at, "no sound entry");
                 }
-                visitor.entry(entry, batch, offset + at,
-                    payload.duplicate().position(at).limit(payload.position()));
+                visitor.entry(
+                        entry,
+                        batch,
+                        offset + at,
+                        payload.duplicate().position(at).limit(payload.position()));
             }
             if (changes < 0) {
                 throw new StoreException.Damaged(segment.name(), offset, "a batch is cut");
             }
         }
         if (payload.hasRemaining()) {
-            throw new StoreException.Damaged(segment.name(), offset + payload.position(),
-                "bytes are left over");
+            throw new StoreException.Damaged(
+                    segment.name(), offset + payload.position(), "bytes are left over");
         }
     }
 
-    /** What stands from the first unreadable offset on, where the group of this number was to come next. */
+    /**
+     * What stands from the first unreadable offset on, where the group of this number was to come
+     * next.
+     */
     Tail tail(long from, long expected) throws IOException {
         boolean later = false;
         Found mirror = null;
@@ -113,25 +125,33 @@
                 continue;
             }
             nonZero = at + Frames.ALIGN;
-            Found found = window.getInt((int) (at - windowStart)) == Frames.FRAME_MAGIC ? at(at) : null;
+            Found found =
+                    window.getInt((int) (at - windowStart)) == Frames.FRAME_MAGIC ? at(at) : null;
             if (found == null) {
                 continue;
             }
             Frames.Head head = found.head();
-            boolean ofIt = head.firstSeq() == expected && found.payload().remaining() >= Frames.MIRROR_HEAD
-                && found.payload().getLong(0) == from;
+            boolean ofIt =
+                    head.firstSeq() == expected
+                            && found.payload().remaining() >= Frames.MIRROR_HEAD
+                            && found.payload().getLong(0) == from;
             later |= head.kind() == Frames.GROUP && head.firstSeq() >= expected;
             mark |= head.kind() == Frames.MARK && ofIt;
             mirror = head.kind() == Frames.MIRROR && ofIt ? found : mirror;
-            last |= at == from && (head.kind() == Frames.MIRROR || head.kind() == Frames.MARK)
-                && head.firstSeq() + head.count() == expected;
+            last |=
+                    at == from
+                            && (head.kind() == Frames.MIRROR || head.kind() == Frames.MARK)
+                            && head.firstSeq() + head.count() == expected;
         }
-        return new Tail(new TailJudge.Evidence(later, mirror != null, mark, nonZero == from, last), mirror,
-            nonZero);
+        return new Tail(
+                new TailJudge.Evidence(later, mirror != null, mark, nonZero == from, last),
+                mirror,
+                nonZero);
     }
 
     /**
-     * What {@link #tail} found; mirror is that of the unreadable group, and nonZero the end of what stands.
+     * What {@link #tail} found; mirror is that of the unreadable group, and nonZero the end of what
+     * stands.
      */
-    record Tail(TailJudge.Evidence evidence, Found mirror, long nonZero) { }
+    record Tail(TailJudge.Evidence evidence, Found mirror, long nonZero) {}
 }
--- a/relay/src/main/java/saltstage/store/Snapshot.java
+++ b/relay/src/main/java/saltstage/store/Snapshot.java
@@ -5,8 +5,8 @@
 import java.util.Arrays;
 
 /**
- * The store as it was at one moment, for as long as it is open; writers go on meanwhile. What it points to
- * stays on the disk until it is closed. For one thread at a time.
+ * The store as it was at one moment, for as long as it is open; writers go on meanwhile. What it
+ * points to stays on the disk until it is closed. For one thread at a time.
  */
 public final class Snapshot implements Closeable {
     private final Core.View view;
@@ -29,7 +29,9 @@
     /** A key's value, or null. */
     public byte[] get(byte[] key) throws IOException {
         Index.Place place = find(key);
-        return place == null ? null : view.set().get(place.segment()).value(place.offset(), key, place);
+        return place == null
+                ? null
+                : view.set().get(place.segment()).value(place.offset(), key, place);
     }
 
     /** A key's version, the number of the batch that put it; 0 where it is not there. */
@@ -49,7 +51,10 @@
         }
     }
 
-    /** The keys from one on, up to but without another, in order of their bytes; null: from or to the end. */
+    /**
+     * The keys from one on, up to but without another, in order of their bytes; null: from or to
+     * the end.
+     */
     public Scan scan(byte[] from, byte[] to) throws StoreException {
         check();
         return new Scan(view.index().cursor(from), to);
--- a/relay/src/main/java/saltstage/store/SpacePolicy.java
+++ b/relay/src/main/java/saltstage/store/SpacePolicy.java
@@ -8,14 +8,22 @@
 public final class SpacePolicy {
     /** A sealed segment with this much of it dead is worth the copying of the rest. */
     private static final double WORTH = 0.5;
+
     /** The least dead bytes, in segments, before anything is compacted by itself. */
     private static final int LEAST_DEAD = 2;
-    /** The most that one round copies, in segments, so that a round ends and space comes back soon. */
+
+    /**
+     * The most that one round copies, in segments, so that a round ends and space comes back soon.
+     */
     private static final int MOST_COPIED = 8;
+
     /** Log written since the last checkpoint, in segments, before the next. */
     private static final int CHECKPOINT_AFTER = 4;
 
-    /** One sealed segment: its number, the bytes that frames take in it, and those that are still live. */
+    /**
+     * One sealed segment: its number, the bytes that frames take in it, and those that are still
+     * live.
+     */
     public record Sealed(long id, long used, long live) {
         long dead() {
             return Math.max(0, used - live);
@@ -30,8 +38,8 @@
     }
 
     /**
-     * Whether the log behind the last checkpoint is long enough for a new one. A checkpoint holds the whole
-     * index; at most as much of it is written as of the log, whatever the number of keys.
+     * Whether the log behind the last checkpoint is long enough for a new one. A checkpoint holds
+     * the whole index; at most as much of it is written as of the log, whatever the number of keys.
      */
     public boolean checkpointDue(long logSince, long lastCheckpointBytes) {
         return logSince >= Math.max(CHECKPOINT_AFTER * segmentBytes, lastCheckpointBytes);
@@ -48,8 +56,9 @@
         }
         List<Sealed> order = new ArrayList<>(sealed);
         order.removeIf(s -> s.dead() < WORTH * s.used());
-        order.sort(Comparator.comparingDouble((Sealed s) -> (double) s.live() / Math.max(1, s.used()))
-            .thenComparingLong(Sealed::id));
+        order.sort(
+                Comparator.comparingDouble((Sealed s) -> (double) s.live() / Math.max(1, s.used()))
+                        .thenComparingLong(Sealed::id));
         List<Long> chosen = new ArrayList<>();
         long copied = 0;
         for (Sealed s : order) {
--- a/relay/src/main/java/saltstage/store/Store.java
+++ b/relay/src/main/java/saltstage/store/Store.java
@@ -6,8 +6,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * An open store. What {@link #commit} returned from is durable; reads see what is durable and nothing else.
- * Safe for any number of threads; one opener may write, any number of others may read a state of their own.
+ * An open store. What {@link #commit} returned from is durable; reads see what is durable and
+ * nothing else. Safe for any number of threads; one opener may write, any number of others may read
+ * a state of their own.
  */
 public final class Store implements Closeable {
     private static final String LOCK = "lock";
@@ -16,11 +17,21 @@
     private static final long LEAST_WORTH_CHECKPOINT = 64 << 10;
 
     /** What a store holds: keys, numbers, bytes of files, and how writing is. */
-    public record Stat(long live, long seq, int segments, long fileBytes, long liveBytes, long deadBytes,
-            long checkpointSeq, long checkpointBytes, long logSince, boolean full, String stopped) { }
+    public record Stat(
+            long live,
+            long seq,
+            int segments,
+            long fileBytes,
+            long liveBytes,
+            long deadBytes,
+            long checkpointSeq,
+            long checkpointBytes,
+            long logSince,
+            boolean full,
+            String stopped) {}
 
     /** What {@link #verify} read: entries in the log, live keys, the last number. */
-    public record Verified(long records, long live, long seq) { }
+    public record Verified(long records, long live, long seq) {}
 
     private final Core core;
     private final Closeable lock;
@@ -40,7 +51,8 @@
     }
 
     /** Opens to write, making a new store where there is none. A second opener is refused. */
-    public static Store open(Disk disk, StoreOptions options, StoreEvents events) throws IOException {
+    public static Store open(Disk disk, StoreOptions options, StoreEvents events)
+            throws IOException {
         Closeable lock = disk.lock(LOCK);
         if (lock == null) {
             throw new StoreException.Locked();
@@ -60,18 +72,23 @@
         }
     }
 
-    /** Opens the state that is there now to read it, also while another process writes; writes nothing. */
+    /**
+     * Opens the state that is there now to read it, also while another process writes; writes
+     * nothing.
+     */
     public static Store openToRead(Disk disk, StoreEvents events) throws IOException {
-        for (int i = 1;; i++) {
+        for (int i = 1; ; i++) {
             try {
                 Core core = new Core(disk, StoreOptions.usual(), events);
                 new Recovery(core, false).run();
                 return new Store(core, null);
             } catch (IOException e) {
-                if (i == TRIES || e instanceof StoreException && !(e instanceof StoreException.Damaged)) {
+                if (i == TRIES
+                        || e instanceof StoreException && !(e instanceof StoreException.Damaged)) {
                     throw e;
                 }
-                LockSupport.parkNanos(TRY_AGAIN_NANOS); // a file may have gone since the manifest was read
+                LockSupport.parkNanos(
+                        TRY_AGAIN_NANOS); // a file may have gone since the manifest was read
             }
         }
     }
@@ -168,7 +185,9 @@
         return new Snapshot(core.enter());
     }
 
-    /** Whether batches can still be committed, as far as is known: neither stopped nor out of room. */
+    /**
+     * Whether batches can still be committed, as far as is known: neither stopped nor out of room.
+     */
     public boolean writable() {
         return core.stopped() == null && !core.isFull() && !closed.get();
     }
@@ -178,7 +197,9 @@
         maintenance.checkpoint();
     }
 
-    /** Gives back what deleted and overwritten data takes; returns the bytes that had to be copied. */
+    /**
+     * Gives back what deleted and overwritten data takes; returns the bytes that had to be copied.
+     */
     public long compact() throws IOException {
         return maintenance.compactAll(writer);
     }
@@ -202,16 +223,27 @@
                 live += segment.live();
                 used += segment.used() - Frames.HEADER;
             }
-            return new Stat(now.index().size(), now.seq(), now.set().all().size(), files, live,
-                Math.max(0, used - live), core.manifest.checkpoint().seq(),
+            return new Stat(
+                    now.index().size(),
+                    now.seq(),
+                    now.set().all().size(),
+                    files,
+                    live,
+                    Math.max(0, used - live),
+                    core.manifest.checkpoint().seq(),
                     core.manifest.checkpoint().bytes(),
-                core.logSince, core.isFull(), core.stopped() == null ? "" : core.stopped().getMessage());
+                    core.logSince,
+                    core.isFull(),
+                    core.stopped() == null ? "" : core.stopped().getMessage());
         } finally {
             core.writing.unlock();
         }
     }
 
-    /** Reads every record of every segment and every live value; throws at the first that is damaged. */
+    /**
+     * Reads every record of every segment and every live value; throws at the first that is
+     * damaged.
+     */
     public Verified verify() throws IOException {
         long[] records = new long[1];
         Core.View now = core.enter();
@@ -219,7 +251,7 @@
             for (Segment segment : now.set().all()) {
                 long end = segment.used();
                 SegmentReader reader = new SegmentReader(segment);
-                for (long at = Frames.HEADER; at < end;) {
+                for (long at = Frames.HEADER; at < end; ) {
                     SegmentReader.Found found = reader.at(at);
                     if (found == null) {
                         throw new StoreException.Damaged(segment.name(), at, "no sound record");
@@ -268,8 +300,12 @@
         }
         try {
             endTender();
-            if (lock != null && core.stopped() == null && core.logSince > 0 && core.logSince
-                >= Math.min(core.manifest.checkpoint().bytes(), LEAST_WORTH_CHECKPOINT)) {
+            if (lock != null
+                    && core.stopped() == null
+                    && core.logSince > 0
+                    && core.logSince
+                            >= Math.min(
+                                    core.manifest.checkpoint().bytes(), LEAST_WORTH_CHECKPOINT)) {
                 maintenance.checkpoint();
             }
         } catch (IOException notNow) { // the log has it all: the next start only takes longer
--- a/relay/src/main/java/saltstage/store/StoreException.java
+++ b/relay/src/main/java/saltstage/store/StoreException.java
@@ -36,7 +36,10 @@
         }
     }
 
-    /** The disk is full: nothing was written, reading goes on, and writing may go on once there is room. */
+    /**
+     * The disk is full: nothing was written, reading goes on, and writing may go on once there is
+     * room.
+     */
     public static final class Full extends StoreException {
         private static final long serialVersionUID = 1L;
 
@@ -46,7 +49,10 @@
         }
     }
 
-    /** A write or a force failed: what is on the disk is not known any more, and nothing is acknowledged. */
+    /**
+     * A write or a force failed: what is on the disk is not known any more, and nothing is
+     * acknowledged.
+     */
     public static final class Stopped extends StoreException {
         private static final long serialVersionUID = 1L;
 
--- a/relay/src/main/java/saltstage/store/StoreOptions.java
+++ b/relay/src/main/java/saltstage/store/StoreOptions.java
@@ -1,8 +1,8 @@
 package saltstage.store;
 
 /**
- * How a store works: the size of a log segment in bytes, whether a thread of its own checkpoints and compacts
- * (else only by hand), and how many bytes a second compaction may copy.
+ * How a store works: the size of a log segment in bytes, whether a thread of its own checkpoints
+ * and compacts (else only by hand), and how many bytes a second compaction may copy.
  */
 public record StoreOptions(int segmentBytes, boolean background, long compactionRate) {
     /** The smallest segment that the store makes. */
@@ -10,9 +10,11 @@
 
     /** Checks. */
     public StoreOptions {
-        if (segmentBytes < LEAST_SEGMENT || segmentBytes % Frames.ALIGN != 0 || compactionRate < 1) {
-            throw new IllegalArgumentException("segment of " + segmentBytes + " bytes, rate "
-                + compactionRate);
+        if (segmentBytes < LEAST_SEGMENT
+                || segmentBytes % Frames.ALIGN != 0
+                || compactionRate < 1) {
+            throw new IllegalArgumentException(
+                    "segment of " + segmentBytes + " bytes, rate " + compactionRate);
         }
     }
 
--- a/relay/src/main/java/saltstage/store/TailJudge.java
+++ b/relay/src/main/java/saltstage/store/TailJudge.java
@@ -1,11 +1,12 @@
 package saltstage.store;
 
 /**
- * Says what the end of the log is where the next group cannot be read. At most one group is ever unforced,
- * and it is written in one piece: first the group, behind it its mirror (small groups), or, only once the
- * group is durable, its mark (large ones). So a later group proves that this one was acknowledged; a mirror
- * of it brings it back, whether it was acknowledged or not; a mark proves that it was, and so does the file
- * that says how far the store has acknowledged. With none of these it was not, as far as the disk kept it.
+ * Says what the end of the log is where the next group cannot be read. At most one group is ever
+ * unforced, and it is written in one piece: first the group, behind it its mirror (small groups),
+ * or, only once the group is durable, its mark (large ones). So a later group proves that this one
+ * was acknowledged; a mirror of it brings it back, whether it was acknowledged or not; a mark
+ * proves that it was, and so does the file that says how far the store has acknowledged. With none
+ * of these it was not, as far as the disk kept it.
  */
 public final class TailJudge {
     /** What follows. */
@@ -21,11 +22,14 @@
     }
 
     /** What was found from the first unreadable byte on. */
-    public record Evidence(boolean laterGroup, boolean mirrorOfIt, boolean markOfIt, boolean restIsZero,
-            boolean mirrorOrMarkOfLast) { }
+    public record Evidence(
+            boolean laterGroup,
+            boolean mirrorOfIt,
+            boolean markOfIt,
+            boolean restIsZero,
+            boolean mirrorOrMarkOfLast) {}
 
-    private TailJudge() {
-    }
+    private TailJudge() {}
 
     /** Judges; acknowledged: the file beside the log says that this group was. */
     public static Verdict judge(Evidence found, boolean acknowledged) {
--- a/relay/src/main/java/saltstage/wire/Answer.java
+++ b/relay/src/main/java/saltstage/wire/Answer.java
@@ -5,7 +5,16 @@
 /** A line of a backend, as far as the relay must understand it. */
 public record Answer(Kind kind, String argument) {
     /** What a line says; OTHER are the connection's own lines. */
-    public enum Kind { UP, BYE, MOVE, ERR, BUSY, LOAD, SYNTAX, OTHER }
+    public enum Kind {
+        UP,
+        BYE,
+        MOVE,
+        ERR,
+        BUSY,
+        LOAD,
+        SYNTAX,
+        OTHER
+    }
 
     /** Reads a piece; one that is no whole line is OTHER. */
     public static Answer of(byte[] piece) {
--- a/relay/src/main/java/saltstage/wire/DiscoveryClient.java
+++ b/relay/src/main/java/saltstage/wire/DiscoveryClient.java
@@ -10,18 +10,24 @@
 import java.util.Locale;
 
 /**
- * Discovery's watch over HTTP/1.1: one call, a chunked answer of JSON objects, an empty line now and then
- * between them. A watch that brings neither for a while is broken, whatever else it sends.
+ * Discovery's watch over HTTP/1.1: one call, a chunked answer of JSON objects, an empty line now
+ * and then between them. A watch that brings neither for a while is broken, whatever else it sends.
  */
 public final class DiscoveryClient {
     /**
-     * An empty line comes every 2 s. What a silent watch misses counts as told 6 s after its silence: this,
-     * the module's first pause, one call in vain and the next pause have to fit in.
+     * An empty line comes every 2 s. What a silent watch misses counts as told 6 s after its
+     * silence: this, the module's first pause, one call in vain and the next pause have to fit in.
      */
     public static final Duration SILENCE = Duration.ofMillis(2_500);
+
     private static final Duration CONNECT = Duration.ofSeconds(1);
-    /** Times the silence that a first answer may take: a service that works through calls in turn is slow. */
+
+    /**
+     * Times the silence that a first answer may take: a service that works through calls in turn is
+     * slow.
+     */
     private static final int PATIENCE = 4;
+
     private static final int MOST_HEAD = 16 << 10;
     private static final int MOST_LINE = 4 << 20;
 
@@ -67,14 +73,22 @@
         return call;
     }
 
-    /** Watches the changes after a version; it ends by an exception that says why, and by nothing else. */
+    /**
+     * Watches the changes after a version; it ends by an exception that says why, and by nothing
+     * else.
+     */
     public void watch(long after, Listener listener) throws IOException, MalformedException {
         try (Socket socket = begin()) {
             socket.setTcpNoDelay(true);
             socket.connect(address, (int) CONNECT.toMillis());
-            String request = "GET /discovery/hosts?watch=1&after=" + after + " HTTP/1.1\r\nHost: "
-                + address.getAddress().getHostAddress() + ":" + address.getPort()
-                + "\r\nAccept: application/json\r\n\r\n";
+            String request =
+                    "GET /discovery/hosts?watch=1&after="
+                            + after
+                            + " HTTP/1.1\r\nHost: "
+                            + address.getAddress().getHostAddress()
+                            + ":"
+                            + address.getPort()
+                            + "\r\nAccept: application/json\r\n\r\n";
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             DeadlineInput timed = new DeadlineInput(socket, silence.multipliedBy(PATIENCE));
             InputStream in = new BufferedInputStream(timed, 4096);
@@ -87,7 +101,8 @@
                 if (object != null) {
                     listener.heard(HostList.of(Json.object(object)));
                 }
-                if (objects.between() && c == '\n') { // half an object, or a line in it, is no sign of life
+                if (objects.between()
+                        && c == '\n') { // half an object, or a line in it, is no sign of life
                     timed.until(silence);
                 }
             }
@@ -114,7 +129,8 @@
         }
     }
 
-    private static String headLine(InputStream in, int[] budget) throws IOException, MalformedException {
+    private static String headLine(InputStream in, int[] budget)
+            throws IOException, MalformedException {
         StringBuilder line = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
--- a/relay/src/main/java/saltstage/wire/HostList.java
+++ b/relay/src/main/java/saltstage/wire/HostList.java
@@ -13,16 +13,26 @@
 /** What discovery says: the whole list, or the entries that changed. */
 public record HostList(long rev, boolean all, List<Entry> targets) {
     private static final Pattern ENDPOINT =
-        Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3}):(\\d{1,5})");
+            Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3}):(\\d{1,5})");
     private static final Pattern UID = Pattern.compile("[!-~]{1,128}");
     private static final int MOST_TARGETS = 100_000;
 
     /** The states of an entry. */
-    public enum State { READY, DRAINING, GONE }
+    public enum State {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /** One backend; startedAt is the epoch for long ago. */
-    public record Entry(String uid, InetSocketAddress endpoint, String zone, int cell, State state,
-            double weight, Instant startedAt) { }
+    public record Entry(
+            String uid,
+            InetSocketAddress endpoint,
+            String zone,
+            int cell,
+            State state,
+            double weight,
+            Instant startedAt) {}
 
     /** Reads one object of discovery's, or the known list of the configuration. */
     public static HostList of(Map<String, Object> json) throws MalformedException {
@@ -34,8 +44,10 @@
         for (Object target : targets) {
             entries.add(entry(Json.asObject(target, "target")));
         }
-        return new HostList(Json.member(json, "rev", Double.class).longValue(),
-            Json.member(json, "all", Boolean.class), entries);
+        return new HostList(
+                Json.member(json, "rev", Double.class).longValue(),
+                Json.member(json, "all", Boolean.class),
+                entries);
     }
 
     private static Entry entry(Map<String, Object> json) throws MalformedException {
@@ -43,18 +55,24 @@
         if (!UID.matcher(uid).matches()) {
             throw new MalformedException("bad uid");
         }
-        State state = switch (Json.member(json, "state", String.class)) {
-            case "ready" -> State.READY;
-            case "draining" -> State.DRAINING;
-            case "gone" -> State.GONE;
-            default -> throw new MalformedException("unknown state");
-        };
+        State state =
+                switch (Json.member(json, "state", String.class)) {
+                    case "ready" -> State.READY;
+                    case "draining" -> State.DRAINING;
+                    case "gone" -> State.GONE;
+                    default -> throw new MalformedException("unknown state");
+                };
         double weight = json.get("capacity_hint") instanceof Double d && d >= 0 ? d : 1;
         double bootMs = json.get("boot_ms") instanceof Double d && d > 0 ? d : 0;
         int cell = json.get("pod_group") instanceof Double d ? d.intValue() : 0;
-        return new Entry(uid, address(Json.member(json, "endpoint", String.class)),
-            json.get("az") instanceof String zone ? zone : "", cell, state, weight,
-            Instant.ofEpochMilli((long) bootMs));
+        return new Entry(
+                uid,
+                address(Json.member(json, "endpoint", String.class)),
+                json.get("az") instanceof String zone ? zone : "",
+                cell,
+                state,
+                weight,
+                Instant.ofEpochMilli((long) bootMs));
     }
 
     /** An address in figures; there is no DNS. */
--- a/relay/src/main/java/saltstage/wire/Json.java
+++ b/relay/src/main/java/saltstage/wire/Json.java
@@ -29,7 +29,8 @@
 
     /** The value as an object. */
     @SuppressWarnings("unchecked") // every map that the parser makes has such keys and values
-    public static Map<String, Object> asObject(Object value, String what) throws MalformedException {
+    public static Map<String, Object> asObject(Object value, String what)
+            throws MalformedException {
         if (!(value instanceof Map)) {
             throw new MalformedException(what + " is not an object");
         }
@@ -41,7 +42,8 @@
             throws MalformedException {
         Object value = object.get(name);
         if (!type.isInstance(value)) {
-            throw new MalformedException(name + (value == null ? " is missing" : " has the wrong type"));
+            throw new MalformedException(
+                    name + (value == null ? " is missing" : " has the wrong type"));
         }
         return type.cast(value);
     }
@@ -178,7 +180,9 @@
         if (plain >= 0) {
             return "\"\\/\b\f\n\r\t".charAt(plain);
         }
-        if (c != 'u' || at + 4 > text.length() || !text.substring(at, at + 4).matches("[0-9a-fA-F]{4}")) {
+        if (c != 'u'
+                || at + 4 > text.length()
+                || !text.substring(at, at + 4).matches("[0-9a-fA-F]{4}")) {
             throw malformed("bad escape");
         }
         at += 4;
--- a/relay/src/main/java/saltstage/wire/LineConnection.java
+++ b/relay/src/main/java/saltstage/wire/LineConnection.java
@@ -100,7 +100,9 @@
     private static void quietly(Step step) {
         try {
             step.run();
-        } catch (IOException alreadyEnded) { // the other side or another thread was first: nothing to do
+        } catch (
+                IOException
+                        alreadyEnded) { // the other side or another thread was first: nothing to do
             return;
         }
     }
--- a/relay/src/main/java/saltstage/wire/LineReader.java
+++ b/relay/src/main/java/saltstage/wire/LineReader.java
@@ -7,12 +7,17 @@
 import java.time.Duration;
 import java.util.Arrays;
 
-/** Reads lines of bounded length from a socket; what came along with a line is kept for the next call. */
+/**
+ * Reads lines of bounded length from a socket; what came along with a line is kept for the next
+ * call.
+ */
 public final class LineReader {
     /** The longest line, its end of two bytes not counted. */
     public static final int MOST = 4096;
+
     private static final int MOST_WITH_END = MOST + 2;
-    private static final int FIRST_SIZE = 512; // most lines are short, and a relay holds many readers
+    private static final int FIRST_SIZE =
+            512; // most lines are short, and a relay holds many readers
 
     private final Socket socket;
     private final InputStream in;
@@ -35,8 +40,9 @@
     }
 
     /**
-     * The next line with its end. A piece without an end is a part of an overlong line, or the rest before
-     * the end of input; null is that end. The time is for the whole line: single bytes do not prolong it.
+     * The next line with its end. A piece without an end is a part of an overlong line, or the rest
+     * before the end of input; null is that end. The time is for the whole line: single bytes do
+     * not prolong it.
      */
     public byte[] next(Duration limit) throws IOException {
         long until = limit == null ? 0 : System.nanoTime() + limit.toNanos();
@@ -68,8 +74,8 @@
     }
 
     /**
-     * Looks at what has come and was not read: true where that is more bytes, which are kept. It waits for a
-     * millisecond, the least that a socket's reader can be told to.
+     * Looks at what has come and was not read: true where that is more bytes, which are kept. It
+     * waits for a millisecond, the least that a socket's reader can be told to.
      */
     public boolean moreHasCome() throws IOException {
         if (!midLine() && !over) {
--- a/relay/src/main/java/saltstage/wire/LoadReport.java
+++ b/relay/src/main/java/saltstage/wire/LoadReport.java
@@ -12,7 +12,10 @@
         this.report = report;
     }
 
-    /** Takes a piece that must be a whole answer; null where it is ERR or PONG alone: nothing is told. */
+    /**
+     * Takes a piece that must be a whole answer; null where it is ERR or PONG alone: nothing is
+     * told.
+     */
     public static LoadReport of(byte[] piece) throws MalformedException {
         String line = new String(piece, StandardCharsets.ISO_8859_1);
         if (line.equals("ERR\r\n") || line.startsWith("ERR ") || line.equals("PONG\r\n")) {
--- a/relay/src/main/java/saltstage/wire/ObjectSplitter.java
+++ b/relay/src/main/java/saltstage/wire/ObjectSplitter.java
@@ -1,8 +1,9 @@
 package saltstage.wire;
 
 /**
- * Takes a stream of text apart into JSON objects, each on one line or indented over several: it looks at
- * braces and strings only, what is inside is the parser's business. Bounded in the size of an object.
+ * Takes a stream of text apart into JSON objects, each on one line or indented over several: it
+ * looks at braces and strings only, what is inside is the parser's business. Bounded in the size of
+ * an object.
  */
 final class ObjectSplitter {
     private final int most;
--- a/relay/src/main/java/saltstage/wire/OpenLine.java
+++ b/relay/src/main/java/saltstage/wire/OpenLine.java
@@ -11,9 +11,12 @@
 public final class OpenLine {
     private static final Pattern WORD = Pattern.compile("[A-Za-z0-9_.:-]{1,64}");
     private static final Pattern VALUE = Pattern.compile("[!-~&&[^,=]]{0,128}");
+
     /** Figures in plain form; what Java reads as a number beside (NaN, 0x1p3, 9f) is none here. */
     private static final Pattern FIGURE = Pattern.compile("\\d{1,12}(\\.\\d{1,12})?");
+
     private static final int MOST_FIELDS = 64;
+
     /** A load that no machine carries would spoil what the module has learnt of loads. */
     private static final long MOST_LOAD = 1_000_000_000;
 
@@ -31,7 +34,8 @@
     public static String text(byte[] piece) throws MalformedException {
         int n = piece.length;
         if (n < 2 || piece[n - 1] != '\n') {
-            throw new MalformedException(n > LineReader.MOST ? "line too long" : "line without an end");
+            throw new MalformedException(
+                    n > LineReader.MOST ? "line too long" : "line without an end");
         }
         if (piece[n - 2] != '\r') {
             throw new MalformedException("line not ended by CRLF");
@@ -54,8 +58,9 @@
         Map<String, String> fields = new LinkedHashMap<>();
         for (String field : parts[3].split(",", -1)) {
             int equals = field.indexOf('=');
-            if (equals < 1 || !WORD.matcher(field.substring(0, equals)).matches()
-                || !VALUE.matcher(field.substring(equals + 1)).matches()) {
+            if (equals < 1
+                    || !WORD.matcher(field.substring(0, equals)).matches()
+                    || !VALUE.matcher(field.substring(equals + 1)).matches()) {
                 throw new MalformedException("bad field");
             }
             if (fields.put(field.substring(0, equals), field.substring(equals + 1)) != null) {
@@ -116,8 +121,14 @@
     /** The line as it goes on to a backend: unchanged but for d. */
     public String withPatience(Duration left) {
         StringJoiner list = new StringJoiner(",", "OPEN " + id + " " + key + " ", "");
-        fields.forEach((name, value) ->
-            list.add(name + "=" + (name.equals("d") ? Long.toString(Math.max(1, left.toMillis())) : value)));
+        fields.forEach(
+                (name, value) ->
+                        list.add(
+                                name
+                                        + "="
+                                        + (name.equals("d")
+                                                ? Long.toString(Math.max(1, left.toMillis()))
+                                                : value)));
         return list.toString();
     }
 }
--- a/relay/src/test/java/saltstage/ColdFleetTest.java
+++ b/relay/src/test/java/saltstage/ColdFleetTest.java
@@ -18,9 +18,10 @@
 import saltstage.Api.Settings;
 
 /**
- * Rule 4 for the sum of all processes: within any span that the settings name a cold server gets no more than
- * the budget N of its present capacity, and 2 * root of N + 2 for chance, however many relays share it. No
- * relay is told what the others do; what they have in common is the list, the reports and the settings.
+ * Rule 4 for the sum of all processes: within any span that the settings name a cold server gets no
+ * more than the budget N of its present capacity, and 2 * root of N + 2 for chance, however many
+ * relays share it. No relay is told what the others do; what they have in common is the list, the
+ * reports and the settings.
  */
 class ColdFleetTest {
     private static final int WARM = 9;
@@ -37,14 +38,32 @@
     private long ids = 1_000_000;
 
     private void warmsIn(int seconds) {
-        rules = new Rules(Rig.SECOND, 0.25, seconds * Rig.SECOND, 3, 3 * Rig.SECOND, 10 * Rig.SECOND);
+        rules =
+                new Rules(
+                        Rig.SECOND, 0.25, seconds * Rig.SECOND, 3, 3 * Rig.SECOND, 10 * Rig.SECOND);
     }
 
     private Rig relay(int fleet, int seed) {
         Settings s = Rig.settings(0.02, false, Rig.safe());
         long share = (long) (FILLS * (WARM + 1));
-        Rig rig = new Rig(new Settings(fleet, 0, s.classes(), List.of(share), s.overShareWorth(),
-            s.maxAttempts(), s.connectTimeout(), false, true, 0.02, 0, 5000, true, rules), seed);
+        Rig rig =
+                new Rig(
+                        new Settings(
+                                fleet,
+                                0,
+                                s.classes(),
+                                List.of(share),
+                                s.overShareWorth(),
+                                s.maxAttempts(),
+                                s.connectTimeout(),
+                                false,
+                                true,
+                                0.02,
+                                0,
+                                5000,
+                                true,
+                                rules),
+                        seed);
         rig.now = now;
         Server[] all = new Server[WARM + 1];
         for (int i = 0; i < WARM; i++) {
@@ -55,7 +74,10 @@
         return rig;
     }
 
-    /** So many relays that hold what the warm servers carry; skewed: the first half has four fifths of it. */
+    /**
+     * So many relays that hold what the warm servers carry; skewed: the first half has four fifths
+     * of it.
+     */
     private void fleet(int size, boolean skewed) {
         for (int i = 0; i < size; i++) {
             relays.add(relay(size, i + 1));
@@ -76,21 +98,29 @@
     private Rig drawn(boolean skewed) {
         int half = relays.size() / 2;
         boolean first = skewed && random.nextInt(5) > 0;
-        return relays.get(first ? random.nextInt(half) : half + random.nextInt(relays.size() - half));
+        return relays.get(
+                first ? random.nextInt(half) : half + random.nextInt(relays.size() - half));
     }
 
-    /** Each relay is told what all servers hold of what they can, the cold one only where that is meant. */
+    /**
+     * Each relay is told what all servers hold of what they can, the cold one only where that is
+     * meant.
+     */
     private void report(boolean cold) {
         for (Rig rig : relays) {
-            holds.forEach((server, held) -> {
-                if (cold || !server.equals("cold")) {
-                    rig.node.probed(now, server, Outcome.SERVED, held / FILLS);
-                }
-            });
+            holds.forEach(
+                    (server, held) -> {
+                        if (cold || !server.equals("cold")) {
+                            rig.node.probed(now, server, Outcome.SERVED, held / FILLS);
+                        }
+                    });
         }
     }
 
-    /** The most of N + 2 * root of N + 2 that any span was sent, in a crowd that comes for two spans. */
+    /**
+     * The most of N + 2 * root of N + 2 that any span was sent, in a crowd that comes for two
+     * spans.
+     */
     private double crowd(boolean skewed, boolean reported) {
         List<Long> sent = new ArrayList<>();
         double worst = 0;
@@ -103,8 +133,18 @@
                 Rig rig = drawn(skewed);
                 rig.now = now;
                 long id = ++ids;
-                rig.node.request(now, new Request(id, 0, 0, random.nextInt(1 << 30), Api.NONE, 1,
-                    now + 1_200_000, false, false));
+                rig.node.request(
+                        now,
+                        new Request(
+                                id,
+                                0,
+                                0,
+                                random.nextInt(1 << 30),
+                                Api.NONE,
+                                1,
+                                now + 1_200_000,
+                                false,
+                                false));
                 String server = rig.sentTo.get(id);
                 if ("cold".equals(server)) {
                     sent.add(now);
@@ -116,8 +156,10 @@
             }
             long from = now - rules.fall();
             sent.removeIf(at -> at <= from);
-            double warmth = rules.coldFrom() + (1 - rules.coldFrom())
-                * Math.min(1, (now - startedAt) / (double) rules.cold());
+            double warmth =
+                    rules.coldFrom()
+                            + (1 - rules.coldFrom())
+                                    * Math.min(1, (now - startedAt) / (double) rules.cold());
             double n = rules.tipMultiple() * warmth * FILLS * rules.fall() / rules.cold();
             worst = Math.max(worst, sent.size() / (n + 2 * Math.sqrt(n) + 2));
         }
--- a/relay/src/test/java/saltstage/ColdTest.java
+++ b/relay/src/test/java/saltstage/ColdTest.java
@@ -3,6 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.List;
+import org.junit.jupiter.api.Test;
 import saltstage.Api.Health;
 import saltstage.Api.Listing;
 import saltstage.Api.Outcome;
@@ -10,12 +12,14 @@
 import saltstage.Api.Rules;
 import saltstage.Api.Server;
 import saltstage.Api.Settings;
-import java.util.List;
-import org.junit.jupiter.api.Test;
 
-/** Rule 4: s1 has just started and warms up over 1,000 s; s0 is warm and holds 4,000 connections. */
+/**
+ * Rule 4: s1 has just started and warms up over 1,000 s; s0 is warm and holds 4,000 connections.
+ */
 class ColdTest {
-    /** As long as the warm-up: what the rule allows in it is the warm server's filling, a few times. */
+    /**
+     * As long as the warm-up: what the rule allows in it is the warm server's filling, a few times.
+     */
     private static final long LONG = 1_000 * Rig.SECOND;
 
     private static Rig rig() {
@@ -33,10 +37,26 @@
     private static Rig rig(int connections, long quota, long fall) {
         Settings s = Rig.settings(0.02, false, Rig.safe());
         Rules slow = new Rules(Rig.SECOND, 0.25, 1_000 * Rig.SECOND, 2.5, fall, 10 * Rig.SECOND);
-        Rig rig = new Rig(new Settings(s.fleetSize(), s.zone(), s.classes(), List.of(quota, quota),
-            s.overShareWorth(), s.maxAttempts(), s.connectTimeout(), false, true, 0.02, 0, 5000, false,
-            slow), 1);
-        rig.list(Listing.ALL, Rig.server("s0", 0), new Server("s1", 1, 1, Health.READY, 1, rig.now));
+        Rig rig =
+                new Rig(
+                        new Settings(
+                                s.fleetSize(),
+                                s.zone(),
+                                s.classes(),
+                                List.of(quota, quota),
+                                s.overShareWorth(),
+                                s.maxAttempts(),
+                                s.connectTimeout(),
+                                false,
+                                true,
+                                0.02,
+                                0,
+                                5000,
+                                false,
+                                slow),
+                        1);
+        rig.list(
+                Listing.ALL, Rig.server("s0", 0), new Server("s1", 1, 1, Health.READY, 1, rig.now));
         for (int i = 0; i < connections; i++) {
             rig.opened("s0", 1);
         }
@@ -72,8 +92,10 @@
     @Test
     void serverWhoseStartLiesAheadOfTheClockIsWarmOnceItHasBeenKnownForItsWarmUp() {
         Rig rig = rig(4_000);
-        rig.list(Listing.ALL, Rig.server("s0", 0),
-            new Server("s1", 1, 1, Health.READY, 1, rig.now + 3_600 * Rig.SECOND));
+        rig.list(
+                Listing.ALL,
+                Rig.server("s0", 0),
+                new Server("s1", 1, 1, Health.READY, 1, rig.now + 3_600 * Rig.SECOND));
         rig.now += LONG + Rig.SECOND;
         assertEquals(100, sentToCold(rig, false, 1_000), 25);
     }
@@ -91,7 +113,9 @@
         assertEquals(5, sentToCold(reporting(0.01, LONG / 2), false, 1_000), 2);
         // Own placements count as every relay's: half of the room, half the clients.
         assertEquals(6, sentToCold(reporting(0.1, LONG), false, 1_000), 2);
-        assertTrue(sentToCold(reporting(0.3, LONG), false, 1_000) <= blind, "more than its part is asked");
+        assertTrue(
+                sentToCold(reporting(0.3, LONG), false, 1_000) <= blind,
+                "more than its part is asked");
     }
 
     @Test
@@ -143,12 +167,15 @@
     @Test
     void budgetIsAPartOfWhatAWarmServerIsSeenToDo() {
         Rig few = rig(10);
-        assertTrue(sentToCold(few, 100, false, Rig.SECOND / 2) <= 2, "ten connections tell of a small fleet");
+        assertTrue(
+                sentToCold(few, 100, false, Rig.SECOND / 2) <= 2,
+                "ten connections tell of a small fleet");
         Rig told = rig(10);
         for (int i = 0; i < 40; i++) {
             told.node.timer(told.now, "probe");
         }
-        told.node.probed(told.now, "s0", Outcome.SERVED, 0.002); // these ten are a 500th of what it can do
+        told.node.probed(
+                told.now, "s0", Outcome.SERVED, 0.002); // these ten are a 500th of what it can do
         assertEquals(13, sentToCold(told, 100, false, Rig.SECOND / 2), 7);
     }
 
@@ -163,7 +190,8 @@
         old.route(0, 1, 1, 1); // ranks
         Rig fresh = rig(10);
         fresh.node.learn(fresh.now, old.node.learnt(old.now));
-        fresh.node.probed(fresh.now, "s0", Outcome.SERVED, 0.3); // the old process's connections, not its own
+        fresh.node.probed(
+                fresh.now, "s0", Outcome.SERVED, 0.3); // the old process's connections, not its own
         assertEquals(13, sentToCold(fresh, 100, false, Rig.SECOND / 2), 7);
     }
 }
--- a/relay/src/test/java/saltstage/FailureTest.java
+++ b/relay/src/test/java/saltstage/FailureTest.java
@@ -2,17 +2,16 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
 import saltstage.Api.Health;
 import saltstage.Api.Listing;
 import saltstage.Api.Note;
 import saltstage.Api.Outcome;
 import saltstage.Api.Server;
-import org.junit.jupiter.api.Test;
 
 /** The failures found in simulated service, each as small as it can be shown. */
 class FailureTest {
@@ -28,10 +27,12 @@
         rig.now += 150_000;
         rig.ends(id, Outcome.TIMEOUT);
         String standIn = rig.sentTo.get(id);
-        assertEquals(standIn, rig.route(0, 2, 5, Api.NONE), "the group stays together at its stand-in");
+        assertEquals(
+                standIn, rig.route(0, 2, 5, Api.NONE), "the group stays together at its stand-in");
         rig.now += 2_100_000;
         assertEquals(silent, rig.sentTo.get(rig.request(0, 3, 5, Api.NONE)), "one trial");
-        assertEquals(standIn, rig.sentTo.get(rig.request(0, 4, 5, Api.NONE)), "and no second beside it");
+        assertEquals(
+                standIn, rig.sentTo.get(rig.request(0, 4, 5, Api.NONE)), "and no second beside it");
     }
 
     @Test
@@ -85,9 +86,14 @@
             rig.node.probed(rig.now, "s" + i, Outcome.SERVED, 0.4); // nothing of it is this node's
         }
         for (int i = 0; i < 200; i++) {
-            rig.streams(rig.request(0, i, 5, Api.NONE), 10_000); // one group: all have the same first place
+            rig.streams(
+                    rig.request(0, i, 5, Api.NONE),
+                    10_000); // one group: all have the same first place
         }
-        long most = rig.sentTo.values().stream().filter(rig.sentTo.firstEntry().getValue()::equals).count();
+        long most =
+                rig.sentTo.values().stream()
+                        .filter(rig.sentTo.firstEntry().getValue()::equals)
+                        .count();
         assertTrue(most < 150, "of 200 came to one: " + most);
     }
 
@@ -114,7 +120,10 @@
             rig.node.outcome(rig.now, id, Outcome.RESET, true);
             rig.now += round < 2 ? (2_100_000L << round) : 2_100_000L;
         }
-        assertNotEquals(home, rig.route(0, 9, 5, Api.NONE), "the third time it is left for longer than 2 s");
+        assertNotEquals(
+                home,
+                rig.route(0, 9, 5, Api.NONE),
+                "the third time it is left for longer than 2 s");
     }
 
     @Test
@@ -144,7 +153,8 @@
 
     @Test
     void serverThatIsAskedTooMuchIsPassedOverWhileItsReportIsFresh() {
-        // A node without a connection at a server is told no delay of it: without probes it feeds the jam.
+        // A node without a connection at a server is told no delay of it: without probes it feeds
+        // the jam.
         Rig rig = Rig.of(Rig.safe()).list(Listing.ALL, Rig.fleet(4));
         long key = 1;
         String usual = rig.route(key);
@@ -160,7 +170,8 @@
 
     @Test
     void reportCountsWithWhatWasPlacedSinceItWasTaken() {
-        // A crowd is placed within the second that a report is old: by the report alone all would go there.
+        // A crowd is placed within the second that a report is old: by the report alone all would
+        // go there.
         Rig rig = Rig.of(Rig.safe()).list(Listing.ALL, Rig.fleet(4));
         long key = 1;
         String usual = rig.route(key);
@@ -256,7 +267,8 @@
                 rig.ends(id, Outcome.ERROR);
             }
         }
-        assertTrue(rig.sends() < 60, rig.sends() + " attempts for 200 requests of which none stands");
+        assertTrue(
+                rig.sends() < 60, rig.sends() + " attempts for 200 requests of which none stands");
         rig.now += 60_000_000;
         assertTrue(rig.route(1) != null, "tried again once the storm is over");
     }
@@ -282,7 +294,8 @@
     void resetsOfConnectionsThatStoodDoNotThrottleNewOnes() {
         Rig rig = rig();
         rig.route(99);
-        List<Long> old = IntStream.range(0, 30).mapToObj(i -> rig.opened("s" + i % 10, 100)).toList();
+        List<Long> old =
+                IntStream.range(0, 30).mapToObj(i -> rig.opened("s" + i % 10, 100)).toList();
         old.forEach(id -> rig.node.outcome(rig.now, id, Outcome.RESET, true));
         rig.now += 5_000_000;
         for (long k = 0; k < 30; k++) {
@@ -309,7 +322,8 @@
         Rig rig = rig();
         String home = rig.route(0, 1, 5, 100);
         rig.told(home, 90);
-        rig.node.request(rig.now, new Api.Request(900, 0, 0, 2, 5, 100, rig.now + 1_200_000, false, true));
+        rig.node.request(
+                rig.now, new Api.Request(900, 0, 0, 2, 5, 100, rig.now + 1_200_000, false, true));
         assertEquals(home, rig.sentTo.get(900L));
     }
 
@@ -320,12 +334,16 @@
             apart += leaves(seed * 7919L, 100 * Rig.SECOND) ? 1 : 0;
             apart -= leaves(seed * 7919L, Rig.SECOND / 10) ? 1 : 0;
         }
-        assertTrue(apart > 5, "of 40 clients each, " + apart + " more that were open long left the default");
+        assertTrue(
+                apart > 5,
+                "of 40 clients each, " + apart + " more that were open long left the default");
     }
 
     /** Whether a client leaves its slow default after a connection that was open so long. */
     private static boolean leaves(long seed, long open) {
-        Rig rig = new Rig(Rig.settings(0.02, false, Rig.safe()), seed).list(Listing.ALL, Rig.fleet(10));
+        Rig rig =
+                new Rig(Rig.settings(0.02, false, Rig.safe()), seed)
+                        .list(Listing.ALL, Rig.fleet(10));
         for (long k = 0; k < 200; k++) {
             rig.route(1_000 + k); // all servers are heard from
         }
@@ -358,14 +376,18 @@
         rig.list(Listing.ALL, fleet);
         for (long k = 0; k < 200; k++) {
             long deadline = rig.now + 1_200_000;
-            rig.node.request(rig.now, new Api.Request(1_000 + k, 0, 0, k, k, 1, deadline, true, false));
+            rig.node.request(
+                    rig.now, new Api.Request(1_000 + k, 0, 0, k, k, 1, deadline, true, false));
         }
-        assertTrue(rig.sentTo.values().stream().filter("s1"::equals).count() <= 2, "the budget, no more");
+        assertTrue(
+                rig.sentTo.values().stream().filter("s1"::equals).count() <= 2,
+                "the budget, no more");
     }
 
     @Test
     void crossingsAreSparedWhereTheyAreDear() {
-        Rig rig = new Rig(Rig.settings(0.12, false, Rig.safe()), 1).list(Listing.ALL, Rig.fleet(10));
+        Rig rig =
+                new Rig(Rig.settings(0.12, false, Rig.safe()), 1).list(Listing.ALL, Rig.fleet(10));
         for (long k = 0; k < 200; k++) {
             assertEquals(0, Integer.parseInt(rig.route(k).substring(1)) % 2);
         }
--- a/relay/src/test/java/saltstage/MechanismTest.java
+++ b/relay/src/test/java/saltstage/MechanismTest.java
@@ -9,10 +9,10 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeSet;
+import org.junit.jupiter.api.Test;
 import saltstage.Api.Health;
 import saltstage.Api.Listing;
 import saltstage.Api.Server;
-import org.junit.jupiter.api.Test;
 
 class MechanismTest {
     private static final int KEYS = 4000;
@@ -46,8 +46,13 @@
         Map<Long, String> before = defaults(rig);
         rig.list(Listing.CHANGES, Rig.as(fleet[7], Health.GONE));
         Map<Long, String> after = defaults(rig);
-        long moved = before.keySet().stream()
-            .filter(k -> !before.get(k).equals("s7") && !before.get(k).equals(after.get(k))).count();
+        long moved =
+                before.keySet().stream()
+                        .filter(
+                                k ->
+                                        !before.get(k).equals("s7")
+                                                && !before.get(k).equals(after.get(k)))
+                        .count();
         assertTrue(moved < KEYS * 0.05, moved + " keys moved that need not");
     }
 
@@ -111,7 +116,8 @@
             light += rig.route(0, 5003, 5, 100).equals(home) ? 0 : 1;
             heavy += rig.route(0, 5002, 5, 10_000).equals(home) ? 0 : 1;
         }
-        assertTrue(light <= 15, light + " of 50 light clients left; the table admits few by chance");
+        assertTrue(
+                light <= 15, light + " of 50 light clients left; the table admits few by chance");
         assertTrue(heavy >= 25, heavy + " of 50 heavy clients left");
     }
 
@@ -124,7 +130,8 @@
 
     @Test
     void noDiversionBelowThePercentile() {
-        // Half of the others are worse off than the default, the rest idle: the gap alone would let it leave.
+        // Half of the others are worse off than the default, the rest idle: the gap alone would let
+        // it leave.
         assertEquals(0, heavyThatLeave(10, 30));
         assertTrue(heavyThatLeave(0, 30) > 10, "alone among idle servers it is in the worst fifth");
     }
@@ -134,7 +141,10 @@
         assertEquals(0, heavyThatLeave(19, 20), "the gap of 5 ms is less than a set-up of 10 ms");
     }
 
-    /** Of 30 heavy clients of a default told 25 ms, with so many of the other servers told so many ms. */
+    /**
+     * Of 30 heavy clients of a default told 25 ms, with so many of the other servers told so many
+     * ms.
+     */
     private static int heavyThatLeave(int others, double ms) {
         int left = 0;
         for (int seed = 1; seed <= 30; seed++) {
@@ -153,13 +163,17 @@
         return left;
     }
 
-    /** Twenty servers that all were heard from; the default of group 5 is told to take so many ms. */
+    /**
+     * Twenty servers that all were heard from; the default of group 5 is told to take so many ms.
+     */
     private static Rig overloaded(double ms) {
         return overloaded(ms, 1);
     }
 
     private static Rig overloaded(double ms, long seed) {
-        Rig rig = new Rig(Rig.settings(0.02, false, Rig.safe()), seed).list(Listing.ALL, Rig.fleet(20));
+        Rig rig =
+                new Rig(Rig.settings(0.02, false, Rig.safe()), seed)
+                        .list(Listing.ALL, Rig.fleet(20));
         for (long k = 0; k < 400; k++) {
             rig.route(0, k, k, 1000);
         }
--- a/relay/src/test/java/saltstage/PackagesTest.java
+++ b/relay/src/test/java/saltstage/PackagesTest.java
@@ -15,39 +15,45 @@
 /** Dependencies between packages go one way; a new one has to be named here. */
 class PackagesTest {
     private static final Path ROOT = Path.of("src/main/java/saltstage");
-    private static final Pattern IMPORT = Pattern.compile("import (?:static )?saltstage\\.([a-z]+)\\.");
-    private static final Map<String, Set<String>> ALLOWED = Map.ofEntries(
-        Map.entry("store", Set.of()),
-        Map.entry("log", Set.of()),
-        Map.entry("net", Set.of()),
-        Map.entry("wire", Set.of()),
-        Map.entry("metrics", Set.of()),
-        Map.entry("admin", Set.of("log")),
-        Map.entry("handover", Set.of("log")),
-        Map.entry("config", Set.of("wire", "log")),
-        Map.entry("memory", Set.of("wire")),
-        Map.entry("configuration", Set.of("wire", "store")),
-        Map.entry("sim", Set.of("config", "wire")),
-        Map.entry("keep", Set.of("store", "config", "log", "wire")),
-        Map.entry("stage", Set.of("memory", "metrics", "wire", "config", "log")),
-        Map.entry("amqp", Set.of("net", "stage", "memory", "wire", "config", "log")));
+    private static final Pattern IMPORT =
+            Pattern.compile("import (?:static )?saltstage\\.([a-z]+)\\.");
+    private static final Map<String, Set<String>> ALLOWED =
+            Map.ofEntries(
+                    Map.entry("store", Set.of()),
+                    Map.entry("log", Set.of()),
+                    Map.entry("net", Set.of()),
+                    Map.entry("wire", Set.of()),
+                    Map.entry("metrics", Set.of()),
+                    Map.entry("admin", Set.of("log")),
+                    Map.entry("handover", Set.of("log")),
+                    Map.entry("config", Set.of("wire", "log")),
+                    Map.entry("memory", Set.of("wire")),
+                    Map.entry("configuration", Set.of("wire", "store")),
+                    Map.entry("sim", Set.of("config", "wire")),
+                    Map.entry("keep", Set.of("store", "config", "log", "wire")),
+                    Map.entry("stage", Set.of("memory", "metrics", "wire", "config", "log")),
+                    Map.entry("amqp", Set.of("net", "stage", "memory", "wire", "config", "log")));
 
     @Test
     void eachPackageImportsOnlyWhatStandsBelowIt() throws IOException {
         int[] seen = new int[1];
         try (Stream<Path> files = Files.walk(ROOT)) {
             for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
-                String own = ROOT.relativize(file).getNameCount() == 1 ? ""
-                    : ROOT.relativize(file).getName(0).toString();
+                String own =
+                        ROOT.relativize(file).getNameCount() == 1
+                                ? ""
+                                : ROOT.relativize(file).getName(0).toString();
                 if (own.equals("lifecycle")) {
                     continue; // on top: it may import all, and nothing may import it
                 }
                 Matcher imports = IMPORT.matcher(Files.readString(file));
                 while (imports.find()) {
                     seen[0]++;
-                    assertTrue(own.equals(imports.group(1))
-                        || ALLOWED.getOrDefault(own, Set.of()).contains(imports.group(1)),
-                        file + " imports " + imports.group(1));
+                    assertTrue(
+                            own.equals(imports.group(1))
+                                    || ALLOWED.getOrDefault(own, Set.of())
+                                            .contains(imports.group(1)),
+                            file + " imports " + imports.group(1));
                 }
             }
         }
--- a/relay/src/test/java/saltstage/Rig.java
+++ b/relay/src/test/java/saltstage/Rig.java
@@ -40,7 +40,8 @@
     }
 
     static ServiceClass unsafe() {
-        return new ServiceClass(300_000, 1_200_000, Effect.UNSAFE, Scope.ALL, 5 * SECOND, 5, 100_000);
+        return new ServiceClass(
+                300_000, 1_200_000, Effect.UNSAFE, Scope.ALL, 5 * SECOND, 5, 100_000);
     }
 
     static Rules rules() {
@@ -48,8 +49,21 @@
     }
 
     static Settings settings(double crossing, boolean asks, ServiceClass... classes) {
-        return new Settings(40, 0, Arrays.asList(classes), List.of(100L, 100L), 0.2, 6, 250_000, asks, true,
-            crossing, 0, 5000, false, rules());
+        return new Settings(
+                40,
+                0,
+                Arrays.asList(classes),
+                List.of(100L, 100L),
+                0.2,
+                6,
+                250_000,
+                asks,
+                true,
+                crossing,
+                0,
+                5000,
+                false,
+                rules());
     }
 
     Rig(Settings settings, long seed) {
@@ -70,7 +84,10 @@
     }
 
     static Server[] fleet(int n) {
-        return Stream.iterate(0, i -> i + 1).limit(n).map(i -> server("s" + i, i % 2)).toArray(Server[]::new);
+        return Stream.iterate(0, i -> i + 1)
+                .limit(n)
+                .map(i -> server("s" + i, i % 2))
+                .toArray(Server[]::new);
     }
 
     Rig list(Listing kind, Server... servers) {
@@ -104,7 +121,10 @@
     /** A connection that was open at this server already. */
     long opened(String server, long hint) {
         long id = ++ids;
-        node.open(now, new Request(id, 0, 0, id + 1_000_000, Api.NONE, hint, now, false, false), server);
+        node.open(
+                now,
+                new Request(id, 0, 0, id + 1_000_000, Api.NONE, hint, now, false, false),
+                server);
         return id;
     }
 
--- a/relay/src/test/java/saltstage/RulesTest.java
+++ b/relay/src/test/java/saltstage/RulesTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import org.junit.jupiter.api.Test;
 import saltstage.Api.Health;
 import saltstage.Api.Listing;
 import saltstage.Api.Outcome;
 import saltstage.Api.Scope;
 import saltstage.Api.Server;
-import org.junit.jupiter.api.Test;
 
 class RulesTest {
     @Test
@@ -123,7 +123,9 @@
     @Test
     void keyedInACellStaysInTheCell() {
         Rig rig = Rig.of(Rig.keyed(Scope.CELL));
-        Server[] two = {new Server("a", 0, 1, Health.READY, 1, 0), new Server("b", 0, 2, Health.READY, 1, 0)};
+        Server[] two = {
+            new Server("a", 0, 1, Health.READY, 1, 0), new Server("b", 0, 2, Health.READY, 1, 0)
+        };
         rig.list(Listing.ALL, two);
         long id = rig.request(1);
         rig.ends(id, Outcome.TIMEOUT);
--- a/relay/src/test/java/saltstage/StormTest.java
+++ b/relay/src/test/java/saltstage/StormTest.java
@@ -12,19 +12,23 @@
 import saltstage.Api.Outcome;
 
 /**
- * Clients of relays that died come back at the others, and each set-up waits its turn at a store that all
- * servers share. What is given up there is still worked through, so impatience feeds the queue it flees.
+ * Clients of relays that died come back at the others, and each set-up waits its turn at a store
+ * that all servers share. What is given up there is still worked through, so impatience feeds the
+ * queue it flees.
  */
 class StormTest {
     private static final int RELAYS = 14;
     private static final int CLIENTS = 120;
-    private static final long SPAN = 600_000; // in which all come back: 1.4 times what the store bears
+    private static final long SPAN =
+            600_000; // in which all come back: 1.4 times what the store bears
     private static final long TURN = 7_000; // of one set-up at the store
 
     private record Happening(long at, int order, Runnable what) implements Comparable<Happening> {
         @Override
         public int compareTo(Happening other) {
-            return at != other.at ? Long.compare(at, other.at) : Integer.compare(order, other.order);
+            return at != other.at
+                    ? Long.compare(at, other.at)
+                    : Integer.compare(order, other.order);
         }
     }
 
@@ -32,7 +36,8 @@
     private static final class Storm {
         private final PriorityQueue<Happening> due = new PriorityQueue<>();
         private final List<Rig> relays = new ArrayList<>();
-        private final Map<String, Integer> attempts = new HashMap<>(); // of a request, by relay and id
+        private final Map<String, Integer> attempts =
+                new HashMap<>(); // of a request, by relay and id
         private long storeFree;
         private int order;
         private int sends;
@@ -72,7 +77,9 @@
             follow(relay, id, before);
         }
 
-        /** What was sent since, if anything, waits its turn and is given up when its patience ends. */
+        /**
+         * What was sent since, if anything, waits its turn and is given up when its patience ends.
+         */
         private void follow(Rig relay, long id, long before) {
             if (relay.sends() == before) {
                 return;
@@ -84,19 +91,21 @@
             storeFree = Math.max(storeFree, now) + TURN;
             long ready = storeFree;
             long until = relay.lastTimeout == 0 ? Long.MAX_VALUE : now + relay.lastTimeout;
-            at(Math.min(ready, until), () -> {
-                if (attempts.get(request) != attempt) {
-                    return;
-                }
-                if (ready <= until) {
-                    stood++;
-                    relay.streams(id, ready - now);
-                } else {
-                    long sent = relay.sends();
-                    relay.ends(id, Outcome.TIMEOUT);
-                    follow(relay, id, sent);
-                }
-            });
+            at(
+                    Math.min(ready, until),
+                    () -> {
+                        if (attempts.get(request) != attempt) {
+                            return;
+                        }
+                        if (ready <= until) {
+                            stood++;
+                            relay.streams(id, ready - now);
+                        } else {
+                            long sent = relay.sends();
+                            relay.ends(id, Outcome.TIMEOUT);
+                            follow(relay, id, sent);
+                        }
+                    });
         }
     }
 
--- a/relay/src/test/java/saltstage/WideFleetPlacesTest.java
+++ b/relay/src/test/java/saltstage/WideFleetPlacesTest.java
@@ -18,11 +18,16 @@
     @Test
     void nearlyEveryServerOfAWideFleetIsSentRequests() {
         Rig rig = Rig.of(Rig.safe());
-        rig.list(Listing.ALL, IntStream.range(0, SERVERS).mapToObj(i -> Rig.server("s" + i, 0))
-            .toArray(Server[]::new));
+        rig.list(
+                Listing.ALL,
+                IntStream.range(0, SERVERS)
+                        .mapToObj(i -> Rig.server("s" + i, 0))
+                        .toArray(Server[]::new));
         for (long key = 0; key < KEYS_PER_SERVER * SERVERS; key++) {
             rig.now += 1_000;
-            rig.node.request(rig.now, new Request(key, 0, 0, key, key, 1, rig.now + 1_200_000, false, false));
+            rig.node.request(
+                    rig.now,
+                    new Request(key, 0, 0, key, key, 1, rig.now + 1_200_000, false, false));
             rig.streams(key, 10_000);
         }
         Set<String> reached = new HashSet<>(rig.sentTo.values());
--- a/relay/src/test/java/saltstage/amqp/ForwardingTest.java
+++ b/relay/src/test/java/saltstage/amqp/ForwardingTest.java
@@ -24,7 +24,7 @@
 /** Deliveries against backends that are lost, slow, short of credit and gone, in every order. */
 class ForwardingTest {
     private static final Forwarding.Bounds BOUNDS =
-        new Forwarding.Bounds(20, 2_000, 300, 3, Duration.ofSeconds(10));
+            new Forwarding.Bounds(20, 2_000, 300, 3, Duration.ofSeconds(10));
     private static final Instant START = Instant.parse("2026-12-01T00:00:00Z");
 
     /** Both sides, which note what they are told and check it. */
@@ -86,7 +86,8 @@
     }
 
     @Property(tries = 2_000)
-    void everyDeliveryHasOneOutcomeAndNoneIsTriedTooOften(@ForAll long seed, @ForAll boolean repeatable) {
+    void everyDeliveryHasOneOutcomeAndNoneIsTriedTooOften(
+            @ForAll long seed, @ForAll boolean repeatable) {
         Play play = new Play(new Random(seed), repeatable);
         for (int step = 0; step < 200; step++) {
             play.step();
@@ -121,7 +122,9 @@
                 default -> forwarding.expire(now);
             }
             assertTrue(forwarding.size() <= BOUNDS.unsettled(), "too many are held");
-            assertTrue(forwarding.held() >= 0 && forwarding.held() <= BOUNDS.heldBytes() + 200, "bytes held");
+            assertTrue(
+                    forwarding.held() >= 0 && forwarding.held() <= BOUNDS.heldBytes() + 200,
+                    "bytes held");
             assertTrue(tries.values().stream().allMatch(count -> count <= BOUNDS.tries()), "tries");
         }
 
@@ -156,7 +159,8 @@
             if (far != null && !far.whole.isEmpty()) {
                 Delivery answered = far.whole.remove(random.nextInt(far.whole.size()));
                 if (!answered.settled()) {
-                    assertEquals(sizes.get(answered), far.got.get(answered), "bytes of the delivery");
+                    assertEquals(
+                            sizes.get(answered), far.got.get(answered), "bytes of the delivery");
                     forwarding.outcome(answered, Accepted.getInstance(), true);
                 }
             }
@@ -235,8 +239,9 @@
             assertEquals(Map.of(), client.told);
             forwarding.lost();
         }
-        assertEquals(List.of(new Modified(true, false), new Modified(true, false)).toString(),
-            List.copyOf(client.told.values()).toString());
+        assertEquals(
+                List.of(new Modified(true, false), new Modified(true, false)).toString(),
+                List.copyOf(client.told.values()).toString());
     }
 
     @Test
--- a/relay/src/test/java/saltstage/amqp/OutcomeFramesTest.java
+++ b/relay/src/test/java/saltstage/amqp/OutcomeFramesTest.java
@@ -26,28 +26,40 @@
     private final List<Runnable> later = new ArrayList<>();
     private final Engine engine = EngineFactory.PROTON.createNonSaslEngine();
     private final AMQPPerformativeEnvelopePool<OutgoingAMQPEnvelope> pool =
-        AMQPPerformativeEnvelopePool.outgoingEnvelopePool();
+            AMQPPerformativeEnvelopePool.outgoingEnvelopePool();
     private final OutcomeFrames frames = new OutcomeFrames(later::add);
-    private final EngineHandlerContext context = (EngineHandlerContext) Proxy.newProxyInstance(
-        getClass().getClassLoader(), new Class<?>[] {EngineHandlerContext.class}, (self, method, with) -> {
-            if (method.getName().equals("fireWrite")) {
-                OutgoingAMQPEnvelope envelope = (OutgoingAMQPEnvelope) with[0];
-                out.add(text(envelope.getBody(), envelope.getChannel()));
-            }
-            return method.getName().equals("engine") ? engine : null;
-        });
+    private final EngineHandlerContext context =
+            (EngineHandlerContext)
+                    Proxy.newProxyInstance(
+                            getClass().getClassLoader(),
+                            new Class<?>[] {EngineHandlerContext.class},
+                            (self, method, with) -> {
+                                if (method.getName().equals("fireWrite")) {
+                                    OutgoingAMQPEnvelope envelope = (OutgoingAMQPEnvelope) with[0];
+                                    out.add(text(envelope.getBody(), envelope.getChannel()));
+                                }
+                                return method.getName().equals("engine") ? engine : null;
+                            });
 
     private static String text(Performative said, int channel) {
         if (said instanceof Disposition one) {
-            return channel + ":" + one.getRole() + " " + one.getFirst()
-                + (one.hasLast() ? "-" + one.getLast() : "") + " " + one.getState().getType()
-                + (one.getSettled() ? "" : " unsettled");
+            return channel
+                    + ":"
+                    + one.getRole()
+                    + " "
+                    + one.getFirst()
+                    + (one.hasLast() ? "-" + one.getLast() : "")
+                    + " "
+                    + one.getState().getType()
+                    + (one.getSettled() ? "" : " unsettled");
         }
         return channel + ":" + said.getPerformativeType();
     }
 
     private void says(int channel, Role role, int id, DeliveryState state, boolean settled) {
-        write(channel, new Disposition().setRole(role).setFirst(id).setState(state).setSettled(settled));
+        write(
+                channel,
+                new Disposition().setRole(role).setFirst(id).setState(state).setSettled(settled));
     }
 
     private void accepted(int channel, int... ids) {
@@ -70,16 +82,25 @@
     void acceptedOnesOfARoundGoOutAsRangesOfTheirSession() {
         engine.start();
         engine.connection();
-        engine.outputHandler((bytes, done) -> { });
+        engine.outputHandler((bytes, done) -> {});
         accepted(1, 7, 5, 6, 9);
         accepted(2, 6);
         says(1, Role.SENDER, 8, Accepted.getInstance(), true);
         write(1, new Flow());
-        assertEquals(List.of("1:FLOW"), out, "nothing of it before the end of the round, and no flow waits");
+        assertEquals(
+                List.of("1:FLOW"),
+                out,
+                "nothing of it before the end of the round, and no flow waits");
         assertEquals(1, later.size());
         endRound();
-        assertEquals(List.of("1:FLOW", "1:RECEIVER 5-7 Accepted", "1:RECEIVER 9 Accepted",
-            "2:RECEIVER 6 Accepted", "1:SENDER 8 Accepted"), out);
+        assertEquals(
+                List.of(
+                        "1:FLOW",
+                        "1:RECEIVER 5-7 Accepted",
+                        "1:RECEIVER 9 Accepted",
+                        "2:RECEIVER 6 Accepted",
+                        "1:SENDER 8 Accepted"),
+                out);
         accepted(1, 10);
         endRound();
         assertEquals("1:RECEIVER 10 Accepted", out.get(out.size() - 1));
@@ -90,10 +111,20 @@
         engine.start();
         says(1, Role.RECEIVER, 5, Released.getInstance(), true);
         says(1, Role.RECEIVER, 6, Accepted.getInstance(), false);
-        write(1, new Disposition().setRole(Role.RECEIVER).setFirst(7).setLast(9)
-            .setState(Accepted.getInstance()).setSettled(true));
-        assertEquals(List.of("1:RECEIVER 5 Released", "1:RECEIVER 6 Accepted unsettled",
-            "1:RECEIVER 7-9 Accepted"), out);
+        write(
+                1,
+                new Disposition()
+                        .setRole(Role.RECEIVER)
+                        .setFirst(7)
+                        .setLast(9)
+                        .setState(Accepted.getInstance())
+                        .setSettled(true));
+        assertEquals(
+                List.of(
+                        "1:RECEIVER 5 Released",
+                        "1:RECEIVER 6 Accepted unsettled",
+                        "1:RECEIVER 7-9 Accepted"),
+                out);
         assertEquals(0, later.size());
     }
 
--- a/relay/src/test/java/saltstage/amqp/RangesTest.java
+++ b/relay/src/test/java/saltstage/amqp/RangesTest.java
@@ -15,7 +15,8 @@
 /** Ranges hold just the ids that were gathered, in as few as can be. */
 class RangesTest {
     @Property(tries = 2000)
-    void rangesCoverWhatWasGatheredAndNothingElse(@ForAll int base,
+    void rangesCoverWhatWasGatheredAndNothingElse(
+            @ForAll int base,
             @ForAll @Size(max = 300) List<@IntRange(min = 0, max = 500) Integer> distances) {
         Ranges ranges = new Ranges();
         for (int round = 0; round < 2; round++) { // nothing is left from the round before
@@ -26,16 +27,19 @@
             }
             List<Integer> found = new ArrayList<>();
             int[] gaps = new int[1];
-            ranges.drain((first, last) -> {
-                assertTrue(last - first >= 0);
-                if (!found.isEmpty()) {
-                    assertTrue(first - base > found.get(found.size() - 1) + 1, "ranges that touch are one");
-                }
-                gaps[0]++;
-                for (int id = first; id != last + 1; id++) {
-                    found.add(id - base);
-                }
-            });
+            ranges.drain(
+                    (first, last) -> {
+                        assertTrue(last - first >= 0);
+                        if (!found.isEmpty()) {
+                            assertTrue(
+                                    first - base > found.get(found.size() - 1) + 1,
+                                    "ranges that touch are one");
+                        }
+                        gaps[0]++;
+                        for (int id = first; id != last + 1; id++) {
+                            found.add(id - base);
+                        }
+                    });
             assertEquals(new ArrayList<>(wanted), found);
             assertTrue(gaps[0] <= wanted.size());
             assertEquals(0, ranges.size());
--- a/relay/src/test/java/saltstage/config/OperatorSettingsTest.java
+++ b/relay/src/test/java/saltstage/config/OperatorSettingsTest.java
@@ -17,8 +17,18 @@
 class OperatorSettingsTest {
     @Test
     void takesWhatIsNamedAndLeavesTheRest() throws MalformedException {
-        OperatorSettings read = OperatorSettings.of("f.hcl", "# note\nlog {\n  format = \"json\" // x\n}\n"
-            + "store {\n  dir = \"/d \\\" e\" /* y */\n  segment = \"64KiB\"\n  learnt_for = \"24h\"\n}\n");
+        OperatorSettings read =
+                OperatorSettings.of(
+                        "f.hcl",
+                        "# note\n"
+                                + "log {\n"
+                                + "  format = \"json\" // x\n"
+                                + "}\n"
+                                + "store {\n"
+                                + "  dir = \"/d \\\" e\" /* y */\n"
+                                + "  segment = \"64KiB\"\n"
+                                + "  learnt_for = \"24h\"\n"
+                                + "}\n");
         assertEquals(LogSetup.Format.JSON, read.logging().format());
         assertEquals(OperatorSettings.Level.INFO, read.logging().level());
         OperatorSettings.Keeping keeping = read.keeping().orElseThrow();
@@ -32,68 +42,105 @@
     @Test
     void takesWhereConfigurationComesFrom() throws MalformedException {
         assertTrue(OperatorSettings.none().following().isEmpty());
-        OperatorSettings.Following read = OperatorSettings.of("f.hcl", "configuration {\n  sources = "
-            + "[\"127.0.0.1:7300\", \"127.0.0.2:7300\"]\n  dir = \"/d\"\n}\n").following().orElseThrow();
-        assertEquals(new OperatorSettings.Following(java.util.List.of("127.0.0.1:7300", "127.0.0.2:7300"), "",
-            "", Path.of("/d")), read);
+        OperatorSettings.Following read =
+                OperatorSettings.of(
+                                "f.hcl",
+                                "configuration {\n"
+                                        + "  sources = [\"127.0.0.1:7300\", \"127.0.0.2:7300\"]\n"
+                                        + "  dir = \"/d\"\n"
+                                        + "}\n")
+                        .following()
+                        .orElseThrow();
+        assertEquals(
+                new OperatorSettings.Following(
+                        java.util.List.of("127.0.0.1:7300", "127.0.0.2:7300"),
+                        "",
+                        "",
+                        Path.of("/d")),
+                read);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "log { colour = 1 }                   | f.hcl:1: log: unknown attribute 'colour'",
-        "log {}^^lag {}                       | f.hcl:3: lag: unknown block 'lag'",
-        "log {^ format = \"xml\"^}            | f.hcl:2: log: 'format' takes one of [text, json]",
-        "log {^ format = 3^}                  | f.hcl:2: log: 'format' takes a text",
-        "log {}^log {}                        | f.hcl:2: log: 'log' is given twice",
-        "log \"a\" {}                         | f.hcl:1: log: 'log' takes no label",
-        "log {^ level = \"info\"^ level = \"warn\"^} | f.hcl:3: log: 'level' is given twice",
-        "store {^}                            | f.hcl:1: store: 'dir' is missing",
-        "store {^ dir = \"d\"^ configurations = 1^} "
-            + "| f.hcl:3: store: 'configurations' takes a whole number from 2 to 10000",
-        "store {^ dir = \"d\"^ configurations = 2.5^} "
-            + "| f.hcl:3: store: 'configurations' takes a whole number from 2 to 10000",
-        "log {^ level = \"info\"              | f.hcl:1: 'log' cannot stand here",
-        "log {^}^}                            | f.hcl:3: '}' cannot stand here",
-        "amqp {^ listen = \"127.0.0.1:1\"^} | f.hcl:1: amqp: nobody may come in: name 'secrets' or "
-            + "'anonymous_tenant'",
-        "amqp {^ listen = \"here\"^ anonymous_tenant = \"t\"^} | f.hcl:2: amqp: 'listen' takes an address in "
-            + "figures with a port, such as \"127.0.0.1:5672\"",
-        "amqp {^ anonymous_tenant = \"t\"^} | f.hcl:1: amqp: 'listen' is missing",
-        "amqp {^ listen = \"127.0.0.1:1\"^ anonymous_tenant = \"t\"^ frame = \"1MiB\"^} | f.hcl:1: amqp: "
-            + "'link_bytes' must hold at least four frames of 'frame'",
-        "amqp {^ listen = \"127.0.0.1:1\"^ anonymous_tenant = \"t\"^ speed = 1^} | f.hcl:4: amqp: unknown "
-            + "attribute 'speed'",
-        "configuration {^ dir = \"d\"^}       | f.hcl:1: configuration: 'sources' is missing",
-        "configuration {^ sources = [\"127.0.0.1:1\"]^} | f.hcl:1: configuration: 'dir' is missing",
-        "configuration {^ dir = \"d\"^ sources = [\"here:1\"]^} | f.hcl:3: configuration: 'sources' takes "
-            + "addresses in figures with a port, such as \"127.0.0.1:7300\"",
-        "configuration {^ dir = \"d\"^ sources = [\"127.0.0.1:1\"]^ zone = \"a b\"^} | f.hcl:4: "
-            + "configuration: 'zone' takes up to 60 letters, digits, '.', '_' and '-'",
-        "configuration {^ dir = \"d\"^ sources = [\"127.0.0.1:1\"]^ name = \"a b\"^} | f.hcl:4: "
-            + "configuration: 'name' takes up to 160 visible ASCII characters",
-        "@@                                   | f.hcl:1: '@' cannot stand here",
-        "^= 3                                 | f.hcl:2: '=' cannot stand here",
-        "log {^ level = file(\"x\")^}         | f.hcl:2: 'level' takes plain values only: texts, numbers, "
-            + "true, false, lists",
-        "log {^ level = \"${x}\"^}            | f.hcl:2: 'level' takes plain values only: texts, numbers, "
-            + "true, false, lists",
-        "log {^ level = 5m^}                  | f.hcl:2: 'level' has no plain value",
-        "log {^ level = ^}                    | f.hcl:2: 'level' has no plain value",
-        "log {^ level = \"info^}              | f.hcl:2: not HCL"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "log { colour = 1 }                   | f.hcl:1: log: unknown attribute 'colour'",
+                "log {}^^lag {}                       | f.hcl:3: lag: unknown block 'lag'",
+                "log {^ format = \"xml\"^}            | f.hcl:2: log: 'format' takes one of [text,"
+                        + " json]",
+                "log {^ format = 3^}                  | f.hcl:2: log: 'format' takes a text",
+                "log {}^log {}                        | f.hcl:2: log: 'log' is given twice",
+                "log \"a\" {}                         | f.hcl:1: log: 'log' takes no label",
+                "log {^ level = \"info\"^ level = \"warn\"^} | f.hcl:3: log: 'level' is given"
+                        + " twice",
+                "store {^}                            | f.hcl:1: store: 'dir' is missing",
+                "store {^ dir = \"d\"^ configurations = 1^} "
+                        + "| f.hcl:3: store: 'configurations' takes a whole number from 2 to 10000",
+                "store {^ dir = \"d\"^ configurations = 2.5^} "
+                        + "| f.hcl:3: store: 'configurations' takes a whole number from 2 to 10000",
+                "log {^ level = \"info\"              | f.hcl:1: 'log' cannot stand here",
+                "log {^}^}                            | f.hcl:3: '}' cannot stand here",
+                "amqp {^ listen = \"127.0.0.1:1\"^} | f.hcl:1: amqp: nobody may come in: name"
+                        + " 'secrets' or 'anonymous_tenant'",
+                "amqp {^ listen = \"here\"^ anonymous_tenant = \"t\"^} | f.hcl:2: amqp: 'listen'"
+                        + " takes an address in figures with a port, such as \"127.0.0.1:5672\"",
+                "amqp {^ anonymous_tenant = \"t\"^} | f.hcl:1: amqp: 'listen' is missing",
+                "amqp {^ listen = \"127.0.0.1:1\"^ anonymous_tenant = \"t\"^ frame = \"1MiB\"^} |"
+                        + " f.hcl:1: amqp: 'link_bytes' must hold at least four frames of 'frame'",
+                "amqp {^ listen = \"127.0.0.1:1\"^ anonymous_tenant = \"t\"^ speed = 1^} | f.hcl:4:"
+                        + " amqp: unknown attribute 'speed'",
+                "configuration {^ dir = \"d\"^}       | f.hcl:1: configuration: 'sources' is"
+                        + " missing",
+                "configuration {^ sources = [\"127.0.0.1:1\"]^} | f.hcl:1: configuration: 'dir' is"
+                        + " missing",
+                "configuration {^ dir = \"d\"^ sources = [\"here:1\"]^} | f.hcl:3: configuration:"
+                        + " 'sources' takes addresses in figures with a port, such as"
+                        + " \"127.0.0.1:7300\"",
+                "configuration {^ dir = \"d\"^ sources = [\"127.0.0.1:1\"]^ zone = \"a b\"^} |"
+                    + " f.hcl:4: configuration: 'zone' takes up to 60 letters, digits, '.', '_' and"
+                    + " '-'",
+                "configuration {^ dir = \"d\"^ sources = [\"127.0.0.1:1\"]^ name = \"a b\"^} |"
+                    + " f.hcl:4: configuration: 'name' takes up to 160 visible ASCII characters",
+                "@@                                   | f.hcl:1: '@' cannot stand here",
+                "^= 3                                 | f.hcl:2: '=' cannot stand here",
+                "log {^ level = file(\"x\")^}         | f.hcl:2: 'level' takes plain values only:"
+                        + " texts, numbers, true, false, lists",
+                "log {^ level = \"${x}\"^}            | f.hcl:2: 'level' takes plain values only:"
+                        + " texts, numbers, true, false, lists",
+                "log {^ level = 5m^}                  | f.hcl:2: 'level' has no plain value",
+                "log {^ level = ^}                    | f.hcl:2: 'level' has no plain value",
+                "log {^ level = \"info^}              | f.hcl:2: not HCL"
+            })
     void refusesWithFileLineAndName(String text, String complaint) {
-        MalformedException refused = assertThrows(MalformedException.class,
-            () -> OperatorSettings.of("f.hcl", text.replace('^', '\n')));
+        MalformedException refused =
+                assertThrows(
+                        MalformedException.class,
+                        () -> OperatorSettings.of("f.hcl", text.replace('^', '\n')));
         assertEquals(complaint, refused.getMessage());
     }
 
     @Test
     void spansAndSizesHaveBounds() {
-        for (String bad : new String[] {"every = \"1ms\"", "every = \"2 s\"", "every = 2",
-            "segment = \"1KiB\"", "segment = \"9999999GiB\"", "compaction_rate = \"-1\""}) {
-            MalformedException refused = assertThrows(MalformedException.class,
-                () -> OperatorSettings.of("f", "store {\n dir = \"d\"\n " + bad + "\n}\n"));
-            assertTrue(refused.getMessage().startsWith("f:3: store: '" + bad.split(" ")[0] + "' takes "),
-                refused.getMessage());
+        for (String bad :
+                new String[] {
+                    "every = \"1ms\"",
+                    "every = \"2 s\"",
+                    "every = 2",
+                    "segment = \"1KiB\"",
+                    "segment = \"9999999GiB\"",
+                    "compaction_rate = \"-1\""
+                }) {
+            MalformedException refused =
+                    assertThrows(
+                            MalformedException.class,
+                            () ->
+                                    OperatorSettings.of(
+                                            "f", "store {\n dir = \"d\"\n " + bad + "\n}\n"));
+            assertTrue(
+                    refused.getMessage()
+                            .startsWith("f:3: store: '" + bad.split(" ")[0] + "' takes "),
+                    refused.getMessage());
         }
     }
 
@@ -101,14 +148,30 @@
     void theExampleIsSound() throws Exception {
         Path example = Path.of("..", "deploy", "saltstage.hcl");
         assertTrue(OperatorSettings.read(example).keeping().isEmpty());
-        String uncommented = Files.readString(example)
-            .replaceAll("(?m)^# (?=store|amqp|configuration \\{|  |\\})", "");
-        assertEquals("/var/lib/saltstage",
-            OperatorSettings.of("example", uncommented).keeping().orElseThrow().dir().toString());
-        assertEquals(5672,
-            OperatorSettings.of("example", uncommented).amqp().orElseThrow().listen().getPort());
+        String uncommented =
+                Files.readString(example)
+                        .replaceAll("(?m)^# (?=store|amqp|configuration \\{|  |\\})", "");
+        assertEquals(
+                "/var/lib/saltstage",
+                OperatorSettings.of("example", uncommented)
+                        .keeping()
+                        .orElseThrow()
+                        .dir()
+                        .toString());
+        assertEquals(
+                5672,
+                OperatorSettings.of("example", uncommented)
+                        .amqp()
+                        .orElseThrow()
+                        .listen()
+                        .getPort());
         assertTrue(OperatorSettings.read(example).following().isEmpty());
-        assertEquals(2,
-            OperatorSettings.of("example", uncommented).following().orElseThrow().sources().size());
+        assertEquals(
+                2,
+                OperatorSettings.of("example", uncommented)
+                        .following()
+                        .orElseThrow()
+                        .sources()
+                        .size());
     }
 }
--- a/relay/src/test/java/saltstage/configuration/ConfigurationJsonTest.java
+++ b/relay/src/test/java/saltstage/configuration/ConfigurationJsonTest.java
@@ -61,9 +61,11 @@
                 "{\"key\":\"shard/t/1\",\"shard\":{\"backend\":7}} ~ backend takes a text",
                 "{\"key\":\"shard/t/1\",\"setting\":{\"text\":\"1\"}} ~ shard is missing",
                 "{\"key\":\"shard/t/1\",\"deleted\":true,\"shard\":{}} ~ unknown member 'shard'",
-                "{\"key\":\"shard/t/1\",\"shard\":{\"backend\":\"a\",\"x\":1}} ~ unknown member 'x'",
+                "{\"key\":\"shard/t/1\",\"shard\":{\"backend\":\"a\",\"x\":1}} ~ unknown member"
+                        + " 'x'",
                 "{\"key\":\"shard/t/1\",\"shard\":{\"backend\":\"a b\"}} ~ 'backend' takes",
-                "{\"key\":\"suspension/a\",\"suspension\":{\"reason\":\"\\ud800\"}} ~ 'reason' takes",
+                "{\"key\":\"suspension/a\",\"suspension\":{\"reason\":\"\\ud800\"}} ~ 'reason'"
+                        + " takes",
                 "[] ~ mutations[0] is not an object",
             })
     void malformedMutationIsRefusedWithItsPlace(String mutation, String place) {
--- a/relay/src/test/java/saltstage/handover/HandoverTest.java
+++ b/relay/src/test/java/saltstage/handover/HandoverTest.java
@@ -16,8 +16,7 @@
 
 /** What two processes of a relay know of each other. */
 class HandoverTest {
-    @TempDir
-    private Path dir;
+    @TempDir private Path dir;
 
     @Test
     void bothSeeEachOthersBansAndNoneUndoesTheOthers() throws IOException {
@@ -86,7 +85,8 @@
             assertTrue(old.share(used / 2) <= kept);
             old.say(Slots.Phase.LEAVING);
             assertTrue(old.share(used / 3) + next.share(10) <= 400);
-            assertThrows(IOException.class, () -> Slots.claim(path.resolveSibling("slots" + used), 400));
+            assertThrows(
+                    IOException.class, () -> Slots.claim(path.resolveSibling("slots" + used), 400));
         }
     }
 }
--- a/relay/src/test/java/saltstage/keep/KeeperTest.java
+++ b/relay/src/test/java/saltstage/keep/KeeperTest.java
@@ -22,8 +22,14 @@
 /** What is handed over is kept, whatever the disk does meanwhile, or its loss is told. */
 class KeeperTest {
     private static final Instant NOON = Instant.parse("2026-12-01T12:00:00Z");
-    private static final Keeping SETTINGS = new Keeping(Path.of("none"), 4096, Duration.ofMinutes(10),
-        Duration.ofMillis(20), 3, 1 << 20);
+    private static final Keeping SETTINGS =
+            new Keeping(
+                    Path.of("none"),
+                    4096,
+                    Duration.ofMinutes(10),
+                    Duration.ofMillis(20),
+                    3,
+                    1 << 20);
 
     private final FaultDisk disk = new FaultDisk();
 
@@ -32,13 +38,33 @@
     }
 
     private static Learnt learnt(int setup) {
-        return new Learnt(setup, 2, 3, 4, 0.5, 6,
-            List.of(new LearntServer("s1", 7, 100, 10, 90, 2, 5_000_000)), Map.of(9L, 0.75));
+        return new Learnt(
+                setup,
+                2,
+                3,
+                4,
+                0.5,
+                6,
+                List.of(new LearntServer("s1", 7, 100, 10, 90, 2, 5_000_000)),
+                Map.of(9L, 0.75));
     }
 
     private static HostList list(long rev, String... uids) {
-        return new HostList(rev, true, List.of(uids).stream().map(uid -> new HostList.Entry(uid,
-            new InetSocketAddress("127.0.0.1", 9), "a", 3, HostList.State.READY, 1.5, NOON)).toList());
+        return new HostList(
+                rev,
+                true,
+                List.of(uids).stream()
+                        .map(
+                                uid ->
+                                        new HostList.Entry(
+                                                uid,
+                                                new InetSocketAddress("127.0.0.1", 9),
+                                                "a",
+                                                3,
+                                                HostList.State.READY,
+                                                1.5,
+                                                NOON))
+                        .toList());
     }
 
     private static void await(BooleanSupplier condition) throws InterruptedException {
@@ -90,10 +116,13 @@
         }
         keeper.start(() -> learnt(1));
         keeper.close(Duration.ofSeconds(30));
-        try (saltstage.store.Store store = saltstage.store.Store.openToRead(disk,
-            saltstage.store.StoreEvents.NONE)) {
-            assertEquals(List.of("3 c", "4 d", "5 e"), History.all(store).stream()
-                .map(v -> v.number() + " " + v.configuration()).toList());
+        try (saltstage.store.Store store =
+                saltstage.store.Store.openToRead(disk, saltstage.store.StoreEvents.NONE)) {
+            assertEquals(
+                    List.of("3 c", "4 d", "5 e"),
+                    History.all(store).stream()
+                            .map(v -> v.number() + " " + v.configuration())
+                            .toList());
         }
     }
 
@@ -106,8 +135,8 @@
         await(() -> keeper.state() == Keeper.State.FULL);
         disk.makeRoom();
         keeper.close(Duration.ofSeconds(30));
-        try (saltstage.store.Store store = saltstage.store.Store.openToRead(disk,
-            saltstage.store.StoreEvents.NONE)) {
+        try (saltstage.store.Store store =
+                saltstage.store.Store.openToRead(disk, saltstage.store.StoreEvents.NONE)) {
             assertEquals(1, History.all(store).size());
         }
     }
@@ -138,7 +167,8 @@
         first[0] = 1;
         assertEquals(0, Codec.learnt(first).learnt().part(), "the first version is known too");
         bytes[0] = 3;
-        assertEquals("learnt state of version 3; 2 is known",
-            assertThrows(IOException.class, () -> Codec.learnt(bytes)).getMessage());
+        assertEquals(
+                "learnt state of version 3; 2 is known",
+                assertThrows(IOException.class, () -> Codec.learnt(bytes)).getMessage());
     }
 }
--- a/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
@@ -30,13 +30,17 @@
     }
 
     private Outcome without(Fault dropping, Class<? extends Effect> dropped, Outcome outcome) {
-        List<Effect> kept = outcome.effects().stream()
-            .filter(effect -> fault != dropping || !dropped.isInstance(effect)).toList();
+        List<Effect> kept =
+                outcome.effects().stream()
+                        .filter(effect -> fault != dropping || !dropped.isInstance(effect))
+                        .toList();
         return as(new Outcome(outcome.next(), kept, outcome.lost()));
     }
 
     private Outcome untold(Fault dropping, Outcome outcome) {
-        return as(new Outcome(outcome.next(), outcome.effects(), outcome.lost() && fault != dropping));
+        return as(
+                new Outcome(
+                        outcome.next(), outcome.effects(), outcome.lost() && fault != dropping));
     }
 
     @Override
@@ -51,7 +55,10 @@
 
     @Override
     public Outcome startFailed(long id) {
-        return without(Fault.NOBODY_ASKS_AFTER_A_FAILED_START, Effect.AskLater.class, sound.startFailed(id));
+        return without(
+                Fault.NOBODY_ASKS_AFTER_A_FAILED_START,
+                Effect.AskLater.class,
+                sound.startFailed(id));
     }
 
     @Override
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
@@ -13,8 +13,9 @@
 import saltstage.wire.HostList;
 
 /**
- * Explores what discovery, the machine and the operator can do to the bookkeeping of calls: every order of
- * events up to a depth, breadth first, each state once. It knows the effects only, not what the rules hold.
+ * Explores what discovery, the machine and the operator can do to the bookkeeping of calls: every
+ * order of events up to a depth, breadth first, each state once. It knows the effects only, not
+ * what the rules hold.
  */
 final class DiscoveryCallsExplorer {
     /** A rule does not keep what is guaranteed; the message has the shortest way there. */
@@ -27,10 +28,12 @@
     }
 
     /** How far an exploration went. */
-    record Explored(int depth, int states) {
-    }
+    record Explored(int depth, int states) {}
 
-    /** A call that has been begun: its thread may report until it ends, its timer until it has fired. */
+    /**
+     * A call that has been begun: its thread may report until it ends, its timer until it has
+     * fired.
+     */
     private record Out(long id, boolean running, boolean timer, boolean told, boolean answered) {
         /** Told: the rules had it ended. What still comes of it must not matter. */
         boolean open() {
@@ -42,7 +45,10 @@
         }
     }
 
-    /** All that is known of a moment; asks are those that somebody owes: a timer or the decision module. */
+    /**
+     * All that is known of a moment; asks are those that somebody owes: a timer or the decision
+     * module.
+     */
     private record World(DiscoveryRules rules, Map<Long, Out> calls, long held, int asks) {
         World with(Out call) {
             Map<Long, Out> changed = new TreeMap<>(calls);
@@ -58,7 +64,10 @@
             return new World(rules, calls, held, asks + more);
         }
 
-        /** The same for two worlds that behave alike: what the rules still know is told apart by order. */
+        /**
+         * The same for two worlds that behave alike: what the rules still know is told apart by
+         * order.
+         */
         String key() {
             Map<Long, String> names = new TreeMap<>();
             List<String> ended = new ArrayList<>();
@@ -73,7 +82,9 @@
                 }
             }
             ended.sort(null);
-            return key.append(ended).append(rules.shape(id -> names.getOrDefault(id, "gone"))).toString();
+            return key.append(ended)
+                    .append(rules.shape(id -> names.getOrDefault(id, "gone")))
+                    .toString();
         }
     }
 
@@ -122,17 +133,28 @@
         for (Out call : List.copyOf(world.calls.values())) {
             if (call.running) {
                 for (long revision = world.held - 1; revision <= world.held + 1; revision++) {
-                    after(node, answered(world, call), ignoring(node, call, arrives(world, call, revision)),
-                        "list " + revision + " by " + call.id);
+                    after(
+                            node,
+                            answered(world, call),
+                            ignoring(node, call, arrives(world, call, revision)),
+                            "list " + revision + " by " + call.id);
                 }
-                World silent = world.with(new Out(call.id, false, call.timer, call.told, call.answered));
-                after(node, silent, ignoring(node, call, world.rules.callEnded(call.id)),
-                    "end of " + call.id);
+                World silent =
+                        world.with(new Out(call.id, false, call.timer, call.told, call.answered));
+                after(
+                        node,
+                        silent,
+                        ignoring(node, call, world.rules.callEnded(call.id)),
+                        "end of " + call.id);
             }
             if (call.timer) {
-                World fired = world.with(new Out(call.id, call.running, false, call.told, call.answered));
-                after(node, fired, ignoring(node, call, world.rules.answerTimedOut(call.id)),
-                    "time-out of " + call.id);
+                World fired =
+                        world.with(new Out(call.id, call.running, false, call.told, call.answered));
+                after(
+                        node,
+                        fired,
+                        ignoring(node, call, world.rules.answerTimedOut(call.id)),
+                        "time-out of " + call.id);
             }
         }
     }
@@ -142,20 +164,26 @@
     }
 
     private static DiscoveryRules.Outcome arrives(World world, Out call, long revision) {
-        return world.rules.listArrived(call.id, new HostList(revision, true, List.of()), world.held);
+        return world.rules.listArrived(
+                call.id, new HostList(revision, true, List.of()), world.held);
     }
 
-    private static DiscoveryRules.Outcome ignoring(Node node, Out call, DiscoveryRules.Outcome outcome) {
+    private static DiscoveryRules.Outcome ignoring(
+            Node node, Out call, DiscoveryRules.Outcome outcome) {
         if (call.told && (outcome.lost() || !outcome.effects().isEmpty())) {
             throw new Violation("a call that was ended matters: " + call.id, node);
         }
         return outcome;
     }
 
-    /** What follows when the effects are performed; where a call is to begin, a thread may be had or not. */
+    /**
+     * What follows when the effects are performed; where a call is to begin, a thread may be had or
+     * not.
+     */
     private void after(Node node, World before, DiscoveryRules.Outcome outcome, String event) {
-        World world = new World(outcome.next(), before.calls, before.held, before.asks)
-            .owing(outcome.lost() ? 1 : 0);
+        World world =
+                new World(outcome.next(), before.calls, before.held, before.asks)
+                        .owing(outcome.lost() ? 1 : 0);
         long begun = 0;
         for (Effect effect : outcome.effects()) {
             if (effect instanceof Effect.StartCall start) {
@@ -168,7 +196,10 @@
             reach(node.then(world, event));
             return;
         }
-        reach(node.then(world.with(new Out(begun, true, true, false, false)), event + " begins " + begun));
+        reach(
+                node.then(
+                        world.with(new Out(begun, true, true, false, false)),
+                        event + " begins " + begun));
         DiscoveryRules.Outcome failed = world.rules.startFailed(begun);
         after(node, world, failed, event + " finds no thread for " + begun);
     }
@@ -207,26 +238,35 @@
             throw new Violation("calls beside the watch", node);
         }
         if (!asksAgain(world)) {
-            throw new Violation("deaf: discovery is not asked once all that is out falls silent", node);
+            throw new Violation(
+                    "deaf: discovery is not asked once all that is out falls silent", node);
         }
     }
 
-    /** Whether a call is out once every call has ended, every timer has fired and every ask was made. */
+    /**
+     * Whether a call is out once every call has ended, every timer has fired and every ask was
+     * made.
+     */
     private static boolean asksAgain(World world) {
         DiscoveryRules rules = world.rules;
         int asks = world.asks;
         for (Out call : world.calls.values()) {
-            DiscoveryRules.Outcome ended = call.running ? rules.callEnded(call.id)
-                : new DiscoveryRules.Outcome(rules, List.of(), false);
-            DiscoveryRules.Outcome fired = call.timer ? ended.next().answerTimedOut(call.id)
-                : new DiscoveryRules.Outcome(ended.next(), List.of(), false);
+            DiscoveryRules.Outcome ended =
+                    call.running
+                            ? rules.callEnded(call.id)
+                            : new DiscoveryRules.Outcome(rules, List.of(), false);
+            DiscoveryRules.Outcome fired =
+                    call.timer
+                            ? ended.next().answerTimedOut(call.id)
+                            : new DiscoveryRules.Outcome(ended.next(), List.of(), false);
             asks += (ended.lost() ? 1 : 0) + (fired.lost() ? 1 : 0);
             rules = fired.next();
         }
         boolean begun = false;
         for (int i = 0; i < asks; i++) {
             DiscoveryRules.Outcome asked = rules.ask();
-            begun |= asked.effects().stream().anyMatch(effect -> effect instanceof Effect.StartCall);
+            begun |=
+                    asked.effects().stream().anyMatch(effect -> effect instanceof Effect.StartCall);
             rules = asked.next();
         }
         return begun;
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsTest.java
@@ -10,7 +10,10 @@
 import saltstage.lifecycle.DiscoveryCallsExplorer.Explored;
 import saltstage.lifecycle.DiscoveryCallsExplorer.Violation;
 
-/** Every order of events that discovery's calls can meet, up to a depth; and rules that must be rejected. */
+/**
+ * Every order of events that discovery's calls can meet, up to a depth; and rules that must be
+ * rejected.
+ */
 @Timeout(120)
 class DiscoveryCallsTest {
     private static final int DEPTH = 11;
@@ -22,7 +25,7 @@
 
     private static void rejects(String what, DiscoveryRules rules, String found) {
         Violation violation =
-            assertThrows(Violation.class, () -> DiscoveryCallsExplorer.explore(rules, DEPTH));
+                assertThrows(Violation.class, () -> DiscoveryCallsExplorer.explore(rules, DEPTH));
         System.out.println("rejected: " + what + ", " + violation.getMessage());
         assertTrue(violation.getMessage().startsWith(found), violation.getMessage());
     }
@@ -34,7 +37,9 @@
 
     @Test
     void effectsAreThoseOfTheFormerBookkeepingOnceMended() {
-        accepts("both", new PairedDiscoveryRules(DiscoveryRules.inForce(), new FormerDiscoveryRules(true)));
+        accepts(
+                "both",
+                new PairedDiscoveryRules(DiscoveryRules.inForce(), new FormerDiscoveryRules(true)));
     }
 
     @Test
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryRules.java
@@ -5,11 +5,13 @@
 import saltstage.lifecycle.DiscoveryCalls.Effect;
 import saltstage.wire.HostList;
 
-/** What {@link DiscoveryCallsExplorer} explores: the rules in force, or broken ones that it has to reject. */
+/**
+ * What {@link DiscoveryCallsExplorer} explores: the rules in force, or broken ones that it has to
+ * reject.
+ */
 interface DiscoveryRules {
     /** What an event leads to. */
-    record Outcome(DiscoveryRules next, List<Effect> effects, boolean lost) {
-    }
+    record Outcome(DiscoveryRules next, List<Effect> effects, boolean lost) {}
 
     Outcome ask();
 
@@ -34,7 +36,8 @@
     /** {@link DiscoveryCalls} as it is. */
     record InForce(DiscoveryCalls calls) implements DiscoveryRules {
         private static Outcome outcome(DiscoveryCalls.Step step) {
-            return new Outcome(new InForce(step.next()), step.effects(), step.lossReason().isPresent());
+            return new Outcome(
+                    new InForce(step.next()), step.effects(), step.lossReason().isPresent());
         }
 
         @Override
@@ -70,7 +73,9 @@
         @Override
         public String shape(LongFunction<String> nameOfCall) {
             StringBuilder shape = new StringBuilder();
-            calls.calls().forEach(call -> shape.append(nameOfCall.apply(call.id())).append(call.phase()));
+            calls.calls()
+                    .forEach(
+                            call -> shape.append(nameOfCall.apply(call.id())).append(call.phase()));
             return shape.toString();
         }
     }
--- a/relay/src/test/java/saltstage/lifecycle/FormerDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/FormerDiscoveryRules.java
@@ -9,8 +9,9 @@
 import saltstage.wire.HostList;
 
 /**
- * The bookkeeping as it was before the fault was mended: a reference to the newest call beside the set of
- * calls. With {@code forgets}, ending a call forgets it as the newest one as well, which was the first mend.
+ * The bookkeeping as it was before the fault was mended: a reference to the newest call beside the
+ * set of calls. With {@code forgets}, ending a call forgets it as the newest one as well, which was
+ * the first mend.
  */
 final class FormerDiscoveryRules implements DiscoveryRules {
     private static final long NONE = 0;
@@ -110,7 +111,8 @@
         }
         next.watch = watch == id ? NONE : watch;
         next.newest = newest == id ? NONE : newest;
-        return new Outcome(next, List.of(), watch == id || watch == NONE && !superseded.contains(id));
+        return new Outcome(
+                next, List.of(), watch == id || watch == NONE && !superseded.contains(id));
     }
 
     @Override
@@ -119,7 +121,10 @@
         for (long id : calls) {
             shape.append(nameOfCall.apply(id)).append(superseded.contains(id) ? "superseded" : "");
         }
-        return shape + " newest=" + (newest == NONE ? "none" : nameOfCall.apply(newest)
-            + superseded.contains(newest)) + " watch=" + (watch == NONE ? "none" : nameOfCall.apply(watch));
+        return shape
+                + " newest="
+                + (newest == NONE ? "none" : nameOfCall.apply(newest) + superseded.contains(newest))
+                + " watch="
+                + (watch == NONE ? "none" : nameOfCall.apply(watch));
     }
 }
--- a/relay/src/test/java/saltstage/lifecycle/PairedDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/PairedDiscoveryRules.java
@@ -13,7 +13,8 @@
         Outcome other = event.apply(second);
         assertEquals(one.effects(), other.effects());
         assertEquals(one.lost(), other.lost());
-        return new Outcome(new PairedDiscoveryRules(one.next(), other.next()), one.effects(), one.lost());
+        return new Outcome(
+                new PairedDiscoveryRules(one.next(), other.next()), one.effects(), one.lost());
     }
 
     @Override
--- a/relay/src/test/java/saltstage/lifecycle/SubscriptionTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/SubscriptionTest.java
@@ -30,7 +30,10 @@
 import saltstage.stage.Threads;
 import saltstage.wire.HostList;
 
-/** Calls to discovery that cross: the test answers each when it is its turn, so every order is forced. */
+/**
+ * Calls to discovery that cross: the test answers each when it is its turn, so every order is
+ * forced.
+ */
 @Timeout(60)
 class SubscriptionTest {
     private final List<AutoCloseable> toClose = new ArrayList<>();
@@ -67,12 +70,20 @@
     }
 
     private Subscription subscribe(boolean pushed) {
-        return new Subscription(at(service), pushed, timers, rev::get, this::take, () -> {
-            refused.incrementAndGet();
-            if (!service.isClosed()) {
-                timers.after(Duration.ofMillis(10), subscription::ask); // the module's pause is not meant
-            }
-        });
+        return new Subscription(
+                at(service),
+                pushed,
+                timers,
+                rev::get,
+                this::take,
+                () -> {
+                    refused.incrementAndGet();
+                    if (!service.isClosed()) {
+                        timers.after(
+                                Duration.ofMillis(10),
+                                subscription::ask); // the module's pause is not meant
+                    }
+                });
     }
 
     private void take(HostList list) {
@@ -91,8 +102,10 @@
             socket = at.accept();
             toClose.add(socket);
             socket.setSoTimeout(30_000);
-            in = new BufferedReader(
-                new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+            in =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.US_ASCII));
             request = in.readLine();
             while (!in.readLine().isEmpty()) {
                 continue;
@@ -130,7 +143,8 @@
         Call answered = new Call(service).tells(5);
         assertEquals(5, next());
         hangs.isGivenUp();
-        assertEquals(6, answered.tells(6) == null ? 0 : next(), "the one that answered is the watch");
+        assertEquals(
+                6, answered.tells(6) == null ? 0 : next(), "the one that answered is the watch");
         assertEquals(1, refused.get(), "a superseded call is reported once");
     }
 
--- a/relay/src/test/java/saltstage/lifecycle/ToldInTimeTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/ToldInTimeTest.java
@@ -17,25 +17,47 @@
 /** What a relay may miss of discovery, by its longest pauses: a change counts as told after 6 s. */
 class ToldInTimeTest {
     private static final Duration TOLD = Duration.ofSeconds(6);
+
     /** A service that works through calls in turn needs some time for an answer. */
     private static final Duration ANSWER = Duration.ofSeconds(1);
 
     /** The longest of the module's pauses after so many failed calls in a row, over many seeds. */
     private static Duration longestPause(int failed) {
-        Map<String, String> settings = Map.of("Services.count", "1", "Services.0.Aim", "1000",
-            "Services.0.GiveUp", "1000", "Services.0.Effect", "retryable", "Discovery", "on_request");
+        Map<String, String> settings =
+                Map.of(
+                        "Services.count",
+                        "1",
+                        "Services.0.Aim",
+                        "1000",
+                        "Services.0.GiveUp",
+                        "1000",
+                        "Services.0.Effect",
+                        "retryable",
+                        "Discovery",
+                        "on_request");
         long longest = 0;
         for (long seed = 0; seed < 2_000; seed++) {
             List<Long> pauses = new ArrayList<>();
-            Api.Actions acts = (Api.Actions) Proxy.newProxyInstance(Api.class.getClassLoader(),
-                new Class<?>[] {Api.Actions.class}, (proxy, method, given) -> {
-                    if (method.getName().equals("timer") && given[0].equals("list")) {
-                        pauses.add((Long) given[1]);
-                    }
-                    return null;
-                });
-            Logic logic = new Logic(new SettingsReader(settings, (key, what) ->
-                new IllegalArgumentException(key + what)).read(), seed, acts);
+            Api.Actions acts =
+                    (Api.Actions)
+                            Proxy.newProxyInstance(
+                                    Api.class.getClassLoader(),
+                                    new Class<?>[] {Api.Actions.class},
+                                    (proxy, method, given) -> {
+                                        if (method.getName().equals("timer")
+                                                && given[0].equals("list")) {
+                                            pauses.add((Long) given[1]);
+                                        }
+                                        return null;
+                                    });
+            Logic logic =
+                    new Logic(
+                            new SettingsReader(
+                                            settings,
+                                            (key, what) -> new IllegalArgumentException(key + what))
+                                    .read(),
+                            seed,
+                            acts);
             for (int i = 0; i < failed; i++) {
                 logic.list(i, Listing.REFUSED, List.of());
             }
@@ -46,8 +68,11 @@
 
     @Test
     void watchThatFallsSilentIsReplacedThoughTheFirstCallHangs() {
-        Duration until = DiscoveryClient.SILENCE.plus(longestPause(1)).plus(Subscription.UNANSWERED)
-            .plus(longestPause(2));
+        Duration until =
+                DiscoveryClient.SILENCE
+                        .plus(longestPause(1))
+                        .plus(Subscription.UNANSWERED)
+                        .plus(longestPause(2));
         assertTrue(until.compareTo(TOLD) <= 0, until.toString());
     }
 
--- a/relay/src/test/java/saltstage/log/LogTest.java
+++ b/relay/src/test/java/saltstage/log/LogTest.java
@@ -30,17 +30,33 @@
 
     @Test
     void textHasTheFormThatOncallKnows() {
-        List<String> lines = lines(LogSetup.Format.TEXT,
-            () -> Log.warn("try.malformed", "peer", "g1", "line", "a \"b\"\r\nc\u00fc", "n", 3));
+        List<String> lines =
+                lines(
+                        LogSetup.Format.TEXT,
+                        () ->
+                                Log.warn(
+                                        "try.malformed",
+                                        "peer",
+                                        "g1",
+                                        "line",
+                                        "a \"b\"\r\nc\u00fc",
+                                        "n",
+                                        3));
         assertEquals(1, lines.size());
-        assertTrue(lines.get(0).matches("\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d(\\.\\d{3})?Z WARN "
-            + "try.malformed peer=g1 line=\"a 'b'\\?\\?c\\?\" n=3"), lines.get(0));
+        assertTrue(
+                lines.get(0)
+                        .matches(
+                                "\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d(\\.\\d{3})?Z WARN "
+                                        + "try.malformed peer=g1 line=\"a 'b'\\?\\?c\\?\" n=3"),
+                lines.get(0));
     }
 
     @Test
     void jsonIsOneObjectALine() {
-        List<String> lines = lines(LogSetup.Format.JSON,
-            () -> Log.info("relay.ready", "name", "a\"b\nc", "peers", 2));
+        List<String> lines =
+                lines(
+                        LogSetup.Format.JSON,
+                        () -> Log.info("relay.ready", "name", "a\"b\nc", "peers", 2));
         assertEquals(1, lines.size());
         assertTrue(lines.get(0).startsWith("{") && lines.get(0).endsWith("}"), lines.get(0));
         assertTrue(lines.get(0).contains("\"message\":\"relay.ready\""), lines.get(0));
@@ -50,19 +66,25 @@
     @Test
     void anEventThatRepeatsIsBoundedAndTheRestCounted() {
         int lines = 500;
-        List<String> written = lines(LogSetup.Format.TEXT, () -> {
-            for (int i = 0; i < lines; i++) {
-                Log.info("flood", "i", i);
-            }
-            long second = System.currentTimeMillis() / 1000;
-            while (System.currentTimeMillis() / 1000 == second) {
-                Thread.onSpinWait();
-            }
-            Log.info("other");
-        });
+        List<String> written =
+                lines(
+                        LogSetup.Format.TEXT,
+                        () -> {
+                            for (int i = 0; i < lines; i++) {
+                                Log.info("flood", "i", i);
+                            }
+                            long second = System.currentTimeMillis() / 1000;
+                            while (System.currentTimeMillis() / 1000 == second) {
+                                Thread.onSpinWait();
+                            }
+                            Log.info("other");
+                        });
         long flood = written.stream().filter(line -> line.contains(" flood ")).count();
-        long told = written.stream().filter(line -> line.contains("log.suppressed event=flood"))
-            .mapToLong(line -> Long.parseLong(line.replaceAll(".*lines=", ""))).sum();
+        long told =
+                written.stream()
+                        .filter(line -> line.contains("log.suppressed event=flood"))
+                        .mapToLong(line -> Long.parseLong(line.replaceAll(".*lines=", "")))
+                        .sum();
         assertEquals(lines, flood + told);
         assertTrue(flood <= 3 * EventAppender.MOST_A_SECOND, "written: " + flood);
         assertTrue(written.get(written.size() - 1).endsWith(" INFO other"));
--- a/relay/src/test/java/saltstage/memory/PeersTest.java
+++ b/relay/src/test/java/saltstage/memory/PeersTest.java
@@ -15,7 +15,9 @@
 import saltstage.wire.HostList;
 import saltstage.wire.HostList.State;
 
-/** Guards what a try looks at when it is really sent: may this very process still be given new work? */
+/**
+ * Guards what a try looks at when it is really sent: may this very process still be given new work?
+ */
 public class PeersTest {
     private final Peers peers = new Peers();
 
@@ -24,8 +26,14 @@
     }
 
     private static HostList.Entry entry(String uid, State state, long started) {
-        return new HostList.Entry(uid, new InetSocketAddress("127.0.0.1", 1), "a", 0, state, 1,
-            Instant.ofEpochMilli(started));
+        return new HostList.Entry(
+                uid,
+                new InetSocketAddress("127.0.0.1", 1),
+                "a",
+                0,
+                state,
+                1,
+                Instant.ofEpochMilli(started));
     }
 
     @Test
--- a/relay/src/test/java/saltstage/memory/TellerTest.java
+++ b/relay/src/test/java/saltstage/memory/TellerTest.java
@@ -6,7 +6,9 @@
 import java.time.Instant;
 import org.junit.Test;
 
-/** Guards against jams that the module never hears of: both kinds of figures come in the same word. */
+/**
+ * Guards against jams that the module never hears of: both kinds of figures come in the same word.
+ */
 public class TellerTest {
     private static final Instant START = Instant.ofEpochSecond(1_000);
     private final Teller teller = new Teller();
@@ -37,7 +39,8 @@
         assertFalse("a heavy one grew light", delayAt(900, heavy, 789));
         assertTrue(delayAt(1_000, heavy, 58));
         assertFalse("near a delay's part of the second", delayAt(1_970, light, 1_761));
-        assertFalse("too long for a delay, at its part of the second", delayAt(2_000, heavy, 9_055));
+        assertFalse(
+                "too long for a delay, at its part of the second", delayAt(2_000, heavy, 9_055));
     }
 
     @Test
--- a/relay/src/test/java/saltstage/metrics/CountsTest.java
+++ b/relay/src/test/java/saltstage/metrics/CountsTest.java
@@ -14,10 +14,20 @@
         counts.ended(1, Counts.End.PASSED);
         counts.ended(0, Counts.End.BAD_GATEWAY);
         counts.tried();
-        assertEquals(String.join("\r\n", "app.handled.report.passed:0|c", "app.handled.report.dropped:0|c",
-            "app.handled.report.bad_gateway:1|c", "app.handled.check.passed:2|c",
-            "app.handled.check.dropped:0|c", "app.handled.check.bad_gateway:0|c", "app.upstream_tries:1|c",
-            "app.in_progress:3|g", "app.known_backends:4|g", "app.skipped_backends:1|g", ""),
-            counts.text(3, 4, 1));
+        assertEquals(
+                String.join(
+                        "\r\n",
+                        "app.handled.report.passed:0|c",
+                        "app.handled.report.dropped:0|c",
+                        "app.handled.report.bad_gateway:1|c",
+                        "app.handled.check.passed:2|c",
+                        "app.handled.check.dropped:0|c",
+                        "app.handled.check.bad_gateway:0|c",
+                        "app.upstream_tries:1|c",
+                        "app.in_progress:3|g",
+                        "app.known_backends:4|g",
+                        "app.skipped_backends:1|g",
+                        ""),
+                counts.text(3, 4, 1));
     }
 }
--- a/relay/src/test/java/saltstage/metrics/ProcessUsageTest.java
+++ b/relay/src/test/java/saltstage/metrics/ProcessUsageTest.java
@@ -9,8 +9,12 @@
 class ProcessUsageTest {
     @Test
     void counterIsReadByItsNameAndUnknownWhereItIsMissing() {
-        List<String> lines = List.of("TcpExt: SyncookiesSent ListenOverflows", "TcpExt: 3 192", "IpExt: A",
-            "IpExt: 1");
+        List<String> lines =
+                List.of(
+                        "TcpExt: SyncookiesSent ListenOverflows",
+                        "TcpExt: 3 192",
+                        "IpExt: A",
+                        "IpExt: 1");
         assertEquals(192, ProcessUsage.counter(lines, "ListenOverflows"));
         assertEquals(ProcessUsage.UNKNOWN, ProcessUsage.counter(lines, "ListenDrops"));
         assertEquals(ProcessUsage.UNKNOWN, ProcessUsage.counter(List.of(), "ListenOverflows"));
--- a/relay/src/test/java/saltstage/net/NettyTransportTest.java
+++ b/relay/src/test/java/saltstage/net/NettyTransportTest.java
@@ -23,9 +23,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The transport against plain sockets: bounds, half-closes, resets and faults, on both kinds of loops. */
+/**
+ * The transport against plain sockets: bounds, half-closes, resets and faults, on both kinds of
+ * loops.
+ */
 class NettyTransportTest {
-    private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final InetSocketAddress ANY =
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final Connection.Bounds BOUNDS = new Connection.Bounds(16 << 10, 256 << 10);
 
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
@@ -33,7 +37,9 @@
     private NettyTransport transport;
 
     private NettyTransport transport(boolean epoll) {
-        transport = new NettyTransport(1, epoll, (where, fault) -> told.add("fault " + fault.getMessage()));
+        transport =
+                new NettyTransport(
+                        1, epoll, (where, fault) -> told.add("fault " + fault.getMessage()));
         return transport;
     }
 
@@ -65,10 +71,15 @@
     }
 
     private Socket client(Handler handler) throws Exception {
-        Transport.Listener listener = transport.listen(ANY, 16, BOUNDS, connection -> {
-            connections.add(connection);
-            return handler;
-        });
+        Transport.Listener listener =
+                transport.listen(
+                        ANY,
+                        16,
+                        BOUNDS,
+                        connection -> {
+                            connections.add(connection);
+                            return handler;
+                        });
         Socket socket = new Socket();
         socket.setReceiveBufferSize(8 << 10);
         socket.connect(listener.address());
@@ -98,13 +109,17 @@
             assertEquals("received ask", next());
             socket.shutdownOutput();
             assertEquals("inputEnded", next());
-            connection.loop().run(() -> {
-                connection.write(text("answer after the end"));
-                connection.endOutput();
-                connection.write(text("never sent"));
-            });
-            assertEquals("answer after the end",
-                new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII));
+            connection
+                    .loop()
+                    .run(
+                            () -> {
+                                connection.write(text("answer after the end"));
+                                connection.endOutput();
+                                connection.write(text("never sent"));
+                            });
+            assertEquals(
+                    "answer after the end",
+                    new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII));
             assertEquals("closed ENDED", next());
         }
     }
@@ -116,14 +131,17 @@
         try (Socket socket = client(new Telling())) {
             Connection connection = accepted();
             CompletableFuture<Long> most = new CompletableFuture<>();
-            connection.loop().run(() -> {
-                long highest = 0;
-                for (int i = 0; i < 100_000; i++) {
-                    connection.write(ByteBuffer.allocate(1_024));
-                    highest = Math.max(highest, connection.unsent());
-                }
-                most.complete(highest);
-            });
+            connection
+                    .loop()
+                    .run(
+                            () -> {
+                                long highest = 0;
+                                for (int i = 0; i < 100_000; i++) {
+                                    connection.write(ByteBuffer.allocate(1_024));
+                                    highest = Math.max(highest, connection.unsent());
+                                }
+                                most.complete(highest);
+                            });
             assertEquals("writable false", next());
             assertTrue(most.get(30, TimeUnit.SECONDS) <= BOUNDS.most(), "unsent " + most.get());
             assertEquals("closed OVERFLOW", next());
@@ -137,13 +155,16 @@
         try (Socket socket = client(new Telling())) {
             Connection connection = accepted();
             CompletableFuture<Integer> written = new CompletableFuture<>();
-            connection.loop().run(() -> {
-                int bytes = 0;
-                for (; connection.unsent() <= BOUNDS.soft(); bytes += 1_024) {
-                    connection.write(ByteBuffer.allocate(1_024));
-                }
-                written.complete(bytes);
-            });
+            connection
+                    .loop()
+                    .run(
+                            () -> {
+                                int bytes = 0;
+                                for (; connection.unsent() <= BOUNDS.soft(); bytes += 1_024) {
+                                    connection.write(ByteBuffer.allocate(1_024));
+                                }
+                                written.complete(bytes);
+                            });
             assertEquals("writable false", next());
             socket.getInputStream().readNBytes(written.get(30, TimeUnit.SECONDS));
             assertEquals("writable true", next());
@@ -157,10 +178,13 @@
         try (Socket socket = client(new Telling())) {
             Connection connection = accepted();
             CompletableFuture<Void> paused = new CompletableFuture<>();
-            connection.loop().run(() -> {
-                connection.reading(false);
-                paused.complete(null);
-            });
+            connection
+                    .loop()
+                    .run(
+                            () -> {
+                                connection.reading(false);
+                                paused.complete(null);
+                            });
             paused.get(30, TimeUnit.SECONDS);
             socket.getOutputStream().write('x');
             assertEquals(null, told.poll(200, TimeUnit.MILLISECONDS));
@@ -185,12 +209,14 @@
     @ValueSource(booleans = {false, true})
     void aHandlerThatThrowsCostsItsConnectionAndNoOther(boolean epoll) throws Exception {
         transport(epoll);
-        Socket bad = client(new Telling() {
-            @Override
-            public void received(Connection on, ByteBuffer bytes) {
-                throw new IllegalStateException("broken handler");
-            }
-        });
+        Socket bad =
+                client(
+                        new Telling() {
+                            @Override
+                            public void received(Connection on, ByteBuffer bytes) {
+                                throw new IllegalStateException("broken handler");
+                            }
+                        });
         try (Socket good = client(new Telling())) {
             bad.getOutputStream().write('x');
             assertEquals("fault broken handler", next());
@@ -229,8 +255,11 @@
             transport.connect(loop, address, Duration.ofSeconds(5), BOUNDS, telling());
             assertEquals("connected", next());
             try (Socket accepted = server.accept()) {
-                assertEquals("hello", new String(accepted.getInputStream().readNBytes(5),
-                    StandardCharsets.US_ASCII));
+                assertEquals(
+                        "hello",
+                        new String(
+                                accepted.getInputStream().readNBytes(5),
+                                StandardCharsets.US_ASCII));
             }
             assertEquals("inputEnded", next());
         }
@@ -244,14 +273,15 @@
         transport(epoll);
         Loop loop = transport.loops().get(0);
         List<Loop.Timer> timers = new ArrayList<>();
-        loop.run(() -> {
-            loop.after(Duration.ofMillis(60), () -> told.add("late " + loop.isCurrent()));
-            loop.after(Duration.ofMillis(10), () -> told.add("soon " + loop.isCurrent()));
-            timers.add(loop.after(Duration.ofMillis(30), () -> told.add("never")));
-            assertTrue(timers.get(0).cancel());
-            assertFalse(timers.get(0).cancel());
-            told.add("now");
-        });
+        loop.run(
+                () -> {
+                    loop.after(Duration.ofMillis(60), () -> told.add("late " + loop.isCurrent()));
+                    loop.after(Duration.ofMillis(10), () -> told.add("soon " + loop.isCurrent()));
+                    timers.add(loop.after(Duration.ofMillis(30), () -> told.add("never")));
+                    assertTrue(timers.get(0).cancel());
+                    assertFalse(timers.get(0).cancel());
+                    told.add("now");
+                });
         assertEquals("now", next());
         assertEquals("soon true", next());
         assertEquals("late true", next());
--- a/relay/src/test/java/saltstage/process/AcceptBurstTest.java
+++ b/relay/src/test/java/saltstage/process/AcceptBurstTest.java
@@ -19,8 +19,10 @@
     private static final int CLIENTS = 1_500;
     private static final int THREAD_START_MICROS = 2_000;
     private static final int DESCRIPTORS = 1_200;
+
     /** A SYN that a full queue has dropped is sent again after a second. */
     private static final int CONNECTED_WITHIN_MS = 1_000;
+
     private static final int UP_WITHIN_MS = 40_000;
 
     /** One client of the burst. */
@@ -33,15 +35,23 @@
         }
 
         byte[] request() {
-            return ("OPEN id" + number + " 7f3a9c21e0b4d655 c=chat,t=acme,d=" + UP_WITHIN_MS + ",at="
-                + StandInFleet.uid(number % 20) + "\r\n").getBytes(StandardCharsets.US_ASCII);
+            return ("OPEN id"
+                            + number
+                            + " 7f3a9c21e0b4d655 c=chat,t=acme,d="
+                            + UP_WITHIN_MS
+                            + ",at="
+                            + StandInFleet.uid(number % 20)
+                            + "\r\n")
+                    .getBytes(StandardCharsets.US_ASCII);
         }
 
         /** The first word of its answer, or how the connection ended. */
         String read(SocketChannel channel) {
             try {
-                return channel.read(heard) < 0 ? "end" : new String(heard.array(), 0, heard.position(),
-                    StandardCharsets.US_ASCII).split("[ \r]")[0];
+                return channel.read(heard) < 0
+                        ? "end"
+                        : new String(heard.array(), 0, heard.position(), StandardCharsets.US_ASCII)
+                                .split("[ \r]")[0];
             } catch (java.io.IOException reset) {
                 return "reset";
             }
@@ -54,10 +64,13 @@
 
     @Test
     public void queueTakesABurstThatComesFasterThanThreadsStart() throws Exception {
-        try (World world = new World(); StandInFleet fleet = new StandInFleet(20);
+        try (World world = new World();
+                StandInFleet fleet = new StandInFleet(20);
                 Selector selector = Selector.open()) {
-            world.platform = new NarrowPlatform().threadDelayMicros(THREAD_START_MICROS)
-                .descriptors(DESCRIPTORS);
+            world.platform =
+                    new NarrowPlatform()
+                            .threadDelayMicros(THREAD_START_MICROS)
+                            .descriptors(DESCRIPTORS);
             world.startWith(world.config(DESCRIPTORS, fleet.list(1)));
             long start = System.nanoTime();
             for (int i = 0; i < CLIENTS; i++) {
@@ -77,8 +90,10 @@
             }
             System.out.println("answers to a burst: " + answers);
             assertEquals("answered: " + answers, CLIENTS, answered);
-            assertEquals("each is served or told to come again", CLIENTS,
-                answers.getOrDefault("UP", 0) + answers.getOrDefault("BUSY", 0));
+            assertEquals(
+                    "each is served or told to come again",
+                    CLIENTS,
+                    answers.getOrDefault("UP", 0) + answers.getOrDefault("BUSY", 0));
             assertTrue(answers.containsKey("UP"));
         }
     }
--- a/relay/src/test/java/saltstage/process/AdminTest.java
+++ b/relay/src/test/java/saltstage/process/AdminTest.java
@@ -39,8 +39,19 @@
     @Test
     public void callsAreAnsweredAndBadOnesGetOneError() throws Exception {
         assertEquals("done ready\n", world.call("STATUS"));
-        for (String bad : List.of("", "status", "SUSPEND", "SUSPEND  ", "SUSPEND a b", "STATUS s-1", "QUIT",
-            "SUSPEND nobody", "RESTORE nobody", "SUSPEND \u0001", "x".repeat(5_000))) {
+        for (String bad :
+                List.of(
+                        "",
+                        "status",
+                        "SUSPEND",
+                        "SUSPEND  ",
+                        "SUSPEND a b",
+                        "STATUS s-1",
+                        "QUIT",
+                        "SUSPEND nobody",
+                        "RESTORE nobody",
+                        "SUSPEND \u0001",
+                        "x".repeat(5_000))) {
             String answer = world.call(bad);
             assertTrue(bad + " got " + answer, answer.matches("error [ -~]+\n"));
         }
--- a/relay/src/test/java/saltstage/process/ClockStepTest.java
+++ b/relay/src/test/java/saltstage/process/ClockStepTest.java
@@ -10,14 +10,19 @@
 import saltstage.process.World.Line;
 import saltstage.process.World.Service;
 
-/** The wall clock is stepped while a relay runs: its deadlines and its end are spans of real time. */
+/**
+ * The wall clock is stepped while a relay runs: its deadlines and its end are spans of real time.
+ */
 public class ClockStepTest {
     private static final int STEP_AFTER_MS = 1_500;
     private static final int DEADLINE_MS = 1_500;
+
     /** Up to half a second after its time a request earns nothing; later it is lost. */
     private static final int LOST_AFTER_MS = DEADLINE_MS + 500;
+
     /** The relay's own clock may run out this much sooner than the client's. */
     private static final int EARLY_MS = 200;
+
     private static final int END_WITHIN_MS = 3_700;
 
     @Test
@@ -40,7 +45,9 @@
             Service backend = world.backend();
             world.platform = new NarrowPlatform().clockStep(seconds, STEP_AFTER_MS);
             String config =
-                world.config(1_024, World.list(1, true, World.target("s-1", backend.endpoint(), "ready")));
+                    world.config(
+                            1_024,
+                            World.list(1, true, World.target("s-1", backend.endpoint(), "ready")));
             world.startWith(config);
             Line standing = world.open("standing", 5_000);
             world.stand(backend, standing);
@@ -52,7 +59,8 @@
 
             long asked = System.nanoTime();
             Line waiting = world.open("waiting", DEADLINE_MS);
-            assertTrue(backend.accept().hear().startsWith("OPEN waiting")); // and hears nothing back
+            assertTrue(
+                    backend.accept().hear().startsWith("OPEN waiting")); // and hears nothing back
             waiting.socket.setSoTimeout(LOST_AFTER_MS);
             assertTrue(waiting.hear().startsWith("BUSY"));
             long answeredMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
@@ -60,8 +68,9 @@
 
             Platform.signal(world.process().pid(), "TERM");
             assertEquals("MOVE", standing.hear());
-            assertTrue("it ends before SIGKILL would come",
-                world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
+            assertTrue(
+                    "it ends before SIGKILL would come",
+                    world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, world.process().exitValue());
         }
     }
--- a/relay/src/test/java/saltstage/process/ConfigurationTest.java
+++ b/relay/src/test/java/saltstage/process/ConfigurationTest.java
@@ -27,10 +27,12 @@
 import saltstage.process.World.Line;
 import saltstage.process.World.Service;
 
-/** The running relay and configuration by revision: served by it, kept over a restart, absent without it. */
+/**
+ * The running relay and configuration by revision: served by it, kept over a restart, absent
+ * without it.
+ */
 public class ConfigurationTest {
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
     private final ServedView view = new ServedView();
     private World world;
@@ -57,24 +59,33 @@
     }
 
     private void startRelay() throws Exception {
-        Files.writeString(settings, "configuration {\n  sources = [\"" + source.address() + "\"]\n"
-            + "  zone = \"a\"\n  dir = \"" + folder.getRoot().toPath().resolve("configuration") + "\"\n}\n");
+        Files.writeString(
+                settings,
+                "configuration {\n  sources = [\""
+                        + source.address()
+                        + "\"]\n"
+                        + "  zone = \"a\"\n  dir = \""
+                        + folder.getRoot().toPath().resolve("configuration")
+                        + "\"\n}\n");
         world.startWith(world.config(512, World.list(41, true)), settings);
     }
 
     private static Mutation backend(String id, Service at, BackendState state) {
-        return new Mutation(new EntryKey(EntryKind.BACKEND, id), state == null ? null
-            : new EntryValue.Backend(at.endpoint(), "a", 0, state, 1, 0));
+        return new Mutation(
+                new EntryKey(EntryKind.BACKEND, id),
+                state == null ? null : new EntryValue.Backend(at.endpoint(), "a", 0, state, 1, 0));
     }
 
     private static Mutation suspension(String id, String reason) {
-        return new Mutation(new EntryKey(EntryKind.SUSPENSION, id),
-            reason == null ? null : new EntryValue.Suspension(reason));
+        return new Mutation(
+                new EntryKey(EntryKind.SUSPENSION, id),
+                reason == null ? null : new EntryValue.Suspension(reason));
     }
 
     private static Mutation setting(String name, String text) {
-        return new Mutation(new EntryKey(EntryKind.SETTING, name),
-            text == null ? null : new EntryValue.Setting(text));
+        return new Mutation(
+                new EntryKey(EntryKind.SETTING, name),
+                text == null ? null : new EntryValue.Setting(text));
     }
 
     private void accept(Mutation... mutations) throws InterruptedException {
@@ -84,26 +95,38 @@
 
     /** Whether the log says so, in either of its forms. */
     private boolean applied(long revision) {
-        return world.log.stream().anyMatch(line -> line.contains("configuration.applied")
-            && (line.contains(" rev=" + revision + " ") || line.contains("{\"rev\":\"" + revision + "\"}")));
+        return world.log.stream()
+                .anyMatch(
+                        line ->
+                                line.contains("configuration.applied")
+                                        && (line.contains(" rev=" + revision + " ")
+                                                || line.contains(
+                                                        "{\"rev\":\"" + revision + "\"}")));
     }
 
     private void allGoTo(Service backend, String name) throws Exception {
         for (int i = 0; i < 8; i++) { // of 8 keys one at least would go to each of two
-            world.stand(backend, world.client().say("OPEN " + name + i + " key" + i
-                + " c=chat,t=acme,d=20000"));
+            world.stand(
+                    backend,
+                    world.client().say("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000"));
         }
     }
 
     @Test
-    public void anAddedBackendGetsClientsADrainingOneNoneAndThoseOfAGoneOneAreMoved() throws Exception {
+    public void anAddedBackendGetsClientsADrainingOneNoneAndThoseOfAGoneOneAreMoved()
+            throws Exception {
         startRelay();
         accept(backend("s-1", first, BackendState.READY));
         Line client = world.open("a1", 20_000);
         world.stand(first, client);
-        accept(backend("s-1", first, BackendState.DRAINING), backend("s-2", second, BackendState.READY));
+        accept(
+                backend("s-1", first, BackendState.DRAINING),
+                backend("s-2", second, BackendState.READY));
         allGoTo(second, "b");
-        accept(backend("s-1", first, null)); // as with discovery: what drains keeps its clients until then
+        accept(
+                backend(
+                        "s-1", first,
+                        null)); // as with discovery: what drains keeps its clients until then
         assertTrue(client.hear().startsWith("MOVE"));
         assertTrue("discovery is not asked", world.discovery.nobodyComesFor(50));
     }
@@ -111,12 +134,15 @@
     @Test
     public void aRestartWithAllSourcesGoneServesByTheLastRevision() throws Exception {
         startRelay();
-        accept(backend("s-1", first, BackendState.READY), backend("s-2", second, BackendState.READY),
-            suspension("s-1", "disk"));
+        accept(
+                backend("s-1", first, BackendState.READY),
+                backend("s-2", second, BackendState.READY),
+                suspension("s-1", "disk"));
         world.kill();
         source.close();
         startRelay();
-        assertTrue(world.log.toString(), world.logged("configuration.kept rev=1 entries=3 age_ms="));
+        assertTrue(
+                world.log.toString(), world.logged("configuration.kept rev=1 entries=3 age_ms="));
         assertFalse(world.logged("age_ms=-1"));
         allGoTo(second, "a");
         World.await("the source's loss is told", () -> world.logged("configuration.source.left"));
@@ -150,18 +176,32 @@
         accept(setting("pool.size", "4"));
         accept(setting("log.format", null));
         accept(setting("log.level", "loud"));
-        assertEquals(1, world.log.stream().filter(line -> line.contains("name=pool.size")
-            || line.contains("\"pool.size\"")).count());
+        assertEquals(
+                1,
+                world.log.stream()
+                        .filter(
+                                line ->
+                                        line.contains("name=pool.size")
+                                                || line.contains("\"pool.size\""))
+                        .count());
         world.awaitLogged("why=\"unknown word: loud\"");
     }
 
     @Test
     public void aForeignSourceChangesNothing() throws Exception {
         source.script((query, out) -> ScriptedSource.write(out, 200, "{\"rev\":9,\"targets\":[]}"));
-        Files.writeString(settings, "configuration {\n  sources = [\"" + source.address() + "\"]\n"
-            + "  dir = \"" + folder.getRoot().toPath().resolve("configuration") + "\"\n}\n");
-        world.startWith(world.config(512, World.list(41, true,
-            World.target("s-1", first.endpoint(), "ready"))), settings);
+        Files.writeString(
+                settings,
+                "configuration {\n  sources = [\""
+                        + source.address()
+                        + "\"]\n"
+                        + "  dir = \""
+                        + folder.getRoot().toPath().resolve("configuration")
+                        + "\"\n}\n");
+        world.startWith(
+                world.config(
+                        512, World.list(41, true, World.target("s-1", first.endpoint(), "ready"))),
+                settings);
         World.await("it is told", () -> world.logged("why=\"malformed: "));
         allGoTo(first, "a"); // by the platform's list
     }
@@ -169,12 +209,19 @@
     @Test
     public void aDirectoryThatCannotBeOpenedEndsTheStartWithOneLine() throws Exception {
         Path file = folder.newFile().toPath();
-        Files.writeString(settings, "configuration {\n  sources = [\"" + source.address() + "\"]\n"
-            + "  dir = \"" + file + "\"\n}\n");
+        Files.writeString(
+                settings,
+                "configuration {\n  sources = [\""
+                        + source.address()
+                        + "\"]\n"
+                        + "  dir = \""
+                        + file
+                        + "\"\n}\n");
         Path config = folder.newFile().toPath();
         Files.writeString(config, world.config(512, World.list(41, true)));
-        Process relay = World.launch("serve", "--config", config.toString(), "--settings",
-            settings.toString());
+        Process relay =
+                World.launch(
+                        "serve", "--config", config.toString(), "--settings", settings.toString());
         String said = new String(relay.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(said, 1, relay.waitFor());
         assertTrue(said, said.startsWith("saltstage: configuration: cannot open dir " + file));
@@ -186,31 +233,49 @@
         List<String> loaded = classesLoadedBy(null);
         assertTrue("classes seen: " + loaded.size(), loaded.size() > 200);
         assertEquals(List.of(), following(loaded));
-        Files.writeString(settings, "configuration {\n  sources = [\"" + source.address() + "\"]\n"
-            + "  dir = \"" + folder.getRoot().toPath().resolve("configuration") + "\"\n}\n");
-        assertFalse("the check sees what is loaded", following(classesLoadedBy(settings)).isEmpty());
+        Files.writeString(
+                settings,
+                "configuration {\n  sources = [\""
+                        + source.address()
+                        + "\"]\n"
+                        + "  dir = \""
+                        + folder.getRoot().toPath().resolve("configuration")
+                        + "\"\n}\n");
+        assertFalse(
+                "the check sees what is loaded", following(classesLoadedBy(settings)).isEmpty());
     }
 
     private static List<String> following(List<String> loaded) {
-        return loaded.stream().filter(line -> line.contains("saltstage.configuration.")
-            || line.contains("java.net.http.HttpClient ")).toList();
+        return loaded.stream()
+                .filter(
+                        line ->
+                                line.contains("saltstage.configuration.")
+                                        || line.contains("java.net.http.HttpClient "))
+                .toList();
     }
 
     /** The classes that a relay loads from its start to the end of its drain. */
     private List<String> classesLoadedBy(Path file) throws IOException, InterruptedException {
         Path config = folder.getRoot().toPath().resolve("relay.json");
-        Files.writeString(config, world.config(512, World.list(41, true,
-            World.target("s-1", first.endpoint(), "ready"))));
+        Files.writeString(
+                config,
+                world.config(
+                        512, World.list(41, true, World.target("s-1", first.endpoint(), "ready"))));
         Path log = folder.newFile().toPath();
-        List<String> command = new ArrayList<>(World.program(List.of("serve", "--config", config.toString()))
-            .command());
+        List<String> command =
+                new ArrayList<>(
+                        World.program(List.of("serve", "--config", config.toString())).command());
         command.add(1, "-Xlog:class+load:file=" + log);
         if (file != null) {
             command.addAll(List.of("--settings", file.toString()));
         }
         Path out = folder.newFile().toPath();
-        Process relay = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(out.toFile())
-            .redirectInput(new File("/dev/null")).start();
+        Process relay =
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(out.toFile())
+                        .redirectInput(new File("/dev/null"))
+                        .start();
         try {
             World.await("the relay is ready", () -> contains(out, "relay.ready"));
             relay.destroy(); // SIGTERM: what a drain loads counts too
--- a/relay/src/test/java/saltstage/process/CrossingTest.java
+++ b/relay/src/test/java/saltstage/process/CrossingTest.java
@@ -68,9 +68,12 @@
         void at(String step) throws IOException;
     }
 
-    /** A client's socket as the relay holds it once it has asked; each write, half-close and close halts. */
+    /**
+     * A client's socket as the relay holds it once it has asked; each write, half-close and close
+     * halts.
+     */
     private static final class Halted extends Socket {
-        private volatile Halt halt = step -> { };
+        private volatile Halt halt = step -> {};
         private Socket socket;
 
         Halted over(SocketChannel channel) {
@@ -143,7 +146,7 @@
     }
 
     /** A client with both ends of its connection. */
-    private record Client(Line line, Halted atRelay) { }
+    private record Client(Line line, Halted atRelay) {}
 
     @BeforeEach
     void begin() throws Exception {
@@ -153,12 +156,24 @@
 
     private void begin(String effect, String... endpoints) throws Exception {
         peers = new Peers(suspended::contains);
-        Configuration config = Configuration.of(World.config(1, "127.0.0.1:1", 4096, World.list(1, true))
-            .replace("retryable", effect).replace(":200000", ":20000000")); // connections may take as long
-        chain = new Chain(config, clock, timers, peers, new Counts(config.classes()), () -> { },
-            channel -> halted(channel.socket().getPort()).over(channel));
+        Configuration config =
+                Configuration.of(
+                        World.config(1, "127.0.0.1:1", 4096, World.list(1, true))
+                                .replace("retryable", effect)
+                                .replace(":200000", ":20000000")); // connections may take as long
+        chain =
+                new Chain(
+                        config,
+                        clock,
+                        timers,
+                        peers,
+                        new Counts(config.classes()),
+                        () -> {},
+                        channel -> halted(channel.socket().getPort()).over(channel));
         Threads.loop("timers", () -> timers.next().run());
-        door = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        door =
+                ServerSocketChannel.open()
+                        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         door.configureBlocking(false);
         accepting = false;
         chain.takeIn().start();
@@ -184,7 +199,7 @@
     }
 
     private Client client() throws IOException {
-        Client client = client(line -> { });
+        Client client = client(line -> {});
         if (!accepting) {
             accepting = true;
             chain.takeIn().acceptor().start(door);
@@ -231,15 +246,16 @@
         Line side = stand(client, "a1");
         CountDownLatch hungUp = new CountDownLatch(1);
         BlockingQueue<String> passedOn = new LinkedBlockingQueue<>();
-        client.atRelay().halt = step -> {
-            if (step.equals("half-close")) {
-                hungUp.countDown();
-            } else if (step.equals("MOVE")) {
-                client.line().say("M 1 in that moment");
-                World.aside(() -> passedOn.add(String.valueOf(side.hear())));
-                until(() -> !passedOn.isEmpty() || hungUp.getCount() == 0);
-            }
-        };
+        client.atRelay().halt =
+                step -> {
+                    if (step.equals("half-close")) {
+                        hungUp.countDown();
+                    } else if (step.equals("MOVE")) {
+                        client.line().say("M 1 in that moment");
+                        World.aside(() -> passedOn.add(String.valueOf(side.hear())));
+                        until(() -> !passedOn.isEmpty() || hungUp.getCount() == 0);
+                    }
+                };
         chain.move(chain.book().standing().iterator().next(), "balance");
         assertEquals("MOVE", client.line().hear());
         assertNull(client.line().hear());
@@ -259,10 +275,13 @@
 
     /** Whether the thread that reads a backend waits for more of a line. */
     private static boolean waitsForTheRest() {
-        return Thread.getAllStackTraces().values().stream().anyMatch(stack -> {
-            String calls = Arrays.toString(stack);
-            return calls.contains("LineRelay.pump") && calls.contains("NioSocketImpl.implRead");
-        });
+        return Thread.getAllStackTraces().values().stream()
+                .anyMatch(
+                        stack -> {
+                            String calls = Arrays.toString(stack);
+                            return calls.contains("LineRelay.pump")
+                                    && calls.contains("NioSocketImpl.implRead");
+                        });
     }
 
     @Test
@@ -281,7 +300,8 @@
     /** A backend whose connections do not come up before the test lets them. */
     private static final class Late implements AutoCloseable {
         final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        private final List<Socket> fillers = new ArrayList<>(); // two may wait, then nobody is answered
+        private final List<Socket> fillers =
+                new ArrayList<>(); // two may wait, then nobody is answered
 
         Late() throws IOException {
             listener.setSoTimeout(World.PATIENCE_MS);
@@ -315,16 +335,25 @@
     void attemptOfAClientThatLeftIsNotBegunAndOneThatConnectsEndsAtOnce() throws Exception {
         Try left = attempt();
         left.giveUp();
-        assertThrows(IOException.class, () -> left.connecting(() -> { }));
+        assertThrows(IOException.class, () -> left.connecting(() -> {}));
         try (Late late = new Late()) {
             Try connects = attempt();
             Socket socket = new Socket();
             connects.connecting(() -> LineConnection.close(socket));
-            BlockingQueue<Exception> ended = World.aside(() -> assertThrows(IOException.class, () -> {
-                LineConnection.open(socket, (InetSocketAddress) late.listener.getLocalSocketAddress(),
-                    Duration.ofMinutes(10));
-                connects.connected(() -> { });
-            }));
+            BlockingQueue<Exception> ended =
+                    World.aside(
+                            () ->
+                                    assertThrows(
+                                            IOException.class,
+                                            () -> {
+                                                LineConnection.open(
+                                                        socket,
+                                                        (InetSocketAddress)
+                                                                late.listener
+                                                                        .getLocalSocketAddress(),
+                                                        Duration.ofMinutes(10));
+                                                connects.connected(() -> {});
+                                            }));
             connects.giveUp();
             ended.take();
             assertTrue(socket.isClosed());
@@ -332,8 +361,11 @@
     }
 
     private static boolean dials() {
-        return Thread.getAllStackTraces().values().stream().anyMatch(stack ->
-            Arrays.toString(stack).contains("LineTry.attempt") && Arrays.toString(stack).contains("connect"));
+        return Thread.getAllStackTraces().values().stream()
+                .anyMatch(
+                        stack ->
+                                Arrays.toString(stack).contains("LineTry.attempt")
+                                        && Arrays.toString(stack).contains("connect"));
     }
 
     @Test
@@ -381,13 +413,23 @@
     private Try attempt() {
         Peers peers = new Peers();
         try {
-            peers.update(Configuration.of(World.config(1, "127.0.0.1:1", 4096,
-                World.list(1, true, World.target("s-1", backend.endpoint(), "ready")))).known());
+            peers.update(
+                    Configuration.of(
+                                    World.config(
+                                            1,
+                                            "127.0.0.1:1",
+                                            4096,
+                                            World.list(
+                                                    1,
+                                                    true,
+                                                    World.target(
+                                                            "s-1", backend.endpoint(), "ready"))))
+                            .known());
         } catch (saltstage.wire.MalformedException bad) {
             throw new IllegalStateException(bad);
         }
         return new RequestContext(1, new Terms("x", 0, 0, "k", null, 0, false), clock.now(), null)
-            .begin(peers.find("s-1"), clock.now());
+                .begin(peers.find("s-1"), clock.now());
     }
 
     @Test
@@ -401,7 +443,8 @@
     }
 
     @Test
-    void requestThatComesInTheMomentItsClientIsTurnedAwayIsEitherRefusedOrSentOn() throws Exception {
+    void requestThatComesInTheMomentItsClientIsTurnedAwayIsEitherRefusedOrSentOn()
+            throws Exception {
         int refused = 0;
         for (int i = 0; i < 100; i++) {
             begin("retryable", backend.endpoint());
@@ -421,9 +464,12 @@
                 refused++;
                 assertEquals("BUSY", answer);
                 assertNull(client.line().hear());
-                stand(client(), "d" + i, sent); // its id is free, and the backend heard of nobody before
+                stand(
+                        client(), "d" + i,
+                        sent); // its id is free, and the backend heard of nobody before
             } else {
-                assertEquals("OPEN d" + i, side.hear().substring(0, 6 + Integer.toString(i).length()));
+                assertEquals(
+                        "OPEN d" + i, side.hear().substring(0, 6 + Integer.toString(i).length()));
                 side.say("UP r1");
                 assertEquals("UP r1", heard.take());
             }
@@ -452,12 +498,13 @@
     void clientThatIsAnsweredAsAllAreTurnedAwayHearsOneAnswer() throws Exception {
         chain.descriptors(0);
         Client client = client();
-        client.atRelay().halt = step -> {
-            if (step.startsWith("BUSY 1500")) {
-                client.atRelay().halt = next -> { };
-                chain.takeIn().turnAway();
-            }
-        };
+        client.atRelay().halt =
+                step -> {
+                    if (step.startsWith("BUSY 1500")) {
+                        client.atRelay().halt = next -> {};
+                        chain.takeIn().turnAway();
+                    }
+                };
         client.line().say("OPEN f1 k c=chat,t=acme,d=9000");
         assertEquals("BUSY 1500", client.line().hear());
         assertNull(client.line().hear());
@@ -469,15 +516,19 @@
         client.line().say("OPEN j1 k c=chat,t=acme,d=50000");
         assertTrue(backend.accept().hear().startsWith("OPEN j1"));
         CountDownLatch hungUp = new CountDownLatch(1);
-        client.atRelay().halt = step -> {
-            if (step.equals("half-close")) {
-                hungUp.countDown();
-            } else if (step.equals("BUSY")) {
-                client.line().say("M 1 early");
-                long since = System.nanoTime();
-                until(() -> hungUp.getCount() == 0 || System.nanoTime() - since > 200_000_000);
-            }
-        };
+        client.atRelay().halt =
+                step -> {
+                    if (step.equals("half-close")) {
+                        hungUp.countDown();
+                    } else if (step.equals("BUSY")) {
+                        client.line().say("M 1 early");
+                        long since = System.nanoTime();
+                        until(
+                                () ->
+                                        hungUp.getCount() == 0
+                                                || System.nanoTime() - since > 200_000_000);
+                    }
+                };
         chain.rejectWaiting();
         assertEquals("BUSY", client.line().hear());
         assertNull(client.line().hear());
@@ -485,7 +536,8 @@
 
     @Test
     void whatIsOutAtTheEndIsGivenUpAndRefusedOnlyWhereThatIsHarmless() throws Exception {
-        for (String effect : new String[] {"retryable", "fragile", "dedup", "dedup\",\"Group\":\"zone"}) {
+        for (String effect :
+                new String[] {"retryable", "fragile", "dedup", "dedup\",\"Group\":\"zone"}) {
             begin(effect, backend.endpoint());
             Client client = client();
             client.line().say("OPEN g1 k c=chat,t=acme,d=50000"); // longer than the test waits
--- a/relay/src/test/java/saltstage/process/CrowdTest.java
+++ b/relay/src/test/java/saltstage/process/CrowdTest.java
@@ -18,9 +18,13 @@
     private static final int THREADS = 96;
     private static final int CROWD = 300;
     private static final int DESCRIPTORS = 1_024;
+
     /** After SIGHUP a change counts as told so much later. */
     private static final int RELOAD_WITHIN_MS = 4_000;
-    /** SIGKILL comes so long after SIGTERM at the earliest: 3 s as the longest deadline, and 0.7 s. */
+
+    /**
+     * SIGKILL comes so long after SIGTERM at the earliest: 3 s as the longest deadline, and 0.7 s.
+     */
     private static final int END_WITHIN_MS = 3_700;
 
     /** Comes again whenever it is hung up on. */
@@ -74,13 +78,16 @@
             try (Crowd crowd = new Crowd(world.clientPort())) {
                 Thread.sleep(1_000);
                 world.reload(config);
-                awaitWithin(RELOAD_WITHIN_MS, "the new configuration is read",
-                    () -> world.logged("reload.done"));
+                awaitWithin(
+                        RELOAD_WITHIN_MS,
+                        "the new configuration is read",
+                        () -> world.logged("reload.done"));
                 Line client = world.open("served", 5_000);
                 world.stand(backend, client);
                 Platform.signal(world.process().pid(), "TERM");
-                assertTrue("it ends before SIGKILL would come",
-                    world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
+                assertTrue(
+                        "it ends before SIGKILL would come",
+                        world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
                 assertEquals(0, world.process().exitValue());
                 assertEquals("MOVE", client.hear());
             }
--- a/relay/src/test/java/saltstage/process/DiscoveryTest.java
+++ b/relay/src/test/java/saltstage/process/DiscoveryTest.java
@@ -62,11 +62,16 @@
         Line hangs = world.discovery.accept();
         long begun = System.nanoTime();
         assertTrue(hangs.hear().contains("after=1 "));
-        world.watched(World.list(2, false, World.target("s-1", backend.endpoint(), "draining"),
-            World.target("s-2", second.endpoint(), "ready")));
+        world.watched(
+                World.list(
+                        2,
+                        false,
+                        World.target("s-1", backend.endpoint(), "draining"),
+                        World.target("s-2", second.endpoint(), "ready")));
         World.await("the change is taken", () -> world.logged("rev=2"));
         Duration took = Duration.ofNanos(System.nanoTime() - begun);
-        assertTrue("told counts from 6 s on, took " + took, took.compareTo(Duration.ofSeconds(5)) < 0);
+        assertTrue(
+                "told counts from 6 s on, took " + took, took.compareTo(Duration.ofSeconds(5)) < 0);
         world.stand(second, world.open("a1", 20_000));
         while (hangs.hear() != null) { // the rest of its call; then it is given up
             continue;
@@ -76,23 +81,43 @@
     @Test
     public void pushedListIsWatchedFromTheStartAndNobodyIsServedBeforeIt() throws Exception {
         Service second = world.backend();
-        BlockingQueue<Line> watch = World.aside(() -> world.watched(World.list(2, false,
-            World.target("s-1", backend.endpoint(), "draining"),
-            World.target("s-2", second.endpoint(), "ready"))));
-        world.startWith(world.config(4096, World.list(1, true, ready)).replace("on_request", "pushed"));
-        assertTrue(world.logged("relay.ready name=n0") && world.log.stream()
-            .anyMatch(line -> line.contains("relay.ready") && line.contains("rev=2")));
+        BlockingQueue<Line> watch =
+                World.aside(
+                        () ->
+                                world.watched(
+                                        World.list(
+                                                2,
+                                                false,
+                                                World.target("s-1", backend.endpoint(), "draining"),
+                                                World.target("s-2", second.endpoint(), "ready"))));
+        world.startWith(
+                world.config(4096, World.list(1, true, ready)).replace("on_request", "pushed"));
+        assertTrue(
+                world.logged("relay.ready name=n0")
+                        && world.log.stream()
+                                .anyMatch(
+                                        line ->
+                                                line.contains("relay.ready")
+                                                        && line.contains("rev=2")));
         world.stand(second, world.open("a1", 20_000));
         watch.take().close();
-        world.watched(World.list(3, false, World.target("s-2", second.endpoint(), "gone"),
-            World.target("s-1", backend.endpoint(), "ready"))); // asked again at once, and not by the module
+        world.watched(
+                World.list(
+                        3,
+                        false,
+                        World.target("s-2", second.endpoint(), "gone"),
+                        World.target(
+                                "s-1",
+                                backend.endpoint(),
+                                "ready"))); // asked again at once, and not by the module
         World.await("the change is taken", () -> world.logged("rev=3"));
         world.stand(backend, world.open("a2", 20_000));
     }
 
     @Test
     public void silentAgentKeepsNoRelayFromItsStart() throws Exception {
-        world.startWith(world.config(4096, World.list(1, true, ready)).replace("on_request", "pushed"));
+        world.startWith(
+                world.config(4096, World.list(1, true, ready)).replace("on_request", "pushed"));
         assertTrue(world.logged("discovery.none"));
         world.stand(backend, world.open("a1", 20_000));
     }
@@ -115,12 +140,13 @@
         Service backend = world.backend();
         Service second = world.backend();
         AtomicBoolean down = new AtomicBoolean(true);
-        World.aside(() -> {
-            while (down.get()) {
-                world.discovery.accept().close();
-            }
-            return true;
-        });
+        World.aside(
+                () -> {
+                    while (down.get()) {
+                        world.discovery.accept().close();
+                    }
+                    return true;
+                });
         String ready = World.target("s-1", backend.endpoint(), "ready");
         world.startWith(world.config(64, World.list(1, true, ready)));
         for (int i = 0; i < 300; i++) {
@@ -131,8 +157,12 @@
         world.stand(backend, served);
         down.set(false);
         world.discovery.accept().close(); // the last that goes in vain, or the one after it
-        world.watched(World.list(2, false, World.target("s-1", backend.endpoint(), "draining"),
-            World.target("s-2", second.endpoint(), "ready")));
+        world.watched(
+                World.list(
+                        2,
+                        false,
+                        World.target("s-1", backend.endpoint(), "draining"),
+                        World.target("s-2", second.endpoint(), "ready")));
         World.await("the list's return is heard", () -> world.logged("discovery.list rev=2"));
         world.stand(second, world.open("d2", 20_000));
         assertFalse(world.logged("thread.fault"));
@@ -156,11 +186,18 @@
         world.start(World.list(1, true, ready));
         Line standing = world.open("a1", 20_000);
         world.stand(backend, standing);
-        Line watch = world.watched(World.list(2, false, World.target("s-1", backend.endpoint(), "draining"),
-            World.target("s-2", second.endpoint(), "ready")));
+        Line watch =
+                world.watched(
+                        World.list(
+                                2,
+                                false,
+                                World.target("s-1", backend.endpoint(), "draining"),
+                                World.target("s-2", second.endpoint(), "ready")));
         World.await("the change is taken", () -> world.logged("rev=2"));
         world.stand(second, world.open("a2", 20_000));
-        World.chunk(watch, World.list(3, false, World.target("s-1", backend.endpoint(), "gone")) + "\n");
+        World.chunk(
+                watch,
+                World.list(3, false, World.target("s-1", backend.endpoint(), "gone")) + "\n");
         assertEquals("MOVE", standing.hear());
     }
 
@@ -175,7 +212,8 @@
         world.reload("{\"name\":\"half a fi");
         World.await("the bad file is refused", () -> world.logged("reload.refused"));
         world.reload(world.config(4096, moved, World.list(1, true)));
-        world.watched(moved, World.list(6, false, World.target("s-1", backend.endpoint(), "draining")));
+        world.watched(
+                moved, World.list(6, false, World.target("s-1", backend.endpoint(), "draining")));
         assertTrue(world.logged("watch=1&after=5 "));
         World.await("the change is taken", () -> world.logged("rev=6"));
         assertNull("the old watch is given up", old.hear());
--- a/relay/src/test/java/saltstage/process/KeepTest.java
+++ b/relay/src/test/java/saltstage/process/KeepTest.java
@@ -17,10 +17,12 @@
 import saltstage.store.Store;
 import saltstage.store.StoreEvents;
 
-/** The relay killed and started anew: what it kept is back, and a store that is lost costs nothing else. */
+/**
+ * The relay killed and started anew: what it kept is back, and a store that is lost costs nothing
+ * else.
+ */
 public class KeepTest {
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
     private Path settings;
     private Path dir;
@@ -56,11 +58,13 @@
             world.watched(World.list(41, true, World.target("s1", backend.endpoint(), "ready")));
             World.await("the list is known", () -> world.logged("discovery.list rev=41"));
             world.stand(backend, world.open("a1", 5_000));
-            World.await("the list and what was learnt are kept",
-                () -> kept("list/target/s1") && kept("learnt"));
+            World.await(
+                    "the list and what was learnt are kept",
+                    () -> kept("list/target/s1") && kept("learnt"));
             world.kill();
 
-            world.startWith(config, settings); // the platform knows an empty list; discovery says nothing
+            world.startWith(
+                    config, settings); // the platform knows an empty list; discovery says nothing
             assertTrue(world.logged("keep.list rev=41 known=1 taken=true"));
             assertTrue(world.log.toString(), world.logged("keep.learnt age_s="));
             assertTrue(world.logged("servers=1 taken=true"));
@@ -77,8 +81,11 @@
             world.watched(World.list(41, true, World.target("s1", "127.0.0.1:1", "ready")));
             World.await("the list is kept", () -> kept("list/target/s1"));
             world.kill();
-            world.startWith(world.config(512,
-                World.list(50, true, World.target("s2", backend.endpoint(), "ready"))), settings);
+            world.startWith(
+                    world.config(
+                            512,
+                            World.list(50, true, World.target("s2", backend.endpoint(), "ready"))),
+                    settings);
             assertTrue(world.logged("keep.list rev=41 known=50 taken=false"));
             world.stand(backend, world.open("a1", 5_000));
         }
@@ -86,12 +93,18 @@
 
     @Test
     public void whatIsTooOldIsLeftOut() throws Exception {
-        Files.writeString(settings, "store {\n  dir = \"" + dir + "\"\n  every = \"100ms\"\n"
-            + "  learnt_for = \"1s\"\n}\n");
+        Files.writeString(
+                settings,
+                "store {\n  dir = \""
+                        + dir
+                        + "\"\n  every = \"100ms\"\n"
+                        + "  learnt_for = \"1s\"\n}\n");
         try (World world = new World()) {
             World.Service backend = world.backend();
-            String config = world.config(512, World.list(1, true,
-                World.target("s1", backend.endpoint(), "ready")));
+            String config =
+                    world.config(
+                            512,
+                            World.list(1, true, World.target("s1", backend.endpoint(), "ready")));
             world.startWith(config, settings);
             world.stand(backend, world.open("a1", 5_000));
             World.await("something learnt is kept", () -> kept("learnt"));
@@ -116,16 +129,18 @@
             String s = settings.toString();
             List<String> lines = tool(0, "config", "history", "--settings", s).lines().toList();
             assertEquals(2, lines.size());
-            assertTrue(lines.get(1),
-                lines.get(1).matches("2 \\S+ [0-9a-f]{32} configuration=\\d+ settings=\\d+"));
+            assertTrue(
+                    lines.get(1),
+                    lines.get(1).matches("2 \\S+ [0-9a-f]{32} configuration=\\d+ settings=\\d+"));
             assertEquals(first, tool(0, "config", "show", "1", "--settings", s));
             String file = world.configFile().toString();
             tool(0, "config", "rollback", "1", "--settings", s, "--config", file);
             assertEquals(first, Files.readString(world.configFile()));
             world.reload(first);
             World.await("the rollback is a new version", () -> kept("config/0000000000000003"));
-            assertEquals("saltstage: there is no version 9\n",
-                tool(1, "config", "rollback", "9", "--settings", s, "--config", file));
+            assertEquals(
+                    "saltstage: there is no version 9\n",
+                    tool(1, "config", "rollback", "9", "--settings", s, "--config", file));
             assertEquals(first, Files.readString(world.configFile()));
         }
         try (Store store = Store.openToRead(new FileDisk(dir), StoreEvents.NONE)) {
@@ -144,8 +159,9 @@
 
     @Test
     public void aStoreInUseIsToldAndTheRelayServes() throws Exception {
-        try (Store held = Store.open(FileDisk.at(dir), saltstage.store.StoreOptions.usual(),
-            StoreEvents.NONE)) {
+        try (Store held =
+                Store.open(
+                        FileDisk.at(dir), saltstage.store.StoreOptions.usual(), StoreEvents.NONE)) {
             serveWithout("keep.lost dir=" + dir + " why=\"the store is open in another process\"");
             assertTrue(held.writable());
         }
@@ -154,8 +170,11 @@
     private void serveWithout(String told) throws Exception {
         try (World world = new World()) {
             World.Service backend = world.backend();
-            world.startWith(world.config(512, World.list(1, true,
-                World.target("s1", backend.endpoint(), "ready"))), settings);
+            world.startWith(
+                    world.config(
+                            512,
+                            World.list(1, true, World.target("s1", backend.endpoint(), "ready"))),
+                    settings);
             assertTrue(world.log.toString(), world.logged(told));
             world.stand(backend, world.open("a1", 5_000));
             World.await("the totals tell", () -> world.logged("store=LOST"));
--- a/relay/src/test/java/saltstage/process/KillTest.java
+++ b/relay/src/test/java/saltstage/process/KillTest.java
@@ -22,13 +22,15 @@
 import saltstage.store.Store;
 import saltstage.store.StoreEvents;
 
-/** A real process that loads a store, killed with SIGKILL at random moments, over and over on one store. */
+/**
+ * A real process that loads a store, killed with SIGKILL at random moments, over and over on one
+ * store.
+ */
 public class KillTest {
     private static final int ROUNDS = 24;
     private static final int KEYS = 40;
 
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
     private final TreeMap<String, String> model = new TreeMap<>();
 
@@ -49,11 +51,12 @@
     private static TreeMap<String, String> dump(Path dir) throws IOException {
         TreeMap<String, String> all = new TreeMap<>();
         try (Store store = Store.openToRead(new FileDisk(dir), StoreEvents.NONE);
-            Snapshot now = store.snapshot()) {
+                Snapshot now = store.snapshot()) {
             Snapshot.Scan scan = now.scan(null, null);
             while (scan.next()) {
-                all.put(new String(scan.key(), StandardCharsets.UTF_8),
-                    new String(scan.value(), StandardCharsets.UTF_8));
+                all.put(
+                        new String(scan.key(), StandardCharsets.UTF_8),
+                        new String(scan.value(), StandardCharsets.UTF_8));
             }
         }
         return all;
@@ -73,20 +76,31 @@
 
     /** One life of the process; returns the batches it acknowledged. */
     private long round(Path dir, int round, int batch, Random random) throws Exception {
-        Process loader = World.program(List.of("store", "load", dir.toString(), "--batch", "" + batch,
-            "--segment", "16384")).start();
+        Process loader =
+                World.program(
+                                List.of(
+                                        "store",
+                                        "load",
+                                        dir.toString(),
+                                        "--batch",
+                                        "" + batch,
+                                        "--segment",
+                                        "16384"))
+                        .start();
         AtomicLong sent = new AtomicLong();
         Thread feeder = new Thread(() -> feed(loader, round, sent));
         feeder.start();
-        BufferedReader out = new BufferedReader(
-            new InputStreamReader(loader.getInputStream(), StandardCharsets.US_ASCII));
+        BufferedReader out =
+                new BufferedReader(
+                        new InputStreamReader(loader.getInputStream(), StandardCharsets.US_ASCII));
         int until = 1 + random.nextInt(400);
         long acked = 0;
         String told = out.readLine();
         for (; told != null; told = out.readLine()) {
             assertTrue(told, told.startsWith("acked "));
             if (++acked == until) {
-                // Not destroyForcibly: it closes the pipe, and what was said before is still to be read.
+                // Not destroyForcibly: it closes the pipe, and what was said before is still to be
+                // read.
                 new ProcessBuilder("kill", "-KILL", Long.toString(loader.pid())).start().waitFor();
             }
         }
@@ -106,7 +120,7 @@
 
     private static void feed(Process loader, int round, AtomicLong sent) {
         try (OutputStream in = loader.getOutputStream()) {
-            for (long i = 0;; i++) {
+            for (long i = 0; ; i++) {
                 sent.set(i + 1);
                 in.write((line(round, i) + "\n").getBytes(StandardCharsets.US_ASCII));
                 in.flush();
@@ -119,21 +133,30 @@
     @Test
     public void theCommandsSayWhatTheyDid() throws Exception {
         Path dir = folder.getRoot().toPath().resolve("s");
-        assertEquals("acked 1|acked 2|", run(0, "b\\tc\t1\\n2\na\t\\\\\nb\t9\nb\n", "load", dir, "--batch",
-            "2"));
+        assertEquals(
+                "acked 1|acked 2|",
+                run(0, "b\\tc\t1\\n2\na\t\\\\\nb\t9\nb\n", "load", dir, "--batch", "2"));
         assertEquals("a\t\\\\|b\\tc\t1\\n2|", run(0, "", "dump", dir));
         assertEquals("1\\n2|", run(0, "", "get", dir, "b\\tc"));
         assertEquals("ok records=4 live=2 seq=2|", run(0, "", "verify", dir));
         assertTrue(run(0, "", "stat", dir, "--json").startsWith("{\"live\":2,\"seq\":2,"));
         assertTrue(run(0, "", "compact", dir).startsWith("compacted copied="));
         assertEquals("saltstage: " + dir + ": there is no such key|", run(1, "", "get", dir, "x"));
-        assertEquals("acked 3|saltstage: " + dir + ": line 2: a backslash takes t, n or another behind it|",
-            run(1, "c\t1\nd\t\\x\n", "load", dir));
-        assertEquals("saltstage: " + dir + ": line 1: key of 0 bytes; 1 to 4096 are allowed|",
-            run(1, "\tx\n", "load", dir));
+        assertEquals(
+                "acked 3|saltstage: "
+                        + dir
+                        + ": line 2: a backslash takes t, n or another behind it|",
+                run(1, "c\t1\nd\t\\x\n", "load", dir));
+        assertEquals(
+                "saltstage: " + dir + ": line 1: key of 0 bytes; 1 to 4096 are allowed|",
+                run(1, "\tx\n", "load", dir));
         Path none = dir.resolve("none");
         assertEquals("saltstage: " + none + ": there is no store|", run(1, "", "verify", none));
-        Path log = Files.list(dir).filter(f -> f.toString().endsWith(".log")).findFirst().orElseThrow();
+        Path log =
+                Files.list(dir)
+                        .filter(f -> f.toString().endsWith(".log"))
+                        .findFirst()
+                        .orElseThrow();
         Files.write(log, new byte[10]);
         assertTrue(run(1, "", "dump", dir).matches("saltstage: .*: damaged: \\S+ at \\d+: .*\\|"));
     }
--- a/relay/src/test/java/saltstage/process/NarrowPlatform.java
+++ b/relay/src/test/java/saltstage/process/NarrowPlatform.java
@@ -9,11 +9,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** Limits of a platform for a relay under test: a shim that is loaded into it, and a descriptor limit. */
+/**
+ * Limits of a platform for a relay under test: a shim that is loaded into it, and a descriptor
+ * limit.
+ */
 final class NarrowPlatform {
     private static final Path SOURCE = Path.of("src/test/c/platform_limits.c");
+
     /** What a JVM opens beyond the one jar of the service: the class path of the tests has many. */
     private static final int CLASS_PATH_DESCRIPTORS = 64;
+
     private static Path library;
 
     private final Map<String, String> limits = new HashMap<>();
@@ -43,7 +48,10 @@
         return this;
     }
 
-    /** So many of a thousand calls to the network fail for a moment or are short, drawn from this seed. */
+    /**
+     * So many of a thousand calls to the network fail for a moment or are short, drawn from this
+     * seed.
+     */
     NarrowPlatform faults(long seed, int perMille) {
         limits.put("FAULT_SEED", Long.toString(seed));
         limits.put("FAULT_PER_MILLE", Integer.toString(perMille));
@@ -75,10 +83,24 @@
 
     private static synchronized Path library() throws IOException, InterruptedException {
         if (library == null) {
-            Path built = Files.createDirectories(Path.of("target", "shims")).resolve("platform_limits.so")
-                .toAbsolutePath();
-            Process compiler = new ProcessBuilder("gcc", "-shared", "-fPIC", "-O2", "-Wall", "-Werror", "-o",
-                built.toString(), SOURCE.toString(), "-ldl").inheritIO().start();
+            Path built =
+                    Files.createDirectories(Path.of("target", "shims"))
+                            .resolve("platform_limits.so")
+                            .toAbsolutePath();
+            Process compiler =
+                    new ProcessBuilder(
+                                    "gcc",
+                                    "-shared",
+                                    "-fPIC",
+                                    "-O2",
+                                    "-Wall",
+                                    "-Werror",
+                                    "-o",
+                                    built.toString(),
+                                    SOURCE.toString(),
+                                    "-ldl")
+                            .inheritIO()
+                            .start();
             assertEquals("the shim compiles", 0, compiler.waitFor());
             library = built;
         }
