--- a/relay/src/test/java/saltstage/process/Platform.java
+++ b/relay/src/test/java/saltstage/process/Platform.java
@@ -13,18 +13,23 @@
 import java.util.stream.Stream;
 
 /**
- * The platform's part in replacing a process: holds the clients' listening socket and starts relays that
- * inherit it as descriptor 0. Java cannot hand descriptors on; the Perl that is on every Debian can.
+ * The platform's part in replacing a process: holds the clients' listening socket and starts relays
+ * that inherit it as descriptor 0. Java cannot hand descriptors on; the Perl that is on every
+ * Debian can.
  */
 final class Platform implements AutoCloseable {
-    private static final String HOLDER = String.join("\n",
-        "use strict; use Socket; use POSIX ':sys_wait_h'; $| = 1;",
-        "socket(my $s, PF_INET, SOCK_STREAM, 0) or die; bind($s, sockaddr_in(0, INADDR_LOOPBACK)) or die;",
-        "listen($s, 128) or die; print((sockaddr_in(getsockname($s)))[0], \"\\n\");",
-        "$SIG{CHLD} = sub { while ((my $p = waitpid(-1, WNOHANG)) > 0) {",
-        "print \"ended $p \", $? >> 8, \"\\n\" } };",
-        "while (my $line = <STDIN>) { my $p = fork(); if (!$p) { open(STDIN, '<&', $s) or die;",
-        "exec('/bin/sh', '-c', $line); } print \"started $p\\n\" }");
+    private static final String HOLDER =
+            String.join(
+                    "\n",
+                    "use strict; use Socket; use POSIX ':sys_wait_h'; $| = 1;",
+                    "socket(my $s, PF_INET, SOCK_STREAM, 0) or die; bind($s, sockaddr_in(0,"
+                            + " INADDR_LOOPBACK)) or die;",
+                    "listen($s, 128) or die; print((sockaddr_in(getsockname($s)))[0], \"\\n\");",
+                    "$SIG{CHLD} = sub { while ((my $p = waitpid(-1, WNOHANG)) > 0) {",
+                    "print \"ended $p \", $? >> 8, \"\\n\" } };",
+                    "while (my $line = <STDIN>) { my $p = fork(); if (!$p) { open(STDIN, '<&', $s)"
+                            + " or die;",
+                    "exec('/bin/sh', '-c', $line); } print \"started $p\\n\" }");
 
     /** A thread's state in /proc while its process is stopped. */
     private static final char STOPPED = 'T';
@@ -32,10 +37,13 @@
     final Map<Long, Integer> ended = new ConcurrentHashMap<>();
     final Path folder = Files.createTempDirectory("saltstage-platform");
     final int port;
-    private final Process holder = new ProcessBuilder("perl", "-e", HOLDER)
-        .redirectError(ProcessBuilder.Redirect.INHERIT).start();
+    private final Process holder =
+            new ProcessBuilder("perl", "-e", HOLDER)
+                    .redirectError(ProcessBuilder.Redirect.INHERIT)
+                    .start();
     private final BufferedReader heard =
-        new BufferedReader(new InputStreamReader(holder.getInputStream(), StandardCharsets.US_ASCII));
+            new BufferedReader(
+                    new InputStreamReader(holder.getInputStream(), StandardCharsets.US_ASCII));
     private final List<Long> started = new ArrayList<>();
 
     Platform() throws IOException {
@@ -59,9 +67,18 @@
 
     /** Starts a relay with this configuration and operators' port; its log goes to the file. */
     long start(Path config, int admin, Path log) throws Exception {
-        List<String> words = World.program(List.of("serve", "--config", config.toString())).command();
-        String line = "TMPDIR=" + folder + " GW_LISTEN_FD=0 GW_ADMIN=127.0.0.1:" + admin + " exec "
-            + String.join(" ", words) + " > " + log + " 2>&1\n";
+        List<String> words =
+                World.program(List.of("serve", "--config", config.toString())).command();
+        String line =
+                "TMPDIR="
+                        + folder
+                        + " GW_LISTEN_FD=0 GW_ADMIN=127.0.0.1:"
+                        + admin
+                        + " exec "
+                        + String.join(" ", words)
+                        + " > "
+                        + log
+                        + " 2>&1\n";
         synchronized (started) {
             int before = started.size();
             holder.getOutputStream().write(line.getBytes(StandardCharsets.UTF_8));
@@ -77,7 +94,10 @@
         new ProcessBuilder("kill", "-" + signal, Long.toString(pid)).start().waitFor();
     }
 
-    /** Stops a process; on the return none of its threads runs any more, so none accepts a connection. */
+    /**
+     * Stops a process; on the return none of its threads runs any more, so none accepts a
+     * connection.
+     */
     static void stop(long pid) throws Exception {
         signal(pid, "STOP");
         World.await("every thread of " + pid + " has stopped", () -> stopped(pid));
@@ -91,7 +111,9 @@
         }
     }
 
-    /** The state of a thread, which stands behind the name in brackets; unknown once it has ended. */
+    /**
+     * The state of a thread, which stands behind the name in brackets; unknown once it has ended.
+     */
     private static char state(Path thread) {
         try {
             String stat = Files.readString(thread.resolve("stat"));
--- a/relay/src/test/java/saltstage/process/ServeTest.java
+++ b/relay/src/test/java/saltstage/process/ServeTest.java
@@ -38,7 +38,9 @@
         Line client = world.open("a1", 20_000);
         Line side = backend.accept();
         String first = side.hear();
-        assertTrue(first, first.matches("OPEN a1 7f3a9c21e0b4d655 c=chat,t=acme,d=[1-9]\\d{0,4},g=5c0f6e1a"));
+        assertTrue(
+                first,
+                first.matches("OPEN a1 7f3a9c21e0b4d655 c=chat,t=acme,d=[1-9]\\d{0,4},g=5c0f6e1a"));
         side.say("UP 77af");
         assertEquals("UP 77af", client.hear());
         client.say("M 1 hello").raw("M 2 in two");
@@ -54,10 +56,19 @@
 
     @Test
     public void badFirstLinesGetOneErrorLineAndNeverReachABackend() throws Exception {
-        String[] bad = {"GET / HTTP/1.1\r\n", "OPEN x\r\n", "OPEN a b c=none,t=acme,d=9\r\n",
-            "OPEN a b c=chat,t=acme,d=9\n", "x".repeat(9_000), "OPEN a b c=chat,t=acme,d=\u0007\r\n",
-            "OPEN a b c=chat,t=acme,d=NaN\r\n", "OPEN a b c=chat,t=acme\r\n", "OPEN  b c=chat,t=acme,d=9\r\n",
-            "OPEN a b c=chat,t=acme,d=9\r\n".repeat(300), "PING\r\n".repeat(300)};
+        String[] bad = {
+            "GET / HTTP/1.1\r\n",
+            "OPEN x\r\n",
+            "OPEN a b c=none,t=acme,d=9\r\n",
+            "OPEN a b c=chat,t=acme,d=9\n",
+            "x".repeat(9_000),
+            "OPEN a b c=chat,t=acme,d=\u0007\r\n",
+            "OPEN a b c=chat,t=acme,d=NaN\r\n",
+            "OPEN a b c=chat,t=acme\r\n",
+            "OPEN  b c=chat,t=acme,d=9\r\n",
+            "OPEN a b c=chat,t=acme,d=9\r\n".repeat(300),
+            "PING\r\n".repeat(300)
+        };
         for (String line : bad) {
             Line client = world.client().raw(line);
             String answer = client.hear();
@@ -116,11 +127,14 @@
         side.raw("U".repeat(6_000));
         assertEquals("BUSY 1500", client.hear());
         assertNull(client.hear());
-        assertThrows("the backend is hung up on", IOException.class, () -> {
-            while (true) {
-                side.raw("P".repeat(6_000));
-            }
-        });
+        assertThrows(
+                "the backend is hung up on",
+                IOException.class,
+                () -> {
+                    while (true) {
+                        side.raw("P".repeat(6_000));
+                    }
+                });
     }
 
     @Test
@@ -165,12 +179,14 @@
         Line other = world.open("a8", 20_000);
         Line side = world.stand(backend, other);
         String line = "M " + "y".repeat(4_000);
-        BlockingQueue<Boolean> flooded = World.aside(() -> {
-            for (int i = 0; i < 5_000; i++) {
-                flood.say(line);
-            }
-            return true;
-        });
+        BlockingQueue<Boolean> flooded =
+                World.aside(
+                        () -> {
+                            for (int i = 0; i < 5_000; i++) {
+                                flood.say(line);
+                            }
+                            return true;
+                        });
         assertNull("the flood meets its reader's limit", flooded.poll(300, TimeUnit.MILLISECONDS));
         other.say("M 1 hello");
         assertEquals("M 1 hello", side.hear());
@@ -180,7 +196,8 @@
     }
 
     @Test
-    public void terminationMovesStandingClientsBetweenLinesAndTakesWhatStillComes() throws Exception {
+    public void terminationMovesStandingClientsBetweenLinesAndTakesWhatStillComes()
+            throws Exception {
         Line client = world.open("a9", 20_000);
         Line side = world.stand(backend, client);
         side.raw("M 1 half a");
@@ -248,7 +265,8 @@
         assertEquals("M 1 still served", client.hear());
         assertEquals("MOVE", client.hear());
         long passed = (System.nanoTime() - before) / 1_000_000;
-        String start = world.log.stream().filter(line -> line.contains("drain.start")).findFirst().get();
+        String start =
+                world.log.stream().filter(line -> line.contains("drain.start")).findFirst().get();
         long late = Long.parseLong(start.replaceAll(".*late_ms=(\\d+).*", "$1"));
         assertTrue("0.8 s at least, less " + late, passed + late >= 800);
     }
@@ -262,8 +280,15 @@
         world.process().toHandle().destroy();
         Thread.sleep(2_000);
         new ProcessBuilder("kill", "-CONT", pid).start().waitFor();
-        World.await("the drain counts what it was late", () -> world.log.stream().anyMatch(
-            line -> line.matches(".*drain.start late_ms=([2-9]\\d{2}|\\d{4}) .*")));
+        World.await(
+                "the drain counts what it was late",
+                () ->
+                        world.log.stream()
+                                .anyMatch(
+                                        line ->
+                                                line.matches(
+                                                        ".*drain.start late_ms=([2-9]\\d{2}|\\d{4})"
+                                                                + " .*")));
         assertEquals("MOVE", client.hear());
     }
 
@@ -298,13 +323,15 @@
         assertEquals("BYE", first.hear());
         assertNull(first.hear());
         first.close();
-        World.await("the id is free again", () -> {
-            try (Line again = world.open("f1", 20_000)) {
-                return backend.accept(100) != null;
-            } catch (IOException e) {
-                return false;
-            }
-        });
+        World.await(
+                "the id is free again",
+                () -> {
+                    try (Line again = world.open("f1", 20_000)) {
+                        return backend.accept(100) != null;
+                    } catch (IOException e) {
+                        return false;
+                    }
+                });
     }
 
     @Test
@@ -312,11 +339,13 @@
         Line client = world.client();
         BlockingQueue<String> answer = World.aside(client::hear);
         byte[] some = "x".repeat(64 << 10).getBytes(java.nio.charset.StandardCharsets.US_ASCII);
-        assertThrows(IOException.class, () -> {
-            for (int i = 0; i < 960; i++) { // 60 MB
-                client.socket.getOutputStream().write(some);
-            }
-        });
+        assertThrows(
+                IOException.class,
+                () -> {
+                    for (int i = 0; i < 960; i++) { // 60 MB
+                        client.socket.getOutputStream().write(some);
+                    }
+                });
         assertEquals("ERR line too long", answer.take());
     }
 
@@ -326,23 +355,33 @@
         world = new World();
         backend = world.backend();
         Service full = world.backend();
-        String list = World.list(1, true, World.target("s-1", backend.endpoint(), "ready"),
-            World.target("s-2", full.endpoint(), "ready"));
-        world.startWith(world.config(256, list).replace("\"RetryAfter\":true",
-            "\"RetryAfter\":true,\"Probes\":true").replace("\"Zone\":0",
-            "\"Zone\":0,\"Report\":{\"How\":\"pull\",\"Fields\":[\"x0\",\"queue\"]}"));
+        String list =
+                World.list(
+                        1,
+                        true,
+                        World.target("s-1", backend.endpoint(), "ready"),
+                        World.target("s-2", full.endpoint(), "ready"));
+        world.startWith(
+                world.config(256, list)
+                        .replace("\"RetryAfter\":true", "\"RetryAfter\":true,\"Probes\":true")
+                        .replace(
+                                "\"Zone\":0",
+                                "\"Zone\":0,\"Report\":{\"How\":\"pull\",\"Fields\":[\"x0\",\"queue\"]}"));
         BlockingQueue<Boolean> second = new LinkedBlockingQueue<>();
         String[] reports = {"x0=0.3,queue=0", "x0=1.4,queue=9"};
         for (int i = 0; i < 2; i++) {
             Line probes = (i == 0 ? backend : full).accept();
             String report = reports[i];
-            World.aside(() -> {
-                for (String line = probes.hear(); "STATS".equals(line); line = probes.hear()) {
-                    probes.say("PONG " + report);
-                    second.add(true);
-                }
-                return false;
-            });
+            World.aside(
+                    () -> {
+                        for (String line = probes.hear();
+                                "STATS".equals(line);
+                                line = probes.hear()) {
+                            probes.say("PONG " + report);
+                            second.add(true);
+                        }
+                        return false;
+                    });
         }
         for (int i = 0; i < 4; i++) {
             assertTrue(second.take());
@@ -394,19 +433,24 @@
         for (int i = 0; i < listed.length; i++) {
             listed[i] = World.target("s-" + i, backend.endpoint(), i == 0 ? "ready" : "draining");
         }
-        world.startWith(world.config(64, World.list(1, true, listed)).replace("\"RetryAfter\":true",
-            "\"RetryAfter\":true,\"Probes\":true").replace("\"Zone\":0",
-            "\"Zone\":0,\"Report\":{\"How\":\"pull\",\"Fields\":[\"x0\",\"queue\"]}"));
+        world.startWith(
+                world.config(64, World.list(1, true, listed))
+                        .replace("\"RetryAfter\":true", "\"RetryAfter\":true,\"Probes\":true")
+                        .replace(
+                                "\"Zone\":0",
+                                "\"Zone\":0,\"Report\":{\"How\":\"pull\",\"Fields\":[\"x0\",\"queue\"]}"));
         for (int i = 0; i < 2; i++) {
             world.open("d" + i, 20_000);
         }
-        World.await("two are taken", () -> {
-            try (Line third = world.open("d9", 20_000)) {
-                return "BUSY 1500".equals(third.hear());
-            } catch (IOException e) {
-                return false;
-            }
-        });
+        World.await(
+                "two are taken",
+                () -> {
+                    try (Line third = world.open("d9", 20_000)) {
+                        return "BUSY 1500".equals(third.hear());
+                    } catch (IOException e) {
+                        return false;
+                    }
+                });
         world.awaitLogged("admit.full");
     }
 
--- a/relay/src/test/java/saltstage/process/StandInFleet.java
+++ b/relay/src/test/java/saltstage/process/StandInFleet.java
@@ -13,8 +13,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Any number of backends in one thread: the list names each by an id of its own and all at one address.
- * Requests stand at once, probes are told a light load, and lines come back as they are.
+ * Any number of backends in one thread: the list names each by an id of its own and all at one
+ * address. Requests stand at once, probes are told a light load, and lines come back as they are.
  */
 final class StandInFleet implements AutoCloseable {
     final AtomicInteger probes = new AtomicInteger();
@@ -47,8 +47,12 @@
     /** The whole list. */
     String list(int rev) throws IOException {
         String endpoint = "127.0.0.1:" + ((InetSocketAddress) listener.getLocalAddress()).getPort();
-        return World.list(rev, true, IntStream.range(0, size)
-            .mapToObj(i -> World.target(uid(i), endpoint, "ready")).toArray(String[]::new));
+        return World.list(
+                rev,
+                true,
+                IntStream.range(0, size)
+                        .mapToObj(i -> World.target(uid(i), endpoint, "ready"))
+                        .toArray(String[]::new));
     }
 
     private void serve() {
@@ -83,12 +87,17 @@
             channel.close();
             return;
         }
-        connection.unread.append(new String(bytes.array(), 0, bytes.position(), StandardCharsets.ISO_8859_1));
-        for (int end = connection.unread.indexOf("\n"); end >= 0; end = connection.unread.indexOf("\n")) {
+        connection.unread.append(
+                new String(bytes.array(), 0, bytes.position(), StandardCharsets.ISO_8859_1));
+        for (int end = connection.unread.indexOf("\n");
+                end >= 0;
+                end = connection.unread.indexOf("\n")) {
             String line = connection.unread.substring(0, end).trim();
             connection.unread.delete(0, end + 1);
-            channel.write(ByteBuffer.wrap((answer(connection, line) + "\r\n")
-                .getBytes(StandardCharsets.ISO_8859_1)));
+            channel.write(
+                    ByteBuffer.wrap(
+                            (answer(connection, line) + "\r\n")
+                                    .getBytes(StandardCharsets.ISO_8859_1)));
         }
     }
 
--- a/relay/src/test/java/saltstage/process/StartTest.java
+++ b/relay/src/test/java/saltstage/process/StartTest.java
@@ -44,8 +44,11 @@
     }
 
     private void start(ProcessBuilder relay) throws IOException {
-        process = relay.redirectErrorStream(true).redirectInput(new File("/dev/null"))
-            .redirectOutput(log().toFile()).start();
+        process =
+                relay.redirectErrorStream(true)
+                        .redirectInput(new File("/dev/null"))
+                        .redirectOutput(log().toFile())
+                        .start();
     }
 
     private boolean logged(String part) {
@@ -62,7 +65,8 @@
 
     /** The pipe's end for writing, which is there once the relay opens the other. */
     private OutputStream onceItIsRead() throws InterruptedException {
-        OutputStream opened = World.aside(() -> Files.newOutputStream(file)).poll(30, TimeUnit.SECONDS);
+        OutputStream opened =
+                World.aside(() -> Files.newOutputStream(file)).poll(30, TimeUnit.SECONDS);
         assertNotNull(opened, "nobody reads the configuration");
         return opened;
     }
@@ -98,7 +102,8 @@
     void relayThatIsStartedWithHangupsIgnoredSaysThatItDoesNotReload() throws Exception {
         Files.writeString(file, world.config(4096, World.list(1, true)));
         ProcessBuilder relay = World.program(List.of("serve", "--config", file.toString()));
-        List<String> ignoring = new ArrayList<>(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
+        List<String> ignoring =
+                new ArrayList<>(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
         ignoring.addAll(relay.command());
         start(relay.command(ignoring));
         World.await("the relay is ready", () -> logged("relay.ready"));
@@ -124,7 +129,8 @@
 
     @Test
     void terminationBeforeTheFirstListIsAPlannedEnd() throws Exception {
-        Files.writeString(file, world.config(4096, World.list(1, true)).replace("on_request", "pushed"));
+        Files.writeString(
+                file, world.config(4096, World.list(1, true)).replace("on_request", "pushed"));
         launch();
         try (Line agent = world.discovery.accept()) { // silent: the start waits for it
             signal("TERM");
--- a/relay/src/test/java/saltstage/process/SuspendTest.java
+++ b/relay/src/test/java/saltstage/process/SuspendTest.java
@@ -12,7 +12,9 @@
 import saltstage.process.World.Line;
 import saltstage.process.World.Service;
 
-/** Operators take a backend out and put it back, whatever discovery says of it and whoever is asked. */
+/**
+ * Operators take a backend out and put it back, whatever discovery says of it and whoever is asked.
+ */
 public class SuspendTest {
     private World world;
     private Service out;
@@ -40,12 +42,14 @@
     }
 
     private String both() {
-        return World.list(1, true, listed("ready"), World.target("s-other", other.endpoint(), "ready"));
+        return World.list(
+                1, true, listed("ready"), World.target("s-other", other.endpoint(), "ready"));
     }
 
     private void allGoToTheOther(String name) throws Exception {
         for (int i = 0; i < 8; i++) { // of 8 keys one at least would go to each of two
-            Line client = world.client().say("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000");
+            Line client =
+                    world.client().say("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000");
             world.stand(other, client);
         }
         assertTrue(out.nobodyComesFor(50));
@@ -62,8 +66,10 @@
             Thread.sleep(100);
             allGoToTheOther(state);
         }
-        World.chunk(watch, World.list(3, false, listed("ready").replace("\"boot_ms\":0", "\"boot_ms\":9000"))
-            + "\n");
+        World.chunk(
+                watch,
+                World.list(3, false, listed("ready").replace("\"boot_ms\":0", "\"boot_ms\":9000"))
+                        + "\n");
         Thread.sleep(100);
         assertEquals("done suspended\n", world.call("SUSPEND s-out"));
         allGoToTheOther("again");
--- a/relay/src/test/java/saltstage/process/UpgradeTest.java
+++ b/relay/src/test/java/saltstage/process/UpgradeTest.java
@@ -5,9 +5,9 @@
 import static org.junit.Assert.assertNull;
 import static org.junit.Assert.assertTrue;
 
-import java.net.ServerSocket;
 import java.io.IOException;
 import java.io.UncheckedIOException;
+import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -18,7 +18,10 @@
 import saltstage.process.World.Line;
 import saltstage.process.World.Service;
 
-/** A process is replaced by another that inherits the clients' listening socket, held by the platform. */
+/**
+ * A process is replaced by another that inherits the clients' listening socket, held by the
+ * platform.
+ */
 public class UpgradeTest {
     private World world;
     private Platform platform;
@@ -32,8 +35,11 @@
         world.clientsAt(platform.port);
         backend = world.backend();
         config = platform.folder.resolve("config.json");
-        Files.writeString(config, world.config(4096,
-            World.list(1, true, World.target("s-1", backend.endpoint(), "ready"))));
+        Files.writeString(
+                config,
+                world.config(
+                        4096,
+                        World.list(1, true, World.target("s-1", backend.endpoint(), "ready"))));
     }
 
     @After
@@ -48,7 +54,7 @@
         }
     }
 
-    private record Relay(long pid, int admin, Path log) { }
+    private record Relay(long pid, int admin, Path log) {}
 
     private Relay begin(String name) throws Exception {
         int admin = freePort();
@@ -122,16 +128,19 @@
     public void lineThatIsHalfReadAtTheEndIsServedByTheOldProcess() throws Exception {
         Relay old = serving("old");
         Relay next = serving("next");
-        // A first line has 2 s, and on a busy machine processes start and hear signals later than that: the
+        // A first line has 2 s, and on a busy machine processes start and hear signals later than
+        // that: the
         // new one is stopped, so that the old one accepts, and the line begins when the drain has.
         Platform.stop(next.pid());
         Line half = world.client();
         pong(half);
         Platform.signal(old.pid(), "TERM");
-        World.await("the old process has stopped accepting", () -> {
-            pong(half); // each has 2 s again
-            return said(old, "drain.start");
-        });
+        World.await(
+                "the old process has stopped accepting",
+                () -> {
+                    pong(half); // each has 2 s again
+                    return said(old, "drain.start");
+                });
         half.raw("OPEN u3 ");
         Thread.sleep(200); // four looks of the drain's at whether anybody is left
         half.say("7f3a9c21e0b4d655 c=chat,t=acme,d=20000,g=5c0f6e1a");
@@ -146,7 +155,8 @@
     }
 
     @Test
-    public void newProcessThatDiesBeforeItIsReadyChangesNothingAndTwoUpgradesWorkInARow() throws Exception {
+    public void newProcessThatDiesBeforeItIsReadyChangesNothingAndTwoUpgradesWorkInARow()
+            throws Exception {
         Relay first = serving("first");
         Relay dead = begin("dead");
         Platform.signal(dead.pid(), "KILL");
@@ -175,8 +185,9 @@
         assertTrue(said, said.contains("saltstage: descriptor 0 is no listening socket"));
         relay.environment().put("GW_LISTEN_FD", "7");
         process = relay.start();
-        assertEquals("saltstage: GW_LISTEN_FD: only descriptor 0 can be taken over, not '7'\n",
-            new String(process.getInputStream().readAllBytes()));
+        assertEquals(
+                "saltstage: GW_LISTEN_FD: only descriptor 0 can be taken over, not '7'\n",
+                new String(process.getInputStream().readAllBytes()));
         assertEquals(1, process.waitFor());
     }
 }
--- a/relay/src/test/java/saltstage/stage/ProbeTest.java
+++ b/relay/src/test/java/saltstage/stage/ProbeTest.java
@@ -17,7 +17,9 @@
 import saltstage.memory.Peers;
 import saltstage.wire.HostList;
 
-/** The thread of probes: the test decides whether the machine has one, and runs what it would do. */
+/**
+ * The thread of probes: the test decides whether the machine has one, and runs what it would do.
+ */
 @Timeout(30)
 class ProbeTest {
     private static final String UID = "backend-1";
@@ -43,8 +45,19 @@
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             closed = (InetSocketAddress) socket.getLocalSocketAddress();
         }
-        peers.update(new HostList(1, true, List.of(new HostList.Entry(UID, closed, "zone", 0,
-            HostList.State.READY, 1, Instant.EPOCH))));
+        peers.update(
+                new HostList(
+                        1,
+                        true,
+                        List.of(
+                                new HostList.Entry(
+                                        UID,
+                                        closed,
+                                        "zone",
+                                        0,
+                                        HostList.State.READY,
+                                        1,
+                                        Instant.EPOCH))));
     }
 
     @Test
@@ -53,7 +66,8 @@
         probe.ask(UID);
         assertEquals(1, attempts);
         probe.ask(UID);
-        assertEquals(1, started.size(), "the second ask starts the thread that the first did not get");
+        assertEquals(
+                1, started.size(), "the second ask starts the thread that the first did not get");
         probe.ask(UID);
         assertEquals(2, attempts, "all probes have one thread");
     }
--- a/relay/src/test/java/saltstage/stage/ThreadBudgetTest.java
+++ b/relay/src/test/java/saltstage/stage/ThreadBudgetTest.java
@@ -22,13 +22,15 @@
         if (!platform.tryAcquire()) {
             return false;
         }
-        return Threads.tryStart(name, () -> {
-            try {
-                work.run();
-            } finally {
-                platform.release();
-            }
-        });
+        return Threads.tryStart(
+                name,
+                () -> {
+                    try {
+                        work.run();
+                    } finally {
+                        platform.release();
+                    }
+                });
     }
 
     private int admitAll() throws InterruptedException {
@@ -49,7 +51,8 @@
     @Test
     void requestsNeverTakeTheThreadsThatAreKeptForSignals() throws Exception {
         int admitted = admitAll();
-        assertEquals((PLATFORM - ThreadBudget.RESERVE) / ThreadBudget.THREADS_PER_REQUEST, admitted);
+        assertEquals(
+                (PLATFORM - ThreadBudget.RESERVE) / ThreadBudget.THREADS_PER_REQUEST, admitted);
         assertEquals(ThreadBudget.RESERVE, platform.availablePermits());
         over.countDown();
     }
@@ -60,7 +63,8 @@
         while (budget.tryAcquire()) {
             admitted++;
         }
-        assertEquals((PLATFORM - ThreadBudget.RESERVE) / ThreadBudget.THREADS_PER_REQUEST, admitted);
+        assertEquals(
+                (PLATFORM - ThreadBudget.RESERVE) / ThreadBudget.THREADS_PER_REQUEST, admitted);
     }
 
     @Test
@@ -68,10 +72,12 @@
         assertTrue(budget.tryAcquire());
         platform.drainPermits();
         CountDownLatch ran = new CountDownLatch(1);
-        Threads.tryStart("release", () -> {
-            Thread.sleep(20);
-            platform.release(PLATFORM);
-        });
+        Threads.tryStart(
+                "release",
+                () -> {
+                    Thread.sleep(20);
+                    platform.release(PLATFORM);
+                });
         assertTrue(budget.start("request", ran::countDown));
         ran.await();
     }
--- a/relay/src/test/java/saltstage/store/CrashTest.java
+++ b/relay/src/test/java/saltstage/store/CrashTest.java
@@ -26,11 +26,19 @@
         try {
             next.open(left);
         } catch (StoreException refused) {
-            throw new AssertionError(what + ": refused after a mere crash: " + refused.getMessage(), refused);
+            throw new AssertionError(
+                    what + ": refused after a mere crash: " + refused.getMessage(), refused);
         }
         TreeMap<String, String> found = Night.dump(next.store);
-        assertTrue(found.equals(night.acked) || found.equals(night.asked),
-            what + ": found " + found + ", acknowledged " + night.acked + ", asked " + night.asked);
+        assertTrue(
+                found.equals(night.acked) || found.equals(night.asked),
+                what
+                        + ": found "
+                        + found
+                        + ", acknowledged "
+                        + night.acked
+                        + ", asked "
+                        + night.asked);
         next.acked = found;
         next.commit("later=1"); // it serves on, and what was dropped does not come back
         next.commit("later=2", "all");
@@ -48,27 +56,35 @@
             disk.arm(at, FaultDisk.Fault.CRASH);
             Night night = new Night();
             int crash = at;
-            assertThrows(FaultDisk.Crash.class, () -> night.open(disk).run(), () -> "no crash at " + crash);
+            assertThrows(
+                    FaultDisk.Crash.class,
+                    () -> night.open(disk).run(),
+                    () -> "no crash at " + crash);
             for (int subset = 0; subset < SUBSETS; subset++) {
-                checkAfter(night, disk.afterCrash(chance(subset, at)), "crash at " + at + ", subset "
-                    + subset);
+                checkAfter(
+                        night,
+                        disk.afterCrash(chance(subset, at)),
+                        "crash at " + at + ", subset " + subset);
                 cases++;
             }
         }
-        System.out.println("crash at each of " + operations + " operations: " + cases + " cases, all exact");
+        System.out.println(
+                "crash at each of " + operations + " operations: " + cases + " cases, all exact");
         assertTrue(operations > 300);
     }
 
     /** Nothing kept, all kept, then by chance. */
     private static Random chance(int subset, int at) {
-        return subset > 1 ? new Random(31L * at + subset) : new Random() {
-            private static final long serialVersionUID = 1L;
+        return subset > 1
+                ? new Random(31L * at + subset)
+                : new Random() {
+                    private static final long serialVersionUID = 1L;
 
-            @Override
-            public boolean nextBoolean() {
-                return subset == 1;
-            }
-        };
+                    @Override
+                    public boolean nextBoolean() {
+                        return subset == 1;
+                    }
+                };
     }
 
     @Test
@@ -96,7 +112,8 @@
     void aFailureAtEveryOperationLosesAndInventsNothing() throws IOException {
         int operations = operations();
         int stopped = 0;
-        for (FaultDisk.Fault fault : new FaultDisk.Fault[] {FaultDisk.Fault.FAIL, FaultDisk.Fault.SHORT}) {
+        for (FaultDisk.Fault fault :
+                new FaultDisk.Fault[] {FaultDisk.Fault.FAIL, FaultDisk.Fault.SHORT}) {
             for (int at = 0; at < operations; at++) {
                 FaultDisk disk = new FaultDisk();
                 disk.arm(at, fault);
@@ -107,10 +124,12 @@
                     stopped++;
                 }
                 if (night.store != null && !night.store.writable()) {
-                    assertThrows(StoreException.Stopped.class,
-                        () -> night.store.put(Night.bytes("more"), Night.bytes("1")));
+                    assertThrows(
+                            StoreException.Stopped.class,
+                            () -> night.store.put(Night.bytes("more"), Night.bytes("1")));
                     assertEquals(night.acked, Night.dump(night.store), "reads go on");
-                    assertTrue(night.told.stream().anyMatch(line -> line.startsWith("store.stopped")));
+                    assertTrue(
+                            night.told.stream().anyMatch(line -> line.startsWith("store.stopped")));
                 }
                 checkAfter(night, disk.afterCrash(new Random(at)), fault + " at " + at);
             }
@@ -118,7 +137,9 @@
         assertTrue(stopped > operations / 2, "stopped in " + stopped);
     }
 
-    /** Seen when a loader was killed: the log was read in an order in which it had not been written. */
+    /**
+     * Seen when a loader was killed: the log was read in an order in which it had not been written.
+     */
     @Test
     void aSpareThatWasBegunBeforeAnotherSegmentDoesNotComeBeforeIt() throws IOException {
         FaultDisk disk = new FaultDisk();
@@ -126,10 +147,11 @@
         new Recovery(core, true).run();
         LogWriter writer = new LogWriter(core);
         GroupCommit commits = new GroupCommit(writer::write);
-        disk.beforeNextCreate(() -> {
-            writer.roll(Frames.HEAD);
-            return null;
-        });
+        disk.beforeNextCreate(
+                () -> {
+                    writer.roll(Frames.HEAD);
+                    return null;
+                });
         writer.prepareSpare();
         commits.commit(new Batch().put(Night.bytes("a"), Night.bytes("1")));
         writer.roll(Frames.HEAD);
@@ -139,10 +161,14 @@
         assertEquals(wanted, Night.dump(new Night().open(disk.copy()).store));
     }
 
-    /** The page cache forgets what a force could not write: a second one that succeeds means nothing. */
+    /**
+     * The page cache forgets what a force could not write: a second one that succeeds means
+     * nothing.
+     */
     @Test
     void aFailedForceStopsAcknowledgingForGood() throws IOException {
-        for (FaultDisk.Fault fault : new FaultDisk.Fault[] {FaultDisk.Fault.FAIL, FaultDisk.Fault.SHORT}) {
+        for (FaultDisk.Fault fault :
+                new FaultDisk.Fault[] {FaultDisk.Fault.FAIL, FaultDisk.Fault.SHORT}) {
             FaultDisk disk = new FaultDisk();
             Night night = new Night().open(disk);
             night.commit("a=1");
@@ -189,23 +215,33 @@
         disk.arm(1, FaultDisk.Fault.CRASH); // the force of the next commit
         assertThrows(FaultDisk.Crash.class, () -> night.commit("b=" + "x".repeat(700)));
         int[] sector = new int[1];
-        FaultDisk left = disk.afterCrash(new Random() {
-            private static final long serialVersionUID = 1L;
+        FaultDisk left =
+                disk.afterCrash(
+                        new Random() {
+                            private static final long serialVersionUID = 1L;
 
-            @Override
-            public boolean nextBoolean() {
-                return sector[0]++ % 2 == 0;
-            }
-        });
+                            @Override
+                            public boolean nextBoolean() {
+                                return sector[0]++ % 2 == 0;
+                            }
+                        });
         Night next = new Night().open(left);
         assertEquals(night.acked, Night.dump(next.store));
         assertTrue(
-            next.told.get(0).matches("store.torn \\[file, [0-9a-f]{16}\\.log, offset, \\d+, length, \\d+\\]"),
-            next.told.toString());
+                next.told
+                        .get(0)
+                        .matches(
+                                "store.torn \\[file, [0-9a-f]{16}\\.log, offset, \\d+, length,"
+                                        + " \\d+\\]"),
+                next.told.toString());
         next.store.close();
         Night third = new Night().open(left.copy());
         assertEquals(List.of(), third.told, "it is told once");
-        String log = left.list().stream().filter(name -> name.endsWith(".log")).findFirst().orElseThrow();
+        String log =
+                left.list().stream()
+                        .filter(name -> name.endsWith(".log"))
+                        .findFirst()
+                        .orElseThrow();
         byte[] content = left.content(log);
         int end = Frames.HEADER + 2 * 72 + 200; // the first group, its mirror, and more than that
         for (int i = end; i < content.length; i++) {
--- a/relay/src/test/java/saltstage/store/DamageTest.java
+++ b/relay/src/test/java/saltstage/store/DamageTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Files that were changed behind the store's back: the exact state or one clean refusal, every time. */
+/**
+ * Files that were changed behind the store's back: the exact state or one clean refusal, every
+ * time.
+ */
 class DamageTest {
     private final FaultDisk disk = new FaultDisk();
     private TreeMap<String, String> acked;
@@ -36,7 +39,9 @@
             store.put(Night.bytes("after"), Night.bytes("all"));
             return 0;
         } catch (StoreException refused) {
-            assertTrue(refused.getMessage().matches("damaged: \\S+ at \\d+: .*"), what + ": " + refused);
+            assertTrue(
+                    refused.getMessage().matches("damaged: \\S+ at \\d+: .*"),
+                    what + ": " + refused);
             return 1;
         } catch (IOException | RuntimeException other) {
             return fail(what + ": " + other, other);
@@ -56,8 +61,13 @@
                 counts[outcome]++;
             }
         }
-        System.out.println("cut at every byte of " + disk.list().size() + " files: exact " + counts[0]
-            + ", refused " + counts[1]);
+        System.out.println(
+                "cut at every byte of "
+                        + disk.list().size()
+                        + " files: exact "
+                        + counts[0]
+                        + ", refused "
+                        + counts[1]);
     }
 
     @Test
@@ -75,8 +85,13 @@
                 }
             }
         }
-        System.out.println("every byte of " + disk.list().size() + " files flipped: exact " + counts[0]
-            + ", refused " + counts[1]);
+        System.out.println(
+                "every byte of "
+                        + disk.list().size()
+                        + " files flipped: exact "
+                        + counts[0]
+                        + ", refused "
+                        + counts[1]);
         assertTrue(counts[0] > 0 && counts[1] > 0);
     }
 
@@ -141,8 +156,11 @@
         night.commit("a=" + "x".repeat(Frames.MOST_MIRRORED + 1));
         acked = night.acked;
         assertEquals(0, outcome(young.copy(), "unharmed"));
-        String log = young.list().stream().filter(name -> young.content(name).length > Frames.MOST_MIRRORED)
-            .findFirst().orElseThrow();
+        String log =
+                young.list().stream()
+                        .filter(name -> young.content(name).length > Frames.MOST_MIRRORED)
+                        .findFirst()
+                        .orElseThrow();
         byte[] whole = young.content(log);
         whole[Frames.MOST_MIRRORED / 2] ^= 1;
         FaultDisk changed = young.copy();
@@ -150,7 +168,10 @@
         assertEquals(1, outcome(changed, "a large record flipped"));
     }
 
-    /** The log's end in every state that damage to the last record and to its mirror can leave it in. */
+    /**
+     * The log's end in every state that damage to the last record and to its mirror can leave it
+     * in.
+     */
     @Test
     void aLastRecordDamagedWithItsMirrorIsRefusedAndLeftAlone() throws IOException {
         FaultDisk young = new FaultDisk();
@@ -173,11 +194,15 @@
                 FaultDisk changed = young.copy();
                 changed.put(log, damaged);
                 int outcome = outcome(changed, "flipped at " + first + " and " + second);
-                assertTrue(outcome == 0 || Arrays.equals(damaged, changed.content(log)), "left as it was");
+                assertTrue(
+                        outcome == 0 || Arrays.equals(damaged, changed.content(log)),
+                        "left as it was");
                 refused += outcome;
             }
         }
-        assertEquals((Frames.HEAD + payload) * (Frames.HEAD + Frames.MIRROR_HEAD + mirror - group), refused);
+        assertEquals(
+                (Frames.HEAD + payload) * (Frames.HEAD + Frames.MIRROR_HEAD + mirror - group),
+                refused);
         for (int from = group; from < end; from++) { // as if the tail had never been written
             byte[] zeroed = whole.clone();
             Arrays.fill(zeroed, from, zeroed.length, (byte) 0);
@@ -189,7 +214,9 @@
         System.out.println("the last record and its mirror both damaged: refused " + refused);
     }
 
-    /** Files of an older day under a newer word of what was acknowledged: nothing says so but that. */
+    /**
+     * Files of an older day under a newer word of what was acknowledged: nothing says so but that.
+     */
     @Test
     void anOlderLogOrAnotherStoresWordIsRefused() throws IOException {
         FaultDisk old = new FaultDisk();
@@ -216,14 +243,15 @@
 
     /** Loses all that was not forced. */
     private static FaultDisk withoutPower(FaultDisk running) {
-        return running.afterCrash(new Random() {
-            private static final long serialVersionUID = 1L;
+        return running.afterCrash(
+                new Random() {
+                    private static final long serialVersionUID = 1L;
 
-            @Override
-            public boolean nextBoolean() {
-                return false;
-            }
-        });
+                    @Override
+                    public boolean nextBoolean() {
+                        return false;
+                    }
+                });
     }
 
     /** The log as it was before: what was written since is lost, and its mirror with it. */
@@ -233,7 +261,10 @@
         return now;
     }
 
-    /** Once writing rests, or the store is closed, a loss of power does not forget what was acknowledged. */
+    /**
+     * Once writing rests, or the store is closed, a loss of power does not forget what was
+     * acknowledged.
+     */
     @Test
     void whatWasAcknowledgedIsDurableOnceWritingRests() throws Exception {
         FaultDisk ended = new FaultDisk();
@@ -273,17 +304,29 @@
             byte[] sure = withoutPower(young).content(Acknowledged.NAME);
             byte[] now = young.content(Acknowledged.NAME);
             boolean first = Arrays.equals(sure, 0, Acknowledged.SLOT, now, 0, Acknowledged.SLOT);
-            boolean second = Arrays.equals(sure, Acknowledged.SLOT, Acknowledged.SIZE, now,
-                Acknowledged.SLOT, Acknowledged.SIZE);
+            boolean second =
+                    Arrays.equals(
+                            sure,
+                            Acknowledged.SLOT,
+                            Acknowledged.SIZE,
+                            now,
+                            Acknowledged.SLOT,
+                            Acknowledged.SIZE);
             assertTrue(first ^ second, "round " + i);
             acked = night.acked;
             FaultDisk spoilt = young.copy();
             byte[] cut = now.clone();
-            Arrays.fill(cut, first ? Acknowledged.SLOT : 0, (first ? Acknowledged.SLOT : 0) + 20, (byte) 0);
+            Arrays.fill(
+                    cut,
+                    first ? Acknowledged.SLOT : 0,
+                    (first ? Acknowledged.SLOT : 0) + 20,
+                    (byte) 0);
             spoilt.put(Acknowledged.NAME, cut);
             Frames.StoreId id = Manifest.read(young).store();
-            assertEquals(Acknowledged.read(withoutPower(young), id), Acknowledged.read(spoilt, id),
-                "what the last force made sure of");
+            assertEquals(
+                    Acknowledged.read(withoutPower(young), id),
+                    Acknowledged.read(spoilt, id),
+                    "what the last force made sure of");
             assertEquals(0, outcome(spoilt, "cut off in its slot"));
             if (i == 1) {
                 young = young.copy(); // killed: what was written stays, but nobody forced it
@@ -324,7 +367,9 @@
         return ByteBuffer.wrap(file).getLong(slot * Acknowledged.SLOT + 32);
     }
 
-    /** A group that a crash left whole is shown after it: from then on it must not vanish either. */
+    /**
+     * A group that a crash left whole is shown after it: from then on it must not vanish either.
+     */
     @Test
     void whatARecoveryHasShownIsAsGoodAsAcknowledged() throws IOException {
         FaultDisk young = new FaultDisk();
@@ -333,14 +378,16 @@
         FaultDisk before = young.copy();
         young.arm(1, FaultDisk.Fault.CRASH); // the force of the next commit
         assertThrows(FaultDisk.Crash.class, () -> night.commit("b=2"));
-        FaultDisk left = young.afterCrash(new Random() {
-            private static final long serialVersionUID = 1L;
+        FaultDisk left =
+                young.afterCrash(
+                        new Random() {
+                            private static final long serialVersionUID = 1L;
 
-            @Override
-            public boolean nextBoolean() {
-                return true;
-            }
-        });
+                            @Override
+                            public boolean nextBoolean() {
+                                return true;
+                            }
+                        });
         acked = night.asked;
         assertEquals(acked, Night.dump(new Night().open(left).store));
         assertEquals(1, outcome(withTailOf(before, withoutPower(left)), "shown, then lost"));
@@ -350,8 +397,16 @@
     @Test
     void aStoreOfTheFirstFormatIsTakenOver() throws IOException {
         Manifest now = Manifest.decoded(ByteBuffer.wrap(disk.content(Manifest.NAME)));
-        byte[] former = new Manifest((short) 1, now.store(), now.generation(), now.nextId(), now.checkpoint(),
-            now.parts()).encoded().array();
+        byte[] former =
+                new Manifest(
+                                (short) 1,
+                                now.store(),
+                                now.generation(),
+                                now.nextId(),
+                                now.checkpoint(),
+                                now.parts())
+                        .encoded()
+                        .array();
         FaultDisk first = disk.copy();
         first.put(Manifest.NAME, former);
         first.delete(Acknowledged.NAME);
@@ -371,7 +426,8 @@
     @Test
     void aDamagedBlockOfACheckpointIsNamedByItsPlace() throws IOException {
         FaultDisk large = new FaultDisk();
-        try (Store store = Store.open(large, new StoreOptions(1 << 20, false, 1 << 30), StoreEvents.NONE)) {
+        try (Store store =
+                Store.open(large, new StoreOptions(1 << 20, false, 1 << 30), StoreEvents.NONE)) {
             Batch batch = new Batch();
             for (int i = 0; i < 4000; i++) {
                 batch.put(Night.bytes("key" + i), Night.bytes("1"));
@@ -382,12 +438,16 @@
         String index = nameOf(large, ".index");
         byte[] content = large.content(index);
         int second = 64 + 8 + ByteBuffer.wrap(content).getInt(64);
-        content[second + 8 + 14 + 7] ^= 1; // the last byte of a version: nothing else would miss it in place
+        content[second + 8 + 14 + 7] ^=
+                1; // the last byte of a version: nothing else would miss it in place
         large.put(index, content);
-        StoreException refused = assertThrows(StoreException.Damaged.class,
-            () -> Store.openToRead(large, StoreEvents.NONE));
-        assertEquals("damaged: " + index + " at " + second + ": the block's checksum does not match",
-            refused.getMessage());
+        StoreException refused =
+                assertThrows(
+                        StoreException.Damaged.class,
+                        () -> Store.openToRead(large, StoreEvents.NONE));
+        assertEquals(
+                "damaged: " + index + " at " + second + ": the block's checksum does not match",
+                refused.getMessage());
     }
 
     @Test
@@ -398,7 +458,9 @@
         String log = nameOf(young, ".log");
         Manifest manifest = Manifest.decoded(ByteBuffer.wrap(young.content(Manifest.NAME)));
         ByteBuffer made = ByteBuffer.allocate(400);
-        for (int i = 0; i < 8; i++) { // of a later record, at each alignment that it could come to stand at
+        for (int i = 0;
+                i < 8;
+                i++) { // of a later record, at each alignment that it could come to stand at
             made.position(made.position() + 1);
             int start = Frames.beginFrame(made, Frames.GROUP, 1, 1000);
             Frames.endFrame(made, start, new Frames.Seed(manifest.store(), 1), 64);
@@ -414,13 +476,19 @@
     @Test
     void aDamagedValueIsRefusedWhenItIsRead() throws IOException {
         Night.dump(Store.openToRead(disk.copy(), StoreEvents.NONE));
-        String copy = disk.list().stream().filter(name -> name.endsWith(".copy")).findFirst().orElseThrow();
+        String copy =
+                disk.list().stream()
+                        .filter(name -> name.endsWith(".copy"))
+                        .findFirst()
+                        .orElseThrow();
         byte[] content = disk.content(copy);
         content[content.length - 20] ^= 1;
         disk.put(copy, content);
         try (Store store = Store.openToRead(disk, StoreEvents.NONE)) {
             StoreException refused = assertThrows(StoreException.Damaged.class, store::verify);
-            assertTrue(refused.getMessage().startsWith("damaged: " + copy + " at "), refused.getMessage());
+            assertTrue(
+                    refused.getMessage().startsWith("damaged: " + copy + " at "),
+                    refused.getMessage());
         }
     }
 }
--- a/relay/src/test/java/saltstage/store/FaultDisk.java
+++ b/relay/src/test/java/saltstage/store/FaultDisk.java
@@ -13,29 +13,35 @@
 import java.util.concurrent.Callable;
 
 /**
- * A disk in memory that crashes, fails, falls short and fills at any single operation. What is not forced
- * survives a crash in any part, sector by sector, and unsynced names one by one.
+ * A disk in memory that crashes, fails, falls short and fills at any single operation. What is not
+ * forced survives a crash in any part, sector by sector, and unsynced names one by one.
  */
 public final class FaultDisk implements Disk {
     static final int SECTOR = 512;
 
     /** What happens at the chosen operation. */
-    public enum Fault { CRASH, FAIL, SHORT, FULL }
+    public enum Fault {
+        CRASH,
+        FAIL,
+        SHORT,
+        FULL
+    }
 
     /** Thrown at a crash: no code of the store's may go on. */
     static final class Crash extends Error {
         private static final long serialVersionUID = 1L;
     }
 
-    private record Write(int at, byte[] bytes) { }
+    private record Write(int at, byte[] bytes) {}
 
-    private record NameChange(String from, String to, Node node) { }
+    private record NameChange(String from, String to, Node node) {}
 
     private static final class Node {
         private byte[] now = {};
         private byte[] forced = {};
         private final List<Write> unforced = new ArrayList<>();
-        private final BitSet room = new BitSet(); // sectors that were ever written: a hole takes none
+        private final BitSet room =
+                new BitSet(); // sectors that were ever written: a hole takes none
 
         boolean needsRoom(long position, int bytes) {
             int last = (int) (position + bytes - 1) / SECTOR;
@@ -43,7 +49,9 @@
         }
 
         static byte[] with(byte[] content, Write write) {
-            byte[] next = Arrays.copyOf(content, Math.max(content.length, write.at() + write.bytes().length));
+            byte[] next =
+                    Arrays.copyOf(
+                            content, Math.max(content.length, write.at() + write.bytes().length));
             System.arraycopy(write.bytes(), 0, next, write.at(), write.bytes().length);
             return next;
         }
@@ -58,6 +66,7 @@
     private int faultAt = Integer.MAX_VALUE;
     private Fault fault = Fault.CRASH;
     private boolean full;
+
     /** Done once, before the next file is made: what another thread does meanwhile. */
     private Callable<Void> beforeCreate;
 
@@ -84,7 +93,10 @@
         faultAt = Integer.MAX_VALUE;
     }
 
-    /** The disk as the next start finds it: all that was forced, and of the rest what the chance keeps. */
+    /**
+     * The disk as the next start finds it: all that was forced, and of the rest what the chance
+     * keeps.
+     */
     public FaultDisk afterCrash(Random keep) {
         FaultDisk next = new FaultDisk();
         TreeMap<String, Node> kept = new TreeMap<>(durableNames);
@@ -98,20 +110,29 @@
                 }
             }
         }
-        kept.forEach((name, node) -> {
-            byte[] content = node.forced;
-            for (Write write : node.unforced) {
-                for (int at = 0; at < write.bytes().length;) {
-                    int until = Math.min(write.bytes().length, at + SECTOR - (write.at() + at) % SECTOR);
-                    if (keep.nextBoolean()) {
-                        content = Node.with(content,
-                            new Write(write.at() + at, Arrays.copyOfRange(write.bytes(), at, until)));
+        kept.forEach(
+                (name, node) -> {
+                    byte[] content = node.forced;
+                    for (Write write : node.unforced) {
+                        for (int at = 0; at < write.bytes().length; ) {
+                            int until =
+                                    Math.min(
+                                            write.bytes().length,
+                                            at + SECTOR - (write.at() + at) % SECTOR);
+                            if (keep.nextBoolean()) {
+                                content =
+                                        Node.with(
+                                                content,
+                                                new Write(
+                                                        write.at() + at,
+                                                        Arrays.copyOfRange(
+                                                                write.bytes(), at, until)));
+                            }
+                            at = until;
+                        }
                     }
-                    at = until;
-                }
-            }
-            next.put(name, content);
-        });
+                    next.put(name, content);
+                });
         return next;
     }
 
@@ -244,7 +265,8 @@
         @Override
         public int read(ByteBuffer into, long position) {
             synchronized (FaultDisk.this) {
-                int bytes = (int) Math.max(0, Math.min(into.remaining(), node.now.length - position));
+                int bytes =
+                        (int) Math.max(0, Math.min(into.remaining(), node.now.length - position));
                 into.put(node.now, (int) Math.min(position, node.now.length), bytes);
                 return bytes;
             }
@@ -257,12 +279,15 @@
                 if (full && node.needsRoom(position, from.remaining())) {
                     throw new FullException("no room to grow");
                 }
-                byte[] bytes = new byte[shortened ? Math.min(10, from.remaining() / 2) : from.remaining()];
+                byte[] bytes =
+                        new byte[shortened ? Math.min(10, from.remaining() / 2) : from.remaining()];
                 from.get(bytes);
                 Write write = new Write((int) position, bytes);
                 node.now = Node.with(node.now, write);
                 node.unforced.add(write);
-                node.room.set((int) position / SECTOR, (int) (position + bytes.length + SECTOR - 1) / SECTOR);
+                node.room.set(
+                        (int) position / SECTOR,
+                        (int) (position + bytes.length + SECTOR - 1) / SECTOR);
                 return bytes.length;
             }
         }
@@ -276,8 +301,10 @@
                         node.forced = Node.with(node.forced, write);
                     }
                 } catch (IOException failed) {
-                    failed.addSuppressed(new IOException("the cache forgets that these were not written"));
-                    node.unforced.clear(); // as Linux does: a later force has nothing left and succeeds
+                    failed.addSuppressed(
+                            new IOException("the cache forgets that these were not written"));
+                    node.unforced
+                            .clear(); // as Linux does: a later force has nothing left and succeeds
                     throw failed;
                 }
                 node.unforced.clear();
--- a/relay/src/test/java/saltstage/store/Night.java
+++ b/relay/src/test/java/saltstage/store/Night.java
@@ -7,13 +7,17 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** A fixed run of batches, deletes, checkpoints and compactions, with what was acknowledged of it. */
+/**
+ * A fixed run of batches, deletes, checkpoints and compactions, with what was acknowledged of it.
+ */
 class Night {
     static final StoreOptions SMALL = new StoreOptions(2048, false, 1 << 30);
 
     final List<String> told = new ArrayList<>();
+
     /** The state after what was acknowledged last, and after what was asked for last. */
     TreeMap<String, String> acked = new TreeMap<>();
+
     TreeMap<String, String> asked = new TreeMap<>();
     Store store;
 
@@ -44,15 +48,26 @@
         acked = asked;
     }
 
-    /** All that the store can meet: several segments, a checkpoint, two compactions, a log behind them. */
+    /**
+     * All that the store can meet: several segments, a checkpoint, two compactions, a log behind
+     * them.
+     */
     void run() throws IOException {
         Random random = new Random(7);
         for (int i = 0; i < 6; i++) {
-            commit("old" + i + "=" + "o".repeat(30) + i); // lives in copies from the first compaction on
+            commit(
+                    "old"
+                            + i
+                            + "="
+                            + "o".repeat(30)
+                            + i); // lives in copies from the first compaction on
         }
         for (int i = 0; i < 110; i++) {
             if (i % 7 == 3) {
-                commit("key" + random.nextInt(12), "key" + random.nextInt(12) + "=" + i, "all=" + i);
+                commit(
+                        "key" + random.nextInt(12),
+                        "key" + random.nextInt(12) + "=" + i,
+                        "all=" + i);
             } else {
                 commit("key" + random.nextInt(12) + "=" + "v".repeat(random.nextInt(60)) + i);
             }
@@ -69,8 +84,9 @@
         try (Snapshot now = store.snapshot()) {
             Snapshot.Scan scan = now.scan(null, null);
             while (scan.next()) {
-                all.put(new String(scan.key(), StandardCharsets.UTF_8),
-                    new String(scan.value(), StandardCharsets.UTF_8));
+                all.put(
+                        new String(scan.key(), StandardCharsets.UTF_8),
+                        new String(scan.value(), StandardCharsets.UTF_8));
             }
         }
         return all;
--- a/relay/src/test/java/saltstage/store/SpacePolicyTest.java
+++ b/relay/src/test/java/saltstage/store/SpacePolicyTest.java
@@ -31,19 +31,25 @@
         assertEquals(List.of(), policy.victims(sealed, 0));
         List<Sealed> more = new ArrayList<>(sealed);
         more.add(new Sealed(3, 1_000, 900));
-        assertEquals(List.of(1L, 2L), policy.victims(more, 0),
-            "the deadest first, and not what mostly lives");
-        assertEquals(List.of(), policy.victims(more, 3_000), "a round ends with a checkpoint of that size");
+        assertEquals(
+                List.of(1L, 2L),
+                policy.victims(more, 0),
+                "the deadest first, and not what mostly lives");
+        assertEquals(
+                List.of(),
+                policy.victims(more, 3_000),
+                "a round ends with a checkpoint of that size");
     }
 
     @Test
     void byHandAllThatHoldsAnythingDeadIsRewritten() {
-        assertEquals(List.of(2L), SpacePolicy.all(List.of(new Sealed(1, 10, 10), new Sealed(2, 10, 9))));
+        assertEquals(
+                List.of(2L), SpacePolicy.all(List.of(new Sealed(1, 10, 10), new Sealed(2, 10, 9))));
     }
 
     @Property(tries = 300, seed = "7")
     void aRoundIsBoundedAndChoosesOnlyWhatPays(
-        @ForAll @Size(max = 200) List<@IntRange(max = 700) Integer> live) {
+            @ForAll @Size(max = 200) List<@IntRange(max = 700) Integer> live) {
         List<Sealed> sealed = new ArrayList<>();
         for (int i = 0; i < live.size(); i++) {
             sealed.add(new Sealed(i, 1_000, live.get(i)));
@@ -64,7 +70,8 @@
             now += limit.take(1_000, now); // ten seconds' worth, as fast as it is allowed
         }
         assertTrue(now > 9_800_000_000L && now <= 10_000_000_000L, "took " + now);
-        assertEquals(0, limit.take(1_000, now + 1_000_000_000L), "what was not used is a burst, once");
+        assertEquals(
+                0, limit.take(1_000, now + 1_000_000_000L), "what was not used is a burst, once");
         assertTrue(limit.take(1_000_000, now + 1_000_000_000L) > 800_000_000L);
     }
 }
--- a/relay/src/test/java/saltstage/store/StoreFuzzTest.java
+++ b/relay/src/test/java/saltstage/store/StoreFuzzTest.java
@@ -16,8 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Any bytes in place of any part of any file: refused, or a state of which every pair was once asked for.
- * {@code JAZZER_FUZZ=1 mvn test -pl relay -Dtest=StoreFuzzTest} searches; CI plays what is known.
+ * Any bytes in place of any part of any file: refused, or a state of which every pair was once
+ * asked for. {@code JAZZER_FUZZ=1 mvn test -pl relay -Dtest=StoreFuzzTest} searches; CI plays what
+ * is known.
  */
 class StoreFuzzTest {
     private static final FaultDisk NIGHT = new FaultDisk();
@@ -33,7 +34,7 @@
                         int equals = change.indexOf('=');
                         if (equals > 0) {
                             ASKED.computeIfAbsent(change.substring(0, equals), k -> new HashSet<>())
-                                .add(change.substring(equals + 1));
+                                    .add(change.substring(equals + 1));
                         }
                     }
                     super.commit(changes);
@@ -60,8 +61,11 @@
         changed.put(name, (data[0] & 0x80) != 0 ? Arrays.copyOf(content, at + bytes) : content);
         try (Store store = Store.open(changed, Night.SMALL, StoreEvents.NONE)) {
             TreeMap<String, String> found = Night.dump(store);
-            found.forEach((key, value) ->
-                assertTrue(ASKED.getOrDefault(key, Set.of()).contains(value), key + "=" + value));
+            found.forEach(
+                    (key, value) ->
+                            assertTrue(
+                                    ASKED.getOrDefault(key, Set.of()).contains(value),
+                                    key + "=" + value));
         } catch (StoreException refused) {
             assertTrue(refused.getMessage() != null);
         }
@@ -74,7 +78,8 @@
             byte[] data = new byte[4 + random.nextInt(i % 3 == 0 ? 600 : 12)];
             random.nextBytes(data);
             if (i % 4 == 0) {
-                Arrays.fill(data, 3, data.length, (byte) 0); // what a disk leaves that lost a sector
+                Arrays.fill(
+                        data, 3, data.length, (byte) 0); // what a disk leaves that lost a sector
             }
             neverInvents(data);
         }
--- a/relay/src/test/java/saltstage/store/StoreTest.java
+++ b/relay/src/test/java/saltstage/store/StoreTest.java
@@ -25,22 +25,23 @@
 
 /** What the store promises while nothing goes wrong, against a model and under many threads. */
 class StoreTest {
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     private static byte[] bytes(String text) {
         return Night.bytes(text);
     }
 
     private Store onDisk(int segment, boolean background) throws IOException {
-        return Store.open(FileDisk.at(dir.resolve("s")), new StoreOptions(segment, background, 1 << 30),
-            StoreEvents.NONE);
+        return Store.open(
+                FileDisk.at(dir.resolve("s")),
+                new StoreOptions(segment, background, 1 << 30),
+                StoreEvents.NONE);
     }
 
     /** Ops: 0 put, 1 delete, 2 batch, 3 checkpoint, 4 compact, 5 reopen. */
     @Property(tries = 120, seed = "20261201")
-    void behavesAsASortedMap(@ForAll @Size(min = 1, max = 120) List<@IntRange(min = 0,
-        max = 99_999) Integer> ops)
+    void behavesAsASortedMap(
+            @ForAll @Size(min = 1, max = 120) List<@IntRange(min = 0, max = 99_999) Integer> ops)
             throws IOException {
         FaultDisk disk = new FaultDisk();
         Night night = new Night().open(disk);
@@ -49,7 +50,12 @@
             switch (op % 10) {
                 case 0, 1, 2, 3 -> night.commit(key + "=" + "v".repeat(op / 500));
                 case 4, 5 -> night.commit(key);
-                case 6 -> night.commit(key + "=1", "k" + op / 400 % 40, key + "=2", "m" + op % 7 + "=" + op);
+                case 6 ->
+                        night.commit(
+                                key + "=1",
+                                "k" + op / 400 % 40,
+                                key + "=2",
+                                "m" + op % 7 + "=" + op);
                 case 7 -> night.store.checkpoint();
                 case 8 -> night.store.compact();
                 default -> {
@@ -61,7 +67,8 @@
         }
         Store.Verified all = night.store.verify();
         assertEquals(night.acked.size(), all.live());
-        TreeMap<String, String> reread = Night.dump(new Night().open(disk.afterCrash(new Random(1))).store);
+        TreeMap<String, String> reread =
+                Night.dump(new Night().open(disk.afterCrash(new Random(1))).store);
         assertEquals(night.acked, reread);
     }
 
@@ -88,12 +95,21 @@
     @Test
     void aVersionThatMovedOnRefusesTheWholeBatch() throws IOException {
         try (Store store = onDisk(4096, false)) {
-            long first = store.commit(new Batch().expect(bytes("a"), 0).put(bytes("a"), bytes("1")));
-            StoreException.Conflict conflict = assertThrows(StoreException.Conflict.class, () -> store.commit(
-                new Batch().put(bytes("b"), bytes("1")).expect(bytes("a"), 0).put(bytes("a"), bytes("2"))));
+            long first =
+                    store.commit(new Batch().expect(bytes("a"), 0).put(bytes("a"), bytes("1")));
+            StoreException.Conflict conflict =
+                    assertThrows(
+                            StoreException.Conflict.class,
+                            () ->
+                                    store.commit(
+                                            new Batch()
+                                                    .put(bytes("b"), bytes("1"))
+                                                    .expect(bytes("a"), 0)
+                                                    .put(bytes("a"), bytes("2"))));
             assertEquals(first, conflict.found());
             assertNull(store.get(bytes("b")));
-            long second = store.commit(new Batch().expect(bytes("a"), first).put(bytes("a"), bytes("2")));
+            long second =
+                    store.commit(new Batch().expect(bytes("a"), first).put(bytes("a"), bytes("2")));
             assertTrue(second > first);
             assertArrayEquals(bytes("2"), store.get(bytes("a")));
         }
@@ -103,9 +119,11 @@
     void aSecondOpenerIsRefusedAndReadersAreNot() throws IOException {
         try (Store store = onDisk(4096, false)) {
             store.put(bytes("a"), bytes("1"));
-            StoreException refused = assertThrows(StoreException.Locked.class, () -> onDisk(4096, false));
+            StoreException refused =
+                    assertThrows(StoreException.Locked.class, () -> onDisk(4096, false));
             assertEquals("the store is open in another process", refused.getMessage());
-            try (Store reader = Store.openToRead(new FileDisk(dir.resolve("s")), StoreEvents.NONE)) {
+            try (Store reader =
+                    Store.openToRead(new FileDisk(dir.resolve("s")), StoreEvents.NONE)) {
                 assertArrayEquals(bytes("1"), reader.get(bytes("a")));
                 assertThrows(StoreException.class, () -> reader.put(bytes("a"), bytes("2")));
             }
@@ -122,16 +140,20 @@
             List<Thread> threads = new ArrayList<>();
             for (int w = 0; w < writers; w++) {
                 int writer = w;
-                threads.add(new Thread(() -> {
-                    try {
-                        for (int i = 0; i < each; i++) {
-                            increment(store);
-                            store.put(bytes("w" + writer + "-" + i), bytes("x".repeat(i)));
-                        }
-                    } catch (IOException | RuntimeException e) {
-                        failures.add(e);
-                    }
-                }));
+                threads.add(
+                        new Thread(
+                                () -> {
+                                    try {
+                                        for (int i = 0; i < each; i++) {
+                                            increment(store);
+                                            store.put(
+                                                    bytes("w" + writer + "-" + i),
+                                                    bytes("x".repeat(i)));
+                                        }
+                                    } catch (IOException | RuntimeException e) {
+                                        failures.add(e);
+                                    }
+                                }));
             }
             threads.forEach(Thread::start);
             while (threads.stream().anyMatch(Thread::isAlive)) {
@@ -150,8 +172,10 @@
         while (true) {
             try (Snapshot now = store.snapshot()) {
                 long next = ByteBuffer.wrap(now.get(key)).getLong() + 1;
-                store.commit(new Batch().expect(key, now.version(key))
-                    .put(key, ByteBuffer.allocate(8).putLong(next).array()));
+                store.commit(
+                        new Batch()
+                                .expect(key, now.version(key))
+                                .put(key, ByteBuffer.allocate(8).putLong(next).array()));
                 return;
             } catch (StoreException.Conflict again) {
                 continue;
@@ -168,25 +192,32 @@
             store.commit(new Batch().put(bytes("a"), bytes("0")).put(bytes("z"), bytes("0")));
             List<Thread> readers = new ArrayList<>();
             for (int r = 0; r < 3; r++) {
-                readers.add(new Thread(() -> {
-                    try {
-                        while (!over.get()) {
-                            try (Snapshot now = store.snapshot()) {
-                                assertArrayEquals(now.get(bytes("a")), now.get(bytes("z")));
-                                Thread.onSpinWait();
-                                assertArrayEquals(now.get(bytes("a")), now.get(bytes("z")));
-                            }
-                        }
-                    } catch (IOException | AssertionError | RuntimeException e) {
-                        failures.add(e);
-                    }
-                }));
+                readers.add(
+                        new Thread(
+                                () -> {
+                                    try {
+                                        while (!over.get()) {
+                                            try (Snapshot now = store.snapshot()) {
+                                                assertArrayEquals(
+                                                        now.get(bytes("a")), now.get(bytes("z")));
+                                                Thread.onSpinWait();
+                                                assertArrayEquals(
+                                                        now.get(bytes("a")), now.get(bytes("z")));
+                                            }
+                                        }
+                                    } catch (IOException | AssertionError | RuntimeException e) {
+                                        failures.add(e);
+                                    }
+                                }));
             }
             readers.forEach(Thread::start);
             for (int i = 1; i <= 400; i++) {
                 byte[] value = bytes(i + "x".repeat(80));
-                store.commit(new Batch().put(bytes("a"), value).put(bytes("z"), value)
-                    .put(bytes("k" + i % 20), value));
+                store.commit(
+                        new Batch()
+                                .put(bytes("a"), value)
+                                .put(bytes("z"), value)
+                                .put(bytes("k" + i % 20), value));
                 if (i % 25 == 0) {
                     store.compact();
                 }
@@ -249,12 +280,14 @@
             store.put(bytes("c"), bytes("3"));
             Thread writer = Thread.currentThread();
             AtomicBoolean over = new AtomicBoolean();
-            Thread interrupter = new Thread(() -> {
-                while (!over.get()) {
-                    writer.interrupt();
-                    LockSupport.parkNanos(300_000);
-                }
-            });
+            Thread interrupter =
+                    new Thread(
+                            () -> {
+                                while (!over.get()) {
+                                    writer.interrupt();
+                                    LockSupport.parkNanos(300_000);
+                                }
+                            });
             interrupter.start();
             try {
                 for (int i = 0; i < 300; i++) {
@@ -272,15 +305,20 @@
         }
     }
 
-    /** The large one's room was taken, but the small one's mirror is longer than the large one's mark. */
+    /**
+     * The large one's room was taken, but the small one's mirror is longer than the large one's
+     * mark.
+     */
     @Test
     void aGroupOfWhichTheLargePartIsRefusedKeepsWithinItsRoom() throws IOException {
         FaultDisk disk = new FaultDisk();
         Core core = new Core(disk, Night.SMALL, StoreEvents.NONE);
         new Recovery(core, true).run();
         LogWriter writer = new LogWriter(core);
-        Pending small = new Pending(new Batch().put(bytes("s"), new byte[Frames.MOST_MIRRORED - 200]));
-        Pending large = new Pending(new Batch().expect(bytes("x"), 9).put(bytes("l"), new byte[1_000]));
+        Pending small =
+                new Pending(new Batch().put(bytes("s"), new byte[Frames.MOST_MIRRORED - 200]));
+        Pending large =
+                new Pending(new Batch().expect(bytes("x"), 9).put(bytes("l"), new byte[1_000]));
         writer.write(List.of(small, large));
         assertEquals(1, small.result());
         assertThrows(StoreException.Conflict.class, large::result);
--- a/relay/src/test/java/saltstage/store/TailJudgeTest.java
+++ b/relay/src/test/java/saltstage/store/TailJudgeTest.java
@@ -17,9 +17,16 @@
             boolean zero = (bits & 8) != 0;
             boolean last = (bits & 16) != 0;
             boolean said = (bits & 32) != 0;
-            Verdict wanted = later ? Verdict.REFUSE : mirror ? Verdict.RESTORE : mark || said ? Verdict.REFUSE
-                : zero || last ? Verdict.CLEAN : Verdict.TORN;
-            assertEquals(wanted, TailJudge.judge(new Evidence(later, mirror, mark, zero, last), said));
+            Verdict wanted =
+                    later
+                            ? Verdict.REFUSE
+                            : mirror
+                                    ? Verdict.RESTORE
+                                    : mark || said
+                                            ? Verdict.REFUSE
+                                            : zero || last ? Verdict.CLEAN : Verdict.TORN;
+            assertEquals(
+                    wanted, TailJudge.judge(new Evidence(later, mirror, mark, zero, last), said));
         }
     }
 }
--- a/relay/src/test/java/saltstage/wire/DiscoveryClientTest.java
+++ b/relay/src/test/java/saltstage/wire/DiscoveryClientTest.java
@@ -19,12 +19,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A discovery service that is slow must be heard in the end; one that tells nothing must be left in time. */
+/**
+ * A discovery service that is slow must be heard in the end; one that tells nothing must be left in
+ * time.
+ */
 @Timeout(60)
 class DiscoveryClientTest {
     private static final Duration SILENCE = Duration.ofMillis(300);
+
     /** Far more than silence may take here, and far less than for ever. */
     private static final Duration SOON = Duration.ofSeconds(20);
+
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String EMPTY = "{\"rev\":7,\"all\":true,\"targets\":[]}";
 
@@ -49,15 +54,18 @@
     }
 
     private void serve(Script script) {
-        Thread service = new Thread(() -> {
-            while (!listener.isClosed()) {
-                try (Socket call = listener.accept()) {
-                    script.play(call);
-                } catch (IOException | InterruptedException hungUp) { // the next call comes
-                    continue;
-                }
-            }
-        });
+        Thread service =
+                new Thread(
+                        () -> {
+                            while (!listener.isClosed()) {
+                                try (Socket call = listener.accept()) {
+                                    script.play(call);
+                                } catch (IOException
+                                        | InterruptedException hungUp) { // the next call comes
+                                    continue;
+                                }
+                            }
+                        });
         service.setDaemon(true);
         service.start();
     }
@@ -81,12 +89,13 @@
 
     @Test
     void firstCallWaitsForAServiceThatAnswersLate() {
-        serve(call -> {
-            Thread.sleep(2 * SILENCE.toMillis());
-            say(call, HEAD);
-            chunk(call, EMPTY + "\n");
-            Thread.sleep(2 * SILENCE.toMillis());
-        });
+        serve(
+                call -> {
+                    Thread.sleep(2 * SILENCE.toMillis());
+                    say(call, HEAD);
+                    chunk(call, EMPTY + "\n");
+                    Thread.sleep(2 * SILENCE.toMillis());
+                });
         ends(SocketTimeoutException.class);
         assertEquals(7, heard.get(0).rev());
     }
@@ -100,54 +109,62 @@
 
     @Test
     void watchThatTricklesBytesButTellsNothingIsLeft() {
-        serve(call -> {
-            say(call, HEAD);
-            chunk(call, EMPTY + "\n");
-            for (int i = 0; !call.isClosed(); i++) { // half an object, for ever; lines within it are no sign
-                chunk(call, i == 0 ? "{" : i % 3 == 0 ? "\n" : " ");
-                Thread.sleep(20);
-            }
-        });
+        serve(
+                call -> {
+                    say(call, HEAD);
+                    chunk(call, EMPTY + "\n");
+                    for (int i = 0;
+                            !call.isClosed();
+                            i++) { // half an object, for ever; lines within it are no sign
+                        chunk(call, i == 0 ? "{" : i % 3 == 0 ? "\n" : " ");
+                        Thread.sleep(20);
+                    }
+                });
         ends(SocketTimeoutException.class);
         assertEquals(1, heard.size());
     }
 
     @Test
     void headThatTricklesIsLeft() {
-        serve(call -> {
-            say(call, "HTTP/1.1 200 OK\r\n");
-            while (!call.isClosed()) {
-                say(call, "X: y\r\n");
-                Thread.sleep(40);
-            }
-        });
+        serve(
+                call -> {
+                    say(call, "HTTP/1.1 200 OK\r\n");
+                    while (!call.isClosed()) {
+                        say(call, "X: y\r\n");
+                        Thread.sleep(40);
+                    }
+                });
         ends(SocketTimeoutException.class);
     }
 
     @Test
     void emptyLinesKeepAWatchThatHasNothingToTell() {
-        serve(call -> {
-            say(call, HEAD);
-            for (int i = 0; i < 20; i++) {
-                chunk(call, "\n");
-                Thread.sleep(50);
-            }
-            chunk(call, EMPTY + "\n");
-            say(call, "0\r\n\r\n");
-            call.close();
-        });
+        serve(
+                call -> {
+                    say(call, HEAD);
+                    for (int i = 0; i < 20; i++) {
+                        chunk(call, "\n");
+                        Thread.sleep(50);
+                    }
+                    chunk(call, EMPTY + "\n");
+                    say(call, "0\r\n\r\n");
+                    call.close();
+                });
         assertTrue(ends(IOException.class).compareTo(SILENCE) > 0);
         assertEquals(1, heard.size(), "a second of empty lines is no silence");
     }
 
     @Test
     void indentedListsAndSeveralOnALineAreHeard() {
-        serve(call -> {
-            say(call, HEAD);
-            chunk(call, "  {\n  \"rev\": 3,\r\n\t\"all\": true,\n  \"targets\": [\n  ]\n}\n\n");
-            chunk(call, "{\"rev\":4,\"all\":false,\"targets\":[]}" + EMPTY + "\n");
-            call.close();
-        });
+        serve(
+                call -> {
+                    say(call, HEAD);
+                    chunk(
+                            call,
+                            "  {\n  \"rev\": 3,\r\n\t\"all\": true,\n  \"targets\": [\n  ]\n}\n\n");
+                    chunk(call, "{\"rev\":4,\"all\":false,\"targets\":[]}" + EMPTY + "\n");
+                    call.close();
+                });
         ends(IOException.class);
         assertEquals(List.of(3L, 4L, 7L), heard.stream().map(HostList::rev).toList());
     }
@@ -166,18 +183,27 @@
         assertEquals(List.of(text, text), found);
         assertTrue(splitter.between());
         assertThrows(MalformedException.class, () -> splitter.take('x'));
-        assertThrows(MalformedException.class, () -> {
-            for (int i = 0; i < 102; i++) {
-                splitter.take(i == 0 ? '{' : ' ');
-            }
-        });
+        assertThrows(
+                MalformedException.class,
+                () -> {
+                    for (int i = 0; i < 102; i++) {
+                        splitter.take(i == 0 ? '{' : ' ');
+                    }
+                });
     }
 
     @Test
     void whatIsNoWatchEndsTheCallAtOnce() {
-        for (String answer : new String[] {"HTTP/1.1 503 Service Unavailable\r\n\r\n", HEAD + "5\r\nnever",
-            "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", "rubbish\r\n\r\n", HEAD + "zz\r\n", HEAD
-            + "3\r\n{]}\r\n", ""}) {
+        for (String answer :
+                new String[] {
+                    "HTTP/1.1 503 Service Unavailable\r\n\r\n",
+                    HEAD + "5\r\nnever",
+                    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
+                    "rubbish\r\n\r\n",
+                    HEAD + "zz\r\n",
+                    HEAD + "3\r\n{]}\r\n",
+                    ""
+                }) {
             serveOnce(answer);
             assertThrows(Exception.class, () -> client.watch(0, heard::add), answer);
         }
@@ -185,14 +211,16 @@
     }
 
     private void serveOnce(String answer) {
-        Thread service = new Thread(() -> {
-            try (Socket call = listener.accept()) {
-                call.setSoLinger(true, 1);
-                say(call, answer);
-            } catch (IOException closed) {
-                return;
-            }
-        });
+        Thread service =
+                new Thread(
+                        () -> {
+                            try (Socket call = listener.accept()) {
+                                call.setSoLinger(true, 1);
+                                say(call, answer);
+                            } catch (IOException closed) {
+                                return;
+                            }
+                        });
         service.setDaemon(true);
         service.start();
     }
