--- a/relay/src/main/java/saltstage/amqp/AmqpFront.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpFront.java
@@ -22,20 +22,20 @@
 import saltstage.config.Configuration;
 import saltstage.log.Log;
 import saltstage.memory.MonotonicClock;
-import saltstage.memory.Try;
+import saltstage.memory.Attempt;
 import saltstage.net.Connection;
 import saltstage.net.Handler;
 import saltstage.net.Loop;
 import saltstage.net.Transport;
-import saltstage.stage.Admit;
-import saltstage.stage.Book;
-import saltstage.stage.Chain;
-import saltstage.stage.Front;
+import saltstage.stage.AdmissionControl;
+import saltstage.stage.OutcomeRecorder;
+import saltstage.stage.RelayPipeline;
+import saltstage.stage.Frontend;
 import saltstage.wire.HostList;
 import saltstage.wire.MalformedException;
 
 /** Where AMQP clients come in, and what all their connections share. */
-public final class AmqpFront implements Front {
+public final class AmqpFront implements Frontend {
     private static final Connection.Bounds BOUNDS = new Connection.Bounds(256 << 10, 16 << 20);
     private static final int BACKLOG = 1_024;
     private static final Duration BEAT = Duration.ofMillis(100);
@@ -52,7 +52,7 @@
     private static final int BACKEND_SOCKETS = 64;
 
     private final Configuration config;
-    private final Chain chain;
+    private final RelayPipeline chain;
     private final MonotonicClock clock;
     private final Transport transport;
     private final String container;
@@ -83,7 +83,7 @@
     public AmqpFront(
             AmqpSettings settings,
             Configuration config,
-            Chain chain,
+            RelayPipeline chain,
             MonotonicClock clock,
             Transport transport)
             throws MalformedException {
@@ -109,7 +109,7 @@
     public InetSocketAddress start() throws IOException {
         listener = transport.listen(settings().listen(), BACKLOG, BOUNDS, this::accept);
         reserve();
-        chain.add(this);
+        chain.addFrontend(this);
         transport.loops().forEach(this::beat);
         Log.info("amqp.ready", "listen", listener.address());
         return listener.address();
@@ -118,7 +118,7 @@
     private void reserve() {
         int wanted =
                 Math.min(config.sockets() / 2, settings().limits().connections() + BACKEND_SOCKETS);
-        chain.admit().reserve(wanted - reserved);
+        chain.admissionControl().reserveDescriptors(wanted - reserved);
         reserved = wanted;
     }
 
@@ -180,11 +180,11 @@
     private void moveFromLeavers() {
         Map<Object, Integer> found = new HashMap<>();
         for (ClientLink link : links) {
-            Try up = link.standing();
+            Attempt up = link.standing();
             if (up != null
-                    && up.peer().entry().state() == HostList.State.DRAINING
+                    && up.backend().entry().state() == HostList.State.DRAINING
                     && up.moveReason() == null) {
-                found.merge(up.peer(), 1, Integer::sum);
+                found.merge(up.backend(), 1, Integer::sum);
             }
         }
         if (found.isEmpty()) {
@@ -194,15 +194,15 @@
                 (peer, count) ->
                         Math.max(LEAST_MOVED, (count + BEATS_TO_MOVE - 1) / BEATS_TO_MOVE));
         for (ClientLink link : links) {
-            Try up = link.standing();
-            if (up != null && found.getOrDefault(up.peer(), 0) > 0 && chain.move(up, "drain")) {
-                found.merge(up.peer(), -1, Integer::sum);
+            Attempt up = link.standing();
+            if (up != null && found.getOrDefault(up.backend(), 0) > 0 && chain.move(up, "drain")) {
+                found.merge(up.backend(), -1, Integer::sum);
             }
         }
     }
 
     @Override
-    public void leave() {
+    public void startDraining() {
         leaving = true;
         listener.close();
         for (ClientPeering client : clients) {
@@ -211,8 +211,8 @@
     }
 
     @Override
-    public void turnAway() {
-        leave(); // a connection without links was told by that
+    public void rejectPendingClients() {
+        startDraining(); // a connection without links was told by that
     }
 
     /** Whether the relay leaves. */
@@ -221,12 +221,12 @@
     }
 
     @Override
-    public int clients() {
+    public int clientCount() {
         return clients.size();
     }
 
     @Override
-    public int requests() {
+    public int requestCount() {
         return links.size();
     }
 
@@ -292,12 +292,12 @@
         return container;
     }
 
-    Admit admit() {
-        return chain.admit();
+    AdmissionControl admit() {
+        return chain.admissionControl();
     }
 
-    Book book() {
-        return chain.book();
+    OutcomeRecorder book() {
+        return chain.outcomeRecorder();
     }
 
     /** A name for a request that no other has. */
@@ -355,9 +355,9 @@
     }
 
     /** An outcome came back from a backend: how long that took tells how late its messages are. */
-    void took(Try at, Forwarding.Delivery delivery) {
+    void took(Attempt at, Forwarding.Delivery delivery) {
         if (at != null && delivery.sentAt() != null) {
-            at.peer().answered(Duration.between(delivery.sentAt(), now()));
+            at.backend().recordResponseDelay(Duration.between(delivery.sentAt(), now()));
         }
     }
 
--- a/relay/src/main/java/saltstage/amqp/BackendLink.java
+++ b/relay/src/main/java/saltstage/amqp/BackendLink.java
@@ -10,8 +10,8 @@
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 import saltstage.Api.Outcome;
 import saltstage.log.Log;
-import saltstage.memory.Peer;
-import saltstage.memory.Try;
+import saltstage.memory.Backend;
+import saltstage.memory.Attempt;
 import saltstage.net.Loop;
 import saltstage.wire.BackendConnection;
 
@@ -47,7 +47,7 @@
     }
 
     private final AmqpFront front;
-    private final Try begun;
+    private final Attempt begun;
     private final Owner owner;
     private final Loop loop;
     private final Instant until;
@@ -61,7 +61,7 @@
 
     private Loop.Timer attaches;
 
-    BackendLink(AmqpFront front, Loop loop, Try begun, Instant until, Owner owner) {
+    BackendLink(AmqpFront front, Loop loop, Attempt begun, Instant until, Owner owner) {
         this.front = front;
         this.loop = loop;
         this.begun = begun;
@@ -72,14 +72,14 @@
     /** Begins; on its loop. */
     void begin(BackendPool pool) {
         try {
-            begun.connected(this);
+            begun.connectionOpened(this);
         } catch (IOException givenUp) {
             done(Outcome.CANCELLED);
             return;
         }
         Duration left = Duration.between(front.now(), until);
         Duration connect = front.config().connectTimeout();
-        if (left.isNegative() || left.isZero() || !begun.peer().takesNew()) {
+        if (left.isNegative() || left.isZero() || !begun.backend().canAcceptRequests()) {
             done(Outcome.UNREACHABLE);
             return;
         }
@@ -103,11 +103,11 @@
         pool.attach(this, within);
     }
 
-    Peer peer() {
-        return begun.peer();
+    Backend peer() {
+        return begun.backend();
     }
 
-    Try begun() {
+    Attempt begun() {
         return begun;
     }
 
@@ -136,7 +136,7 @@
         }
         // Connecting takes time: the backend may have been told to drain, or the request's time be
         // up.
-        if (!begun.peer().takesNew() || !front.now().isBefore(until)) {
+        if (!begun.backend().canAcceptRequests() || !front.now().isBefore(until)) {
             done(Outcome.UNREACHABLE);
             return;
         }
@@ -153,7 +153,7 @@
         // Names are unique for a pair of containers (2.6.1), and the relay is one container to the
         // backend:
         // two clients that chose the same name must not take each other's link.
-        link = owner.make(session.session(), peering, begun.context().terms().name());
+        link = owner.make(session.session(), peering, begun.context().attributes().clientRequestId());
         link.closeHandler(ended -> detached(ended.getRemoteCondition()))
                 .detachHandler(ended -> detached(ended.getRemoteCondition()))
                 .openHandler(opened -> attached());
@@ -182,7 +182,7 @@
                     "peer",
                     peer().entry().uid(),
                     "name",
-                    begun.context().terms().name(),
+                    begun.context().attributes().clientRequestId(),
                     "why",
                     why == null ? "none" : why.getCondition());
             over(why == null ? Outcome.SERVED : Outcome.RESET);
@@ -256,8 +256,8 @@
             return;
         }
         shut(); // before the module may send the next one
-        begun.giveUp();
-        front.book().ended(begun, outcome);
+        begun.cancel();
+        front.book().attemptEnded(begun, outcome);
     }
 
     private void endTimers() {
--- a/relay/src/main/java/saltstage/amqp/BackendPeering.java
+++ b/relay/src/main/java/saltstage/amqp/BackendPeering.java
@@ -20,7 +20,7 @@
 import org.apache.qpid.protonj2.types.Symbol;
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 import saltstage.log.Log;
-import saltstage.memory.Peer;
+import saltstage.memory.Backend;
 import saltstage.net.Connection;
 
 /** One connection to a backend and the links on it. */
@@ -30,7 +30,7 @@
 
     private final AmqpFront front;
     private final BackendPool pool;
-    private final Peer peer;
+    private final Backend peer;
     private final Set<BackendLink> links = new LinkedHashSet<>();
 
     /** By the client's session, which is its own key. */
@@ -39,7 +39,7 @@
     private boolean opened;
     private Instant idleSince;
 
-    BackendPeering(AmqpFront front, BackendPool pool, Peer peer, Connection net) {
+    BackendPeering(AmqpFront front, BackendPool pool, Backend peer, Connection net) {
         super(net, front::now, front.settings().limits().frameBytes());
         this.front = front;
         this.pool = pool;
@@ -94,7 +94,7 @@
         }
     }
 
-    Peer peer() {
+    Backend peer() {
         return peer;
     }
 
@@ -141,7 +141,7 @@
     }
 
     void closeIfIdle() {
-        boolean left = peer.ended() || !peer.takesNew();
+        boolean left = peer.hasEnded() || !peer.canAcceptRequests();
         if (links.isEmpty() && (left || Duration.between(idleSince, now()).compareTo(IDLE) > 0)) {
             pool.ended(this);
             close(null);
--- a/relay/src/main/java/saltstage/amqp/BackendPool.java
+++ b/relay/src/main/java/saltstage/amqp/BackendPool.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import saltstage.memory.Peer;
+import saltstage.memory.Backend;
 import saltstage.net.Connection;
 import saltstage.net.Handler;
 import saltstage.net.Loop;
@@ -25,8 +25,8 @@
     private final AmqpFront front;
     private final Transport transport;
     private final Loop loop;
-    private final Map<Peer, List<BackendPeering>> open = new HashMap<>();
-    private final Map<Peer, Waiting> connecting = new HashMap<>();
+    private final Map<Backend, List<BackendPeering>> open = new HashMap<>();
+    private final Map<Backend, Waiting> connecting = new HashMap<>();
 
     BackendPool(AmqpFront front, Transport transport, Loop loop) {
         this.front = front;
@@ -36,7 +36,7 @@
 
     /** Begins to connect, or takes a connection that has room, and hands it the link. */
     void attach(BackendLink link, Duration connectWithin) {
-        Peer peer = link.peer();
+        Backend peer = link.peer();
         for (BackendPeering held : open.getOrDefault(peer, List.of())) {
             if (!held.over() && held.size() < MOST_LINKS) {
                 held.attach(link);
@@ -54,7 +54,7 @@
         transport.connect(loop, address(peer), connectWithin, BOUNDS, waiting);
     }
 
-    private InetSocketAddress address(Peer peer) {
+    private InetSocketAddress address(Backend peer) {
         InetSocketAddress told = peer.entry().endpoint();
         int port = front.settings().backendPort();
         return port == 0 ? told : new InetSocketAddress(told.getAddress(), port);
@@ -85,10 +85,10 @@
 
     /** A connect that is on its way. */
     private final class Waiting implements Transport.Connecting {
-        private final Peer peer;
+        private final Backend peer;
         private final List<BackendLink> links = new ArrayList<>();
 
-        Waiting(Peer peer) {
+        Waiting(Backend peer) {
             this.peer = peer;
         }
 
--- a/relay/src/main/java/saltstage/amqp/ClientLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientLink.java
@@ -15,7 +15,7 @@
 import saltstage.memory.ClientConnection;
 import saltstage.memory.RequestContext;
 import saltstage.memory.RequestContext.Phase;
-import saltstage.memory.Try;
+import saltstage.memory.Attempt;
 
 /**
  * A client's link, which is a request until it stands and a connection at a backend from then on.
@@ -75,7 +75,7 @@
     }
 
     private void ask() {
-        front.admit().take(this, mapped.terms(), mapped.patience(), taken -> context = taken);
+        front.admit().admitFromFrontend(this, mapped.terms(), mapped.patience(), taken -> context = taken);
     }
 
     /**
@@ -110,23 +110,23 @@
     // ---- the client's side of the stages; from any thread
 
     @Override
-    public final void refused(Duration retryAfter) {
+    public final void reject(Duration retryAfter) {
         owner.loop().run(() -> answered(Errors.refused(retryAfter)));
     }
 
     @Override
-    public final void failed(String why) {
+    public final void fail(String why) {
         owner.loop().run(() -> answered(Errors.failed(why)));
     }
 
     @Override
-    public final void attempt(Try begun, Instant until) {
+    public final void startAttempt(Attempt begun, Instant until) {
         owner.loop()
                 .run(
                         () -> {
                             if (state == State.ENDED || begun.context() != context) {
-                                begun.giveUp();
-                                front.book().ended(begun, Outcome.CANCELLED);
+                                begun.cancel();
+                                front.book().attemptEnded(begun, Outcome.CANCELLED);
                             } else {
                                 new BackendLink(front, owner.loop(), begun, until, this)
                                         .begin(owner.pool());
@@ -135,8 +135,8 @@
     }
 
     @Override
-    public final boolean move(Try up, String reason) {
-        if (up.context().phase() != Phase.STANDING || !up.askMove(reason)) {
+    public final boolean move(Attempt up, String reason) {
+        if (up.context().phase() != Phase.ESTABLISHED || !up.requestMove(reason)) {
             return false;
         }
         owner.loop().run(() -> moving(up, reason));
@@ -198,9 +198,9 @@
             ends();
         }
         if (from != null) {
-            context.end(Phase.STANDING);
+            context.end(Phase.ESTABLISHED);
             front.movedOne();
-            front.book().over(from.begun(), Outcome.CANCELLED);
+            front.book().connectionEnded(from.begun(), Outcome.CANCELLED);
         }
     }
 
@@ -208,7 +208,7 @@
     public final boolean up(BackendLink at) {
         if (state != State.PLACING && state != State.REPLACING
                 || at.begun().context() != context
-                || !front.book().standing(at.begun(), false)) {
+                || !front.book().establish(at.begun(), false)) {
             return false;
         }
         backend = at;
@@ -268,8 +268,8 @@
             return;
         }
         backend = null;
-        context.end(Phase.STANDING);
-        front.book().over(at.begun(), outcome);
+        context.end(Phase.ESTABLISHED);
+        front.book().connectionEnded(at.begun(), outcome);
         if (state == State.ENDED) {
             return;
         }
@@ -308,7 +308,7 @@
         }
     }
 
-    private void moving(Try up, String reason) {
+    private void moving(Attempt up, String reason) {
         if (state != State.STANDING || backend == null || backend.begun() != up) {
             return;
         }
@@ -317,9 +317,9 @@
                 "why",
                 reason,
                 "peer",
-                up.peer().entry().uid(),
+                up.backend().entry().uid(),
                 "id",
-                up.context().terms().name());
+                up.context().attributes().clientRequestId());
         if (reason.startsWith("peer")) {
             backend.lost(true); // nothing more will come from there: what waits goes elsewhere
             return;
@@ -341,10 +341,10 @@
         if (from != null) {
             left();
             from.end();
-            context.end(Phase.STANDING);
-            front.book().over(from.begun(), Outcome.SERVED);
+            context.end(Phase.ESTABLISHED);
+            front.book().connectionEnded(from.begun(), Outcome.SERVED);
         } else if (context != null && context.end(Phase.WAITING)) {
-            front.book().left(context);
+            front.book().clientLeft(context);
         }
         if (owner.engineRuns()) {
             if (!link.getSession().isRemotelyClosed()) { // else its end has ended its links, too
@@ -392,7 +392,7 @@
     }
 
     /** The try that stands, or null. */
-    final Try standing() {
+    final Attempt standing() {
         return backend == null ? null : backend.begun();
     }
 
--- a/relay/src/main/java/saltstage/amqp/Mapping.java
+++ b/relay/src/main/java/saltstage/amqp/Mapping.java
@@ -8,7 +8,7 @@
 import saltstage.Api;
 import saltstage.config.AmqpSettings;
 import saltstage.config.Configuration;
-import saltstage.memory.Terms;
+import saltstage.memory.RequestAttributes;
 import saltstage.wire.MalformedException;
 
 /**
@@ -44,7 +44,7 @@
             Map<Symbol, Object> properties) {}
 
     /** What it asks for, and how long its client waits for the attach to be answered. */
-    record Mapped(Terms terms, Duration patience, boolean repeatable) {}
+    record Mapped(RequestAttributes terms, Duration patience, boolean repeatable) {}
 
     private final Configuration config;
     private final AmqpSettings.Mapping names;
@@ -91,7 +91,7 @@
         }
         boolean repeatable = config.settings().classes().get(place).effect() == Api.Effect.SAFE;
         return new Mapped(
-                new Terms(name, place, tenant, key, group, Api.NONE, again),
+                new RequestAttributes(name, place, tenant, key, group, Api.NONE, again),
                 patience(asked, config.giveUp(place)),
                 repeatable);
     }
--- a/relay/src/main/java/saltstage/lifecycle/Clerk.java
+++ b/relay/src/main/java/saltstage/lifecycle/Clerk.java
@@ -21,13 +21,13 @@
 import saltstage.keep.Takeover;
 import saltstage.log.Log;
 import saltstage.memory.MonotonicClock;
-import saltstage.memory.Peer;
-import saltstage.memory.Peers;
-import saltstage.memory.Try;
+import saltstage.memory.Backend;
+import saltstage.memory.BackendRegistry;
+import saltstage.memory.Attempt;
 import saltstage.metrics.Counts;
-import saltstage.stage.Chain;
-import saltstage.stage.Front;
-import saltstage.stage.Pace;
+import saltstage.stage.RelayPipeline;
+import saltstage.stage.Frontend;
+import saltstage.stage.MovePacing;
 import saltstage.wire.HostList;
 
 /**
@@ -49,8 +49,8 @@
     private static final Duration STALE = Duration.ofSeconds(30);
 
     private final MonotonicClock clock;
-    private final Peers peers;
-    private final Chain chain;
+    private final BackendRegistry peers;
+    private final RelayPipeline chain;
     private final Counts counts;
     private final Bans bans;
     private final Slots slots;
@@ -66,8 +66,8 @@
     /** Slots and folder are null where no process is ever replaced by another beside it. */
     Clerk(
             MonotonicClock clock,
-            Peers peers,
-            Chain chain,
+            BackendRegistry peers,
+            RelayPipeline chain,
             Counts counts,
             Bans bans,
             Slots slots,
@@ -93,11 +93,11 @@
         Set<String> left = avoided;
         int known = 0;
         int skipped = 0;
-        for (Peer peer : peers.all()) {
+        for (Backend peer : peers.all()) {
             known++;
-            skipped += peer.suspended() || left.contains(peer.entry().uid()) ? 1 : 0;
+            skipped += peer.isSuspended() || left.contains(peer.entry().uid()) ? 1 : 0;
         }
-        return counts.text(chain.fronts().stream().mapToInt(Front::requests).sum(), known, skipped);
+        return counts.text(chain.frontends().stream().mapToInt(Frontend::requestCount).sum(), known, skipped);
     }
 
     @Override
@@ -202,16 +202,16 @@
         }
         apply();
         moveOff();
-        avoided = chain.route().avoided();
+        avoided = chain.router().ejectedBackends();
         if (slots == null) {
             return;
         }
         try {
-            chain.descriptors(slots.share(chain.descriptorsInUse()));
+            chain.setDescriptorLimit(slots.share(chain.descriptorsInUse()));
             if (++looks % LOOKS_PER_TAKEOVER == 0 && notReady == null) {
                 Instant now = clock.now();
                 takeover.write(
-                        new Takeover(peers.list(), now, chain.route().learnt(), listed).bytes());
+                        new Takeover(peers.toBackendList(), now, chain.router().learnedState(), listed).bytes());
             }
         } catch (IOException failed) {
             Log.warn("handover.fault", "why", failed.getMessage());
@@ -223,10 +223,10 @@
         Set<String> now = bans.all();
         Set<String> before = applied;
         applied = now;
-        for (Peer peer : peers.all()) {
+        for (Backend peer : peers.all()) {
             String uid = peer.entry().uid();
             if (now.contains(uid) != before.contains(uid)) {
-                chain.route().relist(peer);
+                chain.router().suspensionChanged(peer);
             }
         }
     }
@@ -240,12 +240,12 @@
         Instant now = clock.now();
         for (String uid : bans.all()) {
             Instant until = since.computeIfAbsent(uid, any -> now).plus(MOVES);
-            Peer peer = peers.find(uid);
-            if (peer == null || peer.standing().isEmpty()) {
+            Backend peer = peers.find(uid);
+            if (peer == null || peer.establishedAttempts().isEmpty()) {
                 continue;
             }
-            List<Try> standing = List.copyOf(peer.standing());
-            long due = Pace.due(standing.size(), Duration.between(now, until), LOOK);
+            List<Attempt> standing = List.copyOf(peer.establishedAttempts());
+            long due = MovePacing.movesPerStep(standing.size(), Duration.between(now, until), LOOK);
             for (int i = 0; i < standing.size() && due > 0; i++) {
                 due -= chain.move(standing.get(i), "suspended") ? 1 : 0;
             }
--- a/relay/src/main/java/saltstage/lifecycle/Drain.java
+++ b/relay/src/main/java/saltstage/lifecycle/Drain.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import saltstage.log.Log;
 import saltstage.memory.MonotonicClock;
-import saltstage.memory.Try;
-import saltstage.stage.Chain;
-import saltstage.stage.Front;
-import saltstage.stage.Pace;
+import saltstage.memory.Attempt;
+import saltstage.stage.RelayPipeline;
+import saltstage.stage.Frontend;
+import saltstage.stage.MovePacing;
 
 /**
  * The end after SIGTERM. SIGKILL comes 0.7 s after the longest deadline at the earliest, which
@@ -33,7 +33,7 @@
     private static final Duration STEP = Duration.ofMillis(50);
 
     private final MonotonicClock clock;
-    private final Chain chain;
+    private final RelayPipeline chain;
     private final Instant start;
     private final Duration movesFrom;
     private final Duration movesUntil;
@@ -45,7 +45,7 @@
      */
     Drain(
             MonotonicClock clock,
-            Chain chain,
+            RelayPipeline chain,
             Duration longestDeadline,
             Duration late,
             boolean succeeded) {
@@ -67,13 +67,13 @@
                 "late_ms",
                 since().toMillis(),
                 "standing",
-                chain.book().standing().size(),
+                chain.outcomeRecorder().establishedAttempts().size(),
                 "clients",
                 clients(),
                 "succeeded",
                 succeeded);
         if (!succeeded) { // else nobody comes any more, and who has come is served
-            chain.fronts().forEach(Front::leave);
+            chain.frontends().forEach(Frontend::startDraining);
         }
         try {
             while (since().compareTo(over) < 0 && !done()) {
@@ -94,7 +94,7 @@
         Log.info(
                 "drain.over",
                 "standing",
-                chain.book().standing().size(),
+                chain.outcomeRecorder().establishedAttempts().size(),
                 "clients",
                 clients(),
                 "after_ms",
@@ -104,7 +104,7 @@
     /** Each time: who comes or asks after the first one has to be answered too. */
     private void refuse() {
         chain.rejectWaiting();
-        chain.fronts().forEach(Front::turnAway);
+        chain.frontends().forEach(Frontend::rejectPendingClients);
     }
 
     private static Duration notNegative(Duration span) {
@@ -116,7 +116,7 @@
     }
 
     private int clients() {
-        return chain.fronts().stream().mapToInt(Front::clients).sum();
+        return chain.frontends().stream().mapToInt(Frontend::clientCount).sum();
     }
 
     private boolean done() {
@@ -124,7 +124,7 @@
             return clients() == 0; // also those whose first line is still on its way
         }
         return since().compareTo(AT_LEAST) > 0
-                && chain.fronts().stream().allMatch(front -> front.requests() == 0);
+                && chain.frontends().stream().allMatch(front -> front.requestCount() == 0);
     }
 
     /**
@@ -135,9 +135,9 @@
         if (since().compareTo(movesFrom) < 0) {
             return;
         }
-        List<Try> standing = List.copyOf(chain.book().standing());
-        long due = Pace.due(standing.size(), movesUntil.minus(since()), STEP);
-        for (Try up : standing) {
+        List<Attempt> standing = List.copyOf(chain.outcomeRecorder().establishedAttempts());
+        long due = MovePacing.movesPerStep(standing.size(), movesUntil.minus(since()), STEP);
+        for (Attempt up : standing) {
             if (due <= 0) {
                 break;
             }
--- a/relay/src/main/java/saltstage/lifecycle/Program.java
+++ b/relay/src/main/java/saltstage/lifecycle/Program.java
@@ -22,12 +22,12 @@
 import saltstage.log.Log;
 import saltstage.log.LogSetup;
 import saltstage.memory.MonotonicClock;
-import saltstage.memory.Peers;
+import saltstage.memory.BackendRegistry;
 import saltstage.memory.Timers;
 import saltstage.metrics.Counts;
 import saltstage.net.NettyTransport;
 import saltstage.net.Transport;
-import saltstage.stage.Chain;
+import saltstage.stage.RelayPipeline;
 import saltstage.stage.Threads;
 import saltstage.wire.HostList;
 import saltstage.wire.MalformedException;
@@ -51,13 +51,13 @@
     private final Surroundings surroundings;
     private final Bans bans;
     private final Counts counts;
-    private final Peers peers;
+    private final BackendRegistry peers;
     private final Clerk clerk;
     private final Subscription subscription;
     private final SharedConfiguration shared;
     private final Object reloading = new Object();
     private final CountDownLatch firstList = new CountDownLatch(1);
-    private final Chain chain;
+    private final RelayPipeline chain;
     private volatile boolean accepting;
     private volatile boolean failed;
     private volatile AmqpFront amqp;
@@ -87,8 +87,8 @@
         boolean handsOver = surroundings.inheritsListener() && folder != null;
         bans = new Bans(admin() == null ? null : folder, config.name());
         counts = new Counts(config.classes());
-        peers = new Peers(bans::has);
-        chain = new Chain(config, clock, timers, peers, counts, this::watch);
+        peers = new BackendRegistry(bans::has);
+        chain = new RelayPipeline(config, clock, timers, peers, counts, this::watch);
         clerk =
                 new Clerk(
                         clock,
@@ -103,9 +103,9 @@
                         config.discovery(),
                         !config.settings().asksForList(),
                         timers,
-                        peers::rev,
+                        peers::revision,
                         this::heard,
-                        chain.route()::listRefused);
+                        chain.router()::discoveryCallFailed);
         shared =
                 operator.following().isEmpty()
                         ? null
@@ -142,28 +142,28 @@
 
     private void begin() throws IOException {
         if (admin() != null) { // first of all: who asks meanwhile is told that it starts
-            chain.admit().reserve(AdminListener.DESCRIPTORS);
+            chain.admissionControl().reserveDescriptors(AdminListener.DESCRIPTORS);
             AdminListener operators = new AdminListener(admin(), clerk);
-            Threads.loop("admin", operators::round);
+            Threads.startLoop("admin", operators::round);
         }
         Takeover left = clerk.found();
         HostList known = known(left);
         clerk.listed(known);
         peers.update(known);
         if (shared != null) {
-            chain.admit().reserve(SharedConfiguration.DESCRIPTORS);
+            chain.admissionControl().reserveDescriptors(SharedConfiguration.DESCRIPTORS);
         }
-        chain.descriptors(config.sockets()); // probes of these backends take theirs
-        Threads.loop("timers", () -> timers.next().run());
-        chain.route().start(known);
+        chain.setDescriptorLimit(config.sockets()); // probes of these backends take theirs
+        Threads.startLoop("timers", () -> timers.awaitNext().run());
+        chain.router().start(known);
         beginToHearLists();
         if (left != null) {
-            chain.route().learn(left.learnt());
+            chain.router().restoreLearnedState(left.learnt());
         }
         if (keeper != null) {
-            keeper.keptLearnt().ifPresent(chain.route()::learn);
+            keeper.keptLearnt().ifPresent(chain.router()::restoreLearnedState);
             keeper.accepted(config.text(), operator.text());
-            keeper.start(chain.route()::learnt);
+            keeper.start(chain.router()::learnedState);
         }
         synchronized (this) {
             beatDue = clock.now(); // what the start took is no lateness
@@ -178,15 +178,15 @@
                         : ClientListener.at(config.listen());
         if (admin() != null || surroundings.inheritsListener() || shared != null) {
             clerk.look(); // bans and the part of the descriptors hold before the first client
-            Threads.loop("clerk", clerk::round);
+            Threads.startLoop("clerk", clerk::round);
         }
         awaitAgent();
         accept(clients);
     }
 
     private void accept(ServerSocketChannel clients) throws IOException {
-        chain.takeIn().start();
-        chain.takeIn().acceptor().start(clients);
+        chain.lineFrontend().start();
+        chain.lineFrontend().acceptor().start(clients);
         accepting = true;
         clerk.ready(null);
         Log.info(
@@ -196,7 +196,7 @@
                 "listen",
                 clients.getLocalAddress(),
                 "rev",
-                peers.rev(),
+                peers.revision(),
                 "peers",
                 peers.all().size());
     }
@@ -212,7 +212,7 @@
             if (!config.settings().asksForList()
                     && shared == null
                     && !firstList.await(AGENT.toMillis(), TimeUnit.MILLISECONDS)) {
-                Log.warn("discovery.none", "rev", peers.rev());
+                Log.warn("discovery.none", "rev", peers.revision());
             }
         } catch (InterruptedException e) {
             throw new IOException("interrupted while starting", e);
@@ -327,7 +327,7 @@
         clerk.ready("leaving");
         if (succeeded && accepting) {
             try {
-                chain.takeIn().acceptor().stop();
+                chain.lineFrontend().acceptor().stop();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -360,12 +360,12 @@
     }
 
     private void beat() {
-        timers.after(BEAT, this::beat); // first of all: what fails below must not end the beat
+        timers.schedule(BEAT, this::beat); // first of all: what fails below must not end the beat
         markBeat();
         beats++;
-        chain.checkSilence();
+        chain.checkUnresponsiveBackends();
         if (beats % BEATS_PER_DELAYS == 0) {
-            chain.tellDelays();
+            chain.reportDelays();
         }
         if (beats % BEATS_PER_TOTALS == 0) {
             if (amqp != null) {
@@ -387,10 +387,10 @@
 
     private void heard(HostList list) {
         clerk.listed(list);
-        chain.listed(peers.update(list), list);
+        chain.backendListReceived(peers.update(list), list);
         if (keeper != null
                 && shared == null) { // else its revisions are the configuration's, kept with it
-            keeper.listed(peers.list());
+            keeper.listed(peers.toBackendList());
         }
         firstList.countDown();
     }
--- a/relay/src/main/java/saltstage/lifecycle/Subscription.java
+++ b/relay/src/main/java/saltstage/lifecycle/Subscription.java
@@ -121,7 +121,7 @@
         } else if (effect instanceof Effect.DropOldList drop) {
             Log.warn("discovery.old", "rev", drop.list().rev(), "held", heldRevision.getAsLong());
         } else {
-            timers.after(UNANSWERED, this::ask);
+            timers.schedule(UNANSWERED, this::ask);
         }
     }
 
@@ -133,7 +133,7 @@
             handle(calls -> calls.startFailed(id));
             return;
         }
-        timers.after(
+        timers.schedule(
                 pushed ? AGENT_UNANSWERED : UNANSWERED,
                 () -> handle(calls -> calls.answerTimedOut(id)));
     }
@@ -164,7 +164,7 @@
     private void reportLost(String why) {
         Log.warn("discovery.lost", "why", why, "rev", heldRevision.getAsLong());
         if (pushed) {
-            timers.after(AGENT_PAUSE, this::ask);
+            timers.schedule(AGENT_PAUSE, this::ask);
         } else {
             refused.run();
         }
--- a/relay/src/main/java/saltstage/memory/Try.java
+++ b/relay/src/main/java/saltstage/memory/Attempt.java
@@ -5,22 +5,22 @@
 import saltstage.wire.BackendConnection;
 
 /** One attempt at one backend; once it stands, what is known of its connection. */
-public final class Try {
+public final class Attempt {
     private final RequestContext context;
-    private final Peer peer;
+    private final Backend backend;
     private final Instant sentAt;
-    private BackendConnection dialled;
-    private BackendConnection backend;
-    private boolean givenUp;
+    private BackendConnection pendingConnection;
+    private BackendConnection connection;
+    private boolean cancelled;
     private volatile Instant unansweredSince;
     private volatile String moveReason;
     private volatile boolean clientEnded;
-    private volatile boolean writing;
+    private volatile boolean writingToClient;
     private volatile double load = Double.MAX_VALUE;
 
-    Try(RequestContext context, Peer peer, Instant sentAt) {
+    Attempt(RequestContext context, Backend peer, Instant sentAt) {
         this.context = context;
-        this.peer = peer;
+        this.backend = peer;
         this.sentAt = sentAt;
     }
 
@@ -30,8 +30,8 @@
     }
 
     /** The backend it goes to. */
-    public Peer peer() {
-        return peer;
+    public Backend backend() {
+        return backend;
     }
 
     /** When the module sent it. */
@@ -40,47 +40,47 @@
     }
 
     /** Its connection is about to be made: a try that was given up by now is not begun. */
-    public synchronized void connecting(BackendConnection to) throws IOException {
-        if (givenUp) {
+    public synchronized void connectionStarted(BackendConnection to) throws IOException {
+        if (cancelled) {
             throw new IOException("given up");
         }
-        dialled = to;
+        pendingConnection = to;
     }
 
     /** Its connection is up; closed again at once where the try was given up meanwhile. */
-    public synchronized void connected(BackendConnection to) throws IOException {
-        backend = to;
-        if (givenUp) {
+    public synchronized void connectionOpened(BackendConnection to) throws IOException {
+        connection = to;
+        if (cancelled) {
             to.close();
             throw new IOException("given up");
         }
     }
 
     /** Its connection, or null before it is up. */
-    public synchronized BackendConnection backend() {
-        return backend;
+    public synchronized BackendConnection connection() {
+        return connection;
     }
 
     /** Closes its connection, now or as soon as there is one. */
-    public synchronized void giveUp() {
-        givenUp = true;
-        if (backend != null) {
-            backend.close();
-        } else if (dialled != null) {
-            dialled.close(); // else it would take a place at the backend, and a descriptor here,
+    public synchronized void cancel() {
+        cancelled = true;
+        if (connection != null) {
+            connection.close();
+        } else if (pendingConnection != null) {
+            pendingConnection.close(); // else it would take a place at the backend, and a descriptor here,
             // for nobody
         }
     }
 
     /** A line went to the backend. */
-    public void asked(Instant now) {
+    public void lineSent(Instant now) {
         if (unansweredSince == null) {
             unansweredSince = now;
         }
     }
 
     /** A line came back: the time since the oldest that was unanswered, else null. */
-    public Instant takeUnanswered() {
+    public Instant takeUnansweredSince() {
         Instant since = unansweredSince;
         unansweredSince = null;
         return since;
@@ -88,12 +88,12 @@
 
     /** When the oldest unanswered line went to the backend, or null. */
     public Instant unansweredSince() {
-        return writing ? null : unansweredSince;
+        return writingToClient ? null : unansweredSince;
     }
 
     /** Marks that a write to the client is under way: its slowness is not the backend's. */
-    public void writing(boolean now) {
-        writing = now;
+    public void setWritingToClient(boolean now) {
+        writingToClient = now;
     }
 
     /** The load last told of it; endless before the first. */
@@ -102,12 +102,12 @@
     }
 
     /** Its load was told. */
-    public void load(double told) {
+    public void setLoad(double told) {
         load = told;
     }
 
     /** Asks that the client be moved, once; the thread that reads from the backend does it. */
-    public synchronized boolean askMove(String reason) {
+    public synchronized boolean requestMove(String reason) {
         if (moveReason != null) {
             return false;
         }
@@ -121,7 +121,7 @@
     }
 
     /** The client has ended its side. */
-    public void clientEnded() {
+    public void markClientEnded() {
         clientEnded = true;
     }
 
--- a/relay/src/main/java/saltstage/memory/Peers.java
+++ b/relay/src/main/java/saltstage/memory/BackendRegistry.java
@@ -11,72 +11,72 @@
 import saltstage.wire.HostList;
 
 /** The list of backends as this relay has it. */
-public final class Peers {
-    private final Map<String, Peer> peers = new ConcurrentHashMap<>();
-    private final Predicate<String> suspended;
-    private volatile long rev;
+public final class BackendRegistry {
+    private final Map<String, Backend> backends = new ConcurrentHashMap<>();
+    private final Predicate<String> suspensionCheck;
+    private volatile long revision;
 
     /** No backend is suspended. */
-    public Peers() {
+    public BackendRegistry() {
         this(uid -> false);
     }
 
     /** A list of which operators may have suspended some. */
-    public Peers(Predicate<String> suspended) {
-        this.suspended = suspended;
+    public BackendRegistry(Predicate<String> suspended) {
+        this.suspensionCheck = suspended;
     }
 
     /** Whether operators have suspended this backend, listed or not. */
-    public boolean suspended(String uid) {
-        return suspended.test(uid);
+    public boolean isSuspended(String uid) {
+        return suspensionCheck.test(uid);
     }
 
     /** The version of the list held. */
-    public long rev() {
-        return rev;
+    public long revision() {
+        return revision;
     }
 
     /** The backend of this name, or null. */
-    public Peer find(String uid) {
-        return peers.get(uid);
+    public Backend find(String uid) {
+        return backends.get(uid);
     }
 
     /** All that are listed. */
-    public Collection<Peer> all() {
-        return peers.values();
+    public Collection<Backend> all() {
+        return backends.values();
     }
 
     /** The whole list as it is now. */
-    public synchronized HostList list() {
-        return new HostList(rev, true, peers.values().stream().map(Peer::entry).toList());
+    public synchronized HostList toBackendList() {
+        return new HostList(revision, true, backends.values().stream().map(Backend::entry).toList());
     }
 
     /** Takes a list or a change of it; returns the processes that have ended by it. */
-    public synchronized List<Peer> update(HostList list) {
-        rev = list.rev();
-        List<Peer> ended = new ArrayList<>();
+    public synchronized List<Backend> update(HostList list) {
+        revision = list.rev();
+        List<Backend> ended = new ArrayList<>();
         Set<String> named = new HashSet<>();
         for (HostList.Entry entry : list.targets()) {
             named.add(entry.uid());
-            Peer held = peers.get(entry.uid());
+            Backend held = backends.get(entry.uid());
             boolean restarted = held != null && !held.entry().startedAt().equals(entry.startedAt());
             if (held != null && (restarted || entry.state() == HostList.State.GONE)) {
-                peers.remove(entry.uid());
+                backends.remove(entry.uid());
                 ended.add(held);
             }
             if (entry.state() != HostList.State.GONE) {
-                peers.computeIfAbsent(entry.uid(), uid -> new Peer(entry, suspended)).update(entry);
+                backends.computeIfAbsent(entry.uid(), uid -> new Backend(entry, suspensionCheck)).update(entry);
             }
         }
         if (list.all()) {
-            for (Peer held : List.copyOf(peers.values())) {
+            for (Backend held : List.copyOf(backends.values())) {
                 if (!named.contains(held.entry().uid())) {
-                    peers.remove(held.entry().uid());
+                    backends.remove(held.entry().uid());
                     ended.add(held);
                 }
             }
         }
-        ended.forEach(Peer::end);
+        ended.forEach(Backend::markEnded);
         return ended;
     }
 }
--- a/relay/src/main/java/saltstage/memory/ClientConnection.java
+++ b/relay/src/main/java/saltstage/memory/ClientConnection.java
@@ -10,16 +10,16 @@
  */
 public interface ClientConnection {
     /** Final answer: refused, trying again is harmless; zero gives no advice when. */
-    void refused(Duration retryAfter);
+    void reject(Duration retryAfter);
 
     /** Final answer: failed. */
-    void failed(String why);
+    void fail(String why);
 
     /** Makes a try, which has this long; its end, or that it stands, is booked by who makes it. */
-    void attempt(Try begun, Instant until);
+    void startAttempt(Attempt begun, Instant until);
 
     /** Moves the client of a standing try; false where that is under way or too late. */
-    boolean move(Try up, String reason);
+    boolean move(Attempt up, String reason);
 
     /** Who it is, for the log. */
     String remote();
--- a/relay/src/main/java/saltstage/memory/Terms.java
+++ b/relay/src/main/java/saltstage/memory/RequestAttributes.java
@@ -6,11 +6,11 @@
  * load where given (null and negative where not), and whether its client was moved or broken off
  * before.
  */
-public record Terms(
-        String name,
+public record RequestAttributes(
+        String clientRequestId,
         int serviceClass,
         int tenant,
         String key,
         String group,
-        long hint,
-        boolean again) {}
+        long loadHint,
+        boolean reconnecting) {}
--- a/relay/src/main/java/saltstage/memory/RequestContext.java
+++ b/relay/src/main/java/saltstage/memory/RequestContext.java
@@ -9,23 +9,23 @@
      */
     public enum Phase {
         WAITING,
-        STANDING,
+        ESTABLISHED,
         ENDED
     }
 
     private final long id;
-    private final Terms terms;
+    private final RequestAttributes attributes;
     private final Instant deadline;
     private final ClientConnection client;
     private Phase phase = Phase.WAITING;
-    private boolean hasStood;
-    private Try current;
-    private Instant mayHaveRunSince;
+    private boolean wasEstablished;
+    private Attempt currentAttempt;
+    private Instant possibleExecutionSince;
 
     /** A request that was just taken. */
-    public RequestContext(long id, Terms terms, Instant deadline, ClientConnection client) {
+    public RequestContext(long id, RequestAttributes terms, Instant deadline, ClientConnection client) {
         this.id = id;
-        this.terms = terms;
+        this.attributes = terms;
         this.deadline = deadline;
         this.client = client;
     }
@@ -36,8 +36,8 @@
     }
 
     /** What it asks for. */
-    public Terms terms() {
-        return terms;
+    public RequestAttributes attributes() {
+        return attributes;
     }
 
     /** When the client gives up. */
@@ -56,42 +56,42 @@
     }
 
     /** The try that is out or stands, or null. */
-    public synchronized Try current() {
-        return current;
+    public synchronized Attempt currentAttempt() {
+        return currentAttempt;
     }
 
     /** Begins the next try, or returns null where no answer is owed any more. */
-    public synchronized Try begin(Peer peer, Instant sentAt) {
+    public synchronized Attempt beginAttempt(Backend peer, Instant sentAt) {
         if (phase != Phase.WAITING) {
             return null;
         }
-        current = new Try(this, peer, sentAt);
-        return current;
+        currentAttempt = new Attempt(this, peer, sentAt);
+        return currentAttempt;
     }
 
     /** A try that was sent then may have had its effect. */
-    public synchronized void mayHaveRun(Instant sentAt) {
-        mayHaveRunSince = mayHaveRunSince == null ? sentAt : mayHaveRunSince;
+    public synchronized void recordPossibleExecution(Instant sentAt) {
+        possibleExecutionSince = possibleExecutionSince == null ? sentAt : possibleExecutionSince;
     }
 
     /** When the first try that may have had its effect was sent, or null. */
-    public synchronized Instant mayHaveRunSince() {
-        return mayHaveRunSince;
+    public synchronized Instant possibleExecutionSince() {
+        return possibleExecutionSince;
     }
 
     /** The first UP wins: from here on the connection stands. */
-    public synchronized boolean stand() {
+    public synchronized boolean establish() {
         if (phase != Phase.WAITING) {
             return false;
         }
-        phase = Phase.STANDING;
-        hasStood = true;
+        phase = Phase.ESTABLISHED;
+        wasEstablished = true;
         return true;
     }
 
     /** Whether it ever stood at a backend: its client then has its UP. */
-    public synchronized boolean hasStood() {
-        return hasStood;
+    public synchronized boolean wasEstablished() {
+        return wasEstablished;
     }
 
     /** Ends it; true for the one caller that may say how. */
--- a/relay/src/main/java/saltstage/stage/Send.java
+++ b/relay/src/main/java/saltstage/stage/AttemptStarter.java
@@ -3,21 +3,21 @@
 import java.time.Duration;
 import java.time.Instant;
 import saltstage.memory.MonotonicClock;
-import saltstage.memory.Peer;
-import saltstage.memory.Peers;
+import saltstage.memory.Backend;
+import saltstage.memory.BackendRegistry;
 import saltstage.memory.RequestContext;
-import saltstage.memory.Try;
+import saltstage.memory.Attempt;
 
 /** Starts a try that the module has decided on; the client's protocol makes it. */
-public final class Send {
+public final class AttemptStarter {
     private final MonotonicClock clock;
-    private final Peers peers;
-    private final Book book;
+    private final BackendRegistry backends;
+    private final OutcomeRecorder outcomeRecorder;
 
-    Send(MonotonicClock clock, Peers peers, Book book) {
+    AttemptStarter(MonotonicClock clock, BackendRegistry peers, OutcomeRecorder book) {
         this.clock = clock;
-        this.peers = peers;
-        this.book = book;
+        this.backends = peers;
+        this.outcomeRecorder = book;
     }
 
     /** Starts the next try of a request; a zero limit is the client's deadline. */
@@ -26,12 +26,12 @@
         Instant most = now.plus(limit);
         Instant until =
                 limit.isZero() || most.isAfter(context.deadline()) ? context.deadline() : most;
-        Peer peer = peers.find(uid);
-        Try begun = peer == null ? null : context.begin(peer, now);
+        Backend peer = backends.find(uid);
+        Attempt begun = peer == null ? null : context.beginAttempt(peer, now);
         if (begun == null) {
-            book.unsent(context);
+            outcomeRecorder.attemptNotSent(context);
         } else {
-            context.client().attempt(begun, until);
+            context.client().startAttempt(begun, until);
         }
     }
 }
--- a/relay/src/main/java/saltstage/stage/Probe.java
+++ b/relay/src/main/java/saltstage/stage/BackendProber.java
@@ -12,8 +12,8 @@
 import saltstage.Api;
 import saltstage.Api.Outcome;
 import saltstage.log.Log;
-import saltstage.memory.Peer;
-import saltstage.memory.Peers;
+import saltstage.memory.Backend;
+import saltstage.memory.BackendRegistry;
 import saltstage.wire.LoadReport;
 import saltstage.wire.MalformedException;
 
@@ -22,26 +22,26 @@
  * as a new one costs the backend time and work; however many backends are listed, only so many
  * connections are kept.
  */
-final class Probe {
+final class BackendProber {
     /**
      * To backends that the module asks no more: it may soon ask them again, and a new connection
      * costs.
      */
-    private static final int KEPT_BEYOND = 64;
+    private static final int MAX_IDLE_CONNECTIONS = 64;
 
     /** Beyond them, whoever was not asked for the longest time gives way. */
-    static final int MOST_CONNECTIONS = Api.MOST_PROBED + KEPT_BEYOND;
+    static final int MAX_CONNECTIONS = Api.MOST_PROBED + MAX_IDLE_CONNECTIONS;
 
-    private static final Duration LIMIT = Duration.ofMillis(250);
+    private static final Duration PROBE_TIMEOUT = Duration.ofMillis(250);
 
     /** How often connections to backends that are not listed any more are looked for. */
-    private static final Duration LOOK = Duration.ofSeconds(5);
+    private static final Duration CLEANUP_INTERVAL = Duration.ofSeconds(5);
 
-    private final Peers peers;
-    private final ThreadStarter threads;
-    private final Queue<Peer> wanted = new ConcurrentLinkedQueue<>();
-    private final Map<Peer, ProbeConnection> connections = new LinkedHashMap<>();
-    private Route route;
+    private final BackendRegistry backends;
+    private final ThreadStarter threadStarter;
+    private final Queue<Backend> requestedBackends = new ConcurrentLinkedQueue<>();
+    private final Map<Backend, ProbeConnection> connections = new LinkedHashMap<>();
+    private Router router;
     private Selector selector;
     private boolean running;
 
@@ -51,29 +51,29 @@
         boolean start(String name, Threads.Work work);
     }
 
-    Probe(Peers peers) {
+    BackendProber(BackendRegistry peers) {
         this(peers, Threads::start);
     }
 
-    Probe(Peers peers, ThreadStarter threads) {
-        this.peers = peers;
-        this.threads = threads;
+    BackendProber(BackendRegistry peers, ThreadStarter threads) {
+        this.backends = peers;
+        this.threadStarter = threads;
     }
 
-    void route(Route to) {
-        route = to;
+    void setRouter(Router to) {
+        router = to;
     }
 
     /**
      * Asks a backend soon; one that has not answered yet is not asked twice. Where no thread could
      * be had, or it has ended by a fault, the next call tries to start one.
      */
-    void ask(String uid) {
-        Peer peer = peers.find(uid);
+    void requestProbe(String uid) {
+        Backend peer = backends.find(uid);
         if (peer == null) {
             return;
         }
-        wanted.add(peer);
+        requestedBackends.add(peer);
         wakeUp();
     }
 
@@ -84,12 +84,12 @@
         }
         try {
             selector = Selector.open();
-            running = threads.start("probes", this::run);
+            running = threadStarter.start("probes", this::run);
         } catch (IOException none) {
             running = false;
         }
         if (!running) {
-            wanted.clear();
+            requestedBackends.clear();
             Log.warn("probe.none"); // loads count as unknown, as without probes
         }
     }
@@ -97,7 +97,7 @@
     private void run() throws IOException {
         try {
             while (true) {
-                round();
+                runCycle();
             }
         } finally {
             synchronized (this) {
@@ -109,90 +109,90 @@
         }
     }
 
-    private void round() throws IOException {
-        selector.select(millisToWait());
+    private void runCycle() throws IOException {
+        selector.select(selectTimeoutMillis());
         for (SelectionKey key : List.copyOf(selector.selectedKeys())) {
-            advance((ProbeConnection) key.attachment());
+            handleReady((ProbeConnection) key.attachment());
         }
         selector.selectedKeys().clear();
-        for (Peer peer = wanted.poll(); peer != null; peer = wanted.poll()) {
-            begin(peer);
+        for (Backend peer = requestedBackends.poll(); peer != null; peer = requestedBackends.poll()) {
+            beginProbe(peer);
         }
-        endOverdue();
+        closeOverdueConnections();
     }
 
-    private long millisToWait() {
-        long least = LOOK.toNanos();
+    private long selectTimeoutMillis() {
+        long least = CLEANUP_INTERVAL.toNanos();
         for (ProbeConnection connection : connections.values()) {
-            least = connection.isAsked() ? Math.min(least, connection.nanosLeft()) : least;
+            least = connection.isAwaitingAnswer() ? Math.min(least, connection.remainingNanos()) : least;
         }
         return Math.max(1, least / 1_000_000 + 1);
     }
 
-    private void begin(Peer peer) {
+    private void beginProbe(Backend peer) {
         ProbeConnection open = connections.remove(peer);
         if (open != null) {
             connections.put(peer, open); // to the end of the order
         }
-        if (peer.ended() || peer.suspended() || open != null && open.isAsked()) {
+        if (peer.hasEnded() || peer.isSuspended() || open != null && open.isAwaitingAnswer()) {
             return;
         }
         try {
             if (open != null) {
-                open.ask(LIMIT);
+                open.sendProbe(PROBE_TIMEOUT);
                 return;
             }
         } catch (IOException closedAsIdle) {
-            end(open);
+            closeConnection(open);
         }
         connect(peer);
     }
 
-    private void connect(Peer peer) {
-        if (connections.size() >= MOST_CONNECTIONS && !makeRoom()) {
+    private void connect(Backend peer) {
+        if (connections.size() >= MAX_CONNECTIONS && !closeIdleConnection()) {
             return; // all are awaited: this one is asked at its next turn
         }
         try {
-            connections.put(peer, new ProbeConnection(peer, selector, LIMIT));
+            connections.put(peer, new ProbeConnection(peer, selector, PROBE_TIMEOUT));
         } catch (IOException refused) {
-            route.probed(peer.entry().uid(), Outcome.TIMEOUT, Api.NONE);
+            router.probeCompleted(peer.entry().uid(), Outcome.TIMEOUT, Api.NONE);
         }
     }
 
-    private boolean makeRoom() {
+    private boolean closeIdleConnection() {
         for (ProbeConnection connection : connections.values()) {
-            if (!connection.isAsked()) {
-                end(connection);
+            if (!connection.isAwaitingAnswer()) {
+                closeConnection(connection);
                 return true;
             }
         }
         return false;
     }
 
-    private void advance(ProbeConnection connection) {
-        boolean wasAsked = connection.isAsked();
+    private void handleReady(ProbeConnection connection) {
+        boolean wasAsked = connection.isAwaitingAnswer();
         try {
-            byte[] line = connection.advance(LIMIT);
+            byte[] line = connection.handleReady(PROBE_TIMEOUT);
             if (line != null) {
-                answered(connection, wasAsked, line);
+                handleReport(connection, wasAsked, line);
             }
-        } catch (ProbeConnection.EndedException ended) {
-            end(connection);
+        } catch (ProbeConnection.ConnectionClosedException ended) {
+            closeConnection(connection);
             if (wasAsked
                     && connection.hasAnsweredBefore()) { // closed as idle while it was asked again
-                connect(connection.peer());
+                connect(connection.backend());
             } else if (wasAsked) {
-                tell(connection, Outcome.RESET, Api.NONE);
+                reportOutcome(connection, Outcome.RESET, Api.NONE);
             }
         } catch (IOException broken) {
-            end(connection);
+            closeConnection(connection);
             if (wasAsked) {
-                tell(connection, Outcome.TIMEOUT, Api.NONE);
+                reportOutcome(connection, Outcome.TIMEOUT, Api.NONE);
             }
         }
     }
 
-    private void answered(ProbeConnection connection, boolean wasAsked, byte[] line) {
+    private void handleReport(ProbeConnection connection, boolean wasAsked, byte[] line) {
         double load = Api.NONE;
         try {
             LoadReport report = LoadReport.of(line);
@@ -201,36 +201,36 @@
             Log.warn(
                     "probe.malformed",
                     "peer",
-                    connection.peer().entry().uid(),
+                    connection.backend().entry().uid(),
                     "why",
                     bad.getMessage());
         }
         boolean reported = wasAsked && load != Api.NONE;
         if (!reported) {
-            end(connection);
+            closeConnection(connection);
         }
         if (wasAsked) {
-            tell(connection, reported ? Outcome.SERVED : Outcome.ERROR, load);
+            reportOutcome(connection, reported ? Outcome.SERVED : Outcome.ERROR, load);
         }
     }
 
-    private void endOverdue() {
+    private void closeOverdueConnections() {
         for (ProbeConnection connection : List.copyOf(connections.values())) {
-            if (connection.peer().ended()) {
-                end(connection);
-            } else if (connection.isAsked() && connection.nanosLeft() <= 0) {
-                end(connection);
-                tell(connection, Outcome.TIMEOUT, Api.NONE);
+            if (connection.backend().hasEnded()) {
+                closeConnection(connection);
+            } else if (connection.isAwaitingAnswer() && connection.remainingNanos() <= 0) {
+                closeConnection(connection);
+                reportOutcome(connection, Outcome.TIMEOUT, Api.NONE);
             }
         }
     }
 
-    private void end(ProbeConnection connection) {
-        connections.remove(connection.peer(), connection);
+    private void closeConnection(ProbeConnection connection) {
+        connections.remove(connection.backend(), connection);
         connection.close();
     }
 
-    private void tell(ProbeConnection connection, Outcome outcome, double load) {
-        route.probed(connection.peer().entry().uid(), outcome, load);
+    private void reportOutcome(ProbeConnection connection, Outcome outcome, double load) {
+        router.probeCompleted(connection.backend().entry().uid(), outcome, load);
     }
 }
--- a/relay/src/main/java/saltstage/stage/LineTry.java
+++ b/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
@@ -12,93 +12,93 @@
 import saltstage.config.Configuration;
 import saltstage.log.Log;
 import saltstage.memory.MonotonicClock;
-import saltstage.memory.Peer;
-import saltstage.memory.Peers;
+import saltstage.memory.Backend;
+import saltstage.memory.BackendRegistry;
 import saltstage.memory.RequestContext;
 import saltstage.memory.RequestContext.Phase;
-import saltstage.memory.Try;
+import saltstage.memory.Attempt;
 import saltstage.wire.Answer;
 import saltstage.wire.LineConnection;
 
 /** Makes a try in lines: connects, sends the first line on, waits for the answer. A thread each. */
-final class LineTry {
-    private static final Duration RESTORE_PAUSE = Duration.ofMillis(200);
+final class LineAttemptRunner {
+    private static final Duration RESTORE_RETRY_PAUSE = Duration.ofMillis(200);
 
     private final Configuration config;
     private final MonotonicClock clock;
-    private final Peers peers;
-    private final Book book;
-    private final LineRelay relay;
-    private final ThreadBudget threads;
+    private final BackendRegistry backends;
+    private final OutcomeRecorder outcomeRecorder;
+    private final LineForwarder forwarder;
+    private final ThreadBudget threadBudget;
 
-    LineTry(
+    LineAttemptRunner(
             Configuration config,
             MonotonicClock clock,
-            Peers peers,
-            Book book,
-            LineRelay relay,
+            BackendRegistry peers,
+            OutcomeRecorder book,
+            LineForwarder relay,
             ThreadBudget threads) {
-        this.threads = threads;
+        this.threadBudget = threads;
         this.config = config;
         this.clock = clock;
-        this.peers = peers;
-        this.book = book;
-        this.relay = relay;
+        this.backends = peers;
+        this.outcomeRecorder = book;
+        this.forwarder = relay;
     }
 
     /** Makes the try on a thread of its own. */
-    void attempt(Try begun, Instant until) {
-        if (!threads.start("try", () -> run(begun, until))) {
-            book.ended(begun, Outcome.UNREACHABLE);
+    void start(Attempt begun, Instant until) {
+        if (!threadBudget.start("try", () -> runAndForward(begun, until))) {
+            outcomeRecorder.attemptEnded(begun, Outcome.UNREACHABLE);
         }
     }
 
-    private void run(Try begun, Instant until) {
+    private void runAndForward(Attempt begun, Instant until) {
         Outcome outcome = Outcome.ERROR;
         try {
-            outcome = attempt(begun, until, false);
+            outcome = runAttempt(begun, until, false);
         } finally {
             if (outcome != null) {
-                begun.giveUp(); // the old try is closed before the module may send the next
-                book.ended(begun, outcome);
+                begun.cancel(); // the old try is closed before the module may send the next
+                outcomeRecorder.attemptEnded(begun, outcome);
             }
         }
         if (outcome == null) {
-            relay.carry(begun);
+            forwarder.forwardFromBackend(begun);
         }
     }
 
     /** Makes the try; null where it stands. */
-    private Outcome attempt(Try begun, Instant until, boolean restore) {
-        Peer peer = begun.peer();
+    private Outcome runAttempt(Attempt begun, Instant until, boolean restore) {
+        Backend peer = begun.backend();
         LineConnection backend;
         try {
-            Duration connect = least(config.connectTimeout(), Duration.between(clock.now(), until));
+            Duration connect = shorter(config.connectTimeout(), Duration.between(clock.now(), until));
             if (connect.isNegative()) {
                 return Outcome.UNREACHABLE;
             }
             Socket socket = new Socket();
-            begun.connecting(() -> LineConnection.close(socket));
+            begun.connectionStarted(() -> LineConnection.close(socket));
             backend = LineConnection.open(socket, peer.entry().endpoint(), connect);
-            begun.connected(backend);
+            begun.connectionOpened(backend);
             Duration left = Duration.between(clock.now(), until);
             // Connecting takes time: the backend may have been told to drain, or the request's time
             // be up.
-            if (peer.suspended() || repeatsTooLate(begun.context())) {
+            if (peer.isSuspended() || isDeduplicationExpired(begun.context())) {
                 return Outcome
                         .MOOT; // it came about while this connected: nothing against the backend
             }
-            if (!restore && !peer.takesNew() || left.isNegative() || left.isZero()) {
+            if (!restore && !peer.canAcceptRequests() || left.isNegative() || left.isZero()) {
                 return Outcome.UNREACHABLE;
             }
-            backend.send(client(begun.context()).open().withPatience(left));
-            book.written();
+            backend.send(client(begun.context()).openRequest().withPatience(left));
+            outcomeRecorder.attemptSent();
         } catch (IOException neverSent) {
             return Outcome.UNREACHABLE;
         }
         try {
-            byte[] piece = backend.lines().next(positive(Duration.between(clock.now(), until)));
-            return piece == null ? Outcome.RESET : judge(begun, piece, restore);
+            byte[] piece = backend.lines().next(atLeastOneMilli(Duration.between(clock.now(), until)));
+            return piece == null ? Outcome.RESET : handleAnswer(begun, piece, restore);
         } catch (SocketTimeoutException slow) {
             return Outcome.TIMEOUT;
         } catch (IOException broken) {
@@ -109,20 +109,20 @@
     /**
      * Repeats are discarded for so long only; the module asked that before the connection came up.
      */
-    private boolean repeatsTooLate(RequestContext context) {
-        ServiceClass service = config.settings().classes().get(context.terms().serviceClass());
-        Instant since = context.mayHaveRunSince();
+    private boolean isDeduplicationExpired(RequestContext context) {
+        ServiceClass service = config.settings().classes().get(context.attributes().serviceClass());
+        Instant since = context.possibleExecutionSince();
         return since != null
                 && service.effect() == Effect.KEYED
                 && !clock.now().isBefore(since.plus(service.memory(), ChronoUnit.MICROS));
     }
 
-    private Outcome judge(Try begun, byte[] piece, boolean restore) {
+    private Outcome handleAnswer(Attempt begun, byte[] piece, boolean restore) {
         Answer answer = Answer.of(piece);
         switch (answer.kind()) {
             case UP:
-                return book.standing(begun, restore)
-                        ? relay.accepted(begun, piece)
+                return outcomeRecorder.establish(begun, restore)
+                        ? forwarder.forwardUp(begun, piece)
                         : Outcome.CANCELLED;
             case BUSY:
                 return Outcome.FULL;
@@ -136,7 +136,7 @@
                 Log.warn(
                         "try.malformed",
                         "peer",
-                        begun.peer().entry().uid(),
+                        begun.backend().entry().uid(),
                         "kind",
                         answer.kind(),
                         "line",
@@ -150,52 +150,52 @@
      * stands.
      */
     void restore(RequestContext context, String uid) {
-        if (!threads.start("restore", () -> restoreOrFail(context, uid))) {
-            book.fail(context);
+        if (!threadBudget.start("restore", () -> restoreOrFail(context, uid))) {
+            outcomeRecorder.fail(context);
         }
     }
 
     private void restoreOrFail(RequestContext context, String uid) throws InterruptedException {
         try {
-            keepRestoring(context, uid);
+            retryRestore(context, uid);
         } finally {
-            book.fail(context); // where it neither stood nor ended, also by a fault
+            outcomeRecorder.fail(context); // where it neither stood nor ended, also by a fault
         }
     }
 
-    private void keepRestoring(RequestContext context, String uid) throws InterruptedException {
+    private void retryRestore(RequestContext context, String uid) throws InterruptedException {
         String waitsFor = null;
         while (context.phase() == Phase.WAITING && clock.now().isBefore(context.deadline())) {
-            Peer peer = peers.find(uid);
-            Try begun = peer == null ? null : context.begin(peer, clock.now());
+            Backend peer = backends.find(uid);
+            Attempt begun = peer == null ? null : context.beginAttempt(peer, clock.now());
             Outcome outcome =
-                    begun == null ? Outcome.MOOT : attempt(begun, context.deadline(), true);
+                    begun == null ? Outcome.MOOT : runAttempt(begun, context.deadline(), true);
             if (outcome == null) {
-                relay.carry(begun);
+                forwarder.forwardFromBackend(begun);
                 return;
             }
             if (begun != null) {
-                begun.giveUp();
+                begun.cancel();
             }
             String why = peer == null ? "not listed" : outcome.name();
             if (!why.equals(waitsFor)) {
-                Log.info("restore.waiting", "id", context.terms().name(), "peer", uid, "why", why);
+                Log.info("restore.waiting", "id", context.attributes().clientRequestId(), "peer", uid, "why", why);
             }
             waitsFor = why;
-            Thread.sleep(RESTORE_PAUSE.toMillis());
+            Thread.sleep(RESTORE_RETRY_PAUSE.toMillis());
         }
-        Log.warn("restore.failed", "id", context.terms().name(), "peer", uid);
+        Log.warn("restore.failed", "id", context.attributes().clientRequestId(), "peer", uid);
     }
 
     private static LineClient client(RequestContext context) {
         return (LineClient) context.client();
     }
 
-    private static Duration least(Duration a, Duration b) {
+    private static Duration shorter(Duration a, Duration b) {
         return a.compareTo(b) < 0 ? a : b;
     }
 
-    private static Duration positive(Duration span) {
+    private static Duration atLeastOneMilli(Duration span) {
         return span.isNegative() || span.isZero() ? Duration.ofMillis(1) : span;
     }
 }
--- a/relay/src/main/java/saltstage/stage/LineClient.java
+++ b/relay/src/main/java/saltstage/stage/LineClient.java
@@ -9,49 +9,49 @@
 import saltstage.log.Log;
 import saltstage.memory.ClientConnection;
 import saltstage.memory.Timers;
-import saltstage.memory.Try;
+import saltstage.memory.Attempt;
 import saltstage.wire.LineConnection;
 import saltstage.wire.OpenLine;
 
 /** A client that speaks lines. */
 public final class LineClient extends LineConnection implements ClientConnection {
     private final Timers timers;
-    private final LineTry tries;
-    private final LineRelay relay;
-    private final CountDownLatch answered = new CountDownLatch(1);
-    private volatile OpenLine open;
+    private final LineAttemptRunner attemptRunner;
+    private final LineForwarder forwarder;
+    private final CountDownLatch answerWritten = new CountDownLatch(1);
+    private volatile OpenLine openRequest;
 
     /** A client that has asked, with what it has said behind its first line. */
-    LineClient(Socket socket, byte[] rest, Timers timers, LineTry tries, LineRelay relay)
+    LineClient(Socket socket, byte[] rest, Timers timers, LineAttemptRunner tries, LineForwarder relay)
             throws IOException {
         super(socket, rest);
         this.timers = timers;
-        this.tries = tries;
-        this.relay = relay;
+        this.attemptRunner = tries;
+        this.forwarder = relay;
     }
 
     /** Its first line has come. */
-    void asks(OpenLine line) {
-        open = line;
+    void setOpenRequest(OpenLine line) {
+        openRequest = line;
     }
 
     /** Its first line. */
-    OpenLine open() {
-        return open;
+    OpenLine openRequest() {
+        return openRequest;
     }
 
     @Override
-    public void refused(Duration retryAfter) {
-        answer(busy(retryAfter));
+    public void reject(Duration retryAfter) {
+        answer(busyLine(retryAfter));
     }
 
     @Override
-    public void failed(String why) {
+    public void fail(String why) {
         answer("ERR " + why);
     }
 
     /** The line that refuses, with the advice when to come again if there is any. */
-    static String busy(Duration retryAfter) {
+    static String busyLine(Duration retryAfter) {
         return retryAfter.isZero() ? "BUSY" : "BUSY " + retryAfter.toMillis();
     }
 
@@ -63,30 +63,30 @@
             Log.info("client.broken", "why", gone.getMessage());
         } finally {
             endSending();
-            answered.countDown();
+            answerWritten.countDown();
         }
-        timers.after(Book.LINGER, this::close);
+        timers.schedule(OutcomeRecorder.LINGER, this::close);
     }
 
     /** Whether its final answer, one that is not UP, has been written: nobody writes any more. */
     boolean isAnswered() {
-        return answered.getCount() == 0;
+        return answerWritten.getCount() == 0;
     }
 
     /** Waits until whoever has ended the request has written the answer. */
     void awaitAnswer() throws InterruptedException {
-        if (!answered.await(Book.LINGER.toMillis(), TimeUnit.MILLISECONDS)) {
-            Log.warn("answer.late", "id", open.id());
+        if (!answerWritten.await(OutcomeRecorder.LINGER.toMillis(), TimeUnit.MILLISECONDS)) {
+            Log.warn("answer.late", "id", openRequest.id());
         }
     }
 
     @Override
-    public void attempt(Try begun, Instant until) {
-        tries.attempt(begun, until);
+    public void startAttempt(Attempt begun, Instant until) {
+        attemptRunner.start(begun, until);
     }
 
     @Override
-    public boolean move(Try up, String reason) {
-        return relay.move(up, reason);
+    public boolean move(Attempt up, String reason) {
+        return forwarder.move(up, reason);
     }
 }
--- a/relay/src/main/java/saltstage/stage/LineRelay.java
+++ b/relay/src/main/java/saltstage/stage/LineForwarder.java
@@ -8,7 +8,7 @@
 import saltstage.memory.MonotonicClock;
 import saltstage.memory.RequestContext.Phase;
 import saltstage.memory.Timers;
-import saltstage.memory.Try;
+import saltstage.memory.Attempt;
 import saltstage.wire.Answer;
 import saltstage.wire.LineConnection;
 
@@ -17,7 +17,7 @@
  * them. The try's thread is the only one that writes to a client that has its UP: MOVE always falls
  * between two lines.
  */
-final class LineRelay {
+final class LineForwarder {
     /**
      * How long an ended side may linger: a close with unread input would reset what was sent before
      * it.
@@ -25,51 +25,51 @@
     private static final Duration LINGER = Duration.ofMillis(800);
 
     /** A client that takes no more must not hold a moved connection. */
-    private static final Duration MOVE_LIMIT = Duration.ofMillis(1_200);
+    private static final Duration MOVE_TIMEOUT = Duration.ofMillis(1_200);
 
-    private static final Duration PARTIAL_LINE = Duration.ofMillis(300);
+    private static final Duration PARTIAL_LINE_TIMEOUT = Duration.ofMillis(300);
 
     /**
      * Clients speak every 2 s and are answered at once (0.15 ms was measured at a jammed backend
      * too). 7 s with nothing back is the limit: 2 s, this, a beat and the rest of a line stay well
      * within.
      */
-    private static final Duration SILENCE = Duration.ofSeconds(3);
+    private static final Duration BACKEND_RESPONSE_TIMEOUT = Duration.ofSeconds(3);
 
-    private static final Duration AFTER_CLIENT = Duration.ofSeconds(3);
+    private static final Duration BACKEND_CLOSE_DELAY = Duration.ofSeconds(3);
 
     private final MonotonicClock clock;
     private final Timers timers;
-    private final Book book;
+    private final OutcomeRecorder outcomeRecorder;
 
-    LineRelay(MonotonicClock clock, Timers timers, Book book) {
+    LineForwarder(MonotonicClock clock, Timers timers, OutcomeRecorder book) {
         this.clock = clock;
         this.timers = timers;
-        this.book = book;
+        this.outcomeRecorder = book;
     }
 
     /** Passes UP on to the client. */
-    Outcome accepted(Try up, byte[] piece) {
+    Outcome forwardUp(Attempt up, byte[] piece) {
         try {
             client(up).send(piece);
         } catch (IOException clientGone) {
-            up.clientEnded();
+            up.markClientEnded();
         }
         return null;
     }
 
     /** Carries what the backend sends until one side ends or the client is moved. */
-    void carry(Try up) {
+    void forwardFromBackend(Attempt up) {
         Outcome outcome = Outcome.RESET;
         try {
-            outcome = pump(up);
+            outcome = forwardLines(up);
         } finally {
-            book.over(up, outcome);
+            outcomeRecorder.connectionEnded(up, outcome);
         }
     }
 
-    private Outcome pump(Try up) {
-        LineConnection backend = backend(up);
+    private Outcome forwardLines(Attempt up) {
+        LineConnection backend = backendConnection(up);
         Answer.Kind last = Answer.Kind.OTHER;
         boolean midLine = false;
         boolean reset = false;
@@ -87,78 +87,78 @@
                 Answer answer = Answer.of(piece);
                 last = answer.kind();
                 midLine = !whole;
-                book.heard(up, answer);
-                if (!toClient(up, piece)) {
-                    return clientGone(up);
+                outcomeRecorder.lineReceived(up, answer);
+                if (!sendToClient(up, piece)) {
+                    return endAfterClientLoss(up);
                 }
             }
         } catch (IOException broken) {
             reset = true;
         }
         if (up.moveReason() != null && !up.hasClientEnded() && !midLine) {
-            return moved(up);
+            return finishMove(up);
         }
-        return backendEnded(up, last, reset);
+        return endAfterBackend(up, last, reset);
     }
 
-    private boolean toClient(Try up, byte[] piece) {
-        up.writing(true);
+    private boolean sendToClient(Attempt up, byte[] piece) {
+        up.setWritingToClient(true);
         try {
             client(up).send(piece);
             return true;
         } catch (IOException gone) {
             return false;
         } finally {
-            up.writing(false);
+            up.setWritingToClient(false);
         }
     }
 
-    private Outcome clientGone(Try up) {
-        up.context().end(Phase.STANDING);
-        backend(up).reset();
+    private Outcome endAfterClientLoss(Attempt up) {
+        up.context().end(Phase.ESTABLISHED);
+        backendConnection(up).reset();
         client(up).close();
         return Outcome.CANCELLED;
     }
 
-    private Outcome moved(Try up) {
+    private Outcome finishMove(Attempt up) {
         LineClient client = client(up);
         try {
             client.send(
                     "MOVE"); // before its end is told: a client that speaks in that moment is hung
             // up on
         } catch (IOException gone) {
-            up.clientEnded();
+            up.markClientEnded();
         }
-        up.context().end(Phase.STANDING);
-        backend(up).close();
+        up.context().end(Phase.ESTABLISHED);
+        backendConnection(up).close();
         client.endSending();
-        timers.after(LINGER, client::close);
+        timers.schedule(LINGER, client::close);
         return up.moveReason().startsWith("peer") ? Outcome.RESET : Outcome.CANCELLED;
     }
 
-    private Outcome backendEnded(Try up, Answer.Kind last, boolean reset) {
+    private Outcome endAfterBackend(Attempt up, Answer.Kind last, boolean reset) {
         LineClient client = client(up);
         boolean polite = last == Answer.Kind.BYE || last == Answer.Kind.MOVE;
         boolean clientFirst = up.hasClientEnded();
         if (reset && !polite && !clientFirst) {
-            up.context().end(Phase.STANDING);
+            up.context().end(Phase.ESTABLISHED);
             client.reset();
-            backend(up).close();
+            backendConnection(up).close();
             return Outcome.RESET;
         }
         client.endSending(); // half-close: what the client still sends goes on to the backend for
         // a moment
         if (clientFirst) {
-            up.context().end(Phase.STANDING);
+            up.context().end(Phase.ESTABLISHED);
             client.close();
-            backend(up).close();
+            backendConnection(up).close();
         } else {
-            timers.after(
+            timers.schedule(
                     LINGER,
                     () -> {
-                        up.context().end(Phase.STANDING);
+                        up.context().end(Phase.ESTABLISHED);
                         client.close();
-                        backend(up).close();
+                        backendConnection(up).close();
                     });
         }
         if (last == Answer.Kind.BYE) {
@@ -171,27 +171,27 @@
      * Passes on what the client sent; the thread that reads the backend notices where it takes no
      * more.
      */
-    void toBackend(Try up, byte[] piece) {
+    void sendToBackend(Attempt up, byte[] piece) {
         try {
-            up.asked(clock.now());
-            backend(up).send(piece);
+            up.lineSent(clock.now());
+            backendConnection(up).send(piece);
         } catch (IOException ended) {
             return;
         }
     }
 
     /** The client has ended its side: the backend sees the same. */
-    void clientEnded(Try up, boolean reset) {
-        up.clientEnded();
-        LineConnection backend = backend(up);
-        if (backend == null || up.context().phase() != Phase.STANDING) {
+    void handleClientEnd(Attempt up, boolean reset) {
+        up.markClientEnded();
+        LineConnection backend = backendConnection(up);
+        if (backend == null || up.context().phase() != Phase.ESTABLISHED) {
             return;
         }
         if (reset) {
             backend.reset();
         } else {
             backend.endSending();
-            timers.after(AFTER_CLIENT, backend::close);
+            timers.schedule(BACKEND_CLOSE_DELAY, backend::close);
         }
     }
 
@@ -199,8 +199,8 @@
      * Has a standing connection's client moved; never blocks. A reason "peer..." is the backend's
      * fault.
      */
-    boolean move(Try up, String reason) {
-        if (up.context().phase() != Phase.STANDING || !up.askMove(reason)) {
+    boolean move(Attempt up, String reason) {
+        if (up.context().phase() != Phase.ESTABLISHED || !up.requestMove(reason)) {
             return false;
         }
         Log.info(
@@ -208,20 +208,20 @@
                 "why",
                 reason,
                 "peer",
-                up.peer().entry().uid(),
+                up.backend().entry().uid(),
                 "id",
-                up.context().terms().name());
-        LineConnection backend = backend(up);
+                up.context().attributes().clientRequestId());
+        LineConnection backend = backendConnection(up);
         if (backend.lines().midLine()) {
-            timers.after(
-                    PARTIAL_LINE, backend::endReading); // the line may still be ended within that
+            timers.schedule(
+                    PARTIAL_LINE_TIMEOUT, backend::endReading); // the line may still be ended within that
         } else {
             backend.endReading();
         }
-        timers.after(
-                MOVE_LIMIT,
+        timers.schedule(
+                MOVE_TIMEOUT,
                 () -> {
-                    if (up.context().phase() == Phase.STANDING) {
+                    if (up.context().phase() == Phase.ESTABLISHED) {
                         client(up).close();
                         backend.close();
                     }
@@ -230,9 +230,9 @@
     }
 
     /** Moves the clients of backends that bring nothing back. */
-    void checkSilence() {
-        Instant limit = clock.now().minus(SILENCE);
-        for (Try up : book.standing()) {
+    void checkUnresponsiveBackends() {
+        Instant limit = clock.now().minus(BACKEND_RESPONSE_TIMEOUT);
+        for (Attempt up : outcomeRecorder.establishedAttempts()) {
             Instant since = up.unansweredSince();
             if (since != null
                     && since.isBefore(limit)
@@ -241,18 +241,18 @@
                 Log.info(
                         "relay.silent",
                         "peer",
-                        up.peer().entry().uid(),
+                        up.backend().entry().uid(),
                         "id",
-                        up.context().terms().name());
+                        up.context().attributes().clientRequestId());
             }
         }
     }
 
-    private static LineClient client(Try up) {
+    private static LineClient client(Attempt up) {
         return (LineClient) up.context().client();
     }
 
-    private static LineConnection backend(Try up) {
-        return (LineConnection) up.backend();
+    private static LineConnection backendConnection(Attempt up) {
+        return (LineConnection) up.connection();
     }
 }
--- /dev/null
+++ b/relay/src/main/java/saltstage/stage/LineFrontend.java
@@ -0,0 +1,290 @@
+package saltstage.stage;
+
+import java.io.IOException;
+import java.util.Queue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.atomic.AtomicInteger;
+import saltstage.log.Log;
+import saltstage.memory.RequestContext;
+import saltstage.memory.Attempt;
+import saltstage.wire.MalformedException;
+import saltstage.wire.OpenLine;
+
+/**
+ * Takes clients in: judges first lines, answers PING, turns bad input away, carries what clients
+ * send.
+ */
+public final class LineFrontend implements Frontend, ClientAcceptor.FirstLineListener {
+    private final ClientAcceptor acceptor;
+    private final AdmissionControl admissionControl;
+    private final ClientFactory clientFactory;
+    private final LineForwarder forwarder;
+    private final OutcomeRecorder outcomeRecorder;
+    private final ThreadBudget threadBudget;
+    private final LinkedBlockingQueue<ReceivedRequest> receivedRequests = new LinkedBlockingQueue<>();
+    private final Queue<OpenLine> parsedLines = new java.util.ArrayDeque<>();
+
+    /** Requests that have been heard and are not admitted yet. */
+    private final AtomicInteger unadmittedCount = new AtomicInteger();
+
+    private volatile boolean draining;
+
+    /** A client that has asked, with its request. */
+    private record ReceivedRequest(PendingClient client, OpenLine line) {}
+
+    /**
+     * Makes a client of a connection that has asked, with what it has said behind its first line.
+     */
+    interface ClientFactory {
+        /** The client. */
+        LineClient create(PendingClient asking) throws IOException;
+    }
+
+    LineFrontend(
+            int room,
+            AdmissionControl admit,
+            ClientFactory clients,
+            LineForwarder relay,
+            OutcomeRecorder book,
+            ThreadBudget threads) {
+        acceptor = new ClientAcceptor(room, this);
+        this.admissionControl = admit;
+        this.clientFactory = clients;
+        this.forwarder = relay;
+        this.outcomeRecorder = book;
+        this.threadBudget = threads;
+    }
+
+    /** Where connections are accepted. */
+    public ClientAcceptor acceptor() {
+        return acceptor;
+    }
+
+    /**
+     * Starts what takes requests over from the acceptor, which may not wait for the start of
+     * threads.
+     */
+    public void start() {
+        Threads.startLoop("starter", () -> startRequest(receivedRequests.take()));
+    }
+
+    /** From now on PING is not answered with PONG: the front shall look elsewhere. */
+    @Override
+    public void startDraining() {
+        draining = true;
+    }
+
+    @Override
+    public void rejectPendingClients() {
+        acceptor.rejectPendingClients();
+    }
+
+    /** How many clients are connected, with a request and without. */
+    @Override
+    public int clientCount() {
+        return requestCount() + unadmittedCount.get() + acceptor.pendingClientCount();
+    }
+
+    /** How many requests wait or stand. */
+    @Override
+    public int requestCount() {
+        return admissionControl.requestCount();
+    }
+
+    // ---- on the acceptor's thread
+
+    @Override
+    public boolean firstLineReceived(PendingClient client, byte[] piece) {
+        try {
+            String line = OpenLine.text(piece);
+            if (!line.equals("PING")) {
+                return tryQueueRequest(client, OpenLine.parse(line));
+            }
+            if (client.hasBufferedInput()) {
+                throw new MalformedException(OutcomeRecorder.ONE_LINE_ONLY_ERROR);
+            }
+            client.send(draining ? "ERR leaving" : "PONG");
+        } catch (MalformedException bad) {
+            // Bad input must cost one line, be seen in the log and never reach a backend.
+            rejectWithWarning(client, "client.malformed", "ERR " + bad.getMessage());
+        } catch (IOException gone) {
+            rejectWithWarning(client, "client.broken", "ERR " + gone.getMessage());
+        }
+        return false;
+    }
+
+    private boolean tryQueueRequest(PendingClient client, OpenLine line) throws MalformedException {
+        if (admissionControl.rejectIfFull(line, unadmittedCount.get())) {
+            acceptor.answer(client, admissionControl.busyLine());
+            return false;
+        }
+        parsedLines.add(line);
+        unadmittedCount.incrementAndGet();
+        return true;
+    }
+
+    @Override
+    public void requestReceived(PendingClient client) {
+        receivedRequests.add(new ReceivedRequest(client, parsedLines.remove())); // lines are parsed in the order of this
+    }
+
+    @Override
+    public void firstLineTimedOut(PendingClient client) {
+        // Who has said nothing may ask in this moment: that it was refused is true of what it asks
+        // too.
+        rejectWithWarning(
+                client,
+                "client.silent",
+                client.hasBufferedInput() ? "ERR first line too slow" : "BUSY");
+    }
+
+    @Override
+    public void clientEvicted(PendingClient client) {
+        Log.warn("doorway.full", "from", client.remote());
+        try {
+            client.send(admissionControl.busyLine());
+        } catch (IOException gone) {
+            Log.info("client.broken", "why", gone.getMessage());
+        }
+    }
+
+    @Override
+    public void relayShuttingDown(PendingClient client) {
+        acceptor.answer(client, "BUSY");
+    }
+
+    private void rejectWithWarning(PendingClient client, String event, String answer) {
+        Log.warn(event, "from", client.remote(), "answer", answer);
+        acceptor.answer(client, answer);
+    }
+
+    // ---- on the starter's thread
+
+    private void startRequest(ReceivedRequest request) throws IOException {
+        LineClient client;
+        try {
+            client = clientFactory.create(request.client());
+        } catch (IOException gone) {
+            request.client().close();
+            unadmittedCount.decrementAndGet();
+            return;
+        }
+        if (!threadBudget.tryAcquire()) {
+            rejectForThreads(client);
+        } else if (!threadBudget.start("client", () -> serve(client, request.line()))) {
+            threadBudget.release();
+            rejectForThreads(client);
+        }
+    }
+
+    /** There is no thread for this request: it is told to come again. */
+    private void rejectForThreads(LineClient client) {
+        outcomeRecorder.rejectedForThreads();
+        outcomeRecorder.sendLine(client, admissionControl.busyLine());
+        client.endSending();
+        acceptor.lingerAndClose(client.channel());
+        unadmittedCount.decrementAndGet();
+    }
+
+    // ---- on the client's thread
+
+    private void serve(LineClient client, OpenLine line) throws InterruptedException {
+        RequestContext context = null;
+        boolean over = false;
+        try {
+            context = admitOrReject(client, line);
+            if (context != null && client.isAnswered()) {
+                acceptor.lingerAndClose(client.channel());
+            } else if (context != null) {
+                forwardFromClient(client, context);
+            }
+            over = true;
+        } catch (IOException gone) {
+            Log.info("client.broken", "why", gone.getMessage());
+            client.close();
+            over = true;
+        } finally {
+            if (!over) {
+                failAfterFault(client, context);
+            }
+            if (context != null) {
+                admissionControl.release(context);
+            }
+            threadBudget.release();
+        }
+    }
+
+    /**
+     * A fault of ours, as a class that cannot be loaded: its client is owed an answer all the same.
+     */
+    private void failAfterFault(LineClient client, RequestContext context) {
+        if (context == null) {
+            outcomeRecorder.sendLine(client, "ERR failed");
+            client.endSending();
+            acceptor.lingerAndClose(client.channel());
+        } else {
+            outcomeRecorder.fail(context);
+        }
+    }
+
+    private RequestContext admitOrReject(LineClient client, OpenLine line) throws IOException {
+        try {
+            return admissionControl.admit(client, line);
+        } catch (MalformedException bad) {
+            Log.warn(
+                    "client.malformed",
+                    "from",
+                    client.remote(),
+                    "answer",
+                    "ERR " + bad.getMessage());
+            outcomeRecorder.sendLine(client, "ERR " + bad.getMessage());
+            client.endSending();
+            acceptor.lingerAndClose(client.channel());
+            return null;
+        } finally {
+            unadmittedCount.decrementAndGet();
+        }
+    }
+
+    /** Its request has ended, by whatever thread: that one may still be writing the answer. */
+    private void lingerAndClose(LineClient client, RequestContext context) throws InterruptedException {
+        if (!context.wasEstablished()) {
+            client.awaitAnswer();
+        }
+        client.endSending();
+        acceptor.lingerAndClose(client.channel());
+    }
+
+    /**
+     * Reads the client to its end; the connection must not be closed while the other side may still
+     * send.
+     */
+    private void forwardFromClient(LineClient client, RequestContext context) throws InterruptedException {
+        boolean reset = false;
+        try {
+            byte[] piece = client.lines().next();
+            while (piece != null) {
+                if (context.phase() == RequestContext.Phase.WAITING) {
+                    outcomeRecorder.failForEarlyInput(context); // it has not waited for its answer
+                }
+                if (context.phase() != RequestContext.Phase.ESTABLISHED) {
+                    lingerAndClose(client, context);
+                    return;
+                }
+                forwarder.sendToBackend(context.currentAttempt(), piece);
+                piece = client.lines().next();
+            }
+        } catch (IOException broken) {
+            reset = true;
+        }
+        if (context.end(RequestContext.Phase.WAITING)) {
+            outcomeRecorder.clientLeft(context);
+        }
+        Attempt current = context.currentAttempt();
+        if (current != null) {
+            forwarder.handleClientEnd(current, reset);
+        }
+        context.awaitEnd();
+        client.close();
+    }
+}
--- a/relay/src/main/java/saltstage/stage/NonBlocking.java
+++ b/relay/src/main/java/saltstage/stage/NonBlockingWrites.java
@@ -5,11 +5,11 @@
 import java.nio.channels.SocketChannel;
 
 /** Writing on channels that do not block. */
-final class NonBlocking {
-    private NonBlocking() {}
+final class NonBlockingWrites {
+    private NonBlockingWrites() {}
 
     /** Writes a few bytes, in as many parts as the system takes; fails where it takes no more. */
-    static void writeWhole(SocketChannel channel, byte[] bytes) throws IOException {
+    static void writeFully(SocketChannel channel, byte[] bytes) throws IOException {
         ByteBuffer left = ByteBuffer.wrap(bytes);
         while (left.hasRemaining()) {
             if (channel.write(left) == 0) {
--- a/relay/src/main/java/saltstage/stage/Book.java
+++ b/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
@@ -15,11 +15,11 @@
 import saltstage.config.Configuration;
 import saltstage.log.Log;
 import saltstage.memory.MonotonicClock;
-import saltstage.memory.Peer;
-import saltstage.memory.Peers;
+import saltstage.memory.Backend;
+import saltstage.memory.BackendRegistry;
 import saltstage.memory.RequestContext;
 import saltstage.memory.RequestContext.Phase;
-import saltstage.memory.Try;
+import saltstage.memory.Attempt;
 import saltstage.metrics.Counts;
 import saltstage.metrics.ProcessUsage;
 import saltstage.wire.Answer;
@@ -28,81 +28,81 @@
  * Books what became of requests: the one final answer, the outcome for the module, loads and
  * delays.
  */
-public final class Book {
+public final class OutcomeRecorder {
     /** A close with unread input resets the connection and may take the answer with it. */
     static final Duration LINGER = Duration.ofMillis(800);
 
     /** What a client is told that says more than its first line before it has its answer. */
-    static final String ONE_LINE = "only one line before the answer";
+    static final String ONE_LINE_ONLY_ERROR = "only one line before the answer";
 
     private final Configuration config;
     private final MonotonicClock clock;
-    private final Peers peers;
-    private final Counts counts;
-    private Route route;
-    private final Set<Try> standing = ConcurrentHashMap.newKeySet();
-    private final AtomicLong taken = new AtomicLong();
-    private final AtomicLong stood = new AtomicLong();
+    private final BackendRegistry backends;
+    private final Counts counters;
+    private Router router;
+    private final Set<Attempt> establishedAttempts = ConcurrentHashMap.newKeySet();
+    private final AtomicLong received = new AtomicLong();
+    private final AtomicLong established = new AtomicLong();
     private final AtomicLong rejected = new AtomicLong();
     private final AtomicLong failed = new AtomicLong();
-    private final AtomicLong left = new AtomicLong();
+    private final AtomicLong clientsLeft = new AtomicLong();
     private final AtomicLong resets = new AtomicLong();
-    private final AtomicLong threadless = new AtomicLong();
+    private final AtomicLong rejectedForThreads = new AtomicLong();
 
-    Book(Configuration config, MonotonicClock clock, Peers peers, Counts counts) {
-        this.counts = counts;
+    OutcomeRecorder(Configuration config, MonotonicClock clock, BackendRegistry peers, Counts counts) {
+        this.counters = counts;
         this.config = config;
         this.clock = clock;
-        this.peers = peers;
+        this.backends = peers;
     }
 
-    void route(Route to) {
-        route = to;
+    void setRouter(Router to) {
+        router = to;
     }
 
-    void taken() {
-        taken.incrementAndGet();
+    void requestReceived() {
+        received.incrementAndGet();
     }
 
     /** A request was refused before it was admitted, as there was no room for it. */
-    void refusedAtOnce(int serviceClass) {
-        taken.incrementAndGet();
+    void rejectedBeforeAdmission(int serviceClass) {
+        received.incrementAndGet();
         rejected.incrementAndGet();
-        counts.ended(serviceClass, Counts.End.DROPPED);
+        counters.ended(serviceClass, Counts.End.DROPPED);
     }
 
     /** A request was refused before it was admitted, as there was no thread for it. */
-    void refusedForThreads() {
-        threadless.incrementAndGet();
+    void rejectedForThreads() {
+        rejectedForThreads.incrementAndGet();
     }
 
     /** A try was written whole. */
-    public void written() {
-        counts.tried();
+    public void attemptSent() {
+        counters.tried();
     }
 
     /** The final answer 'refused', with the advice when to come again. */
     void reject(RequestContext context, Duration retryAfter) {
         if (context.end(Phase.WAITING)) {
-            tellRejected(context, retryAfter);
+            sendRejection(context, retryAfter);
         }
     }
 
-    private void tellRejected(RequestContext context, Duration retryAfter) {
+    private void sendRejection(RequestContext context, Duration retryAfter) {
         rejected.incrementAndGet();
-        counts.ended(context.terms().serviceClass(), Counts.End.DROPPED);
-        context.client().refused(retryAfter);
+        counters.ended(context.attributes().serviceClass(), Counts.End.DROPPED);
+        context.client().reject(retryAfter);
     }
 
-    private void tellFailed(RequestContext context, String why) {
+    private void sendFailure(RequestContext context, String why) {
         failed.incrementAndGet();
-        counts.ended(context.terms().serviceClass(), Counts.End.BAD_GATEWAY);
-        context.client().failed(why);
+        counters.ended(context.attributes().serviceClass(), Counts.End.BAD_GATEWAY);
+        context.client().fail(why);
     }
 
-    private static void giveUp(Try out) {
+    private static void cancelAttempt(Attempt out) {
         if (out != null) {
-            out.giveUp();
+            out.cancel();
         }
     }
 
@@ -111,21 +111,21 @@
      * may have run is refused only where it may simply be repeated; the module hears of no end that
      * it could act on.
      */
-    void leave(RequestContext context) {
+    void endForShutdown(RequestContext context) {
         if (!context.end(Phase.WAITING)) {
             return;
         }
-        Try out = context.current(); // the last one: who has ended begins none
-        ServiceClass service = config.settings().classes().get(context.terms().serviceClass());
+        Attempt out = context.currentAttempt(); // the last one: who has ended begins none
+        ServiceClass service = config.settings().classes().get(context.attributes().serviceClass());
         boolean harmless =
                 service.effect() == Effect.SAFE
                         || service.effect() == Effect.KEYED && service.scope() == Scope.ALL;
         if (out == null || harmless) {
-            tellRejected(context, Duration.ZERO);
+            sendRejection(context, Duration.ZERO);
         } else {
-            tellFailed(context, "failed");
+            sendFailure(context, "failed");
         }
-        giveUp(out);
+        cancelAttempt(out);
     }
 
     /** The final answer that promises nothing. */
@@ -137,15 +137,15 @@
      * The client has not waited for its answer: what it asked in that form is nothing a backend may
      * get.
      */
-    void failEarly(RequestContext context) {
-        if (fail(context, ONE_LINE)) {
+    void failForEarlyInput(RequestContext context) {
+        if (fail(context, ONE_LINE_ONLY_ERROR)) {
             Log.warn(
                     "client.malformed",
                     "from",
                     context.client().remote(),
                     "answer",
-                    "ERR " + ONE_LINE);
-            route.left(context);
+                    "ERR " + ONE_LINE_ONLY_ERROR);
+            router.clientLeft(context);
         }
     }
 
@@ -153,13 +153,13 @@
         if (!context.end(Phase.WAITING)) {
             return false;
         }
-        tellFailed(context, why);
-        giveUp(context.current());
+        sendFailure(context, why);
+        cancelAttempt(context.currentAttempt());
         return true;
     }
 
     /** A line that is not waited for. */
-    void tell(LineClient client, String line) {
+    void sendLine(LineClient client, String line) {
         try {
             client.send(line);
         } catch (IOException gone) {
@@ -168,71 +168,71 @@
     }
 
     /** The client left before its answer: the try is given up, and who makes it books its end. */
-    public void left(RequestContext context) {
-        left.incrementAndGet();
-        Try out = context.current();
-        route.left(context);
-        giveUp(out);
+    public void clientLeft(RequestContext context) {
+        clientsLeft.incrementAndGet();
+        Attempt out = context.currentAttempt();
+        router.clientLeft(context);
+        cancelAttempt(out);
     }
 
     /**
      * The module sent what could not be sent: the peer has left the list, or nothing is owed any
      * more.
      */
-    void unsent(RequestContext context) {
-        route.outcome(context, Outcome.MOOT, context.phase() == Phase.ENDED);
+    void attemptNotSent(RequestContext context) {
+        router.attemptEnded(context, Outcome.MOOT, context.phase() == Phase.ENDED);
     }
 
     /** A try ended before it stood. */
-    public void ended(Try ended, Outcome outcome) {
+    public void attemptEnded(Attempt ended, Outcome outcome) {
         if (!outcome.neverRan()) {
-            ended.context().mayHaveRun(ended.sentAt());
+            ended.context().recordPossibleExecution(ended.sentAt());
         }
         boolean over = ended.context().phase() == Phase.ENDED;
-        route.outcome(ended.context(), over ? Outcome.CANCELLED : outcome, over);
+        router.attemptEnded(ended.context(), over ? Outcome.CANCELLED : outcome, over);
     }
 
     /** The backend has taken it; false where the client is past it. */
-    public boolean standing(Try up, boolean restored) {
-        if (!up.context().stand()) {
+    public boolean establish(Attempt up, boolean restored) {
+        if (!up.context().establish()) {
             return false;
         }
-        stood.incrementAndGet();
-        counts.ended(up.context().terms().serviceClass(), Counts.End.PASSED);
-        standing.add(up);
-        up.peer().standing().add(up);
+        established.incrementAndGet();
+        counters.ended(up.context().attributes().serviceClass(), Counts.End.PASSED);
+        establishedAttempts.add(up);
+        up.backend().establishedAttempts().add(up);
         if (restored) {
-            route.restored(up);
+            router.connectionRestored(up);
         } else {
-            route.standing(up);
+            router.connectionEstablished(up);
         }
         return true;
     }
 
     /** All tries that stand; a live view. */
-    public Collection<Try> standing() {
-        return standing;
+    public Collection<Attempt> establishedAttempts() {
+        return establishedAttempts;
     }
 
     /** A standing connection is over. */
-    public void over(Try up, Outcome outcome) {
-        standing.remove(up);
-        up.peer().standing().remove(up);
+    public void connectionEnded(Attempt up, Outcome outcome) {
+        establishedAttempts.remove(up);
+        up.backend().establishedAttempts().remove(up);
         if (outcome == Outcome.RESET) {
             resets.incrementAndGet();
         }
-        route.outcome(up.context(), outcome, true);
+        router.attemptEnded(up.context(), outcome, true);
     }
 
     /** A line came back on a standing connection. */
-    void heard(Try up, Answer answer) {
+    void lineReceived(Attempt up, Answer answer) {
         if (answer.kind() == Answer.Kind.LOAD) {
-            told(up, answer.load());
+            loadReported(up, answer.load());
             return;
         }
-        Instant since = up.takeUnanswered();
+        Instant since = up.takeUnansweredSince();
         if (since != null) {
-            up.peer().answered(Duration.between(since, clock.now()));
+            up.backend().recordResponseDelay(Duration.between(since, clock.now()));
         }
     }
 
@@ -241,30 +241,30 @@
      * delay of 300 ms would make its connection the lightest of all, and the module would never
      * hear of the jam.
      */
-    private void told(Try up, double figure) {
+    private void loadReported(Attempt up, double figure) {
         if (figure < 0) {
-            Log.warn("load.malformed", "peer", up.peer().entry().uid());
-        } else if (up.peer().tellsDelay(up, figure, clock.now())) {
-            route.delay(up, Duration.ofNanos((long) (figure * 1e6)));
+            Log.warn("load.malformed", "peer", up.backend().entry().uid());
+        } else if (up.backend().isDelayReport(up, figure, clock.now())) {
+            router.delayReported(up, Duration.ofNanos((long) (figure * 1e6)));
         } else {
-            up.load(figure);
-            route.load(up, figure);
+            up.setLoad(figure);
+            router.loadReported(up, figure);
         }
     }
 
     /**
      * Once a second: tells the module where messages take long, on one connection each, or no more.
      */
-    void tellDelays() {
+    void reportDelays() {
         Instant now = clock.now();
-        for (Peer peer : peers.all()) {
-            Duration delay = peer.takeDelay(now);
+        for (Backend peer : backends.all()) {
+            Duration delay = peer.takeMedianDelay(now);
             if (delay == null) {
                 continue;
             }
             boolean slow = delay.compareTo(config.shortestMessageAim().dividedBy(3)) > 0;
             if (slow | peer.markSlow(slow)) {
-                peer.standing().stream().findFirst().ifPresent(up -> route.delay(up, delay));
+                peer.establishedAttempts().stream().findFirst().ifPresent(up -> router.delayReported(up, delay));
             }
         }
     }
@@ -278,21 +278,21 @@
             "accepted",
             accepted,
             "standing",
-            standing.size(),
+            establishedAttempts.size(),
             "taken",
-            taken,
+            received,
             "stood",
-            stood,
+            established,
             "rejected",
             rejected,
             "failed",
             failed,
             "left",
-            left,
+            clientsLeft,
             "resets",
             resets,
             "threadless",
-            threadless,
+            rejectedForThreads,
             "threads",
             ProcessUsage.threads(),
             "descriptors",
--- a/relay/src/main/java/saltstage/stage/PendingClient.java
+++ b/relay/src/main/java/saltstage/stage/PendingClient.java
@@ -13,17 +13,17 @@
  * hang up.
  */
 final class PendingClient {
-    private static final int FIRST_SIZE = 256;
-    private static final int MOST_WITH_END = LineReader.MOST + 2;
+    private static final int INITIAL_BUFFER_BYTES = 256;
+    private static final int MAX_TERMINATED_LINE_BYTES = LineReader.MOST + 2;
 
     private final SocketChannel channel;
     private final SocketAddress remote;
-    private byte[] received = new byte[FIRST_SIZE];
+    private byte[] received = new byte[INITIAL_BUFFER_BYTES];
     private int length;
-    private boolean ended;
+    private boolean inputEnded;
     private boolean answered;
-    private int ignored;
-    private long deadline;
+    private int ignoredBytes;
+    private long deadlineNanos;
 
     PendingClient(SocketChannel channel) throws IOException {
         this.channel = channel;
@@ -40,12 +40,12 @@
     }
 
     /** When it has waited, or lingered, long enough; by {@link System#nanoTime}. */
-    long deadline() {
-        return deadline;
+    long deadlineNanos() {
+        return deadlineNanos;
     }
 
-    void deadline(long at) {
-        deadline = at;
+    void setDeadlineNanos(long at) {
+        deadlineNanos = at;
     }
 
     /** Whether it has its answer: what it sends from then on is ignored. */
@@ -53,7 +53,7 @@
         return answered;
     }
 
-    void answered() {
+    void markAnswered() {
         answered = true;
     }
 
@@ -61,9 +61,9 @@
     boolean read(ByteBuffer scratch) throws IOException {
         scratch.clear();
         int read = channel.read(scratch);
-        ended |= read < 0;
+        inputEnded |= read < 0;
         if (answered) {
-            ignored += Math.max(0, read);
+            ignoredBytes += Math.max(0, read);
         } else if (read > 0) {
             if (length + read > received.length) {
                 received = Arrays.copyOf(received, Math.max(2 * received.length, length + read));
@@ -71,12 +71,12 @@
             System.arraycopy(scratch.array(), 0, received, length, read);
             length += read;
         }
-        return !ended;
+        return !inputEnded;
     }
 
     /** How many bytes have come since it was answered. */
-    int ignored() {
-        return ignored;
+    int ignoredBytes() {
+        return ignoredBytes;
     }
 
     /**
@@ -86,26 +86,26 @@
     byte[] takeLine() {
         for (int i = 0; i < length; i++) {
             if (received[i] == '\n') {
-                return take(i + 1);
+                return takeBytes(i + 1);
             }
         }
-        if (length >= MOST_WITH_END) {
-            return take(MOST_WITH_END);
+        if (length >= MAX_TERMINATED_LINE_BYTES) {
+            return takeBytes(MAX_TERMINATED_LINE_BYTES);
         }
-        return ended && length > 0 ? take(length) : null;
+        return inputEnded && length > 0 ? takeBytes(length) : null;
     }
 
     /** Takes what came behind the line. */
-    byte[] takeRest() {
-        return take(length);
+    byte[] takeRemaining() {
+        return takeBytes(length);
     }
 
     /** Whether it has begun a line, or says more than one. */
-    boolean hasBegunLine() {
+    boolean hasBufferedInput() {
         return length > 0;
     }
 
-    private byte[] take(int to) {
+    private byte[] takeBytes(int to) {
         byte[] piece = Arrays.copyOf(received, to);
         System.arraycopy(received, to, received, 0, length - to);
         length -= to;
@@ -116,7 +116,7 @@
      * Writes a line whole; there is room for it on a connection that carried next to none before.
      */
     void send(String line) throws IOException {
-        NonBlocking.writeWhole(channel, (line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+        NonBlockingWrites.writeFully(channel, (line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /**
--- a/relay/src/main/java/saltstage/stage/ProbeConnection.java
+++ b/relay/src/main/java/saltstage/stage/ProbeConnection.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.Arrays;
-import saltstage.memory.Peer;
+import saltstage.memory.Backend;
 import saltstage.wire.LineReader;
 
 /**
@@ -16,30 +16,30 @@
  * blocks.
  */
 final class ProbeConnection {
-    private static final byte[] QUESTION = "STATS\r\n".getBytes(StandardCharsets.US_ASCII);
-    private static final int FIRST_SIZE = 128;
+    private static final byte[] STATS_LINE = "STATS\r\n".getBytes(StandardCharsets.US_ASCII);
+    private static final int INITIAL_BUFFER_BYTES = 128;
 
-    private final Peer peer;
+    private final Backend backend;
     private final SocketChannel channel;
     private final SelectionKey key;
-    private ByteBuffer received = ByteBuffer.allocate(FIRST_SIZE);
+    private ByteBuffer received = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
     private boolean connected;
-    private boolean asked;
+    private boolean awaitingAnswer;
     private boolean answeredBefore;
-    private long deadline;
+    private long deadlineNanos;
 
     /** Begins to connect; the question is sent as soon as the connection is up. */
-    ProbeConnection(Peer peer, Selector selector, Duration limit) throws IOException {
-        this.peer = peer;
+    ProbeConnection(Backend peer, Selector selector, Duration limit) throws IOException {
+        this.backend = peer;
         channel = SocketChannel.open();
         try {
             channel.configureBlocking(false);
             channel.socket().setTcpNoDelay(true);
             key = channel.register(selector, SelectionKey.OP_CONNECT, this);
-            deadline = System.nanoTime() + limit.toNanos();
-            asked = true;
+            deadlineNanos = System.nanoTime() + limit.toNanos();
+            awaitingAnswer = true;
             if (channel.connect(peer.entry().endpoint())) {
-                connected(limit);
+                handleConnected(limit);
             }
         } catch (IOException | RuntimeException refused) {
             channel.close();
@@ -47,13 +47,13 @@
         }
     }
 
-    Peer peer() {
-        return peer;
+    Backend backend() {
+        return backend;
     }
 
     /** Whether an answer is awaited. */
-    boolean isAsked() {
-        return asked;
+    boolean isAwaitingAnswer() {
+        return awaitingAnswer;
     }
 
     /**
@@ -65,45 +65,45 @@
     }
 
     /** Nanoseconds until the answer that is awaited is overdue. */
-    long nanosLeft() {
-        return deadline - System.nanoTime();
+    long remainingNanos() {
+        return deadlineNanos - System.nanoTime();
     }
 
     /** Asks on a connection that is up and awaits nothing. */
-    void ask(Duration limit) throws IOException {
-        asked = true;
-        deadline = System.nanoTime() + limit.toNanos();
-        NonBlocking.writeWhole(channel, QUESTION);
+    void sendProbe(Duration limit) throws IOException {
+        awaitingAnswer = true;
+        deadlineNanos = System.nanoTime() + limit.toNanos();
+        NonBlockingWrites.writeFully(channel, STATS_LINE);
     }
 
-    private void connected(Duration limit) throws IOException {
+    private void handleConnected(Duration limit) throws IOException {
         connected = true;
         key.interestOps(SelectionKey.OP_READ);
-        ask(limit);
+        sendProbe(limit);
     }
 
     /**
      * Goes on with what has come about; returns the line that answers, or null where it is still
      * awaited.
      *
-     * @throws EndedException where the backend has ended the connection without an answer
+     * @throws ConnectionClosedException where the backend has ended the connection without an answer
      */
-    byte[] advance(Duration limit) throws IOException {
+    byte[] handleReady(Duration limit) throws IOException {
         if (!connected) {
             if (channel.finishConnect()) {
-                connected(limit);
+                handleConnected(limit);
             }
             return null;
         }
         int read = channel.read(received);
         if (read < 0 && received.position() == 0) {
-            throw new EndedException();
+            throw new ConnectionClosedException();
         }
         boolean whole = read > 0 && received.get(received.position() - 1) == '\n';
         if (read < 0 || whole || received.position() > LineReader.MOST) {
             byte[] line = Arrays.copyOf(received.array(), received.position());
             received.clear();
-            asked = false;
+            awaitingAnswer = false;
             answeredBefore = true;
             return line;
         }
@@ -122,7 +122,7 @@
     }
 
     /** The backend has ended the connection. */
-    static final class EndedException extends IOException {
+    static final class ConnectionClosedException extends IOException {
         private static final long serialVersionUID = 1;
     }
 }
--- a/relay/src/main/java/saltstage/stage/Route.java
+++ b/relay/src/main/java/saltstage/stage/Router.java
@@ -22,11 +22,11 @@
 import saltstage.config.Configuration;
 import saltstage.log.Log;
 import saltstage.memory.MonotonicClock;
-import saltstage.memory.Peer;
+import saltstage.memory.Backend;
 import saltstage.memory.RequestContext;
-import saltstage.memory.Terms;
+import saltstage.memory.RequestAttributes;
 import saltstage.memory.Timers;
-import saltstage.memory.Try;
+import saltstage.memory.Attempt;
 import saltstage.wire.HostList;
 
 /**
@@ -35,23 +35,23 @@
  * none of that blocks. Only here are the relay's names and times turned into the module's ids and
  * microseconds and back.
  */
-public final class Route {
-    private static final long MOST_KEY = (1L << 53) - 1;
+public final class Router {
+    private static final long MAX_KEY = (1L << 53) - 1;
 
     private final Configuration config;
     private final MonotonicClock clock;
     private final Timers timers;
-    private final Effects effects;
-    private final Predicate<String> suspended;
-    private final Logic logic;
+    private final RoutingActions actions;
+    private final Predicate<String> suspensionCheck;
+    private final Logic loadBalancer;
     private final ReentrantLock lock = new ReentrantLock(true);
     private final Map<Long, RequestContext> contexts = new ConcurrentHashMap<>();
-    private List<Runnable> gathered = new ArrayList<>();
+    private List<Runnable> collectedActions = new ArrayList<>();
 
     /** What the other stages do on a decision. */
-    public interface Effects {
+    public interface RoutingActions {
         /** Starts the next try; a zero limit is the client's deadline. */
-        void send(RequestContext context, String uid, Duration limit);
+        void sendAttempt(RequestContext context, String uid, Duration limit);
 
         /** Rejects the request at once. */
         void reject(RequestContext context, Duration retryAfter);
@@ -60,160 +60,160 @@
         void fail(RequestContext context);
 
         /** Moves the client of a standing connection. */
-        void move(RequestContext context);
+        void moveClient(RequestContext context);
 
         /** Asks a backend for its load; never blocks. */
         void probe(String uid);
 
         /** Subscribes to discovery. */
-        void watch();
+        void watchBackendList();
     }
 
-    private interface Event {
-        void feed(Logic logic, long now);
+    private interface BalancerEvent {
+        void deliver(Logic logic, long now);
     }
 
     /** The decisions for this configuration. */
-    public Route(
+    public Router(
             Configuration config,
             MonotonicClock clock,
             Timers timers,
-            Effects effects,
+            RoutingActions effects,
             Predicate<String> suspended) {
-        this.suspended = suspended;
+        this.suspensionCheck = suspended;
         this.config = config;
         this.clock = clock;
         this.timers = timers;
-        this.effects = effects;
-        logic = new Logic(config.settings(), config.seed(), new Gatherer());
+        this.actions = effects;
+        loadBalancer = new Logic(config.settings(), config.seed(), new ActionCollector());
     }
 
     /** The relay starts, with the list as it last had it. */
     public void start(HostList known) {
-        feed(Logic::start);
-        list(known, Listing.REMEMBERED);
+        deliver(Logic::start);
+        deliverBackendList(known, Listing.REMEMBERED);
     }
 
     /** Discovery has told something. */
-    public void list(HostList list) {
-        list(list, list.all() ? Listing.ALL : Listing.CHANGES);
+    public void backendListReceived(HostList list) {
+        deliverBackendList(list, list.all() ? Listing.ALL : Listing.CHANGES);
     }
 
-    private void list(HostList list, Listing kind) {
-        List<Server> servers = list.targets().stream().map(this::server).toList();
-        feed((logic, now) -> logic.list(now, kind, servers));
+    private void deliverBackendList(HostList list, Listing kind) {
+        List<Server> servers = list.targets().stream().map(this::toListedBackend).toList();
+        deliver((logic, now) -> logic.list(now, kind, servers));
     }
 
     /** Operators have suspended or restored a backend: to the module it drains, or no more. */
-    public void relist(Peer peer) {
-        feed(
+    public void suspensionChanged(Backend peer) {
+        deliver(
                 (logic, now) -> {
-                    if (!peer.ended()) { // else the module is told of its end, or has been
-                        logic.list(now, Listing.CHANGES, List.of(server(peer.entry())));
+                    if (!peer.hasEnded()) { // else the module is told of its end, or has been
+                        logic.list(now, Listing.CHANGES, List.of(toListedBackend(peer.entry())));
                     }
                 });
     }
 
     /** The backends that the module leaves alone just now. */
-    public Set<String> avoided() {
+    public Set<String> ejectedBackends() {
         lock.lock();
         try {
-            return logic.avoided(toModule(clock.now()));
+            return loadBalancer.avoided(toEpochMicros(clock.now()));
         } finally {
             lock.unlock();
         }
     }
 
     /** A call to discovery failed, or the watch broke. */
-    public void listRefused() {
-        feed((logic, now) -> logic.list(now, Listing.REFUSED, List.of()));
+    public void discoveryCallFailed() {
+        deliver((logic, now) -> logic.list(now, Listing.REFUSED, List.of()));
     }
 
     /** A request was admitted: it is owed one final answer. */
-    public void request(RequestContext context) {
-        Request request = moduleRequest(context);
+    public void requestAdmitted(RequestContext context) {
+        Request request = toBalancerRequest(context);
         contexts.put(context.id(), context);
-        feed((logic, now) -> logic.request(now, request));
+        deliver((logic, now) -> logic.request(now, request));
     }
 
     /** A connection that was open before the relay started stands again. */
-    public void restored(Try standing) {
+    public void connectionRestored(Attempt standing) {
         RequestContext context = standing.context();
-        Request request = moduleRequest(context);
+        Request request = toBalancerRequest(context);
         contexts.put(context.id(), context);
-        feed((logic, now) -> logic.open(now, request, standing.peer().entry().uid()));
+        deliver((logic, now) -> logic.open(now, request, standing.backend().entry().uid()));
     }
 
     /** A try stands. */
-    public void standing(Try standing) {
-        long latency = micros(Duration.between(standing.sentAt(), clock.now()));
-        feed((logic, now) -> logic.streaming(now, standing.context().id(), latency));
+    public void connectionEstablished(Attempt standing) {
+        long latency = toMicros(Duration.between(standing.sentAt(), clock.now()));
+        deliver((logic, now) -> logic.streaming(now, standing.context().id(), latency));
     }
 
     /** A try has ended; over: nothing more is owed. */
-    public void outcome(RequestContext context, Outcome outcome, boolean over) {
+    public void attemptEnded(RequestContext context, Outcome outcome, boolean over) {
         if (over) {
             contexts.remove(context.id());
         }
-        feed((logic, now) -> logic.outcome(now, context.id(), outcome, over));
+        deliver((logic, now) -> logic.outcome(now, context.id(), outcome, over));
     }
 
     /** The client has left before its answer. */
-    public void left(RequestContext context) {
+    public void clientLeft(RequestContext context) {
         contexts.remove(context.id());
-        feed((logic, now) -> logic.gone(now, context.id()));
+        deliver((logic, now) -> logic.gone(now, context.id()));
     }
 
     /** A backend told the load of a connection, in microseconds of work a second. */
-    public void load(Try standing, double level) {
-        feed((logic, now) -> logic.note(now, standing.context().id(), Note.LOAD, level));
+    public void loadReported(Attempt standing, double level) {
+        deliver((logic, now) -> logic.note(now, standing.context().id(), Note.LOAD, level));
     }
 
     /** Messages take so long at the backend of this try. */
-    public void delay(Try standing, Duration delay) {
-        feed(
+    public void delayReported(Attempt standing, Duration delay) {
+        deliver(
                 (logic, now) ->
                         logic.note(
-                                now, standing.context().id(), Note.DELAY, micros(delay) / 1000.0));
+                                now, standing.context().id(), Note.DELAY, toMicros(delay) / 1000.0));
     }
 
     /** A probe has come back. */
-    public void probed(String uid, Outcome outcome, double asked) {
-        feed((logic, now) -> logic.probed(now, uid, outcome, asked));
+    public void probeCompleted(String uid, Outcome outcome, double asked) {
+        deliver((logic, now) -> logic.probed(now, uid, outcome, asked));
     }
 
     /** What the module has learnt, as plain data. */
-    public Api.Learnt learnt() {
+    public Api.Learnt learnedState() {
         lock.lock();
         try {
-            return logic.learnt(toModule(clock.now()));
+            return loadBalancer.learnt(toEpochMicros(clock.now()));
         } finally {
             lock.unlock();
         }
     }
 
     /** Gives the module what one before it had learnt. */
-    public void learn(Api.Learnt known) {
-        feed((logic, now) -> logic.learn(now, known));
+    public void restoreLearnedState(Api.Learnt known) {
+        deliver((logic, now) -> logic.learn(now, known));
     }
 
     /** All contexts, for the end of the relay. */
-    public List<RequestContext> all() {
+    public List<RequestContext> openRequests() {
         return List.copyOf(contexts.values());
     }
 
-    private void feed(Event event) {
+    private void deliver(BalancerEvent event) {
         List<Runnable> todo;
         lock.lock();
         try {
-            event.feed(logic, toModule(clock.now()));
+            event.deliver(loadBalancer, toEpochMicros(clock.now()));
         } catch (RuntimeException fault) {
             // A fault of the module costs this event; the deadline guard of Admit answers its
             // request.
             Log.error("module.fault", fault);
         } finally {
-            todo = gathered;
-            gathered = new ArrayList<>();
+            todo = collectedActions;
+            collectedActions = new ArrayList<>();
             lock.unlock();
         }
         todo.forEach(Runnable::run);
@@ -221,22 +221,22 @@
 
     // ---- the one place of ids and microseconds
 
-    private static long toModule(Instant at) {
+    private static long toEpochMicros(Instant at) {
         return ChronoUnit.MICROS.between(Instant.EPOCH, at);
     }
 
-    private static long micros(Duration span) {
+    private static long toMicros(Duration span) {
         return span.toNanos() / 1000;
     }
 
-    private static Duration span(long micros) {
+    private static Duration toDuration(long micros) {
         return Duration.of(micros, ChronoUnit.MICROS);
     }
 
-    private Server server(HostList.Entry entry) {
+    private Server toListedBackend(HostList.Entry entry) {
         Health health =
                 switch (entry.state()) {
-                    case READY -> suspended.test(entry.uid()) ? Health.DRAINING : Health.READY;
+                    case READY -> suspensionCheck.test(entry.uid()) ? Health.DRAINING : Health.READY;
                     case DRAINING -> Health.DRAINING;
                     case GONE -> Health.GONE;
                 };
@@ -246,20 +246,20 @@
                 entry.cell(),
                 health,
                 entry.weight(),
-                toModule(entry.startedAt()));
+                toEpochMicros(entry.startedAt()));
     }
 
-    private Request moduleRequest(RequestContext context) {
-        Terms terms = context.terms();
+    private Request toBalancerRequest(RequestContext context) {
+        RequestAttributes terms = context.attributes();
         return new Request(
                 context.id(),
                 terms.serviceClass(),
                 terms.tenant(),
-                key(terms.key()),
-                key(terms.group()),
-                terms.hint(),
-                toModule(context.deadline()),
-                terms.again(),
+                hashKey(terms.key()),
+                hashKey(terms.group()),
+                terms.loadHint(),
+                toEpochMicros(context.deadline()),
+                terms.reconnecting(),
                 false);
     }
 
@@ -267,7 +267,7 @@
      * FNV-1a: keys are texts on sockets and numbers in the module, and all relays must agree on
      * them.
      */
-    private static long key(String text) {
+    private static long hashKey(String text) {
         if (text == null) {
             return Api.NONE;
         }
@@ -275,53 +275,53 @@
         for (int i = 0; i < text.length(); i++) {
             hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
         }
-        return (hash ^ hash >>> 32) & MOST_KEY;
+        return (hash ^ hash >>> 32) & MAX_KEY;
     }
 
     /** Gathers what the module decides within an event. */
-    private final class Gatherer implements Api.Actions {
-        private void on(long id, Consumer<RequestContext> effect) {
+    private final class ActionCollector implements Api.Actions {
+        private void collect(long id, Consumer<RequestContext> effect) {
             RequestContext context = contexts.get(id);
             if (context != null) {
-                gathered.add(() -> effect.accept(context));
+                collectedActions.add(() -> effect.accept(context));
             }
         }
 
         @Override
         public void send(long id, String server, long timeout) {
-            on(id, context -> effects.send(context, server, span(timeout)));
+            collect(id, context -> actions.sendAttempt(context, server, toDuration(timeout)));
         }
 
         @Override
         public void refuse(long id, long retryAfter) {
-            on(id, context -> effects.reject(context, span(retryAfter)));
+            collect(id, context -> actions.reject(context, toDuration(retryAfter)));
             contexts.remove(id);
         }
 
         @Override
         public void fail(long id) {
-            on(id, effects::fail);
+            collect(id, actions::fail);
             contexts.remove(id);
         }
 
         @Override
         public void move(long id) {
-            on(id, effects::move);
+            collect(id, actions::moveClient);
         }
 
         @Override
         public void timer(String token, long delay) {
-            timers.after(span(delay), () -> feed((logic, now) -> logic.timer(now, token)));
+            timers.schedule(toDuration(delay), () -> deliver((logic, now) -> logic.timer(now, token)));
         }
 
         @Override
         public void probe(String server) {
-            gathered.add(() -> effects.probe(server));
+            collectedActions.add(() -> actions.probe(server));
         }
 
         @Override
         public void watch() {
-            gathered.add(effects::watch);
+            collectedActions.add(actions::watchBackendList);
         }
     }
 }
--- a/relay/src/main/java/saltstage/stage/ThreadBudget.java
+++ b/relay/src/main/java/saltstage/stage/ThreadBudget.java
@@ -16,36 +16,36 @@
     static final int THREADS_PER_REQUEST = 2;
 
     /** Kept free for signals, calls to discovery, operators' calls and the JVM's own threads. */
-    static final int RESERVE = 24;
+    static final int RESERVED_THREADS = 24;
 
     /** How much more room is proven at a time. */
-    private static final int STEP = 32;
+    private static final int GROWTH_STEP_THREADS = 32;
 
     /** A refusal that lasts this often as long as the pause is none of a moment. */
-    private static final int ATTEMPTS = 50;
+    private static final int MAX_START_ATTEMPTS = 50;
 
-    private static final Duration PAUSE = Duration.ofMillis(2);
+    private static final Duration RETRY_PAUSE = Duration.ofMillis(2);
 
     /** Other threads may have begun meanwhile. */
-    private static final int REAPED_BUT = 4;
+    private static final int UNRELATED_THREADS_TOLERANCE = 4;
 
     /** A platform that has refused a thread is not tried again sooner. */
-    private static final Duration RETRY = Duration.ofSeconds(1);
+    private static final Duration LIMITED_RETRY_INTERVAL = Duration.ofSeconds(1);
 
-    private final Starter starter;
-    private int granted;
-    private int running;
-    private int proven;
+    private final ThreadStarter starter;
+    private int grantedThreads;
+    private int runningThreads;
+    private int verifiedThreads;
     private boolean limited;
-    private long retryAt;
+    private long retryAtNanos;
 
     /** Starts a thread, as {@link Threads#start} does. */
-    interface Starter {
+    interface ThreadStarter {
         /** False where the machine has no thread left. */
         boolean start(String name, Threads.Work work);
     }
 
-    ThreadBudget(Starter starter) {
+    ThreadBudget(ThreadStarter starter) {
         this.starter = starter;
     }
 
@@ -54,20 +54,20 @@
      * reserve.
      */
     synchronized boolean tryAcquire() {
-        if (granted + THREADS_PER_REQUEST > proven
-                && (!limited || System.nanoTime() - retryAt >= 0)) {
-            prove();
+        if (grantedThreads + THREADS_PER_REQUEST > verifiedThreads
+                && (!limited || System.nanoTime() - retryAtNanos >= 0)) {
+            verifyCapacity();
         }
-        if (granted + THREADS_PER_REQUEST > proven) {
+        if (grantedThreads + THREADS_PER_REQUEST > verifiedThreads) {
             return false;
         }
-        granted += THREADS_PER_REQUEST;
+        grantedThreads += THREADS_PER_REQUEST;
         return true;
     }
 
     /** Gives the threads of one request back. */
     synchronized void release() {
-        granted -= THREADS_PER_REQUEST;
+        grantedThreads -= THREADS_PER_REQUEST;
     }
 
     /**
@@ -75,31 +75,31 @@
      * again.
      */
     boolean start(String name, Threads.Work work) {
-        count(1);
-        for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
-            if (starter.start(name, () -> runThenCount(work))) {
+        adjustRunning(1);
+        for (int attempt = 0; attempt < MAX_START_ATTEMPTS; attempt++) {
+            if (starter.start(name, () -> runThenUncount(work))) {
                 return true;
             }
             if (!pause()) {
                 break;
             }
         }
-        count(-1);
+        adjustRunning(-1);
         Log.warn("threads.exhausted", "thread", name);
         return false;
     }
 
-    private void runThenCount(Threads.Work work) throws Exception {
+    private void runThenUncount(Threads.Work work) throws Exception {
         try {
             work.run();
         } finally {
-            count(-1);
+            adjustRunning(-1);
         }
     }
 
     private static boolean pause() {
         try {
-            Thread.sleep(PAUSE.toMillis());
+            Thread.sleep(RETRY_PAUSE.toMillis());
             return true;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -107,34 +107,34 @@
         }
     }
 
-    private synchronized void count(int more) {
-        running += more;
+    private synchronized void adjustRunning(int more) {
+        runningThreads += more;
     }
 
     /** How many threads requests have now. */
-    synchronized int running() {
-        return running;
+    synchronized int runningThreads() {
+        return runningThreads;
     }
 
-    private void prove() {
-        int waiting = Math.max(0, granted - running);
-        int wanted = waiting + STEP + RESERVE;
-        int room = startTogether(wanted);
-        proven = running + room - RESERVE;
+    private void verifyCapacity() {
+        int waiting = Math.max(0, grantedThreads - runningThreads);
+        int wanted = waiting + GROWTH_STEP_THREADS + RESERVED_THREADS;
+        int room = countStartableThreads(wanted);
+        verifiedThreads = runningThreads + room - RESERVED_THREADS;
         if (room < wanted && !limited) {
             Log.warn(
                     "threads.limited",
                     "requests",
-                    proven / THREADS_PER_REQUEST,
+                    verifiedThreads / THREADS_PER_REQUEST,
                     "threads",
-                    running + room);
+                    runningThreads + room);
         }
         limited = room < wanted;
-        retryAt = System.nanoTime() + RETRY.toNanos();
+        retryAtNanos = System.nanoTime() + LIMITED_RETRY_INTERVAL.toNanos();
     }
 
     /** How many of so many threads can be there at once; on the return none of them is left. */
-    private int startTogether(int wanted) {
+    private int countStartableThreads(int wanted) {
         long before = ProcessUsage.threads();
         CountDownLatch over = new CountDownLatch(1);
         CountDownLatch ended = new CountDownLatch(wanted);
@@ -151,13 +151,13 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        awaitReaped(before);
+        awaitThreadExit(before);
         return started;
     }
 
     /** A thread that has done its work is the platform's for a moment more, and counts there. */
-    private static void awaitReaped(long before) {
-        for (int i = 0; i < ATTEMPTS && ProcessUsage.threads() > before + REAPED_BUT; i++) {
+    private static void awaitThreadExit(long before) {
+        for (int i = 0; i < MAX_START_ATTEMPTS && ProcessUsage.threads() > before + UNRELATED_THREADS_TOLERANCE; i++) {
             if (!pause()) {
                 return;
             }
--- a/relay/src/main/java/saltstage/stage/Threads.java
+++ b/relay/src/main/java/saltstage/stage/Threads.java
@@ -30,7 +30,7 @@
     /** Starts a thread; false where the machine has none left. */
     static boolean tryStart(String name, Work work) {
         try {
-            Thread thread = new Thread(null, () -> guarded(name, work), name, STACK_BYTES);
+            Thread thread = new Thread(null, () -> runGuarded(name, work), name, STACK_BYTES);
             thread.setDaemon(true);
             thread.start();
             return true;
@@ -40,13 +40,13 @@
     }
 
     /** Starts a thread that does the work over and over, whatever a single round throws. */
-    public static void loop(String name, Work round) {
-        if (!start(name, () -> forever(name, round))) {
+    public static void startLoop(String name, Work round) {
+        if (!start(name, () -> runRepeatedly(name, round))) {
             throw new IllegalStateException("no thread for " + name);
         }
     }
 
-    private static void forever(String name, Work round) throws InterruptedException {
+    private static void runRepeatedly(String name, Work round) throws InterruptedException {
         while (true) {
             try {
                 round.run();
@@ -59,7 +59,7 @@
         }
     }
 
-    private static void guarded(String name, Work work) {
+    private static void runGuarded(String name, Work work) {
         try {
             work.run();
         } catch (Throwable fault) { // the last guard: the thread ends, the relay does not
--- a/relay/src/test/java/saltstage/amqp/FrontFuzzTest.java
+++ b/relay/src/test/java/saltstage/amqp/FrontFuzzTest.java
@@ -16,13 +16,13 @@
 import saltstage.config.Configuration;
 import saltstage.config.OperatorSettings;
 import saltstage.memory.MonotonicClock;
-import saltstage.memory.Peers;
+import saltstage.memory.BackendRegistry;
 import saltstage.memory.Timers;
 import saltstage.net.Connection;
 import saltstage.net.Handler;
 import saltstage.net.Loop;
 import saltstage.net.Transport;
-import saltstage.stage.Chain;
+import saltstage.stage.RelayPipeline;
 import saltstage.wire.MalformedException;
 
 /**
@@ -156,11 +156,11 @@
                 + "'status-report','Aim':500000,'GiveUp':2000000,'Effect':'retryable'}]}}")
                 .replace('\'', '"'));
             MonotonicClock clock = new MonotonicClock();
-            Peers peers = new Peers();
+            BackendRegistry peers = new BackendRegistry();
             peers.update(config.known());
-            Chain chain = new Chain(config, clock, new Timers(clock), peers,
+            RelayPipeline chain = new RelayPipeline(config, clock, new Timers(clock), peers,
                 new saltstage.metrics.Counts(config.classes()), () -> { });
-            chain.route().start(config.known());
+            chain.router().start(config.known());
             return new AmqpFront(OperatorSettings.of("f", "amqp {\n listen = \"127.0.0.1:1\"\n"
                 + " anonymous_tenant = \"any\"\n}\n").amqp().orElseThrow(), config, chain, clock, transport);
         } catch (MalformedException e) {
@@ -189,8 +189,8 @@
         }
         handler.closed(connection, Connection.Cause.RESET);
         transport.loop.turn();
-        assertEquals(0, front.clients());
-        assertEquals(0, front.requests());
+        assertEquals(0, front.clientCount());
+        assertEquals(0, front.requestCount());
         return connection.written;
     }
 
--- a/relay/src/test/java/saltstage/amqp/PartsTest.java
+++ b/relay/src/test/java/saltstage/amqp/PartsTest.java
@@ -22,7 +22,7 @@
 import saltstage.Api;
 import saltstage.config.Configuration;
 import saltstage.config.OperatorSettings;
-import saltstage.memory.Terms;
+import saltstage.memory.RequestAttributes;
 import saltstage.wire.MalformedException;
 
 /** The parts of the front that decide without I/O: frames, addresses, users. */
@@ -84,11 +84,11 @@
     @Test
     void addressUserAndNamesAreARequestsTerms() throws Exception {
         Mapping.Mapped plain = mapping("").map(asked("a", null, null), "n1", false);
-        assertEquals(new Terms("n1", 0, 1, "container\nlink", null, Api.NONE, false), plain.terms());
+        assertEquals(new RequestAttributes("n1", 0, 1, "container\nlink", null, Api.NONE, false), plain.terms());
         assertEquals(Duration.ofSeconds(2), plain.patience());
         assertTrue(plain.repeatable());
         Mapping.Mapped grouped = mapping("").map(asked("b/station-7/x", "one", null), "n2", true);
-        assertEquals(new Terms("n2", 1, 0, "container\nlink", "station-7/x", Api.NONE, true),
+        assertEquals(new RequestAttributes("n2", 1, 0, "container\nlink", "station-7/x", Api.NONE, true),
             grouped.terms());
         assertFalse(grouped.repeatable());
     }
@@ -99,7 +99,7 @@
             mapping(" key_property = \"k\"\n group_property = \"g\"\n deadline_property = \"d\"\n");
         Mapping.Mapped mapped = named.map(asked("b/x", null, Map.of(Symbol.valueOf("k"), "key",
             Symbol.valueOf("g"), "group", Symbol.valueOf("d"), 700)), "n", false);
-        assertEquals(new Terms("n", 1, 1, "key", "group", Api.NONE, false), mapped.terms());
+        assertEquals(new RequestAttributes("n", 1, 1, "key", "group", Api.NONE, false), mapped.terms());
         assertEquals(Duration.ofMillis(700), mapped.patience());
         assertEquals("amqp:not-found",
             refusal(named, asked("b", null, Map.of(Symbol.valueOf("d"), "soon"))));
--- a/relay/src/test/java/saltstage/lifecycle/SubscriptionTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/SubscriptionTest.java
@@ -46,7 +46,7 @@
 
     @BeforeEach
     void begin() throws IOException {
-        Threads.loop("timers", () -> timers.next().run());
+        Threads.startLoop("timers", () -> timers.awaitNext().run());
         service = listen();
         subscription = subscribe(false);
     }
@@ -79,7 +79,7 @@
                 () -> {
                     refused.incrementAndGet();
                     if (!service.isClosed()) {
-                        timers.after(
+                        timers.schedule(
                                 Duration.ofMillis(10),
                                 subscription::ask); // the module's pause is not meant
                     }
--- /dev/null
+++ b/relay/src/test/java/saltstage/memory/BackendRegistryTest.java
@@ -0,0 +1,77 @@
+package saltstage.memory;
+
+import static org.junit.Assert.assertEquals;
+import static org.junit.Assert.assertFalse;
+import static org.junit.Assert.assertNotSame;
+import static org.junit.Assert.assertNull;
+import static org.junit.Assert.assertSame;
+import static org.junit.Assert.assertTrue;
+
+import java.net.InetSocketAddress;
+import java.time.Instant;
+import java.util.List;
+import org.junit.Test;
+import saltstage.memory.RequestContext.Phase;
+import saltstage.wire.HostList;
+import saltstage.wire.HostList.State;
+
+/**
+ * Guards what a try looks at when it is really sent: may this very process still be given new work?
+ */
+public class BackendRegistryTest {
+    private final BackendRegistry backends = new BackendRegistry();
+
+    private List<Backend> update(boolean all, HostList.Entry... entries) {
+        return backends.update(new HostList(1, all, List.of(entries)));
+    }
+
+    private static HostList.Entry entry(String uid, State state, long started) {
+        return new HostList.Entry(
+                uid,
+                new InetSocketAddress("127.0.0.1", 1),
+                "a",
+                0,
+                state,
+                1,
+                Instant.ofEpochMilli(started));
+    }
+
+    @Test
+    public void drainingBackendStaysListedButAcceptsNoRequests() {
+        update(true, entry("s-1", State.READY, 0));
+        Backend held = backends.find("s-1");
+        assertTrue(held.canAcceptRequests());
+        assertEquals(List.of(), update(false, entry("s-1", State.DRAINING, 0)));
+        assertSame(held, backends.find("s-1"));
+        assertFalse(held.canAcceptRequests());
+    }
+
+    @Test
+    public void restartedProcessIsANewBackend() {
+        update(true, entry("s-1", State.READY, 0));
+        Backend old = backends.find("s-1");
+        assertEquals(List.of(old), update(false, entry("s-1", State.READY, 5)));
+        assertNotSame(old, backends.find("s-1"));
+        assertFalse(old.canAcceptRequests());
+        assertTrue(backends.find("s-1").canAcceptRequests());
+    }
+
+    @Test
+    public void goneBackendsAndThoseMissingFromAFullListHaveEnded() {
+        update(true, entry("s-1", State.READY, 0), entry("s-2", State.READY, 0));
+        Backend first = backends.find("s-1");
+        Backend second = backends.find("s-2");
+        assertEquals(List.of(first), update(false, entry("s-1", State.GONE, 0)));
+        assertNull(backends.find("s-1"));
+        assertEquals(List.of(second), update(true, entry("s-3", State.READY, 0)));
+        assertFalse(second.canAcceptRequests());
+    }
+
+    @Test
+    public void requestEndsOnlyOnce() {
+        RequestContext context = new RequestContext(1, null, Instant.EPOCH, null);
+        assertTrue(context.end(Phase.WAITING));
+        assertFalse("a second answer", context.end(Phase.WAITING));
+        assertNull("a try after the answer", context.beginAttempt(null, Instant.EPOCH));
+    }
+}
--- a/relay/src/test/java/saltstage/process/AcceptBurstTest.java
+++ b/relay/src/test/java/saltstage/process/AcceptBurstTest.java
@@ -18,7 +18,7 @@
 public class AcceptBurstTest {
     private static final int CLIENTS = 1_500;
     private static final int THREAD_START_MICROS = 2_000;
-    private static final int DESCRIPTORS = 1_200;
+    private static final int MAX_DESCRIPTORS = 1_200;
 
     /** A SYN that a full queue has dropped is sent again after a second. */
     private static final int CONNECTED_WITHIN_MS = 1_000;
@@ -28,7 +28,7 @@
     /** One client of the burst. */
     private static final class Client {
         private final int number;
-        private final ByteBuffer heard = ByteBuffer.allocate(64);
+        private final ByteBuffer received = ByteBuffer.allocate(64);
 
         Client(int number) {
             this.number = number;
@@ -40,7 +40,7 @@
                             + " 7f3a9c21e0b4d655 c=chat,t=acme,d="
                             + UP_WITHIN_MS
                             + ",at="
-                            + StandInFleet.uid(number % 20)
+                            + FakeBackendFleet.uid(number % 20)
                             + "\r\n")
                     .getBytes(StandardCharsets.US_ASCII);
         }
@@ -48,9 +48,9 @@
         /** The first word of its answer, or how the connection ended. */
         String read(SocketChannel channel) {
             try {
-                return channel.read(heard) < 0
+                return channel.read(received) < 0
                         ? "end"
-                        : new String(heard.array(), 0, heard.position(), StandardCharsets.US_ASCII)
+                        : new String(received.array(), 0, received.position(), StandardCharsets.US_ASCII)
                                 .split("[ \r]")[0];
             } catch (java.io.IOException reset) {
                 return "reset";
@@ -63,15 +63,15 @@
     private int answered;
 
     @Test
-    public void queueTakesABurstThatComesFasterThanThreadsStart() throws Exception {
-        try (World world = new World();
-                StandInFleet fleet = new StandInFleet(20);
+    public void listenQueueAbsorbsABurstFasterThanThreadsStart() throws Exception {
+        try (RelayTestEnvironment world = new RelayTestEnvironment();
+                FakeBackendFleet fleet = new FakeBackendFleet(20);
                 Selector selector = Selector.open()) {
-            world.platform =
-                    new NarrowPlatform()
-                            .threadDelayMicros(THREAD_START_MICROS)
-                            .descriptors(DESCRIPTORS);
-            world.startWith(world.config(DESCRIPTORS, fleet.list(1)));
+            world.platformLimits =
+                    new PlatformLimits()
+                            .threadStartDelayMicros(THREAD_START_MICROS)
+                            .maxDescriptors(MAX_DESCRIPTORS);
+            world.startWith(world.config(MAX_DESCRIPTORS, fleet.list(1)));
             long start = System.nanoTime();
             for (int i = 0; i < CLIENTS; i++) {
                 SocketChannel channel = SocketChannel.open();
--- a/relay/src/test/java/saltstage/process/AdminTest.java
+++ b/relay/src/test/java/saltstage/process/AdminTest.java
@@ -11,34 +11,34 @@
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
-import saltstage.process.World.Line;
-import saltstage.process.World.Service;
+import saltstage.process.RelayTestEnvironment.TestConnection;
+import saltstage.process.RelayTestEnvironment.TestServer;
 
 /** What operators get when they call, beside callers that are slow, rude or many. */
 public class AdminTest {
-    private World world;
-    private Service backend;
+    private RelayTestEnvironment world;
+    private TestServer backend;
     private Path folder;
 
     @Before
     public void start() throws Exception {
-        world = new World();
-        backend = world.backend();
-        world.environment.put("GW_ADMIN", "127.0.0.1:" + world.admin);
+        world = new RelayTestEnvironment();
+        backend = world.startBackend();
+        world.environmentVariables.put("GW_ADMIN", "127.0.0.1:" + world.adminPort);
         folder = Files.createTempDirectory("saltstage");
-        world.environment.put("TMPDIR", folder.toString());
-        world.start(World.list(1, true, World.target("s-1", backend.endpoint(), "ready")));
+        world.environmentVariables.put("TMPDIR", folder.toString());
+        world.start(RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready")));
     }
 
     @After
     public void stop() throws Exception {
         world.close();
-        World.delete(folder);
+        RelayTestEnvironment.deleteRecursively(folder);
     }
 
     @Test
     public void callsAreAnsweredAndBadOnesGetOneError() throws Exception {
-        assertEquals("done ready\n", world.call("STATUS"));
+        assertEquals("done ready\n", world.operatorCall("STATUS"));
         for (String bad :
                 List.of(
                         "",
@@ -52,36 +52,36 @@
                         "RESTORE nobody",
                         "SUSPEND \u0001",
                         "x".repeat(5_000))) {
-            String answer = world.call(bad);
+            String answer = world.operatorCall(bad);
             assertTrue(bad + " got " + answer, answer.matches("error [ -~]+\n"));
         }
     }
 
     @Test
     public void callersThatHoldOnAreInNobodysWay() throws Exception {
-        List<Line> rude = new ArrayList<>();
+        List<TestConnection> rude = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            rude.add(world.operator(world.admin).raw(i % 2 == 0 ? "" : "META"));
+            rude.add(world.connectOperator(world.adminPort).sendRaw(i % 2 == 0 ? "" : "META"));
             if (i % 20 == 0) {
                 long from = System.nanoTime();
-                assertEquals("done ready\n", world.call("STATUS"));
+                assertEquals("done ready\n", world.operatorCall("STATUS"));
                 assertTrue("answered within a second", System.nanoTime() - from < 1_000_000_000L);
             }
         }
-        assertNull("the oldest had to go", rude.get(0).hear());
+        assertNull("the oldest had to go", rude.get(0).readLine());
     }
 
     @Test
     public void lineThatComesInPiecesIsOneCallAndHalfALineIsNone() throws Exception {
-        Line slow = world.operator(world.admin);
+        TestConnection slow = world.connectOperator(world.adminPort);
         for (String piece : "STATUS\r\n".split("")) {
-            slow.raw(piece);
+            slow.sendRaw(piece);
             Thread.sleep(5);
         }
-        assertEquals("done ready", slow.hear());
-        Line half = world.operator(world.admin).raw("SUSPEND s-1");
+        assertEquals("done ready", slow.readLine());
+        TestConnection half = world.connectOperator(world.adminPort).sendRaw("SUSPEND s-1");
         half.socket.shutdownOutput();
-        assertEquals("error no end of line", half.hear());
-        world.stand(backend, world.open("h1", 20_000)); // s-1 is in use still
+        assertEquals("error no end of line", half.readLine());
+        world.establish(backend, world.sendOpen("h1", 20_000)); // s-1 is in use still
     }
 }
--- a/relay/src/test/java/saltstage/process/ClockStepTest.java
+++ b/relay/src/test/java/saltstage/process/ClockStepTest.java
@@ -7,8 +7,8 @@
 import java.time.Instant;
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
-import saltstage.process.World.Line;
-import saltstage.process.World.Service;
+import saltstage.process.RelayTestEnvironment.TestConnection;
+import saltstage.process.RelayTestEnvironment.TestServer;
 
 /**
  * The wall clock is stepped while a relay runs: its deadlines and its end are spans of real time.
@@ -21,53 +21,53 @@
     private static final int LOST_AFTER_MS = DEADLINE_MS + 500;
 
     /** The relay's own clock may run out this much sooner than the client's. */
-    private static final int EARLY_MS = 200;
+    private static final int EARLY_TOLERANCE_MS = 200;
 
     private static final int END_WITHIN_MS = 3_700;
 
     @Test
     public void deadlinesAndDrainHoldWhenTheClockIsSteppedAnHourForward() throws Exception {
-        play(3_600);
+        runWithClockStep(3_600);
     }
 
     @Test
     public void deadlinesAndDrainHoldWhenTheClockIsSteppedAnHourBack() throws Exception {
-        play(-3_600);
+        runWithClockStep(-3_600);
     }
 
     @Test
     public void deadlinesAndDrainHoldWhenTheClockIsSteppedSomeSecondsBack() throws Exception {
-        play(-20);
+        runWithClockStep(-20);
     }
 
-    private static void play(int seconds) throws Exception {
-        try (World world = new World()) {
-            Service backend = world.backend();
-            world.platform = new NarrowPlatform().clockStep(seconds, STEP_AFTER_MS);
+    private static void runWithClockStep(int seconds) throws Exception {
+        try (RelayTestEnvironment world = new RelayTestEnvironment()) {
+            TestServer backend = world.startBackend();
+            world.platformLimits = new PlatformLimits().clockStep(seconds, STEP_AFTER_MS);
             String config =
                     world.config(
                             1_024,
-                            World.list(1, true, World.target("s-1", backend.endpoint(), "ready")));
+                            RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready")));
             world.startWith(config);
-            Line standing = world.open("standing", 5_000);
-            world.stand(backend, standing);
+            TestConnection standing = world.sendOpen("standing", 5_000);
+            world.establish(backend, standing);
             Thread.sleep(2 * STEP_AFTER_MS);
             world.reload(config);
-            World.await("the new configuration is read", () -> world.logged("reload.done"));
+            RelayTestEnvironment.await("the new configuration is read", () -> world.hasLogged("reload.done"));
             Duration off = Duration.between(Instant.now(), timeOf(world, "reload.done"));
             assertEquals("the step was seen", seconds, off.toSeconds(), 10);
 
             long asked = System.nanoTime();
-            Line waiting = world.open("waiting", DEADLINE_MS);
+            TestConnection waiting = world.sendOpen("waiting", DEADLINE_MS);
             assertTrue(
-                    backend.accept().hear().startsWith("OPEN waiting")); // and hears nothing back
+                    backend.accept().readLine().startsWith("OPEN waiting")); // and hears nothing back
             waiting.socket.setSoTimeout(LOST_AFTER_MS);
-            assertTrue(waiting.hear().startsWith("BUSY"));
+            assertTrue(waiting.readLine().startsWith("BUSY"));
             long answeredMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
-            assertTrue("answered after " + answeredMs, answeredMs >= DEADLINE_MS - EARLY_MS);
+            assertTrue("answered after " + answeredMs, answeredMs >= DEADLINE_MS - EARLY_TOLERANCE_MS);
 
-            Platform.signal(world.process().pid(), "TERM");
-            assertEquals("MOVE", standing.hear());
+            ProcessSupervisor.signal(world.process().pid(), "TERM");
+            assertEquals("MOVE", standing.readLine());
             assertTrue(
                     "it ends before SIGKILL would come",
                     world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
@@ -75,8 +75,8 @@
         }
     }
 
-    private static Instant timeOf(World world, String event) {
-        String line = world.log.stream().filter(l -> l.contains(event)).findFirst().orElseThrow();
+    private static Instant timeOf(RelayTestEnvironment world, String event) {
+        String line = world.logLines.stream().filter(l -> l.contains(event)).findFirst().orElseThrow();
         return Instant.parse(line.substring(0, line.indexOf(' ')));
     }
 }
--- a/relay/src/test/java/saltstage/process/CommandLineTest.java
+++ b/relay/src/test/java/saltstage/process/CommandLineTest.java
@@ -12,7 +12,7 @@
 /** The command line: one plain line and the right exit, whatever is wrong. */
 public class CommandLineTest {
     private static String run(int exit, String... arguments) throws Exception {
-        Process process = World.launch(arguments);
+        Process process = RelayTestEnvironment.launch(arguments);
         String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(output, exit, process.waitFor());
         assertEquals("one line: " + output, 1, output.lines().count());
@@ -30,8 +30,8 @@
     }
 
     private static String sound() throws IOException {
-        try (World.Service discovery = new World.Service()) {
-            return World.config(1, discovery.endpoint(), 512, World.list(1, true));
+        try (RelayTestEnvironment.TestServer discovery = new RelayTestEnvironment.TestServer()) {
+            return RelayTestEnvironment.config(1, discovery.endpoint(), 512, RelayTestEnvironment.backendList(1, true));
         }
     }
 
--- a/relay/src/test/java/saltstage/process/ConfigurationTest.java
+++ b/relay/src/test/java/saltstage/process/ConfigurationTest.java
@@ -24,8 +24,8 @@
 import saltstage.configuration.Mutation;
 import saltstage.configuration.follower.ScriptedSource;
 import saltstage.configuration.follower.ServedView;
-import saltstage.process.World.Line;
-import saltstage.process.World.Service;
+import saltstage.process.RelayTestEnvironment.TestConnection;
+import saltstage.process.RelayTestEnvironment.TestServer;
 
 /**
  * The running relay and configuration by revision: served by it, kept over a restart, absent
@@ -35,21 +35,21 @@
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
     private final ServedView view = new ServedView();
-    private World world;
-    private Service first;
-    private Service second;
+    private RelayTestEnvironment world;
+    private TestServer first;
+    private TestServer second;
     private ScriptedSource source;
     private Path settings;
 
     @Before
     public void start() throws Exception {
-        world = new World();
-        first = world.backend();
-        second = world.backend();
+        world = new RelayTestEnvironment();
+        first = world.startBackend();
+        second = world.startBackend();
         source = new ScriptedSource(view);
         settings = folder.getRoot().toPath().resolve("saltstage.hcl");
-        world.environment.put("GW_ADMIN", "127.0.0.1:" + world.admin);
-        world.environment.put("TMPDIR", folder.getRoot().toString());
+        world.environmentVariables.put("GW_ADMIN", "127.0.0.1:" + world.adminPort);
+        world.environmentVariables.put("TMPDIR", folder.getRoot().toString());
     }
 
     @After
@@ -67,10 +67,10 @@
                         + "  zone = \"a\"\n  dir = \""
                         + folder.getRoot().toPath().resolve("configuration")
                         + "\"\n}\n");
-        world.startWith(world.config(512, World.list(41, true)), settings);
+        world.startWith(world.config(512, RelayTestEnvironment.backendList(41, true)), settings);
     }
 
-    private static Mutation backend(String id, Service at, BackendState state) {
+    private static Mutation backend(String id, TestServer at, BackendState state) {
         return new Mutation(
                 new EntryKey(EntryKind.BACKEND, id),
                 state == null ? null : new EntryValue.Backend(at.endpoint(), "a", 0, state, 1, 0));
@@ -90,12 +90,12 @@
 
     private void accept(Mutation... mutations) throws InterruptedException {
         long revision = view.accept(mutations).revision();
-        World.await("revision " + revision + " is applied", () -> applied(revision));
+        RelayTestEnvironment.await("revision " + revision + " is applied", () -> applied(revision));
     }
 
     /** Whether the log says so, in either of its forms. */
     private boolean applied(long revision) {
-        return world.log.stream()
+        return world.logLines.stream()
                 .anyMatch(
                         line ->
                                 line.contains("configuration.applied")
@@ -104,11 +104,11 @@
                                                         "{\"rev\":\"" + revision + "\"}")));
     }
 
-    private void allGoTo(Service backend, String name) throws Exception {
+    private void allGoTo(TestServer backend, String name) throws Exception {
         for (int i = 0; i < 8; i++) { // of 8 keys one at least would go to each of two
-            world.stand(
+            world.establish(
                     backend,
-                    world.client().say("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000"));
+                    world.connectClient().sendLine("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000"));
         }
     }
 
@@ -117,8 +117,8 @@
             throws Exception {
         startRelay();
         accept(backend("s-1", first, BackendState.READY));
-        Line client = world.open("a1", 20_000);
-        world.stand(first, client);
+        TestConnection client = world.sendOpen("a1", 20_000);
+        world.establish(first, client);
         accept(
                 backend("s-1", first, BackendState.DRAINING),
                 backend("s-2", second, BackendState.READY));
@@ -127,8 +127,8 @@
                 backend(
                         "s-1", first,
                         null)); // as with discovery: what drains keeps its clients until then
-        assertTrue(client.hear().startsWith("MOVE"));
-        assertTrue("discovery is not asked", world.discovery.nobodyComesFor(50));
+        assertTrue(client.readLine().startsWith("MOVE"));
+        assertTrue("discovery is not asked", world.discovery.hasNoConnectionWithin(50));
     }
 
     @Test
@@ -142,29 +142,29 @@
         source.close();
         startRelay();
         assertTrue(
-                world.log.toString(), world.logged("configuration.kept rev=1 entries=3 age_ms="));
-        assertFalse(world.logged("age_ms=-1"));
+                world.logLines.toString(), world.hasLogged("configuration.kept rev=1 entries=3 age_ms="));
+        assertFalse(world.hasLogged("age_ms=-1"));
         allGoTo(second, "a");
-        World.await("the source's loss is told", () -> world.logged("configuration.source.left"));
-        assertFalse(world.logged("configuration.applied"));
+        RelayTestEnvironment.await("the source's loss is told", () -> world.hasLogged("configuration.source.left"));
+        assertFalse(world.hasLogged("configuration.applied"));
     }
 
     @Test
     public void aSuspensionHoldsUntilBothItAndTheOperatorsCallAreLifted() throws Exception {
         startRelay();
         accept(backend("s-1", first, BackendState.READY));
-        Line client = world.open("a", 20_000);
-        world.stand(first, client);
+        TestConnection client = world.sendOpen("a", 20_000);
+        world.establish(first, client);
         accept(backend("s-2", second, BackendState.READY), suspension("s-1", "disk"));
-        assertTrue(client.hear().startsWith("MOVE")); // as after an operator's call
+        assertTrue(client.readLine().startsWith("MOVE")); // as after an operator's call
         allGoTo(second, "a");
-        assertEquals("done suspended\n", world.call("SUSPEND s-1"));
+        assertEquals("done suspended\n", world.operatorCall("SUSPEND s-1"));
         accept(suspension("s-1", null));
         allGoTo(second, "b"); // the operator's own call stands
-        assertEquals("done restored\n", world.call("RESTORE s-1"));
+        assertEquals("done restored\n", world.operatorCall("RESTORE s-1"));
         accept(suspension("s-2", "disk"));
         allGoTo(first, "c");
-        assertEquals("error still suspended by configuration: s-2\n", world.call("RESTORE s-2"));
+        assertEquals("error still suspended by configuration: s-2\n", world.operatorCall("RESTORE s-2"));
         allGoTo(first, "d");
     }
 
@@ -178,7 +178,7 @@
         accept(setting("log.level", "loud"));
         assertEquals(
                 1,
-                world.log.stream()
+                world.logLines.stream()
                         .filter(
                                 line ->
                                         line.contains("name=pool.size")
@@ -200,9 +200,9 @@
                         + "\"\n}\n");
         world.startWith(
                 world.config(
-                        512, World.list(41, true, World.target("s-1", first.endpoint(), "ready"))),
+                        512, RelayTestEnvironment.backendList(41, true, RelayTestEnvironment.backendEntry("s-1", first.endpoint(), "ready"))),
                 settings);
-        World.await("it is told", () -> world.logged("why=\"malformed: "));
+        RelayTestEnvironment.await("it is told", () -> world.hasLogged("why=\"malformed: "));
         allGoTo(first, "a"); // by the platform's list
     }
 
@@ -218,9 +218,9 @@
                         + file
                         + "\"\n}\n");
         Path config = folder.newFile().toPath();
-        Files.writeString(config, world.config(512, World.list(41, true)));
+        Files.writeString(config, world.config(512, RelayTestEnvironment.backendList(41, true)));
         Process relay =
-                World.launch(
+                RelayTestEnvironment.launch(
                         "serve", "--config", config.toString(), "--settings", settings.toString());
         String said = new String(relay.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(said, 1, relay.waitFor());
@@ -260,11 +260,11 @@
         Files.writeString(
                 config,
                 world.config(
-                        512, World.list(41, true, World.target("s-1", first.endpoint(), "ready"))));
+                        512, RelayTestEnvironment.backendList(41, true, RelayTestEnvironment.backendEntry("s-1", first.endpoint(), "ready"))));
         Path log = folder.newFile().toPath();
         List<String> command =
                 new ArrayList<>(
-                        World.program(List.of("serve", "--config", config.toString())).command());
+                        RelayTestEnvironment.programBuilder(List.of("serve", "--config", config.toString())).command());
         command.add(1, "-Xlog:class+load:file=" + log);
         if (file != null) {
             command.addAll(List.of("--settings", file.toString()));
@@ -277,9 +277,9 @@
                         .redirectInput(new File("/dev/null"))
                         .start();
         try {
-            World.await("the relay is ready", () -> contains(out, "relay.ready"));
+            RelayTestEnvironment.await("the relay is ready", () -> contains(out, "relay.ready"));
             relay.destroy(); // SIGTERM: what a drain loads counts too
-            assertTrue(relay.waitFor(World.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(relay.waitFor(RelayTestEnvironment.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
         } finally {
             relay.destroyForcibly().waitFor();
         }
--- a/relay/src/test/java/saltstage/process/StandInFleet.java
+++ b/relay/src/test/java/saltstage/process/FakeBackendFleet.java
@@ -16,10 +16,10 @@
  * Any number of backends in one thread: the list names each by an id of its own and all at one
  * address. Requests stand at once, probes are told a light load, and lines come back as they are.
  */
-final class StandInFleet implements AutoCloseable {
-    final AtomicInteger probes = new AtomicInteger();
-    final AtomicInteger probeConnections = new AtomicInteger();
-    final AtomicInteger requests = new AtomicInteger();
+final class FakeBackendFleet implements AutoCloseable {
+    final AtomicInteger probeCount = new AtomicInteger();
+    final AtomicInteger probeConnectionCount = new AtomicInteger();
+    final AtomicInteger requestCount = new AtomicInteger();
     private final int size;
     private final ServerSocketChannel listener = ServerSocketChannel.open();
     private final Selector selector = Selector.open();
@@ -30,7 +30,7 @@
         private boolean probed;
     }
 
-    StandInFleet(int size) throws IOException {
+    FakeBackendFleet(int size) throws IOException {
         this.size = size;
         listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 4096);
         listener.configureBlocking(false);
@@ -47,11 +47,11 @@
     /** The whole list. */
     String list(int rev) throws IOException {
         String endpoint = "127.0.0.1:" + ((InetSocketAddress) listener.getLocalAddress()).getPort();
-        return World.list(
+        return RelayTestEnvironment.backendList(
                 rev,
                 true,
                 IntStream.range(0, size)
-                        .mapToObj(i -> World.target(uid(i), endpoint, "ready"))
+                        .mapToObj(i -> RelayTestEnvironment.backendEntry(uid(i), endpoint, "ready"))
                         .toArray(String[]::new));
     }
 
@@ -103,15 +103,15 @@
 
     private String answer(Connection connection, String line) {
         if (line.equals("STATS")) {
-            probes.incrementAndGet();
+            probeCount.incrementAndGet();
             if (!connection.probed) {
                 connection.probed = true;
-                probeConnections.incrementAndGet();
+                probeConnectionCount.incrementAndGet();
             }
             return "PONG x0=0.3,queue=0";
         }
         if (line.startsWith("OPEN ")) {
-            requests.incrementAndGet();
+            requestCount.incrementAndGet();
             return "UP r1";
         }
         return line;
--- a/relay/src/test/java/saltstage/process/FaultSoakTest.java
+++ b/relay/src/test/java/saltstage/process/FaultSoakTest.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
-import saltstage.process.World.Line;
+import saltstage.process.RelayTestEnvironment.TestConnection;
 
 /**
  * A relay whose calls to the network fail for a moment now and then, by seed: clients come and go, some say
@@ -19,21 +19,21 @@
  * {@code mvn -pl relay test -Dtest=FaultSoakTest -Dsoak.first=1 -Dsoak.seeds=50}.
  */
 public class FaultSoakTest {
-    private static final int FIRST = Integer.getInteger("soak.first", 1);
+    private static final int FIRST_SEED = Integer.getInteger("soak.first", 1);
     private static final int SEEDS = Integer.getInteger("soak.seeds", 4);
-    private static final int PER_MILLE = 30;
+    private static final int FAULTS_PER_MILLE = 30;
     private static final int CLIENTS = 150;
-    private static final int SILENT = 40;
+    private static final int IDLE_CLIENTS = 40;
     private static final int DEADLINE_MS = 2_000;
     /** Up to half a second after its time a request earns nothing; later it is lost. */
     private static final int LOST_AFTER_MS = DEADLINE_MS + 500;
     private static final int END_WITHIN_MS = 3_700;
 
     @Test
-    public void everyRequestIsAnsweredInTimeWhileCallsToTheNetworkFailForAMoment() throws Exception {
+    public void everyRequestIsAnsweredInTimeDespiteTransientNetworkFaults() throws Exception {
         List<String> broken = new ArrayList<>();
-        for (int seed = FIRST; seed < FIRST + SEEDS; seed++) {
-            String outcome = play(seed);
+        for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
+            String outcome = runSeed(seed);
             System.out.println("soak seed " + seed + ": " + outcome);
             if (!outcome.startsWith("kept")) {
                 broken.add(seed + ": " + outcome);
@@ -42,21 +42,21 @@
         assertEquals("seeds with a broken rule", List.of(), broken);
     }
 
-    private static String play(int seed) throws Exception {
+    private static String runSeed(int seed) throws Exception {
         Random random = new Random(seed);
         TreeMap<String, Integer> answers = new TreeMap<>();
-        List<Line> standing = new ArrayList<>();
+        List<TestConnection> standing = new ArrayList<>();
         List<Socket> silent = new ArrayList<>();
-        try (World world = new World(); StandInFleet fleet = new StandInFleet(5)) {
-            world.platform = new NarrowPlatform().faults(seed, PER_MILLE);
+        try (RelayTestEnvironment world = new RelayTestEnvironment(); FakeBackendFleet fleet = new FakeBackendFleet(5)) {
+            world.platformLimits = new PlatformLimits().networkFaults(seed, FAULTS_PER_MILLE);
             String config = world.config(512, fleet.list(1));
             world.startWith(config);
             for (int i = 0; i < CLIENTS; i++) {
-                if (random.nextInt(CLIENTS) < SILENT) {
+                if (random.nextInt(CLIENTS) < IDLE_CLIENTS) {
                     silent.add(new Socket("127.0.0.1", world.clientPort()));
                 }
-                Line client = world.open("id" + i, DEADLINE_MS);
-                String answer = answer(client);
+                TestConnection client = world.sendOpen("id" + i, DEADLINE_MS);
+                String answer = readAnswer(client);
                 answers.merge(answer.split(" ")[0], 1, Integer::sum);
                 if (answer.startsWith("UP")) {
                     if (random.nextBoolean()) {
@@ -69,11 +69,11 @@
                     world.reload(config);
                 }
             }
-            World.await("the new configuration is read", () -> world.logged("reload.done"));
-            Platform.signal(world.process().pid(), "TERM");
+            RelayTestEnvironment.await("the new configuration is read", () -> world.hasLogged("reload.done"));
+            ProcessSupervisor.signal(world.process().pid(), "TERM");
             int moved = 0;
-            for (Line client : standing) {
-                moved += "MOVE".equals(answer(client, END_WITHIN_MS)) ? 1 : 0;
+            for (TestConnection client : standing) {
+                moved += "MOVE".equals(readAnswer(client, END_WITHIN_MS)) ? 1 : 0;
             }
             boolean ended = world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS);
             for (Socket one : silent) {
@@ -84,22 +84,22 @@
             boolean kept = whole == CLIENTS && moved == standing.size() && ended
                 && world.process().exitValue() == 0;
             return (kept ? "kept " : "broken ") + answers + ", moved " + moved + " of " + standing.size()
-                + (ended ? "" : ", not ended") + (kept ? "" : faults(world));
+                + (ended ? "" : ", not ended") + (kept ? "" : loggedErrors(world));
         }
     }
 
-    private static String faults(World world) {
-        return " " + world.log.stream().filter(line -> line.contains(" ERROR ")).limit(3).toList();
+    private static String loggedErrors(RelayTestEnvironment world) {
+        return " " + world.logLines.stream().filter(line -> line.contains(" ERROR ")).limit(3).toList();
     }
 
-    private static String answer(Line client) throws IOException {
-        return answer(client, LOST_AFTER_MS);
+    private static String readAnswer(TestConnection client) throws IOException {
+        return readAnswer(client, LOST_AFTER_MS);
     }
 
-    private static String answer(Line client, int millis) throws IOException {
+    private static String readAnswer(TestConnection client, int millis) throws IOException {
         client.socket.setSoTimeout(millis);
         try {
-            String line = client.hear();
+            String line = client.readLine();
             return line == null ? "end" : line;
         } catch (SocketTimeoutException nothing) {
             return "nothing";
--- a/relay/src/test/java/saltstage/process/FiguresTest.java
+++ b/relay/src/test/java/saltstage/process/FiguresTest.java
@@ -11,35 +11,35 @@
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
-import saltstage.process.World.Line;
-import saltstage.process.World.Service;
+import saltstage.process.RelayTestEnvironment.TestConnection;
+import saltstage.process.RelayTestEnvironment.TestServer;
 
 /** The figures against what the test itself has counted at both ends. */
 public class FiguresTest {
-    private World world;
-    private Service backend;
+    private RelayTestEnvironment world;
+    private TestServer backend;
     private Path folder;
 
     @Before
     public void start() throws Exception {
-        world = new World();
-        backend = world.backend();
+        world = new RelayTestEnvironment();
+        backend = world.startBackend();
         folder = Files.createTempDirectory("saltstage");
-        world.environment.put("TMPDIR", folder.toString());
-        world.environment.put("GW_ADMIN", "127.0.0.1:" + world.admin);
-        world.start(World.list(1, true, World.target("s-1", backend.endpoint(), "ready")));
+        world.environmentVariables.put("TMPDIR", folder.toString());
+        world.environmentVariables.put("GW_ADMIN", "127.0.0.1:" + world.adminPort);
+        world.start(RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready")));
     }
 
     @After
     public void stop() throws Exception {
         world.close();
-        World.delete(folder);
+        RelayTestEnvironment.deleteRecursively(folder);
     }
 
     private Map<String, Integer> figures() {
         try {
             Map<String, Integer> all = new HashMap<>();
-            String[] lines = world.call("METRICS").split("\n");
+            String[] lines = world.operatorCall("METRICS").split("\n");
             assertEquals("end", lines[lines.length - 1]);
             for (int i = 0; i < lines.length - 1; i++) {
                 assertTrue(lines[i], lines[i].matches("app\\.[a-z_.]+:\\d+\\|[cg]"));
@@ -57,38 +57,38 @@
         assertEquals(Map.of("handled.chat.passedc", 0, "handled.chat.droppedc", 0,
             "handled.chat.bad_gatewayc", 0, "upstream_triesc", 0, "in_progressg", 0, "known_backendsg", 1,
             "skipped_backendsg", 0), figures());
-        Line standing = world.open("f1", 20_000);
-        Line side = world.stand(backend, standing);
-        Line waiting = world.open("f2", 20_000);
-        Line waitingSide = backend.accept();
-        waitingSide.hear();
+        TestConnection standing = world.sendOpen("f1", 20_000);
+        TestConnection side = world.establish(backend, standing);
+        TestConnection waiting = world.sendOpen("f2", 20_000);
+        TestConnection waitingSide = backend.accept();
+        waitingSide.readLine();
         assertEquals(2, (int) figures().get("in_progressg"));
-        world.client().raw("rubbish\r\n").hear(); // no class, no request: none of the three
-        Line gone = world.open("f3", 20_000);
-        Line goneSide = backend.accept();
-        goneSide.hear();
+        world.connectClient().sendRaw("rubbish\r\n").readLine(); // no class, no request: none of the three
+        TestConnection gone = world.sendOpen("f3", 20_000);
+        TestConnection goneSide = backend.accept();
+        goneSide.readLine();
         gone.close();
-        goneSide.hear();
-        Line early = world.open("f4", 20_000); // more than its one line, before the answer
-        Line earlySide = backend.accept();
-        earlySide.hear();
-        early.say("M 1");
-        assertTrue(early.hear().startsWith("ERR"));
+        goneSide.readLine();
+        TestConnection early = world.sendOpen("f4", 20_000); // more than its one line, before the answer
+        TestConnection earlySide = backend.accept();
+        earlySide.readLine();
+        early.sendLine("M 1");
+        assertTrue(early.readLine().startsWith("ERR"));
         early.close();
-        waitingSide.say("BUSY").close();
-        assertTrue(waiting.hear().startsWith("BUSY"));
+        waitingSide.sendLine("BUSY").close();
+        assertTrue(waiting.readLine().startsWith("BUSY"));
         waiting.close();
-        World.await("all but one have ended", () -> figures().get("in_progressg") == 1);
+        RelayTestEnvironment.await("all but one have ended", () -> figures().get("in_progressg") == 1);
         Map<String, Integer> now = figures();
         assertEquals(1, (int) now.get("handled.chat.passedc"));
         assertEquals(1, (int) now.get("handled.chat.droppedc"));
         assertEquals(1, (int) now.get("handled.chat.bad_gatewayc"));
         assertEquals(4, (int) now.get("upstream_triesc"));
-        World.await("it has failed and is left alone", () -> figures().get("skipped_backendsg") == 1);
-        side.say("BYE").close();
-        assertEquals("BYE", standing.hear());
+        RelayTestEnvironment.await("it has failed and is left alone", () -> figures().get("skipped_backendsg") == 1);
+        side.sendLine("BYE").close();
+        assertEquals("BYE", standing.readLine());
         standing.close();
-        World.await("the last has ended", () -> figures().get("in_progressg") == 0);
+        RelayTestEnvironment.await("the last has ended", () -> figures().get("in_progressg") == 0);
         assertEquals("an end is no second outcome", 1, (int) figures().get("handled.chat.passedc"));
     }
 
@@ -101,7 +101,7 @@
         assertTrue(json, json.startsWith("0 {\"ok\":true,") && json.contains("\"app.skipped_backends\":1"));
         assertEquals("0 done restored", command("restore", "s-1"));
         world.kill();
-        assertTrue(command("status").startsWith("3 saltstage: 127.0.0.1:" + world.admin + " did not answer"));
+        assertTrue(command("status").startsWith("3 saltstage: 127.0.0.1:" + world.adminPort + " did not answer"));
     }
 
     private String command(String... words) throws Exception {
@@ -109,8 +109,8 @@
         all[0] = "call";
         System.arraycopy(words, 0, all, 1, words.length);
         all[words.length + 1] = "--admin";
-        all[words.length + 2] = "127.0.0.1:" + world.admin;
-        Process process = World.launch(all);
+        all[words.length + 2] = "127.0.0.1:" + world.adminPort;
+        Process process = RelayTestEnvironment.launch(all);
         String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
         return process.waitFor() + " " + said;
     }
--- a/relay/src/test/java/saltstage/process/CrowdTest.java
+++ b/relay/src/test/java/saltstage/process/IdleClientsTest.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import org.junit.Test;
-import saltstage.process.World.Line;
-import saltstage.process.World.Service;
+import saltstage.process.RelayTestEnvironment.TestConnection;
+import saltstage.process.RelayTestEnvironment.TestServer;
 
 /** Clients that say nothing, as many as come, before a relay that may have few threads. */
-public class CrowdTest {
-    private static final int THREADS = 96;
-    private static final int CROWD = 300;
-    private static final int DESCRIPTORS = 1_024;
+public class IdleClientsTest {
+    private static final int MAX_THREADS = 96;
+    private static final int IDLE_CLIENTS = 300;
+    private static final int MAX_DESCRIPTORS = 1_024;
 
     /** After SIGHUP a change counts as told so much later. */
     private static final int RELOAD_WITHIN_MS = 4_000;
@@ -28,21 +28,21 @@
     private static final int END_WITHIN_MS = 3_700;
 
     /** Comes again whenever it is hung up on. */
-    private static final class Crowd implements AutoCloseable {
-        private final List<Thread> members = new ArrayList<>();
-        private volatile boolean over;
+    private static final class IdleClients implements AutoCloseable {
+        private final List<Thread> threads = new ArrayList<>();
+        private volatile boolean stopped;
 
-        Crowd(int port) {
-            for (int i = 0; i < CROWD; i++) {
-                Thread member = new Thread(() -> comeAgain(port));
+        IdleClients(int port) {
+            for (int i = 0; i < IDLE_CLIENTS; i++) {
+                Thread member = new Thread(() -> reconnectRepeatedly(port));
                 member.setDaemon(true);
                 member.start();
-                members.add(member);
+                threads.add(member);
             }
         }
 
-        private void comeAgain(int port) {
-            while (!over) {
+        private void reconnectRepeatedly(int port) {
+            while (!stopped) {
                 try (Socket socket = new Socket("127.0.0.1", port)) {
                     socket.getInputStream().transferTo(java.io.OutputStream.nullOutputStream());
                     Thread.sleep(100);
@@ -54,7 +54,7 @@
 
         @Override
         public void close() {
-            over = true;
+            stopped = true;
         }
     }
 
@@ -68,28 +68,28 @@
     }
 
     @Test
-    public void signalsAreHeardWhileACrowdWouldTakeEveryThread() throws Exception {
-        try (World world = new World()) {
-            Service backend = world.backend();
-            String known = World.list(1, true, World.target("s-1", backend.endpoint(), "ready"));
-            world.platform = new NarrowPlatform().threads(THREADS);
-            String config = world.config(DESCRIPTORS, known);
+    public void signalsAreHandledWhileIdleClientsCouldExhaustThreads() throws Exception {
+        try (RelayTestEnvironment world = new RelayTestEnvironment()) {
+            TestServer backend = world.startBackend();
+            String known = RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready"));
+            world.platformLimits = new PlatformLimits().maxThreads(MAX_THREADS);
+            String config = world.config(MAX_DESCRIPTORS, known);
             world.startWith(config);
-            try (Crowd crowd = new Crowd(world.clientPort())) {
+            try (IdleClients crowd = new IdleClients(world.clientPort())) {
                 Thread.sleep(1_000);
                 world.reload(config);
                 awaitWithin(
                         RELOAD_WITHIN_MS,
                         "the new configuration is read",
-                        () -> world.logged("reload.done"));
-                Line client = world.open("served", 5_000);
-                world.stand(backend, client);
-                Platform.signal(world.process().pid(), "TERM");
+                        () -> world.hasLogged("reload.done"));
+                TestConnection client = world.sendOpen("served", 5_000);
+                world.establish(backend, client);
+                ProcessSupervisor.signal(world.process().pid(), "TERM");
                 assertTrue(
                         "it ends before SIGKILL would come",
                         world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
                 assertEquals(0, world.process().exitValue());
-                assertEquals("MOVE", client.hear());
+                assertEquals("MOVE", client.readLine());
             }
         }
     }
