--- a/relay/src/test/java/saltstage/process/KeepTest.java
+++ b/relay/src/test/java/saltstage/process/KeepTest.java
@@ -35,7 +35,7 @@
     }
 
     private static String tool(int exit, String... words) throws Exception {
-        Process process = World.launch(words);
+        Process process = RelayTestEnvironment.launch(words);
         String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(out, exit, process.waitFor());
         return out;
@@ -51,43 +51,43 @@
 
     @Test
     public void aKilledRelayStartsFromTheListItHadHeardAndWhatItHadLearnt() throws Exception {
-        try (World world = new World()) {
-            World.Service backend = world.backend();
-            String config = world.config(512, World.list(1, true));
+        try (RelayTestEnvironment world = new RelayTestEnvironment()) {
+            RelayTestEnvironment.TestServer backend = world.startBackend();
+            String config = world.config(512, RelayTestEnvironment.backendList(1, true));
             world.startWith(config, settings);
-            world.watched(World.list(41, true, World.target("s1", backend.endpoint(), "ready")));
-            World.await("the list is known", () -> world.logged("discovery.list rev=41"));
-            world.stand(backend, world.open("a1", 5_000));
-            World.await(
+            world.answerWatch(RelayTestEnvironment.backendList(41, true, RelayTestEnvironment.backendEntry("s1", backend.endpoint(), "ready")));
+            RelayTestEnvironment.await("the list is known", () -> world.hasLogged("discovery.list rev=41"));
+            world.establish(backend, world.sendOpen("a1", 5_000));
+            RelayTestEnvironment.await(
                     "the list and what was learnt are kept",
                     () -> kept("list/target/s1") && kept("learnt"));
             world.kill();
 
             world.startWith(
                     config, settings); // the platform knows an empty list; discovery says nothing
-            assertTrue(world.logged("keep.list rev=41 known=1 taken=true"));
-            assertTrue(world.log.toString(), world.logged("keep.learnt age_s="));
-            assertTrue(world.logged("servers=1 taken=true"));
-            assertTrue(world.logged("relay.ready name=n0") && world.logged("rev=41 peers=1"));
-            world.stand(backend, world.open("a2", 5_000));
+            assertTrue(world.hasLogged("keep.list rev=41 known=1 taken=true"));
+            assertTrue(world.logLines.toString(), world.hasLogged("keep.learnt age_s="));
+            assertTrue(world.hasLogged("servers=1 taken=true"));
+            assertTrue(world.hasLogged("relay.ready name=n0") && world.hasLogged("rev=41 peers=1"));
+            world.establish(backend, world.sendOpen("a2", 5_000));
         }
     }
 
     @Test
     public void aNewerListOfThePlatformWins() throws Exception {
-        try (World world = new World()) {
-            World.Service backend = world.backend();
-            world.startWith(world.config(512, World.list(1, true)), settings);
-            world.watched(World.list(41, true, World.target("s1", "127.0.0.1:1", "ready")));
-            World.await("the list is kept", () -> kept("list/target/s1"));
+        try (RelayTestEnvironment world = new RelayTestEnvironment()) {
+            RelayTestEnvironment.TestServer backend = world.startBackend();
+            world.startWith(world.config(512, RelayTestEnvironment.backendList(1, true)), settings);
+            world.answerWatch(RelayTestEnvironment.backendList(41, true, RelayTestEnvironment.backendEntry("s1", "127.0.0.1:1", "ready")));
+            RelayTestEnvironment.await("the list is kept", () -> kept("list/target/s1"));
             world.kill();
             world.startWith(
                     world.config(
                             512,
-                            World.list(50, true, World.target("s2", backend.endpoint(), "ready"))),
+                            RelayTestEnvironment.backendList(50, true, RelayTestEnvironment.backendEntry("s2", backend.endpoint(), "ready"))),
                     settings);
-            assertTrue(world.logged("keep.list rev=41 known=50 taken=false"));
-            world.stand(backend, world.open("a1", 5_000));
+            assertTrue(world.hasLogged("keep.list rev=41 known=50 taken=false"));
+            world.establish(backend, world.sendOpen("a1", 5_000));
         }
     }
 
@@ -99,33 +99,33 @@
                         + dir
                         + "\"\n  every = \"100ms\"\n"
                         + "  learnt_for = \"1s\"\n}\n");
-        try (World world = new World()) {
-            World.Service backend = world.backend();
+        try (RelayTestEnvironment world = new RelayTestEnvironment()) {
+            RelayTestEnvironment.TestServer backend = world.startBackend();
             String config =
                     world.config(
                             512,
-                            World.list(1, true, World.target("s1", backend.endpoint(), "ready")));
+                            RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s1", backend.endpoint(), "ready")));
             world.startWith(config, settings);
-            world.stand(backend, world.open("a1", 5_000));
-            World.await("something learnt is kept", () -> kept("learnt"));
+            world.establish(backend, world.sendOpen("a1", 5_000));
+            RelayTestEnvironment.await("something learnt is kept", () -> kept("learnt"));
             world.kill();
             Thread.sleep(2_100); // two of the bounds: the age is what is tested
             world.startWith(config, settings);
-            assertTrue(world.log.toString(), world.logged("servers=1 taken=false"));
+            assertTrue(world.logLines.toString(), world.hasLogged("servers=1 taken=false"));
         }
     }
 
     @Test
     public void acceptedConfigurationsAreKeptShownAndBroughtBack() throws Exception {
-        try (World world = new World()) {
-            String first = world.config(512, World.list(1, true));
+        try (RelayTestEnvironment world = new RelayTestEnvironment()) {
+            String first = world.config(512, RelayTestEnvironment.backendList(1, true));
             world.startWith(first, settings);
-            World.await("the first is kept", () -> kept("config/0000000000000001"));
+            RelayTestEnvironment.await("the first is kept", () -> kept("config/0000000000000001"));
             String second = first.replace("\"rev\":1", "\"rev\":2");
             world.reload(second);
-            World.await("the second is kept", () -> kept("config/0000000000000002"));
+            RelayTestEnvironment.await("the second is kept", () -> kept("config/0000000000000002"));
             world.reload("{}");
-            World.await("the bad one is refused", () -> world.logged("reload.refused"));
+            RelayTestEnvironment.await("the bad one is refused", () -> world.hasLogged("reload.refused"));
             String s = settings.toString();
             List<String> lines = tool(0, "config", "history", "--settings", s).lines().toList();
             assertEquals(2, lines.size());
@@ -137,7 +137,7 @@
             tool(0, "config", "rollback", "1", "--settings", s, "--config", file);
             assertEquals(first, Files.readString(world.configFile()));
             world.reload(first);
-            World.await("the rollback is a new version", () -> kept("config/0000000000000003"));
+            RelayTestEnvironment.await("the rollback is a new version", () -> kept("config/0000000000000003"));
             assertEquals(
                     "saltstage: there is no version 9\n",
                     tool(1, "config", "rollback", "9", "--settings", s, "--config", file));
@@ -168,16 +168,16 @@
     }
 
     private void serveWithout(String told) throws Exception {
-        try (World world = new World()) {
-            World.Service backend = world.backend();
+        try (RelayTestEnvironment world = new RelayTestEnvironment()) {
+            RelayTestEnvironment.TestServer backend = world.startBackend();
             world.startWith(
                     world.config(
                             512,
-                            World.list(1, true, World.target("s1", backend.endpoint(), "ready"))),
+                            RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s1", backend.endpoint(), "ready"))),
                     settings);
-            assertTrue(world.log.toString(), world.logged(told));
-            world.stand(backend, world.open("a1", 5_000));
-            World.await("the totals tell", () -> world.logged("store=LOST"));
+            assertTrue(world.logLines.toString(), world.hasLogged(told));
+            world.establish(backend, world.sendOpen("a1", 5_000));
+            RelayTestEnvironment.await("the totals tell", () -> world.hasLogged("store=LOST"));
         }
     }
 }
--- a/relay/src/test/java/saltstage/process/KillTest.java
+++ b/relay/src/test/java/saltstage/process/KillTest.java
@@ -77,7 +77,7 @@
     /** One life of the process; returns the batches it acknowledged. */
     private long round(Path dir, int round, int batch, Random random) throws Exception {
         Process loader =
-                World.program(
+                RelayTestEnvironment.programBuilder(
                                 List.of(
                                         "store",
                                         "load",
@@ -166,7 +166,7 @@
         for (Object word : words) {
             all.add(word.toString());
         }
-        Process process = World.program(all).redirectErrorStream(true).start();
+        Process process = RelayTestEnvironment.programBuilder(all).redirectErrorStream(true).start();
         try (OutputStream to = process.getOutputStream()) {
             to.write(in.getBytes(StandardCharsets.US_ASCII));
         }
--- a/relay/src/test/java/saltstage/process/WideFleetTest.java
+++ b/relay/src/test/java/saltstage/process/ManyBackendsTest.java
@@ -7,26 +7,26 @@
 import java.util.List;
 import org.junit.Test;
 import saltstage.Api;
-import saltstage.process.World.Line;
+import saltstage.process.RelayTestEnvironment.TestConnection;
 
 /**
  * A relay before far more backends than it has threads or descriptors, under the limits of the
  * platform.
  */
-public class WideFleetTest {
+public class ManyBackendsTest {
     /** Sixteen times the largest usual fleet. */
     private static final int BACKENDS = 1_440;
 
-    private static final int OPEN_BEFORE = 100;
-    private static final int THREADS = 512;
+    private static final int RESTORED_CONNECTIONS = 100;
+    private static final int MAX_THREADS = 512;
 
     /** What a scored day allows beyond the standing connections, and those. */
-    private static final int DESCRIPTORS = 1_024 + 2 * OPEN_BEFORE;
+    private static final int MAX_DESCRIPTORS = 1_024 + 2 * RESTORED_CONNECTIONS;
 
     /** Who was open before the run is lost if it is not up by then. */
     private static final int UP_WITHIN_MS = 40_000;
 
-    private static final int PROBES_BEGIN_MS = 1_000;
+    private static final int PROBE_START_DELAY_MS = 1_000;
 
     private static String withProbes(String config) {
         return config.replace(
@@ -36,34 +36,34 @@
     }
 
     @Test
-    public void openConnectionsComeUpBeforeMoreBackendsThanThreadsAndDescriptors()
+    public void openConnectionsAreRestoredWithMoreBackendsThanThreadsOrDescriptors()
             throws Exception {
-        try (World world = new World();
-                StandInFleet fleet = new StandInFleet(BACKENDS)) {
-            world.platform = new NarrowPlatform().threads(THREADS).descriptors(DESCRIPTORS);
-            world.startWith(withProbes(world.config(DESCRIPTORS, fleet.list(1))));
-            Thread.sleep(PROBES_BEGIN_MS);
-            List<Line> clients = new ArrayList<>();
-            for (int i = 0; i < OPEN_BEFORE; i++) {
-                clients.add(world.client());
+        try (RelayTestEnvironment world = new RelayTestEnvironment();
+                FakeBackendFleet fleet = new FakeBackendFleet(BACKENDS)) {
+            world.platformLimits = new PlatformLimits().maxThreads(MAX_THREADS).maxDescriptors(MAX_DESCRIPTORS);
+            world.startWith(withProbes(world.config(MAX_DESCRIPTORS, fleet.list(1))));
+            Thread.sleep(PROBE_START_DELAY_MS);
+            List<TestConnection> clients = new ArrayList<>();
+            for (int i = 0; i < RESTORED_CONNECTIONS; i++) {
+                clients.add(world.connectClient());
             }
-            for (int i = 0; i < OPEN_BEFORE; i++) {
+            for (int i = 0; i < RESTORED_CONNECTIONS; i++) {
                 clients.get(i)
-                        .say(
+                        .sendLine(
                                 "OPEN id"
                                         + i
                                         + " 7f3a9c21e0b4d655 c=chat,t=acme,d="
                                         + UP_WITHIN_MS
                                         + ",g=5c0f6e1a,at="
-                                        + StandInFleet.uid(i * BACKENDS / OPEN_BEFORE));
+                                        + FakeBackendFleet.uid(i * BACKENDS / RESTORED_CONNECTIONS));
             }
-            for (Line client : clients) {
+            for (TestConnection client : clients) {
                 client.socket.setSoTimeout(UP_WITHIN_MS);
-                assertEquals("UP r1", client.hear());
+                assertEquals("UP r1", client.readLine());
             }
-            assertEquals("UP r1", world.open("new", 5_000).hear());
-            World.await("backends with connections are probed", () -> fleet.probes.get() > 0);
-            int probed = fleet.probeConnections.get();
+            assertEquals("UP r1", world.sendOpen("new", 5_000).readLine());
+            RelayTestEnvironment.await("backends with connections are probed", () -> fleet.probeCount.get() > 0);
+            int probed = fleet.probeConnectionCount.get();
             assertTrue("connections for probes: " + probed, probed <= Api.MOST_PROBED);
             assertTrue("discovery is asked", world.discovery.accept(UP_WITHIN_MS) != null);
         }
--- a/relay/src/test/java/saltstage/process/NarrowPlatform.java
+++ b/relay/src/test/java/saltstage/process/PlatformLimits.java
@@ -13,7 +13,7 @@
  * Limits of a platform for a relay under test: a shim that is loaded into it, and a descriptor
  * limit.
  */
-final class NarrowPlatform {
+final class PlatformLimits {
     private static final Path SOURCE = Path.of("src/test/c/platform_limits.c");
 
     /** What a JVM opens beyond the one jar of the service: the class path of the tests has many. */
@@ -22,28 +22,28 @@
     private static Path library;
 
     private final Map<String, String> limits = new HashMap<>();
-    private int descriptors;
+    private int maxDescriptors;
 
     /** The process may have at most so many threads. */
-    NarrowPlatform threads(int most) {
+    PlatformLimits maxThreads(int most) {
         limits.put("LIMIT_THREADS", Integer.toString(most));
         return this;
     }
 
     /** Starting a thread takes this much longer. */
-    NarrowPlatform threadDelayMicros(int micros) {
+    PlatformLimits threadStartDelayMicros(int micros) {
         limits.put("DELAY_THREAD_US", Integer.toString(micros));
         return this;
     }
 
     /** A thread that has ended counts for this much longer. */
-    NarrowPlatform threadEndMicros(int micros) {
+    PlatformLimits threadEndDelayMicros(int micros) {
         limits.put("DELAY_END_US", Integer.toString(micros));
         return this;
     }
 
     /** The queue of a listening socket holds at most so many connections. */
-    NarrowPlatform backlog(int most) {
+    PlatformLimits maxBacklog(int most) {
         limits.put("LIMIT_BACKLOG", Integer.toString(most));
         return this;
     }
@@ -52,31 +52,31 @@
      * So many of a thousand calls to the network fail for a moment or are short, drawn from this
      * seed.
      */
-    NarrowPlatform faults(long seed, int perMille) {
+    PlatformLimits networkFaults(long seed, int perMille) {
         limits.put("FAULT_SEED", Long.toString(seed));
         limits.put("FAULT_PER_MILLE", Integer.toString(perMille));
         return this;
     }
 
     /** The wall clock is stepped by so many seconds, so long after the start. */
-    NarrowPlatform clockStep(int seconds, int afterMillis) {
+    PlatformLimits clockStep(int seconds, int afterMillis) {
         limits.put("CLOCK_STEP_S", Integer.toString(seconds));
         limits.put("CLOCK_STEP_AFTER_MS", Integer.toString(afterMillis));
         return this;
     }
 
     /** The process may hold at most so many descriptors, its class path aside. */
-    NarrowPlatform descriptors(int most) {
-        descriptors = most;
+    PlatformLimits maxDescriptors(int most) {
+        maxDescriptors = most;
         return this;
     }
 
     /** Puts these limits on a process that is to be started. */
-    void limit(ProcessBuilder process) throws IOException, InterruptedException {
+    void applyTo(ProcessBuilder process) throws IOException, InterruptedException {
         process.environment().putAll(limits);
         process.environment().put("LD_PRELOAD", library().toString());
-        if (descriptors > 0) {
-            String limit = "ulimit -n " + (descriptors + CLASS_PATH_DESCRIPTORS);
+        if (maxDescriptors > 0) {
+            String limit = "ulimit -n " + (maxDescriptors + CLASS_PATH_DESCRIPTORS);
             process.command().addAll(0, List.of("/bin/sh", "-c", limit + "; exec \"$@\"", "sh"));
         }
     }
--- a/relay/src/test/java/saltstage/process/Platform.java
+++ b/relay/src/test/java/saltstage/process/ProcessSupervisor.java
@@ -17,8 +17,8 @@
  * that inherit it as descriptor 0. Java cannot hand descriptors on; the Perl that is on every
  * Debian can.
  */
-final class Platform implements AutoCloseable {
-    private static final String HOLDER =
+final class ProcessSupervisor implements AutoCloseable {
+    private static final String SUPERVISOR_SCRIPT =
             String.join(
                     "\n",
                     "use strict; use Socket; use POSIX ':sys_wait_h'; $| = 1;",
@@ -32,46 +32,46 @@
                     "exec('/bin/sh', '-c', $line); } print \"started $p\\n\" }");
 
     /** A thread's state in /proc while its process is stopped. */
-    private static final char STOPPED = 'T';
+    private static final char STOPPED_STATE = 'T';
 
-    final Map<Long, Integer> ended = new ConcurrentHashMap<>();
-    final Path folder = Files.createTempDirectory("saltstage-platform");
+    final Map<Long, Integer> exitCodes = new ConcurrentHashMap<>();
+    final Path directory = Files.createTempDirectory("saltstage-platform");
     final int port;
-    private final Process holder =
-            new ProcessBuilder("perl", "-e", HOLDER)
+    private final Process supervisor =
+            new ProcessBuilder("perl", "-e", SUPERVISOR_SCRIPT)
                     .redirectError(ProcessBuilder.Redirect.INHERIT)
                     .start();
-    private final BufferedReader heard =
+    private final BufferedReader supervisorOutput =
             new BufferedReader(
-                    new InputStreamReader(holder.getInputStream(), StandardCharsets.US_ASCII));
-    private final List<Long> started = new ArrayList<>();
+                    new InputStreamReader(supervisor.getInputStream(), StandardCharsets.US_ASCII));
+    private final List<Long> startedPids = new ArrayList<>();
 
-    Platform() throws IOException {
-        port = Integer.parseInt(heard.readLine());
-        Thread reader = new Thread(() -> heard.lines().forEach(this::note));
+    ProcessSupervisor() throws IOException {
+        port = Integer.parseInt(supervisorOutput.readLine());
+        Thread reader = new Thread(() -> supervisorOutput.lines().forEach(this::recordEvent));
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void note(String line) {
+    private void recordEvent(String line) {
         String[] words = line.split(" ");
         if (words[0].equals("started")) {
-            synchronized (started) {
-                started.add(Long.parseLong(words[1]));
-                started.notifyAll();
+            synchronized (startedPids) {
+                startedPids.add(Long.parseLong(words[1]));
+                startedPids.notifyAll();
             }
         } else {
-            ended.put(Long.parseLong(words[1]), Integer.parseInt(words[2]));
+            exitCodes.put(Long.parseLong(words[1]), Integer.parseInt(words[2]));
         }
     }
 
     /** Starts a relay with this configuration and operators' port; its log goes to the file. */
     long start(Path config, int admin, Path log) throws Exception {
         List<String> words =
-                World.program(List.of("serve", "--config", config.toString())).command();
+                RelayTestEnvironment.programBuilder(List.of("serve", "--config", config.toString())).command();
         String line =
                 "TMPDIR="
-                        + folder
+                        + directory
                         + " GW_LISTEN_FD=0 GW_ADMIN=127.0.0.1:"
                         + admin
                         + " exec "
@@ -79,14 +79,14 @@
                         + " > "
                         + log
                         + " 2>&1\n";
-        synchronized (started) {
-            int before = started.size();
-            holder.getOutputStream().write(line.getBytes(StandardCharsets.UTF_8));
-            holder.getOutputStream().flush();
-            while (started.size() == before) {
-                started.wait(World.PATIENCE_MS);
+        synchronized (startedPids) {
+            int before = startedPids.size();
+            supervisor.getOutputStream().write(line.getBytes(StandardCharsets.UTF_8));
+            supervisor.getOutputStream().flush();
+            while (startedPids.size() == before) {
+                startedPids.wait(RelayTestEnvironment.AWAIT_TIMEOUT_MS);
             }
-            return started.get(before);
+            return startedPids.get(before);
         }
     }
 
@@ -100,12 +100,12 @@
      */
     static void stop(long pid) throws Exception {
         signal(pid, "STOP");
-        World.await("every thread of " + pid + " has stopped", () -> stopped(pid));
+        RelayTestEnvironment.await("every thread of " + pid + " has stopped", () -> isStopped(pid));
     }
 
-    private static boolean stopped(long pid) {
+    private static boolean isStopped(long pid) {
         try (Stream<Path> threads = Files.list(Path.of("/proc", Long.toString(pid), "task"))) {
-            return threads.allMatch(thread -> state(thread) == STOPPED);
+            return threads.allMatch(thread -> threadState(thread) == STOPPED_STATE);
         } catch (IOException unreadable) {
             return false;
         }
@@ -114,7 +114,7 @@
     /**
      * The state of a thread, which stands behind the name in brackets; unknown once it has ended.
      */
-    private static char state(Path thread) {
+    private static char threadState(Path thread) {
         try {
             String stat = Files.readString(thread.resolve("stat"));
             return stat.charAt(stat.lastIndexOf(')') + 2);
@@ -125,12 +125,12 @@
 
     @Override
     public void close() throws Exception {
-        holder.destroy();
-        synchronized (started) {
-            for (long pid : started) {
+        supervisor.destroy();
+        synchronized (startedPids) {
+            for (long pid : startedPids) {
                 ProcessHandle.of(pid).ifPresent(ProcessHandle::destroyForcibly);
             }
         }
-        World.delete(folder);
+        RelayTestEnvironment.deleteRecursively(directory);
     }
 }
--- a/relay/src/test/java/saltstage/process/World.java
+++ b/relay/src/test/java/saltstage/process/RelayTestEnvironment.java
@@ -25,23 +25,23 @@
 import java.util.function.BooleanSupplier;
 
 /** The real program as a process, and the clients, backends and discovery that it meets, on free ports. */
-final class World implements AutoCloseable {
+final class RelayTestEnvironment implements AutoCloseable {
     /** How long a condition is waited for: far more than it takes, so that a slow machine fails nothing. */
-    static final int PATIENCE_MS = 30_000;
+    static final int AWAIT_TIMEOUT_MS = 30_000;
 
-    final List<String> log = new CopyOnWriteArrayList<>();
-    final Service discovery = new Service();
-    private final List<AutoCloseable> toClose = new ArrayList<>();
-    final int admin = freePort();
-    final Map<String, String> environment = new HashMap<>();
+    final List<String> logLines = new CopyOnWriteArrayList<>();
+    final TestServer discovery = new TestServer();
+    private final List<AutoCloseable> closeables = new ArrayList<>();
+    final int adminPort = freePort();
+    final Map<String, String> environmentVariables = new HashMap<>();
     /** Limits of the platform that the relay runs under, or null. */
-    NarrowPlatform platform;
-    private int port = freePort();
+    PlatformLimits platformLimits;
+    private int clientPort = freePort();
     private Process process;
-    private Path file;
+    private Path configFile;
 
-    World() throws IOException {
-        toClose.add(discovery);
+    RelayTestEnvironment() throws IOException {
+        closeables.add(discovery);
     }
 
     private static int freePort() throws IOException {
@@ -51,34 +51,34 @@
     }
 
     /** Something that listens; each accepted connection is a Line. */
-    static final class Service implements AutoCloseable {
+    static final class TestServer implements AutoCloseable {
         private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
 
-        Service() throws IOException {
-            listener.setSoTimeout(PATIENCE_MS);
+        TestServer() throws IOException {
+            listener.setSoTimeout(AWAIT_TIMEOUT_MS);
         }
 
         String endpoint() {
             return "127.0.0.1:" + listener.getLocalPort();
         }
 
-        Line accept() throws IOException {
-            return new Line(listener.accept());
+        TestConnection accept() throws IOException {
+            return new TestConnection(listener.accept());
         }
 
         /** Whoever comes within this time, or null. */
-        Line accept(int millis) throws IOException {
+        TestConnection accept(int millis) throws IOException {
             listener.setSoTimeout(millis);
             try {
                 return accept();
             } catch (SocketTimeoutException nobody) {
                 return null;
             } finally {
-                listener.setSoTimeout(PATIENCE_MS);
+                listener.setSoTimeout(AWAIT_TIMEOUT_MS);
             }
         }
 
-        boolean nobodyComesFor(int millis) throws IOException {
+        boolean hasNoConnectionWithin(int millis) throws IOException {
             return accept(millis) == null;
         }
 
@@ -89,28 +89,28 @@
     }
 
     /** One connection, line by line. */
-    static final class Line implements AutoCloseable {
+    static final class TestConnection implements AutoCloseable {
         final Socket socket;
         private final BufferedReader in;
 
-        Line(Socket socket) throws IOException {
+        TestConnection(Socket socket) throws IOException {
             this.socket = socket;
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(AWAIT_TIMEOUT_MS);
             in = new BufferedReader(
                 new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
         }
 
-        Line raw(String text) throws IOException {
+        TestConnection sendRaw(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             return this;
         }
 
-        Line say(String line) throws IOException {
-            return raw(line + "\r\n");
+        TestConnection sendLine(String line) throws IOException {
+            return sendRaw(line + "\r\n");
         }
 
         /** The next line, or null at the end of input. */
-        String hear() throws IOException {
+        String readLine() throws IOException {
             return in.readLine();
         }
 
@@ -121,17 +121,17 @@
     }
 
     /** A list entry. */
-    static String target(String uid, String endpoint, String state) {
-        return json("{'uid':'" + uid + "','endpoint':'" + endpoint + "','az':'a','model':'m','pod_group':0,"
+    static String backendEntry(String uid, String endpoint, String state) {
+        return withDoubleQuotes("{'uid':'" + uid + "','endpoint':'" + endpoint + "','az':'a','model':'m','pod_group':0,"
             + "'state':'" + state + "','capacity_hint':1.0,'boot_ms':0}");
     }
 
     /** A list or a change of it. */
-    static String list(int rev, boolean all, String... targets) {
+    static String backendList(int rev, boolean all, String... targets) {
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + String.join(",", targets) + "]}";
     }
 
-    private static String json(String text) {
+    private static String withDoubleQuotes(String text) {
         return text.replace('\'', '"');
     }
 
@@ -139,12 +139,12 @@
         return config(sockets, discovery, known);
     }
 
-    String config(int sockets, Service told, String known) {
-        return config(port, told.endpoint(), sockets, known);
+    String config(int sockets, TestServer told, String known) {
+        return config(clientPort, told.endpoint(), sockets, known);
     }
 
     static String config(int port, String discovery, int sockets, String known) {
-        return json("{'name':'n0','listen':'127.0.0.1:" + port + "','discovery':'" + discovery
+        return withDoubleQuotes("{'name':'n0','listen':'127.0.0.1:" + port + "','discovery':'" + discovery
             + "','seed':'8c1f30d27a5be964','limits':{'cores':1.0,'memory_mb':192,'sockets':" + sockets
             + "},'known':" + known + ",'settings':{'Discovery':'on_request','FleetSize':1,'Zone':0,"
             + "'Zones':['a'],'Limits':{'MaxAttempts':3,'ConnectTimeout':200000,'RetryAfter':true,"
@@ -154,43 +154,43 @@
     }
 
     /** Starts the relay with this known list and waits until it is ready. */
-    World start(String known) throws Exception {
+    RelayTestEnvironment start(String known) throws Exception {
         return startWith(config(4096, known));
     }
 
-    World startWith(String config) throws Exception {
+    RelayTestEnvironment startWith(String config) throws Exception {
         return startWith(config, null);
     }
 
     /** Starts the relay with this configuration and the operator's settings, if there are any. */
-    World startWith(String config, Path settings) throws Exception {
-        if (file == null) {
-            file = Files.createTempFile("saltstage", ".json");
-            toClose.add(() -> Files.delete(file));
+    RelayTestEnvironment startWith(String config, Path settings) throws Exception {
+        if (configFile == null) {
+            configFile = Files.createTempFile("saltstage", ".json");
+            closeables.add(() -> Files.delete(configFile));
         }
-        Files.writeString(file, config);
-        List<String> arguments = new ArrayList<>(List.of("serve", "--config", file.toString()));
+        Files.writeString(configFile, config);
+        List<String> arguments = new ArrayList<>(List.of("serve", "--config", configFile.toString()));
         if (settings != null) {
             arguments.addAll(List.of("--settings", settings.toString()));
         }
-        ProcessBuilder relay = program(arguments).redirectErrorStream(true)
+        ProcessBuilder relay = programBuilder(arguments).redirectErrorStream(true)
             .redirectInput(new File("/dev/null"));
-        relay.environment().putAll(environment);
-        if (platform != null) {
-            inService(relay);
-            platform.limit(relay);
+        relay.environment().putAll(environmentVariables);
+        if (platformLimits != null) {
+            addProductionFlags(relay);
+            platformLimits.applyTo(relay);
         }
         process = relay.start();
-        Thread reader = new Thread(() -> drainLog(process), "log");
+        Thread reader = new Thread(() -> readLog(process), "log");
         reader.setDaemon(true);
         reader.start();
-        await("the relay is ready, not " + log, () -> logged("relay.ready") || !process.isAlive());
-        assertTrue("the relay is ready, not " + log, logged("relay.ready"));
+        await("the relay is ready, not " + logLines, () -> hasLogged("relay.ready") || !process.isAlive());
+        assertTrue("the relay is ready, not " + logLines, hasLogged("relay.ready"));
         return this;
     }
 
     /** Gives it the JVM flags that the relay has in service. */
-    private static void inService(ProcessBuilder relay) throws IOException {
+    private static void addProductionFlags(ProcessBuilder relay) throws IOException {
         String deployed = Files.readString(Path.of("..", "deploy", "balancer.toml"));
         String flags = deployed.replaceAll("(?s).*run = \"exec java (.*?) -jar .*", "$1");
         relay.command().addAll(1, java.util.Arrays.stream(flags.split(" "))
@@ -200,27 +200,27 @@
     /** Kills the relay outright; what it had logged is forgotten. */
     void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
-        log.clear();
+        logLines.clear();
     }
 
     Path configFile() {
-        return file;
+        return configFile;
     }
 
     /** Replaces the configuration and tells the relay so. */
     void reload(String config) throws Exception {
-        Files.writeString(file, config);
+        Files.writeString(configFile, config);
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
     }
 
     /** The program with these arguments, standard error merged into its output. */
     static Process launch(String... arguments) throws IOException {
-        return program(List.of(arguments)).redirectErrorStream(true)
+        return programBuilder(List.of(arguments)).redirectErrorStream(true)
             .redirectInput(new File("/dev/null")).start();
     }
 
     /** The program with these arguments, to be started. */
-    static ProcessBuilder program(List<String> arguments) {
+    static ProcessBuilder programBuilder(List<String> arguments) {
         List<String> command = new ArrayList<>(List.of(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
             "-cp", System.getProperty("java.class.path"), "saltstage.lifecycle.Main"));
@@ -228,131 +228,131 @@
         return new ProcessBuilder(command);
     }
 
-    private void drainLog(Process from) {
+    private void readLog(Process from) {
         new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8)).lines()
-            .forEach(log::add);
+            .forEach(logLines::add);
     }
 
-    boolean logged(String part) {
-        return log.stream().anyMatch(line -> line.contains(part));
+    boolean hasLogged(String part) {
+        return logLines.stream().anyMatch(line -> line.contains(part));
     }
 
     /** Waits for a line that the relay has written: it is read from its output by another thread. */
     void awaitLogged(String part) throws InterruptedException {
-        await("the log says " + part, () -> logged(part));
+        await("the log says " + part, () -> hasLogged(part));
     }
 
     static void await(String what, BooleanSupplier condition) throws InterruptedException {
         for (int waited = 0; !condition.getAsBoolean(); waited += 10) {
-            assertTrue("waited in vain until " + what, waited < PATIENCE_MS);
+            assertTrue("waited in vain until " + what, waited < AWAIT_TIMEOUT_MS);
             Thread.sleep(10);
         }
     }
 
     /** A connection of an operator's to this port. */
-    Line operator(int at) throws IOException {
-        Line line = new Line(new Socket("127.0.0.1", at));
-        toClose.add(line);
+    TestConnection connectOperator(int at) throws IOException {
+        TestConnection line = new TestConnection(new Socket("127.0.0.1", at));
+        closeables.add(line);
         return line;
     }
 
     /** Deletes a folder and what is in it; a relay that is still ending may leave a file. */
-    static void delete(Path folder) throws IOException {
+    static void deleteRecursively(Path folder) throws IOException {
         try (java.util.stream.Stream<Path> files = Files.walk(folder)) {
             files.sorted(java.util.Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
         }
     }
 
     /** What an operator's call is answered, all lines. */
-    String call(int at, String call) throws IOException {
-        try (Line line = operator(at).say(call)) {
+    String operatorCall(int at, String call) throws IOException {
+        try (TestConnection line = connectOperator(at).sendLine(call)) {
             StringBuilder all = new StringBuilder();
-            for (String heard = line.hear(); heard != null; heard = line.hear()) {
+            for (String heard = line.readLine(); heard != null; heard = line.readLine()) {
                 all.append(heard).append('\n');
             }
             return all.toString();
         }
     }
 
-    String call(String call) throws IOException {
-        return call(admin, call);
+    String operatorCall(String call) throws IOException {
+        return operatorCall(adminPort, call);
     }
 
     /** Where clients come. */
     int clientPort() {
-        return port;
+        return clientPort;
     }
 
     /** Clients come to this port from now on. */
-    void clientsAt(int where) {
-        port = where;
+    void setClientPort(int where) {
+        clientPort = where;
     }
 
     /** A new client connection. */
-    Line client() throws IOException {
+    TestConnection connectClient() throws IOException {
         Socket socket = new Socket();
-        socket.connect(new InetSocketAddress("127.0.0.1", port), PATIENCE_MS);
-        Line line = new Line(socket);
-        toClose.add(line);
+        socket.connect(new InetSocketAddress("127.0.0.1", clientPort), AWAIT_TIMEOUT_MS);
+        TestConnection line = new TestConnection(socket);
+        closeables.add(line);
         return line;
     }
 
     /** A client that has asked for a connection. */
-    Line open(String id, int patienceMs) throws IOException {
-        return client().say("OPEN " + id + " 7f3a9c21e0b4d655 c=chat,t=acme,d=" + patienceMs + ",g=5c0f6e1a");
+    TestConnection sendOpen(String id, int patienceMs) throws IOException {
+        return connectClient().sendLine("OPEN " + id + " 7f3a9c21e0b4d655 c=chat,t=acme,d=" + patienceMs + ",g=5c0f6e1a");
     }
 
     /** Takes the relay's next connection at a backend up to UP, and passes UP to the client. */
-    Line stand(Service backend, Line client) throws IOException {
-        Line side = backend.accept();
-        toClose.add(side);
-        assertTrue(side.hear().startsWith("OPEN "));
-        side.say("UP r1");
-        assertTrue("UP r1".equals(client.hear()));
+    TestConnection establish(TestServer backend, TestConnection client) throws IOException {
+        TestConnection side = backend.accept();
+        closeables.add(side);
+        assertTrue(side.readLine().startsWith("OPEN "));
+        side.sendLine("UP r1");
+        assertTrue("UP r1".equals(client.readLine()));
         return side;
     }
 
     /** A backend that will be closed with the world. */
-    Service backend() throws IOException {
-        Service service = new Service();
-        toClose.add(service);
+    TestServer startBackend() throws IOException {
+        TestServer service = new TestServer();
+        closeables.add(service);
         return service;
     }
 
     /** Takes a watch of the relay's and answers it with its head and these objects, one chunk each. */
-    Line watched(String... objects) throws IOException {
-        return watched(discovery, objects);
+    TestConnection answerWatch(String... objects) throws IOException {
+        return answerWatch(discovery, objects);
     }
 
-    Line watched(Service asked, String... objects) throws IOException {
-        Line watch = asked.accept();
-        toClose.add(watch);
-        String request = watch.hear();
-        log.add("asked " + request);
+    TestConnection answerWatch(TestServer asked, String... objects) throws IOException {
+        TestConnection watch = asked.accept();
+        closeables.add(watch);
+        String request = watch.readLine();
+        logLines.add("asked " + request);
         for (String line = request; !line.isEmpty();) {
-            line = watch.hear();
+            line = watch.readLine();
         }
-        watch.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        watch.sendRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (String object : objects) {
-            chunk(watch, object + "\n");
+            sendChunk(watch, object + "\n");
         }
         return watch;
     }
 
-    static void chunk(Line watch, String text) throws IOException {
-        watch.raw(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+    static void sendChunk(TestConnection watch, String text) throws IOException {
+        watch.sendRaw(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
     Process process() {
         return process;
     }
 
-    boolean waitForEnd() throws InterruptedException {
-        return process.waitFor(PATIENCE_MS, TimeUnit.MILLISECONDS);
+    boolean waitForExit() throws InterruptedException {
+        return process.waitFor(AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Does something on a thread of its own; what it returns can be awaited. */
-    static <T> BlockingQueue<T> aside(java.util.concurrent.Callable<T> work) {
+    static <T> BlockingQueue<T> runInBackground(java.util.concurrent.Callable<T> work) {
         BlockingQueue<T> result = new LinkedBlockingQueue<>();
         Thread thread = new Thread(() -> {
             try {
@@ -368,8 +368,8 @@
 
     @Override
     public void close() throws Exception {
-        for (int i = toClose.size() - 1; i >= 0; i--) {
-            toClose.get(i).close();
+        for (int i = closeables.size() - 1; i >= 0; i--) {
+            closeables.get(i).close();
         }
         if (process != null) {
             process.destroyForcibly().waitFor();
--- a/relay/src/test/java/saltstage/process/ServeTest.java
+++ b/relay/src/test/java/saltstage/process/ServeTest.java
@@ -13,49 +13,49 @@
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
-import saltstage.process.World.Line;
-import saltstage.process.World.Service;
+import saltstage.process.RelayTestEnvironment.TestConnection;
+import saltstage.process.RelayTestEnvironment.TestServer;
 
 /** The running program between clients and backends. */
 public class ServeTest {
-    private World world;
-    private Service backend;
+    private RelayTestEnvironment environment;
+    private TestServer backend;
 
     @Before
     public void start() throws Exception {
-        world = new World();
-        backend = world.backend();
-        world.start(World.list(1, true, World.target("s-1", backend.endpoint(), "ready")));
+        environment = new RelayTestEnvironment();
+        backend = environment.startBackend();
+        environment.start(RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready")));
     }
 
     @After
     public void stop() throws Exception {
-        world.close();
+        environment.close();
     }
 
     @Test
-    public void upIsPassedOnThenLinesBothWaysAndByeEndsIt() throws Exception {
-        Line client = world.open("a1", 20_000);
-        Line side = backend.accept();
-        String first = side.hear();
+    public void upIsForwardedThenLinesBothWaysUntilBye() throws Exception {
+        TestConnection client = environment.sendOpen("a1", 20_000);
+        TestConnection side = backend.accept();
+        String first = side.readLine();
         assertTrue(
                 first,
                 first.matches("OPEN a1 7f3a9c21e0b4d655 c=chat,t=acme,d=[1-9]\\d{0,4},g=5c0f6e1a"));
-        side.say("UP 77af");
-        assertEquals("UP 77af", client.hear());
-        client.say("M 1 hello").raw("M 2 in two");
-        assertEquals("M 1 hello", side.hear());
-        client.raw(" parts\r\n");
-        assertEquals("M 2 in two parts", side.hear());
-        side.say("LOAD 41000.5").say("M 1 hello").say("BYE").close();
-        assertEquals("LOAD 41000.5", client.hear());
-        assertEquals("M 1 hello", client.hear());
-        assertEquals("BYE", client.hear());
-        assertNull(client.hear());
+        side.sendLine("UP 77af");
+        assertEquals("UP 77af", client.readLine());
+        client.sendLine("M 1 hello").sendRaw("M 2 in two");
+        assertEquals("M 1 hello", side.readLine());
+        client.sendRaw(" parts\r\n");
+        assertEquals("M 2 in two parts", side.readLine());
+        side.sendLine("LOAD 41000.5").sendLine("M 1 hello").sendLine("BYE").close();
+        assertEquals("LOAD 41000.5", client.readLine());
+        assertEquals("M 1 hello", client.readLine());
+        assertEquals("BYE", client.readLine());
+        assertNull(client.readLine());
     }
 
     @Test
-    public void badFirstLinesGetOneErrorLineAndNeverReachABackend() throws Exception {
+    public void malformedFirstLinesGetOneErrorLineAndNeverReachABackend() throws Exception {
         String[] bad = {
             "GET / HTTP/1.1\r\n",
             "OPEN x\r\n",
@@ -70,263 +70,263 @@
             "PING\r\n".repeat(300)
         };
         for (String line : bad) {
-            Line client = world.client().raw(line);
-            String answer = client.hear();
+            TestConnection client = environment.connectClient().sendRaw(line);
+            String answer = client.readLine();
             assertTrue(line + " got " + answer, answer.startsWith("ERR "));
-            assertNull(client.hear());
+            assertNull(client.readLine());
         }
-        assertTrue(backend.nobodyComesFor(100));
-        world.awaitLogged("client.malformed");
+        assertTrue(backend.hasNoConnectionWithin(100));
+        environment.awaitLogged("client.malformed");
     }
 
     @Test
-    public void slowFirstLineIsTimedOutThoughItsBytesTrickle() throws Exception {
-        Line client = world.client();
-        BlockingQueue<String> answer = World.aside(client::hear);
+    public void slowFirstLineTimesOutEvenIfBytesKeepArriving() throws Exception {
+        TestConnection client = environment.connectClient();
+        BlockingQueue<String> answer = RelayTestEnvironment.runInBackground(client::readLine);
         String heard = null;
         for (int i = 0; heard == null && i < 100; i++) {
-            client.raw("O");
+            client.sendRaw("O");
             heard = answer.poll(300, TimeUnit.MILLISECONDS);
         }
         assertEquals("ERR first line too slow", heard);
     }
 
     @Test
-    public void whoSaysNothingIsRefusedNotFailedAsItMayAskInThatMoment() throws Exception {
-        Line client = world.client();
-        assertEquals("BUSY", client.hear());
-        client.say("OPEN p0 k c=chat,t=acme,d=2000");
-        assertNull(client.hear());
-        assertTrue(backend.nobodyComesFor(100));
+    public void silentClientIsRejectedNotFailed() throws Exception {
+        TestConnection client = environment.connectClient();
+        assertEquals("BUSY", client.readLine());
+        client.sendLine("OPEN p0 k c=chat,t=acme,d=2000");
+        assertNull(client.readLine());
+        assertTrue(backend.hasNoConnectionWithin(100));
     }
 
     @Test
-    public void pingIsAnsweredAndMayGoBeforeARequest() throws Exception {
-        Line client = world.client().say("PING");
-        assertEquals("PONG", client.hear());
-        client.say("OPEN p1 k c=chat,t=acme,d=2000");
-        world.stand(backend, client);
+    public void pingIsAnsweredAndMayPrecedeARequest() throws Exception {
+        TestConnection client = environment.connectClient().sendLine("PING");
+        assertEquals("PONG", client.readLine());
+        client.sendLine("OPEN p1 k c=chat,t=acme,d=2000");
+        environment.establish(backend, client);
     }
 
     @Test
-    public void malformedAnswerIsAFailedTryAndTheLastFailureIsAnsweredAtOnce() throws Exception {
-        Line client = world.open("a2", 20_000);
-        Line side = backend.accept();
-        side.hear();
-        side.say("HELLO");
-        assertTrue(client.hear().matches("BUSY 1500"));
-        assertNull(client.hear());
-        world.awaitLogged("try.malformed");
+    public void malformedAnswerFailsTheAttemptAndTheLastFailureIsAnsweredAtOnce() throws Exception {
+        TestConnection client = environment.sendOpen("a2", 20_000);
+        TestConnection side = backend.accept();
+        side.readLine();
+        side.sendLine("HELLO");
+        assertTrue(client.readLine().matches("BUSY 1500"));
+        assertNull(client.readLine());
+        environment.awaitLogged("try.malformed");
     }
 
     @Test
-    public void answerThatNeverEndsIsAFailedTry() throws Exception {
-        Line client = world.open("a6", 20_000);
-        Line side = backend.accept();
-        side.hear();
-        side.raw("U".repeat(6_000));
-        assertEquals("BUSY 1500", client.hear());
-        assertNull(client.hear());
+    public void endlessAnswerFailsTheAttempt() throws Exception {
+        TestConnection client = environment.sendOpen("a6", 20_000);
+        TestConnection side = backend.accept();
+        side.readLine();
+        side.sendRaw("U".repeat(6_000));
+        assertEquals("BUSY 1500", client.readLine());
+        assertNull(client.readLine());
         assertThrows(
                 "the backend is hung up on",
                 IOException.class,
                 () -> {
                     while (true) {
-                        side.raw("P".repeat(6_000));
+                        side.sendRaw("P".repeat(6_000));
                     }
                 });
     }
 
     @Test
-    public void silentBackendIsGivenUpBeforeTheClientsDeadline() throws Exception {
-        Line client = world.open("a3", 2_500);
-        Line side = backend.accept();
-        side.hear();
-        assertNull("the try is closed", side.hear());
-        assertTrue(client.hear().startsWith("BUSY"));
+    public void attemptAtASilentBackendIsCancelledBeforeTheClientDeadline() throws Exception {
+        TestConnection client = environment.sendOpen("a3", 2_500);
+        TestConnection side = backend.accept();
+        side.readLine();
+        assertNull("the try is closed", side.readLine());
+        assertTrue(client.readLine().startsWith("BUSY"));
     }
 
     @Test
-    public void clientThatLeavesTakesItsTryWithIt() throws Exception {
-        Line client = world.open("a4", 20_000);
-        Line side = backend.accept();
-        side.hear();
+    public void clientDisconnectCancelsItsAttempt() throws Exception {
+        TestConnection client = environment.sendOpen("a4", 20_000);
+        TestConnection side = backend.accept();
+        side.readLine();
         client.close();
-        assertNull(side.hear());
+        assertNull(side.readLine());
     }
 
     @Test
-    public void halfCloseAndResetPassToTheOtherSide() throws Exception {
-        Line client = world.open("a5", 20_000);
-        Line side = world.stand(backend, client);
+    public void halfCloseAndResetArePropagated() throws Exception {
+        TestConnection client = environment.sendOpen("a5", 20_000);
+        TestConnection side = environment.establish(backend, client);
         client.socket.shutdownOutput();
-        assertNull(side.hear());
-        side.say("BYE").close();
-        assertEquals("BYE", client.hear());
-        assertNull(client.hear());
+        assertNull(side.readLine());
+        side.sendLine("BYE").close();
+        assertEquals("BYE", client.readLine());
+        assertNull(client.readLine());
 
-        Line other = world.open("a6", 20_000);
-        Line broken = world.stand(backend, other);
+        TestConnection other = environment.sendOpen("a6", 20_000);
+        TestConnection broken = environment.establish(backend, other);
         broken.socket.setSoLinger(true, 0);
         broken.close();
-        assertThrows(IOException.class, other::hear);
+        assertThrows(IOException.class, other::readLine);
     }
 
     @Test
-    public void slowReaderStallsNobodyElse() throws Exception {
-        Line slow = world.open("a7", 20_000);
-        Line flood = world.stand(backend, slow);
-        Line other = world.open("a8", 20_000);
-        Line side = world.stand(backend, other);
+    public void slowReaderDoesNotBlockOthers() throws Exception {
+        TestConnection slow = environment.sendOpen("a7", 20_000);
+        TestConnection flood = environment.establish(backend, slow);
+        TestConnection other = environment.sendOpen("a8", 20_000);
+        TestConnection side = environment.establish(backend, other);
         String line = "M " + "y".repeat(4_000);
         BlockingQueue<Boolean> flooded =
-                World.aside(
+                RelayTestEnvironment.runInBackground(
                         () -> {
                             for (int i = 0; i < 5_000; i++) {
-                                flood.say(line);
+                                flood.sendLine(line);
                             }
                             return true;
                         });
         assertNull("the flood meets its reader's limit", flooded.poll(300, TimeUnit.MILLISECONDS));
-        other.say("M 1 hello");
-        assertEquals("M 1 hello", side.hear());
-        side.say("M 1 hello");
-        assertEquals("M 1 hello", other.hear());
-        assertEquals(line, slow.hear());
+        other.sendLine("M 1 hello");
+        assertEquals("M 1 hello", side.readLine());
+        side.sendLine("M 1 hello");
+        assertEquals("M 1 hello", other.readLine());
+        assertEquals(line, slow.readLine());
     }
 
     @Test
-    public void terminationMovesStandingClientsBetweenLinesAndTakesWhatStillComes()
+    public void terminationMovesEstablishedClientsBetweenLinesAndAcceptsLateRequests()
             throws Exception {
-        Line client = world.open("a9", 20_000);
-        Line side = world.stand(backend, client);
-        side.raw("M 1 half a");
-        world.process().toHandle().destroy(); // Process.destroy would close the log too
-        World.await("the drain begins", () -> world.logged("drain.start"));
-        side.raw(" line\r\n");
-        Line late = world.open("b1", 20_000);
-        world.stand(backend, late);
-        assertEquals("M 1 half a line", client.hear());
-        assertEquals("MOVE", client.hear());
-        assertNull(client.hear());
-        assertEquals("MOVE", late.hear());
+        TestConnection client = environment.sendOpen("a9", 20_000);
+        TestConnection side = environment.establish(backend, client);
+        side.sendRaw("M 1 half a");
+        environment.process().toHandle().destroy(); // Process.destroy would close the log too
+        RelayTestEnvironment.await("the drain begins", () -> environment.hasLogged("drain.start"));
+        side.sendRaw(" line\r\n");
+        TestConnection late = environment.sendOpen("b1", 20_000);
+        environment.establish(backend, late);
+        assertEquals("M 1 half a line", client.readLine());
+        assertEquals("MOVE", client.readLine());
+        assertNull(client.readLine());
+        assertEquals("MOVE", late.readLine());
         client.close();
         late.close();
-        assertTrue(world.waitForEnd());
-        assertEquals(0, world.process().exitValue());
+        assertTrue(environment.waitForExit());
+        assertEquals(0, environment.process().exitValue());
     }
 
     @Test
-    public void lineThatNeverEndsDoesNotCostItsClientTheMove() throws Exception {
-        Line client = world.open("a9", 20_000);
-        Line side = world.stand(backend, client);
-        side.raw("M 1 whole\r\nM 2 ha");
-        assertEquals("M 1 whole", client.hear());
-        world.process().toHandle().destroy();
-        assertEquals("MOVE", client.hear());
-        assertNull(client.hear());
-        assertNull("the backend is let go", side.hear());
+    public void endlessLineDoesNotPreventTheMove() throws Exception {
+        TestConnection client = environment.sendOpen("a9", 20_000);
+        TestConnection side = environment.establish(backend, client);
+        side.sendRaw("M 1 whole\r\nM 2 ha");
+        assertEquals("M 1 whole", client.readLine());
+        environment.process().toHandle().destroy();
+        assertEquals("MOVE", client.readLine());
+        assertNull(client.readLine());
+        assertNull("the backend is let go", side.readLine());
     }
 
     @Test
-    public void whoAsksWhenTheLastHaveBeenRejectedIsAnsweredToo() throws Exception {
-        Line waits = world.open("a9", 20_000);
-        backend.accept().hear(); // and never answers
-        world.process().toHandle().destroy();
-        assertEquals("BUSY", waits.hear());
+    public void requestsAfterTheFinalRejectionAreAnsweredToo() throws Exception {
+        TestConnection waits = environment.sendOpen("a9", 20_000);
+        backend.accept().readLine(); // and never answers
+        environment.process().toHandle().destroy();
+        assertEquals("BUSY", waits.readLine());
         for (int i = 0; i < 5; i++) {
-            Line late = world.open("b" + i, 20_000);
-            assertEquals("BUSY", late.hear());
-            assertNull(late.hear());
+            TestConnection late = environment.sendOpen("b" + i, 20_000);
+            assertEquals("BUSY", late.readLine());
+            assertNull(late.readLine());
         }
-        assertTrue(world.waitForEnd());
+        assertTrue(environment.waitForExit());
     }
 
     @Test
-    public void clientThatRestsAtTheEndIsToldSoAndHungUpOnWithoutAReset() throws Exception {
-        Line rests = world.client();
-        assertEquals("PONG", rests.say("PING").hear());
-        world.process().toHandle().destroy();
-        assertEquals("BUSY", rests.hear());
-        rests.say("OPEN c9 k c=chat,t=acme,d=2000");
-        assertNull(rests.hear());
-        assertTrue(world.waitForEnd());
-        assertTrue(backend.nobodyComesFor(100));
+    public void idleClientIsRejectedAtShutdownWithoutAReset() throws Exception {
+        TestConnection rests = environment.connectClient();
+        assertEquals("PONG", rests.sendLine("PING").readLine());
+        environment.process().toHandle().destroy();
+        assertEquals("BUSY", rests.readLine());
+        rests.sendLine("OPEN c9 k c=chat,t=acme,d=2000");
+        assertNull(rests.readLine());
+        assertTrue(environment.waitForExit());
+        assertTrue(backend.hasNoConnectionWithin(100));
     }
 
     @Test
-    public void clientsAreServedOnAfterTerminationBeforeTheyAreMoved() throws Exception {
-        Line client = world.open("a9", 20_000);
-        Line side = world.stand(backend, client);
+    public void clientsAreStillServedBetweenTerminationAndMove() throws Exception {
+        TestConnection client = environment.sendOpen("a9", 20_000);
+        TestConnection side = environment.establish(backend, client);
         long before = System.nanoTime();
-        world.process().toHandle().destroy();
-        World.await("the drain begins", () -> world.logged("drain.start"));
-        side.say("M 1 still served");
-        assertEquals("M 1 still served", client.hear());
-        assertEquals("MOVE", client.hear());
+        environment.process().toHandle().destroy();
+        RelayTestEnvironment.await("the drain begins", () -> environment.hasLogged("drain.start"));
+        side.sendLine("M 1 still served");
+        assertEquals("M 1 still served", client.readLine());
+        assertEquals("MOVE", client.readLine());
         long passed = (System.nanoTime() - before) / 1_000_000;
         String start =
-                world.log.stream().filter(line -> line.contains("drain.start")).findFirst().get();
+                environment.logLines.stream().filter(line -> line.contains("drain.start")).findFirst().get();
         long late = Long.parseLong(start.replaceAll(".*late_ms=(\\d+).*", "$1"));
         assertTrue("0.8 s at least, less " + late, passed + late >= 800);
     }
 
     @Test
-    public void drainThatIsHeardLateCountsFromWhenItCame() throws Exception {
-        Line client = world.open("a9", 20_000);
-        world.stand(backend, client);
-        String pid = Long.toString(world.process().pid());
+    public void drainHandledLateCountsFromTheSignal() throws Exception {
+        TestConnection client = environment.sendOpen("a9", 20_000);
+        environment.establish(backend, client);
+        String pid = Long.toString(environment.process().pid());
         new ProcessBuilder("kill", "-STOP", pid).start().waitFor();
-        world.process().toHandle().destroy();
+        environment.process().toHandle().destroy();
         Thread.sleep(2_000);
         new ProcessBuilder("kill", "-CONT", pid).start().waitFor();
-        World.await(
+        RelayTestEnvironment.await(
                 "the drain counts what it was late",
                 () ->
-                        world.log.stream()
+                        environment.logLines.stream()
                                 .anyMatch(
                                         line ->
                                                 line.matches(
                                                         ".*drain.start late_ms=([2-9]\\d{2}|\\d{4})"
                                                                 + " .*")));
-        assertEquals("MOVE", client.hear());
+        assertEquals("MOVE", client.readLine());
     }
 
     @Test
-    public void backendThatBringsNothingBackLosesItsClientToAMove() throws Exception {
-        Line client = world.open("b2", 20_000);
-        Line side = world.stand(backend, client);
-        client.say("M 1 anybody");
-        assertEquals("M 1 anybody", side.hear());
-        assertEquals("MOVE", client.hear());
-        assertNull(side.hear());
-        assertFalse(world.logged("ERROR"));
+    public void clientOfAnUnresponsiveBackendIsMoved() throws Exception {
+        TestConnection client = environment.sendOpen("b2", 20_000);
+        TestConnection side = environment.establish(backend, client);
+        client.sendLine("M 1 anybody");
+        assertEquals("M 1 anybody", side.readLine());
+        assertEquals("MOVE", client.readLine());
+        assertNull(side.readLine());
+        assertFalse(environment.hasLogged("ERROR"));
     }
 
     @Test
-    public void requestWhoseClientDoesNotWaitForItsAnswerIsFailed() throws Exception {
-        Line client = world.open("e1", 20_000);
-        Line side = backend.accept();
-        side.hear();
-        client.say("OPEN e2 k c=chat,t=acme,d=2000");
-        assertEquals("ERR only one line before the answer", client.hear());
-        assertNull("the try is given up", side.hear());
+    public void requestFailsIfItsClientSendsBeforeTheAnswer() throws Exception {
+        TestConnection client = environment.sendOpen("e1", 20_000);
+        TestConnection side = backend.accept();
+        side.readLine();
+        client.sendLine("OPEN e2 k c=chat,t=acme,d=2000");
+        assertEquals("ERR only one line before the answer", client.readLine());
+        assertNull("the try is given up", side.readLine());
     }
 
     @Test
-    public void idThatIsOpenIsNoSecondCopyAtABackend() throws Exception {
-        Line first = world.open("f1", 20_000);
-        Line side = world.stand(backend, first);
-        assertEquals("ERR id is in use", world.open("f1", 20_000).hear());
-        assertTrue(backend.nobodyComesFor(100));
-        side.say("BYE").close();
-        assertEquals("BYE", first.hear());
-        assertNull(first.hear());
+    public void duplicateOpenIdIsNotSentToABackend() throws Exception {
+        TestConnection first = environment.sendOpen("f1", 20_000);
+        TestConnection side = environment.establish(backend, first);
+        assertEquals("ERR id is in use", environment.sendOpen("f1", 20_000).readLine());
+        assertTrue(backend.hasNoConnectionWithin(100));
+        side.sendLine("BYE").close();
+        assertEquals("BYE", first.readLine());
+        assertNull(first.readLine());
         first.close();
-        World.await(
+        RelayTestEnvironment.await(
                 "the id is free again",
                 () -> {
-                    try (Line again = world.open("f1", 20_000)) {
+                    try (TestConnection again = environment.sendOpen("f1", 20_000)) {
                         return backend.accept(100) != null;
                     } catch (IOException e) {
                         return false;
@@ -336,8 +336,8 @@
 
     @Test
     public void endlessSenderIsAnsweredAndCutOff() throws Exception {
-        Line client = world.client();
-        BlockingQueue<String> answer = World.aside(client::hear);
+        TestConnection client = environment.connectClient();
+        BlockingQueue<String> answer = RelayTestEnvironment.runInBackground(client::readLine);
         byte[] some = "x".repeat(64 << 10).getBytes(java.nio.charset.StandardCharsets.US_ASCII);
         assertThrows(
                 IOException.class,
@@ -350,19 +350,19 @@
     }
 
     @Test
-    public void backendsAreProbedOnOneConnectionAndAFullOneIsPassedOver() throws Exception {
-        world.close();
-        world = new World();
-        backend = world.backend();
-        Service full = world.backend();
+    public void backendsAreProbedOnOneConnectionAndAnOverloadedOneIsSkipped() throws Exception {
+        environment.close();
+        environment = new RelayTestEnvironment();
+        backend = environment.startBackend();
+        TestServer full = environment.startBackend();
         String list =
-                World.list(
+                RelayTestEnvironment.backendList(
                         1,
                         true,
-                        World.target("s-1", backend.endpoint(), "ready"),
-                        World.target("s-2", full.endpoint(), "ready"));
-        world.startWith(
-                world.config(256, list)
+                        RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready"),
+                        RelayTestEnvironment.backendEntry("s-2", full.endpoint(), "ready"));
+        environment.startWith(
+                environment.config(256, list)
                         .replace("\"RetryAfter\":true", "\"RetryAfter\":true,\"Probes\":true")
                         .replace(
                                 "\"Zone\":0",
@@ -370,14 +370,14 @@
         BlockingQueue<Boolean> second = new LinkedBlockingQueue<>();
         String[] reports = {"x0=0.3,queue=0", "x0=1.4,queue=9"};
         for (int i = 0; i < 2; i++) {
-            Line probes = (i == 0 ? backend : full).accept();
+            TestConnection probes = (i == 0 ? backend : full).accept();
             String report = reports[i];
-            World.aside(
+            RelayTestEnvironment.runInBackground(
                     () -> {
-                        for (String line = probes.hear();
+                        for (String line = probes.readLine();
                                 "STATS".equals(line);
-                                line = probes.hear()) {
-                            probes.say("PONG " + report);
+                                line = probes.readLine()) {
+                            probes.sendLine("PONG " + report);
                             second.add(true);
                         }
                         return false;
@@ -388,79 +388,79 @@
         }
         for (int i = 0; i < 12; i++) {
             String fields = " c=chat,t=acme,d=9000,g=" + i;
-            world.stand(backend, world.client().say("OPEN h" + i + " k" + i + fields));
+            environment.establish(backend, environment.connectClient().sendLine("OPEN h" + i + " k" + i + fields));
         }
-        assertTrue(full.nobodyComesFor(100));
+        assertTrue(full.hasNoConnectionWithin(100));
     }
 
     @Test
-    public void silentCrowdTakesNoRoomFromClientsThatAsk() throws Exception {
-        world.close();
-        world = new World();
-        backend = world.backend();
-        String ready = World.target("s-1", backend.endpoint(), "ready");
-        world.startWith(world.config(256, World.list(1, true, ready)));
+    public void idleConnectionsTakeNoCapacityFromRequests() throws Exception {
+        environment.close();
+        environment = new RelayTestEnvironment();
+        backend = environment.startBackend();
+        String ready = RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready");
+        environment.startWith(environment.config(256, RelayTestEnvironment.backendList(1, true, ready)));
         for (int i = 0; i < 300; i++) {
-            world.client();
+            environment.connectClient();
         }
-        world.stand(backend, world.open("g1", 20_000));
-        World.await("who came first has to go", () -> world.logged("doorway.full"));
-        assertFalse(world.logged("admit.full"));
+        environment.establish(backend, environment.sendOpen("g1", 20_000));
+        RelayTestEnvironment.await("who came first has to go", () -> environment.hasLogged("doorway.full"));
+        assertFalse(environment.hasLogged("admit.full"));
     }
 
     @Test
-    public void clientsBeyondTheDescriptorsAreRejectedAndTheOthersStand() throws Exception {
-        world.close();
-        world = new World();
-        backend = world.backend();
-        String ready = World.target("s-1", backend.endpoint(), "ready");
-        world.startWith(world.config(52, World.list(1, true, ready)));
-        Line first = world.open("d1", 20_000);
-        Line side = world.stand(backend, first);
-        world.stand(backend, world.open("d2", 20_000));
-        assertEquals("BUSY 1500", world.open("d3", 20_000).hear());
-        world.awaitLogged("admit.full");
-        side.say("M 1 still here");
-        assertEquals("M 1 still here", first.hear());
+    public void requestsBeyondTheDescriptorLimitAreRejectedAndTheOthersStayEstablished() throws Exception {
+        environment.close();
+        environment = new RelayTestEnvironment();
+        backend = environment.startBackend();
+        String ready = RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready");
+        environment.startWith(environment.config(52, RelayTestEnvironment.backendList(1, true, ready)));
+        TestConnection first = environment.sendOpen("d1", 20_000);
+        TestConnection side = environment.establish(backend, first);
+        environment.establish(backend, environment.sendOpen("d2", 20_000));
+        assertEquals("BUSY 1500", environment.sendOpen("d3", 20_000).readLine());
+        environment.awaitLogged("admit.full");
+        side.sendLine("M 1 still here");
+        assertEquals("M 1 still here", first.readLine());
     }
 
     @Test
-    public void probesTakeTheirDescriptorsFromWhatRequestsMayHold() throws Exception {
-        world.close();
-        world = new World();
-        backend = world.backend();
+    public void probeConnectionsReduceTheRequestLimit() throws Exception {
+        environment.close();
+        environment = new RelayTestEnvironment();
+        backend = environment.startBackend();
         String[] listed = new String[12];
         for (int i = 0; i < listed.length; i++) {
-            listed[i] = World.target("s-" + i, backend.endpoint(), i == 0 ? "ready" : "draining");
+            listed[i] = RelayTestEnvironment.backendEntry("s-" + i, backend.endpoint(), i == 0 ? "ready" : "draining");
         }
-        world.startWith(
-                world.config(64, World.list(1, true, listed))
+        environment.startWith(
+                environment.config(64, RelayTestEnvironment.backendList(1, true, listed))
                         .replace("\"RetryAfter\":true", "\"RetryAfter\":true,\"Probes\":true")
                         .replace(
                                 "\"Zone\":0",
                                 "\"Zone\":0,\"Report\":{\"How\":\"pull\",\"Fields\":[\"x0\",\"queue\"]}"));
         for (int i = 0; i < 2; i++) {
-            world.open("d" + i, 20_000);
+            environment.sendOpen("d" + i, 20_000);
         }
-        World.await(
+        RelayTestEnvironment.await(
                 "two are taken",
                 () -> {
-                    try (Line third = world.open("d9", 20_000)) {
-                        return "BUSY 1500".equals(third.hear());
+                    try (TestConnection third = environment.sendOpen("d9", 20_000)) {
+                        return "BUSY 1500".equals(third.readLine());
                     } catch (IOException e) {
                         return false;
                     }
                 });
-        world.awaitLogged("admit.full");
+        environment.awaitLogged("admit.full");
     }
 
     @Test
-    public void connectionsFromBeforeTheStartGoBackToTheirBackend() throws Exception {
-        Line client = world.client().say("OPEN c1 k c=chat,t=acme,d=2000,at=s-1");
-        Line refused = backend.accept();
+    public void connectionsOpenBeforeTheStartAreRestoredToTheirBackend() throws Exception {
+        TestConnection client = environment.connectClient().sendLine("OPEN c1 k c=chat,t=acme,d=2000,at=s-1");
+        TestConnection refused = backend.accept();
         refused.close(); // it may fail at first
-        Line side = world.stand(backend, client);
-        side.say("M 1 here");
-        assertEquals("M 1 here", client.hear());
+        TestConnection side = environment.establish(backend, client);
+        side.sendLine("M 1 here");
+        assertEquals("M 1 here", client.readLine());
     }
 }
--- a/relay/src/test/java/saltstage/process/StartTest.java
+++ b/relay/src/test/java/saltstage/process/StartTest.java
@@ -16,19 +16,19 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltstage.process.World.Line;
-import saltstage.process.World.Service;
+import saltstage.process.RelayTestEnvironment.TestConnection;
+import saltstage.process.RelayTestEnvironment.TestServer;
 
 /** Signals that come while the relay starts; where it is then is known by what it waits for. */
 @Timeout(60)
 class StartTest {
-    private World world;
+    private RelayTestEnvironment world;
     private Path file;
     private Process process;
 
     @BeforeEach
     void begin() throws Exception {
-        world = new World();
+        world = new RelayTestEnvironment();
         file = Files.createTempDirectory("saltstage").resolve("config.json");
     }
 
@@ -36,11 +36,11 @@
     void end() throws Exception {
         process.destroyForcibly().waitFor();
         world.close();
-        World.delete(file.getParent());
+        RelayTestEnvironment.deleteRecursively(file.getParent());
     }
 
     private void launch() throws Exception {
-        start(World.program(List.of("serve", "--config", file.toString())));
+        start(RelayTestEnvironment.programBuilder(List.of("serve", "--config", file.toString())));
     }
 
     private void start(ProcessBuilder relay) throws IOException {
@@ -66,7 +66,7 @@
     /** The pipe's end for writing, which is there once the relay opens the other. */
     private OutputStream onceItIsRead() throws InterruptedException {
         OutputStream opened =
-                World.aside(() -> Files.newOutputStream(file)).poll(30, TimeUnit.SECONDS);
+                RelayTestEnvironment.runInBackground(() -> Files.newOutputStream(file)).poll(30, TimeUnit.SECONDS);
         assertNotNull(opened, "nobody reads the configuration");
         return opened;
     }
@@ -81,32 +81,32 @@
 
     @Test
     void hangupBeforeTheConfigurationIsReadIsObeyedAfterTheStart() throws Exception {
-        Service moved = world.backend();
+        TestServer moved = world.startBackend();
         done("mkfifo", file.toString());
         launch();
-        String config = world.config(4096, World.list(1, true));
+        String config = world.config(4096, RelayTestEnvironment.backendList(1, true));
         try (OutputStream opened = onceItIsRead()) {
             signal("HUP");
             opened.write(config.getBytes());
         }
         world.discovery.accept().close(); // it has read that and is on its way
-        String anew = world.config(4096, moved, World.list(1, true));
-        World.aside(() -> Files.writeString(file, anew)); // once somebody reads it
-        try (Line watch = moved.accept()) {
-            assertTrue(watch.hear().startsWith("GET /discovery/hosts?watch=1"));
+        String anew = world.config(4096, moved, RelayTestEnvironment.backendList(1, true));
+        RelayTestEnvironment.runInBackground(() -> Files.writeString(file, anew)); // once somebody reads it
+        try (TestConnection watch = moved.accept()) {
+            assertTrue(watch.readLine().startsWith("GET /discovery/hosts?watch=1"));
         }
         assertTrue(process.isAlive());
     }
 
     @Test
     void relayThatIsStartedWithHangupsIgnoredSaysThatItDoesNotReload() throws Exception {
-        Files.writeString(file, world.config(4096, World.list(1, true)));
-        ProcessBuilder relay = World.program(List.of("serve", "--config", file.toString()));
+        Files.writeString(file, world.config(4096, RelayTestEnvironment.backendList(1, true)));
+        ProcessBuilder relay = RelayTestEnvironment.programBuilder(List.of("serve", "--config", file.toString()));
         List<String> ignoring =
                 new ArrayList<>(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
         ignoring.addAll(relay.command());
         start(relay.command(ignoring));
-        World.await("the relay is ready", () -> logged("relay.ready"));
+        RelayTestEnvironment.await("the relay is ready", () -> logged("relay.ready"));
         assertTrue(logged("reload.ignored"));
         signal("HUP");
         assertTrue(process.isAlive());
@@ -114,15 +114,15 @@
 
     @Test
     void terminationIsHeardWhileAReloadWaitsForItsFile() throws Exception {
-        Files.writeString(file, world.config(4096, World.list(1, true)));
+        Files.writeString(file, world.config(4096, RelayTestEnvironment.backendList(1, true)));
         launch();
-        World.await("the relay is ready", () -> logged("relay.ready"));
+        RelayTestEnvironment.await("the relay is ready", () -> logged("relay.ready"));
         Files.delete(file);
         done("mkfifo", file.toString());
         signal("HUP");
         try (OutputStream opened = onceItIsRead()) {
             signal("TERM");
-            assertTrue(process.waitFor(World.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(RelayTestEnvironment.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue(), Files.readString(log()));
         }
     }
@@ -130,11 +130,11 @@
     @Test
     void terminationBeforeTheFirstListIsAPlannedEnd() throws Exception {
         Files.writeString(
-                file, world.config(4096, World.list(1, true)).replace("on_request", "pushed"));
+                file, world.config(4096, RelayTestEnvironment.backendList(1, true)).replace("on_request", "pushed"));
         launch();
-        try (Line agent = world.discovery.accept()) { // silent: the start waits for it
+        try (TestConnection agent = world.discovery.accept()) { // silent: the start waits for it
             signal("TERM");
-            assertTrue(process.waitFor(World.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(RelayTestEnvironment.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue(), Files.readString(log()));
         }
     }
--- a/relay/src/test/java/saltstage/process/SuspendTest.java
+++ b/relay/src/test/java/saltstage/process/SuspendTest.java
@@ -9,98 +9,98 @@
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
-import saltstage.process.World.Line;
-import saltstage.process.World.Service;
+import saltstage.process.RelayTestEnvironment.TestConnection;
+import saltstage.process.RelayTestEnvironment.TestServer;
 
 /**
  * Operators take a backend out and put it back, whatever discovery says of it and whoever is asked.
  */
 public class SuspendTest {
-    private World world;
-    private Service out;
-    private Service other;
+    private RelayTestEnvironment world;
+    private TestServer out;
+    private TestServer other;
     private Path folder;
 
     @Before
     public void start() throws Exception {
-        world = new World();
-        out = world.backend();
-        other = world.backend();
+        world = new RelayTestEnvironment();
+        out = world.startBackend();
+        other = world.startBackend();
         folder = Files.createTempDirectory("saltstage");
-        world.environment.put("GW_ADMIN", "127.0.0.1:" + world.admin);
-        world.environment.put("TMPDIR", folder.toString());
+        world.environmentVariables.put("GW_ADMIN", "127.0.0.1:" + world.adminPort);
+        world.environmentVariables.put("TMPDIR", folder.toString());
     }
 
     @After
     public void stop() throws Exception {
         world.close();
-        World.delete(folder);
+        RelayTestEnvironment.deleteRecursively(folder);
     }
 
     private String listed(String state) {
-        return World.target("s-out", out.endpoint(), state);
+        return RelayTestEnvironment.backendEntry("s-out", out.endpoint(), state);
     }
 
     private String both() {
-        return World.list(
-                1, true, listed("ready"), World.target("s-other", other.endpoint(), "ready"));
+        return RelayTestEnvironment.backendList(
+                1, true, listed("ready"), RelayTestEnvironment.backendEntry("s-other", other.endpoint(), "ready"));
     }
 
     private void allGoToTheOther(String name) throws Exception {
         for (int i = 0; i < 8; i++) { // of 8 keys one at least would go to each of two
-            Line client =
-                    world.client().say("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000");
-            world.stand(other, client);
+            TestConnection client =
+                    world.connectClient().sendLine("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000");
+            world.establish(other, client);
         }
-        assertTrue(out.nobodyComesFor(50));
+        assertTrue(out.hasNoConnectionWithin(50));
     }
 
     @Test
     public void suspendedOneIsSentNothingWhateverIsListedUntilItIsRestoredOnce() throws Exception {
         world.start(both());
-        Line watch = world.watched();
-        assertEquals("done suspended\n", world.call("SUSPEND s-out"));
+        TestConnection watch = world.answerWatch();
+        assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out"));
         allGoToTheOther("a");
         for (String state : new String[] {"draining", "gone", "ready"}) {
-            World.chunk(watch, World.list(2, false, listed(state)) + "\n");
+            RelayTestEnvironment.sendChunk(watch, RelayTestEnvironment.backendList(2, false, listed(state)) + "\n");
             Thread.sleep(100);
             allGoToTheOther(state);
         }
-        World.chunk(
+        RelayTestEnvironment.sendChunk(
                 watch,
-                World.list(3, false, listed("ready").replace("\"boot_ms\":0", "\"boot_ms\":9000"))
+                RelayTestEnvironment.backendList(3, false, listed("ready").replace("\"boot_ms\":0", "\"boot_ms\":9000"))
                         + "\n");
         Thread.sleep(100);
-        assertEquals("done suspended\n", world.call("SUSPEND s-out"));
+        assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out"));
         allGoToTheOther("again");
-        assertTrue(world.call("METRICS").contains("app.skipped_backends:1|g"));
-        assertEquals("done restored\n", world.call("RESTORE s-out"));
-        assertTrue(world.call("METRICS").contains("app.skipped_backends:0|g"));
+        assertTrue(world.operatorCall("METRICS").contains("app.skipped_backends:1|g"));
+        assertEquals("done restored\n", world.operatorCall("RESTORE s-out"));
+        assertTrue(world.operatorCall("METRICS").contains("app.skipped_backends:0|g"));
         int came = 0;
         for (int i = 0; i < 32 && came == 0; i++) {
-            world.client().say("OPEN back" + i + " key" + i + " c=chat,t=acme,d=20000");
+            world.connectClient().sendLine("OPEN back" + i + " key" + i + " c=chat,t=acme,d=20000");
             came += out.accept(50) == null ? 0 : 1;
         }
         assertEquals("it is used again", 1, came);
-        World.chunk(watch, World.list(4, false, listed("gone")) + "\n");
+        RelayTestEnvironment.sendChunk(watch, RelayTestEnvironment.backendList(4, false, listed("gone")) + "\n");
         Thread.sleep(100);
-        assertEquals("done suspended\n", world.call("SUSPEND s-out")); // gone, yet once listed
+        assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out")); // gone, yet once listed
     }
 
     @Test
     public void clientsThatStandThereAreMovedSoon() throws Exception {
-        world.start(World.list(1, true, listed("ready")));
-        Line client = world.open("m1", 20_000);
-        Line side = world.stand(out, client);
-        assertEquals("done suspended\n", world.call("SUSPEND s-out"));
-        assertEquals("MOVE", client.hear());
-        assertNull(side.hear());
+        world.start(RelayTestEnvironment.backendList(1, true, listed("ready")));
+        TestConnection client = world.sendOpen("m1", 20_000);
+        TestConnection side = world.establish(out, client);
+        assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out"));
+        assertEquals("MOVE", client.readLine());
+        assertNull(side.readLine());
     }
 
     @Test
     public void banOutlivesAKilledProcessAndATornFileKeepsNobodyFromServing() throws Exception {
         world.start(both());
-        assertEquals("done suspended\n", world.call("SUSPEND s-out"));
+        assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out"));
         world.kill();
         world.start(both());
         allGoToTheOther("killed");
@@ -110,9 +110,9 @@
         whole[whole.length - 1] ^= 1;
         Files.write(bans, whole);
         world.start(both());
-        assertEquals("done ready\n", world.call("STATUS"));
-        World.await("it is told", () -> world.logged("bans.unreadable"));
-        assertEquals("done suspended\n", world.call("SUSPEND s-out"));
+        assertEquals("done ready\n", world.operatorCall("STATUS"));
+        RelayTestEnvironment.await("it is told", () -> world.hasLogged("bans.unreadable"));
+        assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out"));
         allGoToTheOther("torn");
     }
 }
--- a/relay/src/test/java/saltstage/process/UpgradeTest.java
+++ b/relay/src/test/java/saltstage/process/UpgradeTest.java
@@ -15,31 +15,31 @@
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
-import saltstage.process.World.Line;
-import saltstage.process.World.Service;
+import saltstage.process.RelayTestEnvironment.TestConnection;
+import saltstage.process.RelayTestEnvironment.TestServer;
 
 /**
  * A process is replaced by another that inherits the clients' listening socket, held by the
  * platform.
  */
 public class UpgradeTest {
-    private World world;
-    private Platform platform;
-    private Service backend;
+    private RelayTestEnvironment world;
+    private ProcessSupervisor platform;
+    private TestServer backend;
     private Path config;
 
     @Before
     public void start() throws Exception {
-        world = new World();
-        platform = new Platform();
-        world.clientsAt(platform.port);
-        backend = world.backend();
-        config = platform.folder.resolve("config.json");
+        world = new RelayTestEnvironment();
+        platform = new ProcessSupervisor();
+        world.setClientPort(platform.port);
+        backend = world.startBackend();
+        config = platform.directory.resolve("config.json");
         Files.writeString(
                 config,
                 world.config(
                         4096,
-                        World.list(1, true, World.target("s-1", backend.endpoint(), "ready"))));
+                        RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready"))));
     }
 
     @After
@@ -58,19 +58,19 @@
 
     private Relay begin(String name) throws Exception {
         int admin = freePort();
-        Path log = platform.folder.resolve(name + ".log");
+        Path log = platform.directory.resolve(name + ".log");
         return new Relay(platform.start(config, admin, log), admin, log);
     }
 
     private Relay serving(String name) throws Exception {
         Relay relay = begin(name);
-        World.await(name + " serves", () -> ready(relay));
+        RelayTestEnvironment.await(name + " serves", () -> ready(relay));
         return relay;
     }
 
     private boolean ready(Relay relay) {
         try {
-            return world.call(relay.admin(), "STATUS").startsWith("done");
+            return world.operatorCall(relay.admin(), "STATUS").startsWith("done");
         } catch (IOException notYet) {
             return false;
         }
@@ -87,38 +87,38 @@
     @Test
     public void nobodyIsLostAtTheDoorAndWhoStandsIsMovedToTheNewProcess() throws Exception {
         Relay old = serving("old");
-        Line client = world.open("u1", 20_000);
-        Line side = world.stand(backend, client);
-        Line waiting = world.open("u2", 20_000);
-        Line waitingSide = backend.accept();
-        assertTrue(waitingSide.hear().startsWith("OPEN u2 "));
+        TestConnection client = world.sendOpen("u1", 20_000);
+        TestConnection side = world.establish(backend, client);
+        TestConnection waiting = world.sendOpen("u2", 20_000);
+        TestConnection waitingSide = backend.accept();
+        assertTrue(waitingSide.readLine().startsWith("OPEN u2 "));
         Relay next = serving("next");
-        Platform.signal(old.pid(), "TERM");
-        World.await("the old process has stopped accepting", () -> said(old, "drain.start"));
-        List<Line> others = new ArrayList<>();
+        ProcessSupervisor.signal(old.pid(), "TERM");
+        RelayTestEnvironment.await("the old process has stopped accepting", () -> said(old, "drain.start"));
+        List<TestConnection> others = new ArrayList<>();
         for (int i = 0; i < 10; i++) { // newcomers in the middle of it, each served
-            Line newcomer = world.open("n" + i, 20_000);
-            others.add(world.stand(backend, newcomer));
+            TestConnection newcomer = world.sendOpen("n" + i, 20_000);
+            others.add(world.establish(backend, newcomer));
             Thread.sleep(20);
         }
-        waitingSide.say("UP r2");
-        assertEquals("UP r2", waiting.hear());
-        for (Line standing : List.of(client, waiting)) {
-            assertEquals("MOVE", standing.hear());
-            assertNull(standing.hear());
+        waitingSide.sendLine("UP r2");
+        assertEquals("UP r2", waiting.readLine());
+        for (TestConnection standing : List.of(client, waiting)) {
+            assertEquals("MOVE", standing.readLine());
+            assertNull(standing.readLine());
         }
-        assertNull(side.hear());
-        World.await("the old process ends", () -> platform.ended.containsKey(old.pid()));
-        assertEquals(0, (int) platform.ended.get(old.pid()));
-        world.stand(backend, world.open("u9", 20_000));
+        assertNull(side.readLine());
+        RelayTestEnvironment.await("the old process ends", () -> platform.exitCodes.containsKey(old.pid()));
+        assertEquals(0, (int) platform.exitCodes.get(old.pid()));
+        world.establish(backend, world.sendOpen("u9", 20_000));
         assertTrue(ready(next));
         assertTrue(said(old, "succeeded=true"));
         assertFalse("newcomers are the new process's, not taken and moved", said(old, " id=n"));
     }
 
-    private static void pong(Line line) {
+    private static void pong(TestConnection line) {
         try {
-            assertEquals("PONG", line.say("PING").hear());
+            assertEquals("PONG", line.sendLine("PING").readLine());
         } catch (IOException gone) {
             throw new UncheckedIOException(gone);
         }
@@ -131,27 +131,27 @@
         // A first line has 2 s, and on a busy machine processes start and hear signals later than
         // that: the
         // new one is stopped, so that the old one accepts, and the line begins when the drain has.
-        Platform.stop(next.pid());
-        Line half = world.client();
+        ProcessSupervisor.stop(next.pid());
+        TestConnection half = world.connectClient();
         pong(half);
-        Platform.signal(old.pid(), "TERM");
-        World.await(
+        ProcessSupervisor.signal(old.pid(), "TERM");
+        RelayTestEnvironment.await(
                 "the old process has stopped accepting",
                 () -> {
                     pong(half); // each has 2 s again
                     return said(old, "drain.start");
                 });
-        half.raw("OPEN u3 ");
+        half.sendRaw("OPEN u3 ");
         Thread.sleep(200); // four looks of the drain's at whether anybody is left
-        half.say("7f3a9c21e0b4d655 c=chat,t=acme,d=20000,g=5c0f6e1a");
-        Line side = world.stand(backend, half);
-        assertEquals("MOVE", half.hear());
-        assertNull(half.hear());
-        assertNull(side.hear());
-        World.await("the old process ends", () -> platform.ended.containsKey(old.pid()));
-        assertEquals(0, (int) platform.ended.get(old.pid()));
-        Platform.signal(next.pid(), "CONT");
-        world.stand(backend, world.open("u9", 20_000));
+        half.sendLine("7f3a9c21e0b4d655 c=chat,t=acme,d=20000,g=5c0f6e1a");
+        TestConnection side = world.establish(backend, half);
+        assertEquals("MOVE", half.readLine());
+        assertNull(half.readLine());
+        assertNull(side.readLine());
+        RelayTestEnvironment.await("the old process ends", () -> platform.exitCodes.containsKey(old.pid()));
+        assertEquals(0, (int) platform.exitCodes.get(old.pid()));
+        ProcessSupervisor.signal(next.pid(), "CONT");
+        world.establish(backend, world.sendOpen("u9", 20_000));
     }
 
     @Test
@@ -159,24 +159,24 @@
             throws Exception {
         Relay first = serving("first");
         Relay dead = begin("dead");
-        Platform.signal(dead.pid(), "KILL");
-        World.await("it is gone", () -> platform.ended.containsKey(dead.pid()));
-        world.stand(backend, world.open("d1", 20_000));
+        ProcessSupervisor.signal(dead.pid(), "KILL");
+        RelayTestEnvironment.await("it is gone", () -> platform.exitCodes.containsKey(dead.pid()));
+        world.establish(backend, world.sendOpen("d1", 20_000));
         Relay old = first;
         for (String name : List.of("second", "third")) {
             Relay next = serving(name);
-            Platform.signal(old.pid(), "TERM");
+            ProcessSupervisor.signal(old.pid(), "TERM");
             long pid = old.pid();
-            World.await("the one before ends", () -> platform.ended.containsKey(pid));
-            assertEquals(0, (int) platform.ended.get(pid));
-            world.stand(backend, world.open("to-" + name, 20_000));
+            RelayTestEnvironment.await("the one before ends", () -> platform.exitCodes.containsKey(pid));
+            assertEquals(0, (int) platform.exitCodes.get(pid));
+            world.establish(backend, world.sendOpen("to-" + name, 20_000));
             old = next;
         }
     }
 
     @Test
     public void descriptorThatIsNoListeningSocketEndsTheStartWithOneLine() throws Exception {
-        ProcessBuilder relay = World.program(List.of("serve", "--config", config.toString()));
+        ProcessBuilder relay = RelayTestEnvironment.programBuilder(List.of("serve", "--config", config.toString()));
         relay.environment().put("GW_LISTEN_FD", "0");
         relay.redirectErrorStream(true).redirectInput(new java.io.File("/dev/null"));
         Process process = relay.start();
--- a/relay/src/test/java/saltstage/stage/ProbeTest.java
+++ b/relay/src/test/java/saltstage/stage/BackendProberTest.java
@@ -14,25 +14,25 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltstage.memory.Peers;
+import saltstage.memory.BackendRegistry;
 import saltstage.wire.HostList;
 
 /**
  * The thread of probes: the test decides whether the machine has one, and runs what it would do.
  */
 @Timeout(30)
-class ProbeTest {
+class BackendProberTest {
     private static final String UID = "backend-1";
 
-    private final Peers peers = new Peers();
-    private final Queue<Boolean> threadsLeft = new ArrayDeque<>();
+    private final BackendRegistry backends = new BackendRegistry();
+    private final Queue<Boolean> threadStartResults = new ArrayDeque<>();
     private final List<Threads.Work> started = new ArrayList<>();
-    private final Probe probe = new Probe(peers, this::start);
-    private int attempts;
+    private final BackendProber prober = new BackendProber(backends, this::start);
+    private int startAttempts;
 
     private boolean start(String name, Threads.Work work) {
-        attempts++;
-        boolean left = threadsLeft.remove();
+        startAttempts++;
+        boolean left = threadStartResults.remove();
         if (left) {
             started.add(work);
         }
@@ -45,7 +45,7 @@
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             closed = (InetSocketAddress) socket.getLocalSocketAddress();
         }
-        peers.update(
+        backends.update(
                 new HostList(
                         1,
                         true,
@@ -61,24 +61,24 @@
     }
 
     @Test
-    void probesWithoutAThreadAreGivenOneAtALaterAsk() {
-        threadsLeft.addAll(List.of(false, true));
-        probe.ask(UID);
-        assertEquals(1, attempts);
-        probe.ask(UID);
+    void threadIsStartedOnALaterRequestAfterAFailedStart() {
+        threadStartResults.addAll(List.of(false, true));
+        prober.requestProbe(UID);
+        assertEquals(1, startAttempts);
+        prober.requestProbe(UID);
         assertEquals(
                 1, started.size(), "the second ask starts the thread that the first did not get");
-        probe.ask(UID);
-        assertEquals(2, attempts, "all probes have one thread");
+        prober.requestProbe(UID);
+        assertEquals(2, startAttempts, "all probes have one thread");
     }
 
     @Test
-    void probesWhoseThreadEndsByAFaultAreGivenAnotherAtTheNextAsk() {
-        threadsLeft.addAll(List.of(true, true));
-        probe.route(null); // the fault: who is told of the probe's outcome throws
-        probe.ask(UID);
+    void threadIsReplacedOnTheNextRequestAfterAFault() {
+        threadStartResults.addAll(List.of(true, true));
+        prober.setRouter(null); // the fault: who is told of the probe's outcome throws
+        prober.requestProbe(UID);
         assertThrows(NullPointerException.class, () -> started.get(0).run());
-        probe.ask(UID);
+        prober.requestProbe(UID);
         assertEquals(2, started.size(), "the thread that is gone is replaced");
     }
 }
--- a/relay/src/test/java/saltstage/stage/ThreadBudgetTest.java
+++ b/relay/src/test/java/saltstage/stage/ThreadBudgetTest.java
@@ -12,14 +12,14 @@
 /** Requests before a platform that gives so many threads and no more. */
 @Timeout(30)
 class ThreadBudgetTest {
-    private static final int PLATFORM = 100;
+    private static final int PLATFORM_THREADS = 100;
 
-    private final Semaphore platform = new Semaphore(PLATFORM);
-    private final CountDownLatch over = new CountDownLatch(1);
+    private final Semaphore platformThreads = new Semaphore(PLATFORM_THREADS);
+    private final CountDownLatch requestsEnd = new CountDownLatch(1);
     private final ThreadBudget budget = new ThreadBudget(this::start);
 
     private boolean start(String name, Threads.Work work) {
-        if (!platform.tryAcquire()) {
+        if (!platformThreads.tryAcquire()) {
             return false;
         }
         return Threads.tryStart(
@@ -28,7 +28,7 @@
                     try {
                         work.run();
                     } finally {
-                        platform.release();
+                        platformThreads.release();
                     }
                 });
     }
@@ -38,10 +38,10 @@
         while (budget.tryAcquire()) {
             admitted++;
             for (int i = 0; i < ThreadBudget.THREADS_PER_REQUEST; i++) {
-                assertTrue(budget.start("request", over::await), "what was acquired is there");
+                assertTrue(budget.start("request", requestsEnd::await), "what was acquired is there");
             }
             int running = admitted * ThreadBudget.THREADS_PER_REQUEST;
-            while (budget.running() < running) {
+            while (budget.runningThreads() < running) {
                 Thread.onSpinWait();
             }
         }
@@ -49,12 +49,12 @@
     }
 
     @Test
-    void requestsNeverTakeTheThreadsThatAreKeptForSignals() throws Exception {
+    void requestsNeverUseTheReservedThreads() throws Exception {
         int admitted = admitAll();
         assertEquals(
-                (PLATFORM - ThreadBudget.RESERVE) / ThreadBudget.THREADS_PER_REQUEST, admitted);
-        assertEquals(ThreadBudget.RESERVE, platform.availablePermits());
-        over.countDown();
+                (PLATFORM_THREADS - ThreadBudget.RESERVED_THREADS) / ThreadBudget.THREADS_PER_REQUEST, admitted);
+        assertEquals(ThreadBudget.RESERVED_THREADS, platformThreads.availablePermits());
+        requestsEnd.countDown();
     }
 
     @Test
@@ -64,19 +64,19 @@
             admitted++;
         }
         assertEquals(
-                (PLATFORM - ThreadBudget.RESERVE) / ThreadBudget.THREADS_PER_REQUEST, admitted);
+                (PLATFORM_THREADS - ThreadBudget.RESERVED_THREADS) / ThreadBudget.THREADS_PER_REQUEST, admitted);
     }
 
     @Test
-    void threadThatIsRefusedForAMomentIsStartedAllTheSame() throws Exception {
+    void threadStartIsRetriedAfterATemporaryFailure() throws Exception {
         assertTrue(budget.tryAcquire());
-        platform.drainPermits();
+        platformThreads.drainPermits();
         CountDownLatch ran = new CountDownLatch(1);
         Threads.tryStart(
                 "release",
                 () -> {
                     Thread.sleep(20);
-                    platform.release(PLATFORM);
+                    platformThreads.release(PLATFORM_THREADS);
                 });
         assertTrue(budget.start("request", ran::countDown));
         ran.await();
@@ -88,6 +88,6 @@
         assertFalse(budget.tryAcquire());
         budget.release();
         assertTrue(budget.tryAcquire());
-        over.countDown();
+        requestsEnd.countDown();
     }
 }
