--- a/relay/src/main/java/saltstage/Api.java
+++ b/relay/src/main/java/saltstage/Api.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * What {@link Logic} speaks: its types, the events a host program calls in and the actions it gets
+ * What {@link LoadBalancer} speaks: its types, the events a host program calls in and the actions it gets
  * back.
  *
  * <p>All times are microseconds on the host's own clock; a number that is absent is {@link #NONE}.
@@ -14,19 +14,19 @@
     public static final long NONE = -1;
 
     /** How many servers a node probes at most, however many are listed. */
-    public static final int MOST_PROBED = 128;
+    public static final int MAX_PROBED_BACKENDS = 128;
 
     private Api() {}
 
     /** How safe it is to repeat a request. */
-    public enum Effect {
-        SAFE,
-        KEYED,
-        UNSAFE
+    public enum Idempotency {
+        IDEMPOTENT,
+        DEDUPLICATED,
+        NOT_IDEMPOTENT
     }
 
     /** Which servers discard the repeats of a keyed request. */
-    public enum Scope {
+    public enum DeduplicationScope {
         ALL,
         ZONE,
         CELL
@@ -40,11 +40,11 @@
     }
 
     /** The kind of a list event; REFUSED means that a call failed and the old list stands. */
-    public enum Listing {
-        CHANGES,
-        ALL,
-        REMEMBERED,
-        REFUSED
+    public enum BackendListKind {
+        DELTA,
+        FULL,
+        CACHED,
+        CALL_FAILED
     }
 
     /** How an attempt ended. */
@@ -59,7 +59,7 @@
         MOOT;
 
         /** Whether this outcome proves that the attempt had no effect. */
-        public boolean neverRan() {
+        public boolean hasNoEffect() {
             return this == FULL || this == UNREACHABLE || this == MOOT;
         }
     }
@@ -67,49 +67,49 @@
     /**
      * What is told of an open connection: its load (work a second) or the delay of messages (ms).
      */
-    public enum Note {
+    public enum ConnectionReport {
         LOAD,
         DELAY
     }
 
     /** One class of request. */
     public record ServiceClass(
-            long aim,
-            long giveUp,
-            Effect effect,
-            Scope scope,
-            long memory,
-            double worth,
-            long messageAim) {}
+            long latencyTarget,
+            long clientTimeout,
+            Idempotency idempotency,
+            DeduplicationScope deduplicationScope,
+            long deduplicationWindow,
+            double value,
+            long messageLatencyTarget) {}
 
     /** What the four rules ask, in figures. */
-    public record Rules(
-            long drainGrace,
-            double coldFrom,
-            long cold,
-            double tipMultiple,
-            long fall,
-            long askEvery) {}
+    public record SafetyRules(
+            long drainGracePeriod,
+            double initialWarmUpFraction,
+            long warmUpPeriod,
+            double maxWarmUpLoadMultiple,
+            long warmUpBudgetWindow,
+            long discoveryCallInterval) {}
 
     /** What a node is told once, at its start. */
     public record Settings(
-            int fleetSize,
+            int relayCount,
             int zone,
-            List<ServiceClass> classes,
+            List<ServiceClass> serviceClasses,
             List<Long> tenantQuotas,
-            double overShareWorth,
+            double overQuotaValue,
             int maxAttempts,
             long connectTimeout,
-            boolean asksForList,
+            boolean watchesBackendList,
             boolean comparableWeights,
             double crossZoneCost,
             long maxRetryAfter,
-            long tick,
-            boolean probes,
-            Rules rules) {}
+            long timerResolution,
+            boolean probingEnabled,
+            SafetyRules safetyRules) {}
 
     /** A server as the list has it; startedAt is 0 for long ago. */
-    public record Server(
+    public record ListedBackend(
             String id, int zone, int cell, Health health, double weight, long startedAt) {}
 
     /** A client's request; again: it came back after a break or a move. */
@@ -119,9 +119,9 @@
             int tenant,
             long key,
             long group,
-            long hint,
+            long loadHint,
             long deadline,
-            boolean again,
+            boolean reconnecting,
             boolean midFlow) {}
 
     /**
@@ -129,28 +129,28 @@
      * to be left alone, in microseconds; startedAt tells which process of the server it was learnt
      * from.
      */
-    public record LearntServer(
+    public record LearnedBackend(
             String id,
             long startedAt,
-            double setup,
-            double deviation,
-            double lowest,
-            int strikes,
-            long shunnedFor) {}
+            double setupLatency,
+            double setupLatencyDeviation,
+            double minSetupLatency,
+            int consecutiveFailures,
+            long remainingEjection) {}
 
     /**
      * What a node has learnt; part is what it may send of what a warm server of weight 1 can do, as
      * load; shares are parts of the open connections by group, the largest groups only.
      */
-    public record Learnt(
-            double setup,
-            double deviation,
-            double load,
-            double life,
-            double meanShare,
-            double part,
-            List<LearntServer> servers,
-            Map<Long, Double> shares) {}
+    public record LearnedState(
+            double setupLatency,
+            double setupLatencyDeviation,
+            double meanRequestLoad,
+            double meanConnectionLifetime,
+            double meanGroupShare,
+            double capacityShare,
+            List<LearnedBackend> backends,
+            Map<Long, Double> groupShares) {}
 
     /** The events of one node, in the order of their arrival. */
     public interface Events {
@@ -158,54 +158,54 @@
         void start(long now);
 
         /** The list service says something; servers is empty for REFUSED. */
-        void list(long now, Listing kind, List<Server> servers);
+        void backendListReceived(long now, BackendListKind kind, List<ListedBackend> servers);
 
         /** A request has come in: it is owed one final answer. */
-        void request(long now, Request request);
+        void requestReceived(long now, Request request);
 
         /** A connection was already open through this node at its start. */
-        void open(long now, Request request, String server);
+        void connectionRestored(long now, Request request, String server);
 
         /** The connection stands; time-out and deadline no longer run. */
-        void streaming(long now, long id, long latency);
+        void connectionEstablished(long now, long id, long latency);
 
         /** An attempt ended; over: the request needs no further answer. */
-        void outcome(long now, long id, Outcome outcome, boolean over);
+        void attemptEnded(long now, long id, Outcome outcome, boolean over);
 
         /** The client has left: nothing more is owed. */
-        void gone(long now, long id);
+        void clientLeft(long now, long id);
 
         /** Something is told of an open connection. */
-        void note(long now, long id, Note kind, double level);
+        void connectionReported(long now, long id, ConnectionReport kind, double level);
 
         /** A probe has come back: SERVED with the load asked of the server over what it can do. */
-        void probed(long now, String server, Outcome outcome, double asked);
+        void probeCompleted(long now, String server, Outcome outcome, double asked);
 
-        /** A timer set through {@link Actions#timer} is due. */
-        void timer(long now, String token);
+        /** A timer set through {@link Actions#setTimer} is due. */
+        void timerFired(long now, String token);
     }
 
     /** What a node does; called from within an event. */
     public interface Actions {
         /** Starts the next attempt; timeout 0: until the client gives up. */
-        void send(long id, String server, long timeout);
+        void sendAttempt(long id, String server, long timeout);
 
         /** Final answer: rejected, a retry is harmless; retryAfter 0: no advice. */
-        void refuse(long id, long retryAfter);
+        void reject(long id, long retryAfter);
 
         /** Final answer: failed, nothing is promised. */
         void fail(long id);
 
         /** Ends an open connection politely; its client comes again. */
-        void move(long id);
+        void moveClient(long id);
 
         /** Asks for a timer event. */
-        void timer(String token, long delay);
+        void setTimer(String token, long delay);
 
         /** Asks a server for its load. */
         void probe(String server);
 
         /** Subscribes to the changes of the server list. */
-        void watch();
+        void watchBackendList();
     }
 }
--- a/relay/src/main/java/saltstage/PlacementTable.java
+++ b/relay/src/main/java/saltstage/PlacementTable.java
@@ -4,35 +4,35 @@
 import java.util.List;
 import java.util.Random;
 import java.util.function.ToDoubleFunction;
-import saltstage.State.Host;
+import saltstage.BalancerState.BackendState;
 
 /**
  * Maglev hashing: keys are looked up in a table that is the same at every node with the same list.
  */
 final class PlacementTable {
-    static final PlacementTable EMPTY = new PlacementTable(new Host[0]);
+    static final PlacementTable EMPTY = new PlacementTable(new BackendState[0]);
 
     /** At least; odd skips visit every slot of a power of two. */
-    private static final int SLOTS = 2048;
+    private static final int MIN_SLOTS = 2048;
 
     /** Else some servers of a wide fleet would have no slot. */
-    private static final int SLOTS_PER_SERVER = 7;
+    private static final int SLOTS_PER_BACKEND = 7;
 
-    private final Host[] slots;
+    private final BackendState[] slots;
 
-    private PlacementTable(Host[] slots) {
+    private PlacementTable(BackendState[] slots) {
         this.slots = slots;
     }
 
     /**
      * Each server in turn, as often as its weight says, claims the next free slot of its own order.
      */
-    static PlacementTable of(List<Host> members, ToDoubleFunction<Host> weight) {
+    static PlacementTable of(List<BackendState> members, ToDoubleFunction<BackendState> weight) {
         if (members.isEmpty()) {
             return EMPTY;
         }
-        int size = Math.max(SLOTS, Integer.highestOneBit(SLOTS_PER_SERVER * members.size()));
-        Host[] table = new Host[size];
+        int size = Math.max(MIN_SLOTS, Integer.highestOneBit(SLOTS_PER_BACKEND * members.size()));
+        BackendState[] table = new BackendState[size];
         int[] next = new int[members.size()];
         double[] credit = new double[members.size()];
         double[] weights = members.stream().mapToDouble(weight).toArray();
@@ -44,7 +44,7 @@
                     continue;
                 }
                 credit[i] -= 1;
-                Host h = members.get(i);
+                BackendState h = members.get(i);
                 int skip = (int) (h.hash >>> 32) | 1;
                 int slot;
                 do {
@@ -62,12 +62,12 @@
     }
 
     /** The server at this hash, or null where there is none. */
-    Host at(long hash) {
+    BackendState backendAt(long hash) {
         return isEmpty() ? null : slots[(int) hash & slots.length - 1];
     }
 
     /** A server by chance, as often as it has slots. */
-    Host draw(Random random) {
+    BackendState randomBackend(Random random) {
         return slots[random.nextInt(slots.length)];
     }
 }
--- a/relay/src/main/java/saltstage/ProbeSelection.java
+++ b/relay/src/main/java/saltstage/ProbeSelection.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.function.Predicate;
-import saltstage.State.Host;
+import saltstage.BalancerState.BackendState;
 
 /**
  * Which servers a node probes: all of them, or in a wide fleet those that matter to it, in this
@@ -12,51 +12,51 @@
  * failed.
  */
 final class ProbeSelection {
-    private static final long CHOOSE_EVERY_US = 1_000_000;
+    private static final long SELECTION_INTERVAL_MICROS = 1_000_000;
 
     /** After a request might have gone there. */
-    private static final long CONSIDERED_US = 10_000_000;
+    private static final long MAX_CONSIDERED_AGE_MICROS = 10_000_000;
 
-    private static final int NO_CONCERN = 3;
+    private static final int NOT_SELECTED = 3;
 
-    private final Predicate<Host> cold;
-    private List<Host> chosen = List.of();
-    private long chosenAt = Long.MIN_VALUE / 2;
+    private final Predicate<BackendState> isCold;
+    private List<BackendState> selected = List.of();
+    private long selectedAt = Long.MIN_VALUE / 2;
 
-    ProbeSelection(Predicate<Host> cold) {
-        this.cold = cold;
+    ProbeSelection(Predicate<BackendState> cold) {
+        this.isCold = cold;
     }
 
     /** Of these servers, the ones to probe at this time. */
-    Collection<Host> of(Collection<Host> hosts, long now) {
-        if (hosts.size() <= Api.MOST_PROBED) {
+    Collection<BackendState> select(Collection<BackendState> hosts, long now) {
+        if (hosts.size() <= Api.MAX_PROBED_BACKENDS) {
             return hosts;
         }
-        if (now - chosenAt >= CHOOSE_EVERY_US) {
-            chosenAt = now;
-            chosen =
+        if (now - selectedAt >= SELECTION_INTERVAL_MICROS) {
+            selectedAt = now;
+            selected =
                     hosts.stream()
-                            .filter(h -> concern(h, now) < NO_CONCERN)
+                            .filter(h -> priority(h, now) < NOT_SELECTED)
                             .sorted(
-                                    Comparator.comparingInt((Host h) -> concern(h, now))
+                                    Comparator.comparingInt((BackendState h) -> priority(h, now))
                                             .thenComparing(
                                                     Comparator.comparingLong(
-                                                                    (Host h) -> h.consideredAt)
+                                                                    (BackendState h) -> h.lastConsideredAt)
                                                             .reversed())
                                             .thenComparingLong(h -> h.hash))
-                            .limit(Api.MOST_PROBED)
+                            .limit(Api.MAX_PROBED_BACKENDS)
                             .toList();
         }
-        return chosen;
+        return selected;
     }
 
-    private int concern(Host h, long now) {
-        if (!h.open.isEmpty()) {
+    private int priority(BackendState h, long now) {
+        if (!h.establishedRequests.isEmpty()) {
             return 0;
         }
-        if (now - h.consideredAt < CONSIDERED_US) {
+        if (now - h.lastConsideredAt < MAX_CONSIDERED_AGE_MICROS) {
             return 1;
         }
-        return cold.test(h) || h.strikes > 0 ? 2 : NO_CONCERN;
+        return isCold.test(h) || h.consecutiveFailures > 0 ? 2 : NOT_SELECTED;
     }
 }
--- a/relay/src/main/java/saltstage/amqp/Mapping.java
+++ b/relay/src/main/java/saltstage/amqp/Mapping.java
@@ -89,7 +89,7 @@
         } catch (MalformedException unknown) {
             throw new Unmapped(Errors.notFound("the user is no tenant"));
         }
-        boolean repeatable = config.settings().classes().get(place).effect() == Api.Effect.SAFE;
+        boolean repeatable = config.settings().serviceClasses().get(place).idempotency() == Api.Idempotency.IDEMPOTENT;
         return new Mapped(
                 new RequestAttributes(name, place, tenant, key, group, Api.NONE, again),
                 patience(asked, config.giveUp(place)),
--- a/relay/src/main/java/saltstage/config/Configuration.java
+++ b/relay/src/main/java/saltstage/config/Configuration.java
@@ -234,12 +234,12 @@
 
     /** How long a client of the class waits where it does not say. */
     public Duration giveUp(int serviceClass) {
-        return span(settings.classes().get(serviceClass).giveUp());
+        return span(settings.serviceClasses().get(serviceClass).clientTimeout());
     }
 
     /** How long any client waits at most. */
     public Duration longestGiveUp() {
-        return span(settings.classes().stream().mapToLong(ServiceClass::giveUp).max().orElse(0));
+        return span(settings.serviceClasses().stream().mapToLong(ServiceClass::clientTimeout).max().orElse(0));
     }
 
     /** How long a connect may take. */
@@ -255,7 +255,7 @@
     /** The shortest time within which any class wants its messages answered. */
     public Duration shortestMessageAim() {
         return span(
-                settings.classes().stream().mapToLong(ServiceClass::messageAim).min().orElse(0));
+                settings.serviceClasses().stream().mapToLong(ServiceClass::messageLatencyTarget).min().orElse(0));
     }
 
     private static Duration span(long micros) {
--- a/relay/src/main/java/saltstage/config/SettingsReader.java
+++ b/relay/src/main/java/saltstage/config/SettingsReader.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import saltstage.Api.Effect;
-import saltstage.Api.Rules;
-import saltstage.Api.Scope;
+import saltstage.Api.Idempotency;
+import saltstage.Api.SafetyRules;
+import saltstage.Api.DeduplicationScope;
 import saltstage.Api.ServiceClass;
 import saltstage.Api.Settings;
 
@@ -44,7 +44,7 @@
                 quotas.add((long) parse("FamilyInfo.TenantQuotaConnections", quota));
             }
         }
-        Rules rules = new Rules(whole("Safety.DrainGrace", 0, 0, Long.MAX_VALUE),
+        SafetyRules rules = new SafetyRules(whole("Safety.DrainGrace", 0, 0, Long.MAX_VALUE),
             share("Safety.ColdFrom", 1), whole("Safety.Cold", 0, 0, Long.MAX_VALUE),
             decimal("Safety.TipMultiple", 1), whole("Safety.Fall", 0, 0, Long.MAX_VALUE),
             whole("Safety.AskEvery", 10_000_000, 1, Long.MAX_VALUE));
@@ -77,17 +77,17 @@
         String at = "Services." + i + ".";
         long aim = whole(at + "Aim", Long.MIN_VALUE, 1, Long.MAX_VALUE);
         long giveUp = whole(at + "GiveUp", Long.MIN_VALUE, 1, Long.MAX_VALUE);
-        Effect effect = switch (pairs.getOrDefault(at + "Effect", "")) {
-            case "retryable" -> Effect.SAFE;
-            case "dedup" -> Effect.KEYED;
-            case "fragile" -> Effect.UNSAFE;
+        Idempotency effect = switch (pairs.getOrDefault(at + "Effect", "")) {
+            case "retryable" -> Idempotency.IDEMPOTENT;
+            case "dedup" -> Idempotency.DEDUPLICATED;
+            case "fragile" -> Idempotency.NOT_IDEMPOTENT;
             default -> throw complaint.malformed(at + "Effect",
                 unknown(at + "Effect", "retryable, dedup or fragile"));
         };
-        Scope scope = switch (pairs.getOrDefault(at + "Group", "all")) {
-            case "all" -> Scope.ALL;
-            case "zone" -> Scope.ZONE;
-            case "cell" -> Scope.CELL;
+        DeduplicationScope scope = switch (pairs.getOrDefault(at + "Group", "all")) {
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
             default -> throw complaint.malformed(at + "Group", unknown(at + "Group", "all, zone or cell"));
         };
         return new ServiceClass(aim, giveUp, effect, scope, whole(at + "MemorySpan", 0, 0, Long.MAX_VALUE),
--- a/relay/src/main/java/saltstage/keep/Codec.java
+++ b/relay/src/main/java/saltstage/keep/Codec.java
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import saltstage.Api.Learnt;
-import saltstage.Api.LearntServer;
+import saltstage.Api.LearnedState;
+import saltstage.Api.LearnedBackend;
 import saltstage.wire.HostList;
 
 /**
@@ -118,40 +118,40 @@
     }
 
     /** What was learnt, and when. */
-    record Dated(Instant at, Learnt learnt) {}
+    record Dated(Instant at, LearnedState learnt) {}
 
     static byte[] learnt(Dated dated) {
         return bytes(
                 LEARNT_VERSION,
                 out -> {
-                    Learnt learnt = dated.learnt();
+                    LearnedState learnt = dated.learnt();
                     out.writeLong(dated.at().toEpochMilli());
                     for (double figure :
                             new double[] {
-                                learnt.setup(),
-                                learnt.deviation(),
-                                learnt.load(),
-                                learnt.life(),
-                                learnt.meanShare()
+                                learnt.setupLatency(),
+                                learnt.setupLatencyDeviation(),
+                                learnt.meanRequestLoad(),
+                                learnt.meanConnectionLifetime(),
+                                learnt.meanGroupShare()
                             }) {
                         out.writeDouble(figure);
                     }
-                    out.writeInt(learnt.servers().size());
-                    for (LearntServer server : learnt.servers()) {
+                    out.writeInt(learnt.backends().size());
+                    for (LearnedBackend server : learnt.backends()) {
                         out.writeUTF(server.id());
                         out.writeLong(server.startedAt());
-                        out.writeDouble(server.setup());
-                        out.writeDouble(server.deviation());
-                        out.writeDouble(server.lowest());
-                        out.writeInt(server.strikes());
-                        out.writeLong(server.shunnedFor());
+                        out.writeDouble(server.setupLatency());
+                        out.writeDouble(server.setupLatencyDeviation());
+                        out.writeDouble(server.minSetupLatency());
+                        out.writeInt(server.consecutiveFailures());
+                        out.writeLong(server.remainingEjection());
                     }
-                    out.writeInt(learnt.shares().size());
-                    for (Map.Entry<Long, Double> share : learnt.shares().entrySet()) {
+                    out.writeInt(learnt.groupShares().size());
+                    for (Map.Entry<Long, Double> share : learnt.groupShares().entrySet()) {
                         out.writeLong(share.getKey());
                         out.writeDouble(share.getValue());
                     }
-                    out.writeDouble(learnt.part());
+                    out.writeDouble(learnt.capacityShare());
                 });
     }
 
@@ -167,10 +167,10 @@
                     for (int i = 0; i < figures.length; i++) {
                         figures[i] = figure(in);
                     }
-                    List<LearntServer> servers = new ArrayList<>();
+                    List<LearnedBackend> servers = new ArrayList<>();
                     for (int n = count(in); n > 0; n--) {
                         servers.add(
-                                new LearntServer(
+                                new LearnedBackend(
                                         in.readUTF(),
                                         in.readLong(),
                                         figure(in),
@@ -186,7 +186,7 @@
                     double part = first ? 0 : figure(in);
                     return new Dated(
                             at,
-                            new Learnt(
+                            new LearnedState(
                                     figures[0],
                                     figures[1],
                                     figures[2],
--- a/relay/src/main/java/saltstage/keep/Keeper.java
+++ b/relay/src/main/java/saltstage/keep/Keeper.java
@@ -12,8 +12,8 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import saltstage.Api.Learnt;
-import saltstage.Api.LearntServer;
+import saltstage.Api.LearnedState;
+import saltstage.Api.LearnedBackend;
 import saltstage.config.OperatorSettings.Keeping;
 import saltstage.log.Log;
 import saltstage.store.Batch;
@@ -53,7 +53,7 @@
     private State state = State.OK;
     private HostList list;
     private final List<Accepted> accepted = new ArrayList<>();
-    private Supplier<Learnt> learning;
+    private Supplier<LearnedState> learning;
     private byte[] lastLearnt = {};
     private boolean over;
     private Thread thread;
@@ -121,7 +121,7 @@
     }
 
     /** What was learnt, unless it is too old; spans are shorter by its age. */
-    public Optional<Learnt> keptLearnt() {
+    public Optional<LearnedState> keptLearnt() {
         return kept(
                 "learnt",
                 now -> {
@@ -138,36 +138,36 @@
                             "age_s",
                             age.toSeconds(),
                             "servers",
-                            dated.learnt().servers().size(),
+                            dated.learnt().backends().size(),
                             "taken",
                             fresh);
                     return fresh ? aged(dated.learnt(), age.toNanos() / 1_000) : null;
                 });
     }
 
-    private static Learnt aged(Learnt learnt, long micros) {
-        List<LearntServer> servers =
-                learnt.servers().stream()
+    private static LearnedState aged(LearnedState learnt, long micros) {
+        List<LearnedBackend> servers =
+                learnt.backends().stream()
                         .map(
                                 s ->
-                                        new LearntServer(
+                                        new LearnedBackend(
                                                 s.id(),
                                                 s.startedAt(),
-                                                s.setup(),
-                                                s.deviation(),
-                                                s.lowest(),
-                                                s.strikes(),
-                                                Math.max(0, s.shunnedFor() - micros)))
+                                                s.setupLatency(),
+                                                s.setupLatencyDeviation(),
+                                                s.minSetupLatency(),
+                                                s.consecutiveFailures(),
+                                                Math.max(0, s.remainingEjection() - micros)))
                         .toList();
-        return new Learnt(
-                learnt.setup(),
-                learnt.deviation(),
-                learnt.load(),
-                learnt.life(),
-                learnt.meanShare(),
-                learnt.part(),
+        return new LearnedState(
+                learnt.setupLatency(),
+                learnt.setupLatencyDeviation(),
+                learnt.meanRequestLoad(),
+                learnt.meanConnectionLifetime(),
+                learnt.meanGroupShare(),
+                learnt.capacityShare(),
                 servers,
-                new TreeMap<>(learnt.shares()));
+                new TreeMap<>(learnt.groupShares()));
     }
 
     private interface Reading<T> {
@@ -189,7 +189,7 @@
     // ---- what is to be kept
 
     /** Begins to write, and to ask for what was learnt at the interval of the settings. */
-    public synchronized void start(Supplier<Learnt> learnt) {
+    public synchronized void start(Supplier<LearnedState> learnt) {
         learning = learnt;
         if (store != null) {
             thread = new Thread(null, this::write, "keep", 256 << 10);
@@ -337,9 +337,9 @@
     }
 
     private void writeLearnt() throws IOException {
-        Learnt now = learning.get();
+        LearnedState now = learning.get();
         byte[] plain = Codec.learnt(new Codec.Dated(Instant.EPOCH, now));
-        if (!now.servers().isEmpty() && !Arrays.equals(plain, lastLearnt)) {
+        if (!now.backends().isEmpty() && !Arrays.equals(plain, lastLearnt)) {
             store.put(LEARNT, Codec.learnt(new Codec.Dated(clock.get(), now)));
             lastLearnt = plain;
         }
--- a/relay/src/main/java/saltstage/keep/Takeover.java
+++ b/relay/src/main/java/saltstage/keep/Takeover.java
@@ -10,14 +10,14 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Set;
-import saltstage.Api.Learnt;
+import saltstage.Api.LearnedState;
 import saltstage.wire.HostList;
 
 /**
  * What a process leaves to the one that replaces it: its list, what it has learnt, every id ever
  * listed.
  */
-public record Takeover(HostList list, Instant at, Learnt learnt, Set<String> listed) {
+public record Takeover(HostList list, Instant at, LearnedState learnt, Set<String> listed) {
     private static final int MOST = 1 << 20;
 
     /** As bytes. */
--- a/relay/src/main/java/saltstage/lifecycle/Main.java
+++ b/relay/src/main/java/saltstage/lifecycle/Main.java
@@ -19,8 +19,8 @@
 import saltstage.config.OperatorSettings;
 import saltstage.log.Log;
 import saltstage.log.LogSetup;
-import saltstage.sim.Malformed;
-import saltstage.sim.WireHost;
+import saltstage.sim.MalformedMessageException;
+import saltstage.sim.SimulatorAdapter;
 import saltstage.wire.MalformedException;
 
 /** The command line. */
@@ -210,9 +210,9 @@
                     new OutputStreamWriter(
                             new FileOutputStream(FileDescriptor.out), StandardCharsets.UTF_8);
             try {
-                new WireHost(in, out).run();
+                new SimulatorAdapter(in, out).run();
                 return 0;
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 return complain(e.getMessage(), FAILED);
             }
         }
--- a/relay/src/main/java/saltstage/lifecycle/Program.java
+++ b/relay/src/main/java/saltstage/lifecycle/Program.java
@@ -101,7 +101,7 @@
         subscription =
                 new Subscription(
                         config.discovery(),
-                        !config.settings().asksForList(),
+                        !config.settings().watchesBackendList(),
                         timers,
                         peers::revision,
                         this::heard,
@@ -209,7 +209,7 @@
      */
     private void awaitAgent() throws IOException {
         try {
-            if (!config.settings().asksForList()
+            if (!config.settings().watchesBackendList()
                     && shared == null
                     && !firstList.await(AGENT.toMillis(), TimeUnit.MILLISECONDS)) {
                 Log.warn("discovery.none", "rev", peers.revision());
@@ -228,7 +228,7 @@
     private void beginToHearLists() {
         if (shared != null) {
             shared.start();
-        } else if (!config.settings().asksForList()) {
+        } else if (!config.settings().watchesBackendList()) {
             subscription
                     .ask(); // the module does not: to it, lists that are pushed come by themselves
         }
--- a/relay/src/main/java/saltstage/sim/Malformed.java
+++ b/relay/src/main/java/saltstage/sim/MalformedMessageException.java
@@ -1,10 +1,10 @@
 package saltstage.sim;
 
 /** Input that is not the wire; its message names the line and the field. */
-public final class Malformed extends RuntimeException {
+public final class MalformedMessageException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    Malformed(String message) {
+    MalformedMessageException(String message) {
         super(message);
     }
 }
--- a/relay/src/main/java/saltstage/sim/WireHost.java
+++ b/relay/src/main/java/saltstage/sim/SimulatorAdapter.java
@@ -9,19 +9,19 @@
 import java.util.Map;
 import saltstage.Api;
 import saltstage.Api.Health;
-import saltstage.Api.Listing;
-import saltstage.Api.Note;
+import saltstage.Api.BackendListKind;
+import saltstage.Api.ConnectionReport;
 import saltstage.Api.Outcome;
 import saltstage.Api.Request;
-import saltstage.Api.Server;
+import saltstage.Api.ListedBackend;
 import saltstage.Api.Settings;
-import saltstage.Logic;
+import saltstage.LoadBalancer;
 import saltstage.config.SettingsReader;
 
 /** Reads batches of events, hands them to the instances and writes their actions. */
-public final class WireHost {
-    private static final long MOST_KEY = (1L << 53) - 1;
-    private static final long MOST_ID = (1L << 32) - 1;
+public final class SimulatorAdapter {
+    private static final long MAX_KEY = (1L << 53) - 1;
+    private static final long MAX_ID = (1L << 32) - 1;
 
     private final BufferedReader in;
     private final Writer out;
@@ -31,18 +31,18 @@
     private long now;
 
     /** One instance: its settings, for checks, and its decisions. */
-    private record Instance(Settings settings, Logic logic) {}
+    private record Instance(Settings settings, LoadBalancer loadBalancer) {}
 
     /** A host that reads there and replies here. */
-    public WireHost(BufferedReader in, Writer out) {
+    public SimulatorAdapter(BufferedReader in, Writer out) {
         this.in = in;
         this.out = out;
     }
 
     /** Runs until the end of input. */
     public void run() throws IOException {
-        for (Line line = next(); line != null; line = next()) {
-            if (!line.message.equals("FRAME")) {
+        for (SimulatorMessage line = readMessage(); line != null; line = readMessage()) {
+            if (!line.type.equals("FRAME")) {
                 throw line.malformed("message", "FRAME expected");
             }
             now = line.number("Ts", 0, Long.MAX_VALUE);
@@ -50,11 +50,11 @@
             reply.setLength(0);
             boolean turn = false;
             while (!turn) {
-                Line event = next();
+                SimulatorMessage event = readMessage();
                 if (event == null) {
-                    throw new Malformed("line " + lineNumber + ": input ends before YOUR_TURN");
+                    throw new MalformedMessageException("line " + lineNumber + ": input ends before YOUR_TURN");
                 }
-                turn = event.message.equals("YOUR_TURN");
+                turn = event.type.equals("YOUR_TURN");
                 if (!turn) {
                     handle(event);
                 }
@@ -63,21 +63,21 @@
         }
     }
 
-    private Line next() throws IOException {
+    private SimulatorMessage readMessage() throws IOException {
         String text = in.readLine();
         while (text != null && text.isEmpty()) {
             lineNumber++;
             text = in.readLine();
         }
         lineNumber++;
-        return text == null ? null : new Line(text, lineNumber);
+        return text == null ? null : new SimulatorMessage(text, lineNumber);
     }
 
-    private void handle(Line e) throws IOException {
+    private void handle(SimulatorMessage e) throws IOException {
         int who = (int) e.number("Who", 0, Integer.MAX_VALUE);
         try {
             dispatch(e, who);
-        } catch (Malformed m) {
+        } catch (MalformedMessageException m) {
             throw m;
         } catch (RuntimeException failure) {
             StackTraceElement[] trace = failure.getStackTrace();
@@ -91,11 +91,11 @@
         }
     }
 
-    private void dispatch(Line e, int who) throws IOException {
-        if (e.message.equals("LAUNCH")) {
-            Settings settings = new SettingsReader(e.pairs(), e::malformed).read();
+    private void dispatch(SimulatorMessage e, int who) throws IOException {
+        if (e.type.equals("LAUNCH")) {
+            Settings settings = new SettingsReader(e.fields(), e::malformed).read();
             long seed = e.number("Salt", Long.MIN_VALUE, Long.MAX_VALUE);
-            Logic logic = new Logic(settings, seed, new Sink(who));
+            LoadBalancer logic = new LoadBalancer(settings, seed, new ActionWriter(who));
             instances.put(who, new Instance(settings, logic));
             logic.start(now);
             return;
@@ -104,29 +104,29 @@
         if (at == null) {
             throw e.malformed("Who", "unknown instance: " + who);
         }
-        Logic logic = at.logic();
-        switch (e.message) {
-            case "DISCOVERY" -> list(e, logic);
-            case "JOB_IN" -> logic.request(now, request(e, at.settings()));
-            case "OPEN" -> logic.open(now, request(e, at.settings()), e.need("Host"));
+        LoadBalancer logic = at.loadBalancer();
+        switch (e.type) {
+            case "DISCOVERY" -> handleBackendList(e, logic);
+            case "JOB_IN" -> logic.requestReceived(now, readRequest(e, at.settings()));
+            case "OPEN" -> logic.connectionRestored(now, readRequest(e, at.settings()), e.require("Host"));
             case "STREAMING" ->
-                    logic.streaming(now, id(e), e.number("DelaySeen", 0, Long.MAX_VALUE));
-            case "VERDICT" -> logic.outcome(now, id(e), outcome(e), e.flag("Ended"));
-            case "DROPPED" -> logic.gone(now, id(e));
-            case "NOTICE" -> note(e, logic);
-            case "ECHO" -> logic.probed(now, e.need("Host"), outcome(e), asked(e));
-            case "REMINDER" -> logic.timer(now, e.need("Token"));
+                    logic.connectionEstablished(now, requestId(e), e.number("DelaySeen", 0, Long.MAX_VALUE));
+            case "VERDICT" -> logic.attemptEnded(now, requestId(e), readOutcome(e), e.flag("Ended"));
+            case "DROPPED" -> logic.clientLeft(now, requestId(e));
+            case "NOTICE" -> handleConnectionReport(e, logic);
+            case "ECHO" -> logic.probeCompleted(now, e.require("Host"), readOutcome(e), utilization(e));
+            case "REMINDER" -> logic.timerFired(now, e.require("Token"));
             case "EXIT" -> instances.remove(who);
             default -> {} // peers are not used; what is unknown is passed over
         }
     }
 
-    private static long id(Line e) {
-        return e.number("Corr", 0, MOST_ID);
+    private static long requestId(SimulatorMessage e) {
+        return e.number("Corr", 0, MAX_ID);
     }
 
-    private static Outcome outcome(Line e) {
-        return switch (e.need("Code")) {
+    private static Outcome readOutcome(SimulatorMessage e) {
+        return switch (e.require("Code")) {
             case "S" -> Outcome.SERVED;
             case "E" -> Outcome.ERROR;
             case "F" -> Outcome.FULL;
@@ -140,7 +140,7 @@
     }
 
     /** The load asked of the server over what it can do, where its report names it. */
-    private static double asked(Line e) {
+    private static double utilization(SimulatorMessage e) {
         String report = e.find("Report");
         for (String pair : report == null ? new String[0] : report.split(",")) {
             if (pair.startsWith("x0:")) {
@@ -154,57 +154,57 @@
         return Api.NONE;
     }
 
-    private void note(Line e, Logic logic) {
+    private void handleConnectionReport(SimulatorMessage e, LoadBalancer logic) {
         long topic = e.number("Topic", 0, Integer.MAX_VALUE);
         if (topic == 1 || topic == 2) {
-            logic.note(now, id(e), topic == 1 ? Note.LOAD : Note.DELAY, e.decimal("Level"));
+            logic.connectionReported(now, requestId(e), topic == 1 ? ConnectionReport.LOAD : ConnectionReport.DELAY, e.decimal("Level"));
         }
     }
 
-    private static Request request(Line e, Settings settings) {
+    private static Request readRequest(SimulatorMessage e, Settings settings) {
         return new Request(
-                id(e),
-                (int) e.number("Qos", 0, settings.classes().size() - 1),
+                requestId(e),
+                (int) e.number("Qos", 0, settings.serviceClasses().size() - 1),
                 (int) e.number("Billing", 0, 0, Integer.MAX_VALUE),
-                e.number("NameKey", Api.NONE, 0, MOST_KEY),
-                e.number("Room", Api.NONE, 0, MOST_KEY),
+                e.number("NameKey", Api.NONE, 0, MAX_KEY),
+                e.number("Room", Api.NONE, 0, MAX_KEY),
                 e.number("Estimate", Api.NONE, 0, Long.MAX_VALUE),
                 e.number("Deadline", 0, Long.MAX_VALUE),
                 e.flag("Again"),
                 e.flag("MidFlow"));
     }
 
-    private void list(Line e, Logic logic) throws IOException {
-        Listing kind =
-                switch (e.need("Scope")) {
-                    case "changes" -> Listing.CHANGES;
-                    case "all" -> Listing.ALL;
-                    case "remembered" -> Listing.REMEMBERED;
-                    case "refused" -> Listing.REFUSED;
+    private void handleBackendList(SimulatorMessage e, LoadBalancer logic) throws IOException {
+        BackendListKind kind =
+                switch (e.require("Scope")) {
+                    case "changes" -> BackendListKind.DELTA;
+                    case "all" -> BackendListKind.FULL;
+                    case "remembered" -> BackendListKind.CACHED;
+                    case "refused" -> BackendListKind.CALL_FAILED;
                     default -> throw e.malformed("Scope", "unknown: " + e.find("Scope"));
                 };
         long rows = e.number("RowsIn", 0, 0, Integer.MAX_VALUE);
-        List<Server> servers = new ArrayList<>();
+        List<ListedBackend> servers = new ArrayList<>();
         for (long i = 0; i < rows; i++) {
-            Line m = next();
-            if (m == null || !m.message.equals("M")) {
+            SimulatorMessage m = readMessage();
+            if (m == null || !m.type.equals("M")) {
                 throw e.malformed("RowsIn", rows + " entries promised, " + i + " came");
             }
-            servers.add(server(m));
+            servers.add(readBackend(m));
         }
-        logic.list(now, kind, servers);
+        logic.backendListReceived(now, kind, servers);
     }
 
-    private static Server server(Line m) {
+    private static ListedBackend readBackend(SimulatorMessage m) {
         Health health =
-                switch (m.need("Health")) {
+                switch (m.require("Health")) {
                     case "Ready" -> Health.READY;
                     case "Terminating" -> Health.DRAINING;
                     case "Gone" -> Health.GONE;
                     default -> throw m.malformed("Health", "unknown: " + m.find("Health"));
                 };
-        return new Server(
-                m.need("Host"),
+        return new ListedBackend(
+                m.require("Host"),
                 (int) m.number("Zone", 0, 0, Integer.MAX_VALUE),
                 (int) m.number("Cluster", 0, 0, Integer.MAX_VALUE),
                 health,
@@ -213,20 +213,20 @@
     }
 
     /** Writes the actions of one instance. */
-    private final class Sink implements Api.Actions {
-        private final int who;
+    private final class ActionWriter implements Api.Actions {
+        private final int instanceId;
 
-        Sink(int who) {
-            this.who = who;
+        ActionWriter(int who) {
+            this.instanceId = who;
         }
 
-        private StringBuilder action(String name) {
-            return reply.append(name).append("\tWho=").append(who);
+        private StringBuilder beginAction(String name) {
+            return reply.append(name).append("\tWho=").append(instanceId);
         }
 
         @Override
-        public void send(long id, String server, long timeout) {
-            action("HAND_OFF").append("\tCorr=").append(id);
+        public void sendAttempt(long id, String server, long timeout) {
+            beginAction("HAND_OFF").append("\tCorr=").append(id);
             if (timeout > 0) {
                 reply.append("\tLimit=").append(timeout);
             }
@@ -234,8 +234,8 @@
         }
 
         @Override
-        public void refuse(long id, long retryAfter) {
-            action("NOT_NOW").append("\tCorr=").append(id);
+        public void reject(long id, long retryAfter) {
+            beginAction("NOT_NOW").append("\tCorr=").append(id);
             if (retryAfter > 0) {
                 reply.append("\tWait=").append(retryAfter);
             }
@@ -244,17 +244,17 @@
 
         @Override
         public void fail(long id) {
-            action("RESPOND_ERROR").append("\tCorr=").append(id).append('\n');
+            beginAction("RESPOND_ERROR").append("\tCorr=").append(id).append('\n');
         }
 
         @Override
-        public void move(long id) {
-            action("TRANSFER").append("\tCorr=").append(id).append('\n');
+        public void moveClient(long id) {
+            beginAction("TRANSFER").append("\tCorr=").append(id).append('\n');
         }
 
         @Override
-        public void timer(String token, long delay) {
-            action("TIMER")
+        public void setTimer(String token, long delay) {
+            beginAction("TIMER")
                     .append("\tToken=")
                     .append(token)
                     .append("\tIn=")
@@ -264,12 +264,12 @@
 
         @Override
         public void probe(String server) {
-            action("CHECK").append("\tHost=").append(server).append('\n');
+            beginAction("CHECK").append("\tHost=").append(server).append('\n');
         }
 
         @Override
-        public void watch() {
-            action("KEEP_INFORMED").append("\tEnable=1\n");
+        public void watchBackendList() {
+            beginAction("KEEP_INFORMED").append("\tEnable=1\n");
         }
     }
 }
--- a/relay/src/main/java/saltstage/sim/Line.java
+++ b/relay/src/main/java/saltstage/sim/SimulatorMessage.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 
 /** One line of the wire: a message and its name=value parts. */
-final class Line {
-    final String message;
+final class SimulatorMessage {
+    final String type;
     private final String text;
-    private final int number;
+    private final int lineNumber;
 
-    Line(String text, int number) {
+    SimulatorMessage(String text, int number) {
         this.text = text;
-        this.number = number;
+        this.lineNumber = number;
         int tab = text.indexOf('\t');
-        message = tab < 0 ? text : text.substring(0, tab);
+        type = tab < 0 ? text : text.substring(0, tab);
     }
 
-    Malformed malformed(String field, String what) {
-        return new Malformed("line " + number + ": " + message + ": " + field + ": " + what);
+    MalformedMessageException malformed(String field, String what) {
+        return new MalformedMessageException("line " + lineNumber + ": " + type + ": " + field + ": " + what);
     }
 
     /** The value of a part, or null. */
@@ -34,7 +34,7 @@
         return null;
     }
 
-    String need(String name) {
+    String require(String name) {
         String value = find(name);
         if (value == null || value.isEmpty()) {
             throw malformed(name, "missing");
@@ -59,12 +59,12 @@
     }
 
     long number(String name, long least, long most) {
-        need(name);
+        require(name);
         return number(name, 0, least, most);
     }
 
     double decimal(String name) {
-        String value = need(name);
+        String value = require(name);
         try {
             double d = Double.parseDouble(value);
             if (!Double.isFinite(d) || d < 0) {
@@ -85,7 +85,7 @@
     }
 
     /** All parts of the line by name. */
-    Map<String, String> pairs() {
+    Map<String, String> fields() {
         Map<String, String> pairs = new HashMap<>();
         String[] parts = text.split("\t");
         for (int i = 1; i < parts.length; i++) {
--- a/relay/src/main/java/saltstage/stage/BackendProber.java
+++ b/relay/src/main/java/saltstage/stage/BackendProber.java
@@ -30,7 +30,7 @@
     private static final int MAX_IDLE_CONNECTIONS = 64;
 
     /** Beyond them, whoever was not asked for the longest time gives way. */
-    static final int MAX_CONNECTIONS = Api.MOST_PROBED + MAX_IDLE_CONNECTIONS;
+    static final int MAX_CONNECTIONS = Api.MAX_PROBED_BACKENDS + MAX_IDLE_CONNECTIONS;
 
     private static final Duration PROBE_TIMEOUT = Duration.ofMillis(250);
 
--- a/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
+++ b/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
-import saltstage.Api.Effect;
+import saltstage.Api.Idempotency;
 import saltstage.Api.Outcome;
 import saltstage.Api.ServiceClass;
 import saltstage.config.Configuration;
@@ -110,11 +110,11 @@
      * Repeats are discarded for so long only; the module asked that before the connection came up.
      */
     private boolean isDeduplicationExpired(RequestContext context) {
-        ServiceClass service = config.settings().classes().get(context.attributes().serviceClass());
+        ServiceClass service = config.settings().serviceClasses().get(context.attributes().serviceClass());
         Instant since = context.possibleExecutionSince();
         return since != null
-                && service.effect() == Effect.KEYED
-                && !clock.now().isBefore(since.plus(service.memory(), ChronoUnit.MICROS));
+                && service.idempotency() == Idempotency.DEDUPLICATED
+                && !clock.now().isBefore(since.plus(service.deduplicationWindow(), ChronoUnit.MICROS));
     }
 
     private Outcome handleAnswer(Attempt begun, byte[] piece, boolean restore) {
--- a/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
+++ b/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
-import saltstage.Api.Effect;
+import saltstage.Api.Idempotency;
 import saltstage.Api.Outcome;
-import saltstage.Api.Scope;
+import saltstage.Api.DeduplicationScope;
 import saltstage.Api.ServiceClass;
 import saltstage.config.Configuration;
 import saltstage.log.Log;
@@ -116,10 +116,10 @@
             return;
         }
         Attempt out = context.currentAttempt(); // the last one: who has ended begins none
-        ServiceClass service = config.settings().classes().get(context.attributes().serviceClass());
+        ServiceClass service = config.settings().serviceClasses().get(context.attributes().serviceClass());
         boolean harmless =
-                service.effect() == Effect.SAFE
-                        || service.effect() == Effect.KEYED && service.scope() == Scope.ALL;
+                service.idempotency() == Idempotency.IDEMPOTENT
+                        || service.idempotency() == Idempotency.DEDUPLICATED && service.deduplicationScope() == DeduplicationScope.ALL;
         if (out == null || harmless) {
             sendRejection(context, Duration.ZERO);
         } else {
@@ -185,7 +185,7 @@
 
     /** A try ended before it stood. */
     public void attemptEnded(Attempt ended, Outcome outcome) {
-        if (!outcome.neverRan()) {
+        if (!outcome.hasNoEffect()) {
             ended.context().recordPossibleExecution(ended.sentAt());
         }
         boolean over = ended.context().phase() == Phase.ENDED;
--- a/relay/src/main/java/saltstage/stage/RelayPipeline.java
+++ b/relay/src/main/java/saltstage/stage/RelayPipeline.java
@@ -67,7 +67,7 @@
         probe.setRouter(router);
         probedBackends =
                 () ->
-                        config.settings().probes()
+                        config.settings().probingEnabled()
                                 ? Math.min(peers.all().size(), BackendProber.MAX_CONNECTIONS)
                                 : 0;
         descriptorLimit = config.sockets();
--- a/relay/src/main/java/saltstage/stage/Router.java
+++ b/relay/src/main/java/saltstage/stage/Router.java
@@ -13,12 +13,12 @@
 import java.util.function.Predicate;
 import saltstage.Api;
 import saltstage.Api.Health;
-import saltstage.Api.Listing;
-import saltstage.Api.Note;
+import saltstage.Api.BackendListKind;
+import saltstage.Api.ConnectionReport;
 import saltstage.Api.Outcome;
 import saltstage.Api.Request;
-import saltstage.Api.Server;
-import saltstage.Logic;
+import saltstage.Api.ListedBackend;
+import saltstage.LoadBalancer;
 import saltstage.config.Configuration;
 import saltstage.log.Log;
 import saltstage.memory.MonotonicClock;
@@ -30,7 +30,7 @@
 import saltstage.wire.HostList;
 
 /**
- * The owner of the decisions: feeds {@link Logic} one event at a time, in order, on one clock. What
+ * The owner of the decisions: feeds {@link LoadBalancer} one event at a time, in order, on one clock. What
  * it decides is gathered under the lock and done after it, by the thread that brought the event;
  * none of that blocks. Only here are the relay's names and times turned into the module's ids and
  * microseconds and back.
@@ -43,7 +43,7 @@
     private final Timers timers;
     private final RoutingActions actions;
     private final Predicate<String> suspensionCheck;
-    private final Logic loadBalancer;
+    private final LoadBalancer loadBalancer;
     private final ReentrantLock lock = new ReentrantLock(true);
     private final Map<Long, RequestContext> contexts = new ConcurrentHashMap<>();
     private List<Runnable> collectedActions = new ArrayList<>();
@@ -70,7 +70,7 @@
     }
 
     private interface BalancerEvent {
-        void deliver(Logic logic, long now);
+        void deliver(LoadBalancer logic, long now);
     }
 
     /** The decisions for this configuration. */
@@ -85,23 +85,23 @@
         this.clock = clock;
         this.timers = timers;
         this.actions = effects;
-        loadBalancer = new Logic(config.settings(), config.seed(), new ActionCollector());
+        loadBalancer = new LoadBalancer(config.settings(), config.seed(), new ActionCollector());
     }
 
     /** The relay starts, with the list as it last had it. */
     public void start(HostList known) {
-        deliver(Logic::start);
-        deliverBackendList(known, Listing.REMEMBERED);
+        deliver(LoadBalancer::start);
+        deliverBackendList(known, BackendListKind.CACHED);
     }
 
     /** Discovery has told something. */
     public void backendListReceived(HostList list) {
-        deliverBackendList(list, list.all() ? Listing.ALL : Listing.CHANGES);
+        deliverBackendList(list, list.all() ? BackendListKind.FULL : BackendListKind.DELTA);
     }
 
-    private void deliverBackendList(HostList list, Listing kind) {
-        List<Server> servers = list.targets().stream().map(this::toListedBackend).toList();
-        deliver((logic, now) -> logic.list(now, kind, servers));
+    private void deliverBackendList(HostList list, BackendListKind kind) {
+        List<ListedBackend> servers = list.targets().stream().map(this::toListedBackend).toList();
+        deliver((logic, now) -> logic.backendListReceived(now, kind, servers));
     }
 
     /** Operators have suspended or restored a backend: to the module it drains, or no more. */
@@ -109,7 +109,7 @@
         deliver(
                 (logic, now) -> {
                     if (!peer.hasEnded()) { // else the module is told of its end, or has been
-                        logic.list(now, Listing.CHANGES, List.of(toListedBackend(peer.entry())));
+                        logic.backendListReceived(now, BackendListKind.DELTA, List.of(toListedBackend(peer.entry())));
                     }
                 });
     }
@@ -118,7 +118,7 @@
     public Set<String> ejectedBackends() {
         lock.lock();
         try {
-            return loadBalancer.avoided(toEpochMicros(clock.now()));
+            return loadBalancer.ejectedBackends(toEpochMicros(clock.now()));
         } finally {
             lock.unlock();
         }
@@ -126,14 +126,14 @@
 
     /** A call to discovery failed, or the watch broke. */
     public void discoveryCallFailed() {
-        deliver((logic, now) -> logic.list(now, Listing.REFUSED, List.of()));
+        deliver((logic, now) -> logic.backendListReceived(now, BackendListKind.CALL_FAILED, List.of()));
     }
 
     /** A request was admitted: it is owed one final answer. */
     public void requestAdmitted(RequestContext context) {
         Request request = toBalancerRequest(context);
         contexts.put(context.id(), context);
-        deliver((logic, now) -> logic.request(now, request));
+        deliver((logic, now) -> logic.requestReceived(now, request));
     }
 
     /** A connection that was open before the relay started stands again. */
@@ -141,13 +141,13 @@
         RequestContext context = standing.context();
         Request request = toBalancerRequest(context);
         contexts.put(context.id(), context);
-        deliver((logic, now) -> logic.open(now, request, standing.backend().entry().uid()));
+        deliver((logic, now) -> logic.connectionRestored(now, request, standing.backend().entry().uid()));
     }
 
     /** A try stands. */
     public void connectionEstablished(Attempt standing) {
         long latency = toMicros(Duration.between(standing.sentAt(), clock.now()));
-        deliver((logic, now) -> logic.streaming(now, standing.context().id(), latency));
+        deliver((logic, now) -> logic.connectionEstablished(now, standing.context().id(), latency));
     }
 
     /** A try has ended; over: nothing more is owed. */
@@ -155,46 +155,46 @@
         if (over) {
             contexts.remove(context.id());
         }
-        deliver((logic, now) -> logic.outcome(now, context.id(), outcome, over));
+        deliver((logic, now) -> logic.attemptEnded(now, context.id(), outcome, over));
     }
 
     /** The client has left before its answer. */
     public void clientLeft(RequestContext context) {
         contexts.remove(context.id());
-        deliver((logic, now) -> logic.gone(now, context.id()));
+        deliver((logic, now) -> logic.clientLeft(now, context.id()));
     }
 
     /** A backend told the load of a connection, in microseconds of work a second. */
     public void loadReported(Attempt standing, double level) {
-        deliver((logic, now) -> logic.note(now, standing.context().id(), Note.LOAD, level));
+        deliver((logic, now) -> logic.connectionReported(now, standing.context().id(), ConnectionReport.LOAD, level));
     }
 
     /** Messages take so long at the backend of this try. */
     public void delayReported(Attempt standing, Duration delay) {
         deliver(
                 (logic, now) ->
-                        logic.note(
-                                now, standing.context().id(), Note.DELAY, toMicros(delay) / 1000.0));
+                        logic.connectionReported(
+                                now, standing.context().id(), ConnectionReport.DELAY, toMicros(delay) / 1000.0));
     }
 
     /** A probe has come back. */
     public void probeCompleted(String uid, Outcome outcome, double asked) {
-        deliver((logic, now) -> logic.probed(now, uid, outcome, asked));
+        deliver((logic, now) -> logic.probeCompleted(now, uid, outcome, asked));
     }
 
     /** What the module has learnt, as plain data. */
-    public Api.Learnt learnedState() {
+    public Api.LearnedState learnedState() {
         lock.lock();
         try {
-            return loadBalancer.learnt(toEpochMicros(clock.now()));
+            return loadBalancer.learnedState(toEpochMicros(clock.now()));
         } finally {
             lock.unlock();
         }
     }
 
     /** Gives the module what one before it had learnt. */
-    public void restoreLearnedState(Api.Learnt known) {
-        deliver((logic, now) -> logic.learn(now, known));
+    public void restoreLearnedState(Api.LearnedState known) {
+        deliver((logic, now) -> logic.restoreLearnedState(now, known));
     }
 
     /** All contexts, for the end of the relay. */
@@ -233,14 +233,14 @@
         return Duration.of(micros, ChronoUnit.MICROS);
     }
 
-    private Server toListedBackend(HostList.Entry entry) {
+    private ListedBackend toListedBackend(HostList.Entry entry) {
         Health health =
                 switch (entry.state()) {
                     case READY -> suspensionCheck.test(entry.uid()) ? Health.DRAINING : Health.READY;
                     case DRAINING -> Health.DRAINING;
                     case GONE -> Health.GONE;
                 };
-        return new Server(
+        return new ListedBackend(
                 entry.uid(),
                 config.zone(entry.zone()),
                 entry.cell(),
@@ -288,12 +288,12 @@
         }
 
         @Override
-        public void send(long id, String server, long timeout) {
+        public void sendAttempt(long id, String server, long timeout) {
             collect(id, context -> actions.sendAttempt(context, server, toDuration(timeout)));
         }
 
         @Override
-        public void refuse(long id, long retryAfter) {
+        public void reject(long id, long retryAfter) {
             collect(id, context -> actions.reject(context, toDuration(retryAfter)));
             contexts.remove(id);
         }
@@ -305,13 +305,13 @@
         }
 
         @Override
-        public void move(long id) {
+        public void moveClient(long id) {
             collect(id, actions::moveClient);
         }
 
         @Override
-        public void timer(String token, long delay) {
-            timers.schedule(toDuration(delay), () -> deliver((logic, now) -> logic.timer(now, token)));
+        public void setTimer(String token, long delay) {
+            timers.schedule(toDuration(delay), () -> deliver((logic, now) -> logic.timerFired(now, token)));
         }
 
         @Override
@@ -320,7 +320,7 @@
         }
 
         @Override
-        public void watch() {
+        public void watchBackendList() {
             collectedActions.add(actions::watchBackendList);
         }
     }
--- /dev/null
+++ b/relay/src/test/java/saltstage/PlacementAndDiversionTest.java
@@ -0,0 +1,213 @@
+package saltstage;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.TreeSet;
+import org.junit.jupiter.api.Test;
+import saltstage.Api.Health;
+import saltstage.Api.BackendListKind;
+import saltstage.Api.ListedBackend;
+
+class PlacementAndDiversionTest {
+    private static final int KEY_COUNT = 4000;
+
+    private static Map<Long, String> defaultBackends(LoadBalancerHarness rig) {
+        Map<Long, String> map = new HashMap<>();
+        for (long k = 0; k < KEY_COUNT; k++) {
+            map.put(k, rig.route(k));
+        }
+        return map;
+    }
+
+    @Test
+    void maglevSpreadsKeysEvenlyAndByWeight() {
+        ListedBackend[] fleet = LoadBalancerHarness.backends(10);
+        fleet[0] = new ListedBackend("s0", 0, 0, Health.READY, 2, 0);
+        Map<String, Integer> n = new HashMap<>();
+        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, fleet);
+        defaultBackends(rig).values().forEach(s -> n.merge(s, 1, Integer::sum));
+        for (Map.Entry<String, Integer> e : n.entrySet()) {
+            double due = KEY_COUNT / 11.0 * (e.getKey().equals("s0") ? 2 : 1);
+            assertEquals(due, e.getValue(), 0.25 * due, e.getKey());
+        }
+        assertEquals(10, n.size());
+    }
+
+    @Test
+    void maglevMovesFewKeysWhenABackendLeaves() {
+        ListedBackend[] fleet = LoadBalancerHarness.backends(20);
+        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, fleet);
+        Map<Long, String> before = defaultBackends(rig);
+        rig.receiveList(BackendListKind.DELTA, LoadBalancerHarness.withHealth(fleet[7], Health.GONE));
+        Map<Long, String> after = defaultBackends(rig);
+        long moved =
+                before.keySet().stream()
+                        .filter(
+                                k ->
+                                        !before.get(k).equals("s7")
+                                                && !before.get(k).equals(after.get(k)))
+                        .count();
+        assertTrue(moved < KEY_COUNT * 0.05, moved + " keys moved that need not");
+    }
+
+    @Test
+    void relaysAgreeWhateverTheirSeedAndListOrder() {
+        ListedBackend[] fleet = LoadBalancerHarness.backends(8);
+        ListedBackend[] reversed = new ListedBackend[8];
+        for (int i = 0; i < 8; i++) {
+            reversed[i] = fleet[7 - i];
+        }
+        LoadBalancerHarness one = new LoadBalancerHarness(LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass()), 1).receiveList(BackendListKind.FULL, fleet);
+        LoadBalancerHarness two = new LoadBalancerHarness(LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass()), 2).receiveList(BackendListKind.FULL, reversed);
+        assertEquals(defaultBackends(one), defaultBackends(two));
+    }
+
+    @Test
+    void groupTakesPrecedenceOverClientKeyAndNoKeyStillGetsABackend() {
+        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(20));
+        for (long client = 0; client < 30; client++) {
+            assertEquals(rig.route(0, 1, 77, Api.NONE), rig.route(0, client, 77, Api.NONE));
+        }
+        assertNotNull(rig.route(0, Api.NONE, Api.NONE, Api.NONE));
+    }
+
+    @Test
+    void groupTooBigForOneBackendIsSpreadOverSeveral() {
+        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(30));
+        Set<String> first = new TreeSet<>();
+        Set<String> big = new TreeSet<>();
+        for (long i = 0; i < 200; i++) {
+            rig.now += 100_000;
+            rig.establish(rig.request(0, i, 1000 + i, 100), 10_000);
+            long id = rig.request(0, i, 5, 100);
+            rig.establish(id, 10_000);
+            (i < 10 ? first : big).add(rig.backendByRequest.get(id));
+        }
+        assertEquals(1, first.size(), "one server until it is known to be big");
+        assertTrue(big.size() > 8 && big.size() < 25, "half of all connections, on " + big);
+    }
+
+    @Test
+    void smallGroupsStayOnOneBackend() {
+        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(30));
+        for (long i = 0; i < 200; i++) {
+            rig.now += 100_000;
+            long one = rig.request(0, i, 1000 + i, 100);
+            long two = rig.request(0, i + 500, 1000 + i, 100);
+            rig.establish(one, 10_000);
+            rig.establish(two, 10_000);
+            assertEquals(rig.backendByRequest.get(one), rig.backendByRequest.get(two));
+        }
+    }
+
+    @Test
+    void onlyHeavyClientsLeaveAnOverloadedDefault() {
+        int light = 0;
+        int heavy = 0;
+        for (int seed = 1; seed <= 50; seed++) {
+            LoadBalancerHarness rig = harnessWithDelayedDefault(25, seed * 7919L);
+            String home = rig.backendByRequest.get(rig.backendByRequest.lastKey());
+            light += rig.route(0, 5003, 5, 100).equals(home) ? 0 : 1;
+            heavy += rig.route(0, 5002, 5, 10_000).equals(home) ? 0 : 1;
+        }
+        assertTrue(
+                light <= 15, light + " of 50 light clients left; the table admits few by chance");
+        assertTrue(heavy >= 25, heavy + " of 50 heavy clients left");
+    }
+
+    @Test
+    void noDiversionWithoutAGapWorthASetup() {
+        LoadBalancerHarness rig = harnessWithDelayedDefault(9);
+        String home = rig.route(0, 5001, 5, 100);
+        assertEquals(home, rig.route(0, 5002, 5, 10_000), "9 ms is less than a set-up of 10 ms");
+    }
+
+    @Test
+    void noDiversionBelowThePercentile() {
+        // Half of the others are worse off than the default, the rest idle: the gap alone would let
+        // it leave.
+        assertEquals(0, divertedHeavyClients(10, 30));
+        assertTrue(divertedHeavyClients(0, 30) > 10, "alone among idle servers it is in the worst fifth");
+    }
+
+    @Test
+    void noDiversionToABackendHardlyLessLoaded() {
+        assertEquals(0, divertedHeavyClients(19, 20), "the gap of 5 ms is less than a set-up of 10 ms");
+    }
+
+    /**
+     * Of 30 heavy clients of a default told 25 ms, with so many of the other servers told so many
+     * ms.
+     */
+    private static int divertedHeavyClients(int others, double ms) {
+        int left = 0;
+        for (int seed = 1; seed <= 30; seed++) {
+            LoadBalancerHarness rig = harnessWithDelayedDefault(25, seed * 7919L);
+            String home = rig.backendByRequest.get(rig.backendByRequest.lastKey());
+            int told = 0;
+            for (int i = 0; i < 20 && told < others; i++) {
+                if (!home.equals("s" + i)) {
+                    rig.reportDelay("s" + i, ms);
+                    told++;
+                }
+            }
+            rig.now += 1_000_000;
+            left += rig.route(0, 5002, 5, 10_000).equals(home) ? 0 : 1;
+        }
+        return left;
+    }
+
+    /**
+     * Twenty servers that all were heard from; the default of group 5 is told to take so many ms.
+     */
+    private static LoadBalancerHarness harnessWithDelayedDefault(double ms) {
+        return harnessWithDelayedDefault(ms, 1);
+    }
+
+    private static LoadBalancerHarness harnessWithDelayedDefault(double ms, long seed) {
+        LoadBalancerHarness rig =
+                new LoadBalancerHarness(LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass()), seed)
+                        .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(20));
+        for (long k = 0; k < 400; k++) {
+            rig.route(0, k, k, 1000);
+        }
+        rig.reportDelay(rig.route(0, 5001, 5, 100), ms);
+        rig.now += 300_000;
+        return rig;
+    }
+
+    @Test
+    void rapAdmitsANewcomerByItsWeight() {
+        int admitted = 0;
+        Random random = new Random(1);
+        for (int i = 0; i < 2000; i++) {
+            BalancerState.HeavyHitterTable table = new BalancerState.HeavyHitterTable();
+            for (long c = 0; c < 4; c++) {
+                table.add(c, 3, random);
+            }
+            table.add(99, 1, random);
+            for (int k = 0; k < table.size; k++) {
+                if (table.clients[k] == 99) {
+                    admitted++;
+                    assertEquals(4, table.counters[k], 1e-9, "starts above the counter it replaced");
+                }
+            }
+        }
+        assertEquals(500, admitted, 80, "one in c_m + 1");
+    }
+
+    @Test
+    void rapIncrementsTheCounterOfAKnownClient() {
+        BalancerState.HeavyHitterTable table = new BalancerState.HeavyHitterTable();
+        table.add(7, 1, new Random(1));
+        table.add(7, 2, new Random(1));
+        assertEquals(1, table.size);
+        assertEquals(3, table.counters[0], 1e-9);
+    }
+}
--- /dev/null
+++ b/relay/src/test/java/saltstage/ReconnectStormTest.java
@@ -0,0 +1,119 @@
+package saltstage;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import org.junit.jupiter.api.Test;
+import saltstage.Api.BackendListKind;
+import saltstage.Api.Outcome;
+
+/**
+ * Clients of relays that died come back at the others, and each set-up waits its turn at a store
+ * that all servers share. What is given up there is still worked through, so impatience feeds the
+ * queue it flees.
+ */
+class ReconnectStormTest {
+    private static final int RELAY_COUNT = 14;
+    private static final int CLIENT_COUNT = 120;
+    private static final long RECONNECT_SPAN_MICROS =
+            600_000; // in which all come back: 1.4 times what the store bears
+    private static final long STORE_SETUP_MICROS = 7_000; // of one set-up at the store
+
+    private record ScheduledEvent(long timeMicros, int order, Runnable action) implements Comparable<ScheduledEvent> {
+        @Override
+        public int compareTo(ScheduledEvent other) {
+            return timeMicros != other.timeMicros
+                    ? Long.compare(timeMicros, other.timeMicros)
+                    : Integer.compare(order, other.order);
+        }
+    }
+
+    /** The relays of a fleet, their clients and the store, on one clock. */
+    private static final class StormSimulation {
+        private final PriorityQueue<ScheduledEvent> eventQueue = new PriorityQueue<>();
+        private final List<LoadBalancerHarness> relays = new ArrayList<>();
+        private final Map<String, Integer> attemptsByRequest =
+                new HashMap<>(); // of a request, by relay and id
+        private long storeFreeAt;
+        private int nextOrder;
+        private int attemptCount;
+        private int establishedCount;
+
+        StormSimulation() {
+            for (int i = 0; i < RELAY_COUNT; i++) {
+                LoadBalancerHarness relay = new LoadBalancerHarness(LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass()), i + 1);
+                relays.add(relay.receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(7)));
+                for (long key = 0; key < 10; key++) { // calm before: set-ups are known to be quick
+                    relay.route(key);
+                }
+            }
+        }
+
+        void schedule(long when, Runnable what) {
+            eventQueue.add(new ScheduledEvent(when, nextOrder++, what));
+        }
+
+        void run() {
+            long start = relays.get(0).now;
+            for (int i = 0; i < CLIENT_COUNT; i++) {
+                LoadBalancerHarness relay = relays.get(i % RELAY_COUNT);
+                long key = 1000 + i;
+                schedule(start + i * RECONNECT_SPAN_MICROS / CLIENT_COUNT, () -> startRequest(relay, key));
+            }
+            while (!eventQueue.isEmpty()) {
+                ScheduledEvent next = eventQueue.remove();
+                relays.forEach(relay -> relay.now = next.timeMicros);
+                next.action.run();
+            }
+        }
+
+        private void startRequest(LoadBalancerHarness relay, long key) {
+            long before = relay.attemptCount();
+            long id = relay.request(key);
+            followAttempt(relay, id, before);
+        }
+
+        /**
+         * What was sent since, if anything, waits its turn and is given up when its patience ends.
+         */
+        private void followAttempt(LoadBalancerHarness relay, long id, long before) {
+            if (relay.attemptCount() == before) {
+                return;
+            }
+            attemptCount++;
+            String request = relays.indexOf(relay) + "/" + id;
+            int attempt = attemptsByRequest.merge(request, 1, Integer::sum);
+            long now = relay.now;
+            storeFreeAt = Math.max(storeFreeAt, now) + STORE_SETUP_MICROS;
+            long ready = storeFreeAt;
+            long until = relay.lastAttemptTimeout == 0 ? Long.MAX_VALUE : now + relay.lastAttemptTimeout;
+            schedule(
+                    Math.min(ready, until),
+                    () -> {
+                        if (attemptsByRequest.get(request) != attempt) {
+                            return;
+                        }
+                        if (ready <= until) {
+                            establishedCount++;
+                            relay.establish(id, ready - now);
+                        } else {
+                            long sent = relay.attemptCount();
+                            relay.endAttempt(id, Outcome.TIMEOUT);
+                            followAttempt(relay, id, sent);
+                        }
+                    });
+        }
+    }
+
+    @Test
+    void overloadedStoreGetsOneAttemptPerReconnectingClient() {
+        StormSimulation storm = new StormSimulation();
+        storm.run();
+        assertEquals(CLIENT_COUNT, storm.establishedCount);
+        assertEquals(CLIENT_COUNT, storm.attemptCount);
+    }
+}
--- /dev/null
+++ b/relay/src/test/java/saltstage/WideFleetPlacementTest.java
@@ -0,0 +1,36 @@
+package saltstage;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.HashSet;
+import java.util.Set;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import saltstage.Api.BackendListKind;
+import saltstage.Api.Request;
+import saltstage.Api.ListedBackend;
+
+/** The largest fleet that the operators name. */
+class WideFleetPlacementTest {
+    private static final int BACKENDS = 3_200;
+    private static final int KEYS_PER_BACKEND = 8;
+
+    @Test
+    void nearlyEveryBackendOfAWideFleetIsSentRequests() {
+        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass());
+        rig.receiveList(
+                BackendListKind.FULL,
+                IntStream.range(0, BACKENDS)
+                        .mapToObj(i -> LoadBalancerHarness.backend("s" + i, 0))
+                        .toArray(ListedBackend[]::new));
+        for (long key = 0; key < KEYS_PER_BACKEND * BACKENDS; key++) {
+            rig.now += 1_000;
+            rig.loadBalancer.requestReceived(
+                    rig.now,
+                    new Request(key, 0, 0, key, key, 1, rig.now + 1_200_000, false, false));
+            rig.establish(key, 10_000);
+        }
+        Set<String> reached = new HashSet<>(rig.backendByRequest.values());
+        assertTrue(reached.size() > 0.95 * BACKENDS, "reached " + reached.size());
+    }
+}
--- a/relay/src/test/java/saltstage/keep/KeeperTest.java
+++ b/relay/src/test/java/saltstage/keep/KeeperTest.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
-import saltstage.Api.Learnt;
-import saltstage.Api.LearntServer;
+import saltstage.Api.LearnedState;
+import saltstage.Api.LearnedBackend;
 import saltstage.config.OperatorSettings.Keeping;
 import saltstage.store.FaultDisk;
 import saltstage.wire.HostList;
@@ -37,15 +37,15 @@
         return Keeper.open(SETTINGS, () -> now, () -> disk);
     }
 
-    private static Learnt learnt(int setup) {
-        return new Learnt(
+    private static LearnedState learnt(int setup) {
+        return new LearnedState(
                 setup,
                 2,
                 3,
                 4,
                 0.5,
                 6,
-                List.of(new LearntServer("s1", 7, 100, 10, 90, 2, 5_000_000)),
+                List.of(new LearnedBackend("s1", 7, 100, 10, 90, 2, 5_000_000)),
                 Map.of(9L, 0.75));
     }
 
@@ -74,7 +74,7 @@
         }
     }
 
-    private void keep(HostList list, Learnt learnt) {
+    private void keep(HostList list, LearnedState learnt) {
         Keeper keeper = open(NOON);
         keeper.listed(list);
         keeper.start(() -> learnt);
@@ -94,16 +94,16 @@
     void whatWasLearntAgesAndATurnedBackClockIsNotTrusted() {
         keep(list(5, "s1"), learnt(11));
         Keeper later = open(NOON.plusSeconds(2));
-        Learnt back = later.keptLearnt().orElseThrow();
-        assertEquals(11, back.setup());
-        assertEquals(6, back.part());
-        assertEquals(Map.of(9L, 0.75), back.shares());
-        assertEquals(3_000_000, back.servers().get(0).shunnedFor());
+        LearnedState back = later.keptLearnt().orElseThrow();
+        assertEquals(11, back.setupLatency());
+        assertEquals(6, back.capacityShare());
+        assertEquals(Map.of(9L, 0.75), back.groupShares());
+        assertEquals(3_000_000, back.backends().get(0).remainingEjection());
         later.start(() -> back);
         later.close(Duration.ofSeconds(30));
         Keeper tooLate = open(NOON.plusSeconds(2).plus(SETTINGS.learntFor()).plusMillis(1));
         assertTrue(tooLate.keptLearnt().isEmpty());
-        tooLate.start(() -> new Learnt(0, 0, 0, 0, 0, 0, List.of(), Map.of()));
+        tooLate.start(() -> new LearnedState(0, 0, 0, 0, 0, 0, List.of(), Map.of()));
         tooLate.close(Duration.ofSeconds(30));
         assertTrue(open(NOON.minusSeconds(60)).keptLearnt().isEmpty());
     }
@@ -165,7 +165,7 @@
         }
         byte[] first = java.util.Arrays.copyOf(bytes, bytes.length - Double.BYTES);
         first[0] = 1;
-        assertEquals(0, Codec.learnt(first).learnt().part(), "the first version is known too");
+        assertEquals(0, Codec.learnt(first).learnt().capacityShare(), "the first version is known too");
         bytes[0] = 3;
         assertEquals(
                 "learnt state of version 3; 2 is known",
--- a/relay/src/test/java/saltstage/lifecycle/ToldInTimeTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/ToldInTimeTest.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import saltstage.Api;
-import saltstage.Api.Listing;
-import saltstage.Logic;
+import saltstage.Api.BackendListKind;
+import saltstage.LoadBalancer;
 import saltstage.config.SettingsReader;
 import saltstage.wire.DiscoveryClient;
 
@@ -44,14 +44,14 @@
                                     Api.class.getClassLoader(),
                                     new Class<?>[] {Api.Actions.class},
                                     (proxy, method, given) -> {
-                                        if (method.getName().equals("timer")
+                                        if (method.getName().equals("setTimer")
                                                 && given[0].equals("list")) {
                                             pauses.add((Long) given[1]);
                                         }
                                         return null;
                                     });
-            Logic logic =
-                    new Logic(
+            LoadBalancer logic =
+                    new LoadBalancer(
                             new SettingsReader(
                                             settings,
                                             (key, what) -> new IllegalArgumentException(key + what))
@@ -59,7 +59,7 @@
                             seed,
                             acts);
             for (int i = 0; i < failed; i++) {
-                logic.list(i, Listing.REFUSED, List.of());
+                logic.backendListReceived(i, BackendListKind.CALL_FAILED, List.of());
             }
             longest = Math.max(longest, pauses.get(failed - 1));
         }
--- a/relay/src/test/java/saltstage/process/ManyBackendsTest.java
+++ b/relay/src/test/java/saltstage/process/ManyBackendsTest.java
@@ -64,7 +64,7 @@
             assertEquals("UP r1", world.sendOpen("new", 5_000).readLine());
             RelayTestEnvironment.await("backends with connections are probed", () -> fleet.probeCount.get() > 0);
             int probed = fleet.probeConnectionCount.get();
-            assertTrue("connections for probes: " + probed, probed <= Api.MOST_PROBED);
+            assertTrue("connections for probes: " + probed, probed <= Api.MAX_PROBED_BACKENDS);
             assertTrue("discovery is asked", world.discovery.accept(UP_WITHIN_MS) != null);
         }
     }
--- a/relay/src/test/java/saltstage/sim/WireTest.java
+++ b/relay/src/test/java/saltstage/sim/SimulatorAdapterTest.java
@@ -10,7 +10,7 @@
 import java.io.StringWriter;
 import org.junit.jupiter.api.Test;
 
-class WireTest {
+class SimulatorAdapterTest {
     private static final String LAUNCH =
             "LAUNCH\tWho=1\tSalt=5\tServices.count=1\tServices.0.Aim=300000"
                     + "\tServices.0.GiveUp=1200000\tServices.0.Effect=retryable\tDiscovery=pushed"
@@ -23,23 +23,23 @@
     private static String run(String... events) throws IOException {
         StringWriter out = new StringWriter();
         String text = "FRAME\tTs=100000\tbatch=1\n" + String.join("\n", events) + "\nYOUR_TURN\n";
-        new WireHost(new BufferedReader(new StringReader(text)), out).run();
+        new SimulatorAdapter(new BufferedReader(new StringReader(text)), out).run();
         return out.toString();
     }
 
-    private static String malformed(String... events) {
-        return assertThrows(Malformed.class, () -> run(events)).getMessage();
+    private static String malformedMessage(String... events) {
+        return assertThrows(MalformedMessageException.class, () -> run(events)).getMessage();
     }
 
     @Test
-    void requestIsHandedOffAndUnknownFieldsArePassedOver() throws IOException {
+    void requestIsSentAndUnknownFieldsAreIgnored() throws IOException {
         assertEquals(
                 "HAND_OFF\tWho=1\tCorr=9\tLimit=300000\tHost=h1\nFINISHED\tbatch=1\n",
                 run(LAUNCH + "\tBrand.New=1", LIST, JOB + "\tNew=x"));
     }
 
     @Test
-    void eventsThatAreNotUsedAndUnheldRequestsArePassedOver() throws IOException {
+    void unusedEventsAndUnknownRequestsAreIgnored() throws IOException {
         assertEquals(
                 "FINISHED\tbatch=1\n",
                 run(
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void relaunchedInstanceHasForgottenAll() throws IOException {
+    void relaunchedInstanceStartsEmpty() throws IOException {
         String out = run(LAUNCH, LIST, "EXIT\tWho=1", LAUNCH, JOB);
         assertEquals("TIMER\tWho=1\tToken=9\tIn=1199000\nFINISHED\tbatch=1\n", out);
     }
@@ -65,35 +65,35 @@
 
     @Test
     void malformedInputNamesLineAndField() {
-        assertEquals("line 2: JOB_IN: Who: unknown instance: 1", malformed(JOB));
+        assertEquals("line 2: JOB_IN: Who: unknown instance: 1", malformedMessage(JOB));
         assertEquals(
                 "line 3: JOB_IN: Deadline: missing",
-                malformed(LAUNCH, "JOB_IN\tWho=1\tCorr=9\tQos=0"));
+                malformedMessage(LAUNCH, "JOB_IN\tWho=1\tCorr=9\tQos=0"));
         assertEquals(
                 "line 3: JOB_IN: Qos: out of range: 4",
-                malformed(LAUNCH, JOB.replace("Qos=0", "Qos=4")));
+                malformedMessage(LAUNCH, JOB.replace("Qos=0", "Qos=4")));
         assertEquals(
                 "line 3: JOB_IN: Corr: not a whole number: x",
-                malformed(LAUNCH, JOB.replace("Corr=9", "Corr=x")));
+                malformedMessage(LAUNCH, JOB.replace("Corr=9", "Corr=x")));
         assertEquals(
                 "line 3: VERDICT: Code: unknown: Z",
-                malformed(LAUNCH, "VERDICT\tWho=1\tCorr=1\tHost=h1\tCode=Z"));
+                malformedMessage(LAUNCH, "VERDICT\tWho=1\tCorr=1\tHost=h1\tCode=Z"));
         assertEquals(
                 "line 3: DISCOVERY: RowsIn: 2 entries promised, 0 came",
-                malformed(LAUNCH, "DISCOVERY\tWho=1\tStamp=1\tScope=all\tRowsIn=2", JOB));
+                malformedMessage(LAUNCH, "DISCOVERY\tWho=1\tStamp=1\tScope=all\tRowsIn=2", JOB));
     }
 
     @Test
-    void badSettingsNameTheKey() {
+    void invalidSettingsNameTheKey() {
         assertEquals(
                 "line 2: LAUNCH: Services.count: no classes; one to 10000 are needed",
-                malformed(LAUNCH.replace("Services.count=1", "Services.count=0")));
+                malformedMessage(LAUNCH.replace("Services.count=1", "Services.count=0")));
         assertEquals(
                 "line 2: LAUNCH: Services.0.GiveUp: out of range: 0; 1 or more would do",
-                malformed(LAUNCH.replace("GiveUp=1200000", "GiveUp=0")));
+                malformedMessage(LAUNCH.replace("GiveUp=1200000", "GiveUp=0")));
         assertEquals(
                 "line 2: LAUNCH: Services.0.Effect: unknown word: maybe; "
                         + "retryable, dedup or fragile would do",
-                malformed(LAUNCH.replace("retryable", "maybe")));
+                malformedMessage(LAUNCH.replace("retryable", "maybe")));
     }
 }
