--- a/coordinator/src/main/java/saltstage/coordinator/advice/AdviceLog.java
+++ b/coordinator/src/main/java/saltstage/coordinator/advice/AdviceLog.java
@@ -4,17 +4,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import saltstage.coordinator.model.Done;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Acknowledgement;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 
 /** Recommendations and what became of them; kept by the group. Times in group time. */
 public final class AdviceLog {
     /** A recommendation that nobody took up is no more after this: the fleet has changed. */
-    public static final long OFFERED_MS = 60_000;
+    public static final long OFFER_LIFETIME_MS = 60_000;
 
-    private static final int MOST = 2_000;
-    private static final int MOST_OPEN = 64;
+    private static final int MAX_RECOMMENDATIONS = 2_000;
+    private static final int MAX_MOVES_PER_ADVICE = 64;
 
     /** What became of one. */
     public enum State {
@@ -35,18 +35,18 @@
     /**
      * A recommendation under the fence of the advisor that gave it; measured is what it brought.
      */
-    public record Row(
+    public record Recommendation(
             long id, Move move, long fence, State state, long at, String by, double measured) {
-        Row to(State next, long now, String who, double came) {
-            return new Row(id, move, fence, next, now, who, came);
+        Recommendation withState(State next, long now, String who, double came) {
+            return new Recommendation(id, move, fence, next, now, who, came);
         }
     }
 
     /** What a snapshot keeps. */
-    public record Image(long ids, List<Row> rows, String why) {}
+    public record Image(long ids, List<Recommendation> rows, String why) {}
 
-    private long ids;
-    private final Map<Long, Row> rows = new TreeMap<>();
+    private long lastId;
+    private final Map<Long, Recommendation> rows = new TreeMap<>();
     private String why;
 
     /** Nothing was said. */
@@ -56,29 +56,29 @@
 
     /** As a snapshot has it. */
     public AdviceLog(Image image) {
-        ids = image.ids();
+        lastId = image.ids();
         image.rows().forEach(row -> rows.put(row.id(), row));
         why = image.why();
     }
 
     /** What a snapshot keeps. */
     public Image image() {
-        return new Image(ids, List.copyOf(rows.values()), why);
+        return new Image(lastId, List.copyOf(rows.values()), why);
     }
 
     /** Lets offers go that nobody took up. */
     public void advance(long now) {
-        for (Row row : List.copyOf(rows.values())) {
-            if (row.state() == State.OFFERED && now - row.at() > OFFERED_MS) {
-                rows.put(row.id(), row.to(State.EXPIRED, now, "", 0));
+        for (Recommendation row : List.copyOf(rows.values())) {
+            if (row.state() == State.OFFERED && now - row.at() > OFFER_LIFETIME_MS) {
+                rows.put(row.id(), row.withState(State.EXPIRED, now, "", 0));
             }
         }
     }
 
     /** Moves that count as made: by them nothing is undone, and the budget is used up. */
-    public List<Advisor.RecentMove> made(long now) {
+    public List<Advisor.RecentMove> recentMoves(long now) {
         List<Advisor.RecentMove> made = new ArrayList<>();
-        for (Row row : rows.values()) {
+        for (Recommendation row : rows.values()) {
             if (row.state() == State.ACCEPTED
                     || row.state() == State.DONE
                     || row.state() == State.STOPPED) {
@@ -100,33 +100,33 @@
      * is refused.
      */
     public Reply advise(AdviceCommands.Advise said, long now) {
-        if (said.moves().size() > MOST_OPEN
+        if (said.moves().size() > MAX_MOVES_PER_ADVICE
                 || rows.values().stream().anyMatch(r -> r.fence() > said.fence())) {
-            return new Refused(
+            return new Rejection(
                     "fenced", "a later advisor has spoken, or too much is said at once", 0);
         }
-        for (Row row : List.copyOf(rows.values())) {
+        for (Recommendation row : List.copyOf(rows.values())) {
             if (row.state() == State.OFFERED) {
-                boolean same = said.moves().stream().anyMatch(m -> same(m, row.move()));
+                boolean same = said.moves().stream().anyMatch(m -> isSameMove(m, row.move()));
                 rows.put(
                         row.id(),
-                        row.to(same ? State.OFFERED : State.REFUSED, now, "later advice", 0));
+                        row.withState(same ? State.OFFERED : State.REFUSED, now, "later advice", 0));
             }
         }
         for (Move move : said.moves()) {
             if (rows.values().stream()
-                    .noneMatch(r -> r.state() == State.OFFERED && same(r.move(), move))) {
-                rows.put(++ids, new Row(ids, move, said.fence(), State.OFFERED, now, "", 0));
+                    .noneMatch(r -> r.state() == State.OFFERED && isSameMove(r.move(), move))) {
+                rows.put(++lastId, new Recommendation(lastId, move, said.fence(), State.OFFERED, now, "", 0));
             }
         }
         why = said.why();
-        while (rows.size() > MOST) {
+        while (rows.size() > MAX_RECOMMENDATIONS) {
             rows.remove(rows.keySet().iterator().next());
         }
-        return new Done("said");
+        return new Acknowledgement("said");
     }
 
-    private static boolean same(Move one, Move other) {
+    private static boolean isSameMove(Move one, Move other) {
         return one.tenant().equals(other.tenant())
                 && one.from().equals(other.from())
                 && one.to().equals(other.to());
@@ -134,10 +134,10 @@
 
     /** An operator decides; saying it again changes nothing. */
     public Reply decide(AdviceCommands.Decide said, long now) {
-        Row row = rows.get(said.id());
+        Recommendation row = rows.get(said.id());
         State wanted = said.accept() ? State.ACCEPTED : State.REFUSED;
         if (row == null || row.state() != State.OFFERED && row.state() != wanted) {
-            return new Refused(
+            return new Rejection(
                     "not-offered",
                     "recommendation "
                             + said.id()
@@ -146,21 +146,21 @@
                     0);
         }
         if (row.state() == State.OFFERED) {
-            rows.put(row.id(), row.to(wanted, now, said.by(), 0));
+            rows.put(row.id(), row.withState(wanted, now, said.by(), 0));
         }
-        return new Done(wanted.toString());
+        return new Acknowledgement(wanted.toString());
     }
 
     /** What came of it. */
     public Reply outcome(AdviceCommands.Outcome said, long now) {
-        Row row = rows.get(said.id());
+        Recommendation row = rows.get(said.id());
         if (row == null || row.state() != State.ACCEPTED) {
-            return new Refused(
+            return new Rejection(
                     "not-accepted", "recommendation " + said.id() + " is not under way", 0);
         }
         rows.put(
                 row.id(),
-                row.to(said.stopped() ? State.STOPPED : State.DONE, now, said.by(), said.gain()));
-        return new Done("noted");
+                row.withState(said.stopped() ? State.STOPPED : State.DONE, now, said.by(), said.gain()));
+        return new Acknowledgement("noted");
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/advice/Advisor.java
+++ b/coordinator/src/main/java/saltstage/coordinator/advice/Advisor.java
@@ -29,15 +29,15 @@
      * @param mostInFlight connections that may be on their way at once over the fleet
      */
     public record Rules(
-            long freshMs,
-            double quorum,
-            double percentile,
-            double alpha,
-            double margin,
-            long holdMs,
-            int mostInFlight) {
+            long maxSnapshotAgeMs,
+            double minFreshShare,
+            double sourcePercentile,
+            double minWaitGapInSetups,
+            double minGainMargin,
+            long cooldownMs,
+            int maxInFlightConnections) {
         /** What is used unless told otherwise. */
-        public static Rules usual() {
+        public static Rules defaults() {
             return new Rules(10_000, 0.7, 0.6, 1, 0.5, 60_000, 200);
         }
     }
@@ -50,21 +50,21 @@
     public record Advice(List<Move> moves, String why) {}
 
     /** Of a moved client until it is back: 80 to 1,800 ms. */
-    private static final double AWAY_MS = 940;
+    private static final double RECONNECT_MS = 940;
 
     /** A connection's life that is left, in messages: 20 s of one each 2 s. */
-    private static final double MESSAGES = 10;
+    private static final double REMAINING_MESSAGES = 10;
 
     /** What a group costs each node that holds any of it, in thousandths of a mean load. */
-    private static final long GROUP = 3_000;
+    private static final long GROUP_LOAD = 3_000;
 
     /** Beyond this part of its capacity a node's waiting is taken as it is there. */
-    private static final double FULL = 0.97;
+    private static final double MAX_MODELED_UTILIZATION = 0.97;
 
-    private static final double MOST_AFTER = 0.85;
-    private static final int MOST_MOVES = 32;
-    private static final int TARGETS = 4;
-    private static final int TENANTS = 8;
+    private static final double MAX_TARGET_UTILIZATION = 0.85;
+    private static final int MAX_MOVES = 32;
+    private static final int MAX_CANDIDATE_NODES = 4;
+    private static final int MAX_CANDIDATE_TENANTS = 8;
 
     private final Rules rules;
 
@@ -73,44 +73,44 @@
         this.rules = rules;
     }
 
-    private static final class Node {
-        private final NodeSnapshot told;
+    private static final class NodeLoad {
+        private final NodeSnapshot snapshot;
         private final double confidence;
-        private final double scale;
+        private final double delayScale;
         private final Map<String, long[]> tenants = new HashMap<>();
         private long load;
-        private boolean given;
-        private boolean taken;
+        private boolean usedAsSource;
+        private boolean usedAsTarget;
 
-        Node(NodeSnapshots.View view, long freshMs) {
-            told = view.snapshot();
+        NodeLoad(NodeSnapshots.View view, long freshMs) {
+            snapshot = view.snapshot();
             confidence = 1 - 0.5 * view.ageMs() / freshMs;
-            load = told.load();
+            load = snapshot.load();
             // The curve is fitted to what is told: a neighbour on the machine makes it steeper.
-            double curve = curve(load);
-            scale = Math.max(0.25, Math.min(8, (told.delayMs() + 0.1) / (curve + 0.1)));
-            for (NodeSnapshot.Tenant tenant : told.tenants()) {
+            double curve = modeledDelayMs(load);
+            delayScale = Math.max(0.25, Math.min(8, (snapshot.delayMs() + 0.1) / (curve + 0.1)));
+            for (NodeSnapshot.Tenant tenant : snapshot.tenants()) {
                 tenants.put(
                         tenant.name(),
                         new long[] {tenant.load(), tenant.connections(), tenant.groups()});
             }
         }
 
-        private double used() {
-            return (double) load / told.capacity();
+        private double utilization() {
+            return (double) load / snapshot.capacity();
         }
 
-        private double curve(long atLoad) {
-            double used = Math.min(FULL, (double) atLoad / told.capacity());
-            return told.setupMs() * used / (1 - used);
+        private double modeledDelayMs(long atLoad) {
+            double used = Math.min(MAX_MODELED_UTILIZATION, (double) atLoad / snapshot.capacity());
+            return snapshot.setupMs() * used / (1 - used);
         }
 
-        private double waiting(long atLoad) {
-            return scale * curve(atLoad);
+        private double expectedDelayMs(long atLoad) {
+            return delayScale * modeledDelayMs(atLoad);
         }
 
-        private double waiting() {
-            return waiting(load);
+        private double expectedDelayMs() {
+            return expectedDelayMs(load);
         }
     }
 
@@ -119,13 +119,13 @@
      */
     public Advice advise(
             List<NodeSnapshots.View> views, Set<String> avoid, List<RecentMove> made, long nowMs) {
-        List<Node> nodes = new ArrayList<>();
+        List<NodeLoad> nodes = new ArrayList<>();
         for (NodeSnapshots.View view : views) {
-            if (view.ageMs() <= rules.freshMs()) {
-                nodes.add(new Node(view, rules.freshMs()));
+            if (view.ageMs() <= rules.maxSnapshotAgeMs()) {
+                nodes.add(new NodeLoad(view, rules.maxSnapshotAgeMs()));
             }
         }
-        if (nodes.size() < 2 || nodes.size() < rules.quorum() * views.size()) {
+        if (nodes.size() < 2 || nodes.size() < rules.minFreshShare() * views.size()) {
             return new Advice(
                     List.of(),
                     "only "
@@ -137,16 +137,16 @@
         Set<String> held = new HashSet<>();
         int inFlight = 0;
         for (RecentMove move : made) {
-            if (nowMs - move.atMs() < rules.holdMs()) {
+            if (nowMs - move.atMs() < rules.cooldownMs()) {
                 held.addAll(List.of("tenant " + move.tenant(), "node " + move.to()));
             }
             inFlight += move.over() ? 0 : move.connections();
         }
         List<Move> moves = new ArrayList<>();
         String last = "the waiting is even enough";
-        int budget = rules.mostInFlight() - inFlight;
-        while (moves.size() < MOST_MOVES && budget > 0) {
-            Move move = best(nodes, avoid, held, budget);
+        int budget = rules.maxInFlightConnections() - inFlight;
+        while (moves.size() < MAX_MOVES && budget > 0) {
+            Move move = bestMove(nodes, avoid, held, budget);
             if (move == null) {
                 break;
             }
@@ -158,38 +158,38 @@
         return new Advice(moves, budget <= 0 ? "the budget of moves in flight is used up" : last);
     }
 
-    private Move best(List<Node> nodes, Set<String> avoid, Set<String> held, int budget) {
-        double[] waits = nodes.stream().mapToDouble(Node::waiting).sorted().toArray();
+    private Move bestMove(List<NodeLoad> nodes, Set<String> avoid, Set<String> held, int budget) {
+        double[] waits = nodes.stream().mapToDouble(NodeLoad::expectedDelayMs).sorted().toArray();
         double above =
                 waits[
                         (int)
                                 Math.min(
                                         waits.length - 1L,
-                                        Math.floor(rules.percentile() * waits.length))];
-        double setup = nodes.stream().mapToDouble(n -> n.told.setupMs()).average().orElse(1);
-        List<Node> targets =
+                                        Math.floor(rules.sourcePercentile() * waits.length))];
+        double setup = nodes.stream().mapToDouble(n -> n.snapshot.setupMs()).average().orElse(1);
+        List<NodeLoad> targets =
                 nodes.stream()
-                        .filter(n -> !n.given && !avoid.contains(n.told.node()))
-                        .sorted(Comparator.comparingDouble(Node::waiting))
-                        .limit(TARGETS)
+                        .filter(n -> !n.usedAsSource && !avoid.contains(n.snapshot.node()))
+                        .sorted(Comparator.comparingDouble(NodeLoad::expectedDelayMs))
+                        .limit(MAX_CANDIDATE_NODES)
                         .toList();
-        List<Node> sources =
+        List<NodeLoad> sources =
                 nodes.stream()
                         .filter(
                                 n ->
-                                        !n.taken
-                                                && !held.contains("node " + n.told.node())
-                                                && n.waiting() >= above
-                                                && n.waiting() - waits[0] > rules.alpha() * setup)
-                        .sorted(Comparator.comparingDouble(n -> -n.waiting()))
-                        .limit(TARGETS)
+                                        !n.usedAsTarget
+                                                && !held.contains("node " + n.snapshot.node())
+                                                && n.expectedDelayMs() >= above
+                                                && n.expectedDelayMs() - waits[0] > rules.minWaitGapInSetups() * setup)
+                        .sorted(Comparator.comparingDouble(n -> -n.expectedDelayMs()))
+                        .limit(MAX_CANDIDATE_NODES)
                         .toList();
         Move best = null;
-        for (Node from : sources) {
-            for (Map.Entry<String, long[]> tenant : largest(from, held)) {
-                for (Node to : targets) {
-                    Move move = from == to ? null : weigh(from, to, tenant, budget, setup);
-                    if (move != null && (best == null || worth(move) > worth(best))) {
+        for (NodeLoad from : sources) {
+            for (Map.Entry<String, long[]> tenant : largestTenants(from, held)) {
+                for (NodeLoad to : targets) {
+                    Move move = from == to ? null : evaluateMove(from, to, tenant, budget, setup);
+                    if (move != null && (best == null || netGain(move) > netGain(best))) {
                         best = move;
                     }
                 }
@@ -198,11 +198,11 @@
         return best;
     }
 
-    private static double worth(Move move) {
+    private static double netGain(Move move) {
         return (move.gain() - move.cost()) * move.confidence();
     }
 
-    private static List<Map.Entry<String, long[]>> largest(Node node, Set<String> held) {
+    private static List<Map.Entry<String, long[]>> largestTenants(NodeLoad node, Set<String> held) {
         return node.tenants.entrySet().stream()
                 .filter(
                         t ->
@@ -212,19 +212,19 @@
                 .sorted(
                         Comparator.comparingLong((Map.Entry<String, long[]> t) -> -t.getValue()[0])
                                 .thenComparing(Map.Entry::getKey))
-                .limit(TENANTS)
+                .limit(MAX_CANDIDATE_TENANTS)
                 .toList();
     }
 
-    private Move weigh(
-            Node from, Node to, Map.Entry<String, long[]> tenant, int budget, double setup) {
+    private Move evaluateMove(
+            NodeLoad from, NodeLoad to, Map.Entry<String, long[]> tenant, int budget, double setup) {
         long load = tenant.getValue()[0];
         int connections = (int) tenant.getValue()[1];
         long even =
                 (long)
-                        ((from.used() - to.used())
-                                / (1.0 / from.told.capacity() + 1.0 / to.told.capacity()));
-        long room = (long) (MOST_AFTER * to.told.capacity()) - to.load;
+                        ((from.utilization() - to.utilization())
+                                / (1.0 / from.snapshot.capacity() + 1.0 / to.snapshot.capacity()));
+        long room = (long) (MAX_TARGET_UTILIZATION * to.snapshot.capacity()) - to.load;
         double part =
                 Math.min(
                         1,
@@ -239,20 +239,20 @@
         int groups = (int) Math.ceil((double) tenant.getValue()[2] * moved / connections);
         boolean new1 = !to.tenants.containsKey(tenant.getKey());
         long added =
-                movedLoad + (new1 ? GROUP * groups : 0); // a group that is split is paid for twice
-        if (to.load + added > MOST_AFTER * to.told.capacity()) {
+                movedLoad + (new1 ? GROUP_LOAD * groups : 0); // a group that is split is paid for twice
+        if (to.load + added > MAX_TARGET_UTILIZATION * to.snapshot.capacity()) {
             return null;
         }
         double gain = gain(from, to, movedLoad, added);
-        double cost = movedLoad / 1_000.0 * (AWAY_MS + setup);
+        double cost = movedLoad / 1_000.0 * (RECONNECT_MS + setup);
         double confidence = Math.min(from.confidence, to.confidence);
-        if (gain * confidence < cost * (1 + rules.margin())) {
+        if (gain * confidence < cost * (1 + rules.minGainMargin())) {
             return null;
         }
         return new Move(
                 tenant.getKey(),
-                from.told.node(),
-                to.told.node(),
+                from.snapshot.node(),
+                to.snapshot.node(),
                 moved,
                 movedLoad,
                 gain,
@@ -261,42 +261,42 @@
                 reason(from, to));
     }
 
-    private static String reason(Node from, Node to) {
+    private static String reason(NodeLoad from, NodeLoad to) {
         return String.format(
                 java.util.Locale.ROOT,
                 "%s waits %.0f ms at %.0f%% of its capacity, %s %.0f ms at %.0f%%",
-                from.told.node(),
-                from.waiting(),
-                100 * from.used(),
-                to.told.node(),
-                to.waiting(),
-                100 * to.used());
+                from.snapshot.node(),
+                from.expectedDelayMs(),
+                100 * from.utilization(),
+                to.snapshot.node(),
+                to.expectedDelayMs(),
+                100 * to.utilization());
     }
 
     /** Messages' waiting saved over the rest of their connections' lives, in milliseconds. */
-    private static double gain(Node from, Node to, long movedLoad, long added) {
-        double before = from.load * from.waiting() + to.load * to.waiting();
+    private static double gain(NodeLoad from, NodeLoad to, long movedLoad, long added) {
+        double before = from.load * from.expectedDelayMs() + to.load * to.expectedDelayMs();
         double after =
-                (from.load - movedLoad) * from.waiting(from.load - movedLoad)
-                        + (to.load + added) * to.waiting(to.load + added);
-        return (before - after) / 1_000 * MESSAGES;
+                (from.load - movedLoad) * from.expectedDelayMs(from.load - movedLoad)
+                        + (to.load + added) * to.expectedDelayMs(to.load + added);
+        return (before - after) / 1_000 * REMAINING_MESSAGES;
     }
 
-    private static void apply(List<Node> nodes, Move move) {
-        for (Node node : nodes) {
-            if (node.told.node().equals(move.from())) {
+    private static void apply(List<NodeLoad> nodes, Move move) {
+        for (NodeLoad node : nodes) {
+            if (node.snapshot.node().equals(move.from())) {
                 long[] left = node.tenants.get(move.tenant());
                 left[0] -= move.load();
                 left[1] -= move.connections();
                 node.load -= move.load();
-                node.given = true;
-            } else if (node.told.node().equals(move.to())) {
+                node.usedAsSource = true;
+            } else if (node.snapshot.node().equals(move.to())) {
                 node.tenants.merge(
                         move.tenant(),
                         new long[] {move.load(), move.connections(), 0},
                         (had, more) -> new long[] {had[0] + more[0], had[1] + more[1], had[2]});
                 node.load += move.load();
-                node.taken = true;
+                node.usedAsTarget = true;
             }
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/advice/NodeSnapshot.java
+++ b/coordinator/src/main/java/saltstage/coordinator/advice/NodeSnapshot.java
@@ -24,7 +24,7 @@
         List<Tenant> tenants,
         long others) {
     /** The most tenants that a snapshot names. */
-    public static final int MOST_TENANTS = 256;
+    public static final int MAX_TENANTS = 256;
 
     /**
      * A tenant at a node: connections, their load in thousandths of a mean one, and into how many
@@ -37,7 +37,7 @@
     }
 
     /** What is wrong with it, or null. */
-    public String fault() {
+    public String validationError() {
         boolean bad =
                 node == null
                         || node.isEmpty()
@@ -48,7 +48,7 @@
                         || seq < 0
                         || others < 0
                         || tenants == null
-                        || tenants.size() > MOST_TENANTS
+                        || tenants.size() > MAX_TENANTS
                         || !(delayMs >= 0 && delayMs < 1e6)
                         || !(setupMs > 0 && setupMs < 1e6)
                         || tenants.stream()
@@ -62,7 +62,7 @@
                                                         || t.groups() < 0);
         return bad
                 ? "a snapshot names its node, its region and a capacity, and up to "
-                        + MOST_TENANTS
+                        + MAX_TENANTS
                         + " tenants; no figure is negative"
                 : null;
     }
--- a/coordinator/src/main/java/saltstage/coordinator/advice/NodeSnapshots.java
+++ b/coordinator/src/main/java/saltstage/coordinator/advice/NodeSnapshots.java
@@ -11,19 +11,19 @@
  * arrived here, so a clock that is off at a node is read by nobody. For one thread at a time.
  */
 public final class NodeSnapshots {
-    static final int MOST_NODES = 2_000;
-    private static final long FORGOTTEN_MS = 600_000;
+    static final int MAX_NODES = 2_000;
+    private static final long MAX_AGE_MS = 600_000;
 
     /** A node as it is known here, and how old that is. */
     public record View(NodeSnapshot snapshot, long ageMs) {}
 
-    private record Kept(NodeSnapshot snapshot, long at) {}
+    private record ReceivedSnapshot(NodeSnapshot snapshot, long receivedAtMs) {}
 
-    private final Map<String, Kept> nodes = new TreeMap<>();
+    private final Map<String, ReceivedSnapshot> nodes = new TreeMap<>();
 
     /** Takes a snapshot; false where a newer one is known, or there are too many nodes. */
-    public boolean take(NodeSnapshot snapshot, long nowMs) {
-        Kept known = nodes.get(snapshot.node());
+    public boolean update(NodeSnapshot snapshot, long nowMs) {
+        ReceivedSnapshot known = nodes.get(snapshot.node());
         if (known != null) {
             long before = known.snapshot().incarnation();
             if (snapshot.incarnation() < before
@@ -31,21 +31,21 @@
                             && snapshot.seq() <= known.snapshot().seq()) {
                 return false;
             }
-        } else if (nodes.size() >= MOST_NODES) {
-            nodes.values().removeIf(kept -> nowMs - kept.at() > FORGOTTEN_MS);
-            if (nodes.size() >= MOST_NODES) {
+        } else if (nodes.size() >= MAX_NODES) {
+            nodes.values().removeIf(kept -> nowMs - kept.receivedAtMs() > MAX_AGE_MS);
+            if (nodes.size() >= MAX_NODES) {
                 return false;
             }
         }
-        nodes.put(snapshot.node(), new Kept(snapshot, nowMs));
+        nodes.put(snapshot.node(), new ReceivedSnapshot(snapshot, nowMs));
         return true;
     }
 
     /** All nodes, by name; those that nothing was heard of for long are forgotten. */
     public List<View> views(long nowMs) {
-        nodes.values().removeIf(kept -> nowMs - kept.at() > FORGOTTEN_MS);
+        nodes.values().removeIf(kept -> nowMs - kept.receivedAtMs() > MAX_AGE_MS);
         List<View> views = new ArrayList<>();
-        nodes.values().forEach(kept -> views.add(new View(kept.snapshot(), nowMs - kept.at())));
+        nodes.values().forEach(kept -> views.add(new View(kept.snapshot(), nowMs - kept.receivedAtMs())));
         return views;
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/agent/Agent.java
+++ b/coordinator/src/main/java/saltstage/coordinator/agent/Agent.java
@@ -12,9 +12,9 @@
 import saltstage.coordinator.client.GroupClient;
 import saltstage.coordinator.client.GroupClient.Unreachable;
 import saltstage.coordinator.client.LeaseClient;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.model.Command;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.settings.AgentSettings;
 import saltstage.coordinator.window.FleetPlan;
@@ -58,7 +58,7 @@
     /** Serves for ever: waits for the lease, acts while it holds it. */
     public void run() throws InterruptedException {
         while (true) {
-            String name = WindowCommands.lease(settings.region());
+            String name = WindowCommands.leaseName(settings.region());
             try (LeaseClient.Lease lease = leases.acquire(name, LEASE, WAIT, 0, this::stopWork)) {
                 Log.info("agent.holds", "region", settings.region(), "fence", lease.fence());
                 toldLost = -1;
@@ -85,13 +85,13 @@
             lease.checkStillHeld();
             try {
                 JsonNode read = group.get("/v1/windows", CALL);
-                Plans plans = Codec.json().treeToValue(read, Plans.class);
+                Plans plans = GroupCodec.jsonMapper().treeToValue(read, Plans.class);
                 List<String> out = new ArrayList<>();
                 for (Window window : plans.windows()) {
                     if (!window.wish().region().equals(settings.region())) {
                         continue;
                     }
-                    if (window.state().takesCapacity()) {
+                    if (window.state().isInProgress()) {
                         out.addAll(window.wish().nodes());
                     }
                     step(window, plans, lease);
@@ -108,7 +108,7 @@
             throws LeaseClient.Lost, Unreachable, InterruptedException {
         lease.checkStillHeld();
         Reply reply = group.send(command, CALL).reply();
-        if (reply instanceof Refused no) {
+        if (reply instanceof Rejection no) {
             Log.info("agent.refused", "command", command, "why", no.why());
         }
         return reply;
@@ -273,7 +273,7 @@
                                 new WindowCommands.Outage(
                                         settings.region(), lost, leases.owner(), lease.fence()),
                                 lease)
-                        instanceof saltstage.coordinator.model.Done) {
+                        instanceof saltstage.coordinator.model.Acknowledgement) {
             Log.info("agent.missing", "region", settings.region(), "lost", lost);
             toldLost = lost;
         }
--- a/coordinator/src/main/java/saltstage/coordinator/api/AdviceRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/AdviceRoutes.java
@@ -9,7 +9,7 @@
 import saltstage.coordinator.advice.Advisor;
 import saltstage.coordinator.advice.NodeSnapshot;
 import saltstage.coordinator.advice.NodeSnapshots;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.group.GroupState;
 import saltstage.coordinator.replica.Replica;
 
@@ -47,8 +47,8 @@
             return new AdviceStatus(
                     state.advice().image(),
                     snapshots.views(nowMs()),
-                    state.advice().made(state.time().now()),
-                    state.windows().avoided(state.time().day(), AVOID_AHEAD_MS));
+                    state.advice().recentMoves(state.time().now()),
+                    state.windows().nodesToAvoid(state.time().wallClockTime(), AVOID_AHEAD_MS));
         }
     }
 
@@ -60,7 +60,7 @@
                     ApiResponse.notLeader(replica.leaderClients()));
         }
         synchronized (snapshots) {
-            boolean taken = snapshots.take(snapshot, nowMs());
+            boolean taken = snapshots.update(snapshot, nowMs());
             return CompletableFuture.completedFuture(ApiResponse.ok(Map.of("taken", taken)));
         }
     }
@@ -68,12 +68,12 @@
     private static NodeSnapshot snapshot(ApiRequest request) {
         NodeSnapshot snapshot;
         try {
-            snapshot = Codec.json().treeToValue(request.body(), NodeSnapshot.class);
+            snapshot = GroupCodec.jsonMapper().treeToValue(request.body(), NodeSnapshot.class);
         } catch (JsonProcessingException malformed) {
             throw new BadRequestException("no snapshot: " + ApiRequest.firstLine(malformed));
         }
-        if (snapshot.fault() != null) {
-            throw new BadRequestException(snapshot.fault());
+        if (snapshot.validationError() != null) {
+            throw new BadRequestException(snapshot.validationError());
         }
         return snapshot;
     }
--- a/coordinator/src/main/java/saltstage/coordinator/api/ApiRequest.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ApiRequest.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 
 /**
  * One request, with accessors that check what they return. Each of them throws {@link
@@ -67,7 +67,7 @@
     /** The body, which must be a JSON object. */
     JsonNode body() {
         try {
-            JsonNode read = Codec.json().readTree(content);
+            JsonNode read = GroupCodec.jsonMapper().readTree(content);
             if (read == null || !read.isObject()) {
                 throw new BadRequestException("the body is no JSON object");
             }
--- a/coordinator/src/main/java/saltstage/coordinator/api/ClusterRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ClusterRoutes.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.group.GroupState;
 import saltstage.coordinator.replica.Replica;
 
@@ -33,7 +33,7 @@
 
     private CompletableFuture<ApiResponse> backup(ApiRequest request) {
         return replica.read(GroupState::image, false)
-                .thenApply(image -> ApiResponse.ok(Codec.snapshot(image)));
+                .thenApply(image -> ApiResponse.ok(GroupCodec.encodeSnapshot(image)));
     }
 
     private CompletableFuture<ApiResponse> join(ApiRequest request) {
--- a/coordinator/src/main/java/saltstage/coordinator/api/CommandRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/CommandRoutes.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.lease.LeaseCommands;
 import saltstage.coordinator.lease.LeaseReplies;
 import saltstage.coordinator.lease.Leases;
@@ -58,7 +58,7 @@
     private static Command command(JsonNode body) {
         Command command;
         try {
-            command = Codec.command(body.path("command"));
+            command = GroupCodec.decodeCommand(body.path("command"));
         } catch (JsonProcessingException malformed) {
             throw new BadRequestException("'command': " + ApiRequest.firstLine(malformed));
         }
--- a/coordinator/src/main/java/saltstage/coordinator/api/ConfigurationRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ConfigurationRoutes.java
@@ -16,7 +16,7 @@
 import saltstage.coordinator.configuration.ConfigurationRegistry;
 import saltstage.coordinator.configuration.FollowerReport;
 import saltstage.coordinator.configuration.FollowerReports;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.group.GroupState;
 import saltstage.coordinator.replica.Replica;
 import saltstage.wire.MalformedException;
@@ -214,7 +214,7 @@
     private CompletableFuture<ApiResponse> report(ApiRequest request) {
         FollowerReport report;
         try {
-            report = Codec.strictly(request.body(), FollowerReport.class);
+            report = GroupCodec.decodeStrictly(request.body(), FollowerReport.class);
         } catch (JsonProcessingException malformed) {
             throw new BadRequestException("no report: " + ApiRequest.firstLine(malformed));
         }
--- a/coordinator/src/main/java/saltstage/coordinator/api/HttpListener.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/HttpListener.java
@@ -28,7 +28,7 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.log.Log;
 
 /**
@@ -114,7 +114,7 @@
             byte[] body;
             boolean raw = answer.body() instanceof byte[];
             try {
-                body = raw ? (byte[]) answer.body() : Codec.json().writeValueAsBytes(answer.body());
+                body = raw ? (byte[]) answer.body() : GroupCodec.jsonMapper().writeValueAsBytes(answer.body());
             } catch (JsonProcessingException impossible) {
                 Log.error("front.fault", impossible);
                 on.close();
--- a/coordinator/src/main/java/saltstage/coordinator/api/WindowRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/WindowRoutes.java
@@ -34,7 +34,7 @@
     }
 
     private static WindowList windows(GroupState state) {
-        return new WindowList(state.windows().plan(), state.windows().all(), state.time().day());
+        return new WindowList(state.windows().plan(), state.windows().all(), state.time().wallClockTime());
     }
 
     private CompletableFuture<ApiResponse> levels(ApiRequest request) {
@@ -43,7 +43,7 @@
         int limit = (int) request.wholeParameter("most", DEFAULT_ROWS, MAX_ROWS);
         return replica.read(
                         state -> {
-                            long now = state.time().day();
+                            long now = state.time().wallClockTime();
                             return state.windows().levels(from == 0 ? now : from, to, limit, now);
                         },
                         false)
--- a/coordinator/src/main/java/saltstage/coordinator/client/GroupClient.java
+++ b/coordinator/src/main/java/saltstage/coordinator/client/GroupClient.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.UUID;
 import java.util.concurrent.ThreadLocalRandom;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.model.Command;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 
 /**
@@ -83,21 +83,21 @@
         seq++;
         while (true) {
             ObjectNode body =
-                    Codec.json()
+                    GroupCodec.jsonMapper()
                             .createObjectNode()
                             .put("client", session)
                             .put("seq", seq)
                             .put("waitMs", wait.toMillis());
-            body.set("command", Codec.json().valueToTree(command));
+            body.set("command", GroupCodec.jsonMapper().valueToTree(command));
             JsonNode answer = call("POST", "/v1/do", body.toString(), until, PATIENCE.plus(wait));
             Reply reply;
             try {
-                reply = Codec.json().treeToValue(answer, Reply.class);
+                reply = GroupCodec.jsonMapper().treeToValue(answer, Reply.class);
             } catch (IOException unknown) {
                 throw new Unreachable(
                         "an answer that this build does not know: " + unknown.getMessage());
             }
-            if (reply instanceof Refused no && no.code().equals("session-lost")) {
+            if (reply instanceof Rejection no && no.code().equals("session-lost")) {
                 session = UUID.randomUUID().toString(); // the caller decides whether to ask again
                 seq = 0;
             }
@@ -141,7 +141,7 @@
                         http.send(
                                 request(method, place, path, body, timeout),
                                 HttpResponse.BodyHandlers.ofString());
-                JsonNode answer = Codec.json().readTree(response.body());
+                JsonNode answer = GroupCodec.jsonMapper().readTree(response.body());
                 if (response.statusCode() == 200) {
                     leader = place;
                     return answer;
--- a/coordinator/src/main/java/saltstage/coordinator/client/LeaseClient.java
+++ b/coordinator/src/main/java/saltstage/coordinator/client/LeaseClient.java
@@ -13,7 +13,7 @@
 import saltstage.coordinator.lease.LeaseReplies.Granted;
 import saltstage.coordinator.lease.LeaseReplies.Held;
 import saltstage.coordinator.lease.LeaseReplies.Renewed;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Rejection;
 import saltstage.log.Log;
 
 /**
@@ -182,7 +182,7 @@
                 held.put(name, lease);
                 return lease;
             }
-            if (said.reply() instanceof Refused no && !no.code().equals("session-lost")) {
+            if (said.reply() instanceof Rejection no && !no.code().equals("session-lost")) {
                 throw new NotGranted(no.why());
             }
             if (!queue) {
--- a/coordinator/src/main/java/saltstage/coordinator/command/AdviceCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/AdviceCommand.java
@@ -16,8 +16,8 @@
 import saltstage.coordinator.client.GroupClient;
 import saltstage.coordinator.client.LeaseClient;
 import saltstage.coordinator.client.Ticker;
-import saltstage.coordinator.group.Codec;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.group.GroupCodec;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 import saltstage.log.Log;
 
@@ -133,7 +133,7 @@
             GroupClient client = group.client();
             while (true) {
                 try (LeaseClient.Lease lease =
-                        leases.acquire(AdviceCommands.LEASE, LEASE, WAIT, 0, () -> {})) {
+                        leases.acquire(AdviceCommands.LEASE_NAME, LEASE, WAIT, 0, () -> {})) {
                     Log.info("advisor.speaks", "fence", lease.fence());
                     while (true) {
                         lease.checkStillHeld();
@@ -152,16 +152,16 @@
             JsonNode read = client.get("/v1/advice", group.within());
             List<NodeSnapshots.View> views = new ArrayList<>();
             for (JsonNode view : read.path("views")) {
-                views.add(Codec.json().treeToValue(view, NodeSnapshots.View.class));
+                views.add(GroupCodec.jsonMapper().treeToValue(view, NodeSnapshots.View.class));
             }
             List<Advisor.RecentMove> made = new ArrayList<>();
             for (JsonNode one : read.path("made")) {
-                made.add(Codec.json().treeToValue(one, Advisor.RecentMove.class));
+                made.add(GroupCodec.jsonMapper().treeToValue(one, Advisor.RecentMove.class));
             }
             Set<String> avoid = new HashSet<>();
             read.path("avoid").forEach(name -> avoid.add(name.asText()));
             Advisor.Advice advice =
-                    new Advisor(Advisor.Rules.usual()).advise(views, avoid, made, 0);
+                    new Advisor(Advisor.Rules.defaults()).advise(views, avoid, made, 0);
             lease.checkStillHeld();
             Reply reply =
                     client.send(
@@ -169,7 +169,7 @@
                                             owner, lease.fence(), advice.moves(), advice.why()),
                                     group.within())
                             .reply();
-            if (reply instanceof Refused no) {
+            if (reply instanceof Rejection no) {
                 Log.warn("advisor.refused", "why", no.why());
             }
         }
--- a/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
@@ -21,7 +21,7 @@
 import saltstage.coordinator.api.HttpListener;
 import saltstage.coordinator.client.GroupClient;
 import saltstage.coordinator.client.Ticker;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.model.HostPort;
 import saltstage.coordinator.replica.Replica;
 import saltstage.coordinator.replica.ReplicaSettings;
@@ -176,16 +176,16 @@
             GroupClient group =
                     new GroupClient(
                             read.members().values().stream()
-                                    .map(at -> HostPort.of(at.clients()))
+                                    .map(at -> HostPort.format(at.clients()))
                                     .toList(),
                             Ticker.SYSTEM);
             JsonNode body =
-                    Codec.json()
+                    GroupCodec.jsonMapper()
                             .createObjectNode()
                             .put("name", name)
                             .put("disk", disk)
-                            .put("peers", HostPort.of(mine.peers()))
-                            .put("clients", HostPort.of(mine.clients()));
+                            .put("peers", HostPort.format(mine.peers()))
+                            .put("clients", HostPort.format(mine.clients()));
             for (String state = ""; !state.equals("votes"); Thread.sleep(JOIN_AGAIN.toMillis())) {
                 String now =
                         group.post("/v1/join", body, Duration.ofSeconds(30)).path("state").asText();
@@ -227,7 +227,7 @@
                 }
             }
             if (group.json()) {
-                System.out.println(Codec.json().writeValueAsString(all));
+                System.out.println(GroupCodec.jsonMapper().writeValueAsString(all));
             }
             if (answers == 0) {
                 return ExitCode.UNREACHABLE;
--- a/coordinator/src/main/java/saltstage/coordinator/command/Group.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/Group.java
@@ -13,10 +13,10 @@
 import picocli.CommandLine.TypeConversionException;
 import saltstage.coordinator.client.GroupClient;
 import saltstage.coordinator.client.Ticker;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.model.Command;
 import saltstage.coordinator.model.HostPort;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.settings.CoordinatorSettings;
 import saltstage.wire.MalformedException;
@@ -73,7 +73,7 @@
             throw new MalformedException("name the group by --settings FILE or --at HOST:PORT");
         }
         return CoordinatorSettings.read(settings).members().values().stream()
-                .map(place -> HostPort.of(place.clients()))
+                .map(place -> HostPort.format(place.clients()))
                 .toList();
     }
 
@@ -85,7 +85,7 @@
     Reply send(Command command)
             throws IOException, InterruptedException, MalformedException, RefusedException {
         Reply reply = client().send(command, within).reply();
-        if (reply instanceof Refused refusal) {
+        if (reply instanceof Rejection refusal) {
             throw new RefusedException(refusal);
         }
         return reply;
@@ -99,7 +99,7 @@
     /** Posts a call with one field to the API, in JSON. */
     JsonNode post(String path, String field, String value)
             throws IOException, InterruptedException, MalformedException {
-        return client().post(path, Codec.json().createObjectNode().put(field, value), within);
+        return client().post(path, GroupCodec.jsonMapper().createObjectNode().put(field, value), within);
     }
 
     Duration within() {
@@ -112,7 +112,7 @@
 
     /** Prints a value: as JSON, or as a line of text. */
     void print(Object value, String text) throws JsonProcessingException {
-        System.out.println(json ? Codec.json().writeValueAsString(value) : text);
+        System.out.println(json ? GroupCodec.jsonMapper().writeValueAsString(value) : text);
         System.out.flush();
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
@@ -29,8 +29,8 @@
 import saltstage.coordinator.configuration.ConfigurationReplies.Changed;
 import saltstage.coordinator.configuration.ConfigurationReplies.Rejected;
 import saltstage.coordinator.configuration.RollbackPlan;
-import saltstage.coordinator.group.Codec;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.group.GroupCodec;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 import saltstage.wire.MalformedException;
 
@@ -64,12 +64,12 @@
             return 0;
         }
         if (group.json()) {
-            System.out.println(Codec.json().writeValueAsString(reply));
+            System.out.println(GroupCodec.jsonMapper().writeValueAsString(reply));
         }
         String why =
                 reply instanceof Rejected no
                         ? no.sentence()
-                        : reply instanceof Refused no ? no.why() : "an answer of another kind";
+                        : reply instanceof Rejection no ? no.why() : "an answer of another kind";
         System.err.println("saltstage: " + why);
         return 1;
     }
@@ -79,7 +79,7 @@
             Group group, GroupClient client, long after, int limit) throws Exception {
         JsonNode read =
                 client.get(PATH + "history?after=" + after + "&limit=" + limit, group.within());
-        return Codec.json().treeToValue(read, ConfigurationRegistry.History.class);
+        return GroupCodec.jsonMapper().treeToValue(read, ConfigurationRegistry.History.class);
     }
 
     /** Puts or deletes entries. */
@@ -284,7 +284,7 @@
         public Integer call() throws Exception {
             ConfigurationRegistry.History read = history(group, group.client(), after, limit);
             if (group.json()) {
-                System.out.println(Codec.json().writeValueAsString(read));
+                System.out.println(GroupCodec.jsonMapper().writeValueAsString(read));
                 return 0;
             }
             if (after < read.oldest()) {
--- a/coordinator/src/main/java/saltstage/coordinator/command/LeaseCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/LeaseCommand.java
@@ -18,7 +18,7 @@
 import saltstage.coordinator.client.Ticker;
 import saltstage.coordinator.lease.LeaseCommands;
 import saltstage.coordinator.lease.LeaseReplies;
-import saltstage.coordinator.model.Done;
+import saltstage.coordinator.model.Acknowledgement;
 import saltstage.coordinator.model.Reply;
 
 /** Leases by hand, and programs that run only while they hold one. */
@@ -102,7 +102,7 @@
         public Integer call() throws Exception {
             Reply reply =
                     group.send(new LeaseCommands.Release(held.name(), held.owner(), held.fence()));
-            group.print(reply, ((Done) reply).what());
+            group.print(reply, ((Acknowledgement) reply).what());
             return ExitCode.OK;
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/command/WindowCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/WindowCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.model.Command;
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.settings.FleetSettings;
@@ -53,7 +53,7 @@
             return group.send(command);
         } catch (RefusedException refused) {
             if (group.json()) {
-                System.out.println(Codec.json().writeValueAsString(refused.refusal()));
+                System.out.println(GroupCodec.jsonMapper().writeValueAsString(refused.refusal()));
             }
             throw refused;
         }
@@ -197,7 +197,7 @@
             JsonNode read = group.get("/v1/windows");
             boolean found = id == null;
             for (JsonNode row : read.path("windows")) {
-                Window window = Codec.json().treeToValue(row, Window.class);
+                Window window = GroupCodec.jsonMapper().treeToValue(row, Window.class);
                 if (id == null || window.id() == id) {
                     group.print(window, line(window));
                     found = true;
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationCommands.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationCommands.java
@@ -24,7 +24,7 @@
             String author, List<Mutation> mutations, Map<String, Long> expected)
             implements Command {
         @Override
-        public int since() {
+        public int minFeatureLevel() {
             return SINCE;
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/ConfirmationReporter.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/ConfirmationReporter.java
@@ -8,7 +8,7 @@
 import java.util.function.LongSupplier;
 import saltstage.coordinator.client.GroupClient;
 import saltstage.coordinator.configuration.FollowerReport;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.log.Log;
 
 /**
@@ -58,7 +58,7 @@
     private void round() throws InterruptedException {
         for (ZoneConfirmations due : schedule.due(zones(), nowMs.getAsLong())) {
             try {
-                group.post(PATH, Codec.json().valueToTree(report(due)), CALL);
+                group.post(PATH, GroupCodec.jsonMapper().valueToTree(report(due)), CALL);
                 schedule.reported(due, nowMs.getAsLong());
                 failing = false;
             } catch (IOException | IllegalArgumentException failed) {
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHandler.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHandler.java
@@ -14,7 +14,7 @@
 import saltstage.configuration.ErrorResponse;
 import saltstage.configuration.SnapshotPage;
 import saltstage.configuration.SnapshotPager;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.wire.MalformedException;
 
 /**
@@ -295,7 +295,7 @@
                         changesBodies.encodings() + pageBodies.encodings(),
                         zones);
         try {
-            return new HttpAnswer(OK, Codec.json().writeValueAsBytes(status));
+            return new HttpAnswer(OK, GroupCodec.jsonMapper().writeValueAsBytes(status));
         } catch (JsonProcessingException impossible) {
             throw new IllegalStateException(impossible);
         }
--- a/coordinator/src/main/java/saltstage/coordinator/group/Codec.java
+++ b/coordinator/src/main/java/saltstage/coordinator/group/GroupCodec.java
@@ -23,8 +23,8 @@
 import saltstage.coordinator.lease.LeaseCommands;
 import saltstage.coordinator.lease.LeaseReplies;
 import saltstage.coordinator.model.Command;
-import saltstage.coordinator.model.Done;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Acknowledgement;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.window.WindowCommands;
 import saltstage.coordinator.window.WindowReplies;
@@ -33,9 +33,9 @@
  * Commands, replies and snapshots as bytes: CBOR in the log, JSON towards clients, with the same
  * names. A command or field that this build does not know is refused, never skipped.
  */
-public final class Codec {
+public final class GroupCodec {
     /** The form of entries and snapshots; another one is refused. */
-    private static final int FORMAT = 1;
+    private static final int FORMAT_VERSION = 1;
 
     private static final Map<String, Class<? extends Command>> COMMANDS = new LinkedHashMap<>();
     private static final Map<String, Class<? extends Reply>> REPLIES = new LinkedHashMap<>();
@@ -63,8 +63,8 @@
         REPLIES.put("rejected", ConfigurationReplies.Rejected.class);
         REPLIES.put("planned", WindowReplies.Planned.class);
         REPLIES.put("window", WindowReplies.Now.class);
-        REPLIES.put("done", Done.class);
-        REPLIES.put("refused", Refused.class);
+        REPLIES.put("done", Acknowledgement.class);
+        REPLIES.put("refused", Rejection.class);
         REPLIES.put("granted", LeaseReplies.Granted.class);
         REPLIES.put("held", LeaseReplies.Held.class);
         REPLIES.put("renewed", LeaseReplies.Renewed.class);
@@ -73,16 +73,16 @@
     /** Written before each entry and snapshot. */
     private record Entry(int format, Proposal proposal) {}
 
-    private record Kept(int format, GroupState.Image image) {}
+    private record StoredSnapshot(int format, GroupState.Image image) {}
 
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "op")
-    private interface Named {}
+    private interface CommandTypeInfo {}
 
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "result")
-    private interface Resulting {}
+    private interface ReplyTypeInfo {}
 
-    private static final ObjectMapper STRICT =
-            prepared(
+    private static final ObjectMapper STRICT_JSON =
+            buildMapper(
                     JsonMapper.builder()
                             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
                             .enable(DeserializationFeature.FAIL_ON_NULL_CREATOR_PROPERTIES)
@@ -96,14 +96,14 @@
                                     c ->
                                             c.setSetterInfo(
                                                     JsonSetter.Value.forContentNulls(Nulls.FAIL))));
-    private static final ObjectMapper CBOR = prepared(CBORMapper.builder());
-    private static final ObjectMapper JSON = prepared(JsonMapper.builder());
+    private static final ObjectMapper CBOR = buildMapper(CBORMapper.builder());
+    private static final ObjectMapper JSON = buildMapper(JsonMapper.builder());
 
-    private Codec() {}
+    private GroupCodec() {}
 
-    private static ObjectMapper prepared(MapperBuilder<?, ?> builder) {
-        builder.addMixIn(Command.class, Named.class)
-                .addMixIn(Reply.class, Resulting.class)
+    private static ObjectMapper buildMapper(MapperBuilder<?, ?> builder) {
+        builder.addMixIn(Command.class, CommandTypeInfo.class)
+                .addMixIn(Reply.class, ReplyTypeInfo.class)
                 .addModule(new ConfigurationModule())
                 .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
                 .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
@@ -114,57 +114,57 @@
     }
 
     /** The mapper of what clients send and get. */
-    public static ObjectMapper json() {
+    public static ObjectMapper jsonMapper() {
         return JSON;
     }
 
     /** A client's command: every field is there, and nothing is null. */
-    public static Command command(JsonNode from) throws JsonProcessingException {
-        return STRICT.treeToValue(from, Command.class);
+    public static Command decodeCommand(JsonNode from) throws JsonProcessingException {
+        return STRICT_JSON.treeToValue(from, Command.class);
     }
 
     /** A record that a client sends: every field is there, none is unknown, and nothing is null. */
-    public static <T> T strictly(JsonNode from, Class<T> type) throws JsonProcessingException {
-        return STRICT.treeToValue(from, type);
+    public static <T> T decodeStrictly(JsonNode from, Class<T> type) throws JsonProcessingException {
+        return STRICT_JSON.treeToValue(from, type);
     }
 
     /** The mapper of what replicas keep and say to each other. */
-    public static ObjectMapper cbor() {
+    public static ObjectMapper cborMapper() {
         return CBOR;
     }
 
     /** An entry of the log. */
-    public static byte[] entry(Proposal proposal) {
-        return bytes(new Entry(FORMAT, proposal));
+    public static byte[] encodeEntry(Proposal proposal) {
+        return toCbor(new Entry(FORMAT_VERSION, proposal));
     }
 
     /** The proposal of an entry. */
-    public static Proposal proposal(byte[] entry) throws IOException {
+    public static Proposal decodeProposal(byte[] entry) throws IOException {
         Entry read = CBOR.readValue(entry, Entry.class);
-        if (read.format() != FORMAT) {
+        if (read.format() != FORMAT_VERSION) {
             throw new IOException(
-                    "entry of format " + read.format() + "; this build reads " + FORMAT);
+                    "entry of format " + read.format() + "; this build reads " + FORMAT_VERSION);
         }
         return read.proposal();
     }
 
     /** A snapshot. */
-    public static byte[] snapshot(GroupState.Image image) {
-        return bytes(new Kept(FORMAT, image));
+    public static byte[] encodeSnapshot(GroupState.Image image) {
+        return toCbor(new StoredSnapshot(FORMAT_VERSION, image));
     }
 
     /** The state of a snapshot. */
-    public static GroupState.Image image(byte[] snapshot) throws IOException {
-        Kept read = CBOR.readValue(snapshot, Kept.class);
-        if (read.format() != FORMAT) {
+    public static GroupState.Image decodeSnapshot(byte[] snapshot) throws IOException {
+        StoredSnapshot read = CBOR.readValue(snapshot, StoredSnapshot.class);
+        if (read.format() != FORMAT_VERSION) {
             throw new IOException(
-                    "snapshot of format " + read.format() + "; this build reads " + FORMAT);
+                    "snapshot of format " + read.format() + "; this build reads " + FORMAT_VERSION);
         }
         return read.image();
     }
 
     /** Any record as CBOR. */
-    public static byte[] bytes(Object record) {
+    public static byte[] toCbor(Object record) {
         try {
             return CBOR.writeValueAsBytes(record);
         } catch (JsonProcessingException impossible) {
--- a/coordinator/src/main/java/saltstage/coordinator/group/GroupCommands.java
+++ b/coordinator/src/main/java/saltstage/coordinator/group/GroupCommands.java
@@ -18,7 +18,7 @@
     public record Tick(Map<String, Long> walls, Map<String, Integer> speaks, List<String> voters)
             implements Command {
         @Override
-        public int since() {
+        public int minFeatureLevel() {
             return 1;
         }
     }
@@ -30,7 +30,7 @@
     public record Introduce(String member, String disk, String peers, String clients)
             implements Command {
         @Override
-        public int since() {
+        public int minFeatureLevel() {
             return 1;
         }
     }
@@ -38,7 +38,7 @@
     /** This member has left: its name is not used again. */
     public record Forget(String member) implements Command {
         @Override
-        public int since() {
+        public int minFeatureLevel() {
             return 1;
         }
     }
@@ -48,7 +48,7 @@
      */
     public record SkipFences(long upTo) implements Command {
         @Override
-        public int since() {
+        public int minFeatureLevel() {
             return 1;
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/group/GroupState.java
+++ b/coordinator/src/main/java/saltstage/coordinator/group/GroupState.java
@@ -12,8 +12,8 @@
 import saltstage.coordinator.lease.LeaseCommands;
 import saltstage.coordinator.lease.Leases;
 import saltstage.coordinator.model.Command;
-import saltstage.coordinator.model.Done;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Acknowledgement;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.window.WindowCommands;
 import saltstage.coordinator.window.Windows;
@@ -25,10 +25,10 @@
  */
 public final class GroupState {
     /** The highest feature level that this build knows. */
-    public static final int SPEAKS = 4;
+    public static final int SUPPORTED_FEATURE_LEVEL = 4;
 
     /** The disk of a name that was given up: no disk has it. */
-    public static final String RETIRED = "retired";
+    public static final String RETIRED_DISK = "retired";
 
     /** Where a member is, and the disk that its log is on. */
     public record MemberRow(String disk, String peers, String clients, int speaks) {}
@@ -45,7 +45,7 @@
             AdviceLog.Image advice,
             ConfigurationRegistry.Image configuration) {}
 
-    private int level;
+    private int featureLevel;
     private final GroupTime time;
     private final Sessions sessions;
     private final Leases leases;
@@ -59,7 +59,7 @@
         this(
                 new Image(
                         1,
-                        GroupTime.zero().image(),
+                        GroupTime.initial().image(),
                         List.of(),
                         new Leases().image(),
                         Map.of(),
@@ -70,7 +70,7 @@
 
     /** As a snapshot has it. */
     public GroupState(Image image) {
-        level = image.level();
+        featureLevel = image.level();
         time = new GroupTime(image.time());
         sessions = new Sessions(image.sessions());
         leases = new Leases(image.leases());
@@ -88,54 +88,54 @@
         // A group that still works at level 1 has replicas that know no windows, and take no field
         // more.
         return new Image(
-                level,
+                featureLevel,
                 time.image(),
                 sessions.image(),
                 leases.image(),
                 new TreeMap<>(members),
-                level < WindowCommands.SINCE ? null : windows.image(),
-                level < AdviceCommands.SINCE ? null : advice.image(),
-                level < ConfigurationCommands.SINCE ? null : configuration.image());
+                featureLevel < WindowCommands.MIN_FEATURE_LEVEL ? null : windows.image(),
+                featureLevel < AdviceCommands.MIN_FEATURE_LEVEL ? null : advice.image(),
+                featureLevel < ConfigurationCommands.SINCE ? null : configuration.image());
     }
 
     /** Carries one entry of the log out. */
     public Reply apply(Proposal entry) {
-        time.stamped(entry.epoch(), entry.stampMs());
+        time.applyTimestamp(entry.epoch(), entry.stampMs());
         leases.advance(time.now());
-        windows.advance(time.day());
+        windows.advance(time.wallClockTime());
         advice.advance(time.now());
         if (entry.client().isEmpty()) {
-            return carryOut(entry.command());
+            return execute(entry.command());
         }
-        Reply known = sessions.known(entry.client(), entry.seq());
+        Reply known = sessions.previousReply(entry.client(), entry.seq());
         if (known != null) {
             return known;
         }
         Reply reply;
         try {
-            reply = carryOut(entry.command());
+            reply = execute(entry.command());
         } catch (
                 RuntimeException
                         fault) { // the same at every replica; one bad command must not end them all
             reply =
-                    new Refused(
+                    new Rejection(
                             "fault",
                             "the command could not be carried out: "
                                     + fault.getClass().getSimpleName(),
                             0);
         }
-        sessions.keep(entry.client(), entry.seq(), reply, time.now());
+        sessions.recordReply(entry.client(), entry.seq(), reply, time.now());
         return reply;
     }
 
-    private Reply carryOut(Command command) {
-        if (command.since() > level) {
-            return new Refused(
+    private Reply execute(Command command) {
+        if (command.minFeatureLevel() > featureLevel) {
+            return new Rejection(
                     "not-yet",
                     "the group works at level "
-                            + level
+                            + featureLevel
                             + "; this takes level "
-                            + command.since()
+                            + command.minFeatureLevel()
                             + ", which not every voter knows yet",
                     0);
         }
@@ -146,12 +146,12 @@
             return leases.renew(ask, time.now());
         }
         if (command instanceof LeaseCommands.Release ask) {
-            return new Done(leases.release(ask, time.now()) ? "released" : "not-held");
+            return new Acknowledgement(leases.release(ask, time.now()) ? "released" : "not-held");
         }
         if (command instanceof AdviceCommands.Advise ask) {
-            return leases.holds(AdviceCommands.LEASE, ask.owner(), ask.fence(), time.now())
+            return leases.isHeldBy(AdviceCommands.LEASE_NAME, ask.owner(), ask.fence(), time.now())
                     ? advice.advise(ask, time.now())
-                    : new Refused("fenced", "the advisor's lease is not held so", 0);
+                    : new Rejection("fenced", "the advisor's lease is not held so", 0);
         }
         if (command instanceof AdviceCommands.Decide ask) {
             return advice.decide(ask, time.now());
@@ -160,15 +160,15 @@
             return advice.outcome(ask, time.now());
         }
         if (command instanceof ConfigurationCommands.ChangeConfiguration ask) {
-            return configuration.change(ask, time.day());
+            return configuration.change(ask, time.wallClockTime());
         }
-        return command.since() == WindowCommands.SINCE ? window(command) : ownBusiness(command);
+        return command.minFeatureLevel() == WindowCommands.MIN_FEATURE_LEVEL ? executeWindowCommand(command) : executeGroupCommand(command);
     }
 
-    private Reply window(Command command) {
-        long day = time.day();
+    private Reply executeWindowCommand(Command command) {
+        long day = time.wallClockTime();
         if (command instanceof WindowCommands.SetFleet ask) {
-            return windows.set(ask.plan(), day);
+            return windows.setPlan(ask.plan(), day);
         }
         if (command instanceof WindowCommands.Propose ask) {
             return windows.propose(ask.wish(), day);
@@ -180,33 +180,33 @@
             return windows.pause(ask.id(), ask.on(), ask.by(), day);
         }
         if (command instanceof WindowCommands.Begin ask) {
-            Refused old = fenced(region(ask.id()), ask.owner(), ask.fence());
+            Rejection old = checkFencingToken(regionOfWindow(ask.id()), ask.owner(), ask.fence());
             return old != null ? old : windows.begin(ask.id(), day);
         }
         if (command instanceof WindowCommands.Report ask) {
-            Refused old = fenced(region(ask.id()), ask.owner(), ask.fence());
+            Rejection old = checkFencingToken(regionOfWindow(ask.id()), ask.owner(), ask.fence());
             return old != null ? old : windows.report(ask.id(), ask.step(), ask.proven(), day);
         }
         WindowCommands.Outage ask = (WindowCommands.Outage) command;
-        Refused old = fenced(ask.region(), ask.owner(), ask.fence());
-        return old != null ? old : windows.outage(ask.region(), ask.lost(), day);
+        Rejection old = checkFencingToken(ask.region(), ask.owner(), ask.fence());
+        return old != null ? old : windows.reportOutage(ask.region(), ask.lost(), day);
     }
 
-    private String region(long window) {
+    private String regionOfWindow(long window) {
         return windows.find(window) == null ? "" : windows.find(window).wish().region();
     }
 
     /** Only the agent that holds a region's lease now speaks for it. */
-    private Refused fenced(String region, String owner, long fence) {
-        return leases.holds(WindowCommands.lease(region), owner, fence, time.now())
+    private Rejection checkFencingToken(String region, String owner, long fence) {
+        return leases.isHeldBy(WindowCommands.leaseName(region), owner, fence, time.now())
                 ? null
-                : new Refused(
+                : new Rejection(
                         "fenced",
-                        "the lease " + WindowCommands.lease(region) + " is not held so",
+                        "the lease " + WindowCommands.leaseName(region) + " is not held so",
                         0);
     }
 
-    private Reply ownBusiness(Command command) {
+    private Reply executeGroupCommand(Command command) {
         if (command instanceof GroupCommands.Tick tick) {
             return tick(tick);
         }
@@ -217,14 +217,14 @@
             return forget(who);
         }
         if (command instanceof GroupCommands.SkipFences skip) {
-            leases.skipFences(skip.upTo());
-            return new Done("skipped");
+            leases.skipFencingTokens(skip.upTo());
+            return new Acknowledgement("skipped");
         }
         throw new IllegalStateException("no such command: " + command.getClass().getSimpleName());
     }
 
-    private Done tick(GroupCommands.Tick tick) {
-        time.walls(tick.walls(), tick.voters());
+    private Acknowledgement tick(GroupCommands.Tick tick) {
+        time.updateWallClocks(tick.walls(), tick.voters());
         tick.speaks()
                 .forEach(
                         (name, speaks) ->
@@ -236,32 +236,32 @@
                                                         row.peers(),
                                                         row.clients(),
                                                         speaks)));
-        raise(tick.voters());
-        return new Done("ticked");
+        raiseFeatureLevel(tick.voters());
+        return new Acknowledgement("ticked");
     }
 
     private Reply introduce(GroupCommands.Introduce who) {
         MemberRow before = members.get(who.member());
         if (before != null && !before.disk().equals(who.disk())) {
-            return new Refused("other-disk", who.member() + " was on another disk", 0);
+            return new Rejection("other-disk", who.member() + " was on another disk", 0);
         }
         int speaks = before == null ? 0 : before.speaks();
         members.put(who.member(), new MemberRow(who.disk(), who.peers(), who.clients(), speaks));
-        return new Done("known");
+        return new Acknowledgement("known");
     }
 
-    private Done forget(GroupCommands.Forget who) {
-        if (level
+    private Acknowledgement forget(GroupCommands.Forget who) {
+        if (featureLevel
                 >= 2) { // the engine takes no name twice; before level 2 replicas did not know that
-            members.put(who.member(), new MemberRow(RETIRED, null, null, 0));
+            members.put(who.member(), new MemberRow(RETIRED_DISK, null, null, 0));
         } else {
             members.remove(who.member());
         }
-        return new Done("forgotten");
+        return new Acknowledgement("forgotten");
     }
 
     /** The group uses what every voter knows, and goes back from nothing. */
-    private void raise(Collection<String> voters) {
+    private void raiseFeatureLevel(Collection<String> voters) {
         if (voters.isEmpty()) {
             return;
         }
@@ -270,12 +270,12 @@
             MemberRow row = members.get(voter);
             least = Math.min(least, row == null ? 0 : row.speaks());
         }
-        level = Math.max(level, least);
+        featureLevel = Math.max(featureLevel, least);
     }
 
     /** The feature level that the group works at. */
-    public int level() {
-        return level;
+    public int featureLevel() {
+        return featureLevel;
     }
 
     /** Its clocks. */
@@ -309,7 +309,7 @@
     }
 
     /** How many sessions it remembers. */
-    public int sessions() {
+    public int sessionCount() {
         return sessions.size();
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/group/GroupTime.java
+++ b/coordinator/src/main/java/saltstage/coordinator/group/GroupTime.java
@@ -18,36 +18,36 @@
 
     private long now;
     private String epoch;
-    private long stamp;
-    private final Map<String, Long> offsets;
-    private long day;
+    private long lastTimestamp;
+    private final Map<String, Long> wallClockOffsets;
+    private long wallClockTime;
 
     GroupTime(Image image) {
         now = image.now();
         epoch = image.epoch();
-        stamp = image.stamp();
-        offsets = new TreeMap<>(image.offsets());
-        day = image.day();
+        lastTimestamp = image.stamp();
+        wallClockOffsets = new TreeMap<>(image.offsets());
+        wallClockTime = image.day();
     }
 
-    static GroupTime zero() {
+    static GroupTime initial() {
         return new GroupTime(new Image(0, "", 0, Map.of(), 0));
     }
 
     Image image() {
-        return new Image(now, epoch, stamp, new TreeMap<>(offsets), day);
+        return new Image(now, epoch, lastTimestamp, new TreeMap<>(wallClockOffsets), wallClockTime);
     }
 
     /** A stamp of a leadership. */
-    void stamped(String ofEpoch, long atStamp) {
+    void applyTimestamp(String ofEpoch, long atStamp) {
         if (ofEpoch.equals(epoch)) {
-            if (atStamp > stamp) {
-                now += atStamp - stamp;
-                stamp = atStamp;
+            if (atStamp > lastTimestamp) {
+                now += atStamp - lastTimestamp;
+                lastTimestamp = atStamp;
             }
         } else {
             epoch = ofEpoch;
-            stamp = atStamp;
+            lastTimestamp = atStamp;
         }
     }
 
@@ -55,12 +55,12 @@
      * What the clocks of replicas say; only voters count, and those that are none any more are
      * forgotten.
      */
-    void walls(Map<String, Long> told, Collection<String> voters) {
-        told.forEach((member, wall) -> offsets.put(member, wall - now));
+    void updateWallClocks(Map<String, Long> told, Collection<String> voters) {
+        told.forEach((member, wall) -> wallClockOffsets.put(member, wall - now));
         if (!voters.isEmpty()) {
-            offsets.keySet().retainAll(voters);
+            wallClockOffsets.keySet().retainAll(voters);
         }
-        day();
+        wallClockTime();
     }
 
     /** Group time in milliseconds. */
@@ -69,11 +69,11 @@
     }
 
     /** The time of day, milliseconds since 1970; 0 until a clock was heard. */
-    public long day() {
-        if (!offsets.isEmpty()) {
-            long[] sorted = offsets.values().stream().mapToLong(Long::longValue).sorted().toArray();
-            day = Math.max(day, now + sorted[(sorted.length - 1) / 2]);
+    public long wallClockTime() {
+        if (!wallClockOffsets.isEmpty()) {
+            long[] sorted = wallClockOffsets.values().stream().mapToLong(Long::longValue).sorted().toArray();
+            wallClockTime = Math.max(wallClockTime, now + sorted[(sorted.length - 1) / 2]);
         }
-        return day;
+        return wallClockTime;
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/group/Sessions.java
+++ b/coordinator/src/main/java/saltstage/coordinator/group/Sessions.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 
 /**
@@ -17,9 +17,9 @@
      * A session that has said nothing for so long is forgotten; clients give a command up long
      * before.
      */
-    static final long IDLE_MS = 600_000;
+    static final long IDLE_TIMEOUT_MS = 600_000;
 
-    static final int MOST = 20_000;
+    static final int MAX_SESSIONS = 20_000;
 
     /** What a snapshot keeps of one. */
     record Row(String client, long seq, long seen, Reply reply) {}
@@ -35,12 +35,12 @@
     }
 
     /** The reply that this number got, or why it may not be carried out; null: carry it out. */
-    Reply known(String client, long seq) {
+    Reply previousReply(String client, long seq) {
         Row row = rows.get(client);
         if (row == null) {
             return seq == 1
                     ? null
-                    : new Refused(
+                    : new Rejection(
                             "session-lost",
                             "the group does not know this session any more;"
                                     + " what became of its last command is open",
@@ -51,16 +51,16 @@
         }
         return seq > row.seq()
                 ? null
-                : new Refused(
+                : new Rejection(
                         "stale", "number " + seq + " after " + row.seq() + " in this session", 0);
     }
 
-    void keep(String client, long seq, Reply reply, long now) {
+    void recordReply(String client, long seq, Reply reply, long now) {
         rows.remove(client);
         rows.put(client, new Row(client, seq, now, reply));
         for (var oldest = rows.values().iterator(); oldest.hasNext(); ) {
             Row row = oldest.next();
-            if (rows.size() <= MOST && row.seen() + IDLE_MS > now) {
+            if (rows.size() <= MAX_SESSIONS && row.seen() + IDLE_TIMEOUT_MS > now) {
                 break;
             }
             oldest.remove();
--- a/coordinator/src/main/java/saltstage/coordinator/lease/LeaseCommands.java
+++ b/coordinator/src/main/java/saltstage/coordinator/lease/LeaseCommands.java
@@ -19,7 +19,7 @@
     public record Acquire(String name, String owner, long ttlMs, int priority, boolean queue)
             implements Command {
         @Override
-        public int since() {
+        public int minFeatureLevel() {
             return 1;
         }
     }
@@ -27,7 +27,7 @@
     /** Holds leases for their whole span again; each by its fence. */
     public record Renew(String owner, Map<String, Long> fences) implements Command {
         @Override
-        public int since() {
+        public int minFeatureLevel() {
             return 1;
         }
     }
@@ -35,7 +35,7 @@
     /** Gives a lease back, or leaves its queue (fence 0). */
     public record Release(String name, String owner, long fence) implements Command {
         @Override
-        public int since() {
+        public int minFeatureLevel() {
             return 1;
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/lease/LeaseEntry.java
+++ b/coordinator/src/main/java/saltstage/coordinator/lease/LeaseEntry.java
@@ -14,7 +14,7 @@
     private final String name;
     private final TreeSet<Leases.Waiter> waiters = new TreeSet<>(BY_PRIORITY_THEN_ORDER);
     private String owner;
-    private long fence;
+    private long fencingToken;
     private long ttlMs;
     private long expires;
     private long revision;
@@ -30,7 +30,7 @@
     LeaseEntry(Leases.Row row) {
         name = row.name();
         owner = row.owner();
-        fence = row.fence();
+        fencingToken = row.fence();
         ttlMs = row.ttlMs();
         expires = row.expires();
         revision = row.revision();
@@ -44,7 +44,7 @@
         return new Leases.Row(
                 name,
                 owner,
-                fence,
+                fencingToken,
                 ttlMs,
                 expires,
                 revision,
@@ -57,8 +57,8 @@
         return name;
     }
 
-    long fence() {
-        return fence;
+    long fencingToken() {
+        return fencingToken;
     }
 
     long ttlMs() {
@@ -70,26 +70,26 @@
     }
 
     /** Whether anybody holds it. */
-    boolean held() {
+    boolean isHeld() {
         return owner != null;
     }
 
-    boolean heldBy(String who) {
+    boolean isHeldBy(String who) {
         return owner != null && owner.equals(who);
     }
 
     /** Whether it is kept for this one, which was the first to wait when it came free. */
-    boolean claimedBy(String who) {
+    boolean isClaimedBy(String who) {
         return claimant != null && claimant.equals(who);
     }
 
     /** Whether nobody holds it or waits for it, so that nothing of it need be kept. */
-    boolean idle() {
+    boolean isUnused() {
         return owner == null && waiters.isEmpty();
     }
 
     /** Whether it may be granted to this one at once: free, and nobody else goes first. */
-    boolean availableTo(String who) {
+    boolean isAvailableTo(String who) {
         if (owner != null) {
             return false;
         }
@@ -107,7 +107,7 @@
     }
 
     /** Until when it is held, or kept for its claimant. */
-    long until() {
+    long heldOrClaimedUntil() {
         return owner != null ? expires : claimUntil;
     }
 
@@ -118,12 +118,12 @@
 
     /** Grants it; asking again never shortens the time, as the holder may act on either reply. */
     void grant(Acquire request, long newFence, long now, long newRevision) {
-        if (claimedBy(request.owner())) {
+        if (isClaimedBy(request.owner())) {
             claimant = null;
         }
         removeWaiter(request.owner());
         owner = request.owner();
-        fence = newFence;
+        fencingToken = newFence;
         ttlMs = request.ttlMs();
         expires = Math.max(expires, now + request.ttlMs());
         revision = newRevision;
@@ -135,9 +135,9 @@
     }
 
     /** Takes it from its holder. */
-    void free(long newRevision) {
+    void release(long newRevision) {
         owner = null;
-        fence = 0;
+        fencingToken = 0;
         expires = 0;
         revision = newRevision;
     }
@@ -160,7 +160,7 @@
     }
 
     /** Removes those that have stopped asking, and a claimant that did not come. */
-    void dropSilent(long now) {
+    void removeExpiredWaiters(long now) {
         waiters.removeIf(w -> w.until() <= now);
         if (claimant != null && claimUntil <= now) {
             removeWaiter(claimant);
@@ -169,7 +169,7 @@
     }
 
     /** The place of this one in the queue, or null. */
-    Leases.Waiter waiter(String who) {
+    Leases.Waiter findWaiter(String who) {
         return waiters.stream().filter(w -> w.owner().equals(who)).findFirst().orElse(null);
     }
 
@@ -178,7 +178,7 @@
     }
 
     /** How many go before this waiter; all of them where it is null. */
-    int ahead(Leases.Waiter waiter) {
+    int waitersAhead(Leases.Waiter waiter) {
         return waiter == null ? waiters.size() : waiters.headSet(waiter).size();
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/lease/Leases.java
+++ b/coordinator/src/main/java/saltstage/coordinator/lease/Leases.java
@@ -11,7 +11,7 @@
 import saltstage.coordinator.lease.LeaseReplies.Granted;
 import saltstage.coordinator.lease.LeaseReplies.Held;
 import saltstage.coordinator.lease.LeaseReplies.Renewed;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 
 /**
@@ -21,13 +21,13 @@
  */
 public final class Leases {
     /** A waiter that has not asked again for so long has left. */
-    public static final long WAITER_MS = 3_000;
+    public static final long WAITER_TIMEOUT_MS = 3_000;
 
     /**
      * A lease that came free is kept for the first that waits for so long; then it is the next
      * one's turn.
      */
-    public static final long CLAIM_MS = 1_500;
+    public static final long CLAIM_TIMEOUT_MS = 1_500;
 
     /** The shortest span of a lease: below it, one slow disk write costs it. */
     public static final long MIN_TTL_MS = 500;
@@ -36,7 +36,7 @@
     public static final long MAX_TTL_MS = 3_600_000;
 
     private static final int MAX_LEASES = 200_000;
-    private static final int MAX_WAITERS = 1_000;
+    private static final int MAX_WAITERS_PER_LEASE = 1_000;
 
     /**
      * Who holds a lease, under which fence, until when, and who waits; what a snapshot keeps of it.
@@ -60,7 +60,7 @@
 
     private final TreeMap<String, LeaseEntry> leases = new TreeMap<>();
     private final LeaseDeadlines deadlines = new LeaseDeadlines();
-    private long lastFence;
+    private long lastFencingToken;
     private long lastOrder;
     private long lastRevision;
 
@@ -69,33 +69,33 @@
 
     /** As a snapshot has it. */
     public Leases(Image image) {
-        lastFence = image.fences();
+        lastFencingToken = image.fences();
         lastOrder = image.orders();
         lastRevision = image.revisions();
         for (Row row : image.rows()) {
             LeaseEntry lease = new LeaseEntry(row);
             leases.put(row.name(), lease);
-            keep(lease);
+            scheduleOrRemove(lease);
         }
     }
 
     /** What a snapshot keeps; equal states give equal images. */
     public Image image() {
         List<Row> rows = leases.values().stream().map(LeaseEntry::row).toList();
-        return new Image(lastFence, lastOrder, lastRevision, rows);
+        return new Image(lastFencingToken, lastOrder, lastRevision, rows);
     }
 
     /**
      * No fence up to this one is given out again: after a restore, grants that the copy knows
      * nothing of.
      */
-    public void skipFences(long upTo) {
-        lastFence = Math.max(lastFence, upTo);
+    public void skipFencingTokens(long upTo) {
+        lastFencingToken = Math.max(lastFencingToken, upTo);
     }
 
     /** The last fence that was given out. */
-    public long fences() {
-        return lastFence;
+    public long lastFencingToken() {
+        return lastFencingToken;
     }
 
     /** How many are held or waited for. */
@@ -104,7 +104,7 @@
     }
 
     /** When time next changes something by itself; {@link Long#MAX_VALUE}: never. */
-    public long nextDue() {
+    public long nextDeadline() {
         return deadlines.next();
     }
 
@@ -124,11 +124,11 @@
     }
 
     /** Whether this owner holds this lease under this fence now. */
-    public boolean holds(String name, String owner, long fence, long now) {
+    public boolean isHeldBy(String name, String owner, long fence, long now) {
         LeaseEntry lease = leases.get(name);
         return lease != null
-                && lease.heldBy(owner)
-                && lease.fence() == fence
+                && lease.isHeldBy(owner)
+                && lease.fencingToken() == fence
                 && now < lease.expires();
     }
 
@@ -136,25 +136,25 @@
     public void advance(long now) {
         for (String due = deadlines.pollDue(now); due != null; due = deadlines.pollDue(now)) {
             LeaseEntry lease = leases.get(due);
-            if (lease.held() && lease.expires() <= now) {
-                lease.free(++lastRevision);
+            if (lease.isHeld() && lease.expires() <= now) {
+                lease.release(++lastRevision);
             }
-            lease.dropSilent(now);
+            lease.removeExpiredWaiters(now);
             offer(lease, now);
-            keep(lease);
+            scheduleOrRemove(lease);
         }
     }
 
     /** A free lease is kept for the first that waits. */
     private void offer(LeaseEntry lease, long now) {
         if (lease.canBeOffered()) {
-            lease.offer(now + CLAIM_MS, ++lastRevision);
+            lease.offer(now + CLAIM_TIMEOUT_MS, ++lastRevision);
         }
     }
 
     /** Plans a lease's next deadline, or forgets it where nobody holds it or waits any more. */
-    private void keep(LeaseEntry lease) {
-        if (lease.idle()) {
+    private void scheduleOrRemove(LeaseEntry lease) {
+        if (lease.isUnused()) {
             deadlines.remove(lease.name());
             leases.remove(lease.name());
         } else {
@@ -165,32 +165,32 @@
     /** Grants a lease, or says who holds it and how many wait. */
     public Reply acquire(Acquire request, long now) {
         advance(now);
-        Refused malformed = LeaseRequestValidator.refusal(request);
+        Rejection malformed = LeaseRequestValidator.rejection(request);
         if (malformed != null) {
             return malformed;
         }
         LeaseEntry lease = leases.computeIfAbsent(request.name(), LeaseEntry::new);
-        if (lease.heldBy(request.owner())) {
-            return grant(request, lease, now, lease.fence());
+        if (lease.isHeldBy(request.owner())) {
+            return grant(request, lease, now, lease.fencingToken());
         }
-        if (lease.availableTo(request.owner())) {
-            return grant(request, lease, now, ++lastFence);
+        if (lease.isAvailableTo(request.owner())) {
+            return grant(request, lease, now, ++lastFencingToken);
         }
-        Waiter before = lease.waiter(request.owner());
-        if (request.queue() && before == null && lease.queueLength() >= MAX_WAITERS) {
-            keep(lease);
-            return new Refused(
+        Waiter before = lease.findWaiter(request.owner());
+        if (request.queue() && before == null && lease.queueLength() >= MAX_WAITERS_PER_LEASE) {
+            scheduleOrRemove(lease);
+            return new Rejection(
                     "queue-full",
-                    "so many wait for " + request.name() + " already: " + MAX_WAITERS,
+                    "so many wait for " + request.name() + " already: " + MAX_WAITERS_PER_LEASE,
                     Math.max(1, lease.expires() - now));
         }
         requeue(request, lease, before, now);
         offer(lease, now);
-        keep(lease);
-        if (lease.claimedBy(request.owner())) { // it was kept for nobody, and this one is first
-            return grant(request, lease, now, ++lastFence);
+        scheduleOrRemove(lease);
+        if (lease.isClaimedBy(request.owner())) { // it was kept for nobody, and this one is first
+            return grant(request, lease, now, ++lastFencingToken);
         }
-        return held(request, lease, now);
+        return heldReply(request, lease, now);
     }
 
     /** Replaces the owner's place in the queue; its order stays while its priority does. */
@@ -200,29 +200,29 @@
             boolean kept = before != null && before.priority() == request.priority();
             long order = kept ? before.order() : ++lastOrder;
             lease.addWaiter(
-                    new Waiter(request.owner(), request.priority(), order, now + WAITER_MS));
+                    new Waiter(request.owner(), request.priority(), order, now + WAITER_TIMEOUT_MS));
         }
     }
 
     private Reply grant(Acquire request, LeaseEntry lease, long now, long fence) {
-        if (!lease.held() && leases.size() > MAX_LEASES) {
-            keep(lease);
-            return new Refused("too-many", "the group holds " + MAX_LEASES + " leases already", 0);
+        if (!lease.isHeld() && leases.size() > MAX_LEASES) {
+            scheduleOrRemove(lease);
+            return new Rejection("too-many", "the group holds " + MAX_LEASES + " leases already", 0);
         }
         lease.grant(request, fence, now, ++lastRevision);
-        keep(lease);
+        scheduleOrRemove(lease);
         return new Granted(request.name(), fence, request.ttlMs());
     }
 
-    private static Held held(Acquire request, LeaseEntry lease, long now) {
-        Waiter own = lease.waiter(request.owner());
+    private static Held heldReply(Acquire request, LeaseEntry lease, long now) {
+        Waiter own = lease.findWaiter(request.owner());
         return new Held(
                 request.name(),
                 lease.ownerOrClaimant(),
-                lease.fence(),
-                Math.max(0, lease.until() - now),
+                lease.fencingToken(),
+                Math.max(0, lease.heldOrClaimedUntil() - now),
                 own != null,
-                lease.ahead(own));
+                lease.waitersAhead(own));
     }
 
     /** Holds some for their span again. */
@@ -233,11 +233,11 @@
         new TreeMap<>(request.fences())
                 .forEach(
                         (name, fence) -> {
-                            if (holds(name, request.owner(), fence, now)) {
+                            if (isHeldBy(name, request.owner(), fence, now)) {
                                 LeaseEntry lease = leases.get(name);
                                 lease.renew(now);
                                 held.put(name, lease.ttlMs());
-                                keep(lease);
+                                scheduleOrRemove(lease);
                             } else {
                                 lost.add(name);
                             }
@@ -253,16 +253,16 @@
             return false;
         }
         boolean found = lease.removeWaiter(request.owner());
-        if (lease.claimedBy(request.owner())) {
+        if (lease.isClaimedBy(request.owner())) {
             lease.endClaim();
             found = true;
         }
-        if (lease.heldBy(request.owner()) && lease.fence() == request.fence()) {
-            lease.free(++lastRevision);
+        if (lease.isHeldBy(request.owner()) && lease.fencingToken() == request.fence()) {
+            lease.release(++lastRevision);
             found = true;
         }
         offer(lease, now);
-        keep(lease);
+        scheduleOrRemove(lease);
         return found;
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/model/Done.java
+++ b/coordinator/src/main/java/saltstage/coordinator/model/Acknowledgement.java
@@ -1,4 +1,4 @@
 package saltstage.coordinator.model;
 
 /** It was done, and there is nothing more to say than this word. */
-public record Done(String what) implements Reply {}
+public record Acknowledgement(String what) implements Reply {}
--- a/coordinator/src/main/java/saltstage/coordinator/model/Command.java
+++ b/coordinator/src/main/java/saltstage/coordinator/model/Command.java
@@ -9,5 +9,5 @@
     /**
      * The feature level from which on the group may take it: each voter knows that level by then.
      */
-    int since();
+    int minFeatureLevel();
 }
--- a/coordinator/src/main/java/saltstage/coordinator/model/HostPort.java
+++ b/coordinator/src/main/java/saltstage/coordinator/model/HostPort.java
@@ -7,7 +7,7 @@
     private HostPort() {}
 
     /** The text of an address. */
-    public static String of(InetSocketAddress address) {
+    public static String format(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/model/Refused.java
+++ b/coordinator/src/main/java/saltstage/coordinator/model/Rejection.java
@@ -7,4 +7,4 @@
  * @param why one sentence for people
  * @param retryMs when it may do, in milliseconds from now; 0: not by waiting
  */
-public record Refused(String code, String why, long retryMs) implements Reply {}
+public record Rejection(String code, String why, long retryMs) implements Reply {}
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Identity.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Identity.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.UUID;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.store.Store;
 
 /**
@@ -28,10 +28,10 @@
                             settings.name(),
                             UUID.randomUUID().toString(),
                             List.copyOf(settings.first()));
-            store.put(KEY, Codec.bytes(made));
+            store.put(KEY, GroupCodec.toCbor(made));
             return made;
         }
-        Identity read = Codec.cbor().readValue(kept, Identity.class);
+        Identity read = GroupCodec.cborMapper().readValue(kept, Identity.class);
         if (!read.group().equals(settings.group()) || !read.member().equals(settings.name())) {
             throw new IOException(
                     "the disk belongs to "
--- a/coordinator/src/main/java/saltstage/coordinator/replica/LogStore.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/LogStore.java
@@ -16,7 +16,7 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.store.Batch;
 import saltstage.store.Snapshot;
 import saltstage.store.Store;
@@ -102,7 +102,7 @@
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState self) throws IOException {
         put(
                 SELF,
-                Codec.bytes(
+                GroupCodec.toCbor(
                         new RaftCodec.Self(
                                 (String) self.getLocalEndpoint().getId(), self.isVoting())));
         flush();
@@ -110,7 +110,7 @@
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView first) throws IOException {
-        put(FIRST, Codec.bytes(RaftCodec.members(first)));
+        put(FIRST, GroupCodec.toCbor(RaftCodec.members(first)));
         flush();
     }
 
@@ -118,7 +118,7 @@
     public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
         put(
                 TERM,
-                Codec.bytes(
+                GroupCodec.toCbor(
                         new RaftCodec.Term(
                                 term.getTerm(),
                                 term.getVotedFor() == null
@@ -130,7 +130,7 @@
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
         for (LogEntry entry : entries) {
-            put(key(LOG, entry.getIndex()), Codec.bytes(RaftCodec.entry(entry)));
+            put(key(LOG, entry.getIndex()), GroupCodec.toCbor(RaftCodec.entry(entry)));
             firstIndex = firstIndex == 0 ? entry.getIndex() : firstIndex;
             lastIndex = entry.getIndex();
         }
@@ -140,7 +140,7 @@
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
         put(
                 key(chunk.getIndex(), chunk.getSnapshotChunkIndex()),
-                Codec.bytes(RaftCodec.chunk(chunk)));
+                GroupCodec.toCbor(RaftCodec.chunk(chunk)));
     }
 
     @Override
@@ -191,12 +191,12 @@
         if (self == null || first == null) {
             return null;
         }
-        RaftCodec.Self me = Codec.cbor().readValue(self, RaftCodec.Self.class);
+        RaftCodec.Self me = GroupCodec.cborMapper().readValue(self, RaftCodec.Self.class);
         byte[] kept = store.get(TERM);
         RaftCodec.Term term =
                 kept == null
                         ? new RaftCodec.Term(0, null)
-                        : Codec.cbor().readValue(kept, RaftCodec.Term.class);
+                        : GroupCodec.cborMapper().readValue(kept, RaftCodec.Term.class);
         SnapshotEntry snapshot = snapshot();
         long from = snapshot == null ? 1 : snapshot.getIndex() + 1;
         return new RestoredRaftState(
@@ -204,7 +204,7 @@
                         .setLocalEndpoint(new Member(me.member()))
                         .setVoting(me.voting())
                         .build(),
-                RaftCodec.view(Codec.cbor().readValue(first, RaftCodec.Members.class)),
+                RaftCodec.view(GroupCodec.cborMapper().readValue(first, RaftCodec.Members.class)),
                 MODEL.createRaftTermPersistentStateBuilder()
                         .setTerm(term.term())
                         .setVotedFor(term.votedFor() == null ? null : new Member(term.votedFor()))
@@ -218,7 +218,7 @@
         try (Snapshot now = store.snapshot()) {
             Snapshot.Scan scan = now.scan(key(LOG, from), after(LOG));
             while (scan.next()) {
-                RaftCodec.Entry entry = Codec.cbor().readValue(scan.value(), RaftCodec.Entry.class);
+                RaftCodec.Entry entry = GroupCodec.cborMapper().readValue(scan.value(), RaftCodec.Entry.class);
                 if (entry.index() != from + entries.size()) {
                     throw new IOException("log: entry " + (from + entries.size()) + " is missing");
                 }
@@ -235,7 +235,7 @@
         try (Snapshot now = store.snapshot()) {
             Snapshot.Scan scan = now.scan(SNAPSHOT, after(SNAPSHOT));
             while (scan.next()) {
-                RaftCodec.Chunk chunk = Codec.cbor().readValue(scan.value(), RaftCodec.Chunk.class);
+                RaftCodec.Chunk chunk = GroupCodec.cborMapper().readValue(scan.value(), RaftCodec.Chunk.class);
                 if (!parts.isEmpty() && parts.get(0).getIndex() != chunk.index()) {
                     parts.clear();
                 }
@@ -267,6 +267,6 @@
         byte[] first = store.get(FIRST);
         return first == null
                 ? List.of()
-                : Codec.cbor().readValue(first, RaftCodec.Members.class).all();
+                : GroupCodec.cborMapper().readValue(first, RaftCodec.Members.class).all();
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/PeerDirectory.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/PeerDirectory.java
@@ -28,7 +28,7 @@
     /** Takes over what the group's state says now; on the engine's thread. */
     void update(GroupState state) {
         members = Map.copyOf(state.members());
-        level = state.level();
+        level = state.featureLevel();
     }
 
     /** The group's row of a member, or null. */
--- a/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ThreadLocalRandom;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.log.Log;
 import saltstage.net.Connection;
 import saltstage.net.Handler;
@@ -116,7 +116,7 @@
         if (ended) {
             return;
         }
-        byte[] now = Codec.bytes(heartbeat.get());
+        byte[] now = GroupCodec.toCbor(heartbeat.get());
         links.values().forEach(link -> link.send(HEARTBEAT, now));
         loop.after(HEARTBEAT_PERIOD, this::heartbeat);
     }
@@ -229,7 +229,7 @@
                 if (type != HELLO) {
                     throw new IOException("a peer that does not say who it is");
                 }
-                Hello who = Codec.cbor().readValue(body, Hello.class);
+                Hello who = GroupCodec.cborMapper().readValue(body, Hello.class);
                 if (who == null
                         || who.from() == null
                         || who.disk() == null
@@ -251,7 +251,7 @@
             switch (type) {
                 case RAFT -> events.message(from, body);
                 case HEARTBEAT -> {
-                    Heartbeat heartbeat = Codec.cbor().readValue(body, Heartbeat.class);
+                    Heartbeat heartbeat = GroupCodec.cborMapper().readValue(body, Heartbeat.class);
                     if (heartbeat == null) {
                         throw new IOException("a beat that says nothing");
                     }
@@ -318,8 +318,8 @@
             }
             connection = made;
             pause = LEAST_PAUSE_MS;
-            made.write(PeerLinks.frame(HELLO, Codec.bytes(self)));
-            made.write(PeerLinks.frame(HEARTBEAT, Codec.bytes(heartbeat.get())));
+            made.write(PeerLinks.frame(HELLO, GroupCodec.toCbor(self)));
+            made.write(PeerLinks.frame(HEARTBEAT, GroupCodec.toCbor(heartbeat.get())));
             up = true;
             return this;
         }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Proposer.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Proposer.java
@@ -3,7 +3,7 @@
 import io.microraft.Ordered;
 import io.microraft.RaftNode;
 import java.util.concurrent.CompletableFuture;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.group.Proposal;
 import saltstage.coordinator.model.Command;
 import saltstage.coordinator.model.Reply;
@@ -32,7 +32,7 @@
     CompletableFuture<Reply> propose(String client, long seq, Command command) {
         String epoch = process + "/" + node.getTerm().getTerm();
         long stampMs = (long) (System.nanoTime() / NANOS_PER_MS * clockRate);
-        byte[] entry = Codec.entry(new Proposal(client, seq, epoch, stampMs, command));
+        byte[] entry = GroupCodec.encodeEntry(new Proposal(client, seq, epoch, stampMs, command));
         return node.<Reply>replicate(entry).thenApply(Ordered::getResult);
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/replica/RaftCodec.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/RaftCodec.java
@@ -23,7 +23,7 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 
 /**
  * The consensus engine's messages and what its log keeps, as CBOR. One flat form for all messages:
@@ -196,7 +196,7 @@
     // ---- messages
 
     byte[] bytes(RaftMessage message) {
-        return Codec.bytes(packet(message));
+        return GroupCodec.toCbor(packet(message));
     }
 
     private static Packet plain(
@@ -345,7 +345,7 @@
 
     /** The message of these bytes; what is none is an IOException. */
     RaftMessage message(byte[] bytes) throws IOException {
-        Packet p = Codec.cbor().readValue(bytes, Packet.class);
+        Packet p = GroupCodec.cborMapper().readValue(bytes, Packet.class);
         if (p == null || p.kind() == null || p.from() == null) {
             throw new IOException("a message without kind or sender");
         }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Replica.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Replica.java
@@ -91,8 +91,8 @@
                 identity.disk(),
                 process,
                 settings.speaks(),
-                HostPort.of(settings.peers()),
-                HostPort.of(settings.clients()));
+                HostPort.format(settings.peers()),
+                HostPort.format(settings.clients()));
     }
 
     private PeerLinks.Heartbeat heartbeat() {
--- a/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStateMachine.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStateMachine.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.group.GroupState;
 import saltstage.coordinator.model.Reply;
 
@@ -45,7 +45,7 @@
         }
         Reply reply;
         try {
-            reply = state.apply(Codec.proposal(entry));
+            reply = state.apply(GroupCodec.decodeProposal(entry));
         } catch (IOException | RuntimeException unknown) {
             fatal.end(
                     78,
@@ -61,7 +61,7 @@
 
     @Override
     public void takeSnapshot(long index, Consumer<Object> chunks) {
-        byte[] all = Codec.snapshot(state.image());
+        byte[] all = GroupCodec.encodeSnapshot(state.image());
         for (int at = 0; at < all.length; at += CHUNK) {
             chunks.accept(Arrays.copyOfRange(all, at, Math.min(all.length, at + CHUNK)));
         }
@@ -72,7 +72,7 @@
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         chunks.forEach(chunk -> all.writeBytes((byte[]) chunk));
         try {
-            state = new GroupState(Codec.image(all.toByteArray()));
+            state = new GroupState(GroupCodec.decodeSnapshot(all.toByteArray()));
         } catch (IOException | RuntimeException bad) {
             fatal.end(
                     78,
--- a/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStatus.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStatus.java
@@ -65,12 +65,12 @@
                 report.getLog().getCommitIndex(),
                 report.getLog().getLastLogOrSnapshotIndex(),
                 report.getLog().getLastSnapshotIndex(),
-                state.level(),
+                state.featureLevel(),
                 settings.speaks(),
                 state.time().now(),
-                state.time().day(),
+                state.time().wallClockTime(),
                 state.leases().size(),
-                state.sessions(),
+                state.sessionCount(),
                 links,
                 new TreeMap<>(state.members()));
     }
--- a/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
@@ -43,7 +43,7 @@
         speed = block.whole("speed", 7, 1, 10);
         snapshotEvery = (int) block.whole("snapshot_every", 10_000, 100, 1_000_000);
         mostPending = (int) block.whole("most_pending", 4_096, 16, 100_000);
-        speaks = (int) block.whole("speaks", GroupState.SPEAKS, 1, GroupState.SPEAKS);
+        speaks = (int) block.whole("speaks", GroupState.SUPPORTED_FEATURE_LEVEL, 1, GroupState.SUPPORTED_FEATURE_LEVEL);
         for (HclBlock member : block.all("member")) {
             if (member.labels().size() != 1) {
                 throw member.complaint("takes one label, the replica's name");
@@ -144,7 +144,7 @@
         members.forEach(
                 (other, at) -> {
                     reached.put(other, at.peers());
-                    clients.put(other, HostPort.of(at.clients()));
+                    clients.put(other, HostPort.format(at.clients()));
                 });
         reached.putAll(reach);
         List<String> first = new ArrayList<>(members.keySet());
--- a/coordinator/src/main/java/saltstage/coordinator/settings/FleetSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/FleetSettings.java
@@ -51,7 +51,7 @@
         if (fleet == null) {
             throw new MalformedException(name + ": no block 'fleet'");
         }
-        Map<String, List<FleetPlan.Shift>> zones = new TreeMap<>();
+        Map<String, List<FleetPlan.UtcOffsetChange>> zones = new TreeMap<>();
         List<FleetPlan.Region> regions = new ArrayList<>();
         for (HclBlock block : fleet.all("region")) {
             regions.add(region(block, zones, now));
@@ -87,7 +87,7 @@
     }
 
     private static FleetPlan.Region region(
-            HclBlock block, Map<String, List<FleetPlan.Shift>> zones, Instant now)
+            HclBlock block, Map<String, List<FleetPlan.UtcOffsetChange>> zones, Instant now)
             throws MalformedException {
         List<FleetPlan.Node> nodes = new ArrayList<>();
         for (HclBlock node : block.all("node")) {
@@ -131,7 +131,7 @@
     }
 
     private static FleetPlan.Floor floor(
-            HclBlock block, Map<String, List<FleetPlan.Shift>> zones, Instant now)
+            HclBlock block, Map<String, List<FleetPlan.UtcOffsetChange>> zones, Instant now)
             throws MalformedException {
         List<Long> demand =
                 block.wholes("demand", 0, MOST_LOADS).stream().map(d -> d * UNIT).toList();
@@ -151,7 +151,7 @@
     }
 
     private static String zone(
-            HclBlock block, Map<String, List<FleetPlan.Shift>> zones, Instant now)
+            HclBlock block, Map<String, List<FleetPlan.UtcOffsetChange>> zones, Instant now)
             throws MalformedException {
         String name = block.text("zone", "UTC");
         if (!ZoneId.getAvailableZoneIds().contains(name)) {
@@ -161,14 +161,14 @@
                 name,
                 any -> {
                     ZoneRules rules = ZoneId.of(name).getRules();
-                    List<FleetPlan.Shift> shifts = new ArrayList<>();
+                    List<FleetPlan.UtcOffsetChange> shifts = new ArrayList<>();
                     shifts.add(
-                            new FleetPlan.Shift(
+                            new FleetPlan.UtcOffsetChange(
                                     0, rules.getOffset(now).getTotalSeconds() * 1_000L));
                     ZoneOffsetTransition next = rules.nextTransition(now);
                     while (next != null && next.getInstant().isBefore(now.plus(AHEAD))) {
                         shifts.add(
-                                new FleetPlan.Shift(
+                                new FleetPlan.UtcOffsetChange(
                                         next.getInstant().toEpochMilli(),
                                         next.getOffsetAfter().getTotalSeconds() * 1_000L));
                         next = rules.nextTransition(next.getInstant());
--- a/coordinator/src/main/java/saltstage/coordinator/window/FleetPlan.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/FleetPlan.java
@@ -18,7 +18,7 @@
  */
 public record FleetPlan(
         long slotMs,
-        Map<String, List<Shift>> zones,
+        Map<String, List<UtcOffsetChange>> zones,
         List<Region> regions,
         List<Floor> floors,
         int mostRegions,
@@ -28,7 +28,7 @@
     private static final long MAX_CAPACITY = 1_000_000_000_000_000L;
 
     /** From then on local time is so much ahead of UTC. */
-    public record Shift(long fromMs, long offsetMs) {}
+    public record UtcOffsetChange(long fromMs, long offsetMs) {}
 
     /** A region. */
     public record Region(String name, String zone, List<Node> nodes, List<BlackOut> blackOuts) {
@@ -59,9 +59,9 @@
     }
 
     /** Minutes since local midnight on Monday of some week, at this moment. */
-    long localMinutes(String zone, long at) {
+    long minuteOfWeek(String zone, long at) {
         long offset = 0;
-        for (Shift shift : zones.getOrDefault(zone, List.of())) {
+        for (UtcOffsetChange shift : zones.getOrDefault(zone, List.of())) {
             if (shift.fromMs() > at) {
                 break;
             }
@@ -71,8 +71,8 @@
         return Math.floorMod(thursday + 3 * 1_440, 7 * 1_440);
     }
 
-    boolean blackedOut(Region region, long at) {
-        long minutes = localMinutes(region.zone(), at);
+    boolean isBlackedOut(Region region, long at) {
+        long minutes = minuteOfWeek(region.zone(), at);
         int day = 1 + (int) (minutes / 1_440);
         int minute = (int) (minutes % 1_440);
         for (BlackOut out : region.blackOuts()) {
@@ -90,16 +90,16 @@
         return false;
     }
 
-    long need(Floor floor, long at) {
+    long requiredCapacity(Floor floor, long at) {
         if (floor.demandByHour().isEmpty()) {
             return floor.least();
         }
-        int hour = (int) (localMinutes(floor.zone(), at) % 1_440 / 60);
+        int hour = (int) (minuteOfWeek(floor.zone(), at) % 1_440 / 60);
         return Math.max(floor.least(), floor.demandByHour().get(hour));
     }
 
     /** What is wrong with it, or null. */
-    String fault() {
+    String validationError() {
         if (slotMs < 100
                 || slotMs > 3_600_000
                 || regions.isEmpty()
@@ -121,13 +121,13 @@
                                                         .anyMatch(d -> d > MAX_CAPACITY))) {
             return "a plan has up to 100 regions and 150 floors, none of them over " + MAX_CAPACITY;
         }
-        return Stream.concat(regions.stream().map(this::fault), floors.stream().map(this::fault))
+        return Stream.concat(regions.stream().map(this::validationError), floors.stream().map(this::validationError))
                 .filter(Objects::nonNull)
                 .findFirst()
                 .orElse(null);
     }
 
-    private String fault(Region region) {
+    private String validationError(Region region) {
         if (region.nodes().stream().anyMatch(n -> n.capacity() > MAX_CAPACITY / 10_000)
                 || region.nodes().size() > 10_000) {
             return "region " + region.name() + ": too many nodes, or one too large";
@@ -142,7 +142,7 @@
         return null;
     }
 
-    private String fault(Floor floor) {
+    private String validationError(Floor floor) {
         if (floor.regions().stream().anyMatch(name -> region(name) == null)) {
             return "floor " + floor.name() + " names a region that is none";
         }
--- a/coordinator/src/main/java/saltstage/coordinator/window/FloorLevels.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/FloorLevels.java
@@ -8,19 +8,19 @@
 final class FloorLevels {
     private final WindowStore store;
     private final FleetPlan plan;
-    private final List<Window> counted;
+    private final List<Window> countedWindows;
     private final long now;
 
     FloorLevels(WindowStore store, long now) {
         this.store = store;
         this.now = now;
         plan = store.plan();
-        counted = store.inState(s -> s == State.PLANNED || s.takesCapacity());
+        countedWindows = store.inState(s -> s == State.PLANNED || s.isInProgress());
     }
 
     /** Each floor at the begin of each slot between two moments, thinned to {@code most} rows. */
-    List<Windows.Level> between(long from, long to, int most) {
-        List<Windows.Level> levels = new ArrayList<>();
+    List<Windows.FloorLevel> between(long from, long to, int most) {
+        List<Windows.FloorLevel> levels = new ArrayList<>();
         if (plan == null) {
             return levels;
         }
@@ -33,23 +33,23 @@
         return levels;
     }
 
-    private Windows.Level level(FleetPlan.Floor floor, long at) {
-        long missing = outages(floor);
-        for (Window window : counted) {
-            boolean counts = at > now || window.state().takesCapacity(); // a plan is not out yet
+    private Windows.FloorLevel level(FleetPlan.Floor floor, long at) {
+        long missing = outageLoss(floor);
+        for (Window window : countedWindows) {
+            boolean counts = at > now || window.state().isInProgress(); // a plan is not out yet
             if (counts && floor.regions().contains(window.wish().region())) {
                 missing += window.lossAt(at, now, plan.coldPermille());
             }
         }
-        long capacity = capacity(floor) - missing;
-        return new Windows.Level(floor.name(), at, capacity, plan.need(floor, at), missing);
+        long capacity = totalCapacity(floor) - missing;
+        return new Windows.FloorLevel(floor.name(), at, capacity, plan.requiredCapacity(floor, at), missing);
     }
 
-    private long capacity(FleetPlan.Floor floor) {
+    private long totalCapacity(FleetPlan.Floor floor) {
         return floor.regions().stream().mapToLong(name -> plan.region(name).capacity()).sum();
     }
 
-    private long outages(FleetPlan.Floor floor) {
+    private long outageLoss(FleetPlan.Floor floor) {
         return floor.regions().stream()
                 .mapToLong(name -> store.outages().getOrDefault(name, 0L))
                 .sum();
--- a/coordinator/src/main/java/saltstage/coordinator/window/Planner.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Planner.java
@@ -33,7 +33,7 @@
             until = Math.max(until, window.plannedEnd());
         }
         CapacityTable table = new CapacityTable(plan, now, Math.min(until, now + HORIZON_MS));
-        outages.forEach(table::outage);
+        outages.forEach(table::addOutage);
         fixed.forEach(window -> table.add(window, now, 1));
         return table;
     }
@@ -51,8 +51,8 @@
             if (first == null || first.state() == Window.State.DONE) {
                 continue;
             }
-            if (first.state() != Window.State.PLANNED && !first.state().takesCapacity()) {
-                return window.at(
+            if (first.state() != Window.State.PLANNED && !first.state().isInProgress()) {
+                return window.withSchedule(
                         0, Window.State.PUT_OFF, now, "window " + before + " must be over before");
             }
             notBefore = Math.max(notBefore, first.plannedEnd());
@@ -60,27 +60,27 @@
         while (true) {
             CapacityTable.Fit found = table.firstFit(window, notBefore, now);
             if (found.begin() < 0) {
-                return window.at(0, Window.State.PUT_OFF, now, found.why());
+                return window.withSchedule(0, Window.State.PUT_OFF, now, found.why());
             }
-            Window there = window.at(found.begin(), Window.State.PLANNED, now, found.why());
-            Window with = together(there, known);
+            Window there = window.withSchedule(found.begin(), Window.State.PLANNED, now, found.why());
+            Window with = findExclusiveOverlap(there, known);
             if (with == null) {
                 return there;
             }
-            if (with.overdue(now)) {
-                return window.at(
+            if (with.isOverdue(now)) {
+                return window.withSchedule(
                         0, Window.State.PUT_OFF, now, "never together with window " + with.id());
             }
             notBefore = with.plannedEnd();
         }
     }
 
-    private static Window together(Window window, Map<Long, Window> known) {
+    private static Window findExclusiveOverlap(Window window, Map<Long, Window> known) {
         if (window.wish().apart().isEmpty()) {
             return null;
         }
         for (Window other : known.values()) {
-            boolean counts = other.state() == Window.State.PLANNED || other.state().takesCapacity();
+            boolean counts = other.state() == Window.State.PLANNED || other.state().isInProgress();
             long begin = other.begun() > 0 ? other.begun() : other.start();
             if (counts
                     && other.id() != window.id()
--- a/coordinator/src/main/java/saltstage/coordinator/window/Replanner.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Replanner.java
@@ -13,13 +13,13 @@
  */
 final class Replanner {
     /** Windows that are over are kept for operators to read, up to this many. */
-    private static final int MAX_OVER = 500;
+    private static final int MAX_FINISHED_WINDOWS = 500;
 
     /** A planned window that has not begun this many slots after its start is planned anew. */
-    private static final int LATE_SLOTS = 2;
+    private static final int MAX_START_DELAY_SLOTS = 2;
 
     /** Whom to turn back first: not emergencies, low priority, latest begun, highest number. */
-    private static final Comparator<Window> LEAST_WANTED_FIRST =
+    private static final Comparator<Window> LEAST_IMPORTANT_FIRST =
             Comparator.comparing((Window w) -> w.wish().emergency())
                     .thenComparing(w -> w.wish().priority())
                     .thenComparing(w -> -w.begun())
@@ -39,46 +39,46 @@
     }
 
     /** Applies all that follows from a change at this moment. */
-    void settle(long now) {
-        store.plan().floors().forEach(floor -> turnBack(floor, now));
+    void reconcile(long now) {
+        store.plan().floors().forEach(floor -> abortDrains(floor, now));
         replan(now);
-        forgetOld();
+        removeOldWindows();
     }
 
     /** Whether a planned window has missed its start: its agent is gone, or was refused. */
-    boolean missed(Window window, long now) {
+    boolean hasMissedStart(Window window, long now) {
         return window.state() == State.PLANNED
-                && window.start() < now - LATE_SLOTS * store.plan().slotMs();
+                && window.start() < now - MAX_START_DELAY_SLOTS * store.plan().slotMs();
     }
 
     /**
      * While a floor is short, drains that have not become outages are given back, the least wanted
      * first.
      */
-    private void turnBack(FleetPlan.Floor floor, long now) {
+    private void abortDrains(FleetPlan.Floor floor, long now) {
         while (true) {
-            long room = roomWithReturns(floor, now);
+            long room = headroomWithReturning(floor, now);
             Window least =
                     store.inState(s -> s == State.DRAINING).stream()
                             .filter(w -> floor.regions().contains(w.wish().region()))
-                            .min(LEAST_WANTED_FIRST)
+                            .min(LEAST_IMPORTANT_FIRST)
                             .orElse(null);
             if (room >= 0 || least == null) {
                 return;
             }
             String why = "turned back: floor " + floor.name() + " is short by " + -room;
-            store.put(least.to(State.RETURNING, now, why));
+            store.put(least.withState(State.RETURNING, now, why));
         }
     }
 
     /** A floor's room in the present slot, counting what is on its way back already as there. */
-    private long roomWithReturns(FleetPlan.Floor floor, long now) {
+    private long headroomWithReturning(FleetPlan.Floor floor, long now) {
         long returning =
                 store.inState(s -> s == State.RETURNING).stream()
                         .filter(w -> floor.regions().contains(w.wish().region()))
                         .mapToLong(w -> w.lossAt(now, now, store.plan().coldPermille()))
                         .sum();
-        return store.planner(now).table(List.of()).roomNow(floor.name()) + returning;
+        return store.planner(now).table(List.of()).currentHeadroom(floor.name()) + returning;
     }
 
     /**
@@ -89,10 +89,10 @@
         List<Window> waiting = store.inState(s -> s == State.PLANNED || s == State.PUT_OFF);
         CapacityTable table = planner.table(waiting);
         Map<Long, Window> known = new LinkedHashMap<>();
-        store.inState(s -> !s.waits()).forEach(w -> known.put(w.id(), w));
+        store.inState(s -> !s.isWaiting()).forEach(w -> known.put(w.id(), w));
         List<Window> displaced = new ArrayList<>();
         for (Window window : waiting.stream().sorted(MOST_URGENT_FIRST).toList()) {
-            if (mayStay(window, table, known, now)) {
+            if (canStay(window, table, known, now)) {
                 table.add(window, now, 1);
                 known.put(window.id(), window);
             } else {
@@ -102,20 +102,20 @@
         displaced.forEach(window -> place(planner, table, known, window, now));
     }
 
-    private boolean mayStay(Window window, CapacityTable table, Map<Long, Window> known, long now) {
+    private boolean canStay(Window window, CapacityTable table, Map<Long, Window> known, long now) {
         return window.state() == State.PLANNED
-                && !missed(window, now)
-                && window.wish().after().stream().allMatch(id -> over(id, window.start(), known))
+                && !hasMissedStart(window, now)
+                && window.wish().after().stream().allMatch(id -> isOverBy(id, window.start(), known))
                 && table.conflict(window, Math.max(now, window.start()), now) == null;
     }
 
-    private static boolean over(long id, long by, Map<Long, Window> known) {
+    private static boolean isOverBy(long id, long by, Map<Long, Window> known) {
         Window first = known.get(id);
         return first != null
                 && (first.state() == State.DONE
                         || first.plannedEnd() <= by
                                 && (first.state() == State.PLANNED
-                                        || first.state().takesCapacity()));
+                                        || first.state().isInProgress()));
     }
 
     private void place(
@@ -127,7 +127,7 @@
         Window placed = planner.place(table, window, known);
         if (window.state() == State.PLANNED && placed.start() != window.start()) {
             String why = "moved from " + window.start() + ": " + placed.why();
-            placed = placed.to(placed.state(), now, why);
+            placed = placed.withState(placed.state(), now, why);
         }
         store.put(placed);
         known.put(placed.id(), placed);
@@ -136,11 +136,11 @@
         }
     }
 
-    private void forgetOld() {
+    private void removeOldWindows() {
         List<Window> over =
-                store.inState(s -> !s.waits() && !s.takesCapacity()).stream()
+                store.inState(s -> !s.isWaiting() && !s.isInProgress()).stream()
                         .sorted(Comparator.comparingLong(Window::since))
                         .toList();
-        over.stream().limit(Math.max(0, over.size() - MAX_OVER)).forEach(w -> store.remove(w.id()));
+        over.stream().limit(Math.max(0, over.size() - MAX_FINISHED_WINDOWS)).forEach(w -> store.remove(w.id()));
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/window/Window.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Window.java
@@ -44,29 +44,29 @@
         EXPIRED;
 
         /** Whether its capacity counts as out, but for what was proven. */
-        public boolean takesCapacity() {
+        public boolean isInProgress() {
             return this == DRAINING || this == OUT || this == WARMING || this == RETURNING;
         }
 
         /** Whether it may still begin. */
-        public boolean waits() {
+        public boolean isWaiting() {
             return this == PLANNED || this == PUT_OFF || this == PAUSED;
         }
     }
 
-    Window to(State next, long at, String because) {
+    Window withState(State next, long at, String because) {
         return new Window(id, wish, next, capacity, start, begun, at, proven, because);
     }
 
-    Window at(long otherStart, State next, long now, String because) {
+    Window withSchedule(long otherStart, State next, long now, String because) {
         return new Window(id, wish, next, capacity, otherStart, begun, now, proven, because);
     }
 
-    Window begin(long now) {
+    Window beginDrain(long now) {
         return new Window(id, wish, State.DRAINING, capacity, start, now, now, 0, "begun");
     }
 
-    Window proven(long back) {
+    Window withProvenCapacity(long back) {
         return new Window(
                 id, wish, state, capacity, start, begun, since, Math.max(proven, back), why);
     }
@@ -77,23 +77,23 @@
     }
 
     /** Whether it has taken longer than it was to. */
-    public boolean overdue(long now) {
-        return state.takesCapacity() && now > plannedEnd();
+    public boolean isOverdue(long now) {
+        return state.isInProgress() && now > plannedEnd();
     }
 
     /** What of its capacity is missing at a moment, as far as is known now. */
     long lossAt(long at, long now, int coldPermille) {
-        if (state.takesCapacity()) {
+        if (state.isInProgress()) {
             long least = capacity - proven;
-            if (at <= now || overdue(now) || state == State.RETURNING) {
+            if (at <= now || isOverdue(now) || state == State.RETURNING) {
                 return least; // until it is proven back, whatever was planned
             }
-            return Math.min(least, planned(at, begun, coldPermille));
+            return Math.min(least, plannedLoss(at, begun, coldPermille));
         }
-        return state == State.PLANNED ? planned(at, start, coldPermille) : 0;
+        return state == State.PLANNED ? plannedLoss(at, start, coldPermille) : 0;
     }
 
-    private long planned(long at, long from, int coldPermille) {
+    private long plannedLoss(long at, long from, int coldPermille) {
         long warming = from + wish.drainMs() + wish.workMs();
         if (at < from || at >= warming + wish.warmMs()) {
             return 0;
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowCommands.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowCommands.java
@@ -7,7 +7,7 @@
  */
 public final class WindowCommands {
     /** From this feature level on. */
-    public static final int SINCE = 2;
+    public static final int MIN_FEATURE_LEVEL = 2;
 
     private WindowCommands() {}
 
@@ -26,40 +26,40 @@
     /** The agreement about the fleet, in place of the one before. */
     public record SetFleet(FleetPlan plan, String by) implements Command {
         @Override
-        public int since() {
-            return SINCE;
+        public int minFeatureLevel() {
+            return MIN_FEATURE_LEVEL;
         }
     }
 
     /** Wants a window. */
     public record Propose(WindowRequest wish) implements Command {
         @Override
-        public int since() {
-            return SINCE;
+        public int minFeatureLevel() {
+            return MIN_FEATURE_LEVEL;
         }
     }
 
     /** Wants it no more; a drain that has begun is turned back. */
     public record Withdraw(long id, String by) implements Command {
         @Override
-        public int since() {
-            return SINCE;
+        public int minFeatureLevel() {
+            return MIN_FEATURE_LEVEL;
         }
     }
 
     /** Holds a window back, or lets it go on. */
     public record Pause(long id, boolean on, String by) implements Command {
         @Override
-        public int since() {
-            return SINCE;
+        public int minFeatureLevel() {
+            return MIN_FEATURE_LEVEL;
         }
     }
 
     /** May this window's drain begin now? */
     public record Begin(long id, String owner, long fence) implements Command {
         @Override
-        public int since() {
-            return SINCE;
+        public int minFeatureLevel() {
+            return MIN_FEATURE_LEVEL;
         }
     }
 
@@ -67,21 +67,21 @@
     public record Report(long id, String owner, long fence, Step step, long proven)
             implements Command {
         @Override
-        public int since() {
-            return SINCE;
+        public int minFeatureLevel() {
+            return MIN_FEATURE_LEVEL;
         }
     }
 
     /** So much of a region's capacity is missing outside its windows; 0: nothing any more. */
     public record Outage(String region, long lost, String owner, long fence) implements Command {
         @Override
-        public int since() {
-            return SINCE;
+        public int minFeatureLevel() {
+            return MIN_FEATURE_LEVEL;
         }
     }
 
     /** The lease under which a region's agent acts. */
-    public static String lease(String region) {
+    public static String leaseName(String region) {
         return "agent/" + region;
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowProgress.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowProgress.java
@@ -1,7 +1,7 @@
 package saltstage.coordinator.window;
 
 import java.util.List;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.window.Window.State;
 import saltstage.coordinator.window.WindowCommands.Step;
@@ -20,25 +20,25 @@
     Reply begin(long id, long now) {
         Window window = store.find(id);
         if (window == null) {
-            return unknown(id);
+            return unknownWindow(id);
         }
-        if (window.state().takesCapacity()) { // the reply was lost, or the agent is a successor
+        if (window.state().isInProgress()) { // the reply was lost, or the agent is a successor
             return new WindowReplies.Now(window);
         }
         if (window.state() != State.PLANNED) {
             String why = "window " + id + " is " + window.state() + ": " + window.why();
-            return new Refused("not-planned", why, 0);
+            return new Rejection("not-planned", why, 0);
         }
         if (window.start() > now) {
-            return new Refused("early", "window " + id + " begins later", window.start() - now);
+            return new Rejection("early", "window " + id + " begins later", window.start() - now);
         }
         String obstacle = obstacle(window, now);
         if (obstacle != null) {
-            store.put(window.at(0, State.PUT_OFF, now, obstacle));
-            replanner.settle(now);
-            return new Refused("not-now", obstacle, store.plan().slotMs());
+            store.put(window.withSchedule(0, State.PUT_OFF, now, obstacle));
+            replanner.reconcile(now);
+            return new Rejection("not-now", obstacle, store.plan().slotMs());
         }
-        store.put(window.begin(now));
+        store.put(window.beginDrain(now));
         return new WindowReplies.Now(store.find(id));
     }
 
@@ -49,22 +49,22 @@
         if (conflict != null) {
             return conflict.why();
         }
-        boolean inOrder = window.wish().after().stream().allMatch(this::forgottenOrDone);
+        boolean inOrder = window.wish().after().stream().allMatch(this::isForgottenOrDone);
         if (!inOrder) {
             return "a window that must be over before is not";
         }
         boolean alone =
-                store.inState(State::takesCapacity).stream()
-                        .noneMatch(other -> keptApart(other, window));
+                store.inState(State::isInProgress).stream()
+                        .noneMatch(other -> areExclusive(other, window));
         return alone ? null : "another of its kind is under way";
     }
 
-    private boolean forgottenOrDone(long id) {
+    private boolean isForgottenOrDone(long id) {
         Window window = store.find(id);
         return window == null || window.state() == State.DONE;
     }
 
-    private static boolean keptApart(Window one, Window other) {
+    private static boolean areExclusive(Window one, Window other) {
         return one.wish().apart().stream().anyMatch(other.wish().apart()::contains);
     }
 
@@ -72,24 +72,24 @@
     Reply report(long id, Step step, long proven, long now) {
         Window window = store.find(id);
         if (window == null) {
-            return unknown(id);
+            return unknownWindow(id);
         }
-        Window next = after(step, window, proven, now);
+        Window next = windowAfterStep(step, window, proven, now);
         if (next == null) {
-            return new Refused("not-so", doesNotFollow(step, window), 0);
+            return new Rejection("not-so", invalidStepMessage(step, window), 0);
         }
         store.put(next);
         if (step == Step.DONE && next != window) {
-            replanner.settle(now);
+            replanner.reconcile(now);
         }
         return new WindowReplies.Now(store.find(id));
     }
 
-    private static Refused unknown(long id) {
-        return new Refused("no-window", "no window " + id, 0);
+    private static Rejection unknownWindow(long id) {
+        return new Rejection("no-window", "no window " + id, 0);
     }
 
-    private static String doesNotFollow(Step step, Window window) {
+    private static String invalidStepMessage(Step step, Window window) {
         return "window "
                 + window.id()
                 + " is "
@@ -107,39 +107,39 @@
      * The window after a step, the same where the step was taken before; null: the step does not
      * follow.
      */
-    private Window after(Step step, Window window, long proven, long now) {
+    private Window windowAfterStep(Step step, Window window, long proven, long now) {
         State state = window.state();
         return switch (step) {
             case OUT ->
                     state == State.DRAINING
-                            ? window.to(State.OUT, now, "its connections have left")
+                            ? window.withState(State.OUT, now, "its connections have left")
                             : state == State.OUT || state == State.WARMING ? window : null;
             case WARMING ->
                     state == State.OUT
-                            ? window.to(State.WARMING, now, "back, cold")
+                            ? window.withState(State.WARMING, now, "back, cold")
                             : state == State.WARMING ? window : null;
             case PROVEN ->
                     state == State.WARMING || state == State.RETURNING
-                            ? window.proven(Math.min(proven, window.capacity()))
+                            ? window.withProvenCapacity(Math.min(proven, window.capacity()))
                             : null;
-            case DONE -> state == State.DONE ? window : done(window, now);
+            case DONE -> state == State.DONE ? window : windowAfterDone(window, now);
         };
     }
 
-    private Window done(Window window, long now) {
+    private Window windowAfterDone(Window window, long now) {
         if (window.proven() < window.capacity()) {
             return null;
         }
         return switch (window.state()) {
-            case WARMING -> window.to(State.DONE, now, "done and proven");
-            case RETURNING -> returned(window, now);
+            case WARMING -> window.withState(State.DONE, now, "done and proven");
+            case RETURNING -> windowAfterReturn(window, now);
             default -> null;
         };
     }
 
     /** A drain that was turned back is over: planned anew, unless it was withdrawn. */
-    private Window returned(Window window, long now) {
-        boolean withdrawn = store.unwanted().remove(window.id());
+    private Window windowAfterReturn(Window window, long now) {
+        boolean withdrawn = store.withdrawnDrains().remove(window.id());
         State state = withdrawn ? State.WITHDRAWN : State.PUT_OFF;
         String why = withdrawn ? window.why() : "given back; planned anew";
         return new Window(window.id(), window.wish(), state, window.capacity(), 0, 0, now, 0, why);
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowProposals.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowProposals.java
@@ -4,13 +4,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.window.Window.State;
 
 /** Takes requests for windows: finds each its place, or says why there is none. */
 final class WindowProposals {
-    private static final int MAX_WAITING = 5_000;
+    private static final int MAX_WAITING_WINDOWS = 5_000;
 
     /** How much longer a refused request's time is taken, to say when it would do. */
     private static final long LOOK_AHEAD_MS = 14L * 86_400_000;
@@ -26,41 +26,41 @@
     /** Plans a window; the same request again is the same window. */
     Reply propose(WindowRequest request, long now) {
         if (store.plan() == null) {
-            return new Refused("no-plan", "nothing is agreed about the fleet yet", 0);
+            return new Rejection("no-plan", "nothing is agreed about the fleet yet", 0);
         }
-        String fault = WindowRequestValidator.fault(request, store.plan());
+        String fault = WindowRequestValidator.validationError(request, store.plan());
         if (fault != null) {
-            return new Refused("bad-wish", fault, 0);
+            return new Rejection("bad-wish", fault, 0);
         }
         List<Window> same =
-                open().stream().filter(window -> window.wish().sameAs(request)).toList();
+                openWindows().stream().filter(window -> window.wish().isEquivalentTo(request)).toList();
         if (!same.isEmpty()) {
             return new WindowReplies.Planned(same, true);
         }
-        if (store.inState(State::waits).size() >= MAX_WAITING) {
-            return new Refused("too-many", MAX_WAITING + " windows wait already", 0);
+        if (store.inState(State::isWaiting).size() >= MAX_WAITING_WINDOWS) {
+            return new Rejection("too-many", MAX_WAITING_WINDOWS + " windows wait already", 0);
         }
         Window overlapping =
-                open().stream()
-                        .filter(window -> sharesNodes(window, request))
+                openWindows().stream()
+                        .filter(window -> hasSharedNodes(window, request))
                         .findFirst()
                         .orElse(null);
         if (overlapping != null) {
             String why =
                     "window " + overlapping.id() + " has some of these nodes; name it in 'after'";
-            return new Refused("taken", why, 0);
+            return new Rejection("taken", why, 0);
         }
         List<Window> made = new ArrayList<>();
-        Refused refused = add(request, now, made);
+        Rejection refused = add(request, now, made);
         return refused != null ? refused : new WindowReplies.Planned(made, false);
     }
 
-    private List<Window> open() {
-        return store.inState(state -> state.waits() || state.takesCapacity());
+    private List<Window> openWindows() {
+        return store.inState(state -> state.isWaiting() || state.isInProgress());
     }
 
     /** One node cannot be in two windows at once; one after the other is asked for by 'after'. */
-    private static boolean sharesNodes(Window window, WindowRequest request) {
+    private static boolean hasSharedNodes(Window window, WindowRequest request) {
         return window.wish().region().equals(request.region())
                 && window.wish().nodes().stream().anyMatch(request.nodes()::contains)
                 && !request.after().contains(window.id());
@@ -69,21 +69,21 @@
     /**
      * Plans it whole, else in halves where it may be split, else says why not and when it would do.
      */
-    private Refused add(WindowRequest request, long now, List<Window> made) {
+    private Rejection add(WindowRequest request, long now, List<Window> made) {
         Window window = unplanned(store.nextId(), request, capacity(request), now, "proposed");
         Window placed = place(window, now);
         if (placed.state() == State.PLANNED) {
             store.add(placed);
             made.add(placed);
             if (request.emergency()) {
-                replanner.settle(now); // whoever it displaced is moved, and told so
+                replanner.reconcile(now); // whoever it displaced is moved, and told so
             }
             return null;
         }
         if (request.split() && request.nodes().size() > 1) {
             return addInHalves(request, now, made);
         }
-        return refusal(window, placed, now);
+        return rejection(window, placed, now);
     }
 
     /** Finds a place for one window; an emergency counts only other emergencies' plans. */
@@ -101,11 +101,11 @@
     }
 
     /** Both halves, or nothing. */
-    private Refused addInHalves(WindowRequest request, long now, List<Window> made) {
+    private Rejection addInHalves(WindowRequest request, long now, List<Window> made) {
         List<Window> before = store.all();
         List<String> nodes = request.nodes();
         int half = (nodes.size() + 1) / 2;
-        Refused refused = add(request.withNodes(nodes.subList(0, half)), now, made);
+        Rejection refused = add(request.withNodes(nodes.subList(0, half)), now, made);
         if (refused == null) {
             refused = add(request.withNodes(nodes.subList(half, nodes.size())), now, made);
         }
@@ -116,7 +116,7 @@
         return refused;
     }
 
-    private Refused refusal(Window window, Window placed, long now) {
+    private Rejection rejection(Window window, Window placed, long now) {
         WindowRequest request = window.wish().withMoreTime(LOOK_AHEAD_MS);
         Window longer = unplanned(window.id(), request, window.capacity(), now, "");
         List<Window> planned = store.inState(s -> s == State.PLANNED);
@@ -124,10 +124,10 @@
         CapacityTable.Fit fit = table.firstFit(longer, now, now);
         if (fit.begin() < 0) {
             String why = placed.why() + "; nor would it do within two weeks more";
-            return new Refused("no-room", why, 0);
+            return new Rejection("no-room", why, 0);
         }
         String why = placed.why() + "; it would do from " + fit.begin();
-        return new Refused("no-room", why, Math.max(1, fit.begin() - now));
+        return new Rejection("no-room", why, Math.max(1, fit.begin() - now));
     }
 
     /** A table that reaches as far as this window may go, with these others counted. */
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowRequest.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowRequest.java
@@ -67,7 +67,7 @@
     }
 
     /** Whether it asks for the same nodes for the same purpose. */
-    boolean sameAs(WindowRequest other) {
+    boolean isEquivalentTo(WindowRequest other) {
         return region.equals(other.region)
                 && purpose.equals(other.purpose)
                 && new TreeSet<>(nodes).equals(new TreeSet<>(other.nodes));
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowStore.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowStore.java
@@ -15,7 +15,7 @@
     private long lastId;
     private final Map<Long, Window> windows = new TreeMap<>();
     private final Map<String, Long> outages = new TreeMap<>();
-    private final Set<Long> unwanted = new TreeSet<>();
+    private final Set<Long> withdrawnDrains = new TreeSet<>();
     private long advancedTo;
 
     WindowStore(Windows.Image image) {
@@ -23,13 +23,13 @@
         lastId = image.ids();
         image.windows().forEach(this::put);
         outages.putAll(image.outages());
-        unwanted.addAll(image.unwanted());
+        withdrawnDrains.addAll(image.unwanted());
         advancedTo = image.looked();
     }
 
     Windows.Image image() {
         return new Windows.Image(
-                plan, lastId, all(), new TreeMap<>(outages), new TreeSet<>(unwanted), advancedTo);
+                plan, lastId, all(), new TreeMap<>(outages), new TreeSet<>(withdrawnDrains), advancedTo);
     }
 
     /** The agreed plan, or null. */
@@ -37,7 +37,7 @@
         return plan;
     }
 
-    void plan(FleetPlan next) {
+    void setPlan(FleetPlan next) {
         plan = next;
     }
 
@@ -87,8 +87,8 @@
     }
 
     /** Windows that were withdrawn while they drained, until their nodes are back. */
-    Set<Long> unwanted() {
-        return unwanted;
+    Set<Long> withdrawnDrains() {
+        return withdrawnDrains;
     }
 
     /** The moment up to which the passing of time was considered. */
@@ -96,12 +96,12 @@
         return advancedTo;
     }
 
-    void advancedTo(long now) {
+    void setAdvancedTo(long now) {
         advancedTo = now;
     }
 
     /** A planner that counts what is missing now as missing. */
     Planner planner(long now) {
-        return new Planner(plan, now, inState(State::takesCapacity), outages);
+        return new Planner(plan, now, inState(State::isInProgress), outages);
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/window/Windows.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Windows.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import saltstage.coordinator.model.Done;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Acknowledgement;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.window.Window.State;
 import saltstage.coordinator.window.WindowCommands.Step;
@@ -27,7 +27,7 @@
             long looked) {}
 
     /** A floor at a moment: what is there at least, what must be, what is missing. */
-    public record Level(String floor, long at, long capacity, long need, long missing) {}
+    public record FloorLevel(String floor, long at, long capacity, long need, long missing) {}
 
     private final WindowStore store;
     private final Replanner replanner;
@@ -68,58 +68,58 @@
     }
 
     /** Whether any may still change by itself. */
-    public boolean alive() {
-        return !store.inState(s -> s.waits() || s.takesCapacity()).isEmpty();
+    public boolean hasOpenWindows() {
+        return !store.inState(s -> s.isWaiting() || s.isInProgress()).isEmpty();
     }
 
     /** Applies, once a slot, what time alone has changed. */
     public void advance(long now) {
         long before = store.advancedTo();
-        if (plan() == null || now / plan().slotMs() == before / plan().slotMs() || !alive()) {
+        if (plan() == null || now / plan().slotMs() == before / plan().slotMs() || !hasOpenWindows()) {
             return;
         }
-        store.advancedTo(now);
+        store.setAdvancedTo(now);
         boolean changed = false;
         for (Window window : store.all()) {
-            if (window.state().waits()
+            if (window.state().isWaiting()
                     && now + window.wish().durationMs() > window.wish().latest()) {
                 String why = "its time ran out: " + window.why();
-                store.put(window.to(State.EXPIRED, now, why));
+                store.put(window.withState(State.EXPIRED, now, why));
                 changed = true;
-            } else if (window.overdue(now) && !window.overdue(before)) {
+            } else if (window.isOverdue(now) && !window.isOverdue(before)) {
                 changed = true; // what it holds is missing until it says otherwise
-            } else if (replanner.missed(window, now)) {
+            } else if (replanner.hasMissedStart(window, now)) {
                 changed = true;
             }
         }
         if (changed) {
-            replanner.settle(now);
+            replanner.reconcile(now);
         }
     }
 
     /** Agrees about the fleet; what no longer fits is put off. */
-    public Reply set(FleetPlan next, long now) {
-        String fault = next == null ? "no plan" : next.fault();
+    public Reply setPlan(FleetPlan next, long now) {
+        String fault = next == null ? "no plan" : next.validationError();
         if (fault != null) {
-            return new Refused("bad-plan", fault, 0);
+            return new Rejection("bad-plan", fault, 0);
         }
-        for (Window window : store.inState(State::takesCapacity)) {
-            if (!names(next, window)) {
+        for (Window window : store.inState(State::isInProgress)) {
+            if (!hasNodesOf(next, window)) {
                 String why = "window " + window.id() + " has nodes out that the plan does not name";
-                return new Refused("in-use", why, 0);
+                return new Rejection("in-use", why, 0);
             }
         }
-        store.plan(next);
-        for (Window window : store.inState(State::waits)) {
-            if (WindowRequestValidator.fault(window.wish(), next) != null) {
-                store.put(window.to(State.WITHDRAWN, now, "the new plan has no such nodes"));
+        store.setPlan(next);
+        for (Window window : store.inState(State::isWaiting)) {
+            if (WindowRequestValidator.validationError(window.wish(), next) != null) {
+                store.put(window.withState(State.WITHDRAWN, now, "the new plan has no such nodes"));
             }
         }
-        replanner.settle(now);
-        return new Done("agreed");
+        replanner.reconcile(now);
+        return new Acknowledgement("agreed");
     }
 
-    private static boolean names(FleetPlan plan, Window window) {
+    private static boolean hasNodesOf(FleetPlan plan, Window window) {
         FleetPlan.Region region = plan.region(window.wish().region());
         return region != null
                 && region.nodes().stream()
@@ -137,18 +137,18 @@
     public Reply withdraw(long id, String by, long now) {
         Window window = store.find(id);
         if (window == null) {
-            return new Refused("no-window", "no window " + id, 0);
+            return new Rejection("no-window", "no window " + id, 0);
         }
         if (window.state() == State.OUT || window.state() == State.WARMING) {
-            return new Refused("too-late", "its work has begun; it ends by being done", 0);
+            return new Rejection("too-late", "its work has begun; it ends by being done", 0);
         }
-        if (window.state().waits()) {
-            window = window.to(State.WITHDRAWN, now, "withdrawn by " + by);
+        if (window.state().isWaiting()) {
+            window = window.withState(State.WITHDRAWN, now, "withdrawn by " + by);
             store.put(window);
-            replanner.settle(now);
+            replanner.reconcile(now);
         } else if (window.state() == State.DRAINING) {
-            store.unwanted().add(id); // it counts as out until its return is proven
-            window = window.to(State.RETURNING, now, "withdrawn by " + by);
+            store.withdrawnDrains().add(id); // it counts as out until its return is proven
+            window = window.withState(State.RETURNING, now, "withdrawn by " + by);
             store.put(window);
         }
         return new WindowReplies.Now(window);
@@ -157,12 +157,12 @@
     /** Holds it back, or lets it go on; a drain that has begun is not held. */
     public Reply pause(long id, boolean on, String by, long now) {
         Window window = store.find(id);
-        if (window == null || !window.state().waits()) {
-            return new Refused("no-window", "no window " + id + " that waits", 0);
+        if (window == null || !window.state().isWaiting()) {
+            return new Rejection("no-window", "no window " + id + " that waits", 0);
         }
         State state = on ? State.PAUSED : State.PUT_OFF;
-        store.put(window.at(0, state, now, (on ? "held back by " : "let go on by ") + by));
-        replanner.settle(now);
+        store.put(window.withSchedule(0, state, now, (on ? "held back by " : "let go on by ") + by));
+        replanner.reconcile(now);
         return new WindowReplies.Now(store.find(id));
     }
 
@@ -177,29 +177,29 @@
     }
 
     /** Something is missing outside any window, or is back. */
-    public Reply outage(String region, long lost, long now) {
+    public Reply reportOutage(String region, long lost, long now) {
         if (plan() == null
                 || plan().region(region) == null
                 || lost < 0
                 || lost > plan().region(region).capacity()) {
-            return new Refused("bad-outage", "no region " + region + " that could miss so much", 0);
+            return new Rejection("bad-outage", "no region " + region + " that could miss so much", 0);
         }
         Map<String, Long> outages = store.outages();
         Long before = lost == 0 ? outages.remove(region) : outages.put(region, lost);
         if (before == null ? lost > 0 : before != lost) {
-            replanner.settle(now);
+            replanner.reconcile(now);
         }
-        return new Done("noted");
+        return new Acknowledgement("noted");
     }
 
     /**
      * Nodes that nothing should be moved to: out, coming back, or planned to be out before long.
      */
-    public Set<String> avoided(long now, long aheadMs) {
+    public Set<String> nodesToAvoid(long now, long aheadMs) {
         Set<String> nodes = new TreeSet<>();
         for (Window window : store.all()) {
             boolean soon = window.state() == State.PLANNED && window.start() < now + aheadMs;
-            if (soon || window.state().takesCapacity()) {
+            if (soon || window.state().isInProgress()) {
                 nodes.addAll(window.wish().nodes());
             }
         }
@@ -207,7 +207,7 @@
     }
 
     /** Each floor at the begin of each slot between two moments, thinned to {@code most} rows. */
-    public List<Level> levels(long from, long to, int most, long now) {
+    public List<FloorLevel> levels(long from, long to, int most, long now) {
         return new FloorLevels(store, now).between(from, to, most);
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/advice/AdvisorTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/advice/AdvisorTest.java
@@ -11,12 +11,12 @@
 import saltstage.coordinator.advice.AdviceCommands.Advise;
 import saltstage.coordinator.advice.AdviceCommands.Decide;
 import saltstage.coordinator.advice.Advisor.RecentMove;
-import saltstage.coordinator.model.Done;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Acknowledgement;
+import saltstage.coordinator.model.Rejection;
 
 /** Which tenants to move, and what is kept of it. */
 class AdvisorTest {
-    private final Advisor advisor = new Advisor(Advisor.Rules.usual());
+    private final Advisor advisor = new Advisor(Advisor.Rules.defaults());
 
     /** A node of 100 mean loads with so much of it in use, one large tenant and others. */
     private static NodeSnapshots.View node(
@@ -40,7 +40,7 @@
                 age);
     }
 
-    private static List<NodeSnapshots.View> oneHot(long age) {
+    private static List<NodeSnapshots.View> oneOverloadedNode(long age) {
         return List.of(
                 node("a", 60_000, 35_000, 400, age),
                 node("b", 5_000, 20_000, 5, age),
@@ -54,8 +54,8 @@
     }
 
     @Test
-    void hotNodeGivesToTheOneThatWaitsLeast() {
-        Move move = moves(oneHot(0), Set.of(), List.of()).get(0);
+    void overloadedNodeMovesLoadToTheNodeWithTheShortestDelay() {
+        Move move = moves(oneOverloadedNode(0), Set.of(), List.of()).get(0);
         assertEquals("t-a", move.tenant());
         assertEquals("a", move.from());
         assertEquals("b", move.to());
@@ -63,13 +63,13 @@
     }
 
     @Test
-    void nothingGoesToWhatIsOutOrComingBackOrSoonOut() {
-        assertEquals("c", moves(oneHot(0), Set.of("b"), List.of()).get(0).to());
-        assertEquals(List.of(), moves(oneHot(0), Set.of("b", "c", "d"), List.of()));
+    void avoidedNodesAreNeverTargets() {
+        assertEquals("c", moves(oneOverloadedNode(0), Set.of("b"), List.of()).get(0).to());
+        assertEquals(List.of(), moves(oneOverloadedNode(0), Set.of("b", "c", "d"), List.of()));
     }
 
     @Test
-    void evenFleetAndAGapBelowASetUpAreLeftAlone() {
+    void evenFleetAndGapsBelowOneSetUpYieldNoMoves() {
         assertEquals(
                 List.of(),
                 moves(
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void onFewFreshSnapshotsItSaysSoAndNothingElse() {
+    void tooFewFreshSnapshotsYieldAReasonAndNoMoves() {
         List<NodeSnapshots.View> views =
                 List.of(
                         node("a", 60_000, 35_000, 400, 0),
@@ -94,18 +94,18 @@
     }
 
     @Test
-    void whatWasMovedIsNotMovedBackAndABudgetThatIsUsedUpEndsIt() {
+    void recentMoveIsNotUndoneAndAnExhaustedBudgetStopsMoves() {
         RecentMove lately = new RecentMove("t-a", "b", "a", 10, -1_000, true);
-        assertEquals(List.of(), moves(oneHot(0), Set.of(), List.of(lately)), "a has just got it");
+        assertEquals(List.of(), moves(oneOverloadedNode(0), Set.of(), List.of(lately)), "a has just got it");
         RecentMove longAgo = new RecentMove("t-a", "b", "a", 10, -99_000, true);
-        assertFalse(moves(oneHot(0), Set.of(), List.of(longAgo)).isEmpty());
+        assertFalse(moves(oneOverloadedNode(0), Set.of(), List.of(longAgo)).isEmpty());
         assertEquals(
                 List.of(),
-                moves(oneHot(0), Set.of(), List.of(new RecentMove("x", "y", "z", 200, 0, false))));
+                moves(oneOverloadedNode(0), Set.of(), List.of(new RecentMove("x", "y", "z", 200, 0, false))));
     }
 
     @Test
-    void manyMovesTogetherDoNotOverfillTheNodeThatEachAloneWouldPick() {
+    void movesTogetherDoNotOverloadTheNodeThatEachAloneWouldPick() {
         List<NodeSnapshots.View> views =
                 List.of(
                         node("a", 60_000, 35_000, 400, 0),
@@ -121,29 +121,29 @@
     }
 
     @Test
-    void lateDoubledAndEarlierSnapshotsChangeNothing() {
+    void lateDuplicateAndOldIncarnationSnapshotsAreIgnored() {
         NodeSnapshots board = new NodeSnapshots();
         NodeSnapshot first = node("a", 1_000, 1, 1, 0).snapshot();
         NodeSnapshot restarted = new NodeSnapshot("a", "r", 2, 0, 1, 0, 1, List.of(), 7);
-        assertTrue(board.take(first, 0));
-        assertFalse(board.take(first, 1));
-        assertTrue(board.take(restarted, 2));
-        assertFalse(board.take(first, 3), "of an earlier incarnation");
+        assertTrue(board.update(first, 0));
+        assertFalse(board.update(first, 1));
+        assertTrue(board.update(restarted, 2));
+        assertFalse(board.update(first, 3), "of an earlier incarnation");
         assertEquals(List.of(new NodeSnapshots.View(restarted, 8)), board.views(10));
     }
 
     @Test
-    void bookKeepsOneVoiceAndDecidesOnce() {
+    void logAcceptsOnlyTheNewestAdvisorAndOneDecision() {
         AdviceLog book = new AdviceLog();
-        Move move = moves(oneHot(0), Set.of(), List.of()).get(0);
-        assertInstanceOf(Done.class, book.advise(new Advise("o", 5, List.of(move), "why"), 0));
-        assertInstanceOf(Refused.class, book.advise(new Advise("old", 4, List.of(), "late"), 1));
-        assertInstanceOf(Done.class, book.decide(new Decide(1, true, "ops"), 2));
-        assertInstanceOf(Done.class, book.decide(new Decide(1, true, "ops"), 3));
-        assertInstanceOf(Refused.class, book.decide(new Decide(1, false, "ops"), 4));
-        assertEquals(1, book.made(5).size());
+        Move move = moves(oneOverloadedNode(0), Set.of(), List.of()).get(0);
+        assertInstanceOf(Acknowledgement.class, book.advise(new Advise("o", 5, List.of(move), "why"), 0));
+        assertInstanceOf(Rejection.class, book.advise(new Advise("old", 4, List.of(), "late"), 1));
+        assertInstanceOf(Acknowledgement.class, book.decide(new Decide(1, true, "ops"), 2));
+        assertInstanceOf(Acknowledgement.class, book.decide(new Decide(1, true, "ops"), 3));
+        assertInstanceOf(Rejection.class, book.decide(new Decide(1, false, "ops"), 4));
+        assertEquals(1, book.recentMoves(5).size());
         book.advise(new Advise("o", 5, List.of(move), "again"), 6);
-        book.advance(7 + AdviceLog.OFFERED_MS);
+        book.advance(7 + AdviceLog.OFFER_LIFETIME_MS);
         assertEquals(AdviceLog.State.EXPIRED, book.image().rows().get(1).state());
         assertEquals(book.image(), new AdviceLog(book.image()).image());
     }
--- a/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.replica.Replica;
 import saltstage.coordinator.replica.ReplicaSettings;
 import saltstage.net.NettyTransport;
@@ -105,7 +105,7 @@
                 .thenApply(
                         answer ->
                                 new Response(
-                                        answer.status(), Codec.json().valueToTree(answer.body())));
+                                        answer.status(), GroupCodec.jsonMapper().valueToTree(answer.body())));
     }
 
     private static Response get(String uri) throws Exception {
@@ -277,7 +277,7 @@
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/v1/backup");
         Object body = handler.handle(request).get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS).body();
-        assertEquals(3, Codec.image(assertInstanceOf(byte[].class, body)).level());
+        assertEquals(3, GroupCodec.decodeSnapshot(assertInstanceOf(byte[].class, body)).level());
     }
 
     @Test
--- a/coordinator/src/test/java/saltstage/coordinator/client/ScriptedReplica.java
+++ b/coordinator/src/test/java/saltstage/coordinator/client/ScriptedReplica.java
@@ -7,7 +7,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.function.Function;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 
 /** A replica's front whose answers the test decides. */
 final class ScriptedReplica implements AutoCloseable {
@@ -28,8 +28,8 @@
     private static void answer(HttpExchange exchange, Function<JsonNode, Answer> answers)
             throws IOException {
         byte[] body = exchange.getRequestBody().readAllBytes();
-        Answer answer = answers.apply(body.length == 0 ? null : Codec.json().readTree(body));
-        byte[] bytes = Codec.json().writeValueAsBytes(answer.body());
+        Answer answer = answers.apply(body.length == 0 ? null : GroupCodec.jsonMapper().readTree(body));
+        byte[] bytes = GroupCodec.jsonMapper().writeValueAsBytes(answer.body());
         exchange.sendResponseHeaders(answer.status(), bytes.length);
         exchange.getResponseBody().write(bytes);
         exchange.close();
--- a/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
@@ -30,7 +30,7 @@
 import saltstage.coordinator.api.ApiHandler;
 import saltstage.coordinator.api.HttpListener;
 import saltstage.coordinator.configuration.ConfigurationCommands;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.group.GroupState;
 import saltstage.coordinator.replica.Replica;
 import saltstage.coordinator.replica.ReplicaSettings;
@@ -78,7 +78,7 @@
                         ENGINE_SPEED,
                         10_000,
                         4_096,
-                        GroupState.SPEAKS,
+                        GroupState.SUPPORTED_FEATURE_LEVEL,
                         1,
                         System::currentTimeMillis);
         Store store = Store.open(new FileDisk(dir), StoreOptions.usual(), StoreEvents.NONE);
@@ -122,7 +122,7 @@
     }
 
     private static JsonNode body(HttpResponse<String> response) throws Exception {
-        return Codec.json().readTree(response.body());
+        return GroupCodec.jsonMapper().readTree(response.body());
     }
 
     private int run(String... words) {
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationGroupTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationGroupTest.java
@@ -22,12 +22,12 @@
 import saltstage.coordinator.configuration.ConfigurationCommands.ChangeConfiguration;
 import saltstage.coordinator.configuration.ConfigurationReplies.Changed;
 import saltstage.coordinator.configuration.ConfigurationReplies.Rejected;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.group.GroupCommands;
 import saltstage.coordinator.group.GroupState;
 import saltstage.coordinator.group.Proposal;
 import saltstage.coordinator.model.Command;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 
 /** Configuration as a part of a group: levels, sessions, log, snapshots, JSON. */
@@ -38,13 +38,13 @@
     private GroupState state = new GroupState();
 
     private Reply say(String client, long seq, Command command) throws IOException {
-        return state.apply(Codec.proposal(Codec.entry(new Proposal(client, seq, "e", 0, command))));
+        return state.apply(GroupCodec.decodeProposal(GroupCodec.encodeEntry(new Proposal(client, seq, "e", 0, command))));
     }
 
     private void level(int level) throws IOException {
         say("", 0, new GroupCommands.Introduce("a", "disk", "1.2.3.4:1", "1.2.3.4:2"));
         say("", 0, new GroupCommands.Tick(Map.of(), Map.of("a", level), List.of("a")));
-        assertEquals(level, state.level());
+        assertEquals(level, state.featureLevel());
     }
 
     private static ChangeConfiguration change(Mutation... mutations) {
@@ -66,13 +66,13 @@
     @Test
     void groupBelowTheLevelRefusesAndItsSnapshotHasNoSuchField() throws IOException {
         level(3);
-        assertEquals("not-yet", ((Refused) say("c", 1, allKinds())).code());
-        JsonNode image = Codec.cbor().readTree(Codec.snapshot(state.image())).path("image");
+        assertEquals("not-yet", ((Rejection) say("c", 1, allKinds())).code());
+        JsonNode image = GroupCodec.cborMapper().readTree(GroupCodec.encodeSnapshot(state.image())).path("image");
         assertFalse(image.has("configuration"), "replicas of level 3 take no field more");
         assertTrue(image.has("advice"));
         level(4);
         assertInstanceOf(Changed.class, say("c", 2, allKinds()));
-        JsonNode after = Codec.cbor().readTree(Codec.snapshot(state.image())).path("image");
+        JsonNode after = GroupCodec.cborMapper().readTree(GroupCodec.encodeSnapshot(state.image())).path("image");
         assertEquals(1, after.path("configuration").path("revision").asLong());
     }
 
@@ -81,13 +81,13 @@
         level(4);
         say("c", 1, allKinds());
         say("c", 2, change(mutation("suspension/gw-1", null)));
-        byte[] bytes = Codec.snapshot(state.image());
-        GroupState restored = new GroupState(Codec.image(bytes));
+        byte[] bytes = GroupCodec.encodeSnapshot(state.image());
+        GroupState restored = new GroupState(GroupCodec.decodeSnapshot(bytes));
         assertEquals(state.configuration().digest(), restored.configuration().digest());
         assertEquals(
                 state.configuration().view().entries(), restored.configuration().view().entries());
         assertEquals(state.configuration().image(), restored.configuration().image());
-        assertArrayEquals(bytes, Codec.snapshot(restored.image()));
+        assertArrayEquals(bytes, GroupCodec.encodeSnapshot(restored.image()));
         assertEquals(
                 state.configuration().after(0, 0, 10), restored.configuration().after(0, 0, 10));
     }
@@ -103,7 +103,7 @@
         assertFalse(
                 state.configuration().view().entries().containsKey(EntryKey.parse("shard/t/1")),
                 "carried out a second time it would undo the other writer's change");
-        state = new GroupState(Codec.image(Codec.snapshot(state.image())));
+        state = new GroupState(GroupCodec.decodeSnapshot(GroupCodec.encodeSnapshot(state.image())));
         assertEquals(first, say("c", 2, placed));
         assertEquals(3, state.configuration().revision());
     }
@@ -111,17 +111,17 @@
     @Test
     void commandAndReadApiHaveTheSameFormOfMutations() throws Exception {
         ChangeConfiguration all = allKinds();
-        JsonNode json = Codec.json().valueToTree(all);
-        JsonNode written = Codec.json().readTree(ConfigurationJson.text(all.mutations()));
+        JsonNode json = GroupCodec.jsonMapper().valueToTree(all);
+        JsonNode written = GroupCodec.jsonMapper().readTree(ConfigurationJson.text(all.mutations()));
         assertEquals(written.path("mutations").toString(), json.path("mutations").toString());
         JsonNode named =
-                Codec.json()
-                        .readTree(Codec.json().writerFor(Command.class).writeValueAsString(all));
+                GroupCodec.jsonMapper()
+                        .readTree(GroupCodec.jsonMapper().writerFor(Command.class).writeValueAsString(all));
         assertEquals("change-configuration", named.path("op").asText());
-        assertEquals(all, Codec.command(named));
+        assertEquals(all, GroupCodec.decodeCommand(named));
         Reply no = new Rejected(RejectionCode.IN_USE, "backend/gw-1", "deleted", "x");
-        String reply = Codec.json().writerFor(Reply.class).writeValueAsString(no);
-        assertEquals(no, Codec.json().readValue(reply, Reply.class));
+        String reply = GroupCodec.jsonMapper().writerFor(Reply.class).writeValueAsString(no);
+        assertEquals(no, GroupCodec.jsonMapper().readValue(reply, Reply.class));
     }
 
     @ParameterizedTest
@@ -144,7 +144,7 @@
                 "{\"op\":\"change-configuration\",\"author\":\"ana\",\"expected\":{},\"mutations\":["
                         + mutation
                         + "]}";
-        JsonNode command = Codec.json().readTree(text);
-        assertThrows(JsonProcessingException.class, () -> Codec.command(command));
+        JsonNode command = GroupCodec.jsonMapper().readTree(text);
+        assertThrows(JsonProcessingException.class, () -> GroupCodec.decodeCommand(command));
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHandlerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHandlerTest.java
@@ -23,7 +23,7 @@
 import saltstage.configuration.ErrorResponse;
 import saltstage.configuration.Mutation;
 import saltstage.configuration.SnapshotPage;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 
 /** What followers get from a distributor, and what it tells of them. */
 class DistributorHandlerTest {
@@ -69,7 +69,7 @@
 
     private JsonNode zone() throws IOException {
         HttpAnswer status = handler.handle("/v1/configuration/status", "operator").join();
-        return Codec.json().readTree(status.body()).path("zones").path(0);
+        return GroupCodec.jsonMapper().readTree(status.body()).path("zones").path(0);
     }
 
     @Test
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorListenerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorListenerTest.java
@@ -21,7 +21,7 @@
 import saltstage.configuration.EntryKey;
 import saltstage.configuration.EntryValue;
 import saltstage.configuration.Mutation;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 
 /** Many followers on sockets of their own. */
 @Timeout(value = 1, unit = TimeUnit.MINUTES)
@@ -112,7 +112,7 @@
 
     private int waiting() throws IOException {
         byte[] status = handler.handle("/v1/configuration/status", "test").join().body();
-        return Codec.json().readTree(status).path("waiting").asInt();
+        return GroupCodec.jsonMapper().readTree(status).path("waiting").asInt();
     }
 
     private void awaitWaiting(int expected) throws IOException, InterruptedException {
--- a/coordinator/src/test/java/saltstage/coordinator/group/GroupStateTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/group/GroupStateTest.java
@@ -15,18 +15,18 @@
 import saltstage.coordinator.lease.LeaseReplies.Granted;
 import saltstage.coordinator.lease.LeaseReplies.Held;
 import saltstage.coordinator.model.Command;
-import saltstage.coordinator.model.Done;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Acknowledgement;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 
 /** The log's entries, applied: sessions, clocks, levels. */
 class GroupStateTest {
     private GroupState state = new GroupState();
 
-    private Reply say(String client, long seq, String epoch, long stamp, Command command)
+    private Reply apply(String client, long seq, String epoch, long stamp, Command command)
             throws IOException {
         return state.apply(
-                Codec.proposal(Codec.entry(new Proposal(client, seq, epoch, stamp, command))));
+                GroupCodec.decodeProposal(GroupCodec.encodeEntry(new Proposal(client, seq, epoch, stamp, command))));
     }
 
     private static Acquire acquire(String owner) {
@@ -35,88 +35,88 @@
 
     @Test
     void repeatedCommandGetsItsFirstAnswerAlsoAfterASnapshot() throws IOException {
-        Reply first = say("c", 1, "e", 0, acquire("a"));
-        say("c", 2, "e", 10, new Release("x", "a", ((Granted) first).fence()));
-        Reply again = say("c", 2, "e", 20, new Release("x", "a", ((Granted) first).fence()));
+        Reply first = apply("c", 1, "e", 0, acquire("a"));
+        apply("c", 2, "e", 10, new Release("x", "a", ((Granted) first).fence()));
+        Reply again = apply("c", 2, "e", 20, new Release("x", "a", ((Granted) first).fence()));
         assertEquals(
                 "released",
-                ((Done) again).what(),
+                ((Acknowledgement) again).what(),
                 "carried out a second time it would find nothing");
-        state = new GroupState(Codec.image(Codec.snapshot(state.image())));
-        assertEquals(again, say("c", 2, "e", 30, new Release("x", "a", ((Granted) first).fence())));
-        assertEquals("stale", ((Refused) say("c", 1, "e", 40, acquire("a"))).code());
+        state = new GroupState(GroupCodec.decodeSnapshot(GroupCodec.encodeSnapshot(state.image())));
+        assertEquals(again, apply("c", 2, "e", 30, new Release("x", "a", ((Granted) first).fence())));
+        assertEquals("stale", ((Rejection) apply("c", 1, "e", 40, acquire("a"))).code());
     }
 
     @Test
-    void sessionThatWasForgottenIsToldSoAndNothingIsDone() throws IOException {
-        assertEquals("session-lost", ((Refused) say("c", 7, "e", 0, acquire("a"))).code());
+    void commandOfAForgottenSessionIsRejectedWithoutEffect() throws IOException {
+        assertEquals("session-lost", ((Rejection) apply("c", 7, "e", 0, acquire("a"))).code());
         assertEquals(0, state.leases().size());
-        say("old", 1, "e", 0, acquire("a"));
-        say("new", 1, "e", Sessions.IDLE_MS + 1, acquire("b"));
+        apply("old", 1, "e", 0, acquire("a"));
+        apply("new", 1, "e", Sessions.IDLE_TIMEOUT_MS + 1, acquire("b"));
         assertEquals(
                 "session-lost",
-                ((Refused) say("old", 2, "e", Sessions.IDLE_MS + 2, acquire("a"))).code());
+                ((Rejection) apply("old", 2, "e", Sessions.IDLE_TIMEOUT_MS + 2, acquire("a"))).code());
     }
 
     @Test
-    void timeGoesByTheStampsOfOneLeadershipOnly() throws IOException {
-        say("a", 1, "first", 5_000, acquire("a"));
-        say("b", 1, "second", 900_000, acquire("b"));
+    void groupTimeAdvancesOnlyWithinOneLeadership() throws IOException {
+        apply("a", 1, "first", 5_000, acquire("a"));
+        apply("b", 1, "second", 900_000, acquire("b"));
         assertEquals(0, state.time().now(), "what lies between two leaderships is not known");
-        assertInstanceOf(Held.class, say("b", 2, "second", 900_999, acquire("b")));
-        assertInstanceOf(Held.class, say("b", 3, "second", 900_500, acquire("b")), "a late stamp");
+        assertInstanceOf(Held.class, apply("b", 2, "second", 900_999, acquire("b")));
+        assertInstanceOf(Held.class, apply("b", 3, "second", 900_500, acquire("b")), "a late stamp");
         assertEquals(999, state.time().now());
-        assertInstanceOf(Granted.class, say("b", 4, "second", 901_000, acquire("b")));
+        assertInstanceOf(Granted.class, apply("b", 4, "second", 901_000, acquire("b")));
     }
 
     @Test
     void oneClockThatIsAnHourOffDoesNotChangeTheTimeOfDay() throws IOException {
         List<String> voters = List.of("a", "b", "c");
         long day = 1_700_000_000_000L;
-        say(
+        apply(
                 "",
                 0,
                 "e",
                 0,
                 new GroupCommands.Tick(
                         Map.of("a", day, "b", day + 20, "c", day + 3_600_000), Map.of(), voters));
-        assertEquals(day + 20, state.time().day());
-        say(
+        assertEquals(day + 20, state.time().wallClockTime());
+        apply(
                 "",
                 0,
                 "e",
                 500,
                 new GroupCommands.Tick(Map.of("a", day - 3_600_000), Map.of(), voters));
-        assertTrue(state.time().day() >= day + 20, "it never goes back");
-        assertTrue(state.time().day() <= day + 1_000);
+        assertTrue(state.time().wallClockTime() >= day + 20, "it never goes back");
+        assertTrue(state.time().wallClockTime() <= day + 1_000);
     }
 
     @Test
     void levelRisesOnceEachVoterKnowsItAndNeverFalls() throws IOException {
         for (String name : List.of("a", "b")) {
-            say(
+            apply(
                     "",
                     0,
                     "e",
                     0,
                     new GroupCommands.Introduce(name, "d" + name, "1.2.3.4:1", "1.2.3.4:2"));
         }
-        say("", 0, "e", 0, new GroupCommands.Tick(Map.of(), Map.of("a", 3), List.of("a", "b")));
-        assertEquals(1, state.level(), "one voter was not heard");
-        say("", 0, "e", 0, new GroupCommands.Tick(Map.of(), Map.of("b", 2), List.of("a", "b")));
-        assertEquals(2, state.level());
-        say("", 0, "e", 0, new GroupCommands.Tick(Map.of(), Map.of("b", 1), List.of("a", "b")));
-        assertEquals(2, state.level());
+        apply("", 0, "e", 0, new GroupCommands.Tick(Map.of(), Map.of("a", 3), List.of("a", "b")));
+        assertEquals(1, state.featureLevel(), "one voter was not heard");
+        apply("", 0, "e", 0, new GroupCommands.Tick(Map.of(), Map.of("b", 2), List.of("a", "b")));
+        assertEquals(2, state.featureLevel());
+        apply("", 0, "e", 0, new GroupCommands.Tick(Map.of(), Map.of("b", 1), List.of("a", "b")));
+        assertEquals(2, state.featureLevel());
     }
 
     @Test
-    void otherDiskUnderANameThatIsTakenOrWasIsRefused() throws IOException {
-        say("", 0, "e", 0, new GroupCommands.Introduce("a", "d1", "1.2.3.4:1", "1.2.3.4:2"));
-        say("", 0, "e", 0, new GroupCommands.Tick(Map.of(), Map.of("a", 2), List.of("a")));
+    void differentDiskUnderATakenOrRetiredNameIsRejected() throws IOException {
+        apply("", 0, "e", 0, new GroupCommands.Introduce("a", "d1", "1.2.3.4:1", "1.2.3.4:2"));
+        apply("", 0, "e", 0, new GroupCommands.Tick(Map.of(), Map.of("a", 2), List.of("a")));
         assertEquals(
                 "other-disk",
-                ((Refused)
-                                say(
+                ((Rejection)
+                                apply(
                                         "",
                                         0,
                                         "e",
@@ -124,12 +124,12 @@
                                         new GroupCommands.Introduce(
                                                 "a", "d2", "1.2.3.4:1", "1.2.3.4:2")))
                         .code());
-        say("", 0, "e", 0, new GroupCommands.Forget("a"));
+        apply("", 0, "e", 0, new GroupCommands.Forget("a"));
         for (String disk : List.of("d1", "d2")) {
             assertEquals(
                     "other-disk",
-                    ((Refused)
-                                    say(
+                    ((Rejection)
+                                    apply(
                                             "",
                                             0,
                                             "e",
@@ -146,24 +146,24 @@
         for (int copy = 0; copy < 2; copy++) {
             state = new GroupState();
             for (int i = 0; i < 50; i++) {
-                say("c" + i % 7, 1 + i / 7, "e" + i / 20, i * 130L, acquire("o" + i % 3));
+                apply("c" + i % 7, 1 + i / 7, "e" + i / 20, i * 130L, acquire("o" + i % 3));
                 state =
                         copy == 1 && i % 9 == 0
-                                ? new GroupState(Codec.image(Codec.snapshot(state.image())))
+                                ? new GroupState(GroupCodec.decodeSnapshot(GroupCodec.encodeSnapshot(state.image())))
                                 : state;
             }
-            copies[copy] = Codec.snapshot(state.image());
+            copies[copy] = GroupCodec.encodeSnapshot(state.image());
         }
         assertArrayEquals(copies[0], copies[1]);
     }
 
     @Test
-    void entryOfAnotherFormatOrWithAFieldMoreIsRefused() {
-        byte[] entry = Codec.entry(new Proposal("c", 1, "e", 0, acquire("a")));
-        assertThrows(IOException.class, () -> Codec.proposal(Codec.bytes(Map.of("format", 2))));
+    void entryOfUnknownFormatOrWithUnknownFieldIsRejected() {
+        byte[] entry = GroupCodec.encodeEntry(new Proposal("c", 1, "e", 0, acquire("a")));
+        assertThrows(IOException.class, () -> GroupCodec.decodeProposal(GroupCodec.toCbor(Map.of("format", 2))));
         assertThrows(
                 IOException.class,
-                () -> Codec.proposal(Codec.bytes(Map.of("format", 1, "more", 1))));
-        assertThrows(IOException.class, () -> Codec.proposal(java.util.Arrays.copyOf(entry, 20)));
+                () -> GroupCodec.decodeProposal(GroupCodec.toCbor(Map.of("format", 1, "more", 1))));
+        assertThrows(IOException.class, () -> GroupCodec.decodeProposal(java.util.Arrays.copyOf(entry, 20)));
     }
 }
