--- a/coordinator/src/test/java/saltstage/coordinator/lease/LeasesTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/lease/LeasesTest.java
@@ -18,93 +18,93 @@
 import saltstage.coordinator.lease.LeaseCommands.Renew;
 import saltstage.coordinator.lease.LeaseReplies.Granted;
 import saltstage.coordinator.lease.LeaseReplies.Held;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 
 /** Leases in group time. */
 class LeasesTest {
     private final Leases leases = new Leases();
 
-    private Reply ask(String owner, int priority, boolean queue, long now) {
+    private Reply acquire(String owner, int priority, boolean queue, long now) {
         return leases.acquire(new Acquire("x", owner, 1_000, priority, queue), now);
     }
 
-    private static long fence(Reply reply) {
+    private static long grantedToken(Reply reply) {
         return assertInstanceOf(Granted.class, reply, String.valueOf(reply)).fence();
     }
 
     @Test
-    void oneHolderUntilItsTimeIsOverAndNeverTheSameFenceTwice() {
-        long first = fence(ask("a", 0, false, 0));
-        assertInstanceOf(Held.class, ask("b", 0, false, 999));
-        long second = fence(ask("b", 0, false, 1_000));
+    void oneHolderUntilExpiryAndFencingTokensAreNeverReused() {
+        long first = grantedToken(acquire("a", 0, false, 0));
+        assertInstanceOf(Held.class, acquire("b", 0, false, 999));
+        long second = grantedToken(acquire("b", 0, false, 1_000));
         assertTrue(second > first);
         assertFalse(leases.renew(new Renew("a", Map.of("x", first)), 1_001).lost().isEmpty());
         assertFalse(
                 leases.release(new Release("x", "a", first), 1_002), "an old fence frees nothing");
-        assertTrue(leases.holds("x", "b", second, 1_003));
+        assertTrue(leases.isHeldBy("x", "b", second, 1_003));
     }
 
     @Test
-    void askingAgainIsTheSameGrantAndNeverShortensIt() {
-        long fence = fence(ask("a", 0, false, 0));
-        assertEquals(fence, fence(leases.acquire(new Acquire("x", "a", 500, 0, false), 10)));
-        assertInstanceOf(Held.class, ask("b", 0, false, 999));
+    void repeatedAcquireReturnsTheSameGrantAndNeverShortensIt() {
+        long fence = grantedToken(acquire("a", 0, false, 0));
+        assertEquals(fence, grantedToken(leases.acquire(new Acquire("x", "a", 500, 0, false), 10)));
+        assertInstanceOf(Held.class, acquire("b", 0, false, 999));
     }
 
     @Test
-    void waitersGoByPriorityThenByOrderAndKeepTheirPlaceByAskingAgain() {
-        fence(ask("a", 0, false, 0));
-        ask("low", 0, true, 1);
-        ask("low2", 0, true, 2);
-        ask("high", 5, true, 3);
-        ask("low", 0, true, 900);
-        assertEquals(1, ((Held) ask("low", 0, true, 990)).ahead());
-        ask("low2", 0, true, 990);
+    void waitersAreServedByPriorityThenOrderAndKeepTheirPlaceByAskingAgain() {
+        grantedToken(acquire("a", 0, false, 0));
+        acquire("low", 0, true, 1);
+        acquire("low2", 0, true, 2);
+        acquire("high", 5, true, 3);
+        acquire("low", 0, true, 900);
+        assertEquals(1, ((Held) acquire("low", 0, true, 990)).ahead());
+        acquire("low2", 0, true, 990);
         assertInstanceOf(
                 Held.class,
-                ask("low", 0, true, 1_000),
+                acquire("low", 0, true, 1_000),
                 "it is kept for the one of higher priority");
-        long fence = fence(ask("high", 5, true, 1_001));
+        long fence = grantedToken(acquire("high", 5, true, 1_001));
         leases.release(new Release("x", "high", fence), 1_002);
-        assertInstanceOf(Held.class, ask("low2", 0, true, 1_003));
-        fence(ask("low", 0, true, 1_004));
+        assertInstanceOf(Held.class, acquire("low2", 0, true, 1_003));
+        grantedToken(acquire("low", 0, true, 1_004));
     }
 
     @Test
-    void waiterThatDiedIsPassedOver() {
-        fence(ask("a", 0, false, 0));
-        ask("dead", 9, true, 1);
-        ask("b", 0, true, 900);
-        assertInstanceOf(Held.class, ask("b", 0, true, 1_010), "the first has its turn to ask");
-        fence(ask("b", 0, true, 1_010 + Leases.CLAIM_MS));
+    void deadWaiterIsSkipped() {
+        grantedToken(acquire("a", 0, false, 0));
+        acquire("dead", 9, true, 1);
+        acquire("b", 0, true, 900);
+        assertInstanceOf(Held.class, acquire("b", 0, true, 1_010), "the first has its turn to ask");
+        grantedToken(acquire("b", 0, true, 1_010 + Leases.CLAIM_TIMEOUT_MS));
     }
 
     @Test
-    void nothingIsLeftOfWhatNobodyHoldsOrWantsAnyMore() {
-        fence(ask("a", 0, false, 0));
-        ask("b", 0, true, 1);
+    void expiredLeaseWithoutWaitersIsRemoved() {
+        grantedToken(acquire("a", 0, false, 0));
+        acquire("b", 0, true, 1);
         leases.advance(100_000);
         assertEquals(0, leases.size());
-        assertEquals(Long.MAX_VALUE, leases.nextDue());
+        assertEquals(Long.MAX_VALUE, leases.nextDeadline());
     }
 
     @Test
-    void whatIsNoNameOrSpanIsRefusedAndChangesNothing() {
+    void invalidNameOrTtlIsRejectedWithoutEffect() {
         for (String name : new String[] {null, "", "a b", "x".repeat(201), "\u00e9"}) {
             assertInstanceOf(
-                    Refused.class, leases.acquire(new Acquire(name, "a", 1_000, 0, false), 0));
+                    Rejection.class, leases.acquire(new Acquire(name, "a", 1_000, 0, false), 0));
         }
         for (long ttl : new long[] {0, -1, 499, 3_600_001, Long.MAX_VALUE}) {
-            assertInstanceOf(Refused.class, leases.acquire(new Acquire("x", "a", ttl, 0, true), 0));
+            assertInstanceOf(Rejection.class, leases.acquire(new Acquire("x", "a", ttl, 0, true), 0));
         }
         assertEquals(0, leases.size());
     }
 
     @Test
-    void thousandsThatEndAtOnceAllEnd() {
+    void thousandsOfLeasesExpiringTogetherAllExpire() {
         for (int i = 0; i < 10_000; i++) {
-            fence(leases.acquire(new Acquire("l" + i, "o" + i, 1_000, 0, false), 0));
+            grantedToken(leases.acquire(new Acquire("l" + i, "o" + i, 1_000, 0, false), 0));
         }
         leases.advance(1_000);
         assertEquals(0, leases.size());
@@ -116,7 +116,7 @@
      * same way.
      */
     @Property(tries = 300)
-    void grantsNeverOverlapWhateverHappens(@ForAll long seed) {
+    void grantsNeverOverlapForRandomOperations(@ForAll long seed) {
         LeaseModel model = new LeaseModel(new Random(seed));
         for (long now = 0; now < 40_000; now += model.random.nextInt(400)) {
             model.step(now);
@@ -126,11 +126,11 @@
     /** The plain model, and the leases that it is compared with after each step. */
     private static final class LeaseModel {
         private final Random random;
-        private final Map<String, Long> until = new HashMap<>();
+        private final Map<String, Long> expiry = new HashMap<>();
         private final Map<String, String> holder = new HashMap<>();
-        private final Map<String, Long> fences = new HashMap<>();
-        private Leases played = new Leases();
-        private long last;
+        private final Map<String, Long> fencingTokens = new HashMap<>();
+        private Leases actual = new Leases();
+        private long lastFencingToken;
 
         private LeaseModel(Random random) {
             this.random = random;
@@ -139,59 +139,59 @@
         private void step(long now) {
             String name = "n" + random.nextInt(2);
             String owner = "o" + random.nextInt(4);
-            if (until.getOrDefault(name, 0L) <= now) {
+            if (expiry.getOrDefault(name, 0L) <= now) {
                 holder.remove(name);
             }
             switch (random.nextInt(4)) {
                 case 0, 1 -> acquire(name, owner, now);
                 case 2 -> release(name, owner, now);
-                default -> copy();
+                default -> restoreFromImage();
             }
             String holds = holder.get(name);
             assertEquals(
                     holds != null,
-                    holds != null && played.holds(name, holds, fences.get(name), now));
+                    holds != null && actual.isHeldBy(name, holds, fencingTokens.get(name), now));
         }
 
         private void acquire(String name, String owner, long now) {
             long ttl = 500 + random.nextInt(1_000);
             Acquire ask = new Acquire(name, owner, ttl, random.nextInt(3), random.nextBoolean());
-            if (played.acquire(ask, now) instanceof Granted granted) {
+            if (actual.acquire(ask, now) instanceof Granted granted) {
                 boolean again = owner.equals(holder.get(name));
                 assertTrue(again || holder.get(name) == null, "granted to a second holder");
-                assertTrue(again ? granted.fence() == fences.get(name) : granted.fence() > last);
-                last = Math.max(last, granted.fence());
-                until.merge(name, now + ttl, again ? Math::max : (old, made) -> made);
+                assertTrue(again ? granted.fence() == fencingTokens.get(name) : granted.fence() > lastFencingToken);
+                lastFencingToken = Math.max(lastFencingToken, granted.fence());
+                expiry.merge(name, now + ttl, again ? Math::max : (old, made) -> made);
                 holder.put(name, owner);
-                fences.put(name, granted.fence());
+                fencingTokens.put(name, granted.fence());
             }
         }
 
         private void release(String name, String owner, long now) {
-            long fence = random.nextBoolean() ? fences.getOrDefault(name, 1L) : random.nextInt(5);
-            played.release(new Release(name, owner, fence), now);
-            if (owner.equals(holder.get(name)) && fence == fences.get(name)) {
+            long fence = random.nextBoolean() ? fencingTokens.getOrDefault(name, 1L) : random.nextInt(5);
+            actual.release(new Release(name, owner, fence), now);
+            if (owner.equals(holder.get(name)) && fence == fencingTokens.get(name)) {
                 holder.remove(name);
             }
         }
 
-        private void copy() {
-            Leases.Image image = played.image();
-            played = new Leases(image);
-            assertEquals(image, played.image());
+        private void restoreFromImage() {
+            Leases.Image image = actual.image();
+            actual = new Leases(image);
+            assertEquals(image, actual.image());
         }
     }
 
     @Test
-    void renewingNamesWhatIsLostAndKeepsTheRest() {
+    void renewalReportsLostLeasesAndExtendsTheRest() {
         List<Long> got = new ArrayList<>();
         for (String name : List.of("a", "b")) {
-            got.add(fence(leases.acquire(new Acquire(name, "o", 1_000, 0, false), 0)));
+            got.add(grantedToken(leases.acquire(new Acquire(name, "o", 1_000, 0, false), 0)));
         }
         leases.release(new Release("a", "o", got.get(0)), 1);
         var renewed = leases.renew(new Renew("o", Map.of("a", got.get(0), "b", got.get(1))), 900);
         assertEquals(List.of("a"), renewed.lost());
-        assertTrue(leases.holds("b", "o", got.get(1), 1_899));
-        assertFalse(leases.holds("b", "o", got.get(1), 1_900));
+        assertTrue(leases.isHeldBy("b", "o", got.get(1), 1_899));
+        assertFalse(leases.isHeldBy("b", "o", got.get(1), 1_900));
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/window/WindowsTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/window/WindowsTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import saltstage.coordinator.model.Refused;
+import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.window.Window.State;
 import saltstage.coordinator.window.WindowCommands.Step;
@@ -51,7 +51,7 @@
                 310);
     }
 
-    private static WindowRequest wish(
+    private static WindowRequest request(
             String region, int count, long earliest, long latest, int priority) {
         return new WindowRequest(
                 region,
@@ -70,48 +70,48 @@
                 "upgrade");
     }
 
-    private Window planned(Reply reply) {
+    private Window plannedWindow(Reply reply) {
         return assertInstanceOf(WindowReplies.Planned.class, reply, String.valueOf(reply))
                 .windows()
                 .get(0);
     }
 
-    private Window now(Reply reply) {
+    private Window currentWindow(Reply reply) {
         return assertInstanceOf(WindowReplies.Now.class, reply, String.valueOf(reply)).window();
     }
 
-    private Window through(Window window, long from) {
-        now(windows.begin(window.id(), from));
-        now(windows.report(window.id(), Step.OUT, 0, from + 10 * MINUTE));
-        now(windows.report(window.id(), Step.WARMING, 0, from + 40 * MINUTE));
-        now(windows.report(window.id(), Step.PROVEN, window.capacity(), from + HOUR));
-        return now(windows.report(window.id(), Step.DONE, 0, from + HOUR));
+    private Window runToCompletion(Window window, long from) {
+        currentWindow(windows.begin(window.id(), from));
+        currentWindow(windows.report(window.id(), Step.OUT, 0, from + 10 * MINUTE));
+        currentWindow(windows.report(window.id(), Step.WARMING, 0, from + 40 * MINUTE));
+        currentWindow(windows.report(window.id(), Step.PROVEN, window.capacity(), from + HOUR));
+        return currentWindow(windows.report(window.id(), Step.DONE, 0, from + HOUR));
     }
 
     @Test
     void secondOfTwoThatWouldBreachTheFloorTogetherComesAfterTheFirst() {
-        windows.set(plan(900, 3, 0), MONDAY);
-        Window first = planned(windows.propose(wish("a", 2, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
+        windows.setPlan(plan(900, 3, 0), MONDAY);
+        Window first = plannedWindow(windows.propose(request("a", 2, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
         Window second =
-                planned(windows.propose(wish("b", 2, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
+                plannedWindow(windows.propose(request("b", 2, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
         assertEquals(MONDAY, first.start());
         assertTrue(second.start() >= MONDAY + 40 * MINUTE, "until the first warms 200 are missing");
         assertTrue(
                 second.start() < MONDAY + HOUR, "while it warms there is room before its very end");
-        assertInstanceOf(Refused.class, windows.begin(second.id(), MONDAY), "not before its time");
-        now(
+        assertInstanceOf(Rejection.class, windows.begin(second.id(), MONDAY), "not before its time");
+        currentWindow(
                 windows.begin(
                         first.id(),
                         MONDAY)); // it is planned to be warming by then, and has proven nothing
-        Refused gate = assertInstanceOf(Refused.class, windows.begin(second.id(), second.start()));
+        Rejection gate = assertInstanceOf(Rejection.class, windows.begin(second.id(), second.start()));
         assertEquals("not-now", gate.code(), gate.why());
     }
 
     @Test
-    void sameWishOfTwoOperatorsIsOneWindow() {
-        windows.set(plan(0, 3, 0), MONDAY);
-        WindowRequest wish = wish("a", 2, MONDAY, MONDAY + 9 * HOUR, 0);
-        planned(windows.propose(wish, MONDAY));
+    void sameRequestOfTwoOperatorsIsOneWindow() {
+        windows.setPlan(plan(0, 3, 0), MONDAY);
+        WindowRequest wish = request("a", 2, MONDAY, MONDAY + 9 * HOUR, 0);
+        plannedWindow(windows.propose(wish, MONDAY));
         WindowRequest again =
                 new WindowRequest(
                         "a",
@@ -133,90 +133,90 @@
     }
 
     @Test
-    void vanishedAgentHoldsTheCapacityUntilItsReturnIsProven() {
-        windows.set(plan(900, 3, 0), MONDAY);
-        Window first = planned(windows.propose(wish("a", 3, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
+    void capacityOfALostAgentStaysOutUntilItsReturnIsProven() {
+        windows.setPlan(plan(900, 3, 0), MONDAY);
+        Window first = plannedWindow(windows.propose(request("a", 3, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
         Window second =
-                planned(windows.propose(wish("b", 1, MONDAY, MONDAY + 90 * HOUR, 0), MONDAY));
-        now(windows.begin(first.id(), MONDAY));
+                plannedWindow(windows.propose(request("b", 1, MONDAY, MONDAY + 90 * HOUR, 0), MONDAY));
+        currentWindow(windows.begin(first.id(), MONDAY));
         long late = MONDAY + 5 * HOUR; // nothing was heard of it since
         windows.advance(late);
-        assertTrue(windows.find(first.id()).overdue(late));
-        assertInstanceOf(Refused.class, windows.begin(second.id(), late));
+        assertTrue(windows.find(first.id()).isOverdue(late));
+        assertInstanceOf(Rejection.class, windows.begin(second.id(), late));
         assertEquals(State.PUT_OFF, windows.find(second.id()).state());
-        now(windows.report(first.id(), Step.OUT, 0, late));
-        now(windows.report(first.id(), Step.WARMING, 0, late));
-        now(windows.report(first.id(), Step.PROVEN, 200, late));
+        currentWindow(windows.report(first.id(), Step.OUT, 0, late));
+        currentWindow(windows.report(first.id(), Step.WARMING, 0, late));
+        currentWindow(windows.report(first.id(), Step.PROVEN, 200, late));
         assertEquals(100, windows.levels(late, late + 1, 1, late).get(0).missing());
         assertInstanceOf(
-                Refused.class,
+                Rejection.class,
                 windows.report(first.id(), Step.DONE, 0, late),
                 "a third is missing");
-        now(windows.report(first.id(), Step.PROVEN, 300, late));
-        now(windows.report(first.id(), Step.DONE, 0, late));
+        currentWindow(windows.report(first.id(), Step.PROVEN, 300, late));
+        currentWindow(windows.report(first.id(), Step.DONE, 0, late));
         assertEquals(
                 State.PLANNED, windows.find(second.id()).state(), "it is planned anew by itself");
     }
 
     @Test
-    void outageTurnsDrainsBackLeastWantedFirstAndPutsPlansOff() {
-        windows.set(plan(800, 3, 0), MONDAY);
-        Window low = planned(windows.propose(wish("a", 2, MONDAY, MONDAY + 99 * HOUR, 1), MONDAY));
-        Window high = planned(windows.propose(wish("b", 2, MONDAY, MONDAY + 99 * HOUR, 5), MONDAY));
+    void outageAbortsLeastImportantDrainsFirstAndPostponesPlannedWindows() {
+        windows.setPlan(plan(800, 3, 0), MONDAY);
+        Window low = plannedWindow(windows.propose(request("a", 2, MONDAY, MONDAY + 99 * HOUR, 1), MONDAY));
+        Window high = plannedWindow(windows.propose(request("b", 2, MONDAY, MONDAY + 99 * HOUR, 5), MONDAY));
         Window later =
-                planned(
+                plannedWindow(
                         windows.propose(
-                                wish("c", 1, MONDAY + 2 * HOUR, MONDAY + 99 * HOUR, 1), MONDAY));
-        now(windows.begin(low.id(), MONDAY));
-        now(windows.begin(high.id(), MONDAY));
-        windows.outage("c", 200, MONDAY + MINUTE);
+                                request("c", 1, MONDAY + 2 * HOUR, MONDAY + 99 * HOUR, 1), MONDAY));
+        currentWindow(windows.begin(low.id(), MONDAY));
+        currentWindow(windows.begin(high.id(), MONDAY));
+        windows.reportOutage("c", 200, MONDAY + MINUTE);
         assertEquals(State.RETURNING, windows.find(low.id()).state());
         assertEquals(
                 State.DRAINING, windows.find(high.id()).state(), "of the two it is wanted more");
         assertEquals(
                 State.PUT_OFF, windows.find(later.id()).state(), "with one returning nothing fits");
-        now(windows.report(low.id(), Step.PROVEN, 200, MONDAY + 5 * MINUTE));
-        now(windows.report(low.id(), Step.DONE, 0, MONDAY + 5 * MINUTE));
-        windows.outage("c", 0, MONDAY + 6 * MINUTE);
+        currentWindow(windows.report(low.id(), Step.PROVEN, 200, MONDAY + 5 * MINUTE));
+        currentWindow(windows.report(low.id(), Step.DONE, 0, MONDAY + 5 * MINUTE));
+        windows.reportOutage("c", 0, MONDAY + 6 * MINUTE);
         assertEquals(State.PLANNED, windows.find(low.id()).state());
         assertEquals(State.PLANNED, windows.find(later.id()).state());
     }
 
     @Test
-    void withdrawnDrainCountsUntilItIsBack() {
-        windows.set(plan(1_000, 3, 0), MONDAY);
-        Window first = planned(windows.propose(wish("a", 2, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
-        now(windows.begin(first.id(), MONDAY));
-        assertEquals(State.RETURNING, now(windows.withdraw(first.id(), "ops", MONDAY + 1)).state());
-        WindowRequest other = wish("b", 2, MONDAY, MONDAY + 9 * HOUR, 0);
+    void withdrawnDrainCountsAsOutUntilItsReturnIsProven() {
+        windows.setPlan(plan(1_000, 3, 0), MONDAY);
+        Window first = plannedWindow(windows.propose(request("a", 2, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
+        currentWindow(windows.begin(first.id(), MONDAY));
+        assertEquals(State.RETURNING, currentWindow(windows.withdraw(first.id(), "ops", MONDAY + 1)).state());
+        WindowRequest other = request("b", 2, MONDAY, MONDAY + 9 * HOUR, 0);
         assertInstanceOf(
-                Refused.class, windows.propose(other, MONDAY + 2), "nobody knows when it is back");
-        now(windows.report(first.id(), Step.PROVEN, 200, MONDAY + 3));
+                Rejection.class, windows.propose(other, MONDAY + 2), "nobody knows when it is back");
+        currentWindow(windows.report(first.id(), Step.PROVEN, 200, MONDAY + 3));
         assertEquals(
-                State.WITHDRAWN, now(windows.report(first.id(), Step.DONE, 0, MONDAY + 4)).state());
-        planned(windows.propose(other, MONDAY + 5));
+                State.WITHDRAWN, currentWindow(windows.report(first.id(), Step.DONE, 0, MONDAY + 4)).state());
+        plannedWindow(windows.propose(other, MONDAY + 5));
     }
 
     @Test
-    void refusalSaysWhichFloorByHowMuchAndWhenItWouldDo() {
-        windows.set(plan(1_000, 3, 0), MONDAY);
-        planned(windows.propose(wish("a", 2, MONDAY, MONDAY + HOUR, 0), MONDAY));
-        Refused no =
+    void rejectionNamesFloorShortfallAndNextPossibleStart() {
+        windows.setPlan(plan(1_000, 3, 0), MONDAY);
+        plannedWindow(windows.propose(request("a", 2, MONDAY, MONDAY + HOUR, 0), MONDAY));
+        Rejection no =
                 assertInstanceOf(
-                        Refused.class,
-                        windows.propose(wish("b", 2, MONDAY, MONDAY + 80 * MINUTE, 0), MONDAY));
+                        Rejection.class,
+                        windows.propose(request("b", 2, MONDAY, MONDAY + 80 * MINUTE, 0), MONDAY));
         assertTrue(no.why().startsWith("floor all would be short by "), no.why());
         assertTrue(no.why().contains("would do from " + (MONDAY + no.retryMs())), no.why());
         assertEquals(1, windows.all().size(), "a refused wish leaves nothing");
     }
 
     @Test
-    void emergencyGoesFirstAndSaysWhomItMovedAndStillKeepsTheFloor() {
-        windows.set(plan(1_000, 3, 0), MONDAY);
-        Window usual = planned(windows.propose(wish("a", 2, MONDAY, MONDAY + 9 * HOUR, 9), MONDAY));
-        WindowRequest wish = wish("b", 2, MONDAY, MONDAY + 9 * HOUR, 0);
+    void emergencyDisplacesPlannedWindowsButKeepsTheFloor() {
+        windows.setPlan(plan(1_000, 3, 0), MONDAY);
+        Window usual = plannedWindow(windows.propose(request("a", 2, MONDAY, MONDAY + 9 * HOUR, 9), MONDAY));
+        WindowRequest wish = request("b", 2, MONDAY, MONDAY + 9 * HOUR, 0);
         Window first =
-                planned(
+                plannedWindow(
                         windows.propose(
                                 new WindowRequest(
                                         "b",
@@ -237,7 +237,7 @@
         assertEquals(MONDAY, first.start());
         assertTrue(windows.find(usual.id()).why().startsWith("moved from " + usual.start()));
         assertInstanceOf(
-                Refused.class,
+                Rejection.class,
                 windows.propose(
                         new WindowRequest(
                                 "c",
@@ -258,8 +258,8 @@
     }
 
     @Test
-    void wishThatMayBeSplitGoesInParts() {
-        windows.set(plan(1_000, 3, 0), MONDAY);
+    void splittableRequestIsPlannedInParts() {
+        windows.setPlan(plan(1_000, 3, 0), MONDAY);
         WindowRequest whole =
                 new WindowRequest(
                         "a",
@@ -282,10 +282,10 @@
     }
 
     @Test
-    void orderRestAndNeverTogetherAreKept() {
-        windows.set(plan(0, 1, 30 * MINUTE), MONDAY);
+    void orderSpacingAndExclusionAreRespected() {
+        windows.setPlan(plan(0, 1, 30 * MINUTE), MONDAY);
         Window first =
-                planned(windows.propose(wish("a", 1, MONDAY, MONDAY + 99 * HOUR, 0), MONDAY));
+                plannedWindow(windows.propose(request("a", 1, MONDAY, MONDAY + 99 * HOUR, 0), MONDAY));
         WindowRequest second =
                 new WindowRequest(
                         "a",
@@ -302,23 +302,23 @@
                         List.of(),
                         "ops",
                         "later");
-        Window after = planned(windows.propose(second, MONDAY));
+        Window after = plannedWindow(windows.propose(second, MONDAY));
         assertTrue(
                 after.start() >= first.plannedEnd() + 30 * MINUTE, "the region rests in between");
         Window other =
-                planned(windows.propose(wish("b", 1, MONDAY, MONDAY + 99 * HOUR, 0), MONDAY));
+                plannedWindow(windows.propose(request("b", 1, MONDAY, MONDAY + 99 * HOUR, 0), MONDAY));
         assertTrue(
                 other.start() >= first.plannedEnd() && other.plannedEnd() <= after.start()
                         || other.start() >= after.plannedEnd(),
                 "one region at a time");
         assertInstanceOf(
-                Refused.class,
+                Rejection.class,
                 windows.begin(after.id(), after.start()),
                 "the first was never done");
     }
 
     @Test
-    void blackOutFollowsLocalTimeOverAChangeOfTheClocks() {
+    void blackOutFollowsLocalTimeAcrossADaylightSavingChange() {
         long change = MONDAY + 6 * 24 * HOUR + HOUR; // Sunday 01:00 UTC: from +1 h to +2 h
         FleetPlan plan =
                 new FleetPlan(
@@ -326,8 +326,8 @@
                         Map.of(
                                 "Z",
                                 List.of(
-                                        new FleetPlan.Shift(0, HOUR),
-                                        new FleetPlan.Shift(change, 2 * HOUR))),
+                                        new FleetPlan.UtcOffsetChange(0, HOUR),
+                                        new FleetPlan.UtcOffsetChange(change, 2 * HOUR))),
                         List.of(
                                 region(
                                         "a",
@@ -338,12 +338,12 @@
                         1,
                         0,
                         310);
-        windows.set(plan, MONDAY);
+        windows.setPlan(plan, MONDAY);
         long saturday = MONDAY + 5 * 24 * HOUR; // closed from 22:00 there, which is 21:00 UTC
         Window night =
-                planned(
+                plannedWindow(
                         windows.propose(
-                                wish(
+                                request(
                                         "a",
                                         1,
                                         saturday + 20 * HOUR + MINUTE,
@@ -354,44 +354,44 @@
     }
 
     @Test
-    void stepsSaidAgainDoNoHarmAndStepsOutOfOrderAreRefused() {
-        windows.set(plan(0, 3, 0), MONDAY);
-        Window one = planned(windows.propose(wish("a", 1, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
-        assertInstanceOf(Refused.class, windows.report(one.id(), Step.OUT, 0, MONDAY));
-        now(windows.begin(one.id(), MONDAY));
-        Window begun = now(windows.begin(one.id(), MONDAY + 5));
+    void repeatedStepsAreIdempotentAndOutOfOrderStepsAreRejected() {
+        windows.setPlan(plan(0, 3, 0), MONDAY);
+        Window one = plannedWindow(windows.propose(request("a", 1, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
+        assertInstanceOf(Rejection.class, windows.report(one.id(), Step.OUT, 0, MONDAY));
+        currentWindow(windows.begin(one.id(), MONDAY));
+        Window begun = currentWindow(windows.begin(one.id(), MONDAY + 5));
         assertEquals(MONDAY, begun.begun());
-        assertInstanceOf(Refused.class, windows.report(one.id(), Step.WARMING, 0, MONDAY));
-        now(windows.report(one.id(), Step.OUT, 0, MONDAY));
-        Window out = now(windows.report(one.id(), Step.OUT, 0, MONDAY + 9));
+        assertInstanceOf(Rejection.class, windows.report(one.id(), Step.WARMING, 0, MONDAY));
+        currentWindow(windows.report(one.id(), Step.OUT, 0, MONDAY));
+        Window out = currentWindow(windows.report(one.id(), Step.OUT, 0, MONDAY + 9));
         assertEquals(MONDAY, out.since());
-        Image.same(windows);
+        ImageCheck.assertRoundTrips(windows);
         assertEquals(
                 State.DONE,
-                through(
-                                planned(
+                runToCompletion(
+                                plannedWindow(
                                         windows.propose(
-                                                wish("b", 1, MONDAY, MONDAY + 9 * HOUR, 0),
+                                                request("b", 1, MONDAY, MONDAY + 9 * HOUR, 0),
                                                 MONDAY)),
                                 MONDAY)
                         .state());
     }
 
     /** A copy through an image is the same. */
-    private static final class Image {
-        static void same(Windows windows) {
+    private static final class ImageCheck {
+        static void assertRoundTrips(Windows windows) {
             assertEquals(windows.image(), new Windows(windows.image()).image());
         }
     }
 
     /** Proposes a window, or does something to one that is there. */
-    private static void change(Windows played, Random drawn, long now, int step) {
+    private static void applyRandomChange(Windows played, Random drawn, long now, int step) {
         String region = "abc".substring(drawn.nextInt(3)).substring(0, 1);
         List<Window> all = new ArrayList<>(played.all());
         Window any = all.isEmpty() ? null : all.get(drawn.nextInt(all.size()));
         if (any == null || drawn.nextInt(5) == 0) {
             WindowRequest wish =
-                    wish(region, 1 + drawn.nextInt(3), now, now + 24 * HOUR, drawn.nextInt(4));
+                    request(region, 1 + drawn.nextInt(3), now, now + 24 * HOUR, drawn.nextInt(4));
             played.propose(
                     new WindowRequest(
                             region,
@@ -424,20 +424,20 @@
      * Whatever is proposed, begun, reported, withdrawn, in whatever order: no floor is ever short.
      */
     @Property(tries = 60)
-    void noFloorIsEverShortByWhatWasAllowed(@ForAll long seed) {
+    void allowedWindowsNeverBreachAFloor(@ForAll long seed) {
         Random drawn = new Random(seed);
         Windows played = new Windows();
         long floor = 700 + drawn.nextInt(400);
-        played.set(plan(floor, 1 + drawn.nextInt(3), drawn.nextInt(2) * 20 * MINUTE), MONDAY);
+        played.setPlan(plan(floor, 1 + drawn.nextInt(3), drawn.nextInt(2) * 20 * MINUTE), MONDAY);
         long now = MONDAY;
         for (int i = 0; i < 150; i++) {
             now += drawn.nextInt(12) * MINUTE;
             played.advance(now);
-            change(played, drawn, now, i);
-            for (Windows.Level level : played.levels(now, now + 1, 1, now)) {
+            applyRandomChange(played, drawn, now, i);
+            for (Windows.FloorLevel level : played.levels(now, now + 1, 1, now)) {
                 assertTrue(level.capacity() >= level.need(), "at step " + i + ": " + level);
             }
-            Image.same(played);
+            ImageCheck.assertRoundTrips(played);
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
+++ b/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
@@ -5,7 +5,7 @@
 
 import saltstage.coordinator.client.GroupClient;
 import saltstage.coordinator.client.Ticker;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.model.Command;
 import saltstage.lab.scale.Topology.Zone;
 import saltstage.lab.trial.Proc;
@@ -208,8 +208,8 @@
 
     /** Whether each replica of a zone's region refuses a command, or does not answer it in time. */
     boolean refusesChanges(Zone zone, Command command) throws InterruptedException {
-        ObjectNode body = Codec.json().createObjectNode().put("client", "outsider").put("seq", 1);
-        body.set("command", Codec.json().valueToTree(command));
+        ObjectNode body = GroupCodec.jsonMapper().createObjectNode().put("client", "outsider").put("seq", 1);
+        body.set("command", GroupCodec.jsonMapper().valueToTree(command));
         HttpClient http = HttpClient.newHttpClient();
         for (String name : hosts.keySet()) {
             if (zones.get(name).sharesRegionWith(zone) && accepts(http, hosts.get(name), body)) {
--- a/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
@@ -14,8 +14,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import saltstage.coordinator.client.GroupClient;
-import saltstage.coordinator.group.Codec;
-import saltstage.coordinator.model.Done;
+import saltstage.coordinator.group.GroupCodec;
+import saltstage.coordinator.model.Acknowledgement;
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.settings.FleetSettings;
 import saltstage.coordinator.window.Window;
@@ -97,7 +97,7 @@
         fleet.append("  floor \"all\" {\n    regions = [\"kita\", \"minami\"]\n    least = " + FLOOR
             + "\n  }\n}\n");
         Reply agreed = null;
-        for (int i = 0; i < 100 && !(agreed instanceof Done); i++) {
+        for (int i = 0; i < 100 && !(agreed instanceof Acknowledgement); i++) {
             agreed = client.send(new WindowCommands.SetFleet(
                 FleetSettings.of("fleet", fleet.toString(), Instant.now()), "demo"), CALL).reply();
             Thread.sleep(100);
@@ -133,7 +133,7 @@
         for (boolean over = false; !over; Thread.sleep(250)) {
             over = true;
             for (JsonNode row : client.get("/v1/windows", CALL).path("windows")) {
-                Window now = Codec.json().treeToValue(row, Window.class);
+                Window now = GroupCodec.jsonMapper().treeToValue(row, Window.class);
                 Window before = windows.put(now.id(), now);
                 if (before == null || before.state() != now.state()) {
                     happened.add("window " + now.id() + " " + now.state() + ": " + now.why());
--- a/lab/src/main/java/saltstage/lab/trial/LeaderCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/LeaderCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 import saltstage.coordinator.client.GroupClient;
 import saltstage.coordinator.client.Ticker;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.lease.LeaseCommands.Acquire;
 import saltstage.coordinator.lease.LeaseCommands.Release;
 import saltstage.coordinator.lease.LeaseReplies.Granted;
@@ -143,7 +143,7 @@
                 handed.recordValue(gap(group, leader -> {
                     String to = group.names().stream().filter(n -> !n.equals(leader)).findFirst()
                         .orElseThrow();
-                    group.client().post("/v1/transfer", Codec.json().createObjectNode().put("to", to), CALL);
+                    group.client().post("/v1/transfer", GroupCodec.jsonMapper().createObjectNode().put("to", to), CALL);
                 }));
             }
         }
--- a/lab/src/main/java/saltstage/lab/trial/WindowTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/WindowTrial.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import saltstage.coordinator.client.GroupClient;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.settings.FleetSettings;
 import saltstage.coordinator.window.Window;
@@ -74,7 +74,7 @@
 
     private void agree(String fleet) throws IOException, InterruptedException {
         Reply agreed = null;
-        for (int i = 0; i < 100 && !(agreed instanceof saltstage.coordinator.model.Done); i++) {
+        for (int i = 0; i < 100 && !(agreed instanceof saltstage.coordinator.model.Acknowledgement); i++) {
             try {
                 agreed = client.send(new WindowCommands.SetFleet(FleetSettings.of("fleet.hcl", fleet,
                     Instant.now()), "trial"), CALL).reply(); // until every voter was heard to know windows
@@ -112,7 +112,7 @@
     private Window find(long id) throws IOException, InterruptedException {
         for (JsonNode row : client.get("/v1/windows", CALL).path("windows")) {
             if (row.path("id").asLong() == id) {
-                return Codec.json().treeToValue(row, Window.class);
+                return GroupCodec.jsonMapper().treeToValue(row, Window.class);
             }
         }
         throw new IOException("window " + id + " is gone");
@@ -175,7 +175,7 @@
 
     /** The agent of region a that holds its lease, else any: who waits is no target worth a fault. */
     private Proc holder() throws IOException, InterruptedException {
-        String owner = client.get("/v1/lease?name=" + WindowCommands.lease("a"), CALL).path("leases").path(0)
+        String owner = client.get("/v1/lease?name=" + WindowCommands.leaseName("a"), CALL).path("leases").path(0)
             .path("owner").asText("");
         for (Proc agent : agents.values()) {
             if (agent.alive() && owner.startsWith("agent-a-" + agent.pid() + "/")) {
--- a/lab/src/test/java/saltstage/lab/trial/GroupTest.java
+++ b/lab/src/test/java/saltstage/lab/trial/GroupTest.java
@@ -25,7 +25,7 @@
 import picocli.CommandLine;
 import saltstage.coordinator.client.GroupClient;
 import saltstage.coordinator.client.Ticker;
-import saltstage.coordinator.group.Codec;
+import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.group.GroupState;
 import saltstage.coordinator.lease.LeaseCommands.Acquire;
 import saltstage.coordinator.lease.LeaseReplies.Granted;
@@ -184,7 +184,7 @@
             assertEquals(78, group.proc(victim).exitCode());
             assertTrue(Files.readString(group.proc(victim).log().toPath()).contains("other-disk"));
 
-            group.client().post("/v1/leave", Codec.json().createObjectNode().put("name", victim), CALL);
+            group.client().post("/v1/leave", GroupCodec.jsonMapper().createObjectNode().put("name", victim), CALL);
             try (Proc anew = group.joining("r4")) {
                 anew.start();
                 await("it votes again", () -> {
@@ -210,7 +210,7 @@
                     acquire.replace("'o'", "'o','more':1"), plan, "x".repeat(100_000))) {
                 HttpResponse<String> said = post(group, "/v1/do", body.replace('\'', '"'));
                 assertEquals(400, said.statusCode(), body + " got " + said.body());
-                assertTrue(Codec.json().readTree(said.body()).path("error").asText().length() > 5,
+                assertTrue(GroupCodec.jsonMapper().readTree(said.body()).path("error").asText().length() > 5,
                     said.body());
             }
             assertEquals(404, post(group, "/v1/never", "{}").statusCode());
@@ -278,7 +278,7 @@
                 && status(group, group.leader(CALL)).path("members").size() == 3);
             for (String name : group.names()) { // each leads once, the one that is off too
                 if (!name.equals(group.leader(CALL))) {
-                    group.client().post("/v1/transfer", Codec.json().createObjectNode().put("to", name),
+                    group.client().post("/v1/transfer", GroupCodec.jsonMapper().createObjectNode().put("to", name),
                         CALL);
                 }
                 Thread.sleep(500);
@@ -300,7 +300,7 @@
             group.more("r1", "");
             group.proc("r1").start();
             await("all know what this build does",
-                () -> status(group, "r1").path("level").asInt() == GroupState.SPEAKS);
+                () -> status(group, "r1").path("level").asInt() == GroupState.SUPPORTED_FEATURE_LEVEL);
         }
     }
 }
