--- a/relay/src/main/java/saltstage/admin/AdminListener.java
+++ b/relay/src/main/java/saltstage/admin/AdminListener.java
@@ -21,33 +21,33 @@
  */
 public final class AdminListener {
     /** Descriptors that it may take: the listener, the selector's three, and its callers. */
-    public static final int DESCRIPTORS = 28;
+    public static final int MAX_DESCRIPTORS = 28;
 
-    private static final int MOST_CALLERS = 24;
+    private static final int MAX_CONNECTIONS = 24;
     private static final int BACKLOG = 256;
 
     /** Who came so lately may have its line on the way: it is not sent off for another newcomer. */
-    private static final Duration YOUNG = Duration.ofMillis(100);
+    private static final Duration MIN_EVICTION_AGE = Duration.ofMillis(100);
 
-    private static final Duration SWEEP = Duration.ofMillis(50);
+    private static final Duration SWEEP_INTERVAL = Duration.ofMillis(50);
 
     private final Selector selector;
     private final ServerSocketChannel listener;
-    private final SelectionKey accepting;
-    private final Desk desk;
-    private final Set<Caller> callers = new LinkedHashSet<>(); // by age
+    private final SelectionKey acceptKey;
+    private final OperatorService service;
+    private final Set<OperatorConnection> connections = new LinkedHashSet<>(); // by age
     private final Queue<Runnable> answers = new ConcurrentLinkedQueue<>();
 
     /** Binds the address; callers wait in its backlog until the first round. */
-    public AdminListener(InetSocketAddress at, Desk desk) throws IOException {
-        this.desk = desk;
+    public AdminListener(InetSocketAddress at, OperatorService desk) throws IOException {
+        this.service = desk;
         selector = Selector.open();
         listener = ServerSocketChannel.open();
         try {
             listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             listener.bind(at, BACKLOG);
             listener.configureBlocking(false);
-            accepting = listener.register(selector, SelectionKey.OP_ACCEPT);
+            acceptKey = listener.register(selector, SelectionKey.OP_ACCEPT);
         } catch (IOException e) {
             listener.close();
             selector.close();
@@ -61,8 +61,8 @@
     }
 
     /** Waits for what comes and does it; called over and over, by one thread. */
-    public void round() throws IOException {
-        selector.select(SWEEP.toMillis());
+    public void runOnce() throws IOException {
+        selector.select(SWEEP_INTERVAL.toMillis());
         for (Runnable answer = answers.poll(); answer != null; answer = answers.poll()) {
             answer.run();
         }
@@ -70,12 +70,12 @@
         while (ready.hasNext()) {
             SelectionKey key = ready.next();
             ready.remove();
-            if (key.isValid() && key != accepting) {
-                ((Caller) key.attachment()).ready();
+            if (key.isValid() && key != acceptKey) {
+                ((OperatorConnection) key.attachment()).ready();
             }
         }
         long now = System.nanoTime();
-        callers.removeIf(caller -> caller.overBy(now));
+        connections.removeIf(caller -> caller.closeIfExpired(now));
         accept();
     }
 
@@ -84,61 +84,61 @@
      * must go.
      */
     private void accept() throws IOException {
-        while (callers.size() < MOST_CALLERS || sendOneOff()) {
+        while (connections.size() < MAX_CONNECTIONS || evictOne()) {
             SocketChannel channel = listener.accept();
             if (channel == null) {
-                accepting.interestOps(SelectionKey.OP_ACCEPT);
+                acceptKey.interestOps(SelectionKey.OP_ACCEPT);
                 return;
             }
-            take(channel);
+            register(channel);
         }
-        accepting.interestOps(0); // else the selector would not sleep until there is room
+        acceptKey.interestOps(0); // else the selector would not sleep until there is room
     }
 
-    private boolean sendOneOff() {
+    private boolean evictOne() {
         long now = System.nanoTime();
-        for (Caller caller : callers) {
-            if (caller.olderThan(YOUNG, now) && caller.mayGo()) {
+        for (OperatorConnection caller : connections) {
+            if (caller.isOlderThan(MIN_EVICTION_AGE, now) && caller.isEvictable()) {
                 caller.close();
-                callers.remove(caller);
+                connections.remove(caller);
                 return true;
             }
         }
         return false;
     }
 
-    private void take(SocketChannel channel) throws IOException {
+    private void register(SocketChannel channel) throws IOException {
         try {
             channel.configureBlocking(false);
             SelectionKey key = channel.register(selector, SelectionKey.OP_READ);
-            Caller caller = new Caller(channel, key, this::answer);
-            callers.add(caller);
+            OperatorConnection caller = new OperatorConnection(channel, key, this::answer);
+            connections.add(caller);
             caller.ready(); // most lines are there already
-            if (caller.closed()) {
-                callers.remove(caller);
+            if (caller.isClosed()) {
+                connections.remove(caller);
             }
         } catch (IOException gone) {
             channel.close();
         }
     }
 
-    private void answer(Caller caller, String line) {
+    private void answer(OperatorConnection caller, String line) {
         try {
-            Call.parse(line)
-                    .answer(desk)
+            OperatorCall.parse(line)
+                    .execute(service)
                     .whenComplete(
                             (answer, fault) -> {
                                 String told =
-                                        answer != null ? answer : Call.error("failed, see the log");
+                                        answer != null ? answer : OperatorCall.errorLine("failed, see the log");
                                 if (fault != null) {
                                     Log.error("admin.fault", fault);
                                 }
-                                answers.add(() -> caller.say(told));
+                                answers.add(() -> caller.sendAnswer(told));
                                 selector.wakeup();
                             });
-        } catch (Call.BadCallException bad) {
-            Log.warn("admin.refused", "from", caller.remote(), "why", bad.getMessage());
-            caller.say(Call.error(bad.getMessage()));
+        } catch (OperatorCall.BadCallException bad) {
+            Log.warn("admin.refused", "from", caller.remoteAddress(), "why", bad.getMessage());
+            caller.sendAnswer(OperatorCall.errorLine(bad.getMessage()));
         }
     }
 }
--- a/relay/src/main/java/saltstage/admin/Call.java
+++ b/relay/src/main/java/saltstage/admin/OperatorCall.java
@@ -5,14 +5,14 @@
 import java.util.regex.Pattern;
 
 /** One call: a word and, where it takes one, a backend's id, parted by one blank. */
-record Call(String word, String id) {
+record OperatorCall(String command, String backendId) {
     /**
      * The longest line, its end not counted: a word, a blank and the longest id that a list may
      * have.
      */
-    static final int MOST = 160;
+    static final int MAX_LINE_BYTES = 160;
 
-    private static final Pattern ID = Pattern.compile("[!-~]{1,128}");
+    private static final Pattern ID_PATTERN = Pattern.compile("[!-~]{1,128}");
 
     /** A call that cannot be taken; the message is what its caller is told. */
     static final class BadCallException extends Exception {
@@ -24,7 +24,7 @@
     }
 
     /** Reads a line without its end. */
-    static Call parse(String line) throws BadCallException {
+    static OperatorCall parse(String line) throws BadCallException {
         String[] parts = line.strip().split(" +", 3);
         boolean named = parts[0].equals("SUSPEND") || parts[0].equals("RESTORE");
         if (!named && !parts[0].equals("STATUS") && !parts[0].equals("METRICS")) {
@@ -40,31 +40,31 @@
             throw new BadCallException(
                     parts[0] + (named ? " takes one id" : " takes nothing more"));
         }
-        if (named && !ID.matcher(parts[1]).matches()) {
+        if (named && !ID_PATTERN.matcher(parts[1]).matches()) {
             throw new BadCallException("that is no id of a backend");
         }
-        return new Call(parts[0], named ? parts[1] : null);
+        return new OperatorCall(parts[0], named ? parts[1] : null);
     }
 
     /** The whole answer, now or soon. */
-    CompletionStage<String> answer(Desk desk) {
-        switch (word) {
+    CompletionStage<String> execute(OperatorService desk) {
+        switch (command) {
             case "STATUS":
-                String why = desk.notReady();
+                String why = desk.notReadyReason();
                 return CompletableFuture.completedFuture(
-                        why == null ? "done ready\r\n" : error(why));
+                        why == null ? "done ready\r\n" : errorLine(why));
             case "METRICS":
-                return CompletableFuture.completedFuture(desk.figures() + "end\r\n");
+                return CompletableFuture.completedFuture(desk.metrics() + "end\r\n");
             case "SUSPEND":
-                return desk.suspend(id)
-                        .thenApply(bad -> bad == null ? "done suspended\r\n" : error(bad));
+                return desk.suspend(backendId)
+                        .thenApply(bad -> bad == null ? "done suspended\r\n" : errorLine(bad));
             default:
-                return desk.restore(id)
-                        .thenApply(bad -> bad == null ? "done restored\r\n" : error(bad));
+                return desk.restore(backendId)
+                        .thenApply(bad -> bad == null ? "done restored\r\n" : errorLine(bad));
         }
     }
 
-    static String error(String why) {
+    static String errorLine(String why) {
         return "error " + why.replaceAll("[^ -~]", "?") + "\r\n";
     }
 }
--- a/relay/src/main/java/saltstage/admin/Caller.java
+++ b/relay/src/main/java/saltstage/admin/OperatorConnection.java
@@ -12,35 +12,35 @@
  * One connection of an operator's: reads its line, waits for the answer, writes it, ends. Never
  * blocks.
  */
-final class Caller {
+final class OperatorConnection {
     /**
      * Longer than a person needs at a keyboard that sends whole lines; a script needs milliseconds.
      */
-    private static final Duration LINE = Duration.ofSeconds(6);
+    private static final Duration LINE_TIMEOUT = Duration.ofSeconds(6);
 
-    private static final Duration TAKES_ANSWER = Duration.ofSeconds(2);
+    private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(2);
 
     private enum Phase {
         READING,
-        ASKED,
+        AWAITING_ANSWER,
         WRITING,
         CLOSED
     }
 
     private final SocketChannel channel;
     private final SelectionKey key;
-    private final BiConsumer<Caller, String> asks;
-    private final long since = System.nanoTime();
-    private final ByteBuffer in = ByteBuffer.allocate(Call.MOST + 2);
+    private final BiConsumer<OperatorConnection, String> lineListener;
+    private final long acceptedAtNs = System.nanoTime();
+    private final ByteBuffer input = ByteBuffer.allocate(OperatorCall.MAX_LINE_BYTES + 2);
     private Phase phase = Phase.READING;
-    private ByteBuffer out;
-    private long until = since + LINE.toNanos();
+    private ByteBuffer output;
+    private long deadlineNs = acceptedAtNs + LINE_TIMEOUT.toNanos();
 
     /** A caller; its whole line is handed to asks, once. */
-    Caller(SocketChannel channel, SelectionKey key, BiConsumer<Caller, String> asks) {
+    OperatorConnection(SocketChannel channel, SelectionKey key, BiConsumer<OperatorConnection, String> asks) {
         this.channel = channel;
         this.key = key;
-        this.asks = asks;
+        this.lineListener = asks;
         key.attach(this);
     }
 
@@ -58,44 +58,44 @@
     }
 
     private void read() throws IOException {
-        int read = channel.read(in);
-        for (int i = 0; i < in.position(); i++) {
-            if (in.get(i) == '\n') {
-                ask(new String(in.array(), 0, i, StandardCharsets.ISO_8859_1));
+        int read = channel.read(input);
+        for (int i = 0; i < input.position(); i++) {
+            if (input.get(i) == '\n') {
+                lineReceived(new String(input.array(), 0, i, StandardCharsets.ISO_8859_1));
                 return;
             }
         }
-        if (!in.hasRemaining()) {
-            say(Call.error("line too long"));
-        } else if (read < 0 && in.position() == 0) {
+        if (!input.hasRemaining()) {
+            sendAnswer(OperatorCall.errorLine("line too long"));
+        } else if (read < 0 && input.position() == 0) {
             close();
         } else if (read < 0) {
-            say(Call.error("no end of line")); // half an id must not be taken for a whole one
+            sendAnswer(OperatorCall.errorLine("no end of line")); // half an id must not be taken for a whole one
         }
     }
 
-    private void ask(String line) {
-        phase = Phase.ASKED;
+    private void lineReceived(String line) {
+        phase = Phase.AWAITING_ANSWER;
         key.interestOps(0);
-        until = System.nanoTime() + TAKES_ANSWER.toNanos();
-        asks.accept(this, line);
+        deadlineNs = System.nanoTime() + ANSWER_TIMEOUT.toNanos();
+        lineListener.accept(this, line);
     }
 
     /** Its answer, whole. */
-    void say(String answer) {
+    void sendAnswer(String answer) {
         if (phase == Phase.CLOSED) {
             return;
         }
         phase = Phase.WRITING;
-        until = System.nanoTime() + TAKES_ANSWER.toNanos();
-        out = ByteBuffer.wrap(answer.getBytes(StandardCharsets.ISO_8859_1));
+        deadlineNs = System.nanoTime() + ANSWER_TIMEOUT.toNanos();
+        output = ByteBuffer.wrap(answer.getBytes(StandardCharsets.ISO_8859_1));
         ready();
     }
 
     private void write() throws IOException {
-        if (out.hasRemaining()) {
-            channel.write(out);
-            if (out.hasRemaining()) {
+        if (output.hasRemaining()) {
+            channel.write(output);
+            if (output.hasRemaining()) {
                 key.interestOps(SelectionKey.OP_WRITE);
                 return;
             }
@@ -104,35 +104,35 @@
         }
         // What is still unread would make of a close a reset, and that might take the answer with
         // it.
-        in.clear();
-        int read = channel.read(in);
-        if (read < 0 || read == in.capacity()) {
+        input.clear();
+        int read = channel.read(input);
+        if (read < 0 || read == input.capacity()) {
             close();
         }
     }
 
     /** Whether it must be forgotten: closed, or now that its time is up. */
-    boolean overBy(long now) {
-        if (phase != Phase.CLOSED && now - until > 0) {
+    boolean closeIfExpired(long now) {
+        if (phase != Phase.CLOSED && now - deadlineNs > 0) {
             close();
         }
         return phase == Phase.CLOSED;
     }
 
-    boolean olderThan(Duration age, long now) {
-        return now - since > age.toNanos();
+    boolean isOlderThan(Duration age, long now) {
+        return now - acceptedAtNs > age.toNanos();
     }
 
     /** Whether it owes the rest of its line, or owes taking its answer. */
-    boolean mayGo() {
-        return phase != Phase.ASKED;
+    boolean isEvictable() {
+        return phase != Phase.AWAITING_ANSWER;
     }
 
-    boolean closed() {
+    boolean isClosed() {
         return phase == Phase.CLOSED;
     }
 
-    String remote() {
+    String remoteAddress() {
         return String.valueOf(channel.socket().getRemoteSocketAddress());
     }
 
--- a/relay/src/main/java/saltstage/admin/Desk.java
+++ b/relay/src/main/java/saltstage/admin/OperatorService.java
@@ -3,12 +3,12 @@
 import java.util.concurrent.CompletionStage;
 
 /** What operators may ask. Nothing here may block: who calls it answers all operators. */
-public interface Desk {
+public interface OperatorService {
     /** Null where this process serves, else why it does not. */
-    String notReady();
+    String notReadyReason();
 
     /** The figures, each line with its end. */
-    String figures();
+    String metrics();
 
     /**
      * Nothing more to this backend; null, or why not, once that holds and will outlive this
--- a/relay/src/main/java/saltstage/handover/Whole.java
+++ b/relay/src/main/java/saltstage/handover/AtomicFile.java
@@ -15,26 +15,26 @@
  * A small file, read whole or not at all: written aside, forced, renamed, with a name and a
  * checksum.
  */
-public final class Whole {
-    private static final long MOST = 64 << 20;
-    private static final int SUM_BYTES = 4;
+public final class AtomicFile {
+    private static final long MAX_BYTES = 64 << 20;
+    private static final int CHECKSUM_BYTES = 4;
 
     private final Path path;
-    private final byte[] head;
+    private final byte[] header;
 
     /** A file of this kind and format; what names another one is refused. */
-    public Whole(Path path, String format) {
+    public AtomicFile(Path path, String format) {
         this.path = path;
-        head = ("saltstage " + format + "\n").getBytes(StandardCharsets.US_ASCII);
+        header = ("saltstage " + format + "\n").getBytes(StandardCharsets.US_ASCII);
     }
 
     /** Replaces the content. */
     public void write(byte[] content) throws IOException {
         Files.createDirectories(path.toAbsolutePath().getParent());
         Path aside = path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
-        ByteBuffer all = ByteBuffer.allocate(head.length + content.length + SUM_BYTES);
-        all.put(head).put(content);
-        all.putInt(sum(all.array(), all.position())).flip();
+        ByteBuffer all = ByteBuffer.allocate(header.length + content.length + CHECKSUM_BYTES);
+        all.put(header).put(content);
+        all.putInt(checksum(all.array(), all.position())).flip();
         try (FileChannel file =
                 FileChannel.open(
                         aside,
@@ -57,21 +57,21 @@
         if (!Files.exists(path)) {
             return null;
         }
-        if (Files.size(path) > MOST) {
+        if (Files.size(path) > MAX_BYTES) {
             throw new IOException(path + ": too large");
         }
         byte[] all = Files.readAllBytes(path);
-        int end = all.length - SUM_BYTES;
-        if (end < head.length || !Arrays.equals(head, 0, head.length, all, 0, head.length)) {
+        int end = all.length - CHECKSUM_BYTES;
+        if (end < header.length || !Arrays.equals(header, 0, header.length, all, 0, header.length)) {
             throw new IOException(path + ": not in the form of this program");
         }
-        if (ByteBuffer.wrap(all, end, SUM_BYTES).getInt() != sum(all, end)) {
+        if (ByteBuffer.wrap(all, end, CHECKSUM_BYTES).getInt() != checksum(all, end)) {
             throw new IOException(path + ": torn, its checksum differs");
         }
-        return Arrays.copyOfRange(all, head.length, end);
+        return Arrays.copyOfRange(all, header.length, end);
     }
 
-    private static int sum(byte[] bytes, int length) {
+    private static int checksum(byte[] bytes, int length) {
         CRC32C sum = new CRC32C();
         sum.update(bytes, 0, length);
         return (int) sum.getValue();
--- a/relay/src/main/java/saltstage/handover/Slots.java
+++ b/relay/src/main/java/saltstage/handover/ProcessSlots.java
@@ -16,7 +16,7 @@
  * and how many descriptors it may use. The channel stays open: closing any channel of a file ends
  * all locks on it.
  */
-public final class Slots {
+public final class ProcessSlots {
     /** How far a process is. */
     public enum Phase {
         STARTING,
@@ -24,38 +24,38 @@
         LEAVING
     }
 
-    private static final int COUNT = 2;
-    private static final int BYTES = 16;
-    private static final int FORMAT = 0x53_4c_54_31; // "SLT1"
+    private static final int SLOT_COUNT = 2;
+    private static final int SLOT_BYTES = 16;
+    private static final int MAGIC = 0x53_4c_54_31; // "SLT1"
 
     /** A look at a slot locks it for a moment; who comes to take it just then tries again. */
-    private static final Duration CLAIM = Duration.ofSeconds(1);
+    private static final Duration CLAIM_TIMEOUT = Duration.ofSeconds(1);
 
-    private static final Duration PAUSE = Duration.ofMillis(20);
+    private static final Duration CLAIM_RETRY_PAUSE = Duration.ofMillis(20);
 
     /**
      * Descriptors beyond those in use that a process keeps when another comes: for what it still
      * accepts.
      */
-    private static final int GROWTH = 16;
+    private static final int SPARE_DESCRIPTORS = 16;
 
     private final FileChannel file;
-    private final int own;
-    private final int limit;
+    private final int ownSlot;
+    private final int maxDescriptors;
     private Phase phase = Phase.STARTING;
-    private int budget;
+    private int descriptorBudget;
 
-    private Slots(FileChannel file, int own, int limit) {
+    private ProcessSlots(FileChannel file, int own, int limit) {
         this.file = file;
-        this.own = own;
-        this.limit = limit;
+        this.ownSlot = own;
+        this.maxDescriptors = limit;
     }
 
     /** What the other process has written; budget 0 where it has not yet seen this one. */
-    private record Other(Phase phase, int budget) {}
+    private record OtherProcess(Phase phase, int descriptorBudget) {}
 
     /** Takes a slot; this process and the other may together hold so many descriptors. */
-    public static Slots claim(Path path, int limit) throws IOException {
+    public static ProcessSlots claim(Path path, int limit) throws IOException {
         Files.createDirectories(path.toAbsolutePath().getParent());
         FileChannel file =
                 FileChannel.open(
@@ -63,14 +63,14 @@
                         StandardOpenOption.CREATE,
                         StandardOpenOption.READ,
                         StandardOpenOption.WRITE);
-        long until = System.nanoTime() + CLAIM.toNanos();
+        long until = System.nanoTime() + CLAIM_TIMEOUT.toNanos();
         do {
-            for (int i = 0; i < COUNT; i++) {
-                FileLock lock = lock(file, i);
+            for (int i = 0; i < SLOT_COUNT; i++) {
+                FileLock lock = tryLock(file, i);
                 if (lock != null) {
-                    Slots slots = new Slots(file, i, limit);
+                    ProcessSlots slots = new ProcessSlots(file, i, limit);
                     slots.write();
-                    slots.share(0);
+                    slots.updateDescriptorBudget(0);
                     return slots;
                 }
             }
@@ -80,9 +80,9 @@
         throw new IOException(path + ": both slots are taken");
     }
 
-    private static FileLock lock(FileChannel file, int slot) throws IOException {
+    private static FileLock tryLock(FileChannel file, int slot) throws IOException {
         try {
-            return file.tryLock((long) slot * BYTES, BYTES, false);
+            return file.tryLock((long) slot * SLOT_BYTES, SLOT_BYTES, false);
         } catch (
                 OverlappingFileLockException
                         held) { // by this process, which may have two in a test
@@ -92,7 +92,7 @@
 
     private static void pause() throws IOException {
         try {
-            Thread.sleep(PAUSE.toMillis());
+            Thread.sleep(CLAIM_RETRY_PAUSE.toMillis());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
@@ -100,19 +100,19 @@
     }
 
     /** Says how far this process is. */
-    public synchronized void say(Phase now) throws IOException {
+    public synchronized void setPhase(Phase now) throws IOException {
         phase = now;
         write();
     }
 
     /** Whether there is another process. */
-    public synchronized boolean othersLive() throws IOException {
-        return other() != null;
+    public synchronized boolean hasOtherProcess() throws IOException {
+        return otherProcess() != null;
     }
 
     /** Whether another process serves beside this one. */
-    public synchronized boolean othersServe() throws IOException {
-        Other other = other();
+    public synchronized boolean isOtherProcessReady() throws IOException {
+        OtherProcess other = otherProcess();
         return other != null && other.phase() == Phase.READY;
     }
 
@@ -121,51 +121,51 @@
      * all; who serves and sees another keeps what it has, half at least; a starting one gets what
      * that leaves, and until it was seen a quarter.
      */
-    public synchronized int share(int used) throws IOException {
-        Other other = other();
+    public synchronized int updateDescriptorBudget(int used) throws IOException {
+        OtherProcess other = otherProcess();
         int now;
         if (other == null) {
-            now = limit;
+            now = maxDescriptors;
         } else if (phase == Phase.STARTING || other.phase() == Phase.LEAVING) {
-            now = other.budget() > 0 && other.budget() < limit ? limit - other.budget() : limit / 4;
-        } else if (budget < limit) {
+            now = other.descriptorBudget() > 0 && other.descriptorBudget() < maxDescriptors ? maxDescriptors - other.descriptorBudget() : maxDescriptors / 4;
+        } else if (descriptorBudget < maxDescriptors) {
             now =
                     Math.min(
-                            budget,
+                            descriptorBudget,
                             Math.max(
-                                    limit / 2,
-                                    used + GROWTH)); // it only shrinks while two are here
+                                    maxDescriptors / 2,
+                                    used + SPARE_DESCRIPTORS)); // it only shrinks while two are here
         } else {
-            now = Math.max(limit / 2, Math.min(used + GROWTH, limit * 3 / 4));
+            now = Math.max(maxDescriptors / 2, Math.min(used + SPARE_DESCRIPTORS, maxDescriptors * 3 / 4));
         }
-        if (now != budget) {
-            budget = now;
+        if (now != descriptorBudget) {
+            descriptorBudget = now;
             write();
         }
         return now;
     }
 
-    private Other other() throws IOException {
-        int at = (1 - own) * BYTES;
-        FileLock free = lock(file, 1 - own);
+    private OtherProcess otherProcess() throws IOException {
+        int at = (1 - ownSlot) * SLOT_BYTES;
+        FileLock free = tryLock(file, 1 - ownSlot);
         if (free != null) {
             free.release(); // its process is gone
             return null;
         }
-        ByteBuffer slot = ByteBuffer.allocate(BYTES);
+        ByteBuffer slot = ByteBuffer.allocate(SLOT_BYTES);
         int read = file.read(slot, at);
         slot.flip();
-        if (read < BYTES || slot.getInt() != FORMAT) {
-            return new Other(Phase.STARTING, 0); // it lives and has not written yet
+        if (read < SLOT_BYTES || slot.getInt() != MAGIC) {
+            return new OtherProcess(Phase.STARTING, 0); // it lives and has not written yet
         }
         int phase = slot.getInt();
         boolean known = phase >= 0 && phase < Phase.values().length;
-        return new Other(known ? Phase.values()[phase] : Phase.STARTING, slot.getInt());
+        return new OtherProcess(known ? Phase.values()[phase] : Phase.STARTING, slot.getInt());
     }
 
     private void write() throws IOException {
-        ByteBuffer slot = ByteBuffer.allocate(BYTES);
-        slot.putInt(FORMAT).putInt(phase.ordinal()).putInt(budget).putInt(0).flip();
-        file.write(slot, (long) own * BYTES);
+        ByteBuffer slot = ByteBuffer.allocate(SLOT_BYTES);
+        slot.putInt(MAGIC).putInt(phase.ordinal()).putInt(descriptorBudget).putInt(0).flip();
+        file.write(slot, (long) ownSlot * SLOT_BYTES);
     }
 }
--- a/relay/src/main/java/saltstage/handover/Bans.java
+++ b/relay/src/main/java/saltstage/handover/Suspensions.java
@@ -20,52 +20,52 @@
  * change is made under a lock between the two, so that none undoes the other's. Reading the set
  * waits for nothing.
  */
-public final class Bans {
-    private static final Duration LOCK = Duration.ofMillis(400);
-    private static final Duration PAUSE = Duration.ofMillis(10);
+public final class Suspensions {
+    private static final Duration LOCK_TIMEOUT = Duration.ofMillis(400);
+    private static final Duration LOCK_RETRY_PAUSE = Duration.ofMillis(10);
 
     private final Path path;
-    private final Whole file;
-    private final FileChannel lock;
-    private volatile Set<String> ids = Set.of();
-    private volatile Set<String> configured = Set.of();
-    private List<Object> seen = List.of();
-    private boolean torn;
+    private final AtomicFile file;
+    private final FileChannel lockFile;
+    private volatile Set<String> suspendedByOperators = Set.of();
+    private volatile Set<String> suspendedByConfiguration = Set.of();
+    private List<Object> lastReadStamp = List.of();
+    private boolean unreadable;
 
     /** The bans of this folder and name; without a folder they last as long as this process. */
-    public Bans(Path dir, String name) throws IOException {
+    public Suspensions(Path dir, String name) throws IOException {
         path = dir == null ? null : dir.resolve(name + ".bans");
-        file = dir == null ? null : new Whole(path, "bans 1");
+        file = dir == null ? null : new AtomicFile(path, "bans 1");
         if (dir != null) {
             Files.createDirectories(dir);
-            lock =
+            lockFile =
                     FileChannel.open(
                             dir.resolve(name + ".bans.lock"),
                             StandardOpenOption.CREATE,
                             StandardOpenOption.WRITE);
         } else {
-            lock = null;
+            lockFile = null;
         }
     }
 
     /** Whether this backend is suspended. */
-    public boolean has(String id) {
-        return ids.contains(id) || configured.contains(id);
+    public boolean isSuspended(String id) {
+        return suspendedByOperators.contains(id) || suspendedByConfiguration.contains(id);
     }
 
     /** All that are suspended. */
     public Set<String> all() {
-        if (configured.isEmpty()) {
-            return ids;
+        if (suspendedByConfiguration.isEmpty()) {
+            return suspendedByOperators;
         }
-        Set<String> all = new TreeSet<>(ids);
-        all.addAll(configured);
+        Set<String> all = new TreeSet<>(suspendedByOperators);
+        all.addAll(suspendedByConfiguration);
         return Set.copyOf(all);
     }
 
     /** Whether configuration suspends this backend, whatever operators of this relay have said. */
-    public boolean isConfigured(String id) {
-        return configured.contains(id);
+    public boolean isSuspendedByConfiguration(String id) {
+        return suspendedByConfiguration.contains(id);
     }
 
     /**
@@ -73,17 +73,17 @@
      * have suspended: one lifts only what it has set. They are in no file; each process hears of
      * them itself.
      */
-    public void configure(Set<String> suspended) {
-        configured = Set.copyOf(suspended);
+    public void setSuspendedByConfiguration(Set<String> suspended) {
+        suspendedByConfiguration = Set.copyOf(suspended);
     }
 
     /** Suspends or restores a backend; when this returns, that is durable. */
-    public synchronized void set(String id, boolean banned) throws IOException {
+    public synchronized void setSuspended(String id, boolean banned) throws IOException {
         if (file == null) {
-            ids = changed(id, banned);
+            suspendedByOperators = withChange(id, banned);
             return;
         }
-        try (FileLock held = lock()) {
+        try (FileLock held = acquireLock()) {
             try {
                 read();
             } catch (IOException bad) {
@@ -92,18 +92,18 @@
                         "why",
                         bad.getMessage()); // what is known here replaces it
             }
-            if (ids.contains(id) != banned || torn) {
-                Set<String> now = changed(id, banned);
+            if (suspendedByOperators.contains(id) != banned || unreadable) {
+                Set<String> now = withChange(id, banned);
                 file.write(String.join("\n", now).getBytes(StandardCharsets.UTF_8));
-                ids = now;
-                seen = stamp();
-                torn = false;
+                suspendedByOperators = now;
+                lastReadStamp = fileStamp();
+                unreadable = false;
             }
         }
     }
 
-    private Set<String> changed(String id, boolean banned) {
-        Set<String> now = new TreeSet<>(ids);
+    private Set<String> withChange(String id, boolean banned) {
+        Set<String> now = new TreeSet<>(suspendedByOperators);
         if (banned) {
             now.add(id);
         } else {
@@ -112,10 +112,10 @@
         return Set.copyOf(now);
     }
 
-    private FileLock lock() throws IOException {
-        long until = System.nanoTime() + LOCK.toNanos();
+    private FileLock acquireLock() throws IOException {
+        long until = System.nanoTime() + LOCK_TIMEOUT.toNanos();
         while (true) {
-            FileLock held = lock.tryLock();
+            FileLock held = lockFile.tryLock();
             if (held != null) {
                 return held;
             }
@@ -123,7 +123,7 @@
                 throw new IOException("the other process holds the bans");
             }
             try {
-                Thread.sleep(PAUSE.toMillis());
+                Thread.sleep(LOCK_RETRY_PAUSE.toMillis());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 throw new IOException("interrupted", e);
@@ -133,25 +133,25 @@
 
     /** Takes what the other process has changed; what cannot be read leaves the set as it is. */
     public synchronized void refresh() throws IOException {
-        if (file != null && !stamp().equals(seen)) {
+        if (file != null && !fileStamp().equals(lastReadStamp)) {
             read();
         }
     }
 
     private void read() throws IOException {
-        List<Object> now = stamp(); // before: what is written meanwhile is read again
-        if (now.equals(seen)) {
+        List<Object> now = fileStamp(); // before: what is written meanwhile is read again
+        if (now.equals(lastReadStamp)) {
             return;
         }
-        seen = now;
-        torn = true; // until it was read
+        lastReadStamp = now;
+        unreadable = true; // until it was read
         byte[] content = file.read();
         String text = content == null ? "" : new String(content, StandardCharsets.UTF_8);
-        ids = text.isEmpty() ? Set.of() : Set.copyOf(Arrays.asList(text.split("\n")));
-        torn = false;
+        suspendedByOperators = text.isEmpty() ? Set.of() : Set.copyOf(Arrays.asList(text.split("\n")));
+        unreadable = false;
     }
 
-    private List<Object> stamp() throws IOException {
+    private List<Object> fileStamp() throws IOException {
         if (!Files.exists(path)) {
             return List.of();
         }
--- a/relay/src/main/java/saltstage/keep/History.java
+++ b/relay/src/main/java/saltstage/keep/ConfigurationVersions.java
@@ -13,10 +13,10 @@
 import saltstage.store.Store;
 
 /** The configurations that a relay has accepted, numbered from 1, the newest so many. */
-public final class History {
-    private static final byte[] FROM = key("config/");
-    private static final byte[] TO = key("config0"); // the byte behind the slash
-    private static final String FORM = "config/%016x";
+public final class ConfigurationVersions {
+    private static final byte[] KEYS_START = keyBytes("config/");
+    private static final byte[] KEYS_END = keyBytes("config0"); // the byte behind the slash
+    private static final String KEY_FORMAT = "config/%016x";
 
     /**
      * One accepted configuration: the platform's JSON and the operator's settings, which may be
@@ -25,9 +25,9 @@
     public record Version(
             long number, Instant at, String hash, String configuration, String settings) {}
 
-    private History() {}
+    private ConfigurationVersions() {}
 
-    static byte[] key(String text) {
+    static byte[] keyBytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
@@ -46,11 +46,11 @@
     public static List<Version> all(Store store) throws IOException {
         List<Version> all = new ArrayList<>();
         try (Snapshot now = store.snapshot()) {
-            Snapshot.Scan scan = now.scan(FROM, TO);
+            Snapshot.Scan scan = now.scan(KEYS_START, KEYS_END);
             while (scan.next()) {
                 String key = new String(scan.key(), StandardCharsets.UTF_8);
                 all.add(
-                        Codec.version(
+                        RelayStateCodec.decodeVersion(
                                 Long.parseLong(key.substring("config/".length()), 16),
                                 scan.value()));
             }
@@ -60,15 +60,15 @@
 
     /** One of them. */
     public static Optional<Version> find(Store store, long number) throws IOException {
-        byte[] found = store.get(key(String.format(FORM, number)));
-        return found == null ? Optional.empty() : Optional.of(Codec.version(number, found));
+        byte[] found = store.get(keyBytes(String.format(KEY_FORMAT, number)));
+        return found == null ? Optional.empty() : Optional.of(RelayStateCodec.decodeVersion(number, found));
     }
 
     /**
      * Adds what was accepted, unless it is the newest already; the oldest beyond the bound go with
      * it.
      */
-    static long accept(Store store, String configuration, String settings, Instant at, int most)
+    static long addIfChanged(Store store, String configuration, String settings, Instant at, int most)
             throws IOException {
         List<Version> all = all(store);
         Version newest = all.isEmpty() ? null : all.get(all.size() - 1);
@@ -81,8 +81,8 @@
         Batch batch =
                 new Batch()
                         .put(
-                                key(String.format(FORM, number)),
-                                Codec.version(
+                                keyBytes(String.format(KEY_FORMAT, number)),
+                                RelayStateCodec.encodeVersion(
                                         new Version(
                                                 number,
                                                 at,
@@ -90,7 +90,7 @@
                                                 configuration,
                                                 settings)));
         for (int i = 0; i < all.size() + 1 - most; i++) {
-            batch.delete(key(String.format(FORM, all.get(i).number())));
+            batch.delete(keyBytes(String.format(KEY_FORMAT, all.get(i).number())));
         }
         store.commit(batch);
         return number;
--- a/relay/src/main/java/saltstage/keep/Codec.java
+++ b/relay/src/main/java/saltstage/keep/RelayStateCodec.java
@@ -21,48 +21,48 @@
  * The bytes of what is kept, each with a version in front; one that is not known is refused, not
  * guessed.
  */
-final class Codec {
-    private static final int VERSION = 1;
-    private static final int LEARNT_VERSION = 2;
-    private static final int MOST = 1 << 20;
+final class RelayStateCodec {
+    private static final int FORMAT_VERSION = 1;
+    private static final int LEARNED_STATE_FORMAT_VERSION = 2;
+    private static final int MAX_COUNT = 1 << 20;
 
-    private Codec() {}
+    private RelayStateCodec() {}
 
-    private interface Writing {
-        void to(DataOutputStream out) throws IOException;
+    private interface BodyWriter {
+        void write(DataOutputStream out) throws IOException;
     }
 
-    private interface Reading<T> {
-        T from(DataInputStream in) throws IOException;
+    private interface BodyReader<T> {
+        T read(DataInputStream in) throws IOException;
     }
 
-    private static byte[] bytes(Writing writing) {
-        return bytes(VERSION, writing);
+    private static byte[] encode(BodyWriter writing) {
+        return encode(FORMAT_VERSION, writing);
     }
 
-    private static byte[] bytes(int version, Writing writing) {
+    private static byte[] encode(int version, BodyWriter writing) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (DataOutputStream data = new DataOutputStream(out)) {
             data.writeByte(version);
-            writing.to(data);
+            writing.write(data);
         } catch (IOException impossible) { // it writes to memory
             throw new IllegalStateException(impossible);
         }
         return out.toByteArray();
     }
 
-    private static <T> T read(byte[] bytes, String what, Reading<T> reading) throws IOException {
-        return read(bytes, what, VERSION, reading);
+    private static <T> T decode(byte[] bytes, String what, BodyReader<T> reading) throws IOException {
+        return decode(bytes, what, FORMAT_VERSION, reading);
     }
 
-    private static <T> T read(byte[] bytes, String what, int known, Reading<T> reading)
+    private static <T> T decode(byte[] bytes, String what, int known, BodyReader<T> reading)
             throws IOException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int version = in.readByte();
             if (version != known) {
                 throw new IOException(what + " of version " + version + "; " + known + " is known");
             }
-            T read = reading.from(in);
+            T read = reading.read(in);
             if (in.read() >= 0) {
                 throw new IOException(what + ": bytes are left over");
             }
@@ -72,16 +72,16 @@
         }
     }
 
-    static byte[] number(long value) {
-        return bytes(out -> out.writeLong(value));
+    static byte[] encodeNumber(long value) {
+        return encode(out -> out.writeLong(value));
     }
 
-    static long number(byte[] bytes) throws IOException {
-        return read(bytes, "number", DataInputStream::readLong);
+    static long decodeNumber(byte[] bytes) throws IOException {
+        return decode(bytes, "number", DataInputStream::readLong);
     }
 
-    static byte[] entry(HostList.Entry entry) {
-        return bytes(
+    static byte[] encodeEntry(HostList.Entry entry) {
+        return encode(
                 out -> {
                     out.writeUTF(entry.uid());
                     byte[] ip = entry.endpoint().getAddress().getAddress();
@@ -96,8 +96,8 @@
                 });
     }
 
-    static HostList.Entry entry(byte[] bytes) throws IOException {
-        return read(
+    static HostList.Entry decodeEntry(byte[] bytes) throws IOException {
+        return decode(
                 bytes,
                 "list entry",
                 in -> {
@@ -118,13 +118,13 @@
     }
 
     /** What was learnt, and when. */
-    record Dated(Instant at, LearnedState learnt) {}
+    record TimestampedState(Instant at, LearnedState learnedState) {}
 
-    static byte[] learnt(Dated dated) {
-        return bytes(
-                LEARNT_VERSION,
+    static byte[] encodeLearnedState(TimestampedState dated) {
+        return encode(
+                LEARNED_STATE_FORMAT_VERSION,
                 out -> {
-                    LearnedState learnt = dated.learnt();
+                    LearnedState learnt = dated.learnedState();
                     out.writeLong(dated.at().toEpochMilli());
                     for (double figure :
                             new double[] {
@@ -155,36 +155,36 @@
                 });
     }
 
-    static Dated learnt(byte[] bytes) throws IOException {
-        boolean first = bytes.length > 0 && bytes[0] == VERSION; // without the part of the capacity
-        return read(
+    static TimestampedState decodeLearnedState(byte[] bytes) throws IOException {
+        boolean first = bytes.length > 0 && bytes[0] == FORMAT_VERSION; // without the part of the capacity
+        return decode(
                 bytes,
                 "learnt state",
-                first ? VERSION : LEARNT_VERSION,
+                first ? FORMAT_VERSION : LEARNED_STATE_FORMAT_VERSION,
                 in -> {
                     Instant at = Instant.ofEpochMilli(in.readLong());
                     double[] figures = new double[5];
                     for (int i = 0; i < figures.length; i++) {
-                        figures[i] = figure(in);
+                        figures[i] = readNonNegative(in);
                     }
                     List<LearnedBackend> servers = new ArrayList<>();
-                    for (int n = count(in); n > 0; n--) {
+                    for (int n = readCount(in); n > 0; n--) {
                         servers.add(
                                 new LearnedBackend(
                                         in.readUTF(),
                                         in.readLong(),
-                                        figure(in),
-                                        figure(in),
-                                        figure(in),
+                                        readNonNegative(in),
+                                        readNonNegative(in),
+                                        readNonNegative(in),
                                         in.readInt(),
                                         in.readLong()));
                     }
                     Map<Long, Double> shares = new TreeMap<>();
-                    for (int n = count(in); n > 0; n--) {
-                        shares.put(in.readLong(), figure(in));
+                    for (int n = readCount(in); n > 0; n--) {
+                        shares.put(in.readLong(), readNonNegative(in));
                     }
-                    double part = first ? 0 : figure(in);
-                    return new Dated(
+                    double part = first ? 0 : readNonNegative(in);
+                    return new TimestampedState(
                             at,
                             new LearnedState(
                                     figures[0],
@@ -198,15 +198,15 @@
                 });
     }
 
-    private static int count(DataInputStream in) throws IOException {
+    private static int readCount(DataInputStream in) throws IOException {
         int n = in.readInt();
-        if (n < 0 || n > MOST) {
+        if (n < 0 || n > MAX_COUNT) {
             throw new IOException("a count of " + n);
         }
         return n;
     }
 
-    private static double figure(DataInputStream in) throws IOException {
+    private static double readNonNegative(DataInputStream in) throws IOException {
         double d = in.readDouble();
         if (Double.isNaN(d) || d < 0) {
             throw new IOException("a figure of " + d);
@@ -214,36 +214,36 @@
         return d;
     }
 
-    static byte[] version(History.Version version) {
-        return bytes(
+    static byte[] encodeVersion(ConfigurationVersions.Version version) {
+        return encode(
                 out -> {
                     out.writeLong(version.at().toEpochMilli());
                     out.writeUTF(version.hash());
-                    text(out, version.configuration());
-                    text(out, version.settings());
+                    writeText(out, version.configuration());
+                    writeText(out, version.settings());
                 });
     }
 
-    static History.Version version(long number, byte[] bytes) throws IOException {
-        return read(
+    static ConfigurationVersions.Version decodeVersion(long number, byte[] bytes) throws IOException {
+        return decode(
                 bytes,
                 "configuration " + number,
                 in ->
-                        new History.Version(
+                        new ConfigurationVersions.Version(
                                 number,
                                 Instant.ofEpochMilli(in.readLong()),
                                 in.readUTF(),
-                                text(in),
-                                text(in)));
+                                readText(in),
+                                readText(in)));
     }
 
-    private static void text(DataOutputStream out, String text) throws IOException {
+    private static void writeText(DataOutputStream out, String text) throws IOException {
         byte[] plain = text.getBytes(StandardCharsets.UTF_8);
         out.writeInt(plain.length);
         out.write(plain);
     }
 
-    private static String text(DataInputStream in) throws IOException {
+    private static String readText(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < 0 || length > in.available()) {
             throw new IOException("a text of " + length + " bytes");
--- a/relay/src/main/java/saltstage/keep/Keeper.java
+++ b/relay/src/main/java/saltstage/keep/RelayStateStore.java
@@ -30,7 +30,7 @@
  * newest only; nobody who hands over waits. Whatever goes wrong with the store, the relay serves on
  * without it.
  */
-public final class Keeper {
+public final class RelayStateStore {
     /** How the store stands, as the totals tell it. */
     public enum State {
         OK,
@@ -38,57 +38,57 @@
         LOST
     }
 
-    private static final byte[] LIST_REV = History.key("list/rev");
-    private static final String TARGET = "list/target/";
-    private static final byte[] TARGETS_FROM = History.key(TARGET);
-    private static final byte[] TARGETS_TO = History.key("list/target0");
-    private static final byte[] LEARNT = History.key("learnt");
-    private static final Duration RETRY = Duration.ofSeconds(5);
+    private static final byte[] LIST_REVISION_KEY = ConfigurationVersions.keyBytes("list/rev");
+    private static final String ENTRY_KEY_PREFIX = "list/target/";
+    private static final byte[] ENTRY_KEYS_START = ConfigurationVersions.keyBytes(ENTRY_KEY_PREFIX);
+    private static final byte[] ENTRY_KEYS_END = ConfigurationVersions.keyBytes("list/target0");
+    private static final byte[] LEARNED_STATE_KEY = ConfigurationVersions.keyBytes("learnt");
+    private static final Duration FULL_RETRY_PAUSE = Duration.ofSeconds(5);
 
-    private record Accepted(String configuration, String settings, Instant at) {}
+    private record AcceptedConfiguration(String configuration, String settings, Instant at) {}
 
     private final Keeping settings;
     private final Supplier<Instant> clock;
     private Store store;
     private State state = State.OK;
-    private HostList list;
-    private final List<Accepted> accepted = new ArrayList<>();
-    private Supplier<LearnedState> learning;
-    private byte[] lastLearnt = {};
-    private boolean over;
-    private Thread thread;
+    private HostList pendingList;
+    private final List<AcceptedConfiguration> pendingConfigurations = new ArrayList<>();
+    private Supplier<LearnedState> learnedStateSource;
+    private byte[] lastWrittenLearnedState = {};
+    private boolean closing;
+    private Thread writerThread;
 
-    private Keeper(Keeping settings, Supplier<Instant> clock) {
+    private RelayStateStore(Keeping settings, Supplier<Instant> clock) {
         this.settings = settings;
         this.clock = clock;
     }
 
     /** Opens the store; where that fails, it is told, and what is handed over is dropped. */
-    public static Keeper open(Keeping settings, Supplier<Instant> clock) {
+    public static RelayStateStore open(Keeping settings, Supplier<Instant> clock) {
         return open(settings, clock, () -> FileDisk.at(settings.dir()));
     }
 
     /** Where the files are. */
-    interface Place {
-        Disk find() throws IOException;
+    interface DiskOpener {
+        Disk open() throws IOException;
     }
 
-    static Keeper open(Keeping settings, Supplier<Instant> clock, Place place) {
-        Keeper keeper = new Keeper(settings, clock);
+    static RelayStateStore open(Keeping settings, Supplier<Instant> clock, DiskOpener place) {
+        RelayStateStore keeper = new RelayStateStore(settings, clock);
         try {
             keeper.store =
                     Store.open(
-                            place.find(),
+                            place.open(),
                             new StoreOptions(
                                     settings.segmentBytes(), true, settings.compactionRate()),
                             Log::warn);
         } catch (IOException | RuntimeException e) {
-            keeper.lose(e);
+            keeper.markLost(e);
         }
         return keeper;
     }
 
-    private synchronized void lose(Exception why) {
+    private synchronized void markLost(Exception why) {
         if (state != State.LOST) {
             state = State.LOST;
             Log.warn("keep.lost", "dir", settings.dir(), "why", why.getMessage());
@@ -103,33 +103,33 @@
     // ---- what was kept
 
     /** The newest list of backends, if one was kept and can be read. */
-    public Optional<HostList> keptList() {
-        return kept(
+    public Optional<HostList> persistedList() {
+        return readPersisted(
                 "list",
                 now -> {
-                    byte[] rev = now.get(LIST_REV);
+                    byte[] rev = now.get(LIST_REVISION_KEY);
                     if (rev == null) {
                         return null;
                     }
                     List<HostList.Entry> entries = new ArrayList<>();
-                    Snapshot.Scan scan = now.scan(TARGETS_FROM, TARGETS_TO);
+                    Snapshot.Scan scan = now.scan(ENTRY_KEYS_START, ENTRY_KEYS_END);
                     while (scan.next()) {
-                        entries.add(Codec.entry(scan.value()));
+                        entries.add(RelayStateCodec.decodeEntry(scan.value()));
                     }
-                    return new HostList(Codec.number(rev), true, entries);
+                    return new HostList(RelayStateCodec.decodeNumber(rev), true, entries);
                 });
     }
 
     /** What was learnt, unless it is too old; spans are shorter by its age. */
-    public Optional<LearnedState> keptLearnt() {
-        return kept(
+    public Optional<LearnedState> persistedLearnedState() {
+        return readPersisted(
                 "learnt",
                 now -> {
-                    byte[] bytes = now.get(LEARNT);
+                    byte[] bytes = now.get(LEARNED_STATE_KEY);
                     if (bytes == null) {
                         return null;
                     }
-                    Codec.Dated dated = Codec.learnt(bytes);
+                    RelayStateCodec.TimestampedState dated = RelayStateCodec.decodeLearnedState(bytes);
                     Duration age = Duration.between(dated.at(), clock.get());
                     // Of a clock that went back nobody can say how old it is.
                     boolean fresh = !age.isNegative() && age.compareTo(settings.learntFor()) <= 0;
@@ -138,10 +138,10 @@
                             "age_s",
                             age.toSeconds(),
                             "servers",
-                            dated.learnt().backends().size(),
+                            dated.learnedState().backends().size(),
                             "taken",
                             fresh);
-                    return fresh ? aged(dated.learnt(), age.toNanos() / 1_000) : null;
+                    return fresh ? aged(dated.learnedState(), age.toNanos() / 1_000) : null;
                 });
     }
 
@@ -170,16 +170,16 @@
                 new TreeMap<>(learnt.groupShares()));
     }
 
-    private interface Reading<T> {
-        T from(Snapshot now) throws IOException;
+    private interface SnapshotReader<T> {
+        T read(Snapshot now) throws IOException;
     }
 
-    private <T> Optional<T> kept(String what, Reading<T> reading) {
+    private <T> Optional<T> readPersisted(String what, SnapshotReader<T> reading) {
         if (store == null) {
             return Optional.empty();
         }
         try (Snapshot now = store.snapshot()) {
-            return Optional.ofNullable(reading.from(now));
+            return Optional.ofNullable(reading.read(now));
         } catch (IOException e) {
             Log.warn("keep.unreadable", "what", what, "why", e.getMessage());
             return Optional.empty();
@@ -190,23 +190,23 @@
 
     /** Begins to write, and to ask for what was learnt at the interval of the settings. */
     public synchronized void start(Supplier<LearnedState> learnt) {
-        learning = learnt;
+        learnedStateSource = learnt;
         if (store != null) {
-            thread = new Thread(null, this::write, "keep", 256 << 10);
-            thread.setDaemon(true);
-            thread.start();
+            writerThread = new Thread(null, this::writeLoop, "keep", 256 << 10);
+            writerThread.setDaemon(true);
+            writerThread.start();
         }
     }
 
     /** The whole list of backends as it is now. */
-    public synchronized void listed(HostList now) {
-        list = now;
+    public synchronized void saveList(HostList now) {
+        pendingList = now;
         notifyAll();
     }
 
     /** A configuration was accepted. */
-    public synchronized void accepted(String configuration, String operatorSettings) {
-        accepted.add(new Accepted(configuration, operatorSettings, clock.get()));
+    public synchronized void saveConfiguration(String configuration, String operatorSettings) {
+        pendingConfigurations.add(new AcceptedConfiguration(configuration, operatorSettings, clock.get()));
         notifyAll();
     }
 
@@ -214,8 +214,8 @@
     public void close(Duration limit) {
         Thread writing;
         synchronized (this) {
-            over = true;
-            writing = thread;
+            closing = true;
+            writing = writerThread;
             notifyAll();
         }
         if (writing != null) {
@@ -227,19 +227,19 @@
         }
     }
 
-    private void write() {
+    private void writeLoop() {
         try {
             boolean last = false;
             while (!last && state() != State.LOST) {
-                last = await();
-                round();
+                last = awaitWork();
+                writePending();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException
                 | RuntimeException
                 | Error e) { // the relay must not be told by its absence
-            lose(e instanceof Exception known ? known : new IllegalStateException(e));
+            markLost(e instanceof Exception known ? known : new IllegalStateException(e));
         } finally {
             closeStore();
         }
@@ -249,40 +249,40 @@
         try {
             store.close();
         } catch (IOException e) {
-            lose(e);
+            markLost(e);
         }
     }
 
     /** Waits until there is something to write, or the interval is over; true at the end. */
-    private synchronized boolean await() throws InterruptedException {
-        long until = System.nanoTime() + (state == State.FULL ? RETRY : settings.every()).toNanos();
-        while (!over && (state == State.FULL || list == null && accepted.isEmpty())) {
+    private synchronized boolean awaitWork() throws InterruptedException {
+        long until = System.nanoTime() + (state == State.FULL ? FULL_RETRY_PAUSE : settings.every()).toNanos();
+        while (!closing && (state == State.FULL || pendingList == null && pendingConfigurations.isEmpty())) {
             long left = (until - System.nanoTime()) / 1_000_000;
             if (left <= 0) {
                 break;
             }
             wait(left);
         }
-        return over;
+        return closing;
     }
 
     /** Writes what has come; a full disk keeps it for the next round. */
-    private void round() throws IOException {
+    private void writePending() throws IOException {
         HostList newest;
-        List<Accepted> configurations;
+        List<AcceptedConfiguration> configurations;
         synchronized (this) {
-            newest = list;
-            configurations = List.copyOf(accepted);
+            newest = pendingList;
+            configurations = List.copyOf(pendingConfigurations);
         }
         try {
             if (newest != null) {
                 writeList(newest);
             }
-            for (Accepted one : configurations) {
-                writeAccepted(one);
+            for (AcceptedConfiguration one : configurations) {
+                writeConfiguration(one);
             }
-            writeLearnt();
-            done(newest, configurations.size());
+            writeLearnedState();
+            pendingWritten(newest, configurations.size());
         } catch (StoreException.Full full) {
             synchronized (this) {
                 state = State.FULL; // the store itself has told
@@ -290,23 +290,23 @@
         }
     }
 
-    private synchronized void done(HostList written, int configurations) {
+    private synchronized void pendingWritten(HostList written, int configurations) {
         state = State.OK;
-        list = list == written ? null : list;
-        accepted.subList(0, configurations).clear();
+        pendingList = pendingList == written ? null : pendingList;
+        pendingConfigurations.subList(0, configurations).clear();
     }
 
     /** The list in one batch: what differs from the one that is there, and its number. */
     private void writeList(HostList newest) throws IOException {
         Map<String, byte[]> wanted = new HashMap<>();
-        newest.targets().forEach(entry -> wanted.put(TARGET + entry.uid(), Codec.entry(entry)));
+        newest.targets().forEach(entry -> wanted.put(ENTRY_KEY_PREFIX + entry.uid(), RelayStateCodec.encodeEntry(entry)));
         Batch batch = new Batch();
         try (Snapshot now = store.snapshot()) {
-            byte[] rev = now.get(LIST_REV);
-            if (rev != null && Codec.number(rev) == newest.rev()) {
+            byte[] rev = now.get(LIST_REVISION_KEY);
+            if (rev != null && RelayStateCodec.decodeNumber(rev) == newest.rev()) {
                 return;
             }
-            Snapshot.Scan scan = now.scan(TARGETS_FROM, TARGETS_TO);
+            Snapshot.Scan scan = now.scan(ENTRY_KEYS_START, ENTRY_KEYS_END);
             while (scan.next()) {
                 String key = new String(scan.key(), StandardCharsets.UTF_8);
                 byte[] to = wanted.get(key);
@@ -317,14 +317,14 @@
                 }
             }
         }
-        wanted.forEach((key, value) -> batch.put(History.key(key), value));
-        store.commit(batch.put(LIST_REV, Codec.number(newest.rev())));
+        wanted.forEach((key, value) -> batch.put(ConfigurationVersions.keyBytes(key), value));
+        store.commit(batch.put(LIST_REVISION_KEY, RelayStateCodec.encodeNumber(newest.rev())));
     }
 
-    private void writeAccepted(Accepted one) throws IOException {
+    private void writeConfiguration(AcceptedConfiguration one) throws IOException {
         try {
             long number =
-                    History.accept(
+                    ConfigurationVersions.addIfChanged(
                             store,
                             one.configuration(),
                             one.settings(),
@@ -336,12 +336,12 @@
         }
     }
 
-    private void writeLearnt() throws IOException {
-        LearnedState now = learning.get();
-        byte[] plain = Codec.learnt(new Codec.Dated(Instant.EPOCH, now));
-        if (!now.backends().isEmpty() && !Arrays.equals(plain, lastLearnt)) {
-            store.put(LEARNT, Codec.learnt(new Codec.Dated(clock.get(), now)));
-            lastLearnt = plain;
+    private void writeLearnedState() throws IOException {
+        LearnedState now = learnedStateSource.get();
+        byte[] plain = RelayStateCodec.encodeLearnedState(new RelayStateCodec.TimestampedState(Instant.EPOCH, now));
+        if (!now.backends().isEmpty() && !Arrays.equals(plain, lastWrittenLearnedState)) {
+            store.put(LEARNED_STATE_KEY, RelayStateCodec.encodeLearnedState(new RelayStateCodec.TimestampedState(clock.get(), now)));
+            lastWrittenLearnedState = plain;
         }
     }
 }
--- a/relay/src/main/java/saltstage/keep/Takeover.java
+++ b/relay/src/main/java/saltstage/keep/Takeover.java
@@ -17,25 +17,25 @@
  * What a process leaves to the one that replaces it: its list, what it has learnt, every id ever
  * listed.
  */
-public record Takeover(HostList list, Instant at, LearnedState learnt, Set<String> listed) {
-    private static final int MOST = 1 << 20;
+public record Takeover(HostList list, Instant writtenAt, LearnedState learnedState, Set<String> knownBackendIds) {
+    private static final int MAX_COUNT = 1 << 20;
 
     /** As bytes. */
-    public byte[] bytes() throws IOException {
+    public byte[] toBytes() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         DataOutputStream data = new DataOutputStream(out);
         data.writeLong(list.rev());
-        List<byte[]> entries = list.targets().stream().map(Codec::entry).toList();
-        parts(data, entries);
-        parts(data, List.of(Codec.learnt(new Codec.Dated(at, learnt))));
-        data.writeInt(listed.size());
-        for (String id : listed) {
+        List<byte[]> entries = list.targets().stream().map(RelayStateCodec::encodeEntry).toList();
+        writeParts(data, entries);
+        writeParts(data, List.of(RelayStateCodec.encodeLearnedState(new RelayStateCodec.TimestampedState(writtenAt, learnedState))));
+        data.writeInt(knownBackendIds.size());
+        for (String id : knownBackendIds) {
             data.writeUTF(id);
         }
         return out.toByteArray();
     }
 
-    private static void parts(DataOutputStream data, Collection<byte[]> parts) throws IOException {
+    private static void writeParts(DataOutputStream data, Collection<byte[]> parts) throws IOException {
         data.writeInt(parts.size());
         for (byte[] part : parts) {
             data.writeInt(part.length);
@@ -44,35 +44,35 @@
     }
 
     /** From bytes; an IOException says what is wrong with them. */
-    public static Takeover of(byte[] bytes) throws IOException {
+    public static Takeover fromBytes(byte[] bytes) throws IOException {
         DataInputStream data = new DataInputStream(new ByteArrayInputStream(bytes));
         long rev = data.readLong();
         List<HostList.Entry> entries = new ArrayList<>();
-        for (byte[] part : parts(data)) {
-            entries.add(Codec.entry(part));
+        for (byte[] part : readParts(data)) {
+            entries.add(RelayStateCodec.decodeEntry(part));
         }
-        List<byte[]> learnt = parts(data);
+        List<byte[]> learnt = readParts(data);
         if (learnt.size() != 1) {
             throw new IOException("takeover: " + learnt.size() + " parts of what was learnt");
         }
-        Codec.Dated dated = Codec.learnt(learnt.get(0));
+        RelayStateCodec.TimestampedState dated = RelayStateCodec.decodeLearnedState(learnt.get(0));
         List<String> listed = new ArrayList<>();
-        for (int n = count(data, MOST); n > 0; n--) {
+        for (int n = readCount(data, MAX_COUNT); n > 0; n--) {
             listed.add(data.readUTF());
         }
         return new Takeover(
-                new HostList(rev, true, entries), dated.at(), dated.learnt(), Set.copyOf(listed));
+                new HostList(rev, true, entries), dated.at(), dated.learnedState(), Set.copyOf(listed));
     }
 
-    private static List<byte[]> parts(DataInputStream data) throws IOException {
+    private static List<byte[]> readParts(DataInputStream data) throws IOException {
         List<byte[]> parts = new ArrayList<>();
-        for (int n = count(data, MOST); n > 0; n--) {
-            parts.add(data.readNBytes(count(data, data.available())));
+        for (int n = readCount(data, MAX_COUNT); n > 0; n--) {
+            parts.add(data.readNBytes(readCount(data, data.available())));
         }
         return parts;
     }
 
-    private static int count(DataInputStream data, int most) throws IOException {
+    private static int readCount(DataInputStream data, int most) throws IOException {
         int n = data.readInt();
         if (n < 0 || n > most) {
             throw new IOException("takeover: a count of " + n);
--- a/relay/src/main/java/saltstage/lifecycle/BackendEntries.java
+++ b/relay/src/main/java/saltstage/lifecycle/BackendEntries.java
@@ -13,41 +13,41 @@
 
 /** The backends of the configuration as lists in discovery's form. Not thread safe. */
 final class BackendEntries {
-    private static final int LONGEST_ID = 128;
+    private static final int MAX_ID_LENGTH = 128;
 
-    private final Map<String, HostList.Entry> held = new TreeMap<>();
+    private final Map<String, HostList.Entry> entriesById = new TreeMap<>();
     private final Map<String, HostList.Entry> changed = new TreeMap<>();
 
     /** Forgets all; what is set from here on is the whole list. */
     void clear() {
-        held.clear();
+        entriesById.clear();
         changed.clear();
     }
 
     /** A backend says this from now on; null: it is deleted. */
     void set(String id, EntryValue.Backend value) {
-        HostList.Entry entry = value == null ? null : entry(id, value);
-        HostList.Entry before = entry == null ? held.remove(id) : held.put(id, entry);
+        HostList.Entry entry = value == null ? null : toListEntry(id, value);
+        HostList.Entry before = entry == null ? entriesById.remove(id) : entriesById.put(id, entry);
         if (entry != null) {
             changed.put(id, entry);
         } else if (before != null) {
-            changed.put(id, gone(before));
+            changed.put(id, goneEntry(before));
         }
     }
 
     /** Whether any backend is named. */
     boolean isEmpty() {
-        return held.isEmpty();
+        return entriesById.isEmpty();
     }
 
     /** All that are named. */
-    HostList all(long revision) {
+    HostList fullList(long revision) {
         changed.clear();
-        return new HostList(revision, true, List.copyOf(held.values()));
+        return new HostList(revision, true, List.copyOf(entriesById.values()));
     }
 
-    /** What has changed since the last call of this or of {@link #all}; null where nothing has. */
-    HostList changes(long revision) {
+    /** What has changed since the last call of this or of {@link #fullList}; null where nothing has. */
+    HostList changesSinceLast(long revision) {
         if (changed.isEmpty()) {
             return null;
         }
@@ -56,7 +56,7 @@
         return new HostList(revision, false, List.copyOf(entries));
     }
 
-    private static HostList.Entry gone(HostList.Entry before) {
+    private static HostList.Entry goneEntry(HostList.Entry before) {
         return new HostList.Entry(
                 before.uid(),
                 before.endpoint(),
@@ -70,8 +70,8 @@
     /**
      * Null where lists cannot carry it; that is logged, and the backend is as one that is deleted.
      */
-    private static HostList.Entry entry(String id, EntryValue.Backend value) {
-        if (id.length() > LONGEST_ID) {
+    private static HostList.Entry toListEntry(String id, EntryValue.Backend value) {
+        if (id.length() > MAX_ID_LENGTH) {
             Log.warn(
                     "configuration.backend.refused",
                     "peer",
@@ -86,7 +86,7 @@
                     HostList.address(value.address()),
                     value.zone(),
                     value.cell(),
-                    state(value.state()),
+                    toListState(value.state()),
                     value.weight(),
                     Instant.ofEpochMilli(value.startedAtMs()));
         } catch (MalformedException notInFigures) {
@@ -95,7 +95,7 @@
         }
     }
 
-    private static HostList.State state(EntryValue.BackendState state) {
+    private static HostList.State toListState(EntryValue.BackendState state) {
         return switch (state) {
             case READY -> HostList.State.READY;
             case DRAINING -> HostList.State.DRAINING;
--- a/relay/src/main/java/saltstage/lifecycle/ClientListener.java
+++ b/relay/src/main/java/saltstage/lifecycle/ClientListener.java
@@ -21,22 +21,22 @@
      */
     private static final int BACKLOG = 4096;
 
-    private static final int ATTEMPTS = 10;
-    private static final Duration PAUSE = Duration.ofMillis(100);
+    private static final int MAX_BIND_ATTEMPTS = 10;
+    private static final Duration BIND_RETRY_PAUSE = Duration.ofMillis(100);
 
     private ClientListener() {}
 
     /**
      * Listens at this address; a want of descriptors may pass, an address that is taken does not.
      */
-    static ServerSocketChannel at(InetSocketAddress address) throws IOException {
+    static ServerSocketChannel bind(InetSocketAddress address) throws IOException {
         for (int attempt = 1; ; attempt++) {
             try {
                 return open(address);
             } catch (BindException refused) {
                 throw refused;
             } catch (IOException wanting) {
-                if (attempt == ATTEMPTS) {
+                if (attempt == MAX_BIND_ATTEMPTS) {
                     throw wanting;
                 }
                 Log.warn("listen.failed", "why", wanting.getMessage());
@@ -47,7 +47,7 @@
 
     private static void pause() throws IOException {
         try {
-            Thread.sleep(PAUSE.toMillis());
+            Thread.sleep(BIND_RETRY_PAUSE.toMillis());
         } catch (InterruptedException e) {
             throw new IOException("interrupted while starting", e);
         }
--- a/relay/src/main/java/saltstage/lifecycle/ConfigCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/ConfigCommand.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Parameters;
 import saltstage.config.Configuration;
 import saltstage.config.OperatorSettings;
-import saltstage.keep.History;
+import saltstage.keep.ConfigurationVersions;
 import saltstage.log.Log;
 import saltstage.store.FileDisk;
 import saltstage.store.Store;
@@ -29,7 +29,7 @@
             "They are read from the store of the settings, also while the relay runs."
         },
         subcommands = {
-            ConfigCommand.ListAll.class,
+            ConfigCommand.ListVersions.class,
             ConfigCommand.Show.class,
             ConfigCommand.Rollback.class,
             CommandLine.HelpCommand.class
@@ -43,12 +43,12 @@
                 spec.commandLine(), "a sub-command is needed; see 'config help'");
     }
 
-    private interface Reading<T> {
-        T from(Store store) throws IOException;
+    private interface StoreReader<T> {
+        T read(Store store) throws IOException;
     }
 
     /** Where the relay keeps them. */
-    static final class Where {
+    static final class SettingsStore {
         @Option(
                 names = "--settings",
                 paramLabel = "FILE",
@@ -56,7 +56,7 @@
                 description = "the operator's settings, whose store block names the directory")
         private Path file;
 
-        private <T> T read(Reading<T> reading) throws IOException, MalformedException {
+        private <T> T read(StoreReader<T> reading) throws IOException, MalformedException {
             OperatorSettings.Keeping keeping =
                     OperatorSettings.read(file)
                             .keeping()
@@ -68,14 +68,14 @@
                 throw new IOException(keeping.dir() + ": there is no store");
             }
             try (Store store = Store.openToRead(new FileDisk(keeping.dir()), Log::warn)) {
-                return reading.from(store);
+                return reading.read(store);
             } catch (IOException e) {
                 throw new IOException(keeping.dir() + ": " + e.getMessage(), e);
             }
         }
 
-        private History.Version find(long number) throws IOException, MalformedException {
-            return read(store -> History.find(store, number))
+        private ConfigurationVersions.Version find(long number) throws IOException, MalformedException {
+            return read(store -> ConfigurationVersions.find(store, number))
                     .orElseThrow(() -> new MalformedException("there is no version " + number));
         }
     }
@@ -87,15 +87,15 @@
             description =
                     "Lists the versions that are kept: number, time, hash, and the sizes of the two"
                             + " texts.")
-    static final class ListAll implements Callable<Integer> {
-        @CommandLine.Mixin private Where where;
+    static final class ListVersions implements Callable<Integer> {
+        @CommandLine.Mixin private SettingsStore where;
 
         @Option(names = "--json", description = "one JSON object a line")
         private boolean json;
 
         @Override
         public Integer call() throws IOException, MalformedException {
-            for (History.Version v : where.read(History::all)) {
+            for (ConfigurationVersions.Version v : where.read(ConfigurationVersions::all)) {
                 int configuration = v.configuration().getBytes(StandardCharsets.UTF_8).length;
                 int settings = v.settings().getBytes(StandardCharsets.UTF_8).length;
                 System.out.printf(
@@ -125,7 +125,7 @@
             mixinStandardHelpOptions = true,
             description = "Prints a version as it was accepted.")
     static final class Show implements Callable<Integer> {
-        @CommandLine.Mixin private Where where;
+        @CommandLine.Mixin private SettingsStore where;
 
         @Parameters(index = "0", paramLabel = "N", description = "the version")
         private long number;
@@ -140,7 +140,7 @@
 
         @Override
         public Integer call() throws IOException, MalformedException {
-            History.Version version = where.find(number);
+            ConfigurationVersions.Version version = where.find(number);
             System.out.print(part == Part.settings ? version.settings() : version.configuration());
             System.out.flush();
             return 0;
@@ -158,7 +158,7 @@
                         + " sound is refused."
             })
     static final class Rollback implements Callable<Integer> {
-        @CommandLine.Mixin private Where where;
+        @CommandLine.Mixin private SettingsStore where;
 
         @Parameters(index = "0", paramLabel = "N", description = "the version")
         private long number;
@@ -175,7 +175,7 @@
 
         @Override
         public Integer call() throws IOException, MalformedException {
-            History.Version version = where.find(number);
+            ConfigurationVersions.Version version = where.find(number);
             Configuration.of(version.configuration());
             OperatorSettings settings =
                     OperatorSettings.of("version " + number, version.settings());
--- a/relay/src/main/java/saltstage/lifecycle/ConfiguredSettings.java
+++ b/relay/src/main/java/saltstage/lifecycle/ConfiguredSettings.java
@@ -15,43 +15,43 @@
  * All others take a restart with another file; each is named in the log once.
  */
 final class ConfiguredSettings {
-    private static final String LEVEL = "log.level";
-    private static final String FORMAT = "log.format";
+    private static final String LOG_LEVEL = "log.level";
+    private static final String LOG_FORMAT = "log.format";
 
-    private final Map<String, String> texts = new HashMap<>();
-    private final Set<String> told = new HashSet<>();
-    private OperatorSettings.Logging file;
+    private final Map<String, String> values = new HashMap<>();
+    private final Set<String> reportedNames = new HashSet<>();
+    private OperatorSettings.Logging fileSettings;
     private OperatorSettings.Logging inForce;
 
     /** Over these of the operator's file. */
     ConfiguredSettings(OperatorSettings.Logging file) {
-        this.file = file;
+        this.fileSettings = file;
         inForce = file;
     }
 
     /** The operator's file was read anew. */
-    synchronized void useFile(OperatorSettings.Logging read) {
-        file = read;
+    synchronized void setFileSettings(OperatorSettings.Logging read) {
+        fileSettings = read;
         apply();
     }
 
     /** Forgets all. */
     synchronized void clear() {
-        texts.clear();
+        values.clear();
     }
 
     /** A setting says this from now on; null: it is deleted. */
     synchronized void set(String name, String text) {
-        if (!name.equals(LEVEL) && !name.equals(FORMAT)) {
-            if (told.add(name)) {
+        if (!name.equals(LOG_LEVEL) && !name.equals(LOG_FORMAT)) {
+            if (reportedNames.add(name)) {
                 Log.warn("configuration.setting", "name", name, "why", "takes a restart");
             }
             return;
         }
         if (text == null) {
-            texts.remove(name);
+            values.remove(name);
         } else {
-            texts.put(name, text);
+            values.put(name, text);
         }
     }
 
@@ -59,16 +59,16 @@
     synchronized void apply() {
         OperatorSettings.Logging wanted =
                 new OperatorSettings.Logging(
-                        word(FORMAT, LogSetup.Format.class, file.format()),
-                        word(LEVEL, OperatorSettings.Level.class, file.level()));
+                        parseWord(LOG_FORMAT, LogSetup.Format.class, fileSettings.format()),
+                        parseWord(LOG_LEVEL, OperatorSettings.Level.class, fileSettings.level()));
         if (!wanted.equals(inForce)) {
             inForce = wanted;
-            LogSetup.use(wanted.format(), wanted.level().name());
+            LogSetup.reconfigure(wanted.format(), wanted.level().name());
         }
     }
 
-    private <E extends Enum<E>> E word(String name, Class<E> type, E otherwise) {
-        String text = texts.get(name);
+    private <E extends Enum<E>> E parseWord(String name, Class<E> type, E otherwise) {
+        String text = values.get(name);
         if (text == null) {
             return otherwise;
         }
@@ -77,7 +77,7 @@
                 return constant;
             }
         }
-        texts.remove(name);
+        values.remove(name);
         Log.warn("configuration.setting", "name", name, "why", "unknown word: " + text);
         return otherwise;
     }
--- a/relay/src/main/java/saltstage/lifecycle/DiscoveryCalls.java
+++ b/relay/src/main/java/saltstage/lifecycle/DiscoveryCalls.java
@@ -7,7 +7,7 @@
 
 /**
  * Decides which calls to discovery are begun, kept and ended: an immutable state and its
- * transitions, without locks, threads or time, which {@link Subscription} adds.
+ * transitions, without locks, threads or time, which {@link DiscoverySubscription} adds.
  *
  * <p>Guarantees, in whatever order events come, as long as the caller performs every effect of
  * every {@link Step}:
@@ -15,7 +15,7 @@
  * <ul>
  *   <li>a watch is open, or a call is awaited whose end or time-out is still to come, or the caller
  *       has been told to ask again ({@link Effect.AskLater} or {@link Step#lossReason});
- *   <li>there are at most {@link #MOST_CALLS} calls, and a single one once a call is answered;
+ *   <li>there are at most {@link #MAX_CALLS} calls, and a single one once a call is answered;
  *   <li>events of a call that has ended, or that was told to end, change nothing and have no
  *       effects;
  *   <li>a list that is older than the one held is not delivered.
@@ -29,7 +29,7 @@
      * Each has a thread and a descriptor; where the service is asked the oldest has had over 6 s by
      * then.
      */
-    static final int MOST_CALLS = 4;
+    static final int MAX_CALLS = 4;
 
     /** How far a call has come. */
     enum Phase {
@@ -90,7 +90,7 @@
         }
         List<Call> kept = new ArrayList<>(calls);
         List<Effect> effects = new ArrayList<>();
-        if (kept.size() >= MOST_CALLS) {
+        if (kept.size() >= MAX_CALLS) {
             effects.add(new Effect.EndCall(kept.remove(0).id()));
         }
         return begin(kept, effects);
--- a/relay/src/main/java/saltstage/lifecycle/Subscription.java
+++ b/relay/src/main/java/saltstage/lifecycle/DiscoverySubscription.java
@@ -27,27 +27,27 @@
  * <p>What happens to which call is decided by {@link DiscoveryCalls}, which states what is
  * guaranteed; this class has the lock, the threads and the timers.
  */
-final class Subscription {
+final class DiscoverySubscription {
     /**
      * A change counts as told after 6 s: this, the module's longest pause (3 s) and an answer fit
      * in.
      */
-    static final Duration UNANSWERED = Duration.ofMillis(1_250);
+    static final Duration ANSWER_TIMEOUT = Duration.ofMillis(1_250);
 
     /**
      * An agent on the relay's machine answers at once, at no cost; what it has counts as told at
      * once.
      */
-    private static final Duration AGENT_UNANSWERED = Duration.ofMillis(500);
+    private static final Duration AGENT_ANSWER_TIMEOUT = Duration.ofMillis(500);
 
-    private static final Duration AGENT_PAUSE = Duration.ofMillis(100);
+    private static final Duration AGENT_RETRY_PAUSE = Duration.ofMillis(100);
 
     private final Timers timers;
     private final LongSupplier heldRevision;
     private final Consumer<HostList> listener;
-    private final Runnable refused;
+    private final Runnable failureListener;
     private final boolean pushed;
-    private final Map<Long, DiscoveryClient> clients = new HashMap<>();
+    private final Map<Long, DiscoveryClient> clientsByCallId = new HashMap<>();
     private InetSocketAddress address;
     private DiscoveryCalls calls = DiscoveryCalls.none();
 
@@ -62,7 +62,7 @@
      * @param listener takes the lists, one at a time, none of them older than the one held
      * @param refused told of each failed call where lists are not pushed; it sees to {@link #ask}
      */
-    Subscription(
+    DiscoverySubscription(
             InetSocketAddress address,
             boolean pushed,
             Timers timers,
@@ -74,7 +74,7 @@
         this.timers = timers;
         this.heldRevision = heldRevision;
         this.listener = listener;
-        this.refused = refused;
+        this.failureListener = refused;
     }
 
     /** Asks, unless a watch is open or a call is awaited; never blocks. */
@@ -86,7 +86,7 @@
      * Discovery is elsewhere from now on: nothing from the old address is delivered after the
      * return.
      */
-    synchronized void moveTo(InetSocketAddress to) {
+    synchronized void changeAddress(InetSocketAddress to) {
         if (to.equals(address)) {
             return;
         }
@@ -115,48 +115,48 @@
         if (effect instanceof Effect.StartCall start) {
             start(start.id());
         } else if (effect instanceof Effect.EndCall end) {
-            clients.remove(end.id()).stop();
+            clientsByCallId.remove(end.id()).stop();
         } else if (effect instanceof Effect.DeliverList deliver) {
             listener.accept(deliver.list());
         } else if (effect instanceof Effect.DropOldList drop) {
             Log.warn("discovery.old", "rev", drop.list().rev(), "held", heldRevision.getAsLong());
         } else {
-            timers.schedule(UNANSWERED, this::ask);
+            timers.schedule(ANSWER_TIMEOUT, this::ask);
         }
     }
 
     private void start(long id) {
         DiscoveryClient client = new DiscoveryClient(address);
-        clients.put(id, client);
+        clientsByCallId.put(id, client);
         if (!Threads.start("discovery", () -> run(id, client))) {
-            clients.remove(id);
+            clientsByCallId.remove(id);
             handle(calls -> calls.startFailed(id));
             return;
         }
         timers.schedule(
-                pushed ? AGENT_UNANSWERED : UNANSWERED,
+                pushed ? AGENT_ANSWER_TIMEOUT : ANSWER_TIMEOUT,
                 () -> handle(calls -> calls.answerTimedOut(id)));
     }
 
     private void run(long id, DiscoveryClient client) {
         String why = "fault";
         try {
-            client.watch(heldRevision.getAsLong(), list -> arrived(id, list));
+            client.watch(heldRevision.getAsLong(), list -> listArrived(id, list));
         } catch (IOException | MalformedException e) {
             why = String.valueOf(e.getMessage());
         } finally {
-            ended(id, why);
+            callEnded(id, why);
         }
     }
 
-    private void arrived(long id, HostList list) {
+    private void listArrived(long id, HostList list) {
         handle(calls -> calls.listArrived(id, list, heldRevision.getAsLong()));
     }
 
-    private void ended(long id, String why) {
+    private void callEnded(long id, String why) {
         handle(
                 calls -> {
-                    clients.remove(id);
+                    clientsByCallId.remove(id);
                     return calls.callEnded(id, why);
                 });
     }
@@ -164,9 +164,9 @@
     private void reportLost(String why) {
         Log.warn("discovery.lost", "why", why, "rev", heldRevision.getAsLong());
         if (pushed) {
-            timers.schedule(AGENT_PAUSE, this::ask);
+            timers.schedule(AGENT_RETRY_PAUSE, this::ask);
         } else {
-            refused.run();
+            failureListener.run();
         }
     }
 }
--- a/relay/src/main/java/saltstage/lifecycle/Drain.java
+++ b/relay/src/main/java/saltstage/lifecycle/Drain.java
@@ -19,26 +19,26 @@
  * clients no faster than in a second: the rest is for that.
  */
 final class Drain {
-    private static final Duration MOST_DEADLINE = Duration.ofSeconds(3);
-    private static final Duration LATE = Duration.ofMillis(600);
-    private static final Duration MOVES = Duration.ofMillis(1_600);
-    private static final Duration AFTER_MOVES = Duration.ofMillis(800);
+    private static final Duration MAX_DEADLINE = Duration.ofSeconds(3);
+    private static final Duration DEADLINE_MARGIN = Duration.ofMillis(600);
+    private static final Duration MOVE_PERIOD = Duration.ofMillis(1_600);
+    private static final Duration REJECT_PERIOD = Duration.ofMillis(800);
 
     /** New clients come for up to 0.4 s more; the front then sends them elsewhere. */
-    private static final Duration AT_LEAST = Duration.ofMillis(900);
+    private static final Duration MIN_DRAIN_TIME = Duration.ofMillis(900);
 
     /** So long who has been told that the relay ends may take to hang up. */
-    private static final Duration HANG_UP = Duration.ofMillis(400);
+    private static final Duration DISCONNECT_TIMEOUT = Duration.ofMillis(400);
 
-    private static final Duration STEP = Duration.ofMillis(50);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
 
     private final MonotonicClock clock;
-    private final RelayPipeline chain;
+    private final RelayPipeline pipeline;
     private final Instant start;
     private final Duration movesFrom;
     private final Duration movesUntil;
-    private final Duration over;
-    private final boolean succeeded;
+    private final Duration drainLimit;
+    private final boolean hasSuccessor;
 
     /**
      * A drain that began so late after SIGTERM, as far as known; succeeded: another process serves.
@@ -49,44 +49,44 @@
             Duration longestDeadline,
             Duration late,
             boolean succeeded) {
-        this.succeeded = succeeded;
+        this.hasSuccessor = succeeded;
         this.clock = clock;
-        this.chain = chain;
+        this.pipeline = chain;
         start = clock.now().minus(late);
         Duration most =
-                longestDeadline.compareTo(MOST_DEADLINE) < 0 ? longestDeadline : MOST_DEADLINE;
-        Duration last = notNegative(most.minus(LATE));
-        movesFrom = succeeded ? Duration.ZERO : notNegative(last.minus(MOVES));
-        movesUntil = succeeded && MOVES.compareTo(last) < 0 ? MOVES : last;
-        over = last.plus(AFTER_MOVES);
+                longestDeadline.compareTo(MAX_DEADLINE) < 0 ? longestDeadline : MAX_DEADLINE;
+        Duration last = notNegative(most.minus(DEADLINE_MARGIN));
+        movesFrom = succeeded ? Duration.ZERO : notNegative(last.minus(MOVE_PERIOD));
+        movesUntil = succeeded && MOVE_PERIOD.compareTo(last) < 0 ? MOVE_PERIOD : last;
+        drainLimit = last.plus(REJECT_PERIOD);
     }
 
     void run() {
         Log.info(
                 "drain.start",
                 "late_ms",
-                since().toMillis(),
+                elapsed().toMillis(),
                 "standing",
-                chain.outcomeRecorder().establishedAttempts().size(),
+                pipeline.outcomeRecorder().establishedAttempts().size(),
                 "clients",
-                clients(),
+                clientCount(),
                 "succeeded",
-                succeeded);
-        if (!succeeded) { // else nobody comes any more, and who has come is served
-            chain.frontends().forEach(Frontend::startDraining);
+                hasSuccessor);
+        if (!hasSuccessor) { // else nobody comes any more, and who has come is served
+            pipeline.frontends().forEach(Frontend::startDraining);
         }
         try {
-            while (since().compareTo(over) < 0 && !done()) {
-                moveSome();
-                if (since().compareTo(over.minus(AFTER_MOVES)) >= 0) {
-                    refuse();
+            while (elapsed().compareTo(drainLimit) < 0 && !isDone()) {
+                moveDueClients();
+                if (elapsed().compareTo(drainLimit.minus(REJECT_PERIOD)) >= 0) {
+                    rejectRemaining();
                 }
-                Thread.sleep(STEP.toMillis());
+                Thread.sleep(POLL_INTERVAL.toMillis());
             }
-            Duration until = since().plus(HANG_UP);
-            while (clients() > 0 && since().compareTo(until) < 0) {
-                refuse();
-                Thread.sleep(STEP.toMillis());
+            Duration until = elapsed().plus(DISCONNECT_TIMEOUT);
+            while (clientCount() > 0 && elapsed().compareTo(until) < 0) {
+                rejectRemaining();
+                Thread.sleep(POLL_INTERVAL.toMillis());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -94,54 +94,54 @@
         Log.info(
                 "drain.over",
                 "standing",
-                chain.outcomeRecorder().establishedAttempts().size(),
+                pipeline.outcomeRecorder().establishedAttempts().size(),
                 "clients",
-                clients(),
+                clientCount(),
                 "after_ms",
-                since().toMillis());
+                elapsed().toMillis());
     }
 
     /** Each time: who comes or asks after the first one has to be answered too. */
-    private void refuse() {
-        chain.rejectWaiting();
-        chain.frontends().forEach(Frontend::rejectPendingClients);
+    private void rejectRemaining() {
+        pipeline.rejectWaiting();
+        pipeline.frontends().forEach(Frontend::rejectPendingClients);
     }
 
     private static Duration notNegative(Duration span) {
         return span.isNegative() ? Duration.ZERO : span;
     }
 
-    private Duration since() {
+    private Duration elapsed() {
         return Duration.between(start, clock.now());
     }
 
-    private int clients() {
-        return chain.frontends().stream().mapToInt(Frontend::clientCount).sum();
+    private int clientCount() {
+        return pipeline.frontends().stream().mapToInt(Frontend::clientCount).sum();
     }
 
-    private boolean done() {
-        if (succeeded) {
-            return clients() == 0; // also those whose first line is still on its way
+    private boolean isDone() {
+        if (hasSuccessor) {
+            return clientCount() == 0; // also those whose first line is still on its way
         }
-        return since().compareTo(AT_LEAST) > 0
-                && chain.frontends().stream().allMatch(front -> front.requestCount() == 0);
+        return elapsed().compareTo(MIN_DRAIN_TIME) > 0
+                && pipeline.frontends().stream().allMatch(front -> front.requestCount() == 0);
     }
 
     /**
      * As many of those that stand as the steps that are left ask for, so that the others are not
      * flooded.
      */
-    private void moveSome() {
-        if (since().compareTo(movesFrom) < 0) {
+    private void moveDueClients() {
+        if (elapsed().compareTo(movesFrom) < 0) {
             return;
         }
-        List<Attempt> standing = List.copyOf(chain.outcomeRecorder().establishedAttempts());
-        long due = MovePacing.movesPerStep(standing.size(), movesUntil.minus(since()), STEP);
+        List<Attempt> standing = List.copyOf(pipeline.outcomeRecorder().establishedAttempts());
+        long due = MovePacing.movesPerStep(standing.size(), movesUntil.minus(elapsed()), POLL_INTERVAL);
         for (Attempt up : standing) {
             if (due <= 0) {
                 break;
             }
-            due -= chain.move(up, "relay leaves") ? 1 : 0;
+            due -= pipeline.move(up, "relay leaves") ? 1 : 0;
         }
     }
 }
--- a/relay/src/main/java/saltstage/lifecycle/Hangups.java
+++ b/relay/src/main/java/saltstage/lifecycle/HangupSignal.java
@@ -7,14 +7,14 @@
  * SIGHUP, from the process's first moment on. The JVM's own handler ends the process, and all
  * connections with it; one that comes while the relay still starts is kept until it can be obeyed.
  */
-final class Hangups {
-    private Runnable reload;
-    private boolean early;
+final class HangupSignal {
+    private Runnable handler;
+    private boolean pending;
     private boolean ignored;
 
     /** Catches them from now on. */
-    void begin() {
-        SignalHandler before = Signal.handle(new Signal("HUP"), hangup -> come());
+    void install() {
+        SignalHandler before = Signal.handle(new Signal("HUP"), hangup -> signalReceived());
         ignored = before == SignalHandler.SIG_IGN;
     }
 
@@ -22,15 +22,15 @@
      * Whether the process was started with SIGHUP ignored, as under nohup: the JVM then never hears
      * one.
      */
-    boolean ignored() {
+    boolean isIgnored() {
         return ignored;
     }
 
-    private void come() {
+    private void signalReceived() {
         Runnable todo;
         synchronized (this) {
-            todo = reload;
-            early |= todo == null;
+            todo = handler;
+            pending |= todo == null;
         }
         if (todo != null) {
             todo.run();
@@ -38,10 +38,10 @@
     }
 
     /** What each of them does from now on; if any came before, it is done now. */
-    void obey(Runnable does) {
+    void setHandler(Runnable does) {
         synchronized (this) {
-            reload = does;
-            if (!early) {
+            handler = does;
+            if (!pending) {
                 return;
             }
         }
--- a/relay/src/main/java/saltstage/lifecycle/Main.java
+++ b/relay/src/main/java/saltstage/lifecycle/Main.java
@@ -37,15 +37,15 @@
             CommandLine.HelpCommand.class
         })
 public final class Main implements Callable<Integer> {
-    private static final Hangups HANGUPS = new Hangups();
-    private static final int FAILED = 1;
-    private static final int USAGE = 2;
+    private static final HangupSignal HANGUP_SIGNAL = new HangupSignal();
+    private static final int EXIT_FAILED = 1;
+    private static final int EXIT_USAGE = 2;
 
     /** Exits 0 when done, 1 on bad configuration or input, 2 on a wrong command line. */
     public static void main(String[] args) {
         boolean serving = args.length > 0 && args[0].equals("serve");
         if (serving) {
-            HANGUPS.begin(); // before anything that takes time
+            HANGUP_SIGNAL.install(); // before anything that takes time
         }
         System.exit(commandLine(serving).execute(args));
     }
@@ -61,20 +61,20 @@
                     .addSubcommand(new OperatorCommand());
         }
         // One plain line, whatever is wrong: picocli would add the whole usage.
-        line.setParameterExceptionHandler((e, args) -> complain(e.getMessage(), USAGE));
+        line.setParameterExceptionHandler((e, args) -> reportError(e.getMessage(), EXIT_USAGE));
         line.setExecutionExceptionHandler(
-                (e, at, all) -> complain(String.valueOf(e.getMessage()), FAILED));
+                (e, at, all) -> reportError(String.valueOf(e.getMessage()), EXIT_FAILED));
         return line;
     }
 
-    private static int complain(String what, int code) {
+    private static int reportError(String what, int code) {
         System.err.println("saltstage: " + what.replaceAll("\\s+", " "));
         return code;
     }
 
     @Override
     public Integer call() {
-        return complain("a sub-command is needed; see 'help'", USAGE);
+        return reportError("a sub-command is needed; see 'help'", EXIT_USAGE);
     }
 
     /** The version that the jar was built as. */
@@ -94,12 +94,12 @@
                 defaultValue = "${env:GW_CONFIG}")
         private Path file;
 
-        boolean given() {
+        boolean isGiven() {
             return file != null && !file.toString().isEmpty();
         }
 
         Configuration read() throws MalformedException {
-            if (!given()) {
+            if (!isGiven()) {
                 throw new MalformedException("no configuration: set GW_CONFIG or give --config");
             }
             return Configuration.read(file);
@@ -133,11 +133,11 @@
         @Override
         public Integer call() throws MalformedException, IOException, InterruptedException {
             OperatorSettings chosen = settings.read();
-            LogSetup.use(chosen.logging().format(), chosen.logging().level().name());
-            if (HANGUPS.ignored()) {
+            LogSetup.reconfigure(chosen.logging().format(), chosen.logging().level().name());
+            if (HANGUP_SIGNAL.isIgnored()) {
                 Log.warn("reload.ignored", "why", "the process was started with SIGHUP ignored");
             }
-            Program program = new Program(config.read(), chosen, Surroundings.of(System.getenv()));
+            RelayServer program = new RelayServer(config.read(), chosen, ProcessEnvironment.of(System.getenv()));
             Runtime.getRuntime()
                     .addShutdownHook(
                             new Thread(
@@ -149,7 +149,7 @@
                                     },
                                     "drain"));
             program.start();
-            HANGUPS.obey(() -> program.reload(config::read, settings::read));
+            HANGUP_SIGNAL.setHandler(() -> program.reload(config::read, settings::read));
             new CountDownLatch(1).await();
             return 0;
         }
@@ -167,7 +167,7 @@
 
         @Override
         public Integer call() throws MalformedException {
-            boolean both = config.given() || settings.file == null;
+            boolean both = config.isGiven() || settings.file == null;
             if (settings.file != null) {
                 settings.read();
                 System.out.println("sound: settings " + settings.file);
@@ -213,7 +213,7 @@
                 new SimulatorAdapter(in, out).run();
                 return 0;
             } catch (MalformedMessageException e) {
-                return complain(e.getMessage(), FAILED);
+                return reportError(e.getMessage(), EXIT_FAILED);
             }
         }
     }
--- a/relay/src/main/java/saltstage/lifecycle/OperatorCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/OperatorCommand.java
@@ -34,8 +34,8 @@
             CommandLine.HelpCommand.class
         })
 final class OperatorCommand implements Callable<Integer> {
-    private static final int NO = 1;
-    private static final int SILENT = 3;
+    private static final int EXIT_REJECTED = 1;
+    private static final int EXIT_NO_ANSWER = 3;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -46,8 +46,8 @@
     }
 
     /** Where the relay is called, and how its answer is shown. */
-    static final class Relay {
-        private static final int MOST_BYTES = 1 << 20;
+    static final class RelayClientOptions {
+        private static final int MAX_ANSWER_BYTES = 1 << 20;
 
         @Option(
                 names = "--admin",
@@ -66,38 +66,38 @@
         @Option(names = "--json", description = "one JSON object instead of lines")
         private boolean json;
 
-        private int ask(String call) throws MalformedException {
+        private int call(String call) throws MalformedException {
             if (admin == null || admin.isEmpty()) {
                 throw new MalformedException("no address: set GW_ADMIN or give --admin");
             }
             InetSocketAddress at = HostList.address(admin);
             List<String> lines;
             try {
-                lines = answer(at, call);
+                lines = exchange(at, call);
             } catch (IOException silent) {
                 System.err.println(
                         "saltstage: " + admin + " did not answer: " + silent.getMessage());
-                return SILENT;
+                return EXIT_NO_ANSWER;
             }
             String last = lines.isEmpty() ? "" : lines.get(lines.size() - 1);
             boolean yes = last.equals("end") || last.startsWith("done");
             if (!yes && !last.startsWith("error")) {
                 System.err.println("saltstage: " + admin + " did not answer whole");
-                return SILENT;
+                return EXIT_NO_ANSWER;
             }
             System.out.println(
-                    json ? json(yes, lines) : String.join(System.lineSeparator(), lines));
-            return yes ? 0 : NO;
+                    json ? toJson(yes, lines) : String.join(System.lineSeparator(), lines));
+            return yes ? 0 : EXIT_REJECTED;
         }
 
-        private List<String> answer(InetSocketAddress at, String call) throws IOException {
+        private List<String> exchange(InetSocketAddress at, String call) throws IOException {
             long until = System.nanoTime() + Duration.ofMillis(timeout).toNanos();
             try (Socket socket = new Socket()) {
                 socket.connect(at, timeout);
                 socket.getOutputStream().write((call + "\r\n").getBytes(StandardCharsets.US_ASCII));
                 InputStream in = socket.getInputStream();
                 StringBuilder text = new StringBuilder();
-                for (int c = 0; c >= 0 && text.length() < MOST_BYTES; ) {
+                for (int c = 0; c >= 0 && text.length() < MAX_ANSWER_BYTES; ) {
                     socket.setSoTimeout((int) Math.max(1, (until - System.nanoTime()) / 1_000_000));
                     c = in.read();
                     if (c >= 0) {
@@ -109,7 +109,7 @@
         }
 
         /** The names are the relay's own; none holds what JSON would have to escape. */
-        private static String json(boolean yes, List<String> lines) {
+        private static String toJson(boolean yes, List<String> lines) {
             List<String> members = new ArrayList<>(List.of("\"ok\":" + yes));
             Map<String, String> figures = new TreeMap<>();
             for (String line : lines) {
@@ -132,11 +132,11 @@
             description = "Whether this process serves.",
             mixinStandardHelpOptions = true)
     static final class Status implements Callable<Integer> {
-        @CommandLine.Mixin private Relay relay;
+        @CommandLine.Mixin private RelayClientOptions relay;
 
         @Override
         public Integer call() throws MalformedException {
-            return relay.ask("STATUS");
+            return relay.call("STATUS");
         }
     }
 
@@ -146,11 +146,11 @@
             description = "The figures of this process.",
             mixinStandardHelpOptions = true)
     static final class Metrics implements Callable<Integer> {
-        @CommandLine.Mixin private Relay relay;
+        @CommandLine.Mixin private RelayClientOptions relay;
 
         @Override
         public Integer call() throws MalformedException {
-            return relay.ask("METRICS");
+            return relay.call("METRICS");
         }
     }
 
@@ -160,14 +160,14 @@
             description = "Nothing more to a backend, until it is restored.",
             mixinStandardHelpOptions = true)
     static final class Suspend implements Callable<Integer> {
-        @CommandLine.Mixin private Relay relay;
+        @CommandLine.Mixin private RelayClientOptions relay;
 
         @Parameters(paramLabel = "ID", description = "the backend, as discovery names it")
         private String id;
 
         @Override
         public Integer call() throws MalformedException {
-            return relay.ask("SUSPEND " + id);
+            return relay.call("SUSPEND " + id);
         }
     }
 
@@ -177,14 +177,14 @@
             description = "Uses a backend again.",
             mixinStandardHelpOptions = true)
     static final class Restore implements Callable<Integer> {
-        @CommandLine.Mixin private Relay relay;
+        @CommandLine.Mixin private RelayClientOptions relay;
 
         @Parameters(paramLabel = "ID", description = "the backend, as discovery names it")
         private String id;
 
         @Override
         public Integer call() throws MalformedException {
-            return relay.ask("RESTORE " + id);
+            return relay.call("RESTORE " + id);
         }
     }
 }
--- a/relay/src/main/java/saltstage/lifecycle/Surroundings.java
+++ b/relay/src/main/java/saltstage/lifecycle/ProcessEnvironment.java
@@ -11,9 +11,9 @@
  * shares with a process that replaces it (null: none), where operators call (null: as the
  * configuration says), and whether descriptor 0 is the clients' listening socket.
  */
-record Surroundings(Path folder, InetSocketAddress admin, boolean inheritsListener) {
+record ProcessEnvironment(Path sharedFolder, InetSocketAddress adminAddress, boolean inheritsListener) {
     /** Reads the environment. */
-    static Surroundings of(Map<String, String> environment) throws MalformedException {
+    static ProcessEnvironment of(Map<String, String> environment) throws MalformedException {
         String folder = environment.getOrDefault("TMPDIR", "");
         String admin = environment.getOrDefault("GW_ADMIN", "");
         String descriptor = environment.getOrDefault("GW_LISTEN_FD", "");
@@ -22,7 +22,7 @@
                     "GW_LISTEN_FD: only descriptor 0 can be taken over, not '" + descriptor + "'");
         }
         try {
-            return new Surroundings(
+            return new ProcessEnvironment(
                     folder.isEmpty() ? null : Path.of(folder, "saltstage"),
                     admin.isEmpty() ? null : HostList.address(admin),
                     !descriptor.isEmpty());
--- a/relay/src/main/java/saltstage/lifecycle/Clerk.java
+++ b/relay/src/main/java/saltstage/lifecycle/RelayOperations.java
@@ -14,17 +14,17 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import saltstage.admin.Desk;
-import saltstage.handover.Bans;
-import saltstage.handover.Slots;
-import saltstage.handover.Whole;
+import saltstage.admin.OperatorService;
+import saltstage.handover.Suspensions;
+import saltstage.handover.ProcessSlots;
+import saltstage.handover.AtomicFile;
 import saltstage.keep.Takeover;
 import saltstage.log.Log;
 import saltstage.memory.MonotonicClock;
 import saltstage.memory.Backend;
 import saltstage.memory.BackendRegistry;
 import saltstage.memory.Attempt;
-import saltstage.metrics.Counts;
+import saltstage.metrics.RequestCounters;
 import saltstage.stage.RelayPipeline;
 import saltstage.stage.Frontend;
 import saltstage.stage.MovePacing;
@@ -35,98 +35,98 @@
  * process of this relay is left, its part of the descriptors. Who asks for figures reads what was
  * last looked at.
  */
-final class Clerk implements Desk {
+final class RelayOperations implements OperatorService {
     /**
      * Long enough that the others are not flooded; a machine is not restarted sooner than that by
      * hand.
      */
-    private static final Duration MOVES = Duration.ofSeconds(2);
+    private static final Duration MOVE_PERIOD = Duration.ofSeconds(2);
 
-    private static final Duration LOOK = Duration.ofMillis(200);
-    private static final int LOOKS_PER_TAKEOVER = 5;
-    private static final Duration ANSWER = Duration.ofMillis(700);
-    private static final int MOST_QUEUED = 64;
-    private static final Duration STALE = Duration.ofSeconds(30);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(200);
+    private static final int POLLS_PER_TAKEOVER_WRITE = 5;
+    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(700);
+    private static final int MAX_QUEUED_CALLS = 64;
+    private static final Duration MAX_TAKEOVER_AGE = Duration.ofSeconds(30);
 
     private final MonotonicClock clock;
-    private final BackendRegistry peers;
-    private final RelayPipeline chain;
-    private final Counts counts;
-    private final Bans bans;
-    private final Slots slots;
-    private final Whole takeover;
-    private final Set<String> listed = ConcurrentHashMap.newKeySet();
-    private final BlockingQueue<Runnable> calls = new LinkedBlockingQueue<>(MOST_QUEUED);
-    private volatile Set<String> avoided = Set.of();
-    private volatile String notReady = "starting";
-    private final Map<String, Instant> since = new HashMap<>();
-    private Set<String> applied = Set.of();
-    private int looks;
+    private final BackendRegistry backends;
+    private final RelayPipeline pipeline;
+    private final RequestCounters counters;
+    private final Suspensions suspensions;
+    private final ProcessSlots slots;
+    private final AtomicFile takeoverFile;
+    private final Set<String> knownBackendIds = ConcurrentHashMap.newKeySet();
+    private final BlockingQueue<Runnable> queuedCalls = new LinkedBlockingQueue<>(MAX_QUEUED_CALLS);
+    private volatile Set<String> ejectedBackendIds = Set.of();
+    private volatile String notReadyReason = "starting";
+    private final Map<String, Instant> suspendedSince = new HashMap<>();
+    private Set<String> appliedSuspensions = Set.of();
+    private int polls;
 
     /** Slots and folder are null where no process is ever replaced by another beside it. */
-    Clerk(
+    RelayOperations(
             MonotonicClock clock,
             BackendRegistry peers,
             RelayPipeline chain,
-            Counts counts,
-            Bans bans,
-            Slots slots,
+            RequestCounters counts,
+            Suspensions bans,
+            ProcessSlots slots,
             Path takeover) {
         this.clock = clock;
-        this.peers = peers;
-        this.chain = chain;
-        this.counts = counts;
-        this.bans = bans;
+        this.backends = peers;
+        this.pipeline = chain;
+        this.counters = counts;
+        this.suspensions = bans;
         this.slots = slots;
-        this.takeover = takeover == null ? null : new Whole(takeover, "takeover 1");
+        this.takeoverFile = takeover == null ? null : new AtomicFile(takeover, "takeover 1");
     }
 
     // ---- what operators ask, on their thread
 
     @Override
-    public String notReady() {
-        return notReady;
+    public String notReadyReason() {
+        return notReadyReason;
     }
 
     @Override
-    public String figures() {
-        Set<String> left = avoided;
+    public String metrics() {
+        Set<String> left = ejectedBackendIds;
         int known = 0;
         int skipped = 0;
-        for (Backend peer : peers.all()) {
+        for (Backend peer : backends.all()) {
             known++;
             skipped += peer.isSuspended() || left.contains(peer.entry().uid()) ? 1 : 0;
         }
-        return counts.text(chain.frontends().stream().mapToInt(Frontend::requestCount).sum(), known, skipped);
+        return counters.format(pipeline.frontends().stream().mapToInt(Frontend::requestCount).sum(), known, skipped);
     }
 
     @Override
     public CompletionStage<String> suspend(String id) {
-        return ban(id, true);
+        return setSuspended(id, true);
     }
 
     @Override
     public CompletionStage<String> restore(String id) {
-        return ban(id, false);
+        return setSuspended(id, false);
     }
 
-    private CompletionStage<String> ban(String id, boolean banned) {
-        if (!listed.contains(id)) {
+    private CompletionStage<String> setSuspended(String id, boolean banned) {
+        if (!knownBackendIds.contains(id)) {
             return CompletableFuture.completedFuture("never listed: " + id);
         }
         CompletableFuture<String> answer = new CompletableFuture<>();
         boolean queued =
-                calls.offer(
+                queuedCalls.offer(
                         () -> {
                             try {
-                                bans.set(id, banned);
-                                apply();
+                                suspensions.setSuspended(id, banned);
+                                applySuspensions();
                                 Log.info(
                                         banned ? "backend.suspended" : "backend.restored",
                                         "peer",
                                         id);
                                 answer.complete(
-                                        !banned && bans.isConfigured(id)
+                                        !banned && suspensions.isSuspendedByConfiguration(id)
                                                 ? "still suspended by configuration: " + id
                                                 : null);
                             } catch (IOException failed) {
@@ -136,23 +136,23 @@
                         });
         return queued
                 ? answer.completeOnTimeout(
-                        "busy, call again", ANSWER.toMillis(), TimeUnit.MILLISECONDS)
+                        "busy, call again", ANSWER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
                 : CompletableFuture.completedFuture("busy, call again");
     }
 
     // ---- what is told
 
     /** Null: this process serves; else why not. */
-    void ready(String why) {
-        notReady = why;
+    void setNotReadyReason(String why) {
+        notReadyReason = why;
         if (slots != null) {
             try {
-                slots.say(
+                slots.setPhase(
                         why == null
-                                ? Slots.Phase.READY
+                                ? ProcessSlots.Phase.READY
                                 : why.equals("leaving")
-                                        ? Slots.Phase.LEAVING
-                                        : Slots.Phase.STARTING);
+                                        ? ProcessSlots.Phase.LEAVING
+                                        : ProcessSlots.Phase.STARTING);
             } catch (IOException e) {
                 Log.warn("handover.fault", "why", e.getMessage());
             }
@@ -160,20 +160,20 @@
     }
 
     /** These were listed: operators may call them by name, also when they are gone. */
-    void listed(HostList list) {
-        list.targets().forEach(entry -> listed.add(entry.uid()));
+    void backendListReceived(HostList list) {
+        list.targets().forEach(entry -> knownBackendIds.add(entry.uid()));
     }
 
     /** What the process before this one has left, or null. */
-    Takeover found() {
+    Takeover readTakeover() {
         try {
-            byte[] bytes = takeover == null ? null : takeover.read();
-            Takeover found = bytes == null ? null : Takeover.of(bytes);
-            if (found != null && found.at().isBefore(clock.now().minus(STALE))) {
+            byte[] bytes = takeoverFile == null ? null : takeoverFile.read();
+            Takeover found = bytes == null ? null : Takeover.fromBytes(bytes);
+            if (found != null && found.writtenAt().isBefore(clock.now().minus(MAX_TAKEOVER_AGE))) {
                 return null; // of a process that ended long ago
             }
             if (found != null) {
-                listed.addAll(found.listed());
+                knownBackendIds.addAll(found.knownBackendIds());
             }
             return found;
         } catch (IOException bad) {
@@ -185,33 +185,33 @@
     // ---- its own thread
 
     /** One round: a call, or a look at what the other process has changed. */
-    void round() throws InterruptedException {
-        Runnable call = calls.poll(LOOK.toMillis(), TimeUnit.MILLISECONDS);
+    void runOnce() throws InterruptedException {
+        Runnable call = queuedCalls.poll(POLL_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
         if (call != null) {
             call.run();
         }
-        look();
+        poll();
     }
 
     /** Looks at what the other process has changed. */
-    void look() {
+    void poll() {
         try {
-            bans.refresh();
+            suspensions.refresh();
         } catch (IOException bad) {
             Log.warn("bans.unreadable", "why", bad.getMessage());
         }
-        apply();
-        moveOff();
-        avoided = chain.router().ejectedBackends();
+        applySuspensions();
+        moveClientsOffSuspended();
+        ejectedBackendIds = pipeline.router().ejectedBackends();
         if (slots == null) {
             return;
         }
         try {
-            chain.setDescriptorLimit(slots.share(chain.descriptorsInUse()));
-            if (++looks % LOOKS_PER_TAKEOVER == 0 && notReady == null) {
+            pipeline.setDescriptorLimit(slots.updateDescriptorBudget(pipeline.descriptorsInUse()));
+            if (++polls % POLLS_PER_TAKEOVER_WRITE == 0 && notReadyReason == null) {
                 Instant now = clock.now();
-                takeover.write(
-                        new Takeover(peers.toBackendList(), now, chain.router().learnedState(), listed).bytes());
+                takeoverFile.write(
+                        new Takeover(backends.toBackendList(), now, pipeline.router().learnedState(), knownBackendIds).toBytes());
             }
         } catch (IOException failed) {
             Log.warn("handover.fault", "why", failed.getMessage());
@@ -219,14 +219,14 @@
     }
 
     /** Tells the module which backends are suspended that were not, or are no more. */
-    private synchronized void apply() {
-        Set<String> now = bans.all();
-        Set<String> before = applied;
-        applied = now;
-        for (Backend peer : peers.all()) {
+    private synchronized void applySuspensions() {
+        Set<String> now = suspensions.all();
+        Set<String> before = appliedSuspensions;
+        appliedSuspensions = now;
+        for (Backend peer : backends.all()) {
             String uid = peer.entry().uid();
             if (now.contains(uid) != before.contains(uid)) {
-                chain.router().suspensionChanged(peer);
+                pipeline.router().suspensionChanged(peer);
             }
         }
     }
@@ -235,27 +235,27 @@
      * Clients do not stand where a backend is about to be restarted: they are moved in time, few at
      * once.
      */
-    private void moveOff() {
-        since.keySet().retainAll(bans.all());
+    private void moveClientsOffSuspended() {
+        suspendedSince.keySet().retainAll(suspensions.all());
         Instant now = clock.now();
-        for (String uid : bans.all()) {
-            Instant until = since.computeIfAbsent(uid, any -> now).plus(MOVES);
-            Backend peer = peers.find(uid);
+        for (String uid : suspensions.all()) {
+            Instant until = suspendedSince.computeIfAbsent(uid, any -> now).plus(MOVE_PERIOD);
+            Backend peer = backends.find(uid);
             if (peer == null || peer.establishedAttempts().isEmpty()) {
                 continue;
             }
             List<Attempt> standing = List.copyOf(peer.establishedAttempts());
-            long due = MovePacing.movesPerStep(standing.size(), Duration.between(now, until), LOOK);
+            long due = MovePacing.movesPerStep(standing.size(), Duration.between(now, until), POLL_INTERVAL);
             for (int i = 0; i < standing.size() && due > 0; i++) {
-                due -= chain.move(standing.get(i), "suspended") ? 1 : 0;
+                due -= pipeline.move(standing.get(i), "suspended") ? 1 : 0;
             }
         }
     }
 
     /** Whether another process serves beside this one. */
-    boolean succeeded() {
+    boolean hasSuccessor() {
         try {
-            return slots != null && slots.othersServe();
+            return slots != null && slots.isOtherProcessReady();
         } catch (IOException e) {
             Log.warn("handover.fault", "why", e.getMessage());
             return false;
--- a/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
+++ b/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
@@ -34,7 +34,7 @@
 import saltstage.configuration.follower.FollowerResources;
 import saltstage.configuration.follower.FollowerTimings;
 import saltstage.configuration.follower.HeldConfiguration;
-import saltstage.handover.Bans;
+import saltstage.handover.Suspensions;
 import saltstage.log.Log;
 import saltstage.wire.HostList;
 
@@ -45,44 +45,44 @@
  */
 final class SharedConfiguration {
     /** Connections to sources, the client's selector and the store's files. */
-    static final int DESCRIPTORS = 24;
+    static final int MAX_DESCRIPTORS = 24;
 
     /** A follower hears at least every 25 s; three times that without a word is too long. */
-    private static final Duration STALE = Duration.ofSeconds(75);
+    private static final Duration STALE_AFTER = Duration.ofSeconds(75);
 
-    private static final Duration STALE_CHECK = Duration.ofSeconds(15);
+    private static final Duration STALE_CHECK_INTERVAL = Duration.ofSeconds(15);
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
     private final ConfigurationDirectory directory;
     private final ConfigurationClient client;
     private final ScheduledExecutorService scheduler =
-            Executors.newSingleThreadScheduledExecutor(daemon("configuration"));
+            Executors.newSingleThreadScheduledExecutor(daemonThreadFactory("configuration"));
     private final ExecutorService writer =
-            Executors.newSingleThreadExecutor(daemon("configuration-store"));
-    private final Bans bans;
-    private final Consumer<HostList> listed;
+            Executors.newSingleThreadExecutor(daemonThreadFactory("configuration-store"));
+    private final Suspensions suspensions;
+    private final Consumer<HostList> listListener;
     private final BackendEntries backends = new BackendEntries();
     private final ConfiguredSettings settings;
-    private final Set<String> suspended = new TreeSet<>();
-    private final Map<String, String> shards = new ConcurrentHashMap<>();
+    private final Set<String> suspendedBackendIds = new TreeSet<>();
+    private final Map<String, String> backendsByShard = new ConcurrentHashMap<>();
     private volatile Instant confirmedAt;
-    private boolean listHandedOver;
+    private boolean listDelivered;
 
     private SharedConfiguration(
             OperatorSettings.Following following,
             OperatorSettings.Logging logging,
             String relayName,
-            Bans bans,
+            Suspensions bans,
             Consumer<HostList> listed)
             throws IOException {
-        this.bans = bans;
-        this.listed = listed;
+        this.suspensions = bans;
+        this.listListener = listed;
         settings = new ConfiguredSettings(logging);
         directory = open(following.dir());
         HeldConfiguration held = directory.held();
         confirmedAt = held.confirmedAt();
-        takeAll(held.view());
-        listHandedOver = !backends.isEmpty(); // as the list that is known at the start
+        replaceAll(held.view());
+        listDelivered = !backends.isEmpty(); // as the list that is known at the start
         Log.info(
                 "configuration.kept",
                 "rev",
@@ -90,7 +90,7 @@
                 "entries",
                 held.view().entries().size(),
                 "age_ms",
-                age());
+                ageMillis());
         client =
                 new ConfigurationClient(
                         options(following, relayName),
@@ -105,7 +105,7 @@
             OperatorSettings.Following following,
             OperatorSettings.Logging logging,
             String relayName,
-            Bans bans,
+            Suspensions bans,
             Consumer<HostList> listed)
             throws IOException {
         return new SharedConfiguration(following, logging, relayName, bans, listed);
@@ -137,7 +137,7 @@
         return new FollowerResources(http, scheduler, writer, Clock.systemUTC(), random);
     }
 
-    private static ThreadFactory daemon(String name) {
+    private static ThreadFactory daemonThreadFactory(String name) {
         return task -> {
             Thread thread = new Thread(task, name);
             thread.setDaemon(true);
@@ -147,27 +147,27 @@
 
     /** The list of backends that the disk held; none where it named none. */
     synchronized Optional<HostList> knownList() {
-        return backends.isEmpty() ? Optional.empty() : Optional.of(backends.all(client.revision()));
+        return backends.isEmpty() ? Optional.empty() : Optional.of(backends.fullList(client.revision()));
     }
 
     /** The backend that a shard is placed at, by topic and number such as "topic-7/3". */
-    Optional<String> shard(String name) {
-        return Optional.ofNullable(shards.get(name));
+    Optional<String> backendOfShard(String name) {
+        return Optional.ofNullable(backendsByShard.get(name));
     }
 
     /** Begins to follow. */
     void start() {
         client.start();
         scheduler.scheduleWithFixedDelay(
-                this::checkAge,
-                STALE_CHECK.toMillis(),
-                STALE_CHECK.toMillis(),
+                this::warnIfStale,
+                STALE_CHECK_INTERVAL.toMillis(),
+                STALE_CHECK_INTERVAL.toMillis(),
                 TimeUnit.MILLISECONDS);
     }
 
     /** The operator's file was read anew. */
     void useLogging(OperatorSettings.Logging logging) {
-        settings.useFile(logging);
+        settings.setFileSettings(logging);
     }
 
     /** Ends; a write that is under way is waited for within the limit. */
@@ -187,14 +187,14 @@
     }
 
     /** Milliseconds since a source last told or confirmed what is held; -1: none ever did. */
-    private long age() {
+    private long ageMillis() {
         Instant at = confirmedAt;
         return at == null ? -1 : Math.max(0, Duration.between(at, Instant.now()).toMillis());
     }
 
-    private void checkAge() {
-        long age = age();
-        if (age < 0 || age > STALE.toMillis()) {
+    private void warnIfStale() {
+        long age = ageMillis();
+        if (age < 0 || age > STALE_AFTER.toMillis()) {
             Log.warn(
                     "configuration.stale",
                     "rev",
@@ -208,58 +208,58 @@
 
     // ---- entries
 
-    private synchronized void takeAll(ConfigurationView view) {
+    private synchronized void replaceAll(ConfigurationView view) {
         backends.clear();
         settings.clear();
-        suspended.clear();
-        shards.clear();
-        view.entries().forEach((key, entry) -> take(key, entry.value()));
-        putInForce();
+        suspendedBackendIds.clear();
+        backendsByShard.clear();
+        view.entries().forEach((key, entry) -> applyEntry(key, entry.value()));
+        applySettingsAndSuspensions();
     }
 
-    private void take(EntryKey key, EntryValue value) {
+    private void applyEntry(EntryKey key, EntryValue value) {
         String name = key.name();
         switch (key.kind()) {
             case BACKEND -> backends.set(name, (EntryValue.Backend) value);
             case SETTING ->
                     settings.set(name, value == null ? null : ((EntryValue.Setting) value).text());
-            case SUSPENSION -> suspend(name, value != null);
-            case SHARD -> place(name, (EntryValue.Shard) value);
+            case SUSPENSION -> setSuspended(name, value != null);
+            case SHARD -> setShard(name, (EntryValue.Shard) value);
         }
     }
 
-    private void suspend(String backend, boolean suspend) {
+    private void setSuspended(String backend, boolean suspend) {
         if (suspend) {
-            suspended.add(backend);
+            suspendedBackendIds.add(backend);
         } else {
-            suspended.remove(backend);
+            suspendedBackendIds.remove(backend);
         }
     }
 
-    private void place(String shard, EntryValue.Shard value) {
+    private void setShard(String shard, EntryValue.Shard value) {
         if (value == null) {
-            shards.remove(shard);
+            backendsByShard.remove(shard);
         } else {
-            shards.put(shard, value.backend());
+            backendsByShard.put(shard, value.backend());
         }
     }
 
-    private void putInForce() {
+    private void applySettingsAndSuspensions() {
         settings.apply();
-        bans.configure(
-                suspended); // before the list: a new backend may be suspended from its first moment
+        suspensions.setSuspendedByConfiguration(
+                suspendedBackendIds); // before the list: a new backend may be suspended from its first moment
     }
 
-    private void handOver(HostList list) {
+    private void deliverList(HostList list) {
         if (list != null) {
-            listHandedOver = true;
-            listed.accept(list);
+            listDelivered = true;
+            listListener.accept(list);
         }
     }
 
-    private void applied(long revision) {
+    private void revisionApplied(long revision) {
         confirmedAt = Instant.now();
-        Log.info("configuration.applied", "rev", revision, "age_ms", age());
+        Log.info("configuration.applied", "rev", revision, "age_ms", ageMillis());
     }
 
     /** What the follower tells, one call at a time. */
@@ -270,25 +270,25 @@
             synchronized (SharedConfiguration.this) {
                 for (Change change : changes) {
                     for (Mutation mutation : change.mutations()) {
-                        take(mutation.key(), mutation.value());
+                        applyEntry(mutation.key(), mutation.value());
                     }
                 }
-                putInForce();
-                handOver(listHandedOver ? backends.changes(revision) : null);
+                applySettingsAndSuspensions();
+                deliverList(listDelivered ? backends.changesSinceLast(revision) : null);
             }
-            applied(revision);
+            revisionApplied(revision);
         }
 
         @Override
         public void snapshotInForce(ConfigurationView view) {
             synchronized (SharedConfiguration.this) {
-                takeAll(view);
-                handOver(
-                        listHandedOver || !backends.isEmpty()
-                                ? backends.all(view.revision())
+                replaceAll(view);
+                deliverList(
+                        listDelivered || !backends.isEmpty()
+                                ? backends.fullList(view.revision())
                                 : null);
             }
-            applied(view.revision());
+            revisionApplied(view.revision());
         }
 
         /**
@@ -299,8 +299,8 @@
         public void confirmed(long revision) {
             confirmedAt = client.confirmedAt();
             synchronized (SharedConfiguration.this) {
-                if (!listHandedOver && !backends.isEmpty()) {
-                    handOver(backends.all(revision));
+                if (!listDelivered && !backends.isEmpty()) {
+                    deliverList(backends.fullList(revision));
                 }
             }
         }
--- a/relay/src/main/java/saltstage/lifecycle/StoreCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/StoreCommand.java
@@ -42,7 +42,7 @@
             StoreCommand.Get.class,
             StoreCommand.Verify.class,
             StoreCommand.Compact.class,
-            StoreCommand.Show.class,
+            StoreCommand.ShowStatistics.class,
             CommandLine.HelpCommand.class
         })
 final class StoreCommand implements Callable<Integer> {
@@ -54,33 +54,33 @@
                 spec.commandLine(), "a sub-command is needed; see 'store help'");
     }
 
-    private interface Work {
-        int with(Store store) throws IOException;
+    private interface StoreTask {
+        int run(Store store) throws IOException;
     }
 
     /** The directory of the store. */
-    static final class Where {
+    static final class StoreDirectory {
         @Parameters(index = "0", paramLabel = "DIR", description = "the store's directory")
         private Path dir;
 
-        int read(Work work) throws IOException {
+        int runReadOnly(StoreTask work) throws IOException {
             if (!Files.isDirectory(dir)) {
                 throw new StoreException(dir + ": there is no store");
             }
-            return named(() -> Store.openToRead(new FileDisk(dir), Log::warn), work);
+            return run(() -> Store.openToRead(new FileDisk(dir), Log::warn), work);
         }
 
-        int write(StoreOptions options, Work work) throws IOException {
-            return named(() -> Store.open(FileDisk.at(dir), options, Log::warn), work);
+        int runWritable(StoreOptions options, StoreTask work) throws IOException {
+            return run(() -> Store.open(FileDisk.at(dir), options, Log::warn), work);
         }
 
-        private interface Opening {
+        private interface StoreOpener {
             Store open() throws IOException;
         }
 
-        private int named(Opening opening, Work work) throws IOException {
+        private int run(StoreOpener opening, StoreTask work) throws IOException {
             try (Store store = opening.open()) {
-                return work.with(store);
+                return work.run(store);
             } catch (StoreException e) {
                 throw new StoreException(dir + ": " + e.getMessage(), e);
             }
@@ -88,53 +88,53 @@
     }
 
     /** One key and value as a line. */
-    static final class Lines {
+    static final class PairLines {
         private final InputStream in;
-        private long line;
-        private boolean last;
+        private long lineNumber;
+        private boolean atEnd;
 
-        Lines(InputStream in) {
+        PairLines(InputStream in) {
             this.in = in;
         }
 
         /** The bytes of the next line, null at the end. */
-        byte[] next() throws IOException {
+        byte[] nextLine() throws IOException {
             ByteArrayOutputStream read = new ByteArrayOutputStream();
-            int b = last ? -1 : in.read();
+            int b = atEnd ? -1 : in.read();
             if (b < 0) {
                 return null;
             }
-            line++;
+            lineNumber++;
             for (; b >= 0 && b != '\n'; b = in.read()) {
                 read.write(b);
             }
-            last = b < 0;
+            atEnd = b < 0;
             return read.toByteArray();
         }
 
         /** Adds what the line says to a batch. */
-        void add(byte[] text, Batch to) throws StoreException {
+        void addTo(byte[] text, Batch to) throws StoreException {
             int tab = 0;
             while (tab < text.length && text[tab] != '\t') {
                 tab++;
             }
-            byte[] key = plain(text, 0, tab);
+            byte[] key = unescape(text, 0, tab);
             try {
                 if (tab == text.length) {
                     to.delete(key);
                 } else {
-                    to.put(key, plain(text, tab + 1, text.length));
+                    to.put(key, unescape(text, tab + 1, text.length));
                 }
             } catch (IllegalArgumentException bad) {
-                throw new StoreException("line " + line + ": " + bad.getMessage());
+                throw new StoreException("line " + lineNumber + ": " + bad.getMessage());
             }
         }
 
-        private byte[] plain(byte[] text, int from, int to) throws StoreException {
+        private byte[] unescape(byte[] text, int from, int to) throws StoreException {
             ByteArrayOutputStream out = new ByteArrayOutputStream(to - from);
             for (int i = from; i < to; i++) {
                 if (text[i] == '\t') {
-                    throw new StoreException("line " + line + ": more than one tab");
+                    throw new StoreException("line " + lineNumber + ": more than one tab");
                 }
                 if (text[i] != '\\') {
                     out.write(text[i]);
@@ -143,14 +143,14 @@
                 int which = ++i < to ? "tn\\".indexOf(text[i]) : -1;
                 if (which < 0) {
                     throw new StoreException(
-                            "line " + line + ": a backslash takes t, n or another behind it");
+                            "line " + lineNumber + ": a backslash takes t, n or another behind it");
                 }
                 out.write("\t\n\\".charAt(which));
             }
             return out.toByteArray();
         }
 
-        static void write(OutputStream out, byte[] plain) throws IOException {
+        static void writeEscaped(OutputStream out, byte[] plain) throws IOException {
             for (byte b : plain) {
                 int which = "\t\n\\".indexOf(b);
                 if (which >= 0) {
@@ -178,7 +178,7 @@
                         + " stays."
             })
     static final class Load implements Callable<Integer> {
-        @CommandLine.Mixin private Where where;
+        @CommandLine.Mixin private StoreDirectory where;
 
         @Option(
                 names = "--batch",
@@ -200,27 +200,27 @@
                 throw new StoreException("--batch takes a whole number from 1 on");
             }
             StoreOptions usual = StoreOptions.usual();
-            return where.write(new StoreOptions(segment, true, usual.compactionRate()), this::load);
+            return where.runWritable(new StoreOptions(segment, true, usual.compactionRate()), this::load);
         }
 
         private int load(Store store) throws IOException {
-            Lines in = new Lines(new BufferedInputStream(System.in, 1 << 16));
+            PairLines in = new PairLines(new BufferedInputStream(System.in, 1 << 16));
             OutputStream out = standardOut();
             Batch batch = new Batch();
-            for (byte[] line = in.next(); line != null; line = in.next()) {
-                in.add(line, batch);
+            for (byte[] line = in.nextLine(); line != null; line = in.nextLine()) {
+                in.addTo(line, batch);
                 if (batch.size() == lines) {
-                    acked(out, store.commit(batch));
+                    printAcked(out, store.commit(batch));
                     batch = new Batch();
                 }
             }
             if (batch.size() > 0) {
-                acked(out, store.commit(batch));
+                printAcked(out, store.commit(batch));
             }
             return 0;
         }
 
-        private static void acked(OutputStream out, long seq) throws IOException {
+        private static void printAcked(OutputStream out, long seq) throws IOException {
             out.write(("acked " + seq + "\n").getBytes(StandardCharsets.US_ASCII));
             out.flush();
         }
@@ -234,19 +234,19 @@
                     "Prints the live pairs in the order of their keys, in the form that load"
                             + " reads.")
     static final class Dump implements Callable<Integer> {
-        @CommandLine.Mixin private Where where;
+        @CommandLine.Mixin private StoreDirectory where;
 
         @Override
         public Integer call() throws IOException {
-            return where.read(
+            return where.runReadOnly(
                     store -> {
                         try (Snapshot now = store.snapshot();
                                 OutputStream out = standardOut()) {
                             Snapshot.Scan scan = now.scan(null, null);
                             while (scan.next()) {
-                                Lines.write(out, scan.key());
+                                PairLines.writeEscaped(out, scan.key());
                                 out.write('\t');
-                                Lines.write(out, scan.value());
+                                PairLines.writeEscaped(out, scan.value());
                                 out.write('\n');
                             }
                         }
@@ -262,7 +262,7 @@
             description =
                     "Prints a key's value, escaped as in dump. Exits 1 if the key is not there.")
     static final class Get implements Callable<Integer> {
-        @CommandLine.Mixin private Where where;
+        @CommandLine.Mixin private StoreDirectory where;
 
         @Parameters(index = "1", paramLabel = "KEY", description = "the key, escaped as in dump")
         private String key;
@@ -270,19 +270,19 @@
         @Override
         public Integer call() throws IOException {
             byte[] wanted =
-                    new Lines(InputStream.nullInputStream())
-                            .plain(
+                    new PairLines(InputStream.nullInputStream())
+                            .unescape(
                                     key.getBytes(StandardCharsets.UTF_8),
                                     0,
                                     key.getBytes(StandardCharsets.UTF_8).length);
-            return where.read(
+            return where.runReadOnly(
                     store -> {
                         byte[] value = store.get(wanted);
                         if (value == null) {
                             throw new StoreException("there is no such key");
                         }
                         try (OutputStream out = standardOut()) {
-                            Lines.write(out, value);
+                            PairLines.writeEscaped(out, value);
                             out.write('\n');
                         }
                         return 0;
@@ -298,11 +298,11 @@
                     "Reads every record and live value; prints one line, or refuses with file and"
                             + " offset.")
     static final class Verify implements Callable<Integer> {
-        @CommandLine.Mixin private Where where;
+        @CommandLine.Mixin private StoreDirectory where;
 
         @Override
         public Integer call() throws IOException {
-            return where.read(
+            return where.runReadOnly(
                     store -> {
                         Store.Verified all = store.verify();
                         System.out.println(
@@ -325,12 +325,12 @@
                     "Gives back the space of deleted and overwritten data; not while another one"
                             + " writes.")
     static final class Compact implements Callable<Integer> {
-        @CommandLine.Mixin private Where where;
+        @CommandLine.Mixin private StoreDirectory where;
 
         @Override
         public Integer call() throws IOException {
             StoreOptions usual = StoreOptions.usual();
-            return where.write(
+            return where.runWritable(
                     new StoreOptions(usual.segmentBytes(), false, usual.compactionRate()),
                     store -> {
                         long before = store.stat().fileBytes();
@@ -352,15 +352,15 @@
             name = "stat",
             mixinStandardHelpOptions = true,
             description = "Prints what a store holds.")
-    static final class Show implements Callable<Integer> {
-        @CommandLine.Mixin private Where where;
+    static final class ShowStatistics implements Callable<Integer> {
+        @CommandLine.Mixin private StoreDirectory where;
 
         @Option(names = "--json", description = "one JSON object")
         private boolean json;
 
         @Override
         public Integer call() throws IOException {
-            return where.read(
+            return where.runReadOnly(
                     store -> {
                         Store.Stat s = store.stat();
                         String[] names = {
--- a/relay/src/main/java/saltstage/log/EventAppender.java
+++ b/relay/src/main/java/saltstage/log/EventAppender.java
@@ -17,10 +17,10 @@
  * the bound are counted, not written, and the count is told with the first line after that second.
  */
 final class EventAppender extends ConsoleAppender<ILoggingEvent> {
-    static final int MOST_A_SECOND = 20;
+    static final int MAX_LINES_PER_SECOND = 20;
 
-    private final Map<String, int[]> written = new HashMap<>();
-    private long second;
+    private final Map<String, int[]> linesByEvent = new HashMap<>();
+    private long currentSecond;
 
     EventAppender() {
         setTarget(ConsoleTarget.SystemErr.getName());
@@ -28,21 +28,21 @@
 
     @Override
     protected void append(ILoggingEvent event) {
-        synchronized (written) {
+        synchronized (linesByEvent) {
             long now = Math.floorDiv(event.getTimeStamp(), 1000L);
-            if (now != second) {
-                second = now;
-                Map<String, int[]> before = Map.copyOf(written);
-                written.clear();
+            if (now != currentSecond) {
+                currentSecond = now;
+                Map<String, int[]> before = Map.copyOf(linesByEvent);
+                linesByEvent.clear();
                 before.forEach(
                         (name, count) -> {
-                            if (count[0] > MOST_A_SECOND) {
-                                super.append(suppressed(event, name, count[0] - MOST_A_SECOND));
+                            if (count[0] > MAX_LINES_PER_SECOND) {
+                                super.append(suppressed(event, name, count[0] - MAX_LINES_PER_SECOND));
                             }
                         });
             }
-            if (++written.computeIfAbsent(event.getMessage(), name -> new int[1])[0]
-                    > MOST_A_SECOND) {
+            if (++linesByEvent.computeIfAbsent(event.getMessage(), name -> new int[1])[0]
+                    > MAX_LINES_PER_SECOND) {
                 return;
             }
             super.append(event);
--- a/relay/src/main/java/saltstage/log/LogSetup.java
+++ b/relay/src/main/java/saltstage/log/LogSetup.java
@@ -33,7 +33,7 @@
     }
 
     /** Changes the form and the least level (debug, info, warn or error) while the program runs. */
-    public static void use(Format format, String level) {
+    public static void reconfigure(Format format, String level) {
         apply(
                 (LoggerContext) LoggerFactory.getILoggerFactory(),
                 format,
--- a/relay/src/main/java/saltstage/metrics/ProcessUsage.java
+++ b/relay/src/main/java/saltstage/metrics/ProcessUsage.java
@@ -23,15 +23,15 @@
 
     /** How many threads it has. */
     public static long threads() {
-        return entries(THREADS);
+        return countEntries(THREADS);
     }
 
     /** How many descriptors it has open. */
     public static long descriptors() {
-        return entries(DESCRIPTORS);
+        return countEntries(DESCRIPTORS);
     }
 
-    private static long entries(File folder) {
+    private static long countEntries(File folder) {
         String[] names = folder.list();
         return names == null ? UNKNOWN : names.length;
     }
--- /dev/null
+++ b/relay/src/main/java/saltstage/metrics/RequestCounters.java
@@ -0,0 +1,70 @@
+package saltstage.metrics;
+
+import java.util.List;
+import java.util.concurrent.atomic.LongAdder;
+
+/** The counts of this process since its start, and the form in which operators read them. */
+public final class RequestCounters {
+    private static final String PREFIX = "app.";
+
+    /** How a connection has ended up. */
+    public enum Result {
+        PASSED,
+        DROPPED,
+        BAD_GATEWAY
+    }
+
+    private final List<String> serviceClasses;
+    private final LongAdder[][] resultCounts;
+    private final LongAdder attempts = new LongAdder();
+
+    /** Counts for classes of these names, in the order of the settings. */
+    public RequestCounters(List<String> classes) {
+        this.serviceClasses = List.copyOf(classes);
+        resultCounts = new LongAdder[classes.size()][Result.values().length];
+        for (LongAdder[] each : resultCounts) {
+            for (int i = 0; i < each.length; i++) {
+                each[i] = new LongAdder();
+            }
+        }
+    }
+
+    /** A connection of this class has ended up so; each is counted once. */
+    public void countResult(int serviceClass, Result how) {
+        resultCounts[serviceClass][how.ordinal()].increment();
+    }
+
+    /** An attempt was written whole to a backend. */
+    public void countAttempt() {
+        attempts.increment();
+    }
+
+    /** All figures, a line each; the gauges are the caller's. */
+    public String format(int inProgress, int known, int skipped) {
+        StringBuilder text = new StringBuilder(64 * (3 * serviceClasses.size() + 4));
+        for (int c = 0; c < resultCounts.length; c++) {
+            for (Result how : Result.values()) {
+                appendCounter(
+                        text,
+                        "handled."
+                                + serviceClasses.get(c)
+                                + "."
+                                + how.name().toLowerCase(java.util.Locale.ROOT),
+                        resultCounts[c][how.ordinal()].sum());
+            }
+        }
+        appendCounter(text, "upstream_tries", attempts.sum());
+        appendGauge(text, "in_progress", inProgress);
+        appendGauge(text, "known_backends", known);
+        appendGauge(text, "skipped_backends", skipped);
+        return text.toString();
+    }
+
+    private static void appendCounter(StringBuilder text, String name, long value) {
+        text.append(PREFIX).append(name).append(':').append(value).append("|c\r\n");
+    }
+
+    private static void appendGauge(StringBuilder text, String name, long value) {
+        text.append(PREFIX).append(name).append(':').append(value).append("|g\r\n");
+    }
+}
--- a/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
+++ b/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
@@ -20,7 +20,7 @@
 import saltstage.memory.RequestContext;
 import saltstage.memory.RequestContext.Phase;
 import saltstage.memory.Attempt;
-import saltstage.metrics.Counts;
+import saltstage.metrics.RequestCounters;
 import saltstage.metrics.ProcessUsage;
 import saltstage.wire.Answer;
 
@@ -38,7 +38,7 @@
     private final Configuration config;
     private final MonotonicClock clock;
     private final BackendRegistry backends;
-    private final Counts counters;
+    private final RequestCounters counters;
     private Router router;
     private final Set<Attempt> establishedAttempts = ConcurrentHashMap.newKeySet();
     private final AtomicLong received = new AtomicLong();
@@ -49,7 +49,7 @@
     private final AtomicLong resets = new AtomicLong();
     private final AtomicLong rejectedForThreads = new AtomicLong();
 
-    OutcomeRecorder(Configuration config, MonotonicClock clock, BackendRegistry peers, Counts counts) {
+    OutcomeRecorder(Configuration config, MonotonicClock clock, BackendRegistry peers, RequestCounters counts) {
         this.counters = counts;
         this.config = config;
         this.clock = clock;
@@ -68,7 +68,7 @@
     void rejectedBeforeAdmission(int serviceClass) {
         received.incrementAndGet();
         rejected.incrementAndGet();
-        counters.ended(serviceClass, Counts.End.DROPPED);
+        counters.countResult(serviceClass, RequestCounters.Result.DROPPED);
     }
 
     /** A request was refused before it was admitted, as there was no thread for it. */
@@ -78,7 +78,7 @@
 
     /** A try was written whole. */
     public void attemptSent() {
-        counters.tried();
+        counters.countAttempt();
     }
 
     /** The final answer 'refused', with the advice when to come again. */
@@ -90,13 +90,13 @@
 
     private void sendRejection(RequestContext context, Duration retryAfter) {
         rejected.incrementAndGet();
-        counters.ended(context.attributes().serviceClass(), Counts.End.DROPPED);
+        counters.countResult(context.attributes().serviceClass(), RequestCounters.Result.DROPPED);
         context.client().reject(retryAfter);
     }
 
     private void sendFailure(RequestContext context, String why) {
         failed.incrementAndGet();
-        counters.ended(context.attributes().serviceClass(), Counts.End.BAD_GATEWAY);
+        counters.countResult(context.attributes().serviceClass(), RequestCounters.Result.BAD_GATEWAY);
         context.client().fail(why);
     }
 
@@ -198,7 +198,7 @@
             return false;
         }
         established.incrementAndGet();
-        counters.ended(up.context().attributes().serviceClass(), Counts.End.PASSED);
+        counters.countResult(up.context().attributes().serviceClass(), RequestCounters.Result.PASSED);
         establishedAttempts.add(up);
         up.backend().establishedAttempts().add(up);
         if (restored) {
--- a/relay/src/main/java/saltstage/stage/RelayPipeline.java
+++ b/relay/src/main/java/saltstage/stage/RelayPipeline.java
@@ -15,7 +15,7 @@
 import saltstage.memory.RequestContext;
 import saltstage.memory.Timers;
 import saltstage.memory.Attempt;
-import saltstage.metrics.Counts;
+import saltstage.metrics.RequestCounters;
 import saltstage.wire.HostList;
 
 /** The stages, joined: take in, admit, route, send, relay, book. */
@@ -39,7 +39,7 @@
             MonotonicClock clock,
             Timers timers,
             BackendRegistry peers,
-            Counts counts,
+            RequestCounters counts,
             Runnable watch) {
         this(config, clock, timers, peers, counts, watch, SocketChannel::socket);
     }
@@ -52,7 +52,7 @@
             MonotonicClock clock,
             Timers timers,
             BackendRegistry peers,
-            Counts counts,
+            RequestCounters counts,
             Runnable watch,
             Function<SocketChannel, Socket> sockets) {
         this.timers = timers;
--- a/relay/src/test/java/saltstage/amqp/FrontFuzzTest.java
+++ b/relay/src/test/java/saltstage/amqp/FrontFuzzTest.java
@@ -159,7 +159,7 @@
             BackendRegistry peers = new BackendRegistry();
             peers.update(config.known());
             RelayPipeline chain = new RelayPipeline(config, clock, new Timers(clock), peers,
-                new saltstage.metrics.Counts(config.classes()), () -> { });
+                new saltstage.metrics.RequestCounters(config.classes()), () -> { });
             chain.router().start(config.known());
             return new AmqpFront(OperatorSettings.of("f", "amqp {\n listen = \"127.0.0.1:1\"\n"
                 + " anonymous_tenant = \"any\"\n}\n").amqp().orElseThrow(), config, chain, clock, transport);
--- a/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
@@ -6,83 +6,83 @@
 import saltstage.wire.HostList;
 
 /** The rules in force with one fault put in, which {@link DiscoveryCallsExplorer} has to find. */
-record BrokenDiscoveryRules(DiscoveryRules sound, Fault fault) implements DiscoveryRules {
+record BrokenDiscoveryRules(DiscoveryRules correct, Fault fault) implements DiscoveryRules {
     /** What is wrong, and how the violation that is found begins. */
     enum Fault {
-        NOBODY_ASKS_AFTER_A_FAILED_START("deaf: "),
-        NOBODY_IS_TOLD_OF_A_TIME_OUT("deaf: "),
-        NOBODY_IS_TOLD_OF_AN_END("deaf: "),
-        OLDEST_CALL_IS_NOT_ENDED((DiscoveryCalls.MOST_CALLS + 1) + " calls"),
+        NO_RETRY_AFTER_A_FAILED_START("deaf: "),
+        TIME_OUT_IS_NOT_REPORTED("deaf: "),
+        CALL_END_IS_NOT_REPORTED("deaf: "),
+        OLDEST_CALL_IS_NOT_ENDED((DiscoveryCalls.MAX_CALLS + 1) + " calls"),
         CALLS_BESIDE_THE_WATCH_ARE_NOT_ENDED("calls beside the watch"),
         OLD_LISTS_ARE_DELIVERED("the list goes back"),
-        ENDED_CALLS_ARE_HEARD("a call that was ended matters");
+        ENDED_CALLS_ARE_NOT_IGNORED("a call that was ended matters");
 
-        final String found;
+        final String expectedViolation;
 
         Fault(String found) {
-            this.found = found;
+            this.expectedViolation = found;
         }
     }
 
-    private Outcome as(Outcome outcome) {
+    private Outcome withFault(Outcome outcome) {
         DiscoveryRules next = new BrokenDiscoveryRules(outcome.next(), fault);
         return new Outcome(next, outcome.effects(), outcome.lost());
     }
 
-    private Outcome without(Fault dropping, Class<? extends Effect> dropped, Outcome outcome) {
+    private Outcome dropEffects(Fault dropping, Class<? extends Effect> dropped, Outcome outcome) {
         List<Effect> kept =
                 outcome.effects().stream()
                         .filter(effect -> fault != dropping || !dropped.isInstance(effect))
                         .toList();
-        return as(new Outcome(outcome.next(), kept, outcome.lost()));
+        return withFault(new Outcome(outcome.next(), kept, outcome.lost()));
     }
 
-    private Outcome untold(Fault dropping, Outcome outcome) {
-        return as(
+    private Outcome dropLoss(Fault dropping, Outcome outcome) {
+        return withFault(
                 new Outcome(
                         outcome.next(), outcome.effects(), outcome.lost() && fault != dropping));
     }
 
     @Override
     public Outcome ask() {
-        return without(Fault.OLDEST_CALL_IS_NOT_ENDED, Effect.EndCall.class, sound.ask());
+        return dropEffects(Fault.OLDEST_CALL_IS_NOT_ENDED, Effect.EndCall.class, correct.ask());
     }
 
     @Override
     public Outcome addressChanged() {
-        return as(sound.addressChanged());
+        return withFault(correct.addressChanged());
     }
 
     @Override
     public Outcome startFailed(long id) {
-        return without(
-                Fault.NOBODY_ASKS_AFTER_A_FAILED_START,
+        return dropEffects(
+                Fault.NO_RETRY_AFTER_A_FAILED_START,
                 Effect.AskLater.class,
-                sound.startFailed(id));
+                correct.startFailed(id));
     }
 
     @Override
     public Outcome listArrived(long id, HostList list, long heldRevision) {
         long held = fault == Fault.OLD_LISTS_ARE_DELIVERED ? Long.MIN_VALUE : heldRevision;
-        Outcome outcome = sound.listArrived(id, list, held);
-        if (fault == Fault.ENDED_CALLS_ARE_HEARD && outcome.effects().isEmpty()) {
-            return as(new Outcome(outcome.next(), List.of(new Effect.DeliverList(list)), false));
+        Outcome outcome = correct.listArrived(id, list, held);
+        if (fault == Fault.ENDED_CALLS_ARE_NOT_IGNORED && outcome.effects().isEmpty()) {
+            return withFault(new Outcome(outcome.next(), List.of(new Effect.DeliverList(list)), false));
         }
-        return without(Fault.CALLS_BESIDE_THE_WATCH_ARE_NOT_ENDED, Effect.EndCall.class, outcome);
+        return dropEffects(Fault.CALLS_BESIDE_THE_WATCH_ARE_NOT_ENDED, Effect.EndCall.class, outcome);
     }
 
     @Override
     public Outcome answerTimedOut(long id) {
-        return untold(Fault.NOBODY_IS_TOLD_OF_A_TIME_OUT, sound.answerTimedOut(id));
+        return dropLoss(Fault.TIME_OUT_IS_NOT_REPORTED, correct.answerTimedOut(id));
     }
 
     @Override
     public Outcome callEnded(long id) {
-        return untold(Fault.NOBODY_IS_TOLD_OF_AN_END, sound.callEnded(id));
+        return dropLoss(Fault.CALL_END_IS_NOT_REPORTED, correct.callEnded(id));
     }
 
     @Override
-    public String shape(LongFunction<String> nameOfCall) {
-        return sound.shape(nameOfCall);
+    public String stateKey(LongFunction<String> nameOfCall) {
+        return correct.stateKey(nameOfCall);
     }
 }
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
@@ -23,7 +23,7 @@
         private static final long serialVersionUID = 1L;
 
         Violation(String what, Node at) {
-            super(what + " after " + at.way());
+            super(what + " after " + at.path());
         }
     }
 
@@ -34,14 +34,14 @@
      * A call that has been begun: its thread may report until it ends, its timer until it has
      * fired.
      */
-    private record Out(long id, boolean running, boolean timer, boolean told, boolean answered) {
+    private record SimulatedCall(long id, boolean running, boolean timerPending, boolean endRequested, boolean answered) {
         /** Told: the rules had it ended. What still comes of it must not matter. */
-        boolean open() {
-            return running && !told;
+        boolean isOpen() {
+            return running && !endRequested;
         }
 
-        boolean spent() {
-            return !running && !timer;
+        boolean isFinished() {
+            return !running && !timerPending;
         }
     }
 
@@ -49,32 +49,32 @@
      * All that is known of a moment; asks are those that somebody owes: a timer or the decision
      * module.
      */
-    private record World(DiscoveryRules rules, Map<Long, Out> calls, long held, int asks) {
-        World with(Out call) {
-            Map<Long, Out> changed = new TreeMap<>(calls);
-            if (call.spent()) {
+    private record SimulatedState(DiscoveryRules rules, Map<Long, SimulatedCall> calls, long heldRevision, int pendingAsks) {
+        SimulatedState withCall(SimulatedCall call) {
+            Map<Long, SimulatedCall> changed = new TreeMap<>(calls);
+            if (call.isFinished()) {
                 changed.remove(call.id());
             } else {
                 changed.put(call.id(), call);
             }
-            return new World(rules, changed, held, asks);
+            return new SimulatedState(rules, changed, heldRevision, pendingAsks);
         }
 
-        World owing(int more) {
-            return new World(rules, calls, held, asks + more);
+        SimulatedState withMoreAsks(int more) {
+            return new SimulatedState(rules, calls, heldRevision, pendingAsks + more);
         }
 
         /**
          * The same for two worlds that behave alike: what the rules still know is told apart by
          * order.
          */
-        String key() {
+        String stateKey() {
             Map<Long, String> names = new TreeMap<>();
             List<String> ended = new ArrayList<>();
-            StringBuilder key = new StringBuilder().append(asks);
-            for (Out call : calls.values()) {
-                String state = " " + call.running + call.timer + call.answered;
-                if (call.told) {
+            StringBuilder key = new StringBuilder().append(pendingAsks);
+            for (SimulatedCall call : calls.values()) {
+                String state = " " + call.running + call.timerPending + call.answered;
+                if (call.endRequested) {
                     ended.add(state);
                 } else {
                     names.put(call.id, "#" + names.size());
@@ -83,94 +83,94 @@
             }
             ended.sort(null);
             return key.append(ended)
-                    .append(rules.shape(id -> names.getOrDefault(id, "gone")))
+                    .append(rules.stateKey(id -> names.getOrDefault(id, "gone")))
                     .toString();
         }
     }
 
-    private record Node(World world, Node before, String event, int depth) {
-        Node then(World next, String what) {
+    private record Node(SimulatedState state, Node parent, String event, int depth) {
+        Node child(SimulatedState next, String what) {
             return new Node(next, this, what, depth + 1);
         }
 
-        String way() {
-            return before == null ? "start" : before.way() + ", " + event;
+        String path() {
+            return parent == null ? "start" : parent.path() + ", " + event;
         }
     }
 
-    private final int depth;
+    private final int maxDepth;
     private final Set<String> seen = new HashSet<>();
     private final Deque<Node> unexplored = new ArrayDeque<>();
 
     private DiscoveryCallsExplorer(int depth) {
-        this.depth = depth;
+        this.maxDepth = depth;
     }
 
     /** Explores these rules; throws a {@link Violation} where one of the guarantees is not kept. */
     static Explored explore(DiscoveryRules rules, int depth) {
         DiscoveryCallsExplorer explorer = new DiscoveryCallsExplorer(depth);
-        explorer.reach(new Node(new World(rules, new TreeMap<>(), 5, 1), null, "", 0));
+        explorer.visit(new Node(new SimulatedState(rules, new TreeMap<>(), 5, 1), null, "", 0));
         while (!explorer.unexplored.isEmpty()) {
-            explorer.leave(explorer.unexplored.remove());
+            explorer.expand(explorer.unexplored.remove());
         }
         return new Explored(depth, explorer.seen.size());
     }
 
-    private void reach(Node node) {
-        check(node);
-        if (seen.add(node.world.key()) && node.depth < depth) {
+    private void visit(Node node) {
+        checkGuarantees(node);
+        if (seen.add(node.state.stateKey()) && node.depth < maxDepth) {
             unexplored.add(node);
         }
     }
 
-    private void leave(Node node) {
-        World world = node.world;
-        after(node, world, world.rules.ask(), "ask unasked");
-        after(node, world, world.rules.addressChanged(), "address changes");
-        if (world.asks > 0) {
-            after(node, world.owing(-1), world.rules.ask(), "ask");
+    private void expand(Node node) {
+        SimulatedState world = node.state;
+        applyOutcome(node, world, world.rules.ask(), "ask unasked");
+        applyOutcome(node, world, world.rules.addressChanged(), "address changes");
+        if (world.pendingAsks > 0) {
+            applyOutcome(node, world.withMoreAsks(-1), world.rules.ask(), "ask");
         }
-        for (Out call : List.copyOf(world.calls.values())) {
+        for (SimulatedCall call : List.copyOf(world.calls.values())) {
             if (call.running) {
-                for (long revision = world.held - 1; revision <= world.held + 1; revision++) {
-                    after(
+                for (long revision = world.heldRevision - 1; revision <= world.heldRevision + 1; revision++) {
+                    applyOutcome(
                             node,
-                            answered(world, call),
-                            ignoring(node, call, arrives(world, call, revision)),
+                            withAnswer(world, call),
+                            checkIgnoredIfEnded(node, call, listArrives(world, call, revision)),
                             "list " + revision + " by " + call.id);
                 }
-                World silent =
-                        world.with(new Out(call.id, false, call.timer, call.told, call.answered));
-                after(
+                SimulatedState silent =
+                        world.withCall(new SimulatedCall(call.id, false, call.timerPending, call.endRequested, call.answered));
+                applyOutcome(
                         node,
                         silent,
-                        ignoring(node, call, world.rules.callEnded(call.id)),
+                        checkIgnoredIfEnded(node, call, world.rules.callEnded(call.id)),
                         "end of " + call.id);
             }
-            if (call.timer) {
-                World fired =
-                        world.with(new Out(call.id, call.running, false, call.told, call.answered));
-                after(
+            if (call.timerPending) {
+                SimulatedState fired =
+                        world.withCall(new SimulatedCall(call.id, call.running, false, call.endRequested, call.answered));
+                applyOutcome(
                         node,
                         fired,
-                        ignoring(node, call, world.rules.answerTimedOut(call.id)),
+                        checkIgnoredIfEnded(node, call, world.rules.answerTimedOut(call.id)),
                         "time-out of " + call.id);
             }
         }
     }
 
-    private static World answered(World world, Out call) {
-        return world.with(new Out(call.id, true, call.timer, call.told, true));
+    private static SimulatedState withAnswer(SimulatedState world, SimulatedCall call) {
+        return world.withCall(new SimulatedCall(call.id, true, call.timerPending, call.endRequested, true));
     }
 
-    private static DiscoveryRules.Outcome arrives(World world, Out call, long revision) {
+    private static DiscoveryRules.Outcome listArrives(SimulatedState world, SimulatedCall call, long revision) {
         return world.rules.listArrived(
-                call.id, new HostList(revision, true, List.of()), world.held);
+                call.id, new HostList(revision, true, List.of()), world.heldRevision);
     }
 
-    private static DiscoveryRules.Outcome ignoring(
-            Node node, Out call, DiscoveryRules.Outcome outcome) {
-        if (call.told && (outcome.lost() || !outcome.effects().isEmpty())) {
+    private static DiscoveryRules.Outcome checkIgnoredIfEnded(
+            Node node, SimulatedCall call, DiscoveryRules.Outcome outcome) {
+        if (call.endRequested && (outcome.lost() || !outcome.effects().isEmpty())) {
             throw new Violation("a call that was ended matters: " + call.id, node);
         }
         return outcome;
@@ -180,58 +180,58 @@
      * What follows when the effects are performed; where a call is to begin, a thread may be had or
      * not.
      */
-    private void after(Node node, World before, DiscoveryRules.Outcome outcome, String event) {
-        World world =
-                new World(outcome.next(), before.calls, before.held, before.asks)
-                        .owing(outcome.lost() ? 1 : 0);
+    private void applyOutcome(Node node, SimulatedState before, DiscoveryRules.Outcome outcome, String event) {
+        SimulatedState world =
+                new SimulatedState(outcome.next(), before.calls, before.heldRevision, before.pendingAsks)
+                        .withMoreAsks(outcome.lost() ? 1 : 0);
         long begun = 0;
         for (Effect effect : outcome.effects()) {
             if (effect instanceof Effect.StartCall start) {
                 begun = start.id();
             } else {
-                world = perform(world, effect, node.then(world, event));
+                world = perform(world, effect, node.child(world, event));
             }
         }
         if (begun == 0) {
-            reach(node.then(world, event));
+            visit(node.child(world, event));
             return;
         }
-        reach(
-                node.then(
-                        world.with(new Out(begun, true, true, false, false)),
+        visit(
+                node.child(
+                        world.withCall(new SimulatedCall(begun, true, true, false, false)),
                         event + " begins " + begun));
         DiscoveryRules.Outcome failed = world.rules.startFailed(begun);
-        after(node, world, failed, event + " finds no thread for " + begun);
+        applyOutcome(node, world, failed, event + " finds no thread for " + begun);
     }
 
-    private static World perform(World world, Effect effect, Node node) {
+    private static SimulatedState perform(SimulatedState world, Effect effect, Node node) {
         if (effect instanceof Effect.EndCall end) {
-            Out call = world.calls.get(end.id());
-            if (call == null || !call.open()) {
+            SimulatedCall call = world.calls.get(end.id());
+            if (call == null || !call.isOpen()) {
                 throw new Violation("a call is ended that is not open: " + end.id(), node);
             }
-            return world.with(new Out(call.id, true, call.timer, true, call.answered));
+            return world.withCall(new SimulatedCall(call.id, true, call.timerPending, true, call.answered));
         }
         if (effect instanceof Effect.DeliverList deliver) {
             long revision = deliver.list().rev();
-            if (revision < world.held) {
+            if (revision < world.heldRevision) {
                 throw new Violation("the list goes back to " + revision, node);
             }
-            return new World(world.rules, world.calls, revision, world.asks);
+            return new SimulatedState(world.rules, world.calls, revision, world.pendingAsks);
         }
-        return effect instanceof Effect.AskLater ? world.owing(1) : world;
+        return effect instanceof Effect.AskLater ? world.withMoreAsks(1) : world;
     }
 
-    private static void check(Node node) {
-        World world = node.world;
-        Collection<Out> calls = world.calls.values();
-        long open = calls.stream().filter(Out::open).count();
-        boolean watch = calls.stream().anyMatch(call -> call.open() && call.answered);
-        boolean awaited = calls.stream().anyMatch(call -> call.open() && call.timer);
-        if (!watch && !awaited && world.asks == 0) {
+    private static void checkGuarantees(Node node) {
+        SimulatedState world = node.state;
+        Collection<SimulatedCall> calls = world.calls.values();
+        long open = calls.stream().filter(SimulatedCall::isOpen).count();
+        boolean watch = calls.stream().anyMatch(call -> call.isOpen() && call.answered);
+        boolean awaited = calls.stream().anyMatch(call -> call.isOpen() && call.timerPending);
+        if (!watch && !awaited && world.pendingAsks == 0) {
             throw new Violation("deaf: no watch, no call whose time-out is to come, no ask", node);
         }
-        if (open > DiscoveryCalls.MOST_CALLS) {
+        if (open > DiscoveryCalls.MAX_CALLS) {
             throw new Violation(open + " calls", node);
         }
         if (watch && open > 1) {
@@ -247,16 +247,16 @@
      * Whether a call is out once every call has ended, every timer has fired and every ask was
      * made.
      */
-    private static boolean asksAgain(World world) {
+    private static boolean asksAgain(SimulatedState world) {
         DiscoveryRules rules = world.rules;
-        int asks = world.asks;
-        for (Out call : world.calls.values()) {
+        int asks = world.pendingAsks;
+        for (SimulatedCall call : world.calls.values()) {
             DiscoveryRules.Outcome ended =
                     call.running
                             ? rules.callEnded(call.id)
                             : new DiscoveryRules.Outcome(rules, List.of(), false);
             DiscoveryRules.Outcome fired =
-                    call.timer
+                    call.timerPending
                             ? ended.next().answerTimedOut(call.id)
                             : new DiscoveryRules.Outcome(ended.next(), List.of(), false);
             asks += (ended.lost() ? 1 : 0) + (fired.lost() ? 1 : 0);
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsTest.java
@@ -16,41 +16,41 @@
  */
 @Timeout(120)
 class DiscoveryCallsTest {
-    private static final int DEPTH = 11;
+    private static final int MAX_EVENTS = 11;
 
-    private static void accepts(String what, DiscoveryRules rules) {
-        Explored explored = DiscoveryCallsExplorer.explore(rules, DEPTH);
+    private static void assertAccepted(String what, DiscoveryRules rules) {
+        Explored explored = DiscoveryCallsExplorer.explore(rules, MAX_EVENTS);
         System.out.println("accepted: " + what + ", " + explored);
     }
 
-    private static void rejects(String what, DiscoveryRules rules, String found) {
+    private static void assertRejected(String what, DiscoveryRules rules, String found) {
         Violation violation =
-                assertThrows(Violation.class, () -> DiscoveryCallsExplorer.explore(rules, DEPTH));
+                assertThrows(Violation.class, () -> DiscoveryCallsExplorer.explore(rules, MAX_EVENTS));
         System.out.println("rejected: " + what + ", " + violation.getMessage());
         assertTrue(violation.getMessage().startsWith(found), violation.getMessage());
     }
 
     @Test
     void everyOrderOfElevenEventsKeepsTheGuarantees() {
-        accepts("the rules in force", DiscoveryRules.inForce());
+        assertAccepted("the rules in force", DiscoveryRules.current());
     }
 
     @Test
-    void effectsAreThoseOfTheFormerBookkeepingOnceMended() {
-        accepts(
+    void effectsAreThoseOfTheFormerBookkeepingOnceFixed() {
+        assertAccepted(
                 "both",
-                new PairedDiscoveryRules(DiscoveryRules.inForce(), new FormerDiscoveryRules(true)));
+                new PairedDiscoveryRules(DiscoveryRules.current(), new FormerDiscoveryRules(true)));
     }
 
     @Test
-    void formerBookkeepingIsFoundToBecomeDeaf() {
-        rejects("the former bookkeeping", new FormerDiscoveryRules(false), "deaf: ");
+    void formerBookkeepingIsFoundToStopAsking() {
+        assertRejected("the former bookkeeping", new FormerDiscoveryRules(false), "deaf: ");
     }
 
     @ParameterizedTest
     @EnumSource
-    void faultPutInIsFound(BrokenDiscoveryRules.Fault fault) {
-        DiscoveryRules broken = new BrokenDiscoveryRules(DiscoveryRules.inForce(), fault);
-        rejects(fault.toString(), broken, fault.found);
+    void injectedFaultIsFound(BrokenDiscoveryRules.Fault fault) {
+        DiscoveryRules broken = new BrokenDiscoveryRules(DiscoveryRules.current(), fault);
+        assertRejected(fault.toString(), broken, fault.expectedViolation);
     }
 }
--- a/relay/src/test/java/saltstage/lifecycle/ToldInTimeTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryDelayTest.java
@@ -15,11 +15,11 @@
 import saltstage.wire.DiscoveryClient;
 
 /** What a relay may miss of discovery, by its longest pauses: a change counts as told after 6 s. */
-class ToldInTimeTest {
-    private static final Duration TOLD = Duration.ofSeconds(6);
+class DiscoveryDelayTest {
+    private static final Duration MAX_DELAY = Duration.ofSeconds(6);
 
     /** A service that works through calls in turn needs some time for an answer. */
-    private static final Duration ANSWER = Duration.ofSeconds(1);
+    private static final Duration ANSWER_TIME = Duration.ofSeconds(1);
 
     /** The longest of the module's pauses after so many failed calls in a row, over many seeds. */
     private static Duration longestPause(int failed) {
@@ -71,16 +71,16 @@
         Duration until =
                 DiscoveryClient.SILENCE
                         .plus(longestPause(1))
-                        .plus(Subscription.UNANSWERED)
+                        .plus(DiscoverySubscription.ANSWER_TIMEOUT)
                         .plus(longestPause(2));
-        assertTrue(until.compareTo(TOLD) <= 0, until.toString());
+        assertTrue(until.compareTo(MAX_DELAY) <= 0, until.toString());
     }
 
     @Test
     void discoveryThatReturnsIsAskedInTimeHoweverLongItWasDown() {
         for (int failed = 1; failed < 8; failed++) {
-            Duration until = Subscription.UNANSWERED.plus(longestPause(failed)).plus(ANSWER);
-            assertTrue(until.compareTo(TOLD) <= 0, failed + " failed: " + until);
+            Duration until = DiscoverySubscription.ANSWER_TIMEOUT.plus(longestPause(failed)).plus(ANSWER_TIME);
+            assertTrue(until.compareTo(MAX_DELAY) <= 0, failed + " failed: " + until);
         }
     }
 }
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryRules.java
@@ -26,18 +26,18 @@
     Outcome callEnded(long id);
 
     /** The state without the numbers of calls, by which two states are told apart. */
-    String shape(LongFunction<String> nameOfCall);
+    String stateKey(LongFunction<String> nameOfCall);
 
     /** The rules in force. */
-    static DiscoveryRules inForce() {
-        return new InForce(DiscoveryCalls.none());
+    static DiscoveryRules current() {
+        return new CurrentRules(DiscoveryCalls.none());
     }
 
     /** {@link DiscoveryCalls} as it is. */
-    record InForce(DiscoveryCalls calls) implements DiscoveryRules {
+    record CurrentRules(DiscoveryCalls calls) implements DiscoveryRules {
         private static Outcome outcome(DiscoveryCalls.Step step) {
             return new Outcome(
-                    new InForce(step.next()), step.effects(), step.lossReason().isPresent());
+                    new CurrentRules(step.next()), step.effects(), step.lossReason().isPresent());
         }
 
         @Override
@@ -71,7 +71,7 @@
         }
 
         @Override
-        public String shape(LongFunction<String> nameOfCall) {
+        public String stateKey(LongFunction<String> nameOfCall) {
             StringBuilder shape = new StringBuilder();
             calls.calls()
                     .forEach(
--- a/relay/src/test/java/saltstage/lifecycle/SubscriptionTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoverySubscriptionTest.java
@@ -35,14 +35,14 @@
  * forced.
  */
 @Timeout(60)
-class SubscriptionTest {
+class DiscoverySubscriptionTest {
     private final List<AutoCloseable> toClose = new ArrayList<>();
     private final Timers timers = new Timers(new MonotonicClock());
     private final BlockingQueue<Long> delivered = new LinkedBlockingQueue<>();
-    private final AtomicInteger refused = new AtomicInteger();
-    private final AtomicLong rev = new AtomicLong(4);
+    private final AtomicInteger failedCalls = new AtomicInteger();
+    private final AtomicLong heldRevision = new AtomicLong(4);
     private ServerSocket service;
-    private Subscription subscription;
+    private DiscoverySubscription subscription;
 
     @BeforeEach
     void begin() throws IOException {
@@ -65,19 +65,19 @@
         return socket;
     }
 
-    private static InetSocketAddress at(ServerSocket socket) {
+    private static InetSocketAddress addressOf(ServerSocket socket) {
         return (InetSocketAddress) socket.getLocalSocketAddress();
     }
 
-    private Subscription subscribe(boolean pushed) {
-        return new Subscription(
-                at(service),
+    private DiscoverySubscription subscribe(boolean pushed) {
+        return new DiscoverySubscription(
+                addressOf(service),
                 pushed,
                 timers,
-                rev::get,
-                this::take,
+                heldRevision::get,
+                this::listReceived,
                 () -> {
-                    refused.incrementAndGet();
+                    failedCalls.incrementAndGet();
                     if (!service.isClosed()) {
                         timers.schedule(
                                 Duration.ofMillis(10),
@@ -86,19 +86,19 @@
                 });
     }
 
-    private void take(HostList list) {
-        rev.set(list.rev());
+    private void listReceived(HostList list) {
+        heldRevision.set(list.rev());
         delivered.add(list.rev());
     }
 
     /** A call as the service sees it. */
-    private final class Call {
+    private final class ServiceCall {
         private final Socket socket;
         private final BufferedReader in;
         private final String request;
-        private boolean begun;
+        private boolean headSent;
 
-        Call(ServerSocket at) throws IOException {
+        ServiceCall(ServerSocket at) throws IOException {
             socket = at.accept();
             toClose.add(socket);
             socket.setSoTimeout(30_000);
@@ -112,16 +112,16 @@
             }
         }
 
-        Call tells(long version) throws IOException {
+        ServiceCall sendList(long version) throws IOException {
             String list = "{\"rev\":" + version + ",\"all\":true,\"targets\":[]}\n";
-            String head = begun ? "" : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-            begun = true;
+            String head = headSent ? "" : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+            headSent = true;
             String chunk = head + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n";
             socket.getOutputStream().write(chunk.getBytes(StandardCharsets.US_ASCII));
             return this;
         }
 
-        void isGivenUp() throws IOException {
+        void assertClosed() throws IOException {
             try {
                 assertNull(in.readLine());
             } catch (IOException reset) { // given up as well
@@ -130,7 +130,7 @@
         }
     }
 
-    private long next() throws InterruptedException {
+    private long nextDelivered() throws InterruptedException {
         Long version = delivered.poll(30, TimeUnit.SECONDS);
         assertTrue(version != null, "no list was delivered");
         return version;
@@ -139,96 +139,96 @@
     @Test
     void callThatHangsIsSupersededAndEndsWhenAnotherIsAnswered() throws Exception {
         subscription.ask();
-        Call hangs = new Call(service);
-        Call answered = new Call(service).tells(5);
-        assertEquals(5, next());
-        hangs.isGivenUp();
+        ServiceCall hangs = new ServiceCall(service);
+        ServiceCall answered = new ServiceCall(service).sendList(5);
+        assertEquals(5, nextDelivered());
+        hangs.assertClosed();
         assertEquals(
-                6, answered.tells(6) == null ? 0 : next(), "the one that answered is the watch");
-        assertEquals(1, refused.get(), "a superseded call is reported once");
+                6, answered.sendList(6) == null ? 0 : nextDelivered(), "the one that answered is the watch");
+        assertEquals(1, failedCalls.get(), "a superseded call is reported once");
     }
 
     @Test
     void lateAnswerIsTakenAndTheCallBesideItEnds() throws Exception {
         subscription.ask();
-        Call late = new Call(service);
-        Call beside = new Call(service);
-        late.tells(5);
-        assertEquals(5, next());
-        beside.isGivenUp();
-        late.tells(6);
-        assertEquals(6, next());
+        ServiceCall late = new ServiceCall(service);
+        ServiceCall beside = new ServiceCall(service);
+        late.sendList(5);
+        assertEquals(5, nextDelivered());
+        beside.assertClosed();
+        late.sendList(6);
+        assertEquals(6, nextDelivered());
     }
 
     @Test
     void watchThatFallsSilentAfterALateAnswerIsFollowedByANewCall() throws Exception {
         subscription.ask();
-        Call late = new Call(service);
-        Call beside = new Call(service);
-        late.tells(5);
-        assertEquals(5, next());
-        beside.isGivenUp();
+        ServiceCall late = new ServiceCall(service);
+        ServiceCall beside = new ServiceCall(service);
+        late.sendList(5);
+        assertEquals(5, nextDelivered());
+        beside.assertClosed();
         late.socket.close();
-        new Call(service).tells(6);
-        assertEquals(6, next(), "discovery is asked again when the watch ends");
+        new ServiceCall(service).sendList(6);
+        assertEquals(6, nextDelivered(), "discovery is asked again when the watch ends");
     }
 
     @Test
     void listThatIsOlderThanTheOneHeldIsNotTaken() throws Exception {
         subscription.ask();
-        new Call(service).tells(9).tells(3).tells(10);
-        assertEquals(9, next());
-        assertEquals(10, next());
+        new ServiceCall(service).sendList(9).sendList(3).sendList(10);
+        assertEquals(9, nextDelivered());
+        assertEquals(10, nextDelivered());
     }
 
     @Test
-    void reloadAsksTheNewAddressAtOnceAndHearsTheOldOneNoMore() throws Exception {
+    void reloadAsksTheNewAddressAtOnceAndIgnoresTheOldOne() throws Exception {
         subscription.ask();
-        Call old = new Call(service);
+        ServiceCall old = new ServiceCall(service);
         ServerSocket elsewhere = listen();
-        subscription.moveTo(at(elsewhere));
-        Call now = new Call(elsewhere);
-        old.isGivenUp();
-        now.tells(7);
-        assertEquals(7, next());
-        assertEquals(0, refused.get(), "what ended by the reload is no failure");
-        subscription.moveTo(at(elsewhere));
-        now.tells(8);
-        assertEquals(8, next(), "the same address again changes nothing");
+        subscription.changeAddress(addressOf(elsewhere));
+        ServiceCall now = new ServiceCall(elsewhere);
+        old.assertClosed();
+        now.sendList(7);
+        assertEquals(7, nextDelivered());
+        assertEquals(0, failedCalls.get(), "what ended by the reload is no failure");
+        subscription.changeAddress(addressOf(elsewhere));
+        now.sendList(8);
+        assertEquals(8, nextDelivered(), "the same address again changes nothing");
     }
 
     @Test
     void askingTwiceMakesOneCall() throws Exception {
         subscription.ask();
         subscription.ask();
-        Call only = new Call(service).tells(5);
-        assertEquals(5, next());
+        ServiceCall only = new ServiceCall(service).sendList(5);
+        assertEquals(5, nextDelivered());
         subscription.ask();
         service.setSoTimeout(200);
-        assertThrows(IOException.class, () -> new Call(service));
-        assertEquals(6, only.tells(6) == null ? 0 : next());
+        assertThrows(IOException.class, () -> new ServiceCall(service));
+        assertEquals(6, only.sendList(6) == null ? 0 : nextDelivered());
     }
 
     @Test
-    void agentIsAskedAgainByItselfWithoutTheModule() throws Exception {
+    void agentIsAskedAgainWithoutTheLoadBalancer() throws Exception {
         subscription = subscribe(true);
         subscription.ask();
-        new Call(service).socket.close();
-        Call silent = new Call(service);
-        Call answers = new Call(service).tells(5);
-        assertEquals(5, next());
-        silent.isGivenUp();
+        new ServiceCall(service).socket.close();
+        ServiceCall silent = new ServiceCall(service);
+        ServiceCall answers = new ServiceCall(service).sendList(5);
+        assertEquals(5, nextDelivered());
+        silent.assertClosed();
         assertEquals("GET /discovery/hosts?watch=1&after=4 HTTP/1.1", answers.request);
-        assertEquals(0, refused.get());
+        assertEquals(0, failedCalls.get());
     }
 
     @Test
     void callsThatHangAreBounded() throws Exception {
         subscription.ask();
-        Call oldest = new Call(service);
+        ServiceCall oldest = new ServiceCall(service);
         for (int i = 0; i < 4; i++) {
-            new Call(service);
+            new ServiceCall(service);
         }
-        oldest.isGivenUp();
+        oldest.assertClosed();
     }
 }
--- a/relay/src/test/java/saltstage/lifecycle/FormerDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/FormerDiscoveryRules.java
@@ -16,7 +16,7 @@
 final class FormerDiscoveryRules implements DiscoveryRules {
     private static final long NONE = 0;
 
-    private final boolean forgets;
+    private final boolean forgetsEndedCall;
     private final Set<Long> calls = new TreeSet<>();
     private final Set<Long> superseded = new TreeSet<>();
     private long newest = NONE;
@@ -24,11 +24,11 @@
     private long nextId = 1;
 
     FormerDiscoveryRules(boolean forgets) {
-        this.forgets = forgets;
+        this.forgetsEndedCall = forgets;
     }
 
     private FormerDiscoveryRules copy() {
-        FormerDiscoveryRules copy = new FormerDiscoveryRules(forgets);
+        FormerDiscoveryRules copy = new FormerDiscoveryRules(forgetsEndedCall);
         copy.calls.addAll(calls);
         copy.superseded.addAll(superseded);
         copy.newest = newest;
@@ -39,7 +39,7 @@
 
     private void end(long id, List<Effect> effects) {
         calls.remove(id);
-        newest = forgets && newest == id ? NONE : newest;
+        newest = forgetsEndedCall && newest == id ? NONE : newest;
         effects.add(new Effect.EndCall(id));
     }
 
@@ -54,7 +54,7 @@
         FormerDiscoveryRules next = copy();
         List<Effect> effects = new ArrayList<>();
         if (watch == NONE && (newest == NONE || superseded.contains(newest))) {
-            if (calls.size() >= DiscoveryCalls.MOST_CALLS) {
+            if (calls.size() >= DiscoveryCalls.MAX_CALLS) {
                 next.end(calls.iterator().next(), effects);
             }
             next.begin(effects);
@@ -116,7 +116,7 @@
     }
 
     @Override
-    public String shape(LongFunction<String> nameOfCall) {
+    public String stateKey(LongFunction<String> nameOfCall) {
         StringBuilder shape = new StringBuilder();
         for (long id : calls) {
             shape.append(nameOfCall.apply(id)).append(superseded.contains(id) ? "superseded" : "");
