--- a/relay/src/test/java/saltstage/lifecycle/PairedDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/PairedDiscoveryRules.java
@@ -8,7 +8,7 @@
 
 /** Two sets of rules that must lead to the same effects at every event. */
 record PairedDiscoveryRules(DiscoveryRules first, DiscoveryRules second) implements DiscoveryRules {
-    private Outcome both(Function<DiscoveryRules, Outcome> event) {
+    private Outcome applyToBoth(Function<DiscoveryRules, Outcome> event) {
         Outcome one = event.apply(first);
         Outcome other = event.apply(second);
         assertEquals(one.effects(), other.effects());
@@ -19,36 +19,36 @@
 
     @Override
     public Outcome ask() {
-        return both(DiscoveryRules::ask);
+        return applyToBoth(DiscoveryRules::ask);
     }
 
     @Override
     public Outcome addressChanged() {
-        return both(DiscoveryRules::addressChanged);
+        return applyToBoth(DiscoveryRules::addressChanged);
     }
 
     @Override
     public Outcome startFailed(long id) {
-        return both(rules -> rules.startFailed(id));
+        return applyToBoth(rules -> rules.startFailed(id));
     }
 
     @Override
     public Outcome listArrived(long id, HostList list, long heldRevision) {
-        return both(rules -> rules.listArrived(id, list, heldRevision));
+        return applyToBoth(rules -> rules.listArrived(id, list, heldRevision));
     }
 
     @Override
     public Outcome answerTimedOut(long id) {
-        return both(rules -> rules.answerTimedOut(id));
+        return applyToBoth(rules -> rules.answerTimedOut(id));
     }
 
     @Override
     public Outcome callEnded(long id) {
-        return both(rules -> rules.callEnded(id));
+        return applyToBoth(rules -> rules.callEnded(id));
     }
 
     @Override
-    public String shape(LongFunction<String> nameOfCall) {
-        return first.shape(nameOfCall) + second.shape(nameOfCall);
+    public String stateKey(LongFunction<String> nameOfCall) {
+        return first.stateKey(nameOfCall) + second.stateKey(nameOfCall);
     }
 }
--- a/relay/src/test/java/saltstage/log/LogTest.java
+++ b/relay/src/test/java/saltstage/log/LogTest.java
@@ -12,24 +12,24 @@
 
 /** The log's two forms and its bound. */
 class LogTest {
-    private final PrintStream before = System.err;
+    private final PrintStream originalErr = System.err;
 
     private List<String> lines(LogSetup.Format format, Runnable logging) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         System.setErr(new PrintStream(out, true, StandardCharsets.UTF_8));
-        LogSetup.use(format, "INFO");
+        LogSetup.reconfigure(format, "INFO");
         logging.run();
         return out.toString(StandardCharsets.UTF_8).lines().toList();
     }
 
     @AfterEach
     void restore() {
-        System.setErr(before);
-        LogSetup.use(LogSetup.Format.TEXT, "INFO");
+        System.setErr(originalErr);
+        LogSetup.reconfigure(LogSetup.Format.TEXT, "INFO");
     }
 
     @Test
-    void textHasTheFormThatOncallKnows() {
+    void textHasTheDocumentedForm() {
         List<String> lines =
                 lines(
                         LogSetup.Format.TEXT,
@@ -86,7 +86,7 @@
                         .mapToLong(line -> Long.parseLong(line.replaceAll(".*lines=", "")))
                         .sum();
         assertEquals(lines, flood + told);
-        assertTrue(flood <= 3 * EventAppender.MOST_A_SECOND, "written: " + flood);
+        assertTrue(flood <= 3 * EventAppender.MAX_LINES_PER_SECOND, "written: " + flood);
         assertTrue(written.get(written.size() - 1).endsWith(" INFO other"));
     }
 }
--- a/relay/src/test/java/saltstage/metrics/CountsTest.java
+++ b/relay/src/test/java/saltstage/metrics/RequestCountersTest.java
@@ -6,14 +6,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The form in which operators read the counts. */
-class CountsTest {
+class RequestCountersTest {
     @Test
-    void everyClassIsThereFromTheStartAndCountsByItself() {
-        Counts counts = new Counts(List.of("report", "check"));
-        counts.ended(1, Counts.End.PASSED);
-        counts.ended(1, Counts.End.PASSED);
-        counts.ended(0, Counts.End.BAD_GATEWAY);
-        counts.tried();
+    void everyClassIsListedFromTheStartAndCountedSeparately() {
+        RequestCounters counts = new RequestCounters(List.of("report", "check"));
+        counts.countResult(1, RequestCounters.Result.PASSED);
+        counts.countResult(1, RequestCounters.Result.PASSED);
+        counts.countResult(0, RequestCounters.Result.BAD_GATEWAY);
+        counts.countAttempt();
         assertEquals(
                 String.join(
                         "\r\n",
@@ -28,6 +28,6 @@
                         "app.known_backends:4|g",
                         "app.skipped_backends:1|g",
                         ""),
-                counts.text(3, 4, 1));
+                counts.format(3, 4, 1));
     }
 }
--- a/relay/src/test/java/saltstage/process/AdminTest.java
+++ b/relay/src/test/java/saltstage/process/AdminTest.java
@@ -58,7 +58,7 @@
     }
 
     @Test
-    public void callersThatHoldOnAreInNobodysWay() throws Exception {
+    public void idleConnectionsDoNotBlockOthers() throws Exception {
         List<TestConnection> rude = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             rude.add(world.connectOperator(world.adminPort).sendRaw(i % 2 == 0 ? "" : "META"));
--- a/relay/src/test/java/saltstage/process/CommandLineTest.java
+++ b/relay/src/test/java/saltstage/process/CommandLineTest.java
@@ -29,7 +29,7 @@
         }
     }
 
-    private static String sound() throws IOException {
+    private static String validConfiguration() throws IOException {
         try (RelayTestEnvironment.TestServer discovery = new RelayTestEnvironment.TestServer()) {
             return RelayTestEnvironment.config(1, discovery.endpoint(), 512, RelayTestEnvironment.backendList(1, true));
         }
@@ -49,22 +49,22 @@
 
     @Test
     public void badConfigurationEndsWithOneLineThatNamesTheFault() throws Exception {
-        assertEquals("sound: n0, 0 backends known", check(0, sound()));
-        assertEquals("JSON, character 0: the text ends early", complaint(""));
-        assertEquals("listen is missing", complaint(sound().replace("listen", "lisp")));
+        assertEquals("sound: n0, 0 backends known", check(0, validConfiguration()));
+        assertEquals("JSON, character 0: the text ends early", checkError(""));
+        assertEquals("listen is missing", checkError(validConfiguration().replace("listen", "lisp")));
         assertEquals("saltstage: configuration: cannot read /no/such/file",
             run(1, "serve", "--config", "/no/such/file"));
     }
 
     /** What 'check' says of it, between the program's name and the file's. */
-    private static String complaint(String config) throws Exception {
+    private static String checkError(String config) throws Exception {
         String line = check(1, config);
         assertTrue(line, line.matches("saltstage: configuration: .* \\(in /\\S+\\.json\\)"));
         return line.replaceAll("^saltstage: configuration: | \\(in .*", "");
     }
 
     @Test
-    public void unsoundSettingsAreNamedWithWhatWouldDo() throws Exception {
+    public void invalidSettingsAreNamedWithTheAllowedValues() throws Exception {
         String[][] bad = {
             {"\"Aim\":60000000", "\"Aim\":0", "Services.0.Aim: out of range: 0.0; 1 or more would do"},
             {"\"Aim\":60000000,", "", "Services.0.Aim: missing; a number of 1 or more is needed"},
@@ -80,13 +80,13 @@
                 "Realms.1.Name: acme is there twice; a name of its own would do"},
         };
         for (String[] each : bad) {
-            assertEquals("settings: " + each[2], complaint(sound().replace(each[0], each[1])));
+            assertEquals("settings: " + each[2], checkError(validConfiguration().replace(each[0], each[1])));
         }
         assertEquals("limits: sockets: 49; 50 or more would do",
-            complaint(sound().replace("\"sockets\":512", "\"sockets\":49")));
+            checkError(validConfiguration().replace("\"sockets\":512", "\"sockets\":49")));
         Path file = Files.createTempFile("saltstage", ".json");
         try {
-            Files.writeString(file, sound().replace("retryable", "often"));
+            Files.writeString(file, validConfiguration().replace("retryable", "often"));
             assertTrue(run(1, "serve", "--config", file.toString()).contains("Services.0.Effect"));
         } finally {
             Files.delete(file);
--- a/relay/src/test/java/saltstage/process/ConfigurationTest.java
+++ b/relay/src/test/java/saltstage/process/ConfigurationTest.java
@@ -90,11 +90,11 @@
 
     private void accept(Mutation... mutations) throws InterruptedException {
         long revision = view.accept(mutations).revision();
-        RelayTestEnvironment.await("revision " + revision + " is applied", () -> applied(revision));
+        RelayTestEnvironment.await("revision " + revision + " is applied", () -> isApplied(revision));
     }
 
     /** Whether the log says so, in either of its forms. */
-    private boolean applied(long revision) {
+    private boolean isApplied(long revision) {
         return world.logLines.stream()
                 .anyMatch(
                         line ->
@@ -104,7 +104,7 @@
                                                         "{\"rev\":\"" + revision + "\"}")));
     }
 
-    private void allGoTo(TestServer backend, String name) throws Exception {
+    private void assertAllGoTo(TestServer backend, String name) throws Exception {
         for (int i = 0; i < 8; i++) { // of 8 keys one at least would go to each of two
             world.establish(
                     backend,
@@ -122,7 +122,7 @@
         accept(
                 backend("s-1", first, BackendState.DRAINING),
                 backend("s-2", second, BackendState.READY));
-        allGoTo(second, "b");
+        assertAllGoTo(second, "b");
         accept(
                 backend(
                         "s-1", first,
@@ -144,7 +144,7 @@
         assertTrue(
                 world.logLines.toString(), world.hasLogged("configuration.kept rev=1 entries=3 age_ms="));
         assertFalse(world.hasLogged("age_ms=-1"));
-        allGoTo(second, "a");
+        assertAllGoTo(second, "a");
         RelayTestEnvironment.await("the source's loss is told", () -> world.hasLogged("configuration.source.left"));
         assertFalse(world.hasLogged("configuration.applied"));
     }
@@ -157,15 +157,15 @@
         world.establish(first, client);
         accept(backend("s-2", second, BackendState.READY), suspension("s-1", "disk"));
         assertTrue(client.readLine().startsWith("MOVE")); // as after an operator's call
-        allGoTo(second, "a");
+        assertAllGoTo(second, "a");
         assertEquals("done suspended\n", world.operatorCall("SUSPEND s-1"));
         accept(suspension("s-1", null));
-        allGoTo(second, "b"); // the operator's own call stands
+        assertAllGoTo(second, "b"); // the operator's own call stands
         assertEquals("done restored\n", world.operatorCall("RESTORE s-1"));
         accept(suspension("s-2", "disk"));
-        allGoTo(first, "c");
+        assertAllGoTo(first, "c");
         assertEquals("error still suspended by configuration: s-2\n", world.operatorCall("RESTORE s-2"));
-        allGoTo(first, "d");
+        assertAllGoTo(first, "d");
     }
 
     @Test
@@ -203,7 +203,7 @@
                         512, RelayTestEnvironment.backendList(41, true, RelayTestEnvironment.backendEntry("s-1", first.endpoint(), "ready"))),
                 settings);
         RelayTestEnvironment.await("it is told", () -> world.hasLogged("why=\"malformed: "));
-        allGoTo(first, "a"); // by the platform's list
+        assertAllGoTo(first, "a"); // by the platform's list
     }
 
     @Test
@@ -232,7 +232,7 @@
     public void aRelayWithoutTheBlockLoadsNothingOfIt() throws Exception {
         List<String> loaded = classesLoadedBy(null);
         assertTrue("classes seen: " + loaded.size(), loaded.size() > 200);
-        assertEquals(List.of(), following(loaded));
+        assertEquals(List.of(), followerClasses(loaded));
         Files.writeString(
                 settings,
                 "configuration {\n  sources = [\""
@@ -242,10 +242,10 @@
                         + folder.getRoot().toPath().resolve("configuration")
                         + "\"\n}\n");
         assertFalse(
-                "the check sees what is loaded", following(classesLoadedBy(settings)).isEmpty());
+                "the check sees what is loaded", followerClasses(classesLoadedBy(settings)).isEmpty());
     }
 
-    private static List<String> following(List<String> loaded) {
+    private static List<String> followerClasses(List<String> loaded) {
         return loaded.stream()
                 .filter(
                         line ->
--- a/relay/src/test/java/saltstage/process/FiguresTest.java
+++ b/relay/src/test/java/saltstage/process/MetricsTest.java
@@ -15,7 +15,7 @@
 import saltstage.process.RelayTestEnvironment.TestServer;
 
 /** The figures against what the test itself has counted at both ends. */
-public class FiguresTest {
+public class MetricsTest {
     private RelayTestEnvironment world;
     private TestServer backend;
     private Path folder;
@@ -36,7 +36,7 @@
         RelayTestEnvironment.deleteRecursively(folder);
     }
 
-    private Map<String, Integer> figures() {
+    private Map<String, Integer> metrics() {
         try {
             Map<String, Integer> all = new HashMap<>();
             String[] lines = world.operatorCall("METRICS").split("\n");
@@ -56,13 +56,13 @@
     public void eachConnectionIsCountedOnceWhereItEndsUp() throws Exception {
         assertEquals(Map.of("handled.chat.passedc", 0, "handled.chat.droppedc", 0,
             "handled.chat.bad_gatewayc", 0, "upstream_triesc", 0, "in_progressg", 0, "known_backendsg", 1,
-            "skipped_backendsg", 0), figures());
+            "skipped_backendsg", 0), metrics());
         TestConnection standing = world.sendOpen("f1", 20_000);
         TestConnection side = world.establish(backend, standing);
         TestConnection waiting = world.sendOpen("f2", 20_000);
         TestConnection waitingSide = backend.accept();
         waitingSide.readLine();
-        assertEquals(2, (int) figures().get("in_progressg"));
+        assertEquals(2, (int) metrics().get("in_progressg"));
         world.connectClient().sendRaw("rubbish\r\n").readLine(); // no class, no request: none of the three
         TestConnection gone = world.sendOpen("f3", 20_000);
         TestConnection goneSide = backend.accept();
@@ -78,33 +78,33 @@
         waitingSide.sendLine("BUSY").close();
         assertTrue(waiting.readLine().startsWith("BUSY"));
         waiting.close();
-        RelayTestEnvironment.await("all but one have ended", () -> figures().get("in_progressg") == 1);
-        Map<String, Integer> now = figures();
+        RelayTestEnvironment.await("all but one have ended", () -> metrics().get("in_progressg") == 1);
+        Map<String, Integer> now = metrics();
         assertEquals(1, (int) now.get("handled.chat.passedc"));
         assertEquals(1, (int) now.get("handled.chat.droppedc"));
         assertEquals(1, (int) now.get("handled.chat.bad_gatewayc"));
         assertEquals(4, (int) now.get("upstream_triesc"));
-        RelayTestEnvironment.await("it has failed and is left alone", () -> figures().get("skipped_backendsg") == 1);
+        RelayTestEnvironment.await("it has failed and is left alone", () -> metrics().get("skipped_backendsg") == 1);
         side.sendLine("BYE").close();
         assertEquals("BYE", standing.readLine());
         standing.close();
-        RelayTestEnvironment.await("the last has ended", () -> figures().get("in_progressg") == 0);
-        assertEquals("an end is no second outcome", 1, (int) figures().get("handled.chat.passedc"));
+        RelayTestEnvironment.await("the last has ended", () -> metrics().get("in_progressg") == 0);
+        assertEquals("an end is no second outcome", 1, (int) metrics().get("handled.chat.passedc"));
     }
 
     @Test
-    public void staffCallsFromTheCommandLine() throws Exception {
-        assertEquals("0 done ready", command("status"));
-        assertEquals("1 error never listed: nobody", command("suspend", "nobody"));
-        assertEquals("0 done suspended", command("suspend", "s-1"));
-        String json = command("metrics", "--json");
+    public void operatorCallsFromTheCommandLine() throws Exception {
+        assertEquals("0 done ready", runCall("status"));
+        assertEquals("1 error never listed: nobody", runCall("suspend", "nobody"));
+        assertEquals("0 done suspended", runCall("suspend", "s-1"));
+        String json = runCall("metrics", "--json");
         assertTrue(json, json.startsWith("0 {\"ok\":true,") && json.contains("\"app.skipped_backends\":1"));
-        assertEquals("0 done restored", command("restore", "s-1"));
+        assertEquals("0 done restored", runCall("restore", "s-1"));
         world.kill();
-        assertTrue(command("status").startsWith("3 saltstage: 127.0.0.1:" + world.adminPort + " did not answer"));
+        assertTrue(runCall("status").startsWith("3 saltstage: 127.0.0.1:" + world.adminPort + " did not answer"));
     }
 
-    private String command(String... words) throws Exception {
+    private String runCall(String... words) throws Exception {
         String[] all = new String[words.length + 3];
         all[0] = "call";
         System.arraycopy(words, 0, all, 1, words.length);
--- a/relay/src/test/java/saltstage/process/KeepTest.java
+++ b/relay/src/test/java/saltstage/process/PersistenceTest.java
@@ -12,7 +12,7 @@
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
-import saltstage.keep.History;
+import saltstage.keep.ConfigurationVersions;
 import saltstage.store.FileDisk;
 import saltstage.store.Store;
 import saltstage.store.StoreEvents;
@@ -21,27 +21,27 @@
  * The relay killed and started anew: what it kept is back, and a store that is lost costs nothing
  * else.
  */
-public class KeepTest {
+public class PersistenceTest {
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
     private Path settings;
     private Path dir;
 
     @Before
-    public void write() throws IOException {
+    public void writeSettings() throws IOException {
         dir = folder.getRoot().toPath().resolve("state");
         settings = folder.getRoot().toPath().resolve("saltstage.hcl");
         Files.writeString(settings, "store {\n  dir = \"" + dir + "\"\n  every = \"100ms\"\n}\n");
     }
 
-    private static String tool(int exit, String... words) throws Exception {
+    private static String runCommand(int exit, String... words) throws Exception {
         Process process = RelayTestEnvironment.launch(words);
         String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(out, exit, process.waitFor());
         return out;
     }
 
-    private boolean kept(String key) {
+    private boolean isPersisted(String key) {
         try (Store store = Store.openToRead(new FileDisk(dir), StoreEvents.NONE)) {
             return store.get(key.getBytes(StandardCharsets.UTF_8)) != null;
         } catch (IOException notYet) {
@@ -50,7 +50,7 @@
     }
 
     @Test
-    public void aKilledRelayStartsFromTheListItHadHeardAndWhatItHadLearnt() throws Exception {
+    public void aKilledRelayStartsFromItsPersistedListAndLearnedState() throws Exception {
         try (RelayTestEnvironment world = new RelayTestEnvironment()) {
             RelayTestEnvironment.TestServer backend = world.startBackend();
             String config = world.config(512, RelayTestEnvironment.backendList(1, true));
@@ -60,7 +60,7 @@
             world.establish(backend, world.sendOpen("a1", 5_000));
             RelayTestEnvironment.await(
                     "the list and what was learnt are kept",
-                    () -> kept("list/target/s1") && kept("learnt"));
+                    () -> isPersisted("list/target/s1") && isPersisted("learnt"));
             world.kill();
 
             world.startWith(
@@ -79,7 +79,7 @@
             RelayTestEnvironment.TestServer backend = world.startBackend();
             world.startWith(world.config(512, RelayTestEnvironment.backendList(1, true)), settings);
             world.answerWatch(RelayTestEnvironment.backendList(41, true, RelayTestEnvironment.backendEntry("s1", "127.0.0.1:1", "ready")));
-            RelayTestEnvironment.await("the list is kept", () -> kept("list/target/s1"));
+            RelayTestEnvironment.await("the list is kept", () -> isPersisted("list/target/s1"));
             world.kill();
             world.startWith(
                     world.config(
@@ -92,7 +92,7 @@
     }
 
     @Test
-    public void whatIsTooOldIsLeftOut() throws Exception {
+    public void learnedStateThatIsTooOldIsIgnored() throws Exception {
         Files.writeString(
                 settings,
                 "store {\n  dir = \""
@@ -107,7 +107,7 @@
                             RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s1", backend.endpoint(), "ready")));
             world.startWith(config, settings);
             world.establish(backend, world.sendOpen("a1", 5_000));
-            RelayTestEnvironment.await("something learnt is kept", () -> kept("learnt"));
+            RelayTestEnvironment.await("something learnt is kept", () -> isPersisted("learnt"));
             world.kill();
             Thread.sleep(2_100); // two of the bounds: the age is what is tested
             world.startWith(config, settings);
@@ -116,58 +116,58 @@
     }
 
     @Test
-    public void acceptedConfigurationsAreKeptShownAndBroughtBack() throws Exception {
+    public void acceptedConfigurationsArePersistedShownAndRolledBack() throws Exception {
         try (RelayTestEnvironment world = new RelayTestEnvironment()) {
             String first = world.config(512, RelayTestEnvironment.backendList(1, true));
             world.startWith(first, settings);
-            RelayTestEnvironment.await("the first is kept", () -> kept("config/0000000000000001"));
+            RelayTestEnvironment.await("the first is kept", () -> isPersisted("config/0000000000000001"));
             String second = first.replace("\"rev\":1", "\"rev\":2");
             world.reload(second);
-            RelayTestEnvironment.await("the second is kept", () -> kept("config/0000000000000002"));
+            RelayTestEnvironment.await("the second is kept", () -> isPersisted("config/0000000000000002"));
             world.reload("{}");
             RelayTestEnvironment.await("the bad one is refused", () -> world.hasLogged("reload.refused"));
             String s = settings.toString();
-            List<String> lines = tool(0, "config", "history", "--settings", s).lines().toList();
+            List<String> lines = runCommand(0, "config", "history", "--settings", s).lines().toList();
             assertEquals(2, lines.size());
             assertTrue(
                     lines.get(1),
                     lines.get(1).matches("2 \\S+ [0-9a-f]{32} configuration=\\d+ settings=\\d+"));
-            assertEquals(first, tool(0, "config", "show", "1", "--settings", s));
+            assertEquals(first, runCommand(0, "config", "show", "1", "--settings", s));
             String file = world.configFile().toString();
-            tool(0, "config", "rollback", "1", "--settings", s, "--config", file);
+            runCommand(0, "config", "rollback", "1", "--settings", s, "--config", file);
             assertEquals(first, Files.readString(world.configFile()));
             world.reload(first);
-            RelayTestEnvironment.await("the rollback is a new version", () -> kept("config/0000000000000003"));
+            RelayTestEnvironment.await("the rollback is a new version", () -> isPersisted("config/0000000000000003"));
             assertEquals(
                     "saltstage: there is no version 9\n",
-                    tool(1, "config", "rollback", "9", "--settings", s, "--config", file));
+                    runCommand(1, "config", "rollback", "9", "--settings", s, "--config", file));
             assertEquals(first, Files.readString(world.configFile()));
         }
         try (Store store = Store.openToRead(new FileDisk(dir), StoreEvents.NONE)) {
-            List<History.Version> all = History.all(store);
+            List<ConfigurationVersions.Version> all = ConfigurationVersions.all(store);
             assertEquals(3, all.size());
             assertEquals(all.get(0).hash(), all.get(2).hash());
         }
     }
 
     @Test
-    public void aDamagedStoreIsToldAndTheRelayServes() throws Exception {
+    public void aDamagedStoreIsReportedAndTheRelayServes() throws Exception {
         Files.createDirectories(dir);
         Files.writeString(dir.resolve("manifest"), "rubbish");
-        serveWithout("keep.lost dir=" + dir + " why=\"damaged: manifest at ");
+        assertServesWithoutStore("keep.lost dir=" + dir + " why=\"damaged: manifest at ");
     }
 
     @Test
-    public void aStoreInUseIsToldAndTheRelayServes() throws Exception {
+    public void aStoreInUseIsReportedAndTheRelayServes() throws Exception {
         try (Store held =
                 Store.open(
                         FileDisk.at(dir), saltstage.store.StoreOptions.usual(), StoreEvents.NONE)) {
-            serveWithout("keep.lost dir=" + dir + " why=\"the store is open in another process\"");
+            assertServesWithoutStore("keep.lost dir=" + dir + " why=\"the store is open in another process\"");
             assertTrue(held.writable());
         }
     }
 
-    private void serveWithout(String told) throws Exception {
+    private void assertServesWithoutStore(String told) throws Exception {
         try (RelayTestEnvironment world = new RelayTestEnvironment()) {
             RelayTestEnvironment.TestServer backend = world.startBackend();
             world.startWith(
--- a/relay/src/test/java/saltstage/process/RaceConditionTest.java
+++ b/relay/src/test/java/saltstage/process/RaceConditionTest.java
@@ -41,7 +41,7 @@
 import saltstage.memory.RequestAttributes;
 import saltstage.memory.Timers;
 import saltstage.memory.Attempt;
-import saltstage.metrics.Counts;
+import saltstage.metrics.RequestCounters;
 import saltstage.process.RelayTestEnvironment.TestConnection;
 import saltstage.process.RelayTestEnvironment.TestServer;
 import saltstage.stage.RelayPipeline;
@@ -167,7 +167,7 @@
                         clock,
                         timers,
                         backends,
-                        new Counts(config.classes()),
+                        new RequestCounters(config.classes()),
                         () -> {},
                         channel -> haltingSocket(channel.socket().getPort()).wrap(channel));
         Threads.startLoop("timers", () -> timers.awaitNext().run());
--- a/relay/src/test/java/saltstage/process/StartTest.java
+++ b/relay/src/test/java/saltstage/process/StartupSignalsTest.java
@@ -21,7 +21,7 @@
 
 /** Signals that come while the relay starts; where it is then is known by what it waits for. */
 @Timeout(60)
-class StartTest {
+class StartupSignalsTest {
     private RelayTestEnvironment world;
     private Path file;
     private Process process;
@@ -64,7 +64,7 @@
     }
 
     /** The pipe's end for writing, which is there once the relay opens the other. */
-    private OutputStream onceItIsRead() throws InterruptedException {
+    private OutputStream openOnceRead() throws InterruptedException {
         OutputStream opened =
                 RelayTestEnvironment.runInBackground(() -> Files.newOutputStream(file)).poll(30, TimeUnit.SECONDS);
         assertNotNull(opened, "nobody reads the configuration");
@@ -72,20 +72,20 @@
     }
 
     private void signal(String name) throws Exception {
-        done("kill", "-" + name, Long.toString(process.pid()));
+        runCommand("kill", "-" + name, Long.toString(process.pid()));
     }
 
-    private static void done(String... command) throws Exception {
+    private static void runCommand(String... command) throws Exception {
         assertEquals(0, new ProcessBuilder(command).start().waitFor());
     }
 
     @Test
     void hangupBeforeTheConfigurationIsReadIsObeyedAfterTheStart() throws Exception {
         TestServer moved = world.startBackend();
-        done("mkfifo", file.toString());
+        runCommand("mkfifo", file.toString());
         launch();
         String config = world.config(4096, RelayTestEnvironment.backendList(1, true));
-        try (OutputStream opened = onceItIsRead()) {
+        try (OutputStream opened = openOnceRead()) {
             signal("HUP");
             opened.write(config.getBytes());
         }
@@ -118,9 +118,9 @@
         launch();
         RelayTestEnvironment.await("the relay is ready", () -> logged("relay.ready"));
         Files.delete(file);
-        done("mkfifo", file.toString());
+        runCommand("mkfifo", file.toString());
         signal("HUP");
-        try (OutputStream opened = onceItIsRead()) {
+        try (OutputStream opened = openOnceRead()) {
             signal("TERM");
             assertTrue(process.waitFor(RelayTestEnvironment.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue(), Files.readString(log()));
--- a/relay/src/test/java/saltstage/process/KillTest.java
+++ b/relay/src/test/java/saltstage/process/StoreKillTest.java
@@ -26,13 +26,13 @@
  * A real process that loads a store, killed with SIGKILL at random moments, over and over on one
  * store.
  */
-public class KillTest {
+public class StoreKillTest {
     private static final int ROUNDS = 24;
     private static final int KEYS = 40;
 
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
-    private final TreeMap<String, String> model = new TreeMap<>();
+    private final TreeMap<String, String> expected = new TreeMap<>();
 
     private static String line(int round, long i) {
         String key = "k" + (i * 7 + round) % KEYS;
@@ -63,19 +63,19 @@
     }
 
     @Test
-    public void allThatWasAckedIsThereAndNothingThatWasNotAskedFor() throws Exception {
+    public void allAckedWritesSurviveAndNothingElseAppears() throws Exception {
         Path dir = folder.getRoot().toPath().resolve("store");
         Random random = new Random(11);
         long acked = 0;
         for (int round = 0; round < ROUNDS; round++) {
-            acked += round(dir, round, 1 + round % 3, random);
+            acked += killRound(dir, round, 1 + round % 3, random);
         }
         System.out.println("killed " + ROUNDS + " times; " + acked + " batches acked, all there");
         assertTrue("acked " + acked, acked > ROUNDS);
     }
 
     /** One life of the process; returns the batches it acknowledged. */
-    private long round(Path dir, int round, int batch, Random random) throws Exception {
+    private long killRound(Path dir, int round, int batch, Random random) throws Exception {
         Process loader =
                 RelayTestEnvironment.programBuilder(
                                 List.of(
@@ -109,12 +109,12 @@
         assertTrue("the loader ended by itself", acked >= until);
         TreeMap<String, String> found = dump(dir);
         for (long i = 0; i < acked * batch; i++) {
-            apply(model, line(round, i));
+            apply(expected, line(round, i));
         }
-        for (long i = acked * batch; !model.equals(found) && i < sent.get(); i++) {
-            apply(model, line(round, i)); // written, but killed before it could say so
+        for (long i = acked * batch; !expected.equals(found) && i < sent.get(); i++) {
+            apply(expected, line(round, i)); // written, but killed before it could say so
         }
-        assertEquals("round " + round + ", acked " + acked, model, found);
+        assertEquals("round " + round + ", acked " + acked, expected, found);
         return acked;
     }
 
@@ -131,7 +131,7 @@
     }
 
     @Test
-    public void theCommandsSayWhatTheyDid() throws Exception {
+    public void theCommandsReportTheirResults() throws Exception {
         Path dir = folder.getRoot().toPath().resolve("s");
         assertEquals(
                 "acked 1|acked 2|",
--- a/relay/src/test/java/saltstage/process/SuspendTest.java
+++ b/relay/src/test/java/saltstage/process/SuspendTest.java
@@ -17,14 +17,14 @@
  */
 public class SuspendTest {
     private RelayTestEnvironment world;
-    private TestServer out;
+    private TestServer suspended;
     private TestServer other;
     private Path folder;
 
     @Before
     public void start() throws Exception {
         world = new RelayTestEnvironment();
-        out = world.startBackend();
+        suspended = world.startBackend();
         other = world.startBackend();
         folder = Files.createTempDirectory("saltstage");
         world.environmentVariables.put("GW_ADMIN", "127.0.0.1:" + world.adminPort);
@@ -37,82 +37,82 @@
         RelayTestEnvironment.deleteRecursively(folder);
     }
 
-    private String listed(String state) {
-        return RelayTestEnvironment.backendEntry("s-out", out.endpoint(), state);
+    private String suspendedTarget(String state) {
+        return RelayTestEnvironment.backendEntry("s-out", suspended.endpoint(), state);
     }
 
-    private String both() {
+    private String bothTargets() {
         return RelayTestEnvironment.backendList(
-                1, true, listed("ready"), RelayTestEnvironment.backendEntry("s-other", other.endpoint(), "ready"));
+                1, true, suspendedTarget("ready"), RelayTestEnvironment.backendEntry("s-other", other.endpoint(), "ready"));
     }
 
-    private void allGoToTheOther(String name) throws Exception {
+    private void assertAllGoToTheOther(String name) throws Exception {
         for (int i = 0; i < 8; i++) { // of 8 keys one at least would go to each of two
             TestConnection client =
                     world.connectClient().sendLine("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000");
             world.establish(other, client);
         }
-        assertTrue(out.hasNoConnectionWithin(50));
+        assertTrue(suspended.hasNoConnectionWithin(50));
     }
 
     @Test
-    public void suspendedOneIsSentNothingWhateverIsListedUntilItIsRestoredOnce() throws Exception {
-        world.start(both());
+    public void suspendedBackendIsSentNothingWhateverIsListedUntilItIsRestoredOnce() throws Exception {
+        world.start(bothTargets());
         TestConnection watch = world.answerWatch();
         assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out"));
-        allGoToTheOther("a");
+        assertAllGoToTheOther("a");
         for (String state : new String[] {"draining", "gone", "ready"}) {
-            RelayTestEnvironment.sendChunk(watch, RelayTestEnvironment.backendList(2, false, listed(state)) + "\n");
+            RelayTestEnvironment.sendChunk(watch, RelayTestEnvironment.backendList(2, false, suspendedTarget(state)) + "\n");
             Thread.sleep(100);
-            allGoToTheOther(state);
+            assertAllGoToTheOther(state);
         }
         RelayTestEnvironment.sendChunk(
                 watch,
-                RelayTestEnvironment.backendList(3, false, listed("ready").replace("\"boot_ms\":0", "\"boot_ms\":9000"))
+                RelayTestEnvironment.backendList(3, false, suspendedTarget("ready").replace("\"boot_ms\":0", "\"boot_ms\":9000"))
                         + "\n");
         Thread.sleep(100);
         assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out"));
-        allGoToTheOther("again");
+        assertAllGoToTheOther("again");
         assertTrue(world.operatorCall("METRICS").contains("app.skipped_backends:1|g"));
         assertEquals("done restored\n", world.operatorCall("RESTORE s-out"));
         assertTrue(world.operatorCall("METRICS").contains("app.skipped_backends:0|g"));
         int came = 0;
         for (int i = 0; i < 32 && came == 0; i++) {
             world.connectClient().sendLine("OPEN back" + i + " key" + i + " c=chat,t=acme,d=20000");
-            came += out.accept(50) == null ? 0 : 1;
+            came += suspended.accept(50) == null ? 0 : 1;
         }
         assertEquals("it is used again", 1, came);
-        RelayTestEnvironment.sendChunk(watch, RelayTestEnvironment.backendList(4, false, listed("gone")) + "\n");
+        RelayTestEnvironment.sendChunk(watch, RelayTestEnvironment.backendList(4, false, suspendedTarget("gone")) + "\n");
         Thread.sleep(100);
         assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out")); // gone, yet once listed
     }
 
     @Test
-    public void clientsThatStandThereAreMovedSoon() throws Exception {
-        world.start(RelayTestEnvironment.backendList(1, true, listed("ready")));
+    public void clientsEstablishedThereAreMovedSoon() throws Exception {
+        world.start(RelayTestEnvironment.backendList(1, true, suspendedTarget("ready")));
         TestConnection client = world.sendOpen("m1", 20_000);
-        TestConnection side = world.establish(out, client);
+        TestConnection side = world.establish(suspended, client);
         assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out"));
         assertEquals("MOVE", client.readLine());
         assertNull(side.readLine());
     }
 
     @Test
-    public void banOutlivesAKilledProcessAndATornFileKeepsNobodyFromServing() throws Exception {
-        world.start(both());
+    public void suspensionSurvivesAKilledProcessAndATornFileDoesNotPreventServing() throws Exception {
+        world.start(bothTargets());
         assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out"));
         world.kill();
-        world.start(both());
-        allGoToTheOther("killed");
+        world.start(bothTargets());
+        assertAllGoToTheOther("killed");
         world.kill();
         Path bans = folder.resolve("saltstage").resolve("n0.bans");
         byte[] whole = Files.readAllBytes(bans);
         whole[whole.length - 1] ^= 1;
         Files.write(bans, whole);
-        world.start(both());
+        world.start(bothTargets());
         assertEquals("done ready\n", world.operatorCall("STATUS"));
         RelayTestEnvironment.await("it is told", () -> world.hasLogged("bans.unreadable"));
         assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out"));
-        allGoToTheOther("torn");
+        assertAllGoToTheOther("torn");
     }
 }
--- a/relay/src/test/java/saltstage/process/UpgradeTest.java
+++ b/relay/src/test/java/saltstage/process/UpgradeTest.java
@@ -56,19 +56,19 @@
 
     private record Relay(long pid, int admin, Path log) {}
 
-    private Relay begin(String name) throws Exception {
+    private Relay launch(String name) throws Exception {
         int admin = freePort();
         Path log = platform.directory.resolve(name + ".log");
         return new Relay(platform.start(config, admin, log), admin, log);
     }
 
-    private Relay serving(String name) throws Exception {
-        Relay relay = begin(name);
-        RelayTestEnvironment.await(name + " serves", () -> ready(relay));
+    private Relay startReady(String name) throws Exception {
+        Relay relay = launch(name);
+        RelayTestEnvironment.await(name + " serves", () -> isReady(relay));
         return relay;
     }
 
-    private boolean ready(Relay relay) {
+    private boolean isReady(Relay relay) {
         try {
             return world.operatorCall(relay.admin(), "STATUS").startsWith("done");
         } catch (IOException notYet) {
@@ -76,7 +76,7 @@
         }
     }
 
-    private static boolean said(Relay relay, String part) {
+    private static boolean hasLogged(Relay relay, String part) {
         try {
             return Files.readString(relay.log()).contains(part);
         } catch (IOException e) {
@@ -85,16 +85,16 @@
     }
 
     @Test
-    public void nobodyIsLostAtTheDoorAndWhoStandsIsMovedToTheNewProcess() throws Exception {
-        Relay old = serving("old");
+    public void noNewClientIsLostAndEstablishedOnesAreMovedToTheNewProcess() throws Exception {
+        Relay old = startReady("old");
         TestConnection client = world.sendOpen("u1", 20_000);
         TestConnection side = world.establish(backend, client);
         TestConnection waiting = world.sendOpen("u2", 20_000);
         TestConnection waitingSide = backend.accept();
         assertTrue(waitingSide.readLine().startsWith("OPEN u2 "));
-        Relay next = serving("next");
+        Relay next = startReady("next");
         ProcessSupervisor.signal(old.pid(), "TERM");
-        RelayTestEnvironment.await("the old process has stopped accepting", () -> said(old, "drain.start"));
+        RelayTestEnvironment.await("the old process has stopped accepting", () -> hasLogged(old, "drain.start"));
         List<TestConnection> others = new ArrayList<>();
         for (int i = 0; i < 10; i++) { // newcomers in the middle of it, each served
             TestConnection newcomer = world.sendOpen("n" + i, 20_000);
@@ -111,12 +111,12 @@
         RelayTestEnvironment.await("the old process ends", () -> platform.exitCodes.containsKey(old.pid()));
         assertEquals(0, (int) platform.exitCodes.get(old.pid()));
         world.establish(backend, world.sendOpen("u9", 20_000));
-        assertTrue(ready(next));
-        assertTrue(said(old, "succeeded=true"));
-        assertFalse("newcomers are the new process's, not taken and moved", said(old, " id=n"));
+        assertTrue(isReady(next));
+        assertTrue(hasLogged(old, "succeeded=true"));
+        assertFalse("newcomers are the new process's, not taken and moved", hasLogged(old, " id=n"));
     }
 
-    private static void pong(TestConnection line) {
+    private static void assertPong(TestConnection line) {
         try {
             assertEquals("PONG", line.sendLine("PING").readLine());
         } catch (IOException gone) {
@@ -126,20 +126,20 @@
 
     @Test
     public void lineThatIsHalfReadAtTheEndIsServedByTheOldProcess() throws Exception {
-        Relay old = serving("old");
-        Relay next = serving("next");
+        Relay old = startReady("old");
+        Relay next = startReady("next");
         // A first line has 2 s, and on a busy machine processes start and hear signals later than
         // that: the
         // new one is stopped, so that the old one accepts, and the line begins when the drain has.
         ProcessSupervisor.stop(next.pid());
         TestConnection half = world.connectClient();
-        pong(half);
+        assertPong(half);
         ProcessSupervisor.signal(old.pid(), "TERM");
         RelayTestEnvironment.await(
                 "the old process has stopped accepting",
                 () -> {
-                    pong(half); // each has 2 s again
-                    return said(old, "drain.start");
+                    assertPong(half); // each has 2 s again
+                    return hasLogged(old, "drain.start");
                 });
         half.sendRaw("OPEN u3 ");
         Thread.sleep(200); // four looks of the drain's at whether anybody is left
@@ -157,14 +157,14 @@
     @Test
     public void newProcessThatDiesBeforeItIsReadyChangesNothingAndTwoUpgradesWorkInARow()
             throws Exception {
-        Relay first = serving("first");
-        Relay dead = begin("dead");
+        Relay first = startReady("first");
+        Relay dead = launch("dead");
         ProcessSupervisor.signal(dead.pid(), "KILL");
         RelayTestEnvironment.await("it is gone", () -> platform.exitCodes.containsKey(dead.pid()));
         world.establish(backend, world.sendOpen("d1", 20_000));
         Relay old = first;
         for (String name : List.of("second", "third")) {
-            Relay next = serving(name);
+            Relay next = startReady(name);
             ProcessSupervisor.signal(old.pid(), "TERM");
             long pid = old.pid();
             RelayTestEnvironment.await("the one before ends", () -> platform.exitCodes.containsKey(pid));
