--- a/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
@@ -32,7 +32,7 @@
 import saltstage.store.FileDisk;
 import saltstage.store.Store;
 import saltstage.store.StoreOptions;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
 /** Replicas: running them, and who belongs to the group. */
@@ -133,7 +133,7 @@
                 throw new MalformedException("--join takes PEERS,CLIENTS, each as ADDRESS:PORT");
             }
             return new CoordinatorSettings.Place(
-                    HostList.address(parts[0]), HostList.address(parts[1]));
+                    BackendList.parseAddress(parts[0]), BackendList.parseAddress(parts[1]));
         }
 
         private static void end(CountDownLatch stop, CountDownLatch stopped) {
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ChangeValidator.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ChangeValidator.java
@@ -12,7 +12,7 @@
 import saltstage.configuration.Mutation;
 import saltstage.configuration.ValueRules;
 import saltstage.coordinator.configuration.ConfigurationReplies.Rejected;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
 /**
@@ -99,7 +99,7 @@
                     "an identifier of 1 to 128 visible ASCII characters would do");
         }
         try {
-            HostList.address(backend.address());
+            BackendList.parseAddress(backend.address());
             return null;
         } catch (MalformedException bad) {
             return rejected(
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/SettingRules.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/SettingRules.java
@@ -72,7 +72,7 @@
             }
         }
         try {
-            OperatorSettings.of(FILE, compose(settings));
+            OperatorSettings.parse(FILE, compose(settings));
             return null;
         } catch (MalformedException bad) {
             return bad.getMessage();
--- a/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
@@ -15,7 +15,7 @@
 import saltstage.coordinator.group.GroupCodec;
 import saltstage.log.Log;
 import saltstage.net.Connection;
-import saltstage.net.Handler;
+import saltstage.net.ConnectionHandler;
 import saltstage.net.Loop;
 
 /**
@@ -37,7 +37,7 @@
      */
     private static final long MOST_UNSENT = 24 << 20;
 
-    private static final Connection.Bounds BOUNDS = new Connection.Bounds(1 << 20, 64 << 20);
+    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(1 << 20, 64 << 20);
 
     private static final byte HELLO = 1;
     private static final byte RAFT = 2;
@@ -101,7 +101,7 @@
 
     void listen(InetSocketAddress at) throws IOException {
         listener = transport.listen(at, 64, BOUNDS, connection -> new Inbound());
-        loop.after(HEARTBEAT_PERIOD, this::heartbeat);
+        loop.schedule(HEARTBEAT_PERIOD, this::heartbeat);
     }
 
     void end() {
@@ -109,7 +109,7 @@
         if (listener != null) {
             listener.close();
         }
-        loop.run(() -> links.values().forEach(Link::end));
+        loop.execute(() -> links.values().forEach(Link::end));
     }
 
     private void heartbeat() {
@@ -118,7 +118,7 @@
         }
         byte[] now = GroupCodec.toCbor(heartbeat.get());
         links.values().forEach(link -> link.send(HEARTBEAT, now));
-        loop.after(HEARTBEAT_PERIOD, this::heartbeat);
+        loop.schedule(HEARTBEAT_PERIOD, this::heartbeat);
     }
 
     /** Keeps a link to a peer from now on. */
@@ -128,7 +128,7 @@
                     peer,
                     name -> {
                         Link link = new Link(name);
-                        loop.run(link::connect);
+                        loop.execute(link::connect);
                         return link;
                     });
         }
@@ -139,7 +139,7 @@
         for (String name : Map.copyOf(links).keySet()) {
             if (!peers.contains(name)) {
                 Link gone = links.remove(name);
-                loop.run(gone::end);
+                loop.execute(gone::end);
             }
         }
         peers.forEach(this::keep);
@@ -150,7 +150,7 @@
         String name = (String) target.getId();
         keep(name);
         byte[] bytes = codec.bytes(message);
-        loop.run(
+        loop.execute(
                 () -> {
                     Link link = links.get(name);
                     if (link != null) {
@@ -174,7 +174,7 @@
     }
 
     /** Reads frames; what is none ends the connection. */
-    private abstract static class Frames implements Handler {
+    private abstract static class Frames implements ConnectionHandler {
         private ByteBuffer held = ByteBuffer.allocate(64 << 10);
 
         abstract void frame(Connection on, byte type, byte[] body) throws IOException;
@@ -268,7 +268,7 @@
     }
 
     /** The connection kept to a peer. */
-    private final class Link extends Frames implements saltstage.net.Transport.Connecting {
+    private final class Link extends Frames implements saltstage.net.Transport.ConnectListener {
         private final String peer;
         private Connection connection;
         private long pause = LEAST_PAUSE_MS;
@@ -307,11 +307,11 @@
         private void later() {
             long drawn = pause / 2 + ThreadLocalRandom.current().nextLong(pause / 2 + 1);
             pause = Math.min(MOST_PAUSE_MS, pause * 2);
-            loop.after(Duration.ofMillis(drawn), this::connect);
+            loop.schedule(Duration.ofMillis(drawn), this::connect);
         }
 
         @Override
-        public Handler connected(Connection made) {
+        public ConnectionHandler connected(Connection made) {
             if (over) {
                 made.reset();
                 return this;
@@ -330,7 +330,7 @@
         }
 
         void send(byte type, byte[] body) {
-            if (connection != null && connection.unsent() < MOST_UNSENT) {
+            if (connection != null && connection.unsentBytes() < MOST_UNSENT) {
                 connection.write(PeerLinks.frame(type, body));
             }
         }
--- a/coordinator/src/main/java/saltstage/coordinator/settings/AgentSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/AgentSettings.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import saltstage.config.HclBlock;
 import saltstage.config.HclFile;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
 /**
@@ -33,7 +33,7 @@
     /** Takes the text of a file that errors shall call by this name. */
     public static AgentSettings of(String name, String text) throws MalformedException {
         HclBlock top = HclFile.parse(name, text);
-        List<HclBlock> agents = top.all("agent");
+        List<HclBlock> agents = top.blocks("agent");
         if (agents.size() != 1 || agents.get(0).labels().size() != 1) {
             throw new MalformedException(
                     name + ": takes one block 'agent' with one label, its region");
@@ -44,11 +44,11 @@
                         agent.labels().get(0),
                         places(agent, "relay", "admin"),
                         places(agent, "node", "at"),
-                        agent.texts("work"));
-        agent.finish();
-        top.finish();
+                        agent.strings("work"));
+        agent.rejectUnknown();
+        top.rejectUnknown();
         if (read.relays().isEmpty() || read.nodes().isEmpty()) {
-            throw agent.complaint("names no 'relay' or no 'node'");
+            throw agent.blockError("names no 'relay' or no 'node'");
         }
         return read;
     }
@@ -56,19 +56,19 @@
     private static Map<String, InetSocketAddress> places(HclBlock in, String type, String attribute)
             throws MalformedException {
         Map<String, InetSocketAddress> places = new LinkedHashMap<>();
-        for (HclBlock block : in.all(type)) {
-            String text = block.need(attribute);
+        for (HclBlock block : in.blocks(type)) {
+            String text = block.requiredString(attribute);
             try {
                 if (block.labels().size() != 1
-                        || places.put(block.labels().get(0), HostList.address(text)) != null) {
-                    throw block.complaint("takes one label, a name of its own");
+                        || places.put(block.labels().get(0), BackendList.parseAddress(text)) != null) {
+                    throw block.blockError("takes one label, a name of its own");
                 }
             } catch (MalformedException bad) {
                 throw bad.getMessage().equals("bad address")
-                        ? block.wrong(attribute, "an address in figures with a port")
+                        ? block.attributeError(attribute, "an address in figures with a port")
                         : bad;
             }
-            block.finish();
+            block.rejectUnknown();
         }
         return places;
     }
--- a/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
@@ -14,7 +14,7 @@
 import saltstage.coordinator.group.GroupState;
 import saltstage.coordinator.model.HostPort;
 import saltstage.coordinator.replica.ReplicaSettings;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
 /**
@@ -38,48 +38,48 @@
     private final long wallOff;
 
     private CoordinatorSettings(HclBlock block) throws MalformedException {
-        group = block.need("group");
-        dir = Path.of(block.text("dir", "coordinator-data"));
-        speed = block.whole("speed", 7, 1, 10);
-        snapshotEvery = (int) block.whole("snapshot_every", 10_000, 100, 1_000_000);
-        mostPending = (int) block.whole("most_pending", 4_096, 16, 100_000);
-        speaks = (int) block.whole("speaks", GroupState.SUPPORTED_FEATURE_LEVEL, 1, GroupState.SUPPORTED_FEATURE_LEVEL);
-        for (HclBlock member : block.all("member")) {
+        group = block.requiredString("group");
+        dir = Path.of(block.string("dir", "coordinator-data"));
+        speed = block.integer("speed", 7, 1, 10);
+        snapshotEvery = (int) block.integer("snapshot_every", 10_000, 100, 1_000_000);
+        mostPending = (int) block.integer("most_pending", 4_096, 16, 100_000);
+        speaks = (int) block.integer("speaks", GroupState.SUPPORTED_FEATURE_LEVEL, 1, GroupState.SUPPORTED_FEATURE_LEVEL);
+        for (HclBlock member : block.blocks("member")) {
             if (member.labels().size() != 1) {
-                throw member.complaint("takes one label, the replica's name");
+                throw member.blockError("takes one label, the replica's name");
             }
             Place place = new Place(address(member, "peers"), address(member, "clients"));
             if (members.put(member.labels().get(0), place) != null) {
-                throw member.complaint("'" + member.labels().get(0) + "' is given twice");
+                throw member.blockError("'" + member.labels().get(0) + "' is given twice");
             }
-            member.finish();
+            member.rejectUnknown();
         }
         if (members.isEmpty()) {
-            throw block.complaint("no 'member' is given; one is enough");
+            throw block.blockError("no 'member' is given; one is enough");
         }
-        for (HclBlock other : block.all("reach")) {
+        for (HclBlock other : block.blocks("reach")) {
             if (other.labels().size() != 1) {
-                throw other.complaint("takes one label, the replica's name");
+                throw other.blockError("takes one label, the replica's name");
             }
             reach.put(other.labels().get(0), address(other, "at"));
-            other.finish();
+            other.rejectUnknown();
         }
-        HclBlock trial = block.one("trial");
-        clockRate = trial == null ? 1 : trial.whole("clock_percent", 100, 50, 200) / 100.0;
-        wallOff = trial == null ? 0 : trial.whole("wall_off_ms", 0, -7_200_000, 7_200_000);
+        HclBlock trial = block.block("trial");
+        clockRate = trial == null ? 1 : trial.integer("clock_percent", 100, 50, 200) / 100.0;
+        wallOff = trial == null ? 0 : trial.integer("wall_off_ms", 0, -7_200_000, 7_200_000);
         if (trial != null) {
-            trial.finish();
+            trial.rejectUnknown();
         }
-        block.finish();
+        block.rejectUnknown();
     }
 
     private static InetSocketAddress address(HclBlock block, String name)
             throws MalformedException {
-        String text = block.need(name);
+        String text = block.requiredString(name);
         try {
-            return HostList.address(text);
+            return BackendList.parseAddress(text);
         } catch (MalformedException bad) {
-            throw block.wrong(
+            throw block.attributeError(
                     name, "an address in figures with a port, such as \"127.0.0.1:7101\"");
         }
     }
@@ -98,13 +98,13 @@
     /** Takes the text of a file that errors shall call by this name. */
     public static CoordinatorSettings of(String name, String text) throws MalformedException {
         HclBlock top = HclFile.parse(name, text);
-        HclBlock block = top.one("coordinator");
+        HclBlock block = top.block("coordinator");
         if (block == null) {
             throw new MalformedException(name + ": no block 'coordinator'");
         }
         CoordinatorSettings read = new CoordinatorSettings(block);
         read.distributors.putAll(DistributorSettings.all(top));
-        top.finish();
+        top.rejectUnknown();
         return read;
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/settings/DistributorSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/DistributorSettings.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import saltstage.config.HclBlock;
 import saltstage.configuration.ConfigurationLimits;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
 /**
@@ -29,14 +29,14 @@
     /** Reads all such blocks, by name. */
     static Map<String, DistributorSettings> all(HclBlock top) throws MalformedException {
         Map<String, DistributorSettings> distributors = new LinkedHashMap<>();
-        for (HclBlock block : top.all("distributor")) {
+        for (HclBlock block : top.blocks("distributor")) {
             if (block.labels().size() != 1 || !block.labels().get(0).matches(NAME)) {
-                throw block.complaint("takes one label, the distributor's name");
+                throw block.blockError("takes one label, the distributor's name");
             }
             DistributorSettings read = of(block);
-            block.finish();
+            block.rejectUnknown();
             if (distributors.put(read.name(), read) != null) {
-                throw block.complaint("'" + read.name() + "' is given twice");
+                throw block.blockError("'" + read.name() + "' is given twice");
             }
         }
         return distributors;
@@ -44,28 +44,28 @@
 
     private static DistributorSettings of(HclBlock block) throws MalformedException {
         String name = block.labels().get(0);
-        String zone = block.need("zone");
+        String zone = block.requiredString("zone");
         if (!zone.matches(NAME) || zone.length() > ConfigurationLimits.ZONE_LENGTH) {
-            throw block.wrong("zone", "a name without blanks, such as \"a1\"");
+            throw block.attributeError("zone", "a name without blanks, such as \"a1\"");
         }
         List<InetSocketAddress> sources = new ArrayList<>();
-        for (String source : block.texts("sources")) {
+        for (String source : block.strings("sources")) {
             sources.add(address(block, "sources", source));
         }
         if (sources.isEmpty()) {
-            throw block.complaint("'sources' is missing: the replicas' client addresses");
+            throw block.blockError("'sources' is missing: the replicas' client addresses");
         }
-        InetSocketAddress clients = address(block, "clients", block.need("clients"));
-        Path dir = Path.of(block.text("dir", "distributor-data")).resolve(name);
+        InetSocketAddress clients = address(block, "clients", block.requiredString("clients"));
+        Path dir = Path.of(block.string("dir", "distributor-data")).resolve(name);
         return new DistributorSettings(name, zone, clients, sources, dir);
     }
 
     private static InetSocketAddress address(HclBlock block, String attribute, String text)
             throws MalformedException {
         try {
-            return HostList.address(text);
+            return BackendList.parseAddress(text);
         } catch (MalformedException malformed) {
-            throw block.wrong(
+            throw block.attributeError(
                     attribute, "addresses in figures with a port, such as \"127.0.0.1:7201\"");
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/settings/FleetSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/FleetSettings.java
@@ -47,22 +47,22 @@
     /** Takes the text of a file that errors shall call by this name. */
     public static FleetPlan of(String name, String text, Instant now) throws MalformedException {
         HclBlock top = HclFile.parse(name, text);
-        HclBlock fleet = top.one("fleet");
+        HclBlock fleet = top.block("fleet");
         if (fleet == null) {
             throw new MalformedException(name + ": no block 'fleet'");
         }
         Map<String, List<FleetPlan.UtcOffsetChange>> zones = new TreeMap<>();
         List<FleetPlan.Region> regions = new ArrayList<>();
-        for (HclBlock block : fleet.all("region")) {
+        for (HclBlock block : fleet.blocks("region")) {
             regions.add(region(block, zones, now));
         }
         List<FleetPlan.Floor> floors = new ArrayList<>();
-        for (HclBlock block : fleet.all("floor")) {
+        for (HclBlock block : fleet.blocks("floor")) {
             floors.add(floor(block, zones, now));
         }
         FleetPlan plan =
                 new FleetPlan(
-                        fleet.span(
+                        fleet.duration(
                                         "slot",
                                         Duration.ofMinutes(5),
                                         Duration.ofMillis(100),
@@ -71,17 +71,17 @@
                         zones,
                         regions,
                         floors,
-                        (int) fleet.whole("most_regions", 1, 1, 1_000),
-                        fleet.span("spacing", Duration.ZERO, Duration.ZERO, Duration.ofDays(30))
+                        (int) fleet.integer("most_regions", 1, 1, 1_000),
+                        fleet.duration("spacing", Duration.ZERO, Duration.ZERO, Duration.ofDays(30))
                                 .toMillis(),
-                        10 * (int) fleet.whole("cold_percent", 31, 0, 100));
-        fleet.finish();
+                        10 * (int) fleet.integer("cold_percent", 31, 0, 100));
+        fleet.rejectUnknown();
         return plan;
     }
 
     private static String label(HclBlock block) throws MalformedException {
         if (block.labels().size() != 1) {
-            throw block.complaint("takes one label, its name");
+            throw block.blockError("takes one label, its name");
         }
         return block.labels().get(0);
     }
@@ -90,21 +90,21 @@
             HclBlock block, Map<String, List<FleetPlan.UtcOffsetChange>> zones, Instant now)
             throws MalformedException {
         List<FleetPlan.Node> nodes = new ArrayList<>();
-        for (HclBlock node : block.all("node")) {
+        for (HclBlock node : block.blocks("node")) {
             nodes.add(
                     new FleetPlan.Node(
-                            label(node), UNIT * node.whole("capacity", 0, 1, MOST_LOADS)));
-            node.finish();
+                            label(node), UNIT * node.integer("capacity", 0, 1, MOST_LOADS)));
+            node.rejectUnknown();
         }
         if (nodes.stream().anyMatch(node -> node.capacity() == 0)) {
-            throw block.complaint("each 'node' takes a 'capacity' in mean connection loads");
+            throw block.blockError("each 'node' takes a 'capacity' in mean connection loads");
         }
         List<FleetPlan.BlackOut> blackOuts = new ArrayList<>();
-        for (HclBlock out : block.all("black_out")) {
+        for (HclBlock out : block.blocks("black_out")) {
             List<Integer> days = new ArrayList<>();
-            for (String day : out.texts("days")) {
+            for (String day : out.strings("days")) {
                 if (!DAYS.contains(day)) {
-                    throw out.wrong("days", "a list of " + DAYS);
+                    throw out.attributeError("days", "a list of " + DAYS);
                 }
                 days.add(1 + DAYS.indexOf(day));
             }
@@ -113,18 +113,18 @@
                             days.isEmpty() ? List.of(1, 2, 3, 4, 5, 6, 7) : days,
                             minute(out, "from"),
                             minute(out, "to")));
-            out.finish();
+            out.rejectUnknown();
         }
         String zone = zone(block, zones, now);
         FleetPlan.Region region = new FleetPlan.Region(label(block), zone, nodes, blackOuts);
-        block.finish();
+        block.rejectUnknown();
         return region;
     }
 
     private static int minute(HclBlock block, String name) throws MalformedException {
-        Matcher time = TIME.matcher(block.need(name));
+        Matcher time = TIME.matcher(block.requiredString(name));
         if (!time.matches()) {
-            throw block.wrong(name, "a time of day such as \"17:30\"");
+            throw block.attributeError(name, "a time of day such as \"17:30\"");
         }
         return Math.min(
                 1_440, 60 * Integer.parseInt(time.group(1)) + Integer.parseInt(time.group(2)));
@@ -134,28 +134,28 @@
             HclBlock block, Map<String, List<FleetPlan.UtcOffsetChange>> zones, Instant now)
             throws MalformedException {
         List<Long> demand =
-                block.wholes("demand", 0, MOST_LOADS).stream().map(d -> d * UNIT).toList();
+                block.integers("demand", 0, MOST_LOADS).stream().map(d -> d * UNIT).toList();
         FleetPlan.Floor floor =
                 new FleetPlan.Floor(
                         label(block),
-                        block.texts("regions"),
-                        UNIT * block.whole("least", 0, 0, MOST_LOADS),
+                        block.strings("regions"),
+                        UNIT * block.integer("least", 0, 0, MOST_LOADS),
                         demand,
                         zone(block, zones, now));
         if (floor.regions().isEmpty() || !demand.isEmpty() && demand.size() != 24) {
-            throw block.complaint(
+            throw block.blockError(
                     "takes 'regions', and 'demand' as 24 figures, one an hour, if at all");
         }
-        block.finish();
+        block.rejectUnknown();
         return floor;
     }
 
     private static String zone(
             HclBlock block, Map<String, List<FleetPlan.UtcOffsetChange>> zones, Instant now)
             throws MalformedException {
-        String name = block.text("zone", "UTC");
+        String name = block.string("zone", "UTC");
         if (!ZoneId.getAvailableZoneIds().contains(name)) {
-            throw block.wrong("zone", "a time zone such as \"Asia/Tokyo\"");
+            throw block.attributeError("zone", "a time zone such as \"Asia/Tokyo\"");
         }
         zones.computeIfAbsent(
                 name,
--- a/coordinator/src/test/java/saltstage/coordinator/replica/PeerLinksTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/replica/PeerLinksTest.java
@@ -24,12 +24,12 @@
     /** Does things at once; what throws ends alone, as on the loops of the transport in use. */
     private final class ScriptedLoop implements Loop {
         @Override
-        public boolean isCurrent() {
+        public boolean isCurrentThread() {
             return true;
         }
 
         @Override
-        public void run(Runnable task) {
+        public void execute(Runnable task) {
             try {
                 task.run();
             } catch (RuntimeException fault) {
@@ -38,7 +38,7 @@
         }
 
         @Override
-        public Timer after(Duration delay, Runnable task) {
+        public Timer schedule(Duration delay, Runnable task) {
             due.add(task);
             return () -> due.remove(task);
         }
@@ -49,7 +49,7 @@
 
         @Override
         public Listener listen(
-                InetSocketAddress at, int backlog, Connection.Bounds bounds, Acceptor acceptor) {
+                InetSocketAddress at, int backlog, Connection.WriteLimits bounds, Acceptor acceptor) {
             throw new UnsupportedOperationException();
         }
 
@@ -58,8 +58,8 @@
                 Loop on,
                 InetSocketAddress to,
                 Duration limit,
-                Connection.Bounds bounds,
-                Connecting connecting) {
+                Connection.WriteLimits bounds,
+                ConnectListener connecting) {
             connects.add(to);
         }
 
--- a/lab/src/main/java/saltstage/lab/amqp/AmqpGateway.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpGateway.java
@@ -42,7 +42,7 @@
     private static final int FRAME = 16 << 10;
     private static final int MOST_KEPT = 1 << 19;
     private static final int MOST_LINKS = 10_000;
-    private static final Connection.Bounds BOUNDS = new Connection.Bounds(1 << 20, 256 << 20);
+    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(1 << 20, 256 << 20);
 
     private final String uid;
     private final Transport transport;
@@ -82,7 +82,7 @@
             ServerSide side = new ServerSide(net, this::setUp, open::remove);
             open.add(side);
             if (state == State.SILENT) {
-                net.loop().run(() -> side.reading(false));
+                net.loop().execute(() -> side.reading(false));
             }
             return side;
         });
@@ -188,7 +188,7 @@
         if (delay.isZero()) {
             answer(link, in, id, out);
         } else {
-            side(link).loop().after(delay, () -> answer(link, in, id, out));
+            side(link).loop().schedule(delay, () -> answer(link, in, id, out));
         }
     }
 
@@ -292,18 +292,18 @@
     public void kill() {
         state = State.DEAD;
         listener.close();
-        open.forEach(side -> side.loop().run(side::reset));
+        open.forEach(side -> side.loop().execute(side::reset));
     }
 
     /** Dies in the middle of a frame to each of its peers; a new process takes its place at once. */
     public void tear() {
-        open.forEach(side -> side.loop().run(side::tear));
+        open.forEach(side -> side.loop().execute(side::tear));
     }
 
     /** Freezes as a machine does that is cut off. */
     public void stop() {
         state = State.SILENT;
-        open.forEach(side -> side.loop().run(() -> side.reading(false)));
+        open.forEach(side -> side.loop().execute(() -> side.reading(false)));
         // Its peers can only give its connections up, which it does not see: what it holds counts as that.
         List.copyOf(held).forEach(Runnable::run);
     }
@@ -316,7 +316,7 @@
         boolean frozen = state == State.SILENT;
         state = State.READY;
         if (frozen) { // what it had open is void: its peers have given it up
-            open.forEach(side -> side.loop().run(side::reset));
+            open.forEach(side -> side.loop().execute(side::reset));
         }
     }
 
--- a/lab/src/main/java/saltstage/lab/amqp/LineLoad.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LineLoad.java
@@ -8,13 +8,13 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import saltstage.net.Connection;
-import saltstage.net.Handler;
+import saltstage.net.ConnectionHandler;
 import saltstage.net.Loop;
 import saltstage.net.Transport;
 
 /** One client that speaks lines: opens, then says numbered lines that its backend says back. */
-final class LineLoad implements Handler, Transport.Connecting {
-    private static final Connection.Bounds BOUNDS = new Connection.Bounds(1 << 16, 1 << 24);
+final class LineLoad implements ConnectionHandler, Transport.ConnectListener {
+    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(1 << 16, 1 << 24);
 
     private record Due(String id, long at) { }
 
@@ -30,7 +30,7 @@
         this.ledger = ledger;
         this.loop = loop;
         open = "OPEN " + name + " k" + name + " c=status-report,t=kitaden-charge,d=2000,g=" + name + "\r\n";
-        loop.run(() -> transport.connect(loop, to, Duration.ofSeconds(5), BOUNDS, this));
+        loop.execute(() -> transport.connect(loop, to, Duration.ofSeconds(5), BOUNDS, this));
     }
 
     boolean isUp() {
@@ -40,7 +40,7 @@
     /** A line is due; it counts from this moment. */
     void due(String id, long at) {
         ledger.sent(id);
-        loop.run(() -> {
+        loop.execute(() -> {
             waiting.add(new Due(id, at));
             if (up) {
                 say(id + "\r\n");
@@ -53,7 +53,7 @@
     }
 
     void end() {
-        loop.run(() -> {
+        loop.execute(() -> {
             if (connection != null) {
                 connection.close();
             }
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public Handler connected(Connection made) {
+    public ConnectionHandler connected(Connection made) {
         connection = made;
         say(open);
         return this;
--- a/lab/src/main/java/saltstage/lab/amqp/LoadClient.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LoadClient.java
@@ -29,7 +29,7 @@
 import saltstage.amqp.Peering;
 import saltstage.lab.amqp.Ledger.Told;
 import saltstage.net.Connection;
-import saltstage.net.Handler;
+import saltstage.net.ConnectionHandler;
 import saltstage.net.Loop;
 import saltstage.net.Transport;
 
@@ -38,7 +38,7 @@
  * whether its link had credit or not. A link that is detached attaches again, and so does the connection.
  */
 public final class LoadClient {
-    private static final Connection.Bounds BOUNDS = new Connection.Bounds(1 << 20, 256 << 20);
+    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(1 << 20, 256 << 20);
     private static final Duration CONNECT = Duration.ofSeconds(5);
 
     private final Transport transport;
@@ -69,13 +69,13 @@
         for (int i = 0; i < count; i++) {
             links.add(new OneLink(i, address + "/" + name + "-" + i));
         }
-        loop.run(this::connect);
+        loop.execute(this::connect);
     }
 
     /** Says that a delivery is due on a link, at this moment of the monotonic clock. */
     public void due(int link, String id, long at) {
         ledger.sent(id);
-        loop.run(() -> links.get(link).due(new Due(id, at)));
+        loop.execute(() -> links.get(link).due(new Due(id, at)));
     }
 
     /** How many links it has. */
@@ -118,7 +118,7 @@
     /** Ends politely; what has no outcome by then has none. */
     public void end() {
         over = true;
-        loop.run(() -> {
+        loop.execute(() -> {
             if (side != null) {
                 side.close(null);
             }
@@ -129,9 +129,9 @@
         if (over) {
             return;
         }
-        transport.connect(loop, to, CONNECT, BOUNDS, new Transport.Connecting() {
+        transport.connect(loop, to, CONNECT, BOUNDS, new Transport.ConnectListener() {
             @Override
-            public Handler connected(Connection connection) {
+            public ConnectionHandler connected(Connection connection) {
                 side = new Side(connection);
                 side.begin();
                 return side;
@@ -145,7 +145,7 @@
     }
 
     private void again() {
-        loop.after(Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::connect);
+        loop.schedule(Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::connect);
     }
 
     /** The connection. */
@@ -223,7 +223,7 @@
                 : closed.getRemoteCondition().getCondition().toString());
             lost();
             closed.close();
-            loop.after(Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::attach);
+            loop.schedule(Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::attach);
         }
 
         void lost() {
--- a/lab/src/main/java/saltstage/lab/amqp/ServerSide.java
+++ b/lab/src/main/java/saltstage/lab/amqp/ServerSide.java
@@ -57,7 +57,7 @@
 
     /** Reads on, or lets what comes wait in the system. */
     void reading(boolean wanted) {
-        net().reading(wanted);
+        net().setReading(wanted);
     }
 
     /** Ends as a process does that dies. */
@@ -71,7 +71,7 @@
     /** Begins a frame that it does not end, and dies. */
     void tear() {
         net().write(ByteBuffer.wrap(new byte[] {0, 0, 1, 0, 2, 0, 0, 0, 0, 0x53}));
-        loop().after(Duration.ofMillis(5), this::reset);
+        loop().schedule(Duration.ofMillis(5), this::reset);
     }
 
     @Override
--- a/lab/src/main/java/saltstage/lab/scale/CountingLink.java
+++ b/lab/src/main/java/saltstage/lab/scale/CountingLink.java
@@ -1,7 +1,7 @@
 package saltstage.lab.scale;
 
 import saltstage.net.Connection;
-import saltstage.net.Handler;
+import saltstage.net.ConnectionHandler;
 import saltstage.net.Transport;
 
 import java.io.IOException;
@@ -22,7 +22,7 @@
 public final class CountingLink implements AutoCloseable {
     private static final int BACKLOG = 1_024;
     private static final Duration CONNECT = Duration.ofSeconds(2);
-    private static final Connection.Bounds BOUNDS = new Connection.Bounds(1 << 18, 64 << 20);
+    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(1 << 18, 64 << 20);
 
     private final Transport transport;
     private final InetSocketAddress target;
@@ -81,7 +81,7 @@
 
     /** Resets all connections that are open. */
     public void reset() {
-        pairs.forEach(pair -> pair.client.loop().run(pair::resetBoth));
+        pairs.forEach(pair -> pair.client.loop().execute(pair::resetBoth));
     }
 
     @Override
@@ -91,7 +91,7 @@
     }
 
     /** One client's connection and the one to the target; both on one loop. */
-    private final class Pair implements Transport.Connecting {
+    private final class Pair implements Transport.ConnectListener {
         private final Connection client;
         private final Way fromClient = new Way(true);
         private final Way fromTarget = new Way(false);
@@ -113,7 +113,7 @@
 
         private void resume() {
             client.loop()
-                    .run(
+                    .execute(
                             () -> {
                                 if (server == null && !over) {
                                     connect();
@@ -127,7 +127,7 @@
         }
 
         @Override
-        public Handler connected(Connection connection) {
+        public ConnectionHandler connected(Connection connection) {
             server = connection;
             if (over) {
                 connection.reset();
@@ -155,7 +155,7 @@
         private record Piece(long dueNanos, ByteBuffer bytes) {}
 
         /** One direction. */
-        private final class Way implements Handler {
+        private final class Way implements ConnectionHandler {
             private final boolean toTarget;
             private final Deque<Piece> waiting = new ArrayDeque<>();
 
@@ -186,7 +186,7 @@
                 if (delay.isZero()) {
                     pass();
                 } else {
-                    client.loop().after(delay, this::pass);
+                    client.loop().schedule(delay, this::pass);
                 }
             }
 
@@ -200,12 +200,12 @@
                     if (bytes.hasRemaining()) {
                         sink().write(bytes);
                     } else {
-                        sink().endOutput();
+                        sink().shutdownOutput();
                     }
                 }
                 if (!waiting.isEmpty() && waiting.peek().dueNanos() > now) {
                     client.loop()
-                            .after(Duration.ofNanos(waiting.peek().dueNanos() - now), this::pass);
+                            .schedule(Duration.ofNanos(waiting.peek().dueNanos() - now), this::pass);
                 }
             }
 
@@ -215,10 +215,10 @@
             }
 
             @Override
-            public void writable(Connection on, boolean now) {
+            public void writabilityChanged(Connection on, boolean now) {
                 Connection from = on == client ? server : client;
                 if (from != null) {
-                    from.reading(now);
+                    from.setReading(now);
                 }
             }
 
@@ -229,7 +229,7 @@
                 }
                 sideEnded = true;
                 if (!cut) {
-                    client.loop().after(delay, Pair.this::end);
+                    client.loop().schedule(delay, Pair.this::end);
                 }
             }
         }
--- a/lab/src/main/java/saltstage/lab/scale/LineBackends.java
+++ b/lab/src/main/java/saltstage/lab/scale/LineBackends.java
@@ -1,7 +1,7 @@
 package saltstage.lab.scale;
 
 import saltstage.net.Connection;
-import saltstage.net.Handler;
+import saltstage.net.ConnectionHandler;
 import saltstage.net.Transport;
 
 import java.io.IOException;
@@ -19,7 +19,7 @@
  */
 final class LineBackends implements AutoCloseable {
     private static final int BACKLOG = 4_096;
-    private static final Connection.Bounds BOUNDS = new Connection.Bounds(1 << 18, 4 << 20);
+    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(1 << 18, 4 << 20);
 
     private final Transport.Listener listener;
     private final List<Connection> standing = new CopyOnWriteArrayList<>();
@@ -51,7 +51,7 @@
             return;
         }
         Connection to = standing.get((int) (place % size));
-        to.loop().run(() -> say(to, LineClients.DELIVERY + System.nanoTime()));
+        to.loop().execute(() -> say(to, LineClients.DELIVERY + System.nanoTime()));
     }
 
     private static void say(Connection to, String line) {
@@ -63,7 +63,7 @@
         listener.close();
     }
 
-    private final class Side implements Handler {
+    private final class Side implements ConnectionHandler {
         private final Connection connection;
         private final StringBuilder line = new StringBuilder();
 
--- a/lab/src/main/java/saltstage/lab/scale/LineClients.java
+++ b/lab/src/main/java/saltstage/lab/scale/LineClients.java
@@ -4,7 +4,7 @@
 import org.HdrHistogram.Histogram;
 
 import saltstage.net.Connection;
-import saltstage.net.Handler;
+import saltstage.net.ConnectionHandler;
 import saltstage.net.Loop;
 import saltstage.net.Transport;
 
@@ -23,7 +23,7 @@
     static final String DELIVERY = "D ";
 
     private static final Duration CONNECT = Duration.ofSeconds(2);
-    private static final Connection.Bounds BOUNDS = new Connection.Bounds(1 << 16, 1 << 20);
+    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(1 << 16, 1 << 20);
     private static final long MOST_MICROS = 60_000_000;
 
     private final Transport transport;
@@ -47,7 +47,7 @@
         Loop loop = transport.loops().get(name % transport.loops().size());
         Client client = new Client("c" + name);
         opening.incrementAndGet();
-        loop.run(() -> transport.connect(loop, relay, CONNECT, BOUNDS, client));
+        loop.execute(() -> transport.connect(loop, relay, CONNECT, BOUNDS, client));
     }
 
     int standing() {
@@ -90,7 +90,7 @@
         return Math.min(MOST_MICROS, Math.max(0, (System.nanoTime() - nanos) / 1_000));
     }
 
-    private final class Client implements Handler, Transport.Connecting {
+    private final class Client implements ConnectionHandler, Transport.ConnectListener {
         private final String name;
         private final long begun = System.nanoTime();
         private final StringBuilder line = new StringBuilder();
@@ -103,7 +103,7 @@
         }
 
         @Override
-        public Handler connected(Connection made) {
+        public ConnectionHandler connected(Connection made) {
             connection = made;
             say("OPEN " + name + " k" + name + " c=lines,t=tenant,d=2000,g=" + name);
             return this;
@@ -141,7 +141,7 @@
 
         private void end() {
             ending = true;
-            connection.loop().run(connection::close);
+            connection.loop().execute(connection::close);
         }
 
         @Override
--- a/relay/src/main/java/saltstage/amqp/AmqpFront.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpFront.java
@@ -24,19 +24,19 @@
 import saltstage.memory.MonotonicClock;
 import saltstage.memory.Attempt;
 import saltstage.net.Connection;
-import saltstage.net.Handler;
+import saltstage.net.ConnectionHandler;
 import saltstage.net.Loop;
 import saltstage.net.Transport;
 import saltstage.stage.AdmissionControl;
 import saltstage.stage.OutcomeRecorder;
 import saltstage.stage.RelayPipeline;
 import saltstage.stage.Frontend;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
 /** Where AMQP clients come in, and what all their connections share. */
 public final class AmqpFront implements Frontend {
-    private static final Connection.Bounds BOUNDS = new Connection.Bounds(256 << 10, 16 << 20);
+    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(256 << 10, 16 << 20);
     private static final int BACKLOG = 1_024;
     private static final Duration BEAT = Duration.ofMillis(100);
 
@@ -107,7 +107,7 @@
 
     /** Listens; returns where. */
     public InetSocketAddress start() throws IOException {
-        listener = transport.listen(settings().listen(), BACKLOG, BOUNDS, this::accept);
+        listener = transport.listen(settings().listenAddress(), BACKLOG, BOUNDS, this::accept);
         reserve();
         chain.addFrontend(this);
         transport.loops().forEach(this::beat);
@@ -117,7 +117,7 @@
 
     private void reserve() {
         int wanted =
-                Math.min(config.sockets() / 2, settings().limits().connections() + BACKEND_SOCKETS);
+                Math.min(config.maxSockets() / 2, settings().limits().maxConnections() + BACKEND_SOCKETS);
         chain.admissionControl().reserveDescriptors(wanted - reserved);
         reserved = wanted;
     }
@@ -143,11 +143,11 @@
     }
 
     /** Takes a connection, or null where it is one too many. */
-    Handler accept(Connection connection) {
+    ConnectionHandler accept(Connection connection) {
         int now = connections.incrementAndGet();
-        if (now > settings().limits().connections() + MOST_TOLD) {
+        if (now > settings().limits().maxConnections() + MOST_TOLD) {
             connections.decrementAndGet();
-            Log.warn("amqp.full", "from", connection.remote(), "connections", now);
+            Log.warn("amqp.full", "from", connection.remoteAddress(), "connections", now);
             return null;
         }
         ClientPeering made =
@@ -155,13 +155,13 @@
                         this,
                         pools.get(connection.loop()),
                         connection,
-                        now > settings().limits().connections());
+                        now > settings().limits().maxConnections());
         clients.add(made);
         return made;
     }
 
     private void beat(Loop loop) {
-        loop.after(
+        loop.schedule(
                 BEAT,
                 () -> {
                     beat(loop);
@@ -182,7 +182,7 @@
         for (ClientLink link : links) {
             Attempt up = link.standing();
             if (up != null
-                    && up.backend().entry().state() == HostList.State.DRAINING
+                    && up.backend().entry().state() == BackendList.State.DRAINING
                     && up.moveReason() == null) {
                 found.merge(up.backend(), 1, Integer::sum);
             }
@@ -206,7 +206,7 @@
         leaving = true;
         listener.close();
         for (ClientPeering client : clients) {
-            client.loop().run(client::closeIfLeaving);
+            client.loop().execute(client::closeIfLeaving);
         }
     }
 
@@ -315,7 +315,7 @@
     }
 
     boolean hasRoomForLink() {
-        return open.get() < settings().limits().links();
+        return open.get() < settings().limits().maxLinks();
     }
 
     void entered(ClientLink link) {
--- a/relay/src/main/java/saltstage/amqp/BackendLink.java
+++ b/relay/src/main/java/saltstage/amqp/BackendLink.java
@@ -85,7 +85,7 @@
         }
         Duration within = connect.compareTo(left) < 0 ? connect : left;
         connects =
-                loop.after(
+                loop.schedule(
                         within,
                         () -> {
                             if (state == State.CONNECTING) {
@@ -93,7 +93,7 @@
                             }
                         });
         attaches =
-                loop.after(
+                loop.schedule(
                         left,
                         () -> {
                             if (state == State.ATTACHING) {
@@ -231,7 +231,7 @@
 
     @Override
     public void close() {
-        loop.run(
+        loop.execute(
                 () -> {
                     if (state == State.CONNECTING || state == State.ATTACHING) {
                         done(Outcome.CANCELLED);
--- a/relay/src/main/java/saltstage/amqp/BackendPeering.java
+++ b/relay/src/main/java/saltstage/amqp/BackendPeering.java
@@ -40,7 +40,7 @@
     private Instant idleSince;
 
     BackendPeering(AmqpFront front, BackendPool pool, Backend peer, Connection net) {
-        super(net, front::now, front.settings().limits().frameBytes());
+        super(net, front::now, front.settings().limits().maxFrameBytes());
         this.front = front;
         this.pool = pool;
         this.peer = peer;
@@ -53,8 +53,8 @@
         made.saslDriver().client().setListener(new Anonymous());
         made.connection()
                 .setContainerId(front.container())
-                .setMaxFrameSize(front.settings().limits().frameBytes())
-                .setIdleTimeout(front.settings().times().backendIdle().toMillis())
+                .setMaxFrameSize(front.settings().limits().maxFrameBytes())
+                .setIdleTimeout(front.settings().timeouts().backendIdle().toMillis())
                 .openHandler(
                         up -> {
                             opened = true;
@@ -131,7 +131,7 @@
         Session made =
                 engine().connection()
                         .session()
-                        .setIncomingCapacity(front.settings().limits().linkBytes());
+                        .setIncomingCapacity(front.settings().limits().maxLinkBytes());
         BackendSession[] it = new BackendSession[1];
         it[0] = new BackendSession(made, () -> shared.remove(key, it[0]));
         if (key != null) {
--- a/relay/src/main/java/saltstage/amqp/BackendPool.java
+++ b/relay/src/main/java/saltstage/amqp/BackendPool.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import saltstage.memory.Backend;
 import saltstage.net.Connection;
-import saltstage.net.Handler;
+import saltstage.net.ConnectionHandler;
 import saltstage.net.Loop;
 import saltstage.net.Transport;
 
@@ -18,7 +18,7 @@
  */
 final class BackendPool {
     /** What is unsent to a backend holds its links up from the first figure on. */
-    private static final Connection.Bounds BOUNDS = new Connection.Bounds(256 << 10, 64 << 20);
+    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(256 << 10, 64 << 20);
 
     private static final int MOST_LINKS = 2_000;
 
@@ -84,7 +84,7 @@
     }
 
     /** A connect that is on its way. */
-    private final class Waiting implements Transport.Connecting {
+    private final class Waiting implements Transport.ConnectListener {
         private final Backend peer;
         private final List<BackendLink> links = new ArrayList<>();
 
@@ -93,7 +93,7 @@
         }
 
         @Override
-        public Handler connected(Connection connection) {
+        public ConnectionHandler connected(Connection connection) {
             BackendPeering up = new BackendPeering(front, BackendPool.this, peer, connection);
             connecting.remove(peer, this);
             open.computeIfAbsent(peer, any -> new ArrayList<>()).add(up);
--- a/relay/src/main/java/saltstage/amqp/ClientLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientLink.java
@@ -111,18 +111,18 @@
 
     @Override
     public final void reject(Duration retryAfter) {
-        owner.loop().run(() -> answered(Errors.refused(retryAfter)));
+        owner.loop().execute(() -> answered(Errors.refused(retryAfter)));
     }
 
     @Override
     public final void fail(String why) {
-        owner.loop().run(() -> answered(Errors.failed(why)));
+        owner.loop().execute(() -> answered(Errors.failed(why)));
     }
 
     @Override
     public final void startAttempt(Attempt begun, Instant until) {
         owner.loop()
-                .run(
+                .execute(
                         () -> {
                             if (state == State.ENDED || begun.context() != context) {
                                 begun.cancel();
@@ -139,12 +139,12 @@
         if (up.context().phase() != Phase.ESTABLISHED || !up.requestMove(reason)) {
             return false;
         }
-        owner.loop().run(() -> moving(up, reason));
+        owner.loop().execute(() -> moving(up, reason));
         return true;
     }
 
     @Override
-    public final String remote() {
+    public final String remoteAddress() {
         return owner.remote();
     }
 
@@ -177,7 +177,7 @@
         state = State.CLOSING;
         closeFor = why;
         stopTaking();
-        owner.loop().after(front.settings().times().settle(), this::finish);
+        owner.loop().schedule(front.settings().timeouts().settle(), this::finish);
         progress();
     }
 
@@ -356,7 +356,7 @@
 
     /** A rule of the protocol is broken on this link alone: it is detached with why. */
     protected final void breaks(ErrorCondition why) {
-        Log.warn("amqp.link.broken", "from", remote(), "why", why.getDescription());
+        Log.warn("amqp.link.broken", "from", remoteAddress(), "why", why.getDescription());
         if (owner.engineRuns()) {
             link.setCondition(why).close();
         }
--- a/relay/src/main/java/saltstage/amqp/ClientPeering.java
+++ b/relay/src/main/java/saltstage/amqp/ClientPeering.java
@@ -69,22 +69,22 @@
     private boolean gone;
 
     ClientPeering(AmqpFront front, BackendPool pool, Connection net, boolean overfull) {
-        super(net, front::now, front.settings().limits().frameBytes());
+        super(net, front::now, front.settings().limits().maxFrameBytes());
         this.front = front;
         this.pool = pool;
         this.overfull = overfull;
         settings = front.settings();
-        remote = String.valueOf(net.remote());
+        remote = String.valueOf(net.remoteAddress());
         net.loop()
-                .after(
-                        settings.times().open(),
+                .schedule(
+                        settings.timeouts().open(),
                         () -> {
                             if (!opened && !over()) {
                                 Log.warn("amqp.client.silent", "from", remote);
                                 close(
                                         Errors.limit(
                                                 "no open within "
-                                                        + settings.times().open().toMillis()
+                                                        + settings.timeouts().open().toMillis()
                                                         + " ms"));
                             }
                         });
@@ -123,7 +123,7 @@
      * (5.3.2).
      */
     private void begin(boolean bare) {
-        boolean anonymous = settings.access().anonymousTenant() != null;
+        boolean anonymous = settings.authentication().anonymousTenant() != null;
         Engine made =
                 bare && anonymous
                         ? EngineFactory.PROTON.createNonSaslEngine()
@@ -141,9 +141,9 @@
                 .addFirst(ProtonConstants.AMQP_PERFORMATIVE_HANDLER, performatives);
         made.connection()
                 .setContainerId(front.container())
-                .setMaxFrameSize(settings.limits().frameBytes())
-                .setChannelMax(settings.limits().sessions() - 1)
-                .setIdleTimeout(settings.times().idle().toMillis())
+                .setMaxFrameSize(settings.limits().maxFrameBytes())
+                .setChannelMax(settings.limits().maxSessionsPerConnection() - 1)
+                .setIdleTimeout(settings.timeouts().clientIdle().toMillis())
                 .openHandler(this::opens)
                 .closeHandler(
                         ended -> {
@@ -160,7 +160,7 @@
     private final class Login implements SaslServerListener {
         @Override
         public void handleSaslHeader(SaslServerContext context, AMQPHeader header) {
-            boolean anonymous = settings.access().anonymousTenant() != null;
+            boolean anonymous = settings.authentication().anonymousTenant() != null;
             boolean plain = front.secrets().size() > 0;
             context.sendMechanisms(
                     anonymous && plain
@@ -172,7 +172,7 @@
         public void handleSaslInit(
                 SaslServerContext context, Symbol mechanism, ProtonBuffer response) {
             boolean fits =
-                    ANONYMOUS.equals(mechanism) && settings.access().anonymousTenant() != null
+                    ANONYMOUS.equals(mechanism) && settings.authentication().anonymousTenant() != null
                             || PLAIN.equals(mechanism) && plain(response);
             if (fits) {
                 context.sendOutcome(SaslOutcome.SASL_OK, null);
@@ -180,7 +180,7 @@
                 Log.warn("amqp.login.failed", "from", remote, "mechanism", mechanism);
                 front.loginFailed();
                 context.sendOutcome(SaslOutcome.SASL_AUTH, null);
-                loop().after(FAILED_LOGIN, () -> net().close());
+                loop().schedule(FAILED_LOGIN, () -> net().close());
             }
         }
 
@@ -258,19 +258,19 @@
         opened = true;
         remotely.open();
         if (overfull) {
-            Log.warn("amqp.full", "from", remote, "connections", settings.limits().connections());
-            close(Errors.refused(front.config().longestRetryAfter()));
+            Log.warn("amqp.full", "from", remote, "connections", settings.limits().maxConnections());
+            close(Errors.refused(front.config().maxRetryAfter()));
         } else if (front.leaving()) {
             close(Errors.leaving());
         }
     }
 
     private void begins(Session session) {
-        if (over(++beginnings, settings.limits().attachesPerSecond())) {
+        if (over(++beginnings, settings.limits().maxAttachesPerSecond())) {
             flood("sessions");
             return;
         }
-        session.setIncomingCapacity(settings.limits().linkBytes());
+        session.setIncomingCapacity(settings.limits().maxLinkBytes());
         session.setLinkedResource(new Window());
         session.closeHandler(
                 ended -> {
@@ -311,7 +311,7 @@
     }
 
     private void attach(Link<?> link, String address, boolean dynamic, Making making) {
-        if (over(++attaches, settings.limits().attachesPerSecond())) {
+        if (over(++attaches, settings.limits().maxAttachesPerSecond())) {
             flood("attaches");
             return;
         }
@@ -341,10 +341,10 @@
             made.turnAway(Errors.notImplemented("dynamic addresses"));
         } else if (front.leaving()) {
             made.turnAway(Errors.leaving());
-        } else if (links.size() >= settings.limits().linksPerConnection()
+        } else if (links.size() >= settings.limits().maxLinksPerConnection()
                 || !front.hasRoomForLink()) {
             Log.warn("amqp.links.full", "from", remote, "links", links.size());
-            made.turnAway(Errors.refused(front.config().longestRetryAfter()));
+            made.turnAway(Errors.refused(front.config().maxRetryAfter()));
         } else {
             links.add(made);
             front.entered(made);
@@ -363,7 +363,7 @@
     /** While the relay leaves, a connection with no link left is told so. */
     void closeIfLeaving() {
         if (front.leaving() && links.isEmpty() && opened && !over()) {
-            loop().run(() -> close(Errors.leaving()));
+            loop().execute(() -> close(Errors.leaving()));
         }
     }
 
@@ -376,7 +376,7 @@
     /** So many bytes are about to be read of what came on a link. */
     void reads(Link<?> link, int bytes) {
         Window window = link.getSession().getLinkedResource();
-        int frames = settings.limits().linkBytes() / settings.limits().frameBytes();
+        int frames = settings.limits().maxLinkBytes() / settings.limits().maxFrameBytes();
         if (window.transfers >= frames / 2
                 && engineRuns()
                 && !link.getSession().isRemotelyClosed()) {
--- a/relay/src/main/java/saltstage/amqp/Mapping.java
+++ b/relay/src/main/java/saltstage/amqp/Mapping.java
@@ -47,13 +47,13 @@
     record Mapped(RequestAttributes terms, Duration patience, boolean repeatable) {}
 
     private final Configuration config;
-    private final AmqpSettings.Mapping names;
+    private final AmqpSettings.LinkProperties names;
     private final String anonymousTenant;
 
     Mapping(Configuration config, AmqpSettings settings) {
         this.config = config;
-        names = settings.mapping();
-        anonymousTenant = settings.access().anonymousTenant();
+        names = settings.linkProperties();
+        anonymousTenant = settings.authentication().anonymousTenant();
     }
 
     /**
@@ -80,19 +80,19 @@
         int place;
         int tenant;
         try {
-            place = config.serviceClass(word);
+            place = config.serviceClassIndex(word);
         } catch (MalformedException unknown) {
             throw new Unmapped(Errors.notFound("unknown class in the address"));
         }
         try {
-            tenant = config.tenant(asked.user() == null ? anonymousTenant : asked.user());
+            tenant = config.tenantIndex(asked.user() == null ? anonymousTenant : asked.user());
         } catch (MalformedException unknown) {
             throw new Unmapped(Errors.notFound("the user is no tenant"));
         }
         boolean repeatable = config.settings().serviceClasses().get(place).idempotency() == Api.Idempotency.IDEMPOTENT;
         return new Mapped(
                 new RequestAttributes(name, place, tenant, key, group, Api.NONE, again),
-                patience(asked, config.giveUp(place)),
+                patience(asked, config.clientTimeout(place)),
                 repeatable);
     }
 
--- a/relay/src/main/java/saltstage/amqp/Peering.java
+++ b/relay/src/main/java/saltstage/amqp/Peering.java
@@ -15,7 +15,7 @@
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 import saltstage.log.Log;
 import saltstage.net.Connection;
-import saltstage.net.Handler;
+import saltstage.net.ConnectionHandler;
 import saltstage.net.Loop;
 
 /**
@@ -23,7 +23,7 @@
  * in, frames go out, time goes by. An engine that fails has said so in a close frame of its own
  * before the end.
  */
-public abstract class Peering implements Handler {
+public abstract class Peering implements ConnectionHandler {
     /** A close must reach the other side before the end of the connection does. */
     private static final Duration LINGER = Duration.ofMillis(500);
 
@@ -52,7 +52,7 @@
                 engine.pipeline().find(ProtonConstants.AMQP_PERFORMATIVE_HANDLER);
         engine.pipeline()
                 .remove(performatives)
-                .addFirst("outcomes", new OutcomeFrames(loop()::run))
+                .addFirst("outcomes", new OutcomeFrames(loop()::execute))
                 .addFirst(ProtonConstants.AMQP_PERFORMATIVE_HANDLER, performatives);
         engine.outputHandler(
                 (buffer, done) -> {
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public final void writable(Connection on, boolean now) {
+    public final void writabilityChanged(Connection on, boolean now) {
         writable = now;
         if (now && !over) {
             roomAgain();
@@ -197,8 +197,8 @@
     }
 
     private void hangUp() {
-        net.endOutput();
-        loop().after(LINGER, net::close);
+        net.shutdownOutput();
+        loop().schedule(LINGER, net::close);
     }
 
     private void tick() {
@@ -222,7 +222,7 @@
                 next.compareTo(LEAST_TICK) < 0
                         ? LEAST_TICK
                         : next.compareTo(CALM_TICK) > 0 ? CALM_TICK : next;
-        loop().after(wait, this::tick);
+        loop().schedule(wait, this::tick);
     }
 
     /** There is room for writing again. */
--- a/relay/src/main/java/saltstage/amqp/Rules.java
+++ b/relay/src/main/java/saltstage/amqp/Rules.java
@@ -14,16 +14,16 @@
     /** Checks what the settings alone cannot know: the tenant of ANONYMOUS, the file of secrets. */
     static Rules of(AmqpSettings settings, Configuration config) throws MalformedException {
         Secrets secrets =
-                settings.access().secrets() == null
+                settings.authentication().secretsFile() == null
                         ? Secrets.none()
-                        : Secrets.read(settings.access().secrets());
-        if (settings.access().anonymousTenant() != null) {
+                        : Secrets.read(settings.authentication().secretsFile());
+        if (settings.authentication().anonymousTenant() != null) {
             try {
-                config.tenant(settings.access().anonymousTenant());
+                config.tenantIndex(settings.authentication().anonymousTenant());
             } catch (MalformedException unknown) {
                 throw new MalformedException(
                         "amqp: anonymous_tenant '"
-                                + settings.access().anonymousTenant()
+                                + settings.authentication().anonymousTenant()
                                 + "' is not in the settings");
             }
         }
@@ -33,17 +33,17 @@
                 new Mapping(config, settings),
                 secrets,
                 new Forwarding.Bounds(
-                        limits.unsettled(),
-                        limits.linkBytes(),
-                        limits.repeatBytes(),
+                        limits.maxUnsettledPerLink(),
+                        limits.maxLinkBytes(),
+                        limits.maxRetainedDeliveryBytes(),
                         config.settings().maxAttempts(),
-                        settings.times().delivery()));
+                        settings.timeouts().delivery()));
     }
 
     /** What of the next rules cannot take effect before a restart; none of it is taken over. */
     List<String> needRestart(Rules next) {
         List<String> parts = new ArrayList<>();
-        if (!settings.listen().equals(next.settings.listen())) {
+        if (!settings.listenAddress().equals(next.settings.listenAddress())) {
             parts.add("amqp.listen");
         }
         if (settings.loops() != next.settings.loops()) {
--- a/relay/src/main/java/saltstage/amqp/SendingLink.java
+++ b/relay/src/main/java/saltstage/amqp/SendingLink.java
@@ -80,7 +80,7 @@
         if (!unread.contains(in)) {
             unread.add(in);
         }
-        if (in.available() > 2 * front().settings().limits().linkBytes()) {
+        if (in.available() > 2 * front().settings().limits().maxLinkBytes()) {
             breaks(
                     new ErrorCondition(
                             SessionError.WINDOW_VIOLATION, "more bytes than the session's window"));
--- a/relay/src/main/java/saltstage/config/Configuration.java
+++ b/relay/src/main/java/saltstage/config/Configuration.java
@@ -13,47 +13,47 @@
 import java.util.stream.Collectors;
 import saltstage.Api.ServiceClass;
 import saltstage.Api.Settings;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 import saltstage.wire.Json;
 import saltstage.wire.MalformedException;
 
 /** What the relay is told at its start: the file that GW_CONFIG names. */
 public final class Configuration {
     /** What the relay itself needs, the least doorway, and a request with its backend. */
-    private static final int LEAST_SOCKETS = 50;
+    private static final int MIN_SOCKETS = 50;
 
-    private static final long MOST_BYTES = 64 << 20;
+    private static final long MAX_FILE_BYTES = 64 << 20;
 
     private final String name;
-    private final InetSocketAddress listen;
-    private final InetSocketAddress discovery;
-    private final InetSocketAddress admin;
+    private final InetSocketAddress listenAddress;
+    private final InetSocketAddress discoveryAddress;
+    private final InetSocketAddress adminAddress;
     private final long seed;
-    private final int sockets;
-    private final Map<String, String> pairs = new HashMap<>();
+    private final int maxSockets;
+    private final Map<String, String> settingValues = new HashMap<>();
     private final Settings settings;
-    private final HostList known;
-    private final List<String> classes = new ArrayList<>();
-    private final List<String> tenants = new ArrayList<>();
-    private final List<String> zones;
+    private final BackendList knownBackends;
+    private final List<String> serviceClassNames = new ArrayList<>();
+    private final List<String> tenantNames = new ArrayList<>();
+    private final List<String> zoneNames;
     private String text = "";
 
     private Configuration(Map<String, Object> json) throws MalformedException {
         name = json.get("name") instanceof String given ? given : "relay";
-        listen = HostList.address(Json.member(json, "listen", String.class));
-        discovery = HostList.address(Json.member(json, "discovery", String.class));
-        admin =
+        listenAddress = BackendList.parseAddress(Json.member(json, "listen", String.class));
+        discoveryAddress = BackendList.parseAddress(Json.member(json, "discovery", String.class));
+        adminAddress =
                 json.get("admin") == null
                         ? null
-                        : HostList.address(Json.member(json, "admin", String.class));
-        seed = seed(Json.member(json, "seed", String.class));
+                        : BackendList.parseAddress(Json.member(json, "admin", String.class));
+        seed = parseSeed(Json.member(json, "seed", String.class));
         Map<String, Object> limits = Json.asObject(json.get("limits"), "limits");
-        sockets = Json.member(limits, "sockets", Double.class).intValue();
+        maxSockets = Json.member(limits, "sockets", Double.class).intValue();
         flatten("", Json.member(json, "settings", Map.class));
         try {
             settings =
                     new SettingsReader(
-                                    pairs,
+                                    settingValues,
                                     (key, what) ->
                                             new IllegalArgumentException(
                                                     "settings: " + key + ": " + what))
@@ -61,23 +61,23 @@
         } catch (IllegalArgumentException bad) {
             throw new MalformedException(bad.getMessage());
         }
-        known = HostList.of(Json.asObject(json.get("known"), "known"));
-        if (sockets < LEAST_SOCKETS) {
+        knownBackends = BackendList.parse(Json.asObject(json.get("known"), "known"));
+        if (maxSockets < MIN_SOCKETS) {
             throw new MalformedException(
-                    "limits: sockets: " + sockets + "; " + LEAST_SOCKETS + " or more would do");
+                    "limits: sockets: " + maxSockets + "; " + MIN_SOCKETS + " or more would do");
         }
-        names("Services.", classes);
-        names("Realms.", tenants);
-        zones = List.of(pairs.getOrDefault("Zones", "").split(","));
+        readNames("Services.", serviceClassNames);
+        readNames("Realms.", tenantNames);
+        zoneNames = List.of(settingValues.getOrDefault("Zones", "").split(","));
     }
 
     /** Reads the file; what is wrong with it is said in one line. */
     public static Configuration read(Path file) throws MalformedException {
         try {
-            if (Files.size(file) > MOST_BYTES) {
+            if (Files.size(file) > MAX_FILE_BYTES) {
                 throw new MalformedException("configuration: file too large");
             }
-            return of(Files.readString(file));
+            return parse(Files.readString(file));
         } catch (MalformedException bad) {
             throw new MalformedException(bad.getMessage() + " (in " + file + ")");
         } catch (IOException e) {
@@ -86,9 +86,9 @@
     }
 
     /** Takes the text of a configuration. */
-    public static Configuration of(String text) throws MalformedException {
+    public static Configuration parse(String text) throws MalformedException {
         try {
-            Configuration read = new Configuration(Json.object(text));
+            Configuration read = new Configuration(Json.parseObject(text));
             read.text = text;
             return read;
         } catch (MalformedException e) {
@@ -105,21 +105,21 @@
                     (name, member) -> flatten(at.isEmpty() ? "" + name : at + "." + name, member));
         } else if (value instanceof List<?> items) {
             if (items.stream().noneMatch(item -> item instanceof Map || item instanceof List)) {
-                pairs.put(at, items.stream().map(String::valueOf).collect(Collectors.joining(",")));
+                settingValues.put(at, items.stream().map(String::valueOf).collect(Collectors.joining(",")));
                 return;
             }
-            pairs.put(at + ".count", Integer.toString(items.size()));
+            settingValues.put(at + ".count", Integer.toString(items.size()));
             for (int i = 0; i < items.size(); i++) {
                 flatten(at + "." + i, items.get(i));
             }
         } else if (value != null) {
-            pairs.put(at, value.toString());
+            settingValues.put(at, value.toString());
         }
     }
 
-    private void names(String list, List<String> into) throws MalformedException {
-        for (int i = 0; pairs.containsKey(list + i + ".Name"); i++) {
-            String name = pairs.get(list + i + ".Name");
+    private void readNames(String list, List<String> into) throws MalformedException {
+        for (int i = 0; settingValues.containsKey(list + i + ".Name"); i++) {
+            String name = settingValues.get(list + i + ".Name");
             if (into.contains(name)) { // requests could mean either
                 throw new MalformedException(
                         "settings: "
@@ -133,7 +133,7 @@
         }
     }
 
-    private static long seed(String hex) throws MalformedException {
+    private static long parseSeed(String hex) throws MalformedException {
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
@@ -144,15 +144,15 @@
     /**
      * What a reload does not change: the parts that need a restart to differ from those in force.
      */
-    public List<String> differsFrom(Configuration inForce) {
+    public List<String> restartRequiredChanges(Configuration inForce) {
         List<String> parts = new ArrayList<>();
-        if (!listen.equals(inForce.listen)) {
+        if (!listenAddress.equals(inForce.listenAddress)) {
             parts.add("listen");
         }
-        if (sockets != inForce.sockets) {
+        if (maxSockets != inForce.maxSockets) {
             parts.add("limits");
         }
-        if (!pairs.equals(inForce.pairs)) {
+        if (!settingValues.equals(inForce.settingValues)) {
             parts.add("settings");
         }
         return parts;
@@ -169,23 +169,23 @@
     }
 
     /** Where clients connect. */
-    public InetSocketAddress listen() {
-        return listen;
+    public InetSocketAddress listenAddress() {
+        return listenAddress;
     }
 
     /** Where discovery is. */
-    public InetSocketAddress discovery() {
-        return discovery;
+    public InetSocketAddress discoveryAddress() {
+        return discoveryAddress;
     }
 
     /** Where operators call, or null. */
-    public InetSocketAddress admin() {
-        return admin;
+    public InetSocketAddress adminAddress() {
+        return adminAddress;
     }
 
     /** The names of the classes, in the order of the settings. */
-    public List<String> classes() {
-        return List.copyOf(classes);
+    public List<String> serviceClassNames() {
+        return List.copyOf(serviceClassNames);
     }
 
     /** The seed for the module's random numbers. */
@@ -194,13 +194,13 @@
     }
 
     /** How many descriptors the process may hold. */
-    public int sockets() {
-        return sockets;
+    public int maxSockets() {
+        return maxSockets;
     }
 
     /** The backends as this relay last had them. */
-    public HostList known() {
-        return known;
+    public BackendList knownBackends() {
+        return knownBackends;
     }
 
     /** The settings in the module's form. */
@@ -209,8 +209,8 @@
     }
 
     /** The place of a class in the settings. */
-    public int serviceClass(String name) throws MalformedException {
-        int place = classes.indexOf(name);
+    public int serviceClassIndex(String name) throws MalformedException {
+        int place = serviceClassNames.indexOf(name);
         if (place < 0) {
             throw new MalformedException("unknown class");
         }
@@ -218,8 +218,8 @@
     }
 
     /** The place of a tenant in the settings; 0 where there are none. */
-    public int tenant(String name) throws MalformedException {
-        int place = tenants.isEmpty() ? 0 : tenants.indexOf(name);
+    public int tenantIndex(String name) throws MalformedException {
+        int place = tenantNames.isEmpty() ? 0 : tenantNames.indexOf(name);
         if (place < 0) {
             throw new MalformedException("unknown tenant");
         }
@@ -227,38 +227,38 @@
     }
 
     /** The place of a zone; one that the settings do not name is nobody's. */
-    public int zone(String name) {
-        int place = zones.indexOf(name);
-        return place < 0 ? zones.size() : place;
+    public int zoneIndex(String name) {
+        int place = zoneNames.indexOf(name);
+        return place < 0 ? zoneNames.size() : place;
     }
 
     /** How long a client of the class waits where it does not say. */
-    public Duration giveUp(int serviceClass) {
-        return span(settings.serviceClasses().get(serviceClass).clientTimeout());
+    public Duration clientTimeout(int serviceClass) {
+        return ofMicros(settings.serviceClasses().get(serviceClass).clientTimeout());
     }
 
     /** How long any client waits at most. */
-    public Duration longestGiveUp() {
-        return span(settings.serviceClasses().stream().mapToLong(ServiceClass::clientTimeout).max().orElse(0));
+    public Duration maxClientTimeout() {
+        return ofMicros(settings.serviceClasses().stream().mapToLong(ServiceClass::clientTimeout).max().orElse(0));
     }
 
     /** How long a connect may take. */
     public Duration connectTimeout() {
-        return span(settings.connectTimeout());
+        return ofMicros(settings.connectTimeout());
     }
 
     /** The longest advice to stay away that clients follow. */
-    public Duration longestRetryAfter() {
-        return span(settings.maxRetryAfter());
+    public Duration maxRetryAfter() {
+        return ofMicros(settings.maxRetryAfter());
     }
 
     /** The shortest time within which any class wants its messages answered. */
-    public Duration shortestMessageAim() {
-        return span(
+    public Duration minMessageLatencyTarget() {
+        return ofMicros(
                 settings.serviceClasses().stream().mapToLong(ServiceClass::messageLatencyTarget).min().orElse(0));
     }
 
-    private static Duration span(long micros) {
+    private static Duration ofMicros(long micros) {
         return Duration.of(micros, ChronoUnit.MICROS);
     }
 }
--- a/relay/src/main/java/saltstage/config/HclBlock.java
+++ b/relay/src/main/java/saltstage/config/HclBlock.java
@@ -15,22 +15,22 @@
 
 /**
  * One block of an operator's file. Its attributes are asked for by name, each checked where it is
- * asked for; {@link #finish} then refuses whatever nobody has asked for. Every complaint names
+ * asked for; {@link #rejectUnknown} then refuses whatever nobody has asked for. Every complaint names
  * file, line and name.
  */
 public final class HclBlock {
-    private static final Pattern SPAN = Pattern.compile("(\\d{1,9})(ms|s|m|h|d)");
+    private static final Pattern DURATION = Pattern.compile("(\\d{1,9})(ms|s|m|h|d)");
     private static final Pattern SIZE = Pattern.compile("(\\d{1,12})(B|KiB|MiB|GiB)?");
 
-    private record Given(Object value, int line) {}
+    private record Attribute(Object value, int line) {}
 
     private final String file;
     private final String type;
     private final List<String> labels;
     private final int line;
-    private final Map<String, Given> attributes = new LinkedHashMap<>();
+    private final Map<String, Attribute> attributes = new LinkedHashMap<>();
     private final List<HclBlock> blocks = new ArrayList<>();
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> requested = new HashSet<>();
 
     HclBlock(String file, String type, List<String> labels, int line) {
         this.file = file;
@@ -39,16 +39,16 @@
         this.line = line;
     }
 
-    void put(String name, Object value, int at) throws MalformedException {
-        if (!HclFile.isWord(name)) {
-            throw at(at, "'" + name + "' is no name");
+    void addAttribute(String name, Object value, int at) throws MalformedException {
+        if (!HclFile.isIdentifier(name)) {
+            throw errorAt(at, "'" + name + "' is no name");
         }
-        if (attributes.put(name, new Given(value, at)) != null) {
-            throw at(at, "'" + name + "' is given twice");
+        if (attributes.put(name, new Attribute(value, at)) != null) {
+            throw errorAt(at, "'" + name + "' is given twice");
         }
     }
 
-    void add(HclBlock inner) {
+    void addBlock(HclBlock inner) {
         blocks.add(inner);
     }
 
@@ -58,48 +58,48 @@
     }
 
     /** All inner blocks of a type, in order. */
-    public List<HclBlock> all(String name) {
-        asked.add("block " + name);
+    public List<HclBlock> blocks(String name) {
+        requested.add("block " + name);
         return blocks.stream().filter(inner -> inner.type.equals(name)).toList();
     }
 
     /** The one inner block of a type, without labels, or null. */
-    public HclBlock one(String name) throws MalformedException {
-        List<HclBlock> found = all(name);
+    public HclBlock block(String name) throws MalformedException {
+        List<HclBlock> found = blocks(name);
         if (found.size() > 1) {
-            throw found.get(1).complaint("'" + name + "' is given twice");
+            throw found.get(1).blockError("'" + name + "' is given twice");
         }
         if (!found.isEmpty() && !found.get(0).labels.isEmpty()) {
-            throw found.get(0).complaint("'" + name + "' takes no label");
+            throw found.get(0).blockError("'" + name + "' takes no label");
         }
         return found.isEmpty() ? null : found.get(0);
     }
 
     /** A text; null where it is absent and nothing stands for it. */
-    public String text(String name, String absent) throws MalformedException {
-        Given given = take(name);
+    public String string(String name, String absent) throws MalformedException {
+        Attribute given = lookUp(name);
         if (given == null) {
             return absent;
         }
         if (!(given.value() instanceof String text) || text.isBlank()) {
-            throw at(given.line(), "'" + name + "' takes a text");
+            throw errorAt(given.line(), "'" + name + "' takes a text");
         }
         return text;
     }
 
     /** A text that must be there. */
-    public String need(String name) throws MalformedException {
-        String text = text(name, null);
+    public String requiredString(String name) throws MalformedException {
+        String text = string(name, null);
         if (text == null) {
-            throw complaint("'" + name + "' is missing");
+            throw blockError("'" + name + "' is missing");
         }
         return text;
     }
 
     /** One of the constants of an enum, written in small letters. */
-    public <E extends Enum<E>> E word(String name, Class<E> of, E absent)
+    public <E extends Enum<E>> E enumValue(String name, Class<E> of, E absent)
             throws MalformedException {
-        String text = text(name, null);
+        String text = string(name, null);
         if (text == null) {
             return absent;
         }
@@ -108,18 +108,18 @@
                 return constant;
             }
         }
-        throw wrong(
+        throw attributeError(
                 name, "one of " + Arrays.toString(of.getEnumConstants()).toLowerCase(Locale.ROOT));
     }
 
     /** A whole number within bounds. */
-    public long whole(String name, long absent, long least, long most) throws MalformedException {
-        Given given = take(name);
+    public long integer(String name, long absent, long least, long most) throws MalformedException {
+        Attribute given = lookUp(name);
         if (given == null) {
             return absent;
         }
         if (!(given.value() instanceof Double d) || d != Math.rint(d) || d < least || d > most) {
-            throw at(
+            throw errorAt(
                     given.line(),
                     "'" + name + "' takes a whole number from " + least + " to " + most);
         }
@@ -127,15 +127,15 @@
     }
 
     /** A list of texts; none where it is absent. */
-    public List<String> texts(String name) throws MalformedException {
-        Given given = take(name);
+    public List<String> strings(String name) throws MalformedException {
+        Attribute given = lookUp(name);
         List<String> texts = new ArrayList<>();
         for (Object item :
                 given == null
                         ? List.of()
                         : given.value() instanceof List<?> items ? items : List.of(0.0)) {
             if (!(item instanceof String text) || text.isBlank()) {
-                throw at(given.line(), "'" + name + "' takes a list of texts");
+                throw errorAt(given.line(), "'" + name + "' takes a list of texts");
             }
             texts.add(text);
         }
@@ -143,15 +143,15 @@
     }
 
     /** A list of whole numbers within bounds; none where it is absent. */
-    public List<Long> wholes(String name, long least, long most) throws MalformedException {
-        Given given = take(name);
+    public List<Long> integers(String name, long least, long most) throws MalformedException {
+        Attribute given = lookUp(name);
         List<Long> numbers = new ArrayList<>();
         for (Object item :
                 given == null
                         ? List.of()
                         : given.value() instanceof List<?> items ? items : List.of("")) {
             if (!(item instanceof Double d) || d != Math.rint(d) || d < least || d > most) {
-                throw at(
+                throw errorAt(
                         given.line(),
                         "'"
                                 + name
@@ -166,25 +166,25 @@
     }
 
     /** Yes or no. */
-    public boolean flag(String name, boolean absent) throws MalformedException {
-        Given given = take(name);
+    public boolean bool(String name, boolean absent) throws MalformedException {
+        Attribute given = lookUp(name);
         if (given == null) {
             return absent;
         }
         if (!(given.value() instanceof Boolean b)) {
-            throw at(given.line(), "'" + name + "' takes true or false");
+            throw errorAt(given.line(), "'" + name + "' takes true or false");
         }
         return b;
     }
 
     /** A span such as "250ms", "10s", "5m", "24h" or "30d" within bounds. */
-    public Duration span(String name, Duration absent, Duration least, Duration most)
+    public Duration duration(String name, Duration absent, Duration least, Duration most)
             throws MalformedException {
-        String text = text(name, null);
+        String text = string(name, null);
         if (text == null) {
             return absent;
         }
-        Matcher parts = SPAN.matcher(text);
+        Matcher parts = DURATION.matcher(text);
         if (parts.matches()) {
             long n = Long.parseLong(parts.group(1));
             Duration span =
@@ -199,7 +199,7 @@
                 return span;
             }
         }
-        throw wrong(
+        throw attributeError(
                 name,
                 "a span such as \"250ms\", \"10s\" or \"24h\", from "
                         + least.toMillis()
@@ -209,8 +209,8 @@
     }
 
     /** A size in bytes such as "64KiB" or "8MiB" within bounds. */
-    public long size(String name, long absent, long least, long most) throws MalformedException {
-        String text = text(name, null);
+    public long byteSize(String name, long absent, long least, long most) throws MalformedException {
+        String text = string(name, null);
         if (text == null) {
             return absent;
         }
@@ -228,41 +228,41 @@
                 return n << shift;
             }
         }
-        throw wrong(
+        throw attributeError(
                 name,
                 "a size such as \"64KiB\" or \"8MiB\", from " + least + " to " + most + " bytes");
     }
 
     /** Refuses what nobody has asked for. */
-    public void finish() throws MalformedException {
-        for (Map.Entry<String, Given> given : attributes.entrySet()) {
-            if (!asked.contains(given.getKey())) {
-                throw at(given.getValue().line(), "unknown attribute '" + given.getKey() + "'");
+    public void rejectUnknown() throws MalformedException {
+        for (Map.Entry<String, Attribute> given : attributes.entrySet()) {
+            if (!requested.contains(given.getKey())) {
+                throw errorAt(given.getValue().line(), "unknown attribute '" + given.getKey() + "'");
             }
         }
         for (HclBlock inner : blocks) {
-            if (!asked.contains("block " + inner.type)) {
-                throw inner.complaint("unknown block '" + inner.type + "'");
+            if (!requested.contains("block " + inner.type)) {
+                throw inner.blockError("unknown block '" + inner.type + "'");
             }
         }
     }
 
     /** A complaint about this block as a whole. */
-    public MalformedException complaint(String what) {
-        return at(line, what);
+    public MalformedException blockError(String what) {
+        return errorAt(line, what);
     }
 
     /** A complaint about an attribute that was taken. */
-    public MalformedException wrong(String name, String takes) {
-        return at(attributes.get(name).line(), "'" + name + "' takes " + takes);
+    public MalformedException attributeError(String name, String takes) {
+        return errorAt(attributes.get(name).line(), "'" + name + "' takes " + takes);
     }
 
-    private Given take(String name) {
-        asked.add(name);
+    private Attribute lookUp(String name) {
+        requested.add(name);
         return attributes.get(name);
     }
 
-    private MalformedException at(int where, String what) {
+    private MalformedException errorAt(int where, String what) {
         return new MalformedException(
                 file + ":" + where + ": " + (type.isEmpty() ? "" : type + ": ") + what);
     }
--- a/relay/src/main/java/saltstage/config/HclFile.java
+++ b/relay/src/main/java/saltstage/config/HclFile.java
@@ -25,15 +25,15 @@
  * templates or here-documents.
  */
 public final class HclFile {
-    private static final Pattern WHERE = Pattern.compile("line: (\\d+)");
-    private static final Pattern WORD = Pattern.compile("[A-Za-z_][A-Za-z0-9_-]*");
+    private static final Pattern LINE_NUMBER = Pattern.compile("line: (\\d+)");
+    private static final Pattern IDENTIFIER = Pattern.compile("[A-Za-z_][A-Za-z0-9_-]*");
     private static final Pattern NUMBER = Pattern.compile("-?\\d{1,15}(\\.\\d{1,9})?");
-    private static final int MOST_BYTES = 1 << 20;
+    private static final int MAX_CHARS = 1 << 20;
 
     private record Token(String text, int line) {}
 
     private final String name;
-    private final List<String> read = new ArrayList<>();
+    private final List<String> parsedTokens = new ArrayList<>();
 
     private HclFile(String name) {
         this.name = name;
@@ -44,19 +44,19 @@
      * level.
      */
     public static HclBlock parse(String name, String text) throws MalformedException {
-        return new HclFile(name).top(text);
+        return new HclFile(name).parseTopLevel(text);
     }
 
-    private HclBlock top(String text) throws MalformedException {
-        if (text.length() > MOST_BYTES) {
+    private HclBlock parseTopLevel(String text) throws MalformedException {
+        if (text.length() > MAX_CHARS) {
             throw new MalformedException(name + ": settings file too large");
         }
         List<Symbol> symbols;
         try {
             symbols = HclSymbols.read(new StringReader(text));
         } catch (HCLParserException bad) {
-            Matcher where = WHERE.matcher(String.valueOf(bad.getMessage()));
-            throw at(where.find() ? Integer.parseInt(where.group(1)) : 1, "not HCL");
+            Matcher where = LINE_NUMBER.matcher(String.valueOf(bad.getMessage()));
+            throw errorAt(where.find() ? Integer.parseInt(where.group(1)) : 1, "not HCL");
         } catch (IOException
                 | RuntimeException
                 | Error bad) { // JFlex throws Error on what it cannot match
@@ -64,75 +64,75 @@
         }
         HclBlock top = new HclBlock(name, "", List.of(), 1);
         for (Symbol symbol : symbols) {
-            add(top, symbol);
+            addSymbol(top, symbol);
         }
-        account(text);
+        checkAllTokensParsed(text);
         return top;
     }
 
-    private MalformedException at(int line, String what) {
+    private MalformedException errorAt(int line, String what) {
         return new MalformedException(name + ":" + line + ": " + what);
     }
 
-    private static int line(Symbol symbol) {
+    private static int lineNumber(Symbol symbol) {
         return symbol.getLine() + 1; // the library counts from 0
     }
 
-    private void add(HclBlock into, Symbol symbol) throws MalformedException {
+    private void addSymbol(HclBlock into, Symbol symbol) throws MalformedException {
         if (symbol instanceof HCLAttribute) {
-            read.add(symbol.getName());
-            read.add("=");
+            parsedTokens.add(symbol.getName());
+            parsedTokens.add("=");
             List<Symbol> values = children(symbol);
             if (values.size() != 1) {
-                throw at(line(symbol), "'" + symbol.getName() + "' has no plain value");
+                throw errorAt(lineNumber(symbol), "'" + symbol.getName() + "' has no plain value");
             }
-            into.put(symbol.getName(), value(symbol.getName(), values.get(0)), line(symbol));
+            into.addAttribute(symbol.getName(), parseValue(symbol.getName(), values.get(0)), lineNumber(symbol));
         } else if (symbol instanceof HCLBlock block) {
-            read.addAll(block.blockNames);
+            parsedTokens.addAll(block.blockNames);
             HclBlock inner =
                     new HclBlock(
                             name,
                             block.blockNames.get(0),
                             block.blockNames.subList(1, block.blockNames.size()),
-                            line(symbol));
-            read.add("{");
+                            lineNumber(symbol));
+            parsedTokens.add("{");
             for (Symbol child : children(symbol)) {
-                add(inner, child);
+                addSymbol(inner, child);
             }
-            read.add("}");
-            into.add(inner);
+            parsedTokens.add("}");
+            into.addBlock(inner);
         } else {
-            throw at(line(symbol), "only blocks and attributes can stand here");
+            throw errorAt(lineNumber(symbol), "only blocks and attributes can stand here");
         }
     }
 
-    private Object value(String of, Symbol symbol) throws MalformedException {
+    private Object parseValue(String of, Symbol symbol) throws MalformedException {
         if (symbol instanceof HCLArray) {
             List<Object> items = new ArrayList<>();
-            read.add("[");
+            parsedTokens.add("[");
             for (Symbol child : children(symbol)) {
-                items.add(value(of, child));
+                items.add(parseValue(of, child));
             }
-            read.add("]");
+            parsedTokens.add("]");
             return items;
         }
         if (!(symbol instanceof HCLValue plain) || plain.value == null) {
-            throw at(
-                    line(symbol),
+            throw errorAt(
+                    lineNumber(symbol),
                     "'" + of + "' takes plain values only: texts, numbers, true, false, lists");
         }
         String text = plain.value.toString();
-        read.add(text);
+        parsedTokens.add(text);
         return switch (plain.type) {
             case "string" -> text;
             case "boolean" -> Boolean.valueOf(text);
             case "number" -> {
                 if (!NUMBER.matcher(text).matches()) {
-                    throw at(line(symbol), "'" + of + "': not a number: " + text);
+                    throw errorAt(lineNumber(symbol), "'" + of + "': not a number: " + text);
                 }
                 yield Double.valueOf(text);
             }
-            default -> throw at(line(symbol), "'" + of + "' has no plain value");
+            default -> throw errorAt(lineNumber(symbol), "'" + of + "' has no plain value");
         };
     }
 
@@ -141,17 +141,17 @@
     }
 
     /** Refuses the first token of the text that is not in what was read. */
-    private void account(String text) throws MalformedException {
-        Iterator<String> known = read.iterator();
+    private void checkAllTokensParsed(String text) throws MalformedException {
+        Iterator<String> known = parsedTokens.iterator();
         int last = 1;
         for (Token token : tokens(text)) {
             last = token.line();
             if (!known.hasNext() || !known.next().equals(token.text())) {
-                throw at(token.line(), "'" + token.text() + "' cannot stand here");
+                throw errorAt(token.line(), "'" + token.text() + "' cannot stand here");
             }
         }
         if (known.hasNext()) {
-            throw at(last, "the file ends early");
+            throw errorAt(last, "the file ends early");
         }
     }
 
@@ -183,7 +183,7 @@
     }
 
     /** Whether a name can be an attribute's or a block's. */
-    static boolean isWord(String text) {
-        return WORD.matcher(text).matches();
+    static boolean isIdentifier(String text) {
+        return IDENTIFIER.matcher(text).matches();
     }
 }
--- a/relay/src/main/java/saltstage/config/OperatorSettings.java
+++ b/relay/src/main/java/saltstage/config/OperatorSettings.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 import saltstage.log.LogSetup;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
 /**
@@ -33,13 +33,13 @@
      * Where state is kept and how: segments of this size, learnt state no older than this, so many
      * accepted configurations, and so many bytes a second that compaction may copy.
      */
-    public record Keeping(
+    public record PersistenceSettings(
             Path dir,
             int segmentBytes,
-            Duration learntFor,
-            Duration every,
-            int configurations,
-            long compactionRate) {}
+            Duration maxLearnedStateAge,
+            Duration saveInterval,
+            int maxConfigurations,
+            long compactionBytesPerSecond) {}
 
     /**
      * Where configuration by revision comes from.
@@ -49,30 +49,30 @@
      * @param name what sources call this relay; empty: the relay's own name
      * @param dir where what was accepted outlives a restart
      */
-    public record Following(List<String> sources, String zone, String name, Path dir) {}
+    public record FollowerSettings(List<String> sources, String zone, String name, Path dir) {}
 
-    private static final Pattern ZONE = Pattern.compile("[A-Za-z0-9._-]{0,60}");
-    private static final Pattern FOLLOWER = Pattern.compile("[!-~]{0,160}");
+    private static final Pattern ZONE_NAME = Pattern.compile("[A-Za-z0-9._-]{0,60}");
+    private static final Pattern FOLLOWER_NAME = Pattern.compile("[!-~]{0,160}");
     private static final int KIB = 1 << 10;
     private static final int MIB = 1 << 20;
 
     private final String text;
     private final Logging logging;
-    private final Keeping keeping;
+    private final PersistenceSettings persistence;
     private final AmqpSettings amqp;
-    private final Following following;
+    private final FollowerSettings follower;
 
     private OperatorSettings(
-            String text, Logging logging, Keeping keeping, AmqpSettings amqp, Following following) {
+            String text, Logging logging, PersistenceSettings keeping, AmqpSettings amqp, FollowerSettings following) {
         this.text = text;
         this.logging = logging;
-        this.keeping = keeping;
+        this.persistence = keeping;
         this.amqp = amqp;
-        this.following = following;
+        this.follower = following;
     }
 
     /** What holds where no file is named. */
-    public static OperatorSettings none() {
+    public static OperatorSettings defaults() {
         return new OperatorSettings(
                 "", new Logging(LogSetup.Format.TEXT, Level.INFO), null, null, null);
     }
@@ -80,7 +80,7 @@
     /** Reads the file; what is wrong with it is said in one line, with file, line and name. */
     public static OperatorSettings read(Path file) throws MalformedException {
         try {
-            return of(file.toString(), Files.readString(file));
+            return parse(file.toString(), Files.readString(file));
         } catch (CharacterCodingException e) {
             throw new MalformedException(file + ": not UTF-8 text");
         } catch (IOException e) {
@@ -89,83 +89,83 @@
     }
 
     /** Takes the text of a file that errors shall call by this name. */
-    public static OperatorSettings of(String name, String text) throws MalformedException {
+    public static OperatorSettings parse(String name, String text) throws MalformedException {
         HclBlock top = HclFile.parse(name, text);
-        HclBlock log = top.one("log");
-        HclBlock store = top.one("store");
-        HclBlock amqp = top.one("amqp");
-        HclBlock configuration = top.one("configuration");
+        HclBlock log = top.block("log");
+        HclBlock store = top.block("store");
+        HclBlock amqp = top.block("amqp");
+        HclBlock configuration = top.block("configuration");
         OperatorSettings read =
                 new OperatorSettings(
                         text,
-                        log == null ? none().logging : logging(log),
-                        store == null ? null : keeping(store),
-                        amqp == null ? null : AmqpSettings.of(amqp),
-                        configuration == null ? null : following(configuration));
-        top.finish();
+                        log == null ? defaults().logging : logging(log),
+                        store == null ? null : persistence(store),
+                        amqp == null ? null : AmqpSettings.parse(amqp),
+                        configuration == null ? null : follower(configuration));
+        top.rejectUnknown();
         return read;
     }
 
     private static Logging logging(HclBlock log) throws MalformedException {
         Logging read =
                 new Logging(
-                        log.word("format", LogSetup.Format.class, LogSetup.Format.TEXT),
-                        log.word("level", Level.class, Level.INFO));
-        log.finish();
+                        log.enumValue("format", LogSetup.Format.class, LogSetup.Format.TEXT),
+                        log.enumValue("level", Level.class, Level.INFO));
+        log.rejectUnknown();
         return read;
     }
 
-    private static Keeping keeping(HclBlock store) throws MalformedException {
-        Keeping read =
-                new Keeping(
-                        Path.of(store.need("dir")),
-                        (int) store.size("segment", MIB, 64 * KIB, 256 * MIB),
-                        store.span(
+    private static PersistenceSettings persistence(HclBlock store) throws MalformedException {
+        PersistenceSettings read =
+                new PersistenceSettings(
+                        Path.of(store.requiredString("dir")),
+                        (int) store.byteSize("segment", MIB, 64 * KIB, 256 * MIB),
+                        store.duration(
                                 "learnt_for",
                                 Duration.ofMinutes(10),
                                 Duration.ofSeconds(1),
                                 Duration.ofDays(30)),
-                        store.span(
+                        store.duration(
                                 "every",
                                 Duration.ofSeconds(2),
                                 Duration.ofMillis(100),
                                 Duration.ofHours(1)),
-                        (int) store.whole("configurations", 50, 2, 10_000),
-                        store.size("compaction_rate", 4 * MIB, 64 * KIB, 1L << 40));
-        store.finish();
+                        (int) store.integer("configurations", 50, 2, 10_000),
+                        store.byteSize("compaction_rate", 4 * MIB, 64 * KIB, 1L << 40));
+        store.rejectUnknown();
         return read;
     }
 
-    private static Following following(HclBlock configuration) throws MalformedException {
-        List<String> sources = configuration.texts("sources");
+    private static FollowerSettings follower(HclBlock configuration) throws MalformedException {
+        List<String> sources = configuration.strings("sources");
         if (sources.isEmpty()) {
-            throw configuration.complaint("'sources' is missing");
+            throw configuration.blockError("'sources' is missing");
         }
         for (String source : sources) {
             checkAddress(configuration, source);
         }
-        Following read =
-                new Following(
+        FollowerSettings read =
+                new FollowerSettings(
                         List.copyOf(sources),
-                        configuration.text("zone", ""),
-                        configuration.text("name", ""),
-                        Path.of(configuration.need("dir")));
-        if (!ZONE.matcher(read.zone()).matches()) {
-            throw configuration.wrong("zone", "up to 60 letters, digits, '.', '_' and '-'");
+                        configuration.string("zone", ""),
+                        configuration.string("name", ""),
+                        Path.of(configuration.requiredString("dir")));
+        if (!ZONE_NAME.matcher(read.zone()).matches()) {
+            throw configuration.attributeError("zone", "up to 60 letters, digits, '.', '_' and '-'");
         }
-        if (!FOLLOWER.matcher(read.name()).matches()) {
-            throw configuration.wrong("name", "up to 160 visible ASCII characters");
+        if (!FOLLOWER_NAME.matcher(read.name()).matches()) {
+            throw configuration.attributeError("name", "up to 160 visible ASCII characters");
         }
-        configuration.finish();
+        configuration.rejectUnknown();
         return read;
     }
 
     private static void checkAddress(HclBlock configuration, String source)
             throws MalformedException {
         try {
-            HostList.address(source);
+            BackendList.parseAddress(source);
         } catch (MalformedException bad) {
-            throw configuration.wrong(
+            throw configuration.attributeError(
                     "sources", "addresses in figures with a port, such as \"127.0.0.1:7300\"");
         }
     }
@@ -186,12 +186,12 @@
     }
 
     /** Where configuration by revision comes from, if it does. */
-    public Optional<Following> following() {
-        return Optional.ofNullable(following);
+    public Optional<FollowerSettings> follower() {
+        return Optional.ofNullable(follower);
     }
 
     /** Where state is kept, if it is. */
-    public Optional<Keeping> keeping() {
-        return Optional.ofNullable(keeping);
+    public Optional<PersistenceSettings> persistence() {
+        return Optional.ofNullable(persistence);
     }
 }
--- a/relay/src/main/java/saltstage/configuration/ConfigurationJson.java
+++ b/relay/src/main/java/saltstage/configuration/ConfigurationJson.java
@@ -18,7 +18,7 @@
 
     /** Changes as a source answers them. */
     public static ChangesResponse changes(String text) throws MalformedException {
-        JsonFields top = new JsonFields(Json.object(text), "answer");
+        JsonFields top = new JsonFields(Json.parseObject(text), "answer");
         long revision = top.whole("revision", ConfigurationLimits.LARGEST_NUMBER);
         long digest = digest(top.text("digest"), top.where("digest"));
         List<Object> items = top.list("changes", ConfigurationLimits.CHANGES_PER_ANSWER);
@@ -41,7 +41,7 @@
 
     /** A text {@code {"mutations":[…]}}, as operators write it. */
     public static List<Mutation> mutations(String text) throws MalformedException {
-        JsonFields fields = new JsonFields(Json.object(text), "text");
+        JsonFields fields = new JsonFields(Json.parseObject(text), "text");
         List<Mutation> mutations = mutations(fields);
         fields.end();
         return mutations;
@@ -71,7 +71,7 @@
 
     /** A page of a snapshot. */
     public static SnapshotPage snapshotPage(String text) throws MalformedException {
-        JsonFields top = new JsonFields(Json.object(text), "answer");
+        JsonFields top = new JsonFields(Json.parseObject(text), "answer");
         long revision = top.whole("revision", ConfigurationLimits.LARGEST_NUMBER);
         long digest = digest(top.text("digest"), top.where("digest"));
         List<Object> items = top.list("entries", ConfigurationLimits.ENTRIES_PER_PAGE);
@@ -95,7 +95,7 @@
 
     /** An error; members that this build does not know are skipped, as it changes nothing. */
     public static ErrorResponse error(String text) throws MalformedException {
-        JsonFields top = new JsonFields(Json.object(text), "error");
+        JsonFields top = new JsonFields(Json.parseObject(text), "error");
         long most = ConfigurationLimits.LARGEST_NUMBER;
         return new ErrorResponse(
                 top.text("error"),
--- a/relay/src/main/java/saltstage/keep/RelayStateCodec.java
+++ b/relay/src/main/java/saltstage/keep/RelayStateCodec.java
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 import saltstage.Api.LearnedState;
 import saltstage.Api.LearnedBackend;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /**
  * The bytes of what is kept, each with a version in front; one that is not known is refused, not
@@ -80,7 +80,7 @@
         return decode(bytes, "number", DataInputStream::readLong);
     }
 
-    static byte[] encodeEntry(HostList.Entry entry) {
+    static byte[] encodeEntry(BackendList.Entry entry) {
         return encode(
                 out -> {
                     out.writeUTF(entry.uid());
@@ -96,7 +96,7 @@
                 });
     }
 
-    static HostList.Entry decodeEntry(byte[] bytes) throws IOException {
+    static BackendList.Entry decodeEntry(byte[] bytes) throws IOException {
         return decode(
                 bytes,
                 "list entry",
@@ -106,12 +106,12 @@
                     InetSocketAddress at =
                             new InetSocketAddress(
                                     InetAddress.getByAddress(ip), in.readUnsignedShort());
-                    return new HostList.Entry(
+                    return new BackendList.Entry(
                             uid,
                             at,
                             in.readUTF(),
                             in.readInt(),
-                            HostList.State.valueOf(in.readUTF()),
+                            BackendList.State.valueOf(in.readUTF()),
                             in.readDouble(),
                             Instant.ofEpochMilli(in.readLong()));
                 });
--- a/relay/src/main/java/saltstage/keep/RelayStateStore.java
+++ b/relay/src/main/java/saltstage/keep/RelayStateStore.java
@@ -14,7 +14,7 @@
 import java.util.function.Supplier;
 import saltstage.Api.LearnedState;
 import saltstage.Api.LearnedBackend;
-import saltstage.config.OperatorSettings.Keeping;
+import saltstage.config.OperatorSettings.PersistenceSettings;
 import saltstage.log.Log;
 import saltstage.store.Batch;
 import saltstage.store.Disk;
@@ -23,7 +23,7 @@
 import saltstage.store.Store;
 import saltstage.store.StoreException;
 import saltstage.store.StoreOptions;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /**
  * Keeps the relay's state. What is to be written is handed over and written by one thread, the
@@ -47,24 +47,24 @@
 
     private record AcceptedConfiguration(String configuration, String settings, Instant at) {}
 
-    private final Keeping settings;
+    private final PersistenceSettings settings;
     private final Supplier<Instant> clock;
     private Store store;
     private State state = State.OK;
-    private HostList pendingList;
+    private BackendList pendingList;
     private final List<AcceptedConfiguration> pendingConfigurations = new ArrayList<>();
     private Supplier<LearnedState> learnedStateSource;
     private byte[] lastWrittenLearnedState = {};
     private boolean closing;
     private Thread writerThread;
 
-    private RelayStateStore(Keeping settings, Supplier<Instant> clock) {
+    private RelayStateStore(PersistenceSettings settings, Supplier<Instant> clock) {
         this.settings = settings;
         this.clock = clock;
     }
 
     /** Opens the store; where that fails, it is told, and what is handed over is dropped. */
-    public static RelayStateStore open(Keeping settings, Supplier<Instant> clock) {
+    public static RelayStateStore open(PersistenceSettings settings, Supplier<Instant> clock) {
         return open(settings, clock, () -> FileDisk.at(settings.dir()));
     }
 
@@ -73,14 +73,14 @@
         Disk open() throws IOException;
     }
 
-    static RelayStateStore open(Keeping settings, Supplier<Instant> clock, DiskOpener place) {
+    static RelayStateStore open(PersistenceSettings settings, Supplier<Instant> clock, DiskOpener place) {
         RelayStateStore keeper = new RelayStateStore(settings, clock);
         try {
             keeper.store =
                     Store.open(
                             place.open(),
                             new StoreOptions(
-                                    settings.segmentBytes(), true, settings.compactionRate()),
+                                    settings.segmentBytes(), true, settings.compactionBytesPerSecond()),
                             Log::warn);
         } catch (IOException | RuntimeException e) {
             keeper.markLost(e);
@@ -103,7 +103,7 @@
     // ---- what was kept
 
     /** The newest list of backends, if one was kept and can be read. */
-    public Optional<HostList> persistedList() {
+    public Optional<BackendList> persistedList() {
         return readPersisted(
                 "list",
                 now -> {
@@ -111,12 +111,12 @@
                     if (rev == null) {
                         return null;
                     }
-                    List<HostList.Entry> entries = new ArrayList<>();
+                    List<BackendList.Entry> entries = new ArrayList<>();
                     Snapshot.Scan scan = now.scan(ENTRY_KEYS_START, ENTRY_KEYS_END);
                     while (scan.next()) {
                         entries.add(RelayStateCodec.decodeEntry(scan.value()));
                     }
-                    return new HostList(RelayStateCodec.decodeNumber(rev), true, entries);
+                    return new BackendList(RelayStateCodec.decodeNumber(rev), true, entries);
                 });
     }
 
@@ -132,7 +132,7 @@
                     RelayStateCodec.TimestampedState dated = RelayStateCodec.decodeLearnedState(bytes);
                     Duration age = Duration.between(dated.at(), clock.get());
                     // Of a clock that went back nobody can say how old it is.
-                    boolean fresh = !age.isNegative() && age.compareTo(settings.learntFor()) <= 0;
+                    boolean fresh = !age.isNegative() && age.compareTo(settings.maxLearnedStateAge()) <= 0;
                     Log.info(
                             "keep.learnt",
                             "age_s",
@@ -199,7 +199,7 @@
     }
 
     /** The whole list of backends as it is now. */
-    public synchronized void saveList(HostList now) {
+    public synchronized void saveList(BackendList now) {
         pendingList = now;
         notifyAll();
     }
@@ -255,7 +255,7 @@
 
     /** Waits until there is something to write, or the interval is over; true at the end. */
     private synchronized boolean awaitWork() throws InterruptedException {
-        long until = System.nanoTime() + (state == State.FULL ? FULL_RETRY_PAUSE : settings.every()).toNanos();
+        long until = System.nanoTime() + (state == State.FULL ? FULL_RETRY_PAUSE : settings.saveInterval()).toNanos();
         while (!closing && (state == State.FULL || pendingList == null && pendingConfigurations.isEmpty())) {
             long left = (until - System.nanoTime()) / 1_000_000;
             if (left <= 0) {
@@ -268,7 +268,7 @@
 
     /** Writes what has come; a full disk keeps it for the next round. */
     private void writePending() throws IOException {
-        HostList newest;
+        BackendList newest;
         List<AcceptedConfiguration> configurations;
         synchronized (this) {
             newest = pendingList;
@@ -290,20 +290,20 @@
         }
     }
 
-    private synchronized void pendingWritten(HostList written, int configurations) {
+    private synchronized void pendingWritten(BackendList written, int configurations) {
         state = State.OK;
         pendingList = pendingList == written ? null : pendingList;
         pendingConfigurations.subList(0, configurations).clear();
     }
 
     /** The list in one batch: what differs from the one that is there, and its number. */
-    private void writeList(HostList newest) throws IOException {
+    private void writeList(BackendList newest) throws IOException {
         Map<String, byte[]> wanted = new HashMap<>();
-        newest.targets().forEach(entry -> wanted.put(ENTRY_KEY_PREFIX + entry.uid(), RelayStateCodec.encodeEntry(entry)));
+        newest.entries().forEach(entry -> wanted.put(ENTRY_KEY_PREFIX + entry.uid(), RelayStateCodec.encodeEntry(entry)));
         Batch batch = new Batch();
         try (Snapshot now = store.snapshot()) {
             byte[] rev = now.get(LIST_REVISION_KEY);
-            if (rev != null && RelayStateCodec.decodeNumber(rev) == newest.rev()) {
+            if (rev != null && RelayStateCodec.decodeNumber(rev) == newest.revision()) {
                 return;
             }
             Snapshot.Scan scan = now.scan(ENTRY_KEYS_START, ENTRY_KEYS_END);
@@ -318,7 +318,7 @@
             }
         }
         wanted.forEach((key, value) -> batch.put(ConfigurationVersions.keyBytes(key), value));
-        store.commit(batch.put(LIST_REVISION_KEY, RelayStateCodec.encodeNumber(newest.rev())));
+        store.commit(batch.put(LIST_REVISION_KEY, RelayStateCodec.encodeNumber(newest.revision())));
     }
 
     private void writeConfiguration(AcceptedConfiguration one) throws IOException {
@@ -329,7 +329,7 @@
                             one.configuration(),
                             one.settings(),
                             one.at(),
-                            settings.configurations());
+                            settings.maxConfigurations());
             Log.info("keep.configuration", "version", number);
         } catch (IllegalArgumentException tooLarge) {
             Log.warn("keep.unwritten", "what", "configuration", "why", tooLarge.getMessage());
--- a/relay/src/main/java/saltstage/keep/Takeover.java
+++ b/relay/src/main/java/saltstage/keep/Takeover.java
@@ -11,21 +11,21 @@
 import java.util.List;
 import java.util.Set;
 import saltstage.Api.LearnedState;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /**
  * What a process leaves to the one that replaces it: its list, what it has learnt, every id ever
  * listed.
  */
-public record Takeover(HostList list, Instant writtenAt, LearnedState learnedState, Set<String> knownBackendIds) {
+public record Takeover(BackendList list, Instant writtenAt, LearnedState learnedState, Set<String> knownBackendIds) {
     private static final int MAX_COUNT = 1 << 20;
 
     /** As bytes. */
     public byte[] toBytes() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         DataOutputStream data = new DataOutputStream(out);
-        data.writeLong(list.rev());
-        List<byte[]> entries = list.targets().stream().map(RelayStateCodec::encodeEntry).toList();
+        data.writeLong(list.revision());
+        List<byte[]> entries = list.entries().stream().map(RelayStateCodec::encodeEntry).toList();
         writeParts(data, entries);
         writeParts(data, List.of(RelayStateCodec.encodeLearnedState(new RelayStateCodec.TimestampedState(writtenAt, learnedState))));
         data.writeInt(knownBackendIds.size());
@@ -47,7 +47,7 @@
     public static Takeover fromBytes(byte[] bytes) throws IOException {
         DataInputStream data = new DataInputStream(new ByteArrayInputStream(bytes));
         long rev = data.readLong();
-        List<HostList.Entry> entries = new ArrayList<>();
+        List<BackendList.Entry> entries = new ArrayList<>();
         for (byte[] part : readParts(data)) {
             entries.add(RelayStateCodec.decodeEntry(part));
         }
@@ -61,7 +61,7 @@
             listed.add(data.readUTF());
         }
         return new Takeover(
-                new HostList(rev, true, entries), dated.at(), dated.learnedState(), Set.copyOf(listed));
+                new BackendList(rev, true, entries), dated.at(), dated.learnedState(), Set.copyOf(listed));
     }
 
     private static List<byte[]> readParts(DataInputStream data) throws IOException {
--- a/relay/src/main/java/saltstage/lifecycle/BackendEntries.java
+++ b/relay/src/main/java/saltstage/lifecycle/BackendEntries.java
@@ -8,15 +8,15 @@
 import java.util.TreeMap;
 import saltstage.configuration.EntryValue;
 import saltstage.log.Log;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
 /** The backends of the configuration as lists in discovery's form. Not thread safe. */
 final class BackendEntries {
     private static final int MAX_ID_LENGTH = 128;
 
-    private final Map<String, HostList.Entry> entriesById = new TreeMap<>();
-    private final Map<String, HostList.Entry> changed = new TreeMap<>();
+    private final Map<String, BackendList.Entry> entriesById = new TreeMap<>();
+    private final Map<String, BackendList.Entry> changed = new TreeMap<>();
 
     /** Forgets all; what is set from here on is the whole list. */
     void clear() {
@@ -26,8 +26,8 @@
 
     /** A backend says this from now on; null: it is deleted. */
     void set(String id, EntryValue.Backend value) {
-        HostList.Entry entry = value == null ? null : toListEntry(id, value);
-        HostList.Entry before = entry == null ? entriesById.remove(id) : entriesById.put(id, entry);
+        BackendList.Entry entry = value == null ? null : toListEntry(id, value);
+        BackendList.Entry before = entry == null ? entriesById.remove(id) : entriesById.put(id, entry);
         if (entry != null) {
             changed.put(id, entry);
         } else if (before != null) {
@@ -41,28 +41,28 @@
     }
 
     /** All that are named. */
-    HostList fullList(long revision) {
+    BackendList fullList(long revision) {
         changed.clear();
-        return new HostList(revision, true, List.copyOf(entriesById.values()));
+        return new BackendList(revision, true, List.copyOf(entriesById.values()));
     }
 
     /** What has changed since the last call of this or of {@link #fullList}; null where nothing has. */
-    HostList changesSinceLast(long revision) {
+    BackendList changesSinceLast(long revision) {
         if (changed.isEmpty()) {
             return null;
         }
-        Collection<HostList.Entry> entries = new ArrayList<>(changed.values());
+        Collection<BackendList.Entry> entries = new ArrayList<>(changed.values());
         changed.clear();
-        return new HostList(revision, false, List.copyOf(entries));
+        return new BackendList(revision, false, List.copyOf(entries));
     }
 
-    private static HostList.Entry goneEntry(HostList.Entry before) {
-        return new HostList.Entry(
+    private static BackendList.Entry goneEntry(BackendList.Entry before) {
+        return new BackendList.Entry(
                 before.uid(),
                 before.endpoint(),
                 before.zone(),
                 before.cell(),
-                HostList.State.GONE,
+                BackendList.State.GONE,
                 before.weight(),
                 before.startedAt());
     }
@@ -70,7 +70,7 @@
     /**
      * Null where lists cannot carry it; that is logged, and the backend is as one that is deleted.
      */
-    private static HostList.Entry toListEntry(String id, EntryValue.Backend value) {
+    private static BackendList.Entry toListEntry(String id, EntryValue.Backend value) {
         if (id.length() > MAX_ID_LENGTH) {
             Log.warn(
                     "configuration.backend.refused",
@@ -81,9 +81,9 @@
             return null;
         }
         try {
-            return new HostList.Entry(
+            return new BackendList.Entry(
                     id,
-                    HostList.address(value.address()),
+                    BackendList.parseAddress(value.address()),
                     value.zone(),
                     value.cell(),
                     toListState(value.state()),
@@ -95,11 +95,11 @@
         }
     }
 
-    private static HostList.State toListState(EntryValue.BackendState state) {
+    private static BackendList.State toListState(EntryValue.BackendState state) {
         return switch (state) {
-            case READY -> HostList.State.READY;
-            case DRAINING -> HostList.State.DRAINING;
-            case GONE -> HostList.State.GONE;
+            case READY -> BackendList.State.READY;
+            case DRAINING -> BackendList.State.DRAINING;
+            case GONE -> BackendList.State.GONE;
         };
     }
 }
--- a/relay/src/main/java/saltstage/lifecycle/ConfigCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/ConfigCommand.java
@@ -57,9 +57,9 @@
         private Path file;
 
         private <T> T read(StoreReader<T> reading) throws IOException, MalformedException {
-            OperatorSettings.Keeping keeping =
+            OperatorSettings.PersistenceSettings keeping =
                     OperatorSettings.read(file)
-                            .keeping()
+                            .persistence()
                             .orElseThrow(
                                     () ->
                                             new MalformedException(
@@ -176,10 +176,10 @@
         @Override
         public Integer call() throws IOException, MalformedException {
             ConfigurationVersions.Version version = where.find(number);
-            Configuration.of(version.configuration());
+            Configuration.parse(version.configuration());
             OperatorSettings settings =
-                    OperatorSettings.of("version " + number, version.settings());
-            if (!keepSettings && settings.keeping().isEmpty()) {
+                    OperatorSettings.parse("version " + number, version.settings());
+            if (!keepSettings && settings.persistence().isEmpty()) {
                 throw new MalformedException(
                         "version "
                                 + number
--- a/relay/src/main/java/saltstage/lifecycle/DiscoveryCalls.java
+++ b/relay/src/main/java/saltstage/lifecycle/DiscoveryCalls.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /**
  * Decides which calls to discovery are begun, kept and ended: an immutable state and its
@@ -59,10 +59,10 @@
         record EndCall(long id) implements Effect {}
 
         /** Hand the list on. */
-        record DeliverList(HostList list) implements Effect {}
+        record DeliverList(BackendList list) implements Effect {}
 
         /** Say that a list was dropped because it is older than the one held. */
-        record DropOldList(HostList list) implements Effect {}
+        record DropOldList(BackendList list) implements Effect {}
 
         /** Ask again once the time has passed that a call may take to answer. */
         record AskLater() implements Effect {}
@@ -115,13 +115,13 @@
     }
 
     /** A call has brought a list: it is the watch from now on, and all others end. */
-    Step listArrived(long id, HostList list, long heldRevision) {
+    Step listArrived(long id, BackendList list, long heldRevision) {
         if (find(id).isEmpty()) {
             return unchanged();
         }
         List<Effect> effects = new ArrayList<>();
         without(id).forEach(other -> effects.add(new Effect.EndCall(other.id())));
-        boolean old = list.rev() < heldRevision;
+        boolean old = list.revision() < heldRevision;
         effects.add(old ? new Effect.DropOldList(list) : new Effect.DeliverList(list));
         List<Call> watch = List.of(new Call(id, Phase.WATCHING));
         return new Step(new DiscoveryCalls(watch, nextId), List.copyOf(effects), Optional.empty());
--- a/relay/src/main/java/saltstage/lifecycle/DiscoverySubscription.java
+++ b/relay/src/main/java/saltstage/lifecycle/DiscoverySubscription.java
@@ -14,7 +14,7 @@
 import saltstage.memory.Timers;
 import saltstage.stage.Threads;
 import saltstage.wire.DiscoveryClient;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
 /**
@@ -44,7 +44,7 @@
 
     private final Timers timers;
     private final LongSupplier heldRevision;
-    private final Consumer<HostList> listener;
+    private final Consumer<BackendList> listener;
     private final Runnable failureListener;
     private final boolean pushed;
     private final Map<Long, DiscoveryClient> clientsByCallId = new HashMap<>();
@@ -67,7 +67,7 @@
             boolean pushed,
             Timers timers,
             LongSupplier heldRevision,
-            Consumer<HostList> listener,
+            Consumer<BackendList> listener,
             Runnable refused) {
         this.address = address;
         this.pushed = pushed;
@@ -119,7 +119,7 @@
         } else if (effect instanceof Effect.DeliverList deliver) {
             listener.accept(deliver.list());
         } else if (effect instanceof Effect.DropOldList drop) {
-            Log.warn("discovery.old", "rev", drop.list().rev(), "held", heldRevision.getAsLong());
+            Log.warn("discovery.old", "rev", drop.list().revision(), "held", heldRevision.getAsLong());
         } else {
             timers.schedule(ANSWER_TIMEOUT, this::ask);
         }
@@ -149,7 +149,7 @@
         }
     }
 
-    private void listArrived(long id, HostList list) {
+    private void listArrived(long id, BackendList list) {
         handle(calls -> calls.listArrived(id, list, heldRevision.getAsLong()));
     }
 
--- a/relay/src/main/java/saltstage/lifecycle/Main.java
+++ b/relay/src/main/java/saltstage/lifecycle/Main.java
@@ -116,7 +116,7 @@
         private Path file;
 
         OperatorSettings read() throws MalformedException {
-            return file == null ? OperatorSettings.none() : OperatorSettings.read(file);
+            return file == null ? OperatorSettings.defaults() : OperatorSettings.read(file);
         }
     }
 
@@ -174,7 +174,7 @@
             }
             if (both) {
                 Configuration read = config.read();
-                int backends = read.known().targets().size();
+                int backends = read.knownBackends().entries().size();
                 System.out.println("sound: " + read.name() + ", " + backends + " backends known");
             }
             return 0;
--- a/relay/src/main/java/saltstage/lifecycle/OperatorCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/OperatorCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
 /** The calls of operators to a relay that runs. */
@@ -70,7 +70,7 @@
             if (admin == null || admin.isEmpty()) {
                 throw new MalformedException("no address: set GW_ADMIN or give --admin");
             }
-            InetSocketAddress at = HostList.address(admin);
+            InetSocketAddress at = BackendList.parseAddress(admin);
             List<String> lines;
             try {
                 lines = exchange(at, call);
--- a/relay/src/main/java/saltstage/lifecycle/ProcessEnvironment.java
+++ b/relay/src/main/java/saltstage/lifecycle/ProcessEnvironment.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.Map;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
 /**
@@ -24,7 +24,7 @@
         try {
             return new ProcessEnvironment(
                     folder.isEmpty() ? null : Path.of(folder, "saltstage"),
-                    admin.isEmpty() ? null : HostList.address(admin),
+                    admin.isEmpty() ? null : BackendList.parseAddress(admin),
                     !descriptor.isEmpty());
         } catch (MalformedException bad) {
             throw new MalformedException("GW_ADMIN: " + bad.getMessage());
--- a/relay/src/main/java/saltstage/lifecycle/RelayOperations.java
+++ b/relay/src/main/java/saltstage/lifecycle/RelayOperations.java
@@ -28,7 +28,7 @@
 import saltstage.stage.RelayPipeline;
 import saltstage.stage.Frontend;
 import saltstage.stage.MovePacing;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /**
  * Does for operators what takes a file or the module's lock, on one thread: bans, what the other
@@ -160,8 +160,8 @@
     }
 
     /** These were listed: operators may call them by name, also when they are gone. */
-    void backendListReceived(HostList list) {
-        list.targets().forEach(entry -> knownBackendIds.add(entry.uid()));
+    void backendListReceived(BackendList list) {
+        list.entries().forEach(entry -> knownBackendIds.add(entry.uid()));
     }
 
     /** What the process before this one has left, or null. */
--- a/relay/src/main/java/saltstage/lifecycle/RelayServer.java
+++ b/relay/src/main/java/saltstage/lifecycle/RelayServer.java
@@ -29,7 +29,7 @@
 import saltstage.net.Transport;
 import saltstage.stage.RelayPipeline;
 import saltstage.stage.Threads;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
 /** One running relay: its stages, its loops, its start and its end. */
@@ -82,11 +82,11 @@
         this.environment = surroundings;
         this.config = config;
         this.operatorSettings = operator;
-        stateStore = operator.keeping().map(keeping -> RelayStateStore.open(keeping, clock::now)).orElse(null);
+        stateStore = operator.persistence().map(keeping -> RelayStateStore.open(keeping, clock::now)).orElse(null);
         Path folder = surroundings.sharedFolder();
         boolean handsOver = surroundings.inheritsListener() && folder != null;
         suspensions = new Suspensions(adminAddress() == null ? null : folder, config.name());
-        counters = new RequestCounters(config.classes());
+        counters = new RequestCounters(config.serviceClassNames());
         backends = new BackendRegistry(suspensions::isSuspended);
         pipeline = new RelayPipeline(config, clock, timers, backends, counters, this::watchBackendList);
         operations =
@@ -100,17 +100,17 @@
                         handsOver ? folder.resolve(config.name() + ".takeover") : null);
         subscription =
                 new DiscoverySubscription(
-                        config.discovery(),
+                        config.discoveryAddress(),
                         !config.settings().watchesBackendList(),
                         timers,
                         backends::revision,
                         this::backendListReceived,
                         pipeline.router()::discoveryCallFailed);
         sharedConfiguration =
-                operator.following().isEmpty()
+                operator.follower().isEmpty()
                         ? null
                         : SharedConfiguration.open(
-                                operator.following().get(),
+                                operator.follower().get(),
                                 operator.logging(),
                                 config.name(),
                                 suspensions,
@@ -119,7 +119,7 @@
 
     private ProcessSlots claimSlot(Path folder) {
         try {
-            return ProcessSlots.claim(folder.resolve(config.name() + ".slots"), config.sockets());
+            return ProcessSlots.claim(folder.resolve(config.name() + ".slots"), config.maxSockets());
         } catch (IOException e) { // it serves all the same, as if it were alone
             Log.warn("handover.fault", "why", e.getMessage());
             return null;
@@ -127,7 +127,7 @@
     }
 
     private InetSocketAddress adminAddress() {
-        return environment.adminAddress() != null ? environment.adminAddress() : config.admin();
+        return environment.adminAddress() != null ? environment.adminAddress() : config.adminAddress();
     }
 
     /** Starts to serve; clients are heard from the return on. */
@@ -147,13 +147,13 @@
             Threads.startLoop("admin", operators::runOnce);
         }
         Takeover left = operations.readTakeover();
-        HostList known = initialList(left);
+        BackendList known = initialList(left);
         operations.backendListReceived(known);
         backends.update(known);
         if (sharedConfiguration != null) {
             pipeline.admissionControl().reserveDescriptors(SharedConfiguration.MAX_DESCRIPTORS);
         }
-        pipeline.setDescriptorLimit(config.sockets()); // probes of these backends take theirs
+        pipeline.setDescriptorLimit(config.maxSockets()); // probes of these backends take theirs
         Threads.startLoop("timers", () -> timers.awaitNext().run());
         pipeline.router().start(known);
         startDiscovery();
@@ -175,7 +175,7 @@
         ServerSocketChannel clients =
                 environment.inheritsListener()
                         ? ClientListener.inherited()
-                        : ClientListener.bind(config.listen());
+                        : ClientListener.bind(config.listenAddress());
         if (adminAddress() != null || environment.inheritsListener() || sharedConfiguration != null) {
             operations.poll(); // bans and the part of the descriptors hold before the first client
             Threads.startLoop("clerk", operations::runOnce);
@@ -219,7 +219,7 @@
         }
     }
 
-    private HostList initialList(Takeover left) {
+    private BackendList initialList(Takeover left) {
         return sharedConfiguration == null
                 ? newestKnownList(left)
                 : sharedConfiguration.knownList().orElseGet(() -> newestKnownList(left));
@@ -249,14 +249,14 @@
     }
 
     /** The list as the platform remembers it, or as this relay has kept it, whichever is newer. */
-    private HostList newestKnownList(Takeover left) {
-        HostList kept =
+    private BackendList newestKnownList(Takeover left) {
+        BackendList kept =
                 left != null ? left.list() : stateStore == null ? null : stateStore.persistedList().orElse(null);
-        boolean newer = kept != null && kept.rev() > config.known().rev();
+        boolean newer = kept != null && kept.revision() > config.knownBackends().revision();
         if (kept != null) {
-            Log.info("keep.list", "rev", kept.rev(), "known", config.known().rev(), "taken", newer);
+            Log.info("keep.list", "rev", kept.revision(), "known", config.knownBackends().revision(), "taken", newer);
         }
-        return newer ? kept : config.known();
+        return newer ? kept : config.knownBackends();
     }
 
     /**
@@ -277,7 +277,7 @@
         try {
             OperatorSettings chosen = operator.read();
             Configuration read = source.read();
-            List<String> later = new ArrayList<>(read.differsFrom(config));
+            List<String> later = new ArrayList<>(read.restartRequiredChanges(config));
             AmqpFront.Change change =
                     amqpFrontend == null || chosen.amqp().isEmpty()
                             ? null
@@ -285,7 +285,7 @@
                                     chosen.amqp()
                                             .get()); // all is checked before anything is in force
             if (sharedConfiguration == null) {
-                subscription.changeAddress(read.discovery());
+                subscription.changeAddress(read.discoveryAddress());
             }
             if (change != null) {
                 later.addAll(change.apply());
@@ -293,7 +293,7 @@
                 later.add(
                         "amqp"); // a front is neither begun nor ended beside connections that stand
             }
-            if (!chosen.following().equals(this.operatorSettings.following())) {
+            if (!chosen.follower().equals(this.operatorSettings.follower())) {
                 later.add("configuration");
             }
             applyLogging(chosen.logging());
@@ -332,7 +332,7 @@
                 Thread.currentThread().interrupt();
             }
         }
-        new Drain(clock, pipeline, config.longestGiveUp(), late, succeeded).run();
+        new Drain(clock, pipeline, config.maxClientTimeout(), late, succeeded).run();
         if (stateStore != null) {
             stateStore.close(FINAL_WRITE_TIMEOUT);
         }
@@ -385,7 +385,7 @@
         }
     }
 
-    private void backendListReceived(HostList list) {
+    private void backendListReceived(BackendList list) {
         operations.backendListReceived(list);
         pipeline.backendListReceived(backends.update(list), list);
         if (stateStore != null
--- a/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
+++ b/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
@@ -36,7 +36,7 @@
 import saltstage.configuration.follower.HeldConfiguration;
 import saltstage.handover.Suspensions;
 import saltstage.log.Log;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /**
  * Configuration by revision as this relay follows it: what the disk holds is in force at once, what
@@ -60,7 +60,7 @@
     private final ExecutorService writer =
             Executors.newSingleThreadExecutor(daemonThreadFactory("configuration-store"));
     private final Suspensions suspensions;
-    private final Consumer<HostList> listListener;
+    private final Consumer<BackendList> listListener;
     private final BackendEntries backends = new BackendEntries();
     private final ConfiguredSettings settings;
     private final Set<String> suspendedBackendIds = new TreeSet<>();
@@ -69,11 +69,11 @@
     private boolean listDelivered;
 
     private SharedConfiguration(
-            OperatorSettings.Following following,
+            OperatorSettings.FollowerSettings following,
             OperatorSettings.Logging logging,
             String relayName,
             Suspensions bans,
-            Consumer<HostList> listed)
+            Consumer<BackendList> listed)
             throws IOException {
         this.suspensions = bans;
         this.listListener = listed;
@@ -102,11 +102,11 @@
 
     /** Opens the directory and puts what it holds in force; the client is not started. */
     static SharedConfiguration open(
-            OperatorSettings.Following following,
+            OperatorSettings.FollowerSettings following,
             OperatorSettings.Logging logging,
             String relayName,
             Suspensions bans,
-            Consumer<HostList> listed)
+            Consumer<BackendList> listed)
             throws IOException {
         return new SharedConfiguration(following, logging, relayName, bans, listed);
     }
@@ -120,7 +120,7 @@
         }
     }
 
-    private static FollowerOptions options(OperatorSettings.Following following, String relayName) {
+    private static FollowerOptions options(OperatorSettings.FollowerSettings following, String relayName) {
         List<URI> sources = following.sources().stream().map(FollowerOptions::source).toList();
         String name = following.name().isEmpty() ? relayName : following.name();
         return new FollowerOptions(sources, name, following.zone(), FollowerTimings.usual());
@@ -146,7 +146,7 @@
     }
 
     /** The list of backends that the disk held; none where it named none. */
-    synchronized Optional<HostList> knownList() {
+    synchronized Optional<BackendList> knownList() {
         return backends.isEmpty() ? Optional.empty() : Optional.of(backends.fullList(client.revision()));
     }
 
@@ -250,7 +250,7 @@
                 suspendedBackendIds); // before the list: a new backend may be suspended from its first moment
     }
 
-    private void deliverList(HostList list) {
+    private void deliverList(BackendList list) {
         if (list != null) {
             listDelivered = true;
             listListener.accept(list);
--- a/relay/src/main/java/saltstage/memory/Backend.java
+++ b/relay/src/main/java/saltstage/memory/Backend.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Predicate;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /**
  * A backend process as this relay knows it: its place in the list and the tries that stand there.
@@ -20,7 +20,7 @@
     private static final int MIN_DELAY_SAMPLES = 2;
 
     private final Predicate<String> suspensionCheck;
-    private volatile HostList.Entry entry;
+    private volatile BackendList.Entry entry;
     private volatile boolean ended;
     private final Set<Attempt> establishedAttempts = ConcurrentHashMap.newKeySet();
     private final Duration[] delaySamples = new Duration[MAX_DELAY_SAMPLES];
@@ -28,17 +28,17 @@
     private int sampleCount;
     private boolean slow;
 
-    Backend(HostList.Entry entry, Predicate<String> suspendedOnes) {
+    Backend(BackendList.Entry entry, Predicate<String> suspendedOnes) {
         this.entry = entry;
         this.suspensionCheck = suspendedOnes;
     }
 
     /** What discovery last said of it. */
-    public HostList.Entry entry() {
+    public BackendList.Entry entry() {
         return entry;
     }
 
-    void update(HostList.Entry changed) {
+    void update(BackendList.Entry changed) {
         entry = changed;
     }
 
@@ -53,7 +53,7 @@
 
     /** Whether it may be sent new work, by all that was told up to now. */
     public boolean canAcceptRequests() {
-        return !ended && entry.state() == HostList.State.READY && !isSuspended();
+        return !ended && entry.state() == BackendList.State.READY && !isSuspended();
     }
 
     /**
--- a/relay/src/main/java/saltstage/memory/BackendRegistry.java
+++ b/relay/src/main/java/saltstage/memory/BackendRegistry.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Predicate;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /** The list of backends as this relay has it. */
 public final class BackendRegistry {
@@ -47,28 +47,28 @@
     }
 
     /** The whole list as it is now. */
-    public synchronized HostList toBackendList() {
-        return new HostList(revision, true, backends.values().stream().map(Backend::entry).toList());
+    public synchronized BackendList toBackendList() {
+        return new BackendList(revision, true, backends.values().stream().map(Backend::entry).toList());
     }
 
     /** Takes a list or a change of it; returns the processes that have ended by it. */
-    public synchronized List<Backend> update(HostList list) {
-        revision = list.rev();
+    public synchronized List<Backend> update(BackendList list) {
+        revision = list.revision();
         List<Backend> ended = new ArrayList<>();
         Set<String> named = new HashSet<>();
-        for (HostList.Entry entry : list.targets()) {
+        for (BackendList.Entry entry : list.entries()) {
             named.add(entry.uid());
             Backend held = backends.get(entry.uid());
             boolean restarted = held != null && !held.entry().startedAt().equals(entry.startedAt());
-            if (held != null && (restarted || entry.state() == HostList.State.GONE)) {
+            if (held != null && (restarted || entry.state() == BackendList.State.GONE)) {
                 backends.remove(entry.uid());
                 ended.add(held);
             }
-            if (entry.state() != HostList.State.GONE) {
+            if (entry.state() != BackendList.State.GONE) {
                 backends.computeIfAbsent(entry.uid(), uid -> new Backend(entry, suspensionCheck)).update(entry);
             }
         }
-        if (list.all()) {
+        if (list.full()) {
             for (Backend held : List.copyOf(backends.values())) {
                 if (!named.contains(held.entry().uid())) {
                     backends.remove(held.entry().uid());
--- a/relay/src/main/java/saltstage/memory/ClientConnection.java
+++ b/relay/src/main/java/saltstage/memory/ClientConnection.java
@@ -22,5 +22,5 @@
     boolean move(Attempt up, String reason);
 
     /** Who it is, for the log. */
-    String remote();
+    String remoteAddress();
 }
--- a/relay/src/main/java/saltstage/net/Connection.java
+++ b/relay/src/main/java/saltstage/net/Connection.java
@@ -23,11 +23,11 @@
      * How much may be unsent: from the first figure of bytes on the connection is not writable, and
      * writable again at half of it; what would exceed the second ends the connection.
      */
-    record Bounds(int soft, int most) {
+    record WriteLimits(int softBytes, int maxBytes) {
         /** Checks. */
-        public Bounds {
-            if (soft < 2 || most < soft) {
-                throw new IllegalArgumentException("bounds " + soft + ", " + most);
+        public WriteLimits {
+            if (softBytes < 2 || maxBytes < softBytes) {
+                throw new IllegalArgumentException("bounds " + softBytes + ", " + maxBytes);
             }
         }
     }
@@ -36,21 +36,21 @@
     Loop loop();
 
     /** Who is at the other end. */
-    InetSocketAddress remote();
+    InetSocketAddress remoteAddress();
 
     /** Writes the bytes, which are copied; what does not fit the bound ends the connection. */
     void write(ByteBuffer bytes);
 
     /** How many bytes were written and not yet taken by the system. */
-    long unsent();
+    long unsentBytes();
 
     /**
      * Whether bytes shall be received from now on; what the other side sends meanwhile waits there.
      */
-    void reading(boolean wanted);
+    void setReading(boolean wanted);
 
     /** Ends the sending, after what was written. */
-    void endOutput();
+    void shutdownOutput();
 
     /** Closes both directions, after what was written. */
     void close();
--- a/relay/src/main/java/saltstage/net/Handler.java
+++ b/relay/src/main/java/saltstage/net/ConnectionHandler.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 
 /** What happens on a connection, told on its loop; must not block. */
-public interface Handler {
+public interface ConnectionHandler {
     /** Bytes have come; the buffer is the transport's and holds only during the call. */
     void received(Connection on, ByteBuffer bytes);
 
@@ -11,7 +11,7 @@
     void inputEnded(Connection on);
 
     /** What is unsent has passed the soft bound, or has come down again. */
-    default void writable(Connection on, boolean now) {}
+    default void writabilityChanged(Connection on, boolean now) {}
 
     /** It is over; the last that is told, exactly once. */
     void closed(Connection on, Connection.Cause why);
--- a/relay/src/main/java/saltstage/net/Loop.java
+++ b/relay/src/main/java/saltstage/net/Loop.java
@@ -11,11 +11,11 @@
     }
 
     /** Whether the caller is on this loop. */
-    boolean isCurrent();
+    boolean isCurrentThread();
 
     /** Does it on the loop, soon, after what was handed over before. */
-    void run(Runnable task);
+    void execute(Runnable task);
 
     /** Does it on the loop once, that much later. */
-    Timer after(Duration delay, Runnable task);
+    Timer schedule(Duration delay, Runnable task);
 }
--- a/relay/src/main/java/saltstage/net/NettyConnection.java
+++ b/relay/src/main/java/saltstage/net/NettyConnection.java
@@ -19,47 +19,47 @@
      * Room for the first write of a round, which most often is the only one, and for all that
      * follow it.
      */
-    private static final int FIRST = 512;
+    private static final int INITIAL_BUFFER_BYTES = 512;
 
-    private static final int GATHERED = 16 << 10;
+    private static final int WRITE_BUFFER_BYTES = 16 << 10;
 
     private final SocketChannel channel;
     private final Loop loop;
-    private final Bounds bounds;
-    private final BiConsumer<String, Throwable> faults;
-    private Transport.Connecting connecting;
-    private Handler handler;
+    private final WriteLimits writeLimits;
+    private final BiConsumer<String, Throwable> faultListener;
+    private Transport.ConnectListener connectListener;
+    private ConnectionHandler handler;
     private Cause cause;
     private boolean inputEnded;
-    private boolean outputEnded;
-    private boolean over;
-    private boolean flushing;
+    private boolean outputShutdown;
+    private boolean closed;
+    private boolean flushScheduled;
 
     /**
      * What was written in this round of the loop and is not handed to the channel yet; null:
      * nothing.
      */
-    private ByteBuf gathered;
+    private ByteBuf writeBuffer;
 
     NettyConnection(
-            SocketChannel channel, Loop loop, Bounds bounds, BiConsumer<String, Throwable> faults) {
+            SocketChannel channel, Loop loop, WriteLimits bounds, BiConsumer<String, Throwable> faults) {
         this.channel = channel;
         this.loop = loop;
-        this.bounds = bounds;
-        this.faults = faults;
+        this.writeLimits = bounds;
+        this.faultListener = faults;
     }
 
-    void handler(Handler to) {
+    void setHandler(ConnectionHandler to) {
         handler = to;
     }
 
     /** It is on its way: the handler is asked for when it is up. */
-    void connecting(Transport.Connecting to) {
-        connecting = to;
+    void setConnectListener(Transport.ConnectListener to) {
+        connectListener = to;
     }
 
     void refuse() {
-        over = true;
+        closed = true;
         reset();
     }
 
@@ -69,69 +69,69 @@
     }
 
     @Override
-    public InetSocketAddress remote() {
+    public InetSocketAddress remoteAddress() {
         return channel.remoteAddress();
     }
 
     @Override
     public void write(ByteBuffer bytes) {
-        if (over || outputEnded || cause != null) {
+        if (closed || outputShutdown || cause != null) {
             return;
         }
-        if (unsent() + bytes.remaining() > bounds.most()) {
-            end(Cause.OVERFLOW);
+        if (unsentBytes() + bytes.remaining() > writeLimits.maxBytes()) {
+            abort(Cause.OVERFLOW);
             return;
         }
-        if (gathered != null && gathered.maxWritableBytes() < bytes.remaining()) {
-            handOver();
+        if (writeBuffer != null && writeBuffer.maxWritableBytes() < bytes.remaining()) {
+            writeBuffered();
         }
-        if (gathered
+        if (writeBuffer
                 == null) { // many small writes cost the channel an entry, a buffer and a promise
             // each
-            gathered =
+            writeBuffer =
                     channel.alloc()
                             .ioBuffer(
-                                    Math.max(bytes.remaining(), flushing ? GATHERED : FIRST),
-                                    Math.max(bytes.remaining(), GATHERED));
+                                    Math.max(bytes.remaining(), flushScheduled ? WRITE_BUFFER_BYTES : INITIAL_BUFFER_BYTES),
+                                    Math.max(bytes.remaining(), WRITE_BUFFER_BYTES));
         }
-        gathered.writeBytes(bytes);
-        if (!flushing) { // one call of the system for all that is written in this round of the loop
-            flushing = true;
+        writeBuffer.writeBytes(bytes);
+        if (!flushScheduled) { // one call of the system for all that is written in this round of the loop
+            flushScheduled = true;
             channel.eventLoop()
                     .execute(
                             () -> {
-                                flushing = false;
-                                handOver();
+                                flushScheduled = false;
+                                writeBuffered();
                                 channel.flush();
                             });
         }
     }
 
-    private void handOver() {
-        if (gathered != null) {
-            ByteBuf out = gathered;
-            gathered = null;
+    private void writeBuffered() {
+        if (writeBuffer != null) {
+            ByteBuf out = writeBuffer;
+            writeBuffer = null;
             channel.write(out, channel.voidPromise());
         }
     }
 
     @Override
-    public long unsent() {
+    public long unsentBytes() {
         ChannelOutboundBuffer out = channel.unsafe().outboundBuffer();
         return (out == null ? 0 : out.totalPendingWriteBytes())
-                + (gathered == null ? 0 : gathered.readableBytes());
+                + (writeBuffer == null ? 0 : writeBuffer.readableBytes());
     }
 
     @Override
-    public void reading(boolean wanted) {
+    public void setReading(boolean wanted) {
         channel.config().setAutoRead(wanted);
     }
 
     @Override
-    public void endOutput() {
-        if (!outputEnded) {
-            outputEnded = true;
-            handOver();
+    public void shutdownOutput() {
+        if (!outputShutdown) {
+            outputShutdown = true;
+            writeBuffered();
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
                     .addListener(
                             sent ->
@@ -141,7 +141,7 @@
     }
 
     private void closeIfBothEnded() {
-        if (inputEnded && outputEnded && channel.isOpen()) {
+        if (inputEnded && outputShutdown && channel.isOpen()) {
             cause = cause == null ? Cause.ENDED : cause;
             channel.close();
         }
@@ -150,16 +150,16 @@
     @Override
     public void close() {
         cause = cause == null ? Cause.OURS : cause;
-        handOver();
+        writeBuffered();
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
     }
 
     @Override
     public void reset() {
-        end(Cause.OURS);
+        abort(Cause.OURS);
     }
 
-    private void end(Cause why) {
+    private void abort(Cause why) {
         cause = cause == null ? why : cause;
         if (channel.isOpen()) {
             channel.config().setSoLinger(0);
@@ -169,8 +169,8 @@
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        if (connecting != null) {
-            guarded(() -> handler = connecting.connected(this));
+        if (connectListener != null) {
+            callHandler(() -> handler = connectListener.connected(this));
             if (handler == null) {
                 refuse();
             }
@@ -181,8 +181,8 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         ByteBuf bytes = (ByteBuf) message;
         try {
-            if (!over && cause == null) {
-                guarded(() -> handler.received(this, bytes.nioBuffer()));
+            if (!closed && cause == null) {
+                callHandler(() -> handler.received(this, bytes.nioBuffer()));
             }
         } finally {
             bytes.release();
@@ -193,8 +193,8 @@
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
         if (event == ChannelInputShutdownEvent.INSTANCE && !inputEnded) {
             inputEnded = true;
-            if (!over && cause == null) {
-                guarded(() -> handler.inputEnded(this));
+            if (!closed && cause == null) {
+                callHandler(() -> handler.inputEnded(this));
             }
             closeIfBothEnded();
         }
@@ -202,41 +202,41 @@
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        if (!over && cause == null && handler != null) {
-            guarded(() -> handler.writable(this, channel.isWritable()));
+        if (!closed && cause == null && handler != null) {
+            callHandler(() -> handler.writabilityChanged(this, channel.isWritable()));
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable why) {
         if (why instanceof IOException) {
-            end(Cause.RESET);
+            abort(Cause.RESET);
         } else {
-            faults.accept("connection", why);
-            end(Cause.FAULT);
+            faultListener.accept("connection", why);
+            abort(Cause.FAULT);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        if (gathered != null) {
-            gathered.release();
-            gathered = null;
+        if (writeBuffer != null) {
+            writeBuffer.release();
+            writeBuffer = null;
         }
-        if (!over && handler != null) {
-            over = true;
+        if (!closed && handler != null) {
+            closed = true;
             Cause why = cause == null ? Cause.RESET : cause;
-            guarded(() -> handler.closed(this, why));
+            callHandler(() -> handler.closed(this, why));
         }
     }
 
     /** A handler that throws costs its own connection and nothing else of the loop. */
-    private void guarded(Runnable call) {
+    private void callHandler(Runnable call) {
         try {
             call.run();
         } catch (RuntimeException fault) {
-            faults.accept("handler", fault);
-            end(Cause.FAULT);
+            faultListener.accept("handler", fault);
+            abort(Cause.FAULT);
         }
     }
 }
--- a/relay/src/main/java/saltstage/net/NettyTransport.java
+++ b/relay/src/main/java/saltstage/net/NettyTransport.java
@@ -33,76 +33,76 @@
  * The transport on Netty's event loops: epoll where its library loads, else the JDK's selectors.
  */
 public final class NettyTransport implements Transport {
-    private static final long END_MS = 5_000;
+    private static final long SHUTDOWN_TIMEOUT_MILLIS = 5_000;
 
-    private final EventLoopGroup group;
-    private final Class<? extends ServerChannel> serverType;
-    private final Class<? extends Channel> clientType;
+    private final EventLoopGroup eventLoopGroup;
+    private final Class<? extends ServerChannel> serverChannelType;
+    private final Class<? extends Channel> clientChannelType;
     private final List<Loop> loops = new ArrayList<>();
-    private final BiConsumer<String, Throwable> faults;
+    private final BiConsumer<String, Throwable> faultListener;
 
     /** So many loops; what a handler throws is told with its place. */
     public NettyTransport(int threads, boolean epollIfThere, BiConsumer<String, Throwable> faults) {
         boolean epoll = epollIfThere && Epoll.isAvailable();
         DefaultThreadFactory daemons = new DefaultThreadFactory("loop", true);
-        group =
+        eventLoopGroup =
                 epoll
                         ? new EpollEventLoopGroup(threads, daemons)
                         : new NioEventLoopGroup(threads, daemons);
-        serverType = epoll ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
-        clientType = epoll ? EpollSocketChannel.class : NioSocketChannel.class;
-        this.faults = faults;
-        for (EventExecutor executor : group) {
+        serverChannelType = epoll ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
+        clientChannelType = epoll ? EpollSocketChannel.class : NioSocketChannel.class;
+        this.faultListener = faults;
+        for (EventExecutor executor : eventLoopGroup) {
             loops.add(new NettyLoop((EventLoop) executor));
         }
     }
 
     /** A loop of Netty's. */
-    record NettyLoop(EventLoop events) implements Loop {
+    record NettyLoop(EventLoop eventLoop) implements Loop {
         @Override
-        public boolean isCurrent() {
-            return events.inEventLoop();
+        public boolean isCurrentThread() {
+            return eventLoop.inEventLoop();
         }
 
         @Override
-        public void run(Runnable task) {
-            events.execute(task);
+        public void execute(Runnable task) {
+            eventLoop.execute(task);
         }
 
         @Override
-        public Timer after(Duration delay, Runnable task) {
-            Future<?> due = events.schedule(task, delay.toNanos(), TimeUnit.NANOSECONDS);
+        public Timer schedule(Duration delay, Runnable task) {
+            Future<?> due = eventLoop.schedule(task, delay.toNanos(), TimeUnit.NANOSECONDS);
             return () -> due.cancel(false);
         }
     }
 
     private Loop loopOf(Channel channel) {
         return loops.stream()
-                .filter(loop -> ((NettyLoop) loop).events() == channel.eventLoop())
+                .filter(loop -> ((NettyLoop) loop).eventLoop() == channel.eventLoop())
                 .findFirst()
                 .orElseThrow();
     }
 
     @Override
     public Listener listen(
-            InetSocketAddress at, int backlog, Connection.Bounds bounds, Acceptor acceptor)
+            InetSocketAddress at, int backlog, Connection.WriteLimits bounds, Acceptor acceptor)
             throws IOException {
         ServerBootstrap server =
                 new ServerBootstrap()
-                        .group(group)
-                        .channel(serverType)
+                        .group(eventLoopGroup)
+                        .channel(serverChannelType)
                         .option(ChannelOption.SO_BACKLOG, backlog)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .childHandler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
-                                        NettyConnection connection = prepare(channel, bounds);
-                                        Handler handler = acceptor.accept(connection);
+                                        NettyConnection connection = initConnection(channel, bounds);
+                                        ConnectionHandler handler = acceptor.accept(connection);
                                         if (handler == null) {
                                             connection.refuse();
                                         } else {
-                                            connection.handler(handler);
+                                            connection.setHandler(handler);
                                         }
                                     }
                                 });
@@ -121,7 +121,7 @@
         }
 
         @Override
-        public void accepting(boolean wanted) {
+        public void setAccepting(boolean wanted) {
             channel.config().setAutoRead(wanted);
         }
 
@@ -131,13 +131,13 @@
         }
     }
 
-    private NettyConnection prepare(SocketChannel channel, Connection.Bounds bounds) {
+    private NettyConnection initConnection(SocketChannel channel, Connection.WriteLimits bounds) {
         channel.config().setTcpNoDelay(true);
         channel.config().setAllowHalfClosure(true);
         channel.config()
                 .setWriteBufferWaterMark(
-                        new WriteBufferWaterMark(bounds.soft() / 2, bounds.soft()));
-        NettyConnection connection = new NettyConnection(channel, loopOf(channel), bounds, faults);
+                        new WriteBufferWaterMark(bounds.softBytes() / 2, bounds.softBytes()));
+        NettyConnection connection = new NettyConnection(channel, loopOf(channel), bounds, faultListener);
         channel.pipeline().addLast(connection);
         return connection;
     }
@@ -147,12 +147,12 @@
             Loop on,
             InetSocketAddress to,
             Duration limit,
-            Connection.Bounds bounds,
-            Connecting connecting) {
+            Connection.WriteLimits bounds,
+            ConnectListener connecting) {
         Bootstrap client =
                 new Bootstrap()
-                        .group(((NettyLoop) on).events())
-                        .channel(clientType)
+                        .group(((NettyLoop) on).eventLoop())
+                        .channel(clientChannelType)
                         .option(
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
                                 (int) Math.max(1, limit.toMillis()))
@@ -160,7 +160,7 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
-                                        prepare(channel, bounds).connecting(connecting);
+                                        initConnection(channel, bounds).setConnectListener(connecting);
                                     }
                                 });
         client.connect(to)
@@ -183,6 +183,6 @@
 
     @Override
     public void close() {
-        group.shutdownGracefully(0, END_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly(END_MS);
+        eventLoopGroup.shutdownGracefully(0, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).awaitUninterruptibly(SHUTDOWN_TIMEOUT_MILLIS);
     }
 }
--- a/relay/src/main/java/saltstage/net/Transport.java
+++ b/relay/src/main/java/saltstage/net/Transport.java
@@ -9,13 +9,13 @@
     /** Decides about who has connected. */
     interface Acceptor {
         /** The handler of an accepted connection; null: it is reset. */
-        Handler accept(Connection connection);
+        ConnectionHandler accept(Connection connection);
     }
 
     /** Is told what became of a connect, on a loop, one of the two and once. */
-    interface Connecting {
+    interface ConnectListener {
         /** It is up; the handler of it. */
-        Handler connected(Connection connection);
+        ConnectionHandler connected(Connection connection);
 
         /** It never came up. */
         void failed(IOException why);
@@ -29,14 +29,14 @@
         /**
          * Whether newcomers are accepted; while they are not, they wait in the system's backlog.
          */
-        void accepting(boolean wanted);
+        void setAccepting(boolean wanted);
 
         /** Listens no more. */
         void close();
     }
 
     /** Listens; accepted connections are dealt out over the loops. */
-    Listener listen(InetSocketAddress at, int backlog, Connection.Bounds bounds, Acceptor acceptor)
+    Listener listen(InetSocketAddress at, int backlog, Connection.WriteLimits bounds, Acceptor acceptor)
             throws IOException;
 
     /** Connects on this loop within the limit. */
@@ -44,8 +44,8 @@
             Loop on,
             InetSocketAddress to,
             Duration limit,
-            Connection.Bounds bounds,
-            Connecting connecting);
+            Connection.WriteLimits bounds,
+            ConnectListener connecting);
 
     /** The loops, at least one. */
     java.util.List<Loop> loops();
--- a/relay/src/main/java/saltstage/stage/AdmissionControl.java
+++ b/relay/src/main/java/saltstage/stage/AdmissionControl.java
@@ -16,7 +16,7 @@
 import saltstage.memory.RequestAttributes;
 import saltstage.memory.Timers;
 import saltstage.wire.MalformedException;
-import saltstage.wire.OpenLine;
+import saltstage.wire.OpenRequest;
 
 /**
  * Decides whether the relay itself can take a request: room for sockets, names that the settings
@@ -58,7 +58,7 @@
             LineAttemptRunner tries,
             OutcomeRecorder book) {
         this.config = config;
-        descriptorLimit = config.sockets();
+        descriptorLimit = config.maxSockets();
         this.clock = clock;
         this.timers = timers;
         this.router = route;
@@ -85,11 +85,11 @@
      * many that are about to be: the last descriptors are for the backends of those that are
      * already here.
      */
-    boolean rejectIfFull(OpenLine line, int arriving) throws MalformedException {
+    boolean rejectIfFull(OpenRequest line, int arriving) throws MalformedException {
         if (openRequestIds.size() + arriving < maxRequests(descriptorLimit - reservedDescriptors)) {
             return false;
         }
-        int serviceClass = config.serviceClass(line.field("c"));
+        int serviceClass = config.serviceClassIndex(line.field("c"));
         logFull();
         outcomeRecorder.rejectedBeforeAdmission(serviceClass);
         return true;
@@ -100,22 +100,22 @@
     }
 
     /** Admits a request and has it routed. */
-    RequestContext admit(LineClient client, OpenLine line) throws MalformedException, IOException {
+    RequestContext admit(LineClient client, OpenRequest line) throws MalformedException, IOException {
         Instant now = clock.now();
-        int serviceClass = config.serviceClass(line.field("c"));
+        int serviceClass = config.serviceClassIndex(line.field("c"));
         RequestAttributes terms =
                 new RequestAttributes(
                         line.id(),
                         serviceClass,
-                        config.tenant(line.field("t")),
+                        config.tenantIndex(line.field("t")),
                         line.key(),
                         line.field("g"),
-                        line.number("h", Api.NONE),
-                        line.marked("again"));
+                        line.numericField("h", Api.NONE),
+                        line.hasFlag("again"));
         String at = line.field("at");
-        Duration patience = line.patience(config.giveUp(serviceClass));
+        Duration patience = line.clientTimeout(config.clientTimeout(serviceClass));
         Instant deadline = now.plus(at != null ? RESTORE_TIMEOUT : patience).minus(DEADLINE_MARGIN);
-        if (client.lines().moreHasCome()) {
+        if (client.reader().hasMoreInput()) {
             // Several commands at once: the first would stand, and the others would come to its
             // backend.
             throw new MalformedException(OutcomeRecorder.ONE_LINE_ONLY_ERROR);
@@ -127,14 +127,14 @@
         client.setOpenRequest(line);
         RequestContext context = new RequestContext(lastRequestId.incrementAndGet(), terms, deadline, client);
         outcomeRecorder.requestReceived();
-        if (client.lines().isOver()) {
+        if (client.reader().isEndOfInput()) {
             // Its line was read late, and it did not wait: nothing may be sent anywhere for who has
             // left.
             context.end(RequestContext.Phase.WAITING);
             outcomeRecorder.clientLeft(context);
         } else if (openRequestIds.size() > maxRequests(descriptorLimit - reservedDescriptors)) {
             logFull();
-            outcomeRecorder.reject(context, config.longestRetryAfter());
+            outcomeRecorder.reject(context, config.maxRetryAfter());
         } else if (at != null) {
             attemptRunner.restore(context, at);
         } else {
@@ -201,6 +201,6 @@
 
     /** The answer to a client that there is no room for. */
     String busyLine() {
-        return LineClient.busyLine(config.longestRetryAfter());
+        return LineClient.busyLine(config.maxRetryAfter());
     }
 }
--- a/relay/src/main/java/saltstage/stage/BackendProber.java
+++ b/relay/src/main/java/saltstage/stage/BackendProber.java
@@ -195,7 +195,7 @@
     private void handleReport(ProbeConnection connection, boolean wasAsked, byte[] line) {
         double load = Api.NONE;
         try {
-            LoadReport report = LoadReport.of(line);
+            LoadReport report = LoadReport.parse(line);
             load = report == null ? Api.NONE : report.field("x0");
         } catch (MalformedException bad) {
             Log.warn(
--- a/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
+++ b/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
@@ -17,7 +17,7 @@
 import saltstage.memory.RequestContext;
 import saltstage.memory.RequestContext.Phase;
 import saltstage.memory.Attempt;
-import saltstage.wire.Answer;
+import saltstage.wire.BackendMessage;
 import saltstage.wire.LineConnection;
 
 /** Makes a try in lines: connects, sends the first line on, waits for the answer. A thread each. */
@@ -79,7 +79,7 @@
             }
             Socket socket = new Socket();
             begun.connectionStarted(() -> LineConnection.close(socket));
-            backend = LineConnection.open(socket, peer.entry().endpoint(), connect);
+            backend = LineConnection.connect(socket, peer.entry().endpoint(), connect);
             begun.connectionOpened(backend);
             Duration left = Duration.between(clock.now(), until);
             // Connecting takes time: the backend may have been told to drain, or the request's time
@@ -91,13 +91,13 @@
             if (!restore && !peer.canAcceptRequests() || left.isNegative() || left.isZero()) {
                 return Outcome.UNREACHABLE;
             }
-            backend.send(client(begun.context()).openRequest().withPatience(left));
+            backend.sendLine(client(begun.context()).openRequest().withClientTimeout(left));
             outcomeRecorder.attemptSent();
         } catch (IOException neverSent) {
             return Outcome.UNREACHABLE;
         }
         try {
-            byte[] piece = backend.lines().next(atLeastOneMilli(Duration.between(clock.now(), until)));
+            byte[] piece = backend.reader().readLine(atLeastOneMilli(Duration.between(clock.now(), until)));
             return piece == null ? Outcome.RESET : handleAnswer(begun, piece, restore);
         } catch (SocketTimeoutException slow) {
             return Outcome.TIMEOUT;
@@ -118,7 +118,7 @@
     }
 
     private Outcome handleAnswer(Attempt begun, byte[] piece, boolean restore) {
-        Answer answer = Answer.of(piece);
+        BackendMessage answer = BackendMessage.parse(piece);
         switch (answer.kind()) {
             case UP:
                 return outcomeRecorder.establish(begun, restore)
--- a/relay/src/main/java/saltstage/stage/LineClient.java
+++ b/relay/src/main/java/saltstage/stage/LineClient.java
@@ -11,7 +11,7 @@
 import saltstage.memory.Timers;
 import saltstage.memory.Attempt;
 import saltstage.wire.LineConnection;
-import saltstage.wire.OpenLine;
+import saltstage.wire.OpenRequest;
 
 /** A client that speaks lines. */
 public final class LineClient extends LineConnection implements ClientConnection {
@@ -19,7 +19,7 @@
     private final LineAttemptRunner attemptRunner;
     private final LineForwarder forwarder;
     private final CountDownLatch answerWritten = new CountDownLatch(1);
-    private volatile OpenLine openRequest;
+    private volatile OpenRequest openRequest;
 
     /** A client that has asked, with what it has said behind its first line. */
     LineClient(Socket socket, byte[] rest, Timers timers, LineAttemptRunner tries, LineForwarder relay)
@@ -31,12 +31,12 @@
     }
 
     /** Its first line has come. */
-    void setOpenRequest(OpenLine line) {
+    void setOpenRequest(OpenRequest line) {
         openRequest = line;
     }
 
     /** Its first line. */
-    OpenLine openRequest() {
+    OpenRequest openRequest() {
         return openRequest;
     }
 
@@ -58,11 +58,11 @@
     /** A few bytes on a connection that carried none before: this does not block. */
     private void answer(String line) {
         try {
-            send(line);
+            sendLine(line);
         } catch (IOException gone) {
             Log.info("client.broken", "why", gone.getMessage());
         } finally {
-            endSending();
+            shutdownOutput();
             answerWritten.countDown();
         }
         timers.schedule(OutcomeRecorder.LINGER, this::close);
--- a/relay/src/main/java/saltstage/stage/LineForwarder.java
+++ b/relay/src/main/java/saltstage/stage/LineForwarder.java
@@ -9,7 +9,7 @@
 import saltstage.memory.RequestContext.Phase;
 import saltstage.memory.Timers;
 import saltstage.memory.Attempt;
-import saltstage.wire.Answer;
+import saltstage.wire.BackendMessage;
 import saltstage.wire.LineConnection;
 
 /**
@@ -70,12 +70,12 @@
 
     private Outcome forwardLines(Attempt up) {
         LineConnection backend = backendConnection(up);
-        Answer.Kind last = Answer.Kind.OTHER;
+        BackendMessage.Kind last = BackendMessage.Kind.OTHER;
         boolean midLine = false;
         boolean reset = false;
         try {
             while (up.moveReason() == null || midLine) {
-                byte[] piece = backend.lines().next();
+                byte[] piece = backend.reader().readLine();
                 if (piece == null) {
                     break;
                 }
@@ -84,7 +84,7 @@
                     break; // it crossed the end of reading: the client has nothing of it and needs
                     // its MOVE
                 }
-                Answer answer = Answer.of(piece);
+                BackendMessage answer = BackendMessage.parse(piece);
                 last = answer.kind();
                 midLine = !whole;
                 outcomeRecorder.lineReceived(up, answer);
@@ -123,7 +123,7 @@
     private Outcome finishMove(Attempt up) {
         LineClient client = client(up);
         try {
-            client.send(
+            client.sendLine(
                     "MOVE"); // before its end is told: a client that speaks in that moment is hung
             // up on
         } catch (IOException gone) {
@@ -131,14 +131,14 @@
         }
         up.context().end(Phase.ESTABLISHED);
         backendConnection(up).close();
-        client.endSending();
+        client.shutdownOutput();
         timers.schedule(LINGER, client::close);
         return up.moveReason().startsWith("peer") ? Outcome.RESET : Outcome.CANCELLED;
     }
 
-    private Outcome endAfterBackend(Attempt up, Answer.Kind last, boolean reset) {
+    private Outcome endAfterBackend(Attempt up, BackendMessage.Kind last, boolean reset) {
         LineClient client = client(up);
-        boolean polite = last == Answer.Kind.BYE || last == Answer.Kind.MOVE;
+        boolean polite = last == BackendMessage.Kind.BYE || last == BackendMessage.Kind.MOVE;
         boolean clientFirst = up.hasClientEnded();
         if (reset && !polite && !clientFirst) {
             up.context().end(Phase.ESTABLISHED);
@@ -146,7 +146,7 @@
             backendConnection(up).close();
             return Outcome.RESET;
         }
-        client.endSending(); // half-close: what the client still sends goes on to the backend for
+        client.shutdownOutput(); // half-close: what the client still sends goes on to the backend for
         // a moment
         if (clientFirst) {
             up.context().end(Phase.ESTABLISHED);
@@ -161,10 +161,10 @@
                         backendConnection(up).close();
                     });
         }
-        if (last == Answer.Kind.BYE) {
+        if (last == BackendMessage.Kind.BYE) {
             return Outcome.SERVED;
         }
-        return clientFirst || last == Answer.Kind.MOVE ? Outcome.CANCELLED : Outcome.RESET;
+        return clientFirst || last == BackendMessage.Kind.MOVE ? Outcome.CANCELLED : Outcome.RESET;
     }
 
     /**
@@ -190,7 +190,7 @@
         if (reset) {
             backend.reset();
         } else {
-            backend.endSending();
+            backend.shutdownOutput();
             timers.schedule(BACKEND_CLOSE_DELAY, backend::close);
         }
     }
@@ -212,11 +212,11 @@
                 "id",
                 up.context().attributes().clientRequestId());
         LineConnection backend = backendConnection(up);
-        if (backend.lines().midLine()) {
+        if (backend.reader().hasPartialLine()) {
             timers.schedule(
-                    PARTIAL_LINE_TIMEOUT, backend::endReading); // the line may still be ended within that
+                    PARTIAL_LINE_TIMEOUT, backend::shutdownInput); // the line may still be ended within that
         } else {
-            backend.endReading();
+            backend.shutdownInput();
         }
         timers.schedule(
                 MOVE_TIMEOUT,
--- a/relay/src/main/java/saltstage/stage/LineFrontend.java
+++ b/relay/src/main/java/saltstage/stage/LineFrontend.java
@@ -8,7 +8,7 @@
 import saltstage.memory.RequestContext;
 import saltstage.memory.Attempt;
 import saltstage.wire.MalformedException;
-import saltstage.wire.OpenLine;
+import saltstage.wire.OpenRequest;
 
 /**
  * Takes clients in: judges first lines, answers PING, turns bad input away, carries what clients
@@ -22,7 +22,7 @@
     private final OutcomeRecorder outcomeRecorder;
     private final ThreadBudget threadBudget;
     private final LinkedBlockingQueue<ReceivedRequest> receivedRequests = new LinkedBlockingQueue<>();
-    private final Queue<OpenLine> parsedLines = new java.util.ArrayDeque<>();
+    private final Queue<OpenRequest> parsedLines = new java.util.ArrayDeque<>();
 
     /** Requests that have been heard and are not admitted yet. */
     private final AtomicInteger unadmittedCount = new AtomicInteger();
@@ -30,7 +30,7 @@
     private volatile boolean draining;
 
     /** A client that has asked, with its request. */
-    private record ReceivedRequest(PendingClient client, OpenLine line) {}
+    private record ReceivedRequest(PendingClient client, OpenRequest line) {}
 
     /**
      * Makes a client of a connection that has asked, with what it has said behind its first line.
@@ -96,9 +96,9 @@
     @Override
     public boolean firstLineReceived(PendingClient client, byte[] piece) {
         try {
-            String line = OpenLine.text(piece);
+            String line = OpenRequest.decodeLine(piece);
             if (!line.equals("PING")) {
-                return tryQueueRequest(client, OpenLine.parse(line));
+                return tryQueueRequest(client, OpenRequest.parse(line));
             }
             if (client.hasBufferedInput()) {
                 throw new MalformedException(OutcomeRecorder.ONE_LINE_ONLY_ERROR);
@@ -113,7 +113,7 @@
         return false;
     }
 
-    private boolean tryQueueRequest(PendingClient client, OpenLine line) throws MalformedException {
+    private boolean tryQueueRequest(PendingClient client, OpenRequest line) throws MalformedException {
         if (admissionControl.rejectIfFull(line, unadmittedCount.get())) {
             acceptor.answer(client, admissionControl.busyLine());
             return false;
@@ -181,14 +181,14 @@
     private void rejectForThreads(LineClient client) {
         outcomeRecorder.rejectedForThreads();
         outcomeRecorder.sendLine(client, admissionControl.busyLine());
-        client.endSending();
+        client.shutdownOutput();
         acceptor.lingerAndClose(client.channel());
         unadmittedCount.decrementAndGet();
     }
 
     // ---- on the client's thread
 
-    private void serve(LineClient client, OpenLine line) throws InterruptedException {
+    private void serve(LineClient client, OpenRequest line) throws InterruptedException {
         RequestContext context = null;
         boolean over = false;
         try {
@@ -220,25 +220,25 @@
     private void failAfterFault(LineClient client, RequestContext context) {
         if (context == null) {
             outcomeRecorder.sendLine(client, "ERR failed");
-            client.endSending();
+            client.shutdownOutput();
             acceptor.lingerAndClose(client.channel());
         } else {
             outcomeRecorder.fail(context);
         }
     }
 
-    private RequestContext admitOrReject(LineClient client, OpenLine line) throws IOException {
+    private RequestContext admitOrReject(LineClient client, OpenRequest line) throws IOException {
         try {
             return admissionControl.admit(client, line);
         } catch (MalformedException bad) {
             Log.warn(
                     "client.malformed",
                     "from",
-                    client.remote(),
+                    client.remoteAddress(),
                     "answer",
                     "ERR " + bad.getMessage());
             outcomeRecorder.sendLine(client, "ERR " + bad.getMessage());
-            client.endSending();
+            client.shutdownOutput();
             acceptor.lingerAndClose(client.channel());
             return null;
         } finally {
@@ -251,7 +251,7 @@
         if (!context.wasEstablished()) {
             client.awaitAnswer();
         }
-        client.endSending();
+        client.shutdownOutput();
         acceptor.lingerAndClose(client.channel());
     }
 
@@ -262,7 +262,7 @@
     private void forwardFromClient(LineClient client, RequestContext context) throws InterruptedException {
         boolean reset = false;
         try {
-            byte[] piece = client.lines().next();
+            byte[] piece = client.reader().readLine();
             while (piece != null) {
                 if (context.phase() == RequestContext.Phase.WAITING) {
                     outcomeRecorder.failForEarlyInput(context); // it has not waited for its answer
@@ -272,7 +272,7 @@
                     return;
                 }
                 forwarder.sendToBackend(context.currentAttempt(), piece);
-                piece = client.lines().next();
+                piece = client.reader().readLine();
             }
         } catch (IOException broken) {
             reset = true;
--- a/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
+++ b/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
@@ -22,7 +22,7 @@
 import saltstage.memory.Attempt;
 import saltstage.metrics.RequestCounters;
 import saltstage.metrics.ProcessUsage;
-import saltstage.wire.Answer;
+import saltstage.wire.BackendMessage;
 
 /**
  * Books what became of requests: the one final answer, the outcome for the module, loads and
@@ -142,7 +142,7 @@
             Log.warn(
                     "client.malformed",
                     "from",
-                    context.client().remote(),
+                    context.client().remoteAddress(),
                     "answer",
                     "ERR " + ONE_LINE_ONLY_ERROR);
             router.clientLeft(context);
@@ -161,7 +161,7 @@
     /** A line that is not waited for. */
     void sendLine(LineClient client, String line) {
         try {
-            client.send(line);
+            client.sendLine(line);
         } catch (IOException gone) {
             Log.info("client.broken", "why", gone.getMessage());
         }
@@ -225,8 +225,8 @@
     }
 
     /** A line came back on a standing connection. */
-    void lineReceived(Attempt up, Answer answer) {
-        if (answer.kind() == Answer.Kind.LOAD) {
+    void lineReceived(Attempt up, BackendMessage answer) {
+        if (answer.kind() == BackendMessage.Kind.LOAD) {
             loadReported(up, answer.load());
             return;
         }
@@ -262,7 +262,7 @@
             if (delay == null) {
                 continue;
             }
-            boolean slow = delay.compareTo(config.shortestMessageAim().dividedBy(3)) > 0;
+            boolean slow = delay.compareTo(config.minMessageLatencyTarget().dividedBy(3)) > 0;
             if (slow | peer.markSlow(slow)) {
                 peer.establishedAttempts().stream().findFirst().ifPresent(up -> router.delayReported(up, delay));
             }
--- a/relay/src/main/java/saltstage/stage/PendingClient.java
+++ b/relay/src/main/java/saltstage/stage/PendingClient.java
@@ -14,7 +14,7 @@
  */
 final class PendingClient {
     private static final int INITIAL_BUFFER_BYTES = 256;
-    private static final int MAX_TERMINATED_LINE_BYTES = LineReader.MOST + 2;
+    private static final int MAX_TERMINATED_LINE_BYTES = LineReader.MAX_LINE_BYTES + 2;
 
     private final SocketChannel channel;
     private final SocketAddress remote;
--- a/relay/src/main/java/saltstage/stage/ProbeConnection.java
+++ b/relay/src/main/java/saltstage/stage/ProbeConnection.java
@@ -100,7 +100,7 @@
             throw new ConnectionClosedException();
         }
         boolean whole = read > 0 && received.get(received.position() - 1) == '\n';
-        if (read < 0 || whole || received.position() > LineReader.MOST) {
+        if (read < 0 || whole || received.position() > LineReader.MAX_LINE_BYTES) {
             byte[] line = Arrays.copyOf(received.array(), received.position());
             received.clear();
             awaitingAnswer = false;
--- a/relay/src/main/java/saltstage/stage/RelayPipeline.java
+++ b/relay/src/main/java/saltstage/stage/RelayPipeline.java
@@ -16,7 +16,7 @@
 import saltstage.memory.Timers;
 import saltstage.memory.Attempt;
 import saltstage.metrics.RequestCounters;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /** The stages, joined: take in, admit, route, send, relay, book. */
 public final class RelayPipeline {
@@ -70,11 +70,11 @@
                         config.settings().probingEnabled()
                                 ? Math.min(peers.all().size(), BackendProber.MAX_CONNECTIONS)
                                 : 0;
-        descriptorLimit = config.sockets();
+        descriptorLimit = config.maxSockets();
         admissionControl = new AdmissionControl(config, clock, timers, router, tries, outcomeRecorder);
         lineFrontend =
                 new LineFrontend(
-                        AdmissionControl.maxPendingClients(config.sockets()),
+                        AdmissionControl.maxPendingClients(config.maxSockets()),
                         admissionControl,
                         asking ->
                                 new LineClient(
@@ -162,15 +162,15 @@
     }
 
     /** Discovery has told something, and these processes have ended by it. */
-    public void backendListReceived(List<Backend> ended, HostList list) {
+    public void backendListReceived(List<Backend> ended, BackendList list) {
         Log.info(
                 "discovery.list",
                 "rev",
-                list.rev(),
+                list.revision(),
                 "all",
-                list.all(),
+                list.full(),
                 "targets",
-                list.targets().size());
+                list.entries().size());
         setDescriptorLimit(descriptorLimit);
         router.backendListReceived(list);
         for (Backend peer : ended) {
--- a/relay/src/main/java/saltstage/stage/Router.java
+++ b/relay/src/main/java/saltstage/stage/Router.java
@@ -27,7 +27,7 @@
 import saltstage.memory.RequestAttributes;
 import saltstage.memory.Timers;
 import saltstage.memory.Attempt;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /**
  * The owner of the decisions: feeds {@link LoadBalancer} one event at a time, in order, on one clock. What
@@ -89,18 +89,18 @@
     }
 
     /** The relay starts, with the list as it last had it. */
-    public void start(HostList known) {
+    public void start(BackendList known) {
         deliver(LoadBalancer::start);
         deliverBackendList(known, BackendListKind.CACHED);
     }
 
     /** Discovery has told something. */
-    public void backendListReceived(HostList list) {
-        deliverBackendList(list, list.all() ? BackendListKind.FULL : BackendListKind.DELTA);
+    public void backendListReceived(BackendList list) {
+        deliverBackendList(list, list.full() ? BackendListKind.FULL : BackendListKind.DELTA);
     }
 
-    private void deliverBackendList(HostList list, BackendListKind kind) {
-        List<ListedBackend> servers = list.targets().stream().map(this::toListedBackend).toList();
+    private void deliverBackendList(BackendList list, BackendListKind kind) {
+        List<ListedBackend> servers = list.entries().stream().map(this::toListedBackend).toList();
         deliver((logic, now) -> logic.backendListReceived(now, kind, servers));
     }
 
@@ -233,7 +233,7 @@
         return Duration.of(micros, ChronoUnit.MICROS);
     }
 
-    private ListedBackend toListedBackend(HostList.Entry entry) {
+    private ListedBackend toListedBackend(BackendList.Entry entry) {
         Health health =
                 switch (entry.state()) {
                     case READY -> suspensionCheck.test(entry.uid()) ? Health.DRAINING : Health.READY;
@@ -242,7 +242,7 @@
                 };
         return new ListedBackend(
                 entry.uid(),
-                config.zone(entry.zone()),
+                config.zoneIndex(entry.zone()),
                 entry.cell(),
                 health,
                 entry.weight(),
