--- a/relay/src/main/java/saltstage/wire/HostList.java
+++ b/relay/src/main/java/saltstage/wire/BackendList.java
@@ -11,11 +11,11 @@
 import java.util.regex.Pattern;
 
 /** What discovery says: the whole list, or the entries that changed. */
-public record HostList(long rev, boolean all, List<Entry> targets) {
+public record BackendList(long revision, boolean full, List<Entry> entries) {
     private static final Pattern ENDPOINT =
             Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3}):(\\d{1,5})");
     private static final Pattern UID = Pattern.compile("[!-~]{1,128}");
-    private static final int MOST_TARGETS = 100_000;
+    private static final int MAX_ENTRIES = 100_000;
 
     /** The states of an entry. */
     public enum State {
@@ -35,22 +35,22 @@
             Instant startedAt) {}
 
     /** Reads one object of discovery's, or the known list of the configuration. */
-    public static HostList of(Map<String, Object> json) throws MalformedException {
+    public static BackendList parse(Map<String, Object> json) throws MalformedException {
         List<?> targets = Json.member(json, "targets", List.class);
-        if (targets.size() > MOST_TARGETS) {
+        if (targets.size() > MAX_ENTRIES) {
             throw new MalformedException("too many targets");
         }
         List<Entry> entries = new ArrayList<>();
         for (Object target : targets) {
-            entries.add(entry(Json.asObject(target, "target")));
+            entries.add(parseEntry(Json.asObject(target, "target")));
         }
-        return new HostList(
+        return new BackendList(
                 Json.member(json, "rev", Double.class).longValue(),
                 Json.member(json, "all", Boolean.class),
                 entries);
     }
 
-    private static Entry entry(Map<String, Object> json) throws MalformedException {
+    private static Entry parseEntry(Map<String, Object> json) throws MalformedException {
         String uid = Json.member(json, "uid", String.class);
         if (!UID.matcher(uid).matches()) {
             throw new MalformedException("bad uid");
@@ -67,7 +67,7 @@
         int cell = json.get("pod_group") instanceof Double d ? d.intValue() : 0;
         return new Entry(
                 uid,
-                address(Json.member(json, "endpoint", String.class)),
+                parseAddress(Json.member(json, "endpoint", String.class)),
                 json.get("az") instanceof String zone ? zone : "",
                 cell,
                 state,
@@ -76,7 +76,7 @@
     }
 
     /** An address in figures; there is no DNS. */
-    public static InetSocketAddress address(String text) throws MalformedException {
+    public static InetSocketAddress parseAddress(String text) throws MalformedException {
         Matcher parts = ENDPOINT.matcher(text);
         if (!parts.matches()) {
             throw new MalformedException("bad address");
--- a/relay/src/main/java/saltstage/wire/Answer.java
+++ b/relay/src/main/java/saltstage/wire/BackendMessage.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** A line of a backend, as far as the relay must understand it. */
-public record Answer(Kind kind, String argument) {
+public record BackendMessage(Kind kind, String argument) {
     /** What a line says; OTHER are the connection's own lines. */
     public enum Kind {
         UP,
@@ -17,10 +17,10 @@
     }
 
     /** Reads a piece; one that is no whole line is OTHER. */
-    public static Answer of(byte[] piece) {
+    public static BackendMessage parse(byte[] piece) {
         int n = piece.length;
         if (n < 2 || piece[n - 1] != '\n' || piece[n - 2] != '\r') {
-            return new Answer(Kind.OTHER, "");
+            return new BackendMessage(Kind.OTHER, "");
         }
         String line = new String(piece, 0, n - 2, StandardCharsets.ISO_8859_1);
         int space = line.indexOf(' ');
@@ -28,10 +28,10 @@
         String argument = space < 0 ? "" : line.substring(space + 1);
         for (Kind kind : Kind.values()) {
             if (kind != Kind.OTHER && kind.name().equals(word)) {
-                return new Answer(kind, argument);
+                return new BackendMessage(kind, argument);
             }
         }
-        return new Answer(Kind.OTHER, line);
+        return new BackendMessage(Kind.OTHER, line);
     }
 
     /** The load that a LOAD line tells, or a negative number where it is malformed. */
--- a/relay/src/main/java/saltstage/wire/ChunkedInput.java
+++ b/relay/src/main/java/saltstage/wire/ChunkedInputStream.java
@@ -4,41 +4,41 @@
 import java.io.InputStream;
 
 /** The body of a chunked answer; a malformed chunk is an IOException, like a broken connection. */
-final class ChunkedInput extends InputStream {
-    private static final int MOST_SIZE_LINE = 256;
-    private static final long MOST_CHUNK = 16 << 20;
+final class ChunkedInputStream extends InputStream {
+    private static final int MAX_SIZE_LINE_CHARS = 256;
+    private static final long MAX_CHUNK_BYTES = 16 << 20;
 
     private final InputStream in;
-    private long left;
-    private boolean first = true;
-    private boolean over;
+    private long remainingBytes;
+    private boolean firstChunk = true;
+    private boolean endOfBody;
 
-    ChunkedInput(InputStream in) {
+    ChunkedInputStream(InputStream in) {
         this.in = in;
     }
 
     @Override
     public int read() throws IOException {
-        if (!over && left == 0) {
-            nextChunk();
+        if (!endOfBody && remainingBytes == 0) {
+            readChunkHeader();
         }
-        if (over) {
+        if (endOfBody) {
             return -1;
         }
-        left--;
-        return must();
+        remainingBytes--;
+        return readRequired();
     }
 
-    private void nextChunk() throws IOException {
-        if (!first) {
+    private void readChunkHeader() throws IOException {
+        if (!firstChunk) {
             expect('\r');
             expect('\n');
         }
-        first = false;
+        firstChunk = false;
         StringBuilder size = new StringBuilder();
-        for (int c = must(); c != '\n'; c = must()) {
+        for (int c = readRequired(); c != '\n'; c = readRequired()) {
             size.append((char) c);
-            if (size.length() > MOST_SIZE_LINE) {
+            if (size.length() > MAX_SIZE_LINE_CHARS) {
                 throw new IOException("chunk size too long");
             }
         }
@@ -46,20 +46,20 @@
         if (!digits.matches("[0-9a-fA-F]{1,8}")) {
             throw new IOException("bad chunk size");
         }
-        left = Long.parseLong(digits, 16);
-        if (left > MOST_CHUNK) {
+        remainingBytes = Long.parseLong(digits, 16);
+        if (remainingBytes > MAX_CHUNK_BYTES) {
             throw new IOException("chunk too large");
         }
-        over = left == 0;
+        endOfBody = remainingBytes == 0;
     }
 
     private void expect(int wanted) throws IOException {
-        if (must() != wanted) {
+        if (readRequired() != wanted) {
             throw new IOException("bad end of a chunk");
         }
     }
 
-    private int must() throws IOException {
+    private int readRequired() throws IOException {
         int c = in.read();
         if (c < 0) {
             throw new IOException("connection ended in a chunk");
--- a/relay/src/main/java/saltstage/wire/DeadlineInput.java
+++ b/relay/src/main/java/saltstage/wire/DeadlineInputStream.java
@@ -7,27 +7,27 @@
 import java.time.Duration;
 
 /**
- * What comes on a socket, up to a moment that only {@link #until} moves on. A time-out for each
+ * What comes on a socket, up to a moment that only {@link #extendDeadline} moves on. A time-out for each
  * read would be put off by every byte: who sends one now and then could keep a reader for ever
  * without telling it anything. What has arrived by then can still be read.
  */
-final class DeadlineInput extends InputStream {
+final class DeadlineInputStream extends InputStream {
     private final Socket socket;
     private final InputStream in;
     private long deadline;
 
-    DeadlineInput(Socket socket, Duration first) throws IOException {
+    DeadlineInputStream(Socket socket, Duration first) throws IOException {
         this.socket = socket;
         in = socket.getInputStream();
-        until(first);
+        extendDeadline(first);
     }
 
     /** It has so long from now on. */
-    void until(Duration span) {
+    void extendDeadline(Duration span) {
         deadline = System.nanoTime() + span.toNanos();
     }
 
-    private void arm() throws IOException {
+    private void applyDeadline() throws IOException {
         long left = (deadline - System.nanoTime()) / 1_000_000;
         if (left <= 0 && in.available() == 0) {
             throw new SocketTimeoutException("Read timed out");
@@ -37,13 +37,13 @@
 
     @Override
     public int read() throws IOException {
-        arm();
+        applyDeadline();
         return in.read();
     }
 
     @Override
     public int read(byte[] into, int from, int most) throws IOException {
-        arm();
+        applyDeadline();
         return in.read(into, from, most);
     }
 
--- a/relay/src/main/java/saltstage/wire/DiscoveryClient.java
+++ b/relay/src/main/java/saltstage/wire/DiscoveryClient.java
@@ -18,59 +18,59 @@
      * An empty line comes every 2 s. What a silent watch misses counts as told 6 s after its
      * silence: this, the module's first pause, one call in vain and the next pause have to fit in.
      */
-    public static final Duration SILENCE = Duration.ofMillis(2_500);
+    public static final Duration SILENCE_TIMEOUT = Duration.ofMillis(2_500);
 
-    private static final Duration CONNECT = Duration.ofSeconds(1);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
     /**
      * Times the silence that a first answer may take: a service that works through calls in turn is
      * slow.
      */
-    private static final int PATIENCE = 4;
+    private static final int FIRST_RESPONSE_TIMEOUT_FACTOR = 4;
 
-    private static final int MOST_HEAD = 16 << 10;
-    private static final int MOST_LINE = 4 << 20;
+    private static final int MAX_HEAD_BYTES = 16 << 10;
+    private static final int MAX_OBJECT_CHARS = 4 << 20;
 
     private final InetSocketAddress address;
-    private final Duration silence;
-    private Socket call;
+    private final Duration silenceTimeout;
+    private Socket watchSocket;
     private boolean stopped;
 
     /** A client of the service at this address. */
     public DiscoveryClient(InetSocketAddress address) {
-        this(address, SILENCE);
+        this(address, SILENCE_TIMEOUT);
     }
 
     /** A client that takes so much silence for the end of a watch. */
     DiscoveryClient(InetSocketAddress address, Duration silence) {
         this.address = address;
-        this.silence = silence;
+        this.silenceTimeout = silence;
     }
 
     /** Takes what a watch brings. */
     public interface Listener {
         /** A list or a change of it. */
-        void heard(HostList list);
+        void listReceived(BackendList list);
     }
 
     /** Ends the watch, also one that is still connecting, and every later one at once. */
     public synchronized void stop() {
         stopped = true;
-        if (call != null) {
+        if (watchSocket != null) {
             try {
-                call.close();
+                watchSocket.close();
             } catch (IOException ended) { // it ended by itself: that is all that is wanted
                 return;
             }
         }
     }
 
-    private synchronized Socket begin() throws IOException {
+    private synchronized Socket openSocket() throws IOException {
         if (stopped) {
             throw new IOException("stopped");
         }
-        call = new Socket();
-        return call;
+        watchSocket = new Socket();
+        return watchSocket;
     }
 
     /**
@@ -78,9 +78,9 @@
      * else.
      */
     public void watch(long after, Listener listener) throws IOException, MalformedException {
-        try (Socket socket = begin()) {
+        try (Socket socket = openSocket()) {
             socket.setTcpNoDelay(true);
-            socket.connect(address, (int) CONNECT.toMillis());
+            socket.connect(address, (int) CONNECT_TIMEOUT.toMillis());
             String request =
                     "GET /discovery/hosts?watch=1&after="
                             + after
@@ -90,20 +90,20 @@
                             + address.getPort()
                             + "\r\nAccept: application/json\r\n\r\n";
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-            DeadlineInput timed = new DeadlineInput(socket, silence.multipliedBy(PATIENCE));
+            DeadlineInputStream timed = new DeadlineInputStream(socket, silenceTimeout.multipliedBy(FIRST_RESPONSE_TIMEOUT_FACTOR));
             InputStream in = new BufferedInputStream(timed, 4096);
             readHead(in);
-            timed.until(silence);
-            ChunkedInput body = new ChunkedInput(in);
-            ObjectSplitter objects = new ObjectSplitter(MOST_LINE);
+            timed.extendDeadline(silenceTimeout);
+            ChunkedInputStream body = new ChunkedInputStream(in);
+            JsonObjectSplitter objects = new JsonObjectSplitter(MAX_OBJECT_CHARS);
             for (int c = body.read(); c >= 0; c = body.read()) {
-                String object = objects.take((char) c);
+                String object = objects.accept((char) c);
                 if (object != null) {
-                    listener.heard(HostList.of(Json.object(object)));
+                    listener.listReceived(BackendList.parse(Json.parseObject(object)));
                 }
-                if (objects.between()
+                if (objects.isBetweenObjects()
                         && c == '\n') { // half an object, or a line in it, is no sign of life
-                    timed.until(silence);
+                    timed.extendDeadline(silenceTimeout);
                 }
             }
             throw new IOException("discovery ended the watch");
@@ -111,8 +111,8 @@
     }
 
     private static void readHead(InputStream in) throws IOException, MalformedException {
-        int[] budget = {MOST_HEAD};
-        String status = headLine(in, budget);
+        int[] budget = {MAX_HEAD_BYTES};
+        String status = readHeadLine(in, budget);
         if (!status.matches("HTTP/1\\.1 \\d{3}( .*)?")) {
             throw new MalformedException("discovery: bad status line");
         }
@@ -120,7 +120,7 @@
             throw new IOException("discovery answered " + status.substring(9, 12));
         }
         boolean chunked = false;
-        for (String line = headLine(in, budget); !line.isEmpty(); line = headLine(in, budget)) {
+        for (String line = readHeadLine(in, budget); !line.isEmpty(); line = readHeadLine(in, budget)) {
             String lower = line.toLowerCase(Locale.ROOT);
             chunked |= lower.startsWith("transfer-encoding:") && lower.endsWith("chunked");
         }
@@ -129,7 +129,7 @@
         }
     }
 
-    private static String headLine(InputStream in, int[] budget)
+    private static String readHeadLine(InputStream in, int[] budget)
             throws IOException, MalformedException {
         StringBuilder line = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
--- a/relay/src/main/java/saltstage/wire/Json.java
+++ b/relay/src/main/java/saltstage/wire/Json.java
@@ -7,21 +7,21 @@
 
 /** A strict JSON parser: Map, List, String, Double, Boolean or null; its depth is bounded. */
 public final class Json {
-    private static final int MOST_DEPTH = 32;
+    private static final int MAX_DEPTH = 32;
 
     private final String text;
-    private int at;
+    private int position;
 
     private Json(String text) {
         this.text = text;
     }
 
     /** Parses a text that is one object. */
-    public static Map<String, Object> object(String text) throws MalformedException {
+    public static Map<String, Object> parseObject(String text) throws MalformedException {
         Json json = new Json(text);
-        Object value = json.value(0);
-        json.space();
-        if (json.at != text.length()) {
+        Object value = json.parseValue(0);
+        json.skipWhitespace();
+        if (json.position != text.length()) {
             throw json.malformed("text after the end");
         }
         return asObject(value, "the text");
@@ -49,143 +49,143 @@
     }
 
     private MalformedException malformed(String what) {
-        return new MalformedException("JSON, character " + at + ": " + what);
+        return new MalformedException("JSON, character " + position + ": " + what);
     }
 
-    private void space() {
-        while (at < text.length() && " \t\r\n".indexOf(text.charAt(at)) >= 0) {
-            at++;
+    private void skipWhitespace() {
+        while (position < text.length() && " \t\r\n".indexOf(text.charAt(position)) >= 0) {
+            position++;
         }
     }
 
     private char peek() throws MalformedException {
-        space();
-        if (at >= text.length()) {
+        skipWhitespace();
+        if (position >= text.length()) {
             throw malformed("the text ends early");
         }
-        return text.charAt(at);
+        return text.charAt(position);
     }
 
     private void expect(char c) throws MalformedException {
         if (peek() != c) {
             throw malformed("'" + c + "' expected");
         }
-        at++;
+        position++;
     }
 
-    private Object value(int depth) throws MalformedException {
-        if (depth > MOST_DEPTH) {
+    private Object parseValue(int depth) throws MalformedException {
+        if (depth > MAX_DEPTH) {
             throw malformed("nested too deeply");
         }
         switch (peek()) {
             case '{':
-                return members(depth);
+                return parseMembers(depth);
             case '[':
-                return items(depth);
+                return parseItems(depth);
             case '"':
-                return string();
+                return parseString();
             case 't':
-                return word("true", Boolean.TRUE);
+                return parseLiteral("true", Boolean.TRUE);
             case 'f':
-                return word("false", Boolean.FALSE);
+                return parseLiteral("false", Boolean.FALSE);
             case 'n':
-                return word("null", null);
+                return parseLiteral("null", null);
             default:
-                return number();
+                return parseNumber();
         }
     }
 
-    private Map<String, Object> members(int depth) throws MalformedException {
+    private Map<String, Object> parseMembers(int depth) throws MalformedException {
         Map<String, Object> members = new LinkedHashMap<>();
         expect('{');
         if (peek() != '}') {
             while (true) {
                 peek();
-                String name = string();
+                String name = parseString();
                 expect(':');
-                members.put(name, value(depth + 1));
+                members.put(name, parseValue(depth + 1));
                 if (peek() != ',') {
                     break;
                 }
-                at++;
+                position++;
             }
         }
         expect('}');
         return members;
     }
 
-    private List<Object> items(int depth) throws MalformedException {
+    private List<Object> parseItems(int depth) throws MalformedException {
         List<Object> items = new ArrayList<>();
         expect('[');
         if (peek() != ']') {
             while (true) {
-                items.add(value(depth + 1));
+                items.add(parseValue(depth + 1));
                 if (peek() != ',') {
                     break;
                 }
-                at++;
+                position++;
             }
         }
         expect(']');
         return items;
     }
 
-    private Object word(String word, Object value) throws MalformedException {
-        if (!text.startsWith(word, at)) {
+    private Object parseLiteral(String word, Object value) throws MalformedException {
+        if (!text.startsWith(word, position)) {
             throw malformed("unknown word");
         }
-        at += word.length();
+        position += word.length();
         return value;
     }
 
-    private Double number() throws MalformedException {
-        int from = at;
-        while (at < text.length() && "+-.eE0123456789".indexOf(text.charAt(at)) >= 0) {
-            at++;
+    private Double parseNumber() throws MalformedException {
+        int from = position;
+        while (position < text.length() && "+-.eE0123456789".indexOf(text.charAt(position)) >= 0) {
+            position++;
         }
-        String digits = text.substring(from, at);
+        String digits = text.substring(from, position);
         if (!digits.matches("-?(0|[1-9]\\d*)(\\.\\d+)?([eE][+-]?\\d+)?")) {
             throw malformed("bad number");
         }
         return Double.valueOf(digits);
     }
 
-    private String string() throws MalformedException {
+    private String parseString() throws MalformedException {
         expect('"');
         StringBuilder out = new StringBuilder();
-        while (at < text.length() && text.charAt(at) != '"') {
-            char c = text.charAt(at++);
+        while (position < text.length() && text.charAt(position) != '"') {
+            char c = text.charAt(position++);
             if (c < ' ') {
                 throw malformed("control character in a string");
             }
-            out.append(c == '\\' ? escaped() : c);
+            out.append(c == '\\' ? parseEscape() : c);
         }
         expectQuote();
         return out.toString();
     }
 
     private void expectQuote() throws MalformedException {
-        if (at >= text.length()) {
+        if (position >= text.length()) {
             throw malformed("the text ends in a string");
         }
-        at++;
+        position++;
     }
 
-    private char escaped() throws MalformedException {
-        if (at >= text.length()) {
+    private char parseEscape() throws MalformedException {
+        if (position >= text.length()) {
             throw malformed("the text ends in a string");
         }
-        char c = text.charAt(at++);
+        char c = text.charAt(position++);
         int plain = "\"\\/bfnrt".indexOf(c);
         if (plain >= 0) {
             return "\"\\/\b\f\n\r\t".charAt(plain);
         }
         if (c != 'u'
-                || at + 4 > text.length()
-                || !text.substring(at, at + 4).matches("[0-9a-fA-F]{4}")) {
+                || position + 4 > text.length()
+                || !text.substring(position, position + 4).matches("[0-9a-fA-F]{4}")) {
             throw malformed("bad escape");
         }
-        at += 4;
-        return (char) Integer.parseInt(text.substring(at - 4, at), 16);
+        position += 4;
+        return (char) Integer.parseInt(text.substring(position - 4, position), 16);
     }
 }
--- a/relay/src/main/java/saltstage/wire/ObjectSplitter.java
+++ b/relay/src/main/java/saltstage/wire/JsonObjectSplitter.java
@@ -5,19 +5,19 @@
  * looks at braces and strings only, what is inside is the parser's business. Bounded in the size of
  * an object.
  */
-final class ObjectSplitter {
-    private final int most;
+final class JsonObjectSplitter {
+    private final int maxChars;
     private final StringBuilder text = new StringBuilder();
     private int depth;
     private boolean inString;
     private boolean escaped;
 
-    ObjectSplitter(int most) {
-        this.most = most;
+    JsonObjectSplitter(int most) {
+        this.maxChars = most;
     }
 
     /** Takes a character; the text of an object that ends with it, else null. */
-    String take(char c) throws MalformedException {
+    String accept(char c) throws MalformedException {
         if (depth == 0) {
             if (c == '{') {
                 depth = 1;
@@ -28,7 +28,7 @@
             return null;
         }
         text.append(c);
-        if (text.length() > most) {
+        if (text.length() > maxChars) {
             throw new MalformedException("discovery: line too long");
         }
         if (inString) {
@@ -47,7 +47,7 @@
     }
 
     /** Whether no object has begun that has not ended. */
-    boolean between() {
+    boolean isBetweenObjects() {
         return depth == 0;
     }
 }
--- a/relay/src/main/java/saltstage/wire/LineConnection.java
+++ b/relay/src/main/java/saltstage/wire/LineConnection.java
@@ -10,7 +10,7 @@
 /** A TCP connection that carries lines; either side of the relay. Ending it twice does no harm. */
 public class LineConnection implements BackendConnection {
     private final Socket socket;
-    private final LineReader lines;
+    private final LineReader reader;
 
     /** Wraps a connected socket. */
     public LineConnection(Socket socket) throws IOException {
@@ -21,16 +21,16 @@
     public LineConnection(Socket socket, byte[] read) throws IOException {
         socket.setTcpNoDelay(true);
         this.socket = socket;
-        lines = new LineReader(socket, read);
+        reader = new LineReader(socket, read);
     }
 
     /** Connects within the limit; every failure to do so is an IOException. */
-    public static LineConnection open(InetSocketAddress to, Duration limit) throws IOException {
-        return open(new Socket(), to, limit);
+    public static LineConnection connect(InetSocketAddress to, Duration limit) throws IOException {
+        return connect(new Socket(), to, limit);
     }
 
     /** Connects this socket within the limit; closed meanwhile, it fails at once. */
-    public static LineConnection open(Socket socket, InetSocketAddress to, Duration limit)
+    public static LineConnection connect(Socket socket, InetSocketAddress to, Duration limit)
             throws IOException {
         try {
             socket.connect(to, (int) Math.max(1, limit.toMillis()));
@@ -42,8 +42,8 @@
     }
 
     /** The bytes that come in. */
-    public LineReader lines() {
-        return lines;
+    public LineReader reader() {
+        return reader;
     }
 
     /** The channel of an accepted connection. */
@@ -52,12 +52,12 @@
     }
 
     /** Who is at the other end, for the log. */
-    public String remote() {
+    public String remoteAddress() {
         return String.valueOf(socket.getRemoteSocketAddress());
     }
 
     /** Writes a line, adding its end. */
-    public void send(String line) throws IOException {
+    public void sendLine(String line) throws IOException {
         send((line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     }
 
@@ -67,37 +67,37 @@
     }
 
     /** Half-close: nothing more will be sent. */
-    public void endSending() {
-        quietly(socket::shutdownOutput);
+    public void shutdownOutput() {
+        runQuietly(socket::shutdownOutput);
     }
 
     /** Makes a reader that waits for more see the end of input. */
-    public void endReading() {
-        quietly(socket::shutdownInput);
+    public void shutdownInput() {
+        runQuietly(socket::shutdownInput);
     }
 
     /** Closes at once and lets the other side see a reset. */
     public void reset() {
-        quietly(() -> socket.setSoLinger(true, 0));
+        runQuietly(() -> socket.setSoLinger(true, 0));
         close();
     }
 
     /** Closes both directions. */
     @Override
     public void close() {
-        quietly(socket::close);
+        runQuietly(socket::close);
     }
 
     /** Closes a socket, whatever it is doing. */
     public static void close(Socket socket) {
-        quietly(socket::close);
+        runQuietly(socket::close);
     }
 
-    private interface Step {
+    private interface IoAction {
         void run() throws IOException;
     }
 
-    private static void quietly(Step step) {
+    private static void runQuietly(IoAction step) {
         try {
             step.run();
         } catch (
--- a/relay/src/main/java/saltstage/wire/LineReader.java
+++ b/relay/src/main/java/saltstage/wire/LineReader.java
@@ -13,10 +13,10 @@
  */
 public final class LineReader {
     /** The longest line, its end of two bytes not counted. */
-    public static final int MOST = 4096;
+    public static final int MAX_LINE_BYTES = 4096;
 
-    private static final int MOST_WITH_END = MOST + 2;
-    private static final int FIRST_SIZE =
+    private static final int MAX_LINE_BYTES_WITH_END = MAX_LINE_BYTES + 2;
+    private static final int INITIAL_BUFFER_BYTES =
             512; // most lines are short, and a relay holds many readers
 
     private final Socket socket;
@@ -24,19 +24,19 @@
     private byte[] buffer;
     private int start;
     private volatile int end;
-    private boolean over;
+    private boolean endOfInput;
 
     /** A reader of all that comes from this socket, behind these bytes that were read before. */
     public LineReader(Socket socket, byte[] read) throws IOException {
         this.socket = socket;
         in = socket.getInputStream();
-        buffer = Arrays.copyOf(read, Math.max(FIRST_SIZE, read.length));
+        buffer = Arrays.copyOf(read, Math.max(INITIAL_BUFFER_BYTES, read.length));
         end = read.length;
     }
 
-    /** The next piece, waiting as long as it takes; see {@link #next(Duration)}. */
-    public byte[] next() throws IOException {
-        return next(null);
+    /** The next piece, waiting as long as it takes; see {@link #readLine(Duration)}. */
+    public byte[] readLine() throws IOException {
+        return readLine(null);
     }
 
     /**
@@ -44,32 +44,32 @@
      * before the end of input; null is that end. The time is for the whole line: single bytes do
      * not prolong it.
      */
-    public byte[] next(Duration limit) throws IOException {
+    public byte[] readLine(Duration limit) throws IOException {
         long until = limit == null ? 0 : System.nanoTime() + limit.toNanos();
         int seen = start;
         while (true) {
             for (; seen < end; seen++) {
                 if (buffer[seen] == '\n') {
-                    return take(seen + 1);
+                    return consume(seen + 1);
                 }
             }
-            if (end - start >= MOST_WITH_END) {
-                return take(start + MOST_WITH_END);
+            if (end - start >= MAX_LINE_BYTES_WITH_END) {
+                return consume(start + MAX_LINE_BYTES_WITH_END);
             }
-            if (over) {
-                return end > start ? take(end) : null;
+            if (endOfInput) {
+                return end > start ? consume(end) : null;
             }
             seen -= start;
             makeRoom();
             socket.setSoTimeout(limit == null ? 0 : millisUntil(until));
             int read = in.read(buffer, end, buffer.length - end);
-            over = read < 0;
+            endOfInput = read < 0;
             end += Math.max(0, read);
         }
     }
 
     /** Whether a line has begun and not yet ended. */
-    public boolean midLine() {
+    public boolean hasPartialLine() {
         return end > 0;
     }
 
@@ -77,23 +77,23 @@
      * Looks at what has come and was not read: true where that is more bytes, which are kept. It
      * waits for a millisecond, the least that a socket's reader can be told to.
      */
-    public boolean moreHasCome() throws IOException {
-        if (!midLine() && !over) {
+    public boolean hasMoreInput() throws IOException {
+        if (!hasPartialLine() && !endOfInput) {
             socket.setSoTimeout(1);
             try {
                 int read = in.read(buffer, 0, buffer.length);
-                over = read < 0;
+                endOfInput = read < 0;
                 end = Math.max(0, read);
             } catch (SocketTimeoutException nothing) {
                 return false;
             }
         }
-        return midLine();
+        return hasPartialLine();
     }
 
     /** Whether the end of input was read. */
-    public boolean isOver() {
-        return over;
+    public boolean isEndOfInput() {
+        return endOfInput;
     }
 
     private static int millisUntil(long until) throws SocketTimeoutException {
@@ -104,7 +104,7 @@
         return (int) Math.min(left, Integer.MAX_VALUE);
     }
 
-    private byte[] take(int to) {
+    private byte[] consume(int to) {
         byte[] piece = Arrays.copyOfRange(buffer, start, to);
         start = to;
         if (start == end) {
@@ -119,7 +119,7 @@
         end -= start;
         start = 0;
         if (end == buffer.length) {
-            buffer = Arrays.copyOf(buffer, Math.min(2 * buffer.length, MOST_WITH_END));
+            buffer = Arrays.copyOf(buffer, Math.min(2 * buffer.length, MAX_LINE_BYTES_WITH_END));
         }
     }
 }
--- a/relay/src/main/java/saltstage/wire/LoadReport.java
+++ b/relay/src/main/java/saltstage/wire/LoadReport.java
@@ -4,33 +4,33 @@
 
 /** What a backend answers to STATS: {@code PONG x0=0.61,queue=2}. */
 public final class LoadReport {
-    private static final String ANSWER = "PONG ";
+    private static final String RESPONSE_PREFIX = "PONG ";
 
-    private final String report;
+    private final String fields;
 
     private LoadReport(String report) {
-        this.report = report;
+        this.fields = report;
     }
 
     /**
      * Takes a piece that must be a whole answer; null where it is ERR or PONG alone: nothing is
      * told.
      */
-    public static LoadReport of(byte[] piece) throws MalformedException {
+    public static LoadReport parse(byte[] piece) throws MalformedException {
         String line = new String(piece, StandardCharsets.ISO_8859_1);
         if (line.equals("ERR\r\n") || line.startsWith("ERR ") || line.equals("PONG\r\n")) {
             return null;
         }
-        if (!line.startsWith(ANSWER) || !line.endsWith("\r\n")) {
+        if (!line.startsWith(RESPONSE_PREFIX) || !line.endsWith("\r\n")) {
             String begin = line.substring(0, Math.min(40, line.length())).trim();
             throw new MalformedException("no load report: " + begin);
         }
-        return new LoadReport(line.substring(ANSWER.length(), line.length() - 2));
+        return new LoadReport(line.substring(RESPONSE_PREFIX.length(), line.length() - 2));
     }
 
     /** A field that must be there, a finite number that is not negative. */
     public double field(String name) throws MalformedException {
-        for (String pair : report.split(",")) {
+        for (String pair : fields.split(",")) {
             if (pair.startsWith(name + "=")) {
                 try {
                     double value = Double.parseDouble(pair.substring(name.length() + 1));
--- a/relay/src/main/java/saltstage/wire/OpenLine.java
+++ b/relay/src/main/java/saltstage/wire/OpenRequest.java
@@ -8,34 +8,34 @@
 import java.util.regex.Pattern;
 
 /** A client's first line: {@code OPEN ID KEY c=chat,t=acme,d=2000,...}. */
-public final class OpenLine {
-    private static final Pattern WORD = Pattern.compile("[A-Za-z0-9_.:-]{1,64}");
+public final class OpenRequest {
+    private static final Pattern TOKEN = Pattern.compile("[A-Za-z0-9_.:-]{1,64}");
     private static final Pattern VALUE = Pattern.compile("[!-~&&[^,=]]{0,128}");
 
     /** Figures in plain form; what Java reads as a number beside (NaN, 0x1p3, 9f) is none here. */
-    private static final Pattern FIGURE = Pattern.compile("\\d{1,12}(\\.\\d{1,12})?");
+    private static final Pattern NUMBER = Pattern.compile("\\d{1,12}(\\.\\d{1,12})?");
 
-    private static final int MOST_FIELDS = 64;
+    private static final int MAX_FIELDS = 64;
 
     /** A load that no machine carries would spoil what the module has learnt of loads. */
-    private static final long MOST_LOAD = 1_000_000_000;
+    private static final long MAX_LOAD_HINT = 1_000_000_000;
 
     private final String id;
     private final String key;
     private final Map<String, String> fields;
 
-    private OpenLine(String id, String key, Map<String, String> fields) {
+    private OpenRequest(String id, String key, Map<String, String> fields) {
         this.id = id;
         this.key = key;
         this.fields = fields;
     }
 
     /** Takes the text of a piece that must be a whole line, ended by CRLF. */
-    public static String text(byte[] piece) throws MalformedException {
+    public static String decodeLine(byte[] piece) throws MalformedException {
         int n = piece.length;
         if (n < 2 || piece[n - 1] != '\n') {
             throw new MalformedException(
-                    n > LineReader.MOST ? "line too long" : "line without an end");
+                    n > LineReader.MAX_LINE_BYTES ? "line too long" : "line without an end");
         }
         if (piece[n - 2] != '\r') {
             throw new MalformedException("line not ended by CRLF");
@@ -44,7 +44,7 @@
     }
 
     /** Parses the line without its end. */
-    public static OpenLine parse(String line) throws MalformedException {
+    public static OpenRequest parse(String line) throws MalformedException {
         String[] parts = line.split(" ", -1);
         if (!parts[0].equals("OPEN")) {
             throw new MalformedException("not an OPEN line");
@@ -52,30 +52,30 @@
         if (parts.length != 4) {
             throw new MalformedException("OPEN takes an id, a key and a list of values");
         }
-        if (!WORD.matcher(parts[1]).matches() || !WORD.matcher(parts[2]).matches()) {
+        if (!TOKEN.matcher(parts[1]).matches() || !TOKEN.matcher(parts[2]).matches()) {
             throw new MalformedException("bad id or key");
         }
         Map<String, String> fields = new LinkedHashMap<>();
         for (String field : parts[3].split(",", -1)) {
             int equals = field.indexOf('=');
             if (equals < 1
-                    || !WORD.matcher(field.substring(0, equals)).matches()
+                    || !TOKEN.matcher(field.substring(0, equals)).matches()
                     || !VALUE.matcher(field.substring(equals + 1)).matches()) {
                 throw new MalformedException("bad field");
             }
             if (fields.put(field.substring(0, equals), field.substring(equals + 1)) != null) {
                 throw new MalformedException("field given twice");
             }
-            if (fields.size() > MOST_FIELDS) {
+            if (fields.size() > MAX_FIELDS) {
                 throw new MalformedException("too many fields");
             }
         }
-        OpenLine open = new OpenLine(parts[1], parts[2], fields);
+        OpenRequest open = new OpenRequest(parts[1], parts[2], fields);
         if (!fields.containsKey("d") && !fields.containsKey("at")) {
             throw new MalformedException("field d is missing");
         }
-        open.number("d", 0);
-        if (open.number("h", 0) > MOST_LOAD) {
+        open.numericField("d", 0);
+        if (open.numericField("h", 0) > MAX_LOAD_HINT) {
             throw new MalformedException("field h is out of range");
         }
         return open;
@@ -97,29 +97,29 @@
     }
 
     /** Whether a mark such as {@code again=1} is set. */
-    public boolean marked(String name) {
+    public boolean hasFlag(String name) {
         return "1".equals(fields.get(name));
     }
 
     /** A field that holds a number, rounded down. */
-    public long number(String name, long absent) throws MalformedException {
+    public long numericField(String name, long absent) throws MalformedException {
         String value = fields.get(name);
         if (value == null) {
             return absent;
         }
-        if (!FIGURE.matcher(value).matches()) {
+        if (!NUMBER.matcher(value).matches()) {
             throw new MalformedException("field " + name + " is not a number, or out of range");
         }
         return (long) Double.parseDouble(value);
     }
 
     /** How long the client waits for UP: at most as long as its class does, whatever it says. */
-    public Duration patience(Duration most) throws MalformedException {
-        return Duration.ofMillis(Math.min(most.toMillis(), number("d", most.toMillis())));
+    public Duration clientTimeout(Duration most) throws MalformedException {
+        return Duration.ofMillis(Math.min(most.toMillis(), numericField("d", most.toMillis())));
     }
 
     /** The line as it goes on to a backend: unchanged but for d. */
-    public String withPatience(Duration left) {
+    public String withClientTimeout(Duration left) {
         StringJoiner list = new StringJoiner(",", "OPEN " + id + " " + key + " ", "");
         fields.forEach(
                 (name, value) ->
--- a/relay/src/test/java/saltstage/amqp/FrontFuzzTest.java
+++ b/relay/src/test/java/saltstage/amqp/FrontFuzzTest.java
@@ -19,7 +19,7 @@
 import saltstage.memory.BackendRegistry;
 import saltstage.memory.Timers;
 import saltstage.net.Connection;
-import saltstage.net.Handler;
+import saltstage.net.ConnectionHandler;
 import saltstage.net.Loop;
 import saltstage.net.Transport;
 import saltstage.stage.RelayPipeline;
@@ -47,17 +47,17 @@
         private final Deque<Runnable> tasks = new ArrayDeque<>();
 
         @Override
-        public boolean isCurrent() {
+        public boolean isCurrentThread() {
             return true;
         }
 
         @Override
-        public void run(Runnable task) {
+        public void execute(Runnable task) {
             tasks.add(task);
         }
 
         @Override
-        public Timer after(Duration delay, Runnable task) {
+        public Timer schedule(Duration delay, Runnable task) {
             return () -> true; // time stands still
         }
 
@@ -85,7 +85,7 @@
         }
 
         @Override
-        public InetSocketAddress remote() {
+        public InetSocketAddress remoteAddress() {
             return new InetSocketAddress("127.0.0.1", 9);
         }
 
@@ -95,16 +95,16 @@
         }
 
         @Override
-        public long unsent() {
+        public long unsentBytes() {
             return 0;
         }
 
         @Override
-        public void reading(boolean wanted) {
+        public void setReading(boolean wanted) {
         }
 
         @Override
-        public void endOutput() {
+        public void shutdownOutput() {
             ended = true;
         }
 
@@ -124,14 +124,14 @@
         private final HandLoop loop = new HandLoop();
 
         @Override
-        public Listener listen(InetSocketAddress at, int backlog, Connection.Bounds bounds,
+        public Listener listen(InetSocketAddress at, int backlog, Connection.WriteLimits bounds,
                 Acceptor acceptor) {
             throw new IllegalStateException("not here");
         }
 
         @Override
-        public void connect(Loop on, InetSocketAddress to, Duration limit, Connection.Bounds bounds,
-                Connecting connecting) {
+        public void connect(Loop on, InetSocketAddress to, Duration limit, Connection.WriteLimits bounds,
+                ConnectListener connecting) {
             return; // it never comes up: links wait for their place until their client is gone
         }
 
@@ -150,18 +150,18 @@
 
     private AmqpFront front() {
         try {
-            Configuration config = Configuration.of(("{'listen':'127.0.0.1:1','discovery':'127.0.0.1:1',"
+            Configuration config = Configuration.parse(("{'listen':'127.0.0.1:1','discovery':'127.0.0.1:1',"
                 + "'seed':'1','limits':{'sockets':256},'known':{'rev':1,'all':true,'targets':[{'uid':'s',"
                 + "'endpoint':'127.0.0.1:2','state':'ready'}]},'settings':{'Services':[{'Name':"
                 + "'status-report','Aim':500000,'GiveUp':2000000,'Effect':'retryable'}]}}")
                 .replace('\'', '"'));
             MonotonicClock clock = new MonotonicClock();
             BackendRegistry peers = new BackendRegistry();
-            peers.update(config.known());
+            peers.update(config.knownBackends());
             RelayPipeline chain = new RelayPipeline(config, clock, new Timers(clock), peers,
-                new saltstage.metrics.RequestCounters(config.classes()), () -> { });
-            chain.router().start(config.known());
-            return new AmqpFront(OperatorSettings.of("f", "amqp {\n listen = \"127.0.0.1:1\"\n"
+                new saltstage.metrics.RequestCounters(config.serviceClassNames()), () -> { });
+            chain.router().start(config.knownBackends());
+            return new AmqpFront(OperatorSettings.parse("f", "amqp {\n listen = \"127.0.0.1:1\"\n"
                 + " anonymous_tenant = \"any\"\n}\n").amqp().orElseThrow(), config, chain, clock, transport);
         } catch (MalformedException e) {
             throw new IllegalStateException(e);
@@ -182,7 +182,7 @@
 
     private long play(byte[] talk, int piece) {
         NoConnection connection = new NoConnection(transport.loop);
-        Handler handler = front.accept(connection);
+        ConnectionHandler handler = front.accept(connection);
         for (int i = 0; i < talk.length && !connection.ended; i += piece) {
             handler.received(connection, ByteBuffer.wrap(talk, i, Math.min(piece, talk.length - i)));
             transport.loop.turn();
--- a/relay/src/test/java/saltstage/amqp/PartsTest.java
+++ b/relay/src/test/java/saltstage/amqp/PartsTest.java
@@ -68,12 +68,12 @@
     }
 
     private static Mapping mapping(String more) throws MalformedException {
-        Configuration config = Configuration.of(("{'listen':'127.0.0.1:1','discovery':'127.0.0.1:1',"
+        Configuration config = Configuration.parse(("{'listen':'127.0.0.1:1','discovery':'127.0.0.1:1',"
             + "'seed':'1','limits':{'sockets':256},'known':{'rev':0,'all':true,'targets':[]},'settings':{"
             + "'Realms':[{'Name':'one'},{'Name':'two'}],'Services':["
             + "{'Name':'a','Aim':500000,'GiveUp':2000000,'Effect':'retryable'},"
             + "{'Name':'b','Aim':800000,'GiveUp':3200000,'Effect':'fragile'}]}}").replace('\'', '"'));
-        return new Mapping(config, OperatorSettings.of("f", "amqp {\n listen = \"127.0.0.1:1\"\n"
+        return new Mapping(config, OperatorSettings.parse("f", "amqp {\n listen = \"127.0.0.1:1\"\n"
             + " anonymous_tenant = \"two\"\n" + more + "}\n").amqp().orElseThrow());
     }
 
--- a/relay/src/test/java/saltstage/config/OperatorSettingsTest.java
+++ b/relay/src/test/java/saltstage/config/OperatorSettingsTest.java
@@ -16,9 +16,9 @@
 /** The operator's file: what it says holds, and nothing in it is passed over. */
 class OperatorSettingsTest {
     @Test
-    void takesWhatIsNamedAndLeavesTheRest() throws MalformedException {
+    void readsGivenSettingsAndDefaultsTheRest() throws MalformedException {
         OperatorSettings read =
-                OperatorSettings.of(
+                OperatorSettings.parse(
                         "f.hcl",
                         "# note\n"
                                 + "log {\n"
@@ -31,28 +31,28 @@
                                 + "}\n");
         assertEquals(LogSetup.Format.JSON, read.logging().format());
         assertEquals(OperatorSettings.Level.INFO, read.logging().level());
-        OperatorSettings.Keeping keeping = read.keeping().orElseThrow();
+        OperatorSettings.PersistenceSettings keeping = read.persistence().orElseThrow();
         assertEquals(Path.of("/d \" e"), keeping.dir());
         assertEquals(64 << 10, keeping.segmentBytes());
-        assertEquals(Duration.ofDays(1), keeping.learntFor());
-        assertEquals(50, keeping.configurations());
-        assertTrue(OperatorSettings.of("f.hcl", "").keeping().isEmpty());
+        assertEquals(Duration.ofDays(1), keeping.maxLearnedStateAge());
+        assertEquals(50, keeping.maxConfigurations());
+        assertTrue(OperatorSettings.parse("f.hcl", "").persistence().isEmpty());
     }
 
     @Test
-    void takesWhereConfigurationComesFrom() throws MalformedException {
-        assertTrue(OperatorSettings.none().following().isEmpty());
-        OperatorSettings.Following read =
-                OperatorSettings.of(
+    void readsConfigurationSources() throws MalformedException {
+        assertTrue(OperatorSettings.defaults().follower().isEmpty());
+        OperatorSettings.FollowerSettings read =
+                OperatorSettings.parse(
                                 "f.hcl",
                                 "configuration {\n"
                                         + "  sources = [\"127.0.0.1:7300\", \"127.0.0.2:7300\"]\n"
                                         + "  dir = \"/d\"\n"
                                         + "}\n")
-                        .following()
+                        .follower()
                         .orElseThrow();
         assertEquals(
-                new OperatorSettings.Following(
+                new OperatorSettings.FollowerSettings(
                         java.util.List.of("127.0.0.1:7300", "127.0.0.2:7300"),
                         "",
                         "",
@@ -112,16 +112,16 @@
                 "log {^ level = ^}                    | f.hcl:2: 'level' has no plain value",
                 "log {^ level = \"info^}              | f.hcl:2: not HCL"
             })
-    void refusesWithFileLineAndName(String text, String complaint) {
+    void reportsFileLineAndName(String text, String complaint) {
         MalformedException refused =
                 assertThrows(
                         MalformedException.class,
-                        () -> OperatorSettings.of("f.hcl", text.replace('^', '\n')));
+                        () -> OperatorSettings.parse("f.hcl", text.replace('^', '\n')));
         assertEquals(complaint, refused.getMessage());
     }
 
     @Test
-    void spansAndSizesHaveBounds() {
+    void durationsAndSizesHaveBounds() {
         for (String bad :
                 new String[] {
                     "every = \"1ms\"",
@@ -135,7 +135,7 @@
                     assertThrows(
                             MalformedException.class,
                             () ->
-                                    OperatorSettings.of(
+                                    OperatorSettings.parse(
                                             "f", "store {\n dir = \"d\"\n " + bad + "\n}\n"));
             assertTrue(
                     refused.getMessage()
@@ -145,31 +145,31 @@
     }
 
     @Test
-    void theExampleIsSound() throws Exception {
+    void exampleFileIsValid() throws Exception {
         Path example = Path.of("..", "deploy", "saltstage.hcl");
-        assertTrue(OperatorSettings.read(example).keeping().isEmpty());
+        assertTrue(OperatorSettings.read(example).persistence().isEmpty());
         String uncommented =
                 Files.readString(example)
                         .replaceAll("(?m)^# (?=store|amqp|configuration \\{|  |\\})", "");
         assertEquals(
                 "/var/lib/saltstage",
-                OperatorSettings.of("example", uncommented)
-                        .keeping()
+                OperatorSettings.parse("example", uncommented)
+                        .persistence()
                         .orElseThrow()
                         .dir()
                         .toString());
         assertEquals(
                 5672,
-                OperatorSettings.of("example", uncommented)
+                OperatorSettings.parse("example", uncommented)
                         .amqp()
                         .orElseThrow()
-                        .listen()
+                        .listenAddress()
                         .getPort());
-        assertTrue(OperatorSettings.read(example).following().isEmpty());
+        assertTrue(OperatorSettings.read(example).follower().isEmpty());
         assertEquals(
                 2,
-                OperatorSettings.of("example", uncommented)
-                        .following()
+                OperatorSettings.parse("example", uncommented)
+                        .follower()
                         .orElseThrow()
                         .sources()
                         .size());
--- a/relay/src/test/java/saltstage/keep/RelayStateStoreTest.java
+++ b/relay/src/test/java/saltstage/keep/RelayStateStoreTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.api.Test;
 import saltstage.Api.LearnedState;
 import saltstage.Api.LearnedBackend;
-import saltstage.config.OperatorSettings.Keeping;
+import saltstage.config.OperatorSettings.PersistenceSettings;
 import saltstage.store.FaultDisk;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /** What is handed over is kept, whatever the disk does meanwhile, or its loss is told. */
 class RelayStateStoreTest {
     private static final Instant NOON = Instant.parse("2026-12-01T12:00:00Z");
-    private static final Keeping SETTINGS =
-            new Keeping(
+    private static final PersistenceSettings SETTINGS =
+            new PersistenceSettings(
                     Path.of("none"),
                     4096,
                     Duration.ofMinutes(10),
@@ -49,19 +49,19 @@
                 Map.of(9L, 0.75));
     }
 
-    private static HostList list(long rev, String... uids) {
-        return new HostList(
+    private static BackendList list(long rev, String... uids) {
+        return new BackendList(
                 rev,
                 true,
                 List.of(uids).stream()
                         .map(
                                 uid ->
-                                        new HostList.Entry(
+                                        new BackendList.Entry(
                                                 uid,
                                                 new InetSocketAddress("127.0.0.1", 9),
                                                 "a",
                                                 3,
-                                                HostList.State.READY,
+                                                BackendList.State.READY,
                                                 1.5,
                                                 NOON))
                         .toList());
@@ -74,7 +74,7 @@
         }
     }
 
-    private void persist(HostList list, LearnedState learnt) {
+    private void persist(BackendList list, LearnedState learnt) {
         RelayStateStore keeper = open(NOON);
         keeper.saveList(list);
         keeper.start(() -> learnt);
@@ -86,7 +86,7 @@
     void theListIsRestoredUnchanged() {
         persist(list(5, "s1", "s2", "s3"), learnedState(1));
         persist(list(8, "s2", "s4"), learnedState(1));
-        HostList back = open(NOON).persistedList().orElseThrow();
+        BackendList back = open(NOON).persistedList().orElseThrow();
         assertEquals(list(8, "s2", "s4"), back);
     }
 
@@ -101,7 +101,7 @@
         assertEquals(3_000_000, back.backends().get(0).remainingEjection());
         later.start(() -> back);
         later.close(Duration.ofSeconds(30));
-        RelayStateStore tooLate = open(NOON.plusSeconds(2).plus(SETTINGS.learntFor()).plusMillis(1));
+        RelayStateStore tooLate = open(NOON.plusSeconds(2).plus(SETTINGS.maxLearnedStateAge()).plusMillis(1));
         assertTrue(tooLate.persistedLearnedState().isEmpty());
         tooLate.start(() -> new LearnedState(0, 0, 0, 0, 0, 0, List.of(), Map.of()));
         tooLate.close(Duration.ofSeconds(30));
--- a/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.LongFunction;
 import saltstage.lifecycle.DiscoveryCalls.Effect;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /** The rules in force with one fault put in, which {@link DiscoveryCallsExplorer} has to find. */
 record BrokenDiscoveryRules(DiscoveryRules correct, Fault fault) implements DiscoveryRules {
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public Outcome listArrived(long id, HostList list, long heldRevision) {
+    public Outcome listArrived(long id, BackendList list, long heldRevision) {
         long held = fault == Fault.OLD_LISTS_ARE_DELIVERED ? Long.MIN_VALUE : heldRevision;
         Outcome outcome = correct.listArrived(id, list, held);
         if (fault == Fault.ENDED_CALLS_ARE_NOT_IGNORED && outcome.effects().isEmpty()) {
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import saltstage.lifecycle.DiscoveryCalls.Effect;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /**
  * Explores what discovery, the machine and the operator can do to the bookkeeping of calls: every
@@ -165,7 +165,7 @@
 
     private static DiscoveryRules.Outcome listArrives(SimulatedState world, SimulatedCall call, long revision) {
         return world.rules.listArrived(
-                call.id, new HostList(revision, true, List.of()), world.heldRevision);
+                call.id, new BackendList(revision, true, List.of()), world.heldRevision);
     }
 
     private static DiscoveryRules.Outcome checkIgnoredIfEnded(
@@ -213,7 +213,7 @@
             return world.withCall(new SimulatedCall(call.id, true, call.timerPending, true, call.answered));
         }
         if (effect instanceof Effect.DeliverList deliver) {
-            long revision = deliver.list().rev();
+            long revision = deliver.list().revision();
             if (revision < world.heldRevision) {
                 throw new Violation("the list goes back to " + revision, node);
             }
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryDelayTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryDelayTest.java
@@ -69,7 +69,7 @@
     @Test
     void watchThatFallsSilentIsReplacedThoughTheFirstCallHangs() {
         Duration until =
-                DiscoveryClient.SILENCE
+                DiscoveryClient.SILENCE_TIMEOUT
                         .plus(longestPause(1))
                         .plus(DiscoverySubscription.ANSWER_TIMEOUT)
                         .plus(longestPause(2));
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryRules.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.LongFunction;
 import saltstage.lifecycle.DiscoveryCalls.Effect;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /**
  * What {@link DiscoveryCallsExplorer} explores: the rules in force, or broken ones that it has to
@@ -19,7 +19,7 @@
 
     Outcome startFailed(long id);
 
-    Outcome listArrived(long id, HostList list, long heldRevision);
+    Outcome listArrived(long id, BackendList list, long heldRevision);
 
     Outcome answerTimedOut(long id);
 
@@ -56,7 +56,7 @@
         }
 
         @Override
-        public Outcome listArrived(long id, HostList list, long heldRevision) {
+        public Outcome listArrived(long id, BackendList list, long heldRevision) {
             return outcome(calls.listArrived(id, list, heldRevision));
         }
 
--- a/relay/src/test/java/saltstage/lifecycle/DiscoverySubscriptionTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoverySubscriptionTest.java
@@ -28,7 +28,7 @@
 import saltstage.memory.MonotonicClock;
 import saltstage.memory.Timers;
 import saltstage.stage.Threads;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /**
  * Calls to discovery that cross: the test answers each when it is its turn, so every order is
@@ -86,9 +86,9 @@
                 });
     }
 
-    private void listReceived(HostList list) {
-        heldRevision.set(list.rev());
-        delivered.add(list.rev());
+    private void listReceived(BackendList list) {
+        heldRevision.set(list.revision());
+        delivered.add(list.revision());
     }
 
     /** A call as the service sees it. */
--- a/relay/src/test/java/saltstage/lifecycle/FormerDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/FormerDiscoveryRules.java
@@ -6,7 +6,7 @@
 import java.util.TreeSet;
 import java.util.function.LongFunction;
 import saltstage.lifecycle.DiscoveryCalls.Effect;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /**
  * The bookkeeping as it was before the fault was mended: a reference to the newest call beside the
@@ -81,13 +81,13 @@
     }
 
     @Override
-    public Outcome listArrived(long id, HostList list, long heldRevision) {
+    public Outcome listArrived(long id, BackendList list, long heldRevision) {
         FormerDiscoveryRules next = copy();
         List<Effect> effects = new ArrayList<>();
         if (calls.contains(id)) {
             next.watch = id;
             calls.stream().filter(other -> other != id).forEach(other -> next.end(other, effects));
-            boolean old = list.rev() < heldRevision;
+            boolean old = list.revision() < heldRevision;
             effects.add(old ? new Effect.DropOldList(list) : new Effect.DeliverList(list));
         }
         return new Outcome(next, effects, false);
--- a/relay/src/test/java/saltstage/lifecycle/PairedDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/PairedDiscoveryRules.java
@@ -4,7 +4,7 @@
 
 import java.util.function.Function;
 import java.util.function.LongFunction;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /** Two sets of rules that must lead to the same effects at every event. */
 record PairedDiscoveryRules(DiscoveryRules first, DiscoveryRules second) implements DiscoveryRules {
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public Outcome listArrived(long id, HostList list, long heldRevision) {
+    public Outcome listArrived(long id, BackendList list, long heldRevision) {
         return applyToBoth(rules -> rules.listArrived(id, list, heldRevision));
     }
 
--- a/relay/src/test/java/saltstage/memory/BackendRegistryTest.java
+++ b/relay/src/test/java/saltstage/memory/BackendRegistryTest.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import org.junit.Test;
 import saltstage.memory.RequestContext.Phase;
-import saltstage.wire.HostList;
-import saltstage.wire.HostList.State;
+import saltstage.wire.BackendList;
+import saltstage.wire.BackendList.State;
 
 /**
  * Guards what a try looks at when it is really sent: may this very process still be given new work?
@@ -21,12 +21,12 @@
 public class BackendRegistryTest {
     private final BackendRegistry backends = new BackendRegistry();
 
-    private List<Backend> update(boolean all, HostList.Entry... entries) {
-        return backends.update(new HostList(1, all, List.of(entries)));
+    private List<Backend> update(boolean all, BackendList.Entry... entries) {
+        return backends.update(new BackendList(1, all, List.of(entries)));
     }
 
-    private static HostList.Entry entry(String uid, State state, long started) {
-        return new HostList.Entry(
+    private static BackendList.Entry entry(String uid, State state, long started) {
+        return new BackendList.Entry(
                 uid,
                 new InetSocketAddress("127.0.0.1", 1),
                 "a",
--- a/relay/src/test/java/saltstage/net/NettyTransportTest.java
+++ b/relay/src/test/java/saltstage/net/NettyTransportTest.java
@@ -28,18 +28,18 @@
  * loops.
  */
 class NettyTransportTest {
-    private static final InetSocketAddress ANY =
+    private static final InetSocketAddress ANY_PORT =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    private static final Connection.Bounds BOUNDS = new Connection.Bounds(16 << 10, 256 << 10);
+    private static final Connection.WriteLimits WRITE_LIMITS = new Connection.WriteLimits(16 << 10, 256 << 10);
 
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private final BlockingQueue<Connection> connections = new LinkedBlockingQueue<>();
     private NettyTransport transport;
 
-    private NettyTransport transport(boolean epoll) {
+    private NettyTransport startTransport(boolean epoll) {
         transport =
                 new NettyTransport(
-                        1, epoll, (where, fault) -> told.add("fault " + fault.getMessage()));
+                        1, epoll, (where, fault) -> events.add("fault " + fault.getMessage()));
         return transport;
     }
 
@@ -48,34 +48,34 @@
         transport.close();
     }
 
-    private class Telling implements Handler {
+    private class RecordingHandler implements ConnectionHandler {
         @Override
         public void received(Connection on, ByteBuffer bytes) {
-            told.add("received " + StandardCharsets.US_ASCII.decode(bytes));
+            events.add("received " + StandardCharsets.US_ASCII.decode(bytes));
         }
 
         @Override
         public void inputEnded(Connection on) {
-            told.add("inputEnded");
+            events.add("inputEnded");
         }
 
         @Override
-        public void writable(Connection on, boolean now) {
-            told.add("writable " + now);
+        public void writabilityChanged(Connection on, boolean now) {
+            events.add("writable " + now);
         }
 
         @Override
         public void closed(Connection on, Connection.Cause why) {
-            told.add("closed " + why);
+            events.add("closed " + why);
         }
     }
 
-    private Socket client(Handler handler) throws Exception {
+    private Socket connectClient(ConnectionHandler handler) throws Exception {
         Transport.Listener listener =
                 transport.listen(
-                        ANY,
+                        ANY_PORT,
                         16,
-                        BOUNDS,
+                        WRITE_LIMITS,
                         connection -> {
                             connections.add(connection);
                             return handler;
@@ -87,173 +87,173 @@
         return socket;
     }
 
-    private String next() throws InterruptedException {
-        return told.poll(30, TimeUnit.SECONDS);
+    private String nextEvent() throws InterruptedException {
+        return events.poll(30, TimeUnit.SECONDS);
     }
 
-    private Connection accepted() throws InterruptedException {
+    private Connection nextAccepted() throws InterruptedException {
         return connections.poll(30, TimeUnit.SECONDS);
     }
 
-    private static ByteBuffer text(String text) {
+    private static ByteBuffer ascii(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void carriesBytesAndHalfClosesBothWays(boolean epoll) throws Exception {
-        transport(epoll);
-        try (Socket socket = client(new Telling())) {
-            Connection connection = accepted();
+        startTransport(epoll);
+        try (Socket socket = connectClient(new RecordingHandler())) {
+            Connection connection = nextAccepted();
             socket.getOutputStream().write("ask".getBytes(StandardCharsets.US_ASCII));
-            assertEquals("received ask", next());
+            assertEquals("received ask", nextEvent());
             socket.shutdownOutput();
-            assertEquals("inputEnded", next());
+            assertEquals("inputEnded", nextEvent());
             connection
                     .loop()
-                    .run(
+                    .execute(
                             () -> {
-                                connection.write(text("answer after the end"));
-                                connection.endOutput();
-                                connection.write(text("never sent"));
+                                connection.write(ascii("answer after the end"));
+                                connection.shutdownOutput();
+                                connection.write(ascii("never sent"));
                             });
             assertEquals(
                     "answer after the end",
                     new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII));
-            assertEquals("closed ENDED", next());
+            assertEquals("closed ENDED", nextEvent());
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aPeerThatTakesNothingIsToldAndBounded(boolean epoll) throws Exception {
-        transport(epoll);
-        try (Socket socket = client(new Telling())) {
-            Connection connection = accepted();
+    void unsentBytesAreBoundedWhenRemoteDoesNotRead(boolean epoll) throws Exception {
+        startTransport(epoll);
+        try (Socket socket = connectClient(new RecordingHandler())) {
+            Connection connection = nextAccepted();
             CompletableFuture<Long> most = new CompletableFuture<>();
             connection
                     .loop()
-                    .run(
+                    .execute(
                             () -> {
                                 long highest = 0;
                                 for (int i = 0; i < 100_000; i++) {
                                     connection.write(ByteBuffer.allocate(1_024));
-                                    highest = Math.max(highest, connection.unsent());
+                                    highest = Math.max(highest, connection.unsentBytes());
                                 }
                                 most.complete(highest);
                             });
-            assertEquals("writable false", next());
-            assertTrue(most.get(30, TimeUnit.SECONDS) <= BOUNDS.most(), "unsent " + most.get());
-            assertEquals("closed OVERFLOW", next());
+            assertEquals("writable false", nextEvent());
+            assertTrue(most.get(30, TimeUnit.SECONDS) <= WRITE_LIMITS.maxBytes(), "unsent " + most.get());
+            assertEquals("closed OVERFLOW", nextEvent());
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void itIsWritableAgainWhenThePeerHasTakenHalf(boolean epoll) throws Exception {
-        transport(epoll);
-        try (Socket socket = client(new Telling())) {
-            Connection connection = accepted();
+    void becomesWritableAgainAfterRemoteReadsHalf(boolean epoll) throws Exception {
+        startTransport(epoll);
+        try (Socket socket = connectClient(new RecordingHandler())) {
+            Connection connection = nextAccepted();
             CompletableFuture<Integer> written = new CompletableFuture<>();
             connection
                     .loop()
-                    .run(
+                    .execute(
                             () -> {
                                 int bytes = 0;
-                                for (; connection.unsent() <= BOUNDS.soft(); bytes += 1_024) {
+                                for (; connection.unsentBytes() <= WRITE_LIMITS.softBytes(); bytes += 1_024) {
                                     connection.write(ByteBuffer.allocate(1_024));
                                 }
                                 written.complete(bytes);
                             });
-            assertEquals("writable false", next());
+            assertEquals("writable false", nextEvent());
             socket.getInputStream().readNBytes(written.get(30, TimeUnit.SECONDS));
-            assertEquals("writable true", next());
+            assertEquals("writable true", nextEvent());
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whatIsNotReadWaitsAtTheSender(boolean epoll) throws Exception {
-        transport(epoll);
-        try (Socket socket = client(new Telling())) {
-            Connection connection = accepted();
+    void deliversNothingWhileReadingIsOff(boolean epoll) throws Exception {
+        startTransport(epoll);
+        try (Socket socket = connectClient(new RecordingHandler())) {
+            Connection connection = nextAccepted();
             CompletableFuture<Void> paused = new CompletableFuture<>();
             connection
                     .loop()
-                    .run(
+                    .execute(
                             () -> {
-                                connection.reading(false);
+                                connection.setReading(false);
                                 paused.complete(null);
                             });
             paused.get(30, TimeUnit.SECONDS);
             socket.getOutputStream().write('x');
-            assertEquals(null, told.poll(200, TimeUnit.MILLISECONDS));
-            connection.loop().run(() -> connection.reading(true));
-            assertEquals("received x", next());
+            assertEquals(null, events.poll(200, TimeUnit.MILLISECONDS));
+            connection.loop().execute(() -> connection.setReading(true));
+            assertEquals("received x", nextEvent());
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aResetIsToldAsOneAndOnce(boolean epoll) throws Exception {
-        transport(epoll);
-        Socket socket = client(new Telling());
-        assertNotNull(accepted());
+    void reportsResetExactlyOnce(boolean epoll) throws Exception {
+        startTransport(epoll);
+        Socket socket = connectClient(new RecordingHandler());
+        assertNotNull(nextAccepted());
         socket.setSoLinger(true, 0);
         socket.close();
-        assertEquals("closed RESET", next());
-        assertEquals(null, told.poll(100, TimeUnit.MILLISECONDS));
+        assertEquals("closed RESET", nextEvent());
+        assertEquals(null, events.poll(100, TimeUnit.MILLISECONDS));
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aHandlerThatThrowsCostsItsConnectionAndNoOther(boolean epoll) throws Exception {
-        transport(epoll);
+    void throwingHandlerClosesOnlyItsOwnConnection(boolean epoll) throws Exception {
+        startTransport(epoll);
         Socket bad =
-                client(
-                        new Telling() {
+                connectClient(
+                        new RecordingHandler() {
                             @Override
                             public void received(Connection on, ByteBuffer bytes) {
                                 throw new IllegalStateException("broken handler");
                             }
                         });
-        try (Socket good = client(new Telling())) {
+        try (Socket good = connectClient(new RecordingHandler())) {
             bad.getOutputStream().write('x');
-            assertEquals("fault broken handler", next());
-            assertEquals("closed FAULT", next());
+            assertEquals("fault broken handler", nextEvent());
+            assertEquals("closed FAULT", nextEvent());
             good.getOutputStream().write('y');
-            assertEquals("received y", next());
+            assertEquals("received y", nextEvent());
         } finally {
             bad.close();
         }
     }
 
-    private Transport.Connecting telling() {
-        return new Transport.Connecting() {
+    private Transport.ConnectListener recordingConnectListener() {
+        return new Transport.ConnectListener() {
             @Override
-            public Handler connected(Connection connection) {
-                told.add("connected");
-                connection.write(text("hello"));
-                return new Telling();
+            public ConnectionHandler connected(Connection connection) {
+                events.add("connected");
+                connection.write(ascii("hello"));
+                return new RecordingHandler();
             }
 
             @Override
             public void failed(IOException why) {
-                told.add("failed");
+                events.add("failed");
             }
         };
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void connectsOrSaysThatItCouldNot(boolean epoll) throws Exception {
-        transport(epoll);
+    void reportsConnectSuccessAndFailure(boolean epoll) throws Exception {
+        startTransport(epoll);
         Loop loop = transport.loops().get(0);
         InetSocketAddress address;
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             address = (InetSocketAddress) server.getLocalSocketAddress();
-            transport.connect(loop, address, Duration.ofSeconds(5), BOUNDS, telling());
-            assertEquals("connected", next());
+            transport.connect(loop, address, Duration.ofSeconds(5), WRITE_LIMITS, recordingConnectListener());
+            assertEquals("connected", nextEvent());
             try (Socket accepted = server.accept()) {
                 assertEquals(
                         "hello",
@@ -261,37 +261,37 @@
                                 accepted.getInputStream().readNBytes(5),
                                 StandardCharsets.US_ASCII));
             }
-            assertEquals("inputEnded", next());
+            assertEquals("inputEnded", nextEvent());
         }
-        transport.connect(loop, address, Duration.ofSeconds(5), BOUNDS, telling());
-        assertEquals("failed", next());
+        transport.connect(loop, address, Duration.ofSeconds(5), WRITE_LIMITS, recordingConnectListener());
+        assertEquals("failed", nextEvent());
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void timersComeInOrderOnTheLoopAndCanBeCancelled(boolean epoll) throws Exception {
-        transport(epoll);
+    void timersFireInOrderOnTheLoopAndCanBeCancelled(boolean epoll) throws Exception {
+        startTransport(epoll);
         Loop loop = transport.loops().get(0);
         List<Loop.Timer> timers = new ArrayList<>();
-        loop.run(
+        loop.execute(
                 () -> {
-                    loop.after(Duration.ofMillis(60), () -> told.add("late " + loop.isCurrent()));
-                    loop.after(Duration.ofMillis(10), () -> told.add("soon " + loop.isCurrent()));
-                    timers.add(loop.after(Duration.ofMillis(30), () -> told.add("never")));
+                    loop.schedule(Duration.ofMillis(60), () -> events.add("late " + loop.isCurrentThread()));
+                    loop.schedule(Duration.ofMillis(10), () -> events.add("soon " + loop.isCurrentThread()));
+                    timers.add(loop.schedule(Duration.ofMillis(30), () -> events.add("never")));
                     assertTrue(timers.get(0).cancel());
                     assertFalse(timers.get(0).cancel());
-                    told.add("now");
+                    events.add("now");
                 });
-        assertEquals("now", next());
-        assertEquals("soon true", next());
-        assertEquals("late true", next());
+        assertEquals("now", nextEvent());
+        assertEquals("soon true", nextEvent());
+        assertEquals("late true", nextEvent());
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whoIsNotAcceptedIsReset(boolean epoll) throws Exception {
-        transport(epoll);
-        Transport.Listener listener = transport.listen(ANY, 16, BOUNDS, connection -> null);
+    void unacceptedConnectionIsReset(boolean epoll) throws Exception {
+        startTransport(epoll);
+        Transport.Listener listener = transport.listen(ANY_PORT, 16, WRITE_LIMITS, connection -> null);
         try (Socket socket = new Socket()) {
             socket.connect(listener.address());
             socket.setSoTimeout(30_000);
@@ -299,10 +299,10 @@
             try {
                 read = socket.getInputStream().read();
             } catch (IOException reset) {
-                told.add("reset");
+                events.add("reset");
             }
             assertEquals(-1, read);
-            assertEquals("reset", next());
+            assertEquals("reset", nextEvent());
         }
     }
 }
--- a/relay/src/test/java/saltstage/process/RaceConditionTest.java
+++ b/relay/src/test/java/saltstage/process/RaceConditionTest.java
@@ -46,7 +46,7 @@
 import saltstage.process.RelayTestEnvironment.TestServer;
 import saltstage.stage.RelayPipeline;
 import saltstage.stage.Threads;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 import saltstage.wire.Json;
 import saltstage.wire.LineConnection;
 
@@ -157,7 +157,7 @@
     private void startPipeline(String effect, String... endpoints) throws Exception {
         backends = new BackendRegistry(suspended::contains);
         Configuration config =
-                Configuration.of(
+                Configuration.parse(
                         RelayTestEnvironment.config(1, "127.0.0.1:1", 4096, RelayTestEnvironment.backendList(1, true))
                                 .replace("retryable", effect)
                                 .replace(":200000", ":20000000")); // connections may take as long
@@ -167,7 +167,7 @@
                         clock,
                         timers,
                         backends,
-                        new RequestCounters(config.classes()),
+                        new RequestCounters(config.serviceClassNames()),
                         () -> {},
                         channel -> haltingSocket(channel.socket().getPort()).wrap(channel));
         Threads.startLoop("timers", () -> timers.awaitNext().run());
@@ -177,7 +177,7 @@
         clientListener.configureBlocking(false);
         accepting = false;
         pipeline.lineFrontend().start();
-        pipeline.router().start(config.known());
+        pipeline.router().start(config.knownBackends());
         for (int i = 0; i < endpoints.length; i++) {
             backendListReceived(i + 2, RelayTestEnvironment.backendEntry("s-" + (i + 1), endpoints[i], "ready"));
         }
@@ -185,7 +185,7 @@
 
     /** Discovery tells a change. */
     private void backendListReceived(int rev, String target) throws Exception {
-        HostList told = HostList.of(Json.object(RelayTestEnvironment.backendList(rev, false, target)));
+        BackendList told = BackendList.parse(Json.parseObject(RelayTestEnvironment.backendList(rev, false, target)));
         pipeline.backendListReceived(backends.update(told), told);
     }
 
@@ -346,7 +346,7 @@
                                     assertThrows(
                                             IOException.class,
                                             () -> {
-                                                LineConnection.open(
+                                                LineConnection.connect(
                                                         socket,
                                                         (InetSocketAddress)
                                                                 late.listener
@@ -414,7 +414,7 @@
         BackendRegistry peers = new BackendRegistry();
         try {
             peers.update(
-                    Configuration.of(
+                    Configuration.parse(
                                     RelayTestEnvironment.config(
                                             1,
                                             "127.0.0.1:1",
@@ -424,7 +424,7 @@
                                                     true,
                                                     RelayTestEnvironment.backendEntry(
                                                             "s-1", backend.endpoint(), "ready"))))
-                            .known());
+                            .knownBackends());
         } catch (saltstage.wire.MalformedException bad) {
             throw new IllegalStateException(bad);
         }
--- a/relay/src/test/java/saltstage/stage/BackendProberTest.java
+++ b/relay/src/test/java/saltstage/stage/BackendProberTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import saltstage.memory.BackendRegistry;
-import saltstage.wire.HostList;
+import saltstage.wire.BackendList;
 
 /**
  * The thread of probes: the test decides whether the machine has one, and runs what it would do.
@@ -46,16 +46,16 @@
             closed = (InetSocketAddress) socket.getLocalSocketAddress();
         }
         backends.update(
-                new HostList(
+                new BackendList(
                         1,
                         true,
                         List.of(
-                                new HostList.Entry(
+                                new BackendList.Entry(
                                         UID,
                                         closed,
                                         "zone",
                                         0,
-                                        HostList.State.READY,
+                                        BackendList.State.READY,
                                         1,
                                         Instant.EPOCH))));
     }
--- a/relay/src/test/java/saltstage/wire/DiscoveryClientTest.java
+++ b/relay/src/test/java/saltstage/wire/DiscoveryClientTest.java
@@ -25,41 +25,41 @@
  */
 @Timeout(60)
 class DiscoveryClientTest {
-    private static final Duration SILENCE = Duration.ofMillis(300);
+    private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(300);
 
     /** Far more than silence may take here, and far less than for ever. */
-    private static final Duration SOON = Duration.ofSeconds(20);
+    private static final Duration MAX_WATCH_DURATION = Duration.ofSeconds(20);
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final String EMPTY = "{\"rev\":7,\"all\":true,\"targets\":[]}";
+    private static final String EMPTY_LIST = "{\"rev\":7,\"all\":true,\"targets\":[]}";
 
-    private ServerSocket listener;
+    private ServerSocket serverSocket;
     private DiscoveryClient client;
-    private final List<HostList> heard = new ArrayList<>();
+    private final List<BackendList> receivedLists = new ArrayList<>();
 
     /** What the service does with a call. */
-    private interface Script {
-        void play(Socket call) throws IOException, InterruptedException;
+    private interface CallHandler {
+        void handle(Socket call) throws IOException, InterruptedException;
     }
 
     @BeforeEach
     void listen() throws IOException {
-        listener = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
-        client = new DiscoveryClient((InetSocketAddress) listener.getLocalSocketAddress(), SILENCE);
+        serverSocket = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
+        client = new DiscoveryClient((InetSocketAddress) serverSocket.getLocalSocketAddress(), SILENCE_TIMEOUT);
     }
 
     @AfterEach
     void close() throws IOException {
-        listener.close();
+        serverSocket.close();
     }
 
-    private void serve(Script script) {
+    private void serve(CallHandler script) {
         Thread service =
                 new Thread(
                         () -> {
-                            while (!listener.isClosed()) {
-                                try (Socket call = listener.accept()) {
-                                    script.play(call);
+                            while (!serverSocket.isClosed()) {
+                                try (Socket call = serverSocket.accept()) {
+                                    script.handle(call);
                                 } catch (IOException
                                         | InterruptedException hungUp) { // the next call comes
                                     continue;
@@ -70,20 +70,20 @@
         service.start();
     }
 
-    private static void say(Socket call, String text) throws IOException {
+    private static void send(Socket call, String text) throws IOException {
         call.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static void chunk(Socket call, String text) throws IOException {
-        say(call, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+    private static void sendChunk(Socket call, String text) throws IOException {
+        send(call, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
     /** The watch ends by what it must, soon; returns how long that took. */
-    private Duration ends(Class<? extends Exception> by) {
+    private Duration assertWatchEndsWith(Class<? extends Exception> by) {
         long start = System.nanoTime();
-        assertThrows(by, () -> client.watch(0, heard::add));
+        assertThrows(by, () -> client.watch(0, receivedLists::add));
         Duration took = Duration.ofNanos(System.nanoTime() - start);
-        assertTrue(took.compareTo(SOON) < 0, "took " + took);
+        assertTrue(took.compareTo(MAX_WATCH_DURATION) < 0, "took " + took);
         return took;
     }
 
@@ -91,109 +91,109 @@
     void firstCallWaitsForAServiceThatAnswersLate() {
         serve(
                 call -> {
-                    Thread.sleep(2 * SILENCE.toMillis());
-                    say(call, HEAD);
-                    chunk(call, EMPTY + "\n");
-                    Thread.sleep(2 * SILENCE.toMillis());
+                    Thread.sleep(2 * SILENCE_TIMEOUT.toMillis());
+                    send(call, HEAD);
+                    sendChunk(call, EMPTY_LIST + "\n");
+                    Thread.sleep(2 * SILENCE_TIMEOUT.toMillis());
                 });
-        ends(SocketTimeoutException.class);
-        assertEquals(7, heard.get(0).rev());
+        assertWatchEndsWith(SocketTimeoutException.class);
+        assertEquals(7, receivedLists.get(0).revision());
     }
 
     @Test
-    void serviceThatNeverAnswersIsLeft() {
+    void watchEndsWhenServiceNeverAnswers() {
         serve(call -> call.getInputStream().transferTo(java.io.OutputStream.nullOutputStream()));
-        assertTrue(ends(SocketTimeoutException.class).compareTo(SILENCE) > 0);
-        assertTrue(heard.isEmpty());
+        assertTrue(assertWatchEndsWith(SocketTimeoutException.class).compareTo(SILENCE_TIMEOUT) > 0);
+        assertTrue(receivedLists.isEmpty());
     }
 
     @Test
-    void watchThatTricklesBytesButTellsNothingIsLeft() {
+    void watchEndsWhenOnlyPartOfAnObjectTricklesIn() {
         serve(
                 call -> {
-                    say(call, HEAD);
-                    chunk(call, EMPTY + "\n");
+                    send(call, HEAD);
+                    sendChunk(call, EMPTY_LIST + "\n");
                     for (int i = 0;
                             !call.isClosed();
                             i++) { // half an object, for ever; lines within it are no sign
-                        chunk(call, i == 0 ? "{" : i % 3 == 0 ? "\n" : " ");
+                        sendChunk(call, i == 0 ? "{" : i % 3 == 0 ? "\n" : " ");
                         Thread.sleep(20);
                     }
                 });
-        ends(SocketTimeoutException.class);
-        assertEquals(1, heard.size());
+        assertWatchEndsWith(SocketTimeoutException.class);
+        assertEquals(1, receivedLists.size());
     }
 
     @Test
-    void headThatTricklesIsLeft() {
+    void watchEndsWhenResponseHeadTricklesIn() {
         serve(
                 call -> {
-                    say(call, "HTTP/1.1 200 OK\r\n");
+                    send(call, "HTTP/1.1 200 OK\r\n");
                     while (!call.isClosed()) {
-                        say(call, "X: y\r\n");
+                        send(call, "X: y\r\n");
                         Thread.sleep(40);
                     }
                 });
-        ends(SocketTimeoutException.class);
+        assertWatchEndsWith(SocketTimeoutException.class);
     }
 
     @Test
-    void emptyLinesKeepAWatchThatHasNothingToTell() {
+    void emptyLinesKeepIdleWatchOpen() {
         serve(
                 call -> {
-                    say(call, HEAD);
+                    send(call, HEAD);
                     for (int i = 0; i < 20; i++) {
-                        chunk(call, "\n");
+                        sendChunk(call, "\n");
                         Thread.sleep(50);
                     }
-                    chunk(call, EMPTY + "\n");
-                    say(call, "0\r\n\r\n");
+                    sendChunk(call, EMPTY_LIST + "\n");
+                    send(call, "0\r\n\r\n");
                     call.close();
                 });
-        assertTrue(ends(IOException.class).compareTo(SILENCE) > 0);
-        assertEquals(1, heard.size(), "a second of empty lines is no silence");
+        assertTrue(assertWatchEndsWith(IOException.class).compareTo(SILENCE_TIMEOUT) > 0);
+        assertEquals(1, receivedLists.size(), "a second of empty lines is no silence");
     }
 
     @Test
-    void indentedListsAndSeveralOnALineAreHeard() {
+    void acceptsIndentedListsAndSeveralOnOneLine() {
         serve(
                 call -> {
-                    say(call, HEAD);
-                    chunk(
+                    send(call, HEAD);
+                    sendChunk(
                             call,
                             "  {\n  \"rev\": 3,\r\n\t\"all\": true,\n  \"targets\": [\n  ]\n}\n\n");
-                    chunk(call, "{\"rev\":4,\"all\":false,\"targets\":[]}" + EMPTY + "\n");
+                    sendChunk(call, "{\"rev\":4,\"all\":false,\"targets\":[]}" + EMPTY_LIST + "\n");
                     call.close();
                 });
-        ends(IOException.class);
-        assertEquals(List.of(3L, 4L, 7L), heard.stream().map(HostList::rev).toList());
+        assertWatchEndsWith(IOException.class);
+        assertEquals(List.of(3L, 4L, 7L), receivedLists.stream().map(BackendList::revision).toList());
     }
 
     @Test
     void bracesAndQuotesInTextsDoNotEndAnObject() throws MalformedException {
-        ObjectSplitter splitter = new ObjectSplitter(100);
+        JsonObjectSplitter splitter = new JsonObjectSplitter(100);
         List<String> found = new ArrayList<>();
         String text = "{\"a}\":\"\\\"}{\\\\\",\"b\":{}}";
         for (char c : (text + " \n" + text).toCharArray()) {
-            String object = splitter.take(c);
+            String object = splitter.accept(c);
             if (object != null) {
                 found.add(object);
             }
         }
         assertEquals(List.of(text, text), found);
-        assertTrue(splitter.between());
-        assertThrows(MalformedException.class, () -> splitter.take('x'));
+        assertTrue(splitter.isBetweenObjects());
+        assertThrows(MalformedException.class, () -> splitter.accept('x'));
         assertThrows(
                 MalformedException.class,
                 () -> {
                     for (int i = 0; i < 102; i++) {
-                        splitter.take(i == 0 ? '{' : ' ');
+                        splitter.accept(i == 0 ? '{' : ' ');
                     }
                 });
     }
 
     @Test
-    void whatIsNoWatchEndsTheCallAtOnce() {
+    void invalidResponseEndsWatchAtOnce() {
         for (String answer :
                 new String[] {
                     "HTTP/1.1 503 Service Unavailable\r\n\r\n",
@@ -205,18 +205,18 @@
                     ""
                 }) {
             serveOnce(answer);
-            assertThrows(Exception.class, () -> client.watch(0, heard::add), answer);
+            assertThrows(Exception.class, () -> client.watch(0, receivedLists::add), answer);
         }
-        assertTrue(heard.isEmpty());
+        assertTrue(receivedLists.isEmpty());
     }
 
     private void serveOnce(String answer) {
         Thread service =
                 new Thread(
                         () -> {
-                            try (Socket call = listener.accept()) {
+                            try (Socket call = serverSocket.accept()) {
                                 call.setSoLinger(true, 1);
-                                say(call, answer);
+                                send(call, answer);
                             } catch (IOException closed) {
                                 return;
                             }
