--- a/coordinator/src/main/java/saltstage/coordinator/advice/AdviceLog.java
+++ b/coordinator/src/main/java/saltstage/coordinator/advice/AdviceLog.java
@@ -110,13 +110,16 @@
                 boolean same = said.moves().stream().anyMatch(m -> isSameMove(m, row.move()));
                 rows.put(
                         row.id(),
-                        row.withState(same ? State.OFFERED : State.REFUSED, now, "later advice", 0));
+                        row.withState(
+                                same ? State.OFFERED : State.REFUSED, now, "later advice", 0));
             }
         }
         for (Move move : said.moves()) {
             if (rows.values().stream()
                     .noneMatch(r -> r.state() == State.OFFERED && isSameMove(r.move(), move))) {
-                rows.put(++lastId, new Recommendation(lastId, move, said.fence(), State.OFFERED, now, "", 0));
+                rows.put(
+                        ++lastId,
+                        new Recommendation(lastId, move, said.fence(), State.OFFERED, now, "", 0));
             }
         }
         why = said.why();
@@ -160,7 +163,8 @@
         }
         rows.put(
                 row.id(),
-                row.withState(said.stopped() ? State.STOPPED : State.DONE, now, said.by(), said.gain()));
+                row.withState(
+                        said.stopped() ? State.STOPPED : State.DONE, now, said.by(), said.gain()));
         return new Acknowledgement("noted");
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/advice/Advisor.java
+++ b/coordinator/src/main/java/saltstage/coordinator/advice/Advisor.java
@@ -180,7 +180,8 @@
                                         !n.usedAsTarget
                                                 && !held.contains("node " + n.snapshot.node())
                                                 && n.expectedDelayMs() >= above
-                                                && n.expectedDelayMs() - waits[0] > rules.minWaitGapInSetups() * setup)
+                                                && n.expectedDelayMs() - waits[0]
+                                                        > rules.minWaitGapInSetups() * setup)
                         .sorted(Comparator.comparingDouble(n -> -n.expectedDelayMs()))
                         .limit(MAX_CANDIDATE_NODES)
                         .toList();
@@ -217,7 +218,11 @@
     }
 
     private Move evaluateMove(
-            NodeLoad from, NodeLoad to, Map.Entry<String, long[]> tenant, int budget, double setup) {
+            NodeLoad from,
+            NodeLoad to,
+            Map.Entry<String, long[]> tenant,
+            int budget,
+            double setup) {
         long load = tenant.getValue()[0];
         int connections = (int) tenant.getValue()[1];
         long even =
@@ -239,7 +244,10 @@
         int groups = (int) Math.ceil((double) tenant.getValue()[2] * moved / connections);
         boolean new1 = !to.tenants.containsKey(tenant.getKey());
         long added =
-                movedLoad + (new1 ? GROUP_LOAD * groups : 0); // a group that is split is paid for twice
+                movedLoad
+                        + (new1
+                                ? GROUP_LOAD * groups
+                                : 0); // a group that is split is paid for twice
         if (to.load + added > MAX_TARGET_UTILIZATION * to.snapshot.capacity()) {
             return null;
         }
--- a/coordinator/src/main/java/saltstage/coordinator/advice/NodeSnapshots.java
+++ b/coordinator/src/main/java/saltstage/coordinator/advice/NodeSnapshots.java
@@ -45,7 +45,8 @@
     public List<View> views(long nowMs) {
         nodes.values().removeIf(kept -> nowMs - kept.receivedAtMs() > MAX_AGE_MS);
         List<View> views = new ArrayList<>();
-        nodes.values().forEach(kept -> views.add(new View(kept.snapshot(), nowMs - kept.receivedAtMs())));
+        nodes.values()
+                .forEach(kept -> views.add(new View(kept.snapshot(), nowMs - kept.receivedAtMs())));
         return views;
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/api/HttpListener.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/HttpListener.java
@@ -114,7 +114,10 @@
             byte[] body;
             boolean raw = answer.body() instanceof byte[];
             try {
-                body = raw ? (byte[]) answer.body() : GroupCodec.jsonMapper().writeValueAsBytes(answer.body());
+                body =
+                        raw
+                                ? (byte[]) answer.body()
+                                : GroupCodec.jsonMapper().writeValueAsBytes(answer.body());
             } catch (JsonProcessingException impossible) {
                 Log.error("front.fault", impossible);
                 on.close();
--- a/coordinator/src/main/java/saltstage/coordinator/api/WindowRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/WindowRoutes.java
@@ -34,7 +34,8 @@
     }
 
     private static WindowList windows(GroupState state) {
-        return new WindowList(state.windows().plan(), state.windows().all(), state.time().wallClockTime());
+        return new WindowList(
+                state.windows().plan(), state.windows().all(), state.time().wallClockTime());
     }
 
     private CompletableFuture<ApiResponse> levels(ApiRequest request) {
--- a/coordinator/src/main/java/saltstage/coordinator/command/Group.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/Group.java
@@ -99,7 +99,8 @@
     /** Posts a call with one field to the API, in JSON. */
     JsonNode post(String path, String field, String value)
             throws IOException, InterruptedException, MalformedException {
-        return client().post(path, GroupCodec.jsonMapper().createObjectNode().put(field, value), within);
+        return client().post(
+                        path, GroupCodec.jsonMapper().createObjectNode().put(field, value), within);
     }
 
     Duration within() {
--- a/coordinator/src/main/java/saltstage/coordinator/group/GroupCodec.java
+++ b/coordinator/src/main/java/saltstage/coordinator/group/GroupCodec.java
@@ -22,8 +22,8 @@
 import saltstage.coordinator.configuration.ConfigurationReplies;
 import saltstage.coordinator.lease.LeaseCommands;
 import saltstage.coordinator.lease.LeaseReplies;
-import saltstage.coordinator.model.Command;
 import saltstage.coordinator.model.Acknowledgement;
+import saltstage.coordinator.model.Command;
 import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.window.WindowCommands;
@@ -124,7 +124,8 @@
     }
 
     /** A record that a client sends: every field is there, none is unknown, and nothing is null. */
-    public static <T> T decodeStrictly(JsonNode from, Class<T> type) throws JsonProcessingException {
+    public static <T> T decodeStrictly(JsonNode from, Class<T> type)
+            throws JsonProcessingException {
         return STRICT_JSON.treeToValue(from, type);
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/group/GroupState.java
+++ b/coordinator/src/main/java/saltstage/coordinator/group/GroupState.java
@@ -11,8 +11,8 @@
 import saltstage.coordinator.configuration.ConfigurationRegistry;
 import saltstage.coordinator.lease.LeaseCommands;
 import saltstage.coordinator.lease.Leases;
-import saltstage.coordinator.model.Command;
 import saltstage.coordinator.model.Acknowledgement;
+import saltstage.coordinator.model.Command;
 import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.window.WindowCommands;
@@ -162,7 +162,9 @@
         if (command instanceof ConfigurationCommands.ChangeConfiguration ask) {
             return configuration.change(ask, time.wallClockTime());
         }
-        return command.minFeatureLevel() == WindowCommands.MIN_FEATURE_LEVEL ? executeWindowCommand(command) : executeGroupCommand(command);
+        return command.minFeatureLevel() == WindowCommands.MIN_FEATURE_LEVEL
+                ? executeWindowCommand(command)
+                : executeGroupCommand(command);
     }
 
     private Reply executeWindowCommand(Command command) {
--- a/coordinator/src/main/java/saltstage/coordinator/group/GroupTime.java
+++ b/coordinator/src/main/java/saltstage/coordinator/group/GroupTime.java
@@ -71,7 +71,11 @@
     /** The time of day, milliseconds since 1970; 0 until a clock was heard. */
     public long wallClockTime() {
         if (!wallClockOffsets.isEmpty()) {
-            long[] sorted = wallClockOffsets.values().stream().mapToLong(Long::longValue).sorted().toArray();
+            long[] sorted =
+                    wallClockOffsets.values().stream()
+                            .mapToLong(Long::longValue)
+                            .sorted()
+                            .toArray();
             wallClockTime = Math.max(wallClockTime, now + sorted[(sorted.length - 1) / 2]);
         }
         return wallClockTime;
--- a/coordinator/src/main/java/saltstage/coordinator/lease/Leases.java
+++ b/coordinator/src/main/java/saltstage/coordinator/lease/Leases.java
@@ -200,14 +200,16 @@
             boolean kept = before != null && before.priority() == request.priority();
             long order = kept ? before.order() : ++lastOrder;
             lease.addWaiter(
-                    new Waiter(request.owner(), request.priority(), order, now + WAITER_TIMEOUT_MS));
+                    new Waiter(
+                            request.owner(), request.priority(), order, now + WAITER_TIMEOUT_MS));
         }
     }
 
     private Reply grant(Acquire request, LeaseEntry lease, long now, long fence) {
         if (!lease.isHeld() && leases.size() > MAX_LEASES) {
             scheduleOrRemove(lease);
-            return new Rejection("too-many", "the group holds " + MAX_LEASES + " leases already", 0);
+            return new Rejection(
+                    "too-many", "the group holds " + MAX_LEASES + " leases already", 0);
         }
         lease.grant(request, fence, now, ++lastRevision);
         scheduleOrRemove(lease);
--- a/coordinator/src/main/java/saltstage/coordinator/replica/LeaderTasks.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/LeaderTasks.java
@@ -55,7 +55,8 @@
     /** Proposes what is due; called each {@link #CHECK_PERIOD} while this replica leads. */
     void run(GroupState state) {
         long now = System.nanoTime();
-        boolean timed = state.leases().nextDeadline() != Long.MAX_VALUE || state.windows().hasOpenWindows();
+        boolean timed =
+                state.leases().nextDeadline() != Long.MAX_VALUE || state.windows().hasOpenWindows();
         long period = (timed ? CHECK_PERIOD : IDLE_TICK_PERIOD).toNanos();
         if (now - lastTickNanos >= period - CHECK_PERIOD.toNanos() / 2) {
             lastTickNanos = now;
--- a/coordinator/src/main/java/saltstage/coordinator/replica/LogStore.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/LogStore.java
@@ -218,7 +218,8 @@
         try (Snapshot now = store.snapshot()) {
             Snapshot.Scan scan = now.scan(key(LOG, from), after(LOG));
             while (scan.next()) {
-                RaftCodec.Entry entry = GroupCodec.cborMapper().readValue(scan.value(), RaftCodec.Entry.class);
+                RaftCodec.Entry entry =
+                        GroupCodec.cborMapper().readValue(scan.value(), RaftCodec.Entry.class);
                 if (entry.index() != from + entries.size()) {
                     throw new IOException("log: entry " + (from + entries.size()) + " is missing");
                 }
@@ -235,7 +236,8 @@
         try (Snapshot now = store.snapshot()) {
             Snapshot.Scan scan = now.scan(SNAPSHOT, after(SNAPSHOT));
             while (scan.next()) {
-                RaftCodec.Chunk chunk = GroupCodec.cborMapper().readValue(scan.value(), RaftCodec.Chunk.class);
+                RaftCodec.Chunk chunk =
+                        GroupCodec.cborMapper().readValue(scan.value(), RaftCodec.Chunk.class);
                 if (!parts.isEmpty() && parts.get(0).getIndex() != chunk.index()) {
                     parts.clear();
                 }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
@@ -37,7 +37,8 @@
      */
     private static final long MOST_UNSENT = 24 << 20;
 
-    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(1 << 20, 64 << 20);
+    private static final Connection.WriteLimits BOUNDS =
+            new Connection.WriteLimits(1 << 20, 64 << 20);
 
     private static final byte HELLO = 1;
     private static final byte RAFT = 2;
--- a/coordinator/src/main/java/saltstage/coordinator/settings/AgentSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/AgentSettings.java
@@ -60,7 +60,8 @@
             String text = block.requiredString(attribute);
             try {
                 if (block.labels().size() != 1
-                        || places.put(block.labels().get(0), BackendList.parseAddress(text)) != null) {
+                        || places.put(block.labels().get(0), BackendList.parseAddress(text))
+                                != null) {
                     throw block.blockError("takes one label, a name of its own");
                 }
             } catch (MalformedException bad) {
--- a/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
@@ -43,7 +43,13 @@
         speed = block.integer("speed", 7, 1, 10);
         snapshotEvery = (int) block.integer("snapshot_every", 10_000, 100, 1_000_000);
         mostPending = (int) block.integer("most_pending", 4_096, 16, 100_000);
-        speaks = (int) block.integer("speaks", GroupState.SUPPORTED_FEATURE_LEVEL, 1, GroupState.SUPPORTED_FEATURE_LEVEL);
+        speaks =
+                (int)
+                        block.integer(
+                                "speaks",
+                                GroupState.SUPPORTED_FEATURE_LEVEL,
+                                1,
+                                GroupState.SUPPORTED_FEATURE_LEVEL);
         for (HclBlock member : block.blocks("member")) {
             if (member.labels().size() != 1) {
                 throw member.blockError("takes one label, the replica's name");
--- a/coordinator/src/main/java/saltstage/coordinator/window/CapacityTable.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/CapacityTable.java
@@ -46,7 +46,8 @@
             floor.regions()
                     .forEach(
                             name ->
-                                    floorsByRegion.computeIfAbsent(name, any -> new ArrayList<>())
+                                    floorsByRegion
+                                            .computeIfAbsent(name, any -> new ArrayList<>())
                                             .add(floor));
         }
         for (FleetPlan.Region region : plan.regions()) {
@@ -65,7 +66,9 @@
 
     /** The most that must be there at any moment of a slot; hours may change within one. */
     private long maxNeed(FleetPlan.Floor floor, int slot) {
-        return Math.max(plan.requiredCapacity(floor, slotStart(slot)), plan.requiredCapacity(floor, slotStart(slot + 1) - 1));
+        return Math.max(
+                plan.requiredCapacity(floor, slotStart(slot)),
+                plan.requiredCapacity(floor, slotStart(slot + 1) - 1));
     }
 
     private long slotStart(int slot) {
--- a/coordinator/src/main/java/saltstage/coordinator/window/FleetPlan.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/FleetPlan.java
@@ -121,7 +121,9 @@
                                                         .anyMatch(d -> d > MAX_CAPACITY))) {
             return "a plan has up to 100 regions and 150 floors, none of them over " + MAX_CAPACITY;
         }
-        return Stream.concat(regions.stream().map(this::validationError), floors.stream().map(this::validationError))
+        return Stream.concat(
+                        regions.stream().map(this::validationError),
+                        floors.stream().map(this::validationError))
                 .filter(Objects::nonNull)
                 .findFirst()
                 .orElse(null);
--- a/coordinator/src/main/java/saltstage/coordinator/window/FloorLevels.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/FloorLevels.java
@@ -42,7 +42,8 @@
             }
         }
         long capacity = totalCapacity(floor) - missing;
-        return new Windows.FloorLevel(floor.name(), at, capacity, plan.requiredCapacity(floor, at), missing);
+        return new Windows.FloorLevel(
+                floor.name(), at, capacity, plan.requiredCapacity(floor, at), missing);
     }
 
     private long totalCapacity(FleetPlan.Floor floor) {
--- a/coordinator/src/main/java/saltstage/coordinator/window/Planner.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Planner.java
@@ -62,7 +62,8 @@
             if (found.begin() < 0) {
                 return window.withSchedule(0, Window.State.PUT_OFF, now, found.why());
             }
-            Window there = window.withSchedule(found.begin(), Window.State.PLANNED, now, found.why());
+            Window there =
+                    window.withSchedule(found.begin(), Window.State.PLANNED, now, found.why());
             Window with = findExclusiveOverlap(there, known);
             if (with == null) {
                 return there;
--- a/coordinator/src/main/java/saltstage/coordinator/window/Replanner.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Replanner.java
@@ -105,7 +105,8 @@
     private boolean canStay(Window window, CapacityTable table, Map<Long, Window> known, long now) {
         return window.state() == State.PLANNED
                 && !hasMissedStart(window, now)
-                && window.wish().after().stream().allMatch(id -> isOverBy(id, window.start(), known))
+                && window.wish().after().stream()
+                        .allMatch(id -> isOverBy(id, window.start(), known))
                 && table.conflict(window, Math.max(now, window.start()), now) == null;
     }
 
@@ -141,6 +142,8 @@
                 store.inState(s -> !s.isWaiting() && !s.isInProgress()).stream()
                         .sorted(Comparator.comparingLong(Window::since))
                         .toList();
-        over.stream().limit(Math.max(0, over.size() - MAX_FINISHED_WINDOWS)).forEach(w -> store.remove(w.id()));
+        over.stream()
+                .limit(Math.max(0, over.size() - MAX_FINISHED_WINDOWS))
+                .forEach(w -> store.remove(w.id()));
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowProposals.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowProposals.java
@@ -33,7 +33,9 @@
             return new Rejection("bad-wish", fault, 0);
         }
         List<Window> same =
-                openWindows().stream().filter(window -> window.wish().isEquivalentTo(request)).toList();
+                openWindows().stream()
+                        .filter(window -> window.wish().isEquivalentTo(request))
+                        .toList();
         if (!same.isEmpty()) {
             return new WindowReplies.Planned(same, true);
         }
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowStore.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowStore.java
@@ -29,7 +29,12 @@
 
     Windows.Image image() {
         return new Windows.Image(
-                plan, lastId, all(), new TreeMap<>(outages), new TreeSet<>(withdrawnDrains), advancedTo);
+                plan,
+                lastId,
+                all(),
+                new TreeMap<>(outages),
+                new TreeSet<>(withdrawnDrains),
+                advancedTo);
     }
 
     /** The agreed plan, or null. */
--- a/coordinator/src/main/java/saltstage/coordinator/window/Windows.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Windows.java
@@ -75,7 +75,9 @@
     /** Applies, once a slot, what time alone has changed. */
     public void advance(long now) {
         long before = store.advancedTo();
-        if (plan() == null || now / plan().slotMs() == before / plan().slotMs() || !hasOpenWindows()) {
+        if (plan() == null
+                || now / plan().slotMs() == before / plan().slotMs()
+                || !hasOpenWindows()) {
             return;
         }
         store.setAdvancedTo(now);
@@ -161,7 +163,8 @@
             return new Rejection("no-window", "no window " + id + " that waits", 0);
         }
         State state = on ? State.PAUSED : State.PUT_OFF;
-        store.put(window.withSchedule(0, state, now, (on ? "held back by " : "let go on by ") + by));
+        store.put(
+                window.withSchedule(0, state, now, (on ? "held back by " : "let go on by ") + by));
         replanner.reconcile(now);
         return new WindowReplies.Now(store.find(id));
     }
@@ -182,7 +185,8 @@
                 || plan().region(region) == null
                 || lost < 0
                 || lost > plan().region(region).capacity()) {
-            return new Rejection("bad-outage", "no region " + region + " that could miss so much", 0);
+            return new Rejection(
+                    "bad-outage", "no region " + region + " that could miss so much", 0);
         }
         Map<String, Long> outages = store.outages();
         Long before = lost == 0 ? outages.remove(region) : outages.put(region, lost);
--- a/coordinator/src/test/java/saltstage/coordinator/advice/AdvisorTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/advice/AdvisorTest.java
@@ -96,12 +96,18 @@
     @Test
     void recentMoveIsNotUndoneAndAnExhaustedBudgetStopsMoves() {
         RecentMove lately = new RecentMove("t-a", "b", "a", 10, -1_000, true);
-        assertEquals(List.of(), moves(oneOverloadedNode(0), Set.of(), List.of(lately)), "a has just got it");
+        assertEquals(
+                List.of(),
+                moves(oneOverloadedNode(0), Set.of(), List.of(lately)),
+                "a has just got it");
         RecentMove longAgo = new RecentMove("t-a", "b", "a", 10, -99_000, true);
         assertFalse(moves(oneOverloadedNode(0), Set.of(), List.of(longAgo)).isEmpty());
         assertEquals(
                 List.of(),
-                moves(oneOverloadedNode(0), Set.of(), List.of(new RecentMove("x", "y", "z", 200, 0, false))));
+                moves(
+                        oneOverloadedNode(0),
+                        Set.of(),
+                        List.of(new RecentMove("x", "y", "z", 200, 0, false))));
     }
 
     @Test
@@ -136,7 +142,8 @@
     void logAcceptsOnlyTheNewestAdvisorAndOneDecision() {
         AdviceLog book = new AdviceLog();
         Move move = moves(oneOverloadedNode(0), Set.of(), List.of()).get(0);
-        assertInstanceOf(Acknowledgement.class, book.advise(new Advise("o", 5, List.of(move), "why"), 0));
+        assertInstanceOf(
+                Acknowledgement.class, book.advise(new Advise("o", 5, List.of(move), "why"), 0));
         assertInstanceOf(Rejection.class, book.advise(new Advise("old", 4, List.of(), "late"), 1));
         assertInstanceOf(Acknowledgement.class, book.decide(new Decide(1, true, "ops"), 2));
         assertInstanceOf(Acknowledgement.class, book.decide(new Decide(1, true, "ops"), 3));
--- a/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
@@ -105,7 +105,8 @@
                 .thenApply(
                         answer ->
                                 new Response(
-                                        answer.status(), GroupCodec.jsonMapper().valueToTree(answer.body())));
+                                        answer.status(),
+                                        GroupCodec.jsonMapper().valueToTree(answer.body())));
     }
 
     private static Response get(String uri) throws Exception {
--- a/coordinator/src/test/java/saltstage/coordinator/client/ScriptedReplica.java
+++ b/coordinator/src/test/java/saltstage/coordinator/client/ScriptedReplica.java
@@ -28,7 +28,8 @@
     private static void answer(HttpExchange exchange, Function<JsonNode, Answer> answers)
             throws IOException {
         byte[] body = exchange.getRequestBody().readAllBytes();
-        Answer answer = answers.apply(body.length == 0 ? null : GroupCodec.jsonMapper().readTree(body));
+        Answer answer =
+                answers.apply(body.length == 0 ? null : GroupCodec.jsonMapper().readTree(body));
         byte[] bytes = GroupCodec.jsonMapper().writeValueAsBytes(answer.body());
         exchange.sendResponseHeaders(answer.status(), bytes.length);
         exchange.getResponseBody().write(bytes);
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationGroupTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationGroupTest.java
@@ -38,7 +38,9 @@
     private GroupState state = new GroupState();
 
     private Reply say(String client, long seq, Command command) throws IOException {
-        return state.apply(GroupCodec.decodeProposal(GroupCodec.encodeEntry(new Proposal(client, seq, "e", 0, command))));
+        return state.apply(
+                GroupCodec.decodeProposal(
+                        GroupCodec.encodeEntry(new Proposal(client, seq, "e", 0, command))));
     }
 
     private void level(int level) throws IOException {
@@ -67,12 +69,18 @@
     void groupBelowTheLevelRefusesAndItsSnapshotHasNoSuchField() throws IOException {
         level(3);
         assertEquals("not-yet", ((Rejection) say("c", 1, allKinds())).code());
-        JsonNode image = GroupCodec.cborMapper().readTree(GroupCodec.encodeSnapshot(state.image())).path("image");
+        JsonNode image =
+                GroupCodec.cborMapper()
+                        .readTree(GroupCodec.encodeSnapshot(state.image()))
+                        .path("image");
         assertFalse(image.has("configuration"), "replicas of level 3 take no field more");
         assertTrue(image.has("advice"));
         level(4);
         assertInstanceOf(Changed.class, say("c", 2, allKinds()));
-        JsonNode after = GroupCodec.cborMapper().readTree(GroupCodec.encodeSnapshot(state.image())).path("image");
+        JsonNode after =
+                GroupCodec.cborMapper()
+                        .readTree(GroupCodec.encodeSnapshot(state.image()))
+                        .path("image");
         assertEquals(1, after.path("configuration").path("revision").asLong());
     }
 
@@ -112,11 +120,15 @@
     void commandAndReadApiHaveTheSameFormOfMutations() throws Exception {
         ChangeConfiguration all = allKinds();
         JsonNode json = GroupCodec.jsonMapper().valueToTree(all);
-        JsonNode written = GroupCodec.jsonMapper().readTree(ConfigurationJson.text(all.mutations()));
+        JsonNode written =
+                GroupCodec.jsonMapper().readTree(ConfigurationJson.text(all.mutations()));
         assertEquals(written.path("mutations").toString(), json.path("mutations").toString());
         JsonNode named =
                 GroupCodec.jsonMapper()
-                        .readTree(GroupCodec.jsonMapper().writerFor(Command.class).writeValueAsString(all));
+                        .readTree(
+                                GroupCodec.jsonMapper()
+                                        .writerFor(Command.class)
+                                        .writeValueAsString(all));
         assertEquals("change-configuration", named.path("op").asText());
         assertEquals(all, GroupCodec.decodeCommand(named));
         Reply no = new Rejected(RejectionCode.IN_USE, "backend/gw-1", "deleted", "x");
--- a/coordinator/src/test/java/saltstage/coordinator/group/GroupStateTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/group/GroupStateTest.java
@@ -14,8 +14,8 @@
 import saltstage.coordinator.lease.LeaseCommands.Release;
 import saltstage.coordinator.lease.LeaseReplies.Granted;
 import saltstage.coordinator.lease.LeaseReplies.Held;
-import saltstage.coordinator.model.Command;
 import saltstage.coordinator.model.Acknowledgement;
+import saltstage.coordinator.model.Command;
 import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 
@@ -26,7 +26,8 @@
     private Reply apply(String client, long seq, String epoch, long stamp, Command command)
             throws IOException {
         return state.apply(
-                GroupCodec.decodeProposal(GroupCodec.encodeEntry(new Proposal(client, seq, epoch, stamp, command))));
+                GroupCodec.decodeProposal(
+                        GroupCodec.encodeEntry(new Proposal(client, seq, epoch, stamp, command))));
     }
 
     private static Acquire acquire(String owner) {
@@ -43,7 +44,8 @@
                 ((Acknowledgement) again).what(),
                 "carried out a second time it would find nothing");
         state = new GroupState(GroupCodec.decodeSnapshot(GroupCodec.encodeSnapshot(state.image())));
-        assertEquals(again, apply("c", 2, "e", 30, new Release("x", "a", ((Granted) first).fence())));
+        assertEquals(
+                again, apply("c", 2, "e", 30, new Release("x", "a", ((Granted) first).fence())));
         assertEquals("stale", ((Rejection) apply("c", 1, "e", 40, acquire("a"))).code());
     }
 
@@ -55,7 +57,8 @@
         apply("new", 1, "e", Sessions.IDLE_TIMEOUT_MS + 1, acquire("b"));
         assertEquals(
                 "session-lost",
-                ((Rejection) apply("old", 2, "e", Sessions.IDLE_TIMEOUT_MS + 2, acquire("a"))).code());
+                ((Rejection) apply("old", 2, "e", Sessions.IDLE_TIMEOUT_MS + 2, acquire("a")))
+                        .code());
     }
 
     @Test
@@ -64,7 +67,8 @@
         apply("b", 1, "second", 900_000, acquire("b"));
         assertEquals(0, state.time().now(), "what lies between two leaderships is not known");
         assertInstanceOf(Held.class, apply("b", 2, "second", 900_999, acquire("b")));
-        assertInstanceOf(Held.class, apply("b", 3, "second", 900_500, acquire("b")), "a late stamp");
+        assertInstanceOf(
+                Held.class, apply("b", 3, "second", 900_500, acquire("b")), "a late stamp");
         assertEquals(999, state.time().now());
         assertInstanceOf(Granted.class, apply("b", 4, "second", 901_000, acquire("b")));
     }
@@ -149,7 +153,9 @@
                 apply("c" + i % 7, 1 + i / 7, "e" + i / 20, i * 130L, acquire("o" + i % 3));
                 state =
                         copy == 1 && i % 9 == 0
-                                ? new GroupState(GroupCodec.decodeSnapshot(GroupCodec.encodeSnapshot(state.image())))
+                                ? new GroupState(
+                                        GroupCodec.decodeSnapshot(
+                                                GroupCodec.encodeSnapshot(state.image())))
                                 : state;
             }
             copies[copy] = GroupCodec.encodeSnapshot(state.image());
@@ -160,10 +166,14 @@
     @Test
     void entryOfUnknownFormatOrWithUnknownFieldIsRejected() {
         byte[] entry = GroupCodec.encodeEntry(new Proposal("c", 1, "e", 0, acquire("a")));
-        assertThrows(IOException.class, () -> GroupCodec.decodeProposal(GroupCodec.toCbor(Map.of("format", 2))));
+        assertThrows(
+                IOException.class,
+                () -> GroupCodec.decodeProposal(GroupCodec.toCbor(Map.of("format", 2))));
         assertThrows(
                 IOException.class,
                 () -> GroupCodec.decodeProposal(GroupCodec.toCbor(Map.of("format", 1, "more", 1))));
-        assertThrows(IOException.class, () -> GroupCodec.decodeProposal(java.util.Arrays.copyOf(entry, 20)));
+        assertThrows(
+                IOException.class,
+                () -> GroupCodec.decodeProposal(java.util.Arrays.copyOf(entry, 20)));
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/lease/LeasesTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/lease/LeasesTest.java
@@ -96,7 +96,8 @@
                     Rejection.class, leases.acquire(new Acquire(name, "a", 1_000, 0, false), 0));
         }
         for (long ttl : new long[] {0, -1, 499, 3_600_001, Long.MAX_VALUE}) {
-            assertInstanceOf(Rejection.class, leases.acquire(new Acquire("x", "a", ttl, 0, true), 0));
+            assertInstanceOf(
+                    Rejection.class, leases.acquire(new Acquire("x", "a", ttl, 0, true), 0));
         }
         assertEquals(0, leases.size());
     }
@@ -159,7 +160,10 @@
             if (actual.acquire(ask, now) instanceof Granted granted) {
                 boolean again = owner.equals(holder.get(name));
                 assertTrue(again || holder.get(name) == null, "granted to a second holder");
-                assertTrue(again ? granted.fence() == fencingTokens.get(name) : granted.fence() > lastFencingToken);
+                assertTrue(
+                        again
+                                ? granted.fence() == fencingTokens.get(name)
+                                : granted.fence() > lastFencingToken);
                 lastFencingToken = Math.max(lastFencingToken, granted.fence());
                 expiry.merge(name, now + ttl, again ? Math::max : (old, made) -> made);
                 holder.put(name, owner);
@@ -168,7 +172,8 @@
         }
 
         private void release(String name, String owner, long now) {
-            long fence = random.nextBoolean() ? fencingTokens.getOrDefault(name, 1L) : random.nextInt(5);
+            long fence =
+                    random.nextBoolean() ? fencingTokens.getOrDefault(name, 1L) : random.nextInt(5);
             actual.release(new Release(name, owner, fence), now);
             if (owner.equals(holder.get(name)) && fence == fencingTokens.get(name)) {
                 holder.remove(name);
--- a/coordinator/src/test/java/saltstage/coordinator/replica/PeerLinksTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/replica/PeerLinksTest.java
@@ -49,7 +49,10 @@
 
         @Override
         public Listener listen(
-                InetSocketAddress at, int backlog, Connection.WriteLimits bounds, Acceptor acceptor) {
+                InetSocketAddress at,
+                int backlog,
+                Connection.WriteLimits bounds,
+                Acceptor acceptor) {
             throw new UnsupportedOperationException();
         }
 
--- a/coordinator/src/test/java/saltstage/coordinator/window/WindowsTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/window/WindowsTest.java
@@ -91,19 +91,24 @@
     @Test
     void secondOfTwoThatWouldBreachTheFloorTogetherComesAfterTheFirst() {
         windows.setPlan(plan(900, 3, 0), MONDAY);
-        Window first = plannedWindow(windows.propose(request("a", 2, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
+        Window first =
+                plannedWindow(
+                        windows.propose(request("a", 2, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
         Window second =
-                plannedWindow(windows.propose(request("b", 2, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
+                plannedWindow(
+                        windows.propose(request("b", 2, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
         assertEquals(MONDAY, first.start());
         assertTrue(second.start() >= MONDAY + 40 * MINUTE, "until the first warms 200 are missing");
         assertTrue(
                 second.start() < MONDAY + HOUR, "while it warms there is room before its very end");
-        assertInstanceOf(Rejection.class, windows.begin(second.id(), MONDAY), "not before its time");
+        assertInstanceOf(
+                Rejection.class, windows.begin(second.id(), MONDAY), "not before its time");
         currentWindow(
                 windows.begin(
                         first.id(),
                         MONDAY)); // it is planned to be warming by then, and has proven nothing
-        Rejection gate = assertInstanceOf(Rejection.class, windows.begin(second.id(), second.start()));
+        Rejection gate =
+                assertInstanceOf(Rejection.class, windows.begin(second.id(), second.start()));
         assertEquals("not-now", gate.code(), gate.why());
     }
 
@@ -135,9 +140,12 @@
     @Test
     void capacityOfALostAgentStaysOutUntilItsReturnIsProven() {
         windows.setPlan(plan(900, 3, 0), MONDAY);
-        Window first = plannedWindow(windows.propose(request("a", 3, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
+        Window first =
+                plannedWindow(
+                        windows.propose(request("a", 3, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
         Window second =
-                plannedWindow(windows.propose(request("b", 1, MONDAY, MONDAY + 90 * HOUR, 0), MONDAY));
+                plannedWindow(
+                        windows.propose(request("b", 1, MONDAY, MONDAY + 90 * HOUR, 0), MONDAY));
         currentWindow(windows.begin(first.id(), MONDAY));
         long late = MONDAY + 5 * HOUR; // nothing was heard of it since
         windows.advance(late);
@@ -161,8 +169,12 @@
     @Test
     void outageAbortsLeastImportantDrainsFirstAndPostponesPlannedWindows() {
         windows.setPlan(plan(800, 3, 0), MONDAY);
-        Window low = plannedWindow(windows.propose(request("a", 2, MONDAY, MONDAY + 99 * HOUR, 1), MONDAY));
-        Window high = plannedWindow(windows.propose(request("b", 2, MONDAY, MONDAY + 99 * HOUR, 5), MONDAY));
+        Window low =
+                plannedWindow(
+                        windows.propose(request("a", 2, MONDAY, MONDAY + 99 * HOUR, 1), MONDAY));
+        Window high =
+                plannedWindow(
+                        windows.propose(request("b", 2, MONDAY, MONDAY + 99 * HOUR, 5), MONDAY));
         Window later =
                 plannedWindow(
                         windows.propose(
@@ -185,15 +197,22 @@
     @Test
     void withdrawnDrainCountsAsOutUntilItsReturnIsProven() {
         windows.setPlan(plan(1_000, 3, 0), MONDAY);
-        Window first = plannedWindow(windows.propose(request("a", 2, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
+        Window first =
+                plannedWindow(
+                        windows.propose(request("a", 2, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
         currentWindow(windows.begin(first.id(), MONDAY));
-        assertEquals(State.RETURNING, currentWindow(windows.withdraw(first.id(), "ops", MONDAY + 1)).state());
+        assertEquals(
+                State.RETURNING,
+                currentWindow(windows.withdraw(first.id(), "ops", MONDAY + 1)).state());
         WindowRequest other = request("b", 2, MONDAY, MONDAY + 9 * HOUR, 0);
         assertInstanceOf(
-                Rejection.class, windows.propose(other, MONDAY + 2), "nobody knows when it is back");
+                Rejection.class,
+                windows.propose(other, MONDAY + 2),
+                "nobody knows when it is back");
         currentWindow(windows.report(first.id(), Step.PROVEN, 200, MONDAY + 3));
         assertEquals(
-                State.WITHDRAWN, currentWindow(windows.report(first.id(), Step.DONE, 0, MONDAY + 4)).state());
+                State.WITHDRAWN,
+                currentWindow(windows.report(first.id(), Step.DONE, 0, MONDAY + 4)).state());
         plannedWindow(windows.propose(other, MONDAY + 5));
     }
 
@@ -213,7 +232,9 @@
     @Test
     void emergencyDisplacesPlannedWindowsButKeepsTheFloor() {
         windows.setPlan(plan(1_000, 3, 0), MONDAY);
-        Window usual = plannedWindow(windows.propose(request("a", 2, MONDAY, MONDAY + 9 * HOUR, 9), MONDAY));
+        Window usual =
+                plannedWindow(
+                        windows.propose(request("a", 2, MONDAY, MONDAY + 9 * HOUR, 9), MONDAY));
         WindowRequest wish = request("b", 2, MONDAY, MONDAY + 9 * HOUR, 0);
         Window first =
                 plannedWindow(
@@ -285,7 +306,8 @@
     void orderSpacingAndExclusionAreRespected() {
         windows.setPlan(plan(0, 1, 30 * MINUTE), MONDAY);
         Window first =
-                plannedWindow(windows.propose(request("a", 1, MONDAY, MONDAY + 99 * HOUR, 0), MONDAY));
+                plannedWindow(
+                        windows.propose(request("a", 1, MONDAY, MONDAY + 99 * HOUR, 0), MONDAY));
         WindowRequest second =
                 new WindowRequest(
                         "a",
@@ -306,7 +328,8 @@
         assertTrue(
                 after.start() >= first.plannedEnd() + 30 * MINUTE, "the region rests in between");
         Window other =
-                plannedWindow(windows.propose(request("b", 1, MONDAY, MONDAY + 99 * HOUR, 0), MONDAY));
+                plannedWindow(
+                        windows.propose(request("b", 1, MONDAY, MONDAY + 99 * HOUR, 0), MONDAY));
         assertTrue(
                 other.start() >= first.plannedEnd() && other.plannedEnd() <= after.start()
                         || other.start() >= after.plannedEnd(),
@@ -356,7 +379,9 @@
     @Test
     void repeatedStepsAreIdempotentAndOutOfOrderStepsAreRejected() {
         windows.setPlan(plan(0, 3, 0), MONDAY);
-        Window one = plannedWindow(windows.propose(request("a", 1, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
+        Window one =
+                plannedWindow(
+                        windows.propose(request("a", 1, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
         assertInstanceOf(Rejection.class, windows.report(one.id(), Step.OUT, 0, MONDAY));
         currentWindow(windows.begin(one.id(), MONDAY));
         Window begun = currentWindow(windows.begin(one.id(), MONDAY + 5));
--- a/relay/src/main/java/saltstage/Api.java
+++ b/relay/src/main/java/saltstage/Api.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * What {@link LoadBalancer} speaks: its types, the events a host program calls in and the actions it gets
- * back.
+ * What {@link LoadBalancer} speaks: its types, the events a host program calls in and the actions
+ * it gets back.
  *
  * <p>All times are microseconds on the host's own clock; a number that is absent is {@link #NONE}.
  */
--- a/relay/src/main/java/saltstage/BalancerState.java
+++ b/relay/src/main/java/saltstage/BalancerState.java
@@ -6,8 +6,8 @@
 import java.util.Random;
 import java.util.Set;
 import saltstage.Api.Health;
-import saltstage.Api.Request;
 import saltstage.Api.ListedBackend;
+import saltstage.Api.Request;
 import saltstage.Api.ServiceClass;
 
 /** What a node remembers, as plain data; what it decides with them is in {@link LoadBalancer}. */
@@ -109,12 +109,15 @@
         double estimatedUtilization() {
             double alike =
                     placedLoadAtReport > 0
-                            ? reportedUtilization * Math.max(0.5, Math.min(2, placedLoad / placedLoadAtReport))
+                            ? reportedUtilization
+                                    * Math.max(0.5, Math.min(2, placedLoad / placedLoadAtReport))
                             : reportedUtilization;
             // Where little stood here the ratio tells nothing: a node that just started would feed
             // one.
             double more = placedLoad - placedLoadAtReport;
-            return estimatedCapacity > 0 && more > 0 ? Math.max(alike, reportedUtilization + more / estimatedCapacity) : alike;
+            return estimatedCapacity > 0 && more > 0
+                    ? Math.max(alike, reportedUtilization + more / estimatedCapacity)
+                    : alike;
         }
 
         /**
--- a/relay/src/main/java/saltstage/LoadBalancer.java
+++ b/relay/src/main/java/saltstage/LoadBalancer.java
@@ -33,14 +33,17 @@
             12; // more places in a key's order; half near where crossings are dear
     private static final double MAX_CROSS_ZONE_COST =
             0.05; // of a request's worth: dearer than a group's set-up
-    private static final double WARM_UP_SAFETY_FACTOR = 0.5; // of what rule 4 allows: the rest is for chance
+    private static final double WARM_UP_SAFETY_FACTOR =
+            0.5; // of what rule 4 allows: the rest is for chance
     private static final double CAPACITY_SHARE_RETENTION_PER_PERIOD =
             0.97; // a second: what machines can do changes in minutes
-    private static final double LEARNED_CAPACITY_WEIGHT_PERIODS = 5; // what was learnt before counts as so many seconds
+    private static final double LEARNED_CAPACITY_WEIGHT_PERIODS =
+            5; // what was learnt before counts as so many seconds
     private static final int TABLE_REBUILDS_PER_WARM_UP =
             4; // tables wait a part of the warm-up; who left is passed over
     // Health
-    private static final long MAX_DELAY_REPORT_AGE_MICROS = 2_500_000; // told delays come each second
+    private static final long MAX_DELAY_REPORT_AGE_MICROS =
+            2_500_000; // told delays come each second
     private static final long MAX_DELAY_REPORT_AGE_UNCONNECTED_MICROS =
             10_000_000; // of the last one, where no own connection is left
     private static final long EJECTION_MICROS =
@@ -48,15 +51,19 @@
     private static final int MAX_EJECTION_DOUBLINGS = 3; // 8 s: troubles last tens of seconds
     private static final Set<Outcome> BACKEND_FAILURES =
             EnumSet.range(Outcome.FULL, Outcome.RESET); // the server's
-    private static final double THROTTLE_ATTEMPTS_PER_ESTABLISHED = 2; // set-ups tried for each that stood, where most fail
-    private static final double THROTTLE_RESERVE_ATTEMPTS = 5; // and so many more: a node sees little
+    private static final double THROTTLE_ATTEMPTS_PER_ESTABLISHED =
+            2; // set-ups tried for each that stood, where most fail
+    private static final double THROTTLE_RESERVE_ATTEMPTS =
+            5; // and so many more: a node sees little
     private static final double THROTTLE_DECAY_MICROS =
             10_000_000; // the memory for this: storms last longer
     private static final long LIST_RETRY_DELAY_MICROS =
             500_000; // first pause after a refused call to the list service
     // Probes: each has its price, so that only who may need it is asked often
-    private static final long PROBE_INTERVAL_MICROS = 3_000_000; // sooner than idle connections are closed
-    private static final long FREQUENT_PROBE_INTERVAL_MICROS = 1_000_000; // reports are refreshed about as often
+    private static final long PROBE_INTERVAL_MICROS =
+            3_000_000; // sooner than idle connections are closed
+    private static final long FREQUENT_PROBE_INTERVAL_MICROS =
+            1_000_000; // reports are refreshed about as often
     private static final double BUSY_UTILIZATION =
             0.7; // load asked over what can be done: from here on it is watched
     private static final double OVERLOAD_UTILIZATION = 0.9; // and from here on messages come late
@@ -103,14 +110,17 @@
     private int failedListCalls;
     private double totalPlacedLoad;
     private final ProbeSelection probeSelection = new ProbeSelection(h -> warmUpFraction(h) < 1);
-    private final Set<BackendState> usedBackends = new LinkedHashSet<>(); // a node that sees little ranks little
+    private final Set<BackendState> usedBackends =
+            new LinkedHashSet<>(); // a node that sees little ranks little
     private final Map<Long, Integer> connectionsByGroup = new HashMap<>();
     private Map<Long, Double> learnedGroupShares = Map.of();
     private double meanGroupShare;
     private double
-            ownLoadOnWarmBackends; // this node's load on warm servers, and what was asked of them by all: with
+            ownLoadOnWarmBackends; // this node's load on warm servers, and what was asked of them
+    // by all: with
     private double
-            utilizationOfWarmBackends; // their weights, the part of what one can do that is this node's to send
+            utilizationOfWarmBackends; // their weights, the part of what one can do that is this
+    // node's to send
     private int establishedCount;
     private int localBackendCount;
     private double rejectionThreshold;
@@ -126,7 +136,10 @@
         random = new Random(seed);
         requestLoad.value = 1; // the unit of load until one is told
         minMessageLatencyTarget =
-                settings.serviceClasses().stream().mapToDouble(ServiceClass::messageLatencyTarget).min().orElse(0);
+                settings.serviceClasses().stream()
+                        .mapToDouble(ServiceClass::messageLatencyTarget)
+                        .min()
+                        .orElse(0);
     }
 
     // ---- what outlives a node: it costs time to learn again
@@ -148,16 +161,21 @@
                                                 Math.max(0, h.ejectedUntil - at)))
                         .toList();
         Map<Long, Double> shares = new TreeMap<>();
-        connectionsByGroup.forEach((group, open) -> shares.put(group, open / (double) Math.max(1, establishedCount)));
+        connectionsByGroup.forEach(
+                (group, open) -> shares.put(group, open / (double) Math.max(1, establishedCount)));
         shares.values()
-                .removeIf(share -> share <= meanGroupShare); // the others are told as well by the mean
+                .removeIf(
+                        share ->
+                                share <= meanGroupShare); // the others are told as well by the mean
         return new LearnedState(
                 setupLatency.value,
                 setupLatency.deviation,
                 requestLoad.hasSample ? requestLoad.value : 0,
                 connectionLifetime.hasSample ? connectionLifetime.value : 0,
                 meanGroupShare,
-                utilizationOfWarmBackends > 0 ? ownLoadOnWarmBackends / utilizationOfWarmBackends : 0,
+                utilizationOfWarmBackends > 0
+                        ? ownLoadOnWarmBackends / utilizationOfWarmBackends
+                        : 0,
                 servers,
                 shares);
     }
@@ -165,19 +183,24 @@
     /** The servers that have failed and are left alone for now. */
     public Set<String> ejectedBackends(long at) {
         return new TreeSet<>(
-                backends.keySet().stream().filter(id -> at < backends.get(id).ejectedUntil).toList());
+                backends.keySet().stream()
+                        .filter(id -> at < backends.get(id).ejectedUntil)
+                        .toList());
     }
 
     /** Takes in what a former node of this name has learnt, of the processes that still run. */
     public void restoreLearnedState(long at, LearnedState known) {
         setupLatency.set(known.setupLatency(), known.setupLatencyDeviation());
         connectionLifetime.set(known.meanConnectionLifetime(), known.meanConnectionLifetime() / 2);
-        requestLoad.set(known.meanRequestLoad() > 0 ? known.meanRequestLoad() : 1, known.meanRequestLoad() / 2);
+        requestLoad.set(
+                known.meanRequestLoad() > 0 ? known.meanRequestLoad() : 1,
+                known.meanRequestLoad() / 2);
         requestLoad.hasSample = known.meanRequestLoad() > 0;
         meanGroupShare = known.meanGroupShare();
         utilizationOfWarmBackends =
                 known.capacityShare() > 0
-                        ? LEARNED_CAPACITY_WEIGHT_PERIODS * backends.values().stream().mapToDouble(this::weight).sum()
+                        ? LEARNED_CAPACITY_WEIGHT_PERIODS
+                                * backends.values().stream().mapToDouble(this::weight).sum()
                         : 0;
         ownLoadOnWarmBackends = known.capacityShare() * utilizationOfWarmBackends;
         learnedGroupShares = Map.copyOf(known.groupShares());
@@ -186,8 +209,15 @@
             if (h != null && h.listEntry.startedAt() == learnt.startedAt()) {
                 h.setupLatency.set(learnt.setupLatency(), learnt.setupLatencyDeviation());
                 h.minSetupLatency = learnt.minSetupLatency();
-                h.consecutiveFailures = learnt.remainingEjection() > 0 ? Math.min(learnt.consecutiveFailures(), MAX_EJECTION_DOUBLINGS) : 0;
-                h.ejectedUntil = at + Math.min(learnt.remainingEjection(), EJECTION_MICROS << MAX_EJECTION_DOUBLINGS);
+                h.consecutiveFailures =
+                        learnt.remainingEjection() > 0
+                                ? Math.min(learnt.consecutiveFailures(), MAX_EJECTION_DOUBLINGS)
+                                : 0;
+                h.ejectedUntil =
+                        at
+                                + Math.min(
+                                        learnt.remainingEjection(),
+                                        EJECTION_MICROS << MAX_EJECTION_DOUBLINGS);
             }
         }
     }
@@ -197,9 +227,13 @@
     @Override
     public void start(long at) {
         now = at;
-        if (relaySettings.watchesBackendList()) { // Nodes that start together must not call together: the service
+        if (relaySettings
+                .watchesBackendList()) { // Nodes that start together must not call together: the
+            // service
             // is small.
-            relayActions.setTimer("list", 1 + (long) (random.nextDouble() * safetyRules.discoveryCallInterval() / 8));
+            relayActions.setTimer(
+                    "list",
+                    1 + (long) (random.nextDouble() * safetyRules.discoveryCallInterval() / 8));
         }
         if (relaySettings.probingEnabled()) {
             relayActions.setTimer("probe", 1 + (long) (random.nextDouble() * PROBE_TICK_MICROS));
@@ -210,7 +244,12 @@
     public void backendListReceived(long at, BackendListKind kind, List<ListedBackend> servers) {
         now = at;
         if (kind == BackendListKind.CALL_FAILED) {
-            relayActions.setTimer("list", (long) (LIST_RETRY_DELAY_MICROS * (1 << failedListCalls) * (0.5 + random.nextDouble())));
+            relayActions.setTimer(
+                    "list",
+                    (long)
+                            (LIST_RETRY_DELAY_MICROS
+                                    * (1 << failedListCalls)
+                                    * (0.5 + random.nextDouble())));
             failedListCalls =
                     Math.min(
                             failedListCalls + 1,
@@ -243,8 +282,13 @@
         now = at;
         RequestState c = registerRequest(request);
         ListedBackend unlisted = new ListedBackend(server, 0, 0, Health.GONE, 1, 0);
-        c.startAttempt(backends.getOrDefault(server, new BackendState(unlisted, hash(server), HEAVY_HITTER_WINDOWS, at)), at);
-        c.markEstablished(at - EJECTION_MICROS); // it has stood, whatever comes: its end says nothing of set-ups
+        c.startAttempt(
+                backends.getOrDefault(
+                        server, new BackendState(unlisted, hash(server), HEAVY_HITTER_WINDOWS, at)),
+                at);
+        c.markEstablished(
+                at - EJECTION_MICROS); // it has stood, whatever comes: its end says nothing of
+        // set-ups
         countArrival(c.backend, c);
         usedBackends.add(c.backend);
     }
@@ -270,18 +314,27 @@
         }
         c.endAttempt();
         recentAttempts -= outcome.hasNoEffect() ? 1 : 0;
-        if (c.established && outcome == Outcome.RESET && at - c.stateChangedAt < EJECTION_MICROS) { // it did not stand
+        if (c.established
+                && outcome == Outcome.RESET
+                && at - c.stateChangedAt < EJECTION_MICROS) { // it did not stand
             recentEstablished--;
             c.backend.onProbation = true;
-            c.backend.ejectedUntil = c.probationAttempt ? at : c.backend.ejectedUntil; // it counts as the next strike
+            c.backend.ejectedUntil =
+                    c.probationAttempt
+                            ? at
+                            : c.backend.ejectedUntil; // it counts as the next strike
         }
         if (outcome == Outcome.SERVED && at - c.stateChangedAt > EJECTION_MICROS) {
             c.backend.consecutiveFailures = 0;
         }
         if (c.established && !c.loadReported && c.request.loadHint() <= 0) {
-            connectionLifetime.add(at - c.stateChangedAt); // Neither hint nor told load: the time that it was open
+            connectionLifetime.add(
+                    at - c.stateChangedAt); // Neither hint nor told load: the time that it was open
             // marks it.
-            c.load = requestLoad.value * (at - c.stateChangedAt) / Math.max(1, connectionLifetime.value);
+            c.load =
+                    requestLoad.value
+                            * (at - c.stateChangedAt)
+                            / Math.max(1, connectionLifetime.value);
             countArrival(c.backend, c);
         }
         // Without this, light clients would keep going to a server that takes all and serves
@@ -324,14 +377,21 @@
             boolean persists = isOverloaded(h);
             h.reportedDelayMicros = level * 1000;
             h.lastDelayReportAt = at;
-            double share = SHED_FRACTION_PER_SECOND * Math.min(MAX_SHED_MULTIPLIER, h.reportedDelayMicros / minMessageLatencyTarget);
-            if (persists && isOverloaded(h) && random.nextDouble() < share * h.establishedRequests.size()) {
+            double share =
+                    SHED_FRACTION_PER_SECOND
+                            * Math.min(
+                                    MAX_SHED_MULTIPLIER,
+                                    h.reportedDelayMicros / minMessageLatencyTarget);
+            if (persists
+                    && isOverloaded(h)
+                    && random.nextDouble() < share * h.establishedRequests.size()) {
                 shedConnection(h);
             }
         } else {
             c.loadReported = true;
             if (c.request.loadHint() <= 0) {
-                requestLoad.add(level); // Without hints told loads give the unit; a guess would not.
+                requestLoad.add(
+                        level); // Without hints told loads give the unit; a guess would not.
             }
             c.updateLoad(level);
             countArrival(h, c);
@@ -345,7 +405,12 @@
             relayActions.watchBackendList();
         } else if (token.equals("probe")) {
             relayActions.setTimer("probe", PROBE_TICK_MICROS);
-            backends.values().forEach(h -> h.smoothedPlacedLoad += PLACED_LOAD_SMOOTHING_PER_TICK * (h.placedLoad - h.smoothedPlacedLoad));
+            backends.values()
+                    .forEach(
+                            h ->
+                                    h.smoothedPlacedLoad +=
+                                            PLACED_LOAD_SMOOTHING_PER_TICK
+                                                    * (h.placedLoad - h.smoothedPlacedLoad));
             probeSelection.select(backends.values(), now).stream()
                     .filter(h -> now >= h.nextProbeAt && h.isReady())
                     .forEach(this::probeBackend);
@@ -364,10 +429,16 @@
         h.reportedUtilization = asked;
         h.lastLoadReportAt = at;
         h.placedLoadAtReport = h.smoothedPlacedLoad;
-        double excess = asked - (isOverloaded(h) && fleetUtilization() < FLEET_HEADROOM_UTILIZATION ? SHED_TARGET_UTILIZATION : OVERLOAD_UTILIZATION);
+        double excess =
+                asked
+                        - (isOverloaded(h) && fleetUtilization() < FLEET_HEADROOM_UTILIZATION
+                                ? SHED_TARGET_UTILIZATION
+                                : OVERLOAD_UTILIZATION);
         // Each node moves its part of what is too much: one a second would take longer than
         // troubles last.
-        for (double due = SHED_FRACTION_PER_PROBE * excess / asked * h.establishedRequests.size(); due > 0; due--) {
+        for (double due = SHED_FRACTION_PER_PROBE * excess / asked * h.establishedRequests.size();
+                due > 0;
+                due--) {
             if (random.nextDouble() < due) {
                 shedConnection(h);
             }
@@ -375,7 +446,10 @@
     }
 
     private void probeBackend(BackendState h) {
-        boolean watched = isOverloaded(h) || warmUpFraction(h) < 1 || hasFreshLoadReport(h) && h.estimatedUtilization() > BUSY_UTILIZATION;
+        boolean watched =
+                isOverloaded(h)
+                        || warmUpFraction(h) < 1
+                        || hasFreshLoadReport(h) && h.estimatedUtilization() > BUSY_UTILIZATION;
         h.nextProbeAt = now + (watched ? FREQUENT_PROBE_INTERVAL_MICROS : PROBE_INTERVAL_MICROS);
         relayActions.probe(h.listEntry.id());
     }
@@ -387,7 +461,8 @@
     private RequestState registerRequest(Request r) {
         long route = r.group() != Api.NONE ? r.group() : r.key();
         long order = mix(route != Api.NONE ? route : random.nextLong());
-        RequestState c = new RequestState(r, relaySettings.serviceClasses().get(r.serviceClass()), order);
+        RequestState c =
+                new RequestState(r, relaySettings.serviceClasses().get(r.serviceClass()), order);
         c.load = r.loadHint() > 0 ? requestLoad.add(r.loadHint()) : requestLoad.value;
         requests.put(r.id(), c);
         return c;
@@ -404,7 +479,11 @@
         }
         if (s.health() != Health.GONE) {
             placementStale |= h == null || h.listEntry.health() != s.health();
-            backends.computeIfAbsent(s.id(), id -> new BackendState(s, hash(id), HEAVY_HITTER_WINDOWS, now)).listEntry = s;
+            backends.computeIfAbsent(
+                                    s.id(),
+                                    id -> new BackendState(s, hash(id), HEAVY_HITTER_WINDOWS, now))
+                            .listEntry =
+                    s;
         }
     }
 
@@ -420,8 +499,14 @@
 
     private void rebuildPlacement() {
         readyBackends = backends.values().stream().filter(BackendState::isReady).toList();
-        List<BackendState> near = readyBackends.stream().filter(h -> h.listEntry.zone() == relaySettings.zone()).toList();
-        near = relaySettings.crossZoneCost() > MAX_CROSS_ZONE_COST && !near.isEmpty() ? near : readyBackends;
+        List<BackendState> near =
+                readyBackends.stream()
+                        .filter(h -> h.listEntry.zone() == relaySettings.zone())
+                        .toList();
+        near =
+                relaySettings.crossZoneCost() > MAX_CROSS_ZONE_COST && !near.isEmpty()
+                        ? near
+                        : readyBackends;
         localBackendCount = near.size();
         localPlacement = PlacementTable.of(near, this::weight);
         globalPlacement = near == readyBackends ? localPlacement : null;
@@ -430,7 +515,9 @@
     }
 
     private double weight(BackendState h) {
-        return relaySettings.comparableWeights() && h.listEntry.weight() > 0 ? h.listEntry.weight() : 1;
+        return relaySettings.comparableWeights() && h.listEntry.weight() > 0
+                ? h.listEntry.weight()
+                : 1;
     }
 
     // ---- the ordinary path
@@ -445,9 +532,14 @@
         throttleUpdatedAt = now;
         // When set-ups fail wherever they go (a shared store, resets), only twice as many as lately
         // stood.
-        boolean no = random.nextDouble() * recentAttempts < recentAttempts - THROTTLE_ATTEMPTS_PER_ESTABLISHED * recentEstablished - THROTTLE_RESERVE_ATTEMPTS;
+        boolean no =
+                random.nextDouble() * recentAttempts
+                        < recentAttempts
+                                - THROTTLE_ATTEMPTS_PER_ESTABLISHED * recentEstablished
+                                - THROTTLE_RESERVE_ATTEMPTS;
         // A jammed fleet serves nobody: the least worth is turned away early, by all nodes alike.
-        boolean least = c.attempts == 0 && priorityRank(c) < rejectionThreshold && !c.request.midFlow();
+        boolean least =
+                c.attempts == 0 && priorityRank(c) < rejectionThreshold && !c.request.midFlow();
         if (no
                 || left <= relaySettings.timerResolution() && c.attempts > 0
                 || c.attempts >= relaySettings.maxAttempts()
@@ -455,16 +547,22 @@
             rejectOrFail(c);
             return;
         }
-        if (placementStale && (now - placementRebuiltAt >= safetyRules.warmUpPeriod() / TABLE_REBUILDS_PER_WARM_UP || localPlacement.isEmpty())) {
+        if (placementStale
+                && (now - placementRebuiltAt
+                                >= safetyRules.warmUpPeriod() / TABLE_REBUILDS_PER_WARM_UP
+                        || localPlacement.isEmpty())) {
             rebuildPlacement();
         }
         BackendState h = least ? fallbackBackend(c, true) : chooseBackend(c);
         if (h != null) {
             startAttempt(c, h, left);
-        } else if (c.firstUncertainAttemptAt == Api.NONE && backends.values().stream().noneMatch(BackendState::isReady)) {
+        } else if (c.firstUncertainAttemptAt == Api.NONE
+                && backends.values().stream().noneMatch(BackendState::isReady)) {
             // No server is known: the list may still name one before the client gives up.
             waitingRequests.put(c.request.id(), c);
-            relayActions.setTimer(Long.toString(c.request.id()), Math.max(1, left - relaySettings.timerResolution()));
+            relayActions.setTimer(
+                    Long.toString(c.request.id()),
+                    Math.max(1, left - relaySettings.timerResolution()));
         } else {
             rejectOrFail(c);
         }
@@ -475,7 +573,9 @@
         usedBackends.add(h);
         recentAttempts++;
         h.warmUpBudget -= warmUpFraction(h) < 1 ? c.load : 0;
-        if (h.onProbation && h.establishedRequests.stream().anyMatch(o -> now - o.stateChangedAt >= EJECTION_MICROS)) {
+        if (h.onProbation
+                && h.establishedRequests.stream()
+                        .anyMatch(o -> now - o.stateChangedAt >= EJECTION_MICROS)) {
             h.onProbation = false; // the last trial stands: it serves again
             h.consecutiveFailures = 0;
         } else if (h.consecutiveFailures > 0) {
@@ -489,9 +589,15 @@
      * open.
      */
     private int groupSpread(RequestState c) {
-        double prior = GROUP_SHARE_PRIOR_CONNECTIONS * learnedGroupShares.getOrDefault(c.placementHash, meanGroupShare);
-        double share = (connectionsByGroup.getOrDefault(c.placementHash, 0) + prior) / (establishedCount + GROUP_SHARE_PRIOR_CONNECTIONS);
-        return c.request.midFlow() ? 1 : Math.max(1, (int) (GROUP_SPREAD_FACTOR * share * localBackendCount));
+        double prior =
+                GROUP_SHARE_PRIOR_CONNECTIONS
+                        * learnedGroupShares.getOrDefault(c.placementHash, meanGroupShare);
+        double share =
+                (connectionsByGroup.getOrDefault(c.placementHash, 0) + prior)
+                        / (establishedCount + GROUP_SHARE_PRIOR_CONNECTIONS);
+        return c.request.midFlow()
+                ? 1
+                : Math.max(1, (int) (GROUP_SPREAD_FACTOR * share * localBackendCount));
     }
 
     /** The default or its stand-in in the key's fixed order; a heavy client may leave it. */
@@ -501,7 +607,11 @@
         int width = groupSpread(c);
         int start = random.nextInt(width);
         for (int i = 0; i < width + ALTERNATIVE_CANDIDATES; i++) {
-            BackendState h = candidate(c.placementHash, i < width ? (start + i) % width : i, i < width + ALTERNATIVE_CANDIDATES / 2);
+            BackendState h =
+                    candidate(
+                            c.placementHash,
+                            i < width ? (start + i) % width : i,
+                            i < width + ALTERNATIVE_CANDIDATES / 2);
             boolean fit = h != null && isUsable(h, c) && now >= h.ejectedUntil && canAdmit(h, c);
             if (!fit) {
                 continue;
@@ -510,15 +620,25 @@
             if (first == null) {
                 first = h;
                 countArrival(h, c);
-                BackendState other = c.request.midFlow() || c.attempts > 0 ? null : diversionTarget(c, h);
+                BackendState other =
+                        c.request.midFlow() || c.attempts > 0 ? null : diversionTarget(c, h);
                 if (other != null) {
                     return other;
                 }
             }
-            if (c.request.midFlow() || !isOverloaded(h) && (!hasFreshLoadReport(h) || h.estimatedUtilization() <= BUSY_UTILIZATION)) {
+            if (c.request.midFlow()
+                    || !isOverloaded(h)
+                            && (!hasFreshLoadReport(h)
+                                    || h.estimatedUtilization() <= BUSY_UTILIZATION)) {
                 return h;
             }
-            best = !isOverloaded(h) && (best == null || h.estimatedUtilization() < best.estimatedUtilization()) ? h : best;
+            best =
+                    !isOverloaded(h)
+                                    && (best == null
+                                            || h.estimatedUtilization()
+                                                    < best.estimatedUtilization())
+                            ? h
+                            : best;
         }
         // The least busy one; where all are jammed one more would be served nothing and slow the
         // rest.
@@ -536,7 +656,9 @@
                                 isUsable(h, c)
                                         && (warmUpFraction(h) < 1
                                                 ? now >= h.ejectedUntil && c.load <= warmUpBudget(h)
-                                                : !coldOnly && (!h.onProbation || now >= h.ejectedUntil)))
+                                                : !coldOnly
+                                                        && (!h.onProbation
+                                                                || now >= h.ejectedUntil)))
                 .min(Comparator.comparingLong(h -> h.ejectedUntil))
                 .orElse(null);
     }
@@ -550,7 +672,10 @@
     }
 
     private boolean isUsable(BackendState h, RequestState c) {
-        return h.listed && h.isReady() && !c.triedBackends.contains(h) && isInDeduplicationScope(h, c);
+        return h.listed
+                && h.isReady()
+                && !c.triedBackends.contains(h)
+                && isInDeduplicationScope(h, c);
     }
 
     /**
@@ -558,7 +683,9 @@
      * agree.
      */
     private boolean canAdmit(BackendState h, RequestState c) {
-        return warmUpFraction(h) >= 1 || toUnitInterval(c.placementHash ^ h.hash) < warmUpFraction(h) && c.load <= warmUpBudget(h);
+        return warmUpFraction(h) >= 1
+                || toUnitInterval(c.placementHash ^ h.hash) < warmUpFraction(h)
+                        && c.load <= warmUpBudget(h);
     }
 
     // A node's share of what rule 4 allows: a half as time goes, the other at once where a report
@@ -567,17 +694,28 @@
         if (h.warmUpBudgetUpdatedAt
                 == 0) { // Nodes start anywhere within one connection: few spend at the same time.
             h.warmUpBudget = random.nextDouble() * requestLoad.value;
-            h.warmUpBudgetUpdatedAt = Math.max(h.firstSeenAt, now - safetyRules.warmUpBudgetWindow());
+            h.warmUpBudgetUpdatedAt =
+                    Math.max(h.firstSeenAt, now - safetyRules.warmUpBudgetWindow());
         }
-        double rate = WARM_UP_SAFETY_FACTOR * safetyRules.maxWarmUpLoadMultiple() * warmUpFraction(h) * capacityShare(h) / safetyRules.warmUpPeriod();
-        h.warmUpBudget = Math.min(h.warmUpBudget + rate * (now - h.warmUpBudgetUpdatedAt), requestLoad.value);
+        double rate =
+                WARM_UP_SAFETY_FACTOR
+                        * safetyRules.maxWarmUpLoadMultiple()
+                        * warmUpFraction(h)
+                        * capacityShare(h)
+                        / safetyRules.warmUpPeriod();
+        h.warmUpBudget =
+                Math.min(
+                        h.warmUpBudget + rate * (now - h.warmUpBudgetUpdatedAt), requestLoad.value);
         h.warmUpBudgetUpdatedAt = now;
         double alike =
                 h.reportedUtilization
                         + WARM_UP_SAFETY_FACTOR
                                 * (h.placedLoad - h.placedLoadAtReport)
                                 / capacityShare(h); // all relays read that report
-        return h.warmUpBudget + (hasFreshLoadReport(h) && alike < SHED_TARGET_UTILIZATION * warmUpFraction(h) ? rate * safetyRules.warmUpBudgetWindow() : 0);
+        return h.warmUpBudget
+                + (hasFreshLoadReport(h) && alike < SHED_TARGET_UTILIZATION * warmUpFraction(h)
+                        ? rate * safetyRules.warmUpBudgetWindow()
+                        : 0);
     }
 
     /**
@@ -590,17 +728,26 @@
                         * requestLoad.value
                         / relaySettings.relayCount();
         double mean =
-                Math.max(utilizationOfWarmBackends > 0 ? 0 : totalPlacedLoad, WARM_UP_SAFETY_FACTOR * quota) / Math.max(1, backends.size());
-        return Math.max(utilizationOfWarmBackends > 0 ? ownLoadOnWarmBackends / utilizationOfWarmBackends * weight(h) : 0, mean);
+                Math.max(
+                                utilizationOfWarmBackends > 0 ? 0 : totalPlacedLoad,
+                                WARM_UP_SAFETY_FACTOR * quota)
+                        / Math.max(1, backends.size());
+        return Math.max(
+                utilizationOfWarmBackends > 0
+                        ? ownLoadOnWarmBackends / utilizationOfWarmBackends * weight(h)
+                        : 0,
+                mean);
     }
 
     private double warmUpFraction(BackendState h) {
         // It runs for as long as it has been known, whatever the wall clocks say of its start.
         double age =
-                (now - Math.min(h.listEntry.startedAt(), h.firstSeenAt)) / Math.max(1.0, safetyRules.warmUpPeriod());
+                (now - Math.min(h.listEntry.startedAt(), h.firstSeenAt))
+                        / Math.max(1.0, safetyRules.warmUpPeriod());
         return h.listEntry.startedAt() == 0 || age >= 1
                 ? 1
-                : safetyRules.initialWarmUpFraction() + (1 - safetyRules.initialWarmUpFraction()) * age;
+                : safetyRules.initialWarmUpFraction()
+                        + (1 - safetyRules.initialWarmUpFraction()) * age;
     }
 
     /**
@@ -609,22 +756,30 @@
      */
     private BackendState diversionTarget(RequestState c, BackendState from) {
         double own = queueingDelay(from);
-        if (own <= MIN_DIVERSION_GAP_SETUPS * setupLatency.value || !isHeavyClient(from, c) || own <= diversionThreshold) {
+        if (own <= MIN_DIVERSION_GAP_SETUPS * setupLatency.value
+                || !isHeavyClient(from, c)
+                || own <= diversionThreshold) {
             return null;
         }
         BackendState least = null;
         for (int i = 0; i < DIVERSION_CANDIDATES; i++) {
             BackendState h = localPlacement.randomBackend(random);
-            boolean fit = h != from && isUsable(h, c) && now >= h.ejectedUntil && warmUpFraction(h) >= 1;
+            boolean fit =
+                    h != from && isUsable(h, c) && now >= h.ejectedUntil && warmUpFraction(h) >= 1;
             if (fit
                     && (least == null
                             || queueingDelay(h) < queueingDelay(least)
                             || queueingDelay(h) == queueingDelay(least)
-                                    && h.placedLoad / weight(h) < least.placedLoad / weight(least))) {
+                                    && h.placedLoad / weight(h)
+                                            < least.placedLoad / weight(least))) {
                 least = h;
             }
         }
-        return least != null && own - queueingDelay(least) > MIN_DIVERSION_GAP_SETUPS * setupLatency.value ? least : null;
+        return least != null
+                        && own - queueingDelay(least)
+                                > MIN_DIVERSION_GAP_SETUPS * setupLatency.value
+                ? least
+                : null;
     }
 
     /**
@@ -632,7 +787,10 @@
      * one.
      */
     private boolean hasFreshDelayReport(BackendState h) {
-        return now - h.lastDelayReportAt < (!h.establishedRequests.isEmpty() ? MAX_DELAY_REPORT_AGE_MICROS : MAX_DELAY_REPORT_AGE_UNCONNECTED_MICROS);
+        return now - h.lastDelayReportAt
+                < (!h.establishedRequests.isEmpty()
+                        ? MAX_DELAY_REPORT_AGE_MICROS
+                        : MAX_DELAY_REPORT_AGE_UNCONNECTED_MICROS);
     }
 
     /**
@@ -640,7 +798,11 @@
      * mean.
      */
     private double queueingDelay(BackendState h) {
-        return hasFreshDelayReport(h) ? h.reportedDelayMicros : h.setupLatency.hasSample ? Math.max(0, h.setupLatency.value - h.minSetupLatency) : meanQueueingDelay;
+        return hasFreshDelayReport(h)
+                ? h.reportedDelayMicros
+                : h.setupLatency.hasSample
+                        ? Math.max(0, h.setupLatency.value - h.minSetupLatency)
+                        : meanQueueingDelay;
     }
 
     /** The percentile and the mean of W, and the groups that are open, once a period. */
@@ -666,18 +828,33 @@
             all[n] = queueingDelay(h);
             sum += all[n++];
         }
-        if (learnedGroupShares.isEmpty() || establishedCount >= GROUP_SHARE_PRIOR_CONNECTIONS) { // few say less than what was remembered
+        if (learnedGroupShares.isEmpty()
+                || establishedCount
+                        >= GROUP_SHARE_PRIOR_CONNECTIONS) { // few say less than what was remembered
             meanGroupShare =
                     2
                             * pairs
                             / Math.max(
-                                    1, establishedCount * (establishedCount - 1)); // of the group of a connection drawn
-            learnedGroupShares = establishedCount > GROUP_SHARE_PRIOR_CONNECTIONS * GROUP_SHARE_PRIOR_CONNECTIONS ? Map.of() : learnedGroupShares;
+                                    1,
+                                    establishedCount
+                                            * (establishedCount
+                                                    - 1)); // of the group of a connection drawn
+            learnedGroupShares =
+                    establishedCount > GROUP_SHARE_PRIOR_CONNECTIONS * GROUP_SHARE_PRIOR_CONNECTIONS
+                            ? Map.of()
+                            : learnedGroupShares;
         }
         ownLoadOnWarmBackends *= CAPACITY_SHARE_RETENTION_PER_PERIOD;
         utilizationOfWarmBackends *= CAPACITY_SHARE_RETENTION_PER_PERIOD;
-        for (BackendState h : backends.values()) { // also at the first request, before the tables are built
-            double told = h.isReady() && hasFreshLoadReport(h) && warmUpFraction(h) >= 1 && totalPlacedLoad > 0 ? 1 : 0;
+        for (BackendState h :
+                backends.values()) { // also at the first request, before the tables are built
+            double told =
+                    h.isReady()
+                                    && hasFreshLoadReport(h)
+                                    && warmUpFraction(h) >= 1
+                                    && totalPlacedLoad > 0
+                            ? 1
+                            : 0;
             ownLoadOnWarmBackends += told * h.placedLoadAtReport;
             utilizationOfWarmBackends += told * h.reportedUtilization * weight(h);
             h.estimatedCapacity = capacityShare(h) * relaySettings.relayCount();
@@ -685,14 +862,29 @@
         meanQueueingDelay = n == 0 ? 0 : sum / n;
         Arrays.fill(all, n, all.length, meanQueueingDelay);
         Arrays.sort(all);
-        boolean full = slow > OVERLOADED_FLEET_FRACTION * heard || fleetUtilization() > OVERLOAD_UTILIZATION;
-        rejectionThreshold = Math.min(1, Math.max(0, rejectionThreshold + (full ? REJECTION_INCREASE_PER_PERIOD : -REJECTION_DECREASE_PER_PERIOD)));
-        diversionThreshold = all.length == 0 ? 0 : all[(int) (DIVERSION_QUANTILE * (all.length - 1))];
+        boolean full =
+                slow > OVERLOADED_FLEET_FRACTION * heard
+                        || fleetUtilization() > OVERLOAD_UTILIZATION;
+        rejectionThreshold =
+                Math.min(
+                        1,
+                        Math.max(
+                                0,
+                                rejectionThreshold
+                                        + (full
+                                                ? REJECTION_INCREASE_PER_PERIOD
+                                                : -REJECTION_DECREASE_PER_PERIOD)));
+        diversionThreshold =
+                all.length == 0 ? 0 : all[(int) (DIVERSION_QUANTILE * (all.length - 1))];
     }
 
     /** The mean load asked of the servers that report; unknown where most do not. */
     private double fleetUtilization() {
-        double[] asked = readyBackends.stream().filter(this::hasFreshLoadReport).mapToDouble(BackendState::estimatedUtilization).toArray();
+        double[] asked =
+                readyBackends.stream()
+                        .filter(this::hasFreshLoadReport)
+                        .mapToDouble(BackendState::estimatedUtilization)
+                        .toArray();
         boolean most = asked.length * 2 > Math.min(readyBackends.size(), Api.MAX_PROBED_BACKENDS);
         return most ? Arrays.stream(asked).average().orElse(0) : Api.NONE;
     }
@@ -714,7 +906,8 @@
      * all.
      */
     private boolean isOverloaded(BackendState h) {
-        boolean slow = hasFreshDelayReport(h) && h.reportedDelayMicros > minMessageLatencyTarget / 3;
+        boolean slow =
+                hasFreshDelayReport(h) && h.reportedDelayMicros > minMessageLatencyTarget / 3;
         return slow || hasFreshLoadReport(h) && h.estimatedUtilization() > OVERLOAD_UTILIZATION;
     }
 
@@ -723,7 +916,8 @@
     private void countArrival(BackendState h, RequestState c) {
         HeavyHitterTable t = h.heavyHitterTables[0];
         if (t == null || t.arrivals >= WINDOW_ARRIVALS) {
-            System.arraycopy(h.heavyHitterTables, 0, h.heavyHitterTables, 1, HEAVY_HITTER_WINDOWS - 1);
+            System.arraycopy(
+                    h.heavyHitterTables, 0, h.heavyHitterTables, 1, HEAVY_HITTER_WINDOWS - 1);
             t = new HeavyHitterTable();
             h.heavyHitterTables[0] = t;
         }
@@ -741,7 +935,10 @@
             if (c.moving) {
                 continue;
             }
-            if (most == null || (least != priorityRank(most) < rejectionThreshold ? least : c.load > most.load)) {
+            if (most == null
+                    || (least != priorityRank(most) < rejectionThreshold
+                            ? least
+                            : c.load > most.load)) {
                 most = c;
             }
         }
@@ -774,8 +971,13 @@
     private long attemptTimeout(RequestState c, long left) {
         double aim = c.serviceClass.latencyTarget();
         boolean last = c.attempts >= relaySettings.maxAttempts() || left <= 2 * aim / 3;
-        last |= c.serviceClass.idempotency() == Idempotency.NOT_IDEMPOTENT; // an early time-out would only end it
-        last |= recentAttempts > THROTTLE_ATTEMPTS_PER_ESTABLISHED * recentEstablished + THROTTLE_RESERVE_ATTEMPTS;
+        last |=
+                c.serviceClass.idempotency()
+                        == Idempotency.NOT_IDEMPOTENT; // an early time-out would only end it
+        last |=
+                recentAttempts
+                        > THROTTLE_ATTEMPTS_PER_ESTABLISHED * recentEstablished
+                                + THROTTLE_RESERVE_ATTEMPTS;
         return last ? 0 : (long) Math.min(left, aim * c.attempts);
     }
 
@@ -786,15 +988,20 @@
     private boolean canRetry(RequestState c) {
         return c.firstUncertainAttemptAt == Api.NONE
                 || c.serviceClass.idempotency() == Idempotency.IDEMPOTENT
-                || c.serviceClass.idempotency() == Idempotency.DEDUPLICATED && now - c.firstUncertainAttemptAt < c.serviceClass.deduplicationWindow();
+                || c.serviceClass.idempotency() == Idempotency.DEDUPLICATED
+                        && now - c.firstUncertainAttemptAt < c.serviceClass.deduplicationWindow();
     }
 
     private boolean isInDeduplicationScope(BackendState h, RequestState c) {
-        DeduplicationScope scope = c.serviceClass.idempotency() == Idempotency.IDEMPOTENT ? DeduplicationScope.ALL : c.serviceClass.deduplicationScope();
+        DeduplicationScope scope =
+                c.serviceClass.idempotency() == Idempotency.IDEMPOTENT
+                        ? DeduplicationScope.ALL
+                        : c.serviceClass.deduplicationScope();
         return c.firstUncertainAttemptAt == Api.NONE
                 || scope == DeduplicationScope.ALL
                 || h.listEntry.zone() == c.firstUncertainBackend.listEntry.zone()
-                        && (scope == DeduplicationScope.ZONE || h.listEntry.cell() == c.firstUncertainBackend.listEntry.cell());
+                        && (scope == DeduplicationScope.ZONE
+                                || h.listEntry.cell() == c.firstUncertainBackend.listEntry.cell());
     }
 
     private void rejectOrFail(RequestState c) {
@@ -802,7 +1009,8 @@
         requests.remove(c.request.id());
         if (c.firstUncertainAttemptAt == Api.NONE
                 || c.serviceClass.idempotency() == Idempotency.IDEMPOTENT
-                || c.serviceClass.idempotency() == Idempotency.DEDUPLICATED && c.serviceClass.deduplicationScope() == DeduplicationScope.ALL) {
+                || c.serviceClass.idempotency() == Idempotency.DEDUPLICATED
+                        && c.serviceClass.deduplicationScope() == DeduplicationScope.ALL) {
             relayActions.reject(c.request.id(), relaySettings.maxRetryAfter());
         } else {
             relayActions.fail(c.request.id());
@@ -811,7 +1019,10 @@
 
     /** A failure ejects at once: a node that sees little would not live to see a second one. */
     private void recordFailure(BackendState h) {
-        h.consecutiveFailures = Math.min(h.consecutiveFailures + (now < h.ejectedUntil ? 0 : 1), MAX_EJECTION_DOUBLINGS);
+        h.consecutiveFailures =
+                Math.min(
+                        h.consecutiveFailures + (now < h.ejectedUntil ? 0 : 1),
+                        MAX_EJECTION_DOUBLINGS);
         eject(h);
     }
 
--- a/relay/src/main/java/saltstage/ProbeSelection.java
+++ b/relay/src/main/java/saltstage/ProbeSelection.java
@@ -41,7 +41,8 @@
                                     Comparator.comparingInt((BackendState h) -> priority(h, now))
                                             .thenComparing(
                                                     Comparator.comparingLong(
-                                                                    (BackendState h) -> h.lastConsideredAt)
+                                                                    (BackendState h) ->
+                                                                            h.lastConsideredAt)
                                                             .reversed())
                                             .thenComparingLong(h -> h.hash))
                             .limit(Api.MAX_PROBED_BACKENDS)
--- a/relay/src/main/java/saltstage/admin/AdminListener.java
+++ b/relay/src/main/java/saltstage/admin/AdminListener.java
@@ -129,7 +129,9 @@
                     .whenComplete(
                             (answer, fault) -> {
                                 String told =
-                                        answer != null ? answer : OperatorCall.errorLine("failed, see the log");
+                                        answer != null
+                                                ? answer
+                                                : OperatorCall.errorLine("failed, see the log");
                                 if (fault != null) {
                                     Log.error("admin.fault", fault);
                                 }
--- a/relay/src/main/java/saltstage/admin/OperatorConnection.java
+++ b/relay/src/main/java/saltstage/admin/OperatorConnection.java
@@ -37,7 +37,8 @@
     private long deadlineNs = acceptedAtNs + LINE_TIMEOUT.toNanos();
 
     /** A caller; its whole line is handed to asks, once. */
-    OperatorConnection(SocketChannel channel, SelectionKey key, BiConsumer<OperatorConnection, String> asks) {
+    OperatorConnection(
+            SocketChannel channel, SelectionKey key, BiConsumer<OperatorConnection, String> asks) {
         this.channel = channel;
         this.key = key;
         this.lineListener = asks;
@@ -70,7 +71,9 @@
         } else if (read < 0 && input.position() == 0) {
             close();
         } else if (read < 0) {
-            sendAnswer(OperatorCall.errorLine("no end of line")); // half an id must not be taken for a whole one
+            sendAnswer(
+                    OperatorCall.errorLine(
+                            "no end of line")); // half an id must not be taken for a whole one
         }
     }
 
--- a/relay/src/main/java/saltstage/amqp/AmqpFront.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpFront.java
@@ -21,22 +21,23 @@
 import saltstage.config.AmqpSettings;
 import saltstage.config.Configuration;
 import saltstage.log.Log;
-import saltstage.memory.MonotonicClock;
-import saltstage.memory.Attempt;
 import saltstage.net.Connection;
 import saltstage.net.ConnectionHandler;
 import saltstage.net.Loop;
 import saltstage.net.Transport;
+import saltstage.session.Attempt;
+import saltstage.session.MonotonicClock;
 import saltstage.stage.AdmissionControl;
+import saltstage.stage.Frontend;
 import saltstage.stage.OutcomeRecorder;
 import saltstage.stage.RelayPipeline;
-import saltstage.stage.Frontend;
 import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
 /** Where AMQP clients come in, and what all their connections share. */
 public final class AmqpFront implements Frontend {
-    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(256 << 10, 16 << 20);
+    private static final Connection.WriteLimits BOUNDS =
+            new Connection.WriteLimits(256 << 10, 16 << 20);
     private static final int BACKLOG = 1_024;
     private static final Duration BEAT = Duration.ofMillis(100);
 
@@ -117,7 +118,9 @@
 
     private void reserve() {
         int wanted =
-                Math.min(config.maxSockets() / 2, settings().limits().maxConnections() + BACKEND_SOCKETS);
+                Math.min(
+                        config.maxSockets() / 2,
+                        settings().limits().maxConnections() + BACKEND_SOCKETS);
         chain.admissionControl().reserveDescriptors(wanted - reserved);
         reserved = wanted;
     }
--- a/relay/src/main/java/saltstage/amqp/BackendLink.java
+++ b/relay/src/main/java/saltstage/amqp/BackendLink.java
@@ -10,9 +10,9 @@
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 import saltstage.Api.Outcome;
 import saltstage.log.Log;
-import saltstage.memory.Backend;
-import saltstage.memory.Attempt;
 import saltstage.net.Loop;
+import saltstage.session.Attempt;
+import saltstage.session.Backend;
 import saltstage.wire.BackendConnection;
 
 /**
@@ -153,7 +153,9 @@
         // Names are unique for a pair of containers (2.6.1), and the relay is one container to the
         // backend:
         // two clients that chose the same name must not take each other's link.
-        link = owner.make(session.session(), peering, begun.context().attributes().clientRequestId());
+        link =
+                owner.make(
+                        session.session(), peering, begun.context().attributes().clientRequestId());
         link.closeHandler(ended -> detached(ended.getRemoteCondition()))
                 .detachHandler(ended -> detached(ended.getRemoteCondition()))
                 .openHandler(opened -> attached());
--- a/relay/src/main/java/saltstage/amqp/BackendPeering.java
+++ b/relay/src/main/java/saltstage/amqp/BackendPeering.java
@@ -20,8 +20,8 @@
 import org.apache.qpid.protonj2.types.Symbol;
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 import saltstage.log.Log;
-import saltstage.memory.Backend;
 import saltstage.net.Connection;
+import saltstage.session.Backend;
 
 /** One connection to a backend and the links on it. */
 final class BackendPeering extends Peering {
--- a/relay/src/main/java/saltstage/amqp/BackendPool.java
+++ b/relay/src/main/java/saltstage/amqp/BackendPool.java
@@ -7,18 +7,19 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import saltstage.memory.Backend;
 import saltstage.net.Connection;
 import saltstage.net.ConnectionHandler;
 import saltstage.net.Loop;
 import saltstage.net.Transport;
+import saltstage.session.Backend;
 
 /**
  * The connections of one loop to the backends: links share them, a session each; on that loop only.
  */
 final class BackendPool {
     /** What is unsent to a backend holds its links up from the first figure on. */
-    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(256 << 10, 64 << 20);
+    private static final Connection.WriteLimits BOUNDS =
+            new Connection.WriteLimits(256 << 10, 64 << 20);
 
     private static final int MOST_LINKS = 2_000;
 
--- a/relay/src/main/java/saltstage/amqp/ClientLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientLink.java
@@ -12,10 +12,10 @@
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 import saltstage.Api.Outcome;
 import saltstage.log.Log;
-import saltstage.memory.ClientConnection;
-import saltstage.memory.RequestContext;
-import saltstage.memory.RequestContext.Phase;
-import saltstage.memory.Attempt;
+import saltstage.session.Attempt;
+import saltstage.session.ClientConnection;
+import saltstage.session.RequestContext;
+import saltstage.session.RequestContext.Phase;
 
 /**
  * A client's link, which is a request until it stands and a connection at a backend from then on.
@@ -75,7 +75,9 @@
     }
 
     private void ask() {
-        front.admit().admitFromFrontend(this, mapped.terms(), mapped.patience(), taken -> context = taken);
+        front.admit()
+                .admitFromFrontend(
+                        this, mapped.terms(), mapped.patience(), taken -> context = taken);
     }
 
     /**
--- a/relay/src/main/java/saltstage/amqp/ClientPeering.java
+++ b/relay/src/main/java/saltstage/amqp/ClientPeering.java
@@ -172,7 +172,8 @@
         public void handleSaslInit(
                 SaslServerContext context, Symbol mechanism, ProtonBuffer response) {
             boolean fits =
-                    ANONYMOUS.equals(mechanism) && settings.authentication().anonymousTenant() != null
+                    ANONYMOUS.equals(mechanism)
+                                    && settings.authentication().anonymousTenant() != null
                             || PLAIN.equals(mechanism) && plain(response);
             if (fits) {
                 context.sendOutcome(SaslOutcome.SASL_OK, null);
@@ -258,7 +259,8 @@
         opened = true;
         remotely.open();
         if (overfull) {
-            Log.warn("amqp.full", "from", remote, "connections", settings.limits().maxConnections());
+            Log.warn(
+                    "amqp.full", "from", remote, "connections", settings.limits().maxConnections());
             close(Errors.refused(front.config().maxRetryAfter()));
         } else if (front.leaving()) {
             close(Errors.leaving());
--- a/relay/src/main/java/saltstage/amqp/Mapping.java
+++ b/relay/src/main/java/saltstage/amqp/Mapping.java
@@ -8,7 +8,7 @@
 import saltstage.Api;
 import saltstage.config.AmqpSettings;
 import saltstage.config.Configuration;
-import saltstage.memory.RequestAttributes;
+import saltstage.session.RequestAttributes;
 import saltstage.wire.MalformedException;
 
 /**
@@ -89,7 +89,9 @@
         } catch (MalformedException unknown) {
             throw new Unmapped(Errors.notFound("the user is no tenant"));
         }
-        boolean repeatable = config.settings().serviceClasses().get(place).idempotency() == Api.Idempotency.IDEMPOTENT;
+        boolean repeatable =
+                config.settings().serviceClasses().get(place).idempotency()
+                        == Api.Idempotency.IDEMPOTENT;
         return new Mapped(
                 new RequestAttributes(name, place, tenant, key, group, Api.NONE, again),
                 patience(asked, config.clientTimeout(place)),
--- a/relay/src/main/java/saltstage/config/Configuration.java
+++ b/relay/src/main/java/saltstage/config/Configuration.java
@@ -105,7 +105,8 @@
                     (name, member) -> flatten(at.isEmpty() ? "" + name : at + "." + name, member));
         } else if (value instanceof List<?> items) {
             if (items.stream().noneMatch(item -> item instanceof Map || item instanceof List)) {
-                settingValues.put(at, items.stream().map(String::valueOf).collect(Collectors.joining(",")));
+                settingValues.put(
+                        at, items.stream().map(String::valueOf).collect(Collectors.joining(",")));
                 return;
             }
             settingValues.put(at + ".count", Integer.toString(items.size()));
@@ -239,7 +240,11 @@
 
     /** How long any client waits at most. */
     public Duration maxClientTimeout() {
-        return ofMicros(settings.serviceClasses().stream().mapToLong(ServiceClass::clientTimeout).max().orElse(0));
+        return ofMicros(
+                settings.serviceClasses().stream()
+                        .mapToLong(ServiceClass::clientTimeout)
+                        .max()
+                        .orElse(0));
     }
 
     /** How long a connect may take. */
@@ -255,7 +260,10 @@
     /** The shortest time within which any class wants its messages answered. */
     public Duration minMessageLatencyTarget() {
         return ofMicros(
-                settings.serviceClasses().stream().mapToLong(ServiceClass::messageLatencyTarget).min().orElse(0));
+                settings.serviceClasses().stream()
+                        .mapToLong(ServiceClass::messageLatencyTarget)
+                        .min()
+                        .orElse(0));
     }
 
     private static Duration ofMicros(long micros) {
--- a/relay/src/main/java/saltstage/config/HclBlock.java
+++ b/relay/src/main/java/saltstage/config/HclBlock.java
@@ -15,8 +15,8 @@
 
 /**
  * One block of an operator's file. Its attributes are asked for by name, each checked where it is
- * asked for; {@link #rejectUnknown} then refuses whatever nobody has asked for. Every complaint names
- * file, line and name.
+ * asked for; {@link #rejectUnknown} then refuses whatever nobody has asked for. Every complaint
+ * names file, line and name.
  */
 public final class HclBlock {
     private static final Pattern DURATION = Pattern.compile("(\\d{1,9})(ms|s|m|h|d)");
@@ -209,7 +209,8 @@
     }
 
     /** A size in bytes such as "64KiB" or "8MiB" within bounds. */
-    public long byteSize(String name, long absent, long least, long most) throws MalformedException {
+    public long byteSize(String name, long absent, long least, long most)
+            throws MalformedException {
         String text = string(name, null);
         if (text == null) {
             return absent;
@@ -237,7 +238,8 @@
     public void rejectUnknown() throws MalformedException {
         for (Map.Entry<String, Attribute> given : attributes.entrySet()) {
             if (!requested.contains(given.getKey())) {
-                throw errorAt(given.getValue().line(), "unknown attribute '" + given.getKey() + "'");
+                throw errorAt(
+                        given.getValue().line(), "unknown attribute '" + given.getKey() + "'");
             }
         }
         for (HclBlock inner : blocks) {
--- a/relay/src/main/java/saltstage/config/HclFile.java
+++ b/relay/src/main/java/saltstage/config/HclFile.java
@@ -86,7 +86,10 @@
             if (values.size() != 1) {
                 throw errorAt(lineNumber(symbol), "'" + symbol.getName() + "' has no plain value");
             }
-            into.addAttribute(symbol.getName(), parseValue(symbol.getName(), values.get(0)), lineNumber(symbol));
+            into.addAttribute(
+                    symbol.getName(),
+                    parseValue(symbol.getName(), values.get(0)),
+                    lineNumber(symbol));
         } else if (symbol instanceof HCLBlock block) {
             parsedTokens.addAll(block.blockNames);
             HclBlock inner =
--- a/relay/src/main/java/saltstage/config/OperatorSettings.java
+++ b/relay/src/main/java/saltstage/config/OperatorSettings.java
@@ -63,7 +63,11 @@
     private final FollowerSettings follower;
 
     private OperatorSettings(
-            String text, Logging logging, PersistenceSettings keeping, AmqpSettings amqp, FollowerSettings following) {
+            String text,
+            Logging logging,
+            PersistenceSettings keeping,
+            AmqpSettings amqp,
+            FollowerSettings following) {
         this.text = text;
         this.logging = logging;
         this.persistence = keeping;
@@ -151,7 +155,8 @@
                         configuration.string("name", ""),
                         Path.of(configuration.requiredString("dir")));
         if (!ZONE_NAME.matcher(read.zone()).matches()) {
-            throw configuration.attributeError("zone", "up to 60 letters, digits, '.', '_' and '-'");
+            throw configuration.attributeError(
+                    "zone", "up to 60 letters, digits, '.', '_' and '-'");
         }
         if (!FOLLOWER_NAME.matcher(read.name()).matches()) {
             throw configuration.attributeError("name", "up to 160 visible ASCII characters");
--- a/relay/src/main/java/saltstage/handover/AtomicFile.java
+++ b/relay/src/main/java/saltstage/handover/AtomicFile.java
@@ -62,7 +62,8 @@
         }
         byte[] all = Files.readAllBytes(path);
         int end = all.length - CHECKSUM_BYTES;
-        if (end < header.length || !Arrays.equals(header, 0, header.length, all, 0, header.length)) {
+        if (end < header.length
+                || !Arrays.equals(header, 0, header.length, all, 0, header.length)) {
             throw new IOException(path + ": not in the form of this program");
         }
         if (ByteBuffer.wrap(all, end, CHECKSUM_BYTES).getInt() != checksum(all, end)) {
--- a/relay/src/main/java/saltstage/handover/ProcessSlots.java
+++ b/relay/src/main/java/saltstage/handover/ProcessSlots.java
@@ -127,16 +127,23 @@
         if (other == null) {
             now = maxDescriptors;
         } else if (phase == Phase.STARTING || other.phase() == Phase.LEAVING) {
-            now = other.descriptorBudget() > 0 && other.descriptorBudget() < maxDescriptors ? maxDescriptors - other.descriptorBudget() : maxDescriptors / 4;
+            now =
+                    other.descriptorBudget() > 0 && other.descriptorBudget() < maxDescriptors
+                            ? maxDescriptors - other.descriptorBudget()
+                            : maxDescriptors / 4;
         } else if (descriptorBudget < maxDescriptors) {
             now =
                     Math.min(
                             descriptorBudget,
                             Math.max(
                                     maxDescriptors / 2,
-                                    used + SPARE_DESCRIPTORS)); // it only shrinks while two are here
+                                    used + SPARE_DESCRIPTORS)); // it only shrinks while two are
+            // here
         } else {
-            now = Math.max(maxDescriptors / 2, Math.min(used + SPARE_DESCRIPTORS, maxDescriptors * 3 / 4));
+            now =
+                    Math.max(
+                            maxDescriptors / 2,
+                            Math.min(used + SPARE_DESCRIPTORS, maxDescriptors * 3 / 4));
         }
         if (now != descriptorBudget) {
             descriptorBudget = now;
--- a/relay/src/main/java/saltstage/handover/Suspensions.java
+++ b/relay/src/main/java/saltstage/handover/Suspensions.java
@@ -147,7 +147,8 @@
         unreadable = true; // until it was read
         byte[] content = file.read();
         String text = content == null ? "" : new String(content, StandardCharsets.UTF_8);
-        suspendedByOperators = text.isEmpty() ? Set.of() : Set.copyOf(Arrays.asList(text.split("\n")));
+        suspendedByOperators =
+                text.isEmpty() ? Set.of() : Set.copyOf(Arrays.asList(text.split("\n")));
         unreadable = false;
     }
 
--- a/relay/src/main/java/saltstage/lifecycle/BackendEntries.java
+++ b/relay/src/main/java/saltstage/lifecycle/BackendEntries.java
@@ -27,7 +27,8 @@
     /** A backend says this from now on; null: it is deleted. */
     void set(String id, EntryValue.Backend value) {
         BackendList.Entry entry = value == null ? null : toListEntry(id, value);
-        BackendList.Entry before = entry == null ? entriesById.remove(id) : entriesById.put(id, entry);
+        BackendList.Entry before =
+                entry == null ? entriesById.remove(id) : entriesById.put(id, entry);
         if (entry != null) {
             changed.put(id, entry);
         } else if (before != null) {
@@ -46,7 +47,9 @@
         return new BackendList(revision, true, List.copyOf(entriesById.values()));
     }
 
-    /** What has changed since the last call of this or of {@link #fullList}; null where nothing has. */
+    /**
+     * What has changed since the last call of this or of {@link #fullList}; null where nothing has.
+     */
     BackendList changesSinceLast(long revision) {
         if (changed.isEmpty()) {
             return null;
--- a/relay/src/main/java/saltstage/lifecycle/ConfigCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/ConfigCommand.java
@@ -14,8 +14,8 @@
 import picocli.CommandLine.Parameters;
 import saltstage.config.Configuration;
 import saltstage.config.OperatorSettings;
-import saltstage.keep.ConfigurationVersions;
 import saltstage.log.Log;
+import saltstage.persistence.ConfigurationVersions;
 import saltstage.store.FileDisk;
 import saltstage.store.Store;
 import saltstage.wire.MalformedException;
@@ -74,7 +74,8 @@
             }
         }
 
-        private ConfigurationVersions.Version find(long number) throws IOException, MalformedException {
+        private ConfigurationVersions.Version find(long number)
+                throws IOException, MalformedException {
             return read(store -> ConfigurationVersions.find(store, number))
                     .orElseThrow(() -> new MalformedException("there is no version " + number));
         }
--- a/relay/src/main/java/saltstage/lifecycle/DiscoverySubscription.java
+++ b/relay/src/main/java/saltstage/lifecycle/DiscoverySubscription.java
@@ -11,10 +11,10 @@
 import saltstage.lifecycle.DiscoveryCalls.Effect;
 import saltstage.lifecycle.DiscoveryCalls.Step;
 import saltstage.log.Log;
-import saltstage.memory.Timers;
+import saltstage.session.Timers;
 import saltstage.stage.Threads;
-import saltstage.wire.DiscoveryClient;
 import saltstage.wire.BackendList;
+import saltstage.wire.DiscoveryClient;
 import saltstage.wire.MalformedException;
 
 /**
@@ -119,7 +119,12 @@
         } else if (effect instanceof Effect.DeliverList deliver) {
             listener.accept(deliver.list());
         } else if (effect instanceof Effect.DropOldList drop) {
-            Log.warn("discovery.old", "rev", drop.list().revision(), "held", heldRevision.getAsLong());
+            Log.warn(
+                    "discovery.old",
+                    "rev",
+                    drop.list().revision(),
+                    "held",
+                    heldRevision.getAsLong());
         } else {
             timers.schedule(ANSWER_TIMEOUT, this::ask);
         }
--- a/relay/src/main/java/saltstage/lifecycle/Drain.java
+++ b/relay/src/main/java/saltstage/lifecycle/Drain.java
@@ -4,11 +4,11 @@
 import java.time.Instant;
 import java.util.List;
 import saltstage.log.Log;
-import saltstage.memory.MonotonicClock;
-import saltstage.memory.Attempt;
-import saltstage.stage.RelayPipeline;
+import saltstage.session.Attempt;
+import saltstage.session.MonotonicClock;
 import saltstage.stage.Frontend;
 import saltstage.stage.MovePacing;
+import saltstage.stage.RelayPipeline;
 
 /**
  * The end after SIGTERM. SIGKILL comes 0.7 s after the longest deadline at the earliest, which
@@ -136,7 +136,9 @@
             return;
         }
         List<Attempt> standing = List.copyOf(pipeline.outcomeRecorder().establishedAttempts());
-        long due = MovePacing.movesPerStep(standing.size(), movesUntil.minus(elapsed()), POLL_INTERVAL);
+        long due =
+                MovePacing.movesPerStep(
+                        standing.size(), movesUntil.minus(elapsed()), POLL_INTERVAL);
         for (Attempt up : standing) {
             if (due <= 0) {
                 break;
--- a/relay/src/main/java/saltstage/lifecycle/Main.java
+++ b/relay/src/main/java/saltstage/lifecycle/Main.java
@@ -137,7 +137,8 @@
             if (HANGUP_SIGNAL.isIgnored()) {
                 Log.warn("reload.ignored", "why", "the process was started with SIGHUP ignored");
             }
-            RelayServer program = new RelayServer(config.read(), chosen, ProcessEnvironment.of(System.getenv()));
+            RelayServer program =
+                    new RelayServer(config.read(), chosen, ProcessEnvironment.of(System.getenv()));
             Runtime.getRuntime()
                     .addShutdownHook(
                             new Thread(
--- a/relay/src/main/java/saltstage/lifecycle/ProcessEnvironment.java
+++ b/relay/src/main/java/saltstage/lifecycle/ProcessEnvironment.java
@@ -11,7 +11,8 @@
  * shares with a process that replaces it (null: none), where operators call (null: as the
  * configuration says), and whether descriptor 0 is the clients' listening socket.
  */
-record ProcessEnvironment(Path sharedFolder, InetSocketAddress adminAddress, boolean inheritsListener) {
+record ProcessEnvironment(
+        Path sharedFolder, InetSocketAddress adminAddress, boolean inheritsListener) {
     /** Reads the environment. */
     static ProcessEnvironment of(Map<String, String> environment) throws MalformedException {
         String folder = environment.getOrDefault("TMPDIR", "");
--- a/relay/src/main/java/saltstage/lifecycle/RelayOperations.java
+++ b/relay/src/main/java/saltstage/lifecycle/RelayOperations.java
@@ -15,19 +15,19 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import saltstage.admin.OperatorService;
-import saltstage.handover.Suspensions;
-import saltstage.handover.ProcessSlots;
 import saltstage.handover.AtomicFile;
-import saltstage.keep.Takeover;
+import saltstage.handover.ProcessSlots;
+import saltstage.handover.Suspensions;
 import saltstage.log.Log;
-import saltstage.memory.MonotonicClock;
-import saltstage.memory.Backend;
-import saltstage.memory.BackendRegistry;
-import saltstage.memory.Attempt;
 import saltstage.metrics.RequestCounters;
-import saltstage.stage.RelayPipeline;
+import saltstage.persistence.Takeover;
+import saltstage.session.Attempt;
+import saltstage.session.Backend;
+import saltstage.session.BackendRegistry;
+import saltstage.session.MonotonicClock;
 import saltstage.stage.Frontend;
 import saltstage.stage.MovePacing;
+import saltstage.stage.RelayPipeline;
 import saltstage.wire.BackendList;
 
 /**
@@ -97,7 +97,10 @@
             known++;
             skipped += peer.isSuspended() || left.contains(peer.entry().uid()) ? 1 : 0;
         }
-        return counters.format(pipeline.frontends().stream().mapToInt(Frontend::requestCount).sum(), known, skipped);
+        return counters.format(
+                pipeline.frontends().stream().mapToInt(Frontend::requestCount).sum(),
+                known,
+                skipped);
     }
 
     @Override
@@ -211,7 +214,12 @@
             if (++polls % POLLS_PER_TAKEOVER_WRITE == 0 && notReadyReason == null) {
                 Instant now = clock.now();
                 takeoverFile.write(
-                        new Takeover(backends.toBackendList(), now, pipeline.router().learnedState(), knownBackendIds).toBytes());
+                        new Takeover(
+                                        backends.toBackendList(),
+                                        now,
+                                        pipeline.router().learnedState(),
+                                        knownBackendIds)
+                                .toBytes());
             }
         } catch (IOException failed) {
             Log.warn("handover.fault", "why", failed.getMessage());
@@ -245,7 +253,9 @@
                 continue;
             }
             List<Attempt> standing = List.copyOf(peer.establishedAttempts());
-            long due = MovePacing.movesPerStep(standing.size(), Duration.between(now, until), POLL_INTERVAL);
+            long due =
+                    MovePacing.movesPerStep(
+                            standing.size(), Duration.between(now, until), POLL_INTERVAL);
             for (int i = 0; i < standing.size() && due > 0; i++) {
                 due -= pipeline.move(standing.get(i), "suspended") ? 1 : 0;
             }
--- a/relay/src/main/java/saltstage/lifecycle/RelayServer.java
+++ b/relay/src/main/java/saltstage/lifecycle/RelayServer.java
@@ -15,18 +15,18 @@
 import saltstage.config.AmqpSettings;
 import saltstage.config.Configuration;
 import saltstage.config.OperatorSettings;
-import saltstage.handover.Suspensions;
 import saltstage.handover.ProcessSlots;
-import saltstage.keep.RelayStateStore;
-import saltstage.keep.Takeover;
+import saltstage.handover.Suspensions;
 import saltstage.log.Log;
 import saltstage.log.LogSetup;
-import saltstage.memory.MonotonicClock;
-import saltstage.memory.BackendRegistry;
-import saltstage.memory.Timers;
 import saltstage.metrics.RequestCounters;
 import saltstage.net.NettyTransport;
 import saltstage.net.Transport;
+import saltstage.persistence.RelayStateStore;
+import saltstage.persistence.Takeover;
+import saltstage.session.BackendRegistry;
+import saltstage.session.MonotonicClock;
+import saltstage.session.Timers;
 import saltstage.stage.RelayPipeline;
 import saltstage.stage.Threads;
 import saltstage.wire.BackendList;
@@ -82,13 +82,18 @@
         this.environment = surroundings;
         this.config = config;
         this.operatorSettings = operator;
-        stateStore = operator.persistence().map(keeping -> RelayStateStore.open(keeping, clock::now)).orElse(null);
+        stateStore =
+                operator.persistence()
+                        .map(keeping -> RelayStateStore.open(keeping, clock::now))
+                        .orElse(null);
         Path folder = surroundings.sharedFolder();
         boolean handsOver = surroundings.inheritsListener() && folder != null;
         suspensions = new Suspensions(adminAddress() == null ? null : folder, config.name());
         counters = new RequestCounters(config.serviceClassNames());
         backends = new BackendRegistry(suspensions::isSuspended);
-        pipeline = new RelayPipeline(config, clock, timers, backends, counters, this::watchBackendList);
+        pipeline =
+                new RelayPipeline(
+                        config, clock, timers, backends, counters, this::watchBackendList);
         operations =
                 new RelayOperations(
                         clock,
@@ -119,7 +124,8 @@
 
     private ProcessSlots claimSlot(Path folder) {
         try {
-            return ProcessSlots.claim(folder.resolve(config.name() + ".slots"), config.maxSockets());
+            return ProcessSlots.claim(
+                    folder.resolve(config.name() + ".slots"), config.maxSockets());
         } catch (IOException e) { // it serves all the same, as if it were alone
             Log.warn("handover.fault", "why", e.getMessage());
             return null;
@@ -127,7 +133,9 @@
     }
 
     private InetSocketAddress adminAddress() {
-        return environment.adminAddress() != null ? environment.adminAddress() : config.adminAddress();
+        return environment.adminAddress() != null
+                ? environment.adminAddress()
+                : config.adminAddress();
     }
 
     /** Starts to serve; clients are heard from the return on. */
@@ -176,7 +184,9 @@
                 environment.inheritsListener()
                         ? ClientListener.inherited()
                         : ClientListener.bind(config.listenAddress());
-        if (adminAddress() != null || environment.inheritsListener() || sharedConfiguration != null) {
+        if (adminAddress() != null
+                || environment.inheritsListener()
+                || sharedConfiguration != null) {
             operations.poll(); // bans and the part of the descriptors hold before the first client
             Threads.startLoop("clerk", operations::runOnce);
         }
@@ -251,10 +261,19 @@
     /** The list as the platform remembers it, or as this relay has kept it, whichever is newer. */
     private BackendList newestKnownList(Takeover left) {
         BackendList kept =
-                left != null ? left.list() : stateStore == null ? null : stateStore.persistedList().orElse(null);
+                left != null
+                        ? left.list()
+                        : stateStore == null ? null : stateStore.persistedList().orElse(null);
         boolean newer = kept != null && kept.revision() > config.knownBackends().revision();
         if (kept != null) {
-            Log.info("keep.list", "rev", kept.revision(), "known", config.knownBackends().revision(), "taken", newer);
+            Log.info(
+                    "keep.list",
+                    "rev",
+                    kept.revision(),
+                    "known",
+                    config.knownBackends().revision(),
+                    "taken",
+                    newer);
         }
         return newer ? kept : config.knownBackends();
     }
@@ -308,7 +327,8 @@
 
     private void applyLogging(OperatorSettings.Logging logging) {
         if (sharedConfiguration != null) {
-            sharedConfiguration.useLogging(logging); // a setting of the configuration goes before the file's
+            sharedConfiguration.useLogging(
+                    logging); // a setting of the configuration goes before the file's
         } else {
             LogSetup.reconfigure(logging.format(), logging.level().name());
         }
@@ -360,7 +380,8 @@
     }
 
     private void tick() {
-        timers.schedule(TICK_INTERVAL, this::tick); // first of all: what fails below must not end the beat
+        timers.schedule(
+                TICK_INTERVAL, this::tick); // first of all: what fails below must not end the beat
         recordTick();
         ticks++;
         pipeline.checkUnresponsiveBackends();
@@ -389,7 +410,8 @@
         operations.backendListReceived(list);
         pipeline.backendListReceived(backends.update(list), list);
         if (stateStore != null
-                && sharedConfiguration == null) { // else its revisions are the configuration's, kept with it
+                && sharedConfiguration
+                        == null) { // else its revisions are the configuration's, kept with it
             stateStore.saveList(backends.toBackendList());
         }
         firstListReceived.countDown();
--- a/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
+++ b/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
@@ -120,7 +120,8 @@
         }
     }
 
-    private static FollowerOptions options(OperatorSettings.FollowerSettings following, String relayName) {
+    private static FollowerOptions options(
+            OperatorSettings.FollowerSettings following, String relayName) {
         List<URI> sources = following.sources().stream().map(FollowerOptions::source).toList();
         String name = following.name().isEmpty() ? relayName : following.name();
         return new FollowerOptions(sources, name, following.zone(), FollowerTimings.usual());
@@ -147,7 +148,9 @@
 
     /** The list of backends that the disk held; none where it named none. */
     synchronized Optional<BackendList> knownList() {
-        return backends.isEmpty() ? Optional.empty() : Optional.of(backends.fullList(client.revision()));
+        return backends.isEmpty()
+                ? Optional.empty()
+                : Optional.of(backends.fullList(client.revision()));
     }
 
     /** The backend that a shard is placed at, by topic and number such as "topic-7/3". */
@@ -247,7 +250,8 @@
     private void applySettingsAndSuspensions() {
         settings.apply();
         suspensions.setSuspendedByConfiguration(
-                suspendedBackendIds); // before the list: a new backend may be suspended from its first moment
+                suspendedBackendIds); // before the list: a new backend may be suspended from its
+        // first moment
     }
 
     private void deliverList(BackendList list) {
--- a/relay/src/main/java/saltstage/lifecycle/StoreCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/StoreCommand.java
@@ -200,7 +200,8 @@
                 throw new StoreException("--batch takes a whole number from 1 on");
             }
             StoreOptions usual = StoreOptions.usual();
-            return where.runWritable(new StoreOptions(segment, true, usual.compactionRate()), this::load);
+            return where.runWritable(
+                    new StoreOptions(segment, true, usual.compactionRate()), this::load);
         }
 
         private int load(Store store) throws IOException {
--- a/relay/src/main/java/saltstage/log/EventAppender.java
+++ b/relay/src/main/java/saltstage/log/EventAppender.java
@@ -37,7 +37,8 @@
                 before.forEach(
                         (name, count) -> {
                             if (count[0] > MAX_LINES_PER_SECOND) {
-                                super.append(suppressed(event, name, count[0] - MAX_LINES_PER_SECOND));
+                                super.append(
+                                        suppressed(event, name, count[0] - MAX_LINES_PER_SECOND));
                             }
                         });
             }
--- a/relay/src/main/java/saltstage/net/NettyConnection.java
+++ b/relay/src/main/java/saltstage/net/NettyConnection.java
@@ -42,7 +42,10 @@
     private ByteBuf writeBuffer;
 
     NettyConnection(
-            SocketChannel channel, Loop loop, WriteLimits bounds, BiConsumer<String, Throwable> faults) {
+            SocketChannel channel,
+            Loop loop,
+            WriteLimits bounds,
+            BiConsumer<String, Throwable> faults) {
         this.channel = channel;
         this.loop = loop;
         this.writeLimits = bounds;
@@ -91,11 +94,16 @@
             writeBuffer =
                     channel.alloc()
                             .ioBuffer(
-                                    Math.max(bytes.remaining(), flushScheduled ? WRITE_BUFFER_BYTES : INITIAL_BUFFER_BYTES),
+                                    Math.max(
+                                            bytes.remaining(),
+                                            flushScheduled
+                                                    ? WRITE_BUFFER_BYTES
+                                                    : INITIAL_BUFFER_BYTES),
                                     Math.max(bytes.remaining(), WRITE_BUFFER_BYTES));
         }
         writeBuffer.writeBytes(bytes);
-        if (!flushScheduled) { // one call of the system for all that is written in this round of the loop
+        if (!flushScheduled) { // one call of the system for all that is written in this round of
+            // the loop
             flushScheduled = true;
             channel.eventLoop()
                     .execute(
--- a/relay/src/main/java/saltstage/net/NettyTransport.java
+++ b/relay/src/main/java/saltstage/net/NettyTransport.java
@@ -97,7 +97,8 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
-                                        NettyConnection connection = initConnection(channel, bounds);
+                                        NettyConnection connection =
+                                                initConnection(channel, bounds);
                                         ConnectionHandler handler = acceptor.accept(connection);
                                         if (handler == null) {
                                             connection.refuse();
@@ -137,7 +138,8 @@
         channel.config()
                 .setWriteBufferWaterMark(
                         new WriteBufferWaterMark(bounds.softBytes() / 2, bounds.softBytes()));
-        NettyConnection connection = new NettyConnection(channel, loopOf(channel), bounds, faultListener);
+        NettyConnection connection =
+                new NettyConnection(channel, loopOf(channel), bounds, faultListener);
         channel.pipeline().addLast(connection);
         return connection;
     }
@@ -160,7 +162,8 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
-                                        initConnection(channel, bounds).setConnectListener(connecting);
+                                        initConnection(channel, bounds)
+                                                .setConnectListener(connecting);
                                     }
                                 });
         client.connect(to)
@@ -183,6 +186,8 @@
 
     @Override
     public void close() {
-        eventLoopGroup.shutdownGracefully(0, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).awaitUninterruptibly(SHUTDOWN_TIMEOUT_MILLIS);
+        eventLoopGroup
+                .shutdownGracefully(0, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                .awaitUninterruptibly(SHUTDOWN_TIMEOUT_MILLIS);
     }
 }
--- a/relay/src/main/java/saltstage/net/Transport.java
+++ b/relay/src/main/java/saltstage/net/Transport.java
@@ -36,7 +36,8 @@
     }
 
     /** Listens; accepted connections are dealt out over the loops. */
-    Listener listen(InetSocketAddress at, int backlog, Connection.WriteLimits bounds, Acceptor acceptor)
+    Listener listen(
+            InetSocketAddress at, int backlog, Connection.WriteLimits bounds, Acceptor acceptor)
             throws IOException;
 
     /** Connects on this loop within the limit. */
--- a/relay/src/main/java/saltstage/keep/ConfigurationVersions.java
+++ b/relay/src/main/java/saltstage/persistence/ConfigurationVersions.java
@@ -1,4 +1,4 @@
-package saltstage.keep;
+package saltstage.persistence;
 
 import com.dynatrace.hash4j.hashing.HashValue128;
 import com.dynatrace.hash4j.hashing.Hashing;
@@ -61,14 +61,17 @@
     /** One of them. */
     public static Optional<Version> find(Store store, long number) throws IOException {
         byte[] found = store.get(keyBytes(String.format(KEY_FORMAT, number)));
-        return found == null ? Optional.empty() : Optional.of(RelayStateCodec.decodeVersion(number, found));
+        return found == null
+                ? Optional.empty()
+                : Optional.of(RelayStateCodec.decodeVersion(number, found));
     }
 
     /**
      * Adds what was accepted, unless it is the newest already; the oldest beyond the bound go with
      * it.
      */
-    static long addIfChanged(Store store, String configuration, String settings, Instant at, int most)
+    static long addIfChanged(
+            Store store, String configuration, String settings, Instant at, int most)
             throws IOException {
         List<Version> all = all(store);
         Version newest = all.isEmpty() ? null : all.get(all.size() - 1);
--- a/relay/src/main/java/saltstage/keep/RelayStateCodec.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateCodec.java
@@ -1,4 +1,4 @@
-package saltstage.keep;
+package saltstage.persistence;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import saltstage.Api.LearnedState;
 import saltstage.Api.LearnedBackend;
+import saltstage.Api.LearnedState;
 import saltstage.wire.BackendList;
 
 /**
@@ -51,7 +51,8 @@
         return out.toByteArray();
     }
 
-    private static <T> T decode(byte[] bytes, String what, BodyReader<T> reading) throws IOException {
+    private static <T> T decode(byte[] bytes, String what, BodyReader<T> reading)
+            throws IOException {
         return decode(bytes, what, FORMAT_VERSION, reading);
     }
 
@@ -156,7 +157,8 @@
     }
 
     static TimestampedState decodeLearnedState(byte[] bytes) throws IOException {
-        boolean first = bytes.length > 0 && bytes[0] == FORMAT_VERSION; // without the part of the capacity
+        boolean first =
+                bytes.length > 0 && bytes[0] == FORMAT_VERSION; // without the part of the capacity
         return decode(
                 bytes,
                 "learnt state",
@@ -224,7 +226,8 @@
                 });
     }
 
-    static ConfigurationVersions.Version decodeVersion(long number, byte[] bytes) throws IOException {
+    static ConfigurationVersions.Version decodeVersion(long number, byte[] bytes)
+            throws IOException {
         return decode(
                 bytes,
                 "configuration " + number,
--- a/relay/src/main/java/saltstage/keep/RelayStateStore.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateStore.java
@@ -1,4 +1,4 @@
-package saltstage.keep;
+package saltstage.persistence;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -12,8 +12,8 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import saltstage.Api.LearnedState;
 import saltstage.Api.LearnedBackend;
+import saltstage.Api.LearnedState;
 import saltstage.config.OperatorSettings.PersistenceSettings;
 import saltstage.log.Log;
 import saltstage.store.Batch;
@@ -73,14 +73,17 @@
         Disk open() throws IOException;
     }
 
-    static RelayStateStore open(PersistenceSettings settings, Supplier<Instant> clock, DiskOpener place) {
+    static RelayStateStore open(
+            PersistenceSettings settings, Supplier<Instant> clock, DiskOpener place) {
         RelayStateStore keeper = new RelayStateStore(settings, clock);
         try {
             keeper.store =
                     Store.open(
                             place.open(),
                             new StoreOptions(
-                                    settings.segmentBytes(), true, settings.compactionBytesPerSecond()),
+                                    settings.segmentBytes(),
+                                    true,
+                                    settings.compactionBytesPerSecond()),
                             Log::warn);
         } catch (IOException | RuntimeException e) {
             keeper.markLost(e);
@@ -129,10 +132,12 @@
                     if (bytes == null) {
                         return null;
                     }
-                    RelayStateCodec.TimestampedState dated = RelayStateCodec.decodeLearnedState(bytes);
+                    RelayStateCodec.TimestampedState dated =
+                            RelayStateCodec.decodeLearnedState(bytes);
                     Duration age = Duration.between(dated.at(), clock.get());
                     // Of a clock that went back nobody can say how old it is.
-                    boolean fresh = !age.isNegative() && age.compareTo(settings.maxLearnedStateAge()) <= 0;
+                    boolean fresh =
+                            !age.isNegative() && age.compareTo(settings.maxLearnedStateAge()) <= 0;
                     Log.info(
                             "keep.learnt",
                             "age_s",
@@ -206,7 +211,8 @@
 
     /** A configuration was accepted. */
     public synchronized void saveConfiguration(String configuration, String operatorSettings) {
-        pendingConfigurations.add(new AcceptedConfiguration(configuration, operatorSettings, clock.get()));
+        pendingConfigurations.add(
+                new AcceptedConfiguration(configuration, operatorSettings, clock.get()));
         notifyAll();
     }
 
@@ -255,8 +261,13 @@
 
     /** Waits until there is something to write, or the interval is over; true at the end. */
     private synchronized boolean awaitWork() throws InterruptedException {
-        long until = System.nanoTime() + (state == State.FULL ? FULL_RETRY_PAUSE : settings.saveInterval()).toNanos();
-        while (!closing && (state == State.FULL || pendingList == null && pendingConfigurations.isEmpty())) {
+        long until =
+                System.nanoTime()
+                        + (state == State.FULL ? FULL_RETRY_PAUSE : settings.saveInterval())
+                                .toNanos();
+        while (!closing
+                && (state == State.FULL
+                        || pendingList == null && pendingConfigurations.isEmpty())) {
             long left = (until - System.nanoTime()) / 1_000_000;
             if (left <= 0) {
                 break;
@@ -299,7 +310,12 @@
     /** The list in one batch: what differs from the one that is there, and its number. */
     private void writeList(BackendList newest) throws IOException {
         Map<String, byte[]> wanted = new HashMap<>();
-        newest.entries().forEach(entry -> wanted.put(ENTRY_KEY_PREFIX + entry.uid(), RelayStateCodec.encodeEntry(entry)));
+        newest.entries()
+                .forEach(
+                        entry ->
+                                wanted.put(
+                                        ENTRY_KEY_PREFIX + entry.uid(),
+                                        RelayStateCodec.encodeEntry(entry)));
         Batch batch = new Batch();
         try (Snapshot now = store.snapshot()) {
             byte[] rev = now.get(LIST_REVISION_KEY);
@@ -338,9 +354,14 @@
 
     private void writeLearnedState() throws IOException {
         LearnedState now = learnedStateSource.get();
-        byte[] plain = RelayStateCodec.encodeLearnedState(new RelayStateCodec.TimestampedState(Instant.EPOCH, now));
+        byte[] plain =
+                RelayStateCodec.encodeLearnedState(
+                        new RelayStateCodec.TimestampedState(Instant.EPOCH, now));
         if (!now.backends().isEmpty() && !Arrays.equals(plain, lastWrittenLearnedState)) {
-            store.put(LEARNED_STATE_KEY, RelayStateCodec.encodeLearnedState(new RelayStateCodec.TimestampedState(clock.get(), now)));
+            store.put(
+                    LEARNED_STATE_KEY,
+                    RelayStateCodec.encodeLearnedState(
+                            new RelayStateCodec.TimestampedState(clock.get(), now)));
             lastWrittenLearnedState = plain;
         }
     }
--- a/relay/src/main/java/saltstage/keep/Takeover.java
+++ b/relay/src/main/java/saltstage/persistence/Takeover.java
@@ -1,4 +1,4 @@
-package saltstage.keep;
+package saltstage.persistence;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -17,7 +17,11 @@
  * What a process leaves to the one that replaces it: its list, what it has learnt, every id ever
  * listed.
  */
-public record Takeover(BackendList list, Instant writtenAt, LearnedState learnedState, Set<String> knownBackendIds) {
+public record Takeover(
+        BackendList list,
+        Instant writtenAt,
+        LearnedState learnedState,
+        Set<String> knownBackendIds) {
     private static final int MAX_COUNT = 1 << 20;
 
     /** As bytes. */
@@ -27,7 +31,11 @@
         data.writeLong(list.revision());
         List<byte[]> entries = list.entries().stream().map(RelayStateCodec::encodeEntry).toList();
         writeParts(data, entries);
-        writeParts(data, List.of(RelayStateCodec.encodeLearnedState(new RelayStateCodec.TimestampedState(writtenAt, learnedState))));
+        writeParts(
+                data,
+                List.of(
+                        RelayStateCodec.encodeLearnedState(
+                                new RelayStateCodec.TimestampedState(writtenAt, learnedState))));
         data.writeInt(knownBackendIds.size());
         for (String id : knownBackendIds) {
             data.writeUTF(id);
@@ -35,7 +43,8 @@
         return out.toByteArray();
     }
 
-    private static void writeParts(DataOutputStream data, Collection<byte[]> parts) throws IOException {
+    private static void writeParts(DataOutputStream data, Collection<byte[]> parts)
+            throws IOException {
         data.writeInt(parts.size());
         for (byte[] part : parts) {
             data.writeInt(part.length);
@@ -61,7 +70,10 @@
             listed.add(data.readUTF());
         }
         return new Takeover(
-                new BackendList(rev, true, entries), dated.at(), dated.learnedState(), Set.copyOf(listed));
+                new BackendList(rev, true, entries),
+                dated.at(),
+                dated.learnedState(),
+                Set.copyOf(listed));
     }
 
     private static List<byte[]> readParts(DataInputStream data) throws IOException {
--- a/relay/src/main/java/saltstage/keep/package-info.java
+++ b/relay/src/main/java/saltstage/persistence/package-info.java
@@ -3,4 +3,4 @@
  * module has learnt, and the configurations it has accepted. Written by a thread of its own, never
  * on a request's path; a store that is lost is told and done without.
  */
-package saltstage.keep;
+package saltstage.persistence;
--- a/relay/src/main/java/saltstage/memory/Attempt.java
+++ b/relay/src/main/java/saltstage/session/Attempt.java
@@ -1,4 +1,4 @@
-package saltstage.memory;
+package saltstage.session;
 
 import java.io.IOException;
 import java.time.Instant;
@@ -67,7 +67,8 @@
         if (connection != null) {
             connection.close();
         } else if (pendingConnection != null) {
-            pendingConnection.close(); // else it would take a place at the backend, and a descriptor here,
+            pendingConnection
+                    .close(); // else it would take a place at the backend, and a descriptor here,
             // for nobody
         }
     }
--- a/relay/src/main/java/saltstage/memory/BackendRegistry.java
+++ b/relay/src/main/java/saltstage/session/BackendRegistry.java
@@ -1,4 +1,4 @@
-package saltstage.memory;
+package saltstage.session;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -48,7 +48,8 @@
 
     /** The whole list as it is now. */
     public synchronized BackendList toBackendList() {
-        return new BackendList(revision, true, backends.values().stream().map(Backend::entry).toList());
+        return new BackendList(
+                revision, true, backends.values().stream().map(Backend::entry).toList());
     }
 
     /** Takes a list or a change of it; returns the processes that have ended by it. */
@@ -65,7 +66,8 @@
                 ended.add(held);
             }
             if (entry.state() != BackendList.State.GONE) {
-                backends.computeIfAbsent(entry.uid(), uid -> new Backend(entry, suspensionCheck)).update(entry);
+                backends.computeIfAbsent(entry.uid(), uid -> new Backend(entry, suspensionCheck))
+                        .update(entry);
             }
         }
         if (list.full()) {
--- a/relay/src/main/java/saltstage/memory/ClientConnection.java
+++ b/relay/src/main/java/saltstage/session/ClientConnection.java
@@ -1,4 +1,4 @@
-package saltstage.memory;
+package saltstage.session;
 
 import java.time.Duration;
 import java.time.Instant;
--- a/relay/src/main/java/saltstage/memory/LoadReportClassifier.java
+++ b/relay/src/main/java/saltstage/session/LoadReportClassifier.java
@@ -1,4 +1,4 @@
-package saltstage.memory;
+package saltstage.session;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -41,8 +41,11 @@
                                         && isPeriodic(
                                                 lastAmbiguousAt,
                                                 now,
-                                                Duration.ofMillis(REPORT_INTERVAL_MILLIS + INTERVAL_TOLERANCE_MILLIS))
-                                || figure < MIN_LOAD_MICROS_PER_SECOND && figure * MAX_LOAD_DROP_FACTOR < on.load());
+                                                Duration.ofMillis(
+                                                        REPORT_INTERVAL_MILLIS
+                                                                + INTERVAL_TOLERANCE_MILLIS))
+                                || figure < MIN_LOAD_MICROS_PER_SECOND
+                                        && figure * MAX_LOAD_DROP_FACTOR < on.load());
         if (delay) {
             lastDelayAt = now;
         } else if (figure < MAX_DELAY_MILLIS) {
@@ -58,6 +61,8 @@
         }
         Duration since = Duration.between(last, now);
         long off = (since.toMillis() + INTERVAL_TOLERANCE_MILLIS) % REPORT_INTERVAL_MILLIS;
-        return off <= 2 * INTERVAL_TOLERANCE_MILLIS && since.toMillis() > INTERVAL_TOLERANCE_MILLIS && since.compareTo(memory) <= 0;
+        return off <= 2 * INTERVAL_TOLERANCE_MILLIS
+                && since.toMillis() > INTERVAL_TOLERANCE_MILLIS
+                && since.compareTo(memory) <= 0;
     }
 }
--- a/relay/src/main/java/saltstage/memory/RequestAttributes.java
+++ b/relay/src/main/java/saltstage/session/RequestAttributes.java
@@ -1,4 +1,4 @@
-package saltstage.memory;
+package saltstage.session;
 
 /**
  * What a request asks for, in no protocol's words: its name (unique among the open ones), the
--- a/relay/src/main/java/saltstage/memory/RequestContext.java
+++ b/relay/src/main/java/saltstage/session/RequestContext.java
@@ -1,4 +1,4 @@
-package saltstage.memory;
+package saltstage.session;
 
 import java.time.Instant;
 
@@ -23,7 +23,8 @@
     private Instant possibleExecutionSince;
 
     /** A request that was just taken. */
-    public RequestContext(long id, RequestAttributes terms, Instant deadline, ClientConnection client) {
+    public RequestContext(
+            long id, RequestAttributes terms, Instant deadline, ClientConnection client) {
         this.id = id;
         this.attributes = terms;
         this.deadline = deadline;
--- a/relay/src/main/java/saltstage/memory/Timers.java
+++ b/relay/src/main/java/saltstage/session/Timers.java
@@ -1,4 +1,4 @@
-package saltstage.memory;
+package saltstage.session;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -11,7 +11,9 @@
 
     private final MonotonicClock clock;
     private final PriorityQueue<ScheduledTask> queue =
-            new PriorityQueue<>(Comparator.comparing(ScheduledTask::dueAt).thenComparingLong(ScheduledTask::sequence));
+            new PriorityQueue<>(
+                    Comparator.comparing(ScheduledTask::dueAt)
+                            .thenComparingLong(ScheduledTask::sequence));
     private long nextSequence;
 
     /** Timers on this clock; {@link #awaitNext} feeds the thread that runs them. */
--- a/relay/src/main/java/saltstage/sim/SimulatorAdapter.java
+++ b/relay/src/main/java/saltstage/sim/SimulatorAdapter.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Map;
 import saltstage.Api;
-import saltstage.Api.Health;
 import saltstage.Api.BackendListKind;
 import saltstage.Api.ConnectionReport;
+import saltstage.Api.Health;
+import saltstage.Api.ListedBackend;
 import saltstage.Api.Outcome;
 import saltstage.Api.Request;
-import saltstage.Api.ListedBackend;
 import saltstage.Api.Settings;
 import saltstage.LoadBalancer;
 import saltstage.config.SettingsReader;
@@ -52,7 +52,8 @@
             while (!turn) {
                 SimulatorMessage event = readMessage();
                 if (event == null) {
-                    throw new MalformedMessageException("line " + lineNumber + ": input ends before YOUR_TURN");
+                    throw new MalformedMessageException(
+                            "line " + lineNumber + ": input ends before YOUR_TURN");
                 }
                 turn = event.type.equals("YOUR_TURN");
                 if (!turn) {
@@ -108,13 +109,17 @@
         switch (e.type) {
             case "DISCOVERY" -> handleBackendList(e, logic);
             case "JOB_IN" -> logic.requestReceived(now, readRequest(e, at.settings()));
-            case "OPEN" -> logic.connectionRestored(now, readRequest(e, at.settings()), e.require("Host"));
+            case "OPEN" ->
+                    logic.connectionRestored(now, readRequest(e, at.settings()), e.require("Host"));
             case "STREAMING" ->
-                    logic.connectionEstablished(now, requestId(e), e.number("DelaySeen", 0, Long.MAX_VALUE));
-            case "VERDICT" -> logic.attemptEnded(now, requestId(e), readOutcome(e), e.flag("Ended"));
+                    logic.connectionEstablished(
+                            now, requestId(e), e.number("DelaySeen", 0, Long.MAX_VALUE));
+            case "VERDICT" ->
+                    logic.attemptEnded(now, requestId(e), readOutcome(e), e.flag("Ended"));
             case "DROPPED" -> logic.clientLeft(now, requestId(e));
             case "NOTICE" -> handleConnectionReport(e, logic);
-            case "ECHO" -> logic.probeCompleted(now, e.require("Host"), readOutcome(e), utilization(e));
+            case "ECHO" ->
+                    logic.probeCompleted(now, e.require("Host"), readOutcome(e), utilization(e));
             case "REMINDER" -> logic.timerFired(now, e.require("Token"));
             case "EXIT" -> instances.remove(who);
             default -> {} // peers are not used; what is unknown is passed over
@@ -157,7 +162,11 @@
     private void handleConnectionReport(SimulatorMessage e, LoadBalancer logic) {
         long topic = e.number("Topic", 0, Integer.MAX_VALUE);
         if (topic == 1 || topic == 2) {
-            logic.connectionReported(now, requestId(e), topic == 1 ? ConnectionReport.LOAD : ConnectionReport.DELAY, e.decimal("Level"));
+            logic.connectionReported(
+                    now,
+                    requestId(e),
+                    topic == 1 ? ConnectionReport.LOAD : ConnectionReport.DELAY,
+                    e.decimal("Level"));
         }
     }
 
--- a/relay/src/main/java/saltstage/sim/SimulatorMessage.java
+++ b/relay/src/main/java/saltstage/sim/SimulatorMessage.java
@@ -17,7 +17,8 @@
     }
 
     MalformedMessageException malformed(String field, String what) {
-        return new MalformedMessageException("line " + lineNumber + ": " + type + ": " + field + ": " + what);
+        return new MalformedMessageException(
+                "line " + lineNumber + ": " + type + ": " + field + ": " + what);
     }
 
     /** The value of a part, or null. */
--- a/relay/src/main/java/saltstage/stage/AdmissionControl.java
+++ b/relay/src/main/java/saltstage/stage/AdmissionControl.java
@@ -10,11 +10,11 @@
 import saltstage.Api;
 import saltstage.config.Configuration;
 import saltstage.log.Log;
-import saltstage.memory.ClientConnection;
-import saltstage.memory.MonotonicClock;
-import saltstage.memory.RequestContext;
-import saltstage.memory.RequestAttributes;
-import saltstage.memory.Timers;
+import saltstage.session.ClientConnection;
+import saltstage.session.MonotonicClock;
+import saltstage.session.RequestAttributes;
+import saltstage.session.RequestContext;
+import saltstage.session.Timers;
 import saltstage.wire.MalformedException;
 import saltstage.wire.OpenRequest;
 
@@ -100,7 +100,8 @@
     }
 
     /** Admits a request and has it routed. */
-    RequestContext admit(LineClient client, OpenRequest line) throws MalformedException, IOException {
+    RequestContext admit(LineClient client, OpenRequest line)
+            throws MalformedException, IOException {
         Instant now = clock.now();
         int serviceClass = config.serviceClassIndex(line.field("c"));
         RequestAttributes terms =
@@ -125,7 +126,8 @@
             throw new MalformedException("id is in use");
         }
         client.setOpenRequest(line);
-        RequestContext context = new RequestContext(lastRequestId.incrementAndGet(), terms, deadline, client);
+        RequestContext context =
+                new RequestContext(lastRequestId.incrementAndGet(), terms, deadline, client);
         outcomeRecorder.requestReceived();
         if (client.reader().isEndOfInput()) {
             // Its line was read late, and it did not wait: nothing may be sent anywhere for who has
@@ -155,7 +157,10 @@
         Instant now = clock.now();
         RequestContext context =
                 new RequestContext(
-                        lastRequestId.incrementAndGet(), terms, now.plus(patience).minus(DEADLINE_MARGIN), client);
+                        lastRequestId.incrementAndGet(),
+                        terms,
+                        now.plus(patience).minus(DEADLINE_MARGIN),
+                        client);
         outcomeRecorder.requestReceived();
         taken.accept(context);
         startRouting(context, now);
@@ -164,7 +169,8 @@
     private void startRouting(RequestContext context, Instant now) {
         router.requestAdmitted(context);
         timers.schedule(
-                Duration.between(now, context.deadline()).plus(OVERDUE_GRACE), () -> failIfOverdue(context));
+                Duration.between(now, context.deadline()).plus(OVERDUE_GRACE),
+                () -> failIfOverdue(context));
     }
 
     /** So many descriptors are another front's; said before clients come. */
--- a/relay/src/main/java/saltstage/stage/AttemptStarter.java
+++ b/relay/src/main/java/saltstage/stage/AttemptStarter.java
@@ -2,11 +2,11 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import saltstage.memory.MonotonicClock;
-import saltstage.memory.Backend;
-import saltstage.memory.BackendRegistry;
-import saltstage.memory.RequestContext;
-import saltstage.memory.Attempt;
+import saltstage.session.Attempt;
+import saltstage.session.Backend;
+import saltstage.session.BackendRegistry;
+import saltstage.session.MonotonicClock;
+import saltstage.session.RequestContext;
 
 /** Starts a try that the module has decided on; the client's protocol makes it. */
 public final class AttemptStarter {
--- a/relay/src/main/java/saltstage/stage/BackendProber.java
+++ b/relay/src/main/java/saltstage/stage/BackendProber.java
@@ -12,8 +12,8 @@
 import saltstage.Api;
 import saltstage.Api.Outcome;
 import saltstage.log.Log;
-import saltstage.memory.Backend;
-import saltstage.memory.BackendRegistry;
+import saltstage.session.Backend;
+import saltstage.session.BackendRegistry;
 import saltstage.wire.LoadReport;
 import saltstage.wire.MalformedException;
 
@@ -115,7 +115,9 @@
             handleReady((ProbeConnection) key.attachment());
         }
         selector.selectedKeys().clear();
-        for (Backend peer = requestedBackends.poll(); peer != null; peer = requestedBackends.poll()) {
+        for (Backend peer = requestedBackends.poll();
+                peer != null;
+                peer = requestedBackends.poll()) {
             beginProbe(peer);
         }
         closeOverdueConnections();
@@ -124,7 +126,10 @@
     private long selectTimeoutMillis() {
         long least = CLEANUP_INTERVAL.toNanos();
         for (ProbeConnection connection : connections.values()) {
-            least = connection.isAwaitingAnswer() ? Math.min(least, connection.remainingNanos()) : least;
+            least =
+                    connection.isAwaitingAnswer()
+                            ? Math.min(least, connection.remainingNanos())
+                            : least;
         }
         return Math.max(1, least / 1_000_000 + 1);
     }
--- a/relay/src/main/java/saltstage/stage/ClientAcceptor.java
+++ b/relay/src/main/java/saltstage/stage/ClientAcceptor.java
@@ -237,7 +237,8 @@
             }
             pauseAccepting(System.nanoTime() + FULL_PAUSE.toNanos());
         } catch (IOException fault) { // the platform's: descriptors, memory, a reset while queued
-            Log.warn("accept.failed", "why", fault.getMessage(), "pending", registeredClientCount());
+            Log.warn(
+                    "accept.failed", "why", fault.getMessage(), "pending", registeredClientCount());
             if (!lingering.isEmpty()) {
                 closeClient(lingering.iterator().next()); // its descriptor may be what is wanted
             }
@@ -274,7 +275,8 @@
         if (!awaitingFirstLine.contains(first)) {
             return true;
         }
-        if (first.deadlineNanos() - System.nanoTime() > FIRST_LINE_TIMEOUT.minus(EVICTION_GRACE).toNanos()) {
+        if (first.deadlineNanos() - System.nanoTime()
+                > FIRST_LINE_TIMEOUT.minus(EVICTION_GRACE).toNanos()) {
             return false; // many came at once, and it had no time yet: the others wait in the queue
         }
         firstLineListener.clientEvicted(first);
@@ -361,7 +363,10 @@
     // ---- time
 
     private long selectTimeoutMillis() {
-        long next = Math.min(nanosUntilFirstDeadline(awaitingFirstLine), nanosUntilFirstDeadline(lingering));
+        long next =
+                Math.min(
+                        nanosUntilFirstDeadline(awaitingFirstLine),
+                        nanosUntilFirstDeadline(lingering));
         if (acceptKey.isValid() && acceptKey.interestOps() == 0) {
             next = Math.min(next, resumeAcceptingAtNanos - System.nanoTime());
         }
--- a/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
+++ b/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
@@ -11,12 +11,12 @@
 import saltstage.Api.ServiceClass;
 import saltstage.config.Configuration;
 import saltstage.log.Log;
-import saltstage.memory.MonotonicClock;
-import saltstage.memory.Backend;
-import saltstage.memory.BackendRegistry;
-import saltstage.memory.RequestContext;
-import saltstage.memory.RequestContext.Phase;
-import saltstage.memory.Attempt;
+import saltstage.session.Attempt;
+import saltstage.session.Backend;
+import saltstage.session.BackendRegistry;
+import saltstage.session.MonotonicClock;
+import saltstage.session.RequestContext;
+import saltstage.session.RequestContext.Phase;
 import saltstage.wire.BackendMessage;
 import saltstage.wire.LineConnection;
 
@@ -73,7 +73,8 @@
         Backend peer = begun.backend();
         LineConnection backend;
         try {
-            Duration connect = shorter(config.connectTimeout(), Duration.between(clock.now(), until));
+            Duration connect =
+                    shorter(config.connectTimeout(), Duration.between(clock.now(), until));
             if (connect.isNegative()) {
                 return Outcome.UNREACHABLE;
             }
@@ -97,7 +98,9 @@
             return Outcome.UNREACHABLE;
         }
         try {
-            byte[] piece = backend.reader().readLine(atLeastOneMilli(Duration.between(clock.now(), until)));
+            byte[] piece =
+                    backend.reader()
+                            .readLine(atLeastOneMilli(Duration.between(clock.now(), until)));
             return piece == null ? Outcome.RESET : handleAnswer(begun, piece, restore);
         } catch (SocketTimeoutException slow) {
             return Outcome.TIMEOUT;
@@ -110,11 +113,13 @@
      * Repeats are discarded for so long only; the module asked that before the connection came up.
      */
     private boolean isDeduplicationExpired(RequestContext context) {
-        ServiceClass service = config.settings().serviceClasses().get(context.attributes().serviceClass());
+        ServiceClass service =
+                config.settings().serviceClasses().get(context.attributes().serviceClass());
         Instant since = context.possibleExecutionSince();
         return since != null
                 && service.idempotency() == Idempotency.DEDUPLICATED
-                && !clock.now().isBefore(since.plus(service.deduplicationWindow(), ChronoUnit.MICROS));
+                && !clock.now()
+                        .isBefore(since.plus(service.deduplicationWindow(), ChronoUnit.MICROS));
     }
 
     private Outcome handleAnswer(Attempt begun, byte[] piece, boolean restore) {
@@ -179,7 +184,14 @@
             }
             String why = peer == null ? "not listed" : outcome.name();
             if (!why.equals(waitsFor)) {
-                Log.info("restore.waiting", "id", context.attributes().clientRequestId(), "peer", uid, "why", why);
+                Log.info(
+                        "restore.waiting",
+                        "id",
+                        context.attributes().clientRequestId(),
+                        "peer",
+                        uid,
+                        "why",
+                        why);
             }
             waitsFor = why;
             Thread.sleep(RESTORE_RETRY_PAUSE.toMillis());
--- a/relay/src/main/java/saltstage/stage/LineClient.java
+++ b/relay/src/main/java/saltstage/stage/LineClient.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import saltstage.log.Log;
-import saltstage.memory.ClientConnection;
-import saltstage.memory.Timers;
-import saltstage.memory.Attempt;
+import saltstage.session.Attempt;
+import saltstage.session.ClientConnection;
+import saltstage.session.Timers;
 import saltstage.wire.LineConnection;
 import saltstage.wire.OpenRequest;
 
@@ -22,7 +22,8 @@
     private volatile OpenRequest openRequest;
 
     /** A client that has asked, with what it has said behind its first line. */
-    LineClient(Socket socket, byte[] rest, Timers timers, LineAttemptRunner tries, LineForwarder relay)
+    LineClient(
+            Socket socket, byte[] rest, Timers timers, LineAttemptRunner tries, LineForwarder relay)
             throws IOException {
         super(socket, rest);
         this.timers = timers;
--- a/relay/src/main/java/saltstage/stage/LineForwarder.java
+++ b/relay/src/main/java/saltstage/stage/LineForwarder.java
@@ -5,10 +5,10 @@
 import java.time.Instant;
 import saltstage.Api.Outcome;
 import saltstage.log.Log;
-import saltstage.memory.MonotonicClock;
-import saltstage.memory.RequestContext.Phase;
-import saltstage.memory.Timers;
-import saltstage.memory.Attempt;
+import saltstage.session.Attempt;
+import saltstage.session.MonotonicClock;
+import saltstage.session.RequestContext.Phase;
+import saltstage.session.Timers;
 import saltstage.wire.BackendMessage;
 import saltstage.wire.LineConnection;
 
@@ -146,7 +146,8 @@
             backendConnection(up).close();
             return Outcome.RESET;
         }
-        client.shutdownOutput(); // half-close: what the client still sends goes on to the backend for
+        client.shutdownOutput(); // half-close: what the client still sends goes on to the backend
+        // for
         // a moment
         if (clientFirst) {
             up.context().end(Phase.ESTABLISHED);
@@ -214,7 +215,8 @@
         LineConnection backend = backendConnection(up);
         if (backend.reader().hasPartialLine()) {
             timers.schedule(
-                    PARTIAL_LINE_TIMEOUT, backend::shutdownInput); // the line may still be ended within that
+                    PARTIAL_LINE_TIMEOUT,
+                    backend::shutdownInput); // the line may still be ended within that
         } else {
             backend.shutdownInput();
         }
--- a/relay/src/main/java/saltstage/stage/LineFrontend.java
+++ b/relay/src/main/java/saltstage/stage/LineFrontend.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.atomic.AtomicInteger;
 import saltstage.log.Log;
-import saltstage.memory.RequestContext;
-import saltstage.memory.Attempt;
+import saltstage.session.Attempt;
+import saltstage.session.RequestContext;
 import saltstage.wire.MalformedException;
 import saltstage.wire.OpenRequest;
 
@@ -21,7 +21,8 @@
     private final LineForwarder forwarder;
     private final OutcomeRecorder outcomeRecorder;
     private final ThreadBudget threadBudget;
-    private final LinkedBlockingQueue<ReceivedRequest> receivedRequests = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<ReceivedRequest> receivedRequests =
+            new LinkedBlockingQueue<>();
     private final Queue<OpenRequest> parsedLines = new java.util.ArrayDeque<>();
 
     /** Requests that have been heard and are not admitted yet. */
@@ -113,7 +114,8 @@
         return false;
     }
 
-    private boolean tryQueueRequest(PendingClient client, OpenRequest line) throws MalformedException {
+    private boolean tryQueueRequest(PendingClient client, OpenRequest line)
+            throws MalformedException {
         if (admissionControl.rejectIfFull(line, unadmittedCount.get())) {
             acceptor.answer(client, admissionControl.busyLine());
             return false;
@@ -125,7 +127,9 @@
 
     @Override
     public void requestReceived(PendingClient client) {
-        receivedRequests.add(new ReceivedRequest(client, parsedLines.remove())); // lines are parsed in the order of this
+        receivedRequests.add(
+                new ReceivedRequest(
+                        client, parsedLines.remove())); // lines are parsed in the order of this
     }
 
     @Override
@@ -247,7 +251,8 @@
     }
 
     /** Its request has ended, by whatever thread: that one may still be writing the answer. */
-    private void lingerAndClose(LineClient client, RequestContext context) throws InterruptedException {
+    private void lingerAndClose(LineClient client, RequestContext context)
+            throws InterruptedException {
         if (!context.wasEstablished()) {
             client.awaitAnswer();
         }
@@ -259,7 +264,8 @@
      * Reads the client to its end; the connection must not be closed while the other side may still
      * send.
      */
-    private void forwardFromClient(LineClient client, RequestContext context) throws InterruptedException {
+    private void forwardFromClient(LineClient client, RequestContext context)
+            throws InterruptedException {
         boolean reset = false;
         try {
             byte[] piece = client.reader().readLine();
--- a/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
+++ b/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
@@ -8,20 +8,20 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
+import saltstage.Api.DeduplicationScope;
 import saltstage.Api.Idempotency;
 import saltstage.Api.Outcome;
-import saltstage.Api.DeduplicationScope;
 import saltstage.Api.ServiceClass;
 import saltstage.config.Configuration;
 import saltstage.log.Log;
-import saltstage.memory.MonotonicClock;
-import saltstage.memory.Backend;
-import saltstage.memory.BackendRegistry;
-import saltstage.memory.RequestContext;
-import saltstage.memory.RequestContext.Phase;
-import saltstage.memory.Attempt;
-import saltstage.metrics.RequestCounters;
 import saltstage.metrics.ProcessUsage;
+import saltstage.metrics.RequestCounters;
+import saltstage.session.Attempt;
+import saltstage.session.Backend;
+import saltstage.session.BackendRegistry;
+import saltstage.session.MonotonicClock;
+import saltstage.session.RequestContext;
+import saltstage.session.RequestContext.Phase;
 import saltstage.wire.BackendMessage;
 
 /**
@@ -49,7 +49,11 @@
     private final AtomicLong resets = new AtomicLong();
     private final AtomicLong rejectedForThreads = new AtomicLong();
 
-    OutcomeRecorder(Configuration config, MonotonicClock clock, BackendRegistry peers, RequestCounters counts) {
+    OutcomeRecorder(
+            Configuration config,
+            MonotonicClock clock,
+            BackendRegistry peers,
+            RequestCounters counts) {
         this.counters = counts;
         this.config = config;
         this.clock = clock;
@@ -96,7 +100,8 @@
 
     private void sendFailure(RequestContext context, String why) {
         failed.incrementAndGet();
-        counters.countResult(context.attributes().serviceClass(), RequestCounters.Result.BAD_GATEWAY);
+        counters.countResult(
+                context.attributes().serviceClass(), RequestCounters.Result.BAD_GATEWAY);
         context.client().fail(why);
     }
 
@@ -116,10 +121,12 @@
             return;
         }
         Attempt out = context.currentAttempt(); // the last one: who has ended begins none
-        ServiceClass service = config.settings().serviceClasses().get(context.attributes().serviceClass());
+        ServiceClass service =
+                config.settings().serviceClasses().get(context.attributes().serviceClass());
         boolean harmless =
                 service.idempotency() == Idempotency.IDEMPOTENT
-                        || service.idempotency() == Idempotency.DEDUPLICATED && service.deduplicationScope() == DeduplicationScope.ALL;
+                        || service.idempotency() == Idempotency.DEDUPLICATED
+                                && service.deduplicationScope() == DeduplicationScope.ALL;
         if (out == null || harmless) {
             sendRejection(context, Duration.ZERO);
         } else {
@@ -198,7 +205,8 @@
             return false;
         }
         established.incrementAndGet();
-        counters.countResult(up.context().attributes().serviceClass(), RequestCounters.Result.PASSED);
+        counters.countResult(
+                up.context().attributes().serviceClass(), RequestCounters.Result.PASSED);
         establishedAttempts.add(up);
         up.backend().establishedAttempts().add(up);
         if (restored) {
@@ -264,7 +272,9 @@
             }
             boolean slow = delay.compareTo(config.minMessageLatencyTarget().dividedBy(3)) > 0;
             if (slow | peer.markSlow(slow)) {
-                peer.establishedAttempts().stream().findFirst().ifPresent(up -> router.delayReported(up, delay));
+                peer.establishedAttempts().stream()
+                        .findFirst()
+                        .ifPresent(up -> router.delayReported(up, delay));
             }
         }
     }
--- a/relay/src/main/java/saltstage/stage/PendingClient.java
+++ b/relay/src/main/java/saltstage/stage/PendingClient.java
@@ -116,7 +116,8 @@
      * Writes a line whole; there is room for it on a connection that carried next to none before.
      */
     void send(String line) throws IOException {
-        NonBlockingWrites.writeFully(channel, (line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+        NonBlockingWrites.writeFully(
+                channel, (line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /**
--- a/relay/src/main/java/saltstage/stage/ProbeConnection.java
+++ b/relay/src/main/java/saltstage/stage/ProbeConnection.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.Arrays;
-import saltstage.memory.Backend;
+import saltstage.session.Backend;
 import saltstage.wire.LineReader;
 
 /**
@@ -86,7 +86,8 @@
      * Goes on with what has come about; returns the line that answers, or null where it is still
      * awaited.
      *
-     * @throws ConnectionClosedException where the backend has ended the connection without an answer
+     * @throws ConnectionClosedException where the backend has ended the connection without an
+     *     answer
      */
     byte[] handleReady(Duration limit) throws IOException {
         if (!connected) {
--- a/relay/src/main/java/saltstage/stage/RelayPipeline.java
+++ b/relay/src/main/java/saltstage/stage/RelayPipeline.java
@@ -9,13 +9,13 @@
 import java.util.function.IntSupplier;
 import saltstage.config.Configuration;
 import saltstage.log.Log;
-import saltstage.memory.MonotonicClock;
-import saltstage.memory.Backend;
-import saltstage.memory.BackendRegistry;
-import saltstage.memory.RequestContext;
-import saltstage.memory.Timers;
-import saltstage.memory.Attempt;
 import saltstage.metrics.RequestCounters;
+import saltstage.session.Attempt;
+import saltstage.session.Backend;
+import saltstage.session.BackendRegistry;
+import saltstage.session.MonotonicClock;
+import saltstage.session.RequestContext;
+import saltstage.session.Timers;
 import saltstage.wire.BackendList;
 
 /** The stages, joined: take in, admit, route, send, relay, book. */
@@ -59,10 +59,17 @@
         outcomeRecorder = new OutcomeRecorder(config, clock, peers, counts);
         forwarder = new LineForwarder(clock, timers, outcomeRecorder);
         ThreadBudget threads = new ThreadBudget(Threads::tryStart);
-        LineAttemptRunner tries = new LineAttemptRunner(config, clock, peers, outcomeRecorder, forwarder, threads);
+        LineAttemptRunner tries =
+                new LineAttemptRunner(config, clock, peers, outcomeRecorder, forwarder, threads);
         AttemptStarter send = new AttemptStarter(clock, peers, outcomeRecorder);
         BackendProber probe = new BackendProber(peers);
-        router = new Router(config, clock, timers, createRoutingActions(send, probe, watch), peers::isSuspended);
+        router =
+                new Router(
+                        config,
+                        clock,
+                        timers,
+                        createRoutingActions(send, probe, watch),
+                        peers::isSuspended);
         outcomeRecorder.setRouter(router);
         probe.setRouter(router);
         probedBackends =
@@ -71,7 +78,8 @@
                                 ? Math.min(peers.all().size(), BackendProber.MAX_CONNECTIONS)
                                 : 0;
         descriptorLimit = config.maxSockets();
-        admissionControl = new AdmissionControl(config, clock, timers, router, tries, outcomeRecorder);
+        admissionControl =
+                new AdmissionControl(config, clock, timers, router, tries, outcomeRecorder);
         lineFrontend =
                 new LineFrontend(
                         AdmissionControl.maxPendingClients(config.maxSockets()),
@@ -89,7 +97,8 @@
         frontends.add(lineFrontend);
     }
 
-    private Router.RoutingActions createRoutingActions(AttemptStarter send, BackendProber probe, Runnable watch) {
+    private Router.RoutingActions createRoutingActions(
+            AttemptStarter send, BackendProber probe, Runnable watch) {
         return new Router.RoutingActions() {
             @Override
             public void sendAttempt(RequestContext context, String uid, Duration limit) {
@@ -175,7 +184,9 @@
         router.backendListReceived(list);
         for (Backend peer : ended) {
             // Its clients are moved: the machine may never send a reset.
-            timers.schedule(BACKEND_GONE_MOVE_DELAY, () -> peer.establishedAttempts().forEach(up -> move(up, "peer gone")));
+            timers.schedule(
+                    BACKEND_GONE_MOVE_DELAY,
+                    () -> peer.establishedAttempts().forEach(up -> move(up, "peer gone")));
         }
     }
 
@@ -189,7 +200,9 @@
 
     /** About how many descriptors are in use. */
     public int descriptorsInUse() {
-        return admissionControl.descriptorsInUse() + lineFrontend.acceptor().pendingClientCount() + probedBackends.getAsInt();
+        return admissionControl.descriptorsInUse()
+                + lineFrontend.acceptor().pendingClientCount()
+                + probedBackends.getAsInt();
     }
 
     /** Looks for backends that bring nothing back. */
--- a/relay/src/main/java/saltstage/stage/Router.java
+++ b/relay/src/main/java/saltstage/stage/Router.java
@@ -12,28 +12,28 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import saltstage.Api;
-import saltstage.Api.Health;
 import saltstage.Api.BackendListKind;
 import saltstage.Api.ConnectionReport;
+import saltstage.Api.Health;
+import saltstage.Api.ListedBackend;
 import saltstage.Api.Outcome;
 import saltstage.Api.Request;
-import saltstage.Api.ListedBackend;
 import saltstage.LoadBalancer;
 import saltstage.config.Configuration;
 import saltstage.log.Log;
-import saltstage.memory.MonotonicClock;
-import saltstage.memory.Backend;
-import saltstage.memory.RequestContext;
-import saltstage.memory.RequestAttributes;
-import saltstage.memory.Timers;
-import saltstage.memory.Attempt;
+import saltstage.session.Attempt;
+import saltstage.session.Backend;
+import saltstage.session.MonotonicClock;
+import saltstage.session.RequestAttributes;
+import saltstage.session.RequestContext;
+import saltstage.session.Timers;
 import saltstage.wire.BackendList;
 
 /**
- * The owner of the decisions: feeds {@link LoadBalancer} one event at a time, in order, on one clock. What
- * it decides is gathered under the lock and done after it, by the thread that brought the event;
- * none of that blocks. Only here are the relay's names and times turned into the module's ids and
- * microseconds and back.
+ * The owner of the decisions: feeds {@link LoadBalancer} one event at a time, in order, on one
+ * clock. What it decides is gathered under the lock and done after it, by the thread that brought
+ * the event; none of that blocks. Only here are the relay's names and times turned into the
+ * module's ids and microseconds and back.
  */
 public final class Router {
     private static final long MAX_KEY = (1L << 53) - 1;
@@ -109,7 +109,8 @@
         deliver(
                 (logic, now) -> {
                     if (!peer.hasEnded()) { // else the module is told of its end, or has been
-                        logic.backendListReceived(now, BackendListKind.DELTA, List.of(toListedBackend(peer.entry())));
+                        logic.backendListReceived(
+                                now, BackendListKind.DELTA, List.of(toListedBackend(peer.entry())));
                     }
                 });
     }
@@ -126,7 +127,9 @@
 
     /** A call to discovery failed, or the watch broke. */
     public void discoveryCallFailed() {
-        deliver((logic, now) -> logic.backendListReceived(now, BackendListKind.CALL_FAILED, List.of()));
+        deliver(
+                (logic, now) ->
+                        logic.backendListReceived(now, BackendListKind.CALL_FAILED, List.of()));
     }
 
     /** A request was admitted: it is owed one final answer. */
@@ -141,7 +144,9 @@
         RequestContext context = standing.context();
         Request request = toBalancerRequest(context);
         contexts.put(context.id(), context);
-        deliver((logic, now) -> logic.connectionRestored(now, request, standing.backend().entry().uid()));
+        deliver(
+                (logic, now) ->
+                        logic.connectionRestored(now, request, standing.backend().entry().uid()));
     }
 
     /** A try stands. */
@@ -166,7 +171,10 @@
 
     /** A backend told the load of a connection, in microseconds of work a second. */
     public void loadReported(Attempt standing, double level) {
-        deliver((logic, now) -> logic.connectionReported(now, standing.context().id(), ConnectionReport.LOAD, level));
+        deliver(
+                (logic, now) ->
+                        logic.connectionReported(
+                                now, standing.context().id(), ConnectionReport.LOAD, level));
     }
 
     /** Messages take so long at the backend of this try. */
@@ -174,7 +182,10 @@
         deliver(
                 (logic, now) ->
                         logic.connectionReported(
-                                now, standing.context().id(), ConnectionReport.DELAY, toMicros(delay) / 1000.0));
+                                now,
+                                standing.context().id(),
+                                ConnectionReport.DELAY,
+                                toMicros(delay) / 1000.0));
     }
 
     /** A probe has come back. */
@@ -236,7 +247,8 @@
     private ListedBackend toListedBackend(BackendList.Entry entry) {
         Health health =
                 switch (entry.state()) {
-                    case READY -> suspensionCheck.test(entry.uid()) ? Health.DRAINING : Health.READY;
+                    case READY ->
+                            suspensionCheck.test(entry.uid()) ? Health.DRAINING : Health.READY;
                     case DRAINING -> Health.DRAINING;
                     case GONE -> Health.GONE;
                 };
@@ -311,7 +323,8 @@
 
         @Override
         public void setTimer(String token, long delay) {
-            timers.schedule(toDuration(delay), () -> deliver((logic, now) -> logic.timerFired(now, token)));
+            timers.schedule(
+                    toDuration(delay), () -> deliver((logic, now) -> logic.timerFired(now, token)));
         }
 
         @Override
--- a/relay/src/main/java/saltstage/stage/ThreadBudget.java
+++ b/relay/src/main/java/saltstage/stage/ThreadBudget.java
@@ -157,7 +157,10 @@
 
     /** A thread that has done its work is the platform's for a moment more, and counts there. */
     private static void awaitThreadExit(long before) {
-        for (int i = 0; i < MAX_START_ATTEMPTS && ProcessUsage.threads() > before + UNRELATED_THREADS_TOLERANCE; i++) {
+        for (int i = 0;
+                i < MAX_START_ATTEMPTS
+                        && ProcessUsage.threads() > before + UNRELATED_THREADS_TOLERANCE;
+                i++) {
             if (!pause()) {
                 return;
             }
--- a/relay/src/main/java/saltstage/wire/DeadlineInputStream.java
+++ b/relay/src/main/java/saltstage/wire/DeadlineInputStream.java
@@ -7,8 +7,8 @@
 import java.time.Duration;
 
 /**
- * What comes on a socket, up to a moment that only {@link #extendDeadline} moves on. A time-out for each
- * read would be put off by every byte: who sends one now and then could keep a reader for ever
+ * What comes on a socket, up to a moment that only {@link #extendDeadline} moves on. A time-out for
+ * each read would be put off by every byte: who sends one now and then could keep a reader for ever
  * without telling it anything. What has arrived by then can still be read.
  */
 final class DeadlineInputStream extends InputStream {
--- a/relay/src/main/java/saltstage/wire/DiscoveryClient.java
+++ b/relay/src/main/java/saltstage/wire/DiscoveryClient.java
@@ -90,7 +90,9 @@
                             + address.getPort()
                             + "\r\nAccept: application/json\r\n\r\n";
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-            DeadlineInputStream timed = new DeadlineInputStream(socket, silenceTimeout.multipliedBy(FIRST_RESPONSE_TIMEOUT_FACTOR));
+            DeadlineInputStream timed =
+                    new DeadlineInputStream(
+                            socket, silenceTimeout.multipliedBy(FIRST_RESPONSE_TIMEOUT_FACTOR));
             InputStream in = new BufferedInputStream(timed, 4096);
             readHead(in);
             timed.extendDeadline(silenceTimeout);
@@ -120,7 +122,9 @@
             throw new IOException("discovery answered " + status.substring(9, 12));
         }
         boolean chunked = false;
-        for (String line = readHeadLine(in, budget); !line.isEmpty(); line = readHeadLine(in, budget)) {
+        for (String line = readHeadLine(in, budget);
+                !line.isEmpty();
+                line = readHeadLine(in, budget)) {
             String lower = line.toLowerCase(Locale.ROOT);
             chunked |= lower.startsWith("transfer-encoding:") && lower.endsWith("chunked");
         }
--- a/relay/src/test/java/saltstage/ColdBackendFleetTest.java
+++ b/relay/src/test/java/saltstage/ColdBackendFleetTest.java
@@ -9,12 +9,12 @@
 import java.util.TreeMap;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import saltstage.Api.Health;
 import saltstage.Api.BackendListKind;
+import saltstage.Api.Health;
+import saltstage.Api.ListedBackend;
 import saltstage.Api.Outcome;
 import saltstage.Api.Request;
 import saltstage.Api.SafetyRules;
-import saltstage.Api.ListedBackend;
 import saltstage.Api.Settings;
 
 /**
@@ -25,7 +25,8 @@
  */
 class ColdBackendFleetTest {
     private static final int WARM_BACKENDS = 9;
-    private static final double WARM_CAPACITY_CONNECTIONS = 80; // connections of mean load that fill a warm server
+    private static final double WARM_CAPACITY_CONNECTIONS =
+            80; // connections of mean load that fill a warm server
     private static final double INITIAL_UTILIZATION = 0.6;
     private static final long STEP_MICROS = 20_000;
 
@@ -40,11 +41,17 @@
     private void setWarmUpSeconds(int seconds) {
         rules =
                 new SafetyRules(
-                        LoadBalancerHarness.SECOND_MICROS, 0.25, seconds * LoadBalancerHarness.SECOND_MICROS, 3, 3 * LoadBalancerHarness.SECOND_MICROS, 10 * LoadBalancerHarness.SECOND_MICROS);
+                        LoadBalancerHarness.SECOND_MICROS,
+                        0.25,
+                        seconds * LoadBalancerHarness.SECOND_MICROS,
+                        3,
+                        3 * LoadBalancerHarness.SECOND_MICROS,
+                        10 * LoadBalancerHarness.SECOND_MICROS);
     }
 
     private LoadBalancerHarness newRelay(int fleet, int seed) {
-        Settings s = LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass());
+        Settings s =
+                LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass());
         long share = (long) (WARM_CAPACITY_CONNECTIONS * (WARM_BACKENDS + 1));
         LoadBalancerHarness rig =
                 new LoadBalancerHarness(
@@ -90,7 +97,8 @@
         }
         for (LoadBalancerHarness rig : relays) {
             for (int i = 0; i < 40; i++) {
-                rig.loadBalancer.timerFired(rig.now, "probe"); // what is placed now is what reports speak of
+                rig.loadBalancer.timerFired(
+                        rig.now, "probe"); // what is placed now is what reports speak of
             }
         }
     }
@@ -111,7 +119,8 @@
             connectionsByBackend.forEach(
                     (server, held) -> {
                         if (cold || !server.equals("cold")) {
-                            rig.loadBalancer.probeCompleted(now, server, Outcome.SERVED, held / WARM_CAPACITY_CONNECTIONS);
+                            rig.loadBalancer.probeCompleted(
+                                    now, server, Outcome.SERVED, held / WARM_CAPACITY_CONNECTIONS);
                         }
                     });
         }
@@ -124,7 +133,13 @@
     private double maxBudgetUse(boolean skewed, boolean reported) {
         List<Long> sent = new ArrayList<>();
         double worst = 0;
-        int crowd = (int) (2 * WARM_CAPACITY_CONNECTIONS * (WARM_BACKENDS + 1) * STEP_MICROS / rules.warmUpBudgetWindow());
+        int crowd =
+                (int)
+                        (2
+                                * WARM_CAPACITY_CONNECTIONS
+                                * (WARM_BACKENDS + 1)
+                                * STEP_MICROS
+                                / rules.warmUpBudgetWindow());
         for (long end = now + 2 * rules.warmUpBudgetWindow(); now < end; now += STEP_MICROS) {
             if (now % LoadBalancerHarness.SECOND_MICROS < STEP_MICROS) {
                 reportLoad(reported);
@@ -159,8 +174,14 @@
             double warmth =
                     rules.initialWarmUpFraction()
                             + (1 - rules.initialWarmUpFraction())
-                                    * Math.min(1, (now - startedAt) / (double) rules.warmUpPeriod());
-            double n = rules.maxWarmUpLoadMultiple() * warmth * WARM_CAPACITY_CONNECTIONS * rules.warmUpBudgetWindow() / rules.warmUpPeriod();
+                                    * Math.min(
+                                            1, (now - startedAt) / (double) rules.warmUpPeriod());
+            double n =
+                    rules.maxWarmUpLoadMultiple()
+                            * warmth
+                            * WARM_CAPACITY_CONNECTIONS
+                            * rules.warmUpBudgetWindow()
+                            / rules.warmUpPeriod();
             worst = Math.max(worst, sent.size() / (n + 2 * Math.sqrt(n) + 2));
         }
         return worst;
--- a/relay/src/test/java/saltstage/ColdBackendTest.java
+++ b/relay/src/test/java/saltstage/ColdBackendTest.java
@@ -5,12 +5,12 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import saltstage.Api.Health;
 import saltstage.Api.BackendListKind;
+import saltstage.Api.Health;
+import saltstage.Api.ListedBackend;
 import saltstage.Api.Outcome;
 import saltstage.Api.Request;
 import saltstage.Api.SafetyRules;
-import saltstage.Api.ListedBackend;
 import saltstage.Api.Settings;
 
 /**
@@ -35,8 +35,16 @@
     }
 
     private static LoadBalancerHarness harness(int connections, long quota, long fall) {
-        Settings s = LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass());
-        SafetyRules slow = new SafetyRules(LoadBalancerHarness.SECOND_MICROS, 0.25, 1_000 * LoadBalancerHarness.SECOND_MICROS, 2.5, fall, 10 * LoadBalancerHarness.SECOND_MICROS);
+        Settings s =
+                LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass());
+        SafetyRules slow =
+                new SafetyRules(
+                        LoadBalancerHarness.SECOND_MICROS,
+                        0.25,
+                        1_000 * LoadBalancerHarness.SECOND_MICROS,
+                        2.5,
+                        fall,
+                        10 * LoadBalancerHarness.SECOND_MICROS);
         LoadBalancerHarness rig =
                 new LoadBalancerHarness(
                         new Settings(
@@ -56,7 +64,9 @@
                                 slow),
                         1);
         rig.receiveList(
-                BackendListKind.FULL, LoadBalancerHarness.backend("s0", 0), new ListedBackend("s1", 1, 1, Health.READY, 1, rig.now));
+                BackendListKind.FULL,
+                LoadBalancerHarness.backend("s0", 0),
+                new ListedBackend("s1", 1, 1, Health.READY, 1, rig.now));
         for (int i = 0; i < connections; i++) {
             rig.restoreConnection("s0", 1);
         }
@@ -68,7 +78,8 @@
         return countSentToCold(rig, 200, again, pause);
     }
 
-    private static long countSentToCold(LoadBalancerHarness rig, int requests, boolean again, long pause) {
+    private static long countSentToCold(
+            LoadBalancerHarness rig, int requests, boolean again, long pause) {
         long before = rig.backendByRequest.values().stream().filter("s1"::equals).count();
         for (long k = 0; k < requests; k++) {
             sendRequest(rig, k, again, pause);
@@ -79,14 +90,16 @@
     private static void sendRequest(LoadBalancerHarness rig, long k, boolean again, long pause) {
         rig.now += pause;
         long deadline = rig.now + 1_200_000;
-        rig.loadBalancer.requestReceived(rig.now, new Request(100_000 + k, 0, 0, k, k, 1, deadline, again, false));
+        rig.loadBalancer.requestReceived(
+                rig.now, new Request(100_000 + k, 0, 0, k, k, 1, deadline, again, false));
         rig.establish(100_000 + k, 10_000);
     }
 
     @Test
     void keysAreAdmittedUnderTheThreshold() {
         // Its half of the keys, times a share that rises from 0.25 to 0.55: about 40 of 200.
-        assertEquals(40, countSentToCold(harness(), false, 2 * LoadBalancerHarness.SECOND_MICROS), 15);
+        assertEquals(
+                40, countSentToCold(harness(), false, 2 * LoadBalancerHarness.SECOND_MICROS), 15);
     }
 
     @Test
@@ -95,7 +108,13 @@
         rig.receiveList(
                 BackendListKind.FULL,
                 LoadBalancerHarness.backend("s0", 0),
-                new ListedBackend("s1", 1, 1, Health.READY, 1, rig.now + 3_600 * LoadBalancerHarness.SECOND_MICROS));
+                new ListedBackend(
+                        "s1",
+                        1,
+                        1,
+                        Health.READY,
+                        1,
+                        rig.now + 3_600 * LoadBalancerHarness.SECOND_MICROS));
         rig.now += WARM_UP_MICROS + LoadBalancerHarness.SECOND_MICROS;
         assertEquals(100, countSentToCold(rig, false, 1_000), 25);
     }
@@ -109,10 +128,15 @@
     void reportOfFreeCapacityReleasesHalfOfThisRelaysShareAtOnce() {
         long blind = countSentToCold(harness(60, 100, WARM_UP_MICROS), false, 1_000);
         assertTrue(blind <= 2, "a burst is held to the budget: " + blind);
-        assertEquals(9, countSentToCold(harnessWithLoadReport(0.01, WARM_UP_MICROS), false, 1_000), 2);
-        assertEquals(5, countSentToCold(harnessWithLoadReport(0.01, WARM_UP_MICROS / 2), false, 1_000), 2);
+        assertEquals(
+                9, countSentToCold(harnessWithLoadReport(0.01, WARM_UP_MICROS), false, 1_000), 2);
+        assertEquals(
+                5,
+                countSentToCold(harnessWithLoadReport(0.01, WARM_UP_MICROS / 2), false, 1_000),
+                2);
         // Own placements count as every relay's: half of the room, half the clients.
-        assertEquals(6, countSentToCold(harnessWithLoadReport(0.1, WARM_UP_MICROS), false, 1_000), 2);
+        assertEquals(
+                6, countSentToCold(harnessWithLoadReport(0.1, WARM_UP_MICROS), false, 1_000), 2);
         assertTrue(
                 countSentToCold(harnessWithLoadReport(0.3, WARM_UP_MICROS), false, 1_000) <= blind,
                 "more than its part is asked");
@@ -137,19 +161,26 @@
 
     @Test
     void reconnectingClientsAreHeldToTheSameBudget() {
-        assertEquals(40, countSentToCold(harness(), true, 2 * LoadBalancerHarness.SECOND_MICROS), 15);
+        assertEquals(
+                40, countSentToCold(harness(), true, 2 * LoadBalancerHarness.SECOND_MICROS), 15);
         assertTrue(countSentToCold(harness(), true, 1_000) <= 2, "a crowd of them too");
     }
 
     @Test
     void coldBackendRelievesAnOverloadedOneWithinItsBudget() {
-        assertEquals(200, countSentToColdBesideOverloaded(2 * LoadBalancerHarness.SECOND_MICROS), "all that come, as it has room");
-        assertTrue(countSentToColdBesideOverloaded(1_000) <= 2, "a burst is held to the budget all the same");
+        assertEquals(
+                200,
+                countSentToColdBesideOverloaded(2 * LoadBalancerHarness.SECOND_MICROS),
+                "all that come, as it has room");
+        assertTrue(
+                countSentToColdBesideOverloaded(1_000) <= 2,
+                "a burst is held to the budget all the same");
     }
 
     private static long countSentToColdBesideOverloaded(long pause) {
         LoadBalancerHarness rig = harness();
-        rig.restoreConnection("s1", 1); // else all that is heard of would be jammed: the fleet's matter
+        rig.restoreConnection(
+                "s1", 1); // else all that is heard of would be jammed: the fleet's matter
         long before = rig.backendByRequest.values().stream().filter("s1"::equals).count();
         for (int i = 0; i < 200; i++) {
             rig.reportDelay("s0", 500);
@@ -160,8 +191,15 @@
 
     @Test
     void relayWithoutTrafficAssumesHalfItsEvenShareOfTheTenantQuotas() {
-        assertEquals(0, countSentToCold(harness(0), 100, false, LoadBalancerHarness.SECOND_MICROS / 2), 1);
-        assertEquals(13, countSentToCold(harness(0, 200_000), 100, false, LoadBalancerHarness.SECOND_MICROS / 2), 7);
+        assertEquals(
+                0,
+                countSentToCold(harness(0), 100, false, LoadBalancerHarness.SECOND_MICROS / 2),
+                1);
+        assertEquals(
+                13,
+                countSentToCold(
+                        harness(0, 200_000), 100, false, LoadBalancerHarness.SECOND_MICROS / 2),
+                7);
     }
 
     @Test
@@ -176,7 +214,8 @@
         }
         told.loadBalancer.probeCompleted(
                 told.now, "s0", Outcome.SERVED, 0.002); // these ten are a 500th of what it can do
-        assertEquals(13, countSentToCold(told, 100, false, LoadBalancerHarness.SECOND_MICROS / 2), 7);
+        assertEquals(
+                13, countSentToCold(told, 100, false, LoadBalancerHarness.SECOND_MICROS / 2), 7);
     }
 
     @Test
@@ -192,6 +231,7 @@
         fresh.loadBalancer.restoreLearnedState(fresh.now, old.loadBalancer.learnedState(old.now));
         fresh.loadBalancer.probeCompleted(
                 fresh.now, "s0", Outcome.SERVED, 0.3); // the old process's connections, not its own
-        assertEquals(13, countSentToCold(fresh, 100, false, LoadBalancerHarness.SECOND_MICROS / 2), 7);
+        assertEquals(
+                13, countSentToCold(fresh, 100, false, LoadBalancerHarness.SECOND_MICROS / 2), 7);
     }
 }
