--- a/relay/src/test/java/saltstage/FailureTest.java
+++ b/relay/src/test/java/saltstage/FailureTest.java
@@ -7,16 +7,17 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import saltstage.Api.Health;
 import saltstage.Api.BackendListKind;
 import saltstage.Api.ConnectionReport;
-import saltstage.Api.Outcome;
+import saltstage.Api.Health;
 import saltstage.Api.ListedBackend;
+import saltstage.Api.Outcome;
 
 /** The failures found in simulated service, each as small as it can be shown. */
 class FailureTest {
     private static LoadBalancerHarness harness() {
-        return LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(10));
+        return LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(10));
     }
 
     @Test
@@ -32,7 +33,9 @@
         rig.now += 2_100_000;
         assertEquals(silent, rig.backendByRequest.get(rig.request(0, 3, 5, Api.NONE)), "one trial");
         assertEquals(
-                standIn, rig.backendByRequest.get(rig.request(0, 4, 5, Api.NONE)), "and no second beside it");
+                standIn,
+                rig.backendByRequest.get(rig.request(0, 4, 5, Api.NONE)),
+                "and no second beside it");
     }
 
     @Test
@@ -68,13 +71,15 @@
         LoadBalancerHarness rig = harness();
         String home = rig.route(0, 1, 5, Api.NONE);
         for (int i = 0; i < 10; i++) {
-            rig.loadBalancer.probeCompleted(rig.now, "s" + i, Outcome.SERVED, home.equals("s" + i) ? 0.85 : 0.3);
+            rig.loadBalancer.probeCompleted(
+                    rig.now, "s" + i, Outcome.SERVED, home.equals("s" + i) ? 0.85 : 0.3);
         }
         String standIn = rig.route(0, 2, 5, Api.NONE);
         assertNotEquals(home, standIn);
         assertEquals(standIn, rig.route(0, 3, 5, Api.NONE), "the group stays together there");
         for (int i = 0; i < 10; i++) {
-            rig.loadBalancer.probeCompleted(rig.now, "s" + i, Outcome.SERVED, home.equals("s" + i) ? 0.8 : 0.85);
+            rig.loadBalancer.probeCompleted(
+                    rig.now, "s" + i, Outcome.SERVED, home.equals("s" + i) ? 0.8 : 0.85);
         }
         assertEquals(home, rig.route(0, 4, 5, Api.NONE), "the least busy, where all are");
     }
@@ -83,7 +88,8 @@
     void loadPlacedByANewRelayCountsBeforeTheNextReport() {
         LoadBalancerHarness rig = harness();
         for (int i = 0; i < 10; i++) {
-            rig.loadBalancer.probeCompleted(rig.now, "s" + i, Outcome.SERVED, 0.4); // nothing of it is this node's
+            rig.loadBalancer.probeCompleted(
+                    rig.now, "s" + i, Outcome.SERVED, 0.4); // nothing of it is this node's
         }
         for (int i = 0; i < 200; i++) {
             rig.establish(
@@ -99,7 +105,9 @@
 
     @Test
     void backendThatResetsAllConnectionsIsNoFallback() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backend("s0", 0));
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                        .receiveList(BackendListKind.FULL, LoadBalancerHarness.backend("s0", 0));
         long id = rig.request(1);
         rig.establish(id, 10_000);
         rig.loadBalancer.attemptEnded(rig.now, id, Outcome.RESET, true);
@@ -155,7 +163,9 @@
     void overloadedBackendIsSkippedWhileItsReportIsFresh() {
         // A node without a connection at a server is told no delay of it: without probes it feeds
         // the jam.
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(4));
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                        .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(4));
         long key = 1;
         String usual = rig.route(key);
         rig.loadBalancer.probeCompleted(rig.now, usual, Outcome.SERVED, 0.7);
@@ -172,7 +182,9 @@
     void loadPlacedSinceTheReportIsAddedToIt() {
         // A crowd is placed within the second that a report is old: by the report alone all would
         // go there.
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(4));
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                        .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(4));
         long key = 1;
         String usual = rig.route(key);
         for (int i = 0; i < 20; i++) {
@@ -192,7 +204,9 @@
 
     @Test
     void heavyConnectionsAreMovedOffAnOverloadedBackend() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(4));
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                        .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(4));
         for (int i = 0; i < 10; i++) {
             rig.restoreConnection("s1", 100);
         }
@@ -233,13 +247,20 @@
 
     @Test
     void overloadedFleetRejectsLowestValueFirstAndRecovers() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass(), LoadBalancerHarness.lowValueClass());
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(
+                        LoadBalancerHarness.idempotentClass(), LoadBalancerHarness.lowValueClass());
         rig.receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(10));
-        List<Long> open = IntStream.range(0, 10).mapToObj(i -> rig.restoreConnection("s" + i, 100)).toList();
+        List<Long> open =
+                IntStream.range(0, 10).mapToObj(i -> rig.restoreConnection("s" + i, 100)).toList();
         for (int i = 0; i < 40; i++) {
             rig.now += 100_000;
             if (i % 10 == 0) {
-                open.subList(0, 6).forEach(id -> rig.loadBalancer.connectionReported(rig.now, id, ConnectionReport.DELAY, 50));
+                open.subList(0, 6)
+                        .forEach(
+                                id ->
+                                        rig.loadBalancer.connectionReported(
+                                                rig.now, id, ConnectionReport.DELAY, 50));
             }
             rig.route(0, 7, 7, 100);
         }
@@ -263,12 +284,15 @@
         LoadBalancerHarness rig = harness();
         for (int i = 0; i < 200; i++) {
             long id = rig.request(i);
-            for (int attempt = 0; attempt < 6 && !rig.lastAction().endsWith("refuse " + id); attempt++) {
+            for (int attempt = 0;
+                    attempt < 6 && !rig.lastAction().endsWith("refuse " + id);
+                    attempt++) {
                 rig.endAttempt(id, Outcome.ERROR);
             }
         }
         assertTrue(
-                rig.attemptCount() < 60, rig.attemptCount() + " attempts for 200 requests of which none stands");
+                rig.attemptCount() < 60,
+                rig.attemptCount() + " attempts for 200 requests of which none stands");
         rig.now += 60_000_000;
         assertTrue(rig.route(1) != null, "tried again once the storm is over");
     }
@@ -276,7 +300,9 @@
     @Test
     void attemptsThatWaitEverywhereDoNotTimeOutEarly() {
         // Behind a queue that all share each try given up is work wasted and one more in the queue.
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(4));
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                        .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(4));
         for (int i = 1; i <= 5; i++) {
             rig.request(i);
             assertTrue(rig.lastAttemptTimeout > 0, "an early one leaves room for another try");
@@ -295,7 +321,9 @@
         LoadBalancerHarness rig = harness();
         rig.route(99);
         List<Long> old =
-                IntStream.range(0, 30).mapToObj(i -> rig.restoreConnection("s" + i % 10, 100)).toList();
+                IntStream.range(0, 30)
+                        .mapToObj(i -> rig.restoreConnection("s" + i % 10, 100))
+                        .toList();
         old.forEach(id -> rig.loadBalancer.attemptEnded(rig.now, id, Outcome.RESET, true));
         rig.now += 5_000_000;
         for (long k = 0; k < 30; k++) {
@@ -342,7 +370,10 @@
     /** Whether a client leaves its slow default after a connection that was open so long. */
     private static boolean isDiverted(long seed, long open) {
         LoadBalancerHarness rig =
-                new LoadBalancerHarness(LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass()), seed)
+                new LoadBalancerHarness(
+                                LoadBalancerHarness.settings(
+                                        0.02, false, LoadBalancerHarness.idempotentClass()),
+                                seed)
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(10));
         for (long k = 0; k < 200; k++) {
             rig.route(1_000 + k); // all servers are heard from
@@ -372,7 +403,14 @@
     void coldBackendIsProtectedFromReconnectingClients() {
         LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass());
         ListedBackend[] fleet = LoadBalancerHarness.backends(2);
-        fleet[1] = new ListedBackend("s1", 1, 1, Health.READY, 1, rig.now - 9 * LoadBalancerHarness.SECOND_MICROS);
+        fleet[1] =
+                new ListedBackend(
+                        "s1",
+                        1,
+                        1,
+                        Health.READY,
+                        1,
+                        rig.now - 9 * LoadBalancerHarness.SECOND_MICROS);
         rig.receiveList(BackendListKind.FULL, fleet);
         for (long k = 0; k < 200; k++) {
             long deadline = rig.now + 1_200_000;
@@ -387,7 +425,11 @@
     @Test
     void zoneCrossingIsAvoidedWhereItIsExpensive() {
         LoadBalancerHarness rig =
-                new LoadBalancerHarness(LoadBalancerHarness.settings(0.12, false, LoadBalancerHarness.idempotentClass()), 1).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(10));
+                new LoadBalancerHarness(
+                                LoadBalancerHarness.settings(
+                                        0.12, false, LoadBalancerHarness.idempotentClass()),
+                                1)
+                        .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(10));
         for (long k = 0; k < 200; k++) {
             assertEquals(0, Integer.parseInt(rig.route(k).substring(1)) % 2);
         }
@@ -399,8 +441,16 @@
 
     @Test
     void listIsWatchedWithJitterAndAgainAfterAFailedCall() {
-        LoadBalancerHarness one = new LoadBalancerHarness(LoadBalancerHarness.settings(0.02, true, LoadBalancerHarness.idempotentClass()), 1);
-        LoadBalancerHarness two = new LoadBalancerHarness(LoadBalancerHarness.settings(0.02, true, LoadBalancerHarness.idempotentClass()), 2);
+        LoadBalancerHarness one =
+                new LoadBalancerHarness(
+                        LoadBalancerHarness.settings(
+                                0.02, true, LoadBalancerHarness.idempotentClass()),
+                        1);
+        LoadBalancerHarness two =
+                new LoadBalancerHarness(
+                        LoadBalancerHarness.settings(
+                                0.02, true, LoadBalancerHarness.idempotentClass()),
+                        2);
         assertNotEquals(one.lastAction(), two.lastAction());
         one.loadBalancer.timerFired(one.now, "list");
         assertEquals("watch", one.lastAction());
--- a/relay/src/test/java/saltstage/LoadBalancerHarness.java
+++ b/relay/src/test/java/saltstage/LoadBalancerHarness.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import saltstage.Api.Idempotency;
-import saltstage.Api.Health;
 import saltstage.Api.BackendListKind;
 import saltstage.Api.ConnectionReport;
+import saltstage.Api.DeduplicationScope;
+import saltstage.Api.Health;
+import saltstage.Api.Idempotency;
+import saltstage.Api.ListedBackend;
 import saltstage.Api.Outcome;
 import saltstage.Api.Request;
 import saltstage.Api.SafetyRules;
-import saltstage.Api.DeduplicationScope;
-import saltstage.Api.ListedBackend;
 import saltstage.Api.ServiceClass;
 import saltstage.Api.Settings;
 
@@ -28,24 +28,51 @@
     private long lastRequestId;
 
     static ServiceClass idempotentClass() {
-        return new ServiceClass(300_000, 1_200_000, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 5 * SECOND_MICROS, 5, 100_000);
+        return new ServiceClass(
+                300_000,
+                1_200_000,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
+                5 * SECOND_MICROS,
+                5,
+                100_000);
     }
 
     static ServiceClass lowValueClass() {
-        return new ServiceClass(300_000, 1_200_000, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 5 * SECOND_MICROS, 1, 100_000);
+        return new ServiceClass(
+                300_000,
+                1_200_000,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
+                5 * SECOND_MICROS,
+                1,
+                100_000);
     }
 
     static ServiceClass deduplicatedClass(DeduplicationScope scope) {
-        return new ServiceClass(300_000, 1_200_000, Idempotency.DEDUPLICATED, scope, SECOND_MICROS / 2, 5, 100_000);
+        return new ServiceClass(
+                300_000, 1_200_000, Idempotency.DEDUPLICATED, scope, SECOND_MICROS / 2, 5, 100_000);
     }
 
     static ServiceClass notIdempotentClass() {
         return new ServiceClass(
-                300_000, 1_200_000, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 5 * SECOND_MICROS, 5, 100_000);
+                300_000,
+                1_200_000,
+                Idempotency.NOT_IDEMPOTENT,
+                DeduplicationScope.ALL,
+                5 * SECOND_MICROS,
+                5,
+                100_000);
     }
 
     static SafetyRules safetyRules() {
-        return new SafetyRules(SECOND_MICROS, 0.25, 10 * SECOND_MICROS, 2.5, 2 * SECOND_MICROS, 10 * SECOND_MICROS);
+        return new SafetyRules(
+                SECOND_MICROS,
+                0.25,
+                10 * SECOND_MICROS,
+                2.5,
+                2 * SECOND_MICROS,
+                10 * SECOND_MICROS);
     }
 
     static Settings settings(double crossing, boolean asks, ServiceClass... classes) {
@@ -97,7 +124,8 @@
 
     long request(int cls, long key, long group, long hint) {
         long id = ++lastRequestId;
-        loadBalancer.requestReceived(now, new Request(id, cls, 0, key, group, hint, now + 1_200_000, false, false));
+        loadBalancer.requestReceived(
+                now, new Request(id, cls, 0, key, group, hint, now + 1_200_000, false, false));
         return id;
     }
 
@@ -115,7 +143,8 @@
 
     /** Tells that messages at a server take so long, as of an open connection there. */
     void reportDelay(String server, double ms) {
-        loadBalancer.connectionReported(now, restoreConnection(server, Api.NONE), ConnectionReport.DELAY, ms);
+        loadBalancer.connectionReported(
+                now, restoreConnection(server, Api.NONE), ConnectionReport.DELAY, ms);
     }
 
     /** A connection that was open at this server already. */
--- a/relay/src/test/java/saltstage/PackagesTest.java
+++ b/relay/src/test/java/saltstage/PackagesTest.java
@@ -27,12 +27,12 @@
                     Map.entry("admin", Set.of("log")),
                     Map.entry("handover", Set.of("log")),
                     Map.entry("config", Set.of("wire", "log")),
-                    Map.entry("memory", Set.of("wire")),
+                    Map.entry("session", Set.of("wire")),
                     Map.entry("configuration", Set.of("wire", "store")),
                     Map.entry("sim", Set.of("config", "wire")),
-                    Map.entry("keep", Set.of("store", "config", "log", "wire")),
-                    Map.entry("stage", Set.of("memory", "metrics", "wire", "config", "log")),
-                    Map.entry("amqp", Set.of("net", "stage", "memory", "wire", "config", "log")));
+                    Map.entry("persistence", Set.of("store", "config", "log", "wire")),
+                    Map.entry("stage", Set.of("session", "metrics", "wire", "config", "log")),
+                    Map.entry("amqp", Set.of("net", "stage", "session", "wire", "config", "log")));
 
     @Test
     void eachPackageImportsOnlyWhatStandsBelowIt() throws IOException {
--- a/relay/src/test/java/saltstage/PlacementAndDiversionTest.java
+++ b/relay/src/test/java/saltstage/PlacementAndDiversionTest.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import saltstage.Api.Health;
 import saltstage.Api.BackendListKind;
+import saltstage.Api.Health;
 import saltstage.Api.ListedBackend;
 
 class PlacementAndDiversionTest {
@@ -30,7 +30,9 @@
         ListedBackend[] fleet = LoadBalancerHarness.backends(10);
         fleet[0] = new ListedBackend("s0", 0, 0, Health.READY, 2, 0);
         Map<String, Integer> n = new HashMap<>();
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, fleet);
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                        .receiveList(BackendListKind.FULL, fleet);
         defaultBackends(rig).values().forEach(s -> n.merge(s, 1, Integer::sum));
         for (Map.Entry<String, Integer> e : n.entrySet()) {
             double due = KEY_COUNT / 11.0 * (e.getKey().equals("s0") ? 2 : 1);
@@ -42,9 +44,12 @@
     @Test
     void maglevMovesFewKeysWhenABackendLeaves() {
         ListedBackend[] fleet = LoadBalancerHarness.backends(20);
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, fleet);
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                        .receiveList(BackendListKind.FULL, fleet);
         Map<Long, String> before = defaultBackends(rig);
-        rig.receiveList(BackendListKind.DELTA, LoadBalancerHarness.withHealth(fleet[7], Health.GONE));
+        rig.receiveList(
+                BackendListKind.DELTA, LoadBalancerHarness.withHealth(fleet[7], Health.GONE));
         Map<Long, String> after = defaultBackends(rig);
         long moved =
                 before.keySet().stream()
@@ -63,14 +68,26 @@
         for (int i = 0; i < 8; i++) {
             reversed[i] = fleet[7 - i];
         }
-        LoadBalancerHarness one = new LoadBalancerHarness(LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass()), 1).receiveList(BackendListKind.FULL, fleet);
-        LoadBalancerHarness two = new LoadBalancerHarness(LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass()), 2).receiveList(BackendListKind.FULL, reversed);
+        LoadBalancerHarness one =
+                new LoadBalancerHarness(
+                                LoadBalancerHarness.settings(
+                                        0.02, false, LoadBalancerHarness.idempotentClass()),
+                                1)
+                        .receiveList(BackendListKind.FULL, fleet);
+        LoadBalancerHarness two =
+                new LoadBalancerHarness(
+                                LoadBalancerHarness.settings(
+                                        0.02, false, LoadBalancerHarness.idempotentClass()),
+                                2)
+                        .receiveList(BackendListKind.FULL, reversed);
         assertEquals(defaultBackends(one), defaultBackends(two));
     }
 
     @Test
     void groupTakesPrecedenceOverClientKeyAndNoKeyStillGetsABackend() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(20));
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                        .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(20));
         for (long client = 0; client < 30; client++) {
             assertEquals(rig.route(0, 1, 77, Api.NONE), rig.route(0, client, 77, Api.NONE));
         }
@@ -79,7 +96,9 @@
 
     @Test
     void groupTooBigForOneBackendIsSpreadOverSeveral() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(30));
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                        .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(30));
         Set<String> first = new TreeSet<>();
         Set<String> big = new TreeSet<>();
         for (long i = 0; i < 200; i++) {
@@ -95,7 +114,9 @@
 
     @Test
     void smallGroupsStayOnOneBackend() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(30));
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                        .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(30));
         for (long i = 0; i < 200; i++) {
             rig.now += 100_000;
             long one = rig.request(0, i, 1000 + i, 100);
@@ -133,12 +154,15 @@
         // Half of the others are worse off than the default, the rest idle: the gap alone would let
         // it leave.
         assertEquals(0, divertedHeavyClients(10, 30));
-        assertTrue(divertedHeavyClients(0, 30) > 10, "alone among idle servers it is in the worst fifth");
+        assertTrue(
+                divertedHeavyClients(0, 30) > 10,
+                "alone among idle servers it is in the worst fifth");
     }
 
     @Test
     void noDiversionToABackendHardlyLessLoaded() {
-        assertEquals(0, divertedHeavyClients(19, 20), "the gap of 5 ms is less than a set-up of 10 ms");
+        assertEquals(
+                0, divertedHeavyClients(19, 20), "the gap of 5 ms is less than a set-up of 10 ms");
     }
 
     /**
@@ -172,7 +196,10 @@
 
     private static LoadBalancerHarness harnessWithDelayedDefault(double ms, long seed) {
         LoadBalancerHarness rig =
-                new LoadBalancerHarness(LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass()), seed)
+                new LoadBalancerHarness(
+                                LoadBalancerHarness.settings(
+                                        0.02, false, LoadBalancerHarness.idempotentClass()),
+                                seed)
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(20));
         for (long k = 0; k < 400; k++) {
             rig.route(0, k, k, 1000);
@@ -195,7 +222,8 @@
             for (int k = 0; k < table.size; k++) {
                 if (table.clients[k] == 99) {
                     admitted++;
-                    assertEquals(4, table.counters[k], 1e-9, "starts above the counter it replaced");
+                    assertEquals(
+                            4, table.counters[k], 1e-9, "starts above the counter it replaced");
                 }
             }
         }
--- a/relay/src/test/java/saltstage/ReconnectStormTest.java
+++ b/relay/src/test/java/saltstage/ReconnectStormTest.java
@@ -23,7 +23,8 @@
             600_000; // in which all come back: 1.4 times what the store bears
     private static final long STORE_SETUP_MICROS = 7_000; // of one set-up at the store
 
-    private record ScheduledEvent(long timeMicros, int order, Runnable action) implements Comparable<ScheduledEvent> {
+    private record ScheduledEvent(long timeMicros, int order, Runnable action)
+            implements Comparable<ScheduledEvent> {
         @Override
         public int compareTo(ScheduledEvent other) {
             return timeMicros != other.timeMicros
@@ -45,8 +46,13 @@
 
         StormSimulation() {
             for (int i = 0; i < RELAY_COUNT; i++) {
-                LoadBalancerHarness relay = new LoadBalancerHarness(LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass()), i + 1);
-                relays.add(relay.receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(7)));
+                LoadBalancerHarness relay =
+                        new LoadBalancerHarness(
+                                LoadBalancerHarness.settings(
+                                        0.02, false, LoadBalancerHarness.idempotentClass()),
+                                i + 1);
+                relays.add(
+                        relay.receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(7)));
                 for (long key = 0; key < 10; key++) { // calm before: set-ups are known to be quick
                     relay.route(key);
                 }
@@ -62,7 +68,9 @@
             for (int i = 0; i < CLIENT_COUNT; i++) {
                 LoadBalancerHarness relay = relays.get(i % RELAY_COUNT);
                 long key = 1000 + i;
-                schedule(start + i * RECONNECT_SPAN_MICROS / CLIENT_COUNT, () -> startRequest(relay, key));
+                schedule(
+                        start + i * RECONNECT_SPAN_MICROS / CLIENT_COUNT,
+                        () -> startRequest(relay, key));
             }
             while (!eventQueue.isEmpty()) {
                 ScheduledEvent next = eventQueue.remove();
@@ -90,7 +98,8 @@
             long now = relay.now;
             storeFreeAt = Math.max(storeFreeAt, now) + STORE_SETUP_MICROS;
             long ready = storeFreeAt;
-            long until = relay.lastAttemptTimeout == 0 ? Long.MAX_VALUE : now + relay.lastAttemptTimeout;
+            long until =
+                    relay.lastAttemptTimeout == 0 ? Long.MAX_VALUE : now + relay.lastAttemptTimeout;
             schedule(
                     Math.min(ready, until),
                     () -> {
--- a/relay/src/test/java/saltstage/SafetyRulesTest.java
+++ b/relay/src/test/java/saltstage/SafetyRulesTest.java
@@ -6,11 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import saltstage.Api.Health;
 import saltstage.Api.BackendListKind;
-import saltstage.Api.Outcome;
 import saltstage.Api.DeduplicationScope;
+import saltstage.Api.Health;
 import saltstage.Api.ListedBackend;
+import saltstage.Api.Outcome;
 
 class SafetyRulesTest {
     @Test
@@ -36,9 +36,12 @@
     @Test
     void requestWaitsWhenTheLastBackendDrainsBeforeTablesAreRebuilt() {
         ListedBackend only = LoadBalancerHarness.backend("s0", 0);
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, only);
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                        .receiveList(BackendListKind.FULL, only);
         assertEquals("s0", rig.route(1));
-        rig.receiveList(BackendListKind.DELTA, LoadBalancerHarness.withHealth(only, Health.DRAINING));
+        rig.receiveList(
+                BackendListKind.DELTA, LoadBalancerHarness.withHealth(only, Health.DRAINING));
         rig.request(2);
         assertTrue(rig.lastAction().startsWith("timer"), rig.lastAction());
     }
@@ -59,7 +62,9 @@
 
     @Test
     void timeoutAtTheDeadlineIsAnswered() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(3));
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                        .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(3));
         long id = rig.request(1);
         rig.now += 1_200_000;
         rig.endAttempt(id, Outcome.TIMEOUT);
@@ -68,7 +73,9 @@
 
     @Test
     void nextAttemptGoesElsewhereAndOnlyAfterTheFirstEnded() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(5));
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                        .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(5));
         long id = rig.request(1);
         String first = rig.backendByRequest.get(id);
         assertEquals(1, rig.attemptCount());
@@ -81,7 +88,9 @@
 
     @Test
     void attemptsAreLimited() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(20));
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                        .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(20));
         long id = rig.request(1);
         for (int i = 0; i < 6; i++) {
             rig.endAttempt(id, Outcome.UNREACHABLE);
@@ -92,7 +101,9 @@
 
     @Test
     void notIdempotentRequestThatMayHaveRunFails() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.notIdempotentClass()).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(5));
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.notIdempotentClass())
+                        .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(5));
         long id = rig.request(1);
         assertEquals(0, rig.lastAttemptTimeout, "an early time-out would only end it");
         rig.endAttempt(id, Outcome.RESET);
@@ -104,7 +115,10 @@
 
     @Test
     void deduplicatedRequestIsRetriedOnlyInItsScopeAndWindow() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.deduplicatedClass(DeduplicationScope.ZONE)).receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(20));
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(
+                                LoadBalancerHarness.deduplicatedClass(DeduplicationScope.ZONE))
+                        .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(20));
         for (int i = 0; i < 20; i++) {
             long id = rig.request(i);
             String first = rig.backendByRequest.get(id);
@@ -122,9 +136,12 @@
 
     @Test
     void requestDeduplicatedInACellStaysInTheCell() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.deduplicatedClass(DeduplicationScope.CELL));
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(
+                        LoadBalancerHarness.deduplicatedClass(DeduplicationScope.CELL));
         ListedBackend[] two = {
-            new ListedBackend("a", 0, 1, Health.READY, 1, 0), new ListedBackend("b", 0, 2, Health.READY, 1, 0)
+            new ListedBackend("a", 0, 1, Health.READY, 1, 0),
+            new ListedBackend("b", 0, 2, Health.READY, 1, 0)
         };
         rig.receiveList(BackendListKind.FULL, two);
         long id = rig.request(1);
@@ -136,8 +153,13 @@
     @Test
     void drainingAndGoneBackendsGetNoRequests() {
         ListedBackend[] fleet = LoadBalancerHarness.backends(4);
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass()).receiveList(BackendListKind.FULL, fleet);
-        rig.receiveList(BackendListKind.DELTA, LoadBalancerHarness.withHealth(fleet[0], Health.DRAINING), LoadBalancerHarness.withHealth(fleet[1], Health.GONE));
+        LoadBalancerHarness rig =
+                LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
+                        .receiveList(BackendListKind.FULL, fleet);
+        rig.receiveList(
+                BackendListKind.DELTA,
+                LoadBalancerHarness.withHealth(fleet[0], Health.DRAINING),
+                LoadBalancerHarness.withHealth(fleet[1], Health.GONE));
         for (int i = 0; i < 200; i++) {
             String to = rig.route(i);
             assertFalse(to.equals("s0") || to.equals("s1"), to);
--- a/relay/src/test/java/saltstage/WideFleetPlacementTest.java
+++ b/relay/src/test/java/saltstage/WideFleetPlacementTest.java
@@ -7,8 +7,8 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import saltstage.Api.BackendListKind;
-import saltstage.Api.Request;
 import saltstage.Api.ListedBackend;
+import saltstage.Api.Request;
 
 /** The largest fleet that the operators name. */
 class WideFleetPlacementTest {
--- a/relay/src/test/java/saltstage/amqp/PartsTest.java
+++ b/relay/src/test/java/saltstage/amqp/PartsTest.java
@@ -22,7 +22,7 @@
 import saltstage.Api;
 import saltstage.config.Configuration;
 import saltstage.config.OperatorSettings;
-import saltstage.memory.RequestAttributes;
+import saltstage.session.RequestAttributes;
 import saltstage.wire.MalformedException;
 
 /** The parts of the front that decide without I/O: frames, addresses, users. */
--- a/relay/src/test/java/saltstage/handover/HandoverTest.java
+++ b/relay/src/test/java/saltstage/handover/HandoverTest.java
@@ -84,9 +84,11 @@
             assertTrue(old.isOtherProcessReady());
             assertTrue(old.updateDescriptorBudget(used / 2) <= kept);
             old.setPhase(ProcessSlots.Phase.LEAVING);
-            assertTrue(old.updateDescriptorBudget(used / 3) + next.updateDescriptorBudget(10) <= 400);
+            assertTrue(
+                    old.updateDescriptorBudget(used / 3) + next.updateDescriptorBudget(10) <= 400);
             assertThrows(
-                    IOException.class, () -> ProcessSlots.claim(path.resolveSibling("slots" + used), 400));
+                    IOException.class,
+                    () -> ProcessSlots.claim(path.resolveSibling("slots" + used), 400));
         }
     }
 }
--- a/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
@@ -66,9 +66,11 @@
         long held = fault == Fault.OLD_LISTS_ARE_DELIVERED ? Long.MIN_VALUE : heldRevision;
         Outcome outcome = correct.listArrived(id, list, held);
         if (fault == Fault.ENDED_CALLS_ARE_NOT_IGNORED && outcome.effects().isEmpty()) {
-            return withFault(new Outcome(outcome.next(), List.of(new Effect.DeliverList(list)), false));
+            return withFault(
+                    new Outcome(outcome.next(), List.of(new Effect.DeliverList(list)), false));
         }
-        return dropEffects(Fault.CALLS_BESIDE_THE_WATCH_ARE_NOT_ENDED, Effect.EndCall.class, outcome);
+        return dropEffects(
+                Fault.CALLS_BESIDE_THE_WATCH_ARE_NOT_ENDED, Effect.EndCall.class, outcome);
     }
 
     @Override
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
@@ -34,7 +34,12 @@
      * A call that has been begun: its thread may report until it ends, its timer until it has
      * fired.
      */
-    private record SimulatedCall(long id, boolean running, boolean timerPending, boolean endRequested, boolean answered) {
+    private record SimulatedCall(
+            long id,
+            boolean running,
+            boolean timerPending,
+            boolean endRequested,
+            boolean answered) {
         /** Told: the rules had it ended. What still comes of it must not matter. */
         boolean isOpen() {
             return running && !endRequested;
@@ -49,7 +54,11 @@
      * All that is known of a moment; asks are those that somebody owes: a timer or the decision
      * module.
      */
-    private record SimulatedState(DiscoveryRules rules, Map<Long, SimulatedCall> calls, long heldRevision, int pendingAsks) {
+    private record SimulatedState(
+            DiscoveryRules rules,
+            Map<Long, SimulatedCall> calls,
+            long heldRevision,
+            int pendingAsks) {
         SimulatedState withCall(SimulatedCall call) {
             Map<Long, SimulatedCall> changed = new TreeMap<>(calls);
             if (call.isFinished()) {
@@ -132,7 +141,9 @@
         }
         for (SimulatedCall call : List.copyOf(world.calls.values())) {
             if (call.running) {
-                for (long revision = world.heldRevision - 1; revision <= world.heldRevision + 1; revision++) {
+                for (long revision = world.heldRevision - 1;
+                        revision <= world.heldRevision + 1;
+                        revision++) {
                     applyOutcome(
                             node,
                             withAnswer(world, call),
@@ -140,7 +151,13 @@
                             "list " + revision + " by " + call.id);
                 }
                 SimulatedState silent =
-                        world.withCall(new SimulatedCall(call.id, false, call.timerPending, call.endRequested, call.answered));
+                        world.withCall(
+                                new SimulatedCall(
+                                        call.id,
+                                        false,
+                                        call.timerPending,
+                                        call.endRequested,
+                                        call.answered));
                 applyOutcome(
                         node,
                         silent,
@@ -149,7 +166,13 @@
             }
             if (call.timerPending) {
                 SimulatedState fired =
-                        world.withCall(new SimulatedCall(call.id, call.running, false, call.endRequested, call.answered));
+                        world.withCall(
+                                new SimulatedCall(
+                                        call.id,
+                                        call.running,
+                                        false,
+                                        call.endRequested,
+                                        call.answered));
                 applyOutcome(
                         node,
                         fired,
@@ -160,10 +183,12 @@
     }
 
     private static SimulatedState withAnswer(SimulatedState world, SimulatedCall call) {
-        return world.withCall(new SimulatedCall(call.id, true, call.timerPending, call.endRequested, true));
+        return world.withCall(
+                new SimulatedCall(call.id, true, call.timerPending, call.endRequested, true));
     }
 
-    private static DiscoveryRules.Outcome listArrives(SimulatedState world, SimulatedCall call, long revision) {
+    private static DiscoveryRules.Outcome listArrives(
+            SimulatedState world, SimulatedCall call, long revision) {
         return world.rules.listArrived(
                 call.id, new BackendList(revision, true, List.of()), world.heldRevision);
     }
@@ -180,9 +205,14 @@
      * What follows when the effects are performed; where a call is to begin, a thread may be had or
      * not.
      */
-    private void applyOutcome(Node node, SimulatedState before, DiscoveryRules.Outcome outcome, String event) {
+    private void applyOutcome(
+            Node node, SimulatedState before, DiscoveryRules.Outcome outcome, String event) {
         SimulatedState world =
-                new SimulatedState(outcome.next(), before.calls, before.heldRevision, before.pendingAsks)
+                new SimulatedState(
+                                outcome.next(),
+                                before.calls,
+                                before.heldRevision,
+                                before.pendingAsks)
                         .withMoreAsks(outcome.lost() ? 1 : 0);
         long begun = 0;
         for (Effect effect : outcome.effects()) {
@@ -210,7 +240,8 @@
             if (call == null || !call.isOpen()) {
                 throw new Violation("a call is ended that is not open: " + end.id(), node);
             }
-            return world.withCall(new SimulatedCall(call.id, true, call.timerPending, true, call.answered));
+            return world.withCall(
+                    new SimulatedCall(call.id, true, call.timerPending, true, call.answered));
         }
         if (effect instanceof Effect.DeliverList deliver) {
             long revision = deliver.list().revision();
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsTest.java
@@ -25,7 +25,8 @@
 
     private static void assertRejected(String what, DiscoveryRules rules, String found) {
         Violation violation =
-                assertThrows(Violation.class, () -> DiscoveryCallsExplorer.explore(rules, MAX_EVENTS));
+                assertThrows(
+                        Violation.class, () -> DiscoveryCallsExplorer.explore(rules, MAX_EVENTS));
         System.out.println("rejected: " + what + ", " + violation.getMessage());
         assertTrue(violation.getMessage().startsWith(found), violation.getMessage());
     }
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryDelayTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryDelayTest.java
@@ -79,7 +79,10 @@
     @Test
     void discoveryThatReturnsIsAskedInTimeHoweverLongItWasDown() {
         for (int failed = 1; failed < 8; failed++) {
-            Duration until = DiscoverySubscription.ANSWER_TIMEOUT.plus(longestPause(failed)).plus(ANSWER_TIME);
+            Duration until =
+                    DiscoverySubscription.ANSWER_TIMEOUT
+                            .plus(longestPause(failed))
+                            .plus(ANSWER_TIME);
             assertTrue(until.compareTo(MAX_DELAY) <= 0, failed + " failed: " + until);
         }
     }
--- a/relay/src/test/java/saltstage/lifecycle/DiscoverySubscriptionTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoverySubscriptionTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltstage.memory.MonotonicClock;
-import saltstage.memory.Timers;
+import saltstage.session.MonotonicClock;
+import saltstage.session.Timers;
 import saltstage.stage.Threads;
 import saltstage.wire.BackendList;
 
@@ -144,7 +144,9 @@
         assertEquals(5, nextDelivered());
         hangs.assertClosed();
         assertEquals(
-                6, answered.sendList(6) == null ? 0 : nextDelivered(), "the one that answered is the watch");
+                6,
+                answered.sendList(6) == null ? 0 : nextDelivered(),
+                "the one that answered is the watch");
         assertEquals(1, failedCalls.get(), "a superseded call is reported once");
     }
 
--- a/relay/src/test/java/saltstage/net/NettyTransportTest.java
+++ b/relay/src/test/java/saltstage/net/NettyTransportTest.java
@@ -30,7 +30,8 @@
 class NettyTransportTest {
     private static final InetSocketAddress ANY_PORT =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    private static final Connection.WriteLimits WRITE_LIMITS = new Connection.WriteLimits(16 << 10, 256 << 10);
+    private static final Connection.WriteLimits WRITE_LIMITS =
+            new Connection.WriteLimits(16 << 10, 256 << 10);
 
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private final BlockingQueue<Connection> connections = new LinkedBlockingQueue<>();
@@ -143,7 +144,9 @@
                                 most.complete(highest);
                             });
             assertEquals("writable false", nextEvent());
-            assertTrue(most.get(30, TimeUnit.SECONDS) <= WRITE_LIMITS.maxBytes(), "unsent " + most.get());
+            assertTrue(
+                    most.get(30, TimeUnit.SECONDS) <= WRITE_LIMITS.maxBytes(),
+                    "unsent " + most.get());
             assertEquals("closed OVERFLOW", nextEvent());
         }
     }
@@ -160,7 +163,9 @@
                     .execute(
                             () -> {
                                 int bytes = 0;
-                                for (; connection.unsentBytes() <= WRITE_LIMITS.softBytes(); bytes += 1_024) {
+                                for (;
+                                        connection.unsentBytes() <= WRITE_LIMITS.softBytes();
+                                        bytes += 1_024) {
                                     connection.write(ByteBuffer.allocate(1_024));
                                 }
                                 written.complete(bytes);
@@ -252,7 +257,8 @@
         InetSocketAddress address;
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             address = (InetSocketAddress) server.getLocalSocketAddress();
-            transport.connect(loop, address, Duration.ofSeconds(5), WRITE_LIMITS, recordingConnectListener());
+            transport.connect(
+                    loop, address, Duration.ofSeconds(5), WRITE_LIMITS, recordingConnectListener());
             assertEquals("connected", nextEvent());
             try (Socket accepted = server.accept()) {
                 assertEquals(
@@ -263,7 +269,8 @@
             }
             assertEquals("inputEnded", nextEvent());
         }
-        transport.connect(loop, address, Duration.ofSeconds(5), WRITE_LIMITS, recordingConnectListener());
+        transport.connect(
+                loop, address, Duration.ofSeconds(5), WRITE_LIMITS, recordingConnectListener());
         assertEquals("failed", nextEvent());
     }
 
@@ -275,8 +282,12 @@
         List<Loop.Timer> timers = new ArrayList<>();
         loop.execute(
                 () -> {
-                    loop.schedule(Duration.ofMillis(60), () -> events.add("late " + loop.isCurrentThread()));
-                    loop.schedule(Duration.ofMillis(10), () -> events.add("soon " + loop.isCurrentThread()));
+                    loop.schedule(
+                            Duration.ofMillis(60),
+                            () -> events.add("late " + loop.isCurrentThread()));
+                    loop.schedule(
+                            Duration.ofMillis(10),
+                            () -> events.add("soon " + loop.isCurrentThread()));
                     timers.add(loop.schedule(Duration.ofMillis(30), () -> events.add("never")));
                     assertTrue(timers.get(0).cancel());
                     assertFalse(timers.get(0).cancel());
@@ -291,7 +302,8 @@
     @ValueSource(booleans = {false, true})
     void unacceptedConnectionIsReset(boolean epoll) throws Exception {
         startTransport(epoll);
-        Transport.Listener listener = transport.listen(ANY_PORT, 16, WRITE_LIMITS, connection -> null);
+        Transport.Listener listener =
+                transport.listen(ANY_PORT, 16, WRITE_LIMITS, connection -> null);
         try (Socket socket = new Socket()) {
             socket.connect(listener.address());
             socket.setSoTimeout(30_000);
--- a/relay/src/test/java/saltstage/keep/RelayStateStoreTest.java
+++ b/relay/src/test/java/saltstage/persistence/RelayStateStoreTest.java
@@ -1,4 +1,4 @@
-package saltstage.keep;
+package saltstage.persistence;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -13,8 +13,8 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
-import saltstage.Api.LearnedState;
 import saltstage.Api.LearnedBackend;
+import saltstage.Api.LearnedState;
 import saltstage.config.OperatorSettings.PersistenceSettings;
 import saltstage.store.FaultDisk;
 import saltstage.wire.BackendList;
@@ -101,7 +101,8 @@
         assertEquals(3_000_000, back.backends().get(0).remainingEjection());
         later.start(() -> back);
         later.close(Duration.ofSeconds(30));
-        RelayStateStore tooLate = open(NOON.plusSeconds(2).plus(SETTINGS.maxLearnedStateAge()).plusMillis(1));
+        RelayStateStore tooLate =
+                open(NOON.plusSeconds(2).plus(SETTINGS.maxLearnedStateAge()).plusMillis(1));
         assertTrue(tooLate.persistedLearnedState().isEmpty());
         tooLate.start(() -> new LearnedState(0, 0, 0, 0, 0, 0, List.of(), Map.of()));
         tooLate.close(Duration.ofSeconds(30));
@@ -130,7 +131,8 @@
     void aFullDiskIsReportedAndPendingStateIsWrittenWhenThereIsRoom() throws Exception {
         RelayStateStore keeper = open(NOON);
         disk.arm(0, FaultDisk.Fault.FULL);
-        keeper.saveConfiguration("x".repeat(5_000), ""); // more than the segment that was filled beforehand
+        keeper.saveConfiguration(
+                "x".repeat(5_000), ""); // more than the segment that was filled beforehand
         keeper.start(() -> learnedState(1));
         await(() -> keeper.state() == RelayStateStore.State.FULL);
         disk.makeRoom();
@@ -158,17 +160,23 @@
 
     @Test
     void bytesOfAnotherVersionAreRefusedAndNotGuessed() throws IOException {
-        byte[] bytes = RelayStateCodec.encodeLearnedState(new RelayStateCodec.TimestampedState(NOON, learnedState(1)));
+        byte[] bytes =
+                RelayStateCodec.encodeLearnedState(
+                        new RelayStateCodec.TimestampedState(NOON, learnedState(1)));
         for (int length = 0; length < bytes.length; length++) {
             byte[] cut = java.util.Arrays.copyOf(bytes, length);
             assertThrows(IOException.class, () -> RelayStateCodec.decodeLearnedState(cut));
         }
         byte[] first = java.util.Arrays.copyOf(bytes, bytes.length - Double.BYTES);
         first[0] = 1;
-        assertEquals(0, RelayStateCodec.decodeLearnedState(first).learnedState().capacityShare(), "the first version is known too");
+        assertEquals(
+                0,
+                RelayStateCodec.decodeLearnedState(first).learnedState().capacityShare(),
+                "the first version is known too");
         bytes[0] = 3;
         assertEquals(
                 "learnt state of version 3; 2 is known",
-                assertThrows(IOException.class, () -> RelayStateCodec.decodeLearnedState(bytes)).getMessage());
+                assertThrows(IOException.class, () -> RelayStateCodec.decodeLearnedState(bytes))
+                        .getMessage());
     }
 }
--- a/relay/src/test/java/saltstage/process/AcceptBurstTest.java
+++ b/relay/src/test/java/saltstage/process/AcceptBurstTest.java
@@ -50,7 +50,11 @@
             try {
                 return channel.read(received) < 0
                         ? "end"
-                        : new String(received.array(), 0, received.position(), StandardCharsets.US_ASCII)
+                        : new String(
+                                        received.array(),
+                                        0,
+                                        received.position(),
+                                        StandardCharsets.US_ASCII)
                                 .split("[ \r]")[0];
             } catch (java.io.IOException reset) {
                 return "reset";
--- a/relay/src/test/java/saltstage/process/AdminTest.java
+++ b/relay/src/test/java/saltstage/process/AdminTest.java
@@ -27,7 +27,11 @@
         world.environmentVariables.put("GW_ADMIN", "127.0.0.1:" + world.adminPort);
         folder = Files.createTempDirectory("saltstage");
         world.environmentVariables.put("TMPDIR", folder.toString());
-        world.start(RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready")));
+        world.start(
+                RelayTestEnvironment.backendList(
+                        1,
+                        true,
+                        RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready")));
     }
 
     @After
--- a/relay/src/test/java/saltstage/process/ClockStepTest.java
+++ b/relay/src/test/java/saltstage/process/ClockStepTest.java
@@ -47,24 +47,32 @@
             String config =
                     world.config(
                             1_024,
-                            RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready")));
+                            RelayTestEnvironment.backendList(
+                                    1,
+                                    true,
+                                    RelayTestEnvironment.backendEntry(
+                                            "s-1", backend.endpoint(), "ready")));
             world.startWith(config);
             TestConnection standing = world.sendOpen("standing", 5_000);
             world.establish(backend, standing);
             Thread.sleep(2 * STEP_AFTER_MS);
             world.reload(config);
-            RelayTestEnvironment.await("the new configuration is read", () -> world.hasLogged("reload.done"));
+            RelayTestEnvironment.await(
+                    "the new configuration is read", () -> world.hasLogged("reload.done"));
             Duration off = Duration.between(Instant.now(), timeOf(world, "reload.done"));
             assertEquals("the step was seen", seconds, off.toSeconds(), 10);
 
             long asked = System.nanoTime();
             TestConnection waiting = world.sendOpen("waiting", DEADLINE_MS);
             assertTrue(
-                    backend.accept().readLine().startsWith("OPEN waiting")); // and hears nothing back
+                    backend.accept()
+                            .readLine()
+                            .startsWith("OPEN waiting")); // and hears nothing back
             waiting.socket.setSoTimeout(LOST_AFTER_MS);
             assertTrue(waiting.readLine().startsWith("BUSY"));
             long answeredMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
-            assertTrue("answered after " + answeredMs, answeredMs >= DEADLINE_MS - EARLY_TOLERANCE_MS);
+            assertTrue(
+                    "answered after " + answeredMs, answeredMs >= DEADLINE_MS - EARLY_TOLERANCE_MS);
 
             ProcessSupervisor.signal(world.process().pid(), "TERM");
             assertEquals("MOVE", standing.readLine());
@@ -76,7 +84,8 @@
     }
 
     private static Instant timeOf(RelayTestEnvironment world, String event) {
-        String line = world.logLines.stream().filter(l -> l.contains(event)).findFirst().orElseThrow();
+        String line =
+                world.logLines.stream().filter(l -> l.contains(event)).findFirst().orElseThrow();
         return Instant.parse(line.substring(0, line.indexOf(' ')));
     }
 }
--- a/relay/src/test/java/saltstage/process/ConfigurationTest.java
+++ b/relay/src/test/java/saltstage/process/ConfigurationTest.java
@@ -90,7 +90,8 @@
 
     private void accept(Mutation... mutations) throws InterruptedException {
         long revision = view.accept(mutations).revision();
-        RelayTestEnvironment.await("revision " + revision + " is applied", () -> isApplied(revision));
+        RelayTestEnvironment.await(
+                "revision " + revision + " is applied", () -> isApplied(revision));
     }
 
     /** Whether the log says so, in either of its forms. */
@@ -108,7 +109,8 @@
         for (int i = 0; i < 8; i++) { // of 8 keys one at least would go to each of two
             world.establish(
                     backend,
-                    world.connectClient().sendLine("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000"));
+                    world.connectClient()
+                            .sendLine("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000"));
         }
     }
 
@@ -142,10 +144,12 @@
         source.close();
         startRelay();
         assertTrue(
-                world.logLines.toString(), world.hasLogged("configuration.kept rev=1 entries=3 age_ms="));
+                world.logLines.toString(),
+                world.hasLogged("configuration.kept rev=1 entries=3 age_ms="));
         assertFalse(world.hasLogged("age_ms=-1"));
         assertAllGoTo(second, "a");
-        RelayTestEnvironment.await("the source's loss is told", () -> world.hasLogged("configuration.source.left"));
+        RelayTestEnvironment.await(
+                "the source's loss is told", () -> world.hasLogged("configuration.source.left"));
         assertFalse(world.hasLogged("configuration.applied"));
     }
 
@@ -164,7 +168,8 @@
         assertEquals("done restored\n", world.operatorCall("RESTORE s-1"));
         accept(suspension("s-2", "disk"));
         assertAllGoTo(first, "c");
-        assertEquals("error still suspended by configuration: s-2\n", world.operatorCall("RESTORE s-2"));
+        assertEquals(
+                "error still suspended by configuration: s-2\n", world.operatorCall("RESTORE s-2"));
         assertAllGoTo(first, "d");
     }
 
@@ -200,7 +205,12 @@
                         + "\"\n}\n");
         world.startWith(
                 world.config(
-                        512, RelayTestEnvironment.backendList(41, true, RelayTestEnvironment.backendEntry("s-1", first.endpoint(), "ready"))),
+                        512,
+                        RelayTestEnvironment.backendList(
+                                41,
+                                true,
+                                RelayTestEnvironment.backendEntry(
+                                        "s-1", first.endpoint(), "ready"))),
                 settings);
         RelayTestEnvironment.await("it is told", () -> world.hasLogged("why=\"malformed: "));
         assertAllGoTo(first, "a"); // by the platform's list
@@ -242,7 +252,8 @@
                         + folder.getRoot().toPath().resolve("configuration")
                         + "\"\n}\n");
         assertFalse(
-                "the check sees what is loaded", followerClasses(classesLoadedBy(settings)).isEmpty());
+                "the check sees what is loaded",
+                followerClasses(classesLoadedBy(settings)).isEmpty());
     }
 
     private static List<String> followerClasses(List<String> loaded) {
@@ -260,11 +271,18 @@
         Files.writeString(
                 config,
                 world.config(
-                        512, RelayTestEnvironment.backendList(41, true, RelayTestEnvironment.backendEntry("s-1", first.endpoint(), "ready"))));
+                        512,
+                        RelayTestEnvironment.backendList(
+                                41,
+                                true,
+                                RelayTestEnvironment.backendEntry(
+                                        "s-1", first.endpoint(), "ready"))));
         Path log = folder.newFile().toPath();
         List<String> command =
                 new ArrayList<>(
-                        RelayTestEnvironment.programBuilder(List.of("serve", "--config", config.toString())).command());
+                        RelayTestEnvironment.programBuilder(
+                                        List.of("serve", "--config", config.toString()))
+                                .command());
         command.add(1, "-Xlog:class+load:file=" + log);
         if (file != null) {
             command.addAll(List.of("--settings", file.toString()));
--- a/relay/src/test/java/saltstage/process/DiscoveryTest.java
+++ b/relay/src/test/java/saltstage/process/DiscoveryTest.java
@@ -35,7 +35,8 @@
     @Test
     public void watchResumesAfterTheLastRevisionHoweverItEnded() throws Exception {
         environment.start(RelayTestEnvironment.backendList(4, true, readyEntry));
-        TestConnection watch = environment.answerWatch("", RelayTestEnvironment.backendList(5, false));
+        TestConnection watch =
+                environment.answerWatch("", RelayTestEnvironment.backendList(5, false));
         assertTrue(environment.hasLogged("watch=1&after=4 "));
         RelayTestEnvironment.await("the change is taken", () -> environment.hasLogged("rev=5"));
         watch.close();
@@ -58,7 +59,12 @@
     @Test
     public void changeIsReceivedInTimeWhileACallHangs() throws Exception {
         TestServer second = environment.startBackend();
-        environment.start(RelayTestEnvironment.backendList(1, true, readyEntry, RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "draining")));
+        environment.start(
+                RelayTestEnvironment.backendList(
+                        1,
+                        true,
+                        readyEntry,
+                        RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "draining")));
         TestConnection hangs = environment.discovery.accept();
         long begun = System.nanoTime();
         assertTrue(hangs.readLine().contains("after=1 "));
@@ -88,10 +94,14 @@
                                         RelayTestEnvironment.backendList(
                                                 2,
                                                 false,
-                                                RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "draining"),
-                                                RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "ready"))));
+                                                RelayTestEnvironment.backendEntry(
+                                                        "s-1", backend.endpoint(), "draining"),
+                                                RelayTestEnvironment.backendEntry(
+                                                        "s-2", second.endpoint(), "ready"))));
         environment.startWith(
-                environment.config(4096, RelayTestEnvironment.backendList(1, true, readyEntry)).replace("on_request", "pushed"));
+                environment
+                        .config(4096, RelayTestEnvironment.backendList(1, true, readyEntry))
+                        .replace("on_request", "pushed"));
         assertTrue(
                 environment.hasLogged("relay.ready name=n0")
                         && environment.logLines.stream()
@@ -117,7 +127,9 @@
     @Test
     public void unresponsiveDiscoveryDoesNotPreventTheStart() throws Exception {
         environment.startWith(
-                environment.config(4096, RelayTestEnvironment.backendList(1, true, readyEntry)).replace("on_request", "pushed"));
+                environment
+                        .config(4096, RelayTestEnvironment.backendList(1, true, readyEntry))
+                        .replace("on_request", "pushed"));
         assertTrue(environment.hasLogged("discovery.none"));
         environment.establish(backend, environment.sendOpen("a1", 20_000));
     }
@@ -125,10 +137,19 @@
     @Test
     public void fullListEndsBackendsItDoesNotName() throws Exception {
         TestServer second = environment.startBackend();
-        environment.start(RelayTestEnvironment.backendList(1, true, readyEntry, RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "draining")));
+        environment.start(
+                RelayTestEnvironment.backendList(
+                        1,
+                        true,
+                        readyEntry,
+                        RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "draining")));
         TestConnection standing = environment.sendOpen("a1", 20_000);
         environment.establish(backend, standing);
-        environment.answerWatch(RelayTestEnvironment.backendList(2, true, RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "ready")));
+        environment.answerWatch(
+                RelayTestEnvironment.backendList(
+                        2,
+                        true,
+                        RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "ready")));
         assertEquals("MOVE", standing.readLine());
         environment.establish(second, environment.sendOpen("a2", 20_000));
     }
@@ -148,11 +169,13 @@
                     return true;
                 });
         String ready = RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready");
-        environment.startWith(environment.config(64, RelayTestEnvironment.backendList(1, true, ready)));
+        environment.startWith(
+                environment.config(64, RelayTestEnvironment.backendList(1, true, ready)));
         for (int i = 0; i < 300; i++) {
             environment.connectClient(); // and says nothing
         }
-        RelayTestEnvironment.await("who came first has to go", () -> environment.hasLogged("doorway.full"));
+        RelayTestEnvironment.await(
+                "who came first has to go", () -> environment.hasLogged("doorway.full"));
         TestConnection served = environment.sendOpen("d1", 20_000);
         environment.establish(backend, served);
         down.set(false);
@@ -163,7 +186,8 @@
                         false,
                         RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "draining"),
                         RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "ready")));
-        RelayTestEnvironment.await("the list's return is heard", () -> environment.hasLogged("discovery.list rev=2"));
+        RelayTestEnvironment.await(
+                "the list's return is heard", () -> environment.hasLogged("discovery.list rev=2"));
         environment.establish(second, environment.sendOpen("d2", 20_000));
         assertFalse(environment.hasLogged("thread.fault"));
         environment.process().toHandle().destroy();
@@ -191,13 +215,20 @@
                         RelayTestEnvironment.backendList(
                                 2,
                                 false,
-                                RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "draining"),
-                                RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "ready")));
+                                RelayTestEnvironment.backendEntry(
+                                        "s-1", backend.endpoint(), "draining"),
+                                RelayTestEnvironment.backendEntry(
+                                        "s-2", second.endpoint(), "ready")));
         RelayTestEnvironment.await("the change is taken", () -> environment.hasLogged("rev=2"));
         environment.establish(second, environment.sendOpen("a2", 20_000));
         RelayTestEnvironment.sendChunk(
                 watch,
-                RelayTestEnvironment.backendList(3, false, RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "gone")) + "\n");
+                RelayTestEnvironment.backendList(
+                                3,
+                                false,
+                                RelayTestEnvironment.backendEntry(
+                                        "s-1", backend.endpoint(), "gone"))
+                        + "\n");
         assertEquals("MOVE", standing.readLine());
     }
 
@@ -210,10 +241,16 @@
         RelayTestEnvironment.await("the change is taken", () -> environment.hasLogged("rev=5"));
         TestServer moved = environment.startBackend();
         environment.reload("{\"name\":\"half a fi");
-        RelayTestEnvironment.await("the bad file is refused", () -> environment.hasLogged("reload.refused"));
-        environment.reload(environment.config(4096, moved, RelayTestEnvironment.backendList(1, true)));
+        RelayTestEnvironment.await(
+                "the bad file is refused", () -> environment.hasLogged("reload.refused"));
+        environment.reload(
+                environment.config(4096, moved, RelayTestEnvironment.backendList(1, true)));
         environment.answerWatch(
-                moved, RelayTestEnvironment.backendList(6, false, RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "draining")));
+                moved,
+                RelayTestEnvironment.backendList(
+                        6,
+                        false,
+                        RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "draining")));
         assertTrue(environment.hasLogged("watch=1&after=5 "));
         RelayTestEnvironment.await("the change is taken", () -> environment.hasLogged("rev=6"));
         assertNull("the old watch is given up", old.readLine());
@@ -226,11 +263,16 @@
         environment.start(RelayTestEnvironment.backendList(4, true, readyEntry));
         TestConnection standing = environment.sendOpen("a1", 20_000);
         environment.establish(backend, standing);
-        environment.reload(environment.config(4096, environment.startBackend(), RelayTestEnvironment.backendList(1, true)));
+        environment.reload(
+                environment.config(
+                        4096,
+                        environment.startBackend(),
+                        RelayTestEnvironment.backendList(1, true)));
         environment.process().toHandle().destroy();
         assertEquals("MOVE", standing.readLine());
         standing.close();
-        RelayTestEnvironment.await("the reload was no end of its own", () -> environment.hasLogged("reload.done"));
+        RelayTestEnvironment.await(
+                "the reload was no end of its own", () -> environment.hasLogged("reload.done"));
         assertTrue(environment.waitForExit());
         assertEquals(0, environment.process().exitValue());
     }
--- a/relay/src/test/java/saltstage/process/IdleClientsTest.java
+++ b/relay/src/test/java/saltstage/process/IdleClientsTest.java
@@ -71,7 +71,11 @@
     public void signalsAreHandledWhileIdleClientsCouldExhaustThreads() throws Exception {
         try (RelayTestEnvironment world = new RelayTestEnvironment()) {
             TestServer backend = world.startBackend();
-            String known = RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready"));
+            String known =
+                    RelayTestEnvironment.backendList(
+                            1,
+                            true,
+                            RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready"));
             world.platformLimits = new PlatformLimits().maxThreads(MAX_THREADS);
             String config = world.config(MAX_DESCRIPTORS, known);
             world.startWith(config);
--- a/relay/src/test/java/saltstage/process/ManyBackendsTest.java
+++ b/relay/src/test/java/saltstage/process/ManyBackendsTest.java
@@ -40,7 +40,8 @@
             throws Exception {
         try (RelayTestEnvironment world = new RelayTestEnvironment();
                 FakeBackendFleet fleet = new FakeBackendFleet(BACKENDS)) {
-            world.platformLimits = new PlatformLimits().maxThreads(MAX_THREADS).maxDescriptors(MAX_DESCRIPTORS);
+            world.platformLimits =
+                    new PlatformLimits().maxThreads(MAX_THREADS).maxDescriptors(MAX_DESCRIPTORS);
             world.startWith(withProbes(world.config(MAX_DESCRIPTORS, fleet.list(1))));
             Thread.sleep(PROBE_START_DELAY_MS);
             List<TestConnection> clients = new ArrayList<>();
@@ -55,14 +56,16 @@
                                         + " 7f3a9c21e0b4d655 c=chat,t=acme,d="
                                         + UP_WITHIN_MS
                                         + ",g=5c0f6e1a,at="
-                                        + FakeBackendFleet.uid(i * BACKENDS / RESTORED_CONNECTIONS));
+                                        + FakeBackendFleet.uid(
+                                                i * BACKENDS / RESTORED_CONNECTIONS));
             }
             for (TestConnection client : clients) {
                 client.socket.setSoTimeout(UP_WITHIN_MS);
                 assertEquals("UP r1", client.readLine());
             }
             assertEquals("UP r1", world.sendOpen("new", 5_000).readLine());
-            RelayTestEnvironment.await("backends with connections are probed", () -> fleet.probeCount.get() > 0);
+            RelayTestEnvironment.await(
+                    "backends with connections are probed", () -> fleet.probeCount.get() > 0);
             int probed = fleet.probeConnectionCount.get();
             assertTrue("connections for probes: " + probed, probed <= Api.MAX_PROBED_BACKENDS);
             assertTrue("discovery is asked", world.discovery.accept(UP_WITHIN_MS) != null);
--- a/relay/src/test/java/saltstage/process/MetricsTest.java
+++ b/relay/src/test/java/saltstage/process/MetricsTest.java
@@ -27,7 +27,11 @@
         folder = Files.createTempDirectory("saltstage");
         world.environmentVariables.put("TMPDIR", folder.toString());
         world.environmentVariables.put("GW_ADMIN", "127.0.0.1:" + world.adminPort);
-        world.start(RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready")));
+        world.start(
+                RelayTestEnvironment.backendList(
+                        1,
+                        true,
+                        RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready")));
     }
 
     @After
@@ -54,22 +58,39 @@
 
     @Test
     public void eachConnectionIsCountedOnceWhereItEndsUp() throws Exception {
-        assertEquals(Map.of("handled.chat.passedc", 0, "handled.chat.droppedc", 0,
-            "handled.chat.bad_gatewayc", 0, "upstream_triesc", 0, "in_progressg", 0, "known_backendsg", 1,
-            "skipped_backendsg", 0), metrics());
+        assertEquals(
+                Map.of(
+                        "handled.chat.passedc",
+                        0,
+                        "handled.chat.droppedc",
+                        0,
+                        "handled.chat.bad_gatewayc",
+                        0,
+                        "upstream_triesc",
+                        0,
+                        "in_progressg",
+                        0,
+                        "known_backendsg",
+                        1,
+                        "skipped_backendsg",
+                        0),
+                metrics());
         TestConnection standing = world.sendOpen("f1", 20_000);
         TestConnection side = world.establish(backend, standing);
         TestConnection waiting = world.sendOpen("f2", 20_000);
         TestConnection waitingSide = backend.accept();
         waitingSide.readLine();
         assertEquals(2, (int) metrics().get("in_progressg"));
-        world.connectClient().sendRaw("rubbish\r\n").readLine(); // no class, no request: none of the three
+        world.connectClient()
+                .sendRaw("rubbish\r\n")
+                .readLine(); // no class, no request: none of the three
         TestConnection gone = world.sendOpen("f3", 20_000);
         TestConnection goneSide = backend.accept();
         goneSide.readLine();
         gone.close();
         goneSide.readLine();
-        TestConnection early = world.sendOpen("f4", 20_000); // more than its one line, before the answer
+        TestConnection early =
+                world.sendOpen("f4", 20_000); // more than its one line, before the answer
         TestConnection earlySide = backend.accept();
         earlySide.readLine();
         early.sendLine("M 1");
@@ -78,13 +99,15 @@
         waitingSide.sendLine("BUSY").close();
         assertTrue(waiting.readLine().startsWith("BUSY"));
         waiting.close();
-        RelayTestEnvironment.await("all but one have ended", () -> metrics().get("in_progressg") == 1);
+        RelayTestEnvironment.await(
+                "all but one have ended", () -> metrics().get("in_progressg") == 1);
         Map<String, Integer> now = metrics();
         assertEquals(1, (int) now.get("handled.chat.passedc"));
         assertEquals(1, (int) now.get("handled.chat.droppedc"));
         assertEquals(1, (int) now.get("handled.chat.bad_gatewayc"));
         assertEquals(4, (int) now.get("upstream_triesc"));
-        RelayTestEnvironment.await("it has failed and is left alone", () -> metrics().get("skipped_backendsg") == 1);
+        RelayTestEnvironment.await(
+                "it has failed and is left alone", () -> metrics().get("skipped_backendsg") == 1);
         side.sendLine("BYE").close();
         assertEquals("BYE", standing.readLine());
         standing.close();
@@ -98,10 +121,15 @@
         assertEquals("1 error never listed: nobody", runCall("suspend", "nobody"));
         assertEquals("0 done suspended", runCall("suspend", "s-1"));
         String json = runCall("metrics", "--json");
-        assertTrue(json, json.startsWith("0 {\"ok\":true,") && json.contains("\"app.skipped_backends\":1"));
+        assertTrue(
+                json,
+                json.startsWith("0 {\"ok\":true,") && json.contains("\"app.skipped_backends\":1"));
         assertEquals("0 done restored", runCall("restore", "s-1"));
         world.kill();
-        assertTrue(runCall("status").startsWith("3 saltstage: 127.0.0.1:" + world.adminPort + " did not answer"));
+        assertTrue(
+                runCall("status")
+                        .startsWith(
+                                "3 saltstage: 127.0.0.1:" + world.adminPort + " did not answer"));
     }
 
     private String runCall(String... words) throws Exception {
@@ -111,7 +139,8 @@
         all[words.length + 1] = "--admin";
         all[words.length + 2] = "127.0.0.1:" + world.adminPort;
         Process process = RelayTestEnvironment.launch(all);
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
+        String said =
+                new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
         return process.waitFor() + " " + said;
     }
 }
--- a/relay/src/test/java/saltstage/process/PersistenceTest.java
+++ b/relay/src/test/java/saltstage/process/PersistenceTest.java
@@ -12,7 +12,7 @@
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
-import saltstage.keep.ConfigurationVersions;
+import saltstage.persistence.ConfigurationVersions;
 import saltstage.store.FileDisk;
 import saltstage.store.Store;
 import saltstage.store.StoreEvents;
@@ -55,8 +55,13 @@
             RelayTestEnvironment.TestServer backend = world.startBackend();
             String config = world.config(512, RelayTestEnvironment.backendList(1, true));
             world.startWith(config, settings);
-            world.answerWatch(RelayTestEnvironment.backendList(41, true, RelayTestEnvironment.backendEntry("s1", backend.endpoint(), "ready")));
-            RelayTestEnvironment.await("the list is known", () -> world.hasLogged("discovery.list rev=41"));
+            world.answerWatch(
+                    RelayTestEnvironment.backendList(
+                            41,
+                            true,
+                            RelayTestEnvironment.backendEntry("s1", backend.endpoint(), "ready")));
+            RelayTestEnvironment.await(
+                    "the list is known", () -> world.hasLogged("discovery.list rev=41"));
             world.establish(backend, world.sendOpen("a1", 5_000));
             RelayTestEnvironment.await(
                     "the list and what was learnt are kept",
@@ -78,13 +83,21 @@
         try (RelayTestEnvironment world = new RelayTestEnvironment()) {
             RelayTestEnvironment.TestServer backend = world.startBackend();
             world.startWith(world.config(512, RelayTestEnvironment.backendList(1, true)), settings);
-            world.answerWatch(RelayTestEnvironment.backendList(41, true, RelayTestEnvironment.backendEntry("s1", "127.0.0.1:1", "ready")));
+            world.answerWatch(
+                    RelayTestEnvironment.backendList(
+                            41,
+                            true,
+                            RelayTestEnvironment.backendEntry("s1", "127.0.0.1:1", "ready")));
             RelayTestEnvironment.await("the list is kept", () -> isPersisted("list/target/s1"));
             world.kill();
             world.startWith(
                     world.config(
                             512,
-                            RelayTestEnvironment.backendList(50, true, RelayTestEnvironment.backendEntry("s2", backend.endpoint(), "ready"))),
+                            RelayTestEnvironment.backendList(
+                                    50,
+                                    true,
+                                    RelayTestEnvironment.backendEntry(
+                                            "s2", backend.endpoint(), "ready"))),
                     settings);
             assertTrue(world.hasLogged("keep.list rev=41 known=50 taken=false"));
             world.establish(backend, world.sendOpen("a1", 5_000));
@@ -104,7 +117,11 @@
             String config =
                     world.config(
                             512,
-                            RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s1", backend.endpoint(), "ready")));
+                            RelayTestEnvironment.backendList(
+                                    1,
+                                    true,
+                                    RelayTestEnvironment.backendEntry(
+                                            "s1", backend.endpoint(), "ready")));
             world.startWith(config, settings);
             world.establish(backend, world.sendOpen("a1", 5_000));
             RelayTestEnvironment.await("something learnt is kept", () -> isPersisted("learnt"));
@@ -120,14 +137,18 @@
         try (RelayTestEnvironment world = new RelayTestEnvironment()) {
             String first = world.config(512, RelayTestEnvironment.backendList(1, true));
             world.startWith(first, settings);
-            RelayTestEnvironment.await("the first is kept", () -> isPersisted("config/0000000000000001"));
+            RelayTestEnvironment.await(
+                    "the first is kept", () -> isPersisted("config/0000000000000001"));
             String second = first.replace("\"rev\":1", "\"rev\":2");
             world.reload(second);
-            RelayTestEnvironment.await("the second is kept", () -> isPersisted("config/0000000000000002"));
+            RelayTestEnvironment.await(
+                    "the second is kept", () -> isPersisted("config/0000000000000002"));
             world.reload("{}");
-            RelayTestEnvironment.await("the bad one is refused", () -> world.hasLogged("reload.refused"));
+            RelayTestEnvironment.await(
+                    "the bad one is refused", () -> world.hasLogged("reload.refused"));
             String s = settings.toString();
-            List<String> lines = runCommand(0, "config", "history", "--settings", s).lines().toList();
+            List<String> lines =
+                    runCommand(0, "config", "history", "--settings", s).lines().toList();
             assertEquals(2, lines.size());
             assertTrue(
                     lines.get(1),
@@ -137,7 +158,8 @@
             runCommand(0, "config", "rollback", "1", "--settings", s, "--config", file);
             assertEquals(first, Files.readString(world.configFile()));
             world.reload(first);
-            RelayTestEnvironment.await("the rollback is a new version", () -> isPersisted("config/0000000000000003"));
+            RelayTestEnvironment.await(
+                    "the rollback is a new version", () -> isPersisted("config/0000000000000003"));
             assertEquals(
                     "saltstage: there is no version 9\n",
                     runCommand(1, "config", "rollback", "9", "--settings", s, "--config", file));
@@ -162,7 +184,8 @@
         try (Store held =
                 Store.open(
                         FileDisk.at(dir), saltstage.store.StoreOptions.usual(), StoreEvents.NONE)) {
-            assertServesWithoutStore("keep.lost dir=" + dir + " why=\"the store is open in another process\"");
+            assertServesWithoutStore(
+                    "keep.lost dir=" + dir + " why=\"the store is open in another process\"");
             assertTrue(held.writable());
         }
     }
@@ -173,7 +196,11 @@
             world.startWith(
                     world.config(
                             512,
-                            RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s1", backend.endpoint(), "ready"))),
+                            RelayTestEnvironment.backendList(
+                                    1,
+                                    true,
+                                    RelayTestEnvironment.backendEntry(
+                                            "s1", backend.endpoint(), "ready"))),
                     settings);
             assertTrue(world.logLines.toString(), world.hasLogged(told));
             world.establish(backend, world.sendOpen("a1", 5_000));
--- a/relay/src/test/java/saltstage/process/PlatformLimitsTest.java
+++ b/relay/src/test/java/saltstage/process/PlatformLimitsTest.java
@@ -31,7 +31,8 @@
     private static void runUnderLimits(PlatformLimits platform, int sockets) throws Exception {
         List<TestConnection> standing = new ArrayList<>();
         List<Socket> silent = new ArrayList<>();
-        try (RelayTestEnvironment world = new RelayTestEnvironment(); FakeBackendFleet fleet = new FakeBackendFleet(5)) {
+        try (RelayTestEnvironment world = new RelayTestEnvironment();
+                FakeBackendFleet fleet = new FakeBackendFleet(5)) {
             world.platformLimits = platform;
             String config = world.config(sockets, fleet.list(1));
             world.startWith(config);
@@ -47,20 +48,25 @@
                     standing.add(client);
                 } else {
                     busy++;
-                    assertTrue("client " + i + ": " + answer, answer != null && answer.startsWith("BUSY"));
+                    assertTrue(
+                            "client " + i + ": " + answer,
+                            answer != null && answer.startsWith("BUSY"));
                 }
             }
             assertTrue("the limit was reached", busy > 0);
             assertTrue("standing: " + standing.size(), standing.size() > 10);
             world.reload(config);
-            IdleClientsTest.awaitWithin(RELOAD_WITHIN_MS, "the new configuration is read",
-                () -> world.hasLogged("reload.done"));
+            IdleClientsTest.awaitWithin(
+                    RELOAD_WITHIN_MS,
+                    "the new configuration is read",
+                    () -> world.hasLogged("reload.done"));
             ProcessSupervisor.signal(world.process().pid(), "TERM");
             for (TestConnection client : standing) {
                 assertEquals("MOVE", client.readLine());
             }
-            assertTrue("it ends before SIGKILL would come",
-                world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
+            assertTrue(
+                    "it ends before SIGKILL would come",
+                    world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, world.process().exitValue());
         } finally {
             for (Socket one : silent) {
--- a/relay/src/test/java/saltstage/process/ProcessSupervisor.java
+++ b/relay/src/test/java/saltstage/process/ProcessSupervisor.java
@@ -68,7 +68,8 @@
     /** Starts a relay with this configuration and operators' port; its log goes to the file. */
     long start(Path config, int admin, Path log) throws Exception {
         List<String> words =
-                RelayTestEnvironment.programBuilder(List.of("serve", "--config", config.toString())).command();
+                RelayTestEnvironment.programBuilder(List.of("serve", "--config", config.toString()))
+                        .command();
         String line =
                 "TMPDIR="
                         + directory
--- a/relay/src/test/java/saltstage/process/RaceConditionTest.java
+++ b/relay/src/test/java/saltstage/process/RaceConditionTest.java
@@ -35,15 +35,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import saltstage.config.Configuration;
-import saltstage.memory.MonotonicClock;
-import saltstage.memory.BackendRegistry;
-import saltstage.memory.RequestContext;
-import saltstage.memory.RequestAttributes;
-import saltstage.memory.Timers;
-import saltstage.memory.Attempt;
 import saltstage.metrics.RequestCounters;
 import saltstage.process.RelayTestEnvironment.TestConnection;
 import saltstage.process.RelayTestEnvironment.TestServer;
+import saltstage.session.Attempt;
+import saltstage.session.BackendRegistry;
+import saltstage.session.MonotonicClock;
+import saltstage.session.RequestAttributes;
+import saltstage.session.RequestContext;
+import saltstage.session.Timers;
 import saltstage.stage.RelayPipeline;
 import saltstage.stage.Threads;
 import saltstage.wire.BackendList;
@@ -158,7 +158,11 @@
         backends = new BackendRegistry(suspended::contains);
         Configuration config =
                 Configuration.parse(
-                        RelayTestEnvironment.config(1, "127.0.0.1:1", 4096, RelayTestEnvironment.backendList(1, true))
+                        RelayTestEnvironment.config(
+                                        1,
+                                        "127.0.0.1:1",
+                                        4096,
+                                        RelayTestEnvironment.backendList(1, true))
                                 .replace("retryable", effect)
                                 .replace(":200000", ":20000000")); // connections may take as long
         pipeline =
@@ -179,13 +183,17 @@
         pipeline.lineFrontend().start();
         pipeline.router().start(config.knownBackends());
         for (int i = 0; i < endpoints.length; i++) {
-            backendListReceived(i + 2, RelayTestEnvironment.backendEntry("s-" + (i + 1), endpoints[i], "ready"));
+            backendListReceived(
+                    i + 2,
+                    RelayTestEnvironment.backendEntry("s-" + (i + 1), endpoints[i], "ready"));
         }
     }
 
     /** Discovery tells a change. */
     private void backendListReceived(int rev, String target) throws Exception {
-        BackendList told = BackendList.parse(Json.parseObject(RelayTestEnvironment.backendList(rev, false, target)));
+        BackendList told =
+                BackendList.parse(
+                        Json.parseObject(RelayTestEnvironment.backendList(rev, false, target)));
         pipeline.backendListReceived(backends.update(told), told);
     }
 
@@ -209,8 +217,11 @@
 
     /** A client that does this before the relay has accepted it, where none was accepted yet. */
     private Client connectClient(BeforeAccept early) throws IOException {
-        Socket socket = new Socket(InetAddress.getLoopbackAddress(), clientListener.socket().getLocalPort());
-        Client client = new Client(new TestConnection(socket), haltingSocket(socket.getLocalPort()));
+        Socket socket =
+                new Socket(
+                        InetAddress.getLoopbackAddress(), clientListener.socket().getLocalPort());
+        Client client =
+                new Client(new TestConnection(socket), haltingSocket(socket.getLocalPort()));
         early.run(client.connection());
         return client;
     }
@@ -228,12 +239,14 @@
         return answerUp(client, id, backend.accept());
     }
 
-    private void establish(Client client, String id, BlockingQueue<TestConnection> accepted) throws Exception {
+    private void establish(Client client, String id, BlockingQueue<TestConnection> accepted)
+            throws Exception {
         client.connection().sendLine("OPEN " + id + " k c=chat,t=acme,d=9000");
         answerUp(client, id, accepted.take());
     }
 
-    private TestConnection answerUp(Client client, String id, TestConnection side) throws IOException {
+    private TestConnection answerUp(Client client, String id, TestConnection side)
+            throws IOException {
         assertTrue(side.readLine().startsWith("OPEN " + id));
         side.sendLine("UP r1");
         assertEquals("UP r1", client.connection().readLine());
@@ -252,11 +265,13 @@
                         hungUp.countDown();
                     } else if (step.equals("MOVE")) {
                         client.connection().sendLine("M 1 in that moment");
-                        RelayTestEnvironment.runInBackground(() -> passedOn.add(String.valueOf(side.readLine())));
+                        RelayTestEnvironment.runInBackground(
+                                () -> passedOn.add(String.valueOf(side.readLine())));
                         awaitEvent(() -> !passedOn.isEmpty() || hungUp.getCount() == 0);
                     }
                 };
-        pipeline.move(pipeline.outcomeRecorder().establishedAttempts().iterator().next(), "balance");
+        pipeline.move(
+                pipeline.outcomeRecorder().establishedAttempts().iterator().next(), "balance");
         assertEquals("MOVE", client.connection().readLine());
         assertNull(client.connection().readLine());
         assertEquals("M 1 in that moment", passedOn.take());
@@ -268,7 +283,8 @@
         TestConnection side = establish(client, "a2");
         side.sendRaw("M 1 whole\r\nM 2 ha");
         assertEquals("M 1 whole", client.connection().readLine());
-        pipeline.move(pipeline.outcomeRecorder().establishedAttempts().iterator().next(), "balance");
+        pipeline.move(
+                pipeline.outcomeRecorder().establishedAttempts().iterator().next(), "balance");
         assertEquals("MOVE", client.connection().readLine());
         assertNull(client.connection().readLine());
     }
@@ -290,8 +306,10 @@
         TestConnection side = establish(client, "a3");
         side.sendRaw("M 1 whole\r\nM 2 ha");
         assertEquals("M 1 whole", client.connection().readLine());
-        RelayTestEnvironment.await("the rest is waited for", RaceConditionTest::isWaitingForRestOfLine);
-        pipeline.move(pipeline.outcomeRecorder().establishedAttempts().iterator().next(), "balance");
+        RelayTestEnvironment.await(
+                "the rest is waited for", RaceConditionTest::isWaitingForRestOfLine);
+        pipeline.move(
+                pipeline.outcomeRecorder().establishedAttempts().iterator().next(), "balance");
         side.sendLine("lf");
         assertEquals("M 2 half", client.connection().readLine());
         assertEquals("MOVE", client.connection().readLine());
@@ -375,7 +393,8 @@
             Client client = connectClient();
             client.connection().sendLine("OPEN h1 k c=chat,t=acme,d=20000");
             RelayTestEnvironment.await("it is dialled", RaceConditionTest::isConnecting);
-            backendListReceived(9, RelayTestEnvironment.backendEntry("s-1", late.endpoint(), "draining"));
+            backendListReceived(
+                    9, RelayTestEnvironment.backendEntry("s-1", late.endpoint(), "draining"));
             assertNull(late.acceptConnection().readLine());
         }
     }
@@ -400,11 +419,13 @@
             client.connection().sendLine("OPEN i1 k c=chat,t=acme,d=20000");
             TestConnection first = backend.accept();
             first.readLine();
-            backendListReceived(9, RelayTestEnvironment.backendEntry("s-2", late.endpoint(), "ready"));
+            backendListReceived(
+                    9, RelayTestEnvironment.backendEntry("s-2", late.endpoint(), "ready"));
             long since = System.nanoTime();
             first.sendLine("ERR");
             RelayTestEnvironment.await("the repeat is dialled", RaceConditionTest::isConnecting);
-            RelayTestEnvironment.await("its window is over", () -> System.nanoTime() - since > 100_000_000);
+            RelayTestEnvironment.await(
+                    "its window is over", () -> System.nanoTime() - since > 100_000_000);
             assertNull(late.acceptConnection().readLine());
             assertEquals("BUSY 1500", client.connection().readLine());
         }
@@ -428,7 +449,8 @@
         } catch (saltstage.wire.MalformedException bad) {
             throw new IllegalStateException(bad);
         }
-        return new RequestContext(1, new RequestAttributes("x", 0, 0, "k", null, 0, false), clock.now(), null)
+        return new RequestContext(
+                        1, new RequestAttributes("x", 0, 0, "k", null, 0, false), clock.now(), null)
                 .beginAttempt(peers.find("s-1"), clock.now());
     }
 
@@ -443,8 +465,7 @@
     }
 
     @Test
-    void requestArrivingDuringShutdownIsEitherRejectedOrForwarded()
-            throws Exception {
+    void requestArrivingDuringShutdownIsEitherRejectedOrForwarded() throws Exception {
         int refused = 0;
         for (int i = 0; i < 100; i++) {
             startPipeline("retryable", backend.endpoint());
@@ -454,8 +475,11 @@
             pipeline.lineFrontend().rejectPendingClients();
             TestConnection side = null;
             String answer = null;
-            BlockingQueue<TestConnection> sent = RelayTestEnvironment.runInBackground(() -> backend.accept());
-            BlockingQueue<String> heard = RelayTestEnvironment.runInBackground(() -> String.valueOf(client.connection().readLine()));
+            BlockingQueue<TestConnection> sent =
+                    RelayTestEnvironment.runInBackground(() -> backend.accept());
+            BlockingQueue<String> heard =
+                    RelayTestEnvironment.runInBackground(
+                            () -> String.valueOf(client.connection().readLine()));
             while (side == null && answer == null) {
                 side = sent.poll(1, TimeUnit.MILLISECONDS);
                 answer = heard.poll(1, TimeUnit.MILLISECONDS);
@@ -465,11 +489,13 @@
                 assertEquals("BUSY", answer);
                 assertNull(client.connection().readLine());
                 establish(
-                        connectClient(), "d" + i,
+                        connectClient(),
+                        "d" + i,
                         sent); // its id is free, and the backend heard of nobody before
             } else {
                 assertEquals(
-                        "OPEN d" + i, side.readLine().substring(0, 6 + Integer.toString(i).length()));
+                        "OPEN d" + i,
+                        side.readLine().substring(0, 6 + Integer.toString(i).length()));
                 side.sendLine("UP r1");
                 assertEquals("UP r1", heard.take());
             }
@@ -482,14 +508,16 @@
         for (int i = 0; i < 20; i++) {
             Client client = connectClient();
             client.connection().sendRaw("OPEN ");
-            RelayTestEnvironment.await("it is there", () -> pipeline.lineFrontend().clientCount() > 0);
+            RelayTestEnvironment.await(
+                    "it is there", () -> pipeline.lineFrontend().clientCount() > 0);
             Thread.sleep(2 * i); // half of its line is read, or not
             pipeline.lineFrontend().rejectPendingClients();
             client.connection().sendLine("e1 k c=chat,t=acme,d=9000");
             assertEquals("BUSY", client.connection().readLine());
             assertNull(client.connection().readLine());
             client.connection().close();
-            RelayTestEnvironment.await("it is hung up on", () -> pipeline.lineFrontend().clientCount() == 0);
+            RelayTestEnvironment.await(
+                    "it is hung up on", () -> pipeline.lineFrontend().clientCount() == 0);
         }
         establish(connectClient(), "e2");
     }
@@ -540,7 +568,8 @@
                 new String[] {"retryable", "fragile", "dedup", "dedup\",\"Group\":\"zone"}) {
             startPipeline(effect, backend.endpoint());
             Client client = connectClient();
-            client.connection().sendLine("OPEN g1 k c=chat,t=acme,d=50000"); // longer than the test waits
+            client.connection()
+                    .sendLine("OPEN g1 k c=chat,t=acme,d=50000"); // longer than the test waits
             TestConnection side = backend.accept();
             assertTrue(side.readLine().startsWith("OPEN g1"));
             pipeline.rejectWaiting();
--- a/relay/src/test/java/saltstage/process/RelayTestEnvironment.java
+++ b/relay/src/test/java/saltstage/process/RelayTestEnvironment.java
@@ -24,9 +24,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** The real program as a process, and the clients, backends and discovery that it meets, on free ports. */
+/**
+ * The real program as a process, and the clients, backends and discovery that it meets, on free
+ * ports.
+ */
 final class RelayTestEnvironment implements AutoCloseable {
-    /** How long a condition is waited for: far more than it takes, so that a slow machine fails nothing. */
+    /**
+     * How long a condition is waited for: far more than it takes, so that a slow machine fails
+     * nothing.
+     */
     static final int AWAIT_TIMEOUT_MS = 30_000;
 
     final List<String> logLines = new CopyOnWriteArrayList<>();
@@ -34,8 +40,10 @@
     private final List<AutoCloseable> closeables = new ArrayList<>();
     final int adminPort = freePort();
     final Map<String, String> environmentVariables = new HashMap<>();
+
     /** Limits of the platform that the relay runs under, or null. */
     PlatformLimits platformLimits;
+
     private int clientPort = freePort();
     private Process process;
     private Path configFile;
@@ -52,7 +60,8 @@
 
     /** Something that listens; each accepted connection is a Line. */
     static final class TestServer implements AutoCloseable {
-        private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        private final ServerSocket listener =
+                new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
 
         TestServer() throws IOException {
             listener.setSoTimeout(AWAIT_TIMEOUT_MS);
@@ -96,8 +105,10 @@
         TestConnection(Socket socket) throws IOException {
             this.socket = socket;
             socket.setSoTimeout(AWAIT_TIMEOUT_MS);
-            in = new BufferedReader(
-                new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
+            in =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.ISO_8859_1));
         }
 
         TestConnection sendRaw(String text) throws IOException {
@@ -122,13 +133,26 @@
 
     /** A list entry. */
     static String backendEntry(String uid, String endpoint, String state) {
-        return withDoubleQuotes("{'uid':'" + uid + "','endpoint':'" + endpoint + "','az':'a','model':'m','pod_group':0,"
-            + "'state':'" + state + "','capacity_hint':1.0,'boot_ms':0}");
+        return withDoubleQuotes(
+                "{'uid':'"
+                        + uid
+                        + "','endpoint':'"
+                        + endpoint
+                        + "','az':'a','model':'m','pod_group':0,"
+                        + "'state':'"
+                        + state
+                        + "','capacity_hint':1.0,'boot_ms':0}");
     }
 
     /** A list or a change of it. */
     static String backendList(int rev, boolean all, String... targets) {
-        return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + String.join(",", targets) + "]}";
+        return "{\"rev\":"
+                + rev
+                + ",\"all\":"
+                + all
+                + ",\"targets\":["
+                + String.join(",", targets)
+                + "]}";
     }
 
     private static String withDoubleQuotes(String text) {
@@ -144,13 +168,20 @@
     }
 
     static String config(int port, String discovery, int sockets, String known) {
-        return withDoubleQuotes("{'name':'n0','listen':'127.0.0.1:" + port + "','discovery':'" + discovery
-            + "','seed':'8c1f30d27a5be964','limits':{'cores':1.0,'memory_mb':192,'sockets':" + sockets
-            + "},'known':" + known + ",'settings':{'Discovery':'on_request','FleetSize':1,'Zone':0,"
-            + "'Zones':['a'],'Limits':{'MaxAttempts':3,'ConnectTimeout':200000,'RetryAfter':true,"
-            + "'MaxRetryAfter':1500000},'FamilyInfo':{'MessageAim':[60000.0]},"
-            + "'Safety':{'AskEvery':1000000},'Realms':[{'Name':'acme'}],"
-            + "'Services':[{'Name':'chat','Aim':60000000,'GiveUp':60000000,'Effect':'retryable'}]}}");
+        return withDoubleQuotes(
+                "{'name':'n0','listen':'127.0.0.1:"
+                        + port
+                        + "','discovery':'"
+                        + discovery
+                        + "','seed':'8c1f30d27a5be964','limits':{'cores':1.0,'memory_mb':192,'sockets':"
+                        + sockets
+                        + "},'known':"
+                        + known
+                        + ",'settings':{'Discovery':'on_request','FleetSize':1,'Zone':0,"
+                        + "'Zones':['a'],'Limits':{'MaxAttempts':3,'ConnectTimeout':200000,'RetryAfter':true,"
+                        + "'MaxRetryAfter':1500000},'FamilyInfo':{'MessageAim':[60000.0]},"
+                        + "'Safety':{'AskEvery':1000000},'Realms':[{'Name':'acme'}],"
+                        + "'Services':[{'Name':'chat','Aim':60000000,'GiveUp':60000000,'Effect':'retryable'}]}}");
     }
 
     /** Starts the relay with this known list and waits until it is ready. */
@@ -169,12 +200,15 @@
             closeables.add(() -> Files.delete(configFile));
         }
         Files.writeString(configFile, config);
-        List<String> arguments = new ArrayList<>(List.of("serve", "--config", configFile.toString()));
+        List<String> arguments =
+                new ArrayList<>(List.of("serve", "--config", configFile.toString()));
         if (settings != null) {
             arguments.addAll(List.of("--settings", settings.toString()));
         }
-        ProcessBuilder relay = programBuilder(arguments).redirectErrorStream(true)
-            .redirectInput(new File("/dev/null"));
+        ProcessBuilder relay =
+                programBuilder(arguments)
+                        .redirectErrorStream(true)
+                        .redirectInput(new File("/dev/null"));
         relay.environment().putAll(environmentVariables);
         if (platformLimits != null) {
             addProductionFlags(relay);
@@ -184,7 +218,9 @@
         Thread reader = new Thread(() -> readLog(process), "log");
         reader.setDaemon(true);
         reader.start();
-        await("the relay is ready, not " + logLines, () -> hasLogged("relay.ready") || !process.isAlive());
+        await(
+                "the relay is ready, not " + logLines,
+                () -> hasLogged("relay.ready") || !process.isAlive());
         assertTrue("the relay is ready, not " + logLines, hasLogged("relay.ready"));
         return this;
     }
@@ -193,8 +229,12 @@
     private static void addProductionFlags(ProcessBuilder relay) throws IOException {
         String deployed = Files.readString(Path.of("..", "deploy", "balancer.toml"));
         String flags = deployed.replaceAll("(?s).*run = \"exec java (.*?) -jar .*", "$1");
-        relay.command().addAll(1, java.util.Arrays.stream(flags.split(" "))
-            .filter(flag -> !flag.startsWith("-XX:SharedArchiveFile")).toList());
+        relay.command()
+                .addAll(
+                        1,
+                        java.util.Arrays.stream(flags.split(" "))
+                                .filter(flag -> !flag.startsWith("-XX:SharedArchiveFile"))
+                                .toList());
     }
 
     /** Kills the relay outright; what it had logged is forgotten. */
@@ -215,29 +255,39 @@
 
     /** The program with these arguments, standard error merged into its output. */
     static Process launch(String... arguments) throws IOException {
-        return programBuilder(List.of(arguments)).redirectErrorStream(true)
-            .redirectInput(new File("/dev/null")).start();
+        return programBuilder(List.of(arguments))
+                .redirectErrorStream(true)
+                .redirectInput(new File("/dev/null"))
+                .start();
     }
 
     /** The program with these arguments, to be started. */
     static ProcessBuilder programBuilder(List<String> arguments) {
-        List<String> command = new ArrayList<>(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-            "-cp", System.getProperty("java.class.path"), "saltstage.lifecycle.Main"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:TieredStopAtLevel=1",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "saltstage.lifecycle.Main"));
         command.addAll(arguments);
         return new ProcessBuilder(command);
     }
 
     private void readLog(Process from) {
-        new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8)).lines()
-            .forEach(logLines::add);
+        new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8))
+                .lines()
+                .forEach(logLines::add);
     }
 
     boolean hasLogged(String part) {
         return logLines.stream().anyMatch(line -> line.contains(part));
     }
 
-    /** Waits for a line that the relay has written: it is read from its output by another thread. */
+    /**
+     * Waits for a line that the relay has written: it is read from its output by another thread.
+     */
     void awaitLogged(String part) throws InterruptedException {
         await("the log says " + part, () -> hasLogged(part));
     }
@@ -259,7 +309,8 @@
     /** Deletes a folder and what is in it; a relay that is still ending may leave a file. */
     static void deleteRecursively(Path folder) throws IOException {
         try (java.util.stream.Stream<Path> files = Files.walk(folder)) {
-            files.sorted(java.util.Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
+            files.sorted(java.util.Comparator.reverseOrder())
+                    .forEach(file -> file.toFile().delete());
         }
     }
 
@@ -299,7 +350,13 @@
 
     /** A client that has asked for a connection. */
     TestConnection sendOpen(String id, int patienceMs) throws IOException {
-        return connectClient().sendLine("OPEN " + id + " 7f3a9c21e0b4d655 c=chat,t=acme,d=" + patienceMs + ",g=5c0f6e1a");
+        return connectClient()
+                .sendLine(
+                        "OPEN "
+                                + id
+                                + " 7f3a9c21e0b4d655 c=chat,t=acme,d="
+                                + patienceMs
+                                + ",g=5c0f6e1a");
     }
 
     /** Takes the relay's next connection at a backend up to UP, and passes UP to the client. */
@@ -319,7 +376,9 @@
         return service;
     }
 
-    /** Takes a watch of the relay's and answers it with its head and these objects, one chunk each. */
+    /**
+     * Takes a watch of the relay's and answers it with its head and these objects, one chunk each.
+     */
     TestConnection answerWatch(String... objects) throws IOException {
         return answerWatch(discovery, objects);
     }
@@ -329,7 +388,7 @@
         closeables.add(watch);
         String request = watch.readLine();
         logLines.add("asked " + request);
-        for (String line = request; !line.isEmpty();) {
+        for (String line = request; !line.isEmpty(); ) {
             line = watch.readLine();
         }
         watch.sendRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -354,13 +413,15 @@
     /** Does something on a thread of its own; what it returns can be awaited. */
     static <T> BlockingQueue<T> runInBackground(java.util.concurrent.Callable<T> work) {
         BlockingQueue<T> result = new LinkedBlockingQueue<>();
-        Thread thread = new Thread(() -> {
-            try {
-                result.add(work.call());
-            } catch (Exception e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                result.add(work.call());
+                            } catch (Exception e) {
+                                throw new IllegalStateException(e);
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
         return result;
--- a/relay/src/test/java/saltstage/process/RestoreBurstTest.java
+++ b/relay/src/test/java/saltstage/process/RestoreBurstTest.java
@@ -22,7 +22,9 @@
         try (RelayTestEnvironment world = new RelayTestEnvironment();
                 FakeBackendFleet fleet = new FakeBackendFleet(8)) {
             world.platformLimits =
-                    new PlatformLimits().maxThreads(MAX_THREADS).threadEndDelayMicros(THREAD_END_MICROS);
+                    new PlatformLimits()
+                            .maxThreads(MAX_THREADS)
+                            .threadEndDelayMicros(THREAD_END_MICROS);
             world.startWith(world.config(1_024, fleet.list(1)));
             List<TestConnection> clients = new ArrayList<>();
             for (int i = 0; i < RESTORED_CONNECTIONS; i++) {
--- a/relay/src/test/java/saltstage/process/ServeTest.java
+++ b/relay/src/test/java/saltstage/process/ServeTest.java
@@ -25,7 +25,11 @@
     public void start() throws Exception {
         environment = new RelayTestEnvironment();
         backend = environment.startBackend();
-        environment.start(RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready")));
+        environment.start(
+                RelayTestEnvironment.backendList(
+                        1,
+                        true,
+                        RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready")));
     }
 
     @After
@@ -266,7 +270,10 @@
         assertEquals("MOVE", client.readLine());
         long passed = (System.nanoTime() - before) / 1_000_000;
         String start =
-                environment.logLines.stream().filter(line -> line.contains("drain.start")).findFirst().get();
+                environment.logLines.stream()
+                        .filter(line -> line.contains("drain.start"))
+                        .findFirst()
+                        .get();
         long late = Long.parseLong(start.replaceAll(".*late_ms=(\\d+).*", "$1"));
         assertTrue("0.8 s at least, less " + late, passed + late >= 800);
     }
@@ -362,7 +369,8 @@
                         RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready"),
                         RelayTestEnvironment.backendEntry("s-2", full.endpoint(), "ready"));
         environment.startWith(
-                environment.config(256, list)
+                environment
+                        .config(256, list)
                         .replace("\"RetryAfter\":true", "\"RetryAfter\":true,\"Probes\":true")
                         .replace(
                                 "\"Zone\":0",
@@ -388,7 +396,9 @@
         }
         for (int i = 0; i < 12; i++) {
             String fields = " c=chat,t=acme,d=9000,g=" + i;
-            environment.establish(backend, environment.connectClient().sendLine("OPEN h" + i + " k" + i + fields));
+            environment.establish(
+                    backend,
+                    environment.connectClient().sendLine("OPEN h" + i + " k" + i + fields));
         }
         assertTrue(full.hasNoConnectionWithin(100));
     }
@@ -399,22 +409,26 @@
         environment = new RelayTestEnvironment();
         backend = environment.startBackend();
         String ready = RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready");
-        environment.startWith(environment.config(256, RelayTestEnvironment.backendList(1, true, ready)));
+        environment.startWith(
+                environment.config(256, RelayTestEnvironment.backendList(1, true, ready)));
         for (int i = 0; i < 300; i++) {
             environment.connectClient();
         }
         environment.establish(backend, environment.sendOpen("g1", 20_000));
-        RelayTestEnvironment.await("who came first has to go", () -> environment.hasLogged("doorway.full"));
+        RelayTestEnvironment.await(
+                "who came first has to go", () -> environment.hasLogged("doorway.full"));
         assertFalse(environment.hasLogged("admit.full"));
     }
 
     @Test
-    public void requestsBeyondTheDescriptorLimitAreRejectedAndTheOthersStayEstablished() throws Exception {
+    public void requestsBeyondTheDescriptorLimitAreRejectedAndTheOthersStayEstablished()
+            throws Exception {
         environment.close();
         environment = new RelayTestEnvironment();
         backend = environment.startBackend();
         String ready = RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready");
-        environment.startWith(environment.config(52, RelayTestEnvironment.backendList(1, true, ready)));
+        environment.startWith(
+                environment.config(52, RelayTestEnvironment.backendList(1, true, ready)));
         TestConnection first = environment.sendOpen("d1", 20_000);
         TestConnection side = environment.establish(backend, first);
         environment.establish(backend, environment.sendOpen("d2", 20_000));
@@ -431,10 +445,13 @@
         backend = environment.startBackend();
         String[] listed = new String[12];
         for (int i = 0; i < listed.length; i++) {
-            listed[i] = RelayTestEnvironment.backendEntry("s-" + i, backend.endpoint(), i == 0 ? "ready" : "draining");
+            listed[i] =
+                    RelayTestEnvironment.backendEntry(
+                            "s-" + i, backend.endpoint(), i == 0 ? "ready" : "draining");
         }
         environment.startWith(
-                environment.config(64, RelayTestEnvironment.backendList(1, true, listed))
+                environment
+                        .config(64, RelayTestEnvironment.backendList(1, true, listed))
                         .replace("\"RetryAfter\":true", "\"RetryAfter\":true,\"Probes\":true")
                         .replace(
                                 "\"Zone\":0",
@@ -456,7 +473,8 @@
 
     @Test
     public void connectionsOpenBeforeTheStartAreRestoredToTheirBackend() throws Exception {
-        TestConnection client = environment.connectClient().sendLine("OPEN c1 k c=chat,t=acme,d=2000,at=s-1");
+        TestConnection client =
+                environment.connectClient().sendLine("OPEN c1 k c=chat,t=acme,d=2000,at=s-1");
         TestConnection refused = backend.accept();
         refused.close(); // it may fail at first
         TestConnection side = environment.establish(backend, client);
--- a/relay/src/test/java/saltstage/process/StartupSignalsTest.java
+++ b/relay/src/test/java/saltstage/process/StartupSignalsTest.java
@@ -66,7 +66,8 @@
     /** The pipe's end for writing, which is there once the relay opens the other. */
     private OutputStream openOnceRead() throws InterruptedException {
         OutputStream opened =
-                RelayTestEnvironment.runInBackground(() -> Files.newOutputStream(file)).poll(30, TimeUnit.SECONDS);
+                RelayTestEnvironment.runInBackground(() -> Files.newOutputStream(file))
+                        .poll(30, TimeUnit.SECONDS);
         assertNotNull(opened, "nobody reads the configuration");
         return opened;
     }
@@ -91,7 +92,8 @@
         }
         world.discovery.accept().close(); // it has read that and is on its way
         String anew = world.config(4096, moved, RelayTestEnvironment.backendList(1, true));
-        RelayTestEnvironment.runInBackground(() -> Files.writeString(file, anew)); // once somebody reads it
+        RelayTestEnvironment.runInBackground(
+                () -> Files.writeString(file, anew)); // once somebody reads it
         try (TestConnection watch = moved.accept()) {
             assertTrue(watch.readLine().startsWith("GET /discovery/hosts?watch=1"));
         }
@@ -101,7 +103,8 @@
     @Test
     void relayThatIsStartedWithHangupsIgnoredSaysThatItDoesNotReload() throws Exception {
         Files.writeString(file, world.config(4096, RelayTestEnvironment.backendList(1, true)));
-        ProcessBuilder relay = RelayTestEnvironment.programBuilder(List.of("serve", "--config", file.toString()));
+        ProcessBuilder relay =
+                RelayTestEnvironment.programBuilder(List.of("serve", "--config", file.toString()));
         List<String> ignoring =
                 new ArrayList<>(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
         ignoring.addAll(relay.command());
@@ -122,7 +125,8 @@
         signal("HUP");
         try (OutputStream opened = openOnceRead()) {
             signal("TERM");
-            assertTrue(process.waitFor(RelayTestEnvironment.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            assertTrue(
+                    process.waitFor(RelayTestEnvironment.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue(), Files.readString(log()));
         }
     }
@@ -130,11 +134,14 @@
     @Test
     void terminationBeforeTheFirstListIsAPlannedEnd() throws Exception {
         Files.writeString(
-                file, world.config(4096, RelayTestEnvironment.backendList(1, true)).replace("on_request", "pushed"));
+                file,
+                world.config(4096, RelayTestEnvironment.backendList(1, true))
+                        .replace("on_request", "pushed"));
         launch();
         try (TestConnection agent = world.discovery.accept()) { // silent: the start waits for it
             signal("TERM");
-            assertTrue(process.waitFor(RelayTestEnvironment.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            assertTrue(
+                    process.waitFor(RelayTestEnvironment.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, process.exitValue(), Files.readString(log()));
         }
     }
--- a/relay/src/test/java/saltstage/process/StoreKillTest.java
+++ b/relay/src/test/java/saltstage/process/StoreKillTest.java
@@ -166,7 +166,8 @@
         for (Object word : words) {
             all.add(word.toString());
         }
-        Process process = RelayTestEnvironment.programBuilder(all).redirectErrorStream(true).start();
+        Process process =
+                RelayTestEnvironment.programBuilder(all).redirectErrorStream(true).start();
         try (OutputStream to = process.getOutputStream()) {
             to.write(in.getBytes(StandardCharsets.US_ASCII));
         }
--- a/relay/src/test/java/saltstage/process/SuspendTest.java
+++ b/relay/src/test/java/saltstage/process/SuspendTest.java
@@ -43,32 +43,43 @@
 
     private String bothTargets() {
         return RelayTestEnvironment.backendList(
-                1, true, suspendedTarget("ready"), RelayTestEnvironment.backendEntry("s-other", other.endpoint(), "ready"));
+                1,
+                true,
+                suspendedTarget("ready"),
+                RelayTestEnvironment.backendEntry("s-other", other.endpoint(), "ready"));
     }
 
     private void assertAllGoToTheOther(String name) throws Exception {
         for (int i = 0; i < 8; i++) { // of 8 keys one at least would go to each of two
             TestConnection client =
-                    world.connectClient().sendLine("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000");
+                    world.connectClient()
+                            .sendLine("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000");
             world.establish(other, client);
         }
         assertTrue(suspended.hasNoConnectionWithin(50));
     }
 
     @Test
-    public void suspendedBackendIsSentNothingWhateverIsListedUntilItIsRestoredOnce() throws Exception {
+    public void suspendedBackendIsSentNothingWhateverIsListedUntilItIsRestoredOnce()
+            throws Exception {
         world.start(bothTargets());
         TestConnection watch = world.answerWatch();
         assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out"));
         assertAllGoToTheOther("a");
         for (String state : new String[] {"draining", "gone", "ready"}) {
-            RelayTestEnvironment.sendChunk(watch, RelayTestEnvironment.backendList(2, false, suspendedTarget(state)) + "\n");
+            RelayTestEnvironment.sendChunk(
+                    watch,
+                    RelayTestEnvironment.backendList(2, false, suspendedTarget(state)) + "\n");
             Thread.sleep(100);
             assertAllGoToTheOther(state);
         }
         RelayTestEnvironment.sendChunk(
                 watch,
-                RelayTestEnvironment.backendList(3, false, suspendedTarget("ready").replace("\"boot_ms\":0", "\"boot_ms\":9000"))
+                RelayTestEnvironment.backendList(
+                                3,
+                                false,
+                                suspendedTarget("ready")
+                                        .replace("\"boot_ms\":0", "\"boot_ms\":9000"))
                         + "\n");
         Thread.sleep(100);
         assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out"));
@@ -82,9 +93,11 @@
             came += suspended.accept(50) == null ? 0 : 1;
         }
         assertEquals("it is used again", 1, came);
-        RelayTestEnvironment.sendChunk(watch, RelayTestEnvironment.backendList(4, false, suspendedTarget("gone")) + "\n");
+        RelayTestEnvironment.sendChunk(
+                watch, RelayTestEnvironment.backendList(4, false, suspendedTarget("gone")) + "\n");
         Thread.sleep(100);
-        assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out")); // gone, yet once listed
+        assertEquals(
+                "done suspended\n", world.operatorCall("SUSPEND s-out")); // gone, yet once listed
     }
 
     @Test
@@ -98,7 +111,8 @@
     }
 
     @Test
-    public void suspensionSurvivesAKilledProcessAndATornFileDoesNotPreventServing() throws Exception {
+    public void suspensionSurvivesAKilledProcessAndATornFileDoesNotPreventServing()
+            throws Exception {
         world.start(bothTargets());
         assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out"));
         world.kill();
--- a/relay/src/test/java/saltstage/process/UpgradeTest.java
+++ b/relay/src/test/java/saltstage/process/UpgradeTest.java
@@ -39,7 +39,11 @@
                 config,
                 world.config(
                         4096,
-                        RelayTestEnvironment.backendList(1, true, RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready"))));
+                        RelayTestEnvironment.backendList(
+                                1,
+                                true,
+                                RelayTestEnvironment.backendEntry(
+                                        "s-1", backend.endpoint(), "ready"))));
     }
 
     @After
@@ -94,7 +98,8 @@
         assertTrue(waitingSide.readLine().startsWith("OPEN u2 "));
         Relay next = startReady("next");
         ProcessSupervisor.signal(old.pid(), "TERM");
-        RelayTestEnvironment.await("the old process has stopped accepting", () -> hasLogged(old, "drain.start"));
+        RelayTestEnvironment.await(
+                "the old process has stopped accepting", () -> hasLogged(old, "drain.start"));
         List<TestConnection> others = new ArrayList<>();
         for (int i = 0; i < 10; i++) { // newcomers in the middle of it, each served
             TestConnection newcomer = world.sendOpen("n" + i, 20_000);
@@ -108,12 +113,14 @@
             assertNull(standing.readLine());
         }
         assertNull(side.readLine());
-        RelayTestEnvironment.await("the old process ends", () -> platform.exitCodes.containsKey(old.pid()));
+        RelayTestEnvironment.await(
+                "the old process ends", () -> platform.exitCodes.containsKey(old.pid()));
         assertEquals(0, (int) platform.exitCodes.get(old.pid()));
         world.establish(backend, world.sendOpen("u9", 20_000));
         assertTrue(isReady(next));
         assertTrue(hasLogged(old, "succeeded=true"));
-        assertFalse("newcomers are the new process's, not taken and moved", hasLogged(old, " id=n"));
+        assertFalse(
+                "newcomers are the new process's, not taken and moved", hasLogged(old, " id=n"));
     }
 
     private static void assertPong(TestConnection line) {
@@ -148,7 +155,8 @@
         assertEquals("MOVE", half.readLine());
         assertNull(half.readLine());
         assertNull(side.readLine());
-        RelayTestEnvironment.await("the old process ends", () -> platform.exitCodes.containsKey(old.pid()));
+        RelayTestEnvironment.await(
+                "the old process ends", () -> platform.exitCodes.containsKey(old.pid()));
         assertEquals(0, (int) platform.exitCodes.get(old.pid()));
         ProcessSupervisor.signal(next.pid(), "CONT");
         world.establish(backend, world.sendOpen("u9", 20_000));
@@ -167,7 +175,8 @@
             Relay next = startReady(name);
             ProcessSupervisor.signal(old.pid(), "TERM");
             long pid = old.pid();
-            RelayTestEnvironment.await("the one before ends", () -> platform.exitCodes.containsKey(pid));
+            RelayTestEnvironment.await(
+                    "the one before ends", () -> platform.exitCodes.containsKey(pid));
             assertEquals(0, (int) platform.exitCodes.get(pid));
             world.establish(backend, world.sendOpen("to-" + name, 20_000));
             old = next;
@@ -176,7 +185,9 @@
 
     @Test
     public void descriptorThatIsNoListeningSocketEndsTheStartWithOneLine() throws Exception {
-        ProcessBuilder relay = RelayTestEnvironment.programBuilder(List.of("serve", "--config", config.toString()));
+        ProcessBuilder relay =
+                RelayTestEnvironment.programBuilder(
+                        List.of("serve", "--config", config.toString()));
         relay.environment().put("GW_LISTEN_FD", "0");
         relay.redirectErrorStream(true).redirectInput(new java.io.File("/dev/null"));
         Process process = relay.start();
--- a/relay/src/test/java/saltstage/memory/BackendRegistryTest.java
+++ b/relay/src/test/java/saltstage/session/BackendRegistryTest.java
@@ -1,4 +1,4 @@
-package saltstage.memory;
+package saltstage.session;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -11,7 +11,7 @@
 import java.time.Instant;
 import java.util.List;
 import org.junit.Test;
-import saltstage.memory.RequestContext.Phase;
+import saltstage.session.RequestContext.Phase;
 import saltstage.wire.BackendList;
 import saltstage.wire.BackendList.State;
 
--- a/relay/src/test/java/saltstage/memory/LoadReportClassifierTest.java
+++ b/relay/src/test/java/saltstage/session/LoadReportClassifierTest.java
@@ -1,4 +1,4 @@
-package saltstage.memory;
+package saltstage.session;
 
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
--- a/relay/src/test/java/saltstage/stage/BackendProberTest.java
+++ b/relay/src/test/java/saltstage/stage/BackendProberTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltstage.memory.BackendRegistry;
+import saltstage.session.BackendRegistry;
 import saltstage.wire.BackendList;
 
 /**
--- a/relay/src/test/java/saltstage/stage/ThreadBudgetTest.java
+++ b/relay/src/test/java/saltstage/stage/ThreadBudgetTest.java
@@ -38,7 +38,8 @@
         while (budget.tryAcquire()) {
             admitted++;
             for (int i = 0; i < ThreadBudget.THREADS_PER_REQUEST; i++) {
-                assertTrue(budget.start("request", requestsEnd::await), "what was acquired is there");
+                assertTrue(
+                        budget.start("request", requestsEnd::await), "what was acquired is there");
             }
             int running = admitted * ThreadBudget.THREADS_PER_REQUEST;
             while (budget.runningThreads() < running) {
@@ -52,7 +53,9 @@
     void requestsNeverUseTheReservedThreads() throws Exception {
         int admitted = admitAll();
         assertEquals(
-                (PLATFORM_THREADS - ThreadBudget.RESERVED_THREADS) / ThreadBudget.THREADS_PER_REQUEST, admitted);
+                (PLATFORM_THREADS - ThreadBudget.RESERVED_THREADS)
+                        / ThreadBudget.THREADS_PER_REQUEST,
+                admitted);
         assertEquals(ThreadBudget.RESERVED_THREADS, platformThreads.availablePermits());
         requestsEnd.countDown();
     }
@@ -64,7 +67,9 @@
             admitted++;
         }
         assertEquals(
-                (PLATFORM_THREADS - ThreadBudget.RESERVED_THREADS) / ThreadBudget.THREADS_PER_REQUEST, admitted);
+                (PLATFORM_THREADS - ThreadBudget.RESERVED_THREADS)
+                        / ThreadBudget.THREADS_PER_REQUEST,
+                admitted);
     }
 
     @Test
--- a/relay/src/test/java/saltstage/wire/DiscoveryClientTest.java
+++ b/relay/src/test/java/saltstage/wire/DiscoveryClientTest.java
@@ -45,7 +45,9 @@
     @BeforeEach
     void listen() throws IOException {
         serverSocket = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
-        client = new DiscoveryClient((InetSocketAddress) serverSocket.getLocalSocketAddress(), SILENCE_TIMEOUT);
+        client =
+                new DiscoveryClient(
+                        (InetSocketAddress) serverSocket.getLocalSocketAddress(), SILENCE_TIMEOUT);
     }
 
     @AfterEach
@@ -103,7 +105,8 @@
     @Test
     void watchEndsWhenServiceNeverAnswers() {
         serve(call -> call.getInputStream().transferTo(java.io.OutputStream.nullOutputStream()));
-        assertTrue(assertWatchEndsWith(SocketTimeoutException.class).compareTo(SILENCE_TIMEOUT) > 0);
+        assertTrue(
+                assertWatchEndsWith(SocketTimeoutException.class).compareTo(SILENCE_TIMEOUT) > 0);
         assertTrue(receivedLists.isEmpty());
     }
 
@@ -166,7 +169,8 @@
                     call.close();
                 });
         assertWatchEndsWith(IOException.class);
-        assertEquals(List.of(3L, 4L, 7L), receivedLists.stream().map(BackendList::revision).toList());
+        assertEquals(
+                List.of(3L, 4L, 7L), receivedLists.stream().map(BackendList::revision).toList());
     }
 
     @Test
