--- a/lab/src/main/java/saltstage/lab/trial/LeaderCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/LeaderCommand.java
@@ -143,7 +143,8 @@
                 handed.recordValue(gap(group, leader -> {
                     String to = group.names().stream().filter(n -> !n.equals(leader)).findFirst()
                         .orElseThrow();
-                    group.client().post("/v1/transfer", GroupCodec.jsonMapper().createObjectNode().put("to", to), CALL);
+                    group.client().post("/v1/transfer",
+                        GroupCodec.jsonMapper().createObjectNode().put("to", to), CALL);
                 }));
             }
         }
--- a/lab/src/main/java/saltstage/lab/trial/WindowTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/WindowTrial.java
@@ -175,8 +175,8 @@
 
     /** The agent of region a that holds its lease, else any: who waits is no target worth a fault. */
     private Proc holder() throws IOException, InterruptedException {
-        String owner = client.get("/v1/lease?name=" + WindowCommands.leaseName("a"), CALL).path("leases").path(0)
-            .path("owner").asText("");
+        String owner = client.get("/v1/lease?name=" + WindowCommands.leaseName("a"), CALL)
+            .path("leases").path(0).path("owner").asText("");
         for (Proc agent : agents.values()) {
             if (agent.alive() && owner.startsWith("agent-a-" + agent.pid() + "/")) {
                 return agent;
--- a/lab/src/test/java/saltstage/lab/trial/GroupTest.java
+++ b/lab/src/test/java/saltstage/lab/trial/GroupTest.java
@@ -184,7 +184,8 @@
             assertEquals(78, group.proc(victim).exitCode());
             assertTrue(Files.readString(group.proc(victim).log().toPath()).contains("other-disk"));
 
-            group.client().post("/v1/leave", GroupCodec.jsonMapper().createObjectNode().put("name", victim), CALL);
+            group.client().post("/v1/leave",
+                GroupCodec.jsonMapper().createObjectNode().put("name", victim), CALL);
             try (Proc anew = group.joining("r4")) {
                 anew.start();
                 await("it votes again", () -> {
@@ -278,8 +279,8 @@
                 && status(group, group.leader(CALL)).path("members").size() == 3);
             for (String name : group.names()) { // each leads once, the one that is off too
                 if (!name.equals(group.leader(CALL))) {
-                    group.client().post("/v1/transfer", GroupCodec.jsonMapper().createObjectNode().put("to", name),
-                        CALL);
+                    group.client().post("/v1/transfer",
+                        GroupCodec.jsonMapper().createObjectNode().put("to", name), CALL);
                 }
                 Thread.sleep(500);
                 long off = status(group, name).path("day").asLong() - System.currentTimeMillis();
--- a/relay/src/main/java/saltstage/config/AmqpSettings.java
+++ b/relay/src/main/java/saltstage/config/AmqpSettings.java
@@ -10,15 +10,16 @@
  * The AMQP front: where it listens, how a link's address becomes a request, and every limit. Sizes are in
  * bytes; docs/operators/amqp.md tells what each limit protects.
  */
-public record AmqpSettings(InetSocketAddress listenAddress, int backendPort, int loops, Limits limits, Timeouts timeouts,
-        Authentication authentication, LinkProperties linkProperties) {
+public record AmqpSettings(InetSocketAddress listenAddress, int backendPort, int loops,
+        Limits limits, Timeouts timeouts, Authentication authentication, LinkProperties linkProperties) {
     /**
      * How much of each: connections; sessions and links a connection; links in all; deliveries a link that
      * have no outcome yet; the largest frame; bytes held for a link; bytes of a delivery that are kept so
      * that it can be sent to another backend; attaches a connection may begin a second.
      */
-    public record Limits(int maxConnections, int maxSessionsPerConnection, int maxLinksPerConnection, int maxLinks, int maxUnsettledPerLink,
-            int maxFrameBytes, int maxLinkBytes, int maxRetainedDeliveryBytes, int maxAttachesPerSecond) { }
+    public record Limits(int maxConnections, int maxSessionsPerConnection, int maxLinksPerConnection,
+            int maxLinks, int maxUnsettledPerLink, int maxFrameBytes, int maxLinkBytes,
+            int maxRetainedDeliveryBytes, int maxAttachesPerSecond) { }
 
     /**
      * How long: silence of a client and of a backend; until a newcomer's open has come; until a delivery that
@@ -44,10 +45,10 @@
             if (amqp.string("listen", null) == null) {
                 throw bad;
             }
-            throw amqp.attributeError("listen", "an address in figures with a port, such as \"127.0.0.1:5672\"");
+            throw amqp.attributeError("listen",
+                "an address in figures with a port, such as \"127.0.0.1:5672\"");
         }
-        Limits limits = new Limits(
-            (int) amqp.integer("connections", 200, 1, 1_000_000),
+        Limits limits = new Limits((int) amqp.integer("connections", 200, 1, 1_000_000),
             (int) amqp.integer("sessions", 256, 1, 65_536),
             (int) amqp.integer("links_per_connection", 1_000, 1, 1_000_000),
             (int) amqp.integer("links", 10_000, 1, 10_000_000),
@@ -62,7 +63,8 @@
         Timeouts times = new Timeouts(
             amqp.duration("idle", Duration.ofSeconds(60), Duration.ofSeconds(1), Duration.ofHours(1)),
             amqp.duration("backend_idle", Duration.ofSeconds(4), Duration.ofMillis(500), Duration.ofHours(1)),
-            amqp.duration("open_within", Duration.ofSeconds(3), Duration.ofMillis(100), Duration.ofMinutes(1)),
+            amqp.duration("open_within", Duration.ofSeconds(3), Duration.ofMillis(100),
+                Duration.ofMinutes(1)),
             amqp.duration("delivery_within", Duration.ofSeconds(10), Duration.ofMillis(100),
                 Duration.ofHours(1)),
             amqp.duration("settle_within", Duration.ofMillis(700), Duration.ofMillis(50),
--- a/relay/src/test/java/saltstage/amqp/PartsTest.java
+++ b/relay/src/test/java/saltstage/amqp/PartsTest.java
@@ -84,7 +84,8 @@
     @Test
     void addressUserAndNamesAreARequestsTerms() throws Exception {
         Mapping.Mapped plain = mapping("").map(asked("a", null, null), "n1", false);
-        assertEquals(new RequestAttributes("n1", 0, 1, "container\nlink", null, Api.NONE, false), plain.terms());
+        assertEquals(new RequestAttributes("n1", 0, 1, "container\nlink", null, Api.NONE, false),
+            plain.terms());
         assertEquals(Duration.ofSeconds(2), plain.patience());
         assertTrue(plain.repeatable());
         Mapping.Mapped grouped = mapping("").map(asked("b/station-7/x", "one", null), "n2", true);
--- a/relay/src/test/java/saltstage/process/CommandLineTest.java
+++ b/relay/src/test/java/saltstage/process/CommandLineTest.java
@@ -31,7 +31,8 @@
 
     private static String validConfiguration() throws IOException {
         try (RelayTestEnvironment.TestServer discovery = new RelayTestEnvironment.TestServer()) {
-            return RelayTestEnvironment.config(1, discovery.endpoint(), 512, RelayTestEnvironment.backendList(1, true));
+            return RelayTestEnvironment.config(1, discovery.endpoint(), 512,
+                RelayTestEnvironment.backendList(1, true));
         }
     }
 
--- a/relay/src/test/java/saltstage/process/FaultSoakTest.java
+++ b/relay/src/test/java/saltstage/process/FaultSoakTest.java
@@ -47,7 +47,7 @@
         TreeMap<String, Integer> answers = new TreeMap<>();
         List<TestConnection> standing = new ArrayList<>();
         List<Socket> silent = new ArrayList<>();
-        try (RelayTestEnvironment world = new RelayTestEnvironment(); FakeBackendFleet fleet = new FakeBackendFleet(5)) {
+        try (RelayTestEnvironment world = new RelayTestEnvironment(); var fleet = new FakeBackendFleet(5)) {
             world.platformLimits = new PlatformLimits().networkFaults(seed, FAULTS_PER_MILLE);
             String config = world.config(512, fleet.list(1));
             world.startWith(config);
--- a/relay/src/test/java/saltstage/process/RelayTestEnvironment.java
+++ b/relay/src/test/java/saltstage/process/RelayTestEnvironment.java
@@ -181,7 +181,8 @@
                         + "'Zones':['a'],'Limits':{'MaxAttempts':3,'ConnectTimeout':200000,'RetryAfter':true,"
                         + "'MaxRetryAfter':1500000},'FamilyInfo':{'MessageAim':[60000.0]},"
                         + "'Safety':{'AskEvery':1000000},'Realms':[{'Name':'acme'}],"
-                        + "'Services':[{'Name':'chat','Aim':60000000,'GiveUp':60000000,'Effect':'retryable'}]}}");
+                        + "'Services':[{'Name':'chat','Aim':60000000,'GiveUp':60000000,"
+                        + "'Effect':'retryable'}]}}");
     }
 
     /** Starts the relay with this known list and waits until it is ready. */
--- a/relay/src/test/java/saltstage/wire/ParserTest.java
+++ b/relay/src/test/java/saltstage/wire/ParserTest.java
@@ -24,7 +24,8 @@
 
     @Test
     public void rewritesOnlyTheClientTimeout() throws MalformedException {
-        assertEquals(OPEN.replace("2000", "350"), OpenRequest.parse(OPEN).withClientTimeout(Duration.ofMillis(350)));
+        assertEquals(OPEN.replace("2000", "350"),
+            OpenRequest.parse(OPEN).withClientTimeout(Duration.ofMillis(350)));
     }
 
     @Test
@@ -57,7 +58,8 @@
         for (String bad : new String[] {"10.0.0.256:1", "example.org:80", "10.0.0.1", "10.0.0.1:70000"}) {
             assertThrows(bad, MalformedException.class, () -> BackendList.parseAddress(bad));
         }
-        assertThrows(MalformedException.class, () -> BackendList.parse(Json.parseObject("{\"rev\":1,\"all\":true,"
+        assertThrows(MalformedException.class, () -> BackendList.parse(Json.parseObject(
+            "{\"rev\":1,\"all\":true,"
             + "\"targets\":[{\"uid\":\"a\",\"endpoint\":\"10.0.0.1:1\",\"state\":\"odd\"}]}")));
     }
 
