--- a/coordinator/src/main/java/saltstage/coordinator/advice/Advisor.java
+++ b/coordinator/src/main/java/saltstage/coordinator/advice/Advisor.java
@@ -225,10 +225,7 @@
             double setup) {
         long load = tenant.getValue()[0];
         int connections = (int) tenant.getValue()[1];
-        long even =
-                (long)
-                        ((from.utilization() - to.utilization())
-                                / (1.0 / from.snapshot.capacity() + 1.0 / to.snapshot.capacity()));
+        long even = balancingLoad(from, to);
         long room = (long) (MAX_TARGET_UTILIZATION * to.snapshot.capacity()) - to.load;
         double part =
                 Math.min(
@@ -269,6 +266,13 @@
                 reason(from, to));
     }
 
+    /** The load that would have to move for both nodes to be equally utilized. */
+    private static long balancingLoad(NodeLoad from, NodeLoad to) {
+        return (long)
+                ((from.utilization() - to.utilization())
+                        / (1.0 / from.snapshot.capacity() + 1.0 / to.snapshot.capacity()));
+    }
+
     private static String reason(NodeLoad from, NodeLoad to) {
         return String.format(
                 java.util.Locale.ROOT,
--- a/coordinator/src/test/java/saltstage/coordinator/window/WindowsTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/window/WindowsTest.java
@@ -70,6 +70,25 @@
                 "upgrade");
     }
 
+    private static WindowRequest emergencyRequest(
+            String region, List<String> nodes, long drainMs, long workMs, long warmMs) {
+        return new WindowRequest(
+                region,
+                nodes,
+                drainMs,
+                workMs,
+                warmMs,
+                MONDAY,
+                MONDAY + 9 * HOUR,
+                0,
+                true,
+                false,
+                List.of(),
+                List.of(),
+                "ops",
+                "burning");
+    }
+
     private Window plannedWindow(Reply reply) {
         return assertInstanceOf(WindowReplies.Planned.class, reply, String.valueOf(reply))
                 .windows()
@@ -239,43 +258,15 @@
         Window first =
                 plannedWindow(
                         windows.propose(
-                                new WindowRequest(
-                                        "b",
-                                        wish.nodes(),
-                                        10 * MINUTE,
-                                        30 * MINUTE,
-                                        20 * MINUTE,
-                                        MONDAY,
-                                        MONDAY + 9 * HOUR,
-                                        0,
-                                        true,
-                                        false,
-                                        List.of(),
-                                        List.of(),
-                                        "ops",
-                                        "burning"),
+                                emergencyRequest(
+                                        "b", wish.nodes(), 10 * MINUTE, 30 * MINUTE, 20 * MINUTE),
                                 MONDAY));
         assertEquals(MONDAY, first.start());
         assertTrue(windows.find(usual.id()).why().startsWith("moved from " + usual.start()));
         assertInstanceOf(
                 Rejection.class,
                 windows.propose(
-                        new WindowRequest(
-                                "c",
-                                List.of("c0", "c1", "c2"),
-                                0,
-                                HOUR,
-                                0,
-                                MONDAY,
-                                MONDAY + 9 * HOUR,
-                                0,
-                                true,
-                                false,
-                                List.of(),
-                                List.of(),
-                                "ops",
-                                "burning"),
-                        MONDAY));
+                        emergencyRequest("c", List.of("c0", "c1", "c2"), 0, HOUR, 0), MONDAY));
     }
 
     @Test
--- a/relay/src/main/java/saltstage/LoadBalancer.java
+++ b/relay/src/main/java/saltstage/LoadBalancer.java
@@ -328,13 +328,7 @@
             c.backend.consecutiveFailures = 0;
         }
         if (c.established && !c.loadReported && c.request.loadHint() <= 0) {
-            connectionLifetime.add(
-                    at - c.stateChangedAt); // Neither hint nor told load: the time that it was open
-            // marks it.
-            c.load =
-                    requestLoad.value
-                            * (at - c.stateChangedAt)
-                            / Math.max(1, connectionLifetime.value);
+            estimateLoadFromLifetime(c, at);
             countArrival(c.backend, c);
         }
         // Without this, light clients would keep going to a server that takes all and serves
@@ -353,6 +347,13 @@
         dispatch(c);
     }
 
+    private void estimateLoadFromLifetime(RequestState c, long at) {
+        // Neither hint nor told load: the time that it was open marks it.
+        connectionLifetime.add(at - c.stateChangedAt);
+        c.load =
+                requestLoad.value * (at - c.stateChangedAt) / Math.max(1, connectionLifetime.value);
+    }
+
     @Override
     public void clientLeft(long at, long id) {
         now = at;
@@ -828,6 +829,18 @@
             all[n] = queueingDelay(h);
             sum += all[n++];
         }
+        updateGroupShares(pairs);
+        updateCapacityEstimates();
+        meanQueueingDelay = n == 0 ? 0 : sum / n;
+        Arrays.fill(all, n, all.length, meanQueueingDelay);
+        Arrays.sort(all);
+        updateRejectionThreshold(heard, slow);
+        diversionThreshold =
+                all.length == 0 ? 0 : all[(int) (DIVERSION_QUANTILE * (all.length - 1))];
+    }
+
+    /** Takes the number of pairs of established connections that are of the same group. */
+    private void updateGroupShares(double pairs) {
         if (learnedGroupShares.isEmpty()
                 || establishedCount
                         >= GROUP_SHARE_PRIOR_CONNECTIONS) { // few say less than what was remembered
@@ -844,6 +857,12 @@
                             ? Map.of()
                             : learnedGroupShares;
         }
+    }
+
+    /**
+     * Decays the share of the capacity that this relay uses and updates it from fresh load reports.
+     */
+    private void updateCapacityEstimates() {
         ownLoadOnWarmBackends *= CAPACITY_SHARE_RETENTION_PER_PERIOD;
         utilizationOfWarmBackends *= CAPACITY_SHARE_RETENTION_PER_PERIOD;
         for (BackendState h :
@@ -859,9 +878,12 @@
             utilizationOfWarmBackends += told * h.reportedUtilization * weight(h);
             h.estimatedCapacity = capacityShare(h) * relaySettings.relayCount();
         }
-        meanQueueingDelay = n == 0 ? 0 : sum / n;
-        Arrays.fill(all, n, all.length, meanQueueingDelay);
-        Arrays.sort(all);
+    }
+
+    /**
+     * Takes how many backends have connections of this relay, and how many of these are overloaded.
+     */
+    private void updateRejectionThreshold(int heard, int slow) {
         boolean full =
                 slow > OVERLOADED_FLEET_FRACTION * heard
                         || fleetUtilization() > OVERLOAD_UTILIZATION;
@@ -874,8 +896,6 @@
                                         + (full
                                                 ? REJECTION_INCREASE_PER_PERIOD
                                                 : -REJECTION_DECREASE_PER_PERIOD)));
-        diversionThreshold =
-                all.length == 0 ? 0 : all[(int) (DIVERSION_QUANTILE * (all.length - 1))];
     }
 
     /** The mean load asked of the servers that report; unknown where most do not. */
--- a/relay/src/test/java/saltstage/ColdBackendFleetTest.java
+++ b/relay/src/test/java/saltstage/ColdBackendFleetTest.java
@@ -145,48 +145,59 @@
                 reportLoad(reported);
             }
             for (int i = 0; i < crowd; i++) {
-                LoadBalancerHarness rig = randomRelay(skewed);
-                rig.now = now;
-                long id = ++lastRequestId;
-                rig.loadBalancer.requestReceived(
-                        now,
-                        new Request(
-                                id,
-                                0,
-                                0,
-                                random.nextInt(1 << 30),
-                                Api.NONE,
-                                1,
-                                now + 1_200_000,
-                                false,
-                                false));
-                String server = rig.backendByRequest.get(id);
-                if ("cold".equals(server)) {
-                    sent.add(now);
-                }
-                if (server != null) {
-                    rig.establish(id, 10_000);
-                    connectionsByBackend.merge(server, 1, Integer::sum);
-                }
+                sendRequest(skewed, sent);
             }
             long from = now - rules.warmUpBudgetWindow();
             sent.removeIf(at -> at <= from);
-            double warmth =
-                    rules.initialWarmUpFraction()
-                            + (1 - rules.initialWarmUpFraction())
-                                    * Math.min(
-                                            1, (now - startedAt) / (double) rules.warmUpPeriod());
-            double n =
-                    rules.maxWarmUpLoadMultiple()
-                            * warmth
-                            * WARM_CAPACITY_CONNECTIONS
-                            * rules.warmUpBudgetWindow()
-                            / rules.warmUpPeriod();
+            double n = currentBudget();
             worst = Math.max(worst, sent.size() / (n + 2 * Math.sqrt(n) + 2));
         }
         return worst;
     }
 
+    /**
+     * Sends one request to a random relay and adds its time to the list if it goes to the cold
+     * backend.
+     */
+    private void sendRequest(boolean skewed, List<Long> sent) {
+        LoadBalancerHarness rig = randomRelay(skewed);
+        rig.now = now;
+        long id = ++lastRequestId;
+        rig.loadBalancer.requestReceived(
+                now,
+                new Request(
+                        id,
+                        0,
+                        0,
+                        random.nextInt(1 << 30),
+                        Api.NONE,
+                        1,
+                        now + 1_200_000,
+                        false,
+                        false));
+        String server = rig.backendByRequest.get(id);
+        if ("cold".equals(server)) {
+            sent.add(now);
+        }
+        if (server != null) {
+            rig.establish(id, 10_000);
+            connectionsByBackend.merge(server, 1, Integer::sum);
+        }
+    }
+
+    /** The connections that the cold backend may get now in one budget window: N. */
+    private double currentBudget() {
+        double warmth =
+                rules.initialWarmUpFraction()
+                        + (1 - rules.initialWarmUpFraction())
+                                * Math.min(1, (now - startedAt) / (double) rules.warmUpPeriod());
+        return rules.maxWarmUpLoadMultiple()
+                * warmth
+                * WARM_CAPACITY_CONNECTIONS
+                * rules.warmUpBudgetWindow()
+                / rules.warmUpPeriod();
+    }
+
     @ParameterizedTest
     @CsvSource({"2,8", "5,8", "20,8", "30,8", "100,8", "2,20", "5,20", "20,20", "30,20", "100,20"})
     void allRelaysHaveJustListedTheBackend(int size, int seconds) {
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
@@ -141,47 +141,51 @@
         }
         for (SimulatedCall call : List.copyOf(world.calls.values())) {
             if (call.running) {
-                for (long revision = world.heldRevision - 1;
-                        revision <= world.heldRevision + 1;
-                        revision++) {
-                    applyOutcome(
-                            node,
-                            withAnswer(world, call),
-                            checkIgnoredIfEnded(node, call, listArrives(world, call, revision)),
-                            "list " + revision + " by " + call.id);
-                }
-                SimulatedState silent =
-                        world.withCall(
-                                new SimulatedCall(
-                                        call.id,
-                                        false,
-                                        call.timerPending,
-                                        call.endRequested,
-                                        call.answered));
-                applyOutcome(
-                        node,
-                        silent,
-                        checkIgnoredIfEnded(node, call, world.rules.callEnded(call.id)),
-                        "end of " + call.id);
+                expandRunningCall(node, world, call);
             }
             if (call.timerPending) {
-                SimulatedState fired =
-                        world.withCall(
-                                new SimulatedCall(
-                                        call.id,
-                                        call.running,
-                                        false,
-                                        call.endRequested,
-                                        call.answered));
-                applyOutcome(
-                        node,
-                        fired,
-                        checkIgnoredIfEnded(node, call, world.rules.answerTimedOut(call.id)),
-                        "time-out of " + call.id);
+                expandPendingTimer(node, world, call);
             }
         }
     }
 
+    private void expandRunningCall(Node node, SimulatedState world, SimulatedCall call) {
+        for (long revision = world.heldRevision - 1;
+                revision <= world.heldRevision + 1;
+                revision++) {
+            applyOutcome(
+                    node,
+                    withAnswer(world, call),
+                    checkIgnoredIfEnded(node, call, listArrives(world, call, revision)),
+                    "list " + revision + " by " + call.id);
+        }
+        SimulatedState silent =
+                world.withCall(
+                        new SimulatedCall(
+                                call.id,
+                                false,
+                                call.timerPending,
+                                call.endRequested,
+                                call.answered));
+        applyOutcome(
+                node,
+                silent,
+                checkIgnoredIfEnded(node, call, world.rules.callEnded(call.id)),
+                "end of " + call.id);
+    }
+
+    private void expandPendingTimer(Node node, SimulatedState world, SimulatedCall call) {
+        SimulatedState fired =
+                world.withCall(
+                        new SimulatedCall(
+                                call.id, call.running, false, call.endRequested, call.answered));
+        applyOutcome(
+                node,
+                fired,
+                checkIgnoredIfEnded(node, call, world.rules.answerTimedOut(call.id)),
+                "time-out of " + call.id);
+    }
+
     private static SimulatedState withAnswer(SimulatedState world, SimulatedCall call) {
         return world.withCall(
                 new SimulatedCall(call.id, true, call.timerPending, call.endRequested, true));
--- a/relay/src/test/java/saltstage/process/MetricsTest.java
+++ b/relay/src/test/java/saltstage/process/MetricsTest.java
@@ -56,8 +56,7 @@
         }
     }
 
-    @Test
-    public void eachConnectionIsCountedOnceWhereItEndsUp() throws Exception {
+    private void assertInitialMetrics() {
         assertEquals(
                 Map.of(
                         "handled.chat.passedc",
@@ -75,6 +74,11 @@
                         "skipped_backendsg",
                         0),
                 metrics());
+    }
+
+    @Test
+    public void eachConnectionIsCountedOnceWhereItEndsUp() throws Exception {
+        assertInitialMetrics();
         TestConnection standing = world.sendOpen("f1", 20_000);
         TestConnection side = world.establish(backend, standing);
         TestConnection waiting = world.sendOpen("f2", 20_000);
--- a/relay/src/test/java/saltstage/process/PlatformLimitsTest.java
+++ b/relay/src/test/java/saltstage/process/PlatformLimitsTest.java
@@ -39,20 +39,7 @@
             for (int i = 0; i < IDLE_CLIENTS; i++) {
                 silent.add(new Socket("127.0.0.1", world.clientPort()));
             }
-            int busy = 0;
-            for (int i = 0; i < CLIENTS; i++) {
-                TestConnection client = world.sendOpen("id" + i, DEADLINE_MS);
-                client.socket.setSoTimeout(DEADLINE_MS + 500);
-                String answer = client.readLine();
-                if ("UP r1".equals(answer)) {
-                    standing.add(client);
-                } else {
-                    busy++;
-                    assertTrue(
-                            "client " + i + ": " + answer,
-                            answer != null && answer.startsWith("BUSY"));
-                }
-            }
+            int busy = openRequests(world, standing);
             assertTrue("the limit was reached", busy > 0);
             assertTrue("standing: " + standing.size(), standing.size() > 10);
             world.reload(config);
@@ -74,4 +61,23 @@
             }
         }
     }
+
+    /** Adds the requests that are established to the list; returns how many are rejected. */
+    private static int openRequests(RelayTestEnvironment world, List<TestConnection> standing)
+            throws Exception {
+        int busy = 0;
+        for (int i = 0; i < CLIENTS; i++) {
+            TestConnection client = world.sendOpen("id" + i, DEADLINE_MS);
+            client.socket.setSoTimeout(DEADLINE_MS + 500);
+            String answer = client.readLine();
+            if ("UP r1".equals(answer)) {
+                standing.add(client);
+            } else {
+                busy++;
+                assertTrue(
+                        "client " + i + ": " + answer, answer != null && answer.startsWith("BUSY"));
+            }
+        }
+        return busy;
+    }
 }
