--- a/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
@@ -88,7 +88,7 @@
             CountDownLatch stop = new CountDownLatch(1);
             CountDownLatch stopped = new CountDownLatch(1);
             Files.createDirectories(mine.dir());
-            Store store = Store.open(new FileDisk(mine.dir()), StoreOptions.usual(), Log::info);
+            Store store = Store.open(new FileDisk(mine.dir()), StoreOptions.defaults(), Log::info);
             try (Replica replica =
                             new Replica(
                                     mine,
--- a/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
@@ -29,7 +29,7 @@
 import saltstage.net.NettyTransport;
 import saltstage.store.FileDisk;
 import saltstage.store.Store;
-import saltstage.store.StoreEvents;
+import saltstage.store.StoreEventListener;
 import saltstage.store.StoreOptions;
 
 /** Every call of the API against a group of one replica: statuses, and the names in the JSON. */
@@ -64,7 +64,7 @@
                         3,
                         1,
                         System::currentTimeMillis);
-        Store store = Store.open(new FileDisk(dir), StoreOptions.usual(), StoreEvents.NONE);
+        Store store = Store.open(new FileDisk(dir), StoreOptions.defaults(), StoreEventListener.NONE);
         NettyTransport transport =
                 new NettyTransport(1, false, (where, fault) -> fault.printStackTrace());
         replica =
--- a/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
@@ -37,7 +37,7 @@
 import saltstage.net.NettyTransport;
 import saltstage.store.FileDisk;
 import saltstage.store.Store;
-import saltstage.store.StoreEvents;
+import saltstage.store.StoreEventListener;
 import saltstage.store.StoreOptions;
 
 /** The configuration's commands and read API over HTTP, against a group of one replica. */
@@ -81,7 +81,7 @@
                         GroupState.SUPPORTED_FEATURE_LEVEL,
                         1,
                         System::currentTimeMillis);
-        Store store = Store.open(new FileDisk(dir), StoreOptions.usual(), StoreEvents.NONE);
+        Store store = Store.open(new FileDisk(dir), StoreOptions.defaults(), StoreEventListener.NONE);
         NettyTransport transport =
                 new NettyTransport(1, false, (where, fault) -> fault.printStackTrace());
         replica =
--- a/coordinator/src/test/java/saltstage/coordinator/replica/LogStoreTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/replica/LogStoreTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import saltstage.store.FileDisk;
 import saltstage.store.Store;
-import saltstage.store.StoreEvents;
+import saltstage.store.StoreEventListener;
 import saltstage.store.StoreOptions;
 
 /** What a replica finds again after a start is what the engine was promised, and nothing else. */
@@ -57,7 +57,7 @@
     }
 
     private Store open() throws IOException {
-        return Store.open(new FileDisk(dir), StoreOptions.usual(), StoreEvents.NONE);
+        return Store.open(new FileDisk(dir), StoreOptions.defaults(), StoreEventListener.NONE);
     }
 
     private static LogStore begun(Store store) throws IOException {
--- a/lab/src/main/java/saltstage/lab/store/Engine.java
+++ b/lab/src/main/java/saltstage/lab/store/Engine.java
@@ -14,7 +14,7 @@
 import org.rocksdb.WriteOptions;
 import saltstage.store.FileDisk;
 import saltstage.store.Store;
-import saltstage.store.StoreEvents;
+import saltstage.store.StoreEventListener;
 import saltstage.store.StoreOptions;
 
 /** Something that makes one pair durable at a time; used by many threads. */
@@ -92,7 +92,7 @@
         private final Store store;
 
         Ours(Path dir) throws IOException {
-            store = Store.open(FileDisk.at(dir), StoreOptions.usual(), StoreEvents.NONE);
+            store = Store.open(FileDisk.openOrCreate(dir), StoreOptions.defaults(), StoreEventListener.NONE);
         }
 
         @Override
--- a/lab/src/main/java/saltstage/lab/store/StoreBench.java
+++ b/lab/src/main/java/saltstage/lab/store/StoreBench.java
@@ -23,7 +23,7 @@
 import saltstage.store.Batch;
 import saltstage.store.FileDisk;
 import saltstage.store.Store;
-import saltstage.store.StoreEvents;
+import saltstage.store.StoreEventListener;
 import saltstage.store.StoreOptions;
 
 /** Measurements of the store; results go to docs/measurements as CSV, table and chart. */
@@ -164,14 +164,14 @@
                     }
                     long before = heap();
                     long start = System.nanoTime();
-                    Store store = Store.open(FileDisk.at(at), byHand, StoreEvents.NONE);
+                    Store store = Store.open(FileDisk.openOrCreate(at), byHand, StoreEventListener.NONE);
                     long millis = (System.nanoTime() - start) / 1_000_000;
                     long bytes = heap() - before;
-                    if (store.stat().live() != keys) {
-                        throw new IOException(store.stat().live() + " keys came back of " + keys);
+                    if (store.statistics().liveKeys() != keys) {
+                        throw new IOException(store.statistics().liveKeys() + " keys came back of " + keys);
                     }
                     report.row(keys, checkpoint ? "checkpoint" : "log", millis,
-                        String.format("%.1f", (double) bytes / keys), store.stat().fileBytes() >> 20);
+                        String.format("%.1f", (double) bytes / keys), store.statistics().fileBytes() >> 20);
                     if (!checkpoint) {
                         store.checkpoint();
                     }
@@ -184,7 +184,7 @@
         }
 
         private static void load(Path at, int keys, StoreOptions options) throws IOException {
-            Store store = Store.open(FileDisk.at(at), options, StoreEvents.NONE);
+            Store store = Store.open(FileDisk.openOrCreate(at), options, StoreEventListener.NONE);
             for (int i = 0; i < keys;) {
                 Batch batch = new Batch();
                 for (int end = Math.min(keys, i + 1_000); i < end; i++) {
@@ -232,7 +232,7 @@
                     Path at = dir.resolve("c-" + writers + beside);
                     Histogram latency = new ConcurrentHistogram(3);
                     StoreOptions options = new StoreOptions(8 << 20, beside, 32L << 20);
-                    try (Store store = Store.open(FileDisk.at(at), options, StoreEvents.NONE)) {
+                    try (Store store = Store.open(FileDisk.openOrCreate(at), options, StoreEventListener.NONE)) {
                         for (long i = 0; i < 100_000;) {
                             Batch batch = new Batch();
                             for (long end = i + 1_000; i < end; i++) {
@@ -245,7 +245,7 @@
                         report.row(writers, beside ? "on" : "off", rate, latency.getValueAtPercentile(50),
                             latency.getValueAtPercentile(99), latency.getValueAtPercentile(99.9),
                             String.format("%.1f", latency.getMaxValue() / 1e3),
-                            String.format("%.2f", store.copied() / user), store.stat().fileBytes() >> 20);
+                            String.format("%.2f", store.copiedBytes() / user), store.statistics().fileBytes() >> 20);
                     }
                     Home.delete(at);
                 }
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationDirectory.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationDirectory.java
@@ -11,7 +11,7 @@
 import saltstage.configuration.ConfigurationView;
 import saltstage.store.Disk;
 import saltstage.store.FileDisk;
-import saltstage.store.StoreEvents;
+import saltstage.store.StoreEventListener;
 import saltstage.store.StoreException;
 
 /**
@@ -23,7 +23,7 @@
     private static final String SET_ASIDE = ".set-aside-";
 
     private final Path path;
-    private final StoreEvents events;
+    private final StoreEventListener events;
     private final HeldConfiguration held;
     private ConfigurationStore store;
 
@@ -33,7 +33,7 @@
      * @param events told of {@code configuration.set_aside}, {@code configuration.shared} and the
      *     store's own events
      */
-    public ConfigurationDirectory(Path path, StoreEvents events) throws IOException {
+    public ConfigurationDirectory(Path path, StoreEventListener events) throws IOException {
         this.path = path;
         this.events = events;
         held = open();
@@ -45,17 +45,17 @@
     }
 
     private HeldConfiguration open() throws IOException {
-        Disk disk = FileDisk.at(path);
+        Disk disk = FileDisk.openOrCreate(path);
         try {
             return openStore(disk);
         } catch (StoreException.Locked locked) {
-            events.tell("configuration.shared", "dir", path);
+            events.onEvent("configuration.shared", "dir", path);
             return ConfigurationStore.read(disk);
         } catch (StoreException | ConfigurationStore.UnsoundStateException unsound) {
             Path aside = path.resolveSibling(path.getFileName() + SET_ASIDE + Instant.now());
             Files.move(path, aside, StandardCopyOption.ATOMIC_MOVE);
-            events.tell("configuration.set_aside", "to", aside, "why", unsound.getMessage());
-            return openStore(FileDisk.at(path));
+            events.onEvent("configuration.set_aside", "to", aside, "why", unsound.getMessage());
+            return openStore(FileDisk.openOrCreate(path));
         }
     }
 
@@ -67,7 +67,7 @@
     /** The store; opened now if another process held it at the start. */
     private synchronized ConfigurationStore store() throws IOException {
         if (store == null) {
-            openStore(FileDisk.at(path));
+            openStore(FileDisk.openOrCreate(path));
         }
         return store;
     }
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
@@ -20,7 +20,7 @@
 import saltstage.store.Disk;
 import saltstage.store.Snapshot;
 import saltstage.store.Store;
-import saltstage.store.StoreEvents;
+import saltstage.store.StoreEventListener;
 import saltstage.store.StoreOptions;
 import saltstage.wire.MalformedException;
 
@@ -90,7 +90,7 @@
      * UnsoundStateException where it holds something else, or entries that differ from their
      * digest.
      */
-    public static ConfigurationStore open(Disk disk, StoreEvents events) throws IOException {
+    public static ConfigurationStore open(Disk disk, StoreEventListener events) throws IOException {
         return open(
                 disk,
                 new StoreOptions(SEGMENT_BYTES, true, COMPACTION_BYTES_PER_SECOND),
@@ -98,7 +98,7 @@
                 events);
     }
 
-    static ConfigurationStore open(Disk disk, StoreOptions options, Clock clock, StoreEvents events)
+    static ConfigurationStore open(Disk disk, StoreOptions options, Clock clock, StoreEventListener events)
             throws IOException {
         Store store = Store.open(disk, options, events);
         try {
@@ -111,7 +111,7 @@
 
     /** What a disk holds that another process writes to. */
     public static HeldConfiguration read(Disk disk) throws IOException {
-        try (Store store = Store.openToRead(disk, StoreEvents.NONE)) {
+        try (Store store = Store.openToRead(disk, StoreEventListener.NONE)) {
             return held(store);
         }
     }
--- a/relay/src/main/java/saltstage/lifecycle/StoreCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/StoreCommand.java
@@ -71,7 +71,7 @@
         }
 
         int runWritable(StoreOptions options, StoreTask work) throws IOException {
-            return run(() -> Store.open(FileDisk.at(dir), options, Log::warn), work);
+            return run(() -> Store.open(FileDisk.openOrCreate(dir), options, Log::warn), work);
         }
 
         private interface StoreOpener {
@@ -199,9 +199,9 @@
             if (lines < 1) {
                 throw new StoreException("--batch takes a whole number from 1 on");
             }
-            StoreOptions usual = StoreOptions.usual();
+            StoreOptions usual = StoreOptions.defaults();
             return where.runWritable(
-                    new StoreOptions(segment, true, usual.compactionRate()), this::load);
+                    new StoreOptions(segment, true, usual.compactionBytesPerSecond()), this::load);
         }
 
         private int load(Store store) throws IOException {
@@ -305,14 +305,14 @@
         public Integer call() throws IOException {
             return where.runReadOnly(
                     store -> {
-                        Store.Verified all = store.verify();
+                        Store.VerificationResult all = store.verify();
                         System.out.println(
                                 "ok records="
-                                        + all.records()
+                                        + all.entryCount()
                                         + " live="
-                                        + all.live()
+                                        + all.liveKeys()
                                         + " seq="
-                                        + all.seq());
+                                        + all.lastSeq());
                         return 0;
                     });
         }
@@ -330,11 +330,11 @@
 
         @Override
         public Integer call() throws IOException {
-            StoreOptions usual = StoreOptions.usual();
+            StoreOptions usual = StoreOptions.defaults();
             return where.runWritable(
-                    new StoreOptions(usual.segmentBytes(), false, usual.compactionRate()),
+                    new StoreOptions(usual.segmentBytes(), false, usual.compactionBytesPerSecond()),
                     store -> {
-                        long before = store.stat().fileBytes();
+                        long before = store.statistics().fileBytes();
                         long copied = store.compact();
                         System.out.println(
                                 "compacted copied="
@@ -342,7 +342,7 @@
                                         + " before="
                                         + before
                                         + " after="
-                                        + store.stat().fileBytes());
+                                        + store.statistics().fileBytes());
                         return 0;
                     });
         }
@@ -363,7 +363,7 @@
         public Integer call() throws IOException {
             return where.runReadOnly(
                     store -> {
-                        Store.Stat s = store.stat();
+                        Store.Statistics s = store.statistics();
                         String[] names = {
                             "live",
                             "seq",
@@ -376,15 +376,15 @@
                             "log_since"
                         };
                         long[] values = {
-                            s.live(),
-                            s.seq(),
-                            s.segments(),
+                            s.liveKeys(),
+                            s.lastSeq(),
+                            s.segmentCount(),
                             s.fileBytes(),
                             s.liveBytes(),
                             s.deadBytes(),
                             s.checkpointSeq(),
                             s.checkpointBytes(),
-                            s.logSince()
+                            s.logBytesSinceCheckpoint()
                         };
                         StringBuilder out = new StringBuilder();
                         for (int i = 0; i < names.length; i++) {
--- a/relay/src/main/java/saltstage/persistence/RelayStateStore.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateStore.java
@@ -65,7 +65,7 @@
 
     /** Opens the store; where that fails, it is told, and what is handed over is dropped. */
     public static RelayStateStore open(PersistenceSettings settings, Supplier<Instant> clock) {
-        return open(settings, clock, () -> FileDisk.at(settings.dir()));
+        return open(settings, clock, () -> FileDisk.openOrCreate(settings.dir()));
     }
 
     /** Where the files are. */
@@ -294,7 +294,7 @@
             }
             writeLearnedState();
             pendingWritten(newest, configurations.size());
-        } catch (StoreException.Full full) {
+        } catch (StoreException.DiskFull full) {
             synchronized (this) {
                 state = State.FULL; // the store itself has told
             }
--- a/relay/src/main/java/saltstage/store/Acknowledged.java
+++ b/relay/src/main/java/saltstage/store/AcknowledgedSeqFile.java
@@ -11,70 +11,70 @@
  * of power. Of its two slots one is always durable and left alone: a write that is cut off spoils
  * the other only.
  */
-final class Acknowledged {
+final class AcknowledgedSeqFile {
     static final String NAME = "acked";
-    static final String NEXT = "acked.tmp";
+    static final String TEMPORARY_NAME = "acked.tmp";
 
     /** Slots lie a sector apart: a sector is what a disk writes whole. */
-    static final int SLOT = 512;
+    static final int SLOT_BYTES = 512;
 
-    static final int SIZE = 2 * SLOT;
+    static final int FILE_BYTES = 2 * SLOT_BYTES;
     private static final long MAGIC = 0x53414c5441434b01L; // SALTACK, 1
-    private static final int USED = 40;
-    private static final int CRC_AT = 12;
-    private static final int SEQ_AT = 32;
+    private static final int SLOT_CONTENT_BYTES = 40;
+    private static final int CRC_OFFSET = 12;
+    private static final int SEQ_OFFSET = 32;
 
     private final Disk.File file;
-    private final Frames.StoreId store;
-    private final ByteBuffer out = ByteBuffer.allocateDirect(USED);
-    private int slot;
+    private final SegmentFormat.StoreId storeId;
+    private final ByteBuffer buffer = ByteBuffer.allocateDirect(SLOT_CONTENT_BYTES);
+    private int activeSlot;
     private long seq;
-    private long settledAt;
+    private long forcedSeq;
 
-    private Acknowledged(Disk.File file, Frames.StoreId store, int slot, long seq) {
+    private AcknowledgedSeqFile(Disk.File file, SegmentFormat.StoreId store, int slot, long seq) {
         this.file = file;
-        this.store = store;
-        this.slot = slot;
+        this.storeId = store;
+        this.activeSlot = slot;
         this.seq = seq;
-        settledAt = seq;
+        forcedSeq = seq;
     }
 
     /** Makes the file, durable but for its name, and opens it to write. */
-    static Acknowledged create(Disk disk, Frames.StoreId store, long seq) throws IOException {
-        disk.delete(NEXT);
-        try (Disk.File file = disk.create(NEXT)) {
-            ByteBuffer all = ByteBuffer.allocate(SIZE);
-            all.put(0, encoded(store, seq), 0, USED).put(SLOT, encoded(store, seq), 0, USED);
-            if (file.write(all, 0) < SIZE) {
-                throw new IOException("short write of " + NEXT);
+    static AcknowledgedSeqFile create(Disk disk, SegmentFormat.StoreId store, long seq) throws IOException {
+        disk.delete(TEMPORARY_NAME);
+        try (Disk.File file = disk.create(TEMPORARY_NAME)) {
+            ByteBuffer all = ByteBuffer.allocate(FILE_BYTES);
+            all.put(0, encodeSlot(store, seq), 0, SLOT_CONTENT_BYTES).put(SLOT_BYTES, encodeSlot(store, seq), 0, SLOT_CONTENT_BYTES);
+            if (file.write(all, 0) < FILE_BYTES) {
+                throw new IOException("short write of " + TEMPORARY_NAME);
             }
             file.force();
         }
-        disk.rename(NEXT, NAME);
-        return new Acknowledged(disk.open(NAME, true), store, 0, seq);
+        disk.rename(TEMPORARY_NAME, NAME);
+        return new AcknowledgedSeqFile(disk.open(NAME, true), store, 0, seq);
     }
 
     /**
      * The last number acknowledged as far as the file says; a damaged or foreign file is refused.
      */
-    static long read(Disk disk, Frames.StoreId store) throws IOException {
+    static long read(Disk disk, SegmentFormat.StoreId store) throws IOException {
         try (Disk.File file = disk.open(NAME, false)) {
-            long[] slots = slots(file, store);
+            long[] slots = readSlots(file, store);
             return Math.max(slots[0], slots[1]);
         }
     }
 
     /** Opens it to write, with the number that the log came to. */
-    static Acknowledged open(Disk disk, Frames.StoreId store, long seq) throws IOException {
+    static AcknowledgedSeqFile open(Disk disk, SegmentFormat.StoreId store, long seq) throws IOException {
         Disk.File file = disk.open(NAME, true);
         boolean opened = false;
         try {
-            long[] slots = slots(file, store);
+            long[] slots = readSlots(file, store);
             // What the last run wrote may never have been forced: the slot that says more is not
             // left alone.
-            Acknowledged made = new Acknowledged(file, store, slots[0] >= slots[1] ? 0 : 1, seq);
-            made.put();
-            made.settle();
+            AcknowledgedSeqFile made = new AcknowledgedSeqFile(file, store, slots[0] >= slots[1] ? 0 : 1, seq);
+            made.writeSlot();
+            made.forceAndSwitchSlot();
             opened = true;
             return made;
         } finally {
@@ -85,27 +85,27 @@
     }
 
     /** What a file of whichever store says; -1 where it says nothing. */
-    static long saidByAny(Disk.File file) throws IOException {
-        ByteBuffer first = slot(file, 0);
-        ByteBuffer second = slot(file, 1);
+    static long readOfAnyStore(Disk.File file) throws IOException {
+        ByteBuffer first = readSlot(file, 0);
+        ByteBuffer second = readSlot(file, 1);
         return Math.max(
-                first == null ? -1 : first.getLong(SEQ_AT),
-                second == null ? -1 : second.getLong(SEQ_AT));
+                first == null ? -1 : first.getLong(SEQ_OFFSET),
+                second == null ? -1 : second.getLong(SEQ_OFFSET));
     }
 
     /** Says that this number is durable; under the write lock, before anybody is told. */
-    void reached(long now) throws IOException {
+    void update(long now) throws IOException {
         seq = now;
-        put();
+        writeSlot();
     }
 
     /**
      * Makes what was said durable where writing has rested since the last call; under the write
      * lock.
      */
-    void rest() throws IOException {
-        if (settledAt != seq) {
-            settle();
+    void forceIfChanged() throws IOException {
+        if (forcedSeq != seq) {
+            forceAndSwitchSlot();
         }
     }
 
@@ -113,71 +113,71 @@
         file.close();
     }
 
-    private void settle() throws IOException {
+    private void forceAndSwitchSlot() throws IOException {
         file.force();
-        settledAt = seq;
-        slot = 1 - slot;
+        forcedSeq = seq;
+        activeSlot = 1 - activeSlot;
     }
 
-    private void put() throws IOException {
-        out.clear().put(encoded(store, seq)).flip();
-        if (file.write(out, (long) slot * SLOT) < USED) {
+    private void writeSlot() throws IOException {
+        buffer.clear().put(encodeSlot(storeId, seq)).flip();
+        if (file.write(buffer, (long) activeSlot * SLOT_BYTES) < SLOT_CONTENT_BYTES) {
             throw new IOException("short write of " + NAME);
         }
     }
 
-    private static byte[] encoded(Frames.StoreId store, long seq) {
-        ByteBuffer slot = ByteBuffer.allocate(USED);
+    private static byte[] encodeSlot(SegmentFormat.StoreId store, long seq) {
+        ByteBuffer slot = ByteBuffer.allocate(SLOT_CONTENT_BYTES);
         slot.putLong(MAGIC)
-                .putShort(Frames.FORMAT)
+                .putShort(SegmentFormat.FORMAT_VERSION)
                 .putShort((short) 0)
                 .putInt(0)
                 .putLong(store.high())
                 .putLong(store.low())
                 .putLong(seq)
                 .flip();
-        slot.putInt(CRC_AT, Frames.crcAround(slot, CRC_AT));
+        slot.putInt(CRC_OFFSET, SegmentFormat.crcExcluding(slot, CRC_OFFSET));
         return slot.array();
     }
 
-    private static ByteBuffer slot(Disk.File file, int number) throws IOException {
-        ByteBuffer in = ByteBuffer.allocate(USED);
-        if (file.read(in, (long) number * SLOT) < USED) {
+    private static ByteBuffer readSlot(Disk.File file, int number) throws IOException {
+        ByteBuffer in = ByteBuffer.allocate(SLOT_CONTENT_BYTES);
+        if (file.read(in, (long) number * SLOT_BYTES) < SLOT_CONTENT_BYTES) {
             return null;
         }
         in.flip();
-        boolean sound = in.getLong(0) == MAGIC && in.getInt(CRC_AT) == Frames.crcAround(in, CRC_AT);
+        boolean sound = in.getLong(0) == MAGIC && in.getInt(CRC_OFFSET) == SegmentFormat.crcExcluding(in, CRC_OFFSET);
         return sound ? in : null;
     }
 
     /** What each slot says; -1 for one that a write was cut off in, which never happens to both. */
-    private static long[] slots(Disk.File file, Frames.StoreId store) throws IOException {
-        if (file.size() != SIZE) {
+    private static long[] readSlots(Disk.File file, SegmentFormat.StoreId store) throws IOException {
+        if (file.size() != FILE_BYTES) {
             throw new StoreException.Damaged(
                     NAME,
-                    Math.min(file.size(), SIZE),
-                    "the file is " + file.size() + " bytes long; " + SIZE + " were taken for it");
+                    Math.min(file.size(), FILE_BYTES),
+                    "the file is " + file.size() + " bytes long; " + FILE_BYTES + " were taken for it");
         }
         long[] said = {-1, -1};
         for (int i = 0; i < 2; i++) {
-            ByteBuffer in = slot(file, i);
+            ByteBuffer in = readSlot(file, i);
             if (in == null) {
                 continue;
             }
-            if (in.getShort(8) != Frames.FORMAT) {
+            if (in.getShort(8) != SegmentFormat.FORMAT_VERSION) {
                 throw new StoreException(
                         NAME
                                 + ": format "
                                 + in.getShort(8)
                                 + " is not known; "
-                                + Frames.FORMAT
+                                + SegmentFormat.FORMAT_VERSION
                                 + " is");
             }
             if (in.getLong(16) != store.high() || in.getLong(24) != store.low()) {
                 throw new StoreException.Damaged(
-                        NAME, (long) i * SLOT + 16, "it belongs to another store");
+                        NAME, (long) i * SLOT_BYTES + 16, "it belongs to another store");
             }
-            said[i] = in.getLong(SEQ_AT);
+            said[i] = in.getLong(SEQ_OFFSET);
         }
         if (said[0] < 0 && said[1] < 0) {
             throw new StoreException.Damaged(NAME, 0, "neither of its two slots is sound");
--- a/relay/src/main/java/saltstage/store/Batch.java
+++ b/relay/src/main/java/saltstage/store/Batch.java
@@ -8,61 +8,61 @@
  */
 public final class Batch {
     /** The longest key, in bytes; the shortest has one. */
-    public static final int MOST_KEY = 4 << 10;
+    public static final int MAX_KEY_BYTES = 4 << 10;
 
     /** The longest value, in bytes. */
-    public static final int MOST_VALUE = 16 << 20;
+    public static final int MAX_VALUE_BYTES = 16 << 20;
 
     /** The most that a batch may hold, in bytes as the log has it. */
-    public static final int MOST_BYTES = 32 << 20;
+    public static final int MAX_BATCH_BYTES = 32 << 20;
 
     /** One change; a null value deletes. */
     record Change(byte[] key, byte[] value) {
-        int bytes() {
-            return Frames.ENTRY_HEAD + key.length + (value == null ? 0 : value.length);
+        int encodedBytes() {
+            return SegmentFormat.ENTRY_HEADER_BYTES + key.length + (value == null ? 0 : value.length);
         }
     }
 
     /** The version that a key must have; 0: it must not be there. */
-    record Expected(byte[] key, long version) {}
+    record ExpectedVersion(byte[] key, long version) {}
 
     private final List<Change> changes = new ArrayList<>();
-    private final List<Expected> expected = new ArrayList<>();
-    private int bytes = Frames.BATCH_HEAD;
+    private final List<ExpectedVersion> expectedVersions = new ArrayList<>();
+    private int encodedBytes = SegmentFormat.BATCH_HEADER_BYTES;
 
     /** Sets a key's value. */
     public Batch put(byte[] key, byte[] value) {
-        if (value.length > MOST_VALUE) {
+        if (value.length > MAX_VALUE_BYTES) {
             throw new IllegalArgumentException(
-                    "value of " + value.length + " bytes; " + MOST_VALUE + " is the most");
+                    "value of " + value.length + " bytes; " + MAX_VALUE_BYTES + " is the most");
         }
-        return add(new Change(checked(key), value.clone()));
+        return add(new Change(checkedKey(key), value.clone()));
     }
 
     /** Removes a key, which need not be there. */
     public Batch delete(byte[] key) {
-        return add(new Change(checked(key), null));
+        return add(new Change(checkedKey(key), null));
     }
 
     /** The batch happens only if the key is at this version then; 0: only if it is not there. */
-    public Batch expect(byte[] key, long version) {
-        expected.add(new Expected(checked(key), version));
+    public Batch expectVersion(byte[] key, long version) {
+        expectedVersions.add(new ExpectedVersion(checkedKey(key), version));
         return this;
     }
 
     private Batch add(Change change) {
-        if ((long) bytes + change.bytes() > MOST_BYTES) {
-            throw new IllegalArgumentException("a batch may hold " + MOST_BYTES + " bytes");
+        if ((long) encodedBytes + change.encodedBytes() > MAX_BATCH_BYTES) {
+            throw new IllegalArgumentException("a batch may hold " + MAX_BATCH_BYTES + " bytes");
         }
-        bytes += change.bytes();
+        encodedBytes += change.encodedBytes();
         changes.add(change);
         return this;
     }
 
-    private static byte[] checked(byte[] key) {
-        if (key.length == 0 || key.length > MOST_KEY) {
+    private static byte[] checkedKey(byte[] key) {
+        if (key.length == 0 || key.length > MAX_KEY_BYTES) {
             throw new IllegalArgumentException(
-                    "key of " + key.length + " bytes; 1 to " + MOST_KEY + " are allowed");
+                    "key of " + key.length + " bytes; 1 to " + MAX_KEY_BYTES + " are allowed");
         }
         return key.clone();
     }
@@ -76,11 +76,11 @@
         return changes;
     }
 
-    List<Expected> expected() {
-        return expected;
+    List<ExpectedVersion> expectedVersions() {
+        return expectedVersions;
     }
 
-    int bytes() {
-        return bytes;
+    int encodedBytes() {
+        return encodedBytes;
     }
 }
--- a/relay/src/main/java/saltstage/store/Checkpoint.java
+++ b/relay/src/main/java/saltstage/store/Checkpoint.java
@@ -11,35 +11,35 @@
  */
 final class Checkpoint {
     private static final long MAGIC = 0x53414c54434b5001L; // SALTCKP, 1
-    private static final int HEADER = 64;
-    private static final int CRC_AT = 12;
-    private static final int BLOCK = 64 << 10;
-    private static final int BLOCK_HEAD = 8;
-    private static final int ENTRY_HEAD = 22;
-    private static final int ROOM = BLOCK + ENTRY_HEAD + Batch.MOST_KEY;
+    private static final int HEADER_BYTES = 64;
+    private static final int CRC_OFFSET = 12;
+    private static final int BLOCK_BYTES = 64 << 10;
+    private static final int BLOCK_HEADER_BYTES = 8;
+    private static final int ENTRY_HEADER_BYTES = 22;
+    private static final int MAX_BLOCK_BYTES = BLOCK_BYTES + ENTRY_HEADER_BYTES + Batch.MAX_KEY_BYTES;
 
     private Checkpoint() {}
 
-    static String name(long id) {
+    static String fileName(long id) {
         return String.format("%016x.index", id);
     }
 
     /** What a checkpoint came to. */
-    record Written(long bytes, int crc) {}
+    record WriteResult(long bytes, int crc) {}
 
     /** Told as a checkpoint is written, so that its rate can be bounded. */
-    interface Progress {
-        void wrote(long bytes) throws IOException;
+    interface ProgressListener {
+        void onBlockWritten(long bytes) throws IOException;
     }
 
     /** Writes the index as of this number; the file is durable, its name is not. */
-    static Written write(
-            Disk.File file, Frames.StoreId store, long id, long seq, Index index, Progress progress)
+    static WriteResult write(
+            Disk.File file, SegmentFormat.StoreId store, long id, long seq, Index index, ProgressListener progress)
             throws IOException {
         CRC32C all = new CRC32C();
-        ByteBuffer header = ByteBuffer.allocate(HEADER);
+        ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
         header.putLong(MAGIC)
-                .putShort(Frames.FORMAT)
+                .putShort(SegmentFormat.FORMAT_VERSION)
                 .putShort((short) 0)
                 .putInt(0)
                 .putLong(store.high())
@@ -49,43 +49,43 @@
                 .putLong(index.size())
                 .putLong(0)
                 .flip();
-        header.putInt(CRC_AT, Frames.crcAround(header, CRC_AT));
-        long end = put(file, header, 0, all);
-        ByteBuffer block = ByteBuffer.allocate(ROOM);
-        block.position(BLOCK_HEAD);
+        header.putInt(CRC_OFFSET, SegmentFormat.crcExcluding(header, CRC_OFFSET));
+        long end = writeAt(file, header, 0, all);
+        ByteBuffer block = ByteBuffer.allocate(MAX_BLOCK_BYTES);
+        block.position(BLOCK_HEADER_BYTES);
         Index.Cursor cursor = index.cursor(null);
         boolean more = cursor.advance();
         while (more) {
             byte[] key = cursor.key();
-            Index.Place place = cursor.place();
+            Index.Location place = cursor.location();
             block.putShort((short) key.length)
                     .putInt(place.valueLength())
-                    .putLong(place.at())
+                    .putLong(place.address())
                     .putLong(place.version())
                     .put(key);
             more = cursor.advance();
-            if (!more || block.position() >= BLOCK) {
-                int length = block.position() - BLOCK_HEAD;
+            if (!more || block.position() >= BLOCK_BYTES) {
+                int length = block.position() - BLOCK_HEADER_BYTES;
                 block.flip();
-                block.putInt(0, length).putInt(4, crc(block, end));
+                block.putInt(0, length).putInt(4, blockCrc(block, end));
                 long from = end;
-                end = put(file, block, end, all);
-                progress.wrote(end - from);
-                block.clear().position(BLOCK_HEAD);
+                end = writeAt(file, block, end, all);
+                progress.onBlockWritten(end - from);
+                block.clear().position(BLOCK_HEADER_BYTES);
             }
         }
         file.force();
-        return new Written(end, (int) all.getValue());
+        return new WriteResult(end, (int) all.getValue());
     }
 
-    private static int crc(ByteBuffer block, long offset) {
+    private static int blockCrc(ByteBuffer block, long offset) {
         CRC32C crc = new CRC32C();
         crc.update(ByteBuffer.allocate(8).putLong(offset).flip());
-        crc.update(block.duplicate().position(BLOCK_HEAD));
+        crc.update(block.duplicate().position(BLOCK_HEADER_BYTES));
         return (int) crc.getValue();
     }
 
-    private static long put(Disk.File file, ByteBuffer out, long at, CRC32C all)
+    private static long writeAt(Disk.File file, ByteBuffer out, long at, CRC32C all)
             throws IOException {
         all.update(out.duplicate());
         int whole = out.remaining();
@@ -96,9 +96,9 @@
     }
 
     /** Reads the checkpoint that the manifest names. */
-    static Index read(Disk disk, Frames.StoreId store, Manifest.CheckpointRef ref)
+    static Index read(Disk disk, SegmentFormat.StoreId store, Manifest.CheckpointRef ref)
             throws IOException {
-        String name = ref.name();
+        String name = ref.fileName();
         try (Disk.File file = disk.open(name, false)) {
             if (file.size() != ref.bytes()) {
                 throw new StoreException.Damaged(
@@ -111,11 +111,11 @@
                                 + " were written");
             }
             CRC32C all = new CRC32C();
-            ByteBuffer header = ByteBuffer.allocate(HEADER);
+            ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
             file.read(header, 0);
             all.update(header.flip().duplicate());
             if (header.getLong(0) != MAGIC
-                    || header.getInt(CRC_AT) != Frames.crcAround(header, CRC_AT)
+                    || header.getInt(CRC_OFFSET) != SegmentFormat.crcExcluding(header, CRC_OFFSET)
                     || header.getLong(16) != store.high()
                     || header.getLong(24) != store.low()
                     || header.getLong(32) != ref.id()
@@ -124,11 +124,11 @@
                         name, 0, "the header is not the one that was written");
             }
             Index.Builder builder = new Index.Builder();
-            for (long at = HEADER; at < ref.bytes(); ) {
-                at += block(file, name, at, ref.bytes(), all, builder);
+            for (long at = HEADER_BYTES; at < ref.bytes(); ) {
+                at += readBlock(file, name, at, ref.bytes(), all, builder);
             }
             Index index = builder.build();
-            if ((int) all.getValue() != ref.crc() || index.size() != ref.keys()) {
+            if ((int) all.getValue() != ref.crc() || index.size() != ref.keyCount()) {
                 throw new StoreException.Damaged(
                         name, ref.bytes(), "not the checkpoint of the manifest");
             }
@@ -136,35 +136,35 @@
         }
     }
 
-    private static long block(
+    private static long readBlock(
             Disk.File file, String name, long at, long end, CRC32C all, Index.Builder into)
             throws IOException {
-        ByteBuffer head = ByteBuffer.allocate(BLOCK_HEAD);
-        int length = file.read(head, at) < BLOCK_HEAD ? -1 : head.getInt(0);
-        if (length < ENTRY_HEAD || length > ROOM || at + BLOCK_HEAD + length > end) {
+        ByteBuffer head = ByteBuffer.allocate(BLOCK_HEADER_BYTES);
+        int length = file.read(head, at) < BLOCK_HEADER_BYTES ? -1 : head.getInt(0);
+        if (length < ENTRY_HEADER_BYTES || length > MAX_BLOCK_BYTES || at + BLOCK_HEADER_BYTES + length > end) {
             throw new StoreException.Damaged(name, at, "no sound block");
         }
-        ByteBuffer block = ByteBuffer.allocate(BLOCK_HEAD + length);
+        ByteBuffer block = ByteBuffer.allocate(BLOCK_HEADER_BYTES + length);
         file.read(block, at);
         block.flip();
-        if (crc(block, at) != block.getInt(4)) {
+        if (blockCrc(block, at) != block.getInt(4)) {
             throw new StoreException.Damaged(name, at, "the block's checksum does not match");
         }
         all.update(block.duplicate());
-        block.position(BLOCK_HEAD);
+        block.position(BLOCK_HEADER_BYTES);
         while (block.hasRemaining()) {
-            int keyLength = block.remaining() < ENTRY_HEAD ? -1 : block.getShort();
-            if (keyLength < 1 || keyLength > block.remaining() - ENTRY_HEAD + 2) {
+            int keyLength = block.remaining() < ENTRY_HEADER_BYTES ? -1 : block.getShort();
+            if (keyLength < 1 || keyLength > block.remaining() - ENTRY_HEADER_BYTES + 2) {
                 throw new StoreException.Damaged(name, at, "an entry does not fit its block");
             }
             int valueLength = block.getInt();
-            Index.Place place = new Index.Place(block.getLong(), block.getLong(), valueLength);
+            Index.Location place = new Index.Location(block.getLong(), block.getLong(), valueLength);
             byte[] key = new byte[keyLength];
             block.get(key);
             if (!into.add(key, place)) {
                 throw new StoreException.Damaged(name, at, "keys are out of order");
             }
         }
-        return BLOCK_HEAD + length;
+        return BLOCK_HEADER_BYTES + length;
     }
 }
--- a/relay/src/main/java/saltstage/store/FileDisk.java
+++ b/relay/src/main/java/saltstage/store/FileDisk.java
@@ -19,15 +19,15 @@
 
 /** A directory of the operating system's. */
 public final class FileDisk implements Disk {
-    private final Path dir;
+    private final Path directory;
 
     /** This directory; it must be there. */
     public FileDisk(Path dir) {
-        this.dir = dir;
+        this.directory = dir;
     }
 
     /** Makes the directory if it is not there, durably, and gives the disk in it. */
-    public static FileDisk at(Path dir) throws IOException {
+    public static FileDisk openOrCreate(Path dir) throws IOException {
         if (!Files.isDirectory(dir)) {
             Files.createDirectories(dir);
             Path parent = dir.toAbsolutePath().getParent();
@@ -41,7 +41,7 @@
     @Override
     public List<String> list() throws IOException {
         List<String> names = new ArrayList<>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(dir)) {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(directory)) {
             files.forEach(file -> names.add(file.getFileName().toString()));
         }
         return names;
@@ -49,10 +49,10 @@
 
     @Override
     public File create(String name) throws IOException {
-        return told(
+        return mapDiskFull(
                 () ->
-                        new Handle(
-                                dir.resolve(name),
+                        new FileHandle(
+                                directory.resolve(name),
                                 StandardOpenOption.CREATE_NEW,
                                 StandardOpenOption.READ,
                                 StandardOpenOption.WRITE));
@@ -61,24 +61,24 @@
     @Override
     public File open(String name, boolean toWrite) throws IOException {
         return toWrite
-                ? new Handle(dir.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE)
-                : new Handle(dir.resolve(name), StandardOpenOption.READ);
+                ? new FileHandle(directory.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE)
+                : new FileHandle(directory.resolve(name), StandardOpenOption.READ);
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        told(() -> Files.move(dir.resolve(from), dir.resolve(to), StandardCopyOption.ATOMIC_MOVE));
+        mapDiskFull(() -> Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE));
     }
 
     @Override
     public void delete(String name) throws IOException {
-        Files.deleteIfExists(dir.resolve(name));
+        Files.deleteIfExists(directory.resolve(name));
     }
 
     @Override
     public void syncDirectory() throws IOException {
-        try (Handle handle = new Handle(dir, StandardOpenOption.READ)) {
-            handle.use(
+        try (FileHandle handle = new FileHandle(directory, StandardOpenOption.READ)) {
+            handle.withChannel(
                     open -> {
                         open.force(true);
                         return null;
@@ -90,7 +90,7 @@
     public Closeable lock(String name) throws IOException {
         FileChannel channel =
                 FileChannel.open(
-                        dir.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                        directory.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock = null;
         try {
             lock = channel.tryLock();
@@ -104,12 +104,12 @@
         return lock == null ? null : channel;
     }
 
-    private interface Step<T> {
+    private interface DiskOperation<T> {
         T run() throws IOException;
     }
 
     /** Tells a full disk from other failures; the JDK has no exception of its own for it. */
-    private static <T> T told(Step<T> step) throws IOException {
+    private static <T> T mapDiskFull(DiskOperation<T> step) throws IOException {
         try {
             return step.run();
         } catch (IOException e) {
@@ -128,33 +128,33 @@
      * the store's files must not end with some caller's thread, so the channel is opened anew and
      * the step done again.
      */
-    private static final class Handle implements File {
+    private static final class FileHandle implements File {
         private final Path path;
-        private final OpenOption[] again;
+        private final OpenOption[] reopenOptions;
         private FileChannel channel;
         private boolean closed;
 
-        Handle(Path path, OpenOption... options) throws IOException {
+        FileHandle(Path path, OpenOption... options) throws IOException {
             this.path = path;
             channel = FileChannel.open(path, options);
-            again =
+            reopenOptions =
                     java.util.Arrays.stream(options)
                             .filter(option -> option != StandardOpenOption.CREATE_NEW)
                             .toArray(OpenOption[]::new);
         }
 
-        private interface Use<T> {
-            T with(FileChannel channel) throws IOException;
+        private interface ChannelOperation<T> {
+            T apply(FileChannel channel) throws IOException;
         }
 
-        private <T> T use(Use<T> use) throws IOException {
+        private <T> T withChannel(ChannelOperation<T> use) throws IOException {
             boolean interrupted = false;
             try {
                 while (true) {
                     interrupted |= Thread.interrupted();
-                    FileChannel open = current();
+                    FileChannel open = currentChannel();
                     try {
-                        return told(() -> use.with(open));
+                        return mapDiskFull(() -> use.apply(open));
                     } catch (ClosedByInterruptException e) {
                         interrupted = true;
                     } catch (
@@ -176,9 +176,9 @@
             return closed;
         }
 
-        private synchronized FileChannel current() throws IOException {
+        private synchronized FileChannel currentChannel() throws IOException {
             if (!channel.isOpen() && !closed) {
-                channel = FileChannel.open(path, again);
+                channel = FileChannel.open(path, reopenOptions);
             }
             return channel;
         }
@@ -186,7 +186,7 @@
         @Override
         public int read(ByteBuffer into, long position) throws IOException {
             int start = into.position();
-            return use(
+            return withChannel(
                     open -> {
                         into.position(start);
                         while (into.hasRemaining()) {
@@ -201,7 +201,7 @@
         @Override
         public int write(ByteBuffer from, long position) throws IOException {
             int start = from.position();
-            return use(
+            return withChannel(
                     open -> {
                         from.position(start);
                         while (from.hasRemaining()) {
@@ -215,7 +215,7 @@
 
         @Override
         public void force() throws IOException {
-            use(
+            withChannel(
                     open -> {
                         open.force(false);
                         return null;
@@ -224,7 +224,7 @@
 
         @Override
         public long size() throws IOException {
-            return use(FileChannel::size);
+            return withChannel(FileChannel::size);
         }
 
         @Override
--- a/relay/src/main/java/saltstage/store/GroupCommit.java
+++ b/relay/src/main/java/saltstage/store/GroupCommit.java
@@ -12,67 +12,67 @@
  */
 final class GroupCommit {
     /** The most bytes of one group: what waits behind it should not wait long. */
-    private static final int MOST_BYTES = 4 << 20;
+    private static final int MAX_GROUP_BYTES = 4 << 20;
 
     /** Writes a group; what it cannot do at all it throws, what it refuses it sets. */
-    interface Sink {
-        void write(List<Pending> group) throws StoreException;
+    interface GroupWriter {
+        void write(List<PendingBatch> group) throws StoreException;
     }
 
-    private final Sink sink;
-    private final Queue<Pending> waiting = new ArrayDeque<>();
-    private boolean led;
+    private final GroupWriter writer;
+    private final Queue<PendingBatch> waiting = new ArrayDeque<>();
+    private boolean hasLeader;
 
-    GroupCommit(Sink sink) {
-        this.sink = sink;
+    GroupCommit(GroupWriter sink) {
+        this.writer = sink;
     }
 
     /** Commits; returns the batch's number once it is durable. */
     long commit(Batch batch) throws StoreException {
-        Pending mine = new Pending(batch);
+        PendingBatch mine = new PendingBatch(batch);
         boolean lead;
         synchronized (waiting) {
             waiting.add(mine);
-            lead = !led;
-            led = true;
+            lead = !hasLeader;
+            hasLeader = true;
         }
-        if (lead || mine.awaitTurn()) {
-            lead(mine);
+        if (lead || mine.awaitCompletionOrLeadership()) {
+            leadGroup(mine);
         }
         return mine.result();
     }
 
-    private void lead(Pending mine) {
-        List<Pending> group = new ArrayList<>();
+    private void leadGroup(PendingBatch mine) {
+        List<PendingBatch> group = new ArrayList<>();
         synchronized (waiting) {
             int bytes = 0;
             while (!waiting.isEmpty()
-                    && (group.isEmpty() || bytes + waiting.peek().batch().bytes() <= MOST_BYTES)) {
-                bytes += waiting.peek().batch().bytes();
+                    && (group.isEmpty() || bytes + waiting.peek().batch().encodedBytes() <= MAX_GROUP_BYTES)) {
+                bytes += waiting.peek().batch().encodedBytes();
                 group.add(waiting.remove());
             }
         }
         try {
-            sink.write(group);
+            writer.write(group);
         } catch (StoreException e) {
-            group.forEach(pending -> pending.refuse(e));
+            group.forEach(pending -> pending.fail(e));
         } catch (RuntimeException
                 | Error e) { // the others must not wait for ever for a leader that is gone
             StoreException fault = new StoreException("fault: " + e, e);
-            group.forEach(pending -> pending.refuse(fault));
+            group.forEach(pending -> pending.fail(fault));
             throw e;
         } finally {
-            Pending next;
+            PendingBatch next;
             synchronized (waiting) {
                 next = waiting.peek();
-                led = next != null;
+                hasLeader = next != null;
             }
             if (next != null) {
-                next.promote();
+                next.promoteToLeader();
             }
-            for (Pending pending : group) {
+            for (PendingBatch pending : group) {
                 if (pending != mine) {
-                    pending.over();
+                    pending.complete();
                 }
             }
         }
--- a/relay/src/main/java/saltstage/store/Index.java
+++ b/relay/src/main/java/saltstage/store/Index.java
@@ -14,22 +14,22 @@
 final class Index {
     static final Index EMPTY = new Index(null, 0);
 
-    private static final int MOST = 64;
-    private static final int FEW = 16;
-    private static final int FILL = 56; // of MOST where entries come in order
+    private static final int MAX_NODE_ENTRIES = 64;
+    private static final int MIN_NODE_ENTRIES = 16;
+    private static final int FILL_NODE_ENTRIES = 56; // of MOST where entries come in order
 
     /** Where a key's entry stands, its version, and the length of its value. */
-    record Place(long at, long version, int valueLength) {
-        static long at(long segment, long offset) {
+    record Location(long address, long version, int valueLength) {
+        static long addressOf(long segment, long offset) {
             return segment << 32 | offset;
         }
 
-        long segment() {
-            return at >>> 32;
+        long segmentId() {
+            return address >>> 32;
         }
 
         long offset() {
-            return at & 0xffff_ffffL;
+            return address & 0xffff_ffffL;
         }
     }
 
@@ -45,25 +45,25 @@
         return size;
     }
 
-    Place find(byte[] key) {
+    Location find(byte[] key) {
         Node node = root;
         while (node instanceof Branch branch) {
-            node = branch.children[branch.child(key)];
+            node = branch.children[branch.childIndex(key)];
         }
         if (!(node instanceof Leaf leaf)) {
             return null;
         }
         int i = leaf.search(key);
-        return i < 0 ? null : leaf.place(i);
+        return i < 0 ? null : leaf.location(i);
     }
 
-    Index put(byte[] key, Place place) {
+    Index put(byte[] key, Location place) {
         if (root == null) {
             return new Index(Leaf.of(key, place), 1);
         }
         boolean there = find(key) != null;
         Node[] halves = root.put(key, place);
-        Node top = halves.length == 1 ? halves[0] : new Branch(halves, lows(halves));
+        Node top = halves.length == 1 ? halves[0] : new Branch(halves, lowKeys(halves));
         return new Index(top, there ? size : size + 1);
     }
 
@@ -78,22 +78,22 @@
         return new Index(left, size - 1);
     }
 
-    private static byte[][] lows(Node[] children) {
+    private static byte[][] lowKeys(Node[] children) {
         byte[][] lows = new byte[children.length][];
         for (int i = 0; i < lows.length; i++) {
-            lows[i] = children[i].low();
+            lows[i] = children[i].lowKey();
         }
         return lows;
     }
 
     /** A node; its low key is no greater than any below it. */
     private abstract static class Node {
-        abstract byte[] low();
+        abstract byte[] lowKey();
 
         abstract int count();
 
         /** The node with the key in it, or its two halves. */
-        abstract Node[] put(byte[] key, Place place);
+        abstract Node[] put(byte[] key, Location place);
 
         /** The node without a key that is in it; null where it was the last. */
         abstract Node delete(byte[] key);
@@ -101,49 +101,49 @@
 
     private static final class Leaf extends Node {
         private final byte[] keys;
-        private final int[] ends;
-        private final long[] at;
-        private final long[] version;
-        private final int[] length;
+        private final int[] keyEnds;
+        private final long[] addresses;
+        private final long[] versions;
+        private final int[] valueLengths;
 
         Leaf(byte[] keys, int[] ends, long[] at, long[] version, int[] length) {
             this.keys = keys;
-            this.ends = ends;
-            this.at = at;
-            this.version = version;
-            this.length = length;
+            this.keyEnds = ends;
+            this.addresses = at;
+            this.versions = version;
+            this.valueLengths = length;
         }
 
-        static Leaf of(byte[] key, Place place) {
+        static Leaf of(byte[] key, Location place) {
             return new Leaf(
                     key.clone(),
                     new int[] {key.length},
-                    new long[] {place.at()},
+                    new long[] {place.address()},
                     new long[] {place.version()},
                     new int[] {place.valueLength()});
         }
 
-        private int start(int i) {
-            return i == 0 ? 0 : ends[i - 1];
+        private int keyStart(int i) {
+            return i == 0 ? 0 : keyEnds[i - 1];
         }
 
         byte[] key(int i) {
-            return Arrays.copyOfRange(keys, start(i), ends[i]);
+            return Arrays.copyOfRange(keys, keyStart(i), keyEnds[i]);
         }
 
-        Place place(int i) {
-            return new Place(at[i], version[i], length[i]);
+        Location location(int i) {
+            return new Location(addresses[i], versions[i], valueLengths[i]);
         }
 
         /** The place of the key, or where it would go as a negative number. */
         int search(byte[] key) {
             int low = 0;
-            int high = ends.length - 1;
+            int high = keyEnds.length - 1;
             while (low <= high) {
                 int middle = (low + high) >>> 1;
                 int order =
                         Arrays.compareUnsigned(
-                                keys, start(middle), ends[middle], key, 0, key.length);
+                                keys, keyStart(middle), keyEnds[middle], key, 0, key.length);
                 if (order == 0) {
                     return middle;
                 }
@@ -157,59 +157,59 @@
         }
 
         @Override
-        byte[] low() {
+        byte[] lowKey() {
             return key(0);
         }
 
         @Override
         int count() {
-            return ends.length;
+            return keyEnds.length;
         }
 
         @Override
-        Node[] put(byte[] key, Place place) {
+        Node[] put(byte[] key, Location place) {
             int i = search(key);
             if (i >= 0) {
-                long[] newAt = at.clone();
-                long[] newVersion = version.clone();
-                int[] newLength = length.clone();
-                newAt[i] = place.at();
+                long[] newAt = addresses.clone();
+                long[] newVersion = versions.clone();
+                int[] newLength = valueLengths.clone();
+                newAt[i] = place.address();
                 newVersion[i] = place.version();
                 newLength[i] = place.valueLength();
-                return new Node[] {new Leaf(keys, ends, newAt, newVersion, newLength)};
+                return new Node[] {new Leaf(keys, keyEnds, newAt, newVersion, newLength)};
             }
             int to = -i - 1;
             Leaf whole = insert(to, key, place);
-            if (whole.count() <= MOST) {
+            if (whole.count() <= MAX_NODE_ENTRIES) {
                 return new Node[] {whole};
             }
             // keys in order leave full leaves behind
-            int split = to == ends.length ? FILL : whole.count() / 2;
-            return new Node[] {whole.part(0, split), whole.part(split, whole.count())};
+            int split = to == keyEnds.length ? FILL_NODE_ENTRIES : whole.count() / 2;
+            return new Node[] {whole.slice(0, split), whole.slice(split, whole.count())};
         }
 
-        private Leaf insert(int to, byte[] key, Place place) {
-            int n = ends.length;
-            int from = start(to);
+        private Leaf insert(int to, byte[] key, Location place) {
+            int n = keyEnds.length;
+            int from = keyStart(to);
             byte[] newKeys = new byte[keys.length + key.length];
             System.arraycopy(keys, 0, newKeys, 0, from);
             System.arraycopy(key, 0, newKeys, from, key.length);
             System.arraycopy(keys, from, newKeys, from + key.length, keys.length - from);
             int[] newEnds = new int[n + 1];
-            System.arraycopy(ends, 0, newEnds, 0, to);
+            System.arraycopy(keyEnds, 0, newEnds, 0, to);
             newEnds[to] = from + key.length;
             for (int j = to; j < n; j++) {
-                newEnds[j + 1] = ends[j] + key.length;
+                newEnds[j + 1] = keyEnds[j] + key.length;
             }
             return new Leaf(
                     newKeys,
                     newEnds,
-                    with(at, to, place.at()),
-                    with(version, to, place.version()),
-                    with(length, to, place.valueLength()));
+                    insertAt(addresses, to, place.address()),
+                    insertAt(versions, to, place.version()),
+                    insertAt(valueLengths, to, place.valueLength()));
         }
 
-        private static long[] with(long[] all, int to, long value) {
+        private static long[] insertAt(long[] all, int to, long value) {
             long[] more = new long[all.length + 1];
             System.arraycopy(all, 0, more, 0, to);
             more[to] = value;
@@ -217,7 +217,7 @@
             return more;
         }
 
-        private static int[] with(int[] all, int to, int value) {
+        private static int[] insertAt(int[] all, int to, int value) {
             int[] more = new int[all.length + 1];
             System.arraycopy(all, 0, more, 0, to);
             more[to] = value;
@@ -225,43 +225,43 @@
             return more;
         }
 
-        private Leaf part(int from, int to) {
-            int shift = start(from);
+        private Leaf slice(int from, int to) {
+            int shift = keyStart(from);
             int[] newEnds = new int[to - from];
             for (int i = from; i < to; i++) {
-                newEnds[i - from] = ends[i] - shift;
+                newEnds[i - from] = keyEnds[i] - shift;
             }
             return new Leaf(
-                    Arrays.copyOfRange(keys, shift, ends[to - 1]),
+                    Arrays.copyOfRange(keys, shift, keyEnds[to - 1]),
                     newEnds,
-                    Arrays.copyOfRange(at, from, to),
-                    Arrays.copyOfRange(version, from, to),
-                    Arrays.copyOfRange(length, from, to));
+                    Arrays.copyOfRange(addresses, from, to),
+                    Arrays.copyOfRange(versions, from, to),
+                    Arrays.copyOfRange(valueLengths, from, to));
         }
 
         Leaf join(Leaf right) {
-            int n = ends.length;
-            int[] newEnds = Arrays.copyOf(ends, n + right.ends.length);
-            for (int i = 0; i < right.ends.length; i++) {
-                newEnds[n + i] = keys.length + right.ends[i];
+            int n = keyEnds.length;
+            int[] newEnds = Arrays.copyOf(keyEnds, n + right.keyEnds.length);
+            for (int i = 0; i < right.keyEnds.length; i++) {
+                newEnds[n + i] = keys.length + right.keyEnds[i];
             }
             byte[] newKeys = Arrays.copyOf(keys, keys.length + right.keys.length);
             System.arraycopy(right.keys, 0, newKeys, keys.length, right.keys.length);
             return new Leaf(
                     newKeys,
                     newEnds,
-                    both(at, right.at),
-                    both(version, right.version),
-                    both(length, right.length));
+                    concat(addresses, right.addresses),
+                    concat(versions, right.versions),
+                    concat(valueLengths, right.valueLengths));
         }
 
-        private static long[] both(long[] a, long[] b) {
+        private static long[] concat(long[] a, long[] b) {
             long[] all = Arrays.copyOf(a, a.length + b.length);
             System.arraycopy(b, 0, all, a.length, b.length);
             return all;
         }
 
-        private static int[] both(int[] a, int[] b) {
+        private static int[] concat(int[] a, int[] b) {
             int[] all = Arrays.copyOf(a, a.length + b.length);
             System.arraycopy(b, 0, all, a.length, b.length);
             return all;
@@ -270,31 +270,31 @@
         @Override
         Node delete(byte[] key) {
             int i = search(key);
-            if (ends.length == 1) {
+            if (keyEnds.length == 1) {
                 return null;
             }
             if (i == 0) {
-                return part(1, ends.length);
+                return slice(1, keyEnds.length);
             }
-            return i == ends.length - 1 ? part(0, i) : part(0, i).join(part(i + 1, ends.length));
+            return i == keyEnds.length - 1 ? slice(0, i) : slice(0, i).join(slice(i + 1, keyEnds.length));
         }
     }
 
     private static final class Branch extends Node {
         private final Node[] children;
-        private final byte[][] lows;
+        private final byte[][] lowKeys;
 
         Branch(Node[] children, byte[][] lows) {
             this.children = children;
-            this.lows = lows;
+            this.lowKeys = lows;
         }
 
-        int child(byte[] key) {
+        int childIndex(byte[] key) {
             int low = 1;
             int high = children.length - 1;
             while (low <= high) {
                 int middle = (low + high) >>> 1;
-                if (Arrays.compareUnsigned(lows[middle], key) <= 0) {
+                if (Arrays.compareUnsigned(lowKeys[middle], key) <= 0) {
                     low = middle + 1;
                 } else {
                     high = middle - 1;
@@ -304,8 +304,8 @@
         }
 
         @Override
-        byte[] low() {
-            return lows[0];
+        byte[] lowKey() {
+            return lowKeys[0];
         }
 
         @Override
@@ -314,72 +314,72 @@
         }
 
         @Override
-        Node[] put(byte[] key, Place place) {
-            int i = child(key);
+        Node[] put(byte[] key, Location place) {
+            int i = childIndex(key);
             Node[] halves = children[i].put(key, place);
             if (halves.length == 1) {
                 Node[] changed = children.clone();
                 changed[i] = halves[0];
-                return new Node[] {new Branch(changed, lows)};
+                return new Node[] {new Branch(changed, lowKeys)};
             }
             int n = children.length;
             Node[] more = Arrays.copyOf(children, n + 1);
-            byte[][] moreLows = Arrays.copyOf(lows, n + 1);
+            byte[][] moreLows = Arrays.copyOf(lowKeys, n + 1);
             System.arraycopy(children, i + 1, more, i + 2, n - i - 1);
-            System.arraycopy(lows, i + 1, moreLows, i + 2, n - i - 1);
+            System.arraycopy(lowKeys, i + 1, moreLows, i + 2, n - i - 1);
             more[i] = halves[0];
             more[i + 1] = halves[1];
-            moreLows[i + 1] = halves[1].low();
-            if (n + 1 <= MOST) {
+            moreLows[i + 1] = halves[1].lowKey();
+            if (n + 1 <= MAX_NODE_ENTRIES) {
                 return new Node[] {new Branch(more, moreLows)};
             }
-            int split = i == n - 1 ? FILL : (n + 1) / 2;
-            return new Node[] {part(more, moreLows, 0, split), part(more, moreLows, split, n + 1)};
+            int split = i == n - 1 ? FILL_NODE_ENTRIES : (n + 1) / 2;
+            return new Node[] {slice(more, moreLows, 0, split), slice(more, moreLows, split, n + 1)};
         }
 
-        private static Branch part(Node[] children, byte[][] lows, int from, int to) {
+        private static Branch slice(Node[] children, byte[][] lows, int from, int to) {
             return new Branch(
                     Arrays.copyOfRange(children, from, to), Arrays.copyOfRange(lows, from, to));
         }
 
         @Override
         Node delete(byte[] key) {
-            int i = child(key);
+            int i = childIndex(key);
             Node left = children[i].delete(key);
             if (left == null) {
-                return children.length == 1 ? null : without(i);
+                return children.length == 1 ? null : withoutChild(i);
             }
             Node[] changed = children.clone();
             changed[i] = left;
-            Branch same = new Branch(changed, lows);
-            if (left.count() >= FEW || changed.length == 1) {
+            Branch same = new Branch(changed, lowKeys);
+            if (left.count() >= MIN_NODE_ENTRIES || changed.length == 1) {
                 return same;
             }
             int first = i == 0 ? 0 : i - 1;
-            return same.merged(first);
+            return same.withMergedChildren(first);
         }
 
-        private Branch without(int i) {
+        private Branch withoutChild(int i) {
             int n = children.length;
             Node[] fewer = Arrays.copyOf(children, n - 1);
-            byte[][] fewerLows = Arrays.copyOf(lows, n - 1);
+            byte[][] fewerLows = Arrays.copyOf(lowKeys, n - 1);
             System.arraycopy(children, i + 1, fewer, i, n - i - 1);
-            System.arraycopy(lows, i + 1, fewerLows, i, n - i - 1);
+            System.arraycopy(lowKeys, i + 1, fewerLows, i, n - i - 1);
             return new Branch(fewer, fewerLows);
         }
 
         /** This node with two neighbours in one, where they fit well. */
-        private Branch merged(int first) {
+        private Branch withMergedChildren(int first) {
             Node a = children[first];
             Node b = children[first + 1];
-            if (a.count() + b.count() > FILL) {
+            if (a.count() + b.count() > FILL_NODE_ENTRIES) {
                 return this;
             }
             Node one =
                     a instanceof Leaf left
                             ? left.join((Leaf) b)
                             : join((Branch) a, (Branch) b, first);
-            Branch fewer = without(first + 1);
+            Branch fewer = withoutChild(first + 1);
             fewer.children[first] = one; // its own copy, seen by nobody yet
             return fewer;
         }
@@ -387,10 +387,10 @@
         private Branch join(Branch a, Branch b, int first) {
             int n = a.children.length;
             Node[] all = Arrays.copyOf(a.children, n + b.children.length);
-            byte[][] allLows = Arrays.copyOf(a.lows, n + b.children.length);
+            byte[][] allLows = Arrays.copyOf(a.lowKeys, n + b.children.length);
             System.arraycopy(b.children, 0, all, n, b.children.length);
-            System.arraycopy(b.lows, 0, allLows, n, b.children.length);
-            allLows[n] = lows[first + 1]; // the low of b that this node has searched by
+            System.arraycopy(b.lowKeys, 0, allLows, n, b.children.length);
+            allLows[n] = lowKeys[first + 1]; // the low of b that this node has searched by
             return new Branch(all, allLows);
         }
     }
@@ -398,21 +398,21 @@
     /** Walks the keys from one on, in order. */
     static final class Cursor {
         private final Deque<Branch> branches = new ArrayDeque<>();
-        private final Deque<Integer> next = new ArrayDeque<>();
+        private final Deque<Integer> nextChildren = new ArrayDeque<>();
         private Leaf leaf;
-        private int at;
+        private int entryIndex;
 
         private Cursor(Index index, byte[] from) {
             Node node = index.root;
             while (node instanceof Branch branch) {
-                int child = from == null ? 0 : branch.child(from);
+                int child = from == null ? 0 : branch.childIndex(from);
                 branches.push(branch);
-                next.push(child + 1);
+                nextChildren.push(child + 1);
                 node = branch.children[child];
             }
             leaf = (Leaf) node;
             int found = leaf == null || from == null ? 0 : leaf.search(from);
-            at = (found < 0 ? -found - 1 : found) - 1;
+            entryIndex = (found < 0 ? -found - 1 : found) - 1;
         }
 
         /** Goes to the next key; false at the end. */
@@ -420,18 +420,18 @@
             if (leaf == null) {
                 return false;
             }
-            at++;
-            while (at >= leaf.count()) {
-                while (!branches.isEmpty() && next.peek() >= branches.peek().children.length) {
+            entryIndex++;
+            while (entryIndex >= leaf.count()) {
+                while (!branches.isEmpty() && nextChildren.peek() >= branches.peek().children.length) {
                     branches.pop();
-                    next.pop();
+                    nextChildren.pop();
                 }
                 if (branches.isEmpty()) {
                     leaf = null;
                     return false;
                 }
-                int child = next.pop();
-                next.push(child + 1);
+                int child = nextChildren.pop();
+                nextChildren.push(child + 1);
                 descend(branches.peek().children[child]);
             }
             return true;
@@ -441,19 +441,19 @@
             Node node = from;
             while (node instanceof Branch branch) {
                 branches.push(branch);
-                next.push(1);
+                nextChildren.push(1);
                 node = branch.children[0];
             }
             leaf = (Leaf) node;
-            at = 0;
+            entryIndex = 0;
         }
 
         byte[] key() {
-            return leaf.key(at);
+            return leaf.key(entryIndex);
         }
 
-        Place place() {
-            return leaf.place(at);
+        Location location() {
+            return leaf.location(entryIndex);
         }
     }
 
@@ -466,26 +466,26 @@
     static final class Builder {
         private final List<Node> leaves = new ArrayList<>();
         private final List<byte[]> keys = new ArrayList<>();
-        private final List<Place> places = new ArrayList<>();
-        private byte[] last;
+        private final List<Location> locations = new ArrayList<>();
+        private byte[] lastKey;
         private long size;
 
         /** Takes the next; false where it does not come after the one before. */
-        boolean add(byte[] key, Place place) {
-            if (last != null && Arrays.compareUnsigned(last, key) >= 0) {
+        boolean add(byte[] key, Location place) {
+            if (lastKey != null && Arrays.compareUnsigned(lastKey, key) >= 0) {
                 return false;
             }
-            last = key;
+            lastKey = key;
             keys.add(key);
-            places.add(place);
+            locations.add(place);
             size++;
-            if (keys.size() == FILL) {
-                flush();
+            if (keys.size() == FILL_NODE_ENTRIES) {
+                flushLeaf();
             }
             return true;
         }
 
-        private void flush() {
+        private void flushLeaf() {
             int n = keys.size();
             int bytes = keys.stream().mapToInt(k -> k.length).sum();
             byte[] packed = new byte[bytes];
@@ -498,18 +498,18 @@
                 System.arraycopy(keys.get(i), 0, packed, end, keys.get(i).length);
                 end += keys.get(i).length;
                 ends[i] = end;
-                at[i] = places.get(i).at();
-                version[i] = places.get(i).version();
-                length[i] = places.get(i).valueLength();
+                at[i] = locations.get(i).address();
+                version[i] = locations.get(i).version();
+                length[i] = locations.get(i).valueLength();
             }
             leaves.add(new Leaf(packed, ends, at, version, length));
             keys.clear();
-            places.clear();
+            locations.clear();
         }
 
         Index build() {
             if (!keys.isEmpty()) {
-                flush();
+                flushLeaf();
             }
             if (leaves.isEmpty()) {
                 return EMPTY;
@@ -517,10 +517,10 @@
             List<Node> level = leaves;
             while (level.size() > 1) {
                 List<Node> above = new ArrayList<>();
-                for (int i = 0; i < level.size(); i += FILL) {
+                for (int i = 0; i < level.size(); i += FILL_NODE_ENTRIES) {
                     Node[] children =
-                            level.subList(i, Math.min(level.size(), i + FILL)).toArray(Node[]::new);
-                    above.add(new Branch(children, lows(children)));
+                            level.subList(i, Math.min(level.size(), i + FILL_NODE_ENTRIES)).toArray(Node[]::new);
+                    above.add(new Branch(children, lowKeys(children)));
                 }
                 level = above;
             }
--- a/relay/src/main/java/saltstage/store/LogWriter.java
+++ b/relay/src/main/java/saltstage/store/LogWriter.java
@@ -7,7 +7,7 @@
 
 /** Writes groups of batches to the log, makes them durable and shows them: one group at a time. */
 final class LogWriter {
-    private static final int KEPT_BUFFER = 1 << 20;
+    private static final int MAX_REUSED_BUFFER_BYTES = 1 << 20;
     private static final byte[] ZEROS = new byte[64 << 10];
 
     /**
@@ -15,119 +15,119 @@
      * is begun: the log is read in the order of its segments' numbers, and others may have begun
      * meanwhile.
      */
-    record Spare(String name, Disk.File file, long size) {}
+    record SpareSegment(String fileName, Disk.File file, long size) {}
 
-    private final Core core;
+    private final StoreState state;
     private ByteBuffer buffer = ByteBuffer.allocateDirect(64 << 10);
-    private Spare spare;
+    private SpareSegment spare;
 
-    LogWriter(Core core) {
-        this.core = core;
+    LogWriter(StoreState core) {
+        this.state = core;
     }
 
     /** What a group changes, gathered before it is durable and done after. */
-    private static final class Effects {
+    private static final class GroupChanges {
         private Index index;
-        private long added;
-        private final List<Index.Place> freed = new ArrayList<>();
-        private final List<Integer> freedBytes = new ArrayList<>();
+        private long addedBytes;
+        private final List<Index.Location> replacedLocations = new ArrayList<>();
+        private final List<Integer> replacedBytes = new ArrayList<>();
 
-        void free(byte[] key) {
-            Index.Place old = index.find(key);
+        void recordReplaced(byte[] key) {
+            Index.Location old = index.find(key);
             if (old != null) {
-                freed.add(old);
-                freedBytes.add(bytes(key.length, old.valueLength()));
+                replacedLocations.add(old);
+                replacedBytes.add(entryBytes(key.length, old.valueLength()));
             }
         }
 
-        static int bytes(int key, int value) {
-            return Frames.ENTRY_HEAD + key + value;
+        static int entryBytes(int key, int value) {
+            return SegmentFormat.ENTRY_HEADER_BYTES + key + value;
         }
     }
 
     /**
      * Commits these, each whole or refused; what they wait for is set, and done or failed for each.
      */
-    void write(List<Pending> taken) throws StoreException {
-        core.writing.lock();
+    void write(List<PendingBatch> taken) throws StoreException {
+        state.writeLock.lock();
         try {
-            core.mustBeOpen();
-            if (core.stopped() != null) {
-                throw core.stopped();
+            state.checkOpen();
+            if (state.stopReason() != null) {
+                throw state.stopReason();
             }
-            int most = Frames.HEAD + taken.stream().mapToInt(p -> p.batch().bytes()).sum();
-            if (!core.active.fits(Frames.align(most))) {
-                roll(Frames.align(most));
+            int most = SegmentFormat.FRAME_HEADER_BYTES + taken.stream().mapToInt(p -> p.batch().encodedBytes()).sum();
+            if (!state.activeSegment.hasRoomFor(SegmentFormat.alignUp(most))) {
+                roll(SegmentFormat.alignUp(most));
             }
-            group(taken, Frames.align(most));
+            appendGroup(taken, SegmentFormat.alignUp(most));
         } catch (RuntimeException | Error fault) { // how far the write came is not known
-            core.stop("a fault while writing", fault);
+            state.stopWrites("a fault while writing", fault);
             throw fault;
         } finally {
-            core.writing.unlock();
+            state.writeLock.unlock();
         }
     }
 
-    private void group(List<Pending> taken, int most) throws StoreException {
-        Segment segment = core.active;
-        long offset = segment.used();
-        ByteBuffer out = buffer(Frames.room(most));
-        int start = Frames.beginFrame(out, Frames.GROUP, 0, core.nextSeq);
-        Effects effects = new Effects();
-        effects.index = core.view().index();
-        long seq = core.nextSeq;
-        for (Pending pending : taken) {
-            StoreException.Conflict conflict = conflict(effects.index, pending.batch());
+    private void appendGroup(List<PendingBatch> taken, int most) throws StoreException {
+        Segment segment = state.activeSegment;
+        long offset = segment.usedBytes();
+        ByteBuffer out = clearedBuffer(SegmentFormat.reservedBytes(most));
+        int start = SegmentFormat.beginFrame(out, SegmentFormat.GROUP_FRAME, 0, state.nextSeq);
+        GroupChanges effects = new GroupChanges();
+        effects.index = state.view().index();
+        long seq = state.nextSeq;
+        for (PendingBatch pending : taken) {
+            StoreException.VersionConflict conflict = findConflict(effects.index, pending.batch());
             if (conflict != null) {
-                pending.refuse(conflict);
+                pending.fail(conflict);
             } else {
-                pending.seq(seq);
-                append(out, pending.batch(), seq++, segment.id(), offset, effects);
+                pending.setSeq(seq);
+                appendBatch(out, pending.batch(), seq++, segment.id(), offset, effects);
             }
         }
-        int count = (int) (seq - core.nextSeq);
+        int count = (int) (seq - state.nextSeq);
         if (count == 0) {
             return;
         }
         out.putInt(start + 12, count);
-        Frames.Head head = Frames.endFrame(out, start, segment.seed(), offset);
+        SegmentFormat.FrameHeader head = SegmentFormat.endFrame(out, start, segment.checksumSeed(), offset);
         try {
             makeDurable(segment, out, head, offset);
-            core.acknowledged.reached(seq - 1);
+            state.acknowledgedSeqFile.update(seq - 1);
         } catch (IOException e) {
-            throw core.stop("a write for " + segment.name() + " failed", e);
+            throw state.stopWrites("a write for " + segment.fileName() + " failed", e);
         }
-        core.nextSeq = seq;
-        core.logSince += head.total();
-        show(segment, head, offset, effects);
+        state.nextSeq = seq;
+        state.logBytesSinceCheckpoint += head.totalBytes();
+        publishGroup(segment, head, offset, effects);
     }
 
-    private static StoreException.Conflict conflict(Index index, Batch batch) {
-        for (Batch.Expected expected : batch.expected()) {
-            Index.Place place = index.find(expected.key());
+    private static StoreException.VersionConflict findConflict(Index index, Batch batch) {
+        for (Batch.ExpectedVersion expected : batch.expectedVersions()) {
+            Index.Location place = index.find(expected.key());
             long found = place == null ? 0 : place.version();
             if (found != expected.version()) {
-                return new StoreException.Conflict(expected.version(), found);
+                return new StoreException.VersionConflict(expected.version(), found);
             }
         }
         return null;
     }
 
-    private static void append(
-            ByteBuffer out, Batch batch, long seq, long segment, long offset, Effects effects) {
+    private static void appendBatch(
+            ByteBuffer out, Batch batch, long seq, long segment, long offset, GroupChanges effects) {
         out.putInt(batch.changes().size());
         for (Batch.Change change : batch.changes()) {
-            long at = Index.Place.at(segment, offset + out.position());
-            effects.free(change.key());
+            long at = Index.Location.addressOf(segment, offset + out.position());
+            effects.recordReplaced(change.key());
             if (change.value() == null) {
-                Frames.entry(out, Frames.DELETE, change.key(), null, seq);
+                SegmentFormat.encodeEntry(out, SegmentFormat.DELETE, change.key(), null, seq);
                 effects.index = effects.index.delete(change.key());
             } else {
-                Frames.entry(out, Frames.PUT, change.key(), change.value(), seq);
+                SegmentFormat.encodeEntry(out, SegmentFormat.PUT, change.key(), change.value(), seq);
                 effects.index =
                         effects.index.put(
-                                change.key(), new Index.Place(at, seq, change.value().length));
-                effects.added += change.bytes();
+                                change.key(), new Index.Location(at, seq, change.value().length));
+                effects.addedBytes += change.encodedBytes();
             }
         }
     }
@@ -136,23 +136,23 @@
      * A small group goes out with its mirror; behind a large one comes its mark, once it is
      * durable.
      */
-    private static void makeDurable(Segment segment, ByteBuffer out, Frames.Head head, long offset)
+    private static void makeDurable(Segment segment, ByteBuffer out, SegmentFormat.FrameHeader head, long offset)
             throws IOException {
-        boolean mirrored = head.total() <= Frames.MOST_MIRRORED;
+        boolean mirrored = head.totalBytes() <= SegmentFormat.MAX_MIRRORED_BYTES;
         if (mirrored) {
-            Frames.mirror(out, 0, head, segment.seed(), offset);
+            SegmentFormat.encodeMirror(out, 0, head, segment.checksumSeed(), offset);
         }
-        writeOut(segment, out.flip(), offset);
+        writeFully(segment, out.flip(), offset);
         segment.file().force();
         if (!mirrored) {
-            ByteBuffer mark = ByteBuffer.allocate(Frames.MARK_BYTES);
-            Frames.mark(mark, head, segment.seed(), offset);
-            writeOut(segment, mark.flip(), offset + head.total());
+            ByteBuffer mark = ByteBuffer.allocate(SegmentFormat.COMMIT_MARKER_BYTES);
+            SegmentFormat.encodeCommitMarker(mark, head, segment.checksumSeed(), offset);
+            writeFully(segment, mark.flip(), offset + head.totalBytes());
             segment.file().force();
         }
     }
 
-    private static void writeOut(Segment segment, ByteBuffer out, long offset) throws IOException {
+    private static void writeFully(Segment segment, ByteBuffer out, long offset) throws IOException {
         int whole = out.remaining();
         int written = segment.file().write(out, offset);
         if (written < whole) {
@@ -160,22 +160,22 @@
         }
     }
 
-    private void show(Segment segment, Frames.Head head, long offset, Effects effects) {
-        segment.used(offset + head.total());
-        segment.live(effects.added);
-        SegmentSet set = core.view().set();
-        for (int i = 0; i < effects.freed.size(); i++) {
-            set.get(effects.freed.get(i).segment()).live(-effects.freedBytes.get(i));
+    private void publishGroup(Segment segment, SegmentFormat.FrameHeader head, long offset, GroupChanges effects) {
+        segment.setUsedBytes(offset + head.totalBytes());
+        segment.addLiveBytes(effects.addedBytes);
+        SegmentSet set = state.view().segments();
+        for (int i = 0; i < effects.replacedLocations.size(); i++) {
+            set.get(effects.replacedLocations.get(i).segmentId()).addLiveBytes(-effects.replacedBytes.get(i));
         }
-        core.show(new Core.View(effects.index, set, core.nextSeq - 1));
+        state.installView(new StoreState.View(effects.index, set, state.nextSeq - 1));
     }
 
-    private ByteBuffer buffer(int bytes) {
-        if (bytes > KEPT_BUFFER) {
+    private ByteBuffer clearedBuffer(int bytes) {
+        if (bytes > MAX_REUSED_BUFFER_BYTES) {
             return ByteBuffer.allocate(bytes);
         }
         if (buffer.capacity() < bytes) {
-            buffer = ByteBuffer.allocateDirect(KEPT_BUFFER);
+            buffer = ByteBuffer.allocateDirect(MAX_REUSED_BUFFER_BYTES);
         }
         return buffer.clear();
     }
@@ -186,92 +186,92 @@
      */
     void roll(int groupTotal) throws StoreException {
         try {
-            long need = Frames.HEADER + (long) Frames.room(groupTotal);
-            Spare ready =
+            long need = SegmentFormat.SEGMENT_HEADER_BYTES + (long) SegmentFormat.reservedBytes(groupTotal);
+            SpareSegment ready =
                     spare != null && spare.size() >= need
                             ? spare
-                            : prepare(Math.max(core.options.segmentBytes(), need));
+                            : createSpare(Math.max(state.options.segmentBytes(), need));
             if (ready == spare) {
                 spare = null;
             }
-            begin(ready);
-            core.full(false, ready.name());
+            activate(ready);
+            state.setDiskFull(false, ready.fileName());
         } catch (Disk.FullException e) {
-            core.full(true, "a new segment");
-            throw new StoreException.Full(e);
+            state.setDiskFull(true, "a new segment");
+            throw new StoreException.DiskFull(e);
         } catch (StoreException e) {
             throw e;
         } catch (IOException e) {
-            throw core.stop("no new segment could be made", e);
+            throw state.stopWrites("no new segment could be made", e);
         }
     }
 
-    private void begin(Spare ready) throws IOException {
-        long id = core.nextId++;
-        Frames.Header header =
-                new Frames.Header(
-                        Frames.LOG_SEGMENT, core.manifest.store(), id, ready.size(), core.nextSeq);
-        ByteBuffer out = Frames.header(header);
-        if (ready.file().write(out, 0) < Frames.HEADER) {
+    private void activate(SpareSegment ready) throws IOException {
+        long id = state.nextFileId++;
+        SegmentFormat.SegmentHeader header =
+                new SegmentFormat.SegmentHeader(
+                        SegmentFormat.LOG_SEGMENT, state.manifest.storeId(), id, ready.size(), state.nextSeq);
+        ByteBuffer out = SegmentFormat.encodeHeader(header);
+        if (ready.file().write(out, 0) < SegmentFormat.SEGMENT_HEADER_BYTES) {
             throw new IOException("short write of a header");
         }
         ready.file().force();
         ready.file()
                 .close(); // it is opened anew by the name that it keeps: an open file knows where
         // it is
-        String name = Segment.name(id, Frames.LOG_SEGMENT);
-        core.disk.rename(ready.name(), name);
-        core.disk.syncDirectory(); // a manifest must not be durable before the names that are in it
-        Segment next = new Segment(core.disk, name, core.disk.open(name, true), header);
-        Segment before = core.active;
-        SegmentSet set = core.view().set().with(next);
-        core.active = next;
+        String name = Segment.fileName(id, SegmentFormat.LOG_SEGMENT);
+        state.disk.rename(ready.fileName(), name);
+        state.disk.syncDirectory(); // a manifest must not be durable before the names that are in it
+        Segment next = new Segment(state.disk, name, state.disk.open(name, true), header);
+        Segment before = state.activeSegment;
+        SegmentSet set = state.view().segments().with(next);
+        state.activeSegment = next;
         try {
-            core.publish(core.parts(set, s -> false), core.manifest.checkpoint());
+            state.publishManifest(state.segmentRefs(set, s -> false), state.manifest.checkpoint());
         } catch (IOException e) {
             // the new one is a leftover without records, and deleted at the next opening
-            core.active = before;
-            set.leave();
+            state.activeSegment = before;
+            set.release();
             throw e;
         }
-        core.show(new Core.View(core.view().index(), set, core.view().seq()));
+        state.installView(new StoreState.View(state.view().index(), set, state.view().seq()));
     }
 
     /** Makes a spare, if there is none; the filling is done without the write lock. */
     void prepareSpare() throws IOException {
-        core.writing.lock();
-        boolean wanted = spare == null && core.stopped() == null;
-        core.writing.unlock();
+        state.writeLock.lock();
+        boolean wanted = spare == null && state.stopReason() == null;
+        state.writeLock.unlock();
         if (!wanted) {
             return;
         }
-        Spare made = prepare(core.options.segmentBytes());
-        core.writing.lock();
+        SpareSegment made = createSpare(state.options.segmentBytes());
+        state.writeLock.lock();
         try {
             if (spare == null) {
                 spare = made;
                 return;
             }
         } finally {
-            core.writing.unlock();
+            state.writeLock.unlock();
         }
-        drop(made);
+        deleteSpare(made);
     }
 
     /**
      * A file of this size, filled with zeros: all its room is taken now, so that no commit in it
      * can meet a full disk, its length no longer changes, and a file that is shorter has been cut.
      */
-    private Spare prepare(long wanted) throws IOException {
-        long size = (wanted + Frames.ALIGN - 1) & -Frames.ALIGN;
-        if (size >= Segment.MOST_SIZE) {
+    private SpareSegment createSpare(long wanted) throws IOException {
+        long size = (wanted + SegmentFormat.ALIGNMENT_BYTES - 1) & -SegmentFormat.ALIGNMENT_BYTES;
+        if (size >= Segment.MAX_SEGMENT_BYTES) {
             throw new IOException("a segment of " + size + " bytes is too large");
         }
-        core.writing.lock();
-        long id = core.nextId++;
-        core.writing.unlock();
+        state.writeLock.lock();
+        long id = state.nextFileId++;
+        state.writeLock.unlock();
         String name = String.format("%016x.tmp", id);
-        Disk.File file = core.disk.create(name);
+        Disk.File file = state.disk.create(name);
         try {
             for (long at = 0; at < size; ) {
                 int bytes = (int) Math.min(ZEROS.length, size - at);
@@ -281,17 +281,17 @@
                 at += bytes;
             }
             file.force();
-            return new Spare(name, file, size);
+            return new SpareSegment(name, file, size);
         } catch (IOException e) {
-            drop(new Spare(name, file, size));
+            deleteSpare(new SpareSegment(name, file, size));
             throw e;
         }
     }
 
-    private void drop(Spare unused) {
+    private void deleteSpare(SpareSegment unused) {
         try {
             unused.file().close();
-            core.disk.delete(unused.name());
+            state.disk.delete(unused.fileName());
         } catch (IOException left) { // a .tmp is deleted at the next opening
             return;
         }
@@ -299,7 +299,7 @@
 
     void close() {
         if (spare != null) {
-            drop(spare);
+            deleteSpare(spare);
             spare = null;
         }
     }
--- a/relay/src/main/java/saltstage/store/Maintenance.java
+++ b/relay/src/main/java/saltstage/store/Maintenance.java
@@ -16,63 +16,63 @@
  * crash anywhere finds the old manifest with all that it names, or the new one.
  */
 final class Maintenance {
-    private static final int CHUNK = 128 << 10;
-    private static final int SLICE = 64; // entries pointed elsewhere at a time, while writers wait
-    private static final long LONGEST_PAUSE = 50_000_000;
+    private static final int MAX_COPY_FRAME_BYTES = 128 << 10;
+    private static final int INDEX_UPDATES_PER_LOCK = 64; // entries pointed elsewhere at a time, while writers wait
+    private static final long MAX_PAUSE_NS = 50_000_000;
 
-    private final Core core;
-    private final SpacePolicy policy;
-    private final ReentrantLock running = new ReentrantLock();
+    private final StoreState state;
+    private final MaintenancePolicy policy;
+    private final ReentrantLock maintenanceLock = new ReentrantLock();
     private volatile boolean closing;
-    private long copied;
+    private long copiedBytes;
 
-    Maintenance(Core core) {
-        this.core = core;
-        policy = new SpacePolicy(core.options.segmentBytes());
+    Maintenance(StoreState core) {
+        this.state = core;
+        policy = new MaintenancePolicy(core.options.segmentBytes());
     }
 
     /** One entry that was copied. */
-    private record Moved(byte[] key, long from, Index.Place to) {}
+    private record MovedEntry(byte[] key, long oldAddress, Index.Location newLocation) {}
 
     /** What is due by the policy; a full disk or a file that cannot be written puts it off. */
-    void tend() {
-        running.lock();
+    void runIfDue() {
+        maintenanceLock.lock();
         try {
-            List<Long> victims = policy.victims(sealed(), core.manifest.checkpoint().bytes());
+            List<Long> victims = policy.selectForCompaction(sealedSegments(), state.manifest.checkpoint().bytes());
             if (!victims.isEmpty()) {
-                compact(victims, new RateLimit(core.options.compactionRate()));
-            } else if (policy.checkpointDue(core.logSince, core.manifest.checkpoint().bytes())) {
+                compact(victims, new RateLimiter(state.options.compactionBytesPerSecond()));
+            } else if (policy.isCheckpointDue(state.logBytesSinceCheckpoint, state.manifest.checkpoint().bytes())) {
                 checkpoint();
             }
         } catch (Disk.FullException e) {
-            core.full(true, "a checkpoint or compaction");
+            state.setDiskFull(true, "a checkpoint or compaction");
         } catch (IOException e) {
-            core.events.tell("store.compaction.failed", "why", e.getMessage());
+            state.events.onEvent("store.compaction.failed", "why", e.getMessage());
         } finally {
-            running.unlock();
+            maintenanceLock.unlock();
         }
     }
 
-    List<SpacePolicy.Sealed> sealed() throws StoreException {
-        core.writing.lock();
+    List<MaintenancePolicy.SealedSegment> sealedSegments() throws StoreException {
+        state.writeLock.lock();
         try {
-            core.mustBeOpen();
-            return core.view().set().all().stream()
-                    .filter(s -> s != core.active)
-                    .map(s -> new SpacePolicy.Sealed(s.id(), s.used() - Frames.HEADER, s.live()))
+            state.checkOpen();
+            return state.view().segments().all().stream()
+                    .filter(s -> s != state.activeSegment)
+                    .map(s -> new MaintenancePolicy.SealedSegment(s.id(), s.usedBytes() - SegmentFormat.SEGMENT_HEADER_BYTES, s.liveBytes()))
                     .toList();
         } finally {
-            core.writing.unlock();
+            state.writeLock.unlock();
         }
     }
 
     /** Bytes that compaction has copied since the store was opened. */
-    long copied() {
-        return copied;
+    long copiedBytes() {
+        return copiedBytes;
     }
 
     /** Whether what runs is to end at its next step. */
-    void closing(boolean now) {
+    void setClosing(boolean now) {
         closing = now;
     }
 
@@ -81,52 +81,52 @@
      * copied.
      */
     long compactAll(LogWriter writer) throws IOException {
-        running.lock();
+        maintenanceLock.lock();
         try {
-            long before = copied;
-            core.writing.lock();
+            long before = copiedBytes;
+            state.writeLock.lock();
             try {
-                core.mustBeOpen();
-                if (core.active.used() > Frames.HEADER
-                        && core.active.live() < core.active.used() / 2) {
-                    writer.roll(Frames.HEAD);
+                state.checkOpen();
+                if (state.activeSegment.usedBytes() > SegmentFormat.SEGMENT_HEADER_BYTES
+                        && state.activeSegment.liveBytes() < state.activeSegment.usedBytes() / 2) {
+                    writer.roll(SegmentFormat.FRAME_HEADER_BYTES);
                 }
             } finally {
-                core.writing.unlock();
+                state.writeLock.unlock();
             }
-            compact(SpacePolicy.all(sealed()), null);
-            return copied - before;
+            compact(MaintenancePolicy.selectAllWithDeadData(sealedSegments()), null);
+            return copiedBytes - before;
         } finally {
-            running.unlock();
+            maintenanceLock.unlock();
         }
     }
 
     /** Writes the index as it is now and puts it in force; segments in which nothing lives go. */
     void checkpoint() throws IOException {
-        running.lock();
+        maintenanceLock.lock();
         try {
-            Core.View seen;
+            StoreState.View seen;
             long id;
             long from;
             long offset;
             long log;
             Set<Segment> dead = new HashSet<>();
-            core.writing.lock();
+            state.writeLock.lock();
             try {
-                seen = core.enter();
-                id = core.nextId++;
-                from = core.active.id();
-                offset = core.active.used();
-                log = core.logSince;
-                seen.set().all().stream()
-                        .filter(s -> s != core.active && s.live() == 0)
+                seen = state.acquireView();
+                id = state.nextFileId++;
+                from = state.activeSegment.id();
+                offset = state.activeSegment.usedBytes();
+                log = state.logBytesSinceCheckpoint;
+                seen.segments().all().stream()
+                        .filter(s -> s != state.activeSegment && s.liveBytes() == 0)
                         .forEach(dead::add);
             } finally {
-                core.writing.unlock();
+                state.writeLock.unlock();
             }
             try {
-                Checkpoint.Written written = write(id, seen);
-                putInForce(
+                Checkpoint.WriteResult written = writeCheckpoint(id, seen);
+                publishCheckpoint(
                         new Manifest.CheckpointRef(
                                 id,
                                 seen.seq(),
@@ -138,83 +138,83 @@
                         dead,
                         log);
             } finally {
-                seen.set().leave();
+                seen.segments().release();
             }
         } finally {
-            running.unlock();
+            maintenanceLock.unlock();
         }
     }
 
-    private Checkpoint.Written write(long id, Core.View seen) throws IOException {
-        String name = Checkpoint.name(id);
+    private Checkpoint.WriteResult writeCheckpoint(long id, StoreState.View seen) throws IOException {
+        String name = Checkpoint.fileName(id);
         boolean done = false;
-        try (Disk.File file = core.disk.create(name)) {
-            Checkpoint.Written written =
+        try (Disk.File file = state.disk.create(name)) {
+            Checkpoint.WriteResult written =
                     Checkpoint.write(
                             file,
-                            core.manifest.store(),
+                            state.manifest.storeId(),
                             id,
                             seen.seq(),
                             seen.index(),
-                            bytes -> goOn());
-            core.disk.syncDirectory();
+                            bytes -> checkNotClosing());
+            state.disk.syncDirectory();
             done = true;
             return written;
         } finally {
             if (!done) {
-                dropQuietly(name);
+                deleteQuietly(name);
             }
         }
     }
 
-    private void goOn() throws IOException {
+    private void checkNotClosing() throws IOException {
         if (closing) {
             throw new StoreException("the store is closing");
         }
     }
 
-    private void dropQuietly(String name) {
+    private void deleteQuietly(String name) {
         try {
-            core.disk.delete(name);
+            state.disk.delete(name);
         } catch (IOException left) { // in no manifest: deleted at the next opening
             return;
         }
     }
 
-    private void putInForce(Manifest.CheckpointRef ref, Set<Segment> dead, long log)
+    private void publishCheckpoint(Manifest.CheckpointRef ref, Set<Segment> dead, long log)
             throws IOException {
-        Manifest.CheckpointRef before = core.manifest.checkpoint();
-        core.writing.lock();
+        Manifest.CheckpointRef before = state.manifest.checkpoint();
+        state.writeLock.lock();
         try {
-            if (core.stopped() != null) {
-                throw core.stopped();
+            if (state.stopReason() != null) {
+                throw state.stopReason();
             }
-            SegmentSet set = core.view().set();
-            core.publish(core.parts(set, dead::contains), ref);
+            SegmentSet set = state.view().segments();
+            state.publishManifest(state.segmentRefs(set, dead::contains), ref);
             dead.forEach(
-                    Segment::doom); // before their last reader, who may be the one below, lets go
-            core.logSince -= log;
+                    Segment::markForDeletion); // before their last reader, who may be the one below, lets go
+            state.logBytesSinceCheckpoint -= log;
             if (!dead.isEmpty()) {
-                core.show(new Core.View(core.view().index(), set.without(dead), core.view().seq()));
+                state.installView(new StoreState.View(state.view().index(), set.without(dead), state.view().seq()));
             }
         } finally {
-            core.writing.unlock();
+            state.writeLock.unlock();
         }
         if (before.id() != 0) {
-            dropQuietly(before.name());
+            deleteQuietly(before.fileName());
         }
-        core.full(false, "a checkpoint");
+        state.setDiskFull(false, "a checkpoint");
     }
 
-    private void compact(List<Long> victims, RateLimit limit) throws IOException {
+    private void compact(List<Long> victims, RateLimiter limit) throws IOException {
         Set<Long> wanted = new HashSet<>(victims);
-        Core.View seen = core.enter();
+        StoreState.View seen = state.acquireView();
         try {
             Copier copier = new Copier(limit);
             try {
-                for (Segment victim : seen.set().all()) {
+                for (Segment victim : seen.segments().all()) {
                     if (wanted.contains(victim.id())) {
-                        copier.empty(victim);
+                        copier.copyLiveEntries(victim);
                     }
                 }
                 copier.finish();
@@ -222,211 +222,211 @@
                 copier.abandon();
             }
         } finally {
-            seen.set().leave();
+            seen.segments().release();
         }
         checkpoint();
     }
 
     /** Copies what lives into new segments. */
     private final class Copier {
-        private final RateLimit limit;
-        private final ByteBuffer chunk =
-                ByteBuffer.allocate(CHUNK + Frames.HEAD + Frames.BATCH_HEAD + Frames.ALIGN);
-        private List<Moved> inChunk = new ArrayList<>();
-        private final List<Moved> moved = new ArrayList<>();
-        private Disk.File out;
-        private long id;
-        private long end;
+        private final RateLimiter rateLimiter;
+        private final ByteBuffer frameBuffer =
+                ByteBuffer.allocate(MAX_COPY_FRAME_BYTES + SegmentFormat.FRAME_HEADER_BYTES + SegmentFormat.BATCH_HEADER_BYTES + SegmentFormat.ALIGNMENT_BYTES);
+        private List<MovedEntry> bufferedEntries = new ArrayList<>();
+        private final List<MovedEntry> movedEntries = new ArrayList<>();
+        private Disk.File output;
+        private long segmentId;
+        private long endOffset;
 
-        Copier(RateLimit limit) {
-            this.limit = limit;
+        Copier(RateLimiter limit) {
+            this.rateLimiter = limit;
         }
 
-        void empty(Segment victim) throws IOException {
+        void copyLiveEntries(Segment victim) throws IOException {
             SegmentReader reader = new SegmentReader(victim);
-            for (long at = Frames.HEADER; at < victim.used(); ) {
-                SegmentReader.Found found = reader.at(at);
+            for (long at = SegmentFormat.SEGMENT_HEADER_BYTES; at < victim.usedBytes(); ) {
+                SegmentReader.Frame found = reader.frameAt(at);
                 if (found == null) {
-                    throw new StoreException.Damaged(victim.name(), at, "no sound record");
+                    throw new StoreException.Damaged(victim.fileName(), at, "no sound record");
                 }
-                if (found.head().kind() == Frames.GROUP || found.head().kind() == Frames.COPY) {
-                    reader.entries(
-                            found, (entry, batch, offset, raw) -> take(victim, entry, offset, raw));
+                if (found.header().kind() == SegmentFormat.GROUP_FRAME || found.header().kind() == SegmentFormat.COPY_FRAME) {
+                    reader.visitEntries(
+                            found, (entry, batch, offset, raw) -> copyIfLive(victim, entry, offset, raw));
                 }
-                pause(found.head().total());
-                at = found.end();
+                throttle(found.header().totalBytes());
+                at = found.endOffset();
             }
         }
 
-        private void take(Segment victim, Frames.Entry entry, long offset, ByteBuffer raw)
+        private void copyIfLive(Segment victim, SegmentFormat.Entry entry, long offset, ByteBuffer raw)
                 throws IOException {
-            long from = Index.Place.at(victim.id(), offset);
-            Index.Place place = core.view().index().find(entry.key());
-            if (entry.op() != Frames.PUT || place == null || place.at() != from) {
+            long from = Index.Location.addressOf(victim.id(), offset);
+            Index.Location place = state.view().index().find(entry.key());
+            if (entry.op() != SegmentFormat.PUT || place == null || place.address() != from) {
                 return;
             }
-            if (raw.remaining() > CHUNK) {
-                flush();
-                write(
+            if (raw.remaining() > MAX_COPY_FRAME_BYTES) {
+                flushFrame();
+                writeEntries(
                         ByteBuffer.allocate(
-                                raw.remaining() + Frames.HEAD + Frames.BATCH_HEAD + Frames.ALIGN),
+                                raw.remaining() + SegmentFormat.FRAME_HEADER_BYTES + SegmentFormat.BATCH_HEADER_BYTES + SegmentFormat.ALIGNMENT_BYTES),
                         List.of(raw),
-                        List.of(new Moved(entry.key(), from, place)));
+                        List.of(new MovedEntry(entry.key(), from, place)));
                 return;
             }
-            if (chunk.position() == 0) {
-                begin(chunk);
+            if (frameBuffer.position() == 0) {
+                beginFrame(frameBuffer);
             }
-            if (chunk.position() + raw.remaining() > CHUNK) {
-                flush();
-                begin(chunk);
+            if (frameBuffer.position() + raw.remaining() > MAX_COPY_FRAME_BYTES) {
+                flushFrame();
+                beginFrame(frameBuffer);
             }
-            inChunk.add(new Moved(entry.key(), from, place));
-            chunk.put(raw);
+            bufferedEntries.add(new MovedEntry(entry.key(), from, place));
+            frameBuffer.put(raw);
         }
 
-        private void begin(ByteBuffer into) {
+        private void beginFrame(ByteBuffer into) {
             into.clear();
-            Frames.beginFrame(into, Frames.COPY, 1, 0);
+            SegmentFormat.beginFrame(into, SegmentFormat.COPY_FRAME, 1, 0);
             into.putInt(0);
         }
 
-        private void write(ByteBuffer into, List<ByteBuffer> entries, List<Moved> of)
+        private void writeEntries(ByteBuffer into, List<ByteBuffer> entries, List<MovedEntry> of)
                 throws IOException {
-            begin(into);
+            beginFrame(into);
             entries.forEach(into::put);
-            write(into, of);
+            writeFrame(into, of);
         }
 
-        private void flush() throws IOException {
-            if (!inChunk.isEmpty()) {
-                write(chunk, inChunk);
-                inChunk = new ArrayList<>();
+        private void flushFrame() throws IOException {
+            if (!bufferedEntries.isEmpty()) {
+                writeFrame(frameBuffer, bufferedEntries);
+                bufferedEntries = new ArrayList<>();
             }
-            chunk.clear();
+            frameBuffer.clear();
         }
 
         /** Writes a frame of entries; where each of them now stands is known from here on. */
-        private void write(ByteBuffer frame, List<Moved> of) throws IOException {
-            if (out != null
-                    && end + frame.position() + Frames.ALIGN > core.options.segmentBytes()) {
+        private void writeFrame(ByteBuffer frame, List<MovedEntry> of) throws IOException {
+            if (output != null
+                    && endOffset + frame.position() + SegmentFormat.ALIGNMENT_BYTES > state.options.segmentBytes()) {
                 finishSegment();
             }
-            if (out == null) {
-                open();
+            if (output == null) {
+                openSegment();
             }
-            frame.putInt(Frames.HEAD, of.size());
-            Frames.endFrame(frame, 0, new Frames.Seed(core.manifest.store(), id), end);
+            frame.putInt(SegmentFormat.FRAME_HEADER_BYTES, of.size());
+            SegmentFormat.endFrame(frame, 0, new SegmentFormat.ChecksumSeed(state.manifest.storeId(), segmentId), endOffset);
             int bytes = frame.flip().remaining();
-            if (out.write(frame, end) < bytes) {
-                throw new IOException("short write of " + name());
+            if (output.write(frame, endOffset) < bytes) {
+                throw new IOException("short write of " + segmentFileName());
             }
-            long at = end + Frames.HEAD + Frames.BATCH_HEAD;
-            for (Moved entry : of) {
-                moved.add(
-                        new Moved(
+            long at = endOffset + SegmentFormat.FRAME_HEADER_BYTES + SegmentFormat.BATCH_HEADER_BYTES;
+            for (MovedEntry entry : of) {
+                movedEntries.add(
+                        new MovedEntry(
                                 entry.key(),
-                                entry.from(),
-                                new Index.Place(
-                                        Index.Place.at(id, at),
-                                        entry.to().version(),
-                                        entry.to().valueLength())));
-                at += Frames.ENTRY_HEAD + entry.key().length + entry.to().valueLength();
+                                entry.oldAddress(),
+                                new Index.Location(
+                                        Index.Location.addressOf(segmentId, at),
+                                        entry.newLocation().version(),
+                                        entry.newLocation().valueLength())));
+                at += SegmentFormat.ENTRY_HEADER_BYTES + entry.key().length + entry.newLocation().valueLength();
             }
-            end += bytes;
-            copied += bytes;
-            pause(bytes);
+            endOffset += bytes;
+            copiedBytes += bytes;
+            throttle(bytes);
         }
 
-        private String name() {
-            return Segment.name(id, Frames.COPY_SEGMENT);
+        private String segmentFileName() {
+            return Segment.fileName(segmentId, SegmentFormat.COPY_SEGMENT);
         }
 
-        private void open() throws IOException {
-            core.writing.lock();
-            id = core.nextId++;
-            core.writing.unlock();
-            out = core.disk.create(name());
-            end = Frames.HEADER;
+        private void openSegment() throws IOException {
+            state.writeLock.lock();
+            segmentId = state.nextFileId++;
+            state.writeLock.unlock();
+            output = state.disk.create(segmentFileName());
+            endOffset = SegmentFormat.SEGMENT_HEADER_BYTES;
         }
 
         void finish() throws IOException {
-            flush();
-            if (out != null) {
+            flushFrame();
+            if (output != null) {
                 finishSegment();
             }
         }
 
         /** Completes a segment of copies, and points the index into it. */
         private void finishSegment() throws IOException {
-            Frames.Header header =
-                    new Frames.Header(Frames.COPY_SEGMENT, core.manifest.store(), id, end, 0);
-            if (out.write(Frames.header(header), 0) < Frames.HEADER) {
-                throw new IOException("short write of " + name());
+            SegmentFormat.SegmentHeader header =
+                    new SegmentFormat.SegmentHeader(SegmentFormat.COPY_SEGMENT, state.manifest.storeId(), segmentId, endOffset, 0);
+            if (output.write(SegmentFormat.encodeHeader(header), 0) < SegmentFormat.SEGMENT_HEADER_BYTES) {
+                throw new IOException("short write of " + segmentFileName());
             }
-            out.force(); // its name becomes durable with that of the checkpoint which points
+            output.force(); // its name becomes durable with that of the checkpoint which points
             // into it
-            Segment segment = new Segment(core.disk, name(), out, header);
-            segment.used(end);
-            out = null;
-            core.writing.lock();
+            Segment segment = new Segment(state.disk, segmentFileName(), output, header);
+            segment.setUsedBytes(endOffset);
+            output = null;
+            state.writeLock.lock();
             try {
-                Core.View now = core.view();
-                core.show(new Core.View(now.index(), now.set().with(segment), now.seq()));
+                StoreState.View now = state.view();
+                state.installView(new StoreState.View(now.index(), now.segments().with(segment), now.seq()));
             } finally {
-                core.writing.unlock();
+                state.writeLock.unlock();
             }
-            for (int i = 0; i < moved.size(); i += SLICE) {
-                point(segment, moved.subList(i, Math.min(moved.size(), i + SLICE)));
+            for (int i = 0; i < movedEntries.size(); i += INDEX_UPDATES_PER_LOCK) {
+                updateIndex(segment, movedEntries.subList(i, Math.min(movedEntries.size(), i + INDEX_UPDATES_PER_LOCK)));
             }
-            moved.clear();
+            movedEntries.clear();
         }
 
         /** Points the index to the copies of what has not been written anew meanwhile. */
-        private void point(Segment to, List<Moved> entries) {
-            core.writing.lock();
+        private void updateIndex(Segment to, List<MovedEntry> entries) {
+            state.writeLock.lock();
             try {
-                Core.View now = core.view();
+                StoreState.View now = state.view();
                 Index index = now.index();
-                for (Moved entry : entries) {
-                    Index.Place place = index.find(entry.key());
-                    if (place != null && place.at() == entry.from()) {
-                        int bytes = Frames.ENTRY_HEAD + entry.key().length + place.valueLength();
-                        now.set().get(place.segment()).live(-bytes);
-                        to.live(bytes);
-                        index = index.put(entry.key(), entry.to());
+                for (MovedEntry entry : entries) {
+                    Index.Location place = index.find(entry.key());
+                    if (place != null && place.address() == entry.oldAddress()) {
+                        int bytes = SegmentFormat.ENTRY_HEADER_BYTES + entry.key().length + place.valueLength();
+                        now.segments().get(place.segmentId()).addLiveBytes(-bytes);
+                        to.addLiveBytes(bytes);
+                        index = index.put(entry.key(), entry.newLocation());
                     }
                 }
-                core.show(new Core.View(index, now.set(), now.seq()));
+                state.installView(new StoreState.View(index, now.segments(), now.seq()));
             } finally {
-                core.writing.unlock();
+                state.writeLock.unlock();
             }
         }
 
         /** Nothing points into a segment that was not completed. */
         void abandon() {
-            if (out == null) {
+            if (output == null) {
                 return;
             }
             try {
-                out.close();
+                output.close();
             } catch (IOException e) {
-                core.events.tell("store.compaction.failed", "why", e.getMessage());
+                state.events.onEvent("store.compaction.failed", "why", e.getMessage());
             }
-            dropQuietly(name());
+            deleteQuietly(segmentFileName());
         }
 
-        private void pause(long bytes) throws IOException {
-            goOn();
-            if (limit == null) {
+        private void throttle(long bytes) throws IOException {
+            checkNotClosing();
+            if (rateLimiter == null) {
                 return;
             }
-            long until = System.nanoTime() + limit.take(bytes, System.nanoTime());
+            long until = System.nanoTime() + rateLimiter.take(bytes, System.nanoTime());
             for (long left = until - System.nanoTime();
                     left > 0;
                     left = until - System.nanoTime()) {
-                goOn();
-                LockSupport.parkNanos(Math.min(left, LONGEST_PAUSE));
+                checkNotClosing();
+                LockSupport.parkNanos(Math.min(left, MAX_PAUSE_NS));
             }
         }
     }
--- a/relay/src/main/java/saltstage/store/Pending.java
+++ b/relay/src/main/java/saltstage/store/PendingBatch.java
@@ -3,18 +3,18 @@
 import java.util.concurrent.locks.LockSupport;
 
 /** A batch that waits to be durable, and the thread that waits with it. */
-final class Pending {
-    private static final int WAITS = 0;
-    private static final int LEADS = 1;
-    private static final int OVER = 2;
+final class PendingBatch {
+    private static final int WAITING = 0;
+    private static final int LEADER = 1;
+    private static final int DONE = 2;
 
     private final Batch batch;
     private final Thread thread = Thread.currentThread();
-    private volatile int state = WAITS;
+    private volatile int state = WAITING;
     private long seq;
-    private StoreException refused;
+    private StoreException failure;
 
-    Pending(Batch batch) {
+    PendingBatch(Batch batch) {
         this.batch = batch;
     }
 
@@ -22,21 +22,21 @@
         return batch;
     }
 
-    void seq(long given) {
+    void setSeq(long given) {
         seq = given;
     }
 
-    void refuse(StoreException why) {
-        refused = why;
+    void fail(StoreException why) {
+        failure = why;
     }
 
-    void promote() {
-        state = LEADS;
+    void promoteToLeader() {
+        state = LEADER;
         LockSupport.unpark(thread);
     }
 
-    void over() {
-        state = OVER;
+    void complete() {
+        state = DONE;
         LockSupport.unpark(thread);
     }
 
@@ -44,22 +44,22 @@
      * Waits to be done, or to lead: true. An interrupt is kept for later: the batch is out of our
      * hands.
      */
-    boolean awaitTurn() {
+    boolean awaitCompletionOrLeadership() {
         boolean interrupted = false;
-        while (state == WAITS) {
+        while (state == WAITING) {
             LockSupport.park(this);
             interrupted |= Thread.interrupted();
         }
         if (interrupted) {
             thread.interrupt();
         }
-        return state == LEADS;
+        return state == LEADER;
     }
 
     /** The number it was given, or why it was refused. */
     long result() throws StoreException {
-        if (refused != null) {
-            throw refused;
+        if (failure != null) {
+            throw failure;
         }
         return seq;
     }
--- a/relay/src/main/java/saltstage/store/Recovery.java
+++ b/relay/src/main/java/saltstage/store/Recovery.java
@@ -10,55 +10,55 @@
 
 /** Brings a store's state back from its files, or refuses: never a guess. */
 final class Recovery {
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE_NAME = "lock";
 
-    private final Core core;
-    private final boolean toWrite;
+    private final StoreState state;
+    private final boolean writable;
     private Manifest manifest;
     private final List<Segment> segments = new ArrayList<>();
     private Index index = Index.EMPTY;
     private long nextSeq;
 
     /** The last number that is known to have been acknowledged; -1 where nothing says so. */
-    private long acknowledged = -1;
+    private long acknowledgedSeq = -1;
 
-    Recovery(Core core, boolean toWrite) {
-        this.core = core;
-        this.toWrite = toWrite;
+    Recovery(StoreState core, boolean toWrite) {
+        this.state = core;
+        this.writable = toWrite;
     }
 
     /** Sets the core up: its view, manifest, active segment and numbers. */
     void run() throws IOException {
-        List<String> names = core.disk.list();
+        List<String> names = state.disk.list();
         if (!names.contains(Manifest.NAME)) {
-            if (!toWrite) {
+            if (!writable) {
                 throw new StoreException("there is no store");
             }
-            refuseUnlessNew(names);
-            create();
-            names = core.disk.list();
+            checkNoExistingStore(names);
+            createStore();
+            names = state.disk.list();
         }
         try {
             // A writer goes on beside a reader: what was acknowledged is read before what must hold
             // it.
-            manifest = Manifest.read(core.disk);
-            readAcknowledged(names);
-            manifest = Manifest.read(core.disk);
-            openParts(names);
-            List<String> leftovers = toWrite ? leftovers(names) : List.of();
+            manifest = Manifest.read(state.disk);
+            readAcknowledgedSeq(names);
+            manifest = Manifest.read(state.disk);
+            openSegments(names);
+            List<String> leftovers = writable ? findLeftovers(names) : List.of();
             index =
                     manifest.checkpoint().id() == 0
                             ? Index.EMPTY
-                            : Checkpoint.read(core.disk, manifest.store(), manifest.checkpoint());
+                            : Checkpoint.read(state.disk, manifest.storeId(), manifest.checkpoint());
             nextSeq = manifest.checkpoint().seq() + 1;
             replay();
             for (String name : leftovers) { // only once all else has turned out sound
-                core.disk.delete(name);
+                state.disk.delete(name);
             }
-            finish();
+            installState();
         } catch (IOException | RuntimeException e) {
-            if (core.acknowledged != null) {
-                core.acknowledged.close();
+            if (state.acknowledgedSeqFile != null) {
+                state.acknowledgedSeqFile.close();
             }
             for (Segment segment : segments) {
                 segment.file().close();
@@ -68,18 +68,18 @@
     }
 
     /** A store of format 1 has no such file until it is opened to write for the first time. */
-    private void readAcknowledged(List<String> names) throws IOException {
-        if (names.contains(Acknowledged.NAME)) {
-            acknowledged = Acknowledged.read(core.disk, manifest.store());
-        } else if (manifest.format() > 1) {
-            throw new StoreException.Damaged(Acknowledged.NAME, 0, "the file is missing");
+    private void readAcknowledgedSeq(List<String> names) throws IOException {
+        if (names.contains(AcknowledgedSeqFile.NAME)) {
+            acknowledgedSeq = AcknowledgedSeqFile.read(state.disk, manifest.storeId());
+        } else if (manifest.formatVersion() > 1) {
+            throw new StoreException.Damaged(AcknowledgedSeqFile.NAME, 0, "the file is missing");
         }
     }
 
     /** Without a manifest only what the making of a new store may have left behind is no store. */
-    private void refuseUnlessNew(List<String> names) throws IOException {
-        if (names.contains(Acknowledged.NAME)) {
-            refuseUnlessNothing();
+    private void checkNoExistingStore(List<String> names) throws IOException {
+        if (names.contains(AcknowledgedSeqFile.NAME)) {
+            checkNothingAcknowledged();
         }
         for (String name : names) {
             if (name.endsWith(".index") || name.endsWith(".copy")) {
@@ -87,76 +87,76 @@
                         Manifest.NAME, 0, "the file is missing, but " + name + " is there");
             }
             if (name.endsWith(".log")) {
-                try (Disk.File file = core.disk.open(name, false)) {
-                    Frames.Header header = readHeader(name, file);
-                    Segment segment = new Segment(core.disk, name, file, header);
-                    if (new SegmentReader(segment).at(Frames.HEADER) != null
+                try (Disk.File file = state.disk.open(name, false)) {
+                    SegmentFormat.SegmentHeader header = readHeader(name, file);
+                    Segment segment = new Segment(state.disk, name, file, header);
+                    if (new SegmentReader(segment).frameAt(SegmentFormat.SEGMENT_HEADER_BYTES) != null
                             || header.baseSeq() != 1
                             || !new SegmentReader(segment)
-                                    .tail(Frames.HEADER, 1)
-                                    .evidence()
-                                    .restIsZero()) {
+                                    .scanTail(SegmentFormat.SEGMENT_HEADER_BYTES, 1)
+                                    .findings()
+                                    .isRestZero()) {
                         throw new StoreException.Damaged(
                                 Manifest.NAME,
                                 0,
                                 "the file is missing, but " + name + " holds records");
                     }
                 }
-                core.disk.delete(name);
+                state.disk.delete(name);
             }
         }
     }
 
     /** A making that was cut off has acknowledged nothing. */
-    private void refuseUnlessNothing() throws IOException {
-        try (Disk.File file = core.disk.open(Acknowledged.NAME, false)) {
-            long said = Acknowledged.saidByAny(file);
+    private void checkNothingAcknowledged() throws IOException {
+        try (Disk.File file = state.disk.open(AcknowledgedSeqFile.NAME, false)) {
+            long said = AcknowledgedSeqFile.readOfAnyStore(file);
             if (said > 0) {
                 throw new StoreException.Damaged(
                         Manifest.NAME,
                         0,
                         "the file is missing, but "
-                                + Acknowledged.NAME
+                                + AcknowledgedSeqFile.NAME
                                 + " says that record "
                                 + said
                                 + " was acknowledged");
             }
         }
-        core.disk.delete(Acknowledged.NAME);
+        state.disk.delete(AcknowledgedSeqFile.NAME);
     }
 
-    private void create() throws IOException {
+    private void createStore() throws IOException {
         // two stores must never take each other's files for their own
         SecureRandom random = new SecureRandom();
-        Frames.StoreId id = new Frames.StoreId(random.nextLong(), random.nextLong());
-        Acknowledged.create(core.disk, id, 0).close();
-        core.manifest =
-                new Manifest(Manifest.FORMAT, id, 0, 1, Manifest.CheckpointRef.NONE, List.of());
-        core.nextId = 1;
-        core.nextSeq = 1;
-        core.show(new Core.View(Index.EMPTY, new SegmentSet(List.of()), 0));
-        for (String name : core.disk.list()) {
+        SegmentFormat.StoreId id = new SegmentFormat.StoreId(random.nextLong(), random.nextLong());
+        AcknowledgedSeqFile.create(state.disk, id, 0).close();
+        state.manifest =
+                new Manifest(Manifest.FORMAT_VERSION, id, 0, 1, Manifest.CheckpointRef.NONE, List.of());
+        state.nextFileId = 1;
+        state.nextSeq = 1;
+        state.installView(new StoreState.View(Index.EMPTY, new SegmentSet(List.of()), 0));
+        for (String name : state.disk.list()) {
             if (name.endsWith(".tmp")) {
-                core.disk.delete(name);
+                state.disk.delete(name);
             }
         }
-        new LogWriter(core).roll(Frames.HEAD);
-        core.show(null);
-        core.active = null;
+        new LogWriter(state).roll(SegmentFormat.FRAME_HEADER_BYTES);
+        state.installView(null);
+        state.activeSegment = null;
     }
 
-    private void openParts(List<String> names) throws IOException {
-        for (Manifest.Part part : manifest.parts()) {
-            if (!names.contains(part.name())) {
-                throw new StoreException.Damaged(part.name(), 0, "the file is missing");
+    private void openSegments(List<String> names) throws IOException {
+        for (Manifest.SegmentRef part : manifest.segments()) {
+            if (!names.contains(part.fileName())) {
+                throw new StoreException.Damaged(part.fileName(), 0, "the file is missing");
             }
-            Disk.File file = core.disk.open(part.name(), toWrite);
+            Disk.File file = state.disk.open(part.fileName(), writable);
             Segment segment = null;
             try {
-                Frames.Header header = readHeader(part.name(), file);
-                check(part, header, file.size());
-                segment = new Segment(core.disk, part.name(), file, header);
-                segment.used(part.sealed() ? part.used() : Frames.HEADER);
+                SegmentFormat.SegmentHeader header = readHeader(part.fileName(), file);
+                checkMatchesManifest(part, header, file.size());
+                segment = new Segment(state.disk, part.fileName(), file, header);
+                segment.setUsedBytes(part.sealed() ? part.usedBytes() : SegmentFormat.SEGMENT_HEADER_BYTES);
                 segments.add(segment);
             } finally {
                 if (segment == null) {
@@ -164,35 +164,35 @@
                 }
             }
         }
-        if (manifest.checkpoint().id() != 0 && !names.contains(manifest.checkpoint().name())) {
+        if (manifest.checkpoint().id() != 0 && !names.contains(manifest.checkpoint().fileName())) {
             throw new StoreException.Damaged(
-                    manifest.checkpoint().name(), 0, "the file is missing");
+                    manifest.checkpoint().fileName(), 0, "the file is missing");
         }
-        if (manifest.parts().stream().filter(part -> !part.sealed()).count() != 1) {
+        if (manifest.segments().stream().filter(part -> !part.sealed()).count() != 1) {
             throw new StoreException.Damaged(Manifest.NAME, 0, "not one segment is open");
         }
     }
 
-    private static Frames.Header readHeader(String name, Disk.File file) throws IOException {
-        ByteBuffer in = ByteBuffer.allocate(Frames.HEADER);
+    private static SegmentFormat.SegmentHeader readHeader(String name, Disk.File file) throws IOException {
+        ByteBuffer in = ByteBuffer.allocate(SegmentFormat.SEGMENT_HEADER_BYTES);
         file.read(in, 0);
-        return Frames.header(name, in.flip());
+        return SegmentFormat.decodeHeader(name, in.flip());
     }
 
-    private void check(Manifest.Part part, Frames.Header header, long size) throws StoreException {
-        if (!header.store().equals(manifest.store())) {
+    private void checkMatchesManifest(Manifest.SegmentRef part, SegmentFormat.SegmentHeader header, long size) throws StoreException {
+        if (!header.storeId().equals(manifest.storeId())) {
             throw new StoreException.Damaged(
-                    part.name(), 16, "the segment belongs to another store");
+                    part.fileName(), 16, "the segment belongs to another store");
         }
         if (header.id() != part.id()
                 || header.kind() != part.kind()
                 || header.size() != part.size()
                 || header.baseSeq() != part.baseSeq()) {
-            throw new StoreException.Damaged(part.name(), 32, "not the segment of the manifest");
+            throw new StoreException.Damaged(part.fileName(), 32, "not the segment of the manifest");
         }
         if (size != part.size()) {
             throw new StoreException.Damaged(
-                    part.name(),
+                    part.fileName(),
                     Math.min(size, part.size()),
                     "the file is " + size + " bytes long; " + part.size() + " were taken for it");
         }
@@ -201,21 +201,21 @@
     /**
      * What an unfinished or finished step left; what could hold acknowledged records is refused.
      */
-    private List<String> leftovers(List<String> names) throws IOException {
-        Set<String> known = new HashSet<>(List.of(Manifest.NAME, Acknowledged.NAME, LOCK));
+    private List<String> findLeftovers(List<String> names) throws IOException {
+        Set<String> known = new HashSet<>(List.of(Manifest.NAME, AcknowledgedSeqFile.NAME, LOCK_FILE_NAME));
         List<String> left = new ArrayList<>();
-        manifest.parts().forEach(part -> known.add(part.name()));
-        known.add(manifest.checkpoint().name());
+        manifest.segments().forEach(part -> known.add(part.fileName()));
+        known.add(manifest.checkpoint().fileName());
         for (String name : names) {
             if (known.contains(name)) {
                 continue;
             }
             if (name.matches("[0-9a-f]{16}\\.(log|copy)")) {
-                refuseUnlessLeft(name);
+                checkIsLeftover(name);
             }
             if (name.matches("[0-9a-f]{16}\\.(log|copy|index|tmp)")
-                    || name.equals(Manifest.NEXT)
-                    || name.equals(Acknowledged.NEXT)) {
+                    || name.equals(Manifest.TEMPORARY_NAME)
+                    || name.equals(AcknowledgedSeqFile.TEMPORARY_NAME)) {
                 left.add(name);
             }
         }
@@ -226,12 +226,12 @@
      * A log segment that the manifest does not know yet is empty; else the manifest is older than
      * the log.
      */
-    private void refuseUnlessLeft(String name) throws IOException {
+    private void checkIsLeftover(String name) throws IOException {
         boolean newer =
                 name.endsWith(".log")
-                        && Long.parseUnsignedLong(name.substring(0, 16), 16) >= manifest.nextId();
-        try (Disk.File file = core.disk.open(name, false)) {
-            Frames.Header header;
+                        && Long.parseUnsignedLong(name.substring(0, 16), 16) >= manifest.nextFileId();
+        try (Disk.File file = state.disk.open(name, false)) {
+            SegmentFormat.SegmentHeader header;
             try {
                 header = readHeader(name, file);
             } catch (StoreException.Damaged unreadable) {
@@ -240,33 +240,33 @@
                 }
                 return; // a file that nothing points to
             }
-            if (!header.store().equals(manifest.store())) {
+            if (!header.storeId().equals(manifest.storeId())) {
                 throw new StoreException.Damaged(name, 16, "the segment belongs to another store");
             }
             if (newer
-                    && new SegmentReader(new Segment(core.disk, name, file, header))
-                                    .at(Frames.HEADER)
+                    && new SegmentReader(new Segment(state.disk, name, file, header))
+                                    .frameAt(SegmentFormat.SEGMENT_HEADER_BYTES)
                             != null) {
                 throw new StoreException.Damaged(
                         name,
-                        Frames.HEADER,
+                        SegmentFormat.SEGMENT_HEADER_BYTES,
                         "the segment has records, but the manifest does not know it");
             }
         }
     }
 
     private void replay() throws IOException {
-        long from = manifest.checkpoint().replayFrom();
+        long from = manifest.checkpoint().replaySegmentId();
         for (int i = 0; i < segments.size(); i++) {
             Segment segment = segments.get(i);
-            Manifest.Part part = manifest.parts().get(i);
-            if (part.kind() != Frames.LOG_SEGMENT || part.id() < from) {
+            Manifest.SegmentRef part = manifest.segments().get(i);
+            if (part.kind() != SegmentFormat.LOG_SEGMENT || part.id() < from) {
                 continue;
             }
-            long start = part.id() == from ? manifest.checkpoint().replayOffset() : Frames.HEADER;
+            long start = part.id() == from ? manifest.checkpoint().replayOffset() : SegmentFormat.SEGMENT_HEADER_BYTES;
             if (part.id() != from && part.baseSeq() != nextSeq) {
                 throw new StoreException.Damaged(
-                        part.name(),
+                        part.fileName(),
                         48,
                         "begins with record " + part.baseSeq() + "; " + nextSeq + " was to come");
             }
@@ -278,41 +278,41 @@
         }
     }
 
-    private void replaySealed(Segment segment, Manifest.Part part, long start) throws IOException {
+    private void replaySealed(Segment segment, Manifest.SegmentRef part, long start) throws IOException {
         SegmentReader reader = new SegmentReader(segment);
         long at = start;
-        while (at < part.used()) {
-            SegmentReader.Found found = next(reader, at);
+        while (at < part.usedBytes()) {
+            SegmentReader.Frame found = applyNextGroup(reader, at);
             if (found == null) {
-                throw new StoreException.Damaged(part.name(), at, "no sound record");
+                throw new StoreException.Damaged(part.fileName(), at, "no sound record");
             }
-            at = found.end();
+            at = found.endOffset();
         }
-        if (at != part.used() || nextSeq != part.lastSeq() + 1) {
+        if (at != part.usedBytes() || nextSeq != part.lastSeq() + 1) {
             throw new StoreException.Damaged(
-                    part.name(),
+                    part.fileName(),
                     at,
                     "ends with record " + (nextSeq - 1) + "; " + part.lastSeq() + " was sealed");
         }
     }
 
     /** Reads and applies the group that must come next; null where there is no sound one. */
-    private SegmentReader.Found next(SegmentReader reader, long at) throws IOException {
-        SegmentReader.Found found = reader.at(at);
+    private SegmentReader.Frame applyNextGroup(SegmentReader reader, long at) throws IOException {
+        SegmentReader.Frame found = reader.frameAt(at);
         if (found == null
-                || found.head().kind() != Frames.GROUP
-                || found.head().firstSeq() != nextSeq
-                || found.head().count() < 1) {
+                || found.header().kind() != SegmentFormat.GROUP_FRAME
+                || found.header().firstSeq() != nextSeq
+                || found.header().batchCount() < 1) {
             return null;
         }
-        apply(reader, found.payload().duplicate(), found.head(), at + Frames.HEAD);
+        applyEntries(reader, found.payload().duplicate(), found.header(), at + SegmentFormat.FRAME_HEADER_BYTES);
         return found;
     }
 
-    private void apply(SegmentReader reader, ByteBuffer payload, Frames.Head head, long offset)
+    private void applyEntries(SegmentReader reader, ByteBuffer payload, SegmentFormat.FrameHeader head, long offset)
             throws IOException {
         long segment = reader.segmentId();
-        reader.entries(
+        reader.visitEntries(
                 payload,
                 head,
                 offset,
@@ -320,7 +320,7 @@
                     long seq = head.firstSeq() + batch;
                     if (entry.version() != seq) {
                         throw new StoreException.Damaged(
-                                reader.name(),
+                                reader.fileName(),
                                 at,
                                 "the entry is of record "
                                         + entry.version()
@@ -328,174 +328,174 @@
                                         + seq);
                     }
                     index =
-                            entry.op() == Frames.DELETE
+                            entry.op() == SegmentFormat.DELETE
                                     ? index.delete(entry.key())
                                     : index.put(
                                             entry.key(),
-                                            new Index.Place(
-                                                    Index.Place.at(segment, at),
+                                            new Index.Location(
+                                                    Index.Location.addressOf(segment, at),
                                                     seq,
                                                     entry.valueLength()));
                 });
-        nextSeq += head.count();
+        nextSeq += head.batchCount();
     }
 
     private void replayActive(Segment segment, long start) throws IOException {
         long at = start;
         SegmentReader reader = new SegmentReader(segment);
-        SegmentReader.Found last = null;
+        SegmentReader.Frame last = null;
         long restored = -1;
         while (true) {
-            SegmentReader.Found found = next(reader, at);
+            SegmentReader.Frame found = applyNextGroup(reader, at);
             if (found != null) {
                 last = found;
-                at = found.end();
+                at = found.endOffset();
                 continue;
             }
-            SegmentReader.Tail tail = reader.tail(at, nextSeq);
-            TailJudge.Verdict verdict = TailJudge.judge(tail.evidence(), acknowledged >= nextSeq);
-            if (verdict == TailJudge.Verdict.REFUSE
-                    || verdict == TailJudge.Verdict.RESTORE && restored == at) {
+            SegmentReader.TailScan tail = reader.scanTail(at, nextSeq);
+            TailClassifier.TailState verdict = TailClassifier.classify(tail.findings(), acknowledgedSeq >= nextSeq);
+            if (verdict == TailClassifier.TailState.DAMAGED
+                    || verdict == TailClassifier.TailState.RESTORABLE && restored == at) {
                 throw new StoreException.Damaged(
-                        segment.name(),
+                        segment.fileName(),
                         at,
                         "record " + nextSeq + " was acknowledged and cannot be read");
             }
-            if (verdict != TailJudge.Verdict.RESTORE) {
-                settle(segment, last, at, tail, verdict);
+            if (verdict != TailClassifier.TailState.RESTORABLE) {
+                repairTail(segment, last, at, tail, verdict);
                 break;
             }
-            core.events.tell(
-                    "store.restored", "file", segment.name(), "offset", at, "record", nextSeq);
+            state.events.onEvent(
+                    "store.restored", "file", segment.fileName(), "offset", at, "record", nextSeq);
             restored = at; // a disk that does not take it is not asked for ever
-            at = restore(segment, reader, tail.mirror(), at);
+            at = restoreFromMirror(segment, reader, tail.mirror(), at);
             reader = new SegmentReader(segment);
-            if (!toWrite) {
+            if (!writable) {
                 break;
             }
         }
-        segment.used(at);
+        segment.setUsedBytes(at);
     }
 
     /**
      * Puts a damaged group back from its mirror; where nothing may be written it is read from
      * there.
      */
-    private long restore(Segment segment, SegmentReader reader, SegmentReader.Found mirror, long at)
+    private long restoreFromMirror(Segment segment, SegmentReader reader, SegmentReader.Frame mirror, long at)
             throws IOException {
-        ByteBuffer copy = mirror.payload().duplicate().position(Frames.MIRROR_HEAD).slice();
-        Frames.Head head = Frames.frame(copy.duplicate(), segment.seed(), at);
-        if (head == null || head.kind() != Frames.GROUP || head.firstSeq() != nextSeq) {
+        ByteBuffer copy = mirror.payload().duplicate().position(SegmentFormat.MIRROR_HEADER_BYTES).slice();
+        SegmentFormat.FrameHeader head = SegmentFormat.decodeFrame(copy.duplicate(), segment.checksumSeed(), at);
+        if (head == null || head.kind() != SegmentFormat.GROUP_FRAME || head.firstSeq() != nextSeq) {
             throw new StoreException.Damaged(
-                    segment.name(), mirror.offset(), "the mirror holds another record");
+                    segment.fileName(), mirror.offset(), "the mirror holds another record");
         }
-        if (toWrite) {
+        if (writable) {
             ByteBuffer out = copy.duplicate();
             int whole = out.remaining();
             if (segment.file().write(out, at) < whole) {
-                throw new IOException("short write to " + segment.name());
+                throw new IOException("short write to " + segment.fileName());
             }
             segment.file().force();
             return at;
         }
-        apply(
+        applyEntries(
                 reader,
-                copy.position(Frames.HEAD).limit(Frames.HEAD + head.length()).slice(),
+                copy.position(SegmentFormat.FRAME_HEADER_BYTES).limit(SegmentFormat.FRAME_HEADER_BYTES + head.payloadLength()).slice(),
                 head,
-                mirror.offset() + Frames.HEAD + Frames.MIRROR_HEAD + Frames.HEAD);
-        return at + head.total();
+                mirror.offset() + SegmentFormat.FRAME_HEADER_BYTES + SegmentFormat.MIRROR_HEADER_BYTES + SegmentFormat.FRAME_HEADER_BYTES);
+        return at + head.totalBytes();
     }
 
     /**
      * Clears what a cut-off write left, and puts the mirror or mark of the last group back behind
      * it.
      */
-    private void settle(
+    private void repairTail(
             Segment segment,
-            SegmentReader.Found last,
+            SegmentReader.Frame last,
             long at,
-            SegmentReader.Tail tail,
-            TailJudge.Verdict verdict)
+            SegmentReader.TailScan tail,
+            TailClassifier.TailState verdict)
             throws IOException {
-        if (verdict == TailJudge.Verdict.TORN) {
-            core.events.tell(
+        if (verdict == TailClassifier.TailState.TORN) {
+            state.events.onEvent(
                     "store.torn",
                     "file",
-                    segment.name(),
+                    segment.fileName(),
                     "offset",
                     at,
                     "length",
-                    tail.nonZero() - at);
+                    tail.nonZeroEnd() - at);
         }
-        if (!toWrite || tail.evidence().mirrorOrMarkOfLast() || last == null) {
-            if (toWrite && verdict == TailJudge.Verdict.TORN) {
-                clear(segment, at, tail.nonZero());
+        if (!writable || tail.findings().hasTrailerOfPrevious() || last == null) {
+            if (writable && verdict == TailClassifier.TailState.TORN) {
+                zeroRange(segment, at, tail.nonZeroEnd());
             }
             return;
         }
-        clear(segment, at, tail.nonZero());
+        zeroRange(segment, at, tail.nonZeroEnd());
         ByteBuffer out =
-                ByteBuffer.allocate(last.head().total() + Frames.behind(last.head().total()));
-        out.limit(last.head().total());
+                ByteBuffer.allocate(last.header().totalBytes() + SegmentFormat.trailerBytes(last.header().totalBytes()));
+        out.limit(last.header().totalBytes());
         segment.file().read(out, last.offset());
-        out.limit(out.capacity()).position(last.head().total());
-        if (last.head().total() <= Frames.MOST_MIRRORED) {
-            Frames.mirror(out, 0, last.head(), segment.seed(), last.offset());
+        out.limit(out.capacity()).position(last.header().totalBytes());
+        if (last.header().totalBytes() <= SegmentFormat.MAX_MIRRORED_BYTES) {
+            SegmentFormat.encodeMirror(out, 0, last.header(), segment.checksumSeed(), last.offset());
         } else {
-            Frames.mark(out, last.head(), segment.seed(), last.offset());
+            SegmentFormat.encodeCommitMarker(out, last.header(), segment.checksumSeed(), last.offset());
         }
-        writeAll(segment, out.flip().position(last.head().total()), at);
+        writeFully(segment, out.flip().position(last.header().totalBytes()), at);
         segment.file().force();
     }
 
-    private static void clear(Segment segment, long from, long to) throws IOException {
-        writeAll(segment, ByteBuffer.allocate((int) (to - from)), from);
+    private static void zeroRange(Segment segment, long from, long to) throws IOException {
+        writeFully(segment, ByteBuffer.allocate((int) (to - from)), from);
         segment.file().force();
     }
 
-    private static void writeAll(Segment segment, ByteBuffer out, long at) throws IOException {
+    private static void writeFully(Segment segment, ByteBuffer out, long at) throws IOException {
         int whole = out.remaining();
         if (segment.file().write(out, at) < whole) {
-            throw new IOException("short write to " + segment.name());
+            throw new IOException("short write to " + segment.fileName());
         }
     }
 
-    private void finish() throws IOException {
+    private void installState() throws IOException {
         SegmentSet set = new SegmentSet(segments);
         for (Index.Cursor cursor = index.cursor(null); cursor.advance(); ) {
-            Index.Place place = cursor.place();
-            Segment segment = set.get(place.segment());
+            Index.Location place = cursor.location();
+            Segment segment = set.get(place.segmentId());
             if (segment == null) {
                 throw new StoreException.Damaged(
-                        manifest.checkpoint().name(),
+                        manifest.checkpoint().fileName(),
                         0,
                         "an entry points to a segment that is not there");
             }
-            segment.live(Frames.ENTRY_HEAD + cursor.key().length + place.valueLength());
+            segment.addLiveBytes(SegmentFormat.ENTRY_HEADER_BYTES + cursor.key().length + place.valueLength());
         }
-        if (toWrite && acknowledged < 0) {
-            core.acknowledged = Acknowledged.create(core.disk, manifest.store(), nextSeq - 1);
-            core.disk.syncDirectory();
-        } else if (toWrite) {
-            core.acknowledged = Acknowledged.open(core.disk, manifest.store(), nextSeq - 1);
+        if (writable && acknowledgedSeq < 0) {
+            state.acknowledgedSeqFile = AcknowledgedSeqFile.create(state.disk, manifest.storeId(), nextSeq - 1);
+            state.disk.syncDirectory();
+        } else if (writable) {
+            state.acknowledgedSeqFile = AcknowledgedSeqFile.open(state.disk, manifest.storeId(), nextSeq - 1);
         }
-        core.manifest = manifest;
-        core.nextId = manifest.nextId();
-        core.nextSeq = nextSeq;
+        state.manifest = manifest;
+        state.nextFileId = manifest.nextFileId();
+        state.nextSeq = nextSeq;
         for (int i = 0; i < segments.size(); i++) {
             Segment segment = segments.get(i);
-            if (!manifest.parts().get(i).sealed()) {
-                core.active = segment;
+            if (!manifest.segments().get(i).sealed()) {
+                state.activeSegment = segment;
             }
-            if (segment.header().kind() == Frames.LOG_SEGMENT
-                    && segment.id() >= manifest.checkpoint().replayFrom()) {
-                core.logSince +=
-                        segment.used()
-                                - (segment.id() == manifest.checkpoint().replayFrom()
+            if (segment.header().kind() == SegmentFormat.LOG_SEGMENT
+                    && segment.id() >= manifest.checkpoint().replaySegmentId()) {
+                state.logBytesSinceCheckpoint +=
+                        segment.usedBytes()
+                                - (segment.id() == manifest.checkpoint().replaySegmentId()
                                         ? manifest.checkpoint().replayOffset()
-                                        : Frames.HEADER);
+                                        : SegmentFormat.SEGMENT_HEADER_BYTES);
             }
         }
-        core.show(new Core.View(index, set, nextSeq - 1));
+        state.installView(new StoreState.View(index, set, nextSeq - 1));
     }
 }
--- a/relay/src/main/java/saltstage/store/Segment.java
+++ b/relay/src/main/java/saltstage/store/Segment.java
@@ -6,107 +6,107 @@
 
 /** One segment file that is open, with how much of it is used and how much of that is live. */
 final class Segment {
-    static final long MOST_SIZE = 1L << 31;
+    static final long MAX_SEGMENT_BYTES = 1L << 31;
 
     private final Disk disk;
-    private final String name;
+    private final String fileName;
     private final Disk.File file;
-    private final Frames.Header header;
-    private final Frames.Seed seed;
-    private final AtomicInteger holders = new AtomicInteger();
-    private volatile boolean doomed;
+    private final SegmentFormat.SegmentHeader header;
+    private final SegmentFormat.ChecksumSeed checksumSeed;
+    private final AtomicInteger references = new AtomicInteger();
+    private volatile boolean deleteOnRelease;
 
     /**
      * The end of the last frame, and the bytes of entries that the index points to; under the write
      * lock.
      */
-    private long used = Frames.HEADER;
+    private long usedBytes = SegmentFormat.SEGMENT_HEADER_BYTES;
 
-    private long live;
+    private long liveBytes;
 
-    Segment(Disk disk, String name, Disk.File file, Frames.Header header) {
+    Segment(Disk disk, String name, Disk.File file, SegmentFormat.SegmentHeader header) {
         this.disk = disk;
-        this.name = name;
+        this.fileName = name;
         this.file = file;
         this.header = header;
-        seed = new Frames.Seed(header.store(), header.id());
+        checksumSeed = new SegmentFormat.ChecksumSeed(header.storeId(), header.id());
     }
 
-    static String name(long id, byte kind) {
-        return String.format("%016x.%s", id, kind == Frames.LOG_SEGMENT ? "log" : "copy");
+    static String fileName(long id, byte kind) {
+        return String.format("%016x.%s", id, kind == SegmentFormat.LOG_SEGMENT ? "log" : "copy");
     }
 
-    String name() {
-        return name;
+    String fileName() {
+        return fileName;
     }
 
     Disk.File file() {
         return file;
     }
 
-    Frames.Header header() {
+    SegmentFormat.SegmentHeader header() {
         return header;
     }
 
-    Frames.Seed seed() {
-        return seed;
+    SegmentFormat.ChecksumSeed checksumSeed() {
+        return checksumSeed;
     }
 
     long id() {
         return header.id();
     }
 
-    long used() {
-        return used;
+    long usedBytes() {
+        return usedBytes;
     }
 
-    void used(long to) {
-        used = to;
+    void setUsedBytes(long to) {
+        usedBytes = to;
     }
 
-    long live() {
-        return live;
+    long liveBytes() {
+        return liveBytes;
     }
 
-    void live(long by) {
-        live += by;
+    void addLiveBytes(long by) {
+        liveBytes += by;
     }
 
-    boolean fits(int groupTotal) {
-        return used + Frames.room(groupTotal) <= header.size();
+    boolean hasRoomFor(int groupTotal) {
+        return usedBytes + SegmentFormat.reservedBytes(groupTotal) <= header.size();
     }
 
     /** Reads the value of an entry that must stand here; whatever else stands here is damage. */
-    byte[] value(long offset, byte[] key, Index.Place place) throws IOException {
-        int bytes = Frames.ENTRY_HEAD + key.length + place.valueLength();
+    byte[] readValue(long offset, byte[] key, Index.Location place) throws IOException {
+        int bytes = SegmentFormat.ENTRY_HEADER_BYTES + key.length + place.valueLength();
         ByteBuffer in = ByteBuffer.allocate(bytes);
         if (file.read(in, offset) < bytes) {
-            throw new StoreException.Damaged(name, offset, "the file ends in an entry");
+            throw new StoreException.Damaged(fileName, offset, "the file ends in an entry");
         }
-        Frames.Entry entry = Frames.entry(in.flip());
+        SegmentFormat.Entry entry = SegmentFormat.decodeEntry(in.flip());
         if (entry == null
-                || entry.op() != Frames.PUT
+                || entry.op() != SegmentFormat.PUT
                 || entry.version() != place.version()
                 || !java.util.Arrays.equals(entry.key(), key)) {
             throw new StoreException.Damaged(
-                    name, offset, "no sound entry where the index has one");
+                    fileName, offset, "no sound entry where the index has one");
         }
         return java.util.Arrays.copyOfRange(in.array(), bytes - entry.valueLength(), bytes);
     }
 
-    void hold() {
-        holders.incrementAndGet();
+    void acquire() {
+        references.incrementAndGet();
     }
 
     /** The last who lets go closes the file, and deletes it where it is doomed. */
-    void letGo() {
-        if (holders.decrementAndGet() > 0) {
+    void release() {
+        if (references.decrementAndGet() > 0) {
             return;
         }
         try {
             file.close();
-            if (doomed) {
-                disk.delete(name);
+            if (deleteOnRelease) {
+                disk.delete(fileName);
             }
         } catch (IOException left) { // a file that is in no manifest is deleted at the next opening
             return;
@@ -114,7 +114,7 @@
     }
 
     /** It is in no manifest any more: its file goes when the last reader does. */
-    void doom() {
-        doomed = true;
+    void markForDeletion() {
+        deleteOnRelease = true;
     }
 }
--- a/relay/src/main/java/saltstage/store/SegmentReader.java
+++ b/relay/src/main/java/saltstage/store/SegmentReader.java
@@ -8,25 +8,25 @@
  * guess.
  */
 final class SegmentReader {
-    private static final int WINDOW = 1 << 20;
+    private static final int READ_BUFFER_BYTES = 1 << 20;
 
     /** A frame with the buffer positioned at its payload and limited to it. */
-    record Found(Frames.Head head, long offset, ByteBuffer payload) {
-        long end() {
-            return offset + head.total();
+    record Frame(SegmentFormat.FrameHeader header, long offset, ByteBuffer payload) {
+        long endOffset() {
+            return offset + header.totalBytes();
         }
     }
 
     /** Is given each entry of a frame. */
-    interface Visitor {
+    interface EntryVisitor {
         /** An entry, the number of the batch within its group, its offset, and its bytes. */
-        void entry(Frames.Entry entry, int batch, long offset, ByteBuffer raw) throws IOException;
+        void visit(SegmentFormat.Entry entry, int batch, long offset, ByteBuffer raw) throws IOException;
     }
 
     private final Segment segment;
     private final long size;
-    private ByteBuffer window = ByteBuffer.allocate(0);
-    private long windowStart;
+    private ByteBuffer buffer = ByteBuffer.allocate(0);
+    private long bufferStart;
 
     SegmentReader(Segment segment) throws IOException {
         this.segment = segment;
@@ -37,73 +37,73 @@
         return segment.id();
     }
 
-    String name() {
-        return segment.name();
+    String fileName() {
+        return segment.fileName();
     }
 
     /** The sound frame at this offset, or null. */
-    Found at(long offset) throws IOException {
-        if (offset + Frames.HEAD > size || !load(offset, Frames.HEAD)) {
+    Frame frameAt(long offset) throws IOException {
+        if (offset + SegmentFormat.FRAME_HEADER_BYTES > size || !ensureBuffered(offset, SegmentFormat.FRAME_HEADER_BYTES)) {
             return null;
         }
-        int length = window.getInt((int) (offset - windowStart) + 8);
+        int length = buffer.getInt((int) (offset - bufferStart) + 8);
         if (length < 0
-                || offset + Frames.HEAD + (long) length > size
-                || !load(offset, Frames.HEAD + length)) {
+                || offset + SegmentFormat.FRAME_HEADER_BYTES + (long) length > size
+                || !ensureBuffered(offset, SegmentFormat.FRAME_HEADER_BYTES + length)) {
             return null;
         }
-        ByteBuffer frame = window.duplicate();
-        frame.position((int) (offset - windowStart));
-        Frames.Head head = Frames.frame(frame, segment.seed(), offset);
+        ByteBuffer frame = buffer.duplicate();
+        frame.position((int) (offset - bufferStart));
+        SegmentFormat.FrameHeader head = SegmentFormat.decodeFrame(frame, segment.checksumSeed(), offset);
         if (head == null) {
             return null;
         }
-        int payload = frame.position() + Frames.HEAD;
-        return new Found(
-                head, offset, frame.limit(payload + head.length()).position(payload).slice());
+        int payload = frame.position() + SegmentFormat.FRAME_HEADER_BYTES;
+        return new Frame(
+                head, offset, frame.limit(payload + head.payloadLength()).position(payload).slice());
     }
 
-    private boolean load(long offset, int bytes) throws IOException {
-        if (offset >= windowStart && offset + bytes <= windowStart + window.limit()) {
+    private boolean ensureBuffered(long offset, int bytes) throws IOException {
+        if (offset >= bufferStart && offset + bytes <= bufferStart + buffer.limit()) {
             return true;
         }
-        int want = (int) Math.min(size - offset, Math.max(bytes, WINDOW));
-        window = ByteBuffer.allocate(want);
-        windowStart = offset;
-        segment.file().read(window, offset);
-        window.flip();
-        return window.limit() >= bytes;
+        int want = (int) Math.min(size - offset, Math.max(bytes, READ_BUFFER_BYTES));
+        buffer = ByteBuffer.allocate(want);
+        bufferStart = offset;
+        segment.file().read(buffer, offset);
+        buffer.flip();
+        return buffer.limit() >= bytes;
     }
 
     /** Visits the entries of a group or copy in order. */
-    void entries(Found found, Visitor visitor) throws IOException {
-        entries(found.payload().duplicate(), found.head(), found.offset() + Frames.HEAD, visitor);
+    void visitEntries(Frame found, EntryVisitor visitor) throws IOException {
+        visitEntries(found.payload().duplicate(), found.header(), found.offset() + SegmentFormat.FRAME_HEADER_BYTES, visitor);
     }
 
     /** Visits the entries of a payload whose first byte has this offset. */
-    void entries(ByteBuffer payload, Frames.Head head, long offset, Visitor visitor)
+    void visitEntries(ByteBuffer payload, SegmentFormat.FrameHeader head, long offset, EntryVisitor visitor)
             throws IOException {
-        for (int batch = 0; batch < head.count(); batch++) {
-            int changes = payload.remaining() < Frames.BATCH_HEAD ? -1 : payload.getInt();
+        for (int batch = 0; batch < head.batchCount(); batch++) {
+            int changes = payload.remaining() < SegmentFormat.BATCH_HEADER_BYTES ? -1 : payload.getInt();
             for (int i = 0; i < changes; i++) {
                 int at = payload.position();
-                Frames.Entry entry = Frames.entry(payload);
+                SegmentFormat.Entry entry = SegmentFormat.decodeEntry(payload);
                 if (entry == null) {
-                    throw new StoreException.Damaged(segment.name(), offset + at, "no sound entry");
+                    throw new StoreException.Damaged(segment.fileName(), offset + at, "no sound entry");
                 }
-                visitor.entry(
+                visitor.visit(
                         entry,
                         batch,
                         offset + at,
                         payload.duplicate().position(at).limit(payload.position()));
             }
             if (changes < 0) {
-                throw new StoreException.Damaged(segment.name(), offset, "a batch is cut");
+                throw new StoreException.Damaged(segment.fileName(), offset, "a batch is cut");
             }
         }
         if (payload.hasRemaining()) {
             throw new StoreException.Damaged(
-                    segment.name(), offset + payload.position(), "bytes are left over");
+                    segment.fileName(), offset + payload.position(), "bytes are left over");
         }
     }
 
@@ -111,47 +111,47 @@
      * What stands from the first unreadable offset on, where the group of this number was to come
      * next.
      */
-    Tail tail(long from, long expected) throws IOException {
+    TailScan scanTail(long from, long expected) throws IOException {
         boolean later = false;
-        Found mirror = null;
+        Frame mirror = null;
         boolean mark = false;
         boolean last = false;
         long nonZero = from;
-        for (long at = from; at + Frames.ALIGN <= size; at += Frames.ALIGN) {
-            if (!load(at, Frames.ALIGN)) {
+        for (long at = from; at + SegmentFormat.ALIGNMENT_BYTES <= size; at += SegmentFormat.ALIGNMENT_BYTES) {
+            if (!ensureBuffered(at, SegmentFormat.ALIGNMENT_BYTES)) {
                 break;
             }
-            if (window.getLong((int) (at - windowStart)) == 0) {
+            if (buffer.getLong((int) (at - bufferStart)) == 0) {
                 continue;
             }
-            nonZero = at + Frames.ALIGN;
-            Found found =
-                    window.getInt((int) (at - windowStart)) == Frames.FRAME_MAGIC ? at(at) : null;
+            nonZero = at + SegmentFormat.ALIGNMENT_BYTES;
+            Frame found =
+                    buffer.getInt((int) (at - bufferStart)) == SegmentFormat.FRAME_MAGIC ? frameAt(at) : null;
             if (found == null) {
                 continue;
             }
-            Frames.Head head = found.head();
+            SegmentFormat.FrameHeader head = found.header();
             boolean ofIt =
                     head.firstSeq() == expected
-                            && found.payload().remaining() >= Frames.MIRROR_HEAD
+                            && found.payload().remaining() >= SegmentFormat.MIRROR_HEADER_BYTES
                             && found.payload().getLong(0) == from;
-            later |= head.kind() == Frames.GROUP && head.firstSeq() >= expected;
-            mark |= head.kind() == Frames.MARK && ofIt;
-            mirror = head.kind() == Frames.MIRROR && ofIt ? found : mirror;
+            later |= head.kind() == SegmentFormat.GROUP_FRAME && head.firstSeq() >= expected;
+            mark |= head.kind() == SegmentFormat.COMMIT_MARKER_FRAME && ofIt;
+            mirror = head.kind() == SegmentFormat.MIRROR_FRAME && ofIt ? found : mirror;
             last |=
                     at == from
-                            && (head.kind() == Frames.MIRROR || head.kind() == Frames.MARK)
-                            && head.firstSeq() + head.count() == expected;
+                            && (head.kind() == SegmentFormat.MIRROR_FRAME || head.kind() == SegmentFormat.COMMIT_MARKER_FRAME)
+                            && head.firstSeq() + head.batchCount() == expected;
         }
-        return new Tail(
-                new TailJudge.Evidence(later, mirror != null, mark, nonZero == from, last),
+        return new TailScan(
+                new TailClassifier.Findings(later, mirror != null, mark, nonZero == from, last),
                 mirror,
                 nonZero);
     }
 
     /**
-     * What {@link #tail} found; mirror is that of the unreadable group, and nonZero the end of what
+     * What {@link #scanTail} found; mirror is that of the unreadable group, and nonZero the end of what
      * stands.
      */
-    record Tail(TailJudge.Evidence evidence, Found mirror, long nonZero) {}
+    record TailScan(TailClassifier.Findings findings, Frame mirror, long nonZeroEnd) {}
 }
--- a/relay/src/main/java/saltstage/store/SegmentSet.java
+++ b/relay/src/main/java/saltstage/store/SegmentSet.java
@@ -8,52 +8,52 @@
 
 /** The segments that a state of the index points into, held open as long as anybody reads by it. */
 final class SegmentSet {
-    private final TreeMap<Long, Segment> byId = new TreeMap<>();
-    private final AtomicInteger readers = new AtomicInteger(1);
+    private final TreeMap<Long, Segment> segmentsById = new TreeMap<>();
+    private final AtomicInteger references = new AtomicInteger(1);
 
     SegmentSet(Collection<Segment> segments) {
         for (Segment segment : segments) {
-            byId.put(segment.id(), segment);
-            segment.hold();
+            segmentsById.put(segment.id(), segment);
+            segment.acquire();
         }
     }
 
     Segment get(long id) {
-        return byId.get(id);
+        return segmentsById.get(id);
     }
 
     List<Segment> all() {
-        return List.copyOf(byId.values());
+        return List.copyOf(segmentsById.values());
     }
 
     SegmentSet with(Segment more) {
-        List<Segment> all = new ArrayList<>(byId.values());
+        List<Segment> all = new ArrayList<>(segmentsById.values());
         all.add(more);
         return new SegmentSet(all);
     }
 
     SegmentSet without(Collection<Segment> gone) {
-        List<Segment> all = new ArrayList<>(byId.values());
+        List<Segment> all = new ArrayList<>(segmentsById.values());
         all.removeAll(gone);
         return new SegmentSet(all);
     }
 
     /** Takes part in reading; false where the set is already over. */
-    boolean enter() {
-        int now = readers.get();
+    boolean tryAcquire() {
+        int now = references.get();
         while (now > 0) {
-            if (readers.compareAndSet(now, now + 1)) {
+            if (references.compareAndSet(now, now + 1)) {
                 return true;
             }
-            now = readers.get();
+            now = references.get();
         }
         return false;
     }
 
     /** Ends reading, or for the store itself: ends the set. */
-    void leave() {
-        if (readers.decrementAndGet() == 0) {
-            byId.values().forEach(Segment::letGo);
+    void release() {
+        if (references.decrementAndGet() == 0) {
+            segmentsById.values().forEach(Segment::release);
         }
     }
 }
--- a/relay/src/main/java/saltstage/store/Snapshot.java
+++ b/relay/src/main/java/saltstage/store/Snapshot.java
@@ -9,10 +9,10 @@
  * points to stays on the disk until it is closed. For one thread at a time.
  */
 public final class Snapshot implements Closeable {
-    private final Core.View view;
+    private final StoreState.View view;
     private boolean closed;
 
-    Snapshot(Core.View held) {
+    Snapshot(StoreState.View held) {
         view = held;
     }
 
@@ -28,24 +28,24 @@
 
     /** A key's value, or null. */
     public byte[] get(byte[] key) throws IOException {
-        Index.Place place = find(key);
+        Index.Location place = find(key);
         return place == null
                 ? null
-                : view.set().get(place.segment()).value(place.offset(), key, place);
+                : view.segments().get(place.segmentId()).readValue(place.offset(), key, place);
     }
 
     /** A key's version, the number of the batch that put it; 0 where it is not there. */
     public long version(byte[] key) throws StoreException {
-        Index.Place place = find(key);
+        Index.Location place = find(key);
         return place == null ? 0 : place.version();
     }
 
-    private Index.Place find(byte[] key) throws StoreException {
-        check();
+    private Index.Location find(byte[] key) throws StoreException {
+        checkOpen();
         return view.index().find(key);
     }
 
-    private void check() throws StoreException {
+    private void checkOpen() throws StoreException {
         if (closed) {
             throw new StoreException("the snapshot is closed");
         }
@@ -56,7 +56,7 @@
      * the end.
      */
     public Scan scan(byte[] from, byte[] to) throws StoreException {
-        check();
+        checkOpen();
         return new Scan(view.index().cursor(from), to);
     }
 
@@ -82,14 +82,14 @@
 
         /** Its version. */
         public long version() {
-            return cursor.place().version();
+            return cursor.location().version();
         }
 
         /** Its value, read now. */
         public byte[] value() throws IOException {
-            check();
-            Index.Place place = cursor.place();
-            return view.set().get(place.segment()).value(place.offset(), cursor.key(), place);
+            checkOpen();
+            Index.Location place = cursor.location();
+            return view.segments().get(place.segmentId()).readValue(place.offset(), cursor.key(), place);
         }
     }
 
@@ -97,7 +97,7 @@
     public void close() {
         if (!closed) {
             closed = true;
-            view.set().leave();
+            view.segments().release();
         }
     }
 }
--- a/relay/src/main/java/saltstage/store/Store.java
+++ b/relay/src/main/java/saltstage/store/Store.java
@@ -11,58 +11,58 @@
  * a state of their own.
  */
 public final class Store implements Closeable {
-    private static final String LOCK = "lock";
-    private static final int TRIES = 20;
-    private static final long TRY_AGAIN_NANOS = 20_000_000;
-    private static final long LEAST_WORTH_CHECKPOINT = 64 << 10;
+    private static final String LOCK_FILE_NAME = "lock";
+    private static final int MAX_OPEN_ATTEMPTS = 20;
+    private static final long OPEN_RETRY_PAUSE_NS = 20_000_000;
+    private static final long CLOSING_CHECKPOINT_LOG_BYTES = 64 << 10;
 
     /** What a store holds: keys, numbers, bytes of files, and how writing is. */
-    public record Stat(
-            long live,
-            long seq,
-            int segments,
+    public record Statistics(
+            long liveKeys,
+            long lastSeq,
+            int segmentCount,
             long fileBytes,
             long liveBytes,
             long deadBytes,
             long checkpointSeq,
             long checkpointBytes,
-            long logSince,
-            boolean full,
-            String stopped) {}
+            long logBytesSinceCheckpoint,
+            boolean diskFull,
+            String stopReason) {}
 
     /** What {@link #verify} read: entries in the log, live keys, the last number. */
-    public record Verified(long records, long live, long seq) {}
+    public record VerificationResult(long entryCount, long liveKeys, long lastSeq) {}
 
-    private final Core core;
+    private final StoreState state;
     private final Closeable lock;
     private final LogWriter writer;
-    private final GroupCommit commits;
+    private final GroupCommit groupCommit;
     private final Maintenance maintenance;
     private final AtomicBoolean closed = new AtomicBoolean();
-    private Thread tender;
-    private volatile boolean wanted;
+    private Thread maintenanceThread;
+    private volatile boolean maintenanceRequested;
 
-    private Store(Core core, Closeable lock) {
-        this.core = core;
+    private Store(StoreState core, Closeable lock) {
+        this.state = core;
         this.lock = lock;
         writer = new LogWriter(core);
-        commits = new GroupCommit(writer::write);
+        groupCommit = new GroupCommit(writer::write);
         maintenance = new Maintenance(core);
     }
 
     /** Opens to write, making a new store where there is none. A second opener is refused. */
-    public static Store open(Disk disk, StoreOptions options, StoreEvents events)
+    public static Store open(Disk disk, StoreOptions options, StoreEventListener events)
             throws IOException {
-        Closeable lock = disk.lock(LOCK);
+        Closeable lock = disk.lock(LOCK_FILE_NAME);
         if (lock == null) {
             throw new StoreException.Locked();
         }
         boolean opened = false;
         try {
-            Core core = new Core(disk, options, events);
+            StoreState core = new StoreState(disk, options, events);
             new Recovery(core, true).run();
             Store store = new Store(core, lock);
-            store.begin();
+            store.startMaintenanceThread();
             opened = true;
             return store;
         } finally {
@@ -76,71 +76,71 @@
      * Opens the state that is there now to read it, also while another process writes; writes
      * nothing.
      */
-    public static Store openToRead(Disk disk, StoreEvents events) throws IOException {
+    public static Store openToRead(Disk disk, StoreEventListener events) throws IOException {
         for (int i = 1; ; i++) {
             try {
-                Core core = new Core(disk, StoreOptions.usual(), events);
+                StoreState core = new StoreState(disk, StoreOptions.defaults(), events);
                 new Recovery(core, false).run();
                 return new Store(core, null);
             } catch (IOException e) {
-                if (i == TRIES
+                if (i == MAX_OPEN_ATTEMPTS
                         || e instanceof StoreException && !(e instanceof StoreException.Damaged)) {
                     throw e;
                 }
                 LockSupport.parkNanos(
-                        TRY_AGAIN_NANOS); // a file may have gone since the manifest was read
+                        OPEN_RETRY_PAUSE_NS); // a file may have gone since the manifest was read
             }
         }
     }
 
-    private void begin() {
-        if (core.options.background()) {
-            tender = new Thread(this::tend, "store");
-            tender.setDaemon(true);
-            tender.start();
+    private void startMaintenanceThread() {
+        if (state.options.backgroundMaintenance()) {
+            maintenanceThread = new Thread(this::runMaintenance, "store");
+            maintenanceThread.setDaemon(true);
+            maintenanceThread.start();
         }
     }
 
     /** Where nothing was written for a while, how far was acknowledged becomes durable too. */
-    private void rest(long seqBefore) {
-        core.writing.lock();
+    private void forceAcknowledgedSeqIfIdle(long seqBefore) {
+        state.writeLock.lock();
         try {
-            if (core.view() != null && core.stopped() == null && core.nextSeq == seqBefore) {
-                core.acknowledged.rest();
+            if (state.view() != null && state.stopReason() == null && state.nextSeq == seqBefore) {
+                state.acknowledgedSeqFile.forceIfChanged();
             }
         } catch (IOException e) { // a force that failed: what is on the disk is not known any more
-            core.stop("a write of " + Acknowledged.NAME + " failed", e);
+            state.stopWrites("a write of " + AcknowledgedSeqFile.NAME + " failed", e);
         } finally {
-            core.writing.unlock();
+            state.writeLock.unlock();
         }
     }
 
     private long nextSeq() {
-        core.writing.lock();
+        state.writeLock.lock();
         try {
-            return core.nextSeq;
+            return state.nextSeq;
         } finally {
-            core.writing.unlock();
+            state.writeLock.unlock();
         }
     }
 
     /** The store's own thread: a spare segment, checkpoints, compaction; woken by who commits. */
-    private void tend() {
+    private void runMaintenance() {
         while (!closed.get()) {
             try {
                 writer.prepareSpare();
             } catch (IOException e) { // a writer that needs it will meet the same, and say so
-                core.events.tell("store.spare.failed", "why", e.getMessage());
+                state.events.onEvent("store.spare.failed", "why", e.getMessage());
             }
             try {
-                maintenance.tend();
+                maintenance.runIfDue();
             } catch (RuntimeException fault) { // the store serves on, only larger than it need be
-                core.events.tell("store.compaction.failed", "why", fault);
+                state.events.onEvent("store.compaction.failed", "why", fault);
             }
-            wanted = false;
+            maintenanceRequested = false;
             long seq = nextSeq();
             LockSupport.parkNanos(this, 1_000_000_000L);
-            rest(seq);
+            forceAcknowledgedSeqIfIdle(seq);
         }
     }
 
@@ -152,13 +152,13 @@
         if (closed.get()) {
             throw new StoreException("the store is closed");
         }
-        if (batch.size() == 0 && batch.expected().isEmpty()) {
-            return core.view().seq();
+        if (batch.size() == 0 && batch.expectedVersions().isEmpty()) {
+            return state.view().seq();
         }
-        long seq = commits.commit(batch);
-        if (tender != null && !wanted && core.logSince > core.options.segmentBytes() / 2) {
-            wanted = true;
-            LockSupport.unpark(tender);
+        long seq = groupCommit.commit(batch);
+        if (maintenanceThread != null && !maintenanceRequested && state.logBytesSinceCheckpoint > state.options.segmentBytes() / 2) {
+            maintenanceRequested = true;
+            LockSupport.unpark(maintenanceThread);
         }
         return seq;
     }
@@ -182,14 +182,14 @@
 
     /** The state now, to be closed. */
     public Snapshot snapshot() throws StoreException {
-        return new Snapshot(core.enter());
+        return new Snapshot(state.acquireView());
     }
 
     /**
      * Whether batches can still be committed, as far as is known: neither stopped nor out of room.
      */
-    public boolean writable() {
-        return core.stopped() == null && !core.isFull() && !closed.get();
+    public boolean isWritable() {
+        return state.stopReason() == null && !state.isDiskFull() && !closed.get();
     }
 
     /** Writes the index down, so that the next start reads the log from here only. */
@@ -205,38 +205,38 @@
     }
 
     /** Bytes that compaction has copied since the opening. */
-    public long copied() {
-        return maintenance.copied();
+    public long copiedBytes() {
+        return maintenance.copiedBytes();
     }
 
     /** How it stands. */
-    public Stat stat() throws IOException {
-        core.writing.lock();
+    public Statistics statistics() throws IOException {
+        state.writeLock.lock();
         try {
-            core.mustBeOpen();
-            Core.View now = core.view();
-            long files = core.manifest.checkpoint().bytes();
+            state.checkOpen();
+            StoreState.View now = state.view();
+            long files = state.manifest.checkpoint().bytes();
             long live = 0;
             long used = 0;
-            for (Segment segment : now.set().all()) {
+            for (Segment segment : now.segments().all()) {
                 files += segment.header().size();
-                live += segment.live();
-                used += segment.used() - Frames.HEADER;
+                live += segment.liveBytes();
+                used += segment.usedBytes() - SegmentFormat.SEGMENT_HEADER_BYTES;
             }
-            return new Stat(
+            return new Statistics(
                     now.index().size(),
                     now.seq(),
-                    now.set().all().size(),
+                    now.segments().all().size(),
                     files,
                     live,
                     Math.max(0, used - live),
-                    core.manifest.checkpoint().seq(),
-                    core.manifest.checkpoint().bytes(),
-                    core.logSince,
-                    core.isFull(),
-                    core.stopped() == null ? "" : core.stopped().getMessage());
+                    state.manifest.checkpoint().seq(),
+                    state.manifest.checkpoint().bytes(),
+                    state.logBytesSinceCheckpoint,
+                    state.isDiskFull(),
+                    state.stopReason() == null ? "" : state.stopReason().getMessage());
         } finally {
-            core.writing.unlock();
+            state.writeLock.unlock();
         }
     }
 
@@ -244,49 +244,49 @@
      * Reads every record of every segment and every live value; throws at the first that is
      * damaged.
      */
-    public Verified verify() throws IOException {
+    public VerificationResult verify() throws IOException {
         long[] records = new long[1];
-        Core.View now = core.enter();
+        StoreState.View now = state.acquireView();
         try {
-            for (Segment segment : now.set().all()) {
-                long end = segment.used();
+            for (Segment segment : now.segments().all()) {
+                long end = segment.usedBytes();
                 SegmentReader reader = new SegmentReader(segment);
-                for (long at = Frames.HEADER; at < end; ) {
-                    SegmentReader.Found found = reader.at(at);
+                for (long at = SegmentFormat.SEGMENT_HEADER_BYTES; at < end; ) {
+                    SegmentReader.Frame found = reader.frameAt(at);
                     if (found == null) {
-                        throw new StoreException.Damaged(segment.name(), at, "no sound record");
+                        throw new StoreException.Damaged(segment.fileName(), at, "no sound record");
                     }
-                    reader.entries(found, (entry, batch, offset, raw) -> records[0]++);
-                    at = found.end();
+                    reader.visitEntries(found, (entry, batch, offset, raw) -> records[0]++);
+                    at = found.endOffset();
                 }
             }
             long live = 0;
             for (Index.Cursor cursor = now.index().cursor(null); cursor.advance(); live++) {
-                Index.Place place = cursor.place();
-                now.set().get(place.segment()).value(place.offset(), cursor.key(), place);
+                Index.Location place = cursor.location();
+                now.segments().get(place.segmentId()).readValue(place.offset(), cursor.key(), place);
             }
-            return new Verified(records[0], live, now.seq());
+            return new VerificationResult(records[0], live, now.seq());
         } finally {
-            now.set().leave();
+            now.segments().release();
         }
     }
 
     /** The store's own thread ends at its next step; nothing is taken from under it. */
-    private void endTender() {
-        if (tender == null) {
+    private void stopMaintenanceThread() {
+        if (maintenanceThread == null) {
             return;
         }
-        maintenance.closing(true);
+        maintenance.setClosing(true);
         boolean interrupted = false;
-        while (tender.isAlive()) {
-            LockSupport.unpark(tender);
+        while (maintenanceThread.isAlive()) {
+            LockSupport.unpark(maintenanceThread);
             try {
-                tender.join(10);
+                maintenanceThread.join(10);
             } catch (InterruptedException e) {
                 interrupted = true;
             }
         }
-        maintenance.closing(false);
+        maintenance.setClosing(false);
         if (interrupted) {
             Thread.currentThread().interrupt();
         }
@@ -299,30 +299,30 @@
             return;
         }
         try {
-            endTender();
+            stopMaintenanceThread();
             if (lock != null
-                    && core.stopped() == null
-                    && core.logSince > 0
-                    && core.logSince
+                    && state.stopReason() == null
+                    && state.logBytesSinceCheckpoint > 0
+                    && state.logBytesSinceCheckpoint
                             >= Math.min(
-                                    core.manifest.checkpoint().bytes(), LEAST_WORTH_CHECKPOINT)) {
+                                    state.manifest.checkpoint().bytes(), CLOSING_CHECKPOINT_LOG_BYTES)) {
                 maintenance.checkpoint();
             }
         } catch (IOException notNow) { // the log has it all: the next start only takes longer
-            core.events.tell("store.compaction.failed", "why", notNow.getMessage());
+            state.events.onEvent("store.compaction.failed", "why", notNow.getMessage());
         } finally {
             if (lock != null) {
-                rest(nextSeq());
+                forceAcknowledgedSeqIfIdle(nextSeq());
             }
-            core.writing.lock();
+            state.writeLock.lock();
             try {
                 writer.close();
-                if (core.acknowledged != null) {
-                    core.acknowledged.close();
+                if (state.acknowledgedSeqFile != null) {
+                    state.acknowledgedSeqFile.close();
                 }
-                core.show(null);
+                state.installView(null);
             } finally {
-                core.writing.unlock();
+                state.writeLock.unlock();
             }
             if (lock != null) {
                 lock.close();
--- a/relay/src/main/java/saltstage/store/StoreEvents.java
+++ b/relay/src/main/java/saltstage/store/StoreEventListener.java
@@ -1,10 +1,10 @@
 package saltstage.store;
 
 /** What the store has to tell beside its answers; must not block or throw. */
-public interface StoreEvents {
+public interface StoreEventListener {
     /** Tells nobody. */
-    StoreEvents NONE = (event, pairs) -> {};
+    StoreEventListener NONE = (event, pairs) -> {};
 
     /** An event, with names and values in turn. */
-    void tell(String event, Object... pairs);
+    void onEvent(String event, Object... pairs);
 }
--- a/relay/src/main/java/saltstage/store/StoreException.java
+++ b/relay/src/main/java/saltstage/store/StoreException.java
@@ -40,11 +40,11 @@
      * The disk is full: nothing was written, reading goes on, and writing may go on once there is
      * room.
      */
-    public static final class Full extends StoreException {
+    public static final class DiskFull extends StoreException {
         private static final long serialVersionUID = 1L;
 
         /** Says what did not fit. */
-        public Full(Throwable cause) {
+        public DiskFull(Throwable cause) {
             super("the disk is full: " + cause.getMessage(), cause);
         }
     }
@@ -53,30 +53,30 @@
      * A write or a force failed: what is on the disk is not known any more, and nothing is
      * acknowledged.
      */
-    public static final class Stopped extends StoreException {
+    public static final class WritesStopped extends StoreException {
         private static final long serialVersionUID = 1L;
 
         /** Says what failed. */
-        public Stopped(String what, Throwable cause) {
+        public WritesStopped(String what, Throwable cause) {
             super("writing has stopped for good: " + what, cause);
         }
     }
 
     /** A key was not at the version that the batch expected; nothing of the batch was done. */
-    public static final class Conflict extends StoreException {
+    public static final class VersionConflict extends StoreException {
         private static final long serialVersionUID = 1L;
 
-        private final long found;
+        private final long actualVersion;
 
         /** The version that was expected and the one found; 0 is a key that is not there. */
-        public Conflict(long expected, long found) {
+        public VersionConflict(long expected, long found) {
             super("version conflict: expected " + expected + ", found " + found);
-            this.found = found;
+            this.actualVersion = found;
         }
 
         /** The version found; 0 where the key is not there. */
-        public long found() {
-            return found;
+        public long actualVersion() {
+            return actualVersion;
         }
     }
 }
