--- a/relay/src/main/java/saltstage/store/Core.java
+++ b/relay/src/main/java/saltstage/store/StoreState.java
@@ -10,36 +10,36 @@
  * What the parts of an open store share. All but the view and the reason to have stopped is under a
  * lock.
  */
-final class Core {
+final class StoreState {
     /** One state of the store that readers may hold: nothing in it changes. */
-    record View(Index index, SegmentSet set, long seq) {}
+    record View(Index index, SegmentSet segments, long seq) {}
 
     final Disk disk;
     final StoreOptions options;
-    final StoreEvents events;
+    final StoreEventListener events;
 
     /**
      * Held by whoever writes the log, changes the set of segments or publishes a manifest. Fair: a
      * compaction that comes again at once must not keep the writers out.
      */
-    final ReentrantLock writing = new ReentrantLock(true);
+    final ReentrantLock writeLock = new ReentrantLock(true);
 
     private volatile View view;
-    private volatile StoreException.Stopped stopped;
-    private volatile boolean full;
+    private volatile StoreException.WritesStopped stopReason;
+    private volatile boolean diskFull;
     Manifest manifest;
-    Segment active;
+    Segment activeSegment;
 
     /** What says how far was acknowledged; null where the store is read only. */
-    Acknowledged acknowledged;
+    AcknowledgedSeqFile acknowledgedSeqFile;
 
     long nextSeq;
-    long nextId;
+    long nextFileId;
 
     /** Bytes of log since the checkpoint in force. */
-    long logSince;
+    long logBytesSinceCheckpoint;
 
-    Core(Disk disk, StoreOptions options, StoreEvents events) {
+    StoreState(Disk disk, StoreOptions options, StoreEventListener events) {
         this.disk = disk;
         this.options = options;
         this.events = events;
@@ -49,58 +49,58 @@
         return view;
     }
 
-    /** The state now, held until {@link SegmentSet#leave}. */
-    View enter() throws StoreException {
+    /** The state now, held until {@link SegmentSet#release}. */
+    View acquireView() throws StoreException {
         while (true) {
             View now = view;
             if (now == null) {
                 throw new StoreException("the store is closed");
             }
-            if (now.set().enter()) {
+            if (now.segments().tryAcquire()) {
                 return now;
             }
         }
     }
 
     /** Refuses where the store was closed; under the write lock. */
-    void mustBeOpen() throws StoreException {
+    void checkOpen() throws StoreException {
         if (view == null) {
             throw new StoreException("the store is closed");
         }
     }
 
     /** Shows another state from now on; under the write lock. */
-    void show(View next) {
+    void installView(View next) {
         View before = view;
         view = next;
-        if (before != null && (next == null || before.set() != next.set())) {
-            before.set().leave();
+        if (before != null && (next == null || before.segments() != next.segments())) {
+            before.segments().release();
         }
     }
 
-    StoreException.Stopped stopped() {
-        return stopped;
+    StoreException.WritesStopped stopReason() {
+        return stopReason;
     }
 
     /** Stops all writing for good: what a failed write or force left on the disk is not known. */
-    StoreException.Stopped stop(String what, Throwable cause) {
-        if (stopped == null) {
-            stopped = new StoreException.Stopped(what + ": " + cause.getMessage(), cause);
-            events.tell("store.stopped", "why", stopped.getMessage());
+    StoreException.WritesStopped stopWrites(String what, Throwable cause) {
+        if (stopReason == null) {
+            stopReason = new StoreException.WritesStopped(what + ": " + cause.getMessage(), cause);
+            events.onEvent("store.stopped", "why", stopReason.getMessage());
         }
-        return stopped;
+        return stopReason;
     }
 
     /** Marks whether the disk is full, and tells when that changes. */
-    void full(boolean now, String what) {
-        if (full != now) {
-            full = now;
-            events.tell(now ? "store.full" : "store.room", "what", what);
+    void setDiskFull(boolean now, String what) {
+        if (diskFull != now) {
+            diskFull = now;
+            events.onEvent(now ? "store.full" : "store.room", "what", what);
         }
     }
 
-    boolean isFull() {
-        return full;
+    boolean isDiskFull() {
+        return diskFull;
     }
 
     /**
@@ -108,37 +108,37 @@
      * before the rename leaves the old one in force and is passed on; from the rename on it stops
      * the store.
      */
-    void publish(List<Manifest.Part> parts, Manifest.CheckpointRef checkpoint) throws IOException {
+    void publishManifest(List<Manifest.SegmentRef> parts, Manifest.CheckpointRef checkpoint) throws IOException {
         Manifest next =
                 new Manifest(
-                        Manifest.FORMAT,
-                        manifest.store(),
+                        Manifest.FORMAT_VERSION,
+                        manifest.storeId(),
                         manifest.generation() + 1,
-                        nextId,
+                        nextFileId,
                         checkpoint,
                         parts);
-        next.prepare(disk);
+        next.writeTemporary(disk);
         try {
             Manifest.publish(disk);
         } catch (IOException e) {
-            throw stop("the manifest could not be put in force", e);
+            throw stopWrites("the manifest could not be put in force", e);
         }
         manifest = next;
     }
 
     /** The segments of a set as the manifest has them, but those that are to be left out. */
-    List<Manifest.Part> parts(SegmentSet set, Predicate<Segment> leaveOut) {
-        List<Manifest.Part> parts = new ArrayList<>();
+    List<Manifest.SegmentRef> segmentRefs(SegmentSet set, Predicate<Segment> leaveOut) {
+        List<Manifest.SegmentRef> parts = new ArrayList<>();
         for (Segment segment : set.all()) {
             if (!leaveOut.test(segment)) {
-                boolean sealed = segment != active;
+                boolean sealed = segment != activeSegment;
                 parts.add(
-                        new Manifest.Part(
+                        new Manifest.SegmentRef(
                                 segment.id(),
                                 segment.header().kind(),
                                 sealed,
                                 segment.header().size(),
-                                sealed ? segment.used() : 0,
+                                sealed ? segment.usedBytes() : 0,
                                 segment.header().baseSeq(),
                                 sealed ? lastSeq(segment) : 0));
             }
@@ -147,11 +147,11 @@
     }
 
     private long lastSeq(Segment segment) {
-        for (Manifest.Part part : manifest.parts()) {
+        for (Manifest.SegmentRef part : manifest.segments()) {
             if (part.id() == segment.id() && part.sealed()) {
                 return part.lastSeq();
             }
         }
-        return segment.header().kind() == Frames.COPY_SEGMENT ? 0 : nextSeq - 1;
+        return segment.header().kind() == SegmentFormat.COPY_SEGMENT ? 0 : nextSeq - 1;
     }
 }
--- a/relay/src/main/java/saltstage/store/TailJudge.java
+++ b/relay/src/main/java/saltstage/store/TailClassifier.java
@@ -8,40 +8,40 @@
  * proves that it was, and so does the file that says how far the store has acknowledged. With none
  * of these it was not, as far as the disk kept it.
  */
-public final class TailJudge {
+public final class TailClassifier {
     /** What follows. */
-    public enum Verdict {
+    public enum TailState {
         /** The log ends here, as it should. */
         CLEAN,
         /** An unacknowledged write was cut off: what it left is dropped, and told. */
         TORN,
         /** The group is damaged and its mirror is whole: it is put back. */
-        RESTORE,
+        RESTORABLE,
         /** Something acknowledged is damaged: nothing is served. */
-        REFUSE
+        DAMAGED
     }
 
     /** What was found from the first unreadable byte on. */
-    public record Evidence(
-            boolean laterGroup,
-            boolean mirrorOfIt,
-            boolean markOfIt,
-            boolean restIsZero,
-            boolean mirrorOrMarkOfLast) {}
+    public record Findings(
+            boolean hasLaterGroup,
+            boolean hasMirror,
+            boolean hasCommitMarker,
+            boolean isRestZero,
+            boolean hasTrailerOfPrevious) {}
 
-    private TailJudge() {}
+    private TailClassifier() {}
 
     /** Judges; acknowledged: the file beside the log says that this group was. */
-    public static Verdict judge(Evidence found, boolean acknowledged) {
-        if (found.laterGroup()) {
-            return Verdict.REFUSE;
+    public static TailState classify(Findings found, boolean acknowledged) {
+        if (found.hasLaterGroup()) {
+            return TailState.DAMAGED;
         }
-        if (found.mirrorOfIt()) {
-            return Verdict.RESTORE;
+        if (found.hasMirror()) {
+            return TailState.RESTORABLE;
         }
-        if (found.markOfIt() || acknowledged) {
-            return Verdict.REFUSE;
+        if (found.hasCommitMarker() || acknowledged) {
+            return TailState.DAMAGED;
         }
-        return found.restIsZero() || found.mirrorOrMarkOfLast() ? Verdict.CLEAN : Verdict.TORN;
+        return found.isRestZero() || found.hasTrailerOfPrevious() ? TailState.CLEAN : TailState.TORN;
     }
 }
--- a/relay/src/test/java/saltstage/configuration/follower/ConfigurationStoreTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ConfigurationStoreTest.java
@@ -20,10 +20,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import saltstage.configuration.ConfigurationView;
-import saltstage.store.FaultDisk;
+import saltstage.store.FaultInjectingDisk;
 import saltstage.store.FileDisk;
 import saltstage.store.Store;
-import saltstage.store.StoreEvents;
+import saltstage.store.StoreEventListener;
 import saltstage.store.StoreException;
 import saltstage.store.StoreOptions;
 
@@ -44,9 +44,9 @@
         long durable;
         long attempted;
 
-        void on(FaultDisk disk) throws IOException {
+        void on(FaultInjectingDisk disk) throws IOException {
             ConfigurationStore store =
-                    ConfigurationStore.open(disk, SMALL, CLOCK, StoreEvents.NONE);
+                    ConfigurationStore.open(disk, SMALL, CLOCK, StoreEventListener.NONE);
             write(store, 1, 1);
             write(store, 2, 4);
             store.confirmed(NOON.plusSeconds(60));
@@ -63,9 +63,9 @@
             durable = to;
         }
 
-        void check(FaultDisk after) throws IOException {
+        void check(FaultInjectingDisk after) throws IOException {
             try (ConfigurationStore store =
-                    ConfigurationStore.open(after, SMALL, CLOCK, StoreEvents.NONE)) {
+                    ConfigurationStore.open(after, SMALL, CLOCK, StoreEventListener.NONE)) {
                 ConfigurationView view = store.held().view();
                 assertTrue(
                         view.revision() == durable || view.revision() == attempted,
@@ -77,21 +77,21 @@
     }
 
     private int operations() throws IOException {
-        FaultDisk disk = new FaultDisk();
-        disk.arm(Integer.MAX_VALUE, FaultDisk.Fault.CRASH);
+        FaultInjectingDisk disk = new FaultInjectingDisk();
+        disk.injectFaultAt(Integer.MAX_VALUE, FaultInjectingDisk.Fault.CRASH);
         new Run().on(disk);
-        return disk.operations();
+        return disk.operationCount();
     }
 
     @ParameterizedTest
-    @EnumSource(FaultDisk.Fault.class)
-    void aFaultAtAnyStepLeavesAnAcceptedState(FaultDisk.Fault fault) throws IOException {
+    @EnumSource(FaultInjectingDisk.Fault.class)
+    void aFaultAtAnyStepLeavesAnAcceptedState(FaultInjectingDisk.Fault fault) throws IOException {
         int operations = operations();
         assertTrue(operations > 15, "operations: " + operations);
         for (int step = 0; step < operations; step++) {
             for (int crash = 0; crash < CRASHES_PER_STEP; crash++) {
-                FaultDisk disk = new FaultDisk();
-                disk.arm(step, fault);
+                FaultInjectingDisk disk = new FaultInjectingDisk();
+                disk.injectFaultAt(step, fault);
                 Run run = new Run();
                 try {
                     run.on(disk);
@@ -105,9 +105,9 @@
 
     @Test
     void whatOneProcessWroteAnotherSkips() throws IOException {
-        FaultDisk disk = new FaultDisk();
+        FaultInjectingDisk disk = new FaultInjectingDisk();
         try (ConfigurationStore store =
-                ConfigurationStore.open(disk, SMALL, CLOCK, StoreEvents.NONE)) {
+                ConfigurationStore.open(disk, SMALL, CLOCK, StoreEventListener.NONE)) {
             store.write(history.changes(1, 5).changes());
             store.write(history.changes(3, 7).changes());
             assertThrows(IOException.class, () -> store.write(history.changes(9, 9).changes()));
@@ -120,9 +120,9 @@
 
     @Test
     void aConfirmationIsKeptOnceTheLastOneIsOld() throws IOException {
-        FaultDisk disk = new FaultDisk();
+        FaultInjectingDisk disk = new FaultInjectingDisk();
         try (ConfigurationStore store =
-                ConfigurationStore.open(disk, SMALL, CLOCK, StoreEvents.NONE)) {
+                ConfigurationStore.open(disk, SMALL, CLOCK, StoreEventListener.NONE)) {
             store.confirmed(NOON); // of nothing: not kept
             assertNull(ConfigurationStore.read(disk).confirmedAt());
             store.write(history.changes(1, 1).changes());
@@ -141,7 +141,7 @@
 
     private void setsAside(Path dir, String why) throws IOException {
         List<String> told = new CopyOnWriteArrayList<>();
-        StoreEvents events = (event, pairs) -> told.add(event + " " + List.of(pairs));
+        StoreEventListener events = (event, pairs) -> told.add(event + " " + List.of(pairs));
         try (ConfigurationDirectory opened = new ConfigurationDirectory(dir, events)) {
             assertEquals(0, opened.held().view().revision());
             assertNull(opened.held().confirmedAt());
@@ -157,7 +157,7 @@
     @Test
     void aStoreOfSomethingElseIsSetAside() throws IOException {
         Path dir = folder.resolve("state");
-        try (Store other = Store.open(FileDisk.at(dir), StoreOptions.usual(), StoreEvents.NONE)) {
+        try (Store other = Store.open(FileDisk.openOrCreate(dir), StoreOptions.defaults(), StoreEventListener.NONE)) {
             other.put("learnt".getBytes(), new byte[9]);
         }
         setsAside(dir, "a store of something else");
@@ -166,10 +166,10 @@
     @Test
     void entriesThatDifferFromTheirDigestAreSetAside() throws IOException {
         Path dir = folder.resolve("state");
-        try (ConfigurationDirectory sound = new ConfigurationDirectory(dir, StoreEvents.NONE)) {
+        try (ConfigurationDirectory sound = new ConfigurationDirectory(dir, StoreEventListener.NONE)) {
             sound.write(history.changes(1, 5).changes());
         }
-        try (Store store = Store.open(FileDisk.at(dir), StoreOptions.usual(), StoreEvents.NONE)) {
+        try (Store store = Store.open(FileDisk.openOrCreate(dir), StoreOptions.defaults(), StoreEventListener.NONE)) {
             store.delete("entry/shard/topic/2".getBytes());
         }
         setsAside(dir, "differ from their digest");
@@ -178,7 +178,7 @@
     @Test
     void aDamagedStoreIsSetAside() throws IOException {
         Path dir = folder.resolve("state");
-        try (ConfigurationDirectory sound = new ConfigurationDirectory(dir, StoreEvents.NONE)) {
+        try (ConfigurationDirectory sound = new ConfigurationDirectory(dir, StoreEventListener.NONE)) {
             sound.write(history.changes(1, 5).changes());
         }
         Files.writeString(dir.resolve("manifest"), "rubbish");
@@ -189,7 +189,7 @@
     void whileAnotherProcessWritesItsStateIsReadAndWritesFail() throws IOException {
         Path dir = folder.resolve("state");
         List<String> told = new ArrayList<>();
-        ConfigurationDirectory first = new ConfigurationDirectory(dir, StoreEvents.NONE);
+        ConfigurationDirectory first = new ConfigurationDirectory(dir, StoreEventListener.NONE);
         first.write(history.changes(1, 5).changes());
         try (ConfigurationDirectory second =
                 new ConfigurationDirectory(dir, (event, pairs) -> told.add(event))) {
--- a/relay/src/test/java/saltstage/persistence/RelayStateStoreTest.java
+++ b/relay/src/test/java/saltstage/persistence/RelayStateStoreTest.java
@@ -16,7 +16,7 @@
 import saltstage.Api.LearnedBackend;
 import saltstage.Api.LearnedState;
 import saltstage.config.OperatorSettings.PersistenceSettings;
-import saltstage.store.FaultDisk;
+import saltstage.store.FaultInjectingDisk;
 import saltstage.wire.BackendList;
 
 /** What is handed over is kept, whatever the disk does meanwhile, or its loss is told. */
@@ -31,7 +31,7 @@
                     3,
                     1 << 20);
 
-    private final FaultDisk disk = new FaultDisk();
+    private final FaultInjectingDisk disk = new FaultInjectingDisk();
 
     private RelayStateStore open(Instant now) {
         return RelayStateStore.open(SETTINGS, () -> now, () -> disk);
@@ -118,7 +118,7 @@
         keeper.start(() -> learnedState(1));
         keeper.close(Duration.ofSeconds(30));
         try (saltstage.store.Store store =
-                saltstage.store.Store.openToRead(disk, saltstage.store.StoreEvents.NONE)) {
+                saltstage.store.Store.openToRead(disk, saltstage.store.StoreEventListener.NONE)) {
             assertEquals(
                     List.of("3 c", "4 d", "5 e"),
                     ConfigurationVersions.all(store).stream()
@@ -130,15 +130,15 @@
     @Test
     void aFullDiskIsReportedAndPendingStateIsWrittenWhenThereIsRoom() throws Exception {
         RelayStateStore keeper = open(NOON);
-        disk.arm(0, FaultDisk.Fault.FULL);
+        disk.injectFaultAt(0, FaultInjectingDisk.Fault.DISK_FULL);
         keeper.saveConfiguration(
                 "x".repeat(5_000), ""); // more than the segment that was filled beforehand
         keeper.start(() -> learnedState(1));
         await(() -> keeper.state() == RelayStateStore.State.FULL);
-        disk.makeRoom();
+        disk.clearFaults();
         keeper.close(Duration.ofSeconds(30));
         try (saltstage.store.Store store =
-                saltstage.store.Store.openToRead(disk, saltstage.store.StoreEvents.NONE)) {
+                saltstage.store.Store.openToRead(disk, saltstage.store.StoreEventListener.NONE)) {
             assertEquals(1, ConfigurationVersions.all(store).size());
         }
     }
@@ -146,12 +146,12 @@
     @Test
     void aFailedForceLosesOnlyTheStore() throws Exception {
         RelayStateStore keeper = open(NOON);
-        disk.arm(0, FaultDisk.Fault.FAIL);
+        disk.injectFaultAt(0, FaultInjectingDisk.Fault.IO_ERROR);
         keeper.start(() -> learnedState(1));
         for (int i = 0; keeper.state() != RelayStateStore.State.LOST; i++) {
             assertTrue(i < 3_000);
             keeper.saveList(list(i + 1, "s1"));
-            disk.arm(0, FaultDisk.Fault.FAIL);
+            disk.injectFaultAt(0, FaultInjectingDisk.Fault.IO_ERROR);
             Thread.sleep(10);
         }
         keeper.saveList(list(99, "s9")); // nobody waits, nothing throws
--- a/relay/src/test/java/saltstage/process/PersistenceTest.java
+++ b/relay/src/test/java/saltstage/process/PersistenceTest.java
@@ -15,7 +15,7 @@
 import saltstage.persistence.ConfigurationVersions;
 import saltstage.store.FileDisk;
 import saltstage.store.Store;
-import saltstage.store.StoreEvents;
+import saltstage.store.StoreEventListener;
 
 /**
  * The relay killed and started anew: what it kept is back, and a store that is lost costs nothing
@@ -42,7 +42,7 @@
     }
 
     private boolean isPersisted(String key) {
-        try (Store store = Store.openToRead(new FileDisk(dir), StoreEvents.NONE)) {
+        try (Store store = Store.openToRead(new FileDisk(dir), StoreEventListener.NONE)) {
             return store.get(key.getBytes(StandardCharsets.UTF_8)) != null;
         } catch (IOException notYet) {
             return false;
@@ -165,7 +165,7 @@
                     runCommand(1, "config", "rollback", "9", "--settings", s, "--config", file));
             assertEquals(first, Files.readString(world.configFile()));
         }
-        try (Store store = Store.openToRead(new FileDisk(dir), StoreEvents.NONE)) {
+        try (Store store = Store.openToRead(new FileDisk(dir), StoreEventListener.NONE)) {
             List<ConfigurationVersions.Version> all = ConfigurationVersions.all(store);
             assertEquals(3, all.size());
             assertEquals(all.get(0).hash(), all.get(2).hash());
@@ -183,10 +183,10 @@
     public void aStoreInUseIsReportedAndTheRelayServes() throws Exception {
         try (Store held =
                 Store.open(
-                        FileDisk.at(dir), saltstage.store.StoreOptions.usual(), StoreEvents.NONE)) {
+                        FileDisk.openOrCreate(dir), saltstage.store.StoreOptions.defaults(), StoreEventListener.NONE)) {
             assertServesWithoutStore(
                     "keep.lost dir=" + dir + " why=\"the store is open in another process\"");
-            assertTrue(held.writable());
+            assertTrue(held.isWritable());
         }
     }
 
--- a/relay/src/test/java/saltstage/process/StoreKillTest.java
+++ b/relay/src/test/java/saltstage/process/StoreKillTest.java
@@ -20,7 +20,7 @@
 import saltstage.store.FileDisk;
 import saltstage.store.Snapshot;
 import saltstage.store.Store;
-import saltstage.store.StoreEvents;
+import saltstage.store.StoreEventListener;
 
 /**
  * A real process that loads a store, killed with SIGKILL at random moments, over and over on one
@@ -50,7 +50,7 @@
 
     private static TreeMap<String, String> dump(Path dir) throws IOException {
         TreeMap<String, String> all = new TreeMap<>();
-        try (Store store = Store.openToRead(new FileDisk(dir), StoreEvents.NONE);
+        try (Store store = Store.openToRead(new FileDisk(dir), StoreEventListener.NONE);
                 Snapshot now = store.snapshot()) {
             Snapshot.Scan scan = now.scan(null, null);
             while (scan.next()) {
--- a/relay/src/test/java/saltstage/store/CrashTest.java
+++ b/relay/src/test/java/saltstage/store/CrashTest.java
@@ -12,58 +12,58 @@
 
 /** Crashes, failures and a full disk at every single operation of a night. */
 class CrashTest {
-    private static final int SUBSETS = 6;
+    private static final int SUBSETS_PER_CRASH = 6;
 
-    private static int operations() throws IOException {
-        FaultDisk disk = new FaultDisk();
-        disk.arm(Integer.MAX_VALUE, FaultDisk.Fault.CRASH);
-        new Night().open(disk).run();
-        return disk.operations();
+    private static int countOperations() throws IOException {
+        FaultInjectingDisk disk = new FaultInjectingDisk();
+        disk.injectFaultAt(Integer.MAX_VALUE, FaultInjectingDisk.Fault.CRASH);
+        new StoreWorkload().open(disk).run();
+        return disk.operationCount();
     }
 
-    private static void checkAfter(Night night, FaultDisk left, String what) throws IOException {
-        Night next = new Night();
+    private static void assertRecovers(StoreWorkload night, FaultInjectingDisk left, String what) throws IOException {
+        StoreWorkload next = new StoreWorkload();
         try {
             next.open(left);
         } catch (StoreException refused) {
             throw new AssertionError(
                     what + ": refused after a mere crash: " + refused.getMessage(), refused);
         }
-        TreeMap<String, String> found = Night.dump(next.store);
+        TreeMap<String, String> found = StoreWorkload.dump(next.store);
         assertTrue(
-                found.equals(night.acked) || found.equals(night.asked),
+                found.equals(night.acknowledged) || found.equals(night.requested),
                 what
                         + ": found "
                         + found
                         + ", acknowledged "
-                        + night.acked
+                        + night.acknowledged
                         + ", asked "
-                        + night.asked);
-        next.acked = found;
+                        + night.requested);
+        next.acknowledged = found;
         next.commit("later=1"); // it serves on, and what was dropped does not come back
         next.commit("later=2", "all");
-        TreeMap<String, String> more = next.acked;
+        TreeMap<String, String> more = next.acknowledged;
         next.store.close();
-        assertEquals(more, Night.dump(new Night().open(left.copy()).store), what + ", reopened");
+        assertEquals(more, StoreWorkload.dump(new StoreWorkload().open(left.durableCopy()).store), what + ", reopened");
     }
 
     @Test
-    void aCrashAtEveryOperationWithAnyPartOfTheUnforcedKept() throws IOException {
-        int operations = operations();
+    void crashAtEveryOperationRecoversTheAcknowledgedState() throws IOException {
+        int operations = countOperations();
         int cases = 0;
         for (int at = 0; at < operations; at++) {
-            FaultDisk disk = new FaultDisk();
-            disk.arm(at, FaultDisk.Fault.CRASH);
-            Night night = new Night();
+            FaultInjectingDisk disk = new FaultInjectingDisk();
+            disk.injectFaultAt(at, FaultInjectingDisk.Fault.CRASH);
+            StoreWorkload night = new StoreWorkload();
             int crash = at;
             assertThrows(
-                    FaultDisk.Crash.class,
+                    FaultInjectingDisk.SimulatedCrash.class,
                     () -> night.open(disk).run(),
                     () -> "no crash at " + crash);
-            for (int subset = 0; subset < SUBSETS; subset++) {
-                checkAfter(
+            for (int subset = 0; subset < SUBSETS_PER_CRASH; subset++) {
+                assertRecovers(
                         night,
-                        disk.afterCrash(chance(subset, at)),
+                        disk.afterCrash(survivingWrites(subset, at)),
                         "crash at " + at + ", subset " + subset);
                 cases++;
             }
@@ -74,7 +74,7 @@
     }
 
     /** Nothing kept, all kept, then by chance. */
-    private static Random chance(int subset, int at) {
+    private static Random survivingWrites(int subset, int at) {
         return subset > 1
                 ? new Random(31L * at + subset)
                 : new Random() {
@@ -89,49 +89,49 @@
 
     @Test
     void aCrashDuringTheRecoveryFromACrash() throws IOException {
-        int operations = operations();
+        int operations = countOperations();
         Random random = new Random(5);
         for (int i = 0; i < 150; i++) {
-            FaultDisk disk = new FaultDisk();
-            disk.arm(random.nextInt(operations), FaultDisk.Fault.CRASH);
-            Night night = new Night();
-            assertThrows(FaultDisk.Crash.class, () -> night.open(disk).run());
-            FaultDisk left = disk.afterCrash(random);
-            left.arm(random.nextInt(6), FaultDisk.Fault.CRASH);
+            FaultInjectingDisk disk = new FaultInjectingDisk();
+            disk.injectFaultAt(random.nextInt(operations), FaultInjectingDisk.Fault.CRASH);
+            StoreWorkload night = new StoreWorkload();
+            assertThrows(FaultInjectingDisk.SimulatedCrash.class, () -> night.open(disk).run());
+            FaultInjectingDisk left = disk.afterCrash(random);
+            left.injectFaultAt(random.nextInt(6), FaultInjectingDisk.Fault.CRASH);
             try {
-                new Night().open(left);
-            } catch (FaultDisk.Crash again) {
+                new StoreWorkload().open(left);
+            } catch (FaultInjectingDisk.SimulatedCrash again) {
                 left = left.afterCrash(random);
             }
-            left.makeRoom();
-            checkAfter(night, left, "second crash, round " + i);
+            left.clearFaults();
+            assertRecovers(night, left, "second crash, round " + i);
         }
     }
 
     @Test
-    void aFailureAtEveryOperationLosesAndInventsNothing() throws IOException {
-        int operations = operations();
+    void ioFailureAtEveryOperationKeepsTheAcknowledgedState() throws IOException {
+        int operations = countOperations();
         int stopped = 0;
-        for (FaultDisk.Fault fault :
-                new FaultDisk.Fault[] {FaultDisk.Fault.FAIL, FaultDisk.Fault.SHORT}) {
+        for (FaultInjectingDisk.Fault fault :
+                new FaultInjectingDisk.Fault[] {FaultInjectingDisk.Fault.IO_ERROR, FaultInjectingDisk.Fault.SHORT_WRITE}) {
             for (int at = 0; at < operations; at++) {
-                FaultDisk disk = new FaultDisk();
-                disk.arm(at, fault);
-                Night night = new Night();
+                FaultInjectingDisk disk = new FaultInjectingDisk();
+                disk.injectFaultAt(at, fault);
+                StoreWorkload night = new StoreWorkload();
                 try {
                     night.open(disk).run();
                 } catch (IOException failed) {
                     stopped++;
                 }
-                if (night.store != null && !night.store.writable()) {
+                if (night.store != null && !night.store.isWritable()) {
                     assertThrows(
-                            StoreException.Stopped.class,
-                            () -> night.store.put(Night.bytes("more"), Night.bytes("1")));
-                    assertEquals(night.acked, Night.dump(night.store), "reads go on");
+                            StoreException.WritesStopped.class,
+                            () -> night.store.put(StoreWorkload.bytes("more"), StoreWorkload.bytes("1")));
+                    assertEquals(night.acknowledged, StoreWorkload.dump(night.store), "reads go on");
                     assertTrue(
-                            night.told.stream().anyMatch(line -> line.startsWith("store.stopped")));
+                            night.events.stream().anyMatch(line -> line.startsWith("store.stopped")));
                 }
-                checkAfter(night, disk.afterCrash(new Random(at)), fault + " at " + at);
+                assertRecovers(night, disk.afterCrash(new Random(at)), fault + " at " + at);
             }
         }
         assertTrue(stopped > operations / 2, "stopped in " + stopped);
@@ -141,24 +141,24 @@
      * Seen when a loader was killed: the log was read in an order in which it had not been written.
      */
     @Test
-    void aSpareThatWasBegunBeforeAnotherSegmentDoesNotComeBeforeIt() throws IOException {
-        FaultDisk disk = new FaultDisk();
-        Core core = new Core(disk, Night.SMALL, StoreEvents.NONE);
+    void spareSegmentCreatedBeforeAnotherSegmentIsReplayedAfterIt() throws IOException {
+        FaultInjectingDisk disk = new FaultInjectingDisk();
+        StoreState core = new StoreState(disk, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE);
         new Recovery(core, true).run();
         LogWriter writer = new LogWriter(core);
         GroupCommit commits = new GroupCommit(writer::write);
         disk.beforeNextCreate(
                 () -> {
-                    writer.roll(Frames.HEAD);
+                    writer.roll(SegmentFormat.FRAME_HEADER_BYTES);
                     return null;
                 });
         writer.prepareSpare();
-        commits.commit(new Batch().put(Night.bytes("a"), Night.bytes("1")));
-        writer.roll(Frames.HEAD);
-        commits.commit(new Batch().put(Night.bytes("a"), Night.bytes("2")));
+        commits.commit(new Batch().put(StoreWorkload.bytes("a"), StoreWorkload.bytes("1")));
+        writer.roll(SegmentFormat.FRAME_HEADER_BYTES);
+        commits.commit(new Batch().put(StoreWorkload.bytes("a"), StoreWorkload.bytes("2")));
         TreeMap<String, String> wanted = new TreeMap<>();
         wanted.put("a", "2");
-        assertEquals(wanted, Night.dump(new Night().open(disk.copy()).store));
+        assertEquals(wanted, StoreWorkload.dump(new StoreWorkload().open(disk.durableCopy()).store));
     }
 
     /**
@@ -166,56 +166,56 @@
      * nothing.
      */
     @Test
-    void aFailedForceStopsAcknowledgingForGood() throws IOException {
-        for (FaultDisk.Fault fault :
-                new FaultDisk.Fault[] {FaultDisk.Fault.FAIL, FaultDisk.Fault.SHORT}) {
-            FaultDisk disk = new FaultDisk();
-            Night night = new Night().open(disk);
+    void aFailedForceStopsWritesPermanently() throws IOException {
+        for (FaultInjectingDisk.Fault fault :
+                new FaultInjectingDisk.Fault[] {FaultInjectingDisk.Fault.IO_ERROR, FaultInjectingDisk.Fault.SHORT_WRITE}) {
+            FaultInjectingDisk disk = new FaultInjectingDisk();
+            StoreWorkload night = new StoreWorkload().open(disk);
             night.commit("a=1");
-            disk.arm(fault == FaultDisk.Fault.FAIL ? 1 : 0, fault);
-            assertThrows(StoreException.Stopped.class, () -> night.commit("a=2"));
+            disk.injectFaultAt(fault == FaultInjectingDisk.Fault.IO_ERROR ? 1 : 0, fault);
+            assertThrows(StoreException.WritesStopped.class, () -> night.commit("a=2"));
             for (int i = 0; i < 3; i++) {
-                assertThrows(StoreException.Stopped.class, () -> night.commit("a=3"));
+                assertThrows(StoreException.WritesStopped.class, () -> night.commit("a=3"));
             }
             assertThrows(StoreException.class, night.store::checkpoint);
-            assertEquals(night.acked, Night.dump(night.store));
-            assertEquals(false, night.store.writable());
-            assertEquals(1, night.told.size(), "said once: " + night.told);
+            assertEquals(night.acknowledged, StoreWorkload.dump(night.store));
+            assertEquals(false, night.store.isWritable());
+            assertEquals(1, night.events.size(), "said once: " + night.events);
             night.store.close();
         }
     }
 
     @Test
-    void aFullDiskRefusesReadsOnAndRecovers() throws IOException {
-        int operations = operations();
+    void fullDiskRejectsWritesServesReadsAndRecovers() throws IOException {
+        int operations = countOperations();
         int refused = 0;
         for (int at = 0; at < operations; at++) {
-            FaultDisk disk = new FaultDisk();
-            Night night = new Night().open(disk);
-            disk.arm(at, FaultDisk.Fault.FULL);
+            FaultInjectingDisk disk = new FaultInjectingDisk();
+            StoreWorkload night = new StoreWorkload().open(disk);
+            disk.injectFaultAt(at, FaultInjectingDisk.Fault.DISK_FULL);
             try {
                 night.run();
-            } catch (StoreException.Full | Disk.FullException full) {
+            } catch (StoreException.DiskFull | Disk.FullException full) {
                 refused++;
-                assertEquals(night.acked, Night.dump(night.store), "reads go on at " + at);
+                assertEquals(night.acknowledged, StoreWorkload.dump(night.store), "reads go on at " + at);
             }
-            disk.makeRoom();
+            disk.clearFaults();
             night.commit("room=again");
-            assertEquals(night.acked, Night.dump(night.store));
-            checkAfter(night, disk.afterCrash(new Random(at)), "full at " + at);
+            assertEquals(night.acknowledged, StoreWorkload.dump(night.store));
+            assertRecovers(night, disk.afterCrash(new Random(at)), "full at " + at);
         }
         assertTrue(refused > operations / 2, "refused in " + refused);
     }
 
     @Test
-    void aTornTailIsDroppedAndToldWithFileOffsetAndLength() throws IOException {
-        FaultDisk disk = new FaultDisk();
-        Night night = new Night().open(disk);
+    void tornTailIsDroppedAndReportedWithFileOffsetAndLength() throws IOException {
+        FaultInjectingDisk disk = new FaultInjectingDisk();
+        StoreWorkload night = new StoreWorkload().open(disk);
         night.commit("a=1");
-        disk.arm(1, FaultDisk.Fault.CRASH); // the force of the next commit
-        assertThrows(FaultDisk.Crash.class, () -> night.commit("b=" + "x".repeat(700)));
+        disk.injectFaultAt(1, FaultInjectingDisk.Fault.CRASH); // the force of the next commit
+        assertThrows(FaultInjectingDisk.SimulatedCrash.class, () -> night.commit("b=" + "x".repeat(700)));
         int[] sector = new int[1];
-        FaultDisk left =
+        FaultInjectingDisk left =
                 disk.afterCrash(
                         new Random() {
                             private static final long serialVersionUID = 1L;
@@ -225,25 +225,25 @@
                                 return sector[0]++ % 2 == 0;
                             }
                         });
-        Night next = new Night().open(left);
-        assertEquals(night.acked, Night.dump(next.store));
+        StoreWorkload next = new StoreWorkload().open(left);
+        assertEquals(night.acknowledged, StoreWorkload.dump(next.store));
         assertTrue(
-                next.told
+                next.events
                         .get(0)
                         .matches(
                                 "store.torn \\[file, [0-9a-f]{16}\\.log, offset, \\d+, length,"
                                         + " \\d+\\]"),
-                next.told.toString());
+                next.events.toString());
         next.store.close();
-        Night third = new Night().open(left.copy());
-        assertEquals(List.of(), third.told, "it is told once");
+        StoreWorkload third = new StoreWorkload().open(left.durableCopy());
+        assertEquals(List.of(), third.events, "it is told once");
         String log =
                 left.list().stream()
                         .filter(name -> name.endsWith(".log"))
                         .findFirst()
                         .orElseThrow();
         byte[] content = left.content(log);
-        int end = Frames.HEADER + 2 * 72 + 200; // the first group, its mirror, and more than that
+        int end = SegmentFormat.SEGMENT_HEADER_BYTES + 2 * 72 + 200; // the first group, its mirror, and more than that
         for (int i = end; i < content.length; i++) {
             assertEquals(0, content[i], "left over at " + i);
         }
--- a/relay/src/test/java/saltstage/store/DamageTest.java
+++ b/relay/src/test/java/saltstage/store/DamageTest.java
@@ -18,25 +18,25 @@
  * time.
  */
 class DamageTest {
-    private final FaultDisk disk = new FaultDisk();
-    private TreeMap<String, String> acked;
+    private final FaultInjectingDisk disk = new FaultInjectingDisk();
+    private TreeMap<String, String> acknowledged;
 
     @BeforeEach
-    void night() throws IOException {
-        Night night = new Night().open(disk);
+    void runWorkload() throws IOException {
+        StoreWorkload night = new StoreWorkload().open(disk);
         night.run();
-        acked = night.acked;
+        acknowledged = night.acknowledged;
     }
 
-    private static String nameOf(FaultDisk on, String ending) {
+    private static String fileNameWithSuffix(FaultInjectingDisk on, String ending) {
         return on.list().stream().filter(name -> name.endsWith(ending)).findFirst().orElseThrow();
     }
 
     /** 1: refused cleanly; 0: the exact state. Anything else fails. */
-    private int outcome(FaultDisk changed, String what) {
-        try (Store store = Store.open(changed, Night.SMALL, StoreEvents.NONE)) {
-            assertEquals(acked, Night.dump(store), what);
-            store.put(Night.bytes("after"), Night.bytes("all"));
+    private int openOutcome(FaultInjectingDisk changed, String what) {
+        try (Store store = Store.open(changed, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE)) {
+            assertEquals(acknowledged, StoreWorkload.dump(store), what);
+            store.put(StoreWorkload.bytes("after"), StoreWorkload.bytes("all"));
             return 0;
         } catch (StoreException refused) {
             assertTrue(
@@ -49,14 +49,14 @@
     }
 
     @Test
-    void everyFileCutAtEveryByte() {
+    void everyFileTruncatedAtEveryByteIsRefused() {
         int[] counts = new int[2];
         for (String name : disk.list()) {
             byte[] whole = disk.content(name);
             for (int length = 0; length < whole.length; length++) {
-                FaultDisk cut = disk.copy();
-                cut.put(name, Arrays.copyOf(whole, length));
-                int outcome = outcome(cut, name + " cut to " + length);
+                FaultInjectingDisk cut = disk.durableCopy();
+                cut.putFile(name, Arrays.copyOf(whole, length));
+                int outcome = openOutcome(cut, name + " cut to " + length);
                 assertEquals(1, outcome, name + " cut to " + length + " looks like a shorter log");
                 counts[outcome]++;
             }
@@ -79,9 +79,9 @@
                 for (int mask : new int[] {0x01, 0xff}) {
                     byte[] flipped = whole.clone();
                     flipped[at] ^= (byte) mask;
-                    FaultDisk changed = disk.copy();
-                    changed.put(name, flipped);
-                    counts[outcome(changed, name + " flipped at " + at)]++;
+                    FaultInjectingDisk changed = disk.durableCopy();
+                    changed.putFile(name, flipped);
+                    counts[openOutcome(changed, name + " flipped at " + at)]++;
                 }
             }
         }
@@ -98,74 +98,74 @@
     @Test
     void aMissingFileIsRefused() {
         for (String name : disk.list()) {
-            FaultDisk without = disk.copy();
-            without.remove(name);
-            assertEquals(1, outcome(without, "without " + name));
+            FaultInjectingDisk without = disk.durableCopy();
+            without.removeFile(name);
+            assertEquals(1, openOutcome(without, "without " + name));
         }
     }
 
     @Test
     void aForeignSegmentIsRefused() throws IOException {
-        FaultDisk other = new FaultDisk();
-        new Night().open(other).run();
+        FaultInjectingDisk other = new FaultInjectingDisk();
+        new StoreWorkload().open(other).run();
         for (String name : other.list()) {
-            FaultDisk mixed = disk.copy();
-            mixed.put(name, other.content(name));
-            assertEquals(1, outcome(mixed, "with a foreign " + name));
+            FaultInjectingDisk mixed = disk.durableCopy();
+            mixed.putFile(name, other.content(name));
+            assertEquals(1, openOutcome(mixed, "with a foreign " + name));
         }
     }
 
     @Test
-    void anOlderManifestIsRefusedAndNotTakenForTheState() throws IOException {
-        FaultDisk young = new FaultDisk();
-        Night night = new Night().open(young);
+    void anOlderManifestIsRefused() throws IOException {
+        FaultInjectingDisk young = new FaultInjectingDisk();
+        StoreWorkload night = new StoreWorkload().open(young);
         night.commit("a=1");
         byte[] older = young.content(Manifest.NAME);
         for (int i = 0; i < 30; i++) {
             night.commit("a=" + "x".repeat(100) + i);
         }
-        acked = night.acked;
-        FaultDisk mixed = young.copy();
-        mixed.put(Manifest.NAME, older);
-        assertEquals(1, outcome(mixed, "an older manifest over a newer log"));
+        acknowledged = night.acknowledged;
+        FaultInjectingDisk mixed = young.durableCopy();
+        mixed.putFile(Manifest.NAME, older);
+        assertEquals(1, openOutcome(mixed, "an older manifest over a newer log"));
     }
 
     @Test
-    void theLastRecordComesBackFromItsMirrorAndItsLossIsToldFromATornTail() throws IOException {
-        FaultDisk young = new FaultDisk();
-        Night night = new Night().open(young);
+    void damagedLastGroupIsRestoredFromItsMirrorAndReported() throws IOException {
+        FaultInjectingDisk young = new FaultInjectingDisk();
+        StoreWorkload night = new StoreWorkload().open(young);
         night.commit("a=1");
         night.commit("b=2");
-        String log = nameOf(young, ".log");
+        String log = fileNameWithSuffix(young, ".log");
         byte[] whole = young.content(log);
-        int last = Frames.HEADER + Frames.align(Frames.HEAD + whole[Frames.HEADER + 11]);
-        whole[last + Frames.HEAD + 10] ^= 1;
-        young.put(log, whole);
-        Night after = new Night().open(young.copy());
-        assertEquals(night.acked, Night.dump(after.store));
-        assertTrue(after.told.get(0).startsWith("store.restored"), after.told.toString());
-        try (Store reading = Store.openToRead(young.copy(), StoreEvents.NONE)) {
-            assertEquals(night.acked, Night.dump(reading));
+        int last = SegmentFormat.SEGMENT_HEADER_BYTES + SegmentFormat.alignUp(SegmentFormat.FRAME_HEADER_BYTES + whole[SegmentFormat.SEGMENT_HEADER_BYTES + 11]);
+        whole[last + SegmentFormat.FRAME_HEADER_BYTES + 10] ^= 1;
+        young.putFile(log, whole);
+        StoreWorkload after = new StoreWorkload().open(young.durableCopy());
+        assertEquals(night.acknowledged, StoreWorkload.dump(after.store));
+        assertTrue(after.events.get(0).startsWith("store.restored"), after.events.toString());
+        try (Store reading = Store.openToRead(young.durableCopy(), StoreEventListener.NONE)) {
+            assertEquals(night.acknowledged, StoreWorkload.dump(reading));
         }
     }
 
     @Test
-    void aLargeLastRecordIsRefusedByItsMark() throws IOException {
-        FaultDisk young = new FaultDisk();
-        Night night = new Night().open(young);
-        night.commit("a=" + "x".repeat(Frames.MOST_MIRRORED + 1));
-        acked = night.acked;
-        assertEquals(0, outcome(young.copy(), "unharmed"));
+    void damagedLargeLastGroupIsRefusedByItsCommitMarker() throws IOException {
+        FaultInjectingDisk young = new FaultInjectingDisk();
+        StoreWorkload night = new StoreWorkload().open(young);
+        night.commit("a=" + "x".repeat(SegmentFormat.MAX_MIRRORED_BYTES + 1));
+        acknowledged = night.acknowledged;
+        assertEquals(0, openOutcome(young.durableCopy(), "unharmed"));
         String log =
                 young.list().stream()
-                        .filter(name -> young.content(name).length > Frames.MOST_MIRRORED)
+                        .filter(name -> young.content(name).length > SegmentFormat.MAX_MIRRORED_BYTES)
                         .findFirst()
                         .orElseThrow();
         byte[] whole = young.content(log);
-        whole[Frames.MOST_MIRRORED / 2] ^= 1;
-        FaultDisk changed = young.copy();
-        changed.put(log, whole);
-        assertEquals(1, outcome(changed, "a large record flipped"));
+        whole[SegmentFormat.MAX_MIRRORED_BYTES / 2] ^= 1;
+        FaultInjectingDisk changed = young.durableCopy();
+        changed.putFile(log, whole);
+        assertEquals(1, openOutcome(changed, "a large record flipped"));
     }
 
     /**
@@ -173,27 +173,27 @@
      * in.
      */
     @Test
-    void aLastRecordDamagedWithItsMirrorIsRefusedAndLeftAlone() throws IOException {
-        FaultDisk young = new FaultDisk();
-        Night night = new Night().open(young);
+    void lastGroupDamagedWithItsMirrorIsRefusedAndLeftUnchanged() throws IOException {
+        FaultInjectingDisk young = new FaultInjectingDisk();
+        StoreWorkload night = new StoreWorkload().open(young);
         night.commit("a=1");
         night.commit("b=2");
-        acked = night.acked;
-        String log = nameOf(young, ".log");
+        acknowledged = night.acknowledged;
+        String log = fileNameWithSuffix(young, ".log");
         byte[] whole = young.content(log);
-        int payload = Frames.BATCH_HEAD + Frames.ENTRY_HEAD + 2;
-        int group = Frames.HEADER + Frames.align(Frames.HEAD + payload);
-        int mirror = group + Frames.align(Frames.HEAD + payload);
-        int end = mirror + Frames.behind(mirror - group);
+        int payload = SegmentFormat.BATCH_HEADER_BYTES + SegmentFormat.ENTRY_HEADER_BYTES + 2;
+        int group = SegmentFormat.SEGMENT_HEADER_BYTES + SegmentFormat.alignUp(SegmentFormat.FRAME_HEADER_BYTES + payload);
+        int mirror = group + SegmentFormat.alignUp(SegmentFormat.FRAME_HEADER_BYTES + payload);
+        int end = mirror + SegmentFormat.trailerBytes(mirror - group);
         int refused = 0;
         for (int first = group; first < mirror; first++) {
             for (int second = mirror; second < end; second++) {
                 byte[] damaged = whole.clone();
                 damaged[first] ^= 0x10;
                 damaged[second] ^= 0x10;
-                FaultDisk changed = young.copy();
-                changed.put(log, damaged);
-                int outcome = outcome(changed, "flipped at " + first + " and " + second);
+                FaultInjectingDisk changed = young.durableCopy();
+                changed.putFile(log, damaged);
+                int outcome = openOutcome(changed, "flipped at " + first + " and " + second);
                 assertTrue(
                         outcome == 0 || Arrays.equals(damaged, changed.content(log)),
                         "left as it was");
@@ -201,15 +201,15 @@
             }
         }
         assertEquals(
-                (Frames.HEAD + payload) * (Frames.HEAD + Frames.MIRROR_HEAD + mirror - group),
+                (SegmentFormat.FRAME_HEADER_BYTES + payload) * (SegmentFormat.FRAME_HEADER_BYTES + SegmentFormat.MIRROR_HEADER_BYTES + mirror - group),
                 refused);
         for (int from = group; from < end; from++) { // as if the tail had never been written
             byte[] zeroed = whole.clone();
             Arrays.fill(zeroed, from, zeroed.length, (byte) 0);
-            FaultDisk changed = young.copy();
-            changed.put(log, zeroed);
-            int wanted = from < group + Frames.HEAD + payload ? 1 : 0;
-            assertEquals(wanted, outcome(changed, "zeros from " + from), "zeros from " + from);
+            FaultInjectingDisk changed = young.durableCopy();
+            changed.putFile(log, zeroed);
+            int wanted = from < group + SegmentFormat.FRAME_HEADER_BYTES + payload ? 1 : 0;
+            assertEquals(wanted, openOutcome(changed, "zeros from " + from), "zeros from " + from);
         }
         System.out.println("the last record and its mirror both damaged: refused " + refused);
     }
@@ -218,31 +218,31 @@
      * Files of an older day under a newer word of what was acknowledged: nothing says so but that.
      */
     @Test
-    void anOlderLogOrAnotherStoresWordIsRefused() throws IOException {
-        FaultDisk old = new FaultDisk();
-        Night night = new Night().open(old);
+    void olderLogOrForeignAcknowledgedSeqFileIsRefused() throws IOException {
+        FaultInjectingDisk old = new FaultInjectingDisk();
+        StoreWorkload night = new StoreWorkload().open(old);
         night.commit("a=1");
-        FaultDisk mixed = old.copy();
+        FaultInjectingDisk mixed = old.durableCopy();
         night.commit("a=2");
-        mixed.put(Acknowledged.NAME, old.content(Acknowledged.NAME));
-        acked = night.acked;
-        assertEquals(1, outcome(mixed, "an older log"));
-        FaultDisk foreign = old.copy();
-        foreign.put(Acknowledged.NAME, disk.content(Acknowledged.NAME));
-        assertEquals(1, outcome(foreign, "another store's word"));
-        FaultDisk spoilt = old.copy();
-        byte[] word = old.content(Acknowledged.NAME);
+        mixed.putFile(AcknowledgedSeqFile.NAME, old.content(AcknowledgedSeqFile.NAME));
+        acknowledged = night.acknowledged;
+        assertEquals(1, openOutcome(mixed, "an older log"));
+        FaultInjectingDisk foreign = old.durableCopy();
+        foreign.putFile(AcknowledgedSeqFile.NAME, disk.content(AcknowledgedSeqFile.NAME));
+        assertEquals(1, openOutcome(foreign, "another store's word"));
+        FaultInjectingDisk spoilt = old.durableCopy();
+        byte[] word = old.content(AcknowledgedSeqFile.NAME);
         word[8] ^= 1;
-        word[Acknowledged.SLOT + 8] ^= 1;
-        spoilt.put(Acknowledged.NAME, word);
-        assertEquals(1, outcome(spoilt, "neither slot sound"));
-        FaultDisk bare = new FaultDisk();
-        bare.put(Acknowledged.NAME, old.content(Acknowledged.NAME));
-        assertEquals(1, outcome(bare, "nothing but the word"));
+        word[AcknowledgedSeqFile.SLOT_BYTES + 8] ^= 1;
+        spoilt.putFile(AcknowledgedSeqFile.NAME, word);
+        assertEquals(1, openOutcome(spoilt, "neither slot sound"));
+        FaultInjectingDisk bare = new FaultInjectingDisk();
+        bare.putFile(AcknowledgedSeqFile.NAME, old.content(AcknowledgedSeqFile.NAME));
+        assertEquals(1, openOutcome(bare, "nothing but the word"));
     }
 
     /** Loses all that was not forced. */
-    private static FaultDisk withoutPower(FaultDisk running) {
+    private static FaultInjectingDisk afterPowerLoss(FaultInjectingDisk running) {
         return running.afterCrash(
                 new Random() {
                     private static final long serialVersionUID = 1L;
@@ -255,9 +255,9 @@
     }
 
     /** The log as it was before: what was written since is lost, and its mirror with it. */
-    private static FaultDisk withTailOf(FaultDisk before, FaultDisk now) {
-        String log = nameOf(now, ".log");
-        now.put(log, before.content(log));
+    private static FaultInjectingDisk withLogOf(FaultInjectingDisk before, FaultInjectingDisk now) {
+        String log = fileNameWithSuffix(now, ".log");
+        now.putFile(log, before.content(log));
         return now;
     }
 
@@ -266,119 +266,119 @@
      * acknowledged.
      */
     @Test
-    void whatWasAcknowledgedIsDurableOnceWritingRests() throws Exception {
-        FaultDisk ended = new FaultDisk();
-        Night night = new Night().open(ended);
+    void acknowledgedSeqIsDurableOnceWritingIsIdleOrTheStoreIsClosed() throws Exception {
+        FaultInjectingDisk ended = new FaultInjectingDisk();
+        StoreWorkload night = new StoreWorkload().open(ended);
         for (int i = 0; i < 9; i++) {
             night.commit("before" + i + "=1");
         }
         night.store.checkpoint(); // larger than what comes after it: the end writes none
-        FaultDisk before = ended.copy();
+        FaultInjectingDisk before = ended.durableCopy();
         night.commit("a=1");
-        acked = night.acked;
-        assertEquals(0, outcome(withoutPower(ended).copy(), "unharmed"));
+        acknowledged = night.acknowledged;
+        assertEquals(0, openOutcome(afterPowerLoss(ended).durableCopy(), "unharmed"));
         night.store.close();
-        assertEquals(1, outcome(withTailOf(before, withoutPower(ended)), "closed"));
+        assertEquals(1, openOutcome(withLogOf(before, afterPowerLoss(ended)), "closed"));
 
-        FaultDisk rests = new FaultDisk();
+        FaultInjectingDisk rests = new FaultInjectingDisk();
         StoreOptions tended = new StoreOptions(2048, true, 1 << 30);
-        try (Store store = Store.open(rests, tended, StoreEvents.NONE)) {
-            FaultDisk young = rests.copy();
-            store.put(Night.bytes("a"), Night.bytes("1"));
-            Frames.StoreId id = Manifest.read(rests).store();
-            for (int i = 0; i < 2000 && Acknowledged.read(withoutPower(rests), id) < 1; i++) {
+        try (Store store = Store.open(rests, tended, StoreEventListener.NONE)) {
+            FaultInjectingDisk young = rests.durableCopy();
+            store.put(StoreWorkload.bytes("a"), StoreWorkload.bytes("1"));
+            SegmentFormat.StoreId id = Manifest.read(rests).storeId();
+            for (int i = 0; i < 2000 && AcknowledgedSeqFile.read(afterPowerLoss(rests), id) < 1; i++) {
                 Thread.sleep(10);
             }
-            assertEquals(1, outcome(withTailOf(young, withoutPower(rests)), "at rest"));
+            assertEquals(1, openOutcome(withLogOf(young, afterPowerLoss(rests)), "at rest"));
         }
     }
 
     /** A write that is cut off spoils a slot: never the one that the last force made sure of. */
     @Test
-    void oneSlotIsAlwaysLeftAlone() throws IOException {
-        FaultDisk young = new FaultDisk();
-        Night night = new Night().open(young);
+    void oneSlotIsAlwaysDurableAndUnchanged() throws IOException {
+        FaultInjectingDisk young = new FaultInjectingDisk();
+        StoreWorkload night = new StoreWorkload().open(young);
         for (int i = 0; i < 4; i++) {
             night.commit("a=" + i);
             night.commit("b=" + i);
-            byte[] sure = withoutPower(young).content(Acknowledged.NAME);
-            byte[] now = young.content(Acknowledged.NAME);
-            boolean first = Arrays.equals(sure, 0, Acknowledged.SLOT, now, 0, Acknowledged.SLOT);
+            byte[] sure = afterPowerLoss(young).content(AcknowledgedSeqFile.NAME);
+            byte[] now = young.content(AcknowledgedSeqFile.NAME);
+            boolean first = Arrays.equals(sure, 0, AcknowledgedSeqFile.SLOT_BYTES, now, 0, AcknowledgedSeqFile.SLOT_BYTES);
             boolean second =
                     Arrays.equals(
                             sure,
-                            Acknowledged.SLOT,
-                            Acknowledged.SIZE,
+                            AcknowledgedSeqFile.SLOT_BYTES,
+                            AcknowledgedSeqFile.FILE_BYTES,
                             now,
-                            Acknowledged.SLOT,
-                            Acknowledged.SIZE);
+                            AcknowledgedSeqFile.SLOT_BYTES,
+                            AcknowledgedSeqFile.FILE_BYTES);
             assertTrue(first ^ second, "round " + i);
-            acked = night.acked;
-            FaultDisk spoilt = young.copy();
+            acknowledged = night.acknowledged;
+            FaultInjectingDisk spoilt = young.durableCopy();
             byte[] cut = now.clone();
             Arrays.fill(
                     cut,
-                    first ? Acknowledged.SLOT : 0,
-                    (first ? Acknowledged.SLOT : 0) + 20,
+                    first ? AcknowledgedSeqFile.SLOT_BYTES : 0,
+                    (first ? AcknowledgedSeqFile.SLOT_BYTES : 0) + 20,
                     (byte) 0);
-            spoilt.put(Acknowledged.NAME, cut);
-            Frames.StoreId id = Manifest.read(young).store();
+            spoilt.putFile(AcknowledgedSeqFile.NAME, cut);
+            SegmentFormat.StoreId id = Manifest.read(young).storeId();
             assertEquals(
-                    Acknowledged.read(withoutPower(young), id),
-                    Acknowledged.read(spoilt, id),
+                    AcknowledgedSeqFile.read(afterPowerLoss(young), id),
+                    AcknowledgedSeqFile.read(spoilt, id),
                     "what the last force made sure of");
-            assertEquals(0, outcome(spoilt, "cut off in its slot"));
+            assertEquals(0, openOutcome(spoilt, "cut off in its slot"));
             if (i == 1) {
-                young = young.copy(); // killed: what was written stays, but nobody forced it
+                young = young.durableCopy(); // killed: what was written stays, but nobody forced it
             } else {
                 night.store.close();
             }
-            night = new Night();
-            night.acked = acked;
+            night = new StoreWorkload();
+            night.acknowledged = acknowledged;
             night.open(young);
         }
     }
 
     /** After a kill the higher slot may be unforced: that is the one to be written over. */
     @Test
-    void anOpeningWritesOverTheSlotThatMayNotBeDurable() throws IOException {
+    void openOverwritesTheSlotThatMayNotBeDurable() throws IOException {
         for (int commits = 1; commits <= 2; commits++) {
-            FaultDisk young = new FaultDisk();
-            Night night = new Night().open(young);
+            FaultInjectingDisk young = new FaultInjectingDisk();
+            StoreWorkload night = new StoreWorkload().open(young);
             night.commit("a=1");
             if (commits == 2) {
                 night.store.close();
-                night = new Night().open(young);
+                night = new StoreWorkload().open(young);
                 night.commit("a=2");
             }
-            Frames.StoreId id = Manifest.read(young).store();
-            byte[] before = young.content(Acknowledged.NAME);
-            int higher = slotSays(before, 0) > slotSays(before, 1) ? 0 : 1;
-            FaultDisk killed = young.copy();
-            killed.arm(1, FaultDisk.Fault.CRASH); // the force
-            assertThrows(FaultDisk.Crash.class, () -> Acknowledged.open(killed, id, 9));
-            byte[] after = killed.content(Acknowledged.NAME);
-            assertEquals(9, slotSays(after, higher));
-            assertEquals(slotSays(before, 1 - higher), slotSays(after, 1 - higher));
+            SegmentFormat.StoreId id = Manifest.read(young).storeId();
+            byte[] before = young.content(AcknowledgedSeqFile.NAME);
+            int higher = slotSeq(before, 0) > slotSeq(before, 1) ? 0 : 1;
+            FaultInjectingDisk killed = young.durableCopy();
+            killed.injectFaultAt(1, FaultInjectingDisk.Fault.CRASH); // the force
+            assertThrows(FaultInjectingDisk.SimulatedCrash.class, () -> AcknowledgedSeqFile.open(killed, id, 9));
+            byte[] after = killed.content(AcknowledgedSeqFile.NAME);
+            assertEquals(9, slotSeq(after, higher));
+            assertEquals(slotSeq(before, 1 - higher), slotSeq(after, 1 - higher));
         }
     }
 
-    private static long slotSays(byte[] file, int slot) {
-        return ByteBuffer.wrap(file).getLong(slot * Acknowledged.SLOT + 32);
+    private static long slotSeq(byte[] file, int slot) {
+        return ByteBuffer.wrap(file).getLong(slot * AcknowledgedSeqFile.SLOT_BYTES + 32);
     }
 
     /**
      * A group that a crash left whole is shown after it: from then on it must not vanish either.
      */
     @Test
-    void whatARecoveryHasShownIsAsGoodAsAcknowledged() throws IOException {
-        FaultDisk young = new FaultDisk();
-        Night night = new Night().open(young);
+    void recoveredGroupCountsAsAcknowledged() throws IOException {
+        FaultInjectingDisk young = new FaultInjectingDisk();
+        StoreWorkload night = new StoreWorkload().open(young);
         night.commit("a=1");
-        FaultDisk before = young.copy();
-        young.arm(1, FaultDisk.Fault.CRASH); // the force of the next commit
-        assertThrows(FaultDisk.Crash.class, () -> night.commit("b=2"));
-        FaultDisk left =
+        FaultInjectingDisk before = young.durableCopy();
+        young.injectFaultAt(1, FaultInjectingDisk.Fault.CRASH); // the force of the next commit
+        assertThrows(FaultInjectingDisk.SimulatedCrash.class, () -> night.commit("b=2"));
+        FaultInjectingDisk left =
                 young.afterCrash(
                         new Random() {
                             private static final long serialVersionUID = 1L;
@@ -388,94 +388,94 @@
                                 return true;
                             }
                         });
-        acked = night.asked;
-        assertEquals(acked, Night.dump(new Night().open(left).store));
-        assertEquals(1, outcome(withTailOf(before, withoutPower(left)), "shown, then lost"));
+        acknowledged = night.requested;
+        assertEquals(acknowledged, StoreWorkload.dump(new StoreWorkload().open(left).store));
+        assertEquals(1, openOutcome(withLogOf(before, afterPowerLoss(left)), "shown, then lost"));
     }
 
     /** A store from before there was such a file gets one, and misses it from then on. */
     @Test
-    void aStoreOfTheFirstFormatIsTakenOver() throws IOException {
-        Manifest now = Manifest.decoded(ByteBuffer.wrap(disk.content(Manifest.NAME)));
+    void formatOneStoreIsUpgraded() throws IOException {
+        Manifest now = Manifest.decode(ByteBuffer.wrap(disk.content(Manifest.NAME)));
         byte[] former =
                 new Manifest(
                                 (short) 1,
-                                now.store(),
+                                now.storeId(),
                                 now.generation(),
-                                now.nextId(),
+                                now.nextFileId(),
                                 now.checkpoint(),
-                                now.parts())
-                        .encoded()
+                                now.segments())
+                        .encode()
                         .array();
-        FaultDisk first = disk.copy();
-        first.put(Manifest.NAME, former);
-        first.delete(Acknowledged.NAME);
-        try (Store reading = Store.openToRead(first.copy(), StoreEvents.NONE)) {
-            assertEquals(acked, Night.dump(reading));
+        FaultInjectingDisk first = disk.durableCopy();
+        first.putFile(Manifest.NAME, former);
+        first.delete(AcknowledgedSeqFile.NAME);
+        try (Store reading = Store.openToRead(first.durableCopy(), StoreEventListener.NONE)) {
+            assertEquals(acknowledged, StoreWorkload.dump(reading));
         }
-        Night next = new Night().open(first);
-        assertEquals(acked, Night.dump(next.store));
-        assertTrue(first.list().contains(Acknowledged.NAME));
+        StoreWorkload next = new StoreWorkload().open(first);
+        assertEquals(acknowledged, StoreWorkload.dump(next.store));
+        assertTrue(first.list().contains(AcknowledgedSeqFile.NAME));
         next.store.checkpoint();
-        FaultDisk without = first.copy();
-        without.remove(Acknowledged.NAME);
-        assertEquals(1, outcome(without, "the file is gone"));
+        FaultInjectingDisk without = first.durableCopy();
+        without.removeFile(AcknowledgedSeqFile.NAME);
+        assertEquals(1, openOutcome(without, "the file is gone"));
     }
 
     /** What is wrong in a large checkpoint is told by its place, not only that something is. */
     @Test
-    void aDamagedBlockOfACheckpointIsNamedByItsPlace() throws IOException {
-        FaultDisk large = new FaultDisk();
+    void damagedCheckpointBlockIsReportedWithItsOffset() throws IOException {
+        FaultInjectingDisk large = new FaultInjectingDisk();
         try (Store store =
-                Store.open(large, new StoreOptions(1 << 20, false, 1 << 30), StoreEvents.NONE)) {
+                Store.open(large, new StoreOptions(1 << 20, false, 1 << 30), StoreEventListener.NONE)) {
             Batch batch = new Batch();
             for (int i = 0; i < 4000; i++) {
-                batch.put(Night.bytes("key" + i), Night.bytes("1"));
+                batch.put(StoreWorkload.bytes("key" + i), StoreWorkload.bytes("1"));
             }
             store.commit(batch);
             store.checkpoint();
         }
-        String index = nameOf(large, ".index");
+        String index = fileNameWithSuffix(large, ".index");
         byte[] content = large.content(index);
         int second = 64 + 8 + ByteBuffer.wrap(content).getInt(64);
         content[second + 8 + 14 + 7] ^=
                 1; // the last byte of a version: nothing else would miss it in place
-        large.put(index, content);
+        large.putFile(index, content);
         StoreException refused =
                 assertThrows(
                         StoreException.Damaged.class,
-                        () -> Store.openToRead(large, StoreEvents.NONE));
+                        () -> Store.openToRead(large, StoreEventListener.NONE));
         assertEquals(
                 "damaged: " + index + " at " + second + ": the block's checksum does not match",
                 refused.getMessage());
     }
 
     @Test
-    void aValueThatLooksLikeAFrameIsNone() throws IOException {
-        FaultDisk young = new FaultDisk();
-        Night night = new Night().open(young);
+    void valueThatLooksLikeAFrameIsNotReadAsOne() throws IOException {
+        FaultInjectingDisk young = new FaultInjectingDisk();
+        StoreWorkload night = new StoreWorkload().open(young);
         night.commit("a=1");
-        String log = nameOf(young, ".log");
-        Manifest manifest = Manifest.decoded(ByteBuffer.wrap(young.content(Manifest.NAME)));
+        String log = fileNameWithSuffix(young, ".log");
+        Manifest manifest = Manifest.decode(ByteBuffer.wrap(young.content(Manifest.NAME)));
         ByteBuffer made = ByteBuffer.allocate(400);
         for (int i = 0;
                 i < 8;
                 i++) { // of a later record, at each alignment that it could come to stand at
             made.position(made.position() + 1);
-            int start = Frames.beginFrame(made, Frames.GROUP, 1, 1000);
-            Frames.endFrame(made, start, new Frames.Seed(manifest.store(), 1), 64);
+            int start = SegmentFormat.beginFrame(made, SegmentFormat.GROUP_FRAME, 1, 1000);
+            SegmentFormat.endFrame(made, start, new SegmentFormat.ChecksumSeed(manifest.storeId(), 1), 64);
         }
         byte[] frame = made.array();
-        night.store.put(Night.bytes("b"), frame);
-        night.store.put(Night.bytes("c"), frame);
-        try (Store again = Store.open(young.copy(), Night.SMALL, StoreEvents.NONE)) {
-            assertTrue(Arrays.equals(frame, again.get(Night.bytes("c"))));
+        night.store.put(StoreWorkload.bytes("b"), frame);
+        night.store.put(StoreWorkload.bytes("c"), frame);
+        try (Store again = Store.open(young.durableCopy(), StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE)) {
+            assertTrue(Arrays.equals(frame, again.get(StoreWorkload.bytes("c"))));
         }
     }
 
     @Test
     void aDamagedValueIsRefusedWhenItIsRead() throws IOException {
-        Night.dump(Store.openToRead(disk.copy(), StoreEvents.NONE));
+        StoreWorkload.dump(Store.openToRead(disk.durableCopy(), StoreEventListener.NONE));
         String copy =
                 disk.list().stream()
                         .filter(name -> name.endsWith(".copy"))
@@ -483,8 +483,8 @@
                         .orElseThrow();
         byte[] content = disk.content(copy);
         content[content.length - 20] ^= 1;
-        disk.put(copy, content);
-        try (Store store = Store.openToRead(disk, StoreEvents.NONE)) {
+        disk.putFile(copy, content);
+        try (Store store = Store.openToRead(disk, StoreEventListener.NONE)) {
             StoreException refused = assertThrows(StoreException.Damaged.class, store::verify);
             assertTrue(
                     refused.getMessage().startsWith("damaged: " + copy + " at "),
--- /dev/null
+++ b/relay/src/test/java/saltstage/store/FaultInjectingDisk.java
@@ -0,0 +1,326 @@
+package saltstage.store;
+
+import java.io.Closeable;
+import java.io.FileNotFoundException;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.BitSet;
+import java.util.List;
+import java.util.Random;
+import java.util.TreeMap;
+import java.util.concurrent.Callable;
+
+/**
+ * A disk in memory that crashes, fails, falls short and fills at any single operation. What is not
+ * forced survives a crash in any part, sector by sector, and unsynced names one by one.
+ */
+public final class FaultInjectingDisk implements Disk {
+    static final int SECTOR_BYTES = 512;
+
+    /** What happens at the chosen operation. */
+    public enum Fault {
+        CRASH,
+        IO_ERROR,
+        SHORT_WRITE,
+        DISK_FULL
+    }
+
+    /** Thrown at a crash: no code of the store's may go on. */
+    static final class SimulatedCrash extends Error {
+        private static final long serialVersionUID = 1L;
+    }
+
+    private record PendingWrite(int position, byte[] bytes) {}
+
+    private record NameChange(String from, String to, Inode inode) {}
+
+    private static final class Inode {
+        private byte[] content = {};
+        private byte[] durableContent = {};
+        private final List<PendingWrite> unforcedWrites = new ArrayList<>();
+        private final BitSet allocatedSectors =
+                new BitSet(); // sectors that were ever written: a hole takes none
+
+        boolean needsNewSectors(long position, int bytes) {
+            int last = (int) (position + bytes - 1) / SECTOR_BYTES;
+            return allocatedSectors.nextClearBit((int) position / SECTOR_BYTES) <= last;
+        }
+
+        static byte[] withWrite(byte[] content, PendingWrite write) {
+            byte[] next =
+                    Arrays.copyOf(
+                            content, Math.max(content.length, write.position() + write.bytes().length));
+            System.arraycopy(write.bytes(), 0, next, write.position(), write.bytes().length);
+            return next;
+        }
+    }
+
+    private final TreeMap<String, Inode> files = new TreeMap<>();
+    private final TreeMap<String, Inode> durableFiles = new TreeMap<>();
+    private final List<NameChange> unsyncedNameChanges = new ArrayList<>();
+    private boolean locked;
+    private boolean crashed;
+    private int operationCount;
+    private int faultAtOperation = Integer.MAX_VALUE;
+    private Fault fault = Fault.CRASH;
+    private boolean diskFull;
+
+    /** Done once, before the next file is made: what another thread does meanwhile. */
+    private Callable<Void> nextCreateHook;
+
+    void beforeNextCreate(Callable<Void> what) {
+        nextCreateHook = what;
+    }
+
+    /** From the next operation on they count from 0; at this one the fault happens. */
+    public void injectFaultAt(int at, Fault what) {
+        operationCount = 0;
+        faultAtOperation = at;
+        fault = what;
+    }
+
+    /** How many operations that change something there were since the disk was armed. */
+    public int operationCount() {
+        return operationCount;
+    }
+
+    /** There is room again, nothing is armed, and the process that held the lock is dead. */
+    public void clearFaults() {
+        diskFull = false;
+        locked = false;
+        faultAtOperation = Integer.MAX_VALUE;
+    }
+
+    /**
+     * The disk as the next start finds it: all that was forced, and of the rest what the chance
+     * keeps.
+     */
+    public FaultInjectingDisk afterCrash(Random keep) {
+        FaultInjectingDisk next = new FaultInjectingDisk();
+        TreeMap<String, Inode> kept = new TreeMap<>(durableFiles);
+        for (NameChange change : unsyncedNameChanges) {
+            if (keep.nextBoolean()) {
+                if (change.from() != null) {
+                    kept.remove(change.from(), change.inode());
+                }
+                if (change.to() != null) {
+                    kept.put(change.to(), change.inode());
+                }
+            }
+        }
+        kept.forEach(
+                (name, node) -> {
+                    byte[] content = node.durableContent;
+                    for (PendingWrite write : node.unforcedWrites) {
+                        for (int at = 0; at < write.bytes().length; ) {
+                            int until =
+                                    Math.min(
+                                            write.bytes().length,
+                                            at + SECTOR_BYTES - (write.position() + at) % SECTOR_BYTES);
+                            if (keep.nextBoolean()) {
+                                content =
+                                        Inode.withWrite(
+                                                content,
+                                                new PendingWrite(
+                                                        write.position() + at,
+                                                        Arrays.copyOfRange(
+                                                                write.bytes(), at, until)));
+                            }
+                            at = until;
+                        }
+                    }
+                    next.putFile(name, content);
+                });
+        return next;
+    }
+
+    /** A copy with all that is there durable. */
+    FaultInjectingDisk durableCopy() {
+        FaultInjectingDisk next = new FaultInjectingDisk();
+        files.forEach((name, node) -> next.putFile(name, node.content));
+        return next;
+    }
+
+    byte[] content(String name) {
+        return files.get(name).content.clone();
+    }
+
+    void putFile(String name, byte[] content) {
+        Inode node = new Inode();
+        node.content = content.clone();
+        node.durableContent = node.content;
+        files.put(name, node);
+        durableFiles.put(name, node);
+    }
+
+    void removeFile(String name) {
+        files.remove(name);
+        durableFiles.remove(name);
+    }
+
+    private synchronized boolean injectFault() throws IOException {
+        if (crashed) {
+            throw new SimulatedCrash();
+        }
+        if (operationCount++ < faultAtOperation) {
+            return false;
+        }
+        if (operationCount - 1 > faultAtOperation && fault != Fault.DISK_FULL) {
+            return false;
+        }
+        switch (fault) {
+            case CRASH:
+                crashed = true;
+                throw new SimulatedCrash();
+            case IO_ERROR:
+                throw new IOException("made to fail");
+            case DISK_FULL:
+                diskFull = true;
+                return false;
+            default:
+                return true;
+        }
+    }
+
+    @Override
+    public synchronized List<String> list() {
+        return List.copyOf(files.keySet());
+    }
+
+    @Override
+    public synchronized File create(String name) throws IOException {
+        if (nextCreateHook != null) {
+            Callable<Void> meanwhile = nextCreateHook;
+            nextCreateHook = null;
+            try {
+                meanwhile.call();
+            } catch (Exception e) {
+                throw new IOException(e);
+            }
+        }
+        injectFault();
+        if (diskFull) {
+            throw new FullException("no room for " + name);
+        }
+        Inode node = new Inode();
+        if (files.putIfAbsent(name, node) != null) {
+            throw new IOException("there already: " + name);
+        }
+        unsyncedNameChanges.add(new NameChange(null, name, node));
+        return new FileHandle(node);
+    }
+
+    @Override
+    public synchronized File open(String name, boolean toWrite) throws IOException {
+        Inode node = files.get(name);
+        if (node == null) {
+            throw new FileNotFoundException(name);
+        }
+        return new FileHandle(node);
+    }
+
+    @Override
+    public synchronized void rename(String from, String to) throws IOException {
+        injectFault();
+        Inode node = files.remove(from);
+        files.put(to, node);
+        unsyncedNameChanges.add(new NameChange(from, to, node));
+    }
+
+    @Override
+    public synchronized void delete(String name) throws IOException {
+        injectFault();
+        Inode node = files.remove(name);
+        if (node != null) {
+            unsyncedNameChanges.add(new NameChange(name, null, node));
+        }
+    }
+
+    @Override
+    public synchronized void syncDirectory() throws IOException {
+        injectFault();
+        durableFiles.clear();
+        durableFiles.putAll(files);
+        unsyncedNameChanges.clear();
+    }
+
+    @Override
+    public synchronized Closeable lock(String name) {
+        if (locked) {
+            return null;
+        }
+        locked = true;
+        return () -> locked = false;
+    }
+
+    private final class FileHandle implements File {
+        private final Inode inode;
+
+        FileHandle(Inode node) {
+            this.inode = node;
+        }
+
+        @Override
+        public int read(ByteBuffer into, long position) {
+            synchronized (FaultInjectingDisk.this) {
+                int bytes =
+                        (int) Math.max(0, Math.min(into.remaining(), inode.content.length - position));
+                into.put(inode.content, (int) Math.min(position, inode.content.length), bytes);
+                return bytes;
+            }
+        }
+
+        @Override
+        public int write(ByteBuffer from, long position) throws IOException {
+            synchronized (FaultInjectingDisk.this) {
+                boolean shortened = injectFault();
+                if (diskFull && inode.needsNewSectors(position, from.remaining())) {
+                    throw new FullException("no room to grow");
+                }
+                byte[] bytes =
+                        new byte[shortened ? Math.min(10, from.remaining() / 2) : from.remaining()];
+                from.get(bytes);
+                PendingWrite write = new PendingWrite((int) position, bytes);
+                inode.content = Inode.withWrite(inode.content, write);
+                inode.unforcedWrites.add(write);
+                inode.allocatedSectors.set(
+                        (int) position / SECTOR_BYTES,
+                        (int) (position + bytes.length + SECTOR_BYTES - 1) / SECTOR_BYTES);
+                return bytes.length;
+            }
+        }
+
+        @Override
+        public void force() throws IOException {
+            synchronized (FaultInjectingDisk.this) {
+                try {
+                    injectFault();
+                    for (PendingWrite write : inode.unforcedWrites) {
+                        inode.durableContent = Inode.withWrite(inode.durableContent, write);
+                    }
+                } catch (IOException failed) {
+                    failed.addSuppressed(
+                            new IOException("the cache forgets that these were not written"));
+                    inode.unforcedWrites
+                            .clear(); // as Linux does: a later force has nothing left and succeeds
+                    throw failed;
+                }
+                inode.unforcedWrites.clear();
+            }
+        }
+
+        @Override
+        public long size() {
+            synchronized (FaultInjectingDisk.this) {
+                return inode.content.length;
+            }
+        }
+
+        @Override
+        public void close() {
+            // nothing is held
+        }
+    }
+}
--- a/relay/src/test/java/saltstage/store/SpacePolicyTest.java
+++ b/relay/src/test/java/saltstage/store/MaintenancePolicyTest.java
@@ -11,51 +11,51 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import saltstage.store.SpacePolicy.Sealed;
+import saltstage.store.MaintenancePolicy.SealedSegment;
 
 /** When to checkpoint and what to compact, without a file in sight; and the rate that bounds it. */
-class SpacePolicyTest {
-    private final SpacePolicy policy = new SpacePolicy(1_000);
+class MaintenancePolicyTest {
+    private final MaintenancePolicy policy = new MaintenancePolicy(1_000);
 
     @Test
-    void aCheckpointIsWorthAsMuchLogAsItIsLong() {
-        assertFalse(policy.checkpointDue(3_999, 0));
-        assertTrue(policy.checkpointDue(4_000, 0));
-        assertFalse(policy.checkpointDue(9_999, 10_000));
-        assertTrue(policy.checkpointDue(10_000, 10_000));
+    void checkpointIsDueAfterAsMuchLogAsItsOwnSize() {
+        assertFalse(policy.isCheckpointDue(3_999, 0));
+        assertTrue(policy.isCheckpointDue(4_000, 0));
+        assertFalse(policy.isCheckpointDue(9_999, 10_000));
+        assertTrue(policy.isCheckpointDue(10_000, 10_000));
     }
 
     @Test
-    void nothingIsCompactedWhileLittleIsDead() {
-        List<Sealed> sealed = List.of(new Sealed(1, 1_000, 1), new Sealed(2, 1_000, 2));
-        assertEquals(List.of(), policy.victims(sealed, 0));
-        List<Sealed> more = new ArrayList<>(sealed);
-        more.add(new Sealed(3, 1_000, 900));
+    void nothingIsCompactedWhileFewBytesAreDead() {
+        List<SealedSegment> sealed = List.of(new SealedSegment(1, 1_000, 1), new SealedSegment(2, 1_000, 2));
+        assertEquals(List.of(), policy.selectForCompaction(sealed, 0));
+        List<SealedSegment> more = new ArrayList<>(sealed);
+        more.add(new SealedSegment(3, 1_000, 900));
         assertEquals(
                 List.of(1L, 2L),
-                policy.victims(more, 0),
+                policy.selectForCompaction(more, 0),
                 "the deadest first, and not what mostly lives");
         assertEquals(
                 List.of(),
-                policy.victims(more, 3_000),
+                policy.selectForCompaction(more, 3_000),
                 "a round ends with a checkpoint of that size");
     }
 
     @Test
-    void byHandAllThatHoldsAnythingDeadIsRewritten() {
+    void manualCompactionSelectsEverySegmentWithDeadData() {
         assertEquals(
-                List.of(2L), SpacePolicy.all(List.of(new Sealed(1, 10, 10), new Sealed(2, 10, 9))));
+                List.of(2L), MaintenancePolicy.selectAllWithDeadData(List.of(new SealedSegment(1, 10, 10), new SealedSegment(2, 10, 9))));
     }
 
     @Property(tries = 300, seed = "7")
-    void aRoundIsBoundedAndChoosesOnlyWhatPays(
+    void aRoundIsBoundedAndSelectsOnlyMostlyDeadSegments(
             @ForAll @Size(max = 200) List<@IntRange(max = 700) Integer> live) {
-        List<Sealed> sealed = new ArrayList<>();
+        List<SealedSegment> sealed = new ArrayList<>();
         for (int i = 0; i < live.size(); i++) {
-            sealed.add(new Sealed(i, 1_000, live.get(i)));
+            sealed.add(new SealedSegment(i, 1_000, live.get(i)));
         }
         long copied = 0;
-        for (long id : policy.victims(sealed, 0)) {
+        for (long id : policy.selectForCompaction(sealed, 0)) {
             assertTrue(live.get((int) id) <= 500);
             copied += live.get((int) id);
         }
@@ -63,8 +63,8 @@
     }
 
     @Test
-    void aRateHoldsOverTimeWhateverThePieces() {
-        RateLimit limit = new RateLimit(1_000_000);
+    void rateLimitHoldsOverTimeForAnyRequestSize() {
+        RateLimiter limit = new RateLimiter(1_000_000);
         long now = 0;
         for (int i = 0; i < 10_000; i++) {
             now += limit.take(1_000, now); // ten seconds' worth, as fast as it is allowed
--- a/relay/src/test/java/saltstage/store/StoreFuzzTest.java
+++ b/relay/src/test/java/saltstage/store/StoreFuzzTest.java
@@ -21,26 +21,26 @@
  * is known.
  */
 class StoreFuzzTest {
-    private static final FaultDisk NIGHT = new FaultDisk();
-    private static final Map<String, Set<String>> ASKED = new HashMap<>();
-    private static final List<String> NAMES = new ArrayList<>();
+    private static final FaultInjectingDisk WORKLOAD_DISK = new FaultInjectingDisk();
+    private static final Map<String, Set<String>> REQUESTED_VALUES = new HashMap<>();
+    private static final List<String> FILE_NAMES = new ArrayList<>();
 
     static {
         try {
-            new Night() {
+            new StoreWorkload() {
                 @Override
                 void commit(String... changes) throws IOException {
                     for (String change : changes) {
                         int equals = change.indexOf('=');
                         if (equals > 0) {
-                            ASKED.computeIfAbsent(change.substring(0, equals), k -> new HashSet<>())
+                            REQUESTED_VALUES.computeIfAbsent(change.substring(0, equals), k -> new HashSet<>())
                                     .add(change.substring(equals + 1));
                         }
                     }
                     super.commit(changes);
                 }
-            }.open(NIGHT).run();
-            NAMES.addAll(NIGHT.list());
+            }.open(WORKLOAD_DISK).run();
+            FILE_NAMES.addAll(WORKLOAD_DISK.list());
         } catch (IOException e) {
             throw new ExceptionInInitializerError(e);
         }
@@ -48,23 +48,23 @@
 
     /** The file, the place in it, and what stands there instead. */
     @FuzzTest(maxDuration = "60s")
-    void neverInvents(byte[] data) throws IOException {
+    void openNeverReturnsUnrequestedValues(byte[] data) throws IOException {
         if (data.length < 4) {
             return;
         }
-        String name = NAMES.get((data[0] & 0xff) % NAMES.size());
-        byte[] content = NIGHT.content(name);
+        String name = FILE_NAMES.get((data[0] & 0xff) % FILE_NAMES.size());
+        byte[] content = WORKLOAD_DISK.content(name);
         int at = ((data[1] & 0xff) << 8 | data[2] & 0xff) % content.length;
         int bytes = Math.min(data.length - 3, content.length - at);
         System.arraycopy(data, 3, content, at, bytes);
-        FaultDisk changed = NIGHT.copy();
-        changed.put(name, (data[0] & 0x80) != 0 ? Arrays.copyOf(content, at + bytes) : content);
-        try (Store store = Store.open(changed, Night.SMALL, StoreEvents.NONE)) {
-            TreeMap<String, String> found = Night.dump(store);
+        FaultInjectingDisk changed = WORKLOAD_DISK.durableCopy();
+        changed.putFile(name, (data[0] & 0x80) != 0 ? Arrays.copyOf(content, at + bytes) : content);
+        try (Store store = Store.open(changed, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE)) {
+            TreeMap<String, String> found = StoreWorkload.dump(store);
             found.forEach(
                     (key, value) ->
                             assertTrue(
-                                    ASKED.getOrDefault(key, Set.of()).contains(value),
+                                    REQUESTED_VALUES.getOrDefault(key, Set.of()).contains(value),
                                     key + "=" + value));
         } catch (StoreException refused) {
             assertTrue(refused.getMessage() != null);
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void aFewThousandChancesOfIt() throws IOException {
+    void randomChangesNeverReturnUnrequestedValues() throws IOException {
         Random random = new Random(20261201);
         for (int i = 0; i < 4_000; i++) {
             byte[] data = new byte[4 + random.nextInt(i % 3 == 0 ? 600 : 12)];
@@ -81,7 +81,7 @@
                 Arrays.fill(
                         data, 3, data.length, (byte) 0); // what a disk leaves that lost a sector
             }
-            neverInvents(data);
+            openNeverReturnsUnrequestedValues(data);
         }
     }
 }
--- a/relay/src/test/java/saltstage/store/StoreTest.java
+++ b/relay/src/test/java/saltstage/store/StoreTest.java
@@ -28,14 +28,14 @@
     @TempDir Path dir;
 
     private static byte[] bytes(String text) {
-        return Night.bytes(text);
+        return StoreWorkload.bytes(text);
     }
 
-    private Store onDisk(int segment, boolean background) throws IOException {
+    private Store openStore(int segment, boolean background) throws IOException {
         return Store.open(
-                FileDisk.at(dir.resolve("s")),
+                FileDisk.openOrCreate(dir.resolve("s")),
                 new StoreOptions(segment, background, 1 << 30),
-                StoreEvents.NONE);
+                StoreEventListener.NONE);
     }
 
     /** Ops: 0 put, 1 delete, 2 batch, 3 checkpoint, 4 compact, 5 reopen. */
@@ -43,8 +43,8 @@
     void behavesAsASortedMap(
             @ForAll @Size(min = 1, max = 120) List<@IntRange(min = 0, max = 99_999) Integer> ops)
             throws IOException {
-        FaultDisk disk = new FaultDisk();
-        Night night = new Night().open(disk);
+        FaultInjectingDisk disk = new FaultInjectingDisk();
+        StoreWorkload night = new StoreWorkload().open(disk);
         for (int op : ops) {
             String key = "k" + op / 10 % 40;
             switch (op % 10) {
@@ -63,18 +63,18 @@
                     night.open(disk);
                 }
             }
-            assertEquals(night.acked, Night.dump(night.store));
+            assertEquals(night.acknowledged, StoreWorkload.dump(night.store));
         }
-        Store.Verified all = night.store.verify();
-        assertEquals(night.acked.size(), all.live());
+        Store.VerificationResult all = night.store.verify();
+        assertEquals(night.acknowledged.size(), all.liveKeys());
         TreeMap<String, String> reread =
-                Night.dump(new Night().open(disk.afterCrash(new Random(1))).store);
-        assertEquals(night.acked, reread);
+                StoreWorkload.dump(new StoreWorkload().open(disk.afterCrash(new Random(1))).store);
+        assertEquals(night.acknowledged, reread);
     }
 
     @Test
     void scansInOrderOfUnsignedBytesBetweenBounds() throws IOException {
-        try (Store store = onDisk(4096, false)) {
+        try (Store store = openStore(4096, false)) {
             List<byte[]> keys = new ArrayList<>();
             for (int i = 0; i < 256; i++) {
                 keys.add(new byte[] {(byte) i, 1});
@@ -93,23 +93,23 @@
     }
 
     @Test
-    void aVersionThatMovedOnRefusesTheWholeBatch() throws IOException {
-        try (Store store = onDisk(4096, false)) {
+    void staleExpectedVersionRejectsTheWholeBatch() throws IOException {
+        try (Store store = openStore(4096, false)) {
             long first =
-                    store.commit(new Batch().expect(bytes("a"), 0).put(bytes("a"), bytes("1")));
-            StoreException.Conflict conflict =
+                    store.commit(new Batch().expectVersion(bytes("a"), 0).put(bytes("a"), bytes("1")));
+            StoreException.VersionConflict conflict =
                     assertThrows(
-                            StoreException.Conflict.class,
+                            StoreException.VersionConflict.class,
                             () ->
                                     store.commit(
                                             new Batch()
                                                     .put(bytes("b"), bytes("1"))
-                                                    .expect(bytes("a"), 0)
+                                                    .expectVersion(bytes("a"), 0)
                                                     .put(bytes("a"), bytes("2"))));
-            assertEquals(first, conflict.found());
+            assertEquals(first, conflict.actualVersion());
             assertNull(store.get(bytes("b")));
             long second =
-                    store.commit(new Batch().expect(bytes("a"), first).put(bytes("a"), bytes("2")));
+                    store.commit(new Batch().expectVersion(bytes("a"), first).put(bytes("a"), bytes("2")));
             assertTrue(second > first);
             assertArrayEquals(bytes("2"), store.get(bytes("a")));
         }
@@ -117,13 +117,13 @@
 
     @Test
     void aSecondOpenerIsRefusedAndReadersAreNot() throws IOException {
-        try (Store store = onDisk(4096, false)) {
+        try (Store store = openStore(4096, false)) {
             store.put(bytes("a"), bytes("1"));
             StoreException refused =
-                    assertThrows(StoreException.Locked.class, () -> onDisk(4096, false));
+                    assertThrows(StoreException.Locked.class, () -> openStore(4096, false));
             assertEquals("the store is open in another process", refused.getMessage());
             try (Store reader =
-                    Store.openToRead(new FileDisk(dir.resolve("s")), StoreEvents.NONE)) {
+                    Store.openToRead(new FileDisk(dir.resolve("s")), StoreEventListener.NONE)) {
                 assertArrayEquals(bytes("1"), reader.get(bytes("a")));
                 assertThrows(StoreException.class, () -> reader.put(bytes("a"), bytes("2")));
             }
@@ -131,11 +131,11 @@
     }
 
     @Test
-    void manyWritersShareGroupsAndEachGetsItsOwnAnswer() throws Exception {
+    void concurrentWritersShareGroupCommitsAndEachGetsItsOwnResult() throws Exception {
         int writers = 16;
         int each = 60;
         ConcurrentLinkedQueue<Throwable> failures = new ConcurrentLinkedQueue<>();
-        try (Store store = onDisk(32 << 10, true)) {
+        try (Store store = openStore(32 << 10, true)) {
             store.put(bytes("shared"), ByteBuffer.allocate(8).array());
             List<Thread> threads = new ArrayList<>();
             for (int w = 0; w < writers; w++) {
@@ -161,9 +161,9 @@
             }
             assertTrue(failures.isEmpty(), failures.toString());
         }
-        try (Store store = onDisk(32 << 10, false)) {
+        try (Store store = openStore(32 << 10, false)) {
             assertEquals(writers * each, ByteBuffer.wrap(store.get(bytes("shared"))).getLong());
-            assertEquals(writers * each + 1, store.verify().live());
+            assertEquals(writers * each + 1, store.verify().liveKeys());
         }
     }
 
@@ -174,10 +174,10 @@
                 long next = ByteBuffer.wrap(now.get(key)).getLong() + 1;
                 store.commit(
                         new Batch()
-                                .expect(key, now.version(key))
+                                .expectVersion(key, now.version(key))
                                 .put(key, ByteBuffer.allocate(8).putLong(next).array()));
                 return;
-            } catch (StoreException.Conflict again) {
+            } catch (StoreException.VersionConflict again) {
                 continue;
             }
         }
@@ -185,10 +185,10 @@
 
     /** Pairs are written together: a reader that sees half of one, or loses a file, fails. */
     @Test
-    void readersSeeOneStateThroughCompactions() throws Exception {
+    void snapshotsStayConsistentDuringCompactions() throws Exception {
         AtomicBoolean over = new AtomicBoolean();
         ConcurrentLinkedQueue<Throwable> failures = new ConcurrentLinkedQueue<>();
-        try (Store store = onDisk(8 << 10, false)) {
+        try (Store store = openStore(8 << 10, false)) {
             store.commit(new Batch().put(bytes("a"), bytes("0")).put(bytes("z"), bytes("0")));
             List<Thread> readers = new ArrayList<>();
             for (int r = 0; r < 3; r++) {
@@ -231,30 +231,30 @@
     }
 
     @Test
-    void spaceOfDeletedDataComesBack() throws IOException {
-        try (Store store = onDisk(16 << 10, false)) {
+    void compactionReclaimsSpaceOfDeletedData() throws IOException {
+        try (Store store = openStore(16 << 10, false)) {
             for (int i = 0; i < 2_000; i++) {
                 store.put(bytes("k" + i % 10), new byte[100]);
             }
-            long before = store.stat().fileBytes();
+            long before = store.statistics().fileBytes();
             store.compact();
-            long after = store.stat().fileBytes();
+            long after = store.statistics().fileBytes();
             assertTrue(after < before / 5, before + " then " + after);
             long there = 0;
             for (java.io.File file : dir.resolve("s").toFile().listFiles()) {
                 there += file.length();
             }
             assertTrue(there <= after + 4096, "on the disk " + there + ", counted " + after);
-            assertEquals(10, store.verify().live());
+            assertEquals(10, store.verify().liveKeys());
         }
     }
 
     @Test
-    void aSnapshotReadsOnWhatCompactionHasTakenAway() throws IOException {
-        FaultDisk disk = new FaultDisk();
-        Night night = new Night().open(disk);
+    void snapshotStaysReadableAfterCompactionRemovesItsSegments() throws IOException {
+        FaultInjectingDisk disk = new FaultInjectingDisk();
+        StoreWorkload night = new StoreWorkload().open(disk);
         night.run();
-        TreeMap<String, String> then = night.acked;
+        TreeMap<String, String> then = night.acknowledged;
         TreeMap<String, String> seen = new TreeMap<>();
         try (Snapshot old = night.store.snapshot()) {
             for (String key : then.keySet()) {
@@ -271,7 +271,7 @@
 
     @Test
     void anInterruptedThreadNeitherFailsNorClosesTheFiles() throws IOException {
-        try (Store store = onDisk(4096, false)) {
+        try (Store store = openStore(4096, false)) {
             store.put(bytes("a"), bytes("1"));
             Thread.currentThread().interrupt();
             store.put(bytes("b"), bytes("2"));
@@ -310,31 +310,31 @@
      * mark.
      */
     @Test
-    void aGroupOfWhichTheLargePartIsRefusedKeepsWithinItsRoom() throws IOException {
-        FaultDisk disk = new FaultDisk();
-        Core core = new Core(disk, Night.SMALL, StoreEvents.NONE);
+    void groupWithRejectedLargeBatchStaysWithinItsReservedSpace() throws IOException {
+        FaultInjectingDisk disk = new FaultInjectingDisk();
+        StoreState core = new StoreState(disk, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE);
         new Recovery(core, true).run();
         LogWriter writer = new LogWriter(core);
-        Pending small =
-                new Pending(new Batch().put(bytes("s"), new byte[Frames.MOST_MIRRORED - 200]));
-        Pending large =
-                new Pending(new Batch().expect(bytes("x"), 9).put(bytes("l"), new byte[1_000]));
+        PendingBatch small =
+                new PendingBatch(new Batch().put(bytes("s"), new byte[SegmentFormat.MAX_MIRRORED_BYTES - 200]));
+        PendingBatch large =
+                new PendingBatch(new Batch().expectVersion(bytes("x"), 9).put(bytes("l"), new byte[1_000]));
         writer.write(List.of(small, large));
         assertEquals(1, small.result());
-        assertThrows(StoreException.Conflict.class, large::result);
-        try (Store store = Store.open(disk.copy(), Night.SMALL, StoreEvents.NONE)) {
-            assertEquals(1, store.verify().live());
+        assertThrows(StoreException.VersionConflict.class, large::result);
+        try (Store store = Store.open(disk.durableCopy(), StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE)) {
+            assertEquals(1, store.verify().liveKeys());
         }
     }
 
     @Test
-    void largeBatchesAreWholeAndMarked() throws IOException {
+    void largeBatchesSurviveReopenAndCompaction() throws IOException {
         byte[] large = new byte[200 << 10];
         new Random(3).nextBytes(large);
-        try (Store store = onDisk(64 << 10, false)) {
+        try (Store store = openStore(64 << 10, false)) {
             store.commit(new Batch().put(bytes("large"), large).put(bytes("small"), bytes("1")));
         }
-        try (Store store = onDisk(64 << 10, false)) {
+        try (Store store = openStore(64 << 10, false)) {
             assertArrayEquals(large, store.get(bytes("large")));
             store.put(bytes("large"), bytes("now small"));
             store.compact();
--- a/relay/src/test/java/saltstage/store/Night.java
+++ b/relay/src/test/java/saltstage/store/StoreWorkload.java
@@ -10,42 +10,42 @@
 /**
  * A fixed run of batches, deletes, checkpoints and compactions, with what was acknowledged of it.
  */
-class Night {
-    static final StoreOptions SMALL = new StoreOptions(2048, false, 1 << 30);
+class StoreWorkload {
+    static final StoreOptions SMALL_SEGMENTS = new StoreOptions(2048, false, 1 << 30);
 
-    final List<String> told = new ArrayList<>();
+    final List<String> events = new ArrayList<>();
 
     /** The state after what was acknowledged last, and after what was asked for last. */
-    TreeMap<String, String> acked = new TreeMap<>();
+    TreeMap<String, String> acknowledged = new TreeMap<>();
 
-    TreeMap<String, String> asked = new TreeMap<>();
+    TreeMap<String, String> requested = new TreeMap<>();
     Store store;
 
     static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    Night open(Disk disk) throws IOException {
-        store = Store.open(disk, SMALL, (event, pairs) -> told.add(event + " " + List.of(pairs)));
+    StoreWorkload open(Disk disk) throws IOException {
+        store = Store.open(disk, SMALL_SEGMENTS, (event, pairs) -> events.add(event + " " + List.of(pairs)));
         return this;
     }
 
     /** Commits a batch of puts and deletes ({@code k=v}, {@code k}). */
     void commit(String... changes) throws IOException {
         Batch batch = new Batch();
-        asked = new TreeMap<>(acked);
+        requested = new TreeMap<>(acknowledged);
         for (String change : changes) {
             int equals = change.indexOf('=');
             if (equals < 0) {
                 batch.delete(bytes(change));
-                asked.remove(change);
+                requested.remove(change);
             } else {
                 batch.put(bytes(change.substring(0, equals)), bytes(change.substring(equals + 1)));
-                asked.put(change.substring(0, equals), change.substring(equals + 1));
+                requested.put(change.substring(0, equals), change.substring(equals + 1));
             }
         }
         store.commit(batch);
-        acked = asked;
+        acknowledged = requested;
     }
 
     /**
--- a/relay/src/test/java/saltstage/store/TailJudgeTest.java
+++ b/relay/src/test/java/saltstage/store/TailClassifierTest.java
@@ -3,13 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
-import saltstage.store.TailJudge.Evidence;
-import saltstage.store.TailJudge.Verdict;
+import saltstage.store.TailClassifier.Findings;
+import saltstage.store.TailClassifier.TailState;
 
 /** The whole table of what an unreadable end can be. */
-class TailJudgeTest {
+class TailClassifierTest {
     @Test
-    void everyCombination() {
+    void classifiesEveryCombination() {
         for (int bits = 0; bits < 64; bits++) {
             boolean later = (bits & 1) != 0;
             boolean mirror = (bits & 2) != 0;
@@ -17,16 +17,16 @@
             boolean zero = (bits & 8) != 0;
             boolean last = (bits & 16) != 0;
             boolean said = (bits & 32) != 0;
-            Verdict wanted =
+            TailState wanted =
                     later
-                            ? Verdict.REFUSE
+                            ? TailState.DAMAGED
                             : mirror
-                                    ? Verdict.RESTORE
+                                    ? TailState.RESTORABLE
                                     : mark || said
-                                            ? Verdict.REFUSE
-                                            : zero || last ? Verdict.CLEAN : Verdict.TORN;
+                                            ? TailState.DAMAGED
+                                            : zero || last ? TailState.CLEAN : TailState.TORN;
             assertEquals(
-                    wanted, TailJudge.judge(new Evidence(later, mirror, mark, zero, last), said));
+                    wanted, TailClassifier.classify(new Findings(later, mirror, mark, zero, last), said));
         }
     }
 }
