--- a/lab/src/main/java/saltstage/lab/amqp/LoadClient.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LoadClient.java
@@ -26,7 +26,7 @@
 import org.apache.qpid.protonj2.types.messaging.Source;
 import org.apache.qpid.protonj2.types.messaging.Target;
 import org.apache.qpid.protonj2.types.transport.DeliveryState;
-import saltstage.amqp.Peering;
+import saltstage.amqp.AmqpConnection;
 import saltstage.lab.amqp.Ledger.Told;
 import saltstage.net.Connection;
 import saltstage.net.ConnectionHandler;
@@ -149,7 +149,7 @@
     }
 
     /** The connection. */
-    private final class Side extends Peering {
+    private final class Side extends AmqpConnection {
         Side(Connection net) {
             super(net, Instant::now, 1 << 20);
         }
@@ -158,19 +158,19 @@
             Engine engine = EngineFactory.PROTON.createNonSaslEngine();
             engine.connection().setContainerId(name).setMaxFrameSize(16 << 10)
                 .closeHandler(closed -> close(null));
-            start(engine);
+            startEngine(engine);
             engine.connection().open();
             session = engine.connection().session().open();
             links.forEach(OneLink::attach);
         }
 
         @Override
-        protected void roomAgain() {
+        protected void onWritable() {
             links.forEach(OneLink::pump);
         }
 
         @Override
-        protected void ended(String why) {
+        protected void connectionEnded(String why) {
             links.forEach(OneLink::lost);
             count("connection " + why);
             again();
@@ -200,7 +200,7 @@
         }
 
         void attach() {
-            if (over || side == null || side.over()) {
+            if (over || side == null || side.isClosed()) {
                 return;
             }
             sender = session.sender(name + "-" + number + "-" + times++);
@@ -242,7 +242,7 @@
         }
 
         void pump() {
-            while (up && !waiting.isEmpty() && side.writable() && sender.getCredit() > 0
+            while (up && !waiting.isEmpty() && side.isWritable() && sender.getCredit() > 0
                 && sender.isSendable()) {
                 Due due = waiting.poll();
                 unsent--;
--- a/lab/src/main/java/saltstage/lab/amqp/ServerSide.java
+++ b/lab/src/main/java/saltstage/lab/amqp/ServerSide.java
@@ -13,11 +13,11 @@
 import org.apache.qpid.protonj2.engine.sasl.SaslServerListener;
 import org.apache.qpid.protonj2.types.Symbol;
 import org.apache.qpid.protonj2.types.transport.AMQPHeader;
-import saltstage.amqp.Peering;
+import saltstage.amqp.AmqpConnection;
 import saltstage.net.Connection;
 
 /** A server's side of a connection: with SASL ANONYMOUS or without SASL, as the client begins. */
-class ServerSide extends Peering {
+class ServerSide extends AmqpConnection {
     private final Consumer<Engine> setUp;
     private final Consumer<ServerSide> end;
     private byte[] head = {};
@@ -43,7 +43,7 @@
                 made.saslDriver().server().setListener(new Anyone());
             }
             setUp.accept(made);
-            start(made);
+            startEngine(made);
         }
         byte[] whole = head;
         head = new byte[0];
@@ -57,7 +57,7 @@
 
     /** Reads on, or lets what comes wait in the system. */
     void reading(boolean wanted) {
-        net().setReading(wanted);
+        netConnection().setReading(wanted);
     }
 
     /** Ends as a process does that dies. */
@@ -65,21 +65,21 @@
         if (engine() != null) {
             engine().shutdown(); // its links are over before its peer can know: no copy is out there any more
         }
-        net().reset();
+        netConnection().reset();
     }
 
     /** Begins a frame that it does not end, and dies. */
     void tear() {
-        net().write(ByteBuffer.wrap(new byte[] {0, 0, 1, 0, 2, 0, 0, 0, 0, 0x53}));
+        netConnection().write(ByteBuffer.wrap(new byte[] {0, 0, 1, 0, 2, 0, 0, 0, 0, 0x53}));
         loop().schedule(Duration.ofMillis(5), this::reset);
     }
 
     @Override
-    protected void roomAgain() {
+    protected void onWritable() {
     }
 
     @Override
-    protected void ended(String why) {
+    protected void connectionEnded(String why) {
         end.accept(this);
     }
 
--- a/relay/src/main/java/org/apache/qpid/protonj2/engine/impl/Flows.java
+++ b/relay/src/main/java/org/apache/qpid/protonj2/engine/impl/ProtonFlowControl.java
@@ -12,13 +12,13 @@
  * flow for the session tells all, if the window was shut until then. Either way the others would
  * stand still for good. And it answers no link that asks for its state, and takes no credit back.
  */
-public final class Flows {
-    private Flows() {}
+public final class ProtonFlowControl {
+    private ProtonFlowControl() {}
 
     /**
      * Gives back bytes of a session's window that came for links which are no more, and says so.
      */
-    public static void giveBack(Session session, int bytes) {
+    public static void restoreIncomingWindow(Session session, int bytes) {
         if (bytes > 0 && session.getIncomingCapacity() > 0) {
             session.setIncomingCapacity(session.getIncomingCapacity() + bytes);
         }
@@ -28,7 +28,7 @@
     /**
      * Opens the window by bytes that are about to be read, before a flow for one link alone can.
      */
-    public static void readsNext(Session session, int bytes) {
+    public static void extendIncomingWindow(Session session, int bytes) {
         int capacity = session.getIncomingCapacity();
         session.setIncomingCapacity(capacity + bytes);
         ((ProtonSession) session).getIncomingWindow().writeFlow(null);
@@ -36,7 +36,7 @@
     }
 
     /** Has a sender look at its session's window anew. */
-    public static void refresh(Sender sender) {
+    public static void refreshSender(Sender sender) {
         ProtonSession session = (ProtonSession) sender.getSession();
         ((ProtonSender) sender).handleSessionCreditStateUpdate(session.getOutgoingWindow());
     }
@@ -45,7 +45,7 @@
      * Tells the state of a link where its other side has asked for that (2.6.8, echo); once an
      * asking.
      */
-    public static void echo(Link<?> link) {
+    public static void answerEcho(Link<?> link) {
         ProtonLinkCreditState state = ((ProtonLink<?>) link).getCreditState();
         if (state.isEcho() && link.isLocallyOpen() && link.isRemotelyOpen()) {
             state.clearEcho();
@@ -57,7 +57,7 @@
      * Takes credit back that was given (2.6.7); the library only adds. What is on its way may still
      * come.
      */
-    public static void takeBack(Receiver receiver, int credit) {
+    public static void reduceCredit(Receiver receiver, int credit) {
         ((ProtonLink<?>) receiver)
                 .getCreditState()
                 .incrementCredit(-Math.min(credit, receiver.getCredit()));
--- a/relay/src/main/java/saltstage/amqp/BackendPeering.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpBackendConnection.java
@@ -24,54 +24,54 @@
 import saltstage.session.Backend;
 
 /** One connection to a backend and the links on it. */
-final class BackendPeering extends Peering {
+final class AmqpBackendConnection extends AmqpConnection {
     private static final Symbol ANONYMOUS = Symbol.valueOf("ANONYMOUS");
-    private static final Duration IDLE = Duration.ofSeconds(5);
+    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(5);
 
-    private final AmqpFront front;
-    private final BackendPool pool;
-    private final Backend peer;
+    private final AmqpFrontend frontend;
+    private final BackendConnectionPool pool;
+    private final Backend backend;
     private final Set<BackendLink> links = new LinkedHashSet<>();
 
     /** By the client's session, which is its own key. */
-    private final Map<Object, BackendSession> shared = new HashMap<>();
+    private final Map<Object, BackendSession> sharedSessions = new HashMap<>();
 
     private boolean opened;
     private Instant idleSince;
 
-    BackendPeering(AmqpFront front, BackendPool pool, Backend peer, Connection net) {
+    AmqpBackendConnection(AmqpFrontend front, BackendConnectionPool pool, Backend peer, Connection net) {
         super(net, front::now, front.settings().limits().maxFrameBytes());
-        this.front = front;
+        this.frontend = front;
         this.pool = pool;
-        this.peer = peer;
+        this.backend = peer;
         idleSince = front.now();
     }
 
     /** Says who the relay is; links wait for the answer. */
-    void begin() {
+    void open() {
         Engine made = EngineFactory.PROTON.createEngine();
-        made.saslDriver().client().setListener(new Anonymous());
+        made.saslDriver().client().setListener(new AnonymousLogin());
         made.connection()
-                .setContainerId(front.container())
-                .setMaxFrameSize(front.settings().limits().maxFrameBytes())
-                .setIdleTimeout(front.settings().timeouts().backendIdle().toMillis())
+                .setContainerId(frontend.containerId())
+                .setMaxFrameSize(frontend.settings().limits().maxFrameBytes())
+                .setIdleTimeout(frontend.settings().timeouts().backendIdle().toMillis())
                 .openHandler(
                         up -> {
                             opened = true;
-                            List.copyOf(links).forEach(BackendLink::connected);
+                            List.copyOf(links).forEach(BackendLink::connectionOpened);
                         })
                 .closeHandler(
                         up -> {
                             ErrorCondition why = up.getRemoteCondition();
-                            lost(why == null ? "closed" : String.valueOf(why.getCondition()));
+                            connectionLost(why == null ? "closed" : String.valueOf(why.getCondition()));
                             close(null);
                         });
-        start(made);
+        startEngine(made);
         made.connection().open();
     }
 
     /** Offers the mechanism that needs no secret. */
-    private static final class Anonymous implements SaslClientListener {
+    private static final class AnonymousLogin implements SaslClientListener {
         @Override
         public void handleSaslMechanisms(SaslClientContext context, Symbol[] mechanisms) {
             ProtonBuffer name =
@@ -94,26 +94,26 @@
         }
     }
 
-    Backend peer() {
-        return peer;
+    Backend backend() {
+        return backend;
     }
 
     /** How many links are on it. */
-    int size() {
+    int linkCount() {
         return links.size();
     }
 
     /** Takes a link on; it attaches as soon as the connection is open. */
     void attach(BackendLink link) {
         links.add(link);
-        link.on(this);
+        link.setConnection(this);
         if (opened) {
-            link.connected();
+            link.connectionOpened();
         }
     }
 
     /** The link is no longer on it. */
-    void detached(BackendLink link) {
+    void removeLink(BackendLink link) {
         if (links.remove(link) && links.isEmpty()) {
             idleSince = now();
         }
@@ -123,48 +123,48 @@
      * A session for a link: one that it shares with others of this key, or its own where there is
      * none.
      */
-    BackendSession session(Object key) {
-        BackendSession held = key == null ? null : shared.get(key);
+    BackendSession sessionFor(Object key) {
+        BackendSession held = key == null ? null : sharedSessions.get(key);
         if (held != null && held.hasRoom()) {
             return held;
         }
         Session made =
                 engine().connection()
                         .session()
-                        .setIncomingCapacity(front.settings().limits().maxLinkBytes());
+                        .setIncomingCapacity(frontend.settings().limits().maxLinkBytes());
         BackendSession[] it = new BackendSession[1];
-        it[0] = new BackendSession(made, () -> shared.remove(key, it[0]));
+        it[0] = new BackendSession(made, () -> sharedSessions.remove(key, it[0]));
         if (key != null) {
-            shared.put(key, it[0]); // one that is full goes on without newcomers
+            sharedSessions.put(key, it[0]); // one that is full goes on without newcomers
         }
         return it[0];
     }
 
     void closeIfIdle() {
-        boolean left = peer.hasEnded() || !peer.canAcceptRequests();
-        if (links.isEmpty() && (left || Duration.between(idleSince, now()).compareTo(IDLE) > 0)) {
-            pool.ended(this);
+        boolean left = backend.hasEnded() || !backend.canAcceptRequests();
+        if (links.isEmpty() && (left || Duration.between(idleSince, now()).compareTo(IDLE_TIMEOUT) > 0)) {
+            pool.removeConnection(this);
             close(null);
         }
     }
 
     @Override
-    protected void roomAgain() {
-        List.copyOf(links).forEach(BackendLink::roomAgain);
+    protected void onWritable() {
+        List.copyOf(links).forEach(BackendLink::resume);
     }
 
     @Override
-    protected void ended(String why) {
-        lost(why);
+    protected void connectionEnded(String why) {
+        connectionLost(why);
     }
 
-    private void lost(String why) {
-        pool.ended(this);
+    private void connectionLost(String why) {
+        pool.removeConnection(this);
         if (!links.isEmpty()) {
             Log.warn(
                     "amqp.backend.lost",
                     "peer",
-                    peer.entry().uid(),
+                    backend.entry().uid(),
                     "links",
                     links.size(),
                     "why",
@@ -172,6 +172,6 @@
         }
         List<BackendLink> all = List.copyOf(links);
         links.clear();
-        all.forEach(link -> link.lost(opened));
+        all.forEach(link -> link.connectionLost(opened));
     }
 }
--- a/relay/src/main/java/saltstage/amqp/ClientPeering.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpClientConnection.java
@@ -21,7 +21,7 @@
 import org.apache.qpid.protonj2.engine.Sender;
 import org.apache.qpid.protonj2.engine.Session;
 import org.apache.qpid.protonj2.engine.exceptions.ProtocolViolationException;
-import org.apache.qpid.protonj2.engine.impl.Flows;
+import org.apache.qpid.protonj2.engine.impl.ProtonFlowControl;
 import org.apache.qpid.protonj2.engine.impl.ProtonConstants;
 import org.apache.qpid.protonj2.engine.sasl.SaslOutcome;
 import org.apache.qpid.protonj2.engine.sasl.SaslServerContext;
@@ -38,51 +38,51 @@
 import saltstage.net.Connection;
 
 /** A client's connection: who it is, its sessions and links, and the limits on all of it. */
-final class ClientPeering extends Peering {
+final class AmqpClientConnection extends AmqpConnection {
     private static final Symbol ANONYMOUS = Symbol.valueOf("ANONYMOUS");
     private static final Symbol PLAIN = Symbol.valueOf("PLAIN");
-    private static final int HEADER = 8;
-    private static final int PROTOCOL_ID = 4;
+    private static final int HEADER_BYTES = 8;
+    private static final int PROTOCOL_ID_INDEX = 4;
 
     /**
      * Empty frames only keep a connection alive; who sends more than this a second does something
      * else.
      */
-    private static final int MOST_EMPTY = 100;
+    private static final int MAX_EMPTY_FRAMES_PER_SECOND = 100;
 
-    private static final int MOST_SECRET = 1_024;
-    private static final Duration FAILED_LOGIN = Duration.ofMillis(500);
+    private static final int MAX_PLAIN_RESPONSE_BYTES = 1_024;
+    private static final Duration FAILED_LOGIN_CLOSE_DELAY = Duration.ofMillis(500);
 
-    private final AmqpFront front;
-    private final BackendPool pool;
+    private final AmqpFrontend frontend;
+    private final BackendConnectionPool backendPool;
     private final AmqpSettings settings;
-    private final String remote;
+    private final String remoteAddress;
     private final Set<ClientLink> links = new LinkedHashSet<>();
-    private final boolean overfull;
-    private byte[] head = {};
+    private final boolean overLimit;
+    private byte[] protocolHeader = {};
     private String user;
     private boolean opened;
-    private Instant second = Instant.EPOCH;
-    private int empties;
-    private int attaches;
-    private int beginnings;
-    private boolean gone;
+    private Instant rateWindowStart = Instant.EPOCH;
+    private int emptyFrameCount;
+    private int attachCount;
+    private int beginCount;
+    private boolean linksEnded;
 
-    ClientPeering(AmqpFront front, BackendPool pool, Connection net, boolean overfull) {
+    AmqpClientConnection(AmqpFrontend front, BackendConnectionPool pool, Connection net, boolean overfull) {
         super(net, front::now, front.settings().limits().maxFrameBytes());
-        this.front = front;
-        this.pool = pool;
-        this.overfull = overfull;
+        this.frontend = front;
+        this.backendPool = pool;
+        this.overLimit = overfull;
         settings = front.settings();
-        remote = String.valueOf(net.remoteAddress());
+        remoteAddress = String.valueOf(net.remoteAddress());
         net.loop()
                 .schedule(
                         settings.timeouts().open(),
                         () -> {
-                            if (!opened && !over()) {
-                                Log.warn("amqp.client.silent", "from", remote);
+                            if (!opened && !isClosed()) {
+                                Log.warn("amqp.client.silent", "from", remoteAddress);
                                 close(
-                                        Errors.limit(
+                                        ErrorConditions.limitExceeded(
                                                 "no open within "
                                                         + settings.timeouts().open().toMillis()
                                                         + " ms"));
@@ -90,12 +90,12 @@
                         });
     }
 
-    String remote() {
-        return remote;
+    String remoteAddress() {
+        return remoteAddress;
     }
 
-    BackendPool pool() {
-        return pool;
+    BackendConnectionPool backendPool() {
+        return backendPool;
     }
 
     // ---- before the open
@@ -105,15 +105,15 @@
         byte[] came = new byte[bytes.remaining()];
         bytes.get(came);
         if (engine() == null) {
-            byte[] all = Arrays.copyOf(head, head.length + came.length);
-            System.arraycopy(came, 0, all, head.length, came.length);
-            head = all;
-            if (head.length < HEADER) {
+            byte[] all = Arrays.copyOf(protocolHeader, protocolHeader.length + came.length);
+            System.arraycopy(came, 0, all, protocolHeader.length, came.length);
+            protocolHeader = all;
+            if (protocolHeader.length < HEADER_BYTES) {
                 return;
             }
-            came = head;
-            head = new byte[0];
-            begin(came[PROTOCOL_ID] == 0);
+            came = protocolHeader;
+            protocolHeader = new byte[0];
+            createEngine(came[PROTOCOL_ID_INDEX] == 0);
         }
         ingest(came);
     }
@@ -122,7 +122,7 @@
      * A client that offers no SASL is ANONYMOUS, where that may come in; else it is told to
      * (5.3.2).
      */
-    private void begin(boolean bare) {
+    private void createEngine(boolean bare) {
         boolean anonymous = settings.authentication().anonymousTenant() != null;
         Engine made =
                 bare && anonymous
@@ -137,23 +137,23 @@
                 made.pipeline().find(ProtonConstants.AMQP_PERFORMATIVE_HANDLER);
         made.pipeline()
                 .remove(performatives)
-                .addFirst("count", new Counter())
+                .addFirst("count", new EmptyFrameCounter())
                 .addFirst(ProtonConstants.AMQP_PERFORMATIVE_HANDLER, performatives);
         made.connection()
-                .setContainerId(front.container())
+                .setContainerId(frontend.containerId())
                 .setMaxFrameSize(settings.limits().maxFrameBytes())
                 .setChannelMax(settings.limits().maxSessionsPerConnection() - 1)
                 .setIdleTimeout(settings.timeouts().clientIdle().toMillis())
-                .openHandler(this::opens)
+                .openHandler(this::onOpen)
                 .closeHandler(
                         ended -> {
-                            leave();
+                            endLinks();
                             close(null);
                         })
-                .sessionOpenHandler(this::begins)
-                .senderOpenHandler(this::attaches)
-                .receiverOpenHandler(this::attaches);
-        start(made);
+                .sessionOpenHandler(this::onBegin)
+                .senderOpenHandler(this::onAttach)
+                .receiverOpenHandler(this::onAttach);
+        startEngine(made);
     }
 
     /** Who it is: ANONYMOUS, or a user with a secret; one attempt a connection. */
@@ -161,7 +161,7 @@
         @Override
         public void handleSaslHeader(SaslServerContext context, AMQPHeader header) {
             boolean anonymous = settings.authentication().anonymousTenant() != null;
-            boolean plain = front.secrets().size() > 0;
+            boolean plain = frontend.userSecrets().size() > 0;
             context.sendMechanisms(
                     anonymous && plain
                             ? new Symbol[] {PLAIN, ANONYMOUS}
@@ -174,20 +174,20 @@
             boolean fits =
                     ANONYMOUS.equals(mechanism)
                                     && settings.authentication().anonymousTenant() != null
-                            || PLAIN.equals(mechanism) && plain(response);
+                            || PLAIN.equals(mechanism) && authenticatePlain(response);
             if (fits) {
                 context.sendOutcome(SaslOutcome.SASL_OK, null);
             } else {
-                Log.warn("amqp.login.failed", "from", remote, "mechanism", mechanism);
-                front.loginFailed();
+                Log.warn("amqp.login.failed", "from", remoteAddress, "mechanism", mechanism);
+                frontend.countFailedLogin();
                 context.sendOutcome(SaslOutcome.SASL_AUTH, null);
-                loop().schedule(FAILED_LOGIN, () -> net().close());
+                loop().schedule(FAILED_LOGIN_CLOSE_DELAY, () -> netConnection().close());
             }
         }
 
         /** RFC 4616: [authzid] NUL authcid NUL passwd. */
-        private boolean plain(ProtonBuffer response) {
-            if (response == null || response.getReadableBytes() > MOST_SECRET) {
+        private boolean authenticatePlain(ProtonBuffer response) {
+            if (response == null || response.getReadableBytes() > MAX_PLAIN_RESPONSE_BYTES) {
                 return false;
             }
             byte[] bytes = new byte[response.getReadableBytes()];
@@ -200,7 +200,7 @@
             String name = new String(bytes, first + 1, next - first - 1, StandardCharsets.UTF_8);
             String acts = new String(bytes, 0, first, StandardCharsets.UTF_8);
             boolean fits =
-                    front.secrets().fits(name, Arrays.copyOfRange(bytes, next + 1, bytes.length));
+                    frontend.userSecrets().matches(name, Arrays.copyOfRange(bytes, next + 1, bytes.length));
             if (!fits || !acts.isEmpty() && !acts.equals(name)) {
                 return false;
             }
@@ -224,11 +224,11 @@
     }
 
     /** Counts what costs the relay work and asks for nothing. */
-    private final class Counter implements EngineHandler {
+    private final class EmptyFrameCounter implements EngineHandler {
         @Override
         public void handleRead(EngineHandlerContext context, IncomingAMQPEnvelope frame) {
-            if (frame == EmptyEnvelope.INSTANCE && over(++empties, MOST_EMPTY)) {
-                flood("empty frames");
+            if (frame == EmptyEnvelope.INSTANCE && exceedsRate(++emptyFrameCount, MAX_EMPTY_FRAMES_PER_SECOND)) {
+                closeForFlooding("empty frames");
                 return;
             }
             context.fireRead(frame);
@@ -236,44 +236,44 @@
     }
 
     /** Whether this count of the running second is over its bound. */
-    private boolean over(int count, int most) {
+    private boolean exceedsRate(int count, int most) {
         Instant now = now();
-        if (Duration.between(second, now).compareTo(Duration.ofSeconds(1)) >= 0) {
-            second = now;
-            empties = 0;
-            attaches = 0;
-            beginnings = 0;
+        if (Duration.between(rateWindowStart, now).compareTo(Duration.ofSeconds(1)) >= 0) {
+            rateWindowStart = now;
+            emptyFrameCount = 0;
+            attachCount = 0;
+            beginCount = 0;
         }
         return count > most;
     }
 
-    private void flood(String of) {
-        if (!gone) {
-            Log.warn("amqp.flood", "from", remote, "of", of);
-            close(Errors.limit("too many " + of + " a second"));
-            leave();
+    private void closeForFlooding(String of) {
+        if (!linksEnded) {
+            Log.warn("amqp.flood", "from", remoteAddress, "of", of);
+            close(ErrorConditions.limitExceeded("too many " + of + " a second"));
+            endLinks();
         }
     }
 
-    private void opens(org.apache.qpid.protonj2.engine.Connection remotely) {
+    private void onOpen(org.apache.qpid.protonj2.engine.Connection remotely) {
         opened = true;
         remotely.open();
-        if (overfull) {
+        if (overLimit) {
             Log.warn(
-                    "amqp.full", "from", remote, "connections", settings.limits().maxConnections());
-            close(Errors.refused(front.config().maxRetryAfter()));
-        } else if (front.leaving()) {
-            close(Errors.leaving());
+                    "amqp.full", "from", remoteAddress, "connections", settings.limits().maxConnections());
+            close(ErrorConditions.rejected(frontend.config().maxRetryAfter()));
+        } else if (frontend.isDraining()) {
+            close(ErrorConditions.relayDraining());
         }
     }
 
-    private void begins(Session session) {
-        if (over(++beginnings, settings.limits().maxAttachesPerSecond())) {
-            flood("sessions");
+    private void onBegin(Session session) {
+        if (exceedsRate(++beginCount, settings.limits().maxAttachesPerSecond())) {
+            closeForFlooding("sessions");
             return;
         }
         session.setIncomingCapacity(settings.limits().maxLinkBytes());
-        session.setLinkedResource(new Window());
+        session.setLinkedResource(new TransferCounter());
         session.closeHandler(
                 ended -> {
                     for (ClientLink link : List.copyOf(links)) {
@@ -288,33 +288,33 @@
 
     // ---- links
 
-    private void attaches(Receiver link) {
+    private void onAttach(Receiver link) {
         Target target = link.getRemoteTarget() instanceof Target plain ? plain : null;
         boolean dynamic = target != null && target.isDynamic();
-        attach(
+        acceptOrRejectAttach(
                 link,
                 target == null ? null : target.getAddress(),
                 dynamic,
-                asked -> new SendingLink(front, this, link, asked, front.repeatable(asked)));
+                asked -> new ClientSenderLink(frontend, this, link, asked, frontend.isIdempotent(asked)));
     }
 
-    private void attaches(Sender link) {
+    private void onAttach(Sender link) {
         Source source = link.getRemoteSource();
         boolean dynamic = source != null && source.isDynamic();
-        attach(
+        acceptOrRejectAttach(
                 link,
                 source == null ? null : source.getAddress(),
                 dynamic,
-                asked -> new ReceivingLink(front, this, link, asked));
+                asked -> new ClientReceiverLink(frontend, this, link, asked));
     }
 
-    private interface Making {
-        ClientLink of(Mapping.Asked asked);
+    private interface ClientLinkFactory {
+        ClientLink create(AttachMapper.AttachRequest asked);
     }
 
-    private void attach(Link<?> link, String address, boolean dynamic, Making making) {
-        if (over(++attaches, settings.limits().maxAttachesPerSecond())) {
-            flood("attaches");
+    private void acceptOrRejectAttach(Link<?> link, String address, boolean dynamic, ClientLinkFactory making) {
+        if (exceedsRate(++attachCount, settings.limits().maxAttachesPerSecond())) {
+            closeForFlooding("attaches");
             return;
         }
         if (link.getLinkedResource()
@@ -322,13 +322,13 @@
             close(
                     new ErrorCondition(
                             LinkError.STOLEN, "link " + link.getName() + " is attached already"));
-            leave();
+            endLinks();
             return;
         }
         Map<Symbol, Object> properties = link.getRemoteProperties();
         ClientLink made =
-                making.of(
-                        new Mapping.Asked(
+                making.create(
+                        new AttachMapper.AttachRequest(
                                 address,
                                 engine().connection().getRemoteContainerId(),
                                 link.getName(),
@@ -338,103 +338,103 @@
         link.closeHandler(ended -> made.clientLeft());
         link.detachHandler(ended -> made.clientLeft());
         if (link.isReceiver() && link.getRemoteTarget() instanceof Coordinator) {
-            made.turnAway(Errors.notImplemented("transactions"));
+            made.rejectAttach(ErrorConditions.notImplemented("transactions"));
         } else if (dynamic) {
-            made.turnAway(Errors.notImplemented("dynamic addresses"));
-        } else if (front.leaving()) {
-            made.turnAway(Errors.leaving());
+            made.rejectAttach(ErrorConditions.notImplemented("dynamic addresses"));
+        } else if (frontend.isDraining()) {
+            made.rejectAttach(ErrorConditions.relayDraining());
         } else if (links.size() >= settings.limits().maxLinksPerConnection()
-                || !front.hasRoomForLink()) {
-            Log.warn("amqp.links.full", "from", remote, "links", links.size());
-            made.turnAway(Errors.refused(front.config().maxRetryAfter()));
+                || !frontend.hasRoomForLink()) {
+            Log.warn("amqp.links.full", "from", remoteAddress, "links", links.size());
+            made.rejectAttach(ErrorConditions.rejected(frontend.config().maxRetryAfter()));
         } else {
             links.add(made);
-            front.entered(made);
-            made.begin();
+            frontend.addLink(made);
+            made.start();
         }
     }
 
     /** The link is over here. */
-    void detached(ClientLink link) {
+    void removeLink(ClientLink link) {
         if (links.remove(link)) {
-            front.left(link);
-            closeIfLeaving();
+            frontend.removeLink(link);
+            closeIfDraining();
         }
     }
 
     /** While the relay leaves, a connection with no link left is told so. */
-    void closeIfLeaving() {
-        if (front.leaving() && links.isEmpty() && opened && !over()) {
-            loop().execute(() -> close(Errors.leaving()));
+    void closeIfDraining() {
+        if (frontend.isDraining() && links.isEmpty() && opened && !isClosed()) {
+            loop().execute(() -> close(ErrorConditions.relayDraining()));
         }
     }
 
     /** A transfer has come: from time to time the session's window has to be opened again. */
-    void counts(Link<?> link) {
-        Window window = link.getSession().getLinkedResource();
+    void countTransfer(Link<?> link) {
+        TransferCounter window = link.getSession().getLinkedResource();
         window.transfers++;
     }
 
     /** So many bytes are about to be read of what came on a link. */
-    void reads(Link<?> link, int bytes) {
-        Window window = link.getSession().getLinkedResource();
+    void replenishWindow(Link<?> link, int bytes) {
+        TransferCounter window = link.getSession().getLinkedResource();
         int frames = settings.limits().maxLinkBytes() / settings.limits().maxFrameBytes();
         if (window.transfers >= frames / 2
-                && engineRuns()
+                && canSendFrames()
                 && !link.getSession().isRemotelyClosed()) {
             window.transfers = 0;
-            Flows.readsNext(link.getSession(), bytes);
+            ProtonFlowControl.extendIncomingWindow(link.getSession(), bytes);
         }
     }
 
     /** Transfers of a session since its window was told last. */
-    private static final class Window {
+    private static final class TransferCounter {
         private int transfers;
     }
 
     /** Bytes of a session's window that a link which is no more has used. */
-    void giveBack(Link<?> link, int bytes) {
-        if (engineRuns()
+    void restoreWindow(Link<?> link, int bytes) {
+        if (canSendFrames()
                 && link.getSession().isLocallyOpen()
                 && !link.getSession().isRemotelyClosed()) {
-            Flows.giveBack(link.getSession(), bytes);
+            ProtonFlowControl.restoreIncomingWindow(link.getSession(), bytes);
         }
     }
 
     /** Has all links pass on what may go now. */
-    void pump() {
+    void forwardPending() {
         for (ClientLink link : List.copyOf(links)) {
-            if (link instanceof ReceivingLink receiving) {
-                receiving.pump();
+            if (link instanceof ClientReceiverLink receiving) {
+                receiving.forwardPending();
             }
         }
     }
 
     /** Time has passed. */
-    void beat(Instant now) {
+    void checkTimeouts(Instant now) {
         for (ClientLink link : List.copyOf(links)) {
-            link.beat(now);
+            link.checkTimeouts(now);
         }
     }
 
     @Override
-    protected void roomAgain() {
-        pump();
+    protected void onWritable() {
+        forwardPending();
     }
 
     @Override
-    protected void ended(String why) {
+    protected void connectionEnded(String why) {
         if (!opened || !why.equals("ended") && !why.equals("ours")) {
-            Log.info("amqp.client.ended", "from", remote, "why", why, "links", links.size());
+            Log.info("amqp.client.ended", "from", remoteAddress, "why", why, "links", links.size());
         }
-        leave();
+        endLinks();
     }
 
-    private void leave() {
-        if (!gone) {
-            gone = true;
+    private void endLinks() {
+        if (!linksEnded) {
+            linksEnded = true;
             List.copyOf(links).forEach(ClientLink::clientLeft);
-            front.left(this);
+            frontend.removeConnection(this);
         }
     }
 }
--- a/relay/src/main/java/saltstage/amqp/Peering.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpConnection.java
@@ -23,36 +23,36 @@
  * in, frames go out, time goes by. An engine that fails has said so in a close frame of its own
  * before the end.
  */
-public abstract class Peering implements ConnectionHandler {
+public abstract class AmqpConnection implements ConnectionHandler {
     /** A close must reach the other side before the end of the connection does. */
-    private static final Duration LINGER = Duration.ofMillis(500);
+    private static final Duration CLOSE_LINGER = Duration.ofMillis(500);
 
-    private static final Duration CALM_TICK = Duration.ofSeconds(1);
-    private static final Duration LEAST_TICK = Duration.ofMillis(20);
+    private static final Duration MAX_TICK_INTERVAL = Duration.ofSeconds(1);
+    private static final Duration MIN_TICK_INTERVAL = Duration.ofMillis(20);
 
-    private final Connection net;
+    private final Connection netConnection;
     private final Supplier<Instant> clock;
-    private final Frames frames;
+    private final FrameSplitter frameSplitter;
     private Engine engine;
     private boolean writable = true;
-    private boolean over;
+    private boolean closed;
 
     /** On this connection, with frames of at most so many bytes; spans are told by the clock. */
-    protected Peering(Connection net, Supplier<Instant> clock, int mostFrame) {
-        this.net = net;
-        frames = new Frames(mostFrame);
+    protected AmqpConnection(Connection net, Supplier<Instant> clock, int mostFrame) {
+        this.netConnection = net;
+        frameSplitter = new FrameSplitter(mostFrame);
         this.clock = clock;
     }
 
     /** Starts the engine; what it says goes out from here on. */
-    protected final void start(Engine with) {
+    protected final void startEngine(Engine with) {
         engine = with;
         // Frames go out from the first handler on: what makes them stays before what joins them.
         EngineHandler performatives =
                 engine.pipeline().find(ProtonConstants.AMQP_PERFORMATIVE_HANDLER);
         engine.pipeline()
                 .remove(performatives)
-                .addFirst("outcomes", new OutcomeFrames(loop()::execute))
+                .addFirst("outcomes", new DispositionBatcher(loop()::execute))
                 .addFirst(ProtonConstants.AMQP_PERFORMATIVE_HANDLER, performatives);
         engine.outputHandler(
                 (buffer, done) -> {
@@ -63,16 +63,16 @@
                             ByteBuffer bytes = part.getReadableBuffer();
                             // protonj2 1.0.0 shows all of the array here, also what was not written
                             // to it
-                            net.write(bytes.limit(bytes.position() + part.getReadableBytes()));
+                            netConnection.write(bytes.limit(bytes.position() + part.getReadableBytes()));
                         }
                     }
                     if (done != null) { // the buffer is not closed: headers are shared ones
                         done.run();
                     }
                 });
-        engine.errorHandler(failed -> failed(failed.failureCause()));
+        engine.errorHandler(failed -> engineFailed(failed.failureCause()));
         engine.start();
-        tick();
+        tickEngine();
     }
 
     /** The engine; null before it was started. */
@@ -81,13 +81,13 @@
     }
 
     /** The transport's connection. */
-    protected final Connection net() {
-        return net;
+    protected final Connection netConnection() {
+        return netConnection;
     }
 
     /** The loop of it. */
     public final Loop loop() {
-        return net.loop();
+        return netConnection.loop();
     }
 
     /** What the clock says. */
@@ -96,13 +96,13 @@
     }
 
     /** Whether more may be written without piling up here. */
-    public final boolean writable() {
-        return writable && !over;
+    public final boolean isWritable() {
+        return writable && !closed;
     }
 
     /** Whether frames can still be sent. */
-    final boolean engineRuns() {
-        return !over
+    final boolean canSendFrames() {
+        return !closed
                 && engine != null
                 && engine.isRunning()
                 && !engine.connection().isLocallyClosed()
@@ -110,14 +110,14 @@
     }
 
     /** Whether it has ended. */
-    public final boolean over() {
-        return over;
+    public final boolean isClosed() {
+        return closed;
     }
 
     /** Feeds the engine. */
     protected final void ingest(byte[] came) {
-        byte[] bytes = frames.cut(came);
-        if (bytes.length > 0 && !over && engine.isWritable()) {
+        byte[] bytes = frameSplitter.takeWholeFrames(came);
+        if (bytes.length > 0 && !closed && engine.isWritable()) {
             try {
                 engine.ingest(ProtonByteArrayBufferAllocator.wrapped(bytes));
             } catch (RuntimeException seenByErrorHandler) { // the handler has ended the connection
@@ -137,25 +137,25 @@
 
     @Override
     public void inputEnded(Connection on) {
-        net.close(); // AMQP has no half-open connections
+        netConnection.close(); // AMQP has no half-open connections
     }
 
     @Override
     public final void writabilityChanged(Connection on, boolean now) {
         writable = now;
-        if (now && !over) {
-            roomAgain();
+        if (now && !closed) {
+            onWritable();
         }
     }
 
     @Override
     public final void closed(Connection on, Connection.Cause why) {
-        if (!over) {
-            over = true;
+        if (!closed) {
+            closed = true;
             if (engine != null && !engine.isShutdown()) {
                 engine.shutdown();
             }
-            ended(why.name().toLowerCase(Locale.ROOT));
+            connectionEnded(why.name().toLowerCase(Locale.ROOT));
         }
     }
 
@@ -169,43 +169,43 @@
                 handler.handle(event);
             } catch (RuntimeException fault) {
                 Log.error("amqp.fault", fault);
-                close(Errors.failed("fault"));
-                ended("fault");
+                close(ErrorConditions.failed("fault"));
+                connectionEnded("fault");
             }
         };
     }
 
-    private void failed(Throwable cause) {
-        if (over) {
+    private void engineFailed(Throwable cause) {
+        if (closed) {
             return;
         }
         String what = cause == null ? "fault" : String.valueOf(cause.getMessage());
-        over = true;
-        ended(what);
-        hangUp();
+        closed = true;
+        connectionEnded(what);
+        closeAfterLinger();
     }
 
     /** Ends the connection politely with this error, or with none. */
     public final void close(ErrorCondition why) {
-        if (over || engine == null || !engine.isRunning()) {
-            net.close();
+        if (closed || engine == null || !engine.isRunning()) {
+            netConnection.close();
             return;
         }
         engine.connection().open();
         engine.connection().setCondition(why).close();
-        hangUp();
+        closeAfterLinger();
     }
 
-    private void hangUp() {
-        net.shutdownOutput();
-        loop().schedule(LINGER, net::close);
+    private void closeAfterLinger() {
+        netConnection.shutdownOutput();
+        loop().schedule(CLOSE_LINGER, netConnection::close);
     }
 
-    private void tick() {
-        if (over || engine.isShutdown() || engine.isFailed()) {
+    private void tickEngine() {
+        if (closed || engine.isShutdown() || engine.isFailed()) {
             return;
         }
-        Duration next = CALM_TICK;
+        Duration next = MAX_TICK_INTERVAL;
         if (engine.connection().isLocallyOpen()) {
             long now = Math.max(1, now().toEpochMilli());
             try {
@@ -219,15 +219,15 @@
             }
         }
         Duration wait =
-                next.compareTo(LEAST_TICK) < 0
-                        ? LEAST_TICK
-                        : next.compareTo(CALM_TICK) > 0 ? CALM_TICK : next;
-        loop().schedule(wait, this::tick);
+                next.compareTo(MIN_TICK_INTERVAL) < 0
+                        ? MIN_TICK_INTERVAL
+                        : next.compareTo(MAX_TICK_INTERVAL) > 0 ? MAX_TICK_INTERVAL : next;
+        loop().schedule(wait, this::tickEngine);
     }
 
     /** There is room for writing again. */
-    protected abstract void roomAgain();
+    protected abstract void onWritable();
 
     /** It is over; told once. */
-    protected abstract void ended(String why);
+    protected abstract void connectionEnded(String why);
 }
--- a/relay/src/main/java/saltstage/amqp/AmqpFront.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpFrontend.java
@@ -35,53 +35,53 @@
 import saltstage.wire.MalformedException;
 
 /** Where AMQP clients come in, and what all their connections share. */
-public final class AmqpFront implements Frontend {
-    private static final Connection.WriteLimits BOUNDS =
+public final class AmqpFrontend implements Frontend {
+    private static final Connection.WriteLimits WRITE_LIMITS =
             new Connection.WriteLimits(256 << 10, 16 << 20);
-    private static final int BACKLOG = 1_024;
-    private static final Duration BEAT = Duration.ofMillis(100);
+    private static final int ACCEPT_BACKLOG = 1_024;
+    private static final Duration MAINTENANCE_INTERVAL = Duration.ofMillis(100);
 
     /** Links of one backend that leaves are moved within about so many beats, not all at once. */
-    private static final int BEATS_TO_MOVE = 5;
+    private static final int MOVE_SPREAD_INTERVALS = 5;
 
-    private static final int LEAST_MOVED = 20;
+    private static final int MIN_LINKS_MOVED_PER_INTERVAL = 20;
 
     /** Connections beyond the limit that are told so; more than that are reset. */
-    private static final int MOST_TOLD = 64;
+    private static final int MAX_CONNECTIONS_OVER_LIMIT = 64;
 
     /** Connections to backends, beside those of clients. */
-    private static final int BACKEND_SOCKETS = 64;
+    private static final int RESERVED_BACKEND_SOCKETS = 64;
 
     private final Configuration config;
-    private final RelayPipeline chain;
+    private final RelayPipeline pipeline;
     private final MonotonicClock clock;
     private final Transport transport;
-    private final String container;
-    private volatile Rules rules;
-    private int reserved;
-    private final Map<Loop, BackendPool> pools = new HashMap<>();
-    private final Set<ClientPeering> clients = ConcurrentHashMap.newKeySet();
+    private final String containerId;
+    private volatile ValidatedSettings validatedSettings;
+    private int reservedDescriptors;
+    private final Map<Loop, BackendConnectionPool> backendPools = new HashMap<>();
+    private final Set<AmqpClientConnection> clients = ConcurrentHashMap.newKeySet();
     private final Set<ClientLink> links = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger connections = new AtomicInteger();
-    private final AtomicInteger open = new AtomicInteger();
-    private final AtomicLong names = new AtomicLong();
-    private final LongAdder taken = new LongAdder();
-    private final LongAdder presettled = new LongAdder();
+    private final AtomicInteger connectionCount = new AtomicInteger();
+    private final AtomicInteger linkCount = new AtomicInteger();
+    private final AtomicLong lastRequestNumber = new AtomicLong();
+    private final LongAdder receivedDeliveries = new LongAdder();
+    private final LongAdder presettledDeliveries = new LongAdder();
     private final LongAdder accepted = new LongAdder();
     private final LongAdder rejected = new LongAdder();
     private final LongAdder released = new LongAdder();
     private final LongAdder modified = new LongAdder();
-    private final LongAdder other = new LongAdder();
-    private final LongAdder expired = new LongAdder();
-    private final LongAdder handed = new LongAdder();
-    private final LongAdder moved = new LongAdder();
-    private final LongAdder replaced = new LongAdder();
-    private final LongAdder logins = new LongAdder();
+    private final LongAdder otherOutcomes = new LongAdder();
+    private final LongAdder expiredDeliveries = new LongAdder();
+    private final LongAdder deliveriesToClients = new LongAdder();
+    private final LongAdder movedLinks = new LongAdder();
+    private final LongAdder reattachedLinks = new LongAdder();
+    private final LongAdder failedLogins = new LongAdder();
     private Transport.Listener listener;
-    private volatile boolean leaving;
+    private volatile boolean draining;
 
     /** A front of these settings before the stages of the chain; the transport ends with it. */
-    public AmqpFront(
+    public AmqpFrontend(
             AmqpSettings settings,
             Configuration config,
             RelayPipeline chain,
@@ -89,44 +89,44 @@
             Transport transport)
             throws MalformedException {
         this.config = config;
-        this.chain = chain;
+        this.pipeline = chain;
         this.clock = clock;
         this.transport = transport;
-        rules = Rules.of(settings, config);
+        validatedSettings = ValidatedSettings.validate(settings, config);
         // Links' names are unique for a container: neither a relay of the same name nor its own
         // former life,
         // which a backend may still think alive, may be taken for this one.
-        container =
+        containerId =
                 "saltstage-"
                         + config.name()
                         + "-"
                         + Integer.toHexString(new SecureRandom().nextInt());
         for (Loop loop : transport.loops()) {
-            pools.put(loop, new BackendPool(this, transport, loop));
+            backendPools.put(loop, new BackendConnectionPool(this, transport, loop));
         }
     }
 
     /** Listens; returns where. */
     public InetSocketAddress start() throws IOException {
-        listener = transport.listen(settings().listenAddress(), BACKLOG, BOUNDS, this::accept);
-        reserve();
-        chain.addFrontend(this);
-        transport.loops().forEach(this::beat);
+        listener = transport.listen(settings().listenAddress(), ACCEPT_BACKLOG, WRITE_LIMITS, this::accept);
+        reserveDescriptors();
+        pipeline.addFrontend(this);
+        transport.loops().forEach(this::scheduleMaintenance);
         Log.info("amqp.ready", "listen", listener.address());
         return listener.address();
     }
 
-    private void reserve() {
+    private void reserveDescriptors() {
         int wanted =
                 Math.min(
                         config.maxSockets() / 2,
-                        settings().limits().maxConnections() + BACKEND_SOCKETS);
-        chain.admissionControl().reserveDescriptors(wanted - reserved);
-        reserved = wanted;
+                        settings().limits().maxConnections() + RESERVED_BACKEND_SOCKETS);
+        pipeline.admissionControl().reserveDescriptors(wanted - reservedDescriptors);
+        reservedDescriptors = wanted;
     }
 
     /** A change that was checked and is not yet in force. */
-    public interface Change {
+    public interface SettingsChange {
         /** Puts it in force for all that comes from now on; returns what waits for a restart. */
         List<String> apply();
     }
@@ -135,55 +135,55 @@
      * Checks other settings, with the file of secrets as it is now. What stands keeps the limits
      * that it came under; new connections, links and logins get the new ones.
      */
-    public Change change(AmqpSettings next) throws MalformedException {
-        Rules checked = Rules.of(next, config);
+    public SettingsChange prepareChange(AmqpSettings next) throws MalformedException {
+        ValidatedSettings checked = ValidatedSettings.validate(next, config);
         return () -> {
-            List<String> later = rules.needRestart(checked);
-            rules = checked;
-            reserve();
+            List<String> later = validatedSettings.restartRequiredChanges(checked);
+            validatedSettings = checked;
+            reserveDescriptors();
             return later;
         };
     }
 
     /** Takes a connection, or null where it is one too many. */
     ConnectionHandler accept(Connection connection) {
-        int now = connections.incrementAndGet();
-        if (now > settings().limits().maxConnections() + MOST_TOLD) {
-            connections.decrementAndGet();
+        int now = connectionCount.incrementAndGet();
+        if (now > settings().limits().maxConnections() + MAX_CONNECTIONS_OVER_LIMIT) {
+            connectionCount.decrementAndGet();
             Log.warn("amqp.full", "from", connection.remoteAddress(), "connections", now);
             return null;
         }
-        ClientPeering made =
-                new ClientPeering(
+        AmqpClientConnection made =
+                new AmqpClientConnection(
                         this,
-                        pools.get(connection.loop()),
+                        backendPools.get(connection.loop()),
                         connection,
                         now > settings().limits().maxConnections());
         clients.add(made);
         return made;
     }
 
-    private void beat(Loop loop) {
+    private void scheduleMaintenance(Loop loop) {
         loop.schedule(
-                BEAT,
+                MAINTENANCE_INTERVAL,
                 () -> {
-                    beat(loop);
+                    scheduleMaintenance(loop);
                     Instant now = now();
-                    for (ClientPeering client : clients) {
+                    for (AmqpClientConnection client : clients) {
                         if (client.loop() == loop) {
-                            client.beat(now);
+                            client.checkTimeouts(now);
                         }
                     }
-                    pools.get(loop).sweep();
-                    moveFromLeavers();
+                    backendPools.get(loop).closeIdleConnections();
+                    moveLinksOffDrainingBackends();
                 });
     }
 
     /** A backend that drains keeps its links until they are moved; a few at each beat. */
-    private void moveFromLeavers() {
+    private void moveLinksOffDrainingBackends() {
         Map<Object, Integer> found = new HashMap<>();
         for (ClientLink link : links) {
-            Attempt up = link.standing();
+            Attempt up = link.establishedAttempt();
             if (up != null
                     && up.backend().entry().state() == BackendList.State.DRAINING
                     && up.moveReason() == null) {
@@ -195,10 +195,10 @@
         }
         found.replaceAll(
                 (peer, count) ->
-                        Math.max(LEAST_MOVED, (count + BEATS_TO_MOVE - 1) / BEATS_TO_MOVE));
+                        Math.max(MIN_LINKS_MOVED_PER_INTERVAL, (count + MOVE_SPREAD_INTERVALS - 1) / MOVE_SPREAD_INTERVALS));
         for (ClientLink link : links) {
-            Attempt up = link.standing();
-            if (up != null && found.getOrDefault(up.backend(), 0) > 0 && chain.move(up, "drain")) {
+            Attempt up = link.establishedAttempt();
+            if (up != null && found.getOrDefault(up.backend(), 0) > 0 && pipeline.move(up, "drain")) {
                 found.merge(up.backend(), -1, Integer::sum);
             }
         }
@@ -206,10 +206,10 @@
 
     @Override
     public void startDraining() {
-        leaving = true;
+        draining = true;
         listener.close();
-        for (ClientPeering client : clients) {
-            client.loop().execute(client::closeIfLeaving);
+        for (AmqpClientConnection client : clients) {
+            client.loop().execute(client::closeIfDraining);
         }
     }
 
@@ -219,8 +219,8 @@
     }
 
     /** Whether the relay leaves. */
-    boolean leaving() {
-        return leaving;
+    boolean isDraining() {
+        return draining;
     }
 
     @Override
@@ -242,9 +242,9 @@
                 "links",
                 links.size(),
                 "taken",
-                taken,
+                receivedDeliveries,
                 "presettled",
-                presettled,
+                presettledDeliveries,
                 "accepted",
                 accepted,
                 "rejected",
@@ -254,17 +254,17 @@
                 "modified",
                 modified,
                 "other",
-                other,
+                otherOutcomes,
                 "expired",
-                expired,
+                expiredDeliveries,
                 "handed",
-                handed,
+                deliveriesToClients,
                 "moved",
-                moved,
+                movedLinks,
                 "replaced",
-                replaced,
+                reattachedLinks,
                 "logins_failed",
-                logins);
+                failedLogins);
     }
 
     Instant now() {
@@ -272,80 +272,80 @@
     }
 
     AmqpSettings settings() {
-        return rules.settings();
+        return validatedSettings.settings();
     }
 
     Configuration config() {
         return config;
     }
 
-    Mapping mapping() {
-        return rules.mapping();
+    AttachMapper attachMapper() {
+        return validatedSettings.attachMapper();
     }
 
-    Secrets secrets() {
-        return rules.secrets();
+    UserSecrets userSecrets() {
+        return validatedSettings.userSecrets();
     }
 
-    Forwarding.Bounds bounds() {
-        return rules.bounds();
+    DeliveryForwarder.Limits forwardingLimits() {
+        return validatedSettings.forwardingLimits();
     }
 
-    String container() {
-        return container;
+    String containerId() {
+        return containerId;
     }
 
-    AdmissionControl admit() {
-        return chain.admissionControl();
+    AdmissionControl admissionControl() {
+        return pipeline.admissionControl();
     }
 
-    OutcomeRecorder book() {
-        return chain.outcomeRecorder();
+    OutcomeRecorder outcomeRecorder() {
+        return pipeline.outcomeRecorder();
     }
 
     /** A name for a request that no other has. */
-    String newName() {
-        return container + "/" + names.incrementAndGet();
+    String newRequestId() {
+        return containerId + "/" + lastRequestNumber.incrementAndGet();
     }
 
     /** Whether deliveries to this address may be repeated. */
-    boolean repeatable(Mapping.Asked asked) {
+    boolean isIdempotent(AttachMapper.AttachRequest asked) {
         try {
-            return mapping().map(asked, "", false).repeatable();
-        } catch (Mapping.Unmapped turnedAwayLater) {
+            return attachMapper().map(asked, "", false).idempotent();
+        } catch (AttachMapper.AttachRejectedException turnedAwayLater) {
             return false;
         }
     }
 
     boolean hasRoomForLink() {
-        return open.get() < settings().limits().maxLinks();
+        return linkCount.get() < settings().limits().maxLinks();
     }
 
-    void entered(ClientLink link) {
+    void addLink(ClientLink link) {
         links.add(link);
-        open.incrementAndGet();
+        linkCount.incrementAndGet();
     }
 
-    void left(ClientLink link) {
+    void removeLink(ClientLink link) {
         if (links.remove(link)) {
-            open.decrementAndGet();
+            linkCount.decrementAndGet();
         }
     }
 
-    void left(ClientPeering client) {
+    void removeConnection(AmqpClientConnection client) {
         if (clients.remove(client)) {
-            connections.decrementAndGet();
+            connectionCount.decrementAndGet();
         }
     }
 
-    void taken(boolean settled) {
-        taken.increment();
+    void countReceived(boolean settled) {
+        receivedDeliveries.increment();
         if (settled) {
-            presettled.increment();
+            presettledDeliveries.increment();
         }
     }
 
-    void outcome(DeliveryState state) {
+    void countOutcome(DeliveryState state) {
         LongAdder kind =
                 state instanceof Accepted
                         ? accepted
@@ -353,34 +353,34 @@
                                 ? rejected
                                 : state instanceof Released
                                         ? released
-                                        : state instanceof Modified ? modified : other;
+                                        : state instanceof Modified ? modified : otherOutcomes;
         kind.increment();
     }
 
     /** An outcome came back from a backend: how long that took tells how late its messages are. */
-    void took(Attempt at, Forwarding.Delivery delivery) {
+    void recordResponseDelay(Attempt at, DeliveryForwarder.Delivery delivery) {
         if (at != null && delivery.sentAt() != null) {
             at.backend().recordResponseDelay(Duration.between(delivery.sentAt(), now()));
         }
     }
 
-    void expired(int count) {
-        expired.add(count);
+    void countExpired(int count) {
+        expiredDeliveries.add(count);
     }
 
-    void handed() {
-        handed.increment();
+    void countSentToClient() {
+        deliveriesToClients.increment();
     }
 
-    void movedOne() {
-        moved.increment();
+    void countMoved() {
+        movedLinks.increment();
     }
 
-    void replaced() {
-        replaced.increment();
+    void countReattached() {
+        reattachedLinks.increment();
     }
 
-    void loginFailed() {
-        logins.increment();
+    void countFailedLogin() {
+        failedLogins.increment();
     }
 }
--- a/relay/src/main/java/saltstage/amqp/BackendLink.java
+++ b/relay/src/main/java/saltstage/amqp/BackendLink.java
@@ -24,177 +24,177 @@
     /** The link's other half. */
     interface Owner {
         /** Makes the link on the session, not yet open, with its handlers. */
-        Link<?> make(Session session, Peering on, String name);
+        Link<?> createLink(Session session, AmqpConnection on, String name);
 
         /** The key of the session that it may share with others, or null. */
         Object sessionKey();
 
         /** The backend has attached it; false where nobody wants it any more. */
-        boolean up(BackendLink link);
+        boolean linkAttached(BackendLink link);
 
         /** It stood and is over. */
-        void over(BackendLink link, Outcome outcome);
+        void linkEnded(BackendLink link, Outcome outcome);
 
         /** There is room on its connection again. */
-        void roomAgain();
+        void resume();
     }
 
     private enum State {
         CONNECTING,
         ATTACHING,
-        UP,
-        DONE
+        ATTACHED,
+        ENDED
     }
 
-    private final AmqpFront front;
-    private final Attempt begun;
+    private final AmqpFrontend frontend;
+    private final Attempt attempt;
     private final Owner owner;
     private final Loop loop;
-    private final Instant until;
-    private BackendPeering peering;
+    private final Instant deadline;
+    private AmqpBackendConnection connection;
     private BackendSession session;
     private Link<?> link;
     private State state = State.CONNECTING;
 
     /** What ends it where it takes too long; a link that stands or is over keeps none. */
-    private Loop.Timer connects;
+    private Loop.Timer connectTimer;
 
-    private Loop.Timer attaches;
+    private Loop.Timer attachTimer;
 
-    BackendLink(AmqpFront front, Loop loop, Attempt begun, Instant until, Owner owner) {
-        this.front = front;
+    BackendLink(AmqpFrontend front, Loop loop, Attempt begun, Instant until, Owner owner) {
+        this.frontend = front;
         this.loop = loop;
-        this.begun = begun;
-        this.until = until;
+        this.attempt = begun;
+        this.deadline = until;
         this.owner = owner;
     }
 
     /** Begins; on its loop. */
-    void begin(BackendPool pool) {
+    void start(BackendConnectionPool pool) {
         try {
-            begun.connectionOpened(this);
+            attempt.connectionOpened(this);
         } catch (IOException givenUp) {
-            done(Outcome.CANCELLED);
+            endAttempt(Outcome.CANCELLED);
             return;
         }
-        Duration left = Duration.between(front.now(), until);
-        Duration connect = front.config().connectTimeout();
-        if (left.isNegative() || left.isZero() || !begun.backend().canAcceptRequests()) {
-            done(Outcome.UNREACHABLE);
+        Duration left = Duration.between(frontend.now(), deadline);
+        Duration connect = frontend.config().connectTimeout();
+        if (left.isNegative() || left.isZero() || !attempt.backend().canAcceptRequests()) {
+            endAttempt(Outcome.UNREACHABLE);
             return;
         }
         Duration within = connect.compareTo(left) < 0 ? connect : left;
-        connects =
+        connectTimer =
                 loop.schedule(
                         within,
                         () -> {
                             if (state == State.CONNECTING) {
-                                done(Outcome.UNREACHABLE);
+                                endAttempt(Outcome.UNREACHABLE);
                             }
                         });
-        attaches =
+        attachTimer =
                 loop.schedule(
                         left,
                         () -> {
                             if (state == State.ATTACHING) {
-                                done(Outcome.TIMEOUT);
+                                endAttempt(Outcome.TIMEOUT);
                             }
                         });
         pool.attach(this, within);
     }
 
-    Backend peer() {
-        return begun.backend();
+    Backend backend() {
+        return attempt.backend();
     }
 
-    Attempt begun() {
-        return begun;
+    Attempt attempt() {
+        return attempt;
     }
 
     /** Whether it stands and its connection is there. */
-    boolean isUp() {
-        return state == State.UP;
+    boolean isAttached() {
+        return state == State.ATTACHED;
     }
 
     /** Whether its connection takes more bytes. */
-    boolean writable() {
-        return state == State.UP && peering.writable();
+    boolean isWritable() {
+        return state == State.ATTACHED && connection.isWritable();
     }
 
-    void on(BackendPeering on) {
-        peering = on;
+    void setConnection(AmqpBackendConnection on) {
+        connection = on;
     }
 
-    void unreachable() {
-        done(Outcome.UNREACHABLE);
+    void connectFailed() {
+        endAttempt(Outcome.UNREACHABLE);
     }
 
     /** Its connection is open: it attaches, unless that is too late by now. */
-    void connected() {
+    void connectionOpened() {
         if (state != State.CONNECTING) {
             return;
         }
         // Connecting takes time: the backend may have been told to drain, or the request's time be
         // up.
-        if (!begun.backend().canAcceptRequests() || !front.now().isBefore(until)) {
-            done(Outcome.UNREACHABLE);
+        if (!attempt.backend().canAcceptRequests() || !frontend.now().isBefore(deadline)) {
+            endAttempt(Outcome.UNREACHABLE);
             return;
         }
         try {
-            session = peering.session(owner.sessionKey());
+            session = connection.sessionFor(owner.sessionKey());
         } catch (
                 IllegalStateException
                         full) { // the backend allows no more sessions on this connection
-            done(Outcome.UNREACHABLE);
+            endAttempt(Outcome.UNREACHABLE);
             return;
         }
         state = State.ATTACHING;
-        session.enter(this);
+        session.addLink(this);
         // Names are unique for a pair of containers (2.6.1), and the relay is one container to the
         // backend:
         // two clients that chose the same name must not take each other's link.
         link =
-                owner.make(
-                        session.session(), peering, begun.context().attributes().clientRequestId());
-        link.closeHandler(ended -> detached(ended.getRemoteCondition()))
-                .detachHandler(ended -> detached(ended.getRemoteCondition()))
-                .openHandler(opened -> attached());
+                owner.createLink(
+                        session.session(), connection, attempt.context().attributes().clientRequestId());
+        link.closeHandler(ended -> detachReceived(ended.getRemoteCondition()))
+                .detachHandler(ended -> detachReceived(ended.getRemoteCondition()))
+                .openHandler(opened -> attachReceived());
         link.open();
     }
 
-    private void attached() {
+    private void attachReceived() {
         boolean refused =
                 link.isSender() ? link.getRemoteTarget() == null : link.getRemoteSource() == null;
         if (state != State.ATTACHING || refused) {
             return; // a detach that says why is on its way (2.6.3)
         }
-        state = State.UP;
-        endTimers();
-        if (!owner.up(this)) {
-            done(Outcome.CANCELLED);
+        state = State.ATTACHED;
+        cancelTimers();
+        if (!owner.linkAttached(this)) {
+            endAttempt(Outcome.CANCELLED);
         }
     }
 
-    private void detached(ErrorCondition why) {
+    private void detachReceived(ErrorCondition why) {
         if (state == State.ATTACHING) {
-            done(outcome(why));
-        } else if (state == State.UP) {
+            endAttempt(outcomeOf(why));
+        } else if (state == State.ATTACHED) {
             Log.info(
                     "amqp.link.detached",
                     "peer",
-                    peer().entry().uid(),
+                    backend().entry().uid(),
                     "name",
-                    begun.context().attributes().clientRequestId(),
+                    attempt.context().attributes().clientRequestId(),
                     "why",
                     why == null ? "none" : why.getCondition());
-            over(why == null ? Outcome.SERVED : Outcome.RESET);
+            endAttached(why == null ? Outcome.SERVED : Outcome.RESET);
         }
     }
 
     /**
      * A backend that is full says so in the condition of the specification; all else is an error.
      */
-    static Outcome outcome(ErrorCondition why) {
+    static Outcome outcomeOf(ErrorCondition why) {
         Symbol condition = why == null ? null : why.getCondition();
         boolean full =
                 AmqpError.RESOURCE_LIMIT_EXCEEDED.equals(condition)
@@ -203,31 +203,31 @@
     }
 
     /** Its connection or session is gone; opened: it may have had the attach. */
-    void lost(boolean opened) {
-        if (state == State.UP) {
-            over(Outcome.RESET);
-        } else if (state != State.DONE) {
-            done(state == State.ATTACHING && opened ? Outcome.RESET : Outcome.UNREACHABLE);
+    void connectionLost(boolean opened) {
+        if (state == State.ATTACHED) {
+            endAttached(Outcome.RESET);
+        } else if (state != State.ENDED) {
+            endAttempt(state == State.ATTACHING && opened ? Outcome.RESET : Outcome.UNREACHABLE);
         }
     }
 
     /** It has something to send that its session's window has no room for. */
-    void heldUp() {
-        if (state == State.UP) {
-            session.heldUp(this);
+    void awaitSessionWindow() {
+        if (state == State.ATTACHED) {
+            session.addBlockedLink(this);
         }
     }
 
     /** A flow has come for it: its session's window may be open for others too. */
-    void flowed() {
-        if (state == State.UP) {
-            session.mayHaveRoom();
+    void flowReceived() {
+        if (state == State.ATTACHED) {
+            session.resumeBlockedLinks();
         }
     }
 
-    void roomAgain() {
-        if (state == State.UP) {
-            owner.roomAgain();
+    void resume() {
+        if (state == State.ATTACHED) {
+            owner.resume();
         }
     }
 
@@ -236,7 +236,7 @@
         loop.execute(
                 () -> {
                     if (state == State.CONNECTING || state == State.ATTACHING) {
-                        done(Outcome.CANCELLED);
+                        endAttempt(Outcome.CANCELLED);
                     }
                 });
     }
@@ -244,46 +244,46 @@
     /**
      * Its client has ended or was moved: the backend's half ends too, and nothing is told of it.
      */
-    void end() {
-        shut();
+    void detach() {
+        closeLink();
     }
 
-    private void over(Outcome outcome) {
-        shut();
-        owner.over(this, outcome);
+    private void endAttached(Outcome outcome) {
+        closeLink();
+        owner.linkEnded(this, outcome);
     }
 
-    private void done(Outcome outcome) {
-        if (state == State.DONE) {
+    private void endAttempt(Outcome outcome) {
+        if (state == State.ENDED) {
             return;
         }
-        shut(); // before the module may send the next one
-        begun.cancel();
-        front.book().attemptEnded(begun, outcome);
+        closeLink(); // before the module may send the next one
+        attempt.cancel();
+        frontend.outcomeRecorder().attemptEnded(attempt, outcome);
     }
 
-    private void endTimers() {
-        if (connects != null) {
-            connects.cancel();
-            attaches.cancel();
-            connects = null;
-            attaches = null;
+    private void cancelTimers() {
+        if (connectTimer != null) {
+            connectTimer.cancel();
+            attachTimer.cancel();
+            connectTimer = null;
+            attachTimer = null;
         }
     }
 
-    private void shut() {
-        state = State.DONE;
-        endTimers();
-        if (peering == null) {
+    private void closeLink() {
+        state = State.ENDED;
+        cancelTimers();
+        if (connection == null) {
             return;
         }
-        peering.detached(this);
-        boolean canSpeak = !peering.over() && peering.engineRuns();
+        connection.removeLink(this);
+        boolean canSpeak = !connection.isClosed() && connection.canSendFrames();
         if (link != null && canSpeak) {
             link.close();
         }
         if (session != null) {
-            session.leave(this, canSpeak);
+            session.removeLink(this, canSpeak);
         }
     }
 }
--- a/relay/src/main/java/saltstage/amqp/BackendSession.java
+++ b/relay/src/main/java/saltstage/amqp/BackendSession.java
@@ -12,24 +12,24 @@
  */
 final class BackendSession {
     /** Each peer allows that many handles (2.7.2 lets it say fewer than the usual 2^32). */
-    static final int MOST_LINKS = 64;
+    static final int MAX_LINKS = 64;
 
     private final Session session;
-    private final Runnable empty;
+    private final Runnable emptyListener;
     private final Set<BackendLink> links = new LinkedHashSet<>();
 
     /** Links with something to send that the window had no room for. */
-    private final Set<BackendLink> heldUp = new LinkedHashSet<>();
+    private final Set<BackendLink> blockedLinks = new LinkedHashSet<>();
 
-    private boolean over;
+    private boolean closed;
 
     /**
      * Over this session of the library's, not open yet; empty is told once no link is left on it.
      */
     BackendSession(Session session, Runnable empty) {
         this.session = session;
-        this.empty = empty;
-        session.closeHandler(ended -> lost()).open();
+        this.emptyListener = empty;
+        session.closeHandler(ended -> endedByBackend()).open();
     }
 
     Session session() {
@@ -37,19 +37,19 @@
     }
 
     boolean hasRoom() {
-        return !over && links.size() < MOST_LINKS;
+        return !closed && links.size() < MAX_LINKS;
     }
 
-    void enter(BackendLink link) {
+    void addLink(BackendLink link) {
         links.add(link);
     }
 
     /** The link is over; its end has been said. The last one closes the session. */
-    void leave(BackendLink link, boolean canSpeak) {
-        heldUp.remove(link);
+    void removeLink(BackendLink link, boolean canSpeak) {
+        blockedLinks.remove(link);
         if (links.remove(link) && links.isEmpty()) {
-            over = true;
-            empty.run();
+            closed = true;
+            emptyListener.run();
             if (canSpeak) {
                 session.close();
             }
@@ -57,27 +57,27 @@
     }
 
     /** The link could send on if the window were open. */
-    void heldUp(BackendLink link) {
-        heldUp.add(link);
+    void addBlockedLink(BackendLink link) {
+        blockedLinks.add(link);
     }
 
     /** Something has come that may have opened the window: those that wait for it look again. */
-    void mayHaveRoom() {
-        if (!heldUp.isEmpty()) {
-            List<BackendLink> now = List.copyOf(heldUp);
-            heldUp.clear();
-            now.forEach(BackendLink::roomAgain);
+    void resumeBlockedLinks() {
+        if (!blockedLinks.isEmpty()) {
+            List<BackendLink> now = List.copyOf(blockedLinks);
+            blockedLinks.clear();
+            now.forEach(BackendLink::resume);
         }
     }
 
     /** The backend has ended it: so are all its links. */
-    private void lost() {
-        over = true;
-        empty.run();
+    private void endedByBackend() {
+        closed = true;
+        emptyListener.run();
         List<BackendLink> all = List.copyOf(links);
         links.clear();
-        heldUp.clear();
-        all.forEach(link -> link.lost(true));
+        blockedLinks.clear();
+        all.forEach(link -> link.connectionLost(true));
         session.close();
     }
 }
--- a/relay/src/main/java/saltstage/amqp/ClientLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientLink.java
@@ -28,67 +28,67 @@
      * Backends lost one after the other without one outcome between: the fault may lie in what it
      * sends.
      */
-    private static final int MOST_LOST = 6;
+    private static final int MAX_CONSECUTIVE_BACKEND_LOSSES = 6;
 
     private enum State {
         /** Its attach is not answered yet. */
-        PLACING,
+        ATTACHING,
         /** It stands at a backend. */
-        STANDING,
+        ESTABLISHED,
         /** Its backend was lost and it asks for another; its client notices nothing. */
-        REPLACING,
+        REATTACHING,
         /**
          * It is to be detached, once what is under way from its client has come and was answered.
          */
-        CLOSING,
+        DETACHING,
         /** Nothing is owed any more. */
         ENDED
     }
 
-    private final AmqpFront front;
-    private final ClientPeering owner;
+    private final AmqpFrontend frontend;
+    private final AmqpClientConnection connection;
     private final Link<?> link;
-    private final Mapping.Asked asked;
-    private Mapping.Mapped mapped;
-    private State state = State.PLACING;
+    private final AttachMapper.AttachRequest attachRequest;
+    private AttachMapper.MappedRequest mappedRequest;
+    private State state = State.ATTACHING;
     private RequestContext context;
-    private BackendLink backend;
-    private ErrorCondition closeFor;
-    private int lost;
+    private BackendLink backendLink;
+    private ErrorCondition detachCondition;
+    private int consecutiveBackendLosses;
 
-    ClientLink(AmqpFront front, ClientPeering owner, Link<?> link, Mapping.Asked asked) {
-        this.front = front;
-        this.owner = owner;
+    ClientLink(AmqpFrontend front, AmqpClientConnection owner, Link<?> link, AttachMapper.AttachRequest asked) {
+        this.frontend = front;
+        this.connection = owner;
         this.link = link;
-        this.asked = asked;
+        this.attachRequest = asked;
     }
 
     /** Begins: asks for a place, or is turned away at once. */
-    final void begin() {
+    final void start() {
         try {
-            mapped = front.mapping().map(asked, front.newName(), false);
-        } catch (Mapping.Unmapped bad) {
-            turnAway(bad.condition());
+            mappedRequest = frontend.attachMapper().map(attachRequest, frontend.newRequestId(), false);
+        } catch (AttachMapper.AttachRejectedException bad) {
+            rejectAttach(bad.condition());
             return;
         }
-        ask();
+        requestAdmission();
     }
 
-    private void ask() {
-        front.admit()
+    private void requestAdmission() {
+        frontend.admissionControl()
                 .admitFromFrontend(
-                        this, mapped.terms(), mapped.patience(), taken -> context = taken);
+                        this, mappedRequest.attributes(), mappedRequest.clientTimeout(), taken -> context = taken);
     }
 
     /**
      * An attach that is not to be: answered without source or target, and detached with why
      * (2.6.3).
      */
-    final void turnAway(ErrorCondition why) {
+    final void rejectAttach(ErrorCondition why) {
         state = State.ENDED;
-        owner.detached(this);
-        if (owner.engineRuns()) {
-            answerSettings();
+        connection.removeLink(this);
+        if (connection.canSendFrames()) {
+            copyClientSettings();
             if (link.isReceiver()) {
                 link.setTarget((Target) null);
             } else {
@@ -99,7 +99,7 @@
         }
     }
 
-    private void answerSettings() {
+    private void copyClientSettings() {
         if (link.getState() == LinkState.IDLE) {
             link.setSource(link.getRemoteSource());
             Target target = link.getRemoteTarget() instanceof Target plain ? plain : null;
@@ -113,25 +113,25 @@
 
     @Override
     public final void reject(Duration retryAfter) {
-        owner.loop().execute(() -> answered(Errors.refused(retryAfter)));
+        connection.loop().execute(() -> requestEnded(ErrorConditions.rejected(retryAfter)));
     }
 
     @Override
     public final void fail(String why) {
-        owner.loop().execute(() -> answered(Errors.failed(why)));
+        connection.loop().execute(() -> requestEnded(ErrorConditions.failed(why)));
     }
 
     @Override
     public final void startAttempt(Attempt begun, Instant until) {
-        owner.loop()
+        connection.loop()
                 .execute(
                         () -> {
                             if (state == State.ENDED || begun.context() != context) {
                                 begun.cancel();
-                                front.book().attemptEnded(begun, Outcome.CANCELLED);
+                                frontend.outcomeRecorder().attemptEnded(begun, Outcome.CANCELLED);
                             } else {
-                                new BackendLink(front, owner.loop(), begun, until, this)
-                                        .begin(owner.pool());
+                                new BackendLink(frontend, connection.loop(), begun, until, this)
+                                        .start(connection.backendPool());
                             }
                         });
     }
@@ -141,23 +141,23 @@
         if (up.context().phase() != Phase.ESTABLISHED || !up.requestMove(reason)) {
             return false;
         }
-        owner.loop().execute(() -> moving(up, reason));
+        connection.loop().execute(() -> moveToOtherBackend(up, reason));
         return true;
     }
 
     @Override
     public final String remoteAddress() {
-        return owner.remote();
+        return connection.remoteAddress();
     }
 
     // ---- on the loop
 
     /** The one final answer that is no place. */
-    private void answered(ErrorCondition why) {
-        if (state == State.PLACING) {
-            turnAway(why);
-        } else if (state == State.REPLACING) {
-            giveUp(why);
+    private void requestEnded(ErrorCondition why) {
+        if (state == State.ATTACHING) {
+            rejectAttach(why);
+        } else if (state == State.REATTACHING) {
+            detachWithoutBackend(why);
         }
     }
 
@@ -165,9 +165,9 @@
      * No place is left for a link that stood: what it holds is answered, and it is detached with
      * why.
      */
-    private void giveUp(ErrorCondition why) {
-        unplaced();
-        close(why);
+    private void detachWithoutBackend(ErrorCondition why) {
+        completeDeliveries();
+        startDetach(why);
     }
 
     /**
@@ -175,50 +175,50 @@
      * cross with the detach and get no outcome. A client that does not answer that is detached
      * after a while.
      */
-    private void close(ErrorCondition why) {
-        state = State.CLOSING;
-        closeFor = why;
-        stopTaking();
-        owner.loop().schedule(front.settings().timeouts().settle(), this::finish);
-        progress();
+    private void startDetach(ErrorCondition why) {
+        state = State.DETACHING;
+        detachCondition = why;
+        drainCredit();
+        connection.loop().schedule(frontend.settings().timeouts().settle(), this::finishDetach);
+        detachIfSettled();
     }
 
-    private void finish() {
-        if (state != State.CLOSING) {
+    private void finishDetach() {
+        if (state != State.DETACHING) {
             return;
         }
-        BackendLink from = backend;
-        backend = null;
-        unplaced();
+        BackendLink from = backendLink;
+        backendLink = null;
+        completeDeliveries();
         state = State.ENDED;
         if (from != null) {
-            from.end();
+            from.detach();
         }
-        owner.detached(this);
-        if (owner.engineRuns()) {
-            link.setCondition(closeFor).close();
-            ends();
+        connection.removeLink(this);
+        if (connection.canSendFrames()) {
+            link.setCondition(detachCondition).close();
+            onEnded();
         }
         if (from != null) {
             context.end(Phase.ESTABLISHED);
-            front.movedOne();
-            front.book().connectionEnded(from.begun(), Outcome.CANCELLED);
+            frontend.countMoved();
+            frontend.outcomeRecorder().connectionEnded(from.attempt(), Outcome.CANCELLED);
         }
     }
 
     @Override
-    public final boolean up(BackendLink at) {
-        if (state != State.PLACING && state != State.REPLACING
-                || at.begun().context() != context
-                || !front.book().establish(at.begun(), false)) {
+    public final boolean linkAttached(BackendLink at) {
+        if (state != State.ATTACHING && state != State.REATTACHING
+                || at.attempt().context() != context
+                || !frontend.outcomeRecorder().establish(at.attempt(), false)) {
             return false;
         }
-        backend = at;
-        if (state == State.PLACING) {
+        backendLink = at;
+        if (state == State.ATTACHING) {
             answerAttach();
         }
-        state = State.STANDING;
-        stands();
+        state = State.ESTABLISHED;
+        onEstablished();
         return true;
     }
 
@@ -227,8 +227,8 @@
      * bounds.
      */
     private void answerAttach() {
-        Link<?> far = backendLink();
-        answerSettings();
+        Link<?> far = backendEngineLink();
+        copyClientSettings();
         Source source = far.getRemoteSource();
         Target target = far.getRemoteTarget();
         if (source != null) {
@@ -252,7 +252,7 @@
     }
 
     /** What the client asks for, said to the backend. */
-    protected final void copyAsked(Link<?> to) {
+    protected final void copyAttachTo(Link<?> to) {
         Target target = link.getRemoteTarget() instanceof Target plain ? plain : null;
         to.setSource(link.getRemoteSource());
         to.setTarget(target);
@@ -265,53 +265,53 @@
     }
 
     @Override
-    public final void over(BackendLink at, Outcome outcome) {
-        if (at != backend) {
+    public final void linkEnded(BackendLink at, Outcome outcome) {
+        if (at != backendLink) {
             return;
         }
-        backend = null;
+        backendLink = null;
         context.end(Phase.ESTABLISHED);
-        front.book().connectionEnded(at.begun(), outcome);
+        frontend.outcomeRecorder().connectionEnded(at.attempt(), outcome);
         if (state == State.ENDED) {
             return;
         }
-        lost();
-        if (state == State.CLOSING) {
-            unplaced();
-            progress();
-        } else if (!canBeReplaced() || ++lost > MOST_LOST) {
-            giveUp(Errors.moved("its backend was lost"));
+        onBackendLost();
+        if (state == State.DETACHING) {
+            completeDeliveries();
+            detachIfSettled();
+        } else if (!canReattach() || ++consecutiveBackendLosses > MAX_CONSECUTIVE_BACKEND_LOSSES) {
+            detachWithoutBackend(ErrorConditions.moved("its backend was lost"));
         } else {
-            replace();
+            reattach();
         }
     }
 
-    private void replace() {
-        state = State.REPLACING;
-        front.replaced();
+    private void reattach() {
+        state = State.REATTACHING;
+        frontend.countReattached();
         try {
-            mapped = front.mapping().map(asked, front.newName(), true);
-            ask();
-        } catch (Mapping.Unmapped changed) {
-            giveUp(changed.condition());
+            mappedRequest = frontend.attachMapper().map(attachRequest, frontend.newRequestId(), true);
+            requestAdmission();
+        } catch (AttachMapper.AttachRejectedException changed) {
+            detachWithoutBackend(changed.condition());
         }
     }
 
     /** The backend has given an outcome: it works, whatever was lost before. */
-    protected final void works() {
-        lost = 0;
-        progress();
+    protected final void outcomeReceived() {
+        consecutiveBackendLosses = 0;
+        detachIfSettled();
     }
 
     /** Something has ended: perhaps that was the last before a detach. */
-    protected final void progress() {
-        if (state == State.CLOSING && isSettled()) {
-            finish();
+    protected final void detachIfSettled() {
+        if (state == State.DETACHING && isSettled()) {
+            finishDetach();
         }
     }
 
-    private void moving(Attempt up, String reason) {
-        if (state != State.STANDING || backend == null || backend.begun() != up) {
+    private void moveToOtherBackend(Attempt up, String reason) {
+        if (state != State.ESTABLISHED || backendLink == null || backendLink.attempt() != up) {
             return;
         }
         Log.info(
@@ -323,10 +323,10 @@
                 "id",
                 up.context().attributes().clientRequestId());
         if (reason.startsWith("peer")) {
-            backend.lost(true); // nothing more will come from there: what waits goes elsewhere
+            backendLink.connectionLost(true); // nothing more will come from there: what waits goes elsewhere
             return;
         }
-        close(Errors.moved(reason));
+        startDetach(ErrorConditions.moved(reason));
     }
 
     /**
@@ -337,54 +337,54 @@
             return;
         }
         state = State.ENDED;
-        owner.detached(this);
-        BackendLink from = backend;
-        backend = null;
+        connection.removeLink(this);
+        BackendLink from = backendLink;
+        backendLink = null;
         if (from != null) {
-            left();
-            from.end();
+            onClientLeft();
+            from.detach();
             context.end(Phase.ESTABLISHED);
-            front.book().connectionEnded(from.begun(), Outcome.SERVED);
+            frontend.outcomeRecorder().connectionEnded(from.attempt(), Outcome.SERVED);
         } else if (context != null && context.end(Phase.WAITING)) {
-            front.book().clientLeft(context);
+            frontend.outcomeRecorder().clientLeft(context);
         }
-        if (owner.engineRuns()) {
+        if (connection.canSendFrames()) {
             if (!link.getSession().isRemotelyClosed()) { // else its end has ended its links, too
                 link.close();
             }
-            ends();
+            onEnded();
         }
     }
 
     /** A rule of the protocol is broken on this link alone: it is detached with why. */
-    protected final void breaks(ErrorCondition why) {
+    protected final void detachForViolation(ErrorCondition why) {
         Log.warn("amqp.link.broken", "from", remoteAddress(), "why", why.getDescription());
-        if (owner.engineRuns()) {
+        if (connection.canSendFrames()) {
             link.setCondition(why).close();
         }
         clientLeft();
     }
 
     /** Time has passed. */
-    void beat(Instant now) {}
+    void checkTimeouts(Instant now) {}
 
-    protected final AmqpFront front() {
-        return front;
+    protected final AmqpFrontend frontend() {
+        return frontend;
     }
 
-    protected final ClientPeering owner() {
-        return owner;
+    protected final AmqpClientConnection connection() {
+        return connection;
     }
 
-    protected final BackendLink backend() {
-        return backend;
+    protected final BackendLink backendLink() {
+        return backendLink;
     }
 
-    protected final boolean repeatable() {
-        return mapped.repeatable();
+    protected final boolean isIdempotent() {
+        return mappedRequest.idempotent();
     }
 
-    protected final boolean ended() {
+    protected final boolean isEnded() {
         return state == State.ENDED;
     }
 
@@ -394,34 +394,34 @@
     }
 
     /** The try that stands, or null. */
-    final Attempt standing() {
-        return backend == null ? null : backend.begun();
+    final Attempt establishedAttempt() {
+        return backendLink == null ? null : backendLink.attempt();
     }
 
     /** The backend's half, once made. */
-    protected abstract Link<?> backendLink();
+    protected abstract Link<?> backendEngineLink();
 
     /** It stands at a backend. */
-    protected abstract void stands();
+    protected abstract void onEstablished();
 
     /** The backend that it stood at is lost. */
-    protected abstract void lost();
+    protected abstract void onBackendLost();
 
     /** Whether it may go on at another backend without its client's doing. */
-    protected abstract boolean canBeReplaced();
+    protected abstract boolean canReattach();
 
     /** Takes nothing new from now on; it is to be moved. */
-    protected abstract void stopTaking();
+    protected abstract void drainCredit();
 
     /** The link is over; told once. */
-    protected void ends() {}
+    protected void onEnded() {}
 
     /** Whether nothing is under way, so that it can be moved. */
     protected abstract boolean isSettled();
 
     /** There will be no backend any more: all that is owed is answered now. */
-    protected abstract void unplaced();
+    protected abstract void completeDeliveries();
 
     /** The client is gone; the backend's half still stands for this call. */
-    protected abstract void left();
+    protected abstract void onClientLeft();
 }
--- a/relay/src/main/java/saltstage/amqp/Ranges.java
+++ b/relay/src/main/java/saltstage/amqp/DeliveryIdRanges.java
@@ -7,16 +7,16 @@
  * are serial numbers (RFC 1982) that wrap; all that are gathered at a time lie within half of their
  * circle. Free of I/O.
  */
-final class Ranges {
-    private static final int FIRST_ROOM = 16;
+final class DeliveryIdRanges {
+    private static final int INITIAL_CAPACITY = 16;
 
     /** Takes a range; first and last are in it. */
-    interface Taker {
-        void take(int first, int last);
+    interface RangeConsumer {
+        void accept(int first, int last);
     }
 
     /** Distances from the first id that was gathered: these do not wrap. */
-    private int[] distances = new int[FIRST_ROOM];
+    private int[] offsets = new int[INITIAL_CAPACITY];
 
     private int base;
     private int count;
@@ -25,10 +25,10 @@
     void add(int id) {
         if (count == 0) {
             base = id;
-        } else if (count == distances.length) {
-            distances = Arrays.copyOf(distances, 2 * count);
+        } else if (count == offsets.length) {
+            offsets = Arrays.copyOf(offsets, 2 * count);
         }
-        distances[count++] = id - base;
+        offsets[count++] = id - base;
     }
 
     int size() {
@@ -36,20 +36,20 @@
     }
 
     /** Gives all that was gathered out, lowest first, and forgets it. */
-    void drain(Taker to) {
+    void drain(RangeConsumer to) {
         int held = count;
         count = 0;
-        Arrays.sort(distances, 0, held);
+        Arrays.sort(offsets, 0, held);
         for (int i = 0; i < held; ) {
             int last = i;
-            while (last + 1 < held && distances[last + 1] - distances[last] <= 1) {
+            while (last + 1 < held && offsets[last + 1] - offsets[last] <= 1) {
                 last++;
             }
-            to.take(base + distances[i], base + distances[last]);
+            to.accept(base + offsets[i], base + offsets[last]);
             i = last + 1;
         }
-        if (distances.length > 64 * FIRST_ROOM) { // a burst leaves no room behind
-            distances = new int[FIRST_ROOM];
+        if (offsets.length > 64 * INITIAL_CAPACITY) { // a burst leaves no room behind
+            offsets = new int[INITIAL_CAPACITY];
         }
     }
 }
--- a/relay/src/main/java/saltstage/amqp/OutcomeFrames.java
+++ b/relay/src/main/java/saltstage/amqp/DispositionBatcher.java
@@ -19,21 +19,21 @@
  * go out at once. Nothing is held over the end of its link, session or connection, and nothing
  * longer than the round.
  */
-final class OutcomeFrames implements EngineHandler {
-    private final Consumer<Runnable> afterRound;
-    private final AMQPPerformativeEnvelopePool<OutgoingAMQPEnvelope> envelopes =
+final class DispositionBatcher implements EngineHandler {
+    private final Consumer<Runnable> afterIteration;
+    private final AMQPPerformativeEnvelopePool<OutgoingAMQPEnvelope> envelopePool =
             AMQPPerformativeEnvelopePool.outgoingEnvelopePool();
-    private final Disposition frame = new Disposition();
+    private final Disposition disposition = new Disposition();
 
     /** By session, and by which side of the deliveries this is. */
-    private final Map<Integer, Ranges> sending = new LinkedHashMap<>();
+    private final Map<Integer, DeliveryIdRanges> senderRanges = new LinkedHashMap<>();
 
-    private final Map<Integer, Ranges> receiving = new LinkedHashMap<>();
-    private boolean due;
+    private final Map<Integer, DeliveryIdRanges> receiverRanges = new LinkedHashMap<>();
+    private boolean flushScheduled;
 
     /** Is given what has to run once the present round of the loop is through. */
-    OutcomeFrames(Consumer<Runnable> afterRound) {
-        this.afterRound = afterRound;
+    DispositionBatcher(Consumer<Runnable> afterRound) {
+        this.afterIteration = afterRound;
     }
 
     @Override
@@ -43,15 +43,15 @@
                 && one.getSettled()
                 && one.getState() instanceof Accepted
                 && !one.hasLast()) {
-            of(one.getRole())
-                    .computeIfAbsent(envelope.getChannel(), any -> new Ranges())
+            rangesFor(one.getRole())
+                    .computeIfAbsent(envelope.getChannel(), any -> new DeliveryIdRanges())
                     .add((int) one.getFirst());
             envelope.release();
-            if (!due) {
-                due = true;
-                afterRound.accept(
+            if (!flushScheduled) {
+                flushScheduled = true;
+                afterIteration.accept(
                         () -> {
-                            due = false;
+                            flushScheduled = false;
                             flush(context);
                         });
             }
@@ -64,8 +64,8 @@
         context.fireWrite(envelope);
     }
 
-    private Map<Integer, Ranges> of(Role role) {
-        return role == Role.RECEIVER ? receiving : sending;
+    private Map<Integer, DeliveryIdRanges> rangesFor(Role role) {
+        return role == Role.RECEIVER ? receiverRanges : senderRanges;
     }
 
     private void flush(EngineHandlerContext context) {
@@ -74,26 +74,26 @@
     }
 
     private void flush(EngineHandlerContext context, Role role) {
-        Map<Integer, Ranges> all = of(role);
+        Map<Integer, DeliveryIdRanges> all = rangesFor(role);
         if (all.isEmpty() || !context.engine().isWritable()) {
             all.clear();
             return;
         }
-        Map<Integer, Ranges> now = new LinkedHashMap<>(all);
+        Map<Integer, DeliveryIdRanges> now = new LinkedHashMap<>(all);
         all.clear();
         now.forEach(
                 (channel, ranges) ->
                         ranges.drain(
                                 (first, last) -> {
-                                    frame.reset()
+                                    disposition.reset()
                                             .setRole(role)
                                             .setFirst(first)
                                             .setSettled(true)
                                             .setState(Accepted.getInstance());
                                     if (last != first) {
-                                        frame.setLast(last);
+                                        disposition.setLast(last);
                                     }
-                                    context.fireWrite(envelopes.take(frame, channel, null));
+                                    context.fireWrite(envelopePool.take(disposition, channel, null));
                                 }));
     }
 }
--- a/relay/src/main/java/saltstage/amqp/Errors.java
+++ b/relay/src/main/java/saltstage/amqp/ErrorConditions.java
@@ -13,17 +13,17 @@
  * The error conditions that the relay says, each with the section of the specification that names
  * it.
  */
-final class Errors {
+final class ErrorConditions {
     /** Milliseconds until a refused client should come again, in the info map of the error. */
     static final Symbol RETRY_AFTER = Symbol.valueOf("saltstage:retry-after-ms");
 
     /** Set in the info map where a link was moved: attaching again at once is what is asked for. */
-    static final Symbol COME_AGAIN = Symbol.valueOf("saltstage:come-again");
+    static final Symbol RECONNECT = Symbol.valueOf("saltstage:come-again");
 
-    private Errors() {}
+    private ErrorConditions() {}
 
     /** Refused for now (2.8.15). */
-    static ErrorCondition refused(Duration retryAfter) {
+    static ErrorCondition rejected(Duration retryAfter) {
         return retryAfter.isZero()
                 ? new ErrorCondition(AmqpError.RESOURCE_LIMIT_EXCEEDED, "refused, come again")
                 : new ErrorCondition(
@@ -48,26 +48,26 @@
     }
 
     /** A limit of the operator's was passed (2.8.15). */
-    static ErrorCondition limit(String what) {
+    static ErrorCondition limitExceeded(String what) {
         return new ErrorCondition(AmqpError.RESOURCE_LIMIT_EXCEEDED, what);
     }
 
     /** The link is moved: its client is to attach again (2.8.17). */
     static ErrorCondition moved(String why) {
         return new ErrorCondition(
-                LinkError.DETACH_FORCED, "moved, attach again: " + why, Map.of(COME_AGAIN, true));
+                LinkError.DETACH_FORCED, "moved, attach again: " + why, Map.of(RECONNECT, true));
     }
 
     /** The relay leaves (2.8.16). */
-    static ErrorCondition leaving() {
+    static ErrorCondition relayDraining() {
         return new ErrorCondition(
                 ConnectionError.CONNECTION_FORCED,
                 "relay leaves, connect again",
-                Map.of(COME_AGAIN, true));
+                Map.of(RECONNECT, true));
     }
 
     /** What came is no AMQP, or breaks its rules (2.8.16). */
-    static ErrorCondition framing(String what) {
+    static ErrorCondition framingError(String what) {
         return new ErrorCondition(ConnectionError.FRAMING_ERROR, what);
     }
 }
--- a/relay/src/main/java/saltstage/amqp/Frames.java
+++ b/relay/src/main/java/saltstage/amqp/FrameSplitter.java
@@ -9,32 +9,32 @@
  * at a wrong offset; so it is shown whole frames only. What can be no frame is passed on as it is:
  * the engine refuses it.
  */
-final class Frames {
-    private static final int HEADER = 8;
-    private static final int AMQP = 0x414D5150;
+final class FrameSplitter {
+    private static final int HEADER_BYTES = 8;
+    private static final int AMQP_MAGIC = 0x414D5150;
 
-    private final int most;
-    private byte[] rest = {};
+    private final int maxFrameBytes;
+    private byte[] partialFrame = {};
 
     /** Frames of at most so many bytes; more than that is never gathered. */
-    Frames(int most) {
-        this.most = most;
+    FrameSplitter(int most) {
+        this.maxFrameBytes = most;
     }
 
     /** Takes what has come; returns what is whole now, perhaps nothing. */
-    byte[] cut(byte[] came) {
+    byte[] takeWholeFrames(byte[] came) {
         byte[] all = came;
-        if (rest.length > 0) {
-            all = Arrays.copyOf(rest, rest.length + came.length);
-            System.arraycopy(came, 0, all, rest.length, came.length);
+        if (partialFrame.length > 0) {
+            all = Arrays.copyOf(partialFrame, partialFrame.length + came.length);
+            System.arraycopy(came, 0, all, partialFrame.length, came.length);
         }
         ByteBuffer view = ByteBuffer.wrap(all);
         int end = 0;
-        while (all.length - end >= HEADER) {
+        while (all.length - end >= HEADER_BYTES) {
             int size = view.getInt(end);
-            if (size == AMQP) {
-                size = HEADER;
-            } else if (size < HEADER || size > most) {
+            if (size == AMQP_MAGIC) {
+                size = HEADER_BYTES;
+            } else if (size < HEADER_BYTES || size > maxFrameBytes) {
                 end = all.length;
                 break;
             }
@@ -43,12 +43,12 @@
             }
             end += size;
         }
-        rest = end == all.length ? new byte[0] : Arrays.copyOfRange(all, end, all.length);
+        partialFrame = end == all.length ? new byte[0] : Arrays.copyOfRange(all, end, all.length);
         return end == all.length ? all : Arrays.copyOf(all, end);
     }
 
     /** How many bytes wait for the rest of their frame. */
-    int waiting() {
-        return rest.length;
+    int partialFrameBytes() {
+        return partialFrame.length;
     }
 }
--- a/relay/src/main/java/saltstage/amqp/Secrets.java
+++ b/relay/src/main/java/saltstage/amqp/UserSecrets.java
@@ -13,21 +13,21 @@
 /**
  * Users and their secrets, from a file of lines {@code USER:SECRET}; {@code #} begins a comment.
  */
-final class Secrets {
-    private static final byte[] NOBODYS = "nobody has this one".getBytes(StandardCharsets.UTF_8);
+final class UserSecrets {
+    private static final byte[] UNKNOWN_USER_SECRET = "nobody has this one".getBytes(StandardCharsets.UTF_8);
 
-    private final Map<String, byte[]> secrets = new HashMap<>();
+    private final Map<String, byte[]> secretsByUser = new HashMap<>();
 
-    private Secrets() {}
+    private UserSecrets() {}
 
     /** Nobody is known. */
-    static Secrets none() {
-        return new Secrets();
+    static UserSecrets empty() {
+        return new UserSecrets();
     }
 
     /** Reads the file; what is wrong is said in one line that shows no secret. */
-    static Secrets read(Path file) throws MalformedException {
-        Secrets read = new Secrets();
+    static UserSecrets read(Path file) throws MalformedException {
+        UserSecrets read = new UserSecrets();
         List<String> lines;
         try {
             lines = Files.readAllLines(file);
@@ -44,7 +44,7 @@
                 throw new MalformedException(file + ":" + (i + 1) + ": a line is USER:SECRET");
             }
             byte[] secret = line.substring(colon + 1).getBytes(StandardCharsets.UTF_8);
-            if (read.secrets.put(line.substring(0, colon), secret) != null) {
+            if (read.secretsByUser.put(line.substring(0, colon), secret) != null) {
                 throw new MalformedException(
                         file + ":" + (i + 1) + ": this user stands there twice");
             }
@@ -53,14 +53,14 @@
     }
 
     /** Whether the secret is the user's; takes as long where it is wrong or the user unknown. */
-    boolean fits(String user, byte[] secret) {
-        byte[] right = secrets.get(user);
-        boolean same = MessageDigest.isEqual(right == null ? NOBODYS : right, secret);
+    boolean matches(String user, byte[] secret) {
+        byte[] right = secretsByUser.get(user);
+        boolean same = MessageDigest.isEqual(right == null ? UNKNOWN_USER_SECRET : right, secret);
         return same && right != null;
     }
 
     /** How many users there are. */
     int size() {
-        return secrets.size();
+        return secretsByUser.size();
     }
 }
--- a/relay/src/main/java/saltstage/amqp/Rules.java
+++ b/relay/src/main/java/saltstage/amqp/ValidatedSettings.java
@@ -10,13 +10,13 @@
  * All that the operator's settings say of the front, read and checked as a whole; replaced as a
  * whole.
  */
-record Rules(AmqpSettings settings, Mapping mapping, Secrets secrets, Forwarding.Bounds bounds) {
+record ValidatedSettings(AmqpSettings settings, AttachMapper attachMapper, UserSecrets userSecrets, DeliveryForwarder.Limits forwardingLimits) {
     /** Checks what the settings alone cannot know: the tenant of ANONYMOUS, the file of secrets. */
-    static Rules of(AmqpSettings settings, Configuration config) throws MalformedException {
-        Secrets secrets =
+    static ValidatedSettings validate(AmqpSettings settings, Configuration config) throws MalformedException {
+        UserSecrets secrets =
                 settings.authentication().secretsFile() == null
-                        ? Secrets.none()
-                        : Secrets.read(settings.authentication().secretsFile());
+                        ? UserSecrets.empty()
+                        : UserSecrets.read(settings.authentication().secretsFile());
         if (settings.authentication().anonymousTenant() != null) {
             try {
                 config.tenantIndex(settings.authentication().anonymousTenant());
@@ -28,11 +28,11 @@
             }
         }
         AmqpSettings.Limits limits = settings.limits();
-        return new Rules(
+        return new ValidatedSettings(
                 settings,
-                new Mapping(config, settings),
+                new AttachMapper(config, settings),
                 secrets,
-                new Forwarding.Bounds(
+                new DeliveryForwarder.Limits(
                         limits.maxUnsettledPerLink(),
                         limits.maxLinkBytes(),
                         limits.maxRetainedDeliveryBytes(),
@@ -41,7 +41,7 @@
     }
 
     /** What of the next rules cannot take effect before a restart; none of it is taken over. */
-    List<String> needRestart(Rules next) {
+    List<String> restartRequiredChanges(ValidatedSettings next) {
         List<String> parts = new ArrayList<>();
         if (!settings.listenAddress().equals(next.settings.listenAddress())) {
             parts.add("amqp.listen");
--- a/relay/src/main/java/saltstage/lifecycle/RelayServer.java
+++ b/relay/src/main/java/saltstage/lifecycle/RelayServer.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import saltstage.admin.AdminListener;
-import saltstage.amqp.AmqpFront;
+import saltstage.amqp.AmqpFrontend;
 import saltstage.config.AmqpSettings;
 import saltstage.config.Configuration;
 import saltstage.config.OperatorSettings;
@@ -60,7 +60,7 @@
     private final RelayPipeline pipeline;
     private volatile boolean accepting;
     private volatile boolean startFailed;
-    private volatile AmqpFront amqpFrontend;
+    private volatile AmqpFrontend amqpFrontend;
     private int ticks;
     private Instant nextTickDue = clock.now();
     private Duration tickLateness = Duration.ZERO;
@@ -251,7 +251,7 @@
                         true,
                         (where, fault) -> Log.error("loop.fault." + where, fault));
         try {
-            amqpFrontend = new AmqpFront(settings, config, pipeline, clock, transport);
+            amqpFrontend = new AmqpFrontend(settings, config, pipeline, clock, transport);
             amqpFrontend.start();
         } catch (MalformedException bad) {
             throw new IOException(bad.getMessage(), bad);
@@ -297,10 +297,10 @@
             OperatorSettings chosen = operator.read();
             Configuration read = source.read();
             List<String> later = new ArrayList<>(read.restartRequiredChanges(config));
-            AmqpFront.Change change =
+            AmqpFrontend.SettingsChange change =
                     amqpFrontend == null || chosen.amqp().isEmpty()
                             ? null
-                            : amqpFrontend.change(
+                            : amqpFrontend.prepareChange(
                                     chosen.amqp()
                                             .get()); // all is checked before anything is in force
             if (sharedConfiguration == null) {
--- a/relay/src/test/java/saltstage/amqp/FrontFuzzTest.java
+++ b/relay/src/test/java/saltstage/amqp/AmqpFrontendFuzzTest.java
@@ -30,9 +30,9 @@
  * nothing of the client is left when its connection is over.
  * {@code JAZZER_FUZZ=1 mvn test -pl relay -Dtest=FrontFuzzTest} searches; CI plays some chances.
  */
-class FrontFuzzTest {
+class AmqpFrontendFuzzTest {
     /** Header, open, begin, attach of a sender, a transfer, a flow, detach and close (2.7). */
-    private static final byte[] TALK = HexFormat.of().parseHex("414d515000010000"
+    private static final byte[] CONVERSATION = HexFormat.of().parseHex("414d515000010000"
         + "0000001102000000" + "005310c00401a10178"
         + "0000001402000000" + "005311c0070440435" + "27f527f"
         + "0000003802000000" + "005312c02b0aa1016c434250005000005328c00401a10173"
@@ -43,7 +43,7 @@
         + "0000000c02000000" + "00531845");
 
     /** A loop that the test turns. */
-    private static final class HandLoop implements Loop {
+    private static final class ManualLoop implements Loop {
         private final Deque<Runnable> tasks = new ArrayDeque<>();
 
         @Override
@@ -61,7 +61,7 @@
             return () -> true; // time stands still
         }
 
-        void turn() {
+        void runTasks() {
             for (int i = 0; i < 10_000 && !tasks.isEmpty(); i++) {
                 tasks.poll().run();
             }
@@ -70,12 +70,12 @@
     }
 
     /** A connection to nowhere. */
-    private static final class NoConnection implements Connection {
+    private static final class FakeConnection implements Connection {
         private final Loop loop;
-        private long written;
+        private long writtenBytes;
         private boolean ended;
 
-        NoConnection(Loop loop) {
+        FakeConnection(Loop loop) {
             this.loop = loop;
         }
 
@@ -91,7 +91,7 @@
 
         @Override
         public void write(ByteBuffer bytes) {
-            written += bytes.remaining();
+            writtenBytes += bytes.remaining();
         }
 
         @Override
@@ -120,8 +120,8 @@
     }
 
     /** Nobody can be reached through it. */
-    private static final class NoTransport implements Transport {
-        private final HandLoop loop = new HandLoop();
+    private static final class FakeTransport implements Transport {
+        private final ManualLoop loop = new ManualLoop();
 
         @Override
         public Listener listen(InetSocketAddress at, int backlog, Connection.WriteLimits bounds,
@@ -145,10 +145,10 @@
         }
     }
 
-    private final NoTransport transport = new NoTransport();
-    private final AmqpFront front = front();
+    private final FakeTransport transport = new FakeTransport();
+    private final AmqpFrontend frontend = createFrontend();
 
-    private AmqpFront front() {
+    private AmqpFrontend createFrontend() {
         try {
             Configuration config = Configuration.parse(("{'listen':'127.0.0.1:1','discovery':'127.0.0.1:1',"
                 + "'seed':'1','limits':{'sockets':256},'known':{'rev':1,'all':true,'targets':[{'uid':'s',"
@@ -161,7 +161,7 @@
             RelayPipeline chain = new RelayPipeline(config, clock, new Timers(clock), peers,
                 new saltstage.metrics.RequestCounters(config.serviceClassNames()), () -> { });
             chain.router().start(config.knownBackends());
-            return new AmqpFront(OperatorSettings.parse("f", "amqp {\n listen = \"127.0.0.1:1\"\n"
+            return new AmqpFrontend(OperatorSettings.parse("f", "amqp {\n listen = \"127.0.0.1:1\"\n"
                 + " anonymous_tenant = \"any\"\n}\n").amqp().orElseThrow(), config, chain, clock, transport);
         } catch (MalformedException e) {
             throw new IllegalStateException(e);
@@ -174,33 +174,33 @@
         if (data.length < 3) {
             return;
         }
-        byte[] talk = TALK.clone();
+        byte[] talk = CONVERSATION.clone();
         int at = (data[0] & 0xff) % talk.length;
         System.arraycopy(data, 2, talk, at, Math.min(data.length - 2, talk.length - at));
-        play(talk, 1 + (data[1] & 0xff));
+        replay(talk, 1 + (data[1] & 0xff));
     }
 
-    private long play(byte[] talk, int piece) {
-        NoConnection connection = new NoConnection(transport.loop);
-        ConnectionHandler handler = front.accept(connection);
+    private long replay(byte[] talk, int piece) {
+        FakeConnection connection = new FakeConnection(transport.loop);
+        ConnectionHandler handler = frontend.accept(connection);
         for (int i = 0; i < talk.length && !connection.ended; i += piece) {
             handler.received(connection, ByteBuffer.wrap(talk, i, Math.min(piece, talk.length - i)));
-            transport.loop.turn();
+            transport.loop.runTasks();
         }
         handler.closed(connection, Connection.Cause.RESET);
-        transport.loop.turn();
-        assertEquals(0, front.clientCount());
-        assertEquals(0, front.requestCount());
-        return connection.written;
+        transport.loop.runTasks();
+        assertEquals(0, frontend.clientCount());
+        assertEquals(0, frontend.requestCount());
+        return connection.writtenBytes;
     }
 
     @Test
-    void theConversationItselfIsUnderstood() {
-        assertTrue(play(TALK, 7) > 50, "an open and a begin are answered");
+    void unchangedConversationIsAnswered() {
+        assertTrue(replay(CONVERSATION, 7) > 50, "an open and a begin are answered");
     }
 
     @Test
-    void aFewThousandChancesOfIt() {
+    void randomMutationsNeverThrowNorLeaveAnythingBehind() {
         Random random = new Random(20261201);
         for (int i = 0; i < 4_000; i++) {
             byte[] data = new byte[3 + random.nextInt(i % 3 == 0 ? 100 : 4)];
--- /dev/null
+++ b/relay/src/test/java/saltstage/amqp/DeliveryForwarderTest.java
@@ -0,0 +1,302 @@
+package saltstage.amqp;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.TreeSet;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import org.apache.qpid.protonj2.types.messaging.Accepted;
+import org.apache.qpid.protonj2.types.messaging.Modified;
+import org.apache.qpid.protonj2.types.messaging.Released;
+import org.apache.qpid.protonj2.types.transport.DeliveryState;
+import org.junit.jupiter.api.Test;
+import saltstage.amqp.DeliveryForwarder.Delivery;
+
+/** Deliveries against backends that are lost, slow, short of credit and gone, in every order. */
+class DeliveryForwarderTest {
+    private static final DeliveryForwarder.Limits LIMITS =
+            new DeliveryForwarder.Limits(20, 2_000, 300, 3, Duration.ofSeconds(10));
+    private static final Instant START = Instant.parse("2026-12-01T00:00:00Z");
+
+    /** Both sides, which note what they are told and check it. */
+    private static final class RecordingClient implements DeliveryForwarder.ClientEndpoint {
+        private final Map<Object, DeliveryState> outcomes = new LinkedHashMap<>();
+        private int credit;
+
+        @Override
+        public void grantCredit(int more) {
+            assertTrue(more > 0);
+            credit += more;
+        }
+
+        @Override
+        public void sendOutcome(Delivery delivery, DeliveryState state, boolean settled) {
+            assertFalse(delivery.isPresettled(), "an outcome that nobody is owed");
+            assertEquals(null, outcomes.put(delivery.clientDelivery(), state), "a second outcome");
+        }
+    }
+
+    /** A backend with room for so many bytes and deliveries. */
+    private static final class FakeBackend implements DeliveryForwarder.BackendEndpoint {
+        private final Map<Delivery, Integer> receivedBytes = new LinkedHashMap<>();
+        private final List<Delivery> completeDeliveries = new ArrayList<>();
+        private final TreeSet<Integer> completeNumbers = new TreeSet<>();
+        private int byteCapacity;
+        private int credit;
+
+        @Override
+        public boolean canSend() {
+            return byteCapacity > 0 && credit > 0;
+        }
+
+        @Override
+        public int send(Delivery delivery, byte[] piece, int from, boolean last) {
+            int taken = Math.min(byteCapacity, piece.length - from);
+            byteCapacity -= Math.max(1, taken);
+            receivedBytes.merge(delivery, taken, Integer::sum);
+            if (last && from + taken == piece.length) {
+                credit--;
+                completeDeliveries.add(delivery);
+                int number = (Integer) delivery.clientDelivery();
+                assertTrue(completeNumbers.isEmpty() || completeNumbers.last() < number, "order");
+                completeNumbers.add(number);
+            }
+            return taken;
+        }
+
+        @Override
+        public void abort(Delivery delivery) {
+            assertFalse(completeDeliveries.contains(delivery), "abort after the end");
+            receivedBytes.remove(delivery);
+        }
+
+        @Override
+        public void settle(Delivery delivery, DeliveryState state) {
+            assertTrue(completeDeliveries.remove(delivery), "settled what is not out");
+        }
+    }
+
+    @Property(tries = 2_000)
+    void everyDeliveryHasOneOutcomeWithinMaxAttempts(
+            @ForAll long seed, @ForAll boolean repeatable) {
+        RandomScenario play = new RandomScenario(new Random(seed), repeatable);
+        for (int step = 0; step < 200; step++) {
+            play.step();
+        }
+        play.finish();
+    }
+
+    /** A link's life from a seed. */
+    private static final class RandomScenario {
+        private final Random random;
+        private final RecordingClient client = new RecordingClient();
+        private final DeliveryForwarder forwarder;
+        private final Map<Integer, Delivery> deliveries = new LinkedHashMap<>();
+        private final Map<Delivery, Integer> deliveryBytes = new LinkedHashMap<>();
+        private final Map<Delivery, Integer> attempts = new LinkedHashMap<>();
+        private Delivery currentDelivery;
+        private FakeBackend backend;
+        private Instant now = START;
+
+        RandomScenario(Random random, boolean repeatable) {
+            this.random = random;
+            forwarder = new DeliveryForwarder(LIMITS, repeatable, client);
+        }
+
+        void step() {
+            now = now.plusMillis(random.nextInt(200));
+            switch (random.nextInt(8)) {
+                case 0, 1, 2 -> backendGrantsCapacity();
+                case 3, 4 -> clientSends();
+                case 5 -> backendAccepts();
+                case 6 -> backendIsLostOrClientAborts();
+                default -> forwarder.expireDeliveries(now);
+            }
+            assertTrue(forwarder.size() <= LIMITS.maxUnsettled(), "too many are held");
+            assertTrue(
+                    forwarder.bufferedBytes() >= 0 && forwarder.bufferedBytes() <= LIMITS.maxBufferedBytes() + 200,
+                    "bytes held");
+            assertTrue(attempts.values().stream().allMatch(count -> count <= LIMITS.maxAttempts()), "tries");
+        }
+
+        private void backendGrantsCapacity() {
+            if (backend == null) {
+                backend = new FakeBackend();
+                forwarder.backendAttached(backend);
+            } else {
+                backend.byteCapacity += random.nextInt(400);
+                backend.credit += random.nextInt(4);
+                forwarder.creditReceived(backend.credit);
+            }
+        }
+
+        private void clientSends() {
+            if (currentDelivery == null && client.credit > 0) {
+                client.credit--;
+                currentDelivery = new Delivery(deliveries.size(), random.nextInt(10) == 0);
+                deliveries.put(deliveries.size(), currentDelivery);
+                assertTrue(forwarder.startDelivery(currentDelivery));
+            }
+            if (currentDelivery != null && forwarder.canBufferMore()) {
+                boolean whole = random.nextBoolean();
+                byte[] piece = new byte[random.nextInt(200)];
+                deliveryBytes.merge(currentDelivery, piece.length, Integer::sum);
+                forwarder.bytesReceived(currentDelivery, piece, whole, now);
+                currentDelivery = whole ? null : currentDelivery;
+            }
+        }
+
+        private void backendAccepts() {
+            if (backend != null && !backend.completeDeliveries.isEmpty()) {
+                Delivery answered = backend.completeDeliveries.remove(random.nextInt(backend.completeDeliveries.size()));
+                if (!answered.isPresettled()) {
+                    assertEquals(
+                            deliveryBytes.get(answered), backend.receivedBytes.get(answered), "bytes of the delivery");
+                    forwarder.outcomeReceived(answered, Accepted.getInstance(), true);
+                }
+            }
+        }
+
+        private void backendIsLostOrClientAborts() {
+            if (backend != null && random.nextInt(3) == 0) {
+                backend.receivedBytes.keySet().forEach(one -> attempts.merge(one, 1, Integer::sum));
+                backend = null;
+                forwarder.backendLost();
+            } else if (currentDelivery != null && random.nextInt(4) == 0) {
+                forwarder.deliveryAborted(currentDelivery);
+                client.outcomes.putIfAbsent(currentDelivery.clientDelivery(), null);
+                currentDelivery = null;
+            }
+        }
+
+        void finish() {
+            if (currentDelivery != null) {
+                forwarder.bytesReceived(currentDelivery, new byte[0], true, now);
+            }
+            forwarder.endWithoutBackend();
+            assertEquals(0, forwarder.size());
+            assertEquals(0, forwarder.bufferedBytes());
+            for (Delivery one : deliveries.values()) {
+                assertTrue(one.isPresettled() || client.outcomes.containsKey(one.clientDelivery()), "no outcome");
+            }
+        }
+    }
+
+    private final RecordingClient client = new RecordingClient();
+    private final DeliveryForwarder forwarder = new DeliveryForwarder(LIMITS, true, client);
+    private int nextDeliveryNumber;
+
+    private Delivery sendDelivery(DeliveryForwarder to, int bytes) {
+        Delivery made = new Delivery(nextDeliveryNumber++, false);
+        assertTrue(to.startDelivery(made));
+        to.bytesReceived(made, new byte[bytes], true, START);
+        return made;
+    }
+
+    private FakeBackend attachBackend(DeliveryForwarder at, int credit, int bytes) {
+        FakeBackend far = new FakeBackend();
+        far.credit = credit;
+        far.byteCapacity = bytes;
+        at.backendAttached(far);
+        at.creditReceived(credit);
+        return far;
+    }
+
+    @Test
+    void creditFollowsTheBackendUpToTheLimit() {
+        assertEquals(0, client.credit); // before there is a backend nothing is welcome
+        attachBackend(forwarder, 5, 1_000);
+        assertEquals(5, client.credit);
+        forwarder.creditReceived(1_000);
+        assertEquals(LIMITS.maxUnsettled(), client.credit);
+    }
+
+    @Test
+    void deliveryWithoutCreditIsNotStarted() {
+        attachBackend(forwarder, 1, 1_000);
+        sendDelivery(forwarder, 10);
+        assertFalse(forwarder.startDelivery(new Delivery(99, false)));
+    }
+
+    @Test
+    void deliveriesOfALostBackendGoToTheNextInOrderAndThenFail() {
+        for (int tries = 1; tries <= LIMITS.maxAttempts(); tries++) {
+            FakeBackend far = attachBackend(forwarder, 10, 1_000);
+            if (tries == 1) {
+                sendDelivery(forwarder, 10);
+                sendDelivery(forwarder, 20);
+            }
+            assertEquals(List.of(0, 1), far.completeDeliveries.stream().map(Delivery::clientDelivery).toList());
+            assertEquals(Map.of(), client.outcomes);
+            forwarder.backendLost();
+        }
+        assertEquals(
+                List.of(new Modified(true, false), new Modified(true, false)).toString(),
+                List.copyOf(client.outcomes.values()).toString());
+    }
+
+    @Test
+    void nonIdempotentDeliveryFailsAtTheFirstLoss() {
+        DeliveryForwarder once = new DeliveryForwarder(LIMITS, false, client);
+        attachBackend(once, 10, 15);
+        sendDelivery(once, 10);
+        sendDelivery(once, 10);
+        sendDelivery(once, 10);
+        once.backendLost();
+        assertEquals(2, client.outcomes.size()); // the third had not begun: it may still go
+        once.endWithoutBackend();
+        assertEquals(Released.getInstance(), client.outcomes.get(2));
+    }
+
+    @Test
+    void tooLargeDeliveryFailsAtTheFirstLoss() {
+        attachBackend(forwarder, 10, 10_000);
+        sendDelivery(forwarder, LIMITS.maxRetainedDeliveryBytes() + 1);
+        assertEquals(0, forwarder.bufferedBytes());
+        forwarder.backendLost();
+        assertTrue(client.outcomes.get(0) instanceof Modified);
+    }
+
+    @Test
+    void expiredDeliveryFailsAtItsDeadline() {
+        FakeBackend far = attachBackend(forwarder, 10, 1_000);
+        Delivery late = sendDelivery(forwarder, 10);
+        assertEquals(0, forwarder.expireDeliveries(START.plus(LIMITS.deliveryTimeout()).minusMillis(1)));
+        assertEquals(1, forwarder.expireDeliveries(START.plus(LIMITS.deliveryTimeout())));
+        assertTrue(client.outcomes.get(0) instanceof Modified);
+        assertEquals(List.of(), far.completeDeliveries); // and the backend's copy is settled, not left open
+        forwarder.outcomeReceived(late, Accepted.getInstance(), true); // its late word changes nothing
+        assertTrue(client.outcomes.get(0) instanceof Modified);
+    }
+
+    @Test
+    void outcomeFromALostBackendIsIgnored() {
+        attachBackend(forwarder, 10, 1_000);
+        Delivery repeated = sendDelivery(forwarder, 10);
+        forwarder.backendLost();
+        forwarder.outcomeReceived(repeated, Accepted.getInstance(), true);
+        assertEquals(Map.of(), client.outcomes);
+    }
+
+    @Test
+    void abortedDeliveryIsAbortedAtTheBackendWithoutOutcome() {
+        FakeBackend far = attachBackend(forwarder, 10, 1_000);
+        Delivery half = new Delivery(nextDeliveryNumber++, false);
+        forwarder.startDelivery(half);
+        forwarder.bytesReceived(half, new byte[50], false, START);
+        assertEquals(50, far.receivedBytes.get(half));
+        forwarder.deliveryAborted(half);
+        assertEquals(Map.of(), far.receivedBytes);
+        assertEquals(Map.of(), client.outcomes);
+        assertEquals(0, forwarder.size());
+    }
+}
--- a/relay/src/test/java/saltstage/amqp/RangesTest.java
+++ b/relay/src/test/java/saltstage/amqp/DeliveryIdRangesTest.java
@@ -13,12 +13,12 @@
 import net.jqwik.api.constraints.Size;
 
 /** Ranges hold just the ids that were gathered, in as few as can be. */
-class RangesTest {
+class DeliveryIdRangesTest {
     @Property(tries = 2000)
-    void rangesCoverWhatWasGatheredAndNothingElse(
+    void rangesCoverExactlyTheAddedIds(
             @ForAll int base,
             @ForAll @Size(max = 300) List<@IntRange(min = 0, max = 500) Integer> distances) {
-        Ranges ranges = new Ranges();
+        DeliveryIdRanges ranges = new DeliveryIdRanges();
         for (int round = 0; round < 2; round++) { // nothing is left from the round before
             Set<Integer> wanted = new TreeSet<>();
             for (int distance : distances) {
--- a/relay/src/test/java/saltstage/amqp/OutcomeFramesTest.java
+++ b/relay/src/test/java/saltstage/amqp/DispositionBatcherTest.java
@@ -21,13 +21,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Which outcomes wait for one another, and what none of them waits for. */
-class OutcomeFramesTest {
-    private final List<String> out = new ArrayList<>();
-    private final List<Runnable> later = new ArrayList<>();
+class DispositionBatcherTest {
+    private final List<String> written = new ArrayList<>();
+    private final List<Runnable> scheduledTasks = new ArrayList<>();
     private final Engine engine = EngineFactory.PROTON.createNonSaslEngine();
     private final AMQPPerformativeEnvelopePool<OutgoingAMQPEnvelope> pool =
             AMQPPerformativeEnvelopePool.outgoingEnvelopePool();
-    private final OutcomeFrames frames = new OutcomeFrames(later::add);
+    private final DispositionBatcher batcher = new DispositionBatcher(scheduledTasks::add);
     private final EngineHandlerContext context =
             (EngineHandlerContext)
                     Proxy.newProxyInstance(
@@ -36,12 +36,12 @@
                             (self, method, with) -> {
                                 if (method.getName().equals("fireWrite")) {
                                     OutgoingAMQPEnvelope envelope = (OutgoingAMQPEnvelope) with[0];
-                                    out.add(text(envelope.getBody(), envelope.getChannel()));
+                                    written.add(describe(envelope.getBody(), envelope.getChannel()));
                                 }
                                 return method.getName().equals("engine") ? engine : null;
                             });
 
-    private static String text(Performative said, int channel) {
+    private static String describe(Performative said, int channel) {
         if (said instanceof Disposition one) {
             return channel
                     + ":"
@@ -56,43 +56,43 @@
         return channel + ":" + said.getPerformativeType();
     }
 
-    private void says(int channel, Role role, int id, DeliveryState state, boolean settled) {
+    private void writeDisposition(int channel, Role role, int id, DeliveryState state, boolean settled) {
         write(
                 channel,
                 new Disposition().setRole(role).setFirst(id).setState(state).setSettled(settled));
     }
 
-    private void accepted(int channel, int... ids) {
+    private void writeAccepted(int channel, int... ids) {
         for (int id : ids) {
-            says(channel, Role.RECEIVER, id, Accepted.getInstance(), true);
+            writeDisposition(channel, Role.RECEIVER, id, Accepted.getInstance(), true);
         }
     }
 
     private void write(int channel, Performative said) {
-        frames.handleWrite(context, pool.take(said, channel, null));
+        batcher.handleWrite(context, pool.take(said, channel, null));
     }
 
-    private void endRound() {
-        List<Runnable> now = List.copyOf(later);
-        later.clear();
+    private void runScheduledTasks() {
+        List<Runnable> now = List.copyOf(scheduledTasks);
+        scheduledTasks.clear();
         now.forEach(Runnable::run);
     }
 
     @Test
-    void acceptedOnesOfARoundGoOutAsRangesOfTheirSession() {
+    void acceptedOutcomesOfAnIterationAreSentAsRangesPerSession() {
         engine.start();
         engine.connection();
         engine.outputHandler((bytes, done) -> {});
-        accepted(1, 7, 5, 6, 9);
-        accepted(2, 6);
-        says(1, Role.SENDER, 8, Accepted.getInstance(), true);
+        writeAccepted(1, 7, 5, 6, 9);
+        writeAccepted(2, 6);
+        writeDisposition(1, Role.SENDER, 8, Accepted.getInstance(), true);
         write(1, new Flow());
         assertEquals(
                 List.of("1:FLOW"),
-                out,
+                written,
                 "nothing of it before the end of the round, and no flow waits");
-        assertEquals(1, later.size());
-        endRound();
+        assertEquals(1, scheduledTasks.size());
+        runScheduledTasks();
         assertEquals(
                 List.of(
                         "1:FLOW",
@@ -100,17 +100,17 @@
                         "1:RECEIVER 9 Accepted",
                         "2:RECEIVER 6 Accepted",
                         "1:SENDER 8 Accepted"),
-                out);
-        accepted(1, 10);
-        endRound();
-        assertEquals("1:RECEIVER 10 Accepted", out.get(out.size() - 1));
+                written);
+        writeAccepted(1, 10);
+        runScheduledTasks();
+        assertEquals("1:RECEIVER 10 Accepted", written.get(written.size() - 1));
     }
 
     @Test
-    void anyOtherOutcomeGoesOutAtOnce() {
+    void otherOutcomesAreSentAtOnce() {
         engine.start();
-        says(1, Role.RECEIVER, 5, Released.getInstance(), true);
-        says(1, Role.RECEIVER, 6, Accepted.getInstance(), false);
+        writeDisposition(1, Role.RECEIVER, 5, Released.getInstance(), true);
+        writeDisposition(1, Role.RECEIVER, 6, Accepted.getInstance(), false);
         write(
                 1,
                 new Disposition()
@@ -124,26 +124,26 @@
                         "1:RECEIVER 5 Released",
                         "1:RECEIVER 6 Accepted unsettled",
                         "1:RECEIVER 7-9 Accepted"),
-                out);
-        assertEquals(0, later.size());
+                written);
+        assertEquals(0, scheduledTasks.size());
     }
 
     @Test
-    void noneIsHeldOverADetach() {
+    void detachFlushesPendingOutcomes() {
         engine.start();
-        accepted(1, 5, 6);
+        writeAccepted(1, 5, 6);
         write(1, new Detach());
-        assertEquals(List.of("1:RECEIVER 5-6 Accepted", "1:DETACH"), out);
-        endRound();
-        assertEquals(2, out.size(), "nor said twice");
+        assertEquals(List.of("1:RECEIVER 5-6 Accepted", "1:DETACH"), written);
+        runScheduledTasks();
+        assertEquals(2, written.size(), "nor said twice");
     }
 
     @Test
-    void whatAnEngineThatHasEndedHeldIsDropped() {
+    void pendingOutcomesOfAStoppedEngineAreDiscarded() {
         engine.start();
-        accepted(1, 5);
+        writeAccepted(1, 5);
         engine.shutdown();
-        endRound();
-        assertEquals(List.of(), out);
+        runScheduledTasks();
+        assertEquals(List.of(), written);
     }
 }
