--- a/coordinator/src/main/java/saltstage/coordinator/api/ConfigurationRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ConfigurationRoutes.java
@@ -48,7 +48,7 @@
     private record Poll(long revision, long digest, int limit, long deadlineNanos) {}
 
     /** What a follower is answered, and the newest revision and digest at that moment. */
-    private record Read(ChangeHistory.Answer answer, long revision, long digest) {
+    private record Read(ChangeHistory.Result answer, long revision, long digest) {
         boolean empty() {
             return answer instanceof ChangeHistory.Changes found && found.changes().isEmpty();
         }
@@ -92,7 +92,7 @@
     private CompletableFuture<ApiResponse> changes(ApiRequest request) {
         long revision = request.wholeParameter("after", 0, MAX_REVISION);
         long digest = digest(request.parameter("digest", revision == 0 ? emptyDigest() : ""));
-        int most = ConfigurationLimits.CHANGES_PER_ANSWER;
+        int most = ConfigurationLimits.MAX_CHANGES_PER_RESPONSE;
         int limit = (int) request.wholeParameter("limit", most, most);
         long waitMs = Math.min(MAX_WAIT_MS, request.wholeParameter("waitMs", 0, MAX_REVISION));
         return answer(new Poll(revision, digest, limit, StateChanges.deadlineNanos(waitMs)))
@@ -100,12 +100,12 @@
     }
 
     private static String emptyDigest() {
-        return ConfigurationJson.text(0L);
+        return ConfigurationJson.formatDigest(0L);
     }
 
     private static long digest(String text) {
         try {
-            return ConfigurationJson.digest(text, "'digest'");
+            return ConfigurationJson.parseDigest(text, "'digest'");
         } catch (MalformedException bad) {
             throw new BadRequestException(bad.getMessage());
         }
@@ -122,7 +122,7 @@
 
     private static Read read(ConfigurationRegistry configuration, Poll poll) {
         return new Read(
-                configuration.after(poll.revision(), poll.digest(), poll.limit()),
+                configuration.changesAfter(poll.revision(), poll.digest(), poll.limit()),
                 configuration.revision(),
                 configuration.digest());
     }
@@ -137,9 +137,9 @@
         if (read.answer() instanceof ChangeHistory.Changes found) {
             ChangesResponse body =
                     new ChangesResponse(read.revision(), read.digest(), found.changes());
-            return ApiResponse.ok(new RawJson(ConfigurationJson.text(body)));
+            return ApiResponse.ok(new RawJson(ConfigurationJson.toJson(body)));
         }
-        return switch ((ChangeHistory.Refusal) read.answer()) {
+        return switch ((ChangeHistory.Failure) read.answer()) {
             case DIVERGED -> error(CONFLICT, ErrorResponse.DIVERGED, read.revision(), 0);
             case TRUNCATED -> error(GONE, ErrorResponse.TRUNCATED, read.revision(), 0);
             case BEHIND -> error(MISDIRECTED, ErrorResponse.BEHIND, read.revision(), 0);
@@ -148,14 +148,14 @@
 
     private static ApiResponse error(int status, String error, long revision, long retryMs) {
         ErrorResponse body = new ErrorResponse(error, revision, retryMs);
-        return new ApiResponse(status, new RawJson(ConfigurationJson.text(body)));
+        return new ApiResponse(status, new RawJson(ConfigurationJson.toJson(body)));
     }
 
     // ---- snapshots
 
     private CompletableFuture<ApiResponse> snapshot(ApiRequest request) {
         long revision = request.wholeParameter("revision", SnapshotPager.NEWEST, MAX_REVISION);
-        int most = ConfigurationLimits.ENTRIES_PER_PAGE;
+        int most = ConfigurationLimits.MAX_ENTRIES_PER_PAGE;
         int limit = (int) request.wholeParameter("limit", most, most);
         EntryKey from = key(request.parameter("from", ""));
         boolean current = request.wholeParameter("current", 0, 1) == 1;
@@ -174,7 +174,7 @@
         ApiResponse response() {
             return page == null
                     ? error(GONE, ErrorResponse.TRUNCATED, newest, 0)
-                    : ApiResponse.ok(new RawJson(ConfigurationJson.text(page)));
+                    : ApiResponse.ok(new RawJson(ConfigurationJson.toJson(page)));
         }
     }
 
@@ -204,7 +204,7 @@
         synchronized (reports) {
             return new Status(
                     configuration.revision(),
-                    ConfigurationJson.text(configuration.digest()),
+                    ConfigurationJson.formatDigest(configuration.digest()),
                     revision,
                     reports.zones(revision, nowMs()));
         }
@@ -218,22 +218,22 @@
         } catch (JsonProcessingException malformed) {
             throw new BadRequestException("no report: " + ApiRequest.firstLine(malformed));
         }
-        if (report.fault() != null) {
-            throw new BadRequestException(report.fault());
+        if (report.validationError() != null) {
+            throw new BadRequestException(report.validationError());
         }
         if (!replica.leads()) {
             return CompletableFuture.completedFuture(
                     ApiResponse.notLeader(replica.leaderClients()));
         }
         synchronized (reports) {
-            reports.take(report, nowMs());
+            reports.update(report, nowMs());
         }
         return CompletableFuture.completedFuture(ApiResponse.ok(Map.of("taken", true)));
     }
 
     private CompletableFuture<ApiResponse> history(ApiRequest request) {
         long after = request.wholeParameter("after", 0, MAX_REVISION);
-        int most = ConfigurationLimits.CHANGES_PER_ANSWER;
+        int most = ConfigurationLimits.MAX_CHANGES_PER_RESPONSE;
         int limit = (int) request.wholeParameter("limit", DEFAULT_HISTORY, most);
         return replica.read(state -> state.configuration().history(after, limit), false)
                 .thenApply(ApiResponse::ok);
--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
@@ -68,7 +68,7 @@
         }
         String why =
                 reply instanceof Rejected no
-                        ? no.sentence()
+                        ? no.message()
                         : reply instanceof Rejection no ? no.why() : "an answer of another kind";
         System.err.println("saltstage: " + why);
         return 1;
@@ -132,7 +132,7 @@
             }
             List<Mutation> mutations = new ArrayList<>();
             if (file != null) {
-                mutations.addAll(ConfigurationJson.mutations(Files.readString(file)));
+                mutations.addAll(ConfigurationJson.parseMutations(Files.readString(file)));
             }
             for (int i = 0; i < pairs.size(); i += 2) {
                 mutations.add(MutationText.put(pairs.get(i), pairs.get(i + 1)));
@@ -173,7 +173,7 @@
             }
             if (group.json()) {
                 System.out.println(
-                        ConfigurationJson.text(
+                        ConfigurationJson.toJson(
                                 new SnapshotPage(page.revision(), page.digest(), found, null)));
             } else {
                 found.forEach(entry -> System.out.println(MutationText.line(entry)));
@@ -204,7 +204,7 @@
                             ? ""
                             : "&from=" + URLEncoder.encode(from, StandardCharsets.UTF_8);
             String path = PATH + "snapshot?current=1&revision=" + revision + key;
-            return ConfigurationJson.snapshotPage(client.get(path, group.within()).toString());
+            return ConfigurationJson.parseSnapshotPage(client.get(path, group.within()).toString());
         }
     }
 
@@ -233,12 +233,12 @@
                                 "%schanges?after=%d&digest=%s&waitMs=%d",
                                 PATH, revision, digest, WAIT_MS);
                 String answer = client.get(path, group.within()).toString();
-                ChangesResponse read = ConfigurationJson.changes(answer);
+                ChangesResponse read = ConfigurationJson.parseChanges(answer);
                 for (Change change : read.changes().subList(0, shown(read, changes - seen))) {
                     print(change);
                     seen++;
                     revision = change.revision();
-                    digest = ConfigurationJson.text(change.digest());
+                    digest = ConfigurationJson.formatDigest(change.digest());
                 }
             }
             return 0;
@@ -251,7 +251,7 @@
         private void print(Change change) {
             if (group.json()) {
                 System.out.println(
-                        ConfigurationJson.text(
+                        ConfigurationJson.toJson(
                                 new ChangesResponse(
                                         change.revision(), change.digest(), List.of(change))));
                 return;
@@ -389,7 +389,7 @@
 
         @Override
         public Integer call() throws Exception {
-            if (revision < 0 || revision > ConfigurationLimits.LARGEST_NUMBER) {
+            if (revision < 0 || revision > ConfigurationLimits.MAX_SAFE_INTEGER) {
                 throw new MalformedException("--revision takes a whole number from 0 on");
             }
             JsonNode read =
--- a/coordinator/src/main/java/saltstage/coordinator/command/MutationText.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/MutationText.java
@@ -44,7 +44,7 @@
                     case SHARD -> new EntryValue.Shard(value);
                     case SUSPENSION -> new EntryValue.Suspension(value);
                 };
-        String fault = ValueRules.fault(read);
+        String fault = ValueRules.validationError(read);
         if (fault != null) {
             throw new MalformedException(keyText + ": '" + value + "' is not accepted; " + fault);
         }
@@ -95,7 +95,7 @@
                     WEIGHT + "=" + backend.weight(),
                     STARTED + "=" + backend.startedAtMs());
         }
-        return value.canonical();
+        return value.canonicalText();
     }
 
     /** A line of text for an entry. */
@@ -111,6 +111,6 @@
     /** A line of text for a mutation. */
     static String line(Mutation mutation) {
         return mutation.key().text()
-                + (mutation.deletes() ? " deleted" : " " + text(mutation.value()));
+                + (mutation.isDeletion() ? " deleted" : " " + text(mutation.value()));
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/AcceptedChange.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/AcceptedChange.java
@@ -23,20 +23,20 @@
         List<Mutation> mutations,
         List<Mutation> undo) {
     static AcceptedChange of(Change change, String author, long dayMs, List<Mutation> undo) {
-        String digest = ConfigurationJson.text(change.digest());
+        String digest = ConfigurationJson.formatDigest(change.digest());
         return new AcceptedChange(
                 change.revision(), digest, author, dayMs, change.mutations(), undo);
     }
 
     /** The change as followers get it. */
-    public Change change() {
-        return new Change(revision, number(digest), mutations);
+    public Change toChange() {
+        return new Change(revision, parseDigest(digest), mutations);
     }
 
     /** The number that a digest's text is of; throws IllegalArgumentException where it is none. */
-    static long number(String digest) {
+    static long parseDigest(String digest) {
         try {
-            return ConfigurationJson.digest(digest, "digest");
+            return ConfigurationJson.parseDigest(digest, "digest");
         } catch (MalformedException bad) {
             throw new IllegalArgumentException(bad.getMessage(), bad);
         }
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ChangeValidator.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ChangeValidator.java
@@ -21,13 +21,13 @@
  */
 final class ChangeValidator {
     /** An identifier of a backend, as discovery takes it. */
-    private static final Pattern BACKEND_NAME = Pattern.compile("[!-~]{1,128}");
+    private static final Pattern BACKEND_ID_PATTERN = Pattern.compile("[!-~]{1,128}");
 
     /** The smallest key of each kind is after this name. */
-    private static final String FIRST_NAME = "!";
+    private static final String SMALLEST_NAME = "!";
 
     private final NavigableMap<EntryKey, Entry> entries;
-    private final ShardCounts shards;
+    private final ShardCounts shardCounts;
     private final Map<EntryKey, Mutation> mutations;
 
     /**
@@ -42,56 +42,56 @@
             ShardCounts shards,
             Map<EntryKey, Mutation> mutations) {
         this.entries = entries;
-        this.shards = shards;
+        this.shardCounts = shards;
         this.mutations = mutations;
     }
 
     /** The first fault by key; null where there is none. */
-    Rejected fault() {
+    Rejected rejection() {
         boolean settings = false;
         for (Mutation mutation : mutations.values()) {
             Rejected fault =
-                    mutation.deletes() ? deletionFault(mutation.key()) : valueFault(mutation);
+                    mutation.isDeletion() ? deletionRejection(mutation.key()) : valueRejection(mutation);
             if (fault != null) {
                 return fault;
             }
             settings |= mutation.key().kind() == EntryKind.SETTING;
         }
-        Rejected together = settings ? settingsFault() : null;
-        return together != null ? together : countFault();
+        Rejected together = settings ? settingsRejection() : null;
+        return together != null ? together : countRejection();
     }
 
-    private Rejected valueFault(Mutation mutation) {
+    private Rejected valueRejection(Mutation mutation) {
         EntryKey key = mutation.key();
-        String carried = ValueRules.fault(mutation.value());
+        String carried = ValueRules.validationError(mutation.value());
         if (carried != null) {
-            return rejected(RejectionCode.INVALID_VALUE, key, shown(mutation.value()), carried);
+            return rejected(RejectionCode.INVALID_VALUE, key, displayText(mutation.value()), carried);
         }
         return switch (key.kind()) {
-            case SETTING -> settingFault(key, (EntryValue.Setting) mutation.value());
-            case BACKEND -> backendFault(key, (EntryValue.Backend) mutation.value());
-            case SHARD -> unknownBackend(key, ((EntryValue.Shard) mutation.value()).backend());
-            case SUSPENSION -> unknownBackend(key, key.name());
+            case SETTING -> settingRejection(key, (EntryValue.Setting) mutation.value());
+            case BACKEND -> backendRejection(key, (EntryValue.Backend) mutation.value());
+            case SHARD -> unknownBackendRejection(key, ((EntryValue.Shard) mutation.value()).backend());
+            case SUSPENSION -> unknownBackendRejection(key, key.name());
         };
     }
 
-    private static Rejected settingFault(EntryKey key, EntryValue.Setting setting) {
-        if (!SettingRules.taken(key.name())) {
+    private static Rejected settingRejection(EntryKey key, EntryValue.Setting setting) {
+        if (!SettingRules.isReloadable(key.name())) {
             return rejected(
                     RejectionCode.UNKNOWN_SETTING,
                     key,
                     setting.text(),
-                    "relays take while they run: " + SettingRules.names());
+                    "relays take while they run: " + SettingRules.reloadableNames());
         }
         TreeMap<String, String> alone = new TreeMap<>(Map.of(key.name(), setting.text()));
-        String fault = SettingRules.fault(alone);
+        String fault = SettingRules.validationError(alone);
         return fault == null
                 ? null
                 : rejected(RejectionCode.INVALID_VALUE, key, setting.text(), fault);
     }
 
-    private static Rejected backendFault(EntryKey key, EntryValue.Backend backend) {
-        if (!BACKEND_NAME.matcher(key.name()).matches()) {
+    private static Rejected backendRejection(EntryKey key, EntryValue.Backend backend) {
+        if (!BACKEND_ID_PATTERN.matcher(key.name()).matches()) {
             return rejected(
                     RejectionCode.INVALID_VALUE,
                     key,
@@ -110,9 +110,9 @@
         }
     }
 
-    private Rejected unknownBackend(EntryKey key, String backend) {
-        if (BACKEND_NAME.matcher(backend).matches()
-                && existsAfter(new EntryKey(EntryKind.BACKEND, backend))) {
+    private Rejected unknownBackendRejection(EntryKey key, String backend) {
+        if (BACKEND_ID_PATTERN.matcher(backend).matches()
+                && isPresentAfterChange(new EntryKey(EntryKind.BACKEND, backend))) {
             return null;
         }
         return rejected(
@@ -122,11 +122,11 @@
                 "the identifier of a backend that there is would do, or one that this change puts");
     }
 
-    private Rejected deletionFault(EntryKey key) {
+    private Rejected deletionRejection(EntryKey key) {
         if (key.kind() != EntryKind.BACKEND) {
             return null;
         }
-        int left = shards.of(key.name()) + shardsAddedTo(key.name());
+        int left = shardCounts.countOf(key.name()) + shardsAddedTo(key.name());
         if (left > 0) {
             return rejected(
                     RejectionCode.IN_USE,
@@ -134,7 +134,7 @@
                     "deleted",
                     "place its " + left + " shards elsewhere first, or in the same change");
         }
-        return existsAfter(new EntryKey(EntryKind.SUSPENSION, key.name()))
+        return isPresentAfterChange(new EntryKey(EntryKind.SUSPENSION, key.name()))
                 ? rejected(
                         RejectionCode.IN_USE,
                         key,
@@ -149,26 +149,26 @@
         for (Mutation mutation : mutations.values()) {
             if (mutation.key().kind() == EntryKind.SHARD) {
                 Entry before = entries.get(mutation.key());
-                added -= before != null && names(before.value(), backend) ? 1 : 0;
-                added += !mutation.deletes() && names(mutation.value(), backend) ? 1 : 0;
+                added -= before != null && isPlacedOn(before.value(), backend) ? 1 : 0;
+                added += !mutation.isDeletion() && isPlacedOn(mutation.value(), backend) ? 1 : 0;
             }
         }
         return added;
     }
 
-    private static boolean names(EntryValue value, String backend) {
+    private static boolean isPlacedOn(EntryValue value, String backend) {
         return value instanceof EntryValue.Shard shard && shard.backend().equals(backend);
     }
 
-    private boolean existsAfter(EntryKey key) {
+    private boolean isPresentAfterChange(EntryKey key) {
         Mutation mutation = mutations.get(key);
-        return mutation == null ? entries.containsKey(key) : !mutation.deletes();
+        return mutation == null ? entries.containsKey(key) : !mutation.isDeletion();
     }
 
     /** Settings that are sound one by one may not be so together. */
-    private Rejected settingsFault() {
+    private Rejected settingsRejection() {
         TreeMap<String, String> after = new TreeMap<>();
-        EntryKey first = new EntryKey(EntryKind.SETTING, FIRST_NAME);
+        EntryKey first = new EntryKey(EntryKind.SETTING, SMALLEST_NAME);
         for (Entry entry : entries.tailMap(first, true).values()) {
             if (entry.key().kind() != EntryKind.SETTING) {
                 break;
@@ -178,8 +178,8 @@
         Mutation named = null;
         for (Mutation mutation : mutations.values()) {
             if (mutation.key().kind() == EntryKind.SETTING) {
-                named = named == null || named.deletes() ? mutation : named;
-                if (mutation.deletes()) {
+                named = named == null || named.isDeletion() ? mutation : named;
+                if (mutation.isDeletion()) {
                     after.remove(mutation.key().name());
                 } else {
                     after.put(
@@ -187,8 +187,8 @@
                 }
             }
         }
-        String fault = SettingRules.fault(after);
-        String value = named == null || named.deletes() ? "deleted" : shown(named.value());
+        String fault = SettingRules.validationError(after);
+        String value = named == null || named.isDeletion() ? "deleted" : displayText(named.value());
         return fault == null
                 ? null
                 : rejected(
@@ -198,19 +198,19 @@
                         "with the other settings in force: " + fault);
     }
 
-    private Rejected countFault() {
+    private Rejected countRejection() {
         int after = entries.size();
         for (Mutation mutation : mutations.values()) {
             boolean before = entries.containsKey(mutation.key());
-            after += (mutation.deletes() ? 0 : 1) - (before ? 1 : 0);
+            after += (mutation.isDeletion() ? 0 : 1) - (before ? 1 : 0);
         }
-        return after <= ConfigurationLimits.ENTRIES
+        return after <= ConfigurationLimits.MAX_ENTRIES
                 ? null
                 : new Rejected(
                         RejectionCode.FULL,
                         "",
                         after + " entries",
-                        ConfigurationLimits.ENTRIES + " are kept; delete some first");
+                        ConfigurationLimits.MAX_ENTRIES + " are kept; delete some first");
     }
 
     private static Rejected rejected(
@@ -218,7 +218,7 @@
         return new Rejected(code, key.text(), value, wanted);
     }
 
-    private static String shown(EntryValue value) {
-        return value.canonical();
+    private static String displayText(EntryValue value) {
+        return value.canonicalText();
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationCommands.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationCommands.java
@@ -8,7 +8,7 @@
 /** What changes a group's configuration. */
 public final class ConfigurationCommands {
     /** The feature level from which on a group keeps configuration. */
-    public static final int SINCE = 4;
+    public static final int MIN_FEATURE_LEVEL = 4;
 
     private ConfigurationCommands() {}
 
@@ -25,7 +25,7 @@
             implements Command {
         @Override
         public int minFeatureLevel() {
-            return SINCE;
+            return MIN_FEATURE_LEVEL;
         }
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationModule.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationModule.java
@@ -39,10 +39,10 @@
                 throws IOException {
             out.writeStartObject();
             out.writeStringField(KEY, mutation.key().text());
-            if (mutation.deletes()) {
+            if (mutation.isDeletion()) {
                 out.writeBooleanField(DELETED, true);
             } else {
-                with.defaultSerializeField(mutation.key().kind().word(), mutation.value(), out);
+                with.defaultSerializeField(mutation.key().kind().wireName(), mutation.value(), out);
             }
             out.writeEndObject();
         }
@@ -55,7 +55,7 @@
             out.writeStartObject();
             out.writeStringField(KEY, entry.key().text());
             out.writeNumberField(REVISION, entry.revision());
-            with.defaultSerializeField(entry.key().kind().word(), entry.value(), out);
+            with.defaultSerializeField(entry.key().kind().wireName(), entry.value(), out);
             out.writeEndObject();
         }
     }
@@ -64,11 +64,11 @@
         @Override
         public Mutation deserialize(JsonParser in, DeserializationContext with) throws IOException {
             JsonNode tree = in.readValueAsTree();
-            EntryKey key = key(tree, with);
-            String word = tree.has(DELETED) ? DELETED : key.kind().word();
-            onlyMembers(tree, 2, word, with);
+            EntryKey key = readKey(tree, with);
+            String word = tree.has(DELETED) ? DELETED : key.kind().wireName();
+            checkMembers(tree, 2, word, with);
             if (!word.equals(DELETED)) {
-                return new Mutation(key, value(tree, key, with));
+                return new Mutation(key, readValue(tree, key, with));
             }
             if (!tree.get(DELETED).isBoolean() || !tree.get(DELETED).booleanValue()) {
                 return with.reportInputMismatch(
@@ -82,17 +82,17 @@
         @Override
         public Entry deserialize(JsonParser in, DeserializationContext with) throws IOException {
             JsonNode tree = in.readValueAsTree();
-            EntryKey key = key(tree, with);
-            onlyMembers(tree, 3, key.kind().word(), with);
+            EntryKey key = readKey(tree, with);
+            checkMembers(tree, 3, key.kind().wireName(), with);
             if (!tree.path(REVISION).isIntegralNumber()) {
                 return with.reportInputMismatch(
                         Entry.class, "%s: 'revision' is no number", key.text());
             }
-            return new Entry(key, value(tree, key, with), tree.get(REVISION).longValue());
+            return new Entry(key, readValue(tree, key, with), tree.get(REVISION).longValue());
         }
     }
 
-    private static EntryKey key(JsonNode tree, DeserializationContext with) throws IOException {
+    private static EntryKey readKey(JsonNode tree, DeserializationContext with) throws IOException {
         if (!tree.path(KEY).isTextual()) {
             return with.reportInputMismatch(EntryKey.class, "'key' takes a text");
         }
@@ -103,7 +103,7 @@
         }
     }
 
-    private static void onlyMembers(
+    private static void checkMembers(
             JsonNode tree, int count, String word, DeserializationContext with) throws IOException {
         if (tree.size() != count || !tree.hasNonNull(word)) {
             with.reportInputMismatch(
@@ -114,9 +114,9 @@
         }
     }
 
-    private static EntryValue value(JsonNode tree, EntryKey key, DeserializationContext with)
+    private static EntryValue readValue(JsonNode tree, EntryKey key, DeserializationContext with)
             throws IOException {
-        JsonNode value = tree.get(key.kind().word());
+        JsonNode value = tree.get(key.kind().wireName());
         return switch (key.kind()) {
             case SETTING -> with.readTreeAsValue(value, EntryValue.Setting.class);
             case BACKEND -> with.readTreeAsValue(value, EntryValue.Backend.class);
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationRegistry.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationRegistry.java
@@ -25,7 +25,7 @@
  * thread safe.
  */
 public final class ConfigurationRegistry {
-    private static final Pattern AUTHOR = Pattern.compile("[!-~][ -~]{0,99}");
+    private static final Pattern AUTHOR_PATTERN = Pattern.compile("[!-~][ -~]{0,99}");
 
     /**
      * What a snapshot keeps.
@@ -55,8 +55,8 @@
 
     private final ConfigurationView view;
     private final ChangeHistory history;
-    private final TreeMap<Long, AcceptedChange> accepted = new TreeMap<>();
-    private final ShardCounts shards = new ShardCounts();
+    private final TreeMap<Long, AcceptedChange> acceptedChanges = new TreeMap<>();
+    private final ShardCounts shardCounts = new ShardCounts();
 
     /** No entries, at revision 0. */
     public ConfigurationRegistry() {
@@ -67,14 +67,14 @@
     /** As a snapshot has it; throws IllegalArgumentException for one that contradicts itself. */
     public ConfigurationRegistry(Image image) {
         view = new ConfigurationView(image.revision(), image.entries());
-        if (view.digest() != AcceptedChange.number(image.digest())) {
+        if (view.digest() != AcceptedChange.parseDigest(image.digest())) {
             throw new IllegalArgumentException(
                     "the configuration's digest is not that of its entries");
         }
-        image.entries().forEach(entry -> shards.replace(null, entry.value()));
+        image.entries().forEach(entry -> shardCounts.replace(null, entry.value()));
         history =
-                new ChangeHistory(image.baseRevision(), AcceptedChange.number(image.baseDigest()));
-        image.changes().forEach(this::remember);
+                new ChangeHistory(image.baseRevision(), AcceptedChange.parseDigest(image.baseDigest()));
+        image.changes().forEach(this::addToHistory);
         if (history.newestRevision() != view.revision()) {
             throw new IllegalArgumentException(
                     "the configuration's history ends at another revision");
@@ -85,24 +85,24 @@
     public Image image() {
         return new Image(
                 view.revision(),
-                ConfigurationJson.text(view.digest()),
+                ConfigurationJson.formatDigest(view.digest()),
                 List.copyOf(view.entries().values()),
                 history.baseRevision(),
-                ConfigurationJson.text(history.baseDigest()),
-                List.copyOf(accepted.values()));
+                ConfigurationJson.formatDigest(history.baseDigest()),
+                List.copyOf(acceptedChanges.values()));
     }
 
     /**
      * Accepts a change, or refuses it; a refused one and one that says nothing new change nothing.
      */
-    public Reply change(ChangeConfiguration ask, long dayMs) {
-        Rejected fault = boundsFault(ask);
-        fault = fault != null ? fault : conflict(ask.expected());
+    public Reply applyChange(ChangeConfiguration ask, long dayMs) {
+        Rejected fault = boundsRejection(ask);
+        fault = fault != null ? fault : conflictRejection(ask.expected());
         if (fault != null) {
             return fault;
         }
-        TreeMap<EntryKey, Mutation> effective = effective(ask.mutations());
-        fault = new ChangeValidator(view.entries(), shards, effective).fault();
+        TreeMap<EntryKey, Mutation> effective = effectiveMutations(ask.mutations());
+        fault = new ChangeValidator(view.entries(), shardCounts, effective).rejection();
         if (fault != null) {
             return fault;
         }
@@ -110,15 +110,15 @@
             accept(effective.values(), ask.author(), dayMs);
         }
         return new Changed(
-                view.revision(), ConfigurationJson.text(view.digest()), effective.size());
+                view.revision(), ConfigurationJson.formatDigest(view.digest()), effective.size());
     }
 
-    private static Rejected boundsFault(ChangeConfiguration ask) {
-        if (!AUTHOR.matcher(ask.author()).matches()) {
+    private static Rejected boundsRejection(ChangeConfiguration ask) {
+        if (!AUTHOR_PATTERN.matcher(ask.author()).matches()) {
             return malformed(
                     ask.author(), "an author of 1 to 100 visible ASCII characters would do");
         }
-        int most = ConfigurationLimits.MUTATIONS_PER_CHANGE;
+        int most = ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE;
         int mutations = ask.mutations().size();
         if (mutations == 0 || mutations > most || ask.expected().size() > most) {
             return malformed(
@@ -130,17 +130,17 @@
                             + " expected revisions would do");
         }
         int bytes = ConfigurationLimits.estimatedBytes(new Change(0, 0, ask.mutations()));
-        return bytes <= ConfigurationLimits.BYTES_PER_CHANGE
+        return bytes <= ConfigurationLimits.MAX_BYTES_PER_CHANGE
                 ? null
                 : malformed(
-                        bytes + " bytes", ConfigurationLimits.BYTES_PER_CHANGE + " bytes would do");
+                        bytes + " bytes", ConfigurationLimits.MAX_BYTES_PER_CHANGE + " bytes would do");
     }
 
     private static Rejected malformed(String value, String wanted) {
         return new Rejected(RejectionCode.MALFORMED, "", value, wanted);
     }
 
-    private Rejected conflict(Map<String, Long> expected) {
+    private Rejected conflictRejection(Map<String, Long> expected) {
         for (Map.Entry<String, Long> condition : new TreeMap<>(expected).entrySet()) {
             EntryKey key;
             try {
@@ -162,16 +162,16 @@
     }
 
     /** By key, what would change something. */
-    private TreeMap<EntryKey, Mutation> effective(List<Mutation> mutations) {
+    private TreeMap<EntryKey, Mutation> effectiveMutations(List<Mutation> mutations) {
         TreeMap<EntryKey, Mutation> byKey = new TreeMap<>();
         mutations.forEach(mutation -> byKey.put(mutation.key(), mutation));
-        byKey.values().removeIf(this::inForce);
+        byKey.values().removeIf(this::isNoOp);
         return byKey;
     }
 
-    private boolean inForce(Mutation mutation) {
+    private boolean isNoOp(Mutation mutation) {
         Entry entry = view.entries().get(mutation.key());
-        return entry == null ? mutation.deletes() : entry.value().equals(mutation.value());
+        return entry == null ? mutation.isDeletion() : entry.value().equals(mutation.value());
     }
 
     private void accept(Collection<Mutation> mutations, String author, long dayMs) {
@@ -179,16 +179,16 @@
         for (Mutation mutation : mutations) {
             Entry before = view.entries().get(mutation.key());
             undo.add(new Mutation(mutation.key(), before == null ? null : before.value()));
-            shards.replace(before == null ? null : before.value(), mutation.value());
+            shardCounts.replace(before == null ? null : before.value(), mutation.value());
         }
         Change change = view.accept(mutations);
-        remember(AcceptedChange.of(change, author, dayMs, List.copyOf(undo)));
+        addToHistory(AcceptedChange.of(change, author, dayMs, List.copyOf(undo)));
     }
 
-    private void remember(AcceptedChange change) {
-        history.append(change.change());
-        accepted.put(change.revision(), change);
-        accepted.headMap(history.baseRevision(), true).clear();
+    private void addToHistory(AcceptedChange change) {
+        history.append(change.toChange());
+        acceptedChanges.put(change.revision(), change);
+        acceptedChanges.headMap(history.baseRevision(), true).clear();
     }
 
     /**
@@ -197,8 +197,8 @@
     public History history(long after, int limit) {
         List<AcceptedChange> some = new ArrayList<>();
         int bytes = 0;
-        for (AcceptedChange change : accepted.tailMap(after, false).values()) {
-            if (some.size() >= limit || bytes >= ConfigurationLimits.BYTES_PER_ANSWER) {
+        for (AcceptedChange change : acceptedChanges.tailMap(after, false).values()) {
+            if (some.size() >= limit || bytes >= ConfigurationLimits.RESPONSE_BYTES_THRESHOLD) {
                 break;
             }
             some.add(change);
@@ -208,8 +208,8 @@
     }
 
     /** What a follower is answered that has this revision with this digest. */
-    public ChangeHistory.Answer after(long revision, long digest, int limit) {
-        return history.after(revision, digest, limit);
+    public ChangeHistory.Result changesAfter(long revision, long digest, int limit) {
+        return history.changesAfter(revision, digest, limit);
     }
 
     /** What is in force; it changes with this. */
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationReplies.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationReplies.java
@@ -26,7 +26,7 @@
     public record Rejected(RejectionCode code, String key, String value, String wanted)
             implements Reply {
         /** One sentence for people. */
-        public String sentence() {
+        public String message() {
             return (key.isEmpty() ? "" : key + ": ") + "'" + value + "' is not accepted; " + wanted;
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReport.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReport.java
@@ -12,7 +12,7 @@
  * @param revision the revision that it has itself
  * @param confirmedByRevision by revision, how many followers have confirmed just that one
  * @param followers how many there are
- * @param behind those that are behind, at most {@link #NAMED}, longest first
+ * @param behind those that are behind, at most {@link #MAX_NAMED_FOLLOWERS}, longest first
  */
 public record FollowerReport(
         String distributor,
@@ -22,12 +22,12 @@
         int followers,
         List<Behind> behind) {
     /** Most followers that a report names. */
-    public static final int NAMED = 100;
+    public static final int MAX_NAMED_FOLLOWERS = 100;
 
     /** Most revisions that a report counts; what is older than that may be left out. */
-    public static final int REVISIONS = 1_000;
+    public static final int MAX_REVISIONS = 1_000;
 
-    private static final int LONGEST_NAME = ConfigurationLimits.IDENTIFIER_LENGTH;
+    private static final int MAX_NAME_LENGTH = ConfigurationLimits.MAX_IDENTIFIER_LENGTH;
 
     /**
      * A follower that is behind the newest revision of its distributor.
@@ -38,16 +38,16 @@
     public record Behind(String follower, long revision, long sinceMs) {}
 
     /** Why the report cannot be taken, as one sentence; null where it can. */
-    public String fault() {
-        if (!name(distributor)
-                || !name(zone)
-                || behind.stream().anyMatch(one -> !name(one.follower()))) {
+    public String validationError() {
+        if (!isValidName(distributor)
+                || !isValidName(zone)
+                || behind.stream().anyMatch(one -> !isValidName(one.follower()))) {
             return "'distributor', 'zone' and 'follower' take up to "
-                    + LONGEST_NAME
+                    + MAX_NAME_LENGTH
                     + " visible characters";
         }
-        if (behind.size() > NAMED || confirmedByRevision.size() > REVISIONS) {
-            return "at most " + NAMED + " followers and " + REVISIONS + " revisions are named";
+        if (behind.size() > MAX_NAMED_FOLLOWERS || confirmedByRevision.size() > MAX_REVISIONS) {
+            return "at most " + MAX_NAMED_FOLLOWERS + " followers and " + MAX_REVISIONS + " revisions are named";
         }
         boolean negative =
                 followers < 0
@@ -57,7 +57,7 @@
         return negative ? "counts, revisions and spans are 0 or more" : null;
     }
 
-    private static boolean name(String text) {
-        return text.matches("[!-~]{1," + LONGEST_NAME + "}");
+    private static boolean isValidName(String text) {
+        return text.matches("[!-~]{1," + MAX_NAME_LENGTH + "}");
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReports.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReports.java
@@ -13,7 +13,7 @@
  */
 public final class FollowerReports {
     /** Most reports that are kept. */
-    static final int MOST = 100;
+    static final int MAX_REPORTS = 100;
 
     /** A zone as a distributor last told it, against the revision that was asked about. */
     public record Zone(
@@ -24,41 +24,41 @@
             int confirmed,
             List<FollowerReport.Behind> behind) {}
 
-    private record Received(FollowerReport report, long atMs) {}
+    private record ReceivedReport(FollowerReport report, long receivedAtMs) {}
 
     /** Reports in the order of zones, and of distributors within a zone. */
-    private record Key(String zone, String distributor) {
-        static final Comparator<Key> ORDER =
-                Comparator.comparing(Key::zone).thenComparing(Key::distributor);
+    private record ReportKey(String zone, String distributor) {
+        static final Comparator<ReportKey> ORDER =
+                Comparator.comparing(ReportKey::zone).thenComparing(ReportKey::distributor);
     }
 
-    private final Map<Key, Received> received = new TreeMap<>(Key.ORDER);
+    private final Map<ReportKey, ReceivedReport> reports = new TreeMap<>(ReportKey.ORDER);
 
     /**
      * Takes a report in place of the distributor's last one for that zone; {@code nowMs} is any
      * monotonic clock.
      */
-    public void take(FollowerReport report, long nowMs) {
-        received.put(new Key(report.zone(), report.distributor()), new Received(report, nowMs));
-        if (received.size() > MOST) {
-            received.entrySet().stream()
+    public void update(FollowerReport report, long nowMs) {
+        reports.put(new ReportKey(report.zone(), report.distributor()), new ReceivedReport(report, nowMs));
+        if (reports.size() > MAX_REPORTS) {
+            reports.entrySet().stream()
                     .min(
                             Map.Entry.comparingByValue(
-                                    (one, other) -> Long.compare(one.atMs(), other.atMs())))
-                    .ifPresent(oldest -> received.remove(oldest.getKey()));
+                                    (one, other) -> Long.compare(one.receivedAtMs(), other.receivedAtMs())))
+                    .ifPresent(oldest -> reports.remove(oldest.getKey()));
         }
     }
 
     /** All zones against this revision; a report of any age is shown, with its age. */
     public List<Zone> zones(long revision, long nowMs) {
         List<Zone> zones = new ArrayList<>();
-        received.values().forEach(one -> zones.add(zone(one, revision, nowMs)));
+        reports.values().forEach(one -> zones.add(toZone(one, revision, nowMs)));
         return zones;
     }
 
-    private static Zone zone(Received received, long revision, long nowMs) {
+    private static Zone toZone(ReceivedReport received, long revision, long nowMs) {
         FollowerReport report = received.report();
-        long age = nowMs - received.atMs();
+        long age = nowMs - received.receivedAtMs();
         int confirmed = 0;
         for (Map.Entry<Long, Integer> count : report.confirmedByRevision().entrySet()) {
             confirmed += count.getKey() >= revision ? count.getValue() : 0;
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/RollbackPlan.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/RollbackPlan.java
@@ -26,24 +26,24 @@
         DELETED_BACKENDS
     }
 
-    private final Map<EntryKey, Mutation> undo = new TreeMap<>();
-    private final Map<EntryKey, EntryValue> newest = new HashMap<>();
-    private final Map<EntryKey, Long> revisions = new HashMap<>();
+    private final Map<EntryKey, Mutation> undoByKey = new TreeMap<>();
+    private final Map<EntryKey, EntryValue> newestValues = new HashMap<>();
+    private final Map<EntryKey, Long> newestRevisions = new HashMap<>();
 
     private RollbackPlan(Collection<AcceptedChange> changes) {
         for (AcceptedChange change : changes) {
-            change.undo().forEach(mutation -> undo.putIfAbsent(mutation.key(), mutation));
+            change.undo().forEach(mutation -> undoByKey.putIfAbsent(mutation.key(), mutation));
             for (Mutation mutation : change.mutations()) {
-                newest.put(mutation.key(), mutation.value());
-                revisions.put(mutation.key(), mutation.deletes() ? 0 : change.revision());
+                newestValues.put(mutation.key(), mutation.value());
+                newestRevisions.put(mutation.key(), mutation.isDeletion() ? 0 : change.revision());
             }
         }
-        undo.values().removeIf(this::inForce);
+        undoByKey.values().removeIf(this::isNoOp);
     }
 
-    private boolean inForce(Mutation mutation) {
-        EntryValue now = newest.get(mutation.key());
-        return now == null ? mutation.deletes() : now.equals(mutation.value());
+    private boolean isNoOp(Mutation mutation) {
+        EntryValue now = newestValues.get(mutation.key());
+        return now == null ? mutation.isDeletion() : now.equals(mutation.value());
     }
 
     /**
@@ -53,22 +53,22 @@
      * @param changes all accepted changes after the earlier revision, oldest first
      */
     public static List<ChangeConfiguration> of(Collection<AcceptedChange> changes, String author) {
-        return new RollbackPlan(changes).asked(author);
+        return new RollbackPlan(changes).toChanges(author);
     }
 
-    private List<ChangeConfiguration> asked(String author) {
+    private List<ChangeConfiguration> toChanges(String author) {
         List<Mutation> ordered = new ArrayList<>();
         for (Stage stage : Stage.values()) {
-            undo.values().stream().filter(one -> stage(one) == stage).forEach(ordered::add);
+            undoByKey.values().stream().filter(one -> stageOf(one) == stage).forEach(ordered::add);
         }
         List<ChangeConfiguration> asked = new ArrayList<>();
         List<Mutation> some = new ArrayList<>();
         int bytes = 0;
         for (Mutation mutation : ordered) {
             int more = ConfigurationLimits.estimatedBytes(mutation);
-            if (some.size() == ConfigurationLimits.MUTATIONS_PER_CHANGE
-                    || bytes + more > ConfigurationLimits.BYTES_PER_CHANGE) {
-                asked.add(change(some, author));
+            if (some.size() == ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE
+                    || bytes + more > ConfigurationLimits.MAX_BYTES_PER_CHANGE) {
+                asked.add(newChange(some, author));
                 some.clear();
                 bytes = 0;
             }
@@ -76,23 +76,23 @@
             bytes += more;
         }
         if (!some.isEmpty()) {
-            asked.add(change(some, author));
+            asked.add(newChange(some, author));
         }
         return asked;
     }
 
-    private ChangeConfiguration change(List<Mutation> mutations, String author) {
+    private ChangeConfiguration newChange(List<Mutation> mutations, String author) {
         Map<String, Long> expected = new TreeMap<>();
-        mutations.forEach(one -> expected.put(one.key().text(), revisions.get(one.key())));
+        mutations.forEach(one -> expected.put(one.key().text(), newestRevisions.get(one.key())));
         return new ChangeConfiguration(author, List.copyOf(mutations), expected);
     }
 
-    private static Stage stage(Mutation mutation) {
+    private static Stage stageOf(Mutation mutation) {
         EntryKind kind = mutation.key().kind();
         if (kind == EntryKind.SHARD || kind == EntryKind.SUSPENSION) {
             return Stage.SHARDS_AND_SUSPENSIONS;
         }
-        return kind == EntryKind.BACKEND && mutation.deletes()
+        return kind == EntryKind.BACKEND && mutation.isDeletion()
                 ? Stage.DELETED_BACKENDS
                 : Stage.SETTINGS_AND_BACKENDS;
     }
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/SettingRules.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/SettingRules.java
@@ -17,7 +17,7 @@
  */
 final class SettingRules {
     /** By block, the attributes that a relay puts in force without a restart. */
-    private static final Map<String, Set<String>> TAKEN =
+    private static final Map<String, Set<String>> RELOADABLE_SETTINGS =
             Map.of(
                     "log",
                     Set.of("format", "level"),
@@ -38,41 +38,41 @@
                             "settle_within"));
 
     /** What a block must say besides, for the reader to take it; no relay gets it from here. */
-    private static final Map<String, List<String>> NEEDED =
+    private static final Map<String, List<String>> REQUIRED_SETTINGS =
             Map.of("amqp", List.of("listen = \"127.0.0.1:1\"", "anonymous_tenant = \"any\""));
 
-    private static final Pattern VALUE =
+    private static final Pattern VALUE_PATTERN =
             Pattern.compile("\"[^\"\\\\$%]*\"|-?\\d{1,15}(\\.\\d{1,9})?|true|false");
-    private static final String FILE = "settings";
+    private static final String FILE_NAME = "settings";
 
     private SettingRules() {}
 
     /** Whether relays take a setting of this name, {@code block.attribute}, while they run. */
-    static boolean taken(String name) {
+    static boolean isReloadable(String name) {
         int dot = name.indexOf('.');
         return dot > 0
-                && TAKEN.getOrDefault(name.substring(0, dot), Set.of())
+                && RELOADABLE_SETTINGS.getOrDefault(name.substring(0, dot), Set.of())
                         .contains(name.substring(dot + 1));
     }
 
     /** The names that are taken, for refusals. */
-    static String names() {
+    static String reloadableNames() {
         List<String> names = new ArrayList<>();
-        TAKEN.forEach(
+        RELOADABLE_SETTINGS.forEach(
                 (block, attributes) -> attributes.forEach(name -> names.add(block + "." + name)));
         names.sort(null);
         return String.join(", ", names);
     }
 
     /** Why these settings, text by name, cannot be in force together; null where they can. */
-    static String fault(SortedMap<String, String> settings) {
+    static String validationError(SortedMap<String, String> settings) {
         for (String text : settings.values()) {
-            if (!VALUE.matcher(text).matches()) {
+            if (!VALUE_PATTERN.matcher(text).matches()) {
                 return "a quoted text without escapes, a number, true or false would do";
             }
         }
         try {
-            OperatorSettings.parse(FILE, compose(settings));
+            OperatorSettings.parse(FILE_NAME, compose(settings));
             return null;
         } catch (MalformedException bad) {
             return bad.getMessage();
@@ -91,7 +91,7 @@
         blocks.forEach(
                 (block, lines) -> {
                     file.append(block).append(" {\n");
-                    NEEDED.getOrDefault(block, List.of())
+                    REQUIRED_SETTINGS.getOrDefault(block, List.of())
                             .forEach(line -> file.append(line).append('\n'));
                     lines.forEach(line -> file.append(line).append('\n'));
                     file.append("}\n");
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ShardCounts.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ShardCounts.java
@@ -9,7 +9,7 @@
     private final Map<String, Integer> counts = new HashMap<>();
 
     /** How many shards name this backend. */
-    int of(String backend) {
+    int countOf(String backend) {
         return counts.getOrDefault(backend, 0);
     }
 
@@ -18,14 +18,14 @@
      */
     void replace(EntryValue before, EntryValue after) {
         if (before instanceof EntryValue.Shard shard) {
-            counts.merge(shard.backend(), -1, ShardCounts::sumOrNone);
+            counts.merge(shard.backend(), -1, ShardCounts::sumOrNull);
         }
         if (after instanceof EntryValue.Shard shard) {
-            counts.merge(shard.backend(), 1, ShardCounts::sumOrNone);
+            counts.merge(shard.backend(), 1, ShardCounts::sumOrNull);
         }
     }
 
-    private static Integer sumOrNone(int one, int other) {
+    private static Integer sumOrNull(int one, int other) {
         return one + other == 0 ? null : one + other;
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/ConfirmationReporter.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/ConfirmationReporter.java
@@ -17,14 +17,14 @@
  * knows all after a round.
  */
 final class ConfirmationReporter implements Runnable {
-    private static final Duration ROUND = Duration.ofSeconds(1);
-    private static final Duration CALL = Duration.ofSeconds(3);
-    private static final String PATH = ReadRequest.PREFIX + "reports";
+    private static final Duration REPORT_INTERVAL = Duration.ofSeconds(1);
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(3);
+    private static final String REPORTS_PATH = ReadRequest.PATH_PREFIX + "reports";
 
     private final String distributor;
     private final String zone;
     private final DistributorHandler handler;
-    private final GroupClient group;
+    private final GroupClient groupClient;
     private final LongSupplier nowMs;
     private final ReportSchedule schedule = new ReportSchedule();
     private boolean failing;
@@ -38,7 +38,7 @@
         this.distributor = distributor;
         this.zone = zone;
         this.handler = handler;
-        this.group = group;
+        this.groupClient = group;
         this.nowMs = nowMs;
     }
 
@@ -47,29 +47,29 @@
     public void run() {
         try {
             while (true) {
-                round();
-                Thread.sleep(ROUND.toMillis());
+                reportDueZones();
+                Thread.sleep(REPORT_INTERVAL.toMillis());
             }
         } catch (InterruptedException ended) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void round() throws InterruptedException {
-        for (ZoneConfirmations due : schedule.due(zones(), nowMs.getAsLong())) {
+    private void reportDueZones() throws InterruptedException {
+        for (ZoneConfirmations due : schedule.dueZones(zones(), nowMs.getAsLong())) {
             try {
-                group.post(PATH, GroupCodec.jsonMapper().valueToTree(report(due)), CALL);
-                schedule.reported(due, nowMs.getAsLong());
+                groupClient.post(REPORTS_PATH, GroupCodec.jsonMapper().valueToTree(toReport(due)), CALL_TIMEOUT);
+                schedule.markReported(due, nowMs.getAsLong());
                 failing = false;
             } catch (IOException | IllegalArgumentException failed) {
                 schedule.reset();
-                tellOnce(failed);
+                logOnce(failed);
                 return;
             }
         }
     }
 
-    private void tellOnce(Exception failed) {
+    private void logOnce(Exception failed) {
         if (!failing) {
             failing = true;
             Log.warn("distributor.not-reported", "why", failed.getMessage());
@@ -87,7 +87,7 @@
         return zones;
     }
 
-    private FollowerReport report(ZoneConfirmations of) {
+    private FollowerReport toReport(ZoneConfirmations of) {
         return new FollowerReport(
                 distributor,
                 of.zone(),
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHandler.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHandler.java
@@ -25,18 +25,18 @@
  */
 public final class DistributorHandler {
     /** A request may wait for so long at most, in milliseconds. */
-    static final long MOST_WAIT_MS = 30_000;
+    static final long MAX_WAIT_MS = 30_000;
 
     /** So many requests may wait at once. */
-    static final int MOST_WAITING = 4_000;
+    static final int MAX_WAITING_REQUESTS = 4_000;
 
     /** A follower that has not been heard for so long, in milliseconds, is not counted. */
-    static final long SILENT_AFTER_MS = MOST_WAIT_MS + 15_000;
+    static final long SILENT_AFTER_MS = MAX_WAIT_MS + 15_000;
 
     /** So many followers may take a snapshot at once. */
-    static final int MOST_SNAPSHOTS = 16;
+    static final int MAX_SNAPSHOT_TRANSFERS = 16;
 
-    private static final long SNAPSHOT_MS = 400;
+    private static final long EXPECTED_TRANSFER_MS = 400;
     private static final long BUSY_RETRY_MS = 500;
     private static final long CHANGES_CACHE_BYTES = 8L << 20;
     private static final long PAGES_CACHE_BYTES = 24L << 20;
@@ -44,10 +44,10 @@
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
-    private static final int DIVERGED = 409;
-    private static final int TRUNCATED = 410;
-    private static final int BEHIND = 421;
-    private static final int BUSY = 503;
+    private static final int CONFLICT = 409;
+    private static final int GONE = 410;
+    private static final int MISDIRECTED_REQUEST = 421;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     /** What the body of a changes answer depends on while the newest revision stays. */
     private record ChangesKey(long after, int limit) {}
@@ -55,9 +55,9 @@
     private record PageKey(long digest, ReadRequest.Snapshot request) {}
 
     /** A waiting request together with what it is answered. */
-    private record Due(WaitingRequests.Waiting waiting, HttpAnswer answer) {
+    private record DueResponse(WaitingRequests.WaitingRequest request, EncodedResponse response) {
         void send() {
-            waiting.answer().complete(answer);
+            request.response().complete(response);
         }
     }
 
@@ -65,12 +65,12 @@
     private final String zone;
     private final LongSupplier nowMs;
     private final FollowerRegistry registry = new FollowerRegistry(SILENT_AFTER_MS);
-    private final SnapshotAdmission admission = new SnapshotAdmission(MOST_SNAPSHOTS, SNAPSHOT_MS);
-    private final WaitingRequests waiting = new WaitingRequests(MOST_WAITING);
+    private final SnapshotAdmission admission = new SnapshotAdmission(MAX_SNAPSHOT_TRANSFERS, EXPECTED_TRANSFER_MS);
+    private final WaitingRequests waitingRequests = new WaitingRequests(MAX_WAITING_REQUESTS);
     private final SnapshotPager pager = new SnapshotPager();
-    private final EncodedBodies<ChangesKey> changesBodies =
-            new EncodedBodies<>(CHANGES_CACHE_BYTES);
-    private final EncodedBodies<PageKey> pageBodies = new EncodedBodies<>(PAGES_CACHE_BYTES);
+    private final EncodedBodyCache<ChangesKey> changesBodies =
+            new EncodedBodyCache<>(CHANGES_CACHE_BYTES);
+    private final EncodedBodyCache<PageKey> pageBodies = new EncodedBodyCache<>(PAGES_CACHE_BYTES);
     private final ChangeHistory history;
     private ConfigurationView view;
 
@@ -99,16 +99,16 @@
     // ---- what comes into force
 
     /** Serves these changes from now on and wakes whoever waits for them; oldest first. */
-    public void changesInForce(List<Change> changes) {
-        wake(
+    public void applyChanges(List<Change> changes) {
+        updateAndWake(
                 () -> {
                     for (Change change : changes) {
-                        apply(change);
+                        applyChange(change);
                     }
                 });
     }
 
-    private void apply(Change change) {
+    private void applyChange(Change change) {
         ConfigurationView.Outcome outcome = view.apply(change);
         if (outcome != ConfigurationView.Outcome.APPLIED) {
             throw new IllegalStateException("change " + change.revision() + ": " + outcome);
@@ -117,39 +117,39 @@
     }
 
     /** Serves these entries in place of all before; the view is copied. */
-    public void snapshotInForce(ConfigurationView snapshot) {
+    public void applySnapshot(ConfigurationView snapshot) {
         ConfigurationView copy = copy(snapshot);
-        wake(
+        updateAndWake(
                 () -> {
                     view = copy;
                     history.reset(copy.revision(), copy.digest());
                 });
     }
 
-    private void wake(Runnable update) {
-        List<Due> due = new ArrayList<>();
+    private void updateAndWake(Runnable update) {
+        List<DueResponse> due = new ArrayList<>();
         synchronized (this) {
             update.run();
             changesBodies.clear();
             registry.advance(view.revision(), nowMs.getAsLong());
-            for (WaitingRequests.Waiting one : waiting.takeAll()) {
-                due.add(new Due(one, answerNow(one.request())));
+            for (WaitingRequests.WaitingRequest one : waitingRequests.takeAll()) {
+                due.add(new DueResponse(one, currentResponse(one.request())));
             }
         }
-        due.forEach(Due::send);
+        due.forEach(DueResponse::send);
     }
 
     /** Answers those whose wait is over and drops silent followers; to be called now and then. */
     public void sweep() {
-        List<Due> due = new ArrayList<>();
+        List<DueResponse> due = new ArrayList<>();
         synchronized (this) {
             long now = nowMs.getAsLong();
             registry.sweep(now);
-            for (WaitingRequests.Waiting one : waiting.takeDue(now)) {
-                due.add(new Due(one, answerNow(one.request())));
+            for (WaitingRequests.WaitingRequest one : waitingRequests.takeDue(now)) {
+                due.add(new DueResponse(one, currentResponse(one.request())));
             }
         }
-        due.forEach(Due::send);
+        due.forEach(DueResponse::send);
     }
 
     // ---- requests
@@ -160,125 +160,125 @@
      * @param uri path and query
      * @param client who asks, where the request does not say: its address
      */
-    public CompletableFuture<HttpAnswer> handle(String uri, String client) {
+    public CompletableFuture<EncodedResponse> handle(String uri, String client) {
         ReadRequest request;
         try {
             request = ReadRequest.parse(uri);
         } catch (MalformedException malformed) {
-            return done(error(BAD_REQUEST, malformed.getMessage(), 0, 0));
+            return completed(error(BAD_REQUEST, malformed.getMessage(), 0, 0));
         }
         if (request == null) {
-            return done(error(NOT_FOUND, "no such call: " + uri, 0, 0));
+            return completed(error(NOT_FOUND, "no such call: " + uri, 0, 0));
         }
         synchronized (this) {
             if (request instanceof ReadRequest.Changes changes) {
-                return changes(changes);
+                return handleChanges(changes);
             }
-            return done(
+            return completed(
                     request instanceof ReadRequest.Snapshot snapshot
-                            ? snapshot(snapshot, client)
-                            : status((ReadRequest.Status) request));
+                            ? handleSnapshot(snapshot, client)
+                            : handleStatus((ReadRequest.Status) request));
         }
     }
 
-    private static CompletableFuture<HttpAnswer> done(HttpAnswer answer) {
+    private static CompletableFuture<EncodedResponse> completed(EncodedResponse answer) {
         return CompletableFuture.completedFuture(answer);
     }
 
-    private static HttpAnswer error(int status, String error, long revision, long retryMs) {
-        String body = ConfigurationJson.text(new ErrorResponse(error, revision, retryMs));
-        return new HttpAnswer(status, utf8(body));
+    private static EncodedResponse error(int status, String error, long revision, long retryMs) {
+        String body = ConfigurationJson.toJson(new ErrorResponse(error, revision, retryMs));
+        return new EncodedResponse(status, utf8(body));
     }
 
     private static byte[] utf8(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private CompletableFuture<HttpAnswer> changes(ReadRequest.Changes request) {
+    private CompletableFuture<EncodedResponse> handleChanges(ReadRequest.Changes request) {
         long now = nowMs.getAsLong();
-        ChangeHistory.Answer answer = after(request);
+        ChangeHistory.Result answer = changesAfter(request);
         String countedIn = request.zone().isEmpty() ? zone : request.zone();
         if (isVerified(answer)) {
             registry.confirm(request.follower(), countedIn, request.after(), now);
         } else {
-            registry.hear(request.follower(), countedIn, now);
+            registry.recordUnverifiedRequest(request.follower(), countedIn, now);
         }
         boolean isNewest = answer instanceof ChangeHistory.Changes some && some.changes().isEmpty();
         return isNewest && request.waitMs() > 0
-                ? hold(request, now + request.waitMs())
-                : done(encode(request, answer));
+                ? holdRequest(request, now + request.waitMs())
+                : completed(encode(request, answer));
     }
 
-    private ChangeHistory.Answer after(ReadRequest.Changes request) {
-        return history.after(request.after(), request.digest(), request.limit());
+    private ChangeHistory.Result changesAfter(ReadRequest.Changes request) {
+        return history.changesAfter(request.after(), request.digest(), request.limit());
     }
 
     /** Whether what the follower says it has is known here, or is at least older than all here. */
-    private static boolean isVerified(ChangeHistory.Answer answer) {
-        return answer instanceof ChangeHistory.Changes || answer == ChangeHistory.Refusal.TRUNCATED;
+    private static boolean isVerified(ChangeHistory.Result answer) {
+        return answer instanceof ChangeHistory.Changes || answer == ChangeHistory.Failure.TRUNCATED;
     }
 
-    private CompletableFuture<HttpAnswer> hold(ReadRequest.Changes request, long untilMs) {
-        WaitingRequests.Waiting held = waiting.add(request, untilMs);
+    private CompletableFuture<EncodedResponse> holdRequest(ReadRequest.Changes request, long untilMs) {
+        WaitingRequests.WaitingRequest held = waitingRequests.add(request, untilMs);
         if (held == null) {
-            return done(error(BUSY, ErrorResponse.BUSY, 0, BUSY_RETRY_MS));
+            return completed(error(SERVICE_UNAVAILABLE, ErrorResponse.BUSY, 0, BUSY_RETRY_MS));
         }
-        held.answer()
+        held.response()
                 .whenComplete(
                         (answer, cancelled) -> {
                             if (cancelled != null) {
-                                forget(held);
+                                removeWaiting(held);
                             }
                         });
-        return held.answer();
+        return held.response();
     }
 
-    private synchronized void forget(WaitingRequests.Waiting gone) {
-        waiting.remove(gone);
+    private synchronized void removeWaiting(WaitingRequests.WaitingRequest gone) {
+        waitingRequests.remove(gone);
     }
 
-    private HttpAnswer answerNow(ReadRequest.Changes request) {
-        return encode(request, after(request));
+    private EncodedResponse currentResponse(ReadRequest.Changes request) {
+        return encode(request, changesAfter(request));
     }
 
-    private HttpAnswer encode(ReadRequest.Changes request, ChangeHistory.Answer answer) {
+    private EncodedResponse encode(ReadRequest.Changes request, ChangeHistory.Result answer) {
         if (answer instanceof ChangeHistory.Changes some) {
             ChangesKey key = new ChangesKey(request.after(), request.limit());
-            return new HttpAnswer(OK, changesBodies.get(key, () -> encode(some.changes())));
+            return new EncodedResponse(OK, changesBodies.getOrEncode(key, () -> encode(some.changes())));
         }
-        return switch ((ChangeHistory.Refusal) answer) {
-            case DIVERGED -> error(DIVERGED, ErrorResponse.DIVERGED, view.revision(), 0);
-            case TRUNCATED -> error(TRUNCATED, ErrorResponse.TRUNCATED, view.revision(), 0);
-            case BEHIND -> error(BEHIND, ErrorResponse.BEHIND, view.revision(), 0);
+        return switch ((ChangeHistory.Failure) answer) {
+            case DIVERGED -> error(CONFLICT, ErrorResponse.DIVERGED, view.revision(), 0);
+            case TRUNCATED -> error(GONE, ErrorResponse.TRUNCATED, view.revision(), 0);
+            case BEHIND -> error(MISDIRECTED_REQUEST, ErrorResponse.BEHIND, view.revision(), 0);
         };
     }
 
     private byte[] encode(List<Change> changes) {
         return utf8(
-                ConfigurationJson.text(
+                ConfigurationJson.toJson(
                         new ChangesResponse(view.revision(), view.digest(), changes)));
     }
 
-    private HttpAnswer snapshot(ReadRequest.Snapshot request, String client) {
+    private EncodedResponse handleSnapshot(ReadRequest.Snapshot request, String client) {
         String taker = request.follower().isEmpty() ? client : request.follower();
         long retryMs = admission.admit(taker, nowMs.getAsLong());
         if (retryMs > 0) {
-            return error(BUSY, ErrorResponse.BUSY, 0, retryMs);
+            return error(SERVICE_UNAVAILABLE, ErrorResponse.BUSY, 0, retryMs);
         }
         SnapshotPage page = pager.page(view, request.revision(), request.from(), request.limit());
         if (page == null || page.next() == null) {
             admission.finish(taker);
         }
         if (page == null) {
-            return error(TRUNCATED, ErrorResponse.TRUNCATED, view.revision(), 0);
+            return error(GONE, ErrorResponse.TRUNCATED, view.revision(), 0);
         }
         ReadRequest.Snapshot same =
                 new ReadRequest.Snapshot(page.revision(), request.from(), request.limit(), "");
         PageKey key = new PageKey(page.digest(), same);
-        return new HttpAnswer(OK, pageBodies.get(key, () -> utf8(ConfigurationJson.text(page))));
+        return new EncodedResponse(OK, pageBodies.getOrEncode(key, () -> utf8(ConfigurationJson.toJson(page))));
     }
 
-    private HttpAnswer status(ReadRequest.Status request) {
+    private EncodedResponse handleStatus(ReadRequest.Status request) {
         long asked = request.revision() == 0 ? view.revision() : request.revision();
         List<DistributorStatus.Zone> zones =
                 registry.reports(asked, nowMs.getAsLong()).stream()
@@ -288,14 +288,14 @@
                 new DistributorStatus(
                         name,
                         view.revision(),
-                        ConfigurationJson.text(view.digest()),
+                        ConfigurationJson.formatDigest(view.digest()),
                         asked,
-                        waiting.size(),
-                        admission.transfers(),
-                        changesBodies.encodings() + pageBodies.encodings(),
+                        waitingRequests.size(),
+                        admission.activeTransfers(),
+                        changesBodies.encodingCount() + pageBodies.encodingCount(),
                         zones);
         try {
-            return new HttpAnswer(OK, GroupCodec.jsonMapper().writeValueAsBytes(status));
+            return new EncodedResponse(OK, GroupCodec.jsonMapper().writeValueAsBytes(status));
         } catch (JsonProcessingException impossible) {
             throw new IllegalStateException(impossible);
         }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorListener.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHttpServer.java
@@ -22,52 +22,52 @@
  * The read API on HTTP/1.1 for many followers whose requests are held: one thread, bounded in
  * connections, in bytes that wait for a slow reader, and in silence.
  */
-public final class DistributorListener implements AutoCloseable {
-    private static final int MOST_CONNECTIONS = 4_000;
-    private static final int BACKLOG = 1_024;
+public final class DistributorHttpServer implements AutoCloseable {
+    private static final int MAX_CONNECTIONS = 4_000;
+    private static final int ACCEPT_BACKLOG = 1_024;
 
     /** The kernel's share of what waits for a reader; left alone it grows to megabytes. */
     private static final int SEND_BUFFER_BYTES = 128 << 10;
 
-    private static final int MOST_BODY_BYTES = 4 << 10;
-    private static final long SWEEP_MS = 250;
+    private static final int MAX_REQUEST_BODY_BYTES = 4 << 10;
+    private static final long SWEEP_INTERVAL_MS = 250;
 
-    private final NioEventLoopGroup group =
+    private final NioEventLoopGroup eventLoopGroup =
             new NioEventLoopGroup(1, new DefaultThreadFactory("distributor", true));
     private final DistributorHandler handler;
-    private final Channel channel;
+    private final Channel serverChannel;
 
     /** Those that are open; used by the group's one thread only. */
     private final Set<FollowerConnection> connections = new HashSet<>();
 
     /** Listens; throws IOException where the address cannot be had. */
-    public DistributorListener(InetSocketAddress address, DistributorHandler handler)
+    public DistributorHttpServer(InetSocketAddress address, DistributorHandler handler)
             throws IOException {
         this.handler = handler;
         ChannelFuture bound =
                 new ServerBootstrap()
-                        .group(group)
+                        .group(eventLoopGroup)
                         .channel(NioServerSocketChannel.class)
-                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         .childOption(ChannelOption.SO_SNDBUF, SEND_BUFFER_BYTES)
-                        .childHandler(new Connections())
+                        .childHandler(new ConnectionInitializer())
                         .bind(address)
                         .awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             throw new IOException(
                     "cannot listen on " + address + ": " + bound.cause().getMessage());
         }
-        channel = bound.channel();
-        group.next().scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        serverChannel = bound.channel();
+        eventLoopGroup.next().scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private final class Connections extends ChannelInitializer<SocketChannel> {
+    private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(SocketChannel child) {
-            if (connections.size() >= MOST_CONNECTIONS) {
+            if (connections.size() >= MAX_CONNECTIONS) {
                 child.close();
                 return;
             }
@@ -77,7 +77,7 @@
             child.pipeline()
                     .addLast(
                             new HttpServerCodec(),
-                            new HttpObjectAggregator(MOST_BODY_BYTES),
+                            new HttpObjectAggregator(MAX_REQUEST_BODY_BYTES),
                             connection);
         }
     }
@@ -85,17 +85,17 @@
     private void sweep() {
         handler.sweep();
         long nowNanos = System.nanoTime();
-        List.copyOf(connections).forEach(connection -> connection.closeIfStuck(nowNanos));
+        List.copyOf(connections).forEach(connection -> connection.closeIfTimedOut(nowNanos));
     }
 
     /** Where it listens. */
     public InetSocketAddress address() {
-        return (InetSocketAddress) channel.localAddress();
+        return (InetSocketAddress) serverChannel.localAddress();
     }
 
     @Override
     public void close() {
-        channel.close().awaitUninterruptibly();
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(2_000);
+        serverChannel.close().awaitUninterruptibly();
+        eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(2_000);
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorProcess.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorProcess.java
@@ -34,7 +34,7 @@
      * Shorter than a relay's: a distributor that waits for a dead replica holds back a whole zone,
      * and there are few distributors.
      */
-    private static final FollowerTimings TIMINGS =
+    private static final FollowerTimings FOLLOWER_TIMINGS =
             new FollowerTimings(
                     Duration.ofSeconds(3),
                     Duration.ofMillis(100),
@@ -42,42 +42,42 @@
                     Duration.ofSeconds(15),
                     Duration.ofMinutes(1));
 
-    private static final Duration CONNECT = Duration.ofMillis(700);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(700);
 
     /** Told when the distributor cannot go on with a sound state. */
-    public interface Failure {
+    public interface FailureHandler {
         /** Ends the process. */
-        void end(RuntimeException cause);
+        void terminate(RuntimeException cause);
     }
 
     private final ConfigurationDirectory directory;
-    private final DistributorListener listener;
+    private final DistributorHttpServer httpServer;
     private final ConfigurationClient client;
-    private final ScheduledExecutorService scheduler = scheduler("distributor-timer");
-    private final ScheduledExecutorService writer = scheduler("distributor-writer");
-    private final Thread reporter;
+    private final ScheduledExecutorService scheduler = newScheduler("distributor-timer");
+    private final ScheduledExecutorService writer = newScheduler("distributor-writer");
+    private final Thread reporterThread;
 
     /** Starts it; throws IOException where its folder or its address cannot be had. */
-    public DistributorProcess(DistributorSettings settings, Failure failure) throws IOException {
+    public DistributorProcess(DistributorSettings settings, FailureHandler failure) throws IOException {
         Files.createDirectories(settings.dir());
         directory = new ConfigurationDirectory(settings.dir(), Log::info);
         DistributorHandler handler =
                 new DistributorHandler(
                         settings.name(),
                         settings.zone(),
-                        directory.held().view(),
+                        directory.persistedConfiguration().view(),
                         DistributorProcess::nowMs);
-        listener = new DistributorListener(settings.clients(), handler);
+        httpServer = new DistributorHttpServer(settings.clients(), handler);
         client =
                 new ConfigurationClient(
-                        options(settings),
-                        resources(),
+                        followerOptions(settings),
+                        followerResources(),
                         directory,
-                        directory.held().view(),
-                        new Serving(handler, failure));
+                        directory.persistedConfiguration().view(),
+                        new ServingListener(handler, failure));
         GroupClient group =
                 new GroupClient(
-                        settings.sources().stream().map(DistributorProcess::text).toList(),
+                        settings.sources().stream().map(DistributorProcess::hostAndPort).toList(),
                         Ticker.SYSTEM);
         ConfirmationReporter reports =
                 new ConfirmationReporter(
@@ -86,7 +86,7 @@
                         handler,
                         group,
                         DistributorProcess::nowMs);
-        reporter = thread(reports, "distributor-reporter");
+        reporterThread = newThread(reports, "distributor-reporter");
         Log.info(
                 "distributor.ready",
                 "name",
@@ -98,30 +98,30 @@
                 "revision",
                 handler.revision());
         client.start();
-        reporter.start();
+        reporterThread.start();
     }
 
     private static long nowMs() {
         return System.nanoTime() / 1_000_000;
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
 
-    private static FollowerOptions options(DistributorSettings settings) {
+    private static FollowerOptions followerOptions(DistributorSettings settings) {
         List<URI> sources =
                 settings.sources().stream()
-                        .map(source -> FollowerOptions.source(text(source)))
+                        .map(source -> FollowerOptions.sourceUri(hostAndPort(source)))
                         .toList();
-        return new FollowerOptions(sources, settings.name(), settings.zone(), TIMINGS);
+        return new FollowerOptions(sources, settings.name(), settings.zone(), FOLLOWER_TIMINGS);
     }
 
-    private FollowerResources resources() {
+    private FollowerResources followerResources() {
         HttpClient http =
                 HttpClient.newBuilder()
                         .version(HttpClient.Version.HTTP_1_1)
-                        .connectTimeout(CONNECT)
+                        .connectTimeout(CONNECT_TIMEOUT)
                         .build();
         return new FollowerResources(
                 http, scheduler, writer, Clock.systemUTC(), new SharedRandom());
@@ -135,37 +135,37 @@
         }
     }
 
-    private static ScheduledExecutorService scheduler(String name) {
-        return Executors.newSingleThreadScheduledExecutor(work -> thread(work, name));
+    private static ScheduledExecutorService newScheduler(String name) {
+        return Executors.newSingleThreadScheduledExecutor(work -> newThread(work, name));
     }
 
-    private static Thread thread(Runnable work, String name) {
+    private static Thread newThread(Runnable work, String name) {
         Thread thread = new Thread(work, name);
         thread.setDaemon(true);
         return thread;
     }
 
     /** Hands what comes into force to the handler, and tells of sources. */
-    private record Serving(DistributorHandler handler, Failure failure)
+    private record ServingListener(DistributorHandler handler, FailureHandler failure)
             implements FollowerListener {
         @Override
-        public void changesInForce(List<Change> changes) {
-            handler.changesInForce(changes);
+        public void changesApplied(List<Change> changes) {
+            handler.applyChanges(changes);
         }
 
         @Override
-        public void snapshotInForce(ConfigurationView view) {
-            handler.snapshotInForce(view);
+        public void snapshotApplied(ConfigurationView view) {
+            handler.applySnapshot(view);
             Log.info("distributor.snapshot", "revision", view.revision());
         }
 
         @Override
-        public void sourceSettled(URI source) {
+        public void sourceConnected(URI source) {
             Log.info("distributor.source", "at", source);
         }
 
         @Override
-        public void sourceLeft(URI source, URI next, String reason) {
+        public void sourceFailedOver(URI source, URI next, String reason) {
             Log.info("distributor.source-left", "from", source, "to", next, "why", reason);
         }
 
@@ -175,17 +175,17 @@
         }
 
         @Override
-        public void fault(RuntimeException fault) {
+        public void faultOccurred(RuntimeException fault) {
             Log.error("distributor.fault", fault);
-            failure.end(fault);
+            failure.terminate(fault);
         }
     }
 
     @Override
     public void close() throws IOException {
-        reporter.interrupt();
+        reporterThread.interrupt();
         client.close();
-        listener.close();
+        httpServer.close();
         scheduler.shutdownNow();
         writer.shutdownNow();
         directory.close();
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/EncodedBodies.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/EncodedBodyCache.java
@@ -9,31 +9,31 @@
  * Bodies of answers by what they answer, so that many who ask the same are served by one encoding.
  * Bounded in bytes; the one that was used longest ago goes first. Not thread safe.
  */
-final class EncodedBodies<K> {
-    private final long mostBytes;
+final class EncodedBodyCache<K> {
+    private final long maxBytes;
     private final Map<K, byte[]> bodies = new LinkedHashMap<>(16, 0.75f, true);
-    private long bytes;
-    private long encodings;
+    private long cachedBytes;
+    private long encodingCount;
 
-    EncodedBodies(long mostBytes) {
-        this.mostBytes = mostBytes;
+    EncodedBodyCache(long mostBytes) {
+        this.maxBytes = mostBytes;
     }
 
     /** The body for this key; encoded only where it is not kept. */
-    byte[] get(K key, Supplier<byte[]> encoder) {
+    byte[] getOrEncode(K key, Supplier<byte[]> encoder) {
         byte[] kept = bodies.get(key);
         if (kept != null) {
             return kept;
         }
         byte[] body = encoder.get();
-        encodings++;
-        if (body.length <= mostBytes) {
+        encodingCount++;
+        if (body.length <= maxBytes) {
             bodies.put(key, body);
-            bytes += body.length;
+            cachedBytes += body.length;
         }
         Iterator<byte[]> oldest = bodies.values().iterator();
-        while (bytes > mostBytes) {
-            bytes -= oldest.next().length;
+        while (cachedBytes > maxBytes) {
+            cachedBytes -= oldest.next().length;
             oldest.remove();
         }
         return body;
@@ -42,11 +42,11 @@
     /** Forgets all, as when something newer is to be served. */
     void clear() {
         bodies.clear();
-        bytes = 0;
+        cachedBytes = 0;
     }
 
     /** How many bodies were encoded so far. */
-    long encodings() {
-        return encodings;
+    long encodingCount() {
+        return encodingCount;
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/HttpAnswer.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/EncodedResponse.java
@@ -6,4 +6,4 @@
  * @param status the status code of HTTP
  * @param body JSON in UTF-8; shared between followers, so nobody may write to it
  */
-public record HttpAnswer(int status, byte[] body) {}
+public record EncodedResponse(int status, byte[] body) {}
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerConnection.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerConnection.java
@@ -24,17 +24,17 @@
  */
 final class FollowerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
     /** So many bytes of an answer wait for the reader at once. */
-    static final int PIECE_BYTES = 64 << 10;
+    static final int CHUNK_BYTES = 64 << 10;
 
     /** A reader that takes no piece for so long is cut off. */
-    static final Duration STUCK = Duration.ofSeconds(5);
+    static final Duration WRITE_TIMEOUT = Duration.ofSeconds(5);
 
     /** A connection without a request for so long is closed. */
-    private static final Duration IDLE = Duration.ofSeconds(60);
+    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
 
     private final DistributorHandler handler;
     private ChannelHandlerContext context;
-    private CompletableFuture<HttpAnswer> awaited;
+    private CompletableFuture<EncodedResponse> pendingResponse;
     private boolean writing;
     private long lastProgressNanos = System.nanoTime();
 
@@ -49,27 +49,27 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext from, FullHttpRequest request) {
-        if (awaited != null || writing) { // it did not wait for its answer
+        if (pendingResponse != null || writing) { // it did not wait for its answer
             from.close();
             return;
         }
         lastProgressNanos = System.nanoTime();
         if (!request.decoderResult().isSuccess() || request.method() != HttpMethod.GET) {
-            write(new HttpAnswer(HttpResponseStatus.METHOD_NOT_ALLOWED.code(), new byte[0]), false);
+            writeResponse(new EncodedResponse(HttpResponseStatus.METHOD_NOT_ALLOWED.code(), new byte[0]), false);
             return;
         }
         boolean keepAlive = HttpUtil.isKeepAlive(request);
-        awaited = handler.handle(request.uri(), from.channel().remoteAddress().toString());
-        awaited.whenComplete(
+        pendingResponse = handler.handle(request.uri(), from.channel().remoteAddress().toString());
+        pendingResponse.whenComplete(
                 (answer, cancelled) -> {
                     if (answer != null) {
-                        from.executor().execute(() -> write(answer, keepAlive));
+                        from.executor().execute(() -> writeResponse(answer, keepAlive));
                     }
                 });
     }
 
-    private void write(HttpAnswer answer, boolean keepAlive) {
-        awaited = null;
+    private void writeResponse(EncodedResponse answer, boolean keepAlive) {
+        pendingResponse = null;
         if (!context.channel().isActive()) {
             return;
         }
@@ -83,30 +83,30 @@
                 .setInt(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
         HttpUtil.setKeepAlive(head, keepAlive);
         context.write(head);
-        writePiece(answer.body(), 0, keepAlive);
+        writeChunk(answer.body(), 0, keepAlive);
     }
 
-    private void writePiece(byte[] body, int from, boolean keepAlive) {
-        int length = Math.min(PIECE_BYTES, body.length - from);
+    private void writeChunk(byte[] body, int from, boolean keepAlive) {
+        int length = Math.min(CHUNK_BYTES, body.length - from);
         int next = from + length;
         ByteBuf piece = Unpooled.wrappedBuffer(body, from, length);
         if (next < body.length) {
             context.writeAndFlush(new DefaultHttpContent(piece))
-                    .addListener(done -> afterPiece(done.isSuccess(), body, next, keepAlive));
+                    .addListener(done -> chunkWritten(done.isSuccess(), body, next, keepAlive));
         } else {
             context.writeAndFlush(new DefaultLastHttpContent(piece))
-                    .addListener(done -> afterLast(done.isSuccess(), keepAlive));
+                    .addListener(done -> lastChunkWritten(done.isSuccess(), keepAlive));
         }
     }
 
-    private void afterPiece(boolean success, byte[] body, int next, boolean keepAlive) {
+    private void chunkWritten(boolean success, byte[] body, int next, boolean keepAlive) {
         if (success) {
             lastProgressNanos = System.nanoTime();
-            writePiece(body, next, keepAlive);
+            writeChunk(body, next, keepAlive);
         }
     }
 
-    private void afterLast(boolean success, boolean keepAlive) {
+    private void lastChunkWritten(boolean success, boolean keepAlive) {
         writing = false;
         lastProgressNanos = System.nanoTime();
         if (!success || !keepAlive) {
@@ -115,10 +115,10 @@
     }
 
     /** Closes it where its reader takes nothing, or where it has asked for nothing for long. */
-    void closeIfStuck(long nowNanos) {
+    void closeIfTimedOut(long nowNanos) {
         long quietNanos = nowNanos - lastProgressNanos;
-        boolean stuck = writing && quietNanos > STUCK.toNanos();
-        boolean idle = awaited == null && !writing && quietNanos > IDLE.toNanos();
+        boolean stuck = writing && quietNanos > WRITE_TIMEOUT.toNanos();
+        boolean idle = pendingResponse == null && !writing && quietNanos > IDLE_TIMEOUT.toNanos();
         if (stuck || idle) {
             context.close();
         }
@@ -126,9 +126,9 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext gone) {
-        if (awaited != null) {
-            awaited.cancel(false); // nobody waits for it any more
-            awaited = null;
+        if (pendingResponse != null) {
+            pendingResponse.cancel(false); // nobody waits for it any more
+            pendingResponse = null;
         }
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerRegistry.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerRegistry.java
@@ -17,73 +17,73 @@
  */
 public final class FollowerRegistry {
     /** So many followers are kept; requests of others are served, but not counted. */
-    static final int MOST_FOLLOWERS = 20_000;
+    static final int MAX_FOLLOWERS = 20_000;
 
     /** After so long a silent follower is not named any more. */
-    static final long FORGOTTEN_MS = 3_600_000;
+    static final long SILENT_RETENTION_MS = 3_600_000;
 
-    private static final int MOST_REVISION_TIMES = 4_096;
+    private static final int MAX_REVISION_TIMES = 4_096;
 
     private static final class Follower {
         private final String name;
         private final String zone;
-        private final long firstHeardMs;
-        private long confirmed;
-        private long lastHeardMs;
+        private final long firstRequestMs;
+        private long confirmedRevision;
+        private long lastRequestMs;
 
         Follower(String name, String zone, long nowMs) {
             this.name = name;
             this.zone = zone;
-            firstHeardMs = nowMs;
+            firstRequestMs = nowMs;
         }
     }
 
     /** The followers of one zone. */
     private static final class Zone {
-        private final TreeMap<Long, Set<Follower>> byRevision = new TreeMap<>();
-        private final Map<String, Follower> silent = new LinkedHashMap<>();
-        private int followers;
+        private final TreeMap<Long, Set<Follower>> followersByRevision = new TreeMap<>();
+        private final Map<String, Follower> silentFollowers = new LinkedHashMap<>();
+        private int followerCount;
 
         void add(Follower follower) {
-            byRevision
-                    .computeIfAbsent(follower.confirmed, any -> new LinkedHashSet<>())
+            followersByRevision
+                    .computeIfAbsent(follower.confirmedRevision, any -> new LinkedHashSet<>())
                     .add(follower);
-            followers++;
+            followerCount++;
         }
 
         void remove(Follower follower) {
-            Set<Follower> same = byRevision.get(follower.confirmed);
+            Set<Follower> same = followersByRevision.get(follower.confirmedRevision);
             same.remove(follower);
             if (same.isEmpty()) {
-                byRevision.remove(follower.confirmed);
+                followersByRevision.remove(follower.confirmedRevision);
             }
-            followers--;
+            followerCount--;
         }
 
         void addSilent(Follower follower) {
-            silent.put(follower.name, follower);
-            if (silent.size() > FollowerReport.NAMED) {
-                silent.remove(silent.keySet().iterator().next());
+            silentFollowers.put(follower.name, follower);
+            if (silentFollowers.size() > FollowerReport.MAX_NAMED_FOLLOWERS) {
+                silentFollowers.remove(silentFollowers.keySet().iterator().next());
             }
         }
 
-        void forget(long nowMs) {
-            silent.values().removeIf(one -> nowMs - one.lastHeardMs > FORGOTTEN_MS);
+        void removeExpiredSilent(long nowMs) {
+            silentFollowers.values().removeIf(one -> nowMs - one.lastRequestMs > SILENT_RETENTION_MS);
         }
 
         boolean isEmpty() {
-            return followers == 0 && silent.isEmpty();
+            return followerCount == 0 && silentFollowers.isEmpty();
         }
     }
 
     private final long silentAfterMs;
-    private final RevisionTimes revisionTimes = new RevisionTimes(MOST_REVISION_TIMES);
+    private final RevisionTimes revisionTimes = new RevisionTimes(MAX_REVISION_TIMES);
 
     /** By name; whoever was heard last comes last. */
     private final Map<String, Follower> followers = new LinkedHashMap<>();
 
     private final Map<String, Zone> zones = new TreeMap<>();
-    private long newest;
+    private long newestRevision;
 
     /** A registry that drops followers which are silent for over so many milliseconds. */
     public FollowerRegistry(long silentAfterMs) {
@@ -92,8 +92,8 @@
 
     /** Notes that this distributor serves a revision from now on. */
     public void advance(long revision, long nowMs) {
-        if (revision > newest) {
-            newest = revision;
+        if (revision > newestRevision) {
+            newestRevision = revision;
             revisionTimes.add(revision, nowMs);
         }
     }
@@ -103,41 +103,41 @@
      * Nothing but such a request may be noted here: what was sent to a follower is not yet there.
      */
     public void confirm(String name, String zone, long revision, long nowMs) {
-        Follower follower = heard(name, zone, nowMs);
+        Follower follower = recordRequest(name, zone, nowMs);
         if (follower != null) {
             Zone in = zones.get(zone);
             in.remove(follower);
-            follower.confirmed = revision;
+            follower.confirmedRevision = revision;
             in.add(follower);
         }
     }
 
     /** Notes a request of a follower whose revision could not be verified: it counts as before. */
-    public void hear(String name, String zone, long nowMs) {
-        heard(name, zone, nowMs);
+    public void recordUnverifiedRequest(String name, String zone, long nowMs) {
+        recordRequest(name, zone, nowMs);
     }
 
-    private Follower heard(String name, String zone, long nowMs) {
+    private Follower recordRequest(String name, String zone, long nowMs) {
         Follower follower = followers.remove(name);
         if (follower != null && !follower.zone.equals(zone)) {
-            leave(follower);
+            removeFromZone(follower);
             follower = null;
         }
         if (follower == null) {
-            if (followers.size() >= MOST_FOLLOWERS) {
+            if (followers.size() >= MAX_FOLLOWERS) {
                 return null;
             }
             follower = new Follower(name, zone, nowMs);
             Zone in = zones.computeIfAbsent(zone, any -> new Zone());
-            in.silent.remove(name);
+            in.silentFollowers.remove(name);
             in.add(follower);
         }
-        follower.lastHeardMs = nowMs;
+        follower.lastRequestMs = nowMs;
         followers.put(name, follower);
         return follower;
     }
 
-    private void leave(Follower follower) {
+    private void removeFromZone(Follower follower) {
         Zone zone = zones.get(follower.zone);
         zone.remove(follower);
         if (zone.isEmpty()) {
@@ -154,17 +154,17 @@
             zone.remove(eldest);
             zone.addSilent(eldest);
         }
-        zones.values().forEach(zone -> zone.forget(nowMs));
+        zones.values().forEach(zone -> zone.removeExpiredSilent(nowMs));
         zones.values().removeIf(Zone::isEmpty);
     }
 
     private boolean isSilent(Follower follower, long nowMs) {
-        return nowMs - follower.lastHeardMs > silentAfterMs;
+        return nowMs - follower.lastRequestMs > silentAfterMs;
     }
 
     /** How things stand with the newest revision, by zone in alphabetical order. */
     public List<ZoneConfirmations> reports(long nowMs) {
-        return reports(newest, nowMs);
+        return reports(newestRevision, nowMs);
     }
 
     /** How things stand with a revision, by zone in alphabetical order. */
@@ -174,38 +174,38 @@
         return reports;
     }
 
-    private static List<ZoneConfirmations.Silent> silent(Zone zone, long nowMs) {
+    private static List<ZoneConfirmations.Silent> silentFollowers(Zone zone, long nowMs) {
         List<ZoneConfirmations.Silent> silent = new ArrayList<>();
-        for (Follower one : zone.silent.values()) {
+        for (Follower one : zone.silentFollowers.values()) {
             silent.add(
-                    new ZoneConfirmations.Silent(one.name, one.confirmed, nowMs - one.lastHeardMs));
+                    new ZoneConfirmations.Silent(one.name, one.confirmedRevision, nowMs - one.lastRequestMs));
         }
         return silent;
     }
 
     private ZoneConfirmations report(String name, Zone zone, long revision, long nowMs) {
         SortedMap<Long, Integer> counts = new TreeMap<>();
-        zone.byRevision.forEach((having, those) -> counts.put(having, those.size()));
+        zone.followersByRevision.forEach((having, those) -> counts.put(having, those.size()));
         return new ZoneConfirmations(
                 name,
                 revision,
                 counts,
-                zone.followers,
-                behind(zone, revision, nowMs),
-                silent(zone, nowMs));
+                zone.followerCount,
+                followersBehind(zone, revision, nowMs),
+                silentFollowers(zone, nowMs));
     }
 
     /** Whoever has the oldest revision has been behind for longest. */
-    private List<FollowerReport.Behind> behind(Zone zone, long revision, long nowMs) {
+    private List<FollowerReport.Behind> followersBehind(Zone zone, long revision, long nowMs) {
         List<FollowerReport.Behind> behind = new ArrayList<>();
         for (Map.Entry<Long, Set<Follower>> lagging :
-                zone.byRevision.headMap(revision, false).entrySet()) {
+                zone.followersByRevision.headMap(revision, false).entrySet()) {
             long newerSinceMs = revisionTimes.newerKnownSinceMs(lagging.getKey(), nowMs);
             for (Follower follower : lagging.getValue()) {
-                if (behind.size() == FollowerReport.NAMED) {
+                if (behind.size() == FollowerReport.MAX_NAMED_FOLLOWERS) {
                     return behind;
                 }
-                long sinceMs = nowMs - Math.max(newerSinceMs, follower.firstHeardMs);
+                long sinceMs = nowMs - Math.max(newerSinceMs, follower.firstRequestMs);
                 behind.add(new FollowerReport.Behind(follower.name, lagging.getKey(), sinceMs));
             }
         }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/ReadRequest.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/ReadRequest.java
@@ -12,7 +12,7 @@
 /** A request of the read API; {@code docs/design/configuration.md} describes the parameters. */
 sealed interface ReadRequest {
     /** Paths of the read API begin like this. */
-    String PREFIX = "/v1/configuration/";
+    String PATH_PREFIX = "/v1/configuration/";
 
     /**
      * What comes after a revision.
@@ -40,9 +40,9 @@
             QueryStringDecoder decoder = new QueryStringDecoder(uri);
             Parameters parameters = new Parameters(decoder.parameters());
             return switch (decoder.path()) {
-                case PREFIX + "changes" -> changes(parameters);
-                case PREFIX + "snapshot" -> snapshot(parameters);
-                case PREFIX + "status" -> new Status(parameters.revision("revision"));
+                case PATH_PREFIX + "changes" -> parseChanges(parameters);
+                case PATH_PREFIX + "snapshot" -> parseSnapshot(parameters);
+                case PATH_PREFIX + "status" -> new Status(parameters.revision("revision"));
                 default -> null;
             };
         } catch (IllegalArgumentException malformed) { // escapes, or a key
@@ -50,70 +50,70 @@
         }
     }
 
-    private static Changes changes(Parameters parameters) throws MalformedException {
+    private static Changes parseChanges(Parameters parameters) throws MalformedException {
         if (parameters.name("follower").isEmpty()) {
             throw new MalformedException("'follower' is missing");
         }
         return new Changes(
                 parameters.revision("after"),
-                ConfigurationJson.digest(parameters.text("digest", ""), "'digest'"),
+                ConfigurationJson.parseDigest(parameters.string("digest", ""), "'digest'"),
                 parameters.name("follower"),
                 parameters.name("zone"),
-                parameters.whole("waitMs", 0, DistributorHandler.MOST_WAIT_MS),
+                parameters.boundedInteger("waitMs", 0, DistributorHandler.MAX_WAIT_MS),
                 (int)
-                        parameters.whole(
+                        parameters.boundedInteger(
                                 "limit",
-                                ConfigurationLimits.CHANGES_PER_ANSWER,
-                                ConfigurationLimits.CHANGES_PER_ANSWER));
+                                ConfigurationLimits.MAX_CHANGES_PER_RESPONSE,
+                                ConfigurationLimits.MAX_CHANGES_PER_RESPONSE));
     }
 
-    private static Snapshot snapshot(Parameters parameters) throws MalformedException {
-        String from = parameters.text("from", "");
-        int most = ConfigurationLimits.ENTRIES_PER_PAGE;
+    private static Snapshot parseSnapshot(Parameters parameters) throws MalformedException {
+        String from = parameters.string("from", "");
+        int most = ConfigurationLimits.MAX_ENTRIES_PER_PAGE;
         return new Snapshot(
                 parameters.revision("revision"),
                 from.isEmpty() ? null : EntryKey.parse(from),
-                (int) parameters.whole("limit", most, most),
+                (int) parameters.boundedInteger("limit", most, most),
                 parameters.name("follower"));
     }
 
     /** The parameters of a query, each checked as it is read. */
-    record Parameters(Map<String, List<String>> given) {
-        private static final Pattern WHOLE = Pattern.compile("\\d{1,16}");
-        private static final int LONGEST_NAME = ConfigurationLimits.IDENTIFIER_LENGTH;
-        private static final Pattern NAME = Pattern.compile("[!-~]{0," + LONGEST_NAME + "}");
+    record Parameters(Map<String, List<String>> valuesByName) {
+        private static final Pattern INTEGER_PATTERN = Pattern.compile("\\d{1,16}");
+        private static final int MAX_NAME_LENGTH = ConfigurationLimits.MAX_IDENTIFIER_LENGTH;
+        private static final Pattern NAME_PATTERN = Pattern.compile("[!-~]{0," + MAX_NAME_LENGTH + "}");
 
-        String text(String name, String absent) {
-            List<String> values = given.getOrDefault(name, List.of());
+        String string(String name, String absent) {
+            List<String> values = valuesByName.getOrDefault(name, List.of());
             return values.isEmpty() ? absent : values.get(0);
         }
 
         /** A name; empty where it is absent. */
         String name(String name) throws MalformedException {
-            String text = text(name, "");
-            if (!NAME.matcher(text).matches()) {
+            String text = string(name, "");
+            if (!NAME_PATTERN.matcher(text).matches()) {
                 throw new MalformedException(
-                        "'" + name + "' takes up to " + LONGEST_NAME + " visible ASCII characters");
+                        "'" + name + "' takes up to " + MAX_NAME_LENGTH + " visible ASCII characters");
             }
             return text;
         }
 
         long revision(String name) throws MalformedException {
-            long revision = number(name, 0);
-            if (revision > ConfigurationLimits.LARGEST_NUMBER) {
+            long revision = integer(name, 0);
+            if (revision > ConfigurationLimits.MAX_SAFE_INTEGER) {
                 throw new MalformedException("'" + name + "' is too large");
             }
             return revision;
         }
 
         /** A whole number; a larger one than the bound counts as the bound. */
-        long whole(String name, long absent, long most) throws MalformedException {
-            return Math.min(most, number(name, absent));
+        long boundedInteger(String name, long absent, long most) throws MalformedException {
+            return Math.min(most, integer(name, absent));
         }
 
-        private long number(String name, long absent) throws MalformedException {
-            String text = text(name, Long.toString(absent));
-            if (!WHOLE.matcher(text).matches()) {
+        private long integer(String name, long absent) throws MalformedException {
+            String text = string(name, Long.toString(absent));
+            if (!INTEGER_PATTERN.matcher(text).matches()) {
                 throw new MalformedException("'" + name + "' takes a whole number");
             }
             return Long.parseLong(text);
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/ReportSchedule.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/ReportSchedule.java
@@ -11,33 +11,33 @@
  */
 final class ReportSchedule {
     /** A zone whose counts do not change is reported after so long, in milliseconds. */
-    static final long QUIET_MS = 10_000;
+    static final long UNCHANGED_REPORT_INTERVAL_MS = 10_000;
 
-    private record Reported(
-            long revision, SortedMap<Long, Integer> confirmedByRevision, long atMs) {}
+    private record LastReport(
+            long revision, SortedMap<Long, Integer> confirmedByRevision, long reportedAtMs) {}
 
-    private final Map<String, Reported> byZone = new HashMap<>();
+    private final Map<String, LastReport> lastReportByZone = new HashMap<>();
 
     /** Those of these that are to be reported now. */
-    List<ZoneConfirmations> due(List<ZoneConfirmations> all, long nowMs) {
+    List<ZoneConfirmations> dueZones(List<ZoneConfirmations> all, long nowMs) {
         return all.stream().filter(one -> isDue(one, nowMs)).toList();
     }
 
     private boolean isDue(ZoneConfirmations zone, long nowMs) {
-        Reported last = byZone.get(zone.zone());
+        LastReport last = lastReportByZone.get(zone.zone());
         return last == null
                 || last.revision() != zone.revision()
                 || !last.confirmedByRevision().equals(zone.confirmedByRevision())
-                || nowMs - last.atMs() >= QUIET_MS;
+                || nowMs - last.reportedAtMs() >= UNCHANGED_REPORT_INTERVAL_MS;
     }
 
     /** The leader has taken this one. */
-    void reported(ZoneConfirmations zone, long nowMs) {
-        byZone.put(zone.zone(), new Reported(zone.revision(), zone.confirmedByRevision(), nowMs));
+    void markReported(ZoneConfirmations zone, long nowMs) {
+        lastReportByZone.put(zone.zone(), new LastReport(zone.revision(), zone.confirmedByRevision(), nowMs));
     }
 
     /** Another leader may know nothing: all is to be reported anew. */
     void reset() {
-        byZone.clear();
+        lastReportByZone.clear();
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/SnapshotAdmission.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/SnapshotAdmission.java
@@ -11,24 +11,24 @@
  */
 public final class SnapshotAdmission {
     /** A transfer that asks for no page for so long is taken for abandoned. */
-    static final long ABANDONED_MS = 5_000;
+    static final long TRANSFER_TIMEOUT_MS = 5_000;
 
     /** Nobody is told to wait for longer. */
-    static final long MOST_RETRY_MS = 10_000;
+    static final long MAX_RETRY_MS = 10_000;
 
     /** So many of those who were turned away are remembered, so that they keep their turn. */
-    private static final int MOST_WAITING = 20_000;
+    private static final int MAX_WAITING_FOLLOWERS = 20_000;
 
-    private final int mostTransfers;
-    private final long transferMs;
+    private final int maxTransfers;
+    private final long expectedTransferMs;
 
     /** When each transfer last asked for a page, by follower; the one longest ago comes first. */
-    private final Map<String, Long> transfers = new LinkedHashMap<>();
+    private final Map<String, Long> lastPageRequestByFollower = new LinkedHashMap<>();
 
     /** When each waiting follower shall ask again; whoever was told first comes first. */
-    private final Map<String, Long> waiting = new LinkedHashMap<>();
+    private final Map<String, Long> retryTimeByFollower = new LinkedHashMap<>();
 
-    private long nextTurnMs;
+    private long nextRetryTimeMs;
 
     /**
      * An admission.
@@ -37,8 +37,8 @@
      * @param transferMs how long a transfer usually takes, milliseconds
      */
     public SnapshotAdmission(int mostTransfers, long transferMs) {
-        this.mostTransfers = mostTransfers;
-        this.transferMs = transferMs;
+        this.maxTransfers = mostTransfers;
+        this.expectedTransferMs = transferMs;
     }
 
     /**
@@ -47,24 +47,24 @@
      * @return 0 if it may have it, else after how many milliseconds it shall ask again
      */
     public long admit(String follower, long nowMs) {
-        dropAbandoned(nowMs);
-        if (transfers.remove(follower) != null || transfers.size() < mostTransfers) {
-            transfers.put(follower, nowMs);
-            waiting.remove(follower);
+        removeAbandoned(nowMs);
+        if (lastPageRequestByFollower.remove(follower) != null || lastPageRequestByFollower.size() < maxTransfers) {
+            lastPageRequestByFollower.put(follower, nowMs);
+            retryTimeByFollower.remove(follower);
             return 0;
         }
-        return turnAway(follower, nowMs);
+        return assignRetryTime(follower, nowMs);
     }
 
-    private long turnAway(String follower, long nowMs) {
-        Long told = waiting.get(follower);
+    private long assignRetryTime(String follower, long nowMs) {
+        Long told = retryTimeByFollower.get(follower);
         if (told == null || told <= nowMs) {
-            waiting.remove(follower);
-            nextTurnMs = Math.max(nextTurnMs, nowMs) + Math.max(1, transferMs / mostTransfers);
-            told = Math.min(nextTurnMs, nowMs + MOST_RETRY_MS);
-            nextTurnMs = told;
-            if (waiting.size() < MOST_WAITING) {
-                waiting.put(follower, told);
+            retryTimeByFollower.remove(follower);
+            nextRetryTimeMs = Math.max(nextRetryTimeMs, nowMs) + Math.max(1, expectedTransferMs / maxTransfers);
+            told = Math.min(nextRetryTimeMs, nowMs + MAX_RETRY_MS);
+            nextRetryTimeMs = told;
+            if (retryTimeByFollower.size() < MAX_WAITING_FOLLOWERS) {
+                retryTimeByFollower.put(follower, told);
             }
         }
         return told - nowMs;
@@ -72,22 +72,22 @@
 
     /** A follower has got its last page. */
     public void finish(String follower) {
-        transfers.remove(follower);
+        lastPageRequestByFollower.remove(follower);
     }
 
-    private void dropAbandoned(long nowMs) {
-        Iterator<Long> lastAskedMs = transfers.values().iterator();
-        while (lastAskedMs.hasNext() && nowMs - lastAskedMs.next() > ABANDONED_MS) {
+    private void removeAbandoned(long nowMs) {
+        Iterator<Long> lastAskedMs = lastPageRequestByFollower.values().iterator();
+        while (lastAskedMs.hasNext() && nowMs - lastAskedMs.next() > TRANSFER_TIMEOUT_MS) {
             lastAskedMs.remove();
         }
-        Iterator<Long> turnsMs = waiting.values().iterator();
-        while (turnsMs.hasNext() && nowMs - turnsMs.next() > ABANDONED_MS) {
+        Iterator<Long> turnsMs = retryTimeByFollower.values().iterator();
+        while (turnsMs.hasNext() && nowMs - turnsMs.next() > TRANSFER_TIMEOUT_MS) {
             turnsMs.remove();
         }
     }
 
     /** How many transfers are under way. */
-    public int transfers() {
-        return transfers.size();
+    public int activeTransfers() {
+        return lastPageRequestByFollower.size();
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/WaitingRequests.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/WaitingRequests.java
@@ -13,14 +13,14 @@
  */
 final class WaitingRequests {
     /** A request that waits; each is a thing of its own. */
-    static final class Waiting {
+    static final class WaitingRequest {
         private final ReadRequest.Changes request;
-        private final long untilMs;
-        private final CompletableFuture<HttpAnswer> answer = new CompletableFuture<>();
+        private final long deadlineMs;
+        private final CompletableFuture<EncodedResponse> response = new CompletableFuture<>();
 
-        Waiting(ReadRequest.Changes request, long untilMs) {
+        WaitingRequest(ReadRequest.Changes request, long untilMs) {
             this.request = request;
-            this.untilMs = untilMs;
+            this.deadlineMs = untilMs;
         }
 
         ReadRequest.Changes request() {
@@ -28,45 +28,45 @@
         }
 
         /** Completed by whoever takes it out of the set. */
-        CompletableFuture<HttpAnswer> answer() {
-            return answer;
+        CompletableFuture<EncodedResponse> response() {
+            return response;
         }
     }
 
-    private final int most;
-    private final Set<Waiting> waiting = new LinkedHashSet<>();
+    private final int maxRequests;
+    private final Set<WaitingRequest> waiting = new LinkedHashSet<>();
 
     WaitingRequests(int most) {
-        this.most = most;
+        this.maxRequests = most;
     }
 
     /** Holds a request; null where too many wait. */
-    Waiting add(ReadRequest.Changes request, long untilMs) {
-        if (waiting.size() >= most) {
+    WaitingRequest add(ReadRequest.Changes request, long untilMs) {
+        if (waiting.size() >= maxRequests) {
             return null;
         }
-        Waiting added = new Waiting(request, untilMs);
+        WaitingRequest added = new WaitingRequest(request, untilMs);
         waiting.add(added);
         return added;
     }
 
     /** Lets go of a request that nobody waits for any more. */
-    void remove(Waiting gone) {
+    void remove(WaitingRequest gone) {
         waiting.remove(gone);
     }
 
     /** Takes out all: something new is there. */
-    List<Waiting> takeAll() {
-        List<Waiting> taken = new ArrayList<>(waiting);
+    List<WaitingRequest> takeAll() {
+        List<WaitingRequest> taken = new ArrayList<>(waiting);
         waiting.clear();
         return taken;
     }
 
     /** Takes out those whose wait is over. */
-    List<Waiting> takeDue(long nowMs) {
-        List<Waiting> due = new ArrayList<>();
-        for (Waiting one : waiting) {
-            if (one.untilMs <= nowMs) {
+    List<WaitingRequest> takeDue(long nowMs) {
+        List<WaitingRequest> due = new ArrayList<>();
+        for (WaitingRequest one : waiting) {
+            if (one.deadlineMs <= nowMs) {
                 due.add(one);
             }
         }
--- a/coordinator/src/main/java/saltstage/coordinator/group/GroupState.java
+++ b/coordinator/src/main/java/saltstage/coordinator/group/GroupState.java
@@ -95,7 +95,7 @@
                 new TreeMap<>(members),
                 featureLevel < WindowCommands.MIN_FEATURE_LEVEL ? null : windows.image(),
                 featureLevel < AdviceCommands.MIN_FEATURE_LEVEL ? null : advice.image(),
-                featureLevel < ConfigurationCommands.SINCE ? null : configuration.image());
+                featureLevel < ConfigurationCommands.MIN_FEATURE_LEVEL ? null : configuration.image());
     }
 
     /** Carries one entry of the log out. */
@@ -160,7 +160,7 @@
             return advice.outcome(ask, time.now());
         }
         if (command instanceof ConfigurationCommands.ChangeConfiguration ask) {
-            return configuration.change(ask, time.wallClockTime());
+            return configuration.applyChange(ask, time.wallClockTime());
         }
         return command.minFeatureLevel() == WindowCommands.MIN_FEATURE_LEVEL
                 ? executeWindowCommand(command)
--- a/coordinator/src/main/java/saltstage/coordinator/settings/DistributorSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/DistributorSettings.java
@@ -45,7 +45,7 @@
     private static DistributorSettings of(HclBlock block) throws MalformedException {
         String name = block.labels().get(0);
         String zone = block.requiredString("zone");
-        if (!zone.matches(NAME) || zone.length() > ConfigurationLimits.ZONE_LENGTH) {
+        if (!zone.matches(NAME) || zone.length() > ConfigurationLimits.MAX_ZONE_LENGTH) {
             throw block.attributeError("zone", "a name without blanks, such as \"a1\"");
         }
         List<InetSocketAddress> sources = new ArrayList<>();
--- a/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
@@ -92,7 +92,7 @@
                         (code, why) -> System.err.println("replica ended: " + code + " " + why));
         listener = new HttpListener(clients, new ApiHandler(replica));
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TEST_TIMEOUT_SECONDS);
-        while (body(get("/v1/status")).path("level").asInt() < ConfigurationCommands.SINCE) {
+        while (body(get("/v1/status")).path("level").asInt() < ConfigurationCommands.MIN_FEATURE_LEVEL) {
             assertTrue(System.nanoTime() < deadline, "the group's level has not risen in time");
             Thread.sleep(50);
         }
@@ -178,7 +178,7 @@
         assertEquals(1, run("rollback", "9"));
         assertEquals(0, run("rollback", "1"), () -> err);
         assertEquals(0, run("get", "--json"));
-        SnapshotPage page = ConfigurationJson.snapshotPage(out.trim());
+        SnapshotPage page = ConfigurationJson.parseSnapshotPage(out.trim());
         assertEquals(3, page.revision());
         assertEquals(2, page.entries().size());
         assertEquals(0, run("rollback", "1"));
@@ -193,7 +193,7 @@
         String zero = "0000000000000000";
         HttpResponse<String> first = get("/v1/configuration/changes?after=0&digest=" + zero);
         assertEquals(200, first.statusCode());
-        String digest = ConfigurationJson.text(ConfigurationJson.changes(first.body()).digest());
+        String digest = ConfigurationJson.formatDigest(ConfigurationJson.parseChanges(first.body()).digest());
         assertError(409, "diverged", "changes?after=1&digest=" + zero);
         assertError(421, "behind", "changes?after=2&digest=" + digest);
         assertError(410, "truncated", "snapshot?revision=77");
@@ -202,12 +202,12 @@
         HttpResponse<String> snapshot = get("/v1/configuration/snapshot?revision=0&limit=1");
         assertEquals(
                 digest,
-                ConfigurationJson.text(ConfigurationJson.snapshotPage(snapshot.body()).digest()));
+                ConfigurationJson.formatDigest(ConfigurationJson.parseSnapshotPage(snapshot.body()).digest()));
         long began = System.nanoTime();
         HttpResponse<String> none =
                 get("/v1/configuration/changes?after=1&waitMs=300&digest=" + digest);
         assertTrue(System.nanoTime() - began >= TimeUnit.MILLISECONDS.toNanos(300));
-        assertEquals(0, ConfigurationJson.changes(none.body()).changes().size());
+        assertEquals(0, ConfigurationJson.parseChanges(none.body()).changes().size());
         CompletableFuture<HttpResponse<String>> waiting =
                 http.sendAsync(
                         HttpRequest.newBuilder(
@@ -218,13 +218,13 @@
                         HttpResponse.BodyHandlers.ofString());
         run("put", "shard/t/1", "gw-1");
         String woken = waiting.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS).body();
-        assertEquals(2, ConfigurationJson.changes(woken).changes().get(0).revision());
+        assertEquals(2, ConfigurationJson.parseChanges(woken).changes().get(0).revision());
     }
 
     private void assertError(int status, String error, String path) throws Exception {
         HttpResponse<String> response = get("/v1/configuration/" + path);
         assertEquals(status, response.statusCode());
-        assertEquals(new ErrorResponse(error, 1, 0), ConfigurationJson.error(response.body()));
+        assertEquals(new ErrorResponse(error, 1, 0), ConfigurationJson.parseError(response.body()));
     }
 
     @Test
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationGroupTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationGroupTest.java
@@ -37,15 +37,15 @@
 
     private GroupState state = new GroupState();
 
-    private Reply say(String client, long seq, Command command) throws IOException {
+    private Reply apply(String client, long seq, Command command) throws IOException {
         return state.apply(
                 GroupCodec.decodeProposal(
                         GroupCodec.encodeEntry(new Proposal(client, seq, "e", 0, command))));
     }
 
-    private void level(int level) throws IOException {
-        say("", 0, new GroupCommands.Introduce("a", "disk", "1.2.3.4:1", "1.2.3.4:2"));
-        say("", 0, new GroupCommands.Tick(Map.of(), Map.of("a", level), List.of("a")));
+    private void setFeatureLevel(int level) throws IOException {
+        apply("", 0, new GroupCommands.Introduce("a", "disk", "1.2.3.4:1", "1.2.3.4:2"));
+        apply("", 0, new GroupCommands.Tick(Map.of(), Map.of("a", level), List.of("a")));
         assertEquals(level, state.featureLevel());
     }
 
@@ -66,17 +66,17 @@
     }
 
     @Test
-    void groupBelowTheLevelRefusesAndItsSnapshotHasNoSuchField() throws IOException {
-        level(3);
-        assertEquals("not-yet", ((Rejection) say("c", 1, allKinds())).code());
+    void groupBelowTheFeatureLevelRejectsChangesAndOmitsTheSnapshotField() throws IOException {
+        setFeatureLevel(3);
+        assertEquals("not-yet", ((Rejection) apply("c", 1, allKinds())).code());
         JsonNode image =
                 GroupCodec.cborMapper()
                         .readTree(GroupCodec.encodeSnapshot(state.image()))
                         .path("image");
         assertFalse(image.has("configuration"), "replicas of level 3 take no field more");
         assertTrue(image.has("advice"));
-        level(4);
-        assertInstanceOf(Changed.class, say("c", 2, allKinds()));
+        setFeatureLevel(4);
+        assertInstanceOf(Changed.class, apply("c", 2, allKinds()));
         JsonNode after =
                 GroupCodec.cborMapper()
                         .readTree(GroupCodec.encodeSnapshot(state.image()))
@@ -85,10 +85,10 @@
     }
 
     @Test
-    void snapshotGivesBackAnEqualStateWithAnEqualDigest() throws IOException {
-        level(4);
-        say("c", 1, allKinds());
-        say("c", 2, change(mutation("suspension/gw-1", null)));
+    void snapshotRestoresAnEqualStateAndDigest() throws IOException {
+        setFeatureLevel(4);
+        apply("c", 1, allKinds());
+        apply("c", 2, change(mutation("suspension/gw-1", null)));
         byte[] bytes = GroupCodec.encodeSnapshot(state.image());
         GroupState restored = new GroupState(GroupCodec.decodeSnapshot(bytes));
         assertEquals(state.configuration().digest(), restored.configuration().digest());
@@ -97,31 +97,31 @@
         assertEquals(state.configuration().image(), restored.configuration().image());
         assertArrayEquals(bytes, GroupCodec.encodeSnapshot(restored.image()));
         assertEquals(
-                state.configuration().after(0, 0, 10), restored.configuration().after(0, 0, 10));
+                state.configuration().changesAfter(0, 0, 10), restored.configuration().changesAfter(0, 0, 10));
     }
 
     @Test
-    void changeThatIsSentAgainIsCarriedOutOnceAlsoAfterASnapshot() throws IOException {
-        level(4);
-        say("c", 1, change(mutation("backend/gw-1", BACKEND)));
+    void resentChangeIsExecutedOnceEvenAfterASnapshot() throws IOException {
+        setFeatureLevel(4);
+        apply("c", 1, change(mutation("backend/gw-1", BACKEND)));
         ChangeConfiguration placed = change(mutation("shard/t/1", new EntryValue.Shard("gw-1")));
-        Reply first = say("c", 2, placed);
-        say("other", 1, change(mutation("shard/t/1", null)));
-        assertEquals(first, say("c", 2, placed), "the answer was lost and the command sent again");
+        Reply first = apply("c", 2, placed);
+        apply("other", 1, change(mutation("shard/t/1", null)));
+        assertEquals(first, apply("c", 2, placed), "the answer was lost and the command sent again");
         assertFalse(
                 state.configuration().view().entries().containsKey(EntryKey.parse("shard/t/1")),
                 "carried out a second time it would undo the other writer's change");
         state = new GroupState(GroupCodec.decodeSnapshot(GroupCodec.encodeSnapshot(state.image())));
-        assertEquals(first, say("c", 2, placed));
+        assertEquals(first, apply("c", 2, placed));
         assertEquals(3, state.configuration().revision());
     }
 
     @Test
-    void commandAndReadApiHaveTheSameFormOfMutations() throws Exception {
+    void commandAndReadApiEncodeMutationsAlike() throws Exception {
         ChangeConfiguration all = allKinds();
         JsonNode json = GroupCodec.jsonMapper().valueToTree(all);
         JsonNode written =
-                GroupCodec.jsonMapper().readTree(ConfigurationJson.text(all.mutations()));
+                GroupCodec.jsonMapper().readTree(ConfigurationJson.toJson(all.mutations()));
         assertEquals(written.path("mutations").toString(), json.path("mutations").toString());
         JsonNode named =
                 GroupCodec.jsonMapper()
@@ -151,7 +151,7 @@
                 "7",
                 "null"
             })
-    void malformedMutationInACommandIsRefused(String mutation) throws IOException {
+    void malformedMutationInACommandIsRejected(String mutation) throws IOException {
         String text =
                 "{\"op\":\"change-configuration\",\"author\":\"ana\",\"expected\":{},\"mutations\":["
                         + mutation
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationRegistryTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationRegistryTest.java
@@ -30,8 +30,8 @@
 
 /** What a group accepts as configuration, what it refuses, and what it keeps. */
 class ConfigurationRegistryTest {
-    private static final long DAY = 1_700_000_000_000L;
-    private static final String BACKEND =
+    private static final long ACCEPTED_AT_MS = 1_700_000_000_000L;
+    private static final String BACKEND_JSON =
             "{\"key\":\"backend/%s\",\"backend\":{\"address\":\"%s\",\"zone\":\"a1\",\"cell\":0,"
                     + "\"state\":\"READY\",\"weight\":1,\"startedAtMs\":0}}";
 
@@ -40,8 +40,8 @@
     private Reply change(Map<String, Long> expected, String... mutations) {
         try {
             String text = "{\"mutations\":[" + String.join(",", mutations) + "]}";
-            List<Mutation> read = ConfigurationJson.mutations(text);
-            return registry.change(new ChangeConfiguration("ana", read, expected), DAY);
+            List<Mutation> read = ConfigurationJson.parseMutations(text);
+            return registry.applyChange(new ChangeConfiguration("ana", read, expected), ACCEPTED_AT_MS);
         } catch (MalformedException bad) {
             throw new IllegalArgumentException(bad);
         }
@@ -51,20 +51,20 @@
         return assertInstanceOf(Changed.class, change(Map.of(), mutations));
     }
 
-    private static String backend(String name) {
-        return String.format(BACKEND, name, "10.0.0.7:4100");
+    private static String backendJson(String name) {
+        return String.format(BACKEND_JSON, name, "10.0.0.7:4100");
     }
 
-    private static String shard(String name, String backend) {
+    private static String shardJson(String name, String backend) {
         return "{\"key\":\"shard/" + name + "\",\"shard\":{\"backend\":\"" + backend + "\"}}";
     }
 
-    private static String setting(String name, String text) {
+    private static String settingJson(String name, String text) {
         String quoted = text.replace("\"", "\\\"");
         return "{\"key\":\"setting/" + name + "\",\"setting\":{\"text\":\"" + quoted + "\"}}";
     }
 
-    private static String deleted(String key) {
+    private static String deletionJson(String key) {
         return "{\"key\":\"" + key + "\",\"deleted\":true}";
     }
 
@@ -83,8 +83,8 @@
                 "amqp.idle ~ \"soon\" ~ INVALID_VALUE ~ a span such as",
                 "amqp.link_bytes ~ \"8KiB\" ~ INVALID_VALUE ~ four frames",
             })
-    void badSettingIsRefusedWithWhatWouldDo(String name, String text, String code, String wanted) {
-        Rejected no = assertInstanceOf(Rejected.class, change(Map.of(), setting(name, text)));
+    void invalidSettingIsRejectedWithAHint(String name, String text, String code, String wanted) {
+        Rejected no = assertInstanceOf(Rejected.class, change(Map.of(), settingJson(name, text)));
         assertEquals(code, no.code().name());
         assertEquals("setting/" + name, no.key());
         assertEquals(text, no.value());
@@ -93,59 +93,59 @@
     }
 
     @Test
-    void badBackendShardAndSuspensionAreRefusedWithWhatWouldDo() {
-        put(backend("gw-1"));
-        refused(
+    void invalidBackendShardAndSuspensionAreRejectedWithAHint() {
+        put(backendJson("gw-1"));
+        assertRejected(
                 "INVALID_VALUE",
                 "backend/gw-2",
                 "as 10.0.0.7:4100",
-                String.format(BACKEND, "gw-2", "gw-2.example:4100"));
-        refused(
+                String.format(BACKEND_JSON, "gw-2", "gw-2.example:4100"));
+        assertRejected(
                 "INVALID_VALUE",
                 "backend/gw-2",
                 "as 10.0.0.7:4100",
-                String.format(BACKEND, "gw-2", "10.0.0.300:4100"));
+                String.format(BACKEND_JSON, "gw-2", "10.0.0.300:4100"));
         String longName = "g".repeat(129);
-        refused("INVALID_VALUE", "backend/" + longName, "1 to 128", backend(longName));
-        refused("UNKNOWN_BACKEND", "shard/t/1", "that there is", shard("t/1", "gw-2"));
-        refused(
+        assertRejected("INVALID_VALUE", "backend/" + longName, "1 to 128", backendJson(longName));
+        assertRejected("UNKNOWN_BACKEND", "shard/t/1", "that there is", shardJson("t/1", "gw-2"));
+        assertRejected(
                 "UNKNOWN_BACKEND",
                 "suspension/gw-2",
                 "that there is",
                 "{\"key\":\"suspension/gw-2\",\"suspension\":{\"reason\":\"x\"}}");
-        refused(
+        assertRejected(
                 "UNKNOWN_BACKEND",
                 "shard/t/1",
                 "that there is",
-                shard("t/1", "gw-1"),
-                deleted("backend/gw-1"),
-                shard("t/1", "gw-9"));
+                shardJson("t/1", "gw-1"),
+                deletionJson("backend/gw-1"),
+                shardJson("t/1", "gw-9"));
         assertEquals(1, registry.revision());
     }
 
     @Test
-    void valueThatNoJsonCouldCarryIsRefused() {
+    void valueThatJsonCannotRepresentIsRejected() {
         for (double weight : new double[] {-1, Double.NaN, Double.POSITIVE_INFINITY}) {
             EntryValue value =
                     new EntryValue.Backend(
                             "10.0.0.7:1", "", 0, EntryValue.BackendState.READY, weight, 0);
             Mutation bad = new Mutation(EntryKey.parse("backend/gw-1"), value);
             Reply reply =
-                    registry.change(new ChangeConfiguration("ana", List.of(bad), Map.of()), DAY);
+                    registry.applyChange(new ChangeConfiguration("ana", List.of(bad), Map.of()), ACCEPTED_AT_MS);
             assertTrue(((Rejected) reply).wanted().contains("'weight'"));
         }
     }
 
     @Test
-    void wholeChangesAreBounded() {
-        refused("MALFORMED", "", "mutations");
-        String[] many = new String[ConfigurationLimits.MUTATIONS_PER_CHANGE];
+    void changeSizeAndAuthorAreChecked() {
+        assertRejected("MALFORMED", "", "mutations");
+        String[] many = new String[ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE];
         for (int i = 0; i < many.length; i++) {
-            many[i] = backend("b" + i);
+            many[i] = backendJson("b" + i);
         }
         put(many);
         for (int i = 0; i < many.length; i++) {
-            String reason = "r".repeat(ConfigurationLimits.REASON_LENGTH);
+            String reason = "r".repeat(ConfigurationLimits.MAX_REASON_LENGTH);
             many[i] =
                     "{\"key\":\"suspension/b"
                             + i
@@ -153,93 +153,93 @@
                             + reason
                             + "\"}}";
         }
-        refused("MALFORMED", "", "bytes would do", many);
+        assertRejected("MALFORMED", "", "bytes would do", many);
         Reply nameless =
-                registry.change(
+                registry.applyChange(
                         new ChangeConfiguration(
                                 "",
                                 List.of(new Mutation(EntryKey.parse("shard/t/1"), null)),
                                 Map.of()),
-                        DAY);
+                        ACCEPTED_AT_MS);
         assertEquals(RejectionCode.MALFORMED, ((Rejected) nameless).code());
     }
 
-    private void refused(String code, String key, String wanted, String... mutations) {
+    private void assertRejected(String code, String key, String wanted, String... mutations) {
         Rejected no = assertInstanceOf(Rejected.class, change(Map.of(), mutations));
         assertEquals(code + " " + key, no.code() + " " + no.key());
         assertTrue(no.wanted().contains(wanted), no.wanted());
-        assertTrue(no.sentence().contains(no.wanted()));
+        assertTrue(no.message().contains(no.wanted()));
     }
 
     @Test
-    void backendThatIsNamedIsDeletedOnlyWithWhatNamesIt() {
-        put(backend("gw-1"), backend("gw-2"), shard("t/1", "gw-1"), shard("t/2", "gw-1"));
-        refused("IN_USE", "backend/gw-1", "2 shards", deleted("backend/gw-1"));
-        refused(
+    void referencedBackendIsDeletedOnlyWithItsReferences() {
+        put(backendJson("gw-1"), backendJson("gw-2"), shardJson("t/1", "gw-1"), shardJson("t/2", "gw-1"));
+        assertRejected("IN_USE", "backend/gw-1", "2 shards", deletionJson("backend/gw-1"));
+        assertRejected(
                 "IN_USE",
                 "backend/gw-1",
                 "1 shards",
-                deleted("backend/gw-1"),
-                shard("t/1", "gw-2"));
-        put(deleted("backend/gw-1"), shard("t/1", "gw-2"), deleted("shard/t/2"));
+                deletionJson("backend/gw-1"),
+                shardJson("t/1", "gw-2"));
+        put(deletionJson("backend/gw-1"), shardJson("t/1", "gw-2"), deletionJson("shard/t/2"));
         put(
                 "{\"key\":\"suspension/gw-2\",\"suspension\":{\"reason\":\"x\"}}",
-                deleted("shard/t/1"));
-        refused("IN_USE", "backend/gw-2", "suspension/gw-2", deleted("backend/gw-2"));
-        put(deleted("backend/gw-2"), deleted("suspension/gw-2"));
+                deletionJson("shard/t/1"));
+        assertRejected("IN_USE", "backend/gw-2", "suspension/gw-2", deletionJson("backend/gw-2"));
+        put(deletionJson("backend/gw-2"), deletionJson("suspension/gw-2"));
         assertEquals(0, registry.view().entries().size());
     }
 
     @Test
-    void secondOfTwoWritersWhoSawTheSameRevisionIsRefused() {
-        Changed seen = put(backend("gw-1"), backend("gw-2"), shard("t/1", "gw-1"));
+    void secondOfTwoConcurrentWritersIsRejected() {
+        Changed seen = put(backendJson("gw-1"), backendJson("gw-2"), shardJson("t/1", "gw-1"));
         Map<String, Long> expected = Map.of("shard/t/1", seen.revision());
-        assertInstanceOf(Changed.class, change(expected, shard("t/1", "gw-2")));
-        Rejected late = assertInstanceOf(Rejected.class, change(expected, deleted("shard/t/1")));
+        assertInstanceOf(Changed.class, change(expected, shardJson("t/1", "gw-2")));
+        Rejected late = assertInstanceOf(Rejected.class, change(expected, deletionJson("shard/t/1")));
         assertEquals(RejectionCode.CONFLICT, late.code());
         assertTrue(late.wanted().contains("revision 2"), late.wanted());
         assertEquals(2, registry.revision());
         Map<String, Long> absent = Map.of("shard/t/9", 0L);
-        assertInstanceOf(Changed.class, change(absent, shard("t/9", "gw-1")));
+        assertInstanceOf(Changed.class, change(absent, shardJson("t/9", "gw-1")));
         assertEquals(
-                RejectionCode.CONFLICT, ((Rejected) change(absent, shard("t/9", "gw-2"))).code());
+                RejectionCode.CONFLICT, ((Rejected) change(absent, shardJson("t/9", "gw-2"))).code());
     }
 
     @Test
-    void changeThatSaysNothingNewLeavesRevisionHistoryAndEntriesAlone() {
-        put(backend("gw-1"), shard("t/1", "gw-1"));
+    void noOpChangeLeavesRevisionHistoryAndEntriesUnchanged() {
+        put(backendJson("gw-1"), shardJson("t/1", "gw-1"));
         ConfigurationRegistry.Image before = registry.image();
-        Changed nothing = put(shard("t/1", "gw-1"), deleted("shard/t/2"));
+        Changed nothing = put(shardJson("t/1", "gw-1"), deletionJson("shard/t/2"));
         assertEquals(new Changed(1, before.digest(), 0), nothing);
         assertEquals(before, registry.image());
         EntryKey shard = EntryKey.parse("shard/t/1");
         assertSame(registry.view().entries().get(shard), registry.view().entries().get(shard));
-        Changed some = put(shard("t/1", "gw-1"), shard("t/2", "gw-1"));
+        Changed some = put(shardJson("t/1", "gw-1"), shardJson("t/2", "gw-1"));
         assertEquals(1, some.mutations());
         assertEquals(1, registry.view().entries().get(shard).revision());
     }
 
     @Test
-    void historyKeepsAuthorTimeAndWhatUndoesEachChange() {
-        put(backend("gw-1"), shard("t/1", "gw-1"));
-        put(deleted("shard/t/1"));
+    void historyKeepsAuthorTimeAndUndoOfEachChange() {
+        put(backendJson("gw-1"), shardJson("t/1", "gw-1"));
+        put(deletionJson("shard/t/1"));
         ConfigurationRegistry.History history = registry.history(0, 10);
         assertEquals(2, history.changes().size());
         AcceptedChange last = history.changes().get(1);
         assertEquals("ana", last.author());
-        assertEquals(DAY, last.dayMs());
+        assertEquals(ACCEPTED_AT_MS, last.dayMs());
         EntryKey shard = EntryKey.parse("shard/t/1");
         assertEquals(List.of(new Mutation(shard, new EntryValue.Shard("gw-1"))), last.undo());
         assertEquals(last, registry.history(1, 10).changes().get(0));
     }
 
     @Property(tries = 100)
-    void countsOfShardsAndUndosAgreeWithTheEntriesAfterAnyChanges(@ForAll long seed) {
+    void shardCountsAndUndosMatchTheEntriesAfterRandomChanges(@ForAll long seed) {
         Random random = new Random(seed);
         ConfigurationRegistry drawn = new ConfigurationRegistry();
         Map<Long, Map<EntryKey, EntryValue>> past = new HashMap<>(Map.of(0L, Map.of()));
         for (int i = 0; i < 60; i++) {
-            drawn.change(new ChangeConfiguration("ana", mutations(random), Map.of()), DAY);
+            drawn.applyChange(new ChangeConfiguration("ana", randomMutations(random), Map.of()), ACCEPTED_AT_MS);
             past.put(drawn.revision(), values(drawn));
         }
         ConfigurationRegistry restored = new ConfigurationRegistry(drawn.image());
@@ -250,7 +250,7 @@
             for (int i = changes.size() - 1; i >= 0; i--) {
                 for (Mutation undo : changes.get(i).undo()) {
                     back.remove(undo.key());
-                    if (!undo.deletes()) {
+                    if (!undo.isDeletion()) {
                         back.put(undo.key(), undo.value());
                     }
                 }
@@ -275,15 +275,15 @@
                                     entry ->
                                             entry.value().equals(new EntryValue.Shard(key.name())));
             Reply reply =
-                    registry.change(
+                    registry.applyChange(
                             new ChangeConfiguration(
                                     "ana", List.of(new Mutation(key, null)), Map.of()),
-                            DAY);
+                            ACCEPTED_AT_MS);
             assertEquals(named, reply instanceof Rejected no && no.code() == RejectionCode.IN_USE);
         }
     }
 
-    private static List<Mutation> mutations(Random random) {
+    private static List<Mutation> randomMutations(Random random) {
         List<Mutation> mutations = new ArrayList<>();
         for (int i = random.nextInt(4); i >= 0; i--) {
             String backend = "gw-" + random.nextInt(4);
@@ -301,8 +301,8 @@
     }
 
     @Test
-    void imageThatContradictsItselfIsRefused() {
-        put(backend("gw-1"));
+    void inconsistentImageIsRejected() {
+        put(backendJson("gw-1"));
         ConfigurationRegistry.Image good = registry.image();
         assertThrows(
                 IllegalArgumentException.class,
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/FollowerReportsByZoneTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/FollowerReportsByZoneTest.java
@@ -10,19 +10,19 @@
 class FollowerReportsByZoneTest {
     private final FollowerReports reports = new FollowerReports();
 
-    private void take(String distributor, String zone, int followers, long nowMs) {
-        reports.take(
+    private void report(String distributor, String zone, int followers, long nowMs) {
+        reports.update(
                 new FollowerReport(
                         distributor, zone, 7, Map.of(7L, followers), followers, List.of()),
                 nowMs);
     }
 
     @Test
-    void zoneOfAnotherDistributorDoesNotReplaceItsOwn() {
-        take("d-a2", "a2", 5, 0);
-        take("d-a2", "a1", 3, 0); // the followers of a1 while their distributor is gone
-        take("d-a1", "a1", 0, 500);
-        take("d-a2", "a2", 6, 1_000);
+    void reportOnAnotherZoneDoesNotReplaceTheDistributorsOwn() {
+        report("d-a2", "a2", 5, 0);
+        report("d-a2", "a1", 3, 0); // the followers of a1 while their distributor is gone
+        report("d-a1", "a1", 0, 500);
+        report("d-a2", "a2", 6, 1_000);
         List<FollowerReports.Zone> zones = reports.zones(7, 2_000);
         assertEquals(
                 List.of("a1 d-a1 0", "a1 d-a2 3", "a2 d-a2 6"),
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/FollowerReportsTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/FollowerReportsTest.java
@@ -17,9 +17,9 @@
     }
 
     @Test
-    void confirmedAreThoseAtTheRevisionOrLaterAndAgesGoOn() {
+    void countsFollowersAtTheRevisionOrLaterAndAdvancesAges() {
         FollowerReports reports = new FollowerReports();
-        reports.take(report("d1", List.of(new Behind("r7", 7, 400))), 1_000);
+        reports.update(report("d1", List.of(new Behind("r7", 7, 400))), 1_000);
         FollowerReports.Zone at8 = reports.zones(8, 41_000).get(0);
         assertEquals(190, at8.confirmed());
         assertEquals(40_000, at8.reportAgeMs());
@@ -30,21 +30,21 @@
     }
 
     @Test
-    void reportsAreBoundedAndTheOldestGoesFirst() {
+    void reportsAreBoundedAndTheOldestIsEvicted() {
         FollowerReports reports = new FollowerReports();
-        for (int i = 0; i <= FollowerReports.MOST; i++) {
-            reports.take(report("d" + i, List.of()), i);
+        for (int i = 0; i <= FollowerReports.MAX_REPORTS; i++) {
+            reports.update(report("d" + i, List.of()), i);
         }
         List<FollowerReports.Zone> zones = reports.zones(8, 5_000);
-        assertEquals(FollowerReports.MOST, zones.size());
+        assertEquals(FollowerReports.MAX_REPORTS, zones.size());
         assertEquals(0, zones.stream().filter(zone -> zone.distributor().equals("d0")).count());
     }
 
     @Test
-    void reportThatIsTooLargeOrNegativeIsRefused() {
-        assertNull(report("d1", List.of()).fault());
-        assertNotNull(report("", List.of()).fault());
-        assertNotNull(report("d1", List.of(new Behind("r", -1, 0))).fault());
-        assertNotNull(report("d1", Collections.nCopies(101, new Behind("r", 1, 0))).fault());
+    void oversizedOrNegativeReportIsInvalid() {
+        assertNull(report("d1", List.of()).validationError());
+        assertNotNull(report("", List.of()).validationError());
+        assertNotNull(report("d1", List.of(new Behind("r", -1, 0))).validationError());
+        assertNotNull(report("d1", Collections.nCopies(101, new Behind("r", 1, 0))).validationError());
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/RollbackPlanTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/RollbackPlanTest.java
@@ -24,12 +24,12 @@
 
 /** Rollbacks are accepted change by change, and lose no other writer's work. */
 class RollbackPlanTest {
-    private static final int BACKENDS = 3;
+    private static final int BACKEND_COUNT = 3;
 
     private ConfigurationRegistry registry = new ConfigurationRegistry();
 
     private Reply change(ChangeConfiguration change) {
-        return registry.change(change, 1);
+        return registry.applyChange(change, 1);
     }
 
     private Reply put(List<Mutation> mutations) {
@@ -48,7 +48,7 @@
         return new Mutation(new EntryKey(EntryKind.SHARD, "t/" + number), value);
     }
 
-    private static Mutation deleted(Mutation mutation) {
+    private static Mutation deletion(Mutation mutation) {
         return new Mutation(mutation.key(), null);
     }
 
@@ -58,35 +58,35 @@
         return values;
     }
 
-    private List<ChangeConfiguration> planBackTo(long revision) {
+    private List<ChangeConfiguration> rollbackPlan(long revision) {
         return RollbackPlan.of(registry.history(revision, Integer.MAX_VALUE).changes(), "bea");
     }
 
     @Property(tries = 200)
-    void anyRevisionThatIsKeptComesBack(@ForAll long seed) {
+    void anyRetainedRevisionCanBeRestored(@ForAll long seed) {
         Random random = new Random(seed);
         registry = new ConfigurationRegistry(); // the instance is shared by all tries
         Map<Long, Map<EntryKey, EntryValue>> past = new HashMap<>(Map.of(0L, Map.of()));
         for (int i = 0; i < 25; i++) {
             List<Mutation> mutations = new ArrayList<>();
             for (int j = random.nextInt(4); j >= 0; j--) {
-                int number = random.nextInt(BACKENDS);
+                int number = random.nextInt(BACKEND_COUNT);
                 Mutation one =
                         random.nextBoolean() ? backend(number) : shard(random.nextInt(5), number);
-                mutations.add(random.nextInt(3) == 0 ? deleted(one) : one);
+                mutations.add(random.nextInt(3) == 0 ? deletion(one) : one);
             }
             put(mutations);
             past.put(registry.revision(), values(registry));
         }
         long back = random.nextInt((int) registry.revision() + 1);
-        planBackTo(back).forEach(change -> assertInstanceOf(Changed.class, change(change)));
+        rollbackPlan(back).forEach(change -> assertInstanceOf(Changed.class, change(change)));
         assertEquals(past.get(back), values(registry));
-        assertEquals(List.of(), planBackTo(back));
+        assertEquals(List.of(), rollbackPlan(back));
     }
 
     @Test
-    void largeRollbackIsSeveralChangesInAnOrderThatIsAccepted() {
-        int many = ConfigurationLimits.MUTATIONS_PER_CHANGE;
+    void largeRollbackIsSplitIntoChangesInAnAcceptedOrder() {
+        int many = ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE;
         put(List.of(backend(0)));
         putShards(many, 0);
         putShards(2 * many, 0);
@@ -95,8 +95,8 @@
         put(List.of(backend(1)));
         putShards(many, 1);
         putShards(2 * many, 1);
-        put(List.of(deleted(backend(0))));
-        List<ChangeConfiguration> plan = planBackTo(full);
+        put(List.of(deletion(backend(0))));
+        List<ChangeConfiguration> plan = rollbackPlan(full);
         assertTrue(plan.size() > 2, plan.size() + " changes");
         plan.forEach(change -> assertInstanceOf(Changed.class, change(change)));
         assertEquals(before, values(registry));
@@ -104,17 +104,17 @@
 
     private void putShards(int end, int backend) {
         List<Mutation> shards = new ArrayList<>();
-        for (int i = end - ConfigurationLimits.MUTATIONS_PER_CHANGE; i < end; i++) {
+        for (int i = end - ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE; i < end; i++) {
             shards.add(shard(i, backend));
         }
         assertInstanceOf(Changed.class, put(shards));
     }
 
     @Test
-    void rollbackIsRefusedWhereSomebodyElseHasWrittenMeanwhile() {
+    void rollbackIsRejectedAfterAConcurrentWrite() {
         put(List.of(backend(0), backend(1), shard(1, 0), shard(2, 0)));
-        put(List.of(shard(1, 1), deleted(shard(2, 0))));
-        List<ChangeConfiguration> plan = planBackTo(1);
+        put(List.of(shard(1, 1), deletion(shard(2, 0))));
+        List<ChangeConfiguration> plan = rollbackPlan(1);
         put(List.of(shard(2, 1)));
         Rejected late = assertInstanceOf(Rejected.class, change(plan.get(0)));
         assertEquals(RejectionCode.CONFLICT, late.code());
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHandlerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHandlerTest.java
@@ -41,16 +41,16 @@
 
     private Change acceptAndServe(String backend) {
         Change change = accept(backend);
-        handler.changesInForce(List.of(change));
+        handler.applyChanges(List.of(change));
         return change;
     }
 
-    private CompletableFuture<HttpAnswer> ask(String name, long after, long digest, long waitMs) {
+    private CompletableFuture<EncodedResponse> pollChanges(String name, long after, long digest, long waitMs) {
         return handler.handle(
                 "/v1/configuration/changes?after="
                         + after
                         + "&digest="
-                        + ConfigurationJson.text(digest)
+                        + ConfigurationJson.formatDigest(digest)
                         + "&follower="
                         + name
                         + "&zone=a1&waitMs="
@@ -58,79 +58,79 @@
                 name);
     }
 
-    private static ErrorResponse error(HttpAnswer answer, int status) throws Exception {
+    private static ErrorResponse error(EncodedResponse answer, int status) throws Exception {
         assertEquals(status, answer.status());
-        return ConfigurationJson.error(text(answer));
+        return ConfigurationJson.parseError(text(answer));
     }
 
-    private static String text(HttpAnswer answer) {
+    private static String text(EncodedResponse answer) {
         return new String(answer.body(), StandardCharsets.UTF_8);
     }
 
-    private JsonNode zone() throws IOException {
-        HttpAnswer status = handler.handle("/v1/configuration/status", "operator").join();
+    private JsonNode zoneStatus() throws IOException {
+        EncodedResponse status = handler.handle("/v1/configuration/status", "operator").join();
         return GroupCodec.jsonMapper().readTree(status.body()).path("zones").path(0);
     }
 
     @Test
-    void givesWhatComesAfterAndHoldsWhoHasTheNewest() throws Exception {
+    void returnsLaterChangesAndHoldsFollowersThatAreUpToDate() throws Exception {
         Change first = acceptAndServe("gw-1");
-        HttpAnswer answer = ask("relay-1", 0, 0, WAIT_MS).join();
+        EncodedResponse answer = pollChanges("relay-1", 0, 0, WAIT_MS).join();
         assertEquals(200, answer.status());
         assertEquals(
                 new ChangesResponse(1, first.digest(), List.of(first)),
-                ConfigurationJson.changes(text(answer)));
+                ConfigurationJson.parseChanges(text(answer)));
 
-        CompletableFuture<HttpAnswer> held = ask("relay-1", 1, first.digest(), WAIT_MS);
+        CompletableFuture<EncodedResponse> held = pollChanges("relay-1", 1, first.digest(), WAIT_MS);
         assertFalse(held.isDone());
         Change second = acceptAndServe("gw-2");
-        assertEquals(List.of(second), ConfigurationJson.changes(text(held.join())).changes());
+        assertEquals(List.of(second), ConfigurationJson.parseChanges(text(held.join())).changes());
     }
 
     @Test
-    void distributorThatIsOlderThanItsFollowerSaysSo() throws Exception {
+    void distributorOlderThanItsFollowerReportsBehind() throws Exception {
         acceptAndServe("gw-1");
         Change newer = accept("gw-2"); // accepted, but not yet here
-        HttpAnswer answer = ask("relay-1", 2, newer.digest(), WAIT_MS).getNow(null);
+        EncodedResponse answer = pollChanges("relay-1", 2, newer.digest(), WAIT_MS).getNow(null);
         assertNotNull(answer, "an older source must not hold a follower");
         assertEquals(1, error(answer, 421).revision());
     }
 
     @Test
-    void confirmationCountsOnceTheFollowerSaysThatItHasTheRevision() throws Exception {
-        CompletableFuture<HttpAnswer> held = ask("relay-1", 0, 0, WAIT_MS);
+    void revisionIsConfirmedOnlyByTheFollowersNextRequest() throws Exception {
+        CompletableFuture<EncodedResponse> held = pollChanges("relay-1", 0, 0, WAIT_MS);
         Change change = acceptAndServe("gw-1");
         assertEquals(200, held.join().status());
-        assertEquals(0, zone().path("confirmed").asInt(), "sent is not confirmed");
-        assertEquals(1, zone().path("behind").size());
+        assertEquals(0, zoneStatus().path("confirmed").asInt(), "sent is not confirmed");
+        assertEquals(1, zoneStatus().path("behind").size());
 
-        ask("relay-1", 1, change.digest(), WAIT_MS);
-        assertEquals(1, zone().path("confirmed").asInt());
-        assertEquals(0, zone().path("behind").size());
+        pollChanges("relay-1", 1, change.digest(), WAIT_MS);
+        assertEquals(1, zoneStatus().path("confirmed").asInt());
+        assertEquals(0, zoneStatus().path("behind").size());
     }
 
     @Test
-    void followerWithoutAZoneCountsInTheDistributorsOwn() throws Exception {
+    void followerWithoutAZoneIsCountedInTheDistributorsZone() throws Exception {
         String uri = "changes?after=0&digest=0000000000000000&follower=r&zone=&waitMs=0";
         assertEquals(200, handler.handle("/v1/configuration/" + uri, "c").join().status());
-        assertEquals("a1", zone().path("zone").asText());
+        assertEquals("a1", zoneStatus().path("zone").asText());
     }
 
     @Test
-    void wrongDigestIsToldAndNotCounted() throws Exception {
+    void wrongDigestIsReportedAndNotConfirmed() throws Exception {
         Change change = acceptAndServe("gw-1");
         assertEquals(
                 ErrorResponse.DIVERGED,
-                error(ask("relay-1", 1, change.digest() + 1, WAIT_MS).join(), 409).error());
-        assertEquals(1, zone().path("followers").asInt());
-        assertEquals(0, zone().path("confirmed").asInt());
+                error(pollChanges("relay-1", 1, change.digest() + 1, WAIT_MS).join(), 409).error());
+        assertEquals(1, zoneStatus().path("followers").asInt());
+        assertEquals(0, zoneStatus().path("confirmed").asInt());
     }
 
     @Test
-    void changeIsEncodedOnceForAllWhoWait() {
-        List<CompletableFuture<HttpAnswer>> held = new ArrayList<>();
+    void changeIsEncodedOnceForAllWaitingRequests() {
+        List<CompletableFuture<EncodedResponse>> held = new ArrayList<>();
         for (int i = 0; i < 800; i++) {
-            held.add(ask("relay-" + i, 0, 0, WAIT_MS));
+            held.add(pollChanges("relay-" + i, 0, 0, WAIT_MS));
         }
         acceptAndServe("gw-1");
         byte[] shared = held.get(0).join().body();
@@ -138,49 +138,49 @@
     }
 
     @Test
-    void waitEndsWithNoChanges() throws Exception {
-        CompletableFuture<HttpAnswer> held = ask("relay-1", 0, 0, WAIT_MS);
+    void expiredWaitReturnsNoChanges() throws Exception {
+        CompletableFuture<EncodedResponse> held = pollChanges("relay-1", 0, 0, WAIT_MS);
         nowMs.set(WAIT_MS - 1);
         handler.sweep();
         assertFalse(held.isDone());
         nowMs.set(WAIT_MS);
         handler.sweep();
         assertEquals(
-                new ChangesResponse(0, 0, List.of()), ConfigurationJson.changes(text(held.join())));
+                new ChangesResponse(0, 0, List.of()), ConfigurationJson.parseChanges(text(held.join())));
     }
 
     @Test
-    void followerThatWentAwayIsLetGo() throws Exception {
-        for (int i = 0; i < DistributorHandler.MOST_WAITING; i++) {
-            ask("relay-1", 0, 0, WAIT_MS).cancel(false);
+    void cancelledRequestsAreRemovedAndWaitingOnesAreBounded() throws Exception {
+        for (int i = 0; i < DistributorHandler.MAX_WAITING_REQUESTS; i++) {
+            pollChanges("relay-1", 0, 0, WAIT_MS).cancel(false);
         }
-        assertFalse(ask("relay-1", 0, 0, WAIT_MS).isDone());
-        for (int i = 1; i < DistributorHandler.MOST_WAITING; i++) {
-            ask("relay-1", 0, 0, WAIT_MS);
+        assertFalse(pollChanges("relay-1", 0, 0, WAIT_MS).isDone());
+        for (int i = 1; i < DistributorHandler.MAX_WAITING_REQUESTS; i++) {
+            pollChanges("relay-1", 0, 0, WAIT_MS);
         }
-        HttpAnswer refused = ask("relay-2", 0, 0, WAIT_MS).getNow(null);
+        EncodedResponse refused = pollChanges("relay-2", 0, 0, WAIT_MS).getNow(null);
         assertNotNull(refused, "over the bound");
         assertTrue(error(refused, 503).retryMs() > 0);
     }
 
     @Test
-    void snapshotTakenOverWakesWhoWaitsAndTruncatesWhatIsBefore() throws Exception {
-        CompletableFuture<HttpAnswer> held = ask("relay-1", 0, 0, WAIT_MS);
+    void appliedSnapshotWakesWaitingRequestsAndTruncatesTheHistory() throws Exception {
+        CompletableFuture<EncodedResponse> held = pollChanges("relay-1", 0, 0, WAIT_MS);
         accept("gw-1");
         accept("gw-2");
-        handler.snapshotInForce(writer);
+        handler.applySnapshot(writer);
         assertEquals(2, error(held.join(), 410).revision());
     }
 
     @Test
-    void snapshotComesInPagesAndOnlyToSoManyAtOnce() throws Exception {
+    void snapshotIsPagedAndConcurrentTransfersAreBounded() throws Exception {
         for (int i = 0; i < 7; i++) {
             acceptAndServe("gw-" + i);
         }
         List<SnapshotPage> pages = new ArrayList<>();
         String from = "";
         while (from != null) {
-            SnapshotPage page = page("relay-0", pages.isEmpty() ? 0 : 7, from);
+            SnapshotPage page = requestPage("relay-0", pages.isEmpty() ? 0 : 7, from);
             pages.add(page);
             from = page.next() == null ? null : "&from=" + page.next().text();
         }
@@ -190,27 +190,27 @@
                         7, pages.stream().flatMap(page -> page.entries().stream()).toList());
         assertEquals(writer.digest(), whole.digest());
 
-        for (int i = 0; i < DistributorHandler.MOST_SNAPSHOTS; i++) {
-            page("relay-" + i, 0, "");
+        for (int i = 0; i < DistributorHandler.MAX_SNAPSHOT_TRANSFERS; i++) {
+            requestPage("relay-" + i, 0, "");
         }
-        HttpAnswer refused = snapshot("relay-99", 0, "");
+        EncodedResponse refused = requestSnapshot("relay-99", 0, "");
         assertTrue(error(refused, 503).retryMs() > 0);
-        assertEquals(410, snapshot("relay-1", 3, "").status(), "not held");
+        assertEquals(410, requestSnapshot("relay-1", 3, "").status(), "not held");
     }
 
-    private HttpAnswer snapshot(String client, long revision, String from) {
+    private EncodedResponse requestSnapshot(String client, long revision, String from) {
         String uri = "/v1/configuration/snapshot?limit=3&revision=" + revision + from;
         return handler.handle(uri, client).join();
     }
 
-    private SnapshotPage page(String client, long revision, String from) throws Exception {
-        HttpAnswer answer = snapshot(client, revision, from);
+    private SnapshotPage requestPage(String client, long revision, String from) throws Exception {
+        EncodedResponse answer = requestSnapshot(client, revision, from);
         assertEquals(200, answer.status(), text(answer));
-        return ConfigurationJson.snapshotPage(text(answer));
+        return ConfigurationJson.parseSnapshotPage(text(answer));
     }
 
     @Test
-    void malformedRequestsGetOneErrorAndCountNothing() throws Exception {
+    void malformedRequestsAreRejectedAndNotCounted() throws Exception {
         String sound = "changes?after=0&digest=0000000000000000&follower=r&zone=z&waitMs=0";
         for (String uri :
                 List.of(
@@ -225,11 +225,11 @@
                         sound.replace("zone=z", "zone=%zz"),
                         "snapshot?revision=0&from=nothing/x",
                         "status?revision=1.5")) {
-            HttpAnswer answer = handler.handle("/v1/configuration/" + uri, "c").join();
+            EncodedResponse answer = handler.handle("/v1/configuration/" + uri, "c").join();
             assertTrue(error(answer, 400).error().length() > 5, uri);
         }
         assertEquals(404, handler.handle("/v1/configuration/never", "c").join().status());
-        assertTrue(zone().isMissingNode());
+        assertTrue(zoneStatus().isMissingNode());
         assertEquals(200, handler.handle("/v1/configuration/" + sound, "c").join().status());
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorListenerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHttpServerTest.java
@@ -25,7 +25,7 @@
 
 /** Many followers on sockets of their own. */
 @Timeout(value = 1, unit = TimeUnit.MINUTES)
-class DistributorListenerTest {
+class DistributorHttpServerTest {
     private static final int FOLLOWERS = 800;
     private static final int READ_TIMEOUT_MS = 20_000;
 
@@ -33,12 +33,12 @@
     private final DistributorHandler handler =
             new DistributorHandler("d-a1", "a1", writer, () -> System.nanoTime() / 1_000_000);
     private final List<Socket> sockets = new ArrayList<>();
-    private DistributorListener listener;
+    private DistributorHttpServer server;
 
     @BeforeEach
-    void listen() throws IOException {
+    void startServer() throws IOException {
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        listener = new DistributorListener(any, handler);
+        server = new DistributorHttpServer(any, handler);
     }
 
     @AfterEach
@@ -46,7 +46,7 @@
         for (Socket socket : sockets) {
             socket.close();
         }
-        listener.close();
+        server.close();
     }
 
     private Socket connect() throws IOException {
@@ -54,20 +54,20 @@
     }
 
     private Socket connect(Socket socket) throws IOException {
-        socket.connect(listener.address());
+        socket.connect(server.address());
         socket.setSoTimeout(READ_TIMEOUT_MS);
         sockets.add(socket);
         return socket;
     }
 
-    private static void get(Socket socket, String path) throws IOException {
+    private static void sendGet(Socket socket, String path) throws IOException {
         String request = "GET /v1/configuration/" + path + " HTTP/1.1\r\nHost: d\r\n\r\n";
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private void poll(Socket socket, String follower) throws IOException {
-        String digest = ConfigurationJson.text(writer.digest());
-        get(
+    private void pollChanges(Socket socket, String follower) throws IOException {
+        String digest = ConfigurationJson.formatDigest(writer.digest());
+        sendGet(
                 socket,
                 "changes?after="
                         + writer.revision()
@@ -89,7 +89,7 @@
         return line.toString().trim();
     }
 
-    private static String body(Socket socket) throws IOException {
+    private static String readBody(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         assertEquals("HTTP/1.1 200 OK", readLine(in));
         int length = 0;
@@ -101,60 +101,60 @@
         return new String(in.readNBytes(length), StandardCharsets.UTF_8);
     }
 
-    private void accept(int mutations, int length) {
+    private void applyChange(int mutations, int length) {
         List<Mutation> some = new ArrayList<>();
         for (int i = 0; i < mutations; i++) {
             EntryKey key = EntryKey.parse("setting/name-" + i);
             some.add(new Mutation(key, new EntryValue.Setting("x".repeat(length))));
         }
-        handler.changesInForce(List.of(writer.accept(some)));
+        handler.applyChanges(List.of(writer.accept(some)));
     }
 
-    private int waiting() throws IOException {
+    private int waitingRequests() throws IOException {
         byte[] status = handler.handle("/v1/configuration/status", "test").join().body();
         return GroupCodec.jsonMapper().readTree(status).path("waiting").asInt();
     }
 
     private void awaitWaiting(int expected) throws IOException, InterruptedException {
-        while (waiting() != expected) {
+        while (waitingRequests() != expected) {
             Thread.sleep(5);
         }
     }
 
     @Test
-    void changeReachesHundredsThatWaitOnOneThread() throws Exception {
+    void changeReachesHundredsOfWaitingFollowersOnOneThread() throws Exception {
         for (int i = 0; i < FOLLOWERS; i++) {
-            poll(connect(), "relay-" + i);
+            pollChanges(connect(), "relay-" + i);
         }
         awaitWaiting(FOLLOWERS);
-        accept(1, 10);
+        applyChange(1, 10);
         for (Socket socket : sockets) {
-            assertEquals(1, ConfigurationJson.changes(body(socket)).revision());
+            assertEquals(1, ConfigurationJson.parseChanges(readBody(socket)).revision());
         }
-        assertEquals(0, waiting());
+        assertEquals(0, waitingRequests());
     }
 
     @Test
-    void readerThatTakesNothingIsCutOffAndHoldsNobodyBack() throws Exception {
+    void stalledReaderIsDisconnectedWithoutDelayingOthers() throws Exception {
         Socket stuck = new Socket();
         stuck.setReceiveBufferSize(4 << 10);
         connect(stuck);
         Socket reader = connect();
-        poll(stuck, "stuck");
-        poll(reader, "reader");
+        pollChanges(stuck, "stuck");
+        pollChanges(reader, "reader");
         awaitWaiting(2);
-        accept(500, 2_000); // 1 MB: far over what a socket takes without its reader
+        applyChange(500, 2_000); // 1 MB: far over what a socket takes without its reader
         assertEquals(
-                500, ConfigurationJson.changes(body(reader)).changes().get(0).mutations().size());
-        Thread.sleep(FollowerConnection.STUCK.plusSeconds(1).toMillis());
+                500, ConfigurationJson.parseChanges(readBody(reader)).changes().get(0).mutations().size());
+        Thread.sleep(FollowerConnection.WRITE_TIMEOUT.plusSeconds(1).toMillis());
         int taken = stuck.getInputStream().readAllBytes().length; // what the socket still held
         assertTrue(taken < 900_000, taken + " bytes");
     }
 
     @Test
-    void followerThatIsGoneDoesNotWait() throws Exception {
+    void disconnectedFollowerIsNoLongerWaiting() throws Exception {
         Socket socket = connect();
-        poll(socket, "relay-1");
+        pollChanges(socket, "relay-1");
         awaitWaiting(1);
         socket.close();
         awaitWaiting(0);
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/FollowerRegistryTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/FollowerRegistryTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void tellsWhoIsBehindAndSinceWhen() {
+    void reportsWhichFollowersAreBehindAndForHowLong() {
         registry.advance(7, 0);
         registry.confirm("relay-1", "a1", 7, 100);
         registry.confirm("relay-2", "a1", 7, 100);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void newcomerIsBehindOnlySinceItWasFirstHeard() {
+    void newFollowerIsBehindOnlySinceItsFirstRequest() {
         registry.advance(5, 0);
         registry.confirm("relay-1", "a1", 0, 60_000);
         assertEquals(
@@ -50,16 +50,16 @@
     }
 
     @Test
-    void unverifiedRequestKeepsWhatWasConfirmed() {
+    void unverifiedRequestKeepsTheConfirmedRevision() {
         registry.advance(5, 0);
         registry.confirm("relay-1", "a1", 4, 0);
-        registry.hear("relay-1", "a1", SILENT_AFTER_MS);
+        registry.recordUnverifiedRequest("relay-1", "a1", SILENT_AFTER_MS);
         registry.sweep(SILENT_AFTER_MS + 1);
         assertEquals(Map.of(4L, 1), zone("a1", SILENT_AFTER_MS + 1).confirmedByRevision());
     }
 
     @Test
-    void silentFollowerIsNamedAndNotCountedUntilItIsHeardAgain() {
+    void silentFollowerIsNamedButNotCountedUntilItsNextRequest() {
         registry.advance(5, 0);
         registry.confirm("relay-1", "a1", 5, 0);
         registry.confirm("relay-2", "a1", 5, 6_000);
@@ -79,19 +79,19 @@
         assertEquals(2, report.followers());
         assertEquals(List.of(), report.silent());
 
-        registry.sweep(FollowerRegistry.FORGOTTEN_MS + 2 * SILENT_AFTER_MS);
+        registry.sweep(FollowerRegistry.SILENT_RETENTION_MS + 2 * SILENT_AFTER_MS);
         assertEquals(0, registry.size());
     }
 
     @Test
-    void namesAHundredAtMostAndTheLongestBehindFirst() {
+    void namesAtMostAHundredFollowersLongestBehindFirst() {
         registry.advance(1, 0);
         for (int i = 0; i < 300; i++) {
             registry.confirm("relay-" + i, "a1", i == 299 ? 0 : 1, 0);
         }
         registry.advance(2, 500);
         List<FollowerReport.Behind> behind = zone("a1", 1_000).behind();
-        assertEquals(FollowerReport.NAMED, behind.size());
+        assertEquals(FollowerReport.MAX_NAMED_FOLLOWERS, behind.size());
         assertEquals(new FollowerReport.Behind("relay-299", 0, 1_000), behind.get(0));
         assertEquals(500, behind.get(1).sinceMs());
     }
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/ReportScheduleTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/ReportScheduleTest.java
@@ -17,21 +17,21 @@
     }
 
     @Test
-    void changedCountsAtOnceAndTheOthersNowAndThen() {
+    void changedZonesAreDueAtOnceAndOthersPeriodically() {
         ZoneConfirmations quiet = zone("a1", 3);
         ZoneConfirmations busy = zone("a2", 5);
-        assertEquals(List.of(quiet, busy), schedule.due(List.of(quiet, busy), 0));
-        schedule.reported(quiet, 0);
-        assertEquals(List.of(busy), schedule.due(List.of(quiet, busy), 1_000), "not yet taken");
-        schedule.reported(busy, 1_000);
+        assertEquals(List.of(quiet, busy), schedule.dueZones(List.of(quiet, busy), 0));
+        schedule.markReported(quiet, 0);
+        assertEquals(List.of(busy), schedule.dueZones(List.of(quiet, busy), 1_000), "not yet taken");
+        schedule.markReported(busy, 1_000);
 
         ZoneConfirmations changed = zone("a2", 6);
-        assertEquals(List.of(changed), schedule.due(List.of(quiet, changed), 2_000));
-        schedule.reported(changed, 2_000);
-        assertEquals(List.of(), schedule.due(List.of(quiet, changed), 9_999));
-        assertEquals(List.of(quiet), schedule.due(List.of(quiet, changed), 10_000));
+        assertEquals(List.of(changed), schedule.dueZones(List.of(quiet, changed), 2_000));
+        schedule.markReported(changed, 2_000);
+        assertEquals(List.of(), schedule.dueZones(List.of(quiet, changed), 9_999));
+        assertEquals(List.of(quiet), schedule.dueZones(List.of(quiet, changed), 10_000));
 
         schedule.reset();
-        assertEquals(List.of(quiet, changed), schedule.due(List.of(quiet, changed), 10_001));
+        assertEquals(List.of(quiet, changed), schedule.dueZones(List.of(quiet, changed), 10_001));
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/SnapshotAdmissionTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/SnapshotAdmissionTest.java
@@ -9,26 +9,26 @@
 
 /** How many snapshot transfers are let in, and when the others are told to come back. */
 class SnapshotAdmissionTest {
-    private static final int MOST_TRANSFERS = 4;
+    private static final int MAX_TRANSFERS = 4;
     private static final long TRANSFER_MS = 400;
 
-    private final SnapshotAdmission admission = new SnapshotAdmission(MOST_TRANSFERS, TRANSFER_MS);
+    private final SnapshotAdmission admission = new SnapshotAdmission(MAX_TRANSFERS, TRANSFER_MS);
 
     @Test
-    void admitsUpToItsBoundAndLaterPagesOfThoseThatAreIn() {
-        for (int i = 0; i < MOST_TRANSFERS; i++) {
+    void admitsUpToTheLimitAndFurtherPagesOfActiveTransfers() {
+        for (int i = 0; i < MAX_TRANSFERS; i++) {
             assertEquals(0, admission.admit("relay-" + i, 0));
         }
         assertTrue(admission.admit("relay-9", 0) > 0);
         assertEquals(0, admission.admit("relay-2", 10), "its next page");
         admission.finish("relay-2");
         assertEquals(0, admission.admit("relay-9", 20));
-        assertEquals(MOST_TRANSFERS, admission.transfers());
+        assertEquals(MAX_TRANSFERS, admission.activeTransfers());
     }
 
     @Test
-    void retryTimesAreSpreadByHowManyWait() {
-        for (int i = 0; i < MOST_TRANSFERS; i++) {
+    void retryTimesAreSpreadOverWaitingFollowers() {
+        for (int i = 0; i < MAX_TRANSFERS; i++) {
             admission.admit("relay-" + i, 0);
         }
         Set<Long> retryTimes = new HashSet<>();
@@ -41,25 +41,25 @@
     }
 
     @Test
-    void askingEarlyKeepsTheTurnAndTellsNobodyToWaitForEver() {
-        for (int i = 0; i < MOST_TRANSFERS; i++) {
+    void askingEarlyKeepsTheRetryTimeAndDelaysAreBounded() {
+        for (int i = 0; i < MAX_TRANSFERS; i++) {
             admission.admit("relay-" + i, 0);
         }
         long told = admission.admit("waiting", 0);
         assertEquals(told - 30, admission.admit("waiting", 30));
         for (int i = 0; i < 10_000; i++) {
             long retryMs = admission.admit("crowd-" + i, 40);
-            assertTrue(retryMs > 0 && retryMs <= SnapshotAdmission.MOST_RETRY_MS);
+            assertTrue(retryMs > 0 && retryMs <= SnapshotAdmission.MAX_RETRY_MS);
         }
     }
 
     @Test
-    void abandonedTransferMakesRoom() {
-        for (int i = 0; i < MOST_TRANSFERS; i++) {
+    void abandonedTransferFreesASlot() {
+        for (int i = 0; i < MAX_TRANSFERS; i++) {
             admission.admit("relay-" + i, 0);
         }
-        long nowMs = SnapshotAdmission.ABANDONED_MS + 1;
+        long nowMs = SnapshotAdmission.TRANSFER_TIMEOUT_MS + 1;
         assertEquals(0, admission.admit("relay-9", nowMs));
-        assertEquals(1, admission.transfers());
+        assertEquals(1, admission.activeTransfers());
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/ConfigurationLoad.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConfigurationLoad.java
@@ -82,7 +82,7 @@
 
     private synchronized List<Mutation> nextShards(int upTo) {
         List<Mutation> mutations = new ArrayList<>();
-        int until = Math.min(upTo, shards + ConfigurationLimits.MUTATIONS_PER_CHANGE);
+        int until = Math.min(upTo, shards + ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE);
         for (; shards < until; shards++) {
             mutations.add(placed(shards));
         }
--- a/lab/src/main/java/saltstage/lab/scale/ConfigurationRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConfigurationRun.java
@@ -87,7 +87,7 @@
             throw new IOException("a snapshot was answered with " + answer.statusCode());
         }
         bytes += answer.body().length();
-        return ConfigurationJson.snapshotPage(answer.body());
+        return ConfigurationJson.parseSnapshotPage(answer.body());
     }
 
     /** Waits until a source serves this revision; one that has just started does not listen yet. */
@@ -113,7 +113,7 @@
         String from = "";
         int pages = 0;
         while (from != null) {
-            SnapshotPage page = page(source, revision, from, ConfigurationLimits.ENTRIES_PER_PAGE);
+            SnapshotPage page = page(source, revision, from, ConfigurationLimits.MAX_ENTRIES_PER_PAGE);
             revision = page.revision();
             from = page.next() == null ? null : "&from=" + page.next().text();
             pages++;
--- a/lab/src/main/java/saltstage/lab/scale/HollowHostCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/HollowHostCommand.java
@@ -81,8 +81,8 @@
     }
 
     private FollowerOptions options(int index) {
-        List<URI> addresses = sources.stream().map(FollowerOptions::source).toList();
-        return new FollowerOptions(addresses, "hollow-" + index, zone, FollowerTimings.usual());
+        List<URI> addresses = sources.stream().map(FollowerOptions::sourceUri).toList();
+        return new FollowerOptions(addresses, "hollow-" + index, zone, FollowerTimings.defaults());
     }
 
     private static FollowerResources resources() {
--- a/lab/src/main/java/saltstage/lab/scale/HollowRelay.java
+++ b/lab/src/main/java/saltstage/lab/scale/HollowRelay.java
@@ -47,13 +47,13 @@
     }
 
     @Override
-    public synchronized void changesInForce(List<Change> changes) {
+    public synchronized void changesApplied(List<Change> changes) {
         Change newest = changes.get(changes.size() - 1);
         inForce(newest.revision(), newest.digest());
     }
 
     @Override
-    public synchronized void snapshotInForce(ConfigurationView taken) {
+    public synchronized void snapshotApplied(ConfigurationView taken) {
         snapshot = new Held(taken.revision(), List.copyOf(taken.entries().values()));
         inForce(taken.revision(), taken.digest());
     }
@@ -69,17 +69,17 @@
     }
 
     @Override
-    public void confirmed(long confirmedRevision) {
+    public void revisionConfirmed(long confirmedRevision) {
         onCurrent.run();
     }
 
     @Override
-    public void sourceLeft(URI source, URI next, String reason) {
+    public void sourceFailedOver(URI source, URI next, String reason) {
         System.err.println(index + " left " + source + " for " + next + ": " + reason);
     }
 
     @Override
-    public void fault(RuntimeException fault) {
+    public void faultOccurred(RuntimeException fault) {
         fault.printStackTrace();
     }
 
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationWitness.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationWitness.java
@@ -165,7 +165,7 @@
     /** The digests that revision 0 has. */
     static Map<Long, String> nothing() {
         Map<Long, String> digests = new TreeMap<>();
-        digests.put(0L, ConfigurationJson.text(new ConfigurationView().digest()));
+        digests.put(0L, ConfigurationJson.formatDigest(new ConfigurationView().digest()));
         return digests;
     }
 
--- a/lab/src/main/java/saltstage/lab/trial/FollowersCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/FollowersCommand.java
@@ -67,15 +67,15 @@
     }
 
     private FollowerTimings timings() {
-        FollowerTimings usual = FollowerTimings.usual();
+        FollowerTimings usual = FollowerTimings.defaults();
         return pollMs == null
                 ? usual
                 : new FollowerTimings(
                         Duration.ofMillis(pollMs),
-                        usual.retryBase(),
-                        usual.retryMost(),
-                        usual.preferredPause(),
-                        usual.preferredMost());
+                        usual.baseRetryDelay(),
+                        usual.maxRetryDelay(),
+                        usual.basePreferredRetryDelay(),
+                        usual.maxPreferredRetryDelay());
     }
 
     @Override
@@ -86,7 +86,7 @@
                         .version(HttpClient.Version.HTTP_1_1)
                         .connectTimeout(CONNECT)
                         .build();
-        List<URI> uris = sources.stream().map(FollowerOptions::source).toList();
+        List<URI> uris = sources.stream().map(FollowerOptions::sourceUri).toList();
         RandomGenerator random = () -> ThreadLocalRandom.current().nextLong();
         for (int i = 1; i <= count; i++) {
             FollowerOptions options = new FollowerOptions(uris, name + "-" + i, zone, timings());
@@ -102,8 +102,8 @@
         Path own = Files.createDirectories(dir.resolve(options.name()));
         ConfigurationDirectory disk = new ConfigurationDirectory(own, FollowersCommand::tell);
         Told told = new Told(options.name(), new Socket("127.0.0.1", witness));
-        told.begin(disk.held().view());
-        new ConfigurationClient(options, resources, disk, disk.held().view(), told).start();
+        told.begin(disk.persistedConfiguration().view());
+        new ConfigurationClient(options, resources, disk, disk.persistedConfiguration().view(), told).start();
     }
 
     private static void tell(String event, Object... pairs) {
@@ -128,7 +128,7 @@
         }
 
         @Override
-        public void changesInForce(List<Change> changes) {
+        public void changesApplied(List<Change> changes) {
             for (Change change : changes) {
                 ConfigurationView.Outcome outcome = copy.apply(change);
                 send(outcome == ConfigurationView.Outcome.APPLIED ? "applied" : outcome.name());
@@ -136,23 +136,23 @@
         }
 
         @Override
-        public void snapshotInForce(ConfigurationView view) {
+        public void snapshotApplied(ConfigurationView view) {
             copy = new ConfigurationView(view.revision(), view.entries().values());
             send("snapshot");
         }
 
         @Override
-        public void sourceLeft(URI source, URI next, String reason) {
+        public void sourceFailedOver(URI source, URI next, String reason) {
             System.out.println(name + " left " + source + " for " + next + ": " + reason);
         }
 
         @Override
-        public void fault(RuntimeException fault) {
+        public void faultOccurred(RuntimeException fault) {
             send("fault-" + fault.getClass().getSimpleName());
         }
 
         private void send(String what) {
-            String digest = ConfigurationJson.text(copy.digest());
+            String digest = ConfigurationJson.formatDigest(copy.digest());
             String line = name + " " + what + " " + copy.revision() + " " + digest + "\n";
             try {
                 witness.getOutputStream().write(line.getBytes(StandardCharsets.US_ASCII));
--- a/relay/src/main/java/saltstage/configuration/ChangeHistory.java
+++ b/relay/src/main/java/saltstage/configuration/ChangeHistory.java
@@ -11,13 +11,13 @@
  */
 public final class ChangeHistory {
     /** What a follower is answered that has some revision. */
-    public sealed interface Answer {}
+    public sealed interface Result {}
 
     /** What comes after it, oldest first; empty where it has the newest. */
-    public record Changes(List<Change> changes) implements Answer {}
+    public record Changes(List<Change> changes) implements Result {}
 
     /** Why a follower gets no changes. */
-    public enum Refusal implements Answer {
+    public enum Failure implements Result {
         /** Changes after its revision are no longer kept: it needs a snapshot. */
         TRUNCATED,
         /** Its revision is newer than the newest here. */
@@ -27,27 +27,27 @@
     }
 
     private final TreeMap<Long, Change> changes = new TreeMap<>();
-    private final int mostChanges;
-    private final long mostBytes;
+    private final int maxChanges;
+    private final long maxBytes;
     private long baseRevision;
     private long baseDigest;
-    private long bytes;
+    private long estimatedBytes;
 
     /** Empty, after this revision, with the usual bounds. */
     public ChangeHistory(long baseRevision, long baseDigest) {
         this(
                 baseRevision,
                 baseDigest,
-                ConfigurationLimits.CHANGES_KEPT,
-                ConfigurationLimits.BYTES_KEPT);
+                ConfigurationLimits.MAX_HISTORY_CHANGES,
+                ConfigurationLimits.MAX_HISTORY_BYTES);
     }
 
     /** Empty, after this revision, with bounds of its own. */
     public ChangeHistory(long baseRevision, long baseDigest, int mostChanges, long mostBytes) {
         this.baseRevision = baseRevision;
         this.baseDigest = baseDigest;
-        this.mostChanges = mostChanges;
-        this.mostBytes = mostBytes;
+        this.maxChanges = mostChanges;
+        this.maxBytes = mostBytes;
     }
 
     /** Keeps the next change; throws IllegalArgumentException for one that is not the next. */
@@ -57,15 +57,15 @@
                     "change " + change.revision() + " does not follow " + newestRevision());
         }
         changes.put(change.revision(), change);
-        bytes += ConfigurationLimits.estimatedBytes(change);
-        while (changes.size() > mostChanges || bytes > mostBytes) {
+        estimatedBytes += ConfigurationLimits.estimatedBytes(change);
+        while (changes.size() > maxChanges || estimatedBytes > maxBytes) {
             dropOldest();
         }
     }
 
     private void dropOldest() {
         Change oldest = changes.pollFirstEntry().getValue();
-        bytes -= ConfigurationLimits.estimatedBytes(oldest);
+        estimatedBytes -= ConfigurationLimits.estimatedBytes(oldest);
         baseRevision = oldest.revision();
         baseDigest = oldest.digest();
     }
@@ -73,7 +73,7 @@
     /** Forgets all and begins anew after this revision, as when a snapshot was taken over. */
     public void reset(long revision, long digest) {
         changes.clear();
-        bytes = 0;
+        estimatedBytes = 0;
         baseRevision = revision;
         baseDigest = digest;
     }
@@ -82,27 +82,27 @@
      * What a follower is answered that has this revision with this digest.
      *
      * @param limit most changes; at least one is given where there is one, and no more are added
-     *     from {@link ConfigurationLimits#BYTES_PER_ANSWER} on
+     *     from {@link ConfigurationLimits#RESPONSE_BYTES_THRESHOLD} on
      */
-    public Answer after(long revision, long digest, int limit) {
+    public Result changesAfter(long revision, long digest, int limit) {
         if (revision > newestRevision()) {
-            return Refusal.BEHIND;
+            return Failure.BEHIND;
         }
         if (revision < baseRevision) {
-            return Refusal.TRUNCATED;
+            return Failure.TRUNCATED;
         }
         if (digestAt(revision) != digest) {
-            return Refusal.DIVERGED;
+            return Failure.DIVERGED;
         }
-        int most = Math.min(limit, ConfigurationLimits.CHANGES_PER_ANSWER);
-        return new Changes(some(revision, Math.max(1, most)));
+        int most = Math.min(limit, ConfigurationLimits.MAX_CHANGES_PER_RESPONSE);
+        return new Changes(limitedChangesAfter(revision, Math.max(1, most)));
     }
 
-    private List<Change> some(long after, int limit) {
+    private List<Change> limitedChangesAfter(long after, int limit) {
         List<Change> some = new ArrayList<>();
         long taken = 0;
         for (Change change : changes.tailMap(after, false).values()) {
-            if (some.size() >= limit || taken >= ConfigurationLimits.BYTES_PER_ANSWER) {
+            if (some.size() >= limit || taken >= ConfigurationLimits.RESPONSE_BYTES_THRESHOLD) {
                 break;
             }
             some.add(change);
@@ -136,7 +136,7 @@
     }
 
     /** Estimated bytes of what is kept. */
-    public long bytes() {
-        return bytes;
+    public long estimatedBytes() {
+        return estimatedBytes;
     }
 }
