--- a/relay/src/main/java/saltstage/configuration/ConfigurationJson.java
+++ b/relay/src/main/java/saltstage/configuration/ConfigurationJson.java
@@ -17,101 +17,101 @@
     // ---- reading
 
     /** Changes as a source answers them. */
-    public static ChangesResponse changes(String text) throws MalformedException {
+    public static ChangesResponse parseChanges(String text) throws MalformedException {
         JsonFields top = new JsonFields(Json.parseObject(text), "answer");
-        long revision = top.whole("revision", ConfigurationLimits.LARGEST_NUMBER);
-        long digest = digest(top.text("digest"), top.where("digest"));
-        List<Object> items = top.list("changes", ConfigurationLimits.CHANGES_PER_ANSWER);
-        top.end();
+        long revision = top.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
+        long digest = parseDigest(top.string("digest"), top.pathOf("digest"));
+        List<Object> items = top.list("changes", ConfigurationLimits.MAX_CHANGES_PER_RESPONSE);
+        top.rejectUnknown();
         List<Change> changes = new ArrayList<>(items.size());
         for (int i = 0; i < items.size(); i++) {
-            changes.add(change(items.get(i), "changes[" + i + "]"));
+            changes.add(parseChange(items.get(i), "changes[" + i + "]"));
         }
         return new ChangesResponse(revision, digest, changes);
     }
 
-    private static Change change(Object item, String where) throws MalformedException {
+    private static Change parseChange(Object item, String where) throws MalformedException {
         JsonFields fields = new JsonFields(Json.asObject(item, where), where);
-        long revision = fields.whole("revision", ConfigurationLimits.LARGEST_NUMBER);
-        long digest = digest(fields.text("digest"), fields.where("digest"));
-        List<Mutation> mutations = mutations(fields);
-        fields.end();
+        long revision = fields.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
+        long digest = parseDigest(fields.string("digest"), fields.pathOf("digest"));
+        List<Mutation> mutations = parseMutations(fields);
+        fields.rejectUnknown();
         return new Change(revision, digest, mutations);
     }
 
     /** A text {@code {"mutations":[…]}}, as operators write it. */
-    public static List<Mutation> mutations(String text) throws MalformedException {
+    public static List<Mutation> parseMutations(String text) throws MalformedException {
         JsonFields fields = new JsonFields(Json.parseObject(text), "text");
-        List<Mutation> mutations = mutations(fields);
-        fields.end();
+        List<Mutation> mutations = parseMutations(fields);
+        fields.rejectUnknown();
         return mutations;
     }
 
-    private static List<Mutation> mutations(JsonFields of) throws MalformedException {
-        List<Object> items = of.list("mutations", ConfigurationLimits.MUTATIONS_PER_CHANGE);
+    private static List<Mutation> parseMutations(JsonFields of) throws MalformedException {
+        List<Object> items = of.list("mutations", ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE);
         List<Mutation> mutations = new ArrayList<>(items.size());
         for (int i = 0; i < items.size(); i++) {
-            mutations.add(mutation(items.get(i), of.where("mutations[" + i + "]")));
+            mutations.add(parseMutation(items.get(i), of.pathOf("mutations[" + i + "]")));
         }
         return mutations;
     }
 
-    private static Mutation mutation(Object item, String where) throws MalformedException {
+    private static Mutation parseMutation(Object item, String where) throws MalformedException {
         JsonFields fields = new JsonFields(Json.asObject(item, where), where);
-        EntryKey key = key(fields.text("key"), fields.where("key"));
+        EntryKey key = parseKey(fields.string("key"), fields.pathOf("key"));
         EntryValue value = null;
         if (!fields.has("deleted")) {
-            value = value(key, fields);
-        } else if (!fields.truth("deleted")) {
-            throw new MalformedException(fields.where("deleted") + " takes only true");
+            value = parseValue(key, fields);
+        } else if (!fields.bool("deleted")) {
+            throw new MalformedException(fields.pathOf("deleted") + " takes only true");
         }
-        fields.end();
+        fields.rejectUnknown();
         return new Mutation(key, value);
     }
 
     /** A page of a snapshot. */
-    public static SnapshotPage snapshotPage(String text) throws MalformedException {
+    public static SnapshotPage parseSnapshotPage(String text) throws MalformedException {
         JsonFields top = new JsonFields(Json.parseObject(text), "answer");
-        long revision = top.whole("revision", ConfigurationLimits.LARGEST_NUMBER);
-        long digest = digest(top.text("digest"), top.where("digest"));
-        List<Object> items = top.list("entries", ConfigurationLimits.ENTRIES_PER_PAGE);
-        EntryKey next = top.has("next") ? key(top.text("next"), top.where("next")) : null;
-        top.end();
+        long revision = top.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
+        long digest = parseDigest(top.string("digest"), top.pathOf("digest"));
+        List<Object> items = top.list("entries", ConfigurationLimits.MAX_ENTRIES_PER_PAGE);
+        EntryKey next = top.has("next") ? parseKey(top.string("next"), top.pathOf("next")) : null;
+        top.rejectUnknown();
         List<Entry> entries = new ArrayList<>(items.size());
         for (int i = 0; i < items.size(); i++) {
-            entries.add(entry(items.get(i), "entries[" + i + "]"));
+            entries.add(parseEntry(items.get(i), "entries[" + i + "]"));
         }
         return new SnapshotPage(revision, digest, entries, next);
     }
 
-    private static Entry entry(Object item, String where) throws MalformedException {
+    private static Entry parseEntry(Object item, String where) throws MalformedException {
         JsonFields fields = new JsonFields(Json.asObject(item, where), where);
-        EntryKey key = key(fields.text("key"), fields.where("key"));
-        long revision = fields.whole("revision", ConfigurationLimits.LARGEST_NUMBER);
-        EntryValue value = value(key, fields);
-        fields.end();
+        EntryKey key = parseKey(fields.string("key"), fields.pathOf("key"));
+        long revision = fields.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
+        EntryValue value = parseValue(key, fields);
+        fields.rejectUnknown();
         return new Entry(key, value, revision);
     }
 
     /** An error; members that this build does not know are skipped, as it changes nothing. */
-    public static ErrorResponse error(String text) throws MalformedException {
+    public static ErrorResponse parseError(String text) throws MalformedException {
         JsonFields top = new JsonFields(Json.parseObject(text), "error");
-        long most = ConfigurationLimits.LARGEST_NUMBER;
+        long most = ConfigurationLimits.MAX_SAFE_INTEGER;
         return new ErrorResponse(
-                top.text("error"),
-                top.has("revision") ? top.whole("revision", most) : 0,
-                top.has("retryMs") ? top.whole("retryMs", most) : 0);
+                top.string("error"),
+                top.has("revision") ? top.integer("revision", most) : 0,
+                top.has("retryMs") ? top.integer("retryMs", most) : 0);
     }
 
     /** A digest of 16 hexadecimal digits, as in requests. */
-    public static long digest(String text, String where) throws MalformedException {
+    public static long parseDigest(String text, String where) throws MalformedException {
         if (!text.matches("[0-9a-f]{" + DIGEST_DIGITS + "}")) {
             throw new MalformedException(where + " takes 16 hexadecimal digits");
         }
         return Long.parseUnsignedLong(text, DIGEST_DIGITS);
     }
 
-    private static EntryKey key(String text, String where) throws MalformedException {
+    private static EntryKey parseKey(String text, String where) throws MalformedException {
         try {
             return EntryKey.parse(text);
         } catch (IllegalArgumentException bad) {
@@ -119,66 +119,66 @@
         }
     }
 
-    private static EntryValue value(EntryKey key, JsonFields of) throws MalformedException {
-        String word = key.kind().word();
-        String where = of.where(word);
+    private static EntryValue parseValue(EntryKey key, JsonFields of) throws MalformedException {
+        String word = key.kind().wireName();
+        String where = of.pathOf(word);
         JsonFields fields = new JsonFields(of.object(word), where);
         EntryValue value =
                 switch (key.kind()) {
-                    case SETTING -> new EntryValue.Setting(fields.text("text"));
-                    case BACKEND -> backend(fields);
-                    case SHARD -> new EntryValue.Shard(fields.text("backend"));
-                    case SUSPENSION -> new EntryValue.Suspension(fields.text("reason"));
+                    case SETTING -> new EntryValue.Setting(fields.string("text"));
+                    case BACKEND -> parseBackend(fields);
+                    case SHARD -> new EntryValue.Shard(fields.string("backend"));
+                    case SUSPENSION -> new EntryValue.Suspension(fields.string("reason"));
                 };
-        fields.end();
-        String fault = ValueRules.fault(value);
+        fields.rejectUnknown();
+        String fault = ValueRules.validationError(value);
         if (fault != null) {
             throw new MalformedException(where + ": " + fault);
         }
         return value;
     }
 
-    private static EntryValue backend(JsonFields fields) throws MalformedException {
+    private static EntryValue parseBackend(JsonFields fields) throws MalformedException {
         EntryValue.BackendState state;
         try {
-            state = EntryValue.BackendState.valueOf(fields.text("state"));
+            state = EntryValue.BackendState.valueOf(fields.string("state"));
         } catch (IllegalArgumentException unknown) {
-            throw new MalformedException(fields.where("state") + " is no state of a backend");
+            throw new MalformedException(fields.pathOf("state") + " is no state of a backend");
         }
         return new EntryValue.Backend(
-                fields.text("address"),
-                fields.text("zone"),
-                (int) fields.whole("cell", Integer.MAX_VALUE),
+                fields.string("address"),
+                fields.string("zone"),
+                (int) fields.integer("cell", Integer.MAX_VALUE),
                 state,
                 fields.number("weight"),
-                fields.whole("startedAtMs", ConfigurationLimits.LARGEST_NUMBER));
+                fields.integer("startedAtMs", ConfigurationLimits.MAX_SAFE_INTEGER));
     }
 
     // ---- writing
 
     /** Changes as a source answers them. */
-    public static String text(ChangesResponse response) {
-        JsonText json = new JsonText();
+    public static String toJson(ChangesResponse response) {
+        JsonWriter json = new JsonWriter();
         json.open('{').name("revision").number(response.revision());
-        json.name("digest").string(text(response.digest()));
+        json.name("digest").string(formatDigest(response.digest()));
         json.name("changes").open('[');
         response.changes().forEach(change -> write(json, change));
         return json.close(']').close('}').toString();
     }
 
-    private static void write(JsonText json, Change change) {
+    private static void write(JsonWriter json, Change change) {
         json.open('{').name("revision").number(change.revision());
-        json.name("digest").string(text(change.digest()));
+        json.name("digest").string(formatDigest(change.digest()));
         write(json, change.mutations());
         json.close('}');
     }
 
-    private static void write(JsonText json, List<Mutation> mutations) {
+    private static void write(JsonWriter json, List<Mutation> mutations) {
         json.name("mutations").open('[');
         for (Mutation mutation : mutations) {
             json.open('{').name("key").string(mutation.key().text());
-            if (mutation.deletes()) {
-                json.name("deleted").truth(true);
+            if (mutation.isDeletion()) {
+                json.name("deleted").bool(true);
             } else {
                 write(json, mutation.value());
             }
@@ -188,18 +188,18 @@
     }
 
     /** Mutations as operators write them. */
-    public static String text(List<Mutation> mutations) {
-        JsonText json = new JsonText();
+    public static String toJson(List<Mutation> mutations) {
+        JsonWriter json = new JsonWriter();
         json.open('{');
         write(json, mutations);
         return json.close('}').toString();
     }
 
     /** A page of a snapshot. */
-    public static String text(SnapshotPage page) {
-        JsonText json = new JsonText();
+    public static String toJson(SnapshotPage page) {
+        JsonWriter json = new JsonWriter();
         json.open('{').name("revision").number(page.revision());
-        json.name("digest").string(text(page.digest()));
+        json.name("digest").string(formatDigest(page.digest()));
         json.name("entries").open('[');
         for (Entry entry : page.entries()) {
             json.open('{').name("key").string(entry.key().text());
@@ -215,8 +215,8 @@
     }
 
     /** An error; what it does not say is left out. */
-    public static String text(ErrorResponse response) {
-        JsonText json = new JsonText();
+    public static String toJson(ErrorResponse response) {
+        JsonWriter json = new JsonWriter();
         json.open('{').name("error").string(response.error());
         if (response.revision() != 0) {
             json.name("revision").number(response.revision());
@@ -228,12 +228,12 @@
     }
 
     /** A digest as 16 hexadecimal digits. */
-    public static String text(long digest) {
+    public static String formatDigest(long digest) {
         return String.format("%016x", digest);
     }
 
-    private static void write(JsonText json, EntryValue value) {
-        json.name(value.kind().word()).open('{');
+    private static void write(JsonWriter json, EntryValue value) {
+        json.name(value.kind().wireName()).open('{');
         if (value instanceof EntryValue.Setting setting) {
             json.name("text").string(setting.text());
         } else if (value instanceof EntryValue.Shard shard) {
@@ -246,7 +246,7 @@
         json.close('}');
     }
 
-    private static void write(JsonText json, EntryValue.Backend backend) {
+    private static void write(JsonWriter json, EntryValue.Backend backend) {
         json.name("address").string(backend.address());
         json.name("zone").string(backend.zone());
         json.name("cell").number(backend.cell());
--- a/relay/src/main/java/saltstage/configuration/ConfigurationLimits.java
+++ b/relay/src/main/java/saltstage/configuration/ConfigurationLimits.java
@@ -6,58 +6,58 @@
  */
 public final class ConfigurationLimits {
     /** Most mutations of one change; a move of 15,000 shards takes 30 changes. */
-    public static final int MUTATIONS_PER_CHANGE = 500;
+    public static final int MAX_MUTATIONS_PER_CHANGE = 500;
 
     /** Most bytes of one change, by {@link #estimatedBytes(Mutation)}. */
-    public static final int BYTES_PER_CHANGE = 192 * 1024;
+    public static final int MAX_BYTES_PER_CHANGE = 192 * 1024;
 
     /** Most entries in force at one revision. */
-    public static final int ENTRIES = 200_000;
+    public static final int MAX_ENTRIES = 200_000;
 
     /** Most entries of one page of a snapshot. */
-    public static final int ENTRIES_PER_PAGE = 2_000;
+    public static final int MAX_ENTRIES_PER_PAGE = 2_000;
 
     /** Most changes of one answer. */
-    public static final int CHANGES_PER_ANSWER = 500;
+    public static final int MAX_CHANGES_PER_RESPONSE = 500;
 
     /** An answer ends with the change that takes it to so many bytes, by the same estimate. */
-    public static final int BYTES_PER_ANSWER = 1024 * 1024;
+    public static final int RESPONSE_BYTES_THRESHOLD = 1024 * 1024;
 
     /** Most changes that a history keeps. */
-    public static final int CHANGES_KEPT = 4_096;
+    public static final int MAX_HISTORY_CHANGES = 4_096;
 
     /**
      * Most bytes of the changes that a history keeps, by the same estimate: a move of 15,000
      * shards, and under half of what a snapshot of 59,000 entries takes.
      */
-    public static final int BYTES_KEPT = 2 * 1024 * 1024;
+    public static final int MAX_HISTORY_BYTES = 2 * 1024 * 1024;
 
     /** Longest text of a setting, in characters. */
-    public static final int SETTING_LENGTH = 2_000;
+    public static final int MAX_SETTING_LENGTH = 2_000;
 
     /** Longest address of a backend, in characters. */
-    public static final int ADDRESS_LENGTH = 100;
+    public static final int MAX_ADDRESS_LENGTH = 100;
 
     /** Longest identifier of a backend, in characters. */
-    public static final int IDENTIFIER_LENGTH = 160;
+    public static final int MAX_IDENTIFIER_LENGTH = 160;
 
     /** Longest name of a zone, in characters. */
-    public static final int ZONE_LENGTH = 60;
+    public static final int MAX_ZONE_LENGTH = 60;
 
     /** Longest reason of a suspension, in characters. */
-    public static final int REASON_LENGTH = 500;
+    public static final int MAX_REASON_LENGTH = 500;
 
     /** Largest number that JSON carries exactly. */
-    public static final long LARGEST_NUMBER = (1L << 53) - 1;
+    public static final long MAX_SAFE_INTEGER = (1L << 53) - 1;
 
-    private static final int BYTES_PER_MUTATION = 64;
+    private static final int MUTATION_OVERHEAD_BYTES = 64;
 
     private ConfigurationLimits() {}
 
     /** About how many bytes a mutation takes in JSON and, within a factor of some, in memory. */
     public static int estimatedBytes(Mutation mutation) {
-        int value = mutation.deletes() ? 0 : mutation.value().canonical().length();
-        return BYTES_PER_MUTATION + mutation.key().text().length() + value;
+        int value = mutation.isDeletion() ? 0 : mutation.value().canonicalText().length();
+        return MUTATION_OVERHEAD_BYTES + mutation.key().text().length() + value;
     }
 
     /** The sum of the estimates of a change's mutations. */
--- a/relay/src/main/java/saltstage/configuration/ConfigurationView.java
+++ b/relay/src/main/java/saltstage/configuration/ConfigurationView.java
@@ -32,7 +32,7 @@
     /** These entries, at this revision. */
     public ConfigurationView(long revision, Collection<Entry> entries) {
         this.revision = revision;
-        entries.forEach(this::put);
+        entries.forEach(this::putEntry);
     }
 
     /** Applies a change that others have accepted. */
@@ -47,7 +47,7 @@
             return Outcome.DIVERGED;
         }
         for (Mutation mutation : change.mutations()) {
-            write(mutation, change.revision());
+            applyMutation(mutation, change.revision());
         }
         revision = change.revision();
         return Outcome.APPLIED;
@@ -61,7 +61,7 @@
         TreeMap<EntryKey, Mutation> byKey = new TreeMap<>();
         mutations.forEach(mutation -> byKey.put(mutation.key(), mutation));
         revision++;
-        byKey.values().forEach(mutation -> write(mutation, revision));
+        byKey.values().forEach(mutation -> applyMutation(mutation, revision));
         return new Change(revision, digest, new java.util.ArrayList<>(byKey.values()));
     }
 
@@ -71,7 +71,7 @@
             Entry before = entries.get(mutation.key());
             after -= before == null ? 0 : EntryDigest.of(before);
             after +=
-                    mutation.deletes()
+                    mutation.isDeletion()
                             ? 0
                             : EntryDigest.of(
                                     new Entry(mutation.key(), mutation.value(), change.revision()));
@@ -79,15 +79,15 @@
         return after;
     }
 
-    private void write(Mutation mutation, long at) {
+    private void applyMutation(Mutation mutation, long at) {
         Entry before = entries.remove(mutation.key());
         digest -= before == null ? 0 : EntryDigest.of(before);
-        if (!mutation.deletes()) {
-            put(new Entry(mutation.key(), mutation.value(), at));
+        if (!mutation.isDeletion()) {
+            putEntry(new Entry(mutation.key(), mutation.value(), at));
         }
     }
 
-    private void put(Entry entry) {
+    private void putEntry(Entry entry) {
         entries.put(entry.key(), entry);
         digest += EntryDigest.of(entry);
     }
--- a/relay/src/main/java/saltstage/configuration/EntryDigest.java
+++ b/relay/src/main/java/saltstage/configuration/EntryDigest.java
@@ -17,7 +17,7 @@
         return Hashing.komihash5_0()
                 .hashStream()
                 .putString(entry.key().text())
-                .putString(entry.value().canonical())
+                .putString(entry.value().canonicalText())
                 .putLong(entry.revision())
                 .getAsLong();
     }
--- a/relay/src/main/java/saltstage/configuration/EntryKey.java
+++ b/relay/src/main/java/saltstage/configuration/EntryKey.java
@@ -9,14 +9,14 @@
  * @param name 1 to 160 visible ASCII characters
  */
 public record EntryKey(EntryKind kind, String name) implements Comparable<EntryKey> {
-    private static final Pattern NAME = Pattern.compile("[!-~]{1,160}");
+    private static final Pattern NAME_PATTERN = Pattern.compile("[!-~]{1,160}");
     private static final char SEPARATOR = '/';
 
     /** Checks the name; throws IllegalArgumentException for one that is malformed. */
     public EntryKey {
-        if (!NAME.matcher(name).matches()) {
+        if (!NAME_PATTERN.matcher(name).matches()) {
             throw new IllegalArgumentException(
-                    "the name of a " + kind.word() + " takes 1 to 160 visible ASCII characters");
+                    "the name of a " + kind.wireName() + " takes 1 to 160 visible ASCII characters");
         }
     }
 
@@ -24,7 +24,7 @@
     public static EntryKey parse(String text) {
         int end = text.indexOf(SEPARATOR);
         for (EntryKind kind : EntryKind.values()) {
-            if (end > 0 && kind.word().equals(text.substring(0, end))) {
+            if (end > 0 && kind.wireName().equals(text.substring(0, end))) {
                 return new EntryKey(kind, text.substring(end + 1));
             }
         }
@@ -33,12 +33,12 @@
 
     /** The key as text. */
     public String text() {
-        return kind.word() + SEPARATOR + name;
+        return kind.wireName() + SEPARATOR + name;
     }
 
     @Override
     public int compareTo(EntryKey other) {
-        int byKind = kind.word().compareTo(other.kind.word());
+        int byKind = kind.wireName().compareTo(other.kind.wireName());
         return byKind != 0 ? byKind : name.compareTo(other.name);
     }
 }
--- a/relay/src/main/java/saltstage/configuration/EntryKind.java
+++ b/relay/src/main/java/saltstage/configuration/EntryKind.java
@@ -11,14 +11,14 @@
     /** A backend that operators have suspended, by its identifier. */
     SUSPENSION("suspension");
 
-    private final String word;
+    private final String wireName;
 
     EntryKind(String word) {
-        this.word = word;
+        this.wireName = word;
     }
 
     /** The word in keys. */
-    public String word() {
-        return word;
+    public String wireName() {
+        return wireName;
     }
 }
--- a/relay/src/main/java/saltstage/configuration/EntryValue.java
+++ b/relay/src/main/java/saltstage/configuration/EntryValue.java
@@ -6,7 +6,7 @@
     EntryKind kind();
 
     /** All of the value as one line, the same in each process: what digests are made of. */
-    String canonical();
+    String canonicalText();
 
     /** A setting's value, as it would stand in the operator's file. */
     record Setting(String text) implements EntryValue {
@@ -16,7 +16,7 @@
         }
 
         @Override
-        public String canonical() {
+        public String canonicalText() {
             return text;
         }
     }
@@ -51,7 +51,7 @@
         }
 
         @Override
-        public String canonical() {
+        public String canonicalText() {
             return String.join(
                     "|",
                     address,
@@ -71,7 +71,7 @@
         }
 
         @Override
-        public String canonical() {
+        public String canonicalText() {
             return backend;
         }
     }
@@ -84,7 +84,7 @@
         }
 
         @Override
-        public String canonical() {
+        public String canonicalText() {
             return reason;
         }
     }
--- a/relay/src/main/java/saltstage/configuration/JsonFields.java
+++ b/relay/src/main/java/saltstage/configuration/JsonFields.java
@@ -10,73 +10,73 @@
 /** The members of one JSON object, read by type; each error names the member and its place. */
 final class JsonFields {
     private final Map<String, Object> members;
-    private final String place;
-    private final Set<String> read = new HashSet<>();
+    private final String path;
+    private final Set<String> readMembers = new HashSet<>();
 
     JsonFields(Map<String, Object> members, String place) {
         this.members = members;
-        this.place = place;
+        this.path = place;
     }
 
     /** The place of a member, for errors. */
-    String where(String name) {
-        return place + "." + name;
+    String pathOf(String name) {
+        return path + "." + name;
     }
 
     boolean has(String name) {
         return members.containsKey(name);
     }
 
-    String text(String name) throws MalformedException {
-        return typed(name, String.class, "a text");
+    String string(String name) throws MalformedException {
+        return requireType(name, String.class, "a text");
     }
 
-    boolean truth(String name) throws MalformedException {
-        return typed(name, Boolean.class, "true or false");
+    boolean bool(String name) throws MalformedException {
+        return requireType(name, Boolean.class, "true or false");
     }
 
     double number(String name) throws MalformedException {
-        return typed(name, Double.class, "a number");
+        return requireType(name, Double.class, "a number");
     }
 
     /** A whole number from 0 on. */
-    long whole(String name, long most) throws MalformedException {
+    long integer(String name, long most) throws MalformedException {
         double value = number(name);
         if (value != Math.rint(value) || value < 0 || value > most) {
-            throw new MalformedException(where(name) + " takes a whole number up to " + most);
+            throw new MalformedException(pathOf(name) + " takes a whole number up to " + most);
         }
         return (long) value;
     }
 
     @SuppressWarnings("unchecked") // each list that the parser makes is one of objects
     List<Object> list(String name, int most) throws MalformedException {
-        List<Object> list = (List<Object>) typed(name, List.class, "a list");
+        List<Object> list = (List<Object>) requireType(name, List.class, "a list");
         if (list.size() > most) {
             throw new MalformedException(
-                    where(name) + " has " + list.size() + " items; " + most + " are taken");
+                    pathOf(name) + " has " + list.size() + " items; " + most + " are taken");
         }
         return list;
     }
 
     Map<String, Object> object(String name) throws MalformedException {
-        return Json.asObject(typed(name, Map.class, "an object"), where(name));
+        return Json.asObject(requireType(name, Map.class, "an object"), pathOf(name));
     }
 
     /** Refuses members that were not read. */
-    void end() throws MalformedException {
+    void rejectUnknown() throws MalformedException {
         for (String name : members.keySet()) {
-            if (!read.contains(name)) {
-                throw new MalformedException(place + " has an unknown member '" + name + "'");
+            if (!readMembers.contains(name)) {
+                throw new MalformedException(path + " has an unknown member '" + name + "'");
             }
         }
     }
 
-    private <T> T typed(String name, Class<T> type, String takes) throws MalformedException {
-        read.add(name);
+    private <T> T requireType(String name, Class<T> type, String takes) throws MalformedException {
+        readMembers.add(name);
         Object value = members.get(name);
         if (!type.isInstance(value)) {
             throw new MalformedException(
-                    where(name) + (value == null ? " is missing" : " takes " + takes));
+                    pathOf(name) + (value == null ? " is missing" : " takes " + takes));
         }
         return type.cast(value);
     }
--- a/relay/src/main/java/saltstage/configuration/JsonText.java
+++ b/relay/src/main/java/saltstage/configuration/JsonWriter.java
@@ -1,59 +1,59 @@
 package saltstage.configuration;
 
 /** Writes JSON: the caller opens, names and closes; commas and escapes are put here. */
-final class JsonText {
+final class JsonWriter {
     private static final char FIRST_PRINTABLE = ' ';
 
     private final StringBuilder out = new StringBuilder();
-    private boolean comma;
+    private boolean commaNeeded;
 
-    JsonText open(char bracket) {
-        separate();
+    JsonWriter open(char bracket) {
+        appendSeparator();
         out.append(bracket);
-        comma = false;
+        commaNeeded = false;
         return this;
     }
 
-    JsonText close(char bracket) {
+    JsonWriter close(char bracket) {
         out.append(bracket);
-        comma = true;
+        commaNeeded = true;
         return this;
     }
 
-    JsonText name(String name) {
+    JsonWriter name(String name) {
         string(name);
         out.append(':');
-        comma = false;
+        commaNeeded = false;
         return this;
     }
 
-    JsonText number(long value) {
-        separate();
+    JsonWriter number(long value) {
+        appendSeparator();
         out.append(value);
         return this;
     }
 
-    JsonText number(double value) {
-        separate();
+    JsonWriter number(double value) {
+        appendSeparator();
         out.append(value);
         return this;
     }
 
-    JsonText truth(boolean value) {
-        separate();
+    JsonWriter bool(boolean value) {
+        appendSeparator();
         out.append(value);
         return this;
     }
 
-    JsonText string(String value) {
-        separate();
+    JsonWriter string(String value) {
+        appendSeparator();
         out.append('"');
-        value.chars().forEach(c -> escape((char) c));
+        value.chars().forEach(c -> appendEscaped((char) c));
         out.append('"');
         return this;
     }
 
-    private void escape(char c) {
+    private void appendEscaped(char c) {
         if (c == '"' || c == '\\') {
             out.append('\\').append(c);
         } else if (c < FIRST_PRINTABLE) {
@@ -63,11 +63,11 @@
         }
     }
 
-    private void separate() {
-        if (comma) {
+    private void appendSeparator() {
+        if (commaNeeded) {
             out.append(',');
         }
-        comma = true;
+        commaNeeded = true;
     }
 
     @Override
--- a/relay/src/main/java/saltstage/configuration/Mutation.java
+++ b/relay/src/main/java/saltstage/configuration/Mutation.java
@@ -12,14 +12,14 @@
             throw new IllegalArgumentException(
                     key.text()
                             + " takes a "
-                            + key.kind().word()
+                            + key.kind().wireName()
                             + ", not a "
-                            + value.kind().word());
+                            + value.kind().wireName());
         }
     }
 
     /** Whether the entry is deleted. */
-    public boolean deletes() {
+    public boolean isDeletion() {
         return value == null;
     }
 }
--- a/relay/src/main/java/saltstage/configuration/SnapshotPager.java
+++ b/relay/src/main/java/saltstage/configuration/SnapshotPager.java
@@ -13,11 +13,11 @@
     /** The revision that stands for the newest one. */
     public static final long NEWEST = 0;
 
-    private static final int HELD = 2;
+    private static final int MAX_SNAPSHOTS = 2;
 
     private record Snapshot(long revision, long digest, Entry[] entries) {}
 
-    private final Deque<Snapshot> held = new ArrayDeque<>(HELD);
+    private final Deque<Snapshot> snapshots = new ArrayDeque<>(MAX_SNAPSHOTS);
 
     /**
      * A page.
@@ -25,16 +25,16 @@
      * @param view what is in force now
      * @param revision of which snapshot; {@link #NEWEST} for the view as it is now
      * @param from the first key that is wanted; null for the first of all
-     * @param limit most entries; never more than {@link ConfigurationLimits#ENTRIES_PER_PAGE}
+     * @param limit most entries; never more than {@link ConfigurationLimits#MAX_ENTRIES_PER_PAGE}
      * @return null where that snapshot is not held any more
      */
     public SnapshotPage page(ConfigurationView view, long revision, EntryKey from, int limit) {
-        Snapshot snapshot = revision == NEWEST ? newest(view) : find(revision);
+        Snapshot snapshot = revision == NEWEST ? newestSnapshot(view) : findSnapshot(revision);
         return snapshot == null ? null : page(snapshot, from, limit);
     }
 
-    private Snapshot find(long revision) {
-        for (Snapshot snapshot : held) {
+    private Snapshot findSnapshot(long revision) {
+        for (Snapshot snapshot : snapshots) {
             if (snapshot.revision() == revision) {
                 return snapshot;
             }
@@ -42,26 +42,26 @@
         return null;
     }
 
-    private Snapshot newest(ConfigurationView view) {
-        Snapshot newest = held.peekFirst();
+    private Snapshot newestSnapshot(ConfigurationView view) {
+        Snapshot newest = snapshots.peekFirst();
         if (newest != null
                 && newest.revision() == view.revision()
                 && newest.digest() == view.digest()) {
             return newest;
         }
-        held.removeIf(old -> old.revision() == view.revision());
-        if (held.size() == HELD) {
-            held.removeLast();
+        snapshots.removeIf(old -> old.revision() == view.revision());
+        if (snapshots.size() == MAX_SNAPSHOTS) {
+            snapshots.removeLast();
         }
         Entry[] entries = view.entries().values().toArray(Entry[]::new);
-        held.addFirst(new Snapshot(view.revision(), view.digest(), entries));
-        return held.peekFirst();
+        snapshots.addFirst(new Snapshot(view.revision(), view.digest(), entries));
+        return snapshots.peekFirst();
     }
 
     private static SnapshotPage page(Snapshot snapshot, EntryKey from, int limit) {
         Entry[] entries = snapshot.entries();
-        int begin = from == null ? 0 : indexOf(entries, from);
-        int most = Math.max(1, Math.min(limit, ConfigurationLimits.ENTRIES_PER_PAGE));
+        int begin = from == null ? 0 : lowerBound(entries, from);
+        int most = Math.max(1, Math.min(limit, ConfigurationLimits.MAX_ENTRIES_PER_PAGE));
         int end = Math.min(entries.length, begin + most);
         List<Entry> some = Arrays.asList(entries).subList(begin, end);
         EntryKey next = end < entries.length ? entries[end].key() : null;
@@ -69,7 +69,7 @@
     }
 
     /** The index of the first entry whose key is not before this one. */
-    private static int indexOf(Entry[] entries, EntryKey key) {
+    private static int lowerBound(Entry[] entries, EntryKey key) {
         int low = 0;
         int high = entries.length;
         while (low < high) {
--- a/relay/src/main/java/saltstage/configuration/ValueRules.java
+++ b/relay/src/main/java/saltstage/configuration/ValueRules.java
@@ -7,39 +7,39 @@
  * that survive JSON. What a value must be to make sense is the group's to check.
  */
 public final class ValueRules {
-    private static final Pattern ZONE =
-            Pattern.compile("[A-Za-z0-9._-]{0," + ConfigurationLimits.ZONE_LENGTH + "}");
-    private static final Pattern ADDRESS =
-            Pattern.compile("[A-Za-z0-9.:\\[\\]_-]{1," + ConfigurationLimits.ADDRESS_LENGTH + "}");
-    private static final Pattern IDENTIFIER =
-            Pattern.compile("[!-~]{1," + ConfigurationLimits.IDENTIFIER_LENGTH + "}");
+    private static final Pattern ZONE_PATTERN =
+            Pattern.compile("[A-Za-z0-9._-]{0," + ConfigurationLimits.MAX_ZONE_LENGTH + "}");
+    private static final Pattern ADDRESS_PATTERN =
+            Pattern.compile("[A-Za-z0-9.:\\[\\]_-]{1," + ConfigurationLimits.MAX_ADDRESS_LENGTH + "}");
+    private static final Pattern IDENTIFIER_PATTERN =
+            Pattern.compile("[!-~]{1," + ConfigurationLimits.MAX_IDENTIFIER_LENGTH + "}");
 
     private ValueRules() {}
 
     /** Why the value cannot be carried, as one sentence; null where it can be. */
-    public static String fault(EntryValue value) {
+    public static String validationError(EntryValue value) {
         if (value instanceof EntryValue.Setting setting) {
-            return text("text", setting.text(), ConfigurationLimits.SETTING_LENGTH);
+            return textError("text", setting.text(), ConfigurationLimits.MAX_SETTING_LENGTH);
         }
         if (value instanceof EntryValue.Backend backend) {
-            return backend(backend);
+            return backendError(backend);
         }
         if (value instanceof EntryValue.Shard shard) {
-            return IDENTIFIER.matcher(shard.backend()).matches()
+            return IDENTIFIER_PATTERN.matcher(shard.backend()).matches()
                     ? null
                     : "'backend' takes an identifier of 1 to 160 visible ASCII characters";
         }
-        return text(
+        return textError(
                 "reason",
                 ((EntryValue.Suspension) value).reason(),
-                ConfigurationLimits.REASON_LENGTH);
+                ConfigurationLimits.MAX_REASON_LENGTH);
     }
 
-    private static String backend(EntryValue.Backend backend) {
-        if (!ADDRESS.matcher(backend.address()).matches()) {
+    private static String backendError(EntryValue.Backend backend) {
+        if (!ADDRESS_PATTERN.matcher(backend.address()).matches()) {
             return "'address' takes host:port, up to 100 characters";
         }
-        if (!ZONE.matcher(backend.zone()).matches()) {
+        if (!ZONE_PATTERN.matcher(backend.zone()).matches()) {
             return "'zone' takes up to 60 letters, digits, '.', '_' and '-'";
         }
         if (backend.cell() < 0) {
@@ -49,12 +49,12 @@
             return "'weight' takes a finite number from 0 on";
         }
         long started = backend.startedAtMs();
-        return started >= 0 && started <= ConfigurationLimits.LARGEST_NUMBER
+        return started >= 0 && started <= ConfigurationLimits.MAX_SAFE_INTEGER
                 ? null
                 : "'startedAtMs' takes milliseconds since 1970";
     }
 
-    private static String text(String name, String text, int longest) {
+    private static String textError(String name, String text, int longest) {
         if (text.length() > longest) {
             return "'" + name + "' takes up to " + longest + " characters";
         }
--- a/relay/src/main/java/saltstage/configuration/follower/BoundedBody.java
+++ b/relay/src/main/java/saltstage/configuration/follower/BoundedBodySubscriber.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.Flow.Subscription;
 
 /** The body of an answer as bytes; one that is longer than the bound fails before it is held. */
-final class BoundedBody implements BodySubscriber<byte[]> {
-    private final int mostBytes;
+final class BoundedBodySubscriber implements BodySubscriber<byte[]> {
+    private final int maxBytes;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private final CompletableFuture<byte[]> body = new CompletableFuture<>();
     private Subscription subscription;
 
-    BoundedBody(int mostBytes) {
-        this.mostBytes = mostBytes;
+    BoundedBodySubscriber(int mostBytes) {
+        this.maxBytes = mostBytes;
     }
 
     @Override
@@ -34,9 +34,9 @@
     @Override
     public void onNext(List<ByteBuffer> buffers) {
         for (ByteBuffer buffer : buffers) {
-            if (buffer.remaining() > mostBytes - bytes.size()) {
+            if (buffer.remaining() > maxBytes - bytes.size()) {
                 subscription.cancel();
-                onError(new IOException("an answer of over " + mostBytes + " bytes"));
+                onError(new IOException("an answer of over " + maxBytes + " bytes"));
                 return;
             }
             byte[] part = new byte[buffer.remaining()];
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationClient.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationClient.java
@@ -26,13 +26,13 @@
  */
 public final class ConfigurationClient implements AutoCloseable {
     /** The longest body of an answer to a request for changes, in bytes. */
-    static final int MOST_CHANGES_BYTES = 8 * ConfigurationLimits.BYTES_PER_ANSWER;
+    static final int MAX_CHANGES_BODY_BYTES = 8 * ConfigurationLimits.RESPONSE_BYTES_THRESHOLD;
 
     /** The longest body of a page of a snapshot, in bytes. */
-    static final int MOST_PAGE_BYTES = 16 << 20;
+    static final int MAX_PAGE_BODY_BYTES = 16 << 20;
 
     /** How much longer than the wait it was asked for a source may take to answer. */
-    static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(2);
+    static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(2);
 
     /** How long a source may take to answer with a page of a snapshot. */
     static final Duration PAGE_TIMEOUT = Duration.ofSeconds(10);
@@ -41,10 +41,10 @@
     private final FollowerResources resources;
     private final ConfigurationPersistence persistence;
     private final FollowerListener listener;
-    private final SourceRequests requests;
+    private final SourceRequestBuilder requestBuilder;
     private final FollowerState state;
     private final Queue<Runnable> tasks = new ArrayDeque<>();
-    private boolean draining;
+    private boolean processingTasks;
     private CompletableFuture<?> pendingRequest;
     private Future<?> retryTimer;
     private Future<?> preferredTimer;
@@ -67,13 +67,13 @@
         this.resources = resources;
         this.persistence = persistence;
         this.listener = listener;
-        requests = new SourceRequests(options);
+        requestBuilder = new SourceRequestBuilder(options);
         revision = held.revision();
         source = options.sources().get(0);
         state =
                 new FollowerState(
                         options.sources().size(),
-                        ConfigurationLimits.ENTRIES,
+                        ConfigurationLimits.MAX_ENTRIES,
                         options.timings(),
                         resources.random(),
                         held);
@@ -108,41 +108,41 @@
     // ---- one event at a time
 
     private void post(FollowerEvent event) {
-        enqueue(() -> take(event));
+        enqueue(() -> handleEvent(event));
     }
 
     private void enqueue(Runnable task) {
         synchronized (tasks) {
             tasks.add(task);
-            if (draining) {
+            if (processingTasks) {
                 return;
             }
-            draining = true;
+            processingTasks = true;
         }
         for (Runnable next = nextTask(); next != null; next = nextTask()) {
-            run(next);
+            runGuarded(next);
         }
     }
 
     /** A fault of the listener must not end the follower. */
-    private void run(Runnable task) {
+    private void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException fault) {
-            listener.fault(fault);
+            listener.faultOccurred(fault);
         }
     }
 
     private Runnable nextTask() {
         synchronized (tasks) {
             Runnable next = tasks.poll();
-            draining = next != null;
+            processingTasks = next != null;
             return next;
         }
     }
 
-    private void take(FollowerEvent event) {
-        perform(state.on(event));
+    private void handleEvent(FollowerEvent event) {
+        perform(state.handle(event));
         if (event instanceof FollowerEvent.Stopped) {
             cancel(retryTimer);
             cancel(preferredTimer);
@@ -159,7 +159,7 @@
 
     private void perform(List<FollowerEffect> effects) {
         for (FollowerEffect effect : effects) {
-            run(() -> perform(effect));
+            runGuarded(() -> perform(effect));
         }
     }
 
@@ -171,35 +171,35 @@
         } else if (effect instanceof FollowerEffect.CancelRequest) {
             pendingRequest.cancel(true);
         } else if (effect instanceof FollowerEffect.WriteChanges write) {
-            write(write.write(), () -> persistence.write(write.changes()));
+            scheduleWrite(write.write(), () -> persistence.write(write.changes()));
         } else if (effect instanceof FollowerEffect.WriteSnapshot write) {
-            write(write.write(), () -> persistence.replace(write.view()));
+            scheduleWrite(write.write(), () -> persistence.replace(write.view()));
         } else if (effect instanceof FollowerEffect.ScheduleRetry retry) {
             retryTimer = schedule(retry.delay(), new FollowerEvent.RetryDue(retry.timer()));
-        } else if (effect instanceof FollowerEffect.SchedulePreferredSource preferred) {
+        } else if (effect instanceof FollowerEffect.SchedulePreferredSourceRetry preferred) {
             preferredTimer =
                     schedule(
                             preferred.delay(),
-                            new FollowerEvent.PreferredSourceDue(preferred.timer()));
+                            new FollowerEvent.PreferredSourceRetryDue(preferred.timer()));
         } else {
-            tell(effect);
+            notifyListener(effect);
         }
     }
 
-    private void tell(FollowerEffect effect) {
-        if (effect instanceof FollowerEffect.ChangesInForce inForce) {
+    private void notifyListener(FollowerEffect effect) {
+        if (effect instanceof FollowerEffect.ChangesApplied inForce) {
             List<Change> changes = inForce.changes();
-            listener.changesInForce(changes);
+            listener.changesApplied(changes);
             revision = changes.get(changes.size() - 1).revision();
-        } else if (effect instanceof FollowerEffect.SnapshotInForce inForce) {
-            listener.snapshotInForce(inForce.view());
+        } else if (effect instanceof FollowerEffect.SnapshotApplied inForce) {
+            listener.snapshotApplied(inForce.view());
             revision = inForce.view().revision();
         } else if (effect instanceof FollowerEffect.Confirmed confirmed) {
-            confirmed(confirmed.revision());
-        } else if (effect instanceof FollowerEffect.SourceSettled settled) {
-            listener.sourceSettled(options.sources().get(settled.source()));
-        } else if (effect instanceof FollowerEffect.SourceLeft left) {
-            listener.sourceLeft(
+            handleConfirmed(confirmed.revision());
+        } else if (effect instanceof FollowerEffect.SourceConnected settled) {
+            listener.sourceConnected(options.sources().get(settled.source()));
+        } else if (effect instanceof FollowerEffect.SourceFailover left) {
+            listener.sourceFailedOver(
                     options.sources().get(left.source()),
                     options.sources().get(left.next()),
                     left.reason());
@@ -208,16 +208,16 @@
         }
     }
 
-    private void confirmed(long confirmedRevision) {
+    private void handleConfirmed(long confirmedRevision) {
         Instant now = resources.clock().instant();
         confirmedAt = now;
-        resources.writer().execute(() -> keepConfirmation(now));
-        listener.confirmed(confirmedRevision);
+        resources.writer().execute(() -> persistConfirmation(now));
+        listener.revisionConfirmed(confirmedRevision);
     }
 
-    private void keepConfirmation(Instant at) {
+    private void persistConfirmation(Instant at) {
         try {
-            persistence.confirmed(at);
+            persistence.recordConfirmation(at);
         } catch (IOException | RuntimeException lost) { // only the age told after a restart
             enqueue(() -> listener.writePostponed("confirmation: " + lost.getMessage()));
         }
@@ -236,11 +236,11 @@
         long begun = System.nanoTime();
         send(
                 changes.request(),
-                requests.of(changes),
-                MOST_CHANGES_BYTES,
-                changes.poll().plus(ANSWER_TIMEOUT),
+                requestBuilder.build(changes),
+                MAX_CHANGES_BODY_BYTES,
+                changes.pollWait().plus(RESPONSE_TIMEOUT),
                 answer ->
-                        SourceAnswers.changes(
+                        SourceResponseParser.parseChanges(
                                 changes.request(),
                                 answer,
                                 Duration.ofNanos(System.nanoTime() - begun)));
@@ -249,10 +249,10 @@
     private void request(FollowerEffect.RequestSnapshotPage page) {
         send(
                 page.request(),
-                requests.of(page),
-                MOST_PAGE_BYTES,
+                requestBuilder.build(page),
+                MAX_PAGE_BODY_BYTES,
                 PAGE_TIMEOUT,
-                answer -> SourceAnswers.snapshotPage(page.request(), answer));
+                answer -> SourceResponseParser.parseSnapshotPage(page.request(), answer));
     }
 
     private void send(
@@ -262,7 +262,7 @@
             Duration timeout,
             Function<HttpResponse<byte[]>, FollowerEvent> reader) {
         CompletableFuture<HttpResponse<byte[]>> pending =
-                resources.http().sendAsync(request, head -> new BoundedBody(mostBytes));
+                resources.http().sendAsync(request, head -> new BoundedBodySubscriber(mostBytes));
         pendingRequest = pending;
         // The whole answer counts, not only its head as with HttpRequest's own time-out.
         Future<?> deadline =
@@ -275,7 +275,7 @@
         pending.whenComplete(
                 (answer, failure) -> {
                     deadline.cancel(false);
-                    post(failure == null ? reader.apply(answer) : failed(number, failure));
+                    post(failure == null ? reader.apply(answer) : failureEvent(number, failure));
                 });
     }
 
@@ -286,7 +286,7 @@
         pending.cancel(true);
     }
 
-    private static FollowerEvent failed(long number, Throwable failure) {
+    private static FollowerEvent failureEvent(long number, Throwable failure) {
         Throwable cause =
                 failure instanceof CompletionException && failure.getCause() != null
                         ? failure.getCause()
@@ -301,15 +301,15 @@
     // ---- writes
 
     /** Something that blocks until it is durable. */
-    private interface Write {
+    private interface WriteOperation {
         void run() throws IOException;
     }
 
-    private void write(long number, Write write) {
-        resources.writer().execute(() -> post(outcome(number, write)));
+    private void scheduleWrite(long number, WriteOperation write) {
+        resources.writer().execute(() -> post(executeWrite(number, write)));
     }
 
-    private static FollowerEvent outcome(long number, Write write) {
+    private static FollowerEvent executeWrite(long number, WriteOperation write) {
         try {
             write.run();
             return new FollowerEvent.WriteCompleted(number);
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationDirectory.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationDirectory.java
@@ -20,11 +20,11 @@
  * it wrote is read, and writes fail until it has ended. For one writer.
  */
 public final class ConfigurationDirectory implements ConfigurationPersistence, Closeable {
-    private static final String SET_ASIDE = ".set-aside-";
+    private static final String SET_ASIDE_SUFFIX = ".set-aside-";
 
     private final Path path;
     private final StoreEventListener events;
-    private final HeldConfiguration held;
+    private final PersistedConfiguration persistedConfiguration;
     private ConfigurationStore store;
 
     /**
@@ -36,32 +36,32 @@
     public ConfigurationDirectory(Path path, StoreEventListener events) throws IOException {
         this.path = path;
         this.events = events;
-        held = open();
+        persistedConfiguration = open();
     }
 
     /** What the directory held when it was opened. */
-    public HeldConfiguration held() {
-        return held;
+    public PersistedConfiguration persistedConfiguration() {
+        return persistedConfiguration;
     }
 
-    private HeldConfiguration open() throws IOException {
+    private PersistedConfiguration open() throws IOException {
         Disk disk = FileDisk.openOrCreate(path);
         try {
             return openStore(disk);
         } catch (StoreException.Locked locked) {
             events.onEvent("configuration.shared", "dir", path);
             return ConfigurationStore.read(disk);
-        } catch (StoreException | ConfigurationStore.UnsoundStateException unsound) {
-            Path aside = path.resolveSibling(path.getFileName() + SET_ASIDE + Instant.now());
+        } catch (StoreException | ConfigurationStore.InvalidStateException unsound) {
+            Path aside = path.resolveSibling(path.getFileName() + SET_ASIDE_SUFFIX + Instant.now());
             Files.move(path, aside, StandardCopyOption.ATOMIC_MOVE);
             events.onEvent("configuration.set_aside", "to", aside, "why", unsound.getMessage());
             return openStore(FileDisk.openOrCreate(path));
         }
     }
 
-    private HeldConfiguration openStore(Disk disk) throws IOException {
+    private PersistedConfiguration openStore(Disk disk) throws IOException {
         store = ConfigurationStore.open(disk, events);
-        return store.held();
+        return store.persistedConfiguration();
     }
 
     /** The store; opened now if another process held it at the start. */
@@ -83,8 +83,8 @@
     }
 
     @Override
-    public void confirmed(Instant at) throws IOException {
-        store().confirmed(at);
+    public void recordConfirmation(Instant at) throws IOException {
+        store().recordConfirmation(at);
     }
 
     @Override
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationPersistence.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationPersistence.java
@@ -15,7 +15,7 @@
     void replace(ConfigurationView view) throws IOException;
 
     /** What is durable was the newest at this time; need not be durable at once. */
-    void confirmed(Instant at) throws IOException;
+    void recordConfirmation(Instant at) throws IOException;
 
     /** Keeps nothing beyond the process, for followers that may begin anew. */
     ConfigurationPersistence NONE =
@@ -31,7 +31,7 @@
                 }
 
                 @Override
-                public void confirmed(Instant at) {
+                public void recordConfirmation(Instant at) {
                     // nothing is kept
                 }
             };
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
@@ -30,10 +30,10 @@
  */
 public final class ConfigurationStore implements ConfigurationPersistence, Closeable {
     /** The store is sound, but what it holds is no follower's state. */
-    static final class UnsoundStateException extends IOException {
+    static final class InvalidStateException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        UnsoundStateException(String message) {
+        InvalidStateException(String message) {
             super(message);
         }
     }
@@ -41,48 +41,48 @@
     /** How old the time of the last confirmation on the disk may become. */
     static final Duration CONFIRMATION_INTERVAL = Duration.ofSeconds(30);
 
-    private static final int FORMAT = 1;
+    private static final int FORMAT_VERSION = 1;
     private static final int SEGMENT_BYTES = 1 << 20;
     private static final long COMPACTION_BYTES_PER_SECOND = 4 << 20;
-    private static final byte[] STATE = bytes("state");
-    private static final byte[] CONFIRMED = bytes("confirmed");
-    private static final String ENTRY = "entry/";
-    private static final byte[] ENTRIES_FROM = bytes(ENTRY);
-    private static final byte[] ENTRIES_TO = bytes("entry0");
+    private static final byte[] STATE_KEY = utf8("state");
+    private static final byte[] CONFIRMED_KEY = utf8("confirmed");
+    private static final String ENTRY_PREFIX = "entry/";
+    private static final byte[] ENTRY_RANGE_START = utf8(ENTRY_PREFIX);
+    private static final byte[] ENTRY_RANGE_END = utf8("entry0");
 
-    private record State(long revision, long digest) {
-        static final State EMPTY = new State(0, 0);
+    private record StoredRevision(long revision, long digest) {
+        static final StoredRevision EMPTY = new StoredRevision(0, 0);
 
         byte[] encode() {
             return ByteBuffer.allocate(Integer.BYTES + 2 * Long.BYTES)
-                    .putInt(FORMAT)
+                    .putInt(FORMAT_VERSION)
                     .putLong(revision)
                     .putLong(digest)
                     .array();
         }
 
-        static State decode(byte[] value) throws UnsoundStateException {
+        static StoredRevision decode(byte[] value) throws InvalidStateException {
             if (value.length != Integer.BYTES + 2 * Long.BYTES
-                    || ByteBuffer.wrap(value).getInt() != FORMAT) {
-                throw new UnsoundStateException("another format than " + FORMAT);
+                    || ByteBuffer.wrap(value).getInt() != FORMAT_VERSION) {
+                throw new InvalidStateException("another format than " + FORMAT_VERSION);
             }
             ByteBuffer fields = ByteBuffer.wrap(value, Integer.BYTES, 2 * Long.BYTES);
-            return new State(fields.getLong(), fields.getLong());
+            return new StoredRevision(fields.getLong(), fields.getLong());
         }
     }
 
     private final Store store;
     private final Clock clock;
-    private final HeldConfiguration held;
-    private State durable;
-    private Instant confirmationKept;
+    private final PersistedConfiguration persistedConfiguration;
+    private StoredRevision durableRevision;
+    private Instant persistedConfirmationAt;
 
     private ConfigurationStore(Store store, Clock clock) throws IOException {
         this.store = store;
         this.clock = clock;
-        held = held(store);
-        durable = new State(held.view().revision(), held.view().digest());
-        confirmationKept = held.confirmedAt();
+        persistedConfiguration = load(store);
+        durableRevision = new StoredRevision(persistedConfiguration.view().revision(), persistedConfiguration.view().digest());
+        persistedConfirmationAt = persistedConfiguration.confirmedAt();
     }
 
     /**
@@ -110,62 +110,62 @@
     }
 
     /** What a disk holds that another process writes to. */
-    public static HeldConfiguration read(Disk disk) throws IOException {
+    public static PersistedConfiguration read(Disk disk) throws IOException {
         try (Store store = Store.openToRead(disk, StoreEventListener.NONE)) {
-            return held(store);
+            return load(store);
         }
     }
 
     /** What the disk held when it was opened. */
-    public HeldConfiguration held() {
-        return held;
+    public PersistedConfiguration persistedConfiguration() {
+        return persistedConfiguration;
     }
 
     // ---- reading
 
-    private static HeldConfiguration held(Store store) throws IOException {
+    private static PersistedConfiguration load(Store store) throws IOException {
         try (Snapshot now = store.snapshot()) {
-            byte[] state = now.get(STATE);
+            byte[] state = now.get(STATE_KEY);
             if (state == null) {
                 if (now.size() > 0) {
-                    throw new UnsoundStateException("a store of something else");
+                    throw new InvalidStateException("a store of something else");
                 }
-                return HeldConfiguration.none();
+                return PersistedConfiguration.empty();
             }
-            ConfigurationView view = view(State.decode(state), entries(now));
-            byte[] confirmed = now.get(CONFIRMED);
-            return new HeldConfiguration(view, confirmed == null ? null : instant(confirmed));
+            ConfigurationView view = verifiedView(StoredRevision.decode(state), readEntries(now));
+            byte[] confirmed = now.get(CONFIRMED_KEY);
+            return new PersistedConfiguration(view, confirmed == null ? null : decodeInstant(confirmed));
         }
     }
 
-    private static ConfigurationView view(State state, List<Entry> entries)
-            throws UnsoundStateException {
+    private static ConfigurationView verifiedView(StoredRevision state, List<Entry> entries)
+            throws InvalidStateException {
         ConfigurationView view = new ConfigurationView(state.revision(), entries);
         if (view.digest() != state.digest()) {
-            throw new UnsoundStateException(
+            throw new InvalidStateException(
                     "the entries of revision " + state.revision() + " differ from their digest");
         }
         return view;
     }
 
-    private static List<Entry> entries(Snapshot now) throws IOException {
+    private static List<Entry> readEntries(Snapshot now) throws IOException {
         List<Entry> entries = new ArrayList<>();
-        Snapshot.Scan scan = now.scan(ENTRIES_FROM, ENTRIES_TO);
+        Snapshot.Scan scan = now.scan(ENTRY_RANGE_START, ENTRY_RANGE_END);
         while (scan.next()) {
             String name = new String(scan.key(), StandardCharsets.UTF_8);
             try {
-                EntryKey key = EntryKey.parse(name.substring(ENTRY.length()));
+                EntryKey key = EntryKey.parse(name.substring(ENTRY_PREFIX.length()));
                 entries.add(EntryCodec.decode(key, scan.value()));
             } catch (MalformedException | IllegalArgumentException malformed) {
-                throw new UnsoundStateException(malformed.getMessage());
+                throw new InvalidStateException(malformed.getMessage());
             }
         }
         return entries;
     }
 
-    private static Instant instant(byte[] value) throws UnsoundStateException {
+    private static Instant decodeInstant(byte[] value) throws InvalidStateException {
         if (value.length != Long.BYTES) {
-            throw new UnsoundStateException("the time of the last confirmation is cut short");
+            throw new InvalidStateException("the time of the last confirmation is cut short");
         }
         return Instant.ofEpochMilli(ByteBuffer.wrap(value).getLong());
     }
@@ -179,7 +179,7 @@
     @Override
     public void write(List<Change> changes) throws IOException {
         Batch batch = new Batch();
-        State after = durable;
+        StoredRevision after = durableRevision;
         for (Change change : changes) {
             if (change.revision() <= after.revision()) {
                 continue;
@@ -187,8 +187,8 @@
             if (change.revision() != after.revision() + 1) {
                 throw new IOException("a gap before revision " + change.revision());
             }
-            change.mutations().forEach(mutation -> put(batch, mutation, change.revision()));
-            after = new State(change.revision(), change.digest());
+            change.mutations().forEach(mutation -> putOrDelete(batch, mutation, change.revision()));
+            after = new StoredRevision(change.revision(), change.digest());
         }
         commit(batch, after);
     }
@@ -199,33 +199,33 @@
         Set<String> wanted = new HashSet<>();
         view.entries().keySet().forEach(key -> wanted.add(key.text()));
         try (Snapshot now = store.snapshot()) {
-            Snapshot.Scan scan = now.scan(ENTRIES_FROM, ENTRIES_TO);
+            Snapshot.Scan scan = now.scan(ENTRY_RANGE_START, ENTRY_RANGE_END);
             while (scan.next()) {
                 String name = new String(scan.key(), StandardCharsets.UTF_8);
-                if (!wanted.contains(name.substring(ENTRY.length()))) {
+                if (!wanted.contains(name.substring(ENTRY_PREFIX.length()))) {
                     batch.delete(scan.key());
                 }
             }
         }
         for (Entry entry : view.entries().values()) {
-            put(batch, new Mutation(entry.key(), entry.value()), entry.revision());
+            putOrDelete(batch, new Mutation(entry.key(), entry.value()), entry.revision());
         }
-        commit(batch, new State(view.revision(), view.digest()));
+        commit(batch, new StoredRevision(view.revision(), view.digest()));
     }
 
-    private void commit(Batch batch, State after) throws IOException {
-        if (after.equals(durable)) {
+    private void commit(Batch batch, StoredRevision after) throws IOException {
+        if (after.equals(durableRevision)) {
             return;
         }
         Instant now = clock.instant(); // what a source has just told counts as confirmed
-        store.commit(batch.put(STATE, after.encode()).put(CONFIRMED, encode(now)));
-        durable = after;
-        confirmationKept = now;
+        store.commit(batch.put(STATE_KEY, after.encode()).put(CONFIRMED_KEY, encodeInstant(now)));
+        durableRevision = after;
+        persistedConfirmationAt = now;
     }
 
-    private static void put(Batch batch, Mutation mutation, long revision) {
-        byte[] key = bytes(ENTRY + mutation.key().text());
-        if (mutation.deletes()) {
+    private static void putOrDelete(Batch batch, Mutation mutation, long revision) {
+        byte[] key = utf8(ENTRY_PREFIX + mutation.key().text());
+        if (mutation.isDeletion()) {
             batch.delete(key);
         } else {
             batch.put(key, EntryCodec.encode(mutation, revision));
@@ -234,25 +234,25 @@
 
     /** Keeps the time where the one on the disk is old; nothing before the first revision. */
     @Override
-    public void confirmed(Instant at) throws IOException {
+    public void recordConfirmation(Instant at) throws IOException {
         boolean recent =
-                confirmationKept != null
-                        && Duration.between(confirmationKept, at)
+                persistedConfirmationAt != null
+                        && Duration.between(persistedConfirmationAt, at)
                                         .abs()
                                         .compareTo(CONFIRMATION_INTERVAL)
                                 < 0;
-        if (recent || durable.equals(State.EMPTY)) {
+        if (recent || durableRevision.equals(StoredRevision.EMPTY)) {
             return;
         }
-        store.put(CONFIRMED, encode(at));
-        confirmationKept = at;
+        store.put(CONFIRMED_KEY, encodeInstant(at));
+        persistedConfirmationAt = at;
     }
 
-    private static byte[] encode(Instant at) {
+    private static byte[] encodeInstant(Instant at) {
         return ByteBuffer.allocate(Long.BYTES).putLong(at.toEpochMilli()).array();
     }
 
-    private static byte[] bytes(String text) {
+    private static byte[] utf8(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
--- a/relay/src/main/java/saltstage/configuration/follower/EntryCodec.java
+++ b/relay/src/main/java/saltstage/configuration/follower/EntryCodec.java
@@ -14,7 +14,7 @@
     private EntryCodec() {}
 
     static byte[] encode(Mutation mutation, long revision) {
-        byte[] text = ConfigurationJson.text(List.of(mutation)).getBytes(StandardCharsets.UTF_8);
+        byte[] text = ConfigurationJson.toJson(List.of(mutation)).getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(Long.BYTES + text.length).putLong(revision).put(text).array();
     }
 
@@ -26,11 +26,11 @@
         long revision = ByteBuffer.wrap(value).getLong();
         int length = value.length - Long.BYTES;
         String text = new String(value, Long.BYTES, length, StandardCharsets.UTF_8);
-        List<Mutation> mutations = ConfigurationJson.mutations(text);
+        List<Mutation> mutations = ConfigurationJson.parseMutations(text);
         if (mutations.size() != 1 || !mutations.get(0).key().equals(key)) {
             throw new MalformedException(key.text() + ": holds another entry");
         }
-        if (mutations.get(0).deletes()) {
+        if (mutations.get(0).isDeletion()) {
             throw new MalformedException(key.text() + ": holds a deletion");
         }
         return new Entry(key, mutations.get(0).value(), revision);
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerEffect.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerEffect.java
@@ -14,7 +14,7 @@
      * @param source index in the list of sources
      * @param poll how long the source may hold the request while it has nothing new
      */
-    record RequestChanges(long request, int source, long after, long digest, Duration poll)
+    record RequestChanges(long request, int source, long after, long digest, Duration pollWait)
             implements FollowerEffect {}
 
     /**
@@ -36,19 +36,19 @@
     record WriteSnapshot(long write, ConfigurationView view) implements FollowerEffect {}
 
     /** These changes are durable and in force from now on. */
-    record ChangesInForce(List<Change> changes) implements FollowerEffect {}
+    record ChangesApplied(List<Change> changes) implements FollowerEffect {}
 
     /** This view is durable and in force from now on; not to be kept, it changes later. */
-    record SnapshotInForce(ConfigurationView view) implements FollowerEffect {}
+    record SnapshotApplied(ConfigurationView view) implements FollowerEffect {}
 
     /** By its last answer the source has nothing newer than this revision, which is in force. */
     record Confirmed(long revision) implements FollowerEffect {}
 
     /** A source answers requests from now on. */
-    record SourceSettled(int source) implements FollowerEffect {}
+    record SourceConnected(int source) implements FollowerEffect {}
 
     /** A source is left for another one. */
-    record SourceLeft(int source, int next, String reason) implements FollowerEffect {}
+    record SourceFailover(int source, int next, String reason) implements FollowerEffect {}
 
     /** A write failed; it is tried again. */
     record WritePostponed(String reason) implements FollowerEffect {}
@@ -56,6 +56,6 @@
     /** Answer with {@link FollowerEvent.RetryDue} after the delay. */
     record ScheduleRetry(long timer, Duration delay) implements FollowerEffect {}
 
-    /** Answer with {@link FollowerEvent.PreferredSourceDue} after the delay. */
-    record SchedulePreferredSource(long timer, Duration delay) implements FollowerEffect {}
+    /** Answer with {@link FollowerEvent.PreferredSourceRetryDue} after the delay. */
+    record SchedulePreferredSourceRetry(long timer, Duration delay) implements FollowerEffect {}
 }
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerEvent.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerEvent.java
@@ -41,7 +41,7 @@
     record RetryDue(long timer) implements FollowerEvent {}
 
     /** It is time to try the preferred source again. */
-    record PreferredSourceDue(long timer) implements FollowerEvent {}
+    record PreferredSourceRetryDue(long timer) implements FollowerEvent {}
 
     /** The follower ends. */
     record Stopped() implements FollowerEvent {}
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerListener.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerListener.java
@@ -11,25 +11,25 @@
  */
 public interface FollowerListener {
     /** These changes are durable and in force from now on, oldest first. */
-    void changesInForce(List<Change> changes);
+    void changesApplied(List<Change> changes);
 
     /**
      * All that was in force is replaced by this view; it is not to be kept, as it changes later.
      */
-    void snapshotInForce(ConfigurationView view);
+    void snapshotApplied(ConfigurationView view);
 
     /** A source has just said that it has nothing newer than this revision. */
-    default void confirmed(long revision) {}
+    default void revisionConfirmed(long revision) {}
 
     /** This source answers requests from now on. */
-    default void sourceSettled(URI source) {}
+    default void sourceConnected(URI source) {}
 
     /** This source is left for the next; what is in force stays. */
-    default void sourceLeft(URI source, URI next, String reason) {}
+    default void sourceFailedOver(URI source, URI next, String reason) {}
 
     /** A write failed and is tried again; what was in force before stays until then. */
     default void writePostponed(String reason) {}
 
     /** A call of this listener, or the follower itself, threw. */
-    default void fault(RuntimeException fault) {}
+    default void faultOccurred(RuntimeException fault) {}
 }
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerOptions.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerOptions.java
@@ -21,7 +21,7 @@
     }
 
     /** The base address of a source that listens at this host and port. */
-    public static URI source(String hostAndPort) {
+    public static URI sourceUri(String hostAndPort) {
         return URI.create("http://" + hostAndPort);
     }
 }
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
@@ -21,46 +21,46 @@
  */
 public final class FollowerState {
     /** Answers of "busy", and snapshots that were cut short, before the source is left. */
-    static final int MOST_RETRIES_AT_SOURCE = 3;
+    static final int MAX_RETRIES_PER_SOURCE = 3;
 
     /** The longest time that a source can ask a follower to stay away. */
-    static final Duration MOST_BUSY = Duration.ofMinutes(1);
+    static final Duration MAX_BUSY_DELAY = Duration.ofMinutes(1);
 
     /** The mean pause after a source that did not wait as long as it was asked to is half of it. */
-    static final Duration EARLY_ANSWER_PAUSE = Duration.ofSeconds(2);
+    static final Duration MAX_EARLY_RESPONSE_DELAY = Duration.ofSeconds(2);
 
-    private static final int PREFERRED = 0;
-    private static final long NONE = 0;
+    private static final int PREFERRED_SOURCE = 0;
+    private static final long NO_OPERATION = 0;
 
     private enum Phase {
         NEW,
         REQUESTING,
-        PAUSED,
+        BACKING_OFF,
         WRITING,
-        WRITE_PAUSED,
+        WRITE_BACKING_OFF,
         STOPPED
     }
 
-    private final int sources;
-    private final int mostEntries;
+    private final int sourceCount;
+    private final int maxEntries;
     private final FollowerTimings timings;
     private final RandomGenerator random;
     private ConfigurationView view;
     private Phase phase = Phase.NEW;
-    private int source = PREFERRED;
-    private boolean settled;
-    private boolean tookSnapshot;
-    private boolean preferredDue;
+    private int source = PREFERRED_SOURCE;
+    private boolean sourceConnected;
+    private boolean snapshotInstalled;
+    private boolean preferredRetryDue;
     private int failures;
     private int writeFailures;
-    private int retriesAtSource;
-    private int preferredFailures;
-    private long lastNumber;
-    private long awaited = NONE;
-    private long preferredTimer = NONE;
-    private Duration requestWait = Duration.ZERO;
-    private SnapshotAssembly snapshot;
-    private List<Change> writtenChanges;
+    private int sourceRetries;
+    private int preferredSourceFailures;
+    private long lastOperationId;
+    private long awaitedOperationId = NO_OPERATION;
+    private long preferredRetryTimer = NO_OPERATION;
+    private Duration requestedWait = Duration.ZERO;
+    private SnapshotAssembler snapshotAssembler;
+    private List<Change> pendingChanges;
     private boolean caughtUp;
     private List<FollowerEffect> effects = new ArrayList<>();
 
@@ -79,8 +79,8 @@
         if (sources < 1) {
             throw new IllegalArgumentException("a follower needs a source");
         }
-        this.sources = sources;
-        this.mostEntries = mostEntries;
+        this.sourceCount = sources;
+        this.maxEntries = mostEntries;
         this.timings = timings;
         this.random = random;
         this.view = held;
@@ -93,9 +93,9 @@
     }
 
     /** Takes an event; returns what is to be done, in order. */
-    public List<FollowerEffect> on(FollowerEvent event) {
+    public List<FollowerEffect> handle(FollowerEvent event) {
         if (phase != Phase.STOPPED && isAwaited(event)) {
-            handle(event);
+            dispatch(event);
         }
         return takeEffects();
     }
@@ -111,13 +111,13 @@
     }
 
     private boolean isAwaited(FollowerEvent event) {
-        if (event instanceof FollowerEvent.PreferredSourceDue due) {
-            return due.timer() == preferredTimer;
+        if (event instanceof FollowerEvent.PreferredSourceRetryDue due) {
+            return due.timer() == preferredRetryTimer;
         }
-        return event instanceof FollowerEvent.Stopped || numberOf(event) == awaited;
+        return event instanceof FollowerEvent.Stopped || operationIdOf(event) == awaitedOperationId;
     }
 
-    private static long numberOf(FollowerEvent event) {
+    private static long operationIdOf(FollowerEvent event) {
         if (event instanceof FollowerEvent.ChangesReceived received) {
             return received.request();
         } else if (event instanceof FollowerEvent.SnapshotPageReceived received) {
@@ -139,10 +139,10 @@
         } else if (event instanceof FollowerEvent.RetryDue due) {
             return due.timer();
         }
-        return NONE;
+        return NO_OPERATION;
     }
 
-    private void handle(FollowerEvent event) {
+    private void dispatch(FollowerEvent event) {
         if (event instanceof FollowerEvent.ChangesReceived received) {
             changesReceived(received);
         } else if (event instanceof FollowerEvent.SnapshotPageReceived received) {
@@ -152,20 +152,20 @@
         } else if (event instanceof FollowerEvent.Truncated) {
             truncated();
         } else if (event instanceof FollowerEvent.Behind behind) {
-            leaveSource("behind, at revision " + behind.sourceRevision());
+            failOver("behind, at revision " + behind.sourceRevision());
         } else if (event instanceof FollowerEvent.Busy busy) {
             busy(busy.retryAfter());
         } else if (event instanceof FollowerEvent.RequestFailed failed) {
-            leaveSource(failed.reason());
+            failOver(failed.reason());
         } else if (event instanceof FollowerEvent.WriteCompleted) {
             writeCompleted();
         } else if (event instanceof FollowerEvent.WriteFailed failed) {
             writeFailed(failed.reason());
         } else if (event instanceof FollowerEvent.RetryDue) {
             retryDue();
-        } else if (event instanceof FollowerEvent.PreferredSourceDue) {
-            preferredTimer = NONE;
-            preferredDue = source != PREFERRED;
+        } else if (event instanceof FollowerEvent.PreferredSourceRetryDue) {
+            preferredRetryTimer = NO_OPERATION;
+            preferredRetryDue = source != PREFERRED_SOURCE;
         } else {
             stop();
         }
@@ -175,27 +175,27 @@
 
     private void changesReceived(FollowerEvent.ChangesReceived received) {
         ChangesResponse response = received.response();
-        if (snapshot != null) {
-            leaveSource("changes in place of a snapshot");
+        if (snapshotAssembler != null) {
+            failOver("changes in place of a snapshot");
         } else if (response.revision() < view.revision()) {
-            leaveSource("behind, at revision " + response.revision());
+            failOver("behind, at revision " + response.revision());
         } else if (response.changes().isEmpty()) {
-            nothingNew(response, received.elapsed());
+            noChangesReceived(response, received.elapsed());
         } else {
             acceptChanges(response);
         }
     }
 
-    private void nothingNew(ChangesResponse response, Duration elapsed) {
+    private void noChangesReceived(ChangesResponse response, Duration elapsed) {
         if (response.revision() != view.revision() || response.digest() != view.digest()) {
-            leaveSource("no changes, but another revision or digest than was asked for");
+            failOver("no changes, but another revision or digest than was asked for");
             return;
         }
-        boolean early = elapsed.compareTo(requestWait.dividedBy(2)) < 0;
-        settle();
+        boolean early = elapsed.compareTo(requestedWait.dividedBy(2)) < 0;
+        markSourceConnected();
         effects.add(new FollowerEffect.Confirmed(view.revision()));
         if (early) {
-            pause(RetryPause.fullJitter(EARLY_ANSWER_PAUSE, EARLY_ANSWER_PAUSE, 1, random));
+            scheduleRetry(RetryDelay.fullJitter(MAX_EARLY_RESPONSE_DELAY, MAX_EARLY_RESPONSE_DELAY, 1, random));
         } else {
             request();
         }
@@ -215,130 +215,130 @@
             }
         }
         if (accepted.isEmpty()) {
-            leaveSource(unsound == null ? "no changes but those that were had" : unsound);
+            failOver(unsound == null ? "no changes but those that were had" : unsound);
             return;
         }
-        settle();
-        writtenChanges = List.copyOf(accepted);
+        markSourceConnected();
+        pendingChanges = List.copyOf(accepted);
         caughtUp = view.revision() == response.revision() && view.digest() == response.digest();
         write();
     }
 
     private void snapshotPageReceived(SnapshotPage page) {
-        if (snapshot == null) {
-            leaveSource("a snapshot in place of changes");
+        if (snapshotAssembler == null) {
+            failOver("a snapshot in place of changes");
             return;
         }
         try {
-            ConfigurationView whole = snapshot.add(page);
+            ConfigurationView whole = snapshotAssembler.add(page);
             if (whole == null) {
                 request();
                 return;
             }
             view = whole;
-            writtenChanges = null;
+            pendingChanges = null;
             caughtUp = false;
             write();
-        } catch (SnapshotAssembly.UnsoundSnapshotException unsound) {
-            leaveSource(unsound.getMessage());
+        } catch (SnapshotAssembler.InvalidSnapshotException unsound) {
+            failOver(unsound.getMessage());
         }
     }
 
     private void diverged() {
-        if (snapshot != null || tookSnapshot) {
-            leaveSource("diverged from its own snapshot");
+        if (snapshotAssembler != null || snapshotInstalled) {
+            failOver("diverged from its own snapshot");
         } else {
-            beginSnapshot();
+            startSnapshot();
         }
     }
 
     private void truncated() {
-        if (snapshot != null) {
-            beginSnapshotAgain();
-        } else if (tookSnapshot) {
-            leaveSource("truncated after its own snapshot");
+        if (snapshotAssembler != null) {
+            restartSnapshot();
+        } else if (snapshotInstalled) {
+            failOver("truncated after its own snapshot");
         } else {
-            beginSnapshot();
+            startSnapshot();
         }
     }
 
-    private void beginSnapshot() {
-        snapshot = new SnapshotAssembly(view.revision(), mostEntries);
+    private void startSnapshot() {
+        snapshotAssembler = new SnapshotAssembler(view.revision(), maxEntries);
         request();
     }
 
-    private void beginSnapshotAgain() {
-        retriesAtSource++;
-        if (retriesAtSource > MOST_RETRIES_AT_SOURCE) {
-            leaveSource("snapshots gone before they were read");
+    private void restartSnapshot() {
+        sourceRetries++;
+        if (sourceRetries > MAX_RETRIES_PER_SOURCE) {
+            failOver("snapshots gone before they were read");
             return;
         }
-        snapshot = new SnapshotAssembly(view.revision(), mostEntries);
-        pause(backOff());
+        snapshotAssembler = new SnapshotAssembler(view.revision(), maxEntries);
+        scheduleRetry(retryDelay());
     }
 
     private void busy(Duration retryAfter) {
-        retriesAtSource++;
-        if (retriesAtSource > MOST_RETRIES_AT_SOURCE) {
-            leaveSource("busy");
+        sourceRetries++;
+        if (sourceRetries > MAX_RETRIES_PER_SOURCE) {
+            failOver("busy");
             return;
         }
-        Duration asked = retryAfter.compareTo(MOST_BUSY) < 0 ? retryAfter : MOST_BUSY;
-        pause(asked.plus(backOff()));
+        Duration asked = retryAfter.compareTo(MAX_BUSY_DELAY) < 0 ? retryAfter : MAX_BUSY_DELAY;
+        scheduleRetry(asked.plus(retryDelay()));
     }
 
     // ---- sources
 
-    private void settle() {
+    private void markSourceConnected() {
         failures = 0;
-        retriesAtSource = 0;
-        tookSnapshot = false;
-        if (source == PREFERRED) {
-            preferredFailures = 0;
-            preferredDue = false;
+        sourceRetries = 0;
+        snapshotInstalled = false;
+        if (source == PREFERRED_SOURCE) {
+            preferredSourceFailures = 0;
+            preferredRetryDue = false;
         }
-        if (!settled) {
-            settled = true;
-            effects.add(new FollowerEffect.SourceSettled(source));
+        if (!sourceConnected) {
+            sourceConnected = true;
+            effects.add(new FollowerEffect.SourceConnected(source));
         }
     }
 
-    private void leaveSource(String reason) {
+    private void failOver(String reason) {
         int left = source;
         failures++;
-        retriesAtSource = 0;
-        snapshot = null;
-        settled = false;
-        tookSnapshot = false;
-        source = (left + 1) % sources;
-        effects.add(new FollowerEffect.SourceLeft(left, source, reason));
-        if (left == PREFERRED) {
-            preferredFailures++;
+        sourceRetries = 0;
+        snapshotAssembler = null;
+        sourceConnected = false;
+        snapshotInstalled = false;
+        source = (left + 1) % sourceCount;
+        effects.add(new FollowerEffect.SourceFailover(left, source, reason));
+        if (left == PREFERRED_SOURCE) {
+            preferredSourceFailures++;
         }
-        schedulePreferredSource();
-        pause(RetryPause.fullJitter(timings.retryBase(), timings.retryMost(), failures, random));
+        schedulePreferredSourceRetry();
+        scheduleRetry(RetryDelay.fullJitter(timings.baseRetryDelay(), timings.maxRetryDelay(), failures, random));
     }
 
-    private void schedulePreferredSource() {
-        if (source == PREFERRED || preferredTimer != NONE || preferredDue) {
+    private void schedulePreferredSourceRetry() {
+        if (source == PREFERRED_SOURCE || preferredRetryTimer != NO_OPERATION || preferredRetryDue) {
             return;
         }
-        preferredTimer = nextNumber();
+        preferredRetryTimer = nextOperationId();
         Duration pause =
-                RetryPause.halfJitter(
-                        timings.preferredPause(),
-                        timings.preferredMost(),
-                        preferredFailures,
+                RetryDelay.equalJitter(
+                        timings.basePreferredRetryDelay(),
+                        timings.maxPreferredRetryDelay(),
+                        preferredSourceFailures,
                         random);
-        effects.add(new FollowerEffect.SchedulePreferredSource(preferredTimer, pause));
+        effects.add(new FollowerEffect.SchedulePreferredSourceRetry(preferredRetryTimer, pause));
     }
 
     private void returnToPreferredSource() {
-        preferredDue = false;
-        if (source != PREFERRED) {
-            source = PREFERRED;
-            settled = false;
-            retriesAtSource = 0;
+        preferredRetryDue = false;
+        if (source != PREFERRED_SOURCE) {
+            source = PREFERRED_SOURCE;
+            sourceConnected = false;
+            sourceRetries = 0;
         }
     }
 
@@ -346,86 +346,86 @@
 
     private void request() {
         phase = Phase.REQUESTING;
-        awaited = nextNumber();
-        if (snapshot != null) {
+        awaitedOperationId = nextOperationId();
+        if (snapshotAssembler != null) {
             effects.add(
                     new FollowerEffect.RequestSnapshotPage(
-                            awaited, source, snapshot.revision(), snapshot.next()));
+                            awaitedOperationId, source, snapshotAssembler.revision(), snapshotAssembler.nextKey()));
             return;
         }
-        if (preferredDue) {
+        if (preferredRetryDue) {
             returnToPreferredSource();
         }
         // A source that has not answered yet is to answer at once: one that is dead costs little.
-        requestWait = settled ? timings.poll() : Duration.ZERO;
+        requestedWait = sourceConnected ? timings.pollWait() : Duration.ZERO;
         effects.add(
                 new FollowerEffect.RequestChanges(
-                        awaited, source, view.revision(), view.digest(), requestWait));
+                        awaitedOperationId, source, view.revision(), view.digest(), requestedWait));
     }
 
     private void write() {
         phase = Phase.WRITING;
-        awaited = nextNumber();
+        awaitedOperationId = nextOperationId();
         effects.add(
-                snapshot != null
-                        ? new FollowerEffect.WriteSnapshot(awaited, view)
-                        : new FollowerEffect.WriteChanges(awaited, writtenChanges));
+                snapshotAssembler != null
+                        ? new FollowerEffect.WriteSnapshot(awaitedOperationId, view)
+                        : new FollowerEffect.WriteChanges(awaitedOperationId, pendingChanges));
     }
 
     private void writeCompleted() {
         effects.add(
-                snapshot != null
-                        ? new FollowerEffect.SnapshotInForce(view)
-                        : new FollowerEffect.ChangesInForce(writtenChanges));
+                snapshotAssembler != null
+                        ? new FollowerEffect.SnapshotApplied(view)
+                        : new FollowerEffect.ChangesApplied(pendingChanges));
         if (caughtUp) {
             effects.add(new FollowerEffect.Confirmed(view.revision()));
         }
         writeFailures = 0;
-        tookSnapshot = snapshot != null;
-        snapshot = null;
-        writtenChanges = null;
+        snapshotInstalled = snapshotAssembler != null;
+        snapshotAssembler = null;
+        pendingChanges = null;
         request();
     }
 
     private void writeFailed(String reason) {
         writeFailures++;
         effects.add(new FollowerEffect.WritePostponed(reason));
-        pause(
-                RetryPause.halfJitter(
-                        timings.retryBase(), timings.retryMost(), writeFailures, random));
-        phase = Phase.WRITE_PAUSED;
+        scheduleRetry(
+                RetryDelay.equalJitter(
+                        timings.baseRetryDelay(), timings.maxRetryDelay(), writeFailures, random));
+        phase = Phase.WRITE_BACKING_OFF;
     }
 
     private void retryDue() {
-        if (phase == Phase.WRITE_PAUSED) {
+        if (phase == Phase.WRITE_BACKING_OFF) {
             write();
         } else {
             request();
         }
     }
 
-    private Duration backOff() {
-        return RetryPause.fullJitter(
-                timings.retryBase(), timings.retryMost(), retriesAtSource, random);
+    private Duration retryDelay() {
+        return RetryDelay.fullJitter(
+                timings.baseRetryDelay(), timings.maxRetryDelay(), sourceRetries, random);
     }
 
-    private void pause(Duration delay) {
-        phase = Phase.PAUSED;
-        awaited = nextNumber();
-        effects.add(new FollowerEffect.ScheduleRetry(awaited, delay));
+    private void scheduleRetry(Duration delay) {
+        phase = Phase.BACKING_OFF;
+        awaitedOperationId = nextOperationId();
+        effects.add(new FollowerEffect.ScheduleRetry(awaitedOperationId, delay));
     }
 
     private void stop() {
         if (phase == Phase.REQUESTING) {
-            effects.add(new FollowerEffect.CancelRequest(awaited));
+            effects.add(new FollowerEffect.CancelRequest(awaitedOperationId));
         }
         phase = Phase.STOPPED;
-        awaited = NONE;
-        snapshot = null;
+        awaitedOperationId = NO_OPERATION;
+        snapshotAssembler = null;
     }
 
-    private long nextNumber() {
-        return ++lastNumber;
+    private long nextOperationId() {
+        return ++lastOperationId;
     }
 
     private List<FollowerEffect> takeEffects() {
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerTimings.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerTimings.java
@@ -13,15 +13,15 @@
  * @param preferredMost the longest of all such pauses
  */
 public record FollowerTimings(
-        Duration poll,
-        Duration retryBase,
-        Duration retryMost,
-        Duration preferredPause,
-        Duration preferredMost) {
+        Duration pollWait,
+        Duration baseRetryDelay,
+        Duration maxRetryDelay,
+        Duration basePreferredRetryDelay,
+        Duration maxPreferredRetryDelay) {
     /** Checks that each is positive; throws IllegalArgumentException otherwise. */
     public FollowerTimings {
         for (Duration each :
-                new Duration[] {poll, retryBase, retryMost, preferredPause, preferredMost}) {
+                new Duration[] {pollWait, baseRetryDelay, maxRetryDelay, basePreferredRetryDelay, maxPreferredRetryDelay}) {
             if (each.isZero() || each.isNegative()) {
                 throw new IllegalArgumentException("a follower's time-outs must be positive");
             }
@@ -33,7 +33,7 @@
      * that has gone silent is left after the request's wait and 2 s; with 5 s a change is in force
      * within 9 s of its acceptance even so.
      */
-    public static FollowerTimings usual() {
+    public static FollowerTimings defaults() {
         return new FollowerTimings(
                 Duration.ofSeconds(5),
                 Duration.ofMillis(200),
--- a/relay/src/main/java/saltstage/configuration/follower/HeldConfiguration.java
+++ b/relay/src/main/java/saltstage/configuration/follower/PersistedConfiguration.java
@@ -9,9 +9,9 @@
  * @param view a copy that belongs to the caller
  * @param confirmedAt when a source last told or confirmed this state; null: never
  */
-public record HeldConfiguration(ConfigurationView view, Instant confirmedAt) {
+public record PersistedConfiguration(ConfigurationView view, Instant confirmedAt) {
     /** Nothing, at revision 0. */
-    public static HeldConfiguration none() {
-        return new HeldConfiguration(new ConfigurationView(), null);
+    public static PersistedConfiguration empty() {
+        return new PersistedConfiguration(new ConfigurationView(), null);
     }
 }
--- a/relay/src/main/java/saltstage/configuration/follower/SnapshotAssembly.java
+++ b/relay/src/main/java/saltstage/configuration/follower/SnapshotAssembler.java
@@ -11,12 +11,12 @@
  * The pages of one snapshot as they come in. Nothing of it is used before all of it is there and
  * its digest agrees. Not thread safe.
  */
-final class SnapshotAssembly {
+final class SnapshotAssembler {
     /** A page that does not belong to the snapshot, or a snapshot that is not sound. */
-    static final class UnsoundSnapshotException extends Exception {
+    static final class InvalidSnapshotException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        UnsoundSnapshotException(String message) {
+        InvalidSnapshotException(String message) {
             super(message);
         }
     }
@@ -24,17 +24,17 @@
     /** Where a snapshot names no revision yet: the newest. */
     static final long NEWEST = 0;
 
-    private final long leastRevision;
-    private final int mostEntries;
+    private final long minRevision;
+    private final int maxEntries;
     private final List<Entry> entries = new ArrayList<>();
     private long revision = NEWEST;
     private long digest;
-    private EntryKey next;
+    private EntryKey nextKey;
 
     /** Takes a snapshot of at least this revision and at most so many entries. */
-    SnapshotAssembly(long leastRevision, int mostEntries) {
-        this.leastRevision = leastRevision;
-        this.mostEntries = mostEntries;
+    SnapshotAssembler(long leastRevision, int mostEntries) {
+        this.minRevision = leastRevision;
+        this.maxEntries = mostEntries;
     }
 
     /** The revision to ask for. */
@@ -43,60 +43,60 @@
     }
 
     /** The first key of the page to ask for; null: the first of all. */
-    EntryKey next() {
-        return next;
+    EntryKey nextKey() {
+        return nextKey;
     }
 
     /** Takes a page; returns the whole snapshot with the last one, null before that. */
-    ConfigurationView add(SnapshotPage page) throws UnsoundSnapshotException {
+    ConfigurationView add(SnapshotPage page) throws InvalidSnapshotException {
         if (revision == NEWEST) {
-            begin(page);
+            start(page);
         }
         if (page.revision() != revision || page.digest() != digest) {
-            throw new UnsoundSnapshotException("a page of another snapshot");
+            throw new InvalidSnapshotException("a page of another snapshot");
         }
         for (Entry entry : page.entries()) {
             add(entry);
         }
         if (page.next() != null) {
-            continueAt(page.next());
+            advanceTo(page.next());
             return null;
         }
         ConfigurationView whole = new ConfigurationView(revision, entries);
         if (whole.digest() != digest) {
-            throw new UnsoundSnapshotException("the snapshot's digest differs from its entries");
+            throw new InvalidSnapshotException("the snapshot's digest differs from its entries");
         }
         return whole;
     }
 
-    private void begin(SnapshotPage page) throws UnsoundSnapshotException {
-        if (page.revision() < leastRevision || page.revision() == NEWEST) {
-            throw new UnsoundSnapshotException(
-                    "a snapshot of revision " + page.revision() + ", older than " + leastRevision);
+    private void start(SnapshotPage page) throws InvalidSnapshotException {
+        if (page.revision() < minRevision || page.revision() == NEWEST) {
+            throw new InvalidSnapshotException(
+                    "a snapshot of revision " + page.revision() + ", older than " + minRevision);
         }
         revision = page.revision();
         digest = page.digest();
     }
 
-    private void add(Entry entry) throws UnsoundSnapshotException {
-        if (entries.size() == mostEntries) {
-            throw new UnsoundSnapshotException("a snapshot of over " + mostEntries + " entries");
+    private void add(Entry entry) throws InvalidSnapshotException {
+        if (entries.size() == maxEntries) {
+            throw new InvalidSnapshotException("a snapshot of over " + maxEntries + " entries");
         }
-        if (next != null && entry.key().compareTo(next) < 0 || !isAfterLast(entry.key())) {
-            throw new UnsoundSnapshotException("keys out of order: " + entry.key().text());
+        if (nextKey != null && entry.key().compareTo(nextKey) < 0 || !isAfterLast(entry.key())) {
+            throw new InvalidSnapshotException("keys out of order: " + entry.key().text());
         }
         if (entry.revision() > revision) {
-            throw new UnsoundSnapshotException("an entry newer than its snapshot");
+            throw new InvalidSnapshotException("an entry newer than its snapshot");
         }
         entries.add(entry);
     }
 
-    private void continueAt(EntryKey key) throws UnsoundSnapshotException {
-        boolean advances = next == null || key.compareTo(next) > 0;
+    private void advanceTo(EntryKey key) throws InvalidSnapshotException {
+        boolean advances = nextKey == null || key.compareTo(nextKey) > 0;
         if (!advances || !isAfterLast(key)) {
-            throw new UnsoundSnapshotException("the next page does not come after this one");
+            throw new InvalidSnapshotException("the next page does not come after this one");
         }
-        next = key;
+        nextKey = key;
     }
 
     private boolean isAfterLast(EntryKey key) {
--- a/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
+++ b/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
@@ -33,7 +33,7 @@
 import saltstage.configuration.follower.FollowerOptions;
 import saltstage.configuration.follower.FollowerResources;
 import saltstage.configuration.follower.FollowerTimings;
-import saltstage.configuration.follower.HeldConfiguration;
+import saltstage.configuration.follower.PersistedConfiguration;
 import saltstage.handover.Suspensions;
 import saltstage.log.Log;
 import saltstage.wire.BackendList;
@@ -79,7 +79,7 @@
         this.listListener = listed;
         settings = new ConfiguredSettings(logging);
         directory = open(following.dir());
-        HeldConfiguration held = directory.held();
+        PersistedConfiguration held = directory.persistedConfiguration();
         confirmedAt = held.confirmedAt();
         replaceAll(held.view());
         listDelivered = !backends.isEmpty(); // as the list that is known at the start
@@ -122,9 +122,9 @@
 
     private static FollowerOptions options(
             OperatorSettings.FollowerSettings following, String relayName) {
-        List<URI> sources = following.sources().stream().map(FollowerOptions::source).toList();
+        List<URI> sources = following.sources().stream().map(FollowerOptions::sourceUri).toList();
         String name = following.name().isEmpty() ? relayName : following.name();
-        return new FollowerOptions(sources, name, following.zone(), FollowerTimings.usual());
+        return new FollowerOptions(sources, name, following.zone(), FollowerTimings.defaults());
     }
 
     private FollowerResources resources() {
@@ -269,7 +269,7 @@
     /** What the follower tells, one call at a time. */
     private final class Listener implements FollowerListener {
         @Override
-        public void changesInForce(List<Change> changes) {
+        public void changesApplied(List<Change> changes) {
             long revision = changes.get(changes.size() - 1).revision();
             synchronized (SharedConfiguration.this) {
                 for (Change change : changes) {
@@ -284,7 +284,7 @@
         }
 
         @Override
-        public void snapshotInForce(ConfigurationView view) {
+        public void snapshotApplied(ConfigurationView view) {
             synchronized (SharedConfiguration.this) {
                 replaceAll(view);
                 deliverList(
@@ -300,7 +300,7 @@
          * backend.
          */
         @Override
-        public void confirmed(long revision) {
+        public void revisionConfirmed(long revision) {
             confirmedAt = client.confirmedAt();
             synchronized (SharedConfiguration.this) {
                 if (!listDelivered && !backends.isEmpty()) {
@@ -310,12 +310,12 @@
         }
 
         @Override
-        public void sourceSettled(URI source) {
+        public void sourceConnected(URI source) {
             Log.info("configuration.source", "source", source, "rev", client.revision());
         }
 
         @Override
-        public void sourceLeft(URI source, URI next, String reason) {
+        public void sourceFailedOver(URI source, URI next, String reason) {
             Log.warn(
                     "configuration.source.left",
                     "source",
@@ -334,7 +334,7 @@
         }
 
         @Override
-        public void fault(RuntimeException fault) {
+        public void faultOccurred(RuntimeException fault) {
             Log.error("configuration.fault", fault);
         }
     }
--- a/relay/src/test/java/saltstage/configuration/ChangeHistoryTest.java
+++ b/relay/src/test/java/saltstage/configuration/ChangeHistoryTest.java
@@ -12,12 +12,12 @@
 
 /** What a follower is answered, by the design's table. */
 class ChangeHistoryTest {
-    private static final int KEPT = 4;
+    private static final int MAX_CHANGES = 4;
 
     private final ConfigurationView view = new ConfigurationView();
     private final Map<Long, Long> digests = new HashMap<>(Map.of(0L, EntryDigest.EMPTY));
 
-    private void write(ChangeHistory history, int changes) {
+    private void appendChanges(ChangeHistory history, int changes) {
         for (int i = 0; i < changes; i++) {
             EntryKey key = new EntryKey(EntryKind.SHARD, "t/" + view.revision() % 3);
             EntryValue value = new EntryValue.Shard("gw-" + view.revision());
@@ -27,13 +27,13 @@
     }
 
     @Test
-    void eachFollowerGetsAllThatFollowsOrIsToldThatItIsTruncated() {
-        ChangeHistory history = new ChangeHistory(0, EntryDigest.EMPTY, KEPT, 1 << 20);
-        write(history, 10);
+    void followerGetsAllLaterChangesOrTruncated() {
+        ChangeHistory history = new ChangeHistory(0, EntryDigest.EMPTY, MAX_CHANGES, 1 << 20);
+        appendChanges(history, 10);
         for (long revision = 0; revision <= 10; revision++) {
-            ChangeHistory.Answer answer = history.after(revision, digests.get(revision), 100);
-            if (revision < 10 - KEPT) {
-                assertEquals(ChangeHistory.Refusal.TRUNCATED, answer, "after " + revision);
+            ChangeHistory.Result answer = history.changesAfter(revision, digests.get(revision), 100);
+            if (revision < 10 - MAX_CHANGES) {
+                assertEquals(ChangeHistory.Failure.TRUNCATED, answer, "after " + revision);
                 continue;
             }
             List<Change> changes = assertInstanceOf(ChangeHistory.Changes.class, answer).changes();
@@ -45,38 +45,38 @@
     }
 
     @Test
-    void otherDigestAtAnyKeptRevisionIsDivergedAndANewerRevisionIsBehind() {
-        ChangeHistory history = new ChangeHistory(0, EntryDigest.EMPTY, KEPT, 1 << 20);
-        write(history, 10);
-        for (long revision = 10 - KEPT; revision <= 10; revision++) {
-            ChangeHistory.Answer answer = history.after(revision, digests.get(revision) + 1, 100);
-            assertEquals(ChangeHistory.Refusal.DIVERGED, answer, "at " + revision);
+    void differentDigestIsDivergedAndNewerRevisionIsBehind() {
+        ChangeHistory history = new ChangeHistory(0, EntryDigest.EMPTY, MAX_CHANGES, 1 << 20);
+        appendChanges(history, 10);
+        for (long revision = 10 - MAX_CHANGES; revision <= 10; revision++) {
+            ChangeHistory.Result answer = history.changesAfter(revision, digests.get(revision) + 1, 100);
+            assertEquals(ChangeHistory.Failure.DIVERGED, answer, "at " + revision);
         }
-        assertEquals(ChangeHistory.Refusal.BEHIND, history.after(11, view.digest(), 100));
+        assertEquals(ChangeHistory.Failure.BEHIND, history.changesAfter(11, view.digest(), 100));
     }
 
     @Test
     void historyIsBoundedByCountAndByBytes() {
-        ChangeHistory few = new ChangeHistory(0, EntryDigest.EMPTY, KEPT, 1 << 20);
-        write(few, 50);
-        assertEquals(KEPT, few.size());
-        assertEquals(50 - KEPT, few.baseRevision());
+        ChangeHistory few = new ChangeHistory(0, EntryDigest.EMPTY, MAX_CHANGES, 1 << 20);
+        appendChanges(few, 50);
+        assertEquals(MAX_CHANGES, few.size());
+        assertEquals(50 - MAX_CHANGES, few.baseRevision());
         ChangeHistory small = new ChangeHistory(50, view.digest(), 1_000, 500);
-        write(small, 100);
-        assertTrue(small.bytes() <= 500 && small.size() > 1, small.size() + " kept");
+        appendChanges(small, 100);
+        assertTrue(small.estimatedBytes() <= 500 && small.size() > 1, small.size() + " kept");
         ChangeHistory none = new ChangeHistory(150, view.digest(), 1_000, 1);
-        write(none, 1);
+        appendChanges(none, 1);
         assertEquals(0, none.size());
         assertEquals(151, none.newestRevision());
-        assertInstanceOf(ChangeHistory.Changes.class, none.after(151, view.digest(), 1));
+        assertInstanceOf(ChangeHistory.Changes.class, none.changesAfter(151, view.digest(), 1));
     }
 
     @Test
-    void answerIsLimitedAndNeverEmptyWhereThereIsMore() {
+    void resultIsLimitedButNeverEmptyWhenMoreChangesExist() {
         ChangeHistory history = new ChangeHistory(0, EntryDigest.EMPTY);
-        write(history, 5);
+        appendChanges(history, 5);
         for (int limit : new int[] {-1, 0, 1}) {
-            ChangeHistory.Answer answer = history.after(2, digests.get(2L), limit);
+            ChangeHistory.Result answer = history.changesAfter(2, digests.get(2L), limit);
             List<Change> changes = ((ChangeHistory.Changes) answer).changes();
             assertEquals(1, changes.size());
             assertEquals(3, changes.get(0).revision());
@@ -84,13 +84,13 @@
     }
 
     @Test
-    void changeThatDoesNotFollowIsNotKept() {
+    void nonConsecutiveChangeIsRejected() {
         ChangeHistory history = new ChangeHistory(5, 77);
         Change late = new Change(7, 1, List.of());
         assertThrows(IllegalArgumentException.class, () -> history.append(late));
         assertEquals(5, history.newestRevision());
         history.reset(9, 4);
-        assertEquals(new ChangeHistory.Changes(List.of()), history.after(9, 4, 10));
-        assertEquals(ChangeHistory.Refusal.TRUNCATED, history.after(5, 77, 10));
+        assertEquals(new ChangeHistory.Changes(List.of()), history.changesAfter(9, 4, 10));
+        assertEquals(ChangeHistory.Failure.TRUNCATED, history.changesAfter(5, 77, 10));
     }
 }
--- a/relay/src/test/java/saltstage/configuration/ConfigurationJsonTest.java
+++ b/relay/src/test/java/saltstage/configuration/ConfigurationJsonTest.java
@@ -24,7 +24,7 @@
                     + "\"cell\":3,\"state\":\"READY\",\"weight\":1.5,\"startedAtMs\":0}}";
 
     @Test
-    void mutationsOfEachKindAreReadAsTheyWereWritten() throws MalformedException {
+    void mutationsOfEachKindRoundTrip() throws MalformedException {
         List<Mutation> mutations =
                 List.of(
                         mutation("setting/log.level", new EntryValue.Setting("\"info\\\u00e9\"")),
@@ -35,10 +35,10 @@
                         mutation("shard/topic-7/4", null));
         Change change = new Change(9, -2, mutations);
         ChangesResponse response = new ChangesResponse(9, -2, List.of(change));
-        assertEquals(response, ConfigurationJson.changes(ConfigurationJson.text(response)));
-        assertEquals(mutations, ConfigurationJson.mutations(ConfigurationJson.text(mutations)));
+        assertEquals(response, ConfigurationJson.parseChanges(ConfigurationJson.toJson(response)));
+        assertEquals(mutations, ConfigurationJson.parseMutations(ConfigurationJson.toJson(mutations)));
         ErrorResponse error = new ErrorResponse(ErrorResponse.BUSY, 0, 250);
-        assertEquals(error, ConfigurationJson.error(ConfigurationJson.text(error)));
+        assertEquals(error, ConfigurationJson.parseError(ConfigurationJson.toJson(error)));
     }
 
     private static Mutation mutation(String key, EntryValue value) {
@@ -68,10 +68,10 @@
                         + " takes",
                 "[] ~ mutations[0] is not an object",
             })
-    void malformedMutationIsRefusedWithItsPlace(String mutation, String place) {
+    void malformedMutationIsRejectedWithItsPath(String mutation, String place) {
         String text = String.format(CHANGES, mutation);
         String why =
-                assertThrows(MalformedException.class, () -> ConfigurationJson.changes(text))
+                assertThrows(MalformedException.class, () -> ConfigurationJson.parseChanges(text))
                         .getMessage();
         assertTrue(why.contains(place), why);
     }
@@ -90,26 +90,26 @@
                 "\"zone\":\"a1\" ~ \"zone\":\"a|1\"",
                 "\"zone\":\"a1\", ~ ` `",
             })
-    void malformedBackendIsRefused(String good, String bad) throws MalformedException {
-        ConfigurationJson.changes(String.format(CHANGES, BACKEND));
+    void malformedBackendIsRejected(String good, String bad) throws MalformedException {
+        ConfigurationJson.parseChanges(String.format(CHANGES, BACKEND));
         String text = String.format(CHANGES, BACKEND.replace(good, bad));
-        assertThrows(MalformedException.class, () -> ConfigurationJson.changes(text));
+        assertThrows(MalformedException.class, () -> ConfigurationJson.parseChanges(text));
     }
 
     @Test
-    void tooMuchOfAnythingIsRefused() {
+    void inputOverTheLimitsIsRejected() {
         String one = "{\"key\":\"shard/t/1\",\"deleted\":true}";
-        int most = ConfigurationLimits.MUTATIONS_PER_CHANGE;
+        int most = ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE;
         String many = String.join(",", java.util.Collections.nCopies(most + 1, one));
         String text = String.format(CHANGES, many);
-        assertThrows(MalformedException.class, () -> ConfigurationJson.changes(text));
+        assertThrows(MalformedException.class, () -> ConfigurationJson.parseChanges(text));
         String name = "x".repeat(161);
         String longKey = String.format(CHANGES, one.replace("t/1", name));
-        assertThrows(MalformedException.class, () -> ConfigurationJson.changes(longKey));
+        assertThrows(MalformedException.class, () -> ConfigurationJson.parseChanges(longKey));
     }
 
     @Property(tries = 3_000)
-    void alteredTextNeverChangesAViewByHalf(
+    void corruptedJsonNeverPartiallyChangesAView(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 3) int edits) {
         ConfigurationView writer = new ConfigurationView();
         Change change =
@@ -118,10 +118,10 @@
                                 mutation("shard/topic-7/3", new EntryValue.Shard("gw-4")),
                                 mutation("backend/gw-4", backend(2))));
         String text =
-                ConfigurationJson.text(new ChangesResponse(1, writer.digest(), List.of(change)));
+                ConfigurationJson.toJson(new ChangesResponse(1, writer.digest(), List.of(change)));
         ConfigurationView follower = new ConfigurationView();
         try {
-            ConfigurationJson.changes(altered(text, new Random(seed), edits))
+            ConfigurationJson.parseChanges(corrupted(text, new Random(seed), edits))
                     .changes()
                     .forEach(follower::apply);
         } catch (MalformedException refused) {
@@ -131,7 +131,7 @@
         assertTrue(whole || follower.revision() == 0 && follower.entries().isEmpty());
     }
 
-    private static String altered(String text, Random random, int edits) {
+    private static String corrupted(String text, Random random, int edits) {
         StringBuilder altered = new StringBuilder(text);
         String drawn = "{}[]\",:0123456789abcdeftrue\\u-+. \u0000\ud800";
         for (int i = 0; i < edits && !altered.isEmpty(); i++) {
--- a/relay/src/test/java/saltstage/configuration/ConfigurationViewTest.java
+++ b/relay/src/test/java/saltstage/configuration/ConfigurationViewTest.java
@@ -14,14 +14,14 @@
     private final ConfigurationView writer = new ConfigurationView();
     private final ConfigurationView follower = new ConfigurationView();
 
-    private Change place(EntryKey shard, String backend) {
+    private Change placeShard(EntryKey shard, String backend) {
         return writer.accept(List.of(new Mutation(shard, new EntryValue.Shard(backend))));
     }
 
     @Test
-    void gapIsToldAsGapAndChangesNothing() {
-        place(SHARD, "gw-1");
-        Change second = place(OTHER, "gw-2");
+    void changeAfterAGapIsNotApplied() {
+        placeShard(SHARD, "gw-1");
+        Change second = placeShard(OTHER, "gw-2");
         assertEquals(ConfigurationView.Outcome.GAP, follower.apply(second));
         Change emptyButWithAGap = new Change(2, EntryDigest.EMPTY, List.of());
         assertEquals(ConfigurationView.Outcome.GAP, follower.apply(emptyButWithAGap));
@@ -29,8 +29,8 @@
     }
 
     @Test
-    void changeWithAnotherDigestIsRefusedAndChangesNothing() {
-        Change first = place(SHARD, "gw-1");
+    void changeWithWrongDigestIsNotApplied() {
+        Change first = placeShard(SHARD, "gw-1");
         Change altered = new Change(1, first.digest() + 1, first.mutations());
         assertEquals(ConfigurationView.Outcome.DIVERGED, follower.apply(altered));
         assertEquals(0, follower.entries().size());
@@ -41,17 +41,17 @@
     }
 
     @Test
-    void digestIsOfTheEntriesAloneAndOfTheirRevisions() {
-        place(SHARD, "gw-1");
+    void digestDependsOnlyOnEntriesAndTheirRevisions() {
+        placeShard(SHARD, "gw-1");
         long before = writer.digest();
-        place(OTHER, "gw-1");
+        placeShard(OTHER, "gw-1");
         writer.accept(List.of(new Mutation(OTHER, null)));
         assertEquals(before, writer.digest());
         ConfigurationView rebuilt =
                 new ConfigurationView(writer.revision(), writer.entries().values());
         assertEquals(before, rebuilt.digest());
-        place(SHARD, "gw-2");
-        place(SHARD, "gw-1");
+        placeShard(SHARD, "gw-2");
+        placeShard(SHARD, "gw-1");
         assertNotEquals(before, writer.digest());
     }
 }
--- a/relay/src/test/java/saltstage/configuration/FollowerConvergenceTest.java
+++ b/relay/src/test/java/saltstage/configuration/FollowerConvergenceTest.java
@@ -22,21 +22,21 @@
 class FollowerConvergenceTest {
     private static final int STEPS = 120;
     private static final int KEYS = 12;
-    private static final int CHANGES_KEPT = 6;
+    private static final int MAX_HISTORY_CHANGES = 6;
 
     /** The writer's side, and all that it ever was. */
     private static final class Source {
         final ConfigurationView view = new ConfigurationView();
         final ChangeHistory history =
-                new ChangeHistory(0, EntryDigest.EMPTY, CHANGES_KEPT, 1 << 20);
+                new ChangeHistory(0, EntryDigest.EMPTY, MAX_HISTORY_CHANGES, 1 << 20);
         final SnapshotPager pager = new SnapshotPager();
-        final Map<Long, Map<EntryKey, Entry>> past = new HashMap<>();
+        final Map<Long, Map<EntryKey, Entry>> entriesByRevision = new HashMap<>();
 
         Source() {
-            past.put(0L, Map.of());
+            entriesByRevision.put(0L, Map.of());
         }
 
-        void write(Random random) {
+        void acceptRandomChange(Random random) {
             List<Mutation> mutations = new ArrayList<>();
             for (int i = random.nextInt(4); i >= 0; i--) {
                 EntryKey key = new EntryKey(EntryKind.SHARD, "t/" + random.nextInt(KEYS));
@@ -44,15 +44,15 @@
                 mutations.add(new Mutation(key, random.nextInt(4) == 0 ? null : value));
             }
             history.append(view.accept(mutations));
-            past.put(view.revision(), new TreeMap<>(view.entries()));
+            entriesByRevision.put(view.revision(), new TreeMap<>(view.entries()));
         }
 
         /** An answer's text, or null where the follower is told to take a snapshot. */
         String changesAfter(ConfigurationView follower, int limit) {
-            ChangeHistory.Answer answer =
-                    history.after(follower.revision(), follower.digest(), limit);
+            ChangeHistory.Result answer =
+                    history.changesAfter(follower.revision(), follower.digest(), limit);
             return answer instanceof ChangeHistory.Changes found
-                    ? ConfigurationJson.text(
+                    ? ConfigurationJson.toJson(
                             new ChangesResponse(view.revision(), view.digest(), found.changes()))
                     : null;
         }
@@ -63,43 +63,43 @@
      */
     private static final class Follower {
         ConfigurationView view = new ConfigurationView();
-        final List<String> onTheirWay = new ArrayList<>();
-        final List<Entry> pages = new ArrayList<>();
-        SnapshotPage last;
+        final List<String> inFlightResponses = new ArrayList<>();
+        final List<Entry> receivedEntries = new ArrayList<>();
+        SnapshotPage lastPage;
 
-        void take(String answer) throws MalformedException {
-            for (Change change : ConfigurationJson.changes(answer).changes()) {
+        void applyResponse(String answer) throws MalformedException {
+            for (Change change : ConfigurationJson.parseChanges(answer).changes()) {
                 view.apply(change);
             }
         }
 
-        void nextPage(Source source, int limit) throws MalformedException {
-            long revision = last == null ? SnapshotPager.NEWEST : last.revision();
-            EntryKey from = last == null ? null : last.next();
+        void fetchNextPage(Source source, int limit) throws MalformedException {
+            long revision = lastPage == null ? SnapshotPager.NEWEST : lastPage.revision();
+            EntryKey from = lastPage == null ? null : lastPage.next();
             SnapshotPage page = source.pager.page(source.view, revision, from, limit);
             if (page == null) {
-                last = null;
-                pages.clear();
+                lastPage = null;
+                receivedEntries.clear();
                 return;
             }
-            last = ConfigurationJson.snapshotPage(ConfigurationJson.text(page));
-            pages.addAll(last.entries());
-            if (last.next() == null) {
-                install();
+            lastPage = ConfigurationJson.parseSnapshotPage(ConfigurationJson.toJson(page));
+            receivedEntries.addAll(lastPage.entries());
+            if (lastPage.next() == null) {
+                installSnapshot();
             }
         }
 
-        private void install() {
-            ConfigurationView whole = new ConfigurationView(last.revision(), pages);
-            assertEquals(last.digest(), whole.digest(), "all pages are of one revision");
+        private void installSnapshot() {
+            ConfigurationView whole = new ConfigurationView(lastPage.revision(), receivedEntries);
+            assertEquals(lastPage.digest(), whole.digest(), "all pages are of one revision");
             view = whole.revision() >= view.revision() ? whole : view;
-            last = null;
-            pages.clear();
+            lastPage = null;
+            receivedEntries.clear();
         }
     }
 
     @Property(tries = 500)
-    void followerHasWhatTheWriterHadAtItsRevision(
+    void followerEqualsTheWriterAtTheSameRevision(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int limit)
             throws MalformedException {
         Random random = new Random(seed);
@@ -108,17 +108,17 @@
         for (int step = 0; step < STEPS; step++) {
             step(source, follower, random, limit);
             assertEquals(
-                    source.past.get(follower.view.revision()),
+                    source.entriesByRevision.get(follower.view.revision()),
                     follower.view.entries(),
                     "at revision " + follower.view.revision());
         }
-        follower.onTheirWay.clear();
+        follower.inFlightResponses.clear();
         for (int i = 0; i < STEPS && follower.view.revision() < source.view.revision(); i++) {
             String answer = source.changesAfter(follower.view, limit);
             if (answer == null) {
-                follower.nextPage(source, limit);
+                follower.fetchNextPage(source, limit);
             } else {
-                follower.take(answer);
+                follower.applyResponse(answer);
             }
         }
         assertEquals(source.view.entries(), follower.view.entries());
@@ -128,44 +128,44 @@
     private static void step(Source source, Follower follower, Random random, int limit)
             throws MalformedException {
         switch (random.nextInt(6)) {
-            case 0, 1 -> source.write(random);
+            case 0, 1 -> source.acceptRandomChange(random);
             case 2 -> {
                 String answer = source.changesAfter(follower.view, limit);
                 if (answer == null) {
-                    follower.nextPage(source, limit);
+                    follower.fetchNextPage(source, limit);
                 } else {
-                    follower.onTheirWay.add(answer);
+                    follower.inFlightResponses.add(answer);
                 }
             }
             case 3 -> {
-                if (!follower.onTheirWay
+                if (!follower.inFlightResponses
                         .isEmpty()) { // late, out of order, and perhaps once more later
-                    int which = random.nextInt(follower.onTheirWay.size());
-                    follower.take(follower.onTheirWay.get(which));
+                    int which = random.nextInt(follower.inFlightResponses.size());
+                    follower.applyResponse(follower.inFlightResponses.get(which));
                     if (random.nextBoolean()) {
-                        follower.onTheirWay.remove(which);
+                        follower.inFlightResponses.remove(which);
                     }
                 }
             }
-            case 4 -> follower.nextPage(source, limit);
-            default -> follower.onTheirWay.removeIf(lost -> random.nextInt(3) == 0);
+            case 4 -> follower.fetchNextPage(source, limit);
+            default -> follower.inFlightResponses.removeIf(lost -> random.nextInt(3) == 0);
         }
     }
 
     @Property(tries = 100)
-    void snapshotsArePagedAtOneRevisionAndOnlyTheNewestTwoAreHeld(@ForAll long seed) {
+    void snapshotsArePagedAtOneRevisionAndOnlyTheNewestTwoAreRetained(@ForAll long seed) {
         Random random = new Random(seed);
         Source source = new Source();
         List<Long> asked = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            source.write(random);
+            source.acceptRandomChange(random);
             asked.add(source.pager.page(source.view, SnapshotPager.NEWEST, null, 1).revision());
         }
         for (int i = 0; i < asked.size(); i++) {
             SnapshotPage page = source.pager.page(source.view, asked.get(i), null, 5_000);
             assertEquals(i < asked.size() - 2, page == null, "snapshot " + asked.get(i));
             assertTrue(
-                    page == null || page.entries().size() == source.past.get(asked.get(i)).size());
+                    page == null || page.entries().size() == source.entriesByRevision.get(asked.get(i)).size());
         }
     }
 }
--- a/relay/src/test/java/saltstage/configuration/follower/ConfigurationClientTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ConfigurationClientTest.java
@@ -21,8 +21,8 @@
 
 /** The follower against sources on real sockets that are sound, foreign, broken, slow or silent. */
 class ConfigurationClientTest {
-    private static final long PATIENCE_MS = 30_000;
-    private static final FollowerTimings QUICK =
+    private static final long TIMEOUT_MS = 30_000;
+    private static final FollowerTimings FAST_TIMINGS =
             new FollowerTimings(
                     Duration.ofMillis(400),
                     Duration.ofMillis(20),
@@ -33,167 +33,167 @@
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
-    private final List<AutoCloseable> toClose = new ArrayList<>();
-    private final List<Long> applied = new CopyOnWriteArrayList<>();
-    private final List<String> left = new CopyOnWriteArrayList<>();
-    private final List<URI> settled = new CopyOnWriteArrayList<>();
+    private final List<AutoCloseable> closeables = new ArrayList<>();
+    private final List<Long> appliedRevisions = new CopyOnWriteArrayList<>();
+    private final List<String> failoverReasons = new CopyOnWriteArrayList<>();
+    private final List<URI> connectedSources = new CopyOnWriteArrayList<>();
 
     @AfterEach
     void close() throws Exception {
-        for (AutoCloseable each : toClose) {
+        for (AutoCloseable each : closeables) {
             each.close();
         }
         scheduler.shutdownNow();
     }
 
-    private ScriptedSource source(ScriptedSource.Script script) throws Exception {
+    private ScriptedSource startSource(ScriptedSource.Script script) throws Exception {
         ScriptedSource source = new ScriptedSource(script);
-        toClose.add(source);
+        closeables.add(source);
         return source;
     }
 
-    private ConfigurationClient follow(ScriptedSource... sources) {
+    private ConfigurationClient startFollower(ScriptedSource... sources) {
         ConfigurationClient client =
                 new ConfigurationClient(
                         new FollowerOptions(
                                 List.of(sources).stream().map(ScriptedSource::uri).toList(),
                                 "relay 1",
                                 "a",
-                                QUICK),
+                                FAST_TIMINGS),
                         new FollowerResources(
                                 http, scheduler, Runnable::run, Clock.systemUTC(), new Random(1)),
                         ConfigurationPersistence.NONE,
                         new ConfigurationView(),
-                        new Listener());
-        toClose.add(client);
+                        new RecordingListener());
+        closeables.add(client);
         client.start();
         return client;
     }
 
-    private final class Listener implements FollowerListener {
+    private final class RecordingListener implements FollowerListener {
         @Override
-        public void changesInForce(List<Change> changes) {
-            changes.forEach(change -> applied.add(change.revision()));
+        public void changesApplied(List<Change> changes) {
+            changes.forEach(change -> appliedRevisions.add(change.revision()));
         }
 
         @Override
-        public void snapshotInForce(ConfigurationView view) {
-            applied.add(view.revision());
+        public void snapshotApplied(ConfigurationView view) {
+            appliedRevisions.add(view.revision());
         }
 
         @Override
-        public void sourceSettled(URI source) {
-            settled.add(source);
+        public void sourceConnected(URI source) {
+            connectedSources.add(source);
         }
 
         @Override
-        public void sourceLeft(URI source, URI next, String reason) {
-            left.add(reason);
+        public void sourceFailedOver(URI source, URI next, String reason) {
+            failoverReasons.add(reason);
         }
     }
 
     private static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
+        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < until, "waited in vain until " + what);
             Thread.sleep(5);
         }
     }
 
-    private static ServedView served(int revisions) {
+    private static ServedView viewWithRevisions(int revisions) {
         ServedView view = new ServedView();
         for (int i = 1; i <= revisions; i++) {
-            view.accept(ScriptedHistory.shard("topic/" + i, "gw-" + i));
+            view.accept(ScriptedHistory.shardMutation("topic/" + i, "gw-" + i));
         }
         return view;
     }
 
     @Test
-    void changesComeOnceAndInOrderAsTheyAreAccepted() throws Exception {
-        ServedView view = served(3);
-        ConfigurationClient client = follow(source(view));
+    void changesArriveOnceAndInOrder() throws Exception {
+        ServedView view = viewWithRevisions(3);
+        ConfigurationClient client = startFollower(startSource(view));
         await("what there is", () -> client.revision() == 3);
         await("it is confirmed", () -> client.confirmedAt() != null);
-        view.accept(ScriptedHistory.shard("topic/1", null));
+        view.accept(ScriptedHistory.shardMutation("topic/1", null));
         await("the next", () -> client.revision() == 4);
-        assertEquals(List.of(1L, 2L, 3L, 4L), applied);
-        assertEquals(List.of(), left);
+        assertEquals(List.of(1L, 2L, 3L, 4L), appliedRevisions);
+        assertEquals(List.of(), failoverReasons);
     }
 
     @Test
-    void aSnapshotOfManyPagesIsTakenWhole() throws Exception {
+    void multiPageSnapshotIsAppliedAsAWhole() throws Exception {
         ConfigurationView large = new ConfigurationView();
         for (int i = 0; i < 100; i++) {
             List<saltstage.configuration.Mutation> mutations = new ArrayList<>();
             for (int j = 0; j < 50; j++) {
-                mutations.add(ScriptedHistory.shard("topic-" + i + "/" + j, "gw-1"));
+                mutations.add(ScriptedHistory.shardMutation("topic-" + i + "/" + j, "gw-1"));
             }
             large.accept(mutations);
         }
         ServedView view = new ServedView(large);
-        ScriptedSource source = source(view);
-        ConfigurationClient client = follow(source);
+        ScriptedSource source = startSource(view);
+        ConfigurationClient client = startFollower(source);
         await("the snapshot", () -> client.revision() == 100);
-        view.accept(ScriptedHistory.shard("topic-7/3", "gw-2"));
+        view.accept(ScriptedHistory.shardMutation("topic-7/3", "gw-2"));
         await("the change after it", () -> client.revision() == 101);
-        assertEquals(List.of(100L, 101L), applied);
-        assertTrue(source.requests() >= 4, "requests: " + source.requests());
+        assertEquals(List.of(100L, 101L), appliedRevisions);
+        assertTrue(source.requestCount() >= 4, "requests: " + source.requestCount());
     }
 
     @Test
-    void anOlderSourceIsLeftAndWhatIsHeldStays() throws Exception {
-        ServedView newer = served(5);
-        ScriptedSource first = source(newer);
-        ScriptedSource second = source(served(2));
-        ConfigurationClient client = follow(first, second);
+    void failsOverFromAnOlderSourceAndKeepsItsState() throws Exception {
+        ServedView newer = viewWithRevisions(5);
+        ScriptedSource first = startSource(newer);
+        ScriptedSource second = startSource(viewWithRevisions(2));
+        ConfigurationClient client = startFollower(first, second);
         await("the newer one is followed", () -> client.revision() == 5);
         first.close();
-        await("the older one is asked", () -> left.stream().anyMatch(l -> l.startsWith("behind")));
+        await("the older one is asked", () -> failoverReasons.stream().anyMatch(l -> l.startsWith("behind")));
         assertEquals(5, client.revision());
-        assertEquals(List.of(1L, 2L, 3L, 4L, 5L), applied);
+        assertEquals(List.of(1L, 2L, 3L, 4L, 5L), appliedRevisions);
     }
 
     @Test
-    void thePreferredSourceIsReturnedTo() throws Exception {
-        ServedView view = served(1);
-        ScriptedSource first = source((query, out) -> ScriptedSource.write(out, 500, "{}"));
-        ScriptedSource second = source(view);
-        follow(first, second);
-        await("the second is followed", () -> settled.equals(List.of(second.uri())));
-        first.script(view);
-        await("the first again", () -> settled.equals(List.of(second.uri(), first.uri())));
-    }
-
-    private void fails(String reason, ScriptedSource.Script script) throws Exception {
-        ConfigurationClient client = follow(source(script));
-        await("it is left", () -> !left.isEmpty());
-        assertTrue(left.get(0).contains(reason), left.get(0));
-        assertTrue(left.get(0).indexOf('\n') < 0, "one line: " + left.get(0));
+    void returnsToThePreferredSource() throws Exception {
+        ServedView view = viewWithRevisions(1);
+        ScriptedSource first = startSource((query, out) -> ScriptedSource.writeResponse(out, 500, "{}"));
+        ScriptedSource second = startSource(view);
+        startFollower(first, second);
+        await("the second is followed", () -> connectedSources.equals(List.of(second.uri())));
+        first.setScript(view);
+        await("the first again", () -> connectedSources.equals(List.of(second.uri(), first.uri())));
+    }
+
+    private void assertFailsOver(String reason, ScriptedSource.Script script) throws Exception {
+        ConfigurationClient client = startFollower(startSource(script));
+        await("it is left", () -> !failoverReasons.isEmpty());
+        assertTrue(failoverReasons.get(0).contains(reason), failoverReasons.get(0));
+        assertTrue(failoverReasons.get(0).indexOf('\n') < 0, "one line: " + failoverReasons.get(0));
         assertEquals(0, client.revision());
-        assertEquals(List.of(), applied);
+        assertEquals(List.of(), appliedRevisions);
     }
 
     @Test
     void malformedJsonChangesNothing() throws Exception {
-        fails("malformed", (query, out) -> ScriptedSource.write(out, 200, "{\"revision\":7"));
+        assertFailsOver("malformed", (query, out) -> ScriptedSource.writeResponse(out, 200, "{\"revision\":7"));
     }
 
     @Test
-    void anotherServicesJsonChangesNothing() throws Exception {
+    void foreignJsonChangesNothing() throws Exception {
         String foreign = "{\"rev\":3,\"all\":true,\"targets\":[]}";
-        fails("malformed", (query, out) -> ScriptedSource.write(out, 200, foreign));
+        assertFailsOver("malformed", (query, out) -> ScriptedSource.writeResponse(out, 200, foreign));
     }
 
     @Test
-    void anotherServicesErrorChangesNothing() throws Exception {
+    void foreignErrorChangesNothing() throws Exception {
         String foreign = "{\"error\":\"no such page\"}";
-        fails("status 410", (query, out) -> ScriptedSource.write(out, 410, foreign));
+        assertFailsOver("status 410", (query, out) -> ScriptedSource.writeResponse(out, 410, foreign));
     }
 
     @Test
-    void anOversizedAnswerIsNotHeld() throws Exception {
+    void oversizedResponseIsNotBuffered() throws Exception {
         byte[] part = new byte[1 << 16];
-        fails(
+        assertFailsOver(
                 "an answer of over",
                 (query, out) -> {
                     out.write("HTTP/1.1 200 OK\r\nContent-Length: 2000000000\r\n\r\n".getBytes());
@@ -204,13 +204,13 @@
     }
 
     @Test
-    void aSilentSourceIsLeft() throws Exception {
-        fails("no answer within", (query, out) -> Thread.sleep(PATIENCE_MS));
+    void failsOverFromASilentSource() throws Exception {
+        assertFailsOver("no answer within", (query, out) -> Thread.sleep(TIMEOUT_MS));
     }
 
     @Test
-    void aSourceThatTricklesItsAnswerIsLeft() throws Exception {
-        fails(
+    void failsOverFromASourceThatTricklesItsResponse() throws Exception {
+        assertFailsOver(
                 "no answer within",
                 (query, out) -> {
                     out.write("HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n".getBytes());
@@ -222,8 +222,8 @@
     }
 
     @Test
-    void aSourceThatResetsIsLeft() throws Exception {
-        fails(
+    void failsOverFromASourceThatResets() throws Exception {
+        assertFailsOver(
                 "",
                 (query, out) -> {
                     throw new IllegalStateException("reset");
@@ -231,16 +231,16 @@
     }
 
     @Test
-    void aQuietFollowerCostsLittle() throws Exception {
-        ServedView view = served(1);
-        ScriptedSource source = source(view);
+    void idleFollowerUsesLittleBandwidth() throws Exception {
+        ServedView view = viewWithRevisions(1);
+        ScriptedSource source = startSource(view);
         List<Long> bytes = new CopyOnWriteArrayList<>(); // at each request, once its head was read
-        source.script(
+        source.setScript(
                 (query, out) -> {
-                    bytes.add(source.bytes());
-                    view.answer(query, out);
+                    bytes.add(source.byteCount());
+                    view.respond(query, out);
                 });
-        follow(source);
+        startFollower(source);
         await("it has asked on", () -> bytes.size() >= 7);
         long perRound = (bytes.get(6) - bytes.get(2)) / 4;
         System.out.println("a quiet follower's request and answer: " + perRound + " bytes");
--- a/relay/src/test/java/saltstage/configuration/follower/FollowerExplorationTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/FollowerExplorationTest.java
@@ -16,25 +16,25 @@
  */
 class FollowerExplorationTest {
     private static final int DEPTH = 7;
-    private static final Duration LONG = Duration.ofSeconds(25);
-    private static final long ANOTHER_DIGEST = 0x5eed;
+    private static final Duration ELAPSED = Duration.ofSeconds(25);
+    private static final long WRONG_DIGEST = 0x5eed;
 
     private final ScriptedHistory history = new ScriptedHistory(6, "a");
     private final ScriptedHistory fork = new ScriptedHistory(6, "b");
-    private long paths;
-    private long newest;
+    private long pathCount;
+    private long newestRevision;
 
     @Test
-    void allOrdersOfEventsKeepThePromises() {
+    void allEventOrdersPreserveTheInvariants() {
         explore(new ArrayList<>());
-        assertTrue(paths > 60_000, "paths explored: " + paths);
-        assertTrue(newest >= 5, "the newest revision that a path came to: " + newest);
+        assertTrue(pathCount > 60_000, "paths explored: " + pathCount);
+        assertTrue(newestRevision >= 5, "the newest revision that a path came to: " + newestRevision);
     }
 
     private void explore(List<Integer> path) {
         FollowerHarness follower = replay(path);
-        paths++;
-        newest = Math.max(newest, follower.inForce().revision());
+        pathCount++;
+        newestRevision = Math.max(newestRevision, follower.appliedView().revision());
         if (path.size() == DEPTH) {
             follower.stop();
             return;
@@ -51,11 +51,11 @@
         FollowerHarness follower = new FollowerHarness(2, 3);
         for (int choice : path) {
             FollowerEvent event = events(follower).get(choice);
-            if (event instanceof FollowerEvent.PreferredSourceDue) {
-                follower.onUnawaited(event);
+            if (event instanceof FollowerEvent.PreferredSourceRetryDue) {
+                follower.handleUnawaited(event);
             } else {
-                follower.on(event);
-                follower.onUnawaited(event); // each answer comes twice
+                follower.handle(event);
+                follower.handleUnawaited(event); // each answer comes twice
             }
         }
         return follower;
@@ -63,31 +63,31 @@
 
     private List<FollowerEvent> events(FollowerHarness follower) {
         List<FollowerEvent> events = new ArrayList<>();
-        long number = follower.pendingNumber();
-        if (follower.pending instanceof FollowerEffect.RequestChanges request) {
-            answers(request.after()).forEach(answer -> events.add(received(number, answer)));
-            refusals(number, events);
-        } else if (follower.pending instanceof FollowerEffect.RequestSnapshotPage request) {
+        long number = follower.pendingOperationId();
+        if (follower.pendingEffect instanceof FollowerEffect.RequestChanges request) {
+            responses(request.after()).forEach(answer -> events.add(changesReceived(number, answer)));
+            addFailures(number, events);
+        } else if (follower.pendingEffect instanceof FollowerEffect.RequestSnapshotPage request) {
             pages(follower.state.view().revision(), request.from())
                     .forEach(p -> events.add(new FollowerEvent.SnapshotPageReceived(number, p)));
-            refusals(number, events);
-        } else if (follower.pending instanceof FollowerEffect.ScheduleRetry) {
+            addFailures(number, events);
+        } else if (follower.pendingEffect instanceof FollowerEffect.ScheduleRetry) {
             events.add(new FollowerEvent.RetryDue(number));
         } else {
             events.add(new FollowerEvent.WriteCompleted(number));
             events.add(new FollowerEvent.WriteFailed(number, "full"));
         }
-        if (follower.preferred != null) {
-            events.add(new FollowerEvent.PreferredSourceDue(follower.preferred.timer()));
+        if (follower.preferredRetry != null) {
+            events.add(new FollowerEvent.PreferredSourceRetryDue(follower.preferredRetry.timer()));
         }
         return events;
     }
 
-    private static FollowerEvent received(long number, ChangesResponse answer) {
-        return new FollowerEvent.ChangesReceived(number, answer, LONG);
+    private static FollowerEvent changesReceived(long number, ChangesResponse answer) {
+        return new FollowerEvent.ChangesReceived(number, answer, ELAPSED);
     }
 
-    private static void refusals(long number, List<FollowerEvent> events) {
+    private static void addFailures(long number, List<FollowerEvent> events) {
         events.add(new FollowerEvent.Diverged(number));
         events.add(new FollowerEvent.Truncated(number));
         events.add(new FollowerEvent.Behind(number, 1));
@@ -96,36 +96,36 @@
     }
 
     /** Sound answers, a gap, a double, an older one, and one with another digest. */
-    private List<ChangesResponse> answers(long after) {
+    private List<ChangesResponse> responses(long after) {
         List<ChangesResponse> answers = new ArrayList<>();
-        answers.add(history.nothingNew(after));
-        if (after + 2 <= history.newest()) {
+        answers.add(history.emptyResponse(after));
+        if (after + 2 <= history.newestRevision()) {
             Change next = history.change(after + 1);
-            answers.add(history.changes(after + 1, after + 2));
-            answers.add(history.changes(after + 2, after + 2));
+            answers.add(history.changesResponse(after + 1, after + 2));
+            answers.add(history.changesResponse(after + 2, after + 2));
             answers.add(
                     new ChangesResponse(
                             after + 1,
-                            ANOTHER_DIGEST,
+                            WRONG_DIGEST,
                             List.of(
                                     new Change(
-                                            next.revision(), ANOTHER_DIGEST, next.mutations()))));
+                                            next.revision(), WRONG_DIGEST, next.mutations()))));
         }
         if (after > 0) {
-            answers.add(history.changes(after, after));
-            answers.add(history.nothingNew(after - 1));
+            answers.add(history.changesResponse(after, after));
+            answers.add(history.emptyResponse(after - 1));
         }
         return answers;
     }
 
     /** Pages of a sound snapshot, of an older one, of another history, and of a false digest. */
     private List<SnapshotPage> pages(long held, EntryKey from) {
-        SnapshotPage sound = history.page(Math.min(held + 1, history.newest()), from, 2);
+        SnapshotPage sound = history.page(Math.min(held + 1, history.newestRevision()), from, 2);
         List<SnapshotPage> pages = new ArrayList<>(List.of(sound, fork.page(held + 1, from, 9)));
         if (held > 1) {
             pages.add(history.page(held - 1, from, 9));
         }
-        pages.add(new SnapshotPage(held + 1, ANOTHER_DIGEST, sound.entries(), null));
+        pages.add(new SnapshotPage(held + 1, WRONG_DIGEST, sound.entries(), null));
         return pages;
     }
 }
--- a/relay/src/test/java/saltstage/configuration/follower/FollowerHarness.java
+++ b/relay/src/test/java/saltstage/configuration/follower/FollowerHarness.java
@@ -17,18 +17,18 @@
  */
 final class FollowerHarness {
     final FollowerState state;
-    final FollowerTimings timings = FollowerTimings.usual();
+    final FollowerTimings timings = FollowerTimings.defaults();
 
     /** The request, write or pause that is under way; null once stopped. */
-    FollowerEffect pending;
+    FollowerEffect pendingEffect;
 
     /** The timer of the preferred source, or null. */
-    FollowerEffect.SchedulePreferredSource preferred;
+    FollowerEffect.SchedulePreferredSourceRetry preferredRetry;
 
-    final List<FollowerEffect> last = new ArrayList<>();
-    private ConfigurationView durable = new ConfigurationView();
-    private ConfigurationView inForce = new ConfigurationView();
-    private boolean toldToDiverge;
+    final List<FollowerEffect> lastEffects = new ArrayList<>();
+    private ConfigurationView durableView = new ConfigurationView();
+    private ConfigurationView appliedView = new ConfigurationView();
+    private boolean divergenceReported;
 
     FollowerHarness(int sources, int mostEntries) {
         state =
@@ -38,42 +38,42 @@
                         timings,
                         new SplittableRandom(7),
                         new ConfigurationView());
-        take(state.start());
-        assertNotNull(pending);
+        recordEffects(state.start());
+        assertNotNull(pendingEffect);
     }
 
     /** Takes an event of what is under way. */
-    void on(FollowerEvent event) {
-        FollowerEffect before = pending;
+    void handle(FollowerEvent event) {
+        FollowerEffect before = pendingEffect;
         if (event instanceof FollowerEvent.WriteCompleted) {
             completeWrite(before);
         }
         if (event instanceof FollowerEvent.Diverged) {
-            toldToDiverge = true;
+            divergenceReported = true;
         }
-        pending = null;
-        take(state.on(event));
-        assertNotNull(pending, "nothing is under way after " + event);
+        pendingEffect = null;
+        recordEffects(state.handle(event));
+        assertNotNull(pendingEffect, "nothing is under way after " + event);
     }
 
     /** Takes an event of something that is over, or the preferred source's timer. */
-    void onUnawaited(FollowerEvent event) {
-        if (event instanceof FollowerEvent.PreferredSourceDue) {
-            preferred = null;
+    void handleUnawaited(FollowerEvent event) {
+        if (event instanceof FollowerEvent.PreferredSourceRetryDue) {
+            preferredRetry = null;
         }
-        take(state.on(event));
-        assertTrue(last.isEmpty(), "an event that is not awaited counted: " + event);
+        recordEffects(state.handle(event));
+        assertTrue(lastEffects.isEmpty(), "an event that is not awaited counted: " + event);
     }
 
     /** Takes the end; nothing is under way after it. */
     void stop() {
-        pending = null;
-        take(state.on(new FollowerEvent.Stopped()));
-        assertTrue(pending == null, "something is under way after the end");
+        pendingEffect = null;
+        recordEffects(state.handle(new FollowerEvent.Stopped()));
+        assertTrue(pendingEffect == null, "something is under way after the end");
     }
 
     /** The number of a request, write or pause; 0 for all else. */
-    static long number(FollowerEffect effect) {
+    static long operationId(FollowerEffect effect) {
         if (effect instanceof FollowerEffect.RequestChanges request) {
             return request.request();
         } else if (effect instanceof FollowerEffect.RequestSnapshotPage request) {
@@ -88,66 +88,66 @@
         return 0;
     }
 
-    long pendingNumber() {
-        return number(pending);
+    long pendingOperationId() {
+        return operationId(pendingEffect);
     }
 
     private void completeWrite(FollowerEffect write) {
         if (write instanceof FollowerEffect.WriteChanges changes) {
             for (Change change : changes.changes()) {
-                assertEquals(ConfigurationView.Outcome.APPLIED, durable.apply(change));
+                assertEquals(ConfigurationView.Outcome.APPLIED, durableView.apply(change));
             }
         } else if (write instanceof FollowerEffect.WriteSnapshot snapshot) {
             ConfigurationView view = snapshot.view();
-            durable = new ConfigurationView(view.revision(), view.entries().values());
+            durableView = new ConfigurationView(view.revision(), view.entries().values());
         }
     }
 
-    private void take(List<FollowerEffect> effects) {
-        last.clear();
-        last.addAll(effects);
+    private void recordEffects(List<FollowerEffect> effects) {
+        lastEffects.clear();
+        lastEffects.addAll(effects);
         for (FollowerEffect effect : effects) {
-            if (number(effect) != 0) {
-                assertTrue(pending == null, "a second thing under way: " + effect);
-                pending = effect;
+            if (operationId(effect) != 0) {
+                assertTrue(pendingEffect == null, "a second thing under way: " + effect);
+                pendingEffect = effect;
             }
             check(effect);
         }
-        assertTrue(state.view().revision() >= inForce.revision(), "older than what is in force");
+        assertTrue(state.view().revision() >= appliedView.revision(), "older than what is in force");
     }
 
     private void check(FollowerEffect effect) {
         if (effect instanceof FollowerEffect.RequestChanges request) {
-            assertEquals(durable.revision(), request.after(), "confirmed, but not durable");
-            assertEquals(durable.digest(), request.digest(), "confirmed, but not durable");
-            assertEquals(durable.revision(), inForce.revision(), "confirmed, but not in force");
-        } else if (effect instanceof FollowerEffect.ChangesInForce changes) {
+            assertEquals(durableView.revision(), request.after(), "confirmed, but not durable");
+            assertEquals(durableView.digest(), request.digest(), "confirmed, but not durable");
+            assertEquals(durableView.revision(), appliedView.revision(), "confirmed, but not in force");
+        } else if (effect instanceof FollowerEffect.ChangesApplied changes) {
             for (Change change : changes.changes()) {
-                assertEquals(ConfigurationView.Outcome.APPLIED, inForce.apply(change));
+                assertEquals(ConfigurationView.Outcome.APPLIED, appliedView.apply(change));
             }
-            assertEquals(durable.digest(), inForce.digest(), "in force, but not durable");
-        } else if (effect instanceof FollowerEffect.SnapshotInForce snapshot) {
+            assertEquals(durableView.digest(), appliedView.digest(), "in force, but not durable");
+        } else if (effect instanceof FollowerEffect.SnapshotApplied snapshot) {
             checkSnapshot(snapshot.view());
-        } else if (effect instanceof FollowerEffect.SchedulePreferredSource due) {
-            assertTrue(preferred == null, "a second timer of the preferred source");
-            preferred = due;
+        } else if (effect instanceof FollowerEffect.SchedulePreferredSourceRetry due) {
+            assertTrue(preferredRetry == null, "a second timer of the preferred source");
+            preferredRetry = due;
         } else if (effect instanceof FollowerEffect.ScheduleRetry retry) {
-            long most = FollowerState.MOST_BUSY.plus(timings.retryMost()).toMillis();
+            long most = FollowerState.MAX_BUSY_DELAY.plus(timings.maxRetryDelay()).toMillis();
             assertTrue(retry.delay().toMillis() >= 0 && retry.delay().toMillis() <= most);
         }
     }
 
     private void checkSnapshot(ConfigurationView view) {
-        assertTrue(view.revision() >= inForce.revision(), "a snapshot went back");
-        if (view.revision() == inForce.revision() && view.digest() != inForce.digest()) {
-            assertTrue(toldToDiverge, "another digest without being told to");
+        assertTrue(view.revision() >= appliedView.revision(), "a snapshot went back");
+        if (view.revision() == appliedView.revision() && view.digest() != appliedView.digest()) {
+            assertTrue(divergenceReported, "another digest without being told to");
         }
-        assertEquals(durable.digest(), view.digest(), "in force, but not durable");
-        inForce = new ConfigurationView(view.revision(), view.entries().values());
-        toldToDiverge = false;
+        assertEquals(durableView.digest(), view.digest(), "in force, but not durable");
+        appliedView = new ConfigurationView(view.revision(), view.entries().values());
+        divergenceReported = false;
     }
 
-    ConfigurationView inForce() {
-        return inForce;
+    ConfigurationView appliedView() {
+        return appliedView;
     }
 }
--- a/relay/src/test/java/saltstage/configuration/follower/FollowerInterleavingTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/FollowerInterleavingTest.java
@@ -25,47 +25,47 @@
     private final ScriptedHistory history = new ScriptedHistory(NEWEST, "a");
 
     @Property(tries = 3_000)
-    void convergesOnceTheSourcesAreSound(
+    void convergesOnceTheSourcesAreHealthy(
             @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 999) Integer> script) {
         FollowerHarness follower = new FollowerHarness(SOURCES, 100);
-        Line line = new Line();
+        UnreliableNetwork line = new UnreliableNetwork();
         for (int choice : script) {
             line.step(follower, choice);
         }
         for (int i = 0; i < STEPS_TO_CONVERGE; i++) {
-            follower.on(sound(follower, NEWEST, NEWEST));
+            follower.handle(successEvent(follower, NEWEST, NEWEST));
         }
-        assertEquals(NEWEST, follower.inForce().revision());
-        assertEquals(history.at(NEWEST).digest(), follower.inForce().digest());
+        assertEquals(NEWEST, follower.appliedView().revision());
+        assertEquals(history.viewAt(NEWEST).digest(), follower.appliedView().digest());
     }
 
     /** What goes wrong, by one number a step. */
-    private final class Line {
-        private final int[] revisions = {0, 0, 0};
+    private final class UnreliableNetwork {
+        private final int[] sourceRevisions = {0, 0, 0};
         private final List<FollowerEvent> delivered = new ArrayList<>();
 
         void step(FollowerHarness follower, int choice) {
             Random random = new Random(choice);
             int source = follower.state.source();
-            revisions[source] = Math.min(NEWEST, revisions[source] + random.nextInt(6));
+            sourceRevisions[source] = Math.min(NEWEST, sourceRevisions[source] + random.nextInt(6));
             if (random.nextInt(4) == 0 && !delivered.isEmpty()) { // late, out of order, doubled
-                follower.onUnawaited(delivered.get(random.nextInt(delivered.size())));
+                follower.handleUnawaited(delivered.get(random.nextInt(delivered.size())));
             }
-            if (random.nextInt(3) == 0 && follower.preferred != null) {
-                follower.onUnawaited(
-                        new FollowerEvent.PreferredSourceDue(follower.preferred.timer()));
+            if (random.nextInt(3) == 0 && follower.preferredRetry != null) {
+                follower.handleUnawaited(
+                        new FollowerEvent.PreferredSourceRetryDue(follower.preferredRetry.timer()));
             }
-            FollowerEvent event = event(follower, random, revisions[source]);
+            FollowerEvent event = randomEvent(follower, random, sourceRevisions[source]);
             delivered.add(event);
-            follower.on(event);
+            follower.handle(event);
         }
     }
 
-    private FollowerEvent event(FollowerHarness follower, Random random, int revision) {
-        long number = follower.pendingNumber();
+    private FollowerEvent randomEvent(FollowerHarness follower, Random random, int revision) {
+        long number = follower.pendingOperationId();
         boolean asks =
-                follower.pending instanceof FollowerEffect.RequestChanges
-                        || follower.pending instanceof FollowerEffect.RequestSnapshotPage;
+                follower.pendingEffect instanceof FollowerEffect.RequestChanges
+                        || follower.pendingEffect instanceof FollowerEffect.RequestSnapshotPage;
         if (asks && random.nextInt(5) == 0) {
             return new FollowerEvent.RequestFailed(number, "dropped");
         }
@@ -75,49 +75,49 @@
         if (asks && random.nextInt(9) == 0) {
             return new FollowerEvent.Truncated(number);
         }
-        boolean writes = !asks && !(follower.pending instanceof FollowerEffect.ScheduleRetry);
+        boolean writes = !asks && !(follower.pendingEffect instanceof FollowerEffect.ScheduleRetry);
         if (writes && random.nextInt(4) == 0) {
             return new FollowerEvent.WriteFailed(number, "no room");
         }
-        if (follower.pending instanceof FollowerEffect.RequestChanges && random.nextInt(6) == 0) {
+        if (follower.pendingEffect instanceof FollowerEffect.RequestChanges && random.nextInt(6) == 0) {
             int from = 1 + random.nextInt(NEWEST); // from anywhere: a gap, doubles, older ones
             int to = Math.min(NEWEST, from + random.nextInt(5));
             return new FollowerEvent.ChangesReceived(
-                    number, history.changes(from, to), Duration.ZERO);
+                    number, history.changesResponse(from, to), Duration.ZERO);
         }
-        return sound(follower, revision, 1 + random.nextInt(4));
+        return successEvent(follower, revision, 1 + random.nextInt(4));
     }
 
     /** What a sound source of this revision answers, or how a write or a pause ends well. */
-    private FollowerEvent sound(FollowerHarness follower, int revision, int limit) {
-        long number = follower.pendingNumber();
-        if (follower.pending instanceof FollowerEffect.RequestSnapshotPage request) {
+    private FollowerEvent successEvent(FollowerHarness follower, int revision, int limit) {
+        long number = follower.pendingOperationId();
+        if (follower.pendingEffect instanceof FollowerEffect.RequestSnapshotPage request) {
             long asked = request.revision() == 0 ? revision : request.revision();
             return new FollowerEvent.SnapshotPageReceived(
                     number, history.page(asked, request.from(), 3));
         }
-        if (follower.pending instanceof FollowerEffect.ScheduleRetry) {
+        if (follower.pendingEffect instanceof FollowerEffect.ScheduleRetry) {
             return new FollowerEvent.RetryDue(number);
         }
-        if (follower.pending instanceof FollowerEffect.RequestChanges request) {
-            return answer(request, revision, limit);
+        if (follower.pendingEffect instanceof FollowerEffect.RequestChanges request) {
+            return responseTo(request, revision, limit);
         }
         return new FollowerEvent.WriteCompleted(number);
     }
 
-    private FollowerEvent answer(FollowerEffect.RequestChanges request, int revision, int limit) {
+    private FollowerEvent responseTo(FollowerEffect.RequestChanges request, int revision, int limit) {
         ChangeHistory kept = new ChangeHistory(0, 0);
         for (int i = 1; i <= revision; i++) {
             kept.append(history.change(i));
         }
-        ChangeHistory.Answer answer = kept.after(request.after(), request.digest(), limit);
+        ChangeHistory.Result answer = kept.changesAfter(request.after(), request.digest(), limit);
         if (answer instanceof ChangeHistory.Changes changes) {
             return new FollowerEvent.ChangesReceived(
                     request.request(),
-                    new ChangesResponse(revision, history.at(revision).digest(), changes.changes()),
+                    new ChangesResponse(revision, history.viewAt(revision).digest(), changes.changes()),
                     Duration.ofSeconds(25));
         }
-        return switch ((ChangeHistory.Refusal) answer) {
+        return switch ((ChangeHistory.Failure) answer) {
             case DIVERGED -> new FollowerEvent.Diverged(request.request());
             case TRUNCATED -> new FollowerEvent.Truncated(request.request());
             case BEHIND -> new FollowerEvent.Behind(request.request(), revision);
--- a/relay/src/test/java/saltstage/configuration/follower/ScriptedHistory.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ScriptedHistory.java
@@ -22,12 +22,12 @@
         ConfigurationView view = new ConfigurationView();
         views.add(copy(view));
         for (int i = 1; i <= revisions; i++) {
-            changes.add(view.accept(List.of(shard("topic/" + i % 4, author + "-" + i))));
+            changes.add(view.accept(List.of(shardMutation("topic/" + i % 4, author + "-" + i))));
             views.add(copy(view));
         }
     }
 
-    static Mutation shard(String name, String backend) {
+    static Mutation shardMutation(String name, String backend) {
         return new Mutation(
                 new EntryKey(EntryKind.SHARD, name),
                 backend == null ? null : new EntryValue.Shard(backend));
@@ -37,7 +37,7 @@
         return new ConfigurationView(view.revision(), view.entries().values());
     }
 
-    int newest() {
+    int newestRevision() {
         return changes.size();
     }
 
@@ -45,28 +45,28 @@
         return changes.get((int) revision - 1);
     }
 
-    ConfigurationView at(long revision) {
-        return views.get((int) Math.min(revision, newest()));
+    ConfigurationView viewAt(long revision) {
+        return views.get((int) Math.min(revision, newestRevision()));
     }
 
     /**
      * The answer with the changes from one revision to another; none where they are the wrong way.
      */
-    ChangesResponse changes(long from, long to) {
+    ChangesResponse changesResponse(long from, long to) {
         List<Change> part = new ArrayList<>();
         for (long revision = from; revision <= to; revision++) {
             part.add(change(revision));
         }
-        return new ChangesResponse(to, at(to).digest(), part);
+        return new ChangesResponse(to, viewAt(to).digest(), part);
     }
 
     /** The answer of a source at this revision that has nothing to tell. */
-    ChangesResponse nothingNew(long revision) {
-        return new ChangesResponse(revision, at(revision).digest(), List.of());
+    ChangesResponse emptyResponse(long revision) {
+        return new ChangesResponse(revision, viewAt(revision).digest(), List.of());
     }
 
     /** A page of so many entries. */
     SnapshotPage page(long revision, EntryKey from, int limit) {
-        return new SnapshotPager().page(at(revision), 0, from, limit);
+        return new SnapshotPager().page(viewAt(revision), 0, from, limit);
     }
 }
--- a/relay/src/test/java/saltstage/configuration/follower/ScriptedSource.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ScriptedSource.java
@@ -21,63 +21,63 @@
     /** What a source does with a request. */
     public interface Script {
         /** Writes the answer, or does not; what it throws resets the connection. */
-        void answer(Map<String, String> query, OutputStream out) throws Exception;
+        void respond(Map<String, String> query, OutputStream out) throws Exception;
     }
 
-    private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final List<Socket> open = new CopyOnWriteArrayList<>();
-    private final AtomicLong bytes = new AtomicLong();
-    private final AtomicLong requests = new AtomicLong();
+    private final ServerSocket serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
+    private final AtomicLong byteCount = new AtomicLong();
+    private final AtomicLong requestCount = new AtomicLong();
     private volatile Script script;
 
     public ScriptedSource(Script script) throws IOException {
         this.script = script;
-        start(this::accept);
+        startThread(this::acceptConnections);
     }
 
     /** A whole answer with this body. */
-    public static void write(OutputStream out, int status, String body) throws IOException {
+    public static void writeResponse(OutputStream out, int status, String body) throws IOException {
         byte[] text = body.getBytes(StandardCharsets.UTF_8);
         String head = "HTTP/1.1 " + status + " -\r\nContent-Length: " + text.length + "\r\n\r\n";
         out.write((head + body).getBytes(StandardCharsets.UTF_8));
     }
 
-    public void script(Script next) {
+    public void setScript(Script next) {
         script = next;
     }
 
     public String address() {
-        return "127.0.0.1:" + listener.getLocalPort();
+        return "127.0.0.1:" + serverSocket.getLocalPort();
     }
 
     URI uri() {
-        return FollowerOptions.source(address());
+        return FollowerOptions.sourceUri(address());
     }
 
     /** All bytes of requests and answers, both ways. */
-    long bytes() {
-        return bytes.get();
+    long byteCount() {
+        return byteCount.get();
     }
 
-    long requests() {
-        return requests.get();
+    long requestCount() {
+        return requestCount.get();
     }
 
-    private static void start(Runnable task) {
+    private static void startThread(Runnable task) {
         Thread thread = new Thread(task, "source");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void accept() {
+    private void acceptConnections() {
         try {
             while (true) {
-                Socket socket = listener.accept();
-                open.add(socket);
-                start(() -> serve(socket));
+                Socket socket = serverSocket.accept();
+                openSockets.add(socket);
+                startThread(() -> serve(socket));
             }
         } catch (IOException closed) {
-            open.forEach(ScriptedSource::reset);
+            openSockets.forEach(ScriptedSource::reset);
         }
     }
 
@@ -91,18 +91,18 @@
                 String query = line.replaceAll("^GET [^?]*\\?| HTTP/1.1$", "");
                 String path = line.replaceAll("^GET |[?].*$", "");
                 for (; !line.isEmpty(); line = in.readLine()) {
-                    bytes.addAndGet(line.length() + 2);
+                    byteCount.addAndGet(line.length() + 2);
                 }
-                bytes.addAndGet(2);
-                requests.incrementAndGet();
-                script.answer(parsed("path=" + path + "&" + query), counting(socket));
+                byteCount.addAndGet(2);
+                requestCount.incrementAndGet();
+                script.respond(parseQuery("path=" + path + "&" + query), countingOutput(socket));
             }
         } catch (Exception failed) { // as scripted
             reset(socket);
         }
     }
 
-    private OutputStream counting(Socket socket) throws IOException {
+    private OutputStream countingOutput(Socket socket) throws IOException {
         OutputStream out = socket.getOutputStream();
         return new OutputStream() {
             @Override
@@ -112,13 +112,13 @@
 
             @Override
             public void write(byte[] from, int offset, int length) throws IOException {
-                bytes.addAndGet(length);
+                byteCount.addAndGet(length);
                 out.write(from, offset, length);
             }
         };
     }
 
-    private static Map<String, String> parsed(String query) {
+    private static Map<String, String> parseQuery(String query) {
         return Stream.of(query.split("&"))
                 .map(pair -> pair.split("=", 2))
                 .collect(Collectors.toMap(pair -> pair[0], pair -> pair[1]));
@@ -135,7 +135,7 @@
 
     @Override
     public void close() throws IOException {
-        listener.close();
-        open.forEach(ScriptedSource::reset);
+        serverSocket.close();
+        openSockets.forEach(ScriptedSource::reset);
     }
 }
--- a/relay/src/test/java/saltstage/configuration/follower/ServedView.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ServedView.java
@@ -39,15 +39,15 @@
     }
 
     @Override
-    public void answer(Map<String, String> query, OutputStream out) throws Exception {
+    public void respond(Map<String, String> query, OutputStream out) throws Exception {
         if (query.get("path").endsWith("/snapshot")) {
-            snapshot(query, out);
+            writeSnapshotPage(query, out);
         } else {
-            changes(query, out);
+            writeChanges(query, out);
         }
     }
 
-    private synchronized void snapshot(Map<String, String> query, OutputStream out)
+    private synchronized void writeSnapshotPage(Map<String, String> query, OutputStream out)
             throws Exception {
         String from = query.get("from");
         SnapshotPage page =
@@ -56,34 +56,34 @@
                         Long.parseLong(query.get("revision")),
                         from == null ? null : EntryKey.parse(from.replace("%2F", "/")),
                         Integer.parseInt(query.get("limit")));
-        ScriptedSource.write(out, 200, ConfigurationJson.text(page));
+        ScriptedSource.writeResponse(out, 200, ConfigurationJson.toJson(page));
     }
 
-    private synchronized void changes(Map<String, String> query, OutputStream out)
+    private synchronized void writeChanges(Map<String, String> query, OutputStream out)
             throws Exception {
         long after = Long.parseLong(query.get("after"));
-        long digest = ConfigurationJson.digest(query.get("digest"), "digest");
+        long digest = ConfigurationJson.parseDigest(query.get("digest"), "digest");
         long until = System.nanoTime() + Long.parseLong(query.get("waitMs")) * 1_000_000;
         while (view.revision() == after && System.nanoTime() < until) {
             wait(Math.max(1, (until - System.nanoTime()) / 1_000_000));
         }
-        ChangeHistory.Answer answer =
-                history.after(after, digest, ConfigurationLimits.CHANGES_PER_ANSWER);
+        ChangeHistory.Result answer =
+                history.changesAfter(after, digest, ConfigurationLimits.MAX_CHANGES_PER_RESPONSE);
         if (answer instanceof ChangeHistory.Changes changes) {
             ChangesResponse response =
                     new ChangesResponse(view.revision(), view.digest(), changes.changes());
-            ScriptedSource.write(out, 200, ConfigurationJson.text(response));
+            ScriptedSource.writeResponse(out, 200, ConfigurationJson.toJson(response));
             return;
         }
-        switch ((ChangeHistory.Refusal) answer) {
-            case DIVERGED -> refuse(out, 409, ErrorResponse.DIVERGED);
-            case TRUNCATED -> refuse(out, 410, ErrorResponse.TRUNCATED);
-            default -> refuse(out, 421, ErrorResponse.BEHIND);
+        switch ((ChangeHistory.Failure) answer) {
+            case DIVERGED -> writeError(out, 409, ErrorResponse.DIVERGED);
+            case TRUNCATED -> writeError(out, 410, ErrorResponse.TRUNCATED);
+            default -> writeError(out, 421, ErrorResponse.BEHIND);
         }
     }
 
-    private void refuse(OutputStream out, int status, String error) throws Exception {
-        ScriptedSource.write(
-                out, status, ConfigurationJson.text(new ErrorResponse(error, view.revision(), 0)));
+    private void writeError(OutputStream out, int status, String error) throws Exception {
+        ScriptedSource.writeResponse(
+                out, status, ConfigurationJson.toJson(new ErrorResponse(error, view.revision(), 0)));
     }
 }
--- a/relay/src/test/java/saltstage/process/ConfigurationTest.java
+++ b/relay/src/test/java/saltstage/process/ConfigurationTest.java
@@ -194,7 +194,7 @@
 
     @Test
     public void aForeignSourceChangesNothing() throws Exception {
-        source.script((query, out) -> ScriptedSource.write(out, 200, "{\"rev\":9,\"targets\":[]}"));
+        source.setScript((query, out) -> ScriptedSource.writeResponse(out, 200, "{\"rev\":9,\"targets\":[]}"));
         Files.writeString(
                 settings,
                 "configuration {\n  sources = [\""
