--- a/coordinator/src/main/java/saltstage/coordinator/agent/RelayClient.java
+++ b/coordinator/src/main/java/saltstage/coordinator/agent/RelayClient.java
@@ -10,15 +10,15 @@
 
 /** RelayClient to relays, as operators make them, and looks at nodes, as relays take them. */
 final class RelayClient {
-    private static final Duration PATIENCE = Duration.ofMillis(1_500);
+    private static final Duration TIMEOUT = Duration.ofMillis(1_500);
 
     private RelayClient() {}
 
     /** One line there, one line back; null where none came in time. */
-    private static String ask(InetSocketAddress at, String line) {
+    private static String exchange(InetSocketAddress at, String line) {
         try (Socket socket = new Socket()) {
-            socket.connect(at, (int) PATIENCE.toMillis());
-            socket.setSoTimeout((int) PATIENCE.toMillis());
+            socket.connect(at, (int) TIMEOUT.toMillis());
+            socket.setSoTimeout((int) TIMEOUT.toMillis());
             socket.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.US_ASCII));
             return new BufferedReader(
                             new InputStreamReader(
@@ -30,13 +30,13 @@
     }
 
     /** Whether a relay has said that nothing more goes to a node, or that it is used again. */
-    static boolean done(InetSocketAddress relay, boolean suspend, String node) {
-        String answer = ask(relay, (suspend ? "SUSPEND " : "RESTORE ") + node);
+    static boolean setSuspended(InetSocketAddress relay, boolean suspend, String node) {
+        String answer = exchange(relay, (suspend ? "SUSPEND " : "RESTORE ") + node);
         return answer != null && answer.startsWith("done");
     }
 
     /** Whether a node answers. */
-    static boolean answers(InetSocketAddress node) {
-        return "PONG".equals(ask(node, "PING"));
+    static boolean isAnswering(InetSocketAddress node) {
+        return "PONG".equals(exchange(node, "PING"));
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/api/AdviceRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/AdviceRoutes.java
@@ -16,7 +16,7 @@
 /** Snapshots that nodes send, and what an advisor needs to know. */
 final class AdviceRoutes {
     /** No tenant is moved to a node that goes into maintenance within this time. */
-    private static final long AVOID_AHEAD_MS = 3_600_000;
+    private static final long MAINTENANCE_LOOKAHEAD_MS = 3_600_000;
 
     private static final long NANOS_PER_MS = 1_000_000;
 
@@ -35,29 +35,29 @@
     }
 
     Map<String, Route> routes() {
-        return Map.of("GET /v1/advice", this::status, "POST /v1/snapshot", this::takeSnapshot);
+        return Map.of("GET /v1/advice", this::status, "POST /v1/snapshot", this::receiveSnapshot);
     }
 
     private CompletableFuture<ApiResponse> status(ApiRequest request) {
-        return replica.read(this::status, false).thenApply(ApiResponse::ok);
+        return replica.read(this::adviceStatus, false).thenApply(ApiResponse::ok);
     }
 
-    private AdviceStatus status(GroupState state) {
+    private AdviceStatus adviceStatus(GroupState state) {
         synchronized (snapshots) {
             return new AdviceStatus(
                     state.advice().image(),
                     snapshots.views(nowMs()),
                     state.advice().recentMoves(state.time().now()),
-                    state.windows().nodesToAvoid(state.time().wallClockTime(), AVOID_AHEAD_MS));
+                    state.windows().nodesToAvoid(state.time().wallClockTime(), MAINTENANCE_LOOKAHEAD_MS));
         }
     }
 
     /** Only the leader keeps snapshots, so a new leader begins with none. */
-    private CompletableFuture<ApiResponse> takeSnapshot(ApiRequest request) {
-        NodeSnapshot snapshot = snapshot(request);
-        if (!replica.leads()) {
+    private CompletableFuture<ApiResponse> receiveSnapshot(ApiRequest request) {
+        NodeSnapshot snapshot = parseSnapshot(request);
+        if (!replica.isLeader()) {
             return CompletableFuture.completedFuture(
-                    ApiResponse.notLeader(replica.leaderClients()));
+                    ApiResponse.notLeader(replica.leaderClientAddress()));
         }
         synchronized (snapshots) {
             boolean taken = snapshots.update(snapshot, nowMs());
@@ -65,12 +65,12 @@
         }
     }
 
-    private static NodeSnapshot snapshot(ApiRequest request) {
+    private static NodeSnapshot parseSnapshot(ApiRequest request) {
         NodeSnapshot snapshot;
         try {
             snapshot = GroupCodec.jsonMapper().treeToValue(request.body(), NodeSnapshot.class);
         } catch (JsonProcessingException malformed) {
-            throw new BadRequestException("no snapshot: " + ApiRequest.firstLine(malformed));
+            throw new BadRequestException("no snapshot: " + ApiRequest.firstErrorLine(malformed));
         }
         if (snapshot.validationError() != null) {
             throw new BadRequestException(snapshot.validationError());
--- a/coordinator/src/main/java/saltstage/coordinator/api/ApiHandler.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ApiHandler.java
@@ -20,13 +20,13 @@
  */
 public final class ApiHandler {
     /** Requests beyond this many that are not answered yet are refused at once. */
-    static final int MAX_CONCURRENT_CALLS = 20_000;
+    static final int MAX_CONCURRENT_REQUESTS = 20_000;
 
     private static final long RESPONSE_TIMEOUT_MS = 5_000;
 
     private final Map<String, Route> routes = new HashMap<>();
     private final Replica replica;
-    private final AtomicInteger calls = new AtomicInteger();
+    private final AtomicInteger activeRequests = new AtomicInteger();
 
     /** A handler with the routes of all resources. */
     public ApiHandler(Replica replica) {
@@ -42,8 +42,8 @@
 
     /** Answers one request; the future never fails. */
     CompletableFuture<ApiResponse> handle(FullHttpRequest request) {
-        if (calls.incrementAndGet() > MAX_CONCURRENT_CALLS) {
-            calls.decrementAndGet();
+        if (activeRequests.incrementAndGet() > MAX_CONCURRENT_REQUESTS) {
+            activeRequests.decrementAndGet();
             return CompletableFuture.completedFuture(
                     ApiResponse.unavailable("busy: too many calls"));
         }
@@ -53,17 +53,17 @@
                         ApiResponse.unavailable("open: no majority has answered"),
                         RESPONSE_TIMEOUT_MS,
                         TimeUnit.MILLISECONDS)
-                .whenComplete((response, failure) -> calls.decrementAndGet());
+                .whenComplete((response, failure) -> activeRequests.decrementAndGet());
     }
 
     private CompletableFuture<ApiResponse> dispatch(FullHttpRequest request) {
         try {
-            ApiRequest read = ApiRequest.of(request);
-            Route route = routes.get(read.route());
+            ApiRequest read = ApiRequest.parse(request);
+            Route route = routes.get(read.routeKey());
             return route != null
                     ? route.handle(read)
                     : CompletableFuture.completedFuture(
-                            ApiResponse.notFound("no such call: " + read.route()));
+                            ApiResponse.notFound("no such call: " + read.routeKey()));
         } catch (RuntimeException failed) { // reported by the future, which ends the call
             return CompletableFuture.failedFuture(failed);
         }
@@ -76,7 +76,7 @@
             return ApiResponse.badRequest(cause.getMessage());
         }
         if (cause instanceof NotLeaderException) {
-            return ApiResponse.notLeader(replica.leaderClients());
+            return ApiResponse.notLeader(replica.leaderClientAddress());
         }
         if (cause instanceof CannotReplicateException) {
             return ApiResponse.unavailable("busy: too much waits for a majority");
--- a/coordinator/src/main/java/saltstage/coordinator/api/ApiRequest.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ApiRequest.java
@@ -29,7 +29,7 @@
     }
 
     /** Reads the request line; the body is parsed only when it is asked for. */
-    static ApiRequest of(FullHttpRequest request) {
+    static ApiRequest parse(FullHttpRequest request) {
         if (!request.decoderResult().isSuccess()) {
             throw new BadRequestException("not HTTP");
         }
@@ -46,7 +46,7 @@
     }
 
     /** Method and path, such as {@code GET /v1/leases}: what routes are registered under. */
-    String route() {
+    String routeKey() {
         return method + " " + path;
     }
 
@@ -56,7 +56,7 @@
     }
 
     /** A query parameter that is a whole number from 0 to {@code max}, or this default. */
-    long wholeParameter(String name, long absent, long max) {
+    long integerParameter(String name, long absent, long max) {
         String text = parameter(name, Long.toString(absent));
         if (!text.matches("\\d{1,15}") || Long.parseLong(text) > max) {
             throw new BadRequestException("'" + name + "' takes a whole number up to " + max);
@@ -78,7 +78,7 @@
     }
 
     /** A field of the body that is a text and not empty. */
-    static String text(JsonNode body, String name) {
+    static String requiredString(JsonNode body, String name) {
         JsonNode value = body.get(name);
         if (value == null || !value.isTextual() || value.textValue().isEmpty()) {
             throw new BadRequestException("'" + name + "' takes a text");
@@ -87,7 +87,7 @@
     }
 
     /** The first line of what a JSON parser complains about, for an error's text. */
-    static String firstLine(JsonProcessingException malformed) {
+    static String firstErrorLine(JsonProcessingException malformed) {
         return malformed.getOriginalMessage().lines().findFirst().orElse("?");
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/api/ApiResponse.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ApiResponse.java
@@ -8,13 +8,13 @@
  */
 record ApiResponse(int status, Object body) {
     /** How long a client should wait before it repeats a call that another try may answer. */
-    private static final int RETRY_MS = 200;
+    private static final int RETRY_DELAY_MS = 200;
 
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
-    private static final int MISDIRECTED = 421;
-    private static final int UNAVAILABLE = 503;
+    private static final int MISDIRECTED_REQUEST = 421;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     static ApiResponse ok(Object body) {
         return new ApiResponse(OK, body);
@@ -31,10 +31,10 @@
     /** This replica does not lead; {@code leader} may be null where none is known. */
     static ApiResponse notLeader(String leader) {
         return new ApiResponse(
-                MISDIRECTED, new ApiError("another replica leads", RETRY_MS, leader));
+                MISDIRECTED_REQUEST, new ApiError("another replica leads", RETRY_DELAY_MS, leader));
     }
 
     static ApiResponse unavailable(String error) {
-        return new ApiResponse(UNAVAILABLE, new ApiError(error, RETRY_MS, null));
+        return new ApiResponse(SERVICE_UNAVAILABLE, new ApiError(error, RETRY_DELAY_MS, null));
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/api/ClusterRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ClusterRoutes.java
@@ -39,24 +39,24 @@
     private CompletableFuture<ApiResponse> join(ApiRequest request) {
         JsonNode body = request.body();
         return replica.join(
-                        ApiRequest.text(body, "name"),
-                        ApiRequest.text(body, "disk"),
-                        ApiRequest.text(body, "peers"),
-                        ApiRequest.text(body, "clients"))
-                .thenApply(ClusterRoutes::membership);
+                        ApiRequest.requiredString(body, "name"),
+                        ApiRequest.requiredString(body, "disk"),
+                        ApiRequest.requiredString(body, "peers"),
+                        ApiRequest.requiredString(body, "clients"))
+                .thenApply(ClusterRoutes::membershipResponse);
     }
 
     private CompletableFuture<ApiResponse> leave(ApiRequest request) {
-        return replica.leave(ApiRequest.text(request.body(), "name"))
-                .thenApply(ClusterRoutes::membership);
+        return replica.leave(ApiRequest.requiredString(request.body(), "name"))
+                .thenApply(ClusterRoutes::membershipResponse);
     }
 
     private CompletableFuture<ApiResponse> transfer(ApiRequest request) {
-        return replica.transfer(ApiRequest.text(request.body(), "to"))
-                .thenApply(done -> membership("handed-over"));
+        return replica.transferLeadership(ApiRequest.requiredString(request.body(), "to"))
+                .thenApply(done -> membershipResponse("handed-over"));
     }
 
-    private static ApiResponse membership(String state) {
+    private static ApiResponse membershipResponse(String state) {
         return ApiResponse.ok(new MembershipState(state));
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/api/CommandRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/CommandRoutes.java
@@ -14,7 +14,7 @@
 
 /** Commands of clients, each numbered within its client's session. */
 final class CommandRoutes {
-    private static final int MAX_CLIENT_LENGTH = 100;
+    private static final int MAX_CLIENT_ID_LENGTH = 100;
 
     private final Replica replica;
     private final StateChanges changes;
@@ -30,37 +30,37 @@
 
     private CompletableFuture<ApiResponse> execute(ApiRequest request) {
         JsonNode body = request.body();
-        String client = ApiRequest.text(body, "client");
+        String client = ApiRequest.requiredString(body, "client");
         long seq = sequenceNumber(body, client);
-        Command command = command(body);
+        Command command = parseCommand(body);
         long waitMs = Math.min(StateChanges.MAX_WAIT_MS, body.path("waitMs").asLong(0));
         CompletableFuture<Reply> reply = replica.propose(client, seq, command);
         if (command instanceof LeaseCommands.Acquire acquire && waitMs > 0) {
-            reply = reply.thenCompose(first -> whileQueued(acquire, first, waitMs));
+            reply = reply.thenCompose(first -> awaitTurnIfQueued(acquire, first, waitMs));
         }
         return reply.thenApply(ApiResponse::ok);
     }
 
     private static long sequenceNumber(JsonNode body, String client) {
         JsonNode seq = body.get("seq");
-        if (client.length() > MAX_CLIENT_LENGTH
+        if (client.length() > MAX_CLIENT_ID_LENGTH
                 || seq == null
                 || !seq.isIntegralNumber()
                 || seq.longValue() < 1) {
             throw new BadRequestException(
                     "'client' takes a text of up to "
-                            + MAX_CLIENT_LENGTH
+                            + MAX_CLIENT_ID_LENGTH
                             + " characters, 'seq' a number from 1 on");
         }
         return seq.longValue();
     }
 
-    private static Command command(JsonNode body) {
+    private static Command parseCommand(JsonNode body) {
         Command command;
         try {
             command = GroupCodec.decodeCommand(body.path("command"));
         } catch (JsonProcessingException malformed) {
-            throw new BadRequestException("'command': " + ApiRequest.firstLine(malformed));
+            throw new BadRequestException("'command': " + ApiRequest.firstErrorLine(malformed));
         }
         if (command == null || command.getClass().getName().contains("GroupCommands")) {
             throw new BadRequestException("'command' takes a command for clients");
@@ -68,31 +68,31 @@
         return command;
     }
 
-    private CompletableFuture<Reply> whileQueued(
+    private CompletableFuture<Reply> awaitTurnIfQueued(
             LeaseCommands.Acquire acquire, Reply first, long waitMs) {
         return first instanceof LeaseReplies.Held held && held.queued()
-                ? untilItsTurn(acquire, held, StateChanges.deadlineNanos(waitMs))
+                ? awaitTurn(acquire, held, StateChanges.deadlineNanos(waitMs))
                 : CompletableFuture.completedFuture(first);
     }
 
     /** Holds the reply back until asking again may bring another one, or the deadline. */
-    private CompletableFuture<Reply> untilItsTurn(
+    private CompletableFuture<Reply> awaitTurn(
             LeaseCommands.Acquire acquire, Reply held, long deadlineNanos) {
-        return changes.next(deadlineNanos)
-                .thenCompose(changed -> changed ? mayBeGranted(acquire) : completed(true))
+        return changes.awaitNext(deadlineNanos)
+                .thenCompose(changed -> changed ? canBeGranted(acquire) : completed(true))
                 .thenCompose(
                         over ->
                                 over
                                         ? CompletableFuture.completedFuture(held)
-                                        : untilItsTurn(acquire, held, deadlineNanos));
+                                        : awaitTurn(acquire, held, deadlineNanos));
     }
 
-    private CompletableFuture<Boolean> mayBeGranted(LeaseCommands.Acquire acquire) {
+    private CompletableFuture<Boolean> canBeGranted(LeaseCommands.Acquire acquire) {
         return replica.read(
-                state -> mayBeGranted(state.leases().find(acquire.name()), acquire.owner()), true);
+                state -> canBeGranted(state.leases().find(acquire.name()), acquire.owner()), true);
     }
 
-    private static boolean mayBeGranted(Leases.Row row, String owner) {
+    private static boolean canBeGranted(Leases.Row row, String owner) {
         return row == null || row.owner() == null && owner.equals(row.claimant());
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/api/ConfigurationRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ConfigurationRoutes.java
@@ -30,44 +30,44 @@
     private static final long MAX_WAIT_MS = 3_000;
 
     /** Pages of snapshots under way beyond this many are refused for now. */
-    private static final int MAX_CONCURRENT_PAGES = 8;
+    private static final int MAX_CONCURRENT_SNAPSHOT_PAGES = 8;
 
-    private static final long BUSY_RETRY_MS = 250;
+    private static final long BUSY_RETRY_DELAY_MS = 250;
     private static final long MAX_REVISION = 999_999_999_999_999L;
-    private static final int DEFAULT_HISTORY = 100;
+    private static final int DEFAULT_HISTORY_LIMIT = 100;
     private static final long NANOS_PER_MS = 1_000_000;
     private static final int CONFLICT = 409;
     private static final int GONE = 410;
-    private static final int MISDIRECTED = 421;
-    private static final int UNAVAILABLE = 503;
+    private static final int MISDIRECTED_REQUEST = 421;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     /** What a status is answered with; the component names are part of the JSON. */
     record Status(long revision, String digest, long asked, List<FollowerReports.Zone> zones) {}
 
     /** What a follower has, and how much it takes. */
-    private record Poll(long revision, long digest, int limit, long deadlineNanos) {}
+    private record ChangesQuery(long revision, long digest, int limit, long deadlineNanos) {}
 
     /** What a follower is answered, and the newest revision and digest at that moment. */
-    private record Read(ChangeHistory.Result answer, long revision, long digest) {
-        boolean empty() {
+    private record ChangesResult(ChangeHistory.Result answer, long revision, long digest) {
+        boolean isEmpty() {
             return answer instanceof ChangeHistory.Changes found && found.changes().isEmpty();
         }
     }
 
     private final Replica replica;
-    private final RevisionWatch watch;
+    private final RevisionWatch revisionWatch;
     private final SnapshotPager pager = new SnapshotPager(); // only on the replica's thread
-    private final AtomicInteger pages = new AtomicInteger();
+    private final AtomicInteger activeSnapshotPages = new AtomicInteger();
     private final FollowerReports reports = new FollowerReports(); // guarded by itself
 
     ConfigurationRoutes(Replica replica) {
         this.replica = replica;
-        watch =
+        revisionWatch =
                 new RevisionWatch(
-                        new RevisionWatch.Source() {
+                        new RevisionWatch.RevisionSource() {
                             @Override
-                            public boolean onChange(Runnable told) {
-                                return replica.onChange(told);
+                            public boolean onNextChange(Runnable told) {
+                                return replica.onNextChange(told);
                             }
 
                             @Override
@@ -84,26 +84,26 @@
                 "GET /v1/configuration/snapshot", this::snapshot,
                 "GET /v1/configuration/status", this::status,
                 "GET /v1/configuration/history", this::history,
-                "POST /v1/configuration/reports", this::report);
+                "POST /v1/configuration/reports", this::receiveReport);
     }
 
     // ---- changes
 
     private CompletableFuture<ApiResponse> changes(ApiRequest request) {
-        long revision = request.wholeParameter("after", 0, MAX_REVISION);
-        long digest = digest(request.parameter("digest", revision == 0 ? emptyDigest() : ""));
+        long revision = request.integerParameter("after", 0, MAX_REVISION);
+        long digest = parseDigest(request.parameter("digest", revision == 0 ? emptyDigest() : ""));
         int most = ConfigurationLimits.MAX_CHANGES_PER_RESPONSE;
-        int limit = (int) request.wholeParameter("limit", most, most);
-        long waitMs = Math.min(MAX_WAIT_MS, request.wholeParameter("waitMs", 0, MAX_REVISION));
-        return answer(new Poll(revision, digest, limit, StateChanges.deadlineNanos(waitMs)))
-                .thenApplyAsync(ConfigurationRoutes::response);
+        int limit = (int) request.integerParameter("limit", most, most);
+        long waitMs = Math.min(MAX_WAIT_MS, request.integerParameter("waitMs", 0, MAX_REVISION));
+        return readOrAwaitChanges(new ChangesQuery(revision, digest, limit, StateChanges.deadlineNanos(waitMs)))
+                .thenApplyAsync(ConfigurationRoutes::toResponse);
     }
 
     private static String emptyDigest() {
         return ConfigurationJson.formatDigest(0L);
     }
 
-    private static long digest(String text) {
+    private static long parseDigest(String text) {
         try {
             return ConfigurationJson.parseDigest(text, "'digest'");
         } catch (MalformedException bad) {
@@ -111,42 +111,42 @@
         }
     }
 
-    private CompletableFuture<Read> answer(Poll poll) {
-        return replica.read(state -> read(state.configuration(), poll), true)
+    private CompletableFuture<ChangesResult> readOrAwaitChanges(ChangesQuery poll) {
+        return replica.read(state -> readChanges(state.configuration(), poll), true)
                 .thenCompose(
                         read ->
-                                read.empty()
-                                        ? later(poll, read)
+                                read.isEmpty()
+                                        ? awaitChanges(poll, read)
                                         : CompletableFuture.completedFuture(read));
     }
 
-    private static Read read(ConfigurationRegistry configuration, Poll poll) {
-        return new Read(
+    private static ChangesResult readChanges(ConfigurationRegistry configuration, ChangesQuery poll) {
+        return new ChangesResult(
                 configuration.changesAfter(poll.revision(), poll.digest(), poll.limit()),
                 configuration.revision(),
                 configuration.digest());
     }
 
-    private CompletableFuture<Read> later(Poll poll, Read empty) {
-        return watch.movedBeyond(poll.revision(), poll.deadlineNanos())
+    private CompletableFuture<ChangesResult> awaitChanges(ChangesQuery poll, ChangesResult empty) {
+        return revisionWatch.awaitRevisionAfter(poll.revision(), poll.deadlineNanos())
                 .thenCompose(
-                        moved -> moved ? answer(poll) : CompletableFuture.completedFuture(empty));
+                        moved -> moved ? readOrAwaitChanges(poll) : CompletableFuture.completedFuture(empty));
     }
 
-    private static ApiResponse response(Read read) {
+    private static ApiResponse toResponse(ChangesResult read) {
         if (read.answer() instanceof ChangeHistory.Changes found) {
             ChangesResponse body =
                     new ChangesResponse(read.revision(), read.digest(), found.changes());
             return ApiResponse.ok(new RawJson(ConfigurationJson.toJson(body)));
         }
         return switch ((ChangeHistory.Failure) read.answer()) {
-            case DIVERGED -> error(CONFLICT, ErrorResponse.DIVERGED, read.revision(), 0);
-            case TRUNCATED -> error(GONE, ErrorResponse.TRUNCATED, read.revision(), 0);
-            case BEHIND -> error(MISDIRECTED, ErrorResponse.BEHIND, read.revision(), 0);
+            case DIVERGED -> errorResponse(CONFLICT, ErrorResponse.DIVERGED, read.revision(), 0);
+            case TRUNCATED -> errorResponse(GONE, ErrorResponse.TRUNCATED, read.revision(), 0);
+            case BEHIND -> errorResponse(MISDIRECTED_REQUEST, ErrorResponse.BEHIND, read.revision(), 0);
         };
     }
 
-    private static ApiResponse error(int status, String error, long revision, long retryMs) {
+    private static ApiResponse errorResponse(int status, String error, long revision, long retryMs) {
         ErrorResponse body = new ErrorResponse(error, revision, retryMs);
         return new ApiResponse(status, new RawJson(ConfigurationJson.toJson(body)));
     }
@@ -154,36 +154,36 @@
     // ---- snapshots
 
     private CompletableFuture<ApiResponse> snapshot(ApiRequest request) {
-        long revision = request.wholeParameter("revision", SnapshotPager.NEWEST, MAX_REVISION);
+        long revision = request.integerParameter("revision", SnapshotPager.NEWEST, MAX_REVISION);
         int most = ConfigurationLimits.MAX_ENTRIES_PER_PAGE;
-        int limit = (int) request.wholeParameter("limit", most, most);
-        EntryKey from = key(request.parameter("from", ""));
-        boolean current = request.wholeParameter("current", 0, 1) == 1;
-        if (pages.incrementAndGet() > MAX_CONCURRENT_PAGES) {
-            pages.decrementAndGet();
+        int limit = (int) request.integerParameter("limit", most, most);
+        EntryKey from = parseKey(request.parameter("from", ""));
+        boolean current = request.integerParameter("current", 0, 1) == 1;
+        if (activeSnapshotPages.incrementAndGet() > MAX_CONCURRENT_SNAPSHOT_PAGES) {
+            activeSnapshotPages.decrementAndGet();
             return CompletableFuture.completedFuture(
-                    error(UNAVAILABLE, ErrorResponse.BUSY, 0, BUSY_RETRY_MS));
+                    errorResponse(SERVICE_UNAVAILABLE, ErrorResponse.BUSY, 0, BUSY_RETRY_DELAY_MS));
         }
-        return replica.read(state -> page(state, revision, from, limit), !current)
-                .thenApplyAsync(PageRead::response)
-                .whenComplete((response, failure) -> pages.decrementAndGet());
+        return replica.read(state -> readPage(state, revision, from, limit), !current)
+                .thenApplyAsync(SnapshotPageResult::toResponse)
+                .whenComplete((response, failure) -> activeSnapshotPages.decrementAndGet());
     }
 
     /** A page or, where the snapshot is gone, none; and the newest revision. */
-    private record PageRead(SnapshotPage page, long newest) {
-        ApiResponse response() {
+    private record SnapshotPageResult(SnapshotPage page, long newestRevision) {
+        ApiResponse toResponse() {
             return page == null
-                    ? error(GONE, ErrorResponse.TRUNCATED, newest, 0)
+                    ? errorResponse(GONE, ErrorResponse.TRUNCATED, newestRevision, 0)
                     : ApiResponse.ok(new RawJson(ConfigurationJson.toJson(page)));
         }
     }
 
-    private PageRead page(GroupState state, long revision, EntryKey from, int limit) {
+    private SnapshotPageResult readPage(GroupState state, long revision, EntryKey from, int limit) {
         SnapshotPage page = pager.page(state.configuration().view(), revision, from, limit);
-        return new PageRead(page, state.configuration().revision());
+        return new SnapshotPageResult(page, state.configuration().revision());
     }
 
-    private static EntryKey key(String text) {
+    private static EntryKey parseKey(String text) {
         try {
             return text.isEmpty() ? null : EntryKey.parse(text);
         } catch (IllegalArgumentException bad) {
@@ -194,12 +194,12 @@
     // ---- what the leader tells
 
     private CompletableFuture<ApiResponse> status(ApiRequest request) {
-        long asked = request.wholeParameter("revision", 0, MAX_REVISION);
-        return replica.read(state -> status(state.configuration(), asked), false)
+        long asked = request.integerParameter("revision", 0, MAX_REVISION);
+        return replica.read(state -> configurationStatus(state.configuration(), asked), false)
                 .thenApply(ApiResponse::ok);
     }
 
-    private Status status(ConfigurationRegistry configuration, long asked) {
+    private Status configurationStatus(ConfigurationRegistry configuration, long asked) {
         long revision = asked == 0 ? configuration.revision() : asked;
         synchronized (reports) {
             return new Status(
@@ -211,19 +211,19 @@
     }
 
     /** Only the leader keeps reports, so a new leader begins with none. */
-    private CompletableFuture<ApiResponse> report(ApiRequest request) {
+    private CompletableFuture<ApiResponse> receiveReport(ApiRequest request) {
         FollowerReport report;
         try {
             report = GroupCodec.decodeStrictly(request.body(), FollowerReport.class);
         } catch (JsonProcessingException malformed) {
-            throw new BadRequestException("no report: " + ApiRequest.firstLine(malformed));
+            throw new BadRequestException("no report: " + ApiRequest.firstErrorLine(malformed));
         }
         if (report.validationError() != null) {
             throw new BadRequestException(report.validationError());
         }
-        if (!replica.leads()) {
+        if (!replica.isLeader()) {
             return CompletableFuture.completedFuture(
-                    ApiResponse.notLeader(replica.leaderClients()));
+                    ApiResponse.notLeader(replica.leaderClientAddress()));
         }
         synchronized (reports) {
             reports.update(report, nowMs());
@@ -232,9 +232,9 @@
     }
 
     private CompletableFuture<ApiResponse> history(ApiRequest request) {
-        long after = request.wholeParameter("after", 0, MAX_REVISION);
+        long after = request.integerParameter("after", 0, MAX_REVISION);
         int most = ConfigurationLimits.MAX_CHANGES_PER_RESPONSE;
-        int limit = (int) request.wholeParameter("limit", DEFAULT_HISTORY, most);
+        int limit = (int) request.integerParameter("limit", DEFAULT_HISTORY_LIMIT, most);
         return replica.read(state -> state.configuration().history(after, limit), false)
                 .thenApply(ApiResponse::ok);
     }
--- a/coordinator/src/main/java/saltstage/coordinator/api/HttpListener.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/HttpListener.java
@@ -42,16 +42,16 @@
 
     private static final int READ_TIMEOUT_SECONDS = 60;
 
-    private final NioEventLoopGroup group =
+    private final NioEventLoopGroup eventLoopGroup =
             new NioEventLoopGroup(1, new DefaultThreadFactory("api", true));
     private final Channel channel;
-    private final AtomicInteger connections = new AtomicInteger();
+    private final AtomicInteger connectionCount = new AtomicInteger();
 
     /** Listens. */
     public HttpListener(InetSocketAddress at, ApiHandler handler) throws IOException {
         ChannelFuture bound =
                 new ServerBootstrap()
-                        .group(group)
+                        .group(eventLoopGroup)
                         .channel(NioServerSocketChannel.class)
                         .option(ChannelOption.SO_BACKLOG, 512)
                         .option(ChannelOption.SO_REUSEADDR, true)
@@ -59,13 +59,13 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel child) {
-                                        if (connections.incrementAndGet() > MAX_CONNECTIONS) {
-                                            connections.decrementAndGet();
+                                        if (connectionCount.incrementAndGet() > MAX_CONNECTIONS) {
+                                            connectionCount.decrementAndGet();
                                             child.close();
                                             return;
                                         }
                                         child.closeFuture()
-                                                .addListener(over -> connections.decrementAndGet());
+                                                .addListener(over -> connectionCount.decrementAndGet());
                                         child.config().setTcpNoDelay(true);
                                         child.pipeline()
                                                 .addLast(
@@ -79,7 +79,7 @@
                         .bind(at)
                         .awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             throw new IOException("cannot listen on " + at + ": " + bound.cause().getMessage());
         }
         channel = bound.channel();
@@ -88,7 +88,7 @@
     /** One call after the other: the next of a connection is read once this one is answered. */
     private static final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final ApiHandler handler;
-        private boolean busy;
+        private boolean responsePending;
 
         RequestHandler(ApiHandler handler) {
             this.handler = handler;
@@ -97,20 +97,20 @@
         @Override
         protected void channelRead0(ChannelHandlerContext on, FullHttpRequest request) {
             boolean keep = HttpUtil.isKeepAlive(request);
-            if (busy) { // it did not wait for its answer: answers could change places
+            if (responsePending) { // it did not wait for its answer: answers could change places
                 on.close();
                 return;
             }
-            busy = true;
+            responsePending = true;
             on.channel().config().setAutoRead(false);
             handler.handle(request)
                     .whenComplete(
                             (answer, never) ->
-                                    on.executor().execute(() -> write(on, answer, keep)));
+                                    on.executor().execute(() -> writeResponse(on, answer, keep)));
         }
 
-        private void write(ChannelHandlerContext on, ApiResponse answer, boolean keep) {
-            busy = false;
+        private void writeResponse(ChannelHandlerContext on, ApiResponse answer, boolean keep) {
+            responsePending = false;
             byte[] body;
             boolean raw = answer.body() instanceof byte[];
             try {
@@ -150,6 +150,6 @@
     @Override
     public void close() {
         channel.close().awaitUninterruptibly();
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(2_000);
+        eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(2_000);
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/api/LeaseRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/LeaseRoutes.java
@@ -9,8 +9,8 @@
 
 /** Reads of leases: a list by prefix, and one lease whose next change can be waited for. */
 final class LeaseRoutes {
-    private static final int DEFAULT_ROWS = 1_000;
-    private static final int MAX_ROWS = 10_000;
+    private static final int DEFAULT_LIMIT = 1_000;
+    private static final int MAX_LIMIT = 10_000;
     private static final long MAX_REVISION = Long.MAX_VALUE >> 12;
 
     private final Replica replica;
@@ -34,8 +34,8 @@
 
     private CompletableFuture<ApiResponse> list(ApiRequest request) {
         String prefix = request.parameter("prefix", "");
-        int limit = (int) request.wholeParameter("limit", DEFAULT_ROWS, MAX_ROWS);
-        boolean stale = request.wholeParameter("stale", 0, 1) == 1;
+        int limit = (int) request.integerParameter("limit", DEFAULT_LIMIT, MAX_LIMIT);
+        boolean stale = request.integerParameter("stale", 0, 1) == 1;
         return replica.read(
                         state ->
                                 new LeaseList(
@@ -48,33 +48,33 @@
 
     private CompletableFuture<ApiResponse> watch(ApiRequest request) {
         String name = request.parameter("name", "");
-        long after = request.wholeParameter("after", 0, MAX_REVISION);
-        long waitMs = request.wholeParameter("waitMs", 0, StateChanges.MAX_WAIT_MS);
-        return untilChanged(name, after, StateChanges.deadlineNanos(waitMs))
+        long after = request.integerParameter("after", 0, MAX_REVISION);
+        long waitMs = request.integerParameter("waitMs", 0, StateChanges.MAX_WAIT_MS);
+        return readOnceChanged(name, after, StateChanges.deadlineNanos(waitMs))
                 .thenApply(ApiResponse::ok);
     }
 
     /** The lease once its revision is another one than {@code after}, or at the deadline. */
-    private CompletableFuture<LeaseList> untilChanged(String name, long after, long deadlineNanos) {
-        return replica.read(state -> find(state, name), false)
+    private CompletableFuture<LeaseList> readOnceChanged(String name, long after, long deadlineNanos) {
+        return replica.read(state -> findLease(state, name), false)
                 .thenCompose(
                         read ->
                                 read.revision() != after
                                         ? CompletableFuture.completedFuture(read)
-                                        : afterNextChange(read, name, after, deadlineNanos));
+                                        : readAfterNextChange(read, name, after, deadlineNanos));
     }
 
-    private CompletableFuture<LeaseList> afterNextChange(
+    private CompletableFuture<LeaseList> readAfterNextChange(
             LeaseList read, String name, long after, long deadlineNanos) {
-        return changes.next(deadlineNanos)
+        return changes.awaitNext(deadlineNanos)
                 .thenCompose(
                         changed ->
                                 changed
-                                        ? untilChanged(name, after, deadlineNanos)
+                                        ? readOnceChanged(name, after, deadlineNanos)
                                         : CompletableFuture.completedFuture(read));
     }
 
-    private static LeaseList find(GroupState state, String name) {
+    private static LeaseList findLease(GroupState state, String name) {
         Leases.Row row = state.leases().find(name);
         return new LeaseList(row == null ? List.of() : List.of(row), state.time().now(), false);
     }
--- a/coordinator/src/main/java/saltstage/coordinator/api/RevisionWatch.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/RevisionWatch.java
@@ -13,9 +13,9 @@
  */
 final class RevisionWatch {
     /** The state that is watched. */
-    interface Source {
+    interface RevisionSource {
         /** Runs this once at the state's next change; false where too many wait. */
-        boolean onChange(Runnable told);
+        boolean onNextChange(Runnable told);
 
         /** The newest revision. */
         CompletableFuture<Long> revision();
@@ -23,61 +23,61 @@
 
     private static final class Waiter {
         final long revision;
-        final CompletableFuture<Boolean> moved = new CompletableFuture<>();
+        final CompletableFuture<Boolean> advanced = new CompletableFuture<>();
 
         Waiter(long revision) {
             this.revision = revision;
         }
     }
 
-    private final Source source;
+    private final RevisionSource source;
     private final Set<Waiter> waiters = ConcurrentHashMap.newKeySet();
-    private final AtomicBoolean armed = new AtomicBoolean();
+    private final AtomicBoolean listening = new AtomicBoolean();
 
-    RevisionWatch(Source source) {
+    RevisionWatch(RevisionSource source) {
         this.source = source;
     }
 
     /**
      * True once the newest revision is after this one; false at the deadline of System.nanoTime().
      */
-    CompletableFuture<Boolean> movedBeyond(long revision, long deadlineNanos) {
+    CompletableFuture<Boolean> awaitRevisionAfter(long revision, long deadlineNanos) {
         long left = deadlineNanos - System.nanoTime();
         if (left <= 0) {
             return CompletableFuture.completedFuture(false);
         }
         Waiter waiter = new Waiter(revision);
         waiters.add(waiter);
-        waiter.moved
+        waiter.advanced
                 .completeOnTimeout(false, left, TimeUnit.NANOSECONDS)
                 .whenComplete((moved, failure) -> waiters.remove(waiter));
-        arm();
-        look(); // it may have moved since the caller has read it
-        return waiter.moved;
+        startListening();
+        checkRevision(); // it may have moved since the caller has read it
+        return waiter.advanced;
     }
 
-    private void arm() {
-        if (armed.compareAndSet(false, true) && !source.onChange(this::changed)) {
-            armed.set(false); // requests then wait until their deadlines
+    private void startListening() {
+        if (listening.compareAndSet(false, true) && !source.onNextChange(this::stateChanged)) {
+            listening.set(false); // requests then wait until their deadlines
         }
     }
 
-    private void changed() {
-        armed.set(false);
+    private void stateChanged() {
+        listening.set(false);
         if (!waiters.isEmpty()) {
-            arm();
-            look();
+            startListening();
+            checkRevision();
         }
     }
 
-    private void look() {
-        source.revision().thenAccept(this::wake);
+    private void checkRevision() {
+        source.revision().thenAccept(this::completeWaiters);
     }
 
-    private void wake(long newest) {
+    private void completeWaiters(long newest) {
         for (Waiter waiter : waiters) {
             if (newest > waiter.revision) {
-                waiter.moved.complete(true);
+                waiter.advanced.complete(true);
             }
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/api/StateChanges.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/StateChanges.java
@@ -21,10 +21,10 @@
     }
 
     /** True at the next change; false at the deadline, or at once where too many wait. */
-    CompletableFuture<Boolean> next(long deadlineNanos) {
+    CompletableFuture<Boolean> awaitNext(long deadlineNanos) {
         CompletableFuture<Boolean> changed = new CompletableFuture<>();
         long left = deadlineNanos - System.nanoTime();
-        if (left <= 0 || !replica.onChange(() -> changed.complete(true))) {
+        if (left <= 0 || !replica.onNextChange(() -> changed.complete(true))) {
             return CompletableFuture.completedFuture(false);
         }
         return changed.completeOnTimeout(false, left, TimeUnit.NANOSECONDS);
--- a/coordinator/src/main/java/saltstage/coordinator/api/WindowRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/WindowRoutes.java
@@ -10,8 +10,8 @@
 
 /** Reads of maintenance windows, and of the capacity that they leave. */
 final class WindowRoutes {
-    private static final int DEFAULT_ROWS = 200;
-    private static final int MAX_ROWS = 10_000;
+    private static final int DEFAULT_LIMIT = 200;
+    private static final int MAX_LIMIT = 10_000;
 
     /** In the year 2100; milliseconds since 1970. */
     private static final long MAX_TIME_MS = 4_102_444_800_000L;
@@ -30,18 +30,18 @@
     }
 
     private CompletableFuture<ApiResponse> list(ApiRequest request) {
-        return replica.read(WindowRoutes::windows, false).thenApply(ApiResponse::ok);
+        return replica.read(WindowRoutes::windowList, false).thenApply(ApiResponse::ok);
     }
 
-    private static WindowList windows(GroupState state) {
+    private static WindowList windowList(GroupState state) {
         return new WindowList(
                 state.windows().plan(), state.windows().all(), state.time().wallClockTime());
     }
 
     private CompletableFuture<ApiResponse> levels(ApiRequest request) {
-        long from = request.wholeParameter("from", 0, MAX_TIME_MS);
-        long to = request.wholeParameter("to", from, MAX_TIME_MS);
-        int limit = (int) request.wholeParameter("most", DEFAULT_ROWS, MAX_ROWS);
+        long from = request.integerParameter("from", 0, MAX_TIME_MS);
+        long to = request.integerParameter("to", from, MAX_TIME_MS);
+        int limit = (int) request.integerParameter("most", DEFAULT_LIMIT, MAX_LIMIT);
         return replica.read(
                         state -> {
                             long now = state.time().wallClockTime();
--- a/coordinator/src/main/java/saltstage/coordinator/client/GroupClient.java
+++ b/coordinator/src/main/java/saltstage/coordinator/client/GroupClient.java
@@ -24,17 +24,17 @@
  */
 public final class GroupClient {
     /** A call that brings nothing for so long is given up and sent to another replica. */
-    private static final Duration PATIENCE = Duration.ofMillis(1_500);
+    private static final Duration ATTEMPT_TIMEOUT = Duration.ofMillis(1_500);
 
-    private static final Duration CONNECT = Duration.ofMillis(700);
-    private static final long LEAST_PAUSE_MS = 20;
-    private static final long MOST_PAUSE_MS = 200;
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(700);
+    private static final long MIN_RETRY_DELAY_MS = 20;
+    private static final long MAX_RETRY_DELAY_MS = 200;
 
     /** No majority could be reached in time; what became of the command is open. */
-    public static final class Unreachable extends IOException {
+    public static final class GroupUnreachableException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        Unreachable(String why) {
+        GroupUnreachableException(String why) {
             super(why);
         }
     }
@@ -45,31 +45,31 @@
      */
     public record TimedReply(Reply reply, long sentNanos) {}
 
-    private final List<String> places;
+    private final List<String> replicaAddresses;
     private final Ticker ticker;
-    private final HttpClient http =
+    private final HttpClient httpClient =
             HttpClient.newBuilder()
                     .version(HttpClient.Version.HTTP_1_1)
-                    .connectTimeout(CONNECT)
+                    .connectTimeout(CONNECT_TIMEOUT)
                     .build();
-    private String session = UUID.randomUUID().toString();
-    private long seq;
-    private int next;
-    private String leader;
+    private String sessionId = UUID.randomUUID().toString();
+    private long sequenceNumber;
+    private int nextReplica;
+    private String leaderAddress;
 
     /** A client of the group whose replicas take calls there, each as HOST:PORT. */
     public GroupClient(List<String> places, Ticker ticker) {
         if (places.isEmpty()) {
             throw new IllegalArgumentException("no replica is named");
         }
-        this.places = new ArrayList<>(places);
+        this.replicaAddresses = new ArrayList<>(places);
         this.ticker = ticker;
-        next = ThreadLocalRandom.current().nextInt(places.size());
+        nextReplica = ThreadLocalRandom.current().nextInt(places.size());
     }
 
     /** Sends a command until it is answered, for so long at most. */
     public TimedReply send(Command command, Duration within)
-            throws Unreachable, InterruptedException {
+            throws GroupUnreachableException, InterruptedException {
         return send(command, within, Duration.ZERO);
     }
 
@@ -77,29 +77,29 @@
      * As above; the group may hold its answer back for so long while the caller waits in a queue.
      */
     public synchronized TimedReply send(Command command, Duration within, Duration wait)
-            throws Unreachable, InterruptedException {
+            throws GroupUnreachableException, InterruptedException {
         long first = ticker.nanos();
         long until = first + within.toNanos();
-        seq++;
+        sequenceNumber++;
         while (true) {
             ObjectNode body =
                     GroupCodec.jsonMapper()
                             .createObjectNode()
-                            .put("client", session)
-                            .put("seq", seq)
+                            .put("client", sessionId)
+                            .put("seq", sequenceNumber)
                             .put("waitMs", wait.toMillis());
             body.set("command", GroupCodec.jsonMapper().valueToTree(command));
-            JsonNode answer = call("POST", "/v1/do", body.toString(), until, PATIENCE.plus(wait));
+            JsonNode answer = call("POST", "/v1/do", body.toString(), until, ATTEMPT_TIMEOUT.plus(wait));
             Reply reply;
             try {
                 reply = GroupCodec.jsonMapper().treeToValue(answer, Reply.class);
             } catch (IOException unknown) {
-                throw new Unreachable(
+                throw new GroupUnreachableException(
                         "an answer that this build does not know: " + unknown.getMessage());
             }
             if (reply instanceof Rejection no && no.code().equals("session-lost")) {
-                session = UUID.randomUUID().toString(); // the caller decides whether to ask again
-                seq = 0;
+                sessionId = UUID.randomUUID().toString(); // the caller decides whether to ask again
+                sequenceNumber = 0;
             }
             return new TimedReply(reply, first);
         }
@@ -110,40 +110,40 @@
      * stale one.
      */
     public synchronized JsonNode get(String path, Duration within)
-            throws Unreachable, InterruptedException {
-        return call("GET", path, null, ticker.nanos() + within.toNanos(), PATIENCE.plusSeconds(2));
+            throws GroupUnreachableException, InterruptedException {
+        return call("GET", path, null, ticker.nanos() + within.toNanos(), ATTEMPT_TIMEOUT.plusSeconds(2));
     }
 
     /** Posts an operator's call, which may be sent more than once. */
     public synchronized JsonNode post(String path, JsonNode body, Duration within)
-            throws Unreachable, InterruptedException {
+            throws GroupUnreachableException, InterruptedException {
         return call(
                 "POST",
                 path,
                 body.toString(),
                 ticker.nanos() + within.toNanos(),
-                PATIENCE.multipliedBy(3));
+                ATTEMPT_TIMEOUT.multipliedBy(3));
     }
 
     private JsonNode call(String method, String path, String body, long until, Duration patience)
-            throws Unreachable, InterruptedException {
+            throws GroupUnreachableException, InterruptedException {
         String last = "no replica answers";
-        for (long pause = LEAST_PAUSE_MS; ; pause = Math.min(MOST_PAUSE_MS, pause * 2)) {
+        for (long pause = MIN_RETRY_DELAY_MS; ; pause = Math.min(MAX_RETRY_DELAY_MS, pause * 2)) {
             long left = until - ticker.nanos();
             if (left <= 0) {
-                throw new Unreachable(last);
+                throw new GroupUnreachableException(last);
             }
-            String place = leader != null ? leader : places.get(next);
+            String place = leaderAddress != null ? leaderAddress : replicaAddresses.get(nextReplica);
             try {
                 Duration timeout =
                         Duration.ofNanos(Math.max(1_000_000, Math.min(left, patience.toNanos())));
                 HttpResponse<String> response =
-                        http.send(
+                        httpClient.send(
                                 request(method, place, path, body, timeout),
                                 HttpResponse.BodyHandlers.ofString());
                 JsonNode answer = GroupCodec.jsonMapper().readTree(response.body());
                 if (response.statusCode() == 200) {
-                    leader = place;
+                    leaderAddress = place;
                     return answer;
                 }
                 last =
@@ -151,16 +151,16 @@
                                 + ": "
                                 + answer.path("error").asText("status " + response.statusCode());
                 if (response.statusCode() == 400 || response.statusCode() == 404) {
-                    elsewhere(null, place); // what is at that address may be no replica any more
+                    selectNextReplica(null, place); // what is at that address may be no replica any more
                     throw new IllegalArgumentException(last);
                 }
-                elsewhere(answer.path("leader").asText(null), place);
+                selectNextReplica(answer.path("leader").asText(null), place);
             } catch (IOException silent) {
                 last =
                         place
                                 + ": "
                                 + (silent.getMessage() == null ? "no answer" : silent.getMessage());
-                elsewhere(null, place);
+                selectNextReplica(null, place);
             }
             Thread.sleep(
                     Math.min(
@@ -183,16 +183,16 @@
      * The next call goes to who is said to lead, unless that is who has just not served, else to
      * the next.
      */
-    private void elsewhere(String toldLeader, String not) {
-        leader =
+    private void selectNextReplica(String toldLeader, String not) {
+        leaderAddress =
                 toldLeader == null
                                 || toldLeader.equals(not)
-                                || !places.contains(toldLeader)
+                                || !replicaAddresses.contains(toldLeader)
                                         && !toldLeader.matches("[0-9.]+:\\d+")
                         ? null
                         : toldLeader;
-        if (leader == null) {
-            next = (next + 1) % places.size();
+        if (leaderAddress == null) {
+            nextReplica = (nextReplica + 1) % replicaAddresses.size();
         }
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/client/LeaseClient.java
+++ b/coordinator/src/main/java/saltstage/coordinator/client/LeaseClient.java
@@ -6,7 +6,7 @@
 import java.util.UUID;
 import java.util.concurrent.ConcurrentHashMap;
 import saltstage.coordinator.client.GroupClient.TimedReply;
-import saltstage.coordinator.client.GroupClient.Unreachable;
+import saltstage.coordinator.client.GroupClient.GroupUnreachableException;
 import saltstage.coordinator.lease.LeaseCommands.Acquire;
 import saltstage.coordinator.lease.LeaseCommands.Release;
 import saltstage.coordinator.lease.LeaseCommands.Renew;
@@ -28,65 +28,65 @@
      * Two monotonic clocks may differ in rate by so much, by what is promised: machines keep a
      * hundredth of it.
      */
-    public static final double DRIFT = 0.02;
+    public static final double MAX_CLOCK_DRIFT = 0.02;
 
-    private static final int RENEWALS_A_TTL = 4;
-    private static final Duration QUEUE = Duration.ofMillis(900);
+    private static final int RENEWALS_PER_TTL = 4;
+    private static final Duration MAX_QUEUE_WAIT = Duration.ofMillis(900);
 
     /** The lease is not this process's any more. */
-    public static final class Lost extends Exception {
+    public static final class LeaseLostException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Lost(String name, long fence) {
+        LeaseLostException(String name, long fence) {
             super("lease " + name + " (fence " + fence + ") is lost");
         }
     }
 
     /** It was not had: who has it, or why not. */
-    public static final class NotGranted extends Exception {
+    public static final class LeaseNotGrantedException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        NotGranted(String why) {
+        LeaseNotGrantedException(String why) {
             super(why);
         }
     }
 
-    private final GroupClient group;
-    private final GroupClient renewing;
+    private final GroupClient groupClient;
+    private final GroupClient renewalClient;
     private final Ticker ticker;
     private final String owner;
-    private final Map<String, Lease> held = new ConcurrentHashMap<>();
-    private final Thread renewer;
+    private final Map<String, Lease> heldLeases = new ConcurrentHashMap<>();
+    private final Thread renewalThread;
     private volatile boolean closed;
 
     /**
      * Holds leases of a group under a name that people know; each process is an owner of its own.
      */
     public LeaseClient(GroupClient group, GroupClient renewing, Ticker ticker, String name) {
-        this.group = group;
-        this.renewing = renewing;
+        this.groupClient = group;
+        this.renewalClient = renewing;
         this.ticker = ticker;
         owner = name + "/" + UUID.randomUUID();
-        renewer = new Thread(this::renew, "renewer");
-        renewer.setDaemon(true);
-        renewer.start();
+        renewalThread = new Thread(this::renewalLoop, "renewer");
+        renewalThread.setDaemon(true);
+        renewalThread.start();
     }
 
     /** A lease that was granted. */
     public final class Lease implements AutoCloseable {
         private final String name;
-        private final long fence;
+        private final long fencingToken;
         private final long ttlMs;
         private final Runnable onLoss;
-        private volatile long until;
-        private volatile boolean over;
+        private volatile long validUntilNanos;
+        private volatile boolean closedOrLost;
 
         private Lease(String name, long fence, long ttlMs, long sent, Runnable onLoss) {
             this.name = name;
-            this.fence = fence;
+            this.fencingToken = fence;
             this.ttlMs = ttlMs;
             this.onLoss = onLoss;
-            until = sent + span(ttlMs);
+            validUntilNanos = sent + validityNanos(ttlMs);
         }
 
         /** Its name. */
@@ -95,37 +95,37 @@
         }
 
         /** Its fence: to be sent along with whatever is done under it. */
-        public long fence() {
-            return fence;
+        public long fencingToken() {
+            return fencingToken;
         }
 
         /** How long it holds at least, by this process's clock. */
         public Duration remaining() {
-            return over ? Duration.ZERO : Duration.ofNanos(Math.max(0, until - ticker.nanos()));
+            return closedOrLost ? Duration.ZERO : Duration.ofNanos(Math.max(0, validUntilNanos - ticker.nanos()));
         }
 
         /** Throws where it is lost, or may be: to be called before each act. */
-        public void checkStillHeld() throws Lost {
-            if (over || ticker.nanos() - until >= 0) {
-                lose();
-                throw new Lost(name, fence);
+        public void checkStillHeld() throws LeaseLostException {
+            if (closedOrLost || ticker.nanos() - validUntilNanos >= 0) {
+                markLost();
+                throw new LeaseLostException(name, fencingToken);
             }
         }
 
-        private void lose() {
+        private void markLost() {
             boolean told;
             synchronized (this) {
-                told = over;
-                over = true;
+                told = closedOrLost;
+                closedOrLost = true;
             }
-            held.remove(name, this);
+            heldLeases.remove(name, this);
             if (!told) {
                 onLoss.run();
             }
         }
 
-        private void renewed(long sent) {
-            until = Math.max(until, sent + span(ttlMs));
+        private void extend(long sent) {
+            validUntilNanos = Math.max(validUntilNanos, sent + validityNanos(ttlMs));
         }
 
         /** Gives it back. */
@@ -133,16 +133,16 @@
         public void close() {
             boolean mine;
             synchronized (this) {
-                mine = !over;
-                over = true;
+                mine = !closedOrLost;
+                closedOrLost = true;
             }
-            held.remove(name, this);
+            heldLeases.remove(name, this);
             if (mine) {
                 try {
-                    group.send(
-                            new Release(name, owner, fence),
+                    groupClient.send(
+                            new Release(name, owner, fencingToken),
                             Duration.ofMillis(Math.min(ttlMs, 3_000)));
-                } catch (Unreachable itExpires) {
+                } catch (GroupUnreachableException itExpires) {
                     return;
                 } catch (InterruptedException ended) {
                     Thread.currentThread().interrupt();
@@ -151,8 +151,8 @@
         }
     }
 
-    private static long span(long ttlMs) {
-        return (long) (ttlMs * 1_000_000 * (1 - DRIFT));
+    private static long validityNanos(long ttlMs) {
+        return (long) (ttlMs * 1_000_000 * (1 - MAX_CLOCK_DRIFT));
     }
 
     /**
@@ -161,15 +161,15 @@
      * @param onLoss run once, on any thread, if it is lost before it is closed
      */
     public Lease acquire(String name, Duration ttl, Duration wait, int priority, Runnable onLoss)
-            throws NotGranted, Unreachable, InterruptedException {
+            throws LeaseNotGrantedException, GroupUnreachableException, InterruptedException {
         long until = ticker.nanos() + wait.toNanos();
         while (true) {
             long left = until - ticker.nanos();
             boolean queue = left > 0;
             Duration hold =
-                    queue ? QUEUE.toNanos() < left ? QUEUE : Duration.ofNanos(left) : Duration.ZERO;
+                    queue ? MAX_QUEUE_WAIT.toNanos() < left ? MAX_QUEUE_WAIT : Duration.ofNanos(left) : Duration.ZERO;
             TimedReply said =
-                    group.send(
+                    groupClient.send(
                             new Acquire(name, owner, ttl.toMillis(), priority, queue),
                             Duration.ofNanos(Math.max(left, 3_000_000_000L)),
                             hold);
@@ -179,14 +179,14 @@
                 if (lease.remaining().isZero()) {
                     continue; // the answer came so late that it is worth nothing
                 }
-                held.put(name, lease);
+                heldLeases.put(name, lease);
                 return lease;
             }
             if (said.reply() instanceof Rejection no && !no.code().equals("session-lost")) {
-                throw new NotGranted(no.why());
+                throw new LeaseNotGrantedException(no.why());
             }
             if (!queue) {
-                throw new NotGranted(
+                throw new LeaseNotGrantedException(
                         said.reply() instanceof Held by
                                 ? name
                                         + " is held by "
@@ -199,12 +199,12 @@
         }
     }
 
-    private void renew() {
+    private void renewalLoop() {
         while (!closed) {
             try {
-                long least = held.values().stream().mapToLong(l -> l.ttlMs).min().orElse(400);
-                Thread.sleep(Math.max(50, least / RENEWALS_A_TTL));
-                renewOnce();
+                long least = heldLeases.values().stream().mapToLong(l -> l.ttlMs).min().orElse(400);
+                Thread.sleep(Math.max(50, least / RENEWALS_PER_TTL));
+                renewHeldLeases();
             } catch (InterruptedException ended) {
                 return;
             } catch (
@@ -215,30 +215,30 @@
         }
     }
 
-    private void renewOnce() throws InterruptedException {
+    private void renewHeldLeases() throws InterruptedException {
         Map<String, Long> fences = new TreeMap<>();
         Map<String, Lease> asked = new TreeMap<>();
         long now = ticker.nanos();
         long soonest = Long.MAX_VALUE;
-        for (Lease lease : Map.copyOf(held).values()) {
-            if (now - lease.until >= 0) {
-                lease.lose();
+        for (Lease lease : Map.copyOf(heldLeases).values()) {
+            if (now - lease.validUntilNanos >= 0) {
+                lease.markLost();
             } else {
-                fences.put(lease.name, lease.fence);
+                fences.put(lease.name, lease.fencingToken);
                 asked.put(lease.name, lease);
-                soonest = Math.min(soonest, lease.until - now);
+                soonest = Math.min(soonest, lease.validUntilNanos - now);
             }
         }
         if (fences.isEmpty()) {
             return;
         }
         try {
-            TimedReply said = renewing.send(new Renew(owner, fences), Duration.ofNanos(soonest));
+            TimedReply said = renewalClient.send(new Renew(owner, fences), Duration.ofNanos(soonest));
             if (said.reply() instanceof Renewed renewed) {
-                renewed.ttlMs().keySet().forEach(name -> asked.get(name).renewed(said.sentNanos()));
-                renewed.lost().forEach(name -> asked.get(name).lose());
+                renewed.ttlMs().keySet().forEach(name -> asked.get(name).extend(said.sentNanos()));
+                renewed.lost().forEach(name -> asked.get(name).markLost());
             }
-        } catch (Unreachable notNow) { // what is not renewed in time is lost by the clock above
+        } catch (GroupUnreachableException notNow) { // what is not renewed in time is lost by the clock above
             return;
         }
     }
@@ -252,7 +252,7 @@
     @Override
     public void close() {
         closed = true;
-        renewer.interrupt();
-        Map.copyOf(held).values().forEach(Lease::close);
+        renewalThread.interrupt();
+        Map.copyOf(heldLeases).values().forEach(Lease::close);
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/command/AdviceCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/AdviceCommand.java
@@ -27,15 +27,15 @@
         description = "Which tenants to move between nodes.",
         mixinStandardHelpOptions = true,
         subcommands = {
-            AdviceCommand.Show.class,
+            AdviceCommand.ListAdvice.class,
             AdviceCommand.Accept.class,
             AdviceCommand.Refuse.class,
-            AdviceCommand.Advise.class
+            AdviceCommand.Serve.class
         })
 final class AdviceCommand {
     private AdviceCommand() {}
 
-    private static int decide(Group group, long id, boolean accept) throws Exception {
+    private static int decide(GroupOptions group, long id, boolean accept) throws Exception {
         String by = System.getProperty("user.name");
         Reply reply = group.send(new AdviceCommands.Decide(id, accept, by));
         group.print(reply, id + ": " + (accept ? "accepted" : "refused"));
@@ -48,13 +48,13 @@
             aliases = "history",
             description = "Shows recommendations and what became of them.",
             mixinStandardHelpOptions = true)
-    static final class Show implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+    static final class ListAdvice implements Callable<Integer> {
+        @CommandLine.Mixin private GroupOptions group;
 
         @Override
         public Integer call() throws Exception {
             JsonNode read = group.get("/v1/advice");
-            if (group.json()) {
+            if (group.isJson()) {
                 System.out.println(read);
                 return ExitCode.OK;
             }
@@ -82,7 +82,7 @@
     /** Taken up. */
     @Command(name = "accept", description = "Takes one up.", mixinStandardHelpOptions = true)
     static final class Accept implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Parameters(paramLabel = "NUMBER")
         private long id;
@@ -96,7 +96,7 @@
     /** Turned down. */
     @Command(name = "refuse", description = "Turns one down.", mixinStandardHelpOptions = true)
     static final class Refuse implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Parameters(paramLabel = "NUMBER")
         private long id;
@@ -112,44 +112,44 @@
             name = "serve",
             description = "Runs an advisor; one of several speaks, under a lease.",
             mixinStandardHelpOptions = true)
-    static final class Advise implements Callable<Integer> {
-        private static final java.time.Duration LEASE = java.time.Duration.ofSeconds(5);
-        private static final java.time.Duration WAIT = java.time.Duration.ofSeconds(30);
+    static final class Serve implements Callable<Integer> {
+        private static final java.time.Duration LEASE_TTL = java.time.Duration.ofSeconds(5);
+        private static final java.time.Duration LEASE_WAIT = java.time.Duration.ofSeconds(30);
 
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
-        @Option(names = "--every", converter = Group.Span.class, defaultValue = "2s")
+        @Option(names = "--every", converter = GroupOptions.DurationConverter.class, defaultValue = "2s")
         private java.time.Duration every;
 
         @Override
         public Integer call() throws Exception {
             LeaseClient leases =
                     new LeaseClient(
-                            group.client(),
-                            group.client(),
+                            group.createClient(),
+                            group.createClient(),
                             Ticker.SYSTEM,
                             "advisor-" + ProcessHandle.current().pid());
             Runtime.getRuntime().addShutdownHook(new Thread(leases::close));
-            GroupClient client = group.client();
+            GroupClient client = group.createClient();
             while (true) {
                 try (LeaseClient.Lease lease =
-                        leases.acquire(AdviceCommands.LEASE_NAME, LEASE, WAIT, 0, () -> {})) {
-                    Log.info("advisor.speaks", "fence", lease.fence());
+                        leases.acquire(AdviceCommands.LEASE_NAME, LEASE_TTL, LEASE_WAIT, 0, () -> {})) {
+                    Log.info("advisor.speaks", "fence", lease.fencingToken());
                     while (true) {
                         lease.checkStillHeld();
-                        say(client, lease, leases.owner());
+                        advise(client, lease, leases.owner());
                         Thread.sleep(every.toMillis());
                     }
-                } catch (LeaseClient.Lost | LeaseClient.NotGranted | java.io.IOException notNow) {
+                } catch (LeaseClient.LeaseLostException | LeaseClient.LeaseNotGrantedException | java.io.IOException notNow) {
                     Log.info("advisor.waits", "why", notNow.getMessage());
                     Thread.sleep(200);
                 }
             }
         }
 
-        private void say(GroupClient client, LeaseClient.Lease lease, String owner)
-                throws java.io.IOException, InterruptedException, LeaseClient.Lost {
-            JsonNode read = client.get("/v1/advice", group.within());
+        private void advise(GroupClient client, LeaseClient.Lease lease, String owner)
+                throws java.io.IOException, InterruptedException, LeaseClient.LeaseLostException {
+            JsonNode read = client.get("/v1/advice", group.timeout());
             List<NodeSnapshots.View> views = new ArrayList<>();
             for (JsonNode view : read.path("views")) {
                 views.add(GroupCodec.jsonMapper().treeToValue(view, NodeSnapshots.View.class));
@@ -166,8 +166,8 @@
             Reply reply =
                     client.send(
                                     new AdviceCommands.Advise(
-                                            owner, lease.fence(), advice.moves(), advice.why()),
-                                    group.within())
+                                            owner, lease.fencingToken(), advice.moves(), advice.why()),
+                                    group.timeout())
                             .reply();
             if (reply instanceof Rejection no) {
                 Log.warn("advisor.refused", "why", no.why());
--- a/coordinator/src/main/java/saltstage/coordinator/command/AgentCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/AgentCommand.java
@@ -16,7 +16,7 @@
         description = "Carries a region's maintenance windows out, until it is ended.",
         mixinStandardHelpOptions = true)
 final class AgentCommand implements Callable<Integer> {
-    @CommandLine.Mixin private Group group;
+    @CommandLine.Mixin private GroupOptions group;
 
     @Option(
             names = "--agent",
@@ -30,13 +30,13 @@
         AgentSettings settings = AgentSettings.read(file);
         try (LeaseClient leases =
                 new LeaseClient(
-                        group.client(),
-                        group.client(),
+                        group.createClient(),
+                        group.createClient(),
                         Ticker.SYSTEM,
                         "agent-" + settings.region() + "-" + ProcessHandle.current().pid())) {
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(leases::close)); // a successor need not wait
-            new Agent(settings, group.client(), leases).run();
+            new Agent(settings, group.createClient(), leases).run();
         }
         return ExitCode.OK;
     }
--- a/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
@@ -49,7 +49,7 @@
 final class ClusterCommand {
     private ClusterCommand() {}
 
-    private static int changeMember(Group group, String path, String field, String member)
+    private static int changeMember(GroupOptions group, String path, String field, String member)
             throws Exception {
         JsonNode response = group.post(path, field, member);
         group.print(response, member + ": " + response.path("state").asText());
@@ -62,7 +62,7 @@
             description = "Runs a replica until SIGTERM.",
             mixinStandardHelpOptions = true)
     static final class Serve implements Callable<Integer> {
-        private static final Duration JOIN_AGAIN = Duration.ofMillis(300);
+        private static final Duration JOIN_RETRY_DELAY = Duration.ofMillis(300);
 
         @Option(names = "--settings", required = true, paramLabel = "FILE")
         private Path settings;
@@ -83,8 +83,8 @@
         @SuppressWarnings("try") // the listener only has to be closed
         public Integer call() throws Exception {
             CoordinatorSettings read = CoordinatorSettings.read(settings);
-            CoordinatorSettings.Place place = joinPlace();
-            ReplicaSettings mine = read.replica(name, dir, place);
+            CoordinatorSettings.MemberAddresses place = joiningAddresses();
+            ReplicaSettings mine = read.replicaSettings(name, dir, place);
             CountDownLatch stop = new CountDownLatch(1);
             CountDownLatch stopped = new CountDownLatch(1);
             Files.createDirectories(mine.dir());
@@ -98,10 +98,10 @@
                                             true,
                                             (where, fault) ->
                                                     Log.error("loop.fault." + where, fault)),
-                                    Serve::fatal);
+                                    Serve::halt);
                     HttpListener listener =
-                            new HttpListener(mine.clients(), new ApiHandler(replica))) {
-                Runtime.getRuntime().addShutdownHook(new Thread(() -> end(stop, stopped)));
+                            new HttpListener(mine.clientListenAddress(), new ApiHandler(replica))) {
+                Runtime.getRuntime().addShutdownHook(new Thread(() -> stopAndAwait(stop, stopped)));
                 Log.info(
                         "replica.ready",
                         "name",
@@ -109,14 +109,14 @@
                         "group",
                         mine.group(),
                         "clients",
-                        mine.clients(),
+                        mine.clientListenAddress(),
                         "disk",
-                        replica.disk());
+                        replica.diskId());
                 if (place != null) {
-                    join(read, mine, replica.disk());
+                    joinGroup(read, mine, replica.diskId());
                 }
                 stop.await();
-                handOver(replica);
+                transferLeadership(replica);
             } finally {
                 stopped.countDown();
             }
@@ -124,7 +124,7 @@
         }
 
         /** Where a new member is heard, or null for one that the settings name. */
-        private CoordinatorSettings.Place joinPlace() throws MalformedException {
+        private CoordinatorSettings.MemberAddresses joiningAddresses() throws MalformedException {
             if (join == null) {
                 return null;
             }
@@ -132,11 +132,11 @@
             if (parts.length != 2) {
                 throw new MalformedException("--join takes PEERS,CLIENTS, each as ADDRESS:PORT");
             }
-            return new CoordinatorSettings.Place(
+            return new CoordinatorSettings.MemberAddresses(
                     BackendList.parseAddress(parts[0]), BackendList.parseAddress(parts[1]));
         }
 
-        private static void end(CountDownLatch stop, CountDownLatch stopped) {
+        private static void stopAndAwait(CountDownLatch stop, CountDownLatch stopped) {
             stop.countDown();
             try {
                 stopped.await();
@@ -148,13 +148,13 @@
         /**
          * What is known is not enough to go on: the process ends at once, without another write.
          */
-        private static void fatal(int code, String why) {
+        private static void halt(int code, String why) {
             System.err.println("saltstage: " + why);
             Runtime.getRuntime().halt(code);
         }
 
         /** A leader that leaves hands its place over first: nobody need notice that it is gone. */
-        private static void handOver(Replica replica) {
+        private static void transferLeadership(Replica replica) {
             try {
                 ReplicaStatus now = replica.status().get(1, TimeUnit.SECONDS);
                 String to =
@@ -163,7 +163,7 @@
                                 .findFirst()
                                 .orElse(null);
                 if (now.name().equals(now.leader()) && to != null) {
-                    replica.transfer(to).get(2, TimeUnit.SECONDS);
+                    replica.transferLeadership(to).get(2, TimeUnit.SECONDS);
                     Log.info("replica.handed-over", "to", to);
                 }
             } catch (InterruptedException | ExecutionException | TimeoutException notNow) {
@@ -171,12 +171,12 @@
             }
         }
 
-        private void join(CoordinatorSettings read, ReplicaSettings mine, String disk)
+        private void joinGroup(CoordinatorSettings read, ReplicaSettings mine, String disk)
                 throws InterruptedException, MalformedException, IOException {
             GroupClient group =
                     new GroupClient(
                             read.members().values().stream()
-                                    .map(at -> HostPort.format(at.clients()))
+                                    .map(at -> HostPort.format(at.clientAddress()))
                                     .toList(),
                             Ticker.SYSTEM);
             JsonNode body =
@@ -184,9 +184,9 @@
                             .createObjectNode()
                             .put("name", name)
                             .put("disk", disk)
-                            .put("peers", HostPort.format(mine.peers()))
-                            .put("clients", HostPort.format(mine.clients()));
-            for (String state = ""; !state.equals("votes"); Thread.sleep(JOIN_AGAIN.toMillis())) {
+                            .put("peers", HostPort.format(mine.peerListenAddress()))
+                            .put("clients", HostPort.format(mine.clientListenAddress()));
+            for (String state = ""; !state.equals("votes"); Thread.sleep(JOIN_RETRY_DELAY.toMillis())) {
                 String now =
                         group.post("/v1/join", body, Duration.ofSeconds(30)).path("state").asText();
                 if (!now.equals(state)) {
@@ -205,14 +205,14 @@
     static final class Status implements Callable<Integer> {
         private static final Duration STATUS_TIMEOUT = Duration.ofSeconds(2);
 
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Override
         public Integer call() throws Exception {
             Map<String, Object> all = new LinkedHashMap<>();
             int answers = 0;
             boolean led = false;
-            for (String place : group.places()) {
+            for (String place : group.replicaAddresses()) {
                 try {
                     JsonNode status =
                             new GroupClient(List.of(place), Ticker.SYSTEM)
@@ -220,28 +220,28 @@
                     all.put(place, status);
                     answers++;
                     led |= status.path("role").asText().equals("leader");
-                    print(group, line(status));
-                } catch (GroupClient.Unreachable silent) {
+                    printLine(group, formatStatus(status));
+                } catch (GroupClient.GroupUnreachableException silent) {
                     all.put(place, Map.of("error", silent.getMessage()));
-                    print(group, place + ": " + silent.getMessage());
+                    printLine(group, place + ": " + silent.getMessage());
                 }
             }
-            if (group.json()) {
+            if (group.isJson()) {
                 System.out.println(GroupCodec.jsonMapper().writeValueAsString(all));
             }
             if (answers == 0) {
                 return ExitCode.UNREACHABLE;
             }
-            return led ? ExitCode.OK : ExitCode.REFUSED;
+            return led ? ExitCode.OK : ExitCode.REJECTED;
         }
 
-        private static void print(Group group, String line) {
-            if (!group.json()) {
+        private static void printLine(GroupOptions group, String line) {
+            if (!group.isJson()) {
                 System.out.println(line);
             }
         }
 
-        private static String line(JsonNode status) {
+        private static String formatStatus(JsonNode status) {
             return String.format(
                     "%-8s %-9s term %d, commit %d of %d, snapshot %d, level %d of %d, voters %s",
                     status.path("name").asText(),
@@ -262,7 +262,7 @@
             description = "Takes a member out of the group: leaving, dead or wiped.",
             mixinStandardHelpOptions = true)
     static final class Leave implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Parameters(paramLabel = "NAME")
         private String name;
@@ -279,7 +279,7 @@
             description = "Hands the lead to a member.",
             mixinStandardHelpOptions = true)
     static final class Transfer implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Parameters(paramLabel = "NAME")
         private String name;
--- a/coordinator/src/main/java/saltstage/coordinator/command/RefusedException.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/CommandRejectedException.java
@@ -3,18 +3,18 @@
 import saltstage.coordinator.model.Rejection;
 
 /** The group refused a command; the command line prints why and ends with {@link ExitCode}. */
-final class RefusedException extends Exception {
+final class CommandRejectedException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    private final transient Rejection refusal;
+    private final transient Rejection rejection;
 
-    RefusedException(Rejection refusal) {
+    CommandRejectedException(Rejection refusal) {
         super(refusal.why());
-        this.refusal = refusal;
+        this.rejection = refusal;
     }
 
     /** The group's reply. */
-    Rejection refusal() {
-        return refusal;
+    Rejection rejection() {
+        return rejection;
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/command/Coordinator.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/Coordinator.java
@@ -44,11 +44,11 @@
     private static int fail(Exception failure) {
         Object why = failure.getMessage() == null ? failure : failure.getMessage();
         System.err.println("saltstage: " + why);
-        if (failure instanceof GroupClient.Unreachable) {
+        if (failure instanceof GroupClient.GroupUnreachableException) {
             return ExitCode.UNREACHABLE;
         }
-        if (failure instanceof RefusedException || failure instanceof MalformedException) {
-            return ExitCode.REFUSED;
+        if (failure instanceof CommandRejectedException || failure instanceof MalformedException) {
+            return ExitCode.REJECTED;
         }
         return CommandLine.ExitCode.SOFTWARE;
     }
--- a/coordinator/src/main/java/saltstage/coordinator/command/DistributorCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/DistributorCommand.java
@@ -18,10 +18,10 @@
         subcommands = {DistributorCommand.Serve.class})
 final class DistributorCommand {
     /** Its folder or address cannot be had. */
-    private static final int CANNOT_START = 74;
+    private static final int EXIT_CANNOT_START = 74;
 
     /** What it holds and what it serves have come apart. */
-    private static final int FAULT = 70;
+    private static final int EXIT_FAULT = 70;
 
     private DistributorCommand() {}
 
@@ -42,13 +42,13 @@
 
         @Override
         public Integer call() throws Exception {
-            DistributorSettings mine = CoordinatorSettings.read(settings).distributor(name);
+            DistributorSettings mine = CoordinatorSettings.read(settings).distributorSettings(name);
             DistributorProcess process;
             try {
-                process = new DistributorProcess(mine, Serve::fail);
+                process = new DistributorProcess(mine, Serve::haltAfterFault);
             } catch (IOException cannot) {
                 System.err.println("saltstage: " + cannot.getMessage());
-                return CANNOT_START;
+                return EXIT_CANNOT_START;
             }
             Runtime.getRuntime().addShutdownHook(new Thread(() -> close(process)));
             new CountDownLatch(1).await(); // SIGTERM ends the process
@@ -63,9 +63,9 @@
             }
         }
 
-        private static void fail(RuntimeException cause) {
+        private static void haltAfterFault(RuntimeException cause) {
             System.err.println("saltstage: " + cause.getMessage());
-            Runtime.getRuntime().halt(FAULT);
+            Runtime.getRuntime().halt(EXIT_FAULT);
         }
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/command/ExitCode.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/ExitCode.java
@@ -5,7 +5,7 @@
     static final int OK = 0;
 
     /** The group refused the command, or the settings are malformed. */
-    static final int REFUSED = 1;
+    static final int REJECTED = 1;
 
     /** No group could be reached: EX_UNAVAILABLE of sysexits.h. */
     static final int UNREACHABLE = 69;
--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
@@ -48,22 +48,22 @@
             GroupConfigCommand.Status.class
         })
 final class GroupConfigCommand {
-    private static final String PATH = "/v1/configuration/";
+    private static final String API_PATH = "/v1/configuration/";
     private static final int HISTORY_PAGE = 100;
 
     private GroupConfigCommand() {}
 
     /** Sends a change and prints what came of it; 1 where it was refused. */
-    private static int ask(Group group, GroupClient client, ChangeConfiguration change)
+    private static int sendChange(GroupOptions group, GroupClient client, ChangeConfiguration change)
             throws Exception {
-        Reply reply = client.send(change, group.within()).reply();
+        Reply reply = client.send(change, group.timeout()).reply();
         if (reply instanceof Changed changed) {
             String text =
                     "revision " + changed.revision() + ", " + changed.mutations() + " changed";
             group.print(changed, text);
             return 0;
         }
-        if (group.json()) {
+        if (group.isJson()) {
             System.out.println(GroupCodec.jsonMapper().writeValueAsString(reply));
         }
         String why =
@@ -75,10 +75,10 @@
     }
 
     /** Accepted changes after a revision, up to this many, as the group has them now. */
-    private static ConfigurationRegistry.History history(
-            Group group, GroupClient client, long after, int limit) throws Exception {
+    private static ConfigurationRegistry.History readHistory(
+            GroupOptions group, GroupClient client, long after, int limit) throws Exception {
         JsonNode read =
-                client.get(PATH + "history?after=" + after + "&limit=" + limit, group.within());
+                client.get(API_PATH + "history?after=" + after + "&limit=" + limit, group.timeout());
         return GroupCodec.jsonMapper().treeToValue(read, ConfigurationRegistry.History.class);
     }
 
@@ -88,7 +88,7 @@
             description = "Puts entries in force, all or none of them, as one revision.",
             mixinStandardHelpOptions = true)
     static final class Put implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Parameters(
                 paramLabel = "KEY VALUE",
@@ -123,7 +123,7 @@
         public Integer call() throws Exception {
             ChangeConfiguration change =
                     new ChangeConfiguration(by, mutations(), new TreeMap<>(expected));
-            return ask(group, group.client(), change);
+            return sendChange(group, group.createClient(), change);
         }
 
         private List<Mutation> mutations() throws Exception {
@@ -135,10 +135,10 @@
                 mutations.addAll(ConfigurationJson.parseMutations(Files.readString(file)));
             }
             for (int i = 0; i < pairs.size(); i += 2) {
-                mutations.add(MutationText.put(pairs.get(i), pairs.get(i + 1)));
+                mutations.add(MutationText.parsePut(pairs.get(i), pairs.get(i + 1)));
             }
             for (String key : deleted) {
-                mutations.add(new Mutation(MutationText.key(key), null));
+                mutations.add(new Mutation(MutationText.parseKey(key), null));
             }
             if (mutations.isEmpty()) {
                 throw new MalformedException("name entries: KEY VALUE, --file or --delete");
@@ -158,35 +158,35 @@
         /** The first name of any kind, in the order of keys. */
         private static final String FIRST_NAME = "!";
 
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Parameters(arity = "0..1", paramLabel = "PREFIX", defaultValue = "")
         private String prefix;
 
         @Override
         public Integer call() throws Exception {
-            GroupClient client = group.client();
+            GroupClient client = group.createClient();
             List<Entry> found = new ArrayList<>();
-            SnapshotPage page = page(client, 0, first());
-            while (take(page, found) && page.next() != null) {
-                page = page(client, page.revision(), page.next().text());
+            SnapshotPage page = readPage(client, 0, firstKey());
+            while (addMatching(page, found) && page.next() != null) {
+                page = readPage(client, page.revision(), page.next().text());
             }
-            if (group.json()) {
+            if (group.isJson()) {
                 System.out.println(
                         ConfigurationJson.toJson(
                                 new SnapshotPage(page.revision(), page.digest(), found, null)));
             } else {
-                found.forEach(entry -> System.out.println(MutationText.line(entry)));
+                found.forEach(entry -> System.out.println(MutationText.formatLine(entry)));
             }
             return found.isEmpty() ? 1 : 0;
         }
 
-        private String first() {
+        private String firstKey() {
             return prefix.endsWith("/") ? prefix + FIRST_NAME : prefix.contains("/") ? prefix : "";
         }
 
         /** Adds what begins so; false once the keys are beyond it. */
-        private boolean take(SnapshotPage page, List<Entry> found) {
+        private boolean addMatching(SnapshotPage page, List<Entry> found) {
             for (Entry entry : page.entries()) {
                 String key = entry.key().text();
                 if (key.startsWith(prefix)) {
@@ -198,13 +198,13 @@
             return true;
         }
 
-        private SnapshotPage page(GroupClient client, long revision, String from) throws Exception {
+        private SnapshotPage readPage(GroupClient client, long revision, String from) throws Exception {
             String key =
                     from.isEmpty()
                             ? ""
                             : "&from=" + URLEncoder.encode(from, StandardCharsets.UTF_8);
-            String path = PATH + "snapshot?current=1&revision=" + revision + key;
-            return ConfigurationJson.parseSnapshotPage(client.get(path, group.within()).toString());
+            String path = API_PATH + "snapshot?current=1&revision=" + revision + key;
+            return ConfigurationJson.parseSnapshotPage(client.get(path, group.timeout()).toString());
         }
     }
 
@@ -216,25 +216,25 @@
     static final class Watch implements Callable<Integer> {
         private static final int WAIT_MS = 1_500;
 
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Option(names = "--changes", description = "end after so many", defaultValue = "2147483647")
         private int changes;
 
         @Override
         public Integer call() throws Exception {
-            GroupClient client = group.client();
-            JsonNode now = client.get(PATH + "status", group.within());
+            GroupClient client = group.createClient();
+            JsonNode now = client.get(API_PATH + "status", group.timeout());
             long revision = now.path("revision").asLong();
             String digest = now.path("digest").asText();
             for (int seen = 0; seen < changes; ) {
                 String path =
                         String.format(
                                 "%schanges?after=%d&digest=%s&waitMs=%d",
-                                PATH, revision, digest, WAIT_MS);
-                String answer = client.get(path, group.within()).toString();
+                                API_PATH, revision, digest, WAIT_MS);
+                String answer = client.get(path, group.timeout()).toString();
                 ChangesResponse read = ConfigurationJson.parseChanges(answer);
-                for (Change change : read.changes().subList(0, shown(read, changes - seen))) {
+                for (Change change : read.changes().subList(0, shownCount(read, changes - seen))) {
                     print(change);
                     seen++;
                     revision = change.revision();
@@ -244,12 +244,12 @@
             return 0;
         }
 
-        private static int shown(ChangesResponse read, int most) {
+        private static int shownCount(ChangesResponse read, int most) {
             return Math.min(read.changes().size(), most);
         }
 
         private void print(Change change) {
-            if (group.json()) {
+            if (group.isJson()) {
                 System.out.println(
                         ConfigurationJson.toJson(
                                 new ChangesResponse(
@@ -258,7 +258,7 @@
             }
             System.out.println("revision " + change.revision());
             change.mutations()
-                    .forEach(mutation -> System.out.println("  " + MutationText.line(mutation)));
+                    .forEach(mutation -> System.out.println("  " + MutationText.formatLine(mutation)));
         }
     }
 
@@ -268,8 +268,8 @@
             description = "Shows accepted changes with author and time, oldest first.",
             mixinStandardHelpOptions = true)
     static final class History implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
-        @CommandLine.Mixin private OfGroup ofGroup;
+        @CommandLine.Mixin private GroupOptions group;
+        @CommandLine.Mixin private GroupHistoryOption ofGroup;
 
         @Option(
                 names = "--after",
@@ -282,8 +282,8 @@
 
         @Override
         public Integer call() throws Exception {
-            ConfigurationRegistry.History read = history(group, group.client(), after, limit);
-            if (group.json()) {
+            ConfigurationRegistry.History read = readHistory(group, group.createClient(), after, limit);
+            if (group.isJson()) {
                 System.out.println(GroupCodec.jsonMapper().writeValueAsString(read));
                 return 0;
             }
@@ -299,14 +299,14 @@
                         change.author(),
                         change.mutations().size());
                 change.mutations()
-                        .forEach(one -> System.out.println("  " + MutationText.line(one)));
+                        .forEach(one -> System.out.println("  " + MutationText.formatLine(one)));
             }
             return 0;
         }
     }
 
     /** Marks a call for a group where a relay has one of the same name. */
-    static final class OfGroup {
+    static final class GroupHistoryOption {
         @Option(
                 names = "--group",
                 description = "the group's history, with --settings; --at says so by itself")
@@ -325,8 +325,8 @@
             },
             mixinStandardHelpOptions = true)
     static final class Rollback implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
-        @CommandLine.Mixin private OfGroup ofGroup;
+        @CommandLine.Mixin private GroupOptions group;
+        @CommandLine.Mixin private GroupHistoryOption ofGroup;
 
         @Parameters(paramLabel = "REVISION")
         private long revision;
@@ -336,13 +336,13 @@
 
         @Override
         public Integer call() throws Exception {
-            GroupClient client = group.client();
-            List<ChangeConfiguration> changes = RollbackPlan.of(changes(client), by);
+            GroupClient client = group.createClient();
+            List<ChangeConfiguration> changes = RollbackPlan.of(readChanges(client), by);
             if (changes.isEmpty()) {
                 group.print(Map.of("changes", 0), "all is as it was at revision " + revision);
             }
             for (ChangeConfiguration change : changes) {
-                int code = ask(group, client, change);
+                int code = sendChange(group, client, change);
                 if (code != 0) {
                     return code;
                 }
@@ -351,11 +351,11 @@
         }
 
         /** All changes after the revision; refused where some are no longer kept. */
-        private List<AcceptedChange> changes(GroupClient client) throws Exception {
+        private List<AcceptedChange> readChanges(GroupClient client) throws Exception {
             List<AcceptedChange> changes = new ArrayList<>();
             long reached = revision;
             while (true) {
-                ConfigurationRegistry.History read = history(group, client, reached, HISTORY_PAGE);
+                ConfigurationRegistry.History read = readHistory(group, client, reached, HISTORY_PAGE);
                 if (revision > read.revision()) {
                     throw new MalformedException("the newest revision is " + read.revision());
                 }
@@ -382,7 +382,7 @@
                             + " behind.",
             mixinStandardHelpOptions = true)
     static final class Status implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Option(names = "--revision", description = "default: the newest", defaultValue = "0")
         private long revision;
@@ -393,8 +393,8 @@
                 throw new MalformedException("--revision takes a whole number from 0 on");
             }
             JsonNode read =
-                    group.client().get(PATH + "status?revision=" + revision, group.within());
-            if (group.json()) {
+                    group.createClient().get(API_PATH + "status?revision=" + revision, group.timeout());
+            if (group.isJson()) {
                 System.out.println(read);
                 return 0;
             }
--- a/coordinator/src/main/java/saltstage/coordinator/command/Group.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupOptions.java
@@ -22,7 +22,7 @@
 import saltstage.wire.MalformedException;
 
 /** Which group a command is for, and how it shows what it got. */
-final class Group {
+final class GroupOptions {
     @Option(names = "--settings", paramLabel = "FILE", description = "the group's settings (HCL)")
     private Path settings;
 
@@ -39,18 +39,18 @@
     @Option(
             names = "--within",
             paramLabel = "SPAN",
-            converter = Span.class,
+            converter = DurationConverter.class,
             defaultValue = "5s",
             description = "how long to try (default: ${DEFAULT-VALUE})")
     private Duration within;
 
     /** A span such as 250ms, 10s or 5m. */
-    static final class Span implements ITypeConverter<Duration> {
-        private static final Pattern FORM = Pattern.compile("(\\d{1,9})(ms|s|m|h)");
+    static final class DurationConverter implements ITypeConverter<Duration> {
+        private static final Pattern PATTERN = Pattern.compile("(\\d{1,9})(ms|s|m|h)");
 
         @Override
         public Duration convert(String text) {
-            Matcher parts = FORM.matcher(text);
+            Matcher parts = PATTERN.matcher(text);
             if (!parts.matches()) {
                 throw new TypeConversionException(
                         "'" + text + "' is no span such as 250ms, 10s or 5m");
@@ -65,7 +65,7 @@
         }
     }
 
-    List<String> places() throws MalformedException {
+    List<String> replicaAddresses() throws MalformedException {
         if (at != null) {
             return at;
         }
@@ -73,41 +73,41 @@
             throw new MalformedException("name the group by --settings FILE or --at HOST:PORT");
         }
         return CoordinatorSettings.read(settings).members().values().stream()
-                .map(place -> HostPort.format(place.clients()))
+                .map(place -> HostPort.format(place.clientAddress()))
                 .toList();
     }
 
-    GroupClient client() throws MalformedException {
-        return new GroupClient(places(), Ticker.SYSTEM);
+    GroupClient createClient() throws MalformedException {
+        return new GroupClient(replicaAddresses(), Ticker.SYSTEM);
     }
 
     /** Sends a command in a session of its own, and returns what came of it. */
     Reply send(Command command)
-            throws IOException, InterruptedException, MalformedException, RefusedException {
-        Reply reply = client().send(command, within).reply();
+            throws IOException, InterruptedException, MalformedException, CommandRejectedException {
+        Reply reply = createClient().send(command, within).reply();
         if (reply instanceof Rejection refusal) {
-            throw new RefusedException(refusal);
+            throw new CommandRejectedException(refusal);
         }
         return reply;
     }
 
     /** Reads from the API, in JSON. */
     JsonNode get(String path) throws IOException, InterruptedException, MalformedException {
-        return client().get(path, within);
+        return createClient().get(path, within);
     }
 
     /** Posts a call with one field to the API, in JSON. */
     JsonNode post(String path, String field, String value)
             throws IOException, InterruptedException, MalformedException {
-        return client().post(
+        return createClient().post(
                         path, GroupCodec.jsonMapper().createObjectNode().put(field, value), within);
     }
 
-    Duration within() {
+    Duration timeout() {
         return within;
     }
 
-    boolean json() {
+    boolean isJson() {
         return json;
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/command/LeaseCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/LeaseCommand.java
@@ -30,7 +30,7 @@
             LeaseCommand.Acquire.class,
             LeaseCommand.Renew.class,
             LeaseCommand.Release.class,
-            LeaseCommand.Show.class,
+            LeaseCommand.ListLeases.class,
             LeaseCommand.Watch.class,
             LeaseCommand.Exec.class
         })
@@ -43,7 +43,7 @@
             description = "Takes a lease under an owner's name; prints its fence.",
             mixinStandardHelpOptions = true)
     static final class Acquire implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Parameters(paramLabel = "NAME")
         private String name;
@@ -51,7 +51,7 @@
         @Option(names = "--owner", required = true)
         private String owner;
 
-        @Option(names = "--ttl", converter = Group.Span.class, defaultValue = "30s")
+        @Option(names = "--ttl", converter = GroupOptions.DurationConverter.class, defaultValue = "30s")
         private Duration ttl;
 
         @Override
@@ -75,16 +75,16 @@
             description = "Holds a lease for its span again.",
             mixinStandardHelpOptions = true)
     static final class Renew implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
-        @CommandLine.Mixin private HeldLease held;
+        @CommandLine.Mixin private LeaseHolderOptions held;
 
         @Override
         public Integer call() throws Exception {
             Reply reply =
                     group.send(
                             new LeaseCommands.Renew(
-                                    held.owner(), Map.of(held.name(), held.fence())));
+                                    held.owner(), Map.of(held.name(), held.fencingToken())));
             boolean kept = ((LeaseReplies.Renewed) reply).lost().isEmpty();
             group.print(reply, kept ? "renewed" : "lost");
             return kept ? ExitCode.OK : ExitCode.LEASE_LOST;
@@ -94,14 +94,14 @@
     /** Gives one back. */
     @Command(name = "release", description = "Gives a lease back.", mixinStandardHelpOptions = true)
     static final class Release implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
-        @CommandLine.Mixin private HeldLease held;
+        @CommandLine.Mixin private LeaseHolderOptions held;
 
         @Override
         public Integer call() throws Exception {
             Reply reply =
-                    group.send(new LeaseCommands.Release(held.name(), held.owner(), held.fence()));
+                    group.send(new LeaseCommands.Release(held.name(), held.owner(), held.fencingToken()));
             group.print(reply, ((Acknowledgement) reply).what());
             return ExitCode.OK;
         }
@@ -109,8 +109,8 @@
 
     /** All of them. */
     @Command(name = "list", description = "Shows leases.", mixinStandardHelpOptions = true)
-    static final class Show implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+    static final class ListLeases implements Callable<Integer> {
+        @CommandLine.Mixin private GroupOptions group;
 
         @Option(names = "--prefix", defaultValue = "")
         private String prefix;
@@ -125,7 +125,7 @@
                             "/v1/leases?prefix="
                                     + URLEncoder.encode(prefix, StandardCharsets.UTF_8)
                                     + (stale ? "&stale=1" : ""));
-            if (group.json()) {
+            if (group.isJson()) {
                 System.out.println(read);
                 return ExitCode.OK;
             }
@@ -148,7 +148,7 @@
             description = "Prints a line at each change of a lease, until it is ended.",
             mixinStandardHelpOptions = true)
     static final class Watch implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Parameters(paramLabel = "NAME")
         private String name;
@@ -158,7 +158,7 @@
 
         @Override
         public Integer call() throws Exception {
-            GroupClient client = group.client();
+            GroupClient client = group.createClient();
             long after = -1;
             for (int seen = 0; seen < changes; ) {
                 JsonNode read =
@@ -167,7 +167,7 @@
                                         + Math.max(0, after)
                                         + "&name="
                                         + URLEncoder.encode(name, StandardCharsets.UTF_8),
-                                group.within());
+                                group.timeout());
                 JsonNode row = read.path("leases").path(0);
                 long revision = row.path("revision").asLong(0);
                 if (revision != after) {
@@ -198,19 +198,19 @@
         /**
          * Of a span, what is kept for the command's end: TERM, then KILL, must be over before it.
          */
-        private static final double FOR_THE_END = 0.4;
+        private static final double TERMINATION_TTL_FRACTION = 0.4;
 
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Parameters(index = "0", paramLabel = "NAME")
         private String name;
 
-        @Option(names = "--ttl", converter = Group.Span.class, defaultValue = "10s")
+        @Option(names = "--ttl", converter = GroupOptions.DurationConverter.class, defaultValue = "10s")
         private Duration ttl;
 
         @Option(
                 names = "--wait",
-                converter = Group.Span.class,
+                converter = GroupOptions.DurationConverter.class,
                 defaultValue = "0s",
                 description = "how long to wait for the lease")
         private Duration wait;
@@ -226,8 +226,8 @@
             AtomicBoolean lost = new AtomicBoolean();
             LeaseClient leases =
                     new LeaseClient(
-                            group.client(),
-                            group.client(),
+                            group.createClient(),
+                            group.createClient(),
                             Ticker.SYSTEM,
                             "exec-" + ProcessHandle.current().pid());
             try (leases;
@@ -235,22 +235,22 @@
                             leases.acquire(name, ttl, wait, priority, () -> lost.set(true))) {
                 ProcessBuilder builder = new ProcessBuilder(command).inheritIO();
                 builder.environment().put("SALTSTAGE_LEASE", name);
-                builder.environment().put("SALTSTAGE_FENCE", Long.toString(lease.fence()));
-                return watch(builder.start(), lease, lost);
-            } catch (LeaseClient.NotGranted no) {
+                builder.environment().put("SALTSTAGE_FENCE", Long.toString(lease.fencingToken()));
+                return supervise(builder.start(), lease, lost);
+            } catch (LeaseClient.LeaseNotGrantedException no) {
                 System.err.println("saltstage: " + no.getMessage());
                 return ExitCode.LEASE_LOST;
             }
         }
 
-        private int watch(Process child, LeaseClient.Lease lease, AtomicBoolean lost)
+        private int supervise(Process child, LeaseClient.Lease lease, AtomicBoolean lost)
                 throws InterruptedException {
             Thread ended = new Thread(child::destroyForcibly);
             Runtime.getRuntime().addShutdownHook(ended);
             try {
                 while (!child.waitFor(20, TimeUnit.MILLISECONDS)) {
-                    if (lost.get() || lease.remaining().toMillis() < ttl.toMillis() * FOR_THE_END) {
-                        return end(child, lease);
+                    if (lost.get() || lease.remaining().toMillis() < ttl.toMillis() * TERMINATION_TTL_FRACTION) {
+                        return terminate(child, lease);
                     }
                 }
                 return child.exitValue();
@@ -262,7 +262,7 @@
         /**
          * TERM, and KILL at half of what remains: the child's last act lies before the lease's end.
          */
-        private int end(Process child, LeaseClient.Lease lease) throws InterruptedException {
+        private int terminate(Process child, LeaseClient.Lease lease) throws InterruptedException {
             System.err.println(
                     "saltstage: lease " + name + " cannot be renewed; ending the command");
             child.destroy();
--- a/coordinator/src/main/java/saltstage/coordinator/command/HeldLease.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/LeaseHolderOptions.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Parameters;
 
 /** Options that name a lease together with who holds it, and under which fence. */
-final class HeldLease {
+final class LeaseHolderOptions {
     @Parameters(paramLabel = "NAME")
     private String name;
 
@@ -22,7 +22,7 @@
         return owner;
     }
 
-    long fence() {
+    long fencingToken() {
         return fence;
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/command/MutationText.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/MutationText.java
@@ -18,12 +18,12 @@
     private static final String CELL = "cell";
     private static final String STATE = "state";
     private static final String WEIGHT = "weight";
-    private static final String STARTED = "startedAtMs";
+    private static final String STARTED_AT = "startedAtMs";
 
     private MutationText() {}
 
     /** The key that a text names. */
-    static EntryKey key(String text) throws MalformedException {
+    static EntryKey parseKey(String text) throws MalformedException {
         try {
             return EntryKey.parse(text);
         } catch (IllegalArgumentException bad) {
@@ -35,12 +35,12 @@
      * The mutation that puts a value; a backend's is {@code
      * address=…,zone=…,cell=…,state=…,weight=…}.
      */
-    static Mutation put(String keyText, String value) throws MalformedException {
-        EntryKey key = key(keyText);
+    static Mutation parsePut(String keyText, String value) throws MalformedException {
+        EntryKey key = parseKey(keyText);
         EntryValue read =
                 switch (key.kind()) {
                     case SETTING -> new EntryValue.Setting(value);
-                    case BACKEND -> backend(keyText, value);
+                    case BACKEND -> parseBackend(keyText, value);
                     case SHARD -> new EntryValue.Shard(value);
                     case SUSPENSION -> new EntryValue.Suspension(value);
                 };
@@ -51,7 +51,7 @@
         return new Mutation(key, read);
     }
 
-    private static Backend backend(String key, String value) throws MalformedException {
+    private static Backend parseBackend(String key, String value) throws MalformedException {
         Map<String, String> parts = new LinkedHashMap<>();
         for (String part : value.split(",")) {
             int equals = part.indexOf('=');
@@ -63,12 +63,12 @@
         try {
             Backend backend =
                     new Backend(
-                            taken(parts, ADDRESS, ""),
-                            taken(parts, ZONE, ""),
-                            Integer.parseInt(taken(parts, CELL, "0")),
-                            BackendState.valueOf(taken(parts, STATE, BackendState.READY.name())),
-                            Double.parseDouble(taken(parts, WEIGHT, "1")),
-                            Long.parseLong(taken(parts, STARTED, "0")));
+                            removeOrDefault(parts, ADDRESS, ""),
+                            removeOrDefault(parts, ZONE, ""),
+                            Integer.parseInt(removeOrDefault(parts, CELL, "0")),
+                            BackendState.valueOf(removeOrDefault(parts, STATE, BackendState.READY.name())),
+                            Double.parseDouble(removeOrDefault(parts, WEIGHT, "1")),
+                            Long.parseLong(removeOrDefault(parts, STARTED_AT, "0")));
             if (parts.isEmpty()) {
                 return backend;
             }
@@ -78,13 +78,13 @@
         throw new MalformedException(key + ": a backend has no " + parts.keySet());
     }
 
-    private static String taken(Map<String, String> parts, String name, String absent) {
+    private static String removeOrDefault(Map<String, String> parts, String name, String absent) {
         String value = parts.remove(name);
         return value == null ? absent : value;
     }
 
-    /** A value as {@link #put} takes it. */
-    static String text(EntryValue value) {
+    /** A value as {@link #parsePut} takes it. */
+    static String formatValue(EntryValue value) {
         if (value instanceof Backend backend) {
             return String.join(
                     ",",
@@ -93,24 +93,24 @@
                     CELL + "=" + backend.cell(),
                     STATE + "=" + backend.state(),
                     WEIGHT + "=" + backend.weight(),
-                    STARTED + "=" + backend.startedAtMs());
+                    STARTED_AT + "=" + backend.startedAtMs());
         }
         return value.canonicalText();
     }
 
     /** A line of text for an entry. */
-    static String line(Entry entry) {
+    static String formatLine(Entry entry) {
         return entry.key().text()
                 + " "
-                + text(entry.value())
+                + formatValue(entry.value())
                 + " (revision "
                 + entry.revision()
                 + ")";
     }
 
     /** A line of text for a mutation. */
-    static String line(Mutation mutation) {
+    static String formatLine(Mutation mutation) {
         return mutation.key().text()
-                + (mutation.isDeletion() ? " deleted" : " " + text(mutation.value()));
+                + (mutation.isDeletion() ? " deleted" : " " + formatValue(mutation.value()));
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/command/WindowCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/WindowCommand.java
@@ -26,7 +26,7 @@
         subcommands = {
             WindowCommand.Agree.class,
             WindowCommand.Propose.class,
-            WindowCommand.Show.class,
+            WindowCommand.ListWindows.class,
             WindowCommand.Withdraw.class,
             WindowCommand.Pause.class,
             WindowCommand.Timeline.class
@@ -34,7 +34,7 @@
 final class WindowCommand {
     private WindowCommand() {}
 
-    private static String line(Window window) {
+    private static String formatWindow(Window window) {
         return String.format(
                 "%d %s %s %s: %s for %s, by %s%s; %s",
                 window.id(),
@@ -48,28 +48,28 @@
                 window.why());
     }
 
-    private static Reply sendOrPrintRefusal(Group group, Command command) throws Exception {
+    private static Reply sendOrPrintRejection(GroupOptions group, Command command) throws Exception {
         try {
             return group.send(command);
-        } catch (RefusedException refused) {
-            if (group.json()) {
-                System.out.println(GroupCodec.jsonMapper().writeValueAsString(refused.refusal()));
+        } catch (CommandRejectedException refused) {
+            if (group.isJson()) {
+                System.out.println(GroupCodec.jsonMapper().writeValueAsString(refused.rejection()));
             }
             throw refused;
         }
     }
 
     /** Sends a command and prints what came of it. */
-    private static int send(Group group, Command command) throws Exception {
-        Reply reply = sendOrPrintRefusal(group, command);
+    private static int sendAndPrint(GroupOptions group, Command command) throws Exception {
+        Reply reply = sendOrPrintRejection(group, command);
         if (reply instanceof WindowReplies.Planned planned) {
             group.print(
                     planned,
-                    String.join("\n", planned.windows().stream().map(WindowCommand::line).toList())
+                    String.join("\n", planned.windows().stream().map(WindowCommand::formatWindow).toList())
                             + (planned.known() ? "\nit was asked for before" : ""));
         } else {
             group.print(
-                    reply, reply instanceof WindowReplies.Now now ? line(now.window()) : "done");
+                    reply, reply instanceof WindowReplies.Now now ? formatWindow(now.window()) : "done");
         }
         return ExitCode.OK;
     }
@@ -82,14 +82,14 @@
                     "Puts the block 'fleet' of a file in force: regions, nodes, floors,"
                             + " black-outs.")
     static final class Agree implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Parameters(paramLabel = "FILE")
         private Path file;
 
         @Override
         public Integer call() throws Exception {
-            return send(
+            return sendAndPrint(
                     group,
                     new WindowCommands.SetFleet(
                             FleetSettings.read(file, Instant.now()),
@@ -103,7 +103,7 @@
             description = "Asks for a window.",
             mixinStandardHelpOptions = true)
     static final class Propose implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Parameters(index = "0", paramLabel = "REGION")
         private String region;
@@ -117,13 +117,13 @@
         @Option(names = "--by", description = "who asks (default: the user's name)")
         private String by = System.getProperty("user.name");
 
-        @Option(names = "--drain", converter = Group.Span.class, defaultValue = "2m")
+        @Option(names = "--drain", converter = GroupOptions.DurationConverter.class, defaultValue = "2m")
         private Duration drain;
 
-        @Option(names = "--work", converter = Group.Span.class, defaultValue = "30m")
+        @Option(names = "--work", converter = GroupOptions.DurationConverter.class, defaultValue = "30m")
         private Duration work;
 
-        @Option(names = "--warm", converter = Group.Span.class, defaultValue = "1m")
+        @Option(names = "--warm", converter = GroupOptions.DurationConverter.class, defaultValue = "1m")
         private Duration warm;
 
         @Option(names = "--earliest", description = "as 2026-12-02T22:00:00Z (default: now)")
@@ -159,7 +159,7 @@
         public Integer call() throws Exception {
             Instant from = earliest == null ? Instant.now() : earliest;
             Instant to = latest == null ? from.plus(Duration.ofDays(7)) : latest;
-            return send(
+            return sendAndPrint(
                     group,
                     new WindowCommands.Propose(
                             new WindowRequest(
@@ -186,8 +186,8 @@
             aliases = {"show", "explain"},
             mixinStandardHelpOptions = true,
             description = "Shows windows, each with why it is where it is.")
-    static final class Show implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+    static final class ListWindows implements Callable<Integer> {
+        @CommandLine.Mixin private GroupOptions group;
 
         @Parameters(arity = "0..1", paramLabel = "NUMBER")
         private Long id;
@@ -199,7 +199,7 @@
             for (JsonNode row : read.path("windows")) {
                 Window window = GroupCodec.jsonMapper().treeToValue(row, Window.class);
                 if (id == null || window.id() == id) {
-                    group.print(window, line(window));
+                    group.print(window, formatWindow(window));
                     found = true;
                 }
             }
@@ -216,14 +216,14 @@
             description = "Withdraws a window; turns a drain back.",
             mixinStandardHelpOptions = true)
     static final class Withdraw implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Parameters(paramLabel = "NUMBER")
         private long id;
 
         @Override
         public Integer call() throws Exception {
-            return send(group, new WindowCommands.Withdraw(id, System.getProperty("user.name")));
+            return sendAndPrint(group, new WindowCommands.Withdraw(id, System.getProperty("user.name")));
         }
     }
 
@@ -233,7 +233,7 @@
             description = "Holds a window back that has not begun.",
             mixinStandardHelpOptions = true)
     static final class Pause implements Callable<Integer> {
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
         @Parameters(paramLabel = "NUMBER")
         private long id;
@@ -243,7 +243,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return send(group, new WindowCommands.Pause(id, !off, System.getProperty("user.name")));
+            return sendAndPrint(group, new WindowCommands.Pause(id, !off, System.getProperty("user.name")));
         }
     }
 
@@ -253,11 +253,11 @@
             description = "Capacity against each floor, from now on.",
             mixinStandardHelpOptions = true)
     static final class Timeline implements Callable<Integer> {
-        private static final int WIDTH = 40;
+        private static final int BAR_WIDTH_CHARS = 40;
 
-        @CommandLine.Mixin private Group group;
+        @CommandLine.Mixin private GroupOptions group;
 
-        @Option(names = "--for", converter = Group.Span.class, defaultValue = "24h")
+        @Option(names = "--for", converter = GroupOptions.DurationConverter.class, defaultValue = "24h")
         private Duration span;
 
         @Override
@@ -265,20 +265,20 @@
             long now = System.currentTimeMillis();
             JsonNode read =
                     group.get("/v1/levels?most=48&from=" + now + "&to=" + (now + span.toMillis()));
-            if (group.json()) {
+            if (group.isJson()) {
                 System.out.println(read);
                 return ExitCode.OK;
             }
             for (JsonNode level : read) {
                 long there = level.path("capacity").asLong() + level.path("missing").asLong();
-                int filled = (int) (WIDTH * level.path("capacity").asLong() / Math.max(1, there));
+                int filled = (int) (BAR_WIDTH_CHARS * level.path("capacity").asLong() / Math.max(1, there));
                 int floor =
                         (int)
                                 Math.min(
-                                        WIDTH,
-                                        WIDTH * level.path("need").asLong() / Math.max(1, there));
+                                        BAR_WIDTH_CHARS,
+                                        BAR_WIDTH_CHARS * level.path("need").asLong() / Math.max(1, there));
                 StringBuilder bar =
-                        new StringBuilder("#".repeat(filled) + ".".repeat(WIDTH - filled));
+                        new StringBuilder("#".repeat(filled) + ".".repeat(BAR_WIDTH_CHARS - filled));
                 bar.insert(floor, '|');
                 System.out.printf(
                         "%-12s %s %s %d of %d, floor %d%n",
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorProcess.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorProcess.java
@@ -67,7 +67,7 @@
                         settings.zone(),
                         directory.persistedConfiguration().view(),
                         DistributorProcess::nowMs);
-        httpServer = new DistributorHttpServer(settings.clients(), handler);
+        httpServer = new DistributorHttpServer(settings.listenAddress(), handler);
         client =
                 new ConfigurationClient(
                         followerOptions(settings),
@@ -77,7 +77,7 @@
                         new ServingListener(handler, failure));
         GroupClient group =
                 new GroupClient(
-                        settings.sources().stream().map(DistributorProcess::hostAndPort).toList(),
+                        settings.sourceAddresses().stream().map(DistributorProcess::hostAndPort).toList(),
                         Ticker.SYSTEM);
         ConfirmationReporter reports =
                 new ConfirmationReporter(
@@ -94,7 +94,7 @@
                 "zone",
                 settings.zone(),
                 "clients",
-                settings.clients(),
+                settings.listenAddress(),
                 "revision",
                 handler.revision());
         client.start();
@@ -111,7 +111,7 @@
 
     private static FollowerOptions followerOptions(DistributorSettings settings) {
         List<URI> sources =
-                settings.sources().stream()
+                settings.sourceAddresses().stream()
                         .map(source -> FollowerOptions.sourceUri(hostAndPort(source)))
                         .toList();
         return new FollowerOptions(sources, settings.name(), settings.zone(), FOLLOWER_TIMINGS);
--- a/coordinator/src/main/java/saltstage/coordinator/replica/ChangeListeners.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/ChangeListeners.java
@@ -15,7 +15,7 @@
     }
 
     /** Tells all of them, on the caller's thread. */
-    synchronized void changed() {
+    synchronized void notifyListeners() {
         if (listeners.isEmpty()) {
             return;
         }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Identity.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Identity.java
@@ -14,12 +14,12 @@
  */
 record Identity(String group, String member, String disk, List<String> first) {
     /** How a refusal for another disk begins. */
-    static final String OTHER_DISK = "other-disk";
+    static final String OTHER_DISK_PREFIX = "other-disk";
 
     private static final byte[] KEY = "m/identity".getBytes(StandardCharsets.US_ASCII);
 
     /** What the disk says, or what is written on a new one. */
-    static Identity of(Store store, ReplicaSettings settings) throws IOException {
+    static Identity loadOrCreate(Store store, ReplicaSettings settings) throws IOException {
         byte[] kept = store.get(KEY);
         if (kept == null) {
             Identity made =
@@ -27,7 +27,7 @@
                             settings.group(),
                             settings.name(),
                             UUID.randomUUID().toString(),
-                            List.copyOf(settings.first()));
+                            List.copyOf(settings.initialMembers()));
             store.put(KEY, GroupCodec.toCbor(made));
             return made;
         }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/LeaderTasks.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/LeaderTasks.java
@@ -12,7 +12,7 @@
 
 /**
  * What a leader proposes by itself: ticks, which let the group's time pass, and introductions of
- * members. Everything but {@link #received} is for the engine's thread.
+ * members. Everything but {@link #heartbeatReceived} is for the engine's thread.
  */
 final class LeaderTasks {
     /** The period at which {@link #run} is to be called. */
@@ -32,7 +32,7 @@
     private final Map<String, ReceivedHeartbeat> heartbeats = new ConcurrentHashMap<>();
     private long lastTickNanos;
 
-    private record ReceivedHeartbeat(PeerLinks.Heartbeat heartbeat, long atNanos) {}
+    private record ReceivedHeartbeat(PeerLinks.Heartbeat heartbeat, long receivedAtNanos) {}
 
     LeaderTasks(
             ReplicaSettings settings,
@@ -48,7 +48,7 @@
     }
 
     /** A peer's heartbeat has come; on any thread. */
-    void received(String from, PeerLinks.Heartbeat heartbeat) {
+    void heartbeatReceived(String from, PeerLinks.Heartbeat heartbeat) {
         heartbeats.put(from, new ReceivedHeartbeat(heartbeat, System.nanoTime()));
     }
 
@@ -61,15 +61,15 @@
         if (now - lastTickNanos >= period - CHECK_PERIOD.toNanos() / 2) {
             lastTickNanos = now;
             directory
-                    .introductions(Member.sortedNames(node.getEffectiveMembers().getMembers()))
+                    .pendingIntroductions(Member.sortedNames(node.getEffectiveMembers().getMembers()))
                     .forEach(this::propose);
             introduceSelf();
-            tick(now);
+            proposeTick(now);
         }
     }
 
     private void introduceSelf() {
-        if (directory.member(settings.name()) == null) {
+        if (directory.memberRow(settings.name()) == null) {
             propose(
                     new GroupCommands.Introduce(
                             settings.name(), self.disk(), self.peers(), self.clients()));
@@ -77,13 +77,13 @@
     }
 
     /** Tells the group all clocks and feature levels that are known here. */
-    private void tick(long nowNanos) {
+    private void proposeTick(long nowNanos) {
         Map<String, Long> walls =
-                new TreeMap<>(Map.of(settings.name(), settings.wall().getAsLong()));
-        Map<String, Integer> speaks = new TreeMap<>(Map.of(settings.name(), settings.speaks()));
+                new TreeMap<>(Map.of(settings.name(), settings.wallClock().getAsLong()));
+        Map<String, Integer> speaks = new TreeMap<>(Map.of(settings.name(), settings.supportedFeatureLevel()));
         heartbeats.forEach(
                 (name, received) -> {
-                    long ageMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - received.atNanos());
+                    long ageMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - received.receivedAtNanos());
                     if (ageMs < MAX_HEARTBEAT_AGE_MS) {
                         walls.put(name, received.heartbeat().wallMs() + ageMs);
                         speaks.put(name, received.heartbeat().speaks());
--- a/coordinator/src/main/java/saltstage/coordinator/replica/LogStore.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/LogStore.java
@@ -29,79 +29,79 @@
  */
 final class LogStore implements RaftStore {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
-    private static final byte[] SELF = text("m/self");
-    private static final byte[] FIRST = text("m/first");
-    private static final byte[] TERM = text("m/term");
-    private static final byte[] LOG = text("l/");
-    private static final byte[] SNAPSHOT = text("s/");
+    private static final byte[] SELF_KEY = asciiBytes("m/self");
+    private static final byte[] INITIAL_MEMBERS_KEY = asciiBytes("m/first");
+    private static final byte[] TERM_KEY = asciiBytes("m/term");
+    private static final byte[] LOG_KEY_PREFIX = asciiBytes("l/");
+    private static final byte[] SNAPSHOT_KEY_PREFIX = asciiBytes("s/");
 
     /** Below what a batch may hold, by a wide margin. */
-    private static final int MOST_GATHERED = 8 << 20;
+    private static final int MAX_BATCH_BYTES = 8 << 20;
 
     /** A write that failed: what the disk has is not known, and the replica must end. */
-    interface Failed {
+    interface WriteFailureListener {
         /** Told before the engine is. */
-        void told(IOException why);
+        void writeFailed(IOException why);
     }
 
     private final Store store;
-    private final Failed failed;
-    private Batch gathered = new Batch();
-    private int bytes;
+    private final WriteFailureListener writeFailureListener;
+    private Batch pendingBatch = new Batch();
+    private int pendingBytes;
     private long firstIndex;
     private long lastIndex;
 
-    LogStore(Store store, Failed failed) throws IOException {
+    LogStore(Store store, WriteFailureListener failed) throws IOException {
         this.store = store;
-        this.failed = failed;
+        this.writeFailureListener = failed;
         try (Snapshot now = store.snapshot()) {
-            Snapshot.Scan scan = now.scan(LOG, after(LOG));
+            Snapshot.Scan scan = now.scan(LOG_KEY_PREFIX, prefixEnd(LOG_KEY_PREFIX));
             while (scan.next()) {
-                long index = index(scan.key());
+                long index = logIndex(scan.key());
                 firstIndex = firstIndex == 0 ? index : firstIndex;
                 lastIndex = index;
             }
         }
     }
 
-    private static byte[] text(String key) {
+    private static byte[] asciiBytes(String key) {
         return key.getBytes(StandardCharsets.US_ASCII);
     }
 
-    private static byte[] after(byte[] prefix) {
+    private static byte[] prefixEnd(byte[] prefix) {
         byte[] next = prefix.clone();
         next[next.length - 1]++;
         return next;
     }
 
-    private static byte[] key(byte[] prefix, long index) {
+    private static byte[] logKey(byte[] prefix, long index) {
         return ByteBuffer.allocate(prefix.length + 8).put(prefix).putLong(index).array();
     }
 
-    private static byte[] key(long snapshot, int chunk) {
-        return ByteBuffer.allocate(SNAPSHOT.length + 12)
-                .put(SNAPSHOT)
+    private static byte[] snapshotChunkKey(long snapshot, int chunk) {
+        return ByteBuffer.allocate(SNAPSHOT_KEY_PREFIX.length + 12)
+                .put(SNAPSHOT_KEY_PREFIX)
                 .putLong(snapshot)
                 .putInt(chunk)
                 .array();
     }
 
-    private static long index(byte[] key) {
-        return ByteBuffer.wrap(key).getLong(LOG.length);
+    private static long logIndex(byte[] key) {
+        return ByteBuffer.wrap(key).getLong(LOG_KEY_PREFIX.length);
     }
 
     private void put(byte[] key, byte[] value) throws IOException {
-        if (bytes + value.length > MOST_GATHERED) {
+        if (pendingBytes + value.length > MAX_BATCH_BYTES) {
             flush();
         }
-        gathered.put(key, value);
-        bytes += key.length + value.length;
+        pendingBatch.put(key, value);
+        pendingBytes += key.length + value.length;
     }
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState self) throws IOException {
         put(
-                SELF,
+                SELF_KEY,
                 GroupCodec.toCbor(
                         new RaftCodec.Self(
                                 (String) self.getLocalEndpoint().getId(), self.isVoting())));
@@ -110,14 +110,14 @@
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView first) throws IOException {
-        put(FIRST, GroupCodec.toCbor(RaftCodec.members(first)));
+        put(INITIAL_MEMBERS_KEY, GroupCodec.toCbor(RaftCodec.toMembers(first)));
         flush();
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
         put(
-                TERM,
+                TERM_KEY,
                 GroupCodec.toCbor(
                         new RaftCodec.Term(
                                 term.getTerm(),
@@ -130,7 +130,7 @@
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
         for (LogEntry entry : entries) {
-            put(key(LOG, entry.getIndex()), GroupCodec.toCbor(RaftCodec.entry(entry)));
+            put(logKey(LOG_KEY_PREFIX, entry.getIndex()), GroupCodec.toCbor(RaftCodec.toEntry(entry)));
             firstIndex = firstIndex == 0 ? entry.getIndex() : firstIndex;
             lastIndex = entry.getIndex();
         }
@@ -139,14 +139,14 @@
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
         put(
-                key(chunk.getIndex(), chunk.getSnapshotChunkIndex()),
-                GroupCodec.toCbor(RaftCodec.chunk(chunk)));
+                snapshotChunkKey(chunk.getIndex(), chunk.getSnapshotChunkIndex()),
+                GroupCodec.toCbor(RaftCodec.toChunk(chunk)));
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
         for (long i = Math.max(index, firstIndex); i <= lastIndex; i++) {
-            gathered.delete(key(LOG, i));
+            pendingBatch.delete(logKey(LOG_KEY_PREFIX, i));
         }
         lastIndex = Math.min(lastIndex, index - 1);
     }
@@ -154,7 +154,7 @@
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
         for (long i = Math.max(1, firstIndex); i <= Math.min(index, lastIndex); i++) {
-            gathered.delete(key(LOG, i));
+            pendingBatch.delete(logKey(LOG_KEY_PREFIX, i));
         }
         firstIndex = Math.max(firstIndex, index + 1);
     }
@@ -162,22 +162,22 @@
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
         for (int i = 0; i < count; i++) {
-            gathered.delete(key(index, i));
+            pendingBatch.delete(snapshotChunkKey(index, i));
         }
     }
 
     @Override
     public void flush() throws IOException {
-        if (gathered.size() == 0) {
+        if (pendingBatch.size() == 0) {
             return;
         }
-        Batch now = gathered;
-        gathered = new Batch();
-        bytes = 0;
+        Batch now = pendingBatch;
+        pendingBatch = new Batch();
+        pendingBytes = 0;
         try {
             store.commit(now);
         } catch (IOException why) {
-            failed.told(why);
+            writeFailureListener.writeFailed(why);
             throw why;
         }
     }
@@ -186,62 +186,62 @@
 
     /** What was kept, or null where nothing was. */
     RestoredRaftState restore() throws IOException {
-        byte[] self = store.get(SELF);
-        byte[] first = store.get(FIRST);
+        byte[] self = store.get(SELF_KEY);
+        byte[] first = store.get(INITIAL_MEMBERS_KEY);
         if (self == null || first == null) {
             return null;
         }
         RaftCodec.Self me = GroupCodec.cborMapper().readValue(self, RaftCodec.Self.class);
-        byte[] kept = store.get(TERM);
+        byte[] kept = store.get(TERM_KEY);
         RaftCodec.Term term =
                 kept == null
                         ? new RaftCodec.Term(0, null)
                         : GroupCodec.cborMapper().readValue(kept, RaftCodec.Term.class);
-        SnapshotEntry snapshot = snapshot();
+        SnapshotEntry snapshot = readSnapshot();
         long from = snapshot == null ? 1 : snapshot.getIndex() + 1;
         return new RestoredRaftState(
                 MODEL.createRaftEndpointPersistentStateBuilder()
                         .setLocalEndpoint(new Member(me.member()))
                         .setVoting(me.voting())
                         .build(),
-                RaftCodec.view(GroupCodec.cborMapper().readValue(first, RaftCodec.Members.class)),
+                RaftCodec.toMembersView(GroupCodec.cborMapper().readValue(first, RaftCodec.Members.class)),
                 MODEL.createRaftTermPersistentStateBuilder()
                         .setTerm(term.term())
                         .setVotedFor(term.votedFor() == null ? null : new Member(term.votedFor()))
                         .build(),
                 snapshot,
-                entries(from));
+                readEntries(from));
     }
 
-    private List<LogEntry> entries(long from) throws IOException {
+    private List<LogEntry> readEntries(long from) throws IOException {
         List<LogEntry> entries = new ArrayList<>();
         try (Snapshot now = store.snapshot()) {
-            Snapshot.Scan scan = now.scan(key(LOG, from), after(LOG));
+            Snapshot.Scan scan = now.scan(logKey(LOG_KEY_PREFIX, from), prefixEnd(LOG_KEY_PREFIX));
             while (scan.next()) {
                 RaftCodec.Entry entry =
                         GroupCodec.cborMapper().readValue(scan.value(), RaftCodec.Entry.class);
                 if (entry.index() != from + entries.size()) {
                     throw new IOException("log: entry " + (from + entries.size()) + " is missing");
                 }
-                entries.add(RaftCodec.logEntry(entry));
+                entries.add(RaftCodec.toLogEntry(entry));
             }
         }
         return entries;
     }
 
     /** The newest snapshot of which all parts are there. */
-    private SnapshotEntry snapshot() throws IOException {
+    private SnapshotEntry readSnapshot() throws IOException {
         List<SnapshotChunk> whole = null;
         List<SnapshotChunk> parts = new ArrayList<>();
         try (Snapshot now = store.snapshot()) {
-            Snapshot.Scan scan = now.scan(SNAPSHOT, after(SNAPSHOT));
+            Snapshot.Scan scan = now.scan(SNAPSHOT_KEY_PREFIX, prefixEnd(SNAPSHOT_KEY_PREFIX));
             while (scan.next()) {
                 RaftCodec.Chunk chunk =
                         GroupCodec.cborMapper().readValue(scan.value(), RaftCodec.Chunk.class);
                 if (!parts.isEmpty() && parts.get(0).getIndex() != chunk.index()) {
                     parts.clear();
                 }
-                parts.add(RaftCodec.snapshotChunk(chunk));
+                parts.add(RaftCodec.toSnapshotChunk(chunk));
                 if (parts.size() == chunk.of()) {
                     whole = List.copyOf(parts);
                 }
@@ -260,13 +260,13 @@
     }
 
     /** Whether a log was ever kept here. */
-    boolean empty() throws IOException {
-        return store.get(SELF) == null;
+    boolean isEmpty() throws IOException {
+        return store.get(SELF_KEY) == null;
     }
 
     /** The names that the group began with; empty where none were kept. */
-    Collection<String> first() throws IOException {
-        byte[] first = store.get(FIRST);
+    Collection<String> initialMembers() throws IOException {
+        byte[] first = store.get(INITIAL_MEMBERS_KEY);
         return first == null
                 ? List.of()
                 : GroupCodec.cborMapper().readValue(first, RaftCodec.Members.class).all();
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Membership.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Membership.java
@@ -10,11 +10,11 @@
 /** Changes of the group's members, by its leader. */
 final class Membership {
     /** A learner that is this many entries or fewer behind is made a voter. */
-    private static final int MAX_LAG_TO_VOTE = 200;
+    private static final int MAX_PROMOTION_LAG_ENTRIES = 200;
 
-    private static final String LEARNS = "learns";
-    private static final String VOTES = "votes";
-    private static final String GONE = "gone";
+    private static final String STATE_LEARNER = "learns";
+    private static final String STATE_VOTER = "votes";
+    private static final String STATE_REMOVED = "gone";
 
     private final RaftNode node;
     private final PeerDirectory directory;
@@ -31,7 +31,7 @@
         Member member = new Member(name);
         if (directory.isOnOtherDisk(name, disk)) {
             String why =
-                    Identity.OTHER_DISK
+                    Identity.OTHER_DISK_PREFIX
                             + ": the name "
                             + name
                             + " is taken, or was: join under one of its own";
@@ -39,10 +39,10 @@
         }
         var members = node.getCommittedMembers();
         if (members.getVotingMembers().contains(member)) {
-            return CompletableFuture.completedFuture(VOTES);
+            return CompletableFuture.completedFuture(STATE_VOTER);
         }
         if (members.getMembers().contains(member)) {
-            return promote(member);
+            return promoteIfCaughtUp(member);
         }
         return proposer.propose(new GroupCommands.Introduce(name, disk, peers, clients))
                 .thenCompose(
@@ -51,30 +51,30 @@
                                         member,
                                         MembershipChangeMode.ADD_LEARNER,
                                         members.getLogIndex()))
-                .thenApply(done -> LEARNS);
+                .thenApply(done -> STATE_LEARNER);
     }
 
     /** Makes a learner a voter once it has caught up. */
-    private CompletableFuture<String> promote(Member member) {
+    private CompletableFuture<String> promoteIfCaughtUp(Member member) {
         return node.getReport()
                 .thenCompose(
                         report ->
-                                lag(report.getResult(), member) > MAX_LAG_TO_VOTE
-                                        ? CompletableFuture.completedFuture(LEARNS)
-                                        : makeVoter(member));
+                                lagEntries(report.getResult(), member) > MAX_PROMOTION_LAG_ENTRIES
+                                        ? CompletableFuture.completedFuture(STATE_LEARNER)
+                                        : promoteToVoter(member));
     }
 
-    private static long lag(RaftNodeReport report, Member member) {
+    private static long lagEntries(RaftNodeReport report, Member member) {
         long matched = report.getLog().getFollowerMatchIndices().getOrDefault(member, 0L);
         return report.getLog().getLastLogOrSnapshotIndex() - matched;
     }
 
-    private CompletableFuture<String> makeVoter(Member member) {
+    private CompletableFuture<String> promoteToVoter(Member member) {
         return node.changeMembership(
                         member,
                         MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER,
                         node.getCommittedMembers().getLogIndex())
-                .thenApply(done -> VOTES);
+                .thenApply(done -> STATE_VOTER);
     }
 
     /** Lets a member go: dead, or leaving. */
@@ -87,11 +87,11 @@
                                 member, MembershipChangeMode.REMOVE_MEMBER, members.getLogIndex())
                         : CompletableFuture.completedFuture(null);
         return removed.thenCompose(done -> proposer.propose(new GroupCommands.Forget(name)))
-                .thenApply(done -> GONE);
+                .thenApply(done -> STATE_REMOVED);
     }
 
     /** Hands leadership to a member. */
-    CompletableFuture<Object> transfer(String to) {
+    CompletableFuture<Object> transferLeadership(String to) {
         return node.transferLeadership(new Member(to)).thenApply(Ordered::getResult);
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/NewTerm.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/NewTermOperation.java
@@ -1,6 +1,6 @@
 package saltstage.coordinator.replica;
 
 /** The first entry of each leadership; it changes nothing. */
-enum NewTerm {
-    ENTRY
+enum NewTermOperation {
+    INSTANCE
 }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/PeerDirectory.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/PeerDirectory.java
@@ -17,8 +17,8 @@
     private final ReplicaSettings settings;
     private final String group;
     private final Map<String, PeerLinks.Hello> hellos = new ConcurrentHashMap<>();
-    private volatile Map<String, GroupState.MemberRow> members = Map.of();
-    private volatile int level;
+    private volatile Map<String, GroupState.MemberRow> memberRows = Map.of();
+    private volatile int featureLevel;
 
     PeerDirectory(ReplicaSettings settings, String group) {
         this.settings = settings;
@@ -27,22 +27,22 @@
 
     /** Takes over what the group's state says now; on the engine's thread. */
     void update(GroupState state) {
-        members = Map.copyOf(state.members());
-        level = state.featureLevel();
+        memberRows = Map.copyOf(state.members());
+        featureLevel = state.featureLevel();
     }
 
     /** The group's row of a member, or null. */
-    GroupState.MemberRow member(String name) {
-        return members.get(name);
+    GroupState.MemberRow memberRow(String name) {
+        return memberRows.get(name);
     }
 
     /** Where a peer is reached: by the settings of this one, else where it says that it is. */
-    InetSocketAddress address(String peer) {
-        InetSocketAddress reach = settings.reach().get(peer);
+    InetSocketAddress peerAddress(String peer) {
+        InetSocketAddress reach = settings.peerAddresses().get(peer);
         if (reach != null) {
             return reach;
         }
-        GroupState.MemberRow row = members.get(peer);
+        GroupState.MemberRow row = memberRows.get(peer);
         if (row == null || row.peers() == null) {
             return null;
         }
@@ -53,9 +53,9 @@
     }
 
     /** Where a member takes calls as HOST:PORT, or null. */
-    String clientsOf(String member) {
-        GroupState.MemberRow row = members.get(member);
-        return row == null ? settings.clientsOf().get(member) : row.clients();
+    String clientAddress(String member) {
+        GroupState.MemberRow row = memberRows.get(member);
+        return row == null ? settings.clientAddresses().get(member) : row.clients();
     }
 
     /** Takes a peer that says who it is; null: welcome, else why not. */
@@ -64,14 +64,14 @@
             return "it is of group " + who.group() + ", this is " + group;
         }
         if (isOnOtherDisk(who.from(), who.disk())) {
-            return Identity.OTHER_DISK
+            return Identity.OTHER_DISK_PREFIX
                     + ": "
                     + who.from()
                     + " was on another disk; remove it, and let the new one join under a name of"
                     + " its own";
         }
-        if (who.speaks() < level) {
-            return "its build knows level " + who.speaks() + ", the group works at " + level;
+        if (who.speaks() < featureLevel) {
+            return "its build knows level " + who.speaks() + ", the group works at " + featureLevel;
         }
         hellos.put(who.from(), who);
         return null;
@@ -79,7 +79,7 @@
 
     /** Whether the group knows a member of this name on another disk. */
     boolean isOnOtherDisk(String name, String disk) {
-        GroupState.MemberRow row = members.get(name);
+        GroupState.MemberRow row = memberRows.get(name);
         return row != null && !row.disk().equals(disk);
     }
 
@@ -87,10 +87,10 @@
      * What the group does not know yet of these members. They have mostly said who they are before
      * anybody led, so the leader tells the group when it can.
      */
-    List<GroupCommands.Introduce> introductions(Collection<String> names) {
+    List<GroupCommands.Introduce> pendingIntroductions(Collection<String> names) {
         List<GroupCommands.Introduce> introductions = new ArrayList<>();
         for (PeerLinks.Hello who : hellos.values()) {
-            if (names.contains(who.from()) && isNews(who)) {
+            if (names.contains(who.from()) && isIntroductionNeeded(who)) {
                 introductions.add(
                         new GroupCommands.Introduce(
                                 who.from(), who.disk(), who.peers(), who.clients()));
@@ -99,8 +99,8 @@
         return introductions;
     }
 
-    private boolean isNews(PeerLinks.Hello who) {
-        GroupState.MemberRow row = members.get(who.from());
+    private boolean isIntroductionNeeded(PeerLinks.Hello who) {
+        GroupState.MemberRow row = memberRows.get(who.from());
         if (row == null) {
             return true;
         }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
@@ -25,19 +25,19 @@
  * engine sends it again.
  */
 final class PeerLinks implements Transport {
-    private static final Duration CONNECT = Duration.ofSeconds(1);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration HEARTBEAT_PERIOD = Duration.ofMillis(500);
-    private static final long LEAST_PAUSE_MS = 50;
-    private static final long MOST_PAUSE_MS = 800;
-    private static final int MOST_FRAME = 16 << 20;
+    private static final long MIN_RECONNECT_DELAY_MS = 50;
+    private static final long MAX_RECONNECT_DELAY_MS = 800;
+    private static final int MAX_FRAME_BYTES = 16 << 20;
 
     /**
      * Half of a gathered snapshot part and many entries: beyond that a peer is too slow to be fed
      * further.
      */
-    private static final long MOST_UNSENT = 24 << 20;
+    private static final long MAX_UNSENT_BYTES = 24 << 20;
 
-    private static final Connection.WriteLimits BOUNDS =
+    private static final Connection.WriteLimits WRITE_LIMITS =
             new Connection.WriteLimits(1 << 20, 64 << 20);
 
     private static final byte HELLO = 1;
@@ -59,76 +59,76 @@
     record Heartbeat(long wallMs, int speaks) {}
 
     /** What comes in. */
-    interface Events {
+    interface PeerListener {
         /** Somebody is there; null: welcome, else why not. */
-        String hello(Hello who);
+        String helloReceived(Hello who);
 
         /** A message of the engine's. */
-        void message(String from, byte[] bytes) throws IOException;
+        void messageReceived(String from, byte[] bytes) throws IOException;
 
         /** A sign of life. */
-        void heartbeat(String from, Heartbeat heartbeat);
+        void heartbeatReceived(String from, Heartbeat heartbeat);
 
         /** A peer refuses this replica. */
-        void refused(String by, String why);
+        void refusedByPeer(String by, String why);
     }
 
     private final saltstage.net.Transport transport;
     private final Loop loop;
     private final RaftCodec codec;
     private final Hello self;
-    private final Events events;
-    private final java.util.function.Function<String, InetSocketAddress> addresses;
-    private final java.util.function.Supplier<Heartbeat> heartbeat;
-    private final Map<String, Link> links = new ConcurrentHashMap<>();
+    private final PeerListener peerListener;
+    private final java.util.function.Function<String, InetSocketAddress> addressResolver;
+    private final java.util.function.Supplier<Heartbeat> heartbeatSupplier;
+    private final Map<String, OutboundLink> links = new ConcurrentHashMap<>();
     private saltstage.net.Transport.Listener listener;
-    private volatile boolean ended;
+    private volatile boolean stopped;
 
     PeerLinks(
             saltstage.net.Transport transport,
             RaftCodec codec,
             Hello self,
-            Events events,
+            PeerListener events,
             java.util.function.Function<String, InetSocketAddress> addresses,
             java.util.function.Supplier<Heartbeat> heartbeat) {
         this.transport = transport;
         this.codec = codec;
         this.self = self;
-        this.events = events;
-        this.addresses = addresses;
-        this.heartbeat = heartbeat;
+        this.peerListener = events;
+        this.addressResolver = addresses;
+        this.heartbeatSupplier = heartbeat;
         loop = transport.loops().get(0);
     }
 
     void listen(InetSocketAddress at) throws IOException {
-        listener = transport.listen(at, 64, BOUNDS, connection -> new Inbound());
-        loop.schedule(HEARTBEAT_PERIOD, this::heartbeat);
+        listener = transport.listen(at, 64, WRITE_LIMITS, connection -> new InboundLink());
+        loop.schedule(HEARTBEAT_PERIOD, this::sendHeartbeats);
     }
 
-    void end() {
-        ended = true;
+    void stop() {
+        stopped = true;
         if (listener != null) {
             listener.close();
         }
-        loop.execute(() -> links.values().forEach(Link::end));
+        loop.execute(() -> links.values().forEach(OutboundLink::close));
     }
 
-    private void heartbeat() {
-        if (ended) {
+    private void sendHeartbeats() {
+        if (stopped) {
             return;
         }
-        byte[] now = GroupCodec.toCbor(heartbeat.get());
+        byte[] now = GroupCodec.toCbor(heartbeatSupplier.get());
         links.values().forEach(link -> link.send(HEARTBEAT, now));
-        loop.schedule(HEARTBEAT_PERIOD, this::heartbeat);
+        loop.schedule(HEARTBEAT_PERIOD, this::sendHeartbeats);
     }
 
     /** Keeps a link to a peer from now on. */
-    void keep(String peer) {
-        if (!ended && !peer.equals(self.from())) {
+    void ensureLink(String peer) {
+        if (!stopped && !peer.equals(self.from())) {
             links.computeIfAbsent(
                     peer,
                     name -> {
-                        Link link = new Link(name);
+                        OutboundLink link = new OutboundLink(name);
                         loop.execute(link::connect);
                         return link;
                     });
@@ -136,24 +136,24 @@
     }
 
     /** Keeps no link to those that are not among these. */
-    void keepOnly(java.util.Collection<String> peers) {
+    void updateLinks(java.util.Collection<String> peers) {
         for (String name : Map.copyOf(links).keySet()) {
             if (!peers.contains(name)) {
-                Link gone = links.remove(name);
-                loop.execute(gone::end);
+                OutboundLink gone = links.remove(name);
+                loop.execute(gone::close);
             }
         }
-        peers.forEach(this::keep);
+        peers.forEach(this::ensureLink);
     }
 
     @Override
     public void send(RaftEndpoint target, RaftMessage message) {
         String name = (String) target.getId();
-        keep(name);
-        byte[] bytes = codec.bytes(message);
+        ensureLink(name);
+        byte[] bytes = codec.encode(message);
         loop.execute(
                 () -> {
-                    Link link = links.get(name);
+                    OutboundLink link = links.get(name);
                     if (link != null) {
                         link.send(RAFT, bytes);
                     }
@@ -162,11 +162,11 @@
 
     @Override
     public boolean isReachable(RaftEndpoint endpoint) {
-        Link link = links.get((String) endpoint.getId());
-        return link != null && link.up;
+        OutboundLink link = links.get((String) endpoint.getId());
+        return link != null && link.connected;
     }
 
-    private static ByteBuffer frame(byte type, byte[] body) {
+    private static ByteBuffer encodeFrame(byte type, byte[] body) {
         return ByteBuffer.allocate(5 + body.length)
                 .putInt(1 + body.length)
                 .put(type)
@@ -175,37 +175,37 @@
     }
 
     /** Reads frames; what is none ends the connection. */
-    private abstract static class Frames implements ConnectionHandler {
-        private ByteBuffer held = ByteBuffer.allocate(64 << 10);
+    private abstract static class FrameReader implements ConnectionHandler {
+        private ByteBuffer inputBuffer = ByteBuffer.allocate(64 << 10);
 
-        abstract void frame(Connection on, byte type, byte[] body) throws IOException;
+        abstract void frameReceived(Connection on, byte type, byte[] body) throws IOException;
 
         @Override
         public void received(Connection on, ByteBuffer bytes) {
-            if (held.remaining() < bytes.remaining()) {
-                int need = held.position() + bytes.remaining();
-                held = ByteBuffer.allocate(Math.max(need, 2 * held.capacity())).put(held.flip());
+            if (inputBuffer.remaining() < bytes.remaining()) {
+                int need = inputBuffer.position() + bytes.remaining();
+                inputBuffer = ByteBuffer.allocate(Math.max(need, 2 * inputBuffer.capacity())).put(inputBuffer.flip());
             }
-            held.put(bytes).flip();
+            inputBuffer.put(bytes).flip();
             try {
-                while (held.remaining() >= 5) {
-                    int length = held.getInt(held.position());
-                    if (length < 1 || length > MOST_FRAME) {
+                while (inputBuffer.remaining() >= 5) {
+                    int length = inputBuffer.getInt(inputBuffer.position());
+                    if (length < 1 || length > MAX_FRAME_BYTES) {
                         throw new IOException("a frame of " + length + " bytes");
                     }
-                    if (held.remaining() < 4 + length) {
+                    if (inputBuffer.remaining() < 4 + length) {
                         break;
                     }
-                    held.getInt();
-                    byte type = held.get();
+                    inputBuffer.getInt();
+                    byte type = inputBuffer.get();
                     byte[] body = new byte[length - 1];
-                    held.get(body);
-                    frame(on, type, body);
+                    inputBuffer.get(body);
+                    frameReceived(on, type, body);
                 }
-                held.compact();
+                inputBuffer.compact();
             } catch (IOException bad) {
                 Log.warn("peer.malformed", "why", bad.getMessage());
-                held.clear();
+                inputBuffer.clear();
                 on.reset();
             }
         }
@@ -217,12 +217,12 @@
     }
 
     /** A connection that a peer keeps to here. */
-    private final class Inbound extends Frames {
+    private final class InboundLink extends FrameReader {
         private String from;
         private boolean refused;
 
         @Override
-        void frame(Connection on, byte type, byte[] body) throws IOException {
+        void frameReceived(Connection on, byte type, byte[] body) throws IOException {
             if (refused) {
                 return; // it cannot have heard it yet
             }
@@ -238,11 +238,11 @@
                         || who.clients() == null) {
                     throw new IOException("a peer that says half of who it is");
                 }
-                String why = events.hello(who);
+                String why = peerListener.helloReceived(who);
                 if (why != null) {
                     refused = true;
                     Log.warn("peer.refused", "peer", who.from(), "why", why);
-                    on.write(PeerLinks.frame(REFUSED, why.getBytes(StandardCharsets.UTF_8)));
+                    on.write(PeerLinks.encodeFrame(REFUSED, why.getBytes(StandardCharsets.UTF_8)));
                     on.close();
                     return;
                 }
@@ -250,13 +250,13 @@
                 return;
             }
             switch (type) {
-                case RAFT -> events.message(from, body);
+                case RAFT -> peerListener.messageReceived(from, body);
                 case HEARTBEAT -> {
                     Heartbeat heartbeat = GroupCodec.cborMapper().readValue(body, Heartbeat.class);
                     if (heartbeat == null) {
                         throw new IOException("a beat that says nothing");
                     }
-                    events.heartbeat(from, heartbeat);
+                    peerListener.heartbeatReceived(from, heartbeat);
                 }
                 default -> throw new IOException("a frame of type " + type);
             }
@@ -269,26 +269,26 @@
     }
 
     /** The connection kept to a peer. */
-    private final class Link extends Frames implements saltstage.net.Transport.ConnectListener {
+    private final class OutboundLink extends FrameReader implements saltstage.net.Transport.ConnectListener {
         private final String peer;
         private Connection connection;
-        private long pause = LEAST_PAUSE_MS;
-        private boolean over;
-        private volatile boolean up;
+        private long reconnectDelayMs = MIN_RECONNECT_DELAY_MS;
+        private boolean closed;
+        private volatile boolean connected;
 
-        Link(String peer) {
+        OutboundLink(String peer) {
             this.peer = peer;
         }
 
         void connect() {
-            if (over || ended) {
+            if (closed || stopped) {
                 return;
             }
-            InetSocketAddress at = address();
+            InetSocketAddress at = resolveAddress();
             if (at == null) {
-                later();
+                scheduleReconnect();
             } else {
-                transport.connect(loop, at, CONNECT, BOUNDS, this);
+                transport.connect(loop, at, CONNECT_TIMEOUT, WRITE_LIMITS, this);
             }
         }
 
@@ -296,66 +296,66 @@
          * Null where it is not known, or not readable: the group may be told of another at any
          * time.
          */
-        private InetSocketAddress address() {
+        private InetSocketAddress resolveAddress() {
             try {
-                return addresses.apply(peer);
+                return addressResolver.apply(peer);
             } catch (RuntimeException unreadable) {
                 Log.warn("peer.address", "peer", peer, "why", unreadable.getMessage());
                 return null;
             }
         }
 
-        private void later() {
-            long drawn = pause / 2 + ThreadLocalRandom.current().nextLong(pause / 2 + 1);
-            pause = Math.min(MOST_PAUSE_MS, pause * 2);
+        private void scheduleReconnect() {
+            long drawn = reconnectDelayMs / 2 + ThreadLocalRandom.current().nextLong(reconnectDelayMs / 2 + 1);
+            reconnectDelayMs = Math.min(MAX_RECONNECT_DELAY_MS, reconnectDelayMs * 2);
             loop.schedule(Duration.ofMillis(drawn), this::connect);
         }
 
         @Override
         public ConnectionHandler connected(Connection made) {
-            if (over) {
+            if (closed) {
                 made.reset();
                 return this;
             }
             connection = made;
-            pause = LEAST_PAUSE_MS;
-            made.write(PeerLinks.frame(HELLO, GroupCodec.toCbor(self)));
-            made.write(PeerLinks.frame(HEARTBEAT, GroupCodec.toCbor(heartbeat.get())));
-            up = true;
+            reconnectDelayMs = MIN_RECONNECT_DELAY_MS;
+            made.write(PeerLinks.encodeFrame(HELLO, GroupCodec.toCbor(self)));
+            made.write(PeerLinks.encodeFrame(HEARTBEAT, GroupCodec.toCbor(heartbeatSupplier.get())));
+            connected = true;
             return this;
         }
 
         @Override
         public void failed(IOException why) {
-            later();
+            scheduleReconnect();
         }
 
         void send(byte type, byte[] body) {
-            if (connection != null && connection.unsentBytes() < MOST_UNSENT) {
-                connection.write(PeerLinks.frame(type, body));
+            if (connection != null && connection.unsentBytes() < MAX_UNSENT_BYTES) {
+                connection.write(PeerLinks.encodeFrame(type, body));
             }
         }
 
         @Override
-        void frame(Connection on, byte type, byte[] body) throws IOException {
+        void frameReceived(Connection on, byte type, byte[] body) throws IOException {
             if (type != REFUSED) {
                 throw new IOException("a frame of type " + type + " on a link that only sends");
             }
-            pause = MOST_PAUSE_MS;
-            events.refused(peer, new String(body, StandardCharsets.UTF_8));
+            reconnectDelayMs = MAX_RECONNECT_DELAY_MS;
+            peerListener.refusedByPeer(peer, new String(body, StandardCharsets.UTF_8));
         }
 
         @Override
         public void closed(Connection on, Connection.Cause why) {
-            up = false;
+            connected = false;
             connection = null;
-            if (!over && !ended) {
-                later();
+            if (!closed && !stopped) {
+                scheduleReconnect();
             }
         }
 
-        void end() {
-            over = true;
+        void close() {
+            closed = true;
             if (connection != null) {
                 connection.close();
             }
@@ -363,9 +363,9 @@
     }
 
     /** How the links stand, by peer. */
-    Map<String, Boolean> up() {
+    Map<String, Boolean> linkStates() {
         Map<String, Boolean> now = new HashMap<>();
-        links.forEach((name, link) -> now.put(name, link.up));
+        links.forEach((name, link) -> now.put(name, link.connected));
         return now;
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Proposer.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Proposer.java
@@ -13,7 +13,7 @@
     private static final long NANOS_PER_MS = 1_000_000;
 
     private final RaftNode node;
-    private final String process;
+    private final String processId;
     private final double clockRate;
 
     /**
@@ -24,13 +24,13 @@
      */
     Proposer(RaftNode node, String process, double clockRate) {
         this.node = node;
-        this.process = process;
+        this.processId = process;
         this.clockRate = clockRate;
     }
 
     /** Proposes a client's command; the reply comes once a majority has it and it is applied. */
     CompletableFuture<Reply> propose(String client, long seq, Command command) {
-        String epoch = process + "/" + node.getTerm().getTerm();
+        String epoch = processId + "/" + node.getTerm().getTerm();
         long stampMs = (long) (System.nanoTime() / NANOS_PER_MS * clockRate);
         byte[] entry = GroupCodec.encodeEntry(new Proposal(client, seq, epoch, stampMs, command));
         return node.<Reply>replicate(entry).thenApply(Ordered::getResult);
--- a/coordinator/src/main/java/saltstage/coordinator/replica/RaftCodec.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/RaftCodec.java
@@ -84,91 +84,91 @@
             Members members,
             List<String> holders) {}
 
-    private final Object group;
+    private final Object groupId;
 
     RaftCodec(Object group) {
-        this.group = group;
+        this.groupId = group;
     }
 
     // ---- parts
 
-    private static String name(RaftEndpoint endpoint) {
+    private static String nameOf(RaftEndpoint endpoint) {
         return endpoint == null ? null : (String) endpoint.getId();
     }
 
-    private static List<String> names(Collection<RaftEndpoint> endpoints) {
-        return endpoints.stream().map(RaftCodec::name).toList();
+    private static List<String> namesOf(Collection<RaftEndpoint> endpoints) {
+        return endpoints.stream().map(RaftCodec::nameOf).toList();
     }
 
-    private static RaftEndpoint member(String name) {
+    private static RaftEndpoint toEndpoint(String name) {
         return name == null ? null : new Member(name);
     }
 
-    private static Collection<RaftEndpoint> members(List<String> names) {
-        return new ArrayList<>(names.stream().map(RaftCodec::member).toList());
+    private static Collection<RaftEndpoint> toEndpoints(List<String> names) {
+        return new ArrayList<>(names.stream().map(RaftCodec::toEndpoint).toList());
     }
 
-    static Members members(RaftGroupMembersView view) {
+    static Members toMembers(RaftGroupMembersView view) {
         return view == null
                 ? null
                 : new Members(
                         view.getLogIndex(),
-                        names(view.getMembers()),
-                        names(view.getVotingMembers()));
+                        namesOf(view.getMembers()),
+                        namesOf(view.getVotingMembers()));
     }
 
-    static RaftGroupMembersView view(Members members) {
+    static RaftGroupMembersView toMembersView(Members members) {
         return members == null
                 ? null
                 : MODEL.createRaftGroupMembersViewBuilder()
                         .setLogIndex(members.index())
-                        .setMembers(members(members.all()))
-                        .setVotingMembers(members(members.voting()))
+                        .setMembers(toEndpoints(members.all()))
+                        .setVotingMembers(toEndpoints(members.voting()))
                         .build();
     }
 
-    private static Op op(Object operation) {
+    private static Op toOp(Object operation) {
         if (operation instanceof byte[] proposal) {
             return new Op(proposal, null, null, null);
         }
         if (operation instanceof UpdateRaftGroupMembersOp change) {
             return new Op(
                     null,
-                    new Members(0, names(change.getMembers()), names(change.getVotingMembers())),
-                    name(change.getEndpoint()),
+                    new Members(0, namesOf(change.getMembers()), namesOf(change.getVotingMembers())),
+                    nameOf(change.getEndpoint()),
                     change.getMode().name());
         }
         return new Op(null, null, null, null);
     }
 
-    private static Object operation(Op op) {
+    private static Object toOperation(Op op) {
         if (op.proposal() != null) {
             return op.proposal();
         }
         if (op.members() == null) {
-            return NewTerm.ENTRY;
+            return NewTermOperation.INSTANCE;
         }
         return MODEL.createUpdateRaftGroupMembersOpBuilder()
-                .setMembers(members(op.members().all()))
-                .setVotingMembers(members(op.members().voting()))
-                .setEndpoint(member(op.endpoint()))
+                .setMembers(toEndpoints(op.members().all()))
+                .setVotingMembers(toEndpoints(op.members().voting()))
+                .setEndpoint(toEndpoint(op.endpoint()))
                 .setMode(MembershipChangeMode.valueOf(op.mode()))
                 .build();
     }
 
-    static Entry entry(LogEntry entry) {
-        return new Entry(entry.getIndex(), entry.getTerm(), op(entry.getOperation()));
+    static Entry toEntry(LogEntry entry) {
+        return new Entry(entry.getIndex(), entry.getTerm(), toOp(entry.getOperation()));
     }
 
-    static LogEntry logEntry(Entry entry) {
+    static LogEntry toLogEntry(Entry entry) {
         return MODEL.createLogEntryBuilder()
                 .setIndex(entry.index())
                 .setTerm(entry.term())
-                .setOperation(operation(entry.op()))
+                .setOperation(toOperation(entry.op()))
                 .build();
     }
 
-    static Chunk chunk(SnapshotChunk chunk) {
+    static Chunk toChunk(SnapshotChunk chunk) {
         return chunk == null
                 ? null
                 : new Chunk(
@@ -177,10 +177,10 @@
                         (byte[]) chunk.getOperation(),
                         chunk.getSnapshotChunkIndex(),
                         chunk.getSnapshotChunkCount(),
-                        members(chunk.getGroupMembersView()));
+                        toMembers(chunk.getGroupMembersView()));
     }
 
-    static SnapshotChunk snapshotChunk(Chunk chunk) {
+    static SnapshotChunk toSnapshotChunk(Chunk chunk) {
         return chunk == null
                 ? null
                 : MODEL.createSnapshotChunkBuilder()
@@ -189,21 +189,21 @@
                         .setOperation(chunk.bytes())
                         .setSnapshotChunkIndex(chunk.at())
                         .setSnapshotChunkCount(chunk.of())
-                        .setGroupMembersView(view(chunk.members()))
+                        .setGroupMembersView(toMembersView(chunk.members()))
                         .build();
     }
 
     // ---- messages
 
-    byte[] bytes(RaftMessage message) {
-        return GroupCodec.toCbor(packet(message));
+    byte[] encode(RaftMessage message) {
+        return GroupCodec.toCbor(toPacket(message));
     }
 
-    private static Packet plain(
+    private static Packet simplePacket(
             Kind kind, RaftMessage message, int otherTerm, long index, boolean flag) {
         return new Packet(
                 kind,
-                name(message.getSender()),
+                nameOf(message.getSender()),
                 message.getTerm(),
                 otherTerm,
                 index,
@@ -218,11 +218,11 @@
                 null);
     }
 
-    private static Packet answer(
+    private static Packet responsePacket(
             Kind kind, RaftMessage message, long index, int count, long query, long flow) {
         return new Packet(
                 kind,
-                name(message.getSender()),
+                nameOf(message.getSender()),
                 message.getTerm(),
                 0,
                 index,
@@ -237,7 +237,7 @@
                 null);
     }
 
-    private static Packet packet(RaftMessage message) {
+    private static Packet toPacket(RaftMessage message) {
         Packet packet = appendPacket(message);
         packet = packet != null ? packet : snapshotPacket(message);
         packet = packet != null ? packet : electionPacket(message);
@@ -247,10 +247,10 @@
         return packet;
     }
 
-    private static Packet append(AppendEntriesRequest m) {
+    private static Packet appendRequestPacket(AppendEntriesRequest m) {
         return new Packet(
                 Kind.APPEND,
-                name(m.getSender()),
+                nameOf(m.getSender()),
                 m.getTerm(),
                 m.getPreviousLogTerm(),
                 m.getPreviousLogIndex(),
@@ -259,16 +259,16 @@
                 m.getFlowControlSequenceNumber(),
                 false,
                 0,
-                m.getLogEntries().stream().map(RaftCodec::entry).toList(),
+                m.getLogEntries().stream().map(RaftCodec::toEntry).toList(),
                 null,
                 null,
                 null);
     }
 
-    private static Packet snapshot(InstallSnapshotRequest m) {
+    private static Packet snapshotRequestPacket(InstallSnapshotRequest m) {
         return new Packet(
                 Kind.SNAPSHOT,
-                name(m.getSender()),
+                nameOf(m.getSender()),
                 m.getTerm(),
                 m.getSnapshotTerm(),
                 m.getSnapshotIndex(),
@@ -278,17 +278,17 @@
                 m.isSenderLeader(),
                 m.getTotalSnapshotChunkCount(),
                 null,
-                chunk(m.getSnapshotChunk()),
-                members(m.getGroupMembersView()),
-                names(m.getSnapshottedMembers()));
+                toChunk(m.getSnapshotChunk()),
+                toMembers(m.getGroupMembersView()),
+                namesOf(m.getSnapshottedMembers()));
     }
 
     private static Packet appendPacket(RaftMessage message) {
         if (message instanceof AppendEntriesRequest m) {
-            return append(m);
+            return appendRequestPacket(m);
         }
         if (message instanceof AppendEntriesSuccessResponse m) {
-            return answer(
+            return responsePacket(
                     Kind.APPENDED,
                     m,
                     m.getLastLogIndex(),
@@ -297,7 +297,7 @@
                     m.getFlowControlSequenceNumber());
         }
         if (message instanceof AppendEntriesFailureResponse m) {
-            return answer(
+            return responsePacket(
                     Kind.NOT_APPENDED,
                     m,
                     m.getExpectedNextIndex(),
@@ -310,10 +310,10 @@
 
     private static Packet snapshotPacket(RaftMessage message) {
         if (message instanceof InstallSnapshotRequest m) {
-            return snapshot(m);
+            return snapshotRequestPacket(m);
         }
         if (message instanceof InstallSnapshotResponse m) {
-            return answer(
+            return responsePacket(
                     Kind.SNAPSHOT_TAKEN,
                     m,
                     m.getSnapshotIndex(),
@@ -326,54 +326,54 @@
 
     private static Packet electionPacket(RaftMessage message) {
         if (message instanceof PreVoteRequest m) {
-            return plain(Kind.PRE_VOTE, m, m.getLastLogTerm(), m.getLastLogIndex(), false);
+            return simplePacket(Kind.PRE_VOTE, m, m.getLastLogTerm(), m.getLastLogIndex(), false);
         }
         if (message instanceof PreVoteResponse m) {
-            return plain(Kind.PRE_VOTED, m, 0, 0, m.isGranted());
+            return simplePacket(Kind.PRE_VOTED, m, 0, 0, m.isGranted());
         }
         if (message instanceof VoteRequest m) {
-            return plain(Kind.VOTE, m, m.getLastLogTerm(), m.getLastLogIndex(), m.isSticky());
+            return simplePacket(Kind.VOTE, m, m.getLastLogTerm(), m.getLastLogIndex(), m.isSticky());
         }
         if (message instanceof VoteResponse m) {
-            return plain(Kind.VOTED, m, 0, 0, m.isGranted());
+            return simplePacket(Kind.VOTED, m, 0, 0, m.isGranted());
         }
         if (message instanceof TriggerLeaderElectionRequest m) {
-            return plain(Kind.TAKE_OVER, m, m.getLastLogTerm(), m.getLastLogIndex(), false);
+            return simplePacket(Kind.TAKE_OVER, m, m.getLastLogTerm(), m.getLastLogIndex(), false);
         }
         return null;
     }
 
     /** The message of these bytes; what is none is an IOException. */
-    RaftMessage message(byte[] bytes) throws IOException {
+    RaftMessage decode(byte[] bytes) throws IOException {
         Packet p = GroupCodec.cborMapper().readValue(bytes, Packet.class);
         if (p == null || p.kind() == null || p.from() == null) {
             throw new IOException("a message without kind or sender");
         }
         try {
-            return message(p);
+            return toMessage(p);
         } catch (RuntimeException parts) { // one is missing, or names what this build does not know
             throw new IOException("a message of kind " + p.kind() + " without its parts", parts);
         }
     }
 
-    private RaftMessage message(Packet p) {
+    private RaftMessage toMessage(Packet p) {
         return switch (p.kind()) {
             case APPEND ->
                     MODEL.createAppendEntriesRequestBuilder()
-                            .setGroupId(group)
-                            .setSender(member(p.from()))
+                            .setGroupId(groupId)
+                            .setSender(toEndpoint(p.from()))
                             .setTerm(p.term())
                             .setPreviousLogTerm(p.otherTerm())
                             .setPreviousLogIndex(p.index())
                             .setCommitIndex(p.commit())
-                            .setLogEntries(p.entries().stream().map(RaftCodec::logEntry).toList())
+                            .setLogEntries(p.entries().stream().map(RaftCodec::toLogEntry).toList())
                             .setQuerySequenceNumber(p.query())
                             .setFlowControlSequenceNumber(p.flow())
                             .build();
             case APPENDED ->
                     MODEL.createAppendEntriesSuccessResponseBuilder()
-                            .setGroupId(group)
-                            .setSender(member(p.from()))
+                            .setGroupId(groupId)
+                            .setSender(toEndpoint(p.from()))
                             .setTerm(p.term())
                             .setLastLogIndex(p.index())
                             .setQuerySequenceNumber(p.query())
@@ -381,23 +381,23 @@
                             .build();
             case NOT_APPENDED ->
                     MODEL.createAppendEntriesFailureResponseBuilder()
-                            .setGroupId(group)
-                            .setSender(member(p.from()))
+                            .setGroupId(groupId)
+                            .setSender(toEndpoint(p.from()))
                             .setTerm(p.term())
                             .setExpectedNextIndex(p.index())
                             .setQuerySequenceNumber(p.query())
                             .setFlowControlSequenceNumber(p.flow())
                             .build();
-            case SNAPSHOT, SNAPSHOT_TAKEN -> snapshotMessage(p);
-            case PRE_VOTE, PRE_VOTED, VOTE, VOTED, TAKE_OVER -> electionMessage(p);
+            case SNAPSHOT, SNAPSHOT_TAKEN -> toSnapshotMessage(p);
+            case PRE_VOTE, PRE_VOTED, VOTE, VOTED, TAKE_OVER -> toElectionMessage(p);
         };
     }
 
-    private RaftMessage snapshotMessage(Packet p) {
+    private RaftMessage toSnapshotMessage(Packet p) {
         if (p.kind() == Kind.SNAPSHOT_TAKEN) {
             return MODEL.createInstallSnapshotResponseBuilder()
-                    .setGroupId(group)
-                    .setSender(member(p.from()))
+                    .setGroupId(groupId)
+                    .setSender(toEndpoint(p.from()))
                     .setTerm(p.term())
                     .setSnapshotIndex(p.index())
                     .setRequestedSnapshotChunkIndex(p.count())
@@ -406,27 +406,27 @@
                     .build();
         }
         return MODEL.createInstallSnapshotRequestBuilder()
-                .setGroupId(group)
-                .setSender(member(p.from()))
+                .setGroupId(groupId)
+                .setSender(toEndpoint(p.from()))
                 .setTerm(p.term())
                 .setSenderLeader(p.flag())
                 .setSnapshotTerm(p.otherTerm())
                 .setSnapshotIndex(p.index())
                 .setTotalSnapshotChunkCount(p.count())
-                .setSnapshotChunk(snapshotChunk(p.chunk()))
-                .setSnapshottedMembers(members(p.holders()))
-                .setGroupMembersView(view(p.members()))
+                .setSnapshotChunk(toSnapshotChunk(p.chunk()))
+                .setSnapshottedMembers(toEndpoints(p.holders()))
+                .setGroupMembersView(toMembersView(p.members()))
                 .setQuerySequenceNumber(p.query())
                 .setFlowControlSequenceNumber(p.flow())
                 .build();
     }
 
-    private RaftMessage electionMessage(Packet p) {
-        RaftEndpoint from = member(p.from());
+    private RaftMessage toElectionMessage(Packet p) {
+        RaftEndpoint from = toEndpoint(p.from());
         return switch (p.kind()) {
             case PRE_VOTE ->
                     MODEL.createPreVoteRequestBuilder()
-                            .setGroupId(group)
+                            .setGroupId(groupId)
                             .setSender(from)
                             .setTerm(p.term())
                             .setLastLogTerm(p.otherTerm())
@@ -434,14 +434,14 @@
                             .build();
             case PRE_VOTED ->
                     MODEL.createPreVoteResponseBuilder()
-                            .setGroupId(group)
+                            .setGroupId(groupId)
                             .setSender(from)
                             .setTerm(p.term())
                             .setGranted(p.flag())
                             .build();
             case VOTE ->
                     MODEL.createVoteRequestBuilder()
-                            .setGroupId(group)
+                            .setGroupId(groupId)
                             .setSender(from)
                             .setTerm(p.term())
                             .setLastLogTerm(p.otherTerm())
@@ -450,14 +450,14 @@
                             .build();
             case VOTED ->
                     MODEL.createVoteResponseBuilder()
-                            .setGroupId(group)
+                            .setGroupId(groupId)
                             .setSender(from)
                             .setTerm(p.term())
                             .setGranted(p.flag())
                             .build();
             default ->
                     MODEL.createTriggerLeaderElectionRequestBuilder()
-                            .setGroupId(group)
+                            .setGroupId(groupId)
                             .setSender(from)
                             .setTerm(p.term())
                             .setLastLogTerm(p.otherTerm())
--- a/coordinator/src/main/java/saltstage/coordinator/replica/RaftThread.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/RaftThread.java
@@ -20,15 +20,15 @@
      * The engine takes the time since 0 for silence of a leader: a start at 0 would wait for one
      * that never was.
      */
-    private static final long BEGINS = 1_000_000_000;
+    private static final long CLOCK_START_MS = 1_000_000_000;
 
-    private final ScheduledThreadPoolExecutor thread;
-    private final double speed;
-    private final long start = System.nanoTime();
+    private final ScheduledThreadPoolExecutor executor;
+    private final double clockSpeed;
+    private final long startNanos = System.nanoTime();
 
     RaftThread(String name, double speed) {
-        this.speed = speed;
-        thread =
+        this.clockSpeed = speed;
+        executor =
                 new ScheduledThreadPoolExecutor(
                         1,
                         task -> {
@@ -36,8 +36,8 @@
                             made.setDaemon(true);
                             return made;
                         });
-        thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        thread.setRemoveOnCancelPolicy(true);
+        executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        executor.setRemoveOnCancelPolicy(true);
     }
 
     private static Runnable guarded(Runnable task) {
@@ -53,8 +53,8 @@
 
     @Override
     public void execute(Runnable task) {
-        if (!thread.isShutdown()) {
-            thread.execute(guarded(task));
+        if (!executor.isShutdown()) {
+            executor.execute(guarded(task));
         }
     }
 
@@ -65,13 +65,13 @@
 
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
-        every(task, (long) (unit.toNanos(delay) / speed));
+        scheduleRealTime(task, (long) (unit.toNanos(delay) / clockSpeed));
     }
 
     /** Once, after so many of the world's nanoseconds. */
-    void every(Runnable task, long nanos) {
-        if (!thread.isShutdown()) {
-            thread.schedule(guarded(task), nanos, TimeUnit.NANOSECONDS);
+    void scheduleRealTime(Runnable task, long nanos) {
+        if (!executor.isShutdown()) {
+            executor.schedule(guarded(task), nanos, TimeUnit.NANOSECONDS);
         }
     }
 
@@ -90,7 +90,7 @@
 
             @Override
             public long millis() {
-                return BEGINS + (long) ((System.nanoTime() - start) * speed / 1_000_000);
+                return CLOCK_START_MS + (long) ((System.nanoTime() - startNanos) * clockSpeed / 1_000_000);
             }
 
             @Override
@@ -100,7 +100,7 @@
         };
     }
 
-    void end() {
-        thread.shutdownNow();
+    void shutdown() {
+        executor.shutdownNow();
     }
 }
