--- a/coordinator/src/main/java/saltstage/coordinator/replica/Replica.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Replica.java
@@ -27,32 +27,32 @@
  * state. A command is answered once a majority has it durable; a replica that cannot keep what it
  * must ends its process rather than go on with a state that nobody knows.
  */
-public final class Replica implements AutoCloseable, PeerLinks.Events {
+public final class Replica implements AutoCloseable, PeerLinks.PeerListener {
     /** Exit code where the store fails: EX_IOERR of sysexits.h. */
     private static final int EXIT_STORE_FAILED = 74;
 
     /** Exit code where the group refuses this disk: EX_CONFIG of sysexits.h. */
-    private static final int EXIT_REFUSED = 78;
+    private static final int EXIT_REFUSED_BY_PEER = 78;
 
     private static final int TERMINATION_TIMEOUT_SECONDS = 3;
 
     /** Ends the process: code and why. */
-    public interface Fatal {
+    public interface FatalErrorHandler {
         /** Does not return, or ends the replica. */
-        void end(int code, String why);
+        void exit(int code, String why);
     }
 
     private final ReplicaSettings settings;
     private final Identity identity;
-    private final RaftThread thread;
+    private final RaftThread raftThread;
     private final PeerLinks links;
     private final RaftNode node;
     private final RaftCodec codec;
-    private final ReplicaStateMachine machine;
-    private final Fatal fatal;
+    private final ReplicaStateMachine stateMachine;
+    private final FatalErrorHandler fatalErrorHandler;
     private final Transport transport;
     private final Store store;
-    private final ChangeListeners listeners = new ChangeListeners();
+    private final ChangeListeners changeListeners = new ChangeListeners();
     private final PeerDirectory directory;
     private final Proposer proposer;
     private final Membership membership;
@@ -60,60 +60,60 @@
     private volatile boolean closed;
 
     /** Starts it; a store that belongs to another group, name or disk is refused. */
-    public Replica(ReplicaSettings settings, Store store, Transport transport, Fatal fatal)
+    public Replica(ReplicaSettings settings, Store store, Transport transport, FatalErrorHandler fatal)
             throws IOException {
         this.settings = settings;
-        this.fatal = fatal;
+        this.fatalErrorHandler = fatal;
         this.transport = transport;
         this.store = store;
-        identity = Identity.of(store, settings);
+        identity = Identity.loadOrCreate(store, settings);
         codec = new RaftCodec(identity.group());
-        thread = new RaftThread("replica", settings.speed());
-        machine = new ReplicaStateMachine(fatal, listeners::changed);
+        raftThread = new RaftThread("replica", settings.engineClockSpeed());
+        stateMachine = new ReplicaStateMachine(fatal, changeListeners::notifyListeners);
         directory = new PeerDirectory(settings, identity.group());
         String process = Long.toHexString(System.nanoTime()) + "-" + ProcessHandle.current().pid();
-        PeerLinks.Hello self = hello(process);
-        links = new PeerLinks(transport, codec, self, this, directory::address, this::heartbeat);
-        node = engine();
+        PeerLinks.Hello self = createHello(process);
+        links = new PeerLinks(transport, codec, self, this, directory::peerAddress, this::currentHeartbeat);
+        node = createEngine();
         proposer = new Proposer(node, process, settings.clockRate());
         membership = new Membership(node, directory, proposer);
         leaderTasks = new LeaderTasks(settings, self, node, directory, proposer);
-        links.listen(settings.peers());
-        members().forEach(links::keep);
+        links.listen(settings.peerListenAddress());
+        memberNames().forEach(links::ensureLink);
         node.start().join();
-        thread.every(this::periodicCheck, LeaderTasks.CHECK_PERIOD.toNanos());
+        raftThread.scheduleRealTime(this::periodicCheck, LeaderTasks.CHECK_PERIOD.toNanos());
     }
 
-    private PeerLinks.Hello hello(String process) {
+    private PeerLinks.Hello createHello(String process) {
         return new PeerLinks.Hello(
                 identity.group(),
                 settings.name(),
                 identity.disk(),
                 process,
-                settings.speaks(),
-                HostPort.format(settings.peers()),
-                HostPort.format(settings.clients()));
+                settings.supportedFeatureLevel(),
+                HostPort.format(settings.peerListenAddress()),
+                HostPort.format(settings.clientListenAddress()));
     }
 
-    private PeerLinks.Heartbeat heartbeat() {
-        return new PeerLinks.Heartbeat(settings.wall().getAsLong(), settings.speaks());
+    private PeerLinks.Heartbeat currentHeartbeat() {
+        return new PeerLinks.Heartbeat(settings.wallClock().getAsLong(), settings.supportedFeatureLevel());
     }
 
     /** The consensus engine on what the log holds, or on the group's first members. */
-    private RaftNode engine() throws IOException {
+    private RaftNode createEngine() throws IOException {
         LogStore log =
                 new LogStore(
-                        store, why -> fatal.end(EXIT_STORE_FAILED, "store: " + why.getMessage()));
+                        store, why -> fatalErrorHandler.exit(EXIT_STORE_FAILED, "store: " + why.getMessage()));
         RestoredRaftState restored = log.restore();
         RaftNode.RaftNodeBuilder builder =
                 RaftNode.newBuilder()
                         .setGroupId(identity.group())
                         .setConfig(engineConfig())
-                        .setExecutor(thread)
+                        .setExecutor(raftThread)
                         .setTransport(links)
-                        .setStateMachine(machine)
+                        .setStateMachine(stateMachine)
                         .setStore(log)
-                        .setClock(thread.clock());
+                        .setClock(raftThread.clock());
         if (restored != null) {
             builder.setRestoredState(restored);
         } else {
@@ -129,25 +129,25 @@
                 .setLeaderElectionTimeoutMillis(1_000)
                 .setLeaderHeartbeatPeriodSecs(1)
                 .setLeaderHeartbeatTimeoutSecs(5)
-                .setCommitCountToTakeSnapshot(settings.snapshotEvery())
-                .setMaxPendingLogEntryCount(settings.mostPending())
+                .setCommitCountToTakeSnapshot(settings.snapshotIntervalEntries())
+                .setMaxPendingLogEntryCount(settings.maxPendingEntries())
                 .setAppendEntriesRequestBatchSize(500)
                 .setTransferSnapshotsFromFollowersEnabled(false)
                 .build();
     }
 
-    private Collection<String> members() {
+    private Collection<String> memberNames() {
         return Member.sortedNames(node.getEffectiveMembers().getMembers());
     }
 
     @Override
-    public String hello(PeerLinks.Hello who) {
+    public String helloReceived(PeerLinks.Hello who) {
         return directory.admit(who);
     }
 
     @Override
-    public void message(String from, byte[] bytes) throws IOException {
-        RaftMessage message = codec.message(bytes);
+    public void messageReceived(String from, byte[] bytes) throws IOException {
+        RaftMessage message = codec.decode(bytes);
         if (!from.equals(message.getSender().getId())) {
             throw new IOException(from + " sends what " + message.getSender().getId() + " should");
         }
@@ -155,15 +155,15 @@
     }
 
     @Override
-    public void heartbeat(String from, PeerLinks.Heartbeat heartbeat) {
-        leaderTasks.received(from, heartbeat);
+    public void heartbeatReceived(String from, PeerLinks.Heartbeat heartbeat) {
+        leaderTasks.heartbeatReceived(from, heartbeat);
     }
 
     @Override
-    public void refused(String by, String why) {
+    public void refusedByPeer(String by, String why) {
         Log.warn("peer.refuses", "peer", by, "why", why);
-        if (why.startsWith(Identity.OTHER_DISK)) {
-            fatal.end(EXIT_REFUSED, "refused by " + by + ": " + why);
+        if (why.startsWith(Identity.OTHER_DISK_PREFIX)) {
+            fatalErrorHandler.exit(EXIT_REFUSED_BY_PEER, "refused by " + by + ": " + why);
         }
     }
 
@@ -174,33 +174,33 @@
         if (closed) {
             return;
         }
-        thread.every(this::periodicCheck, LeaderTasks.CHECK_PERIOD.toNanos());
-        StalePreVote.recover(node);
-        directory.update(machine.state());
-        links.keepOnly(members());
-        if (leads()) {
-            leaderTasks.run(machine.state());
+        raftThread.scheduleRealTime(this::periodicCheck, LeaderTasks.CHECK_PERIOD.toNanos());
+        StalePreVoteRecovery.recover(node);
+        directory.update(stateMachine.state());
+        links.updateLinks(memberNames());
+        if (isLeader()) {
+            leaderTasks.run(stateMachine.state());
         }
     }
 
     /** Whether this one leads, as far as it knows. */
-    public boolean leads() {
+    public boolean isLeader() {
         RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
         return leader != null && settings.name().equals(leader.getId());
     }
 
     /** Where the leader takes calls, or null where none is known. */
-    public String leaderClients() {
+    public String leaderClientAddress() {
         RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
-        return leader == null ? null : directory.clientsOf(Member.name(leader));
+        return leader == null ? null : directory.clientAddress(Member.name(leader));
     }
 
     /**
      * Tells a listener once, on the engine's thread, when the state next changes by itself or by
      * somebody; false where too many listen.
      */
-    public boolean onChange(Runnable listener) {
-        return listeners.add(listener);
+    public boolean onNextChange(Runnable listener) {
+        return changeListeners.add(listener);
     }
 
     /** Proposes a command; the reply comes once it is carried out by a majority. */
@@ -219,8 +219,8 @@
     }
 
     /** Hands leadership to a member. */
-    public CompletableFuture<Object> transfer(String to) {
-        return membership.transfer(to);
+    public CompletableFuture<Object> transferLeadership(String to) {
+        return membership.transferLeadership(to);
     }
 
     /** Takes a member in, first as one that only learns, later as one that votes. */
@@ -241,14 +241,14 @@
                                 ReplicaStatus.of(
                                         settings,
                                         report.getResult(),
-                                        machine.state(),
-                                        leaderClients(),
-                                        links.up()),
-                        thread::execute); // the state belongs to the engine's thread
+                                        stateMachine.state(),
+                                        leaderClientAddress(),
+                                        links.linkStates()),
+                        raftThread::execute); // the state belongs to the engine's thread
     }
 
     /** This replica's disk. */
-    public String disk() {
+    public String diskId() {
         return identity.disk();
     }
 
@@ -259,8 +259,8 @@
                 .completeOnTimeout(null, TERMINATION_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .exceptionally(any -> null)
                 .join();
-        links.end();
-        thread.end();
+        links.stop();
+        raftThread.shutdown();
         transport.close();
         store.close();
     }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStateMachine.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStateMachine.java
@@ -17,18 +17,18 @@
  * its own.
  */
 final class ReplicaStateMachine implements StateMachine {
-    private static final int CHUNK = 256 << 10;
+    private static final int SNAPSHOT_CHUNK_BYTES = 256 << 10;
 
     /** Something to be read from the state; never in the log. */
-    record Query(Function<GroupState, Object> asked) {}
+    record Query(Function<GroupState, Object> function) {}
 
-    private final Replica.Fatal fatal;
-    private final Runnable changed;
+    private final Replica.FatalErrorHandler fatalErrorHandler;
+    private final Runnable changeListener;
     private volatile GroupState state = new GroupState();
 
-    ReplicaStateMachine(Replica.Fatal fatal, Runnable changed) {
-        this.fatal = fatal;
-        this.changed = changed;
+    ReplicaStateMachine(Replica.FatalErrorHandler fatal, Runnable changed) {
+        this.fatalErrorHandler = fatal;
+        this.changeListener = changed;
     }
 
     GroupState state() {
@@ -38,7 +38,7 @@
     @Override
     public Object runOperation(long index, Object operation) {
         if (operation instanceof Query query) {
-            return query.asked().apply(state);
+            return query.function().apply(state);
         }
         if (!(operation instanceof byte[] entry)) {
             return null; // the start of a term
@@ -47,7 +47,7 @@
         try {
             reply = state.apply(GroupCodec.decodeProposal(entry));
         } catch (IOException | RuntimeException unknown) {
-            fatal.end(
+            fatalErrorHandler.exit(
                     78,
                     "entry "
                             + index
@@ -55,15 +55,15 @@
                             + unknown.getMessage());
             throw new IllegalStateException(unknown);
         }
-        changed.run();
+        changeListener.run();
         return reply;
     }
 
     @Override
     public void takeSnapshot(long index, Consumer<Object> chunks) {
         byte[] all = GroupCodec.encodeSnapshot(state.image());
-        for (int at = 0; at < all.length; at += CHUNK) {
-            chunks.accept(Arrays.copyOfRange(all, at, Math.min(all.length, at + CHUNK)));
+        for (int at = 0; at < all.length; at += SNAPSHOT_CHUNK_BYTES) {
+            chunks.accept(Arrays.copyOfRange(all, at, Math.min(all.length, at + SNAPSHOT_CHUNK_BYTES)));
         }
     }
 
@@ -74,7 +74,7 @@
         try {
             state = new GroupState(GroupCodec.decodeSnapshot(all.toByteArray()));
         } catch (IOException | RuntimeException bad) {
-            fatal.end(
+            fatalErrorHandler.exit(
                     78,
                     "the snapshot at "
                             + index
@@ -82,11 +82,11 @@
                             + bad.getMessage());
             throw new IllegalStateException(bad);
         }
-        changed.run();
+        changeListener.run();
     }
 
     @Override
     public Object getNewTermOperation() {
-        return NewTerm.ENTRY;
+        return NewTermOperation.INSTANCE;
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStatus.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStatus.java
@@ -66,7 +66,7 @@
                 report.getLog().getLastLogOrSnapshotIndex(),
                 report.getLog().getLastSnapshotIndex(),
                 state.featureLevel(),
-                settings.speaks(),
+                settings.supportedFeatureLevel(),
                 state.time().now(),
                 state.time().wallClockTime(),
                 state.leases().size(),
--- a/coordinator/src/main/java/saltstage/coordinator/replica/StalePreVote.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/StalePreVoteRecovery.java
@@ -18,14 +18,14 @@
  * <p>A pre-vote that is under way has no leader, so one beside a leader that has timed out is never
  * alive.
  */
-final class StalePreVote {
-    private StalePreVote() {}
+final class StalePreVoteRecovery {
+    private StalePreVoteRecovery() {}
 
     /**
      * Whether this follower's leader has timed out and a pre-vote of before keeps that from being
      * noticed.
      */
-    private static boolean hidesTimeout(RaftNodeImpl node) {
+    private static boolean isTimeoutHidden(RaftNodeImpl node) {
         RaftState state = node.state();
         return state.role() == RaftRole.FOLLOWER
                 && state.leader() != null
@@ -37,7 +37,7 @@
      * Does what the engine's own check would do without the stale state; on the engine's thread.
      */
     static void recover(RaftNode node) {
-        if (!(node instanceof RaftNodeImpl engine) || !hidesTimeout(engine)) {
+        if (!(node instanceof RaftNodeImpl engine) || !isTimeoutHidden(engine)) {
             return;
         }
         RaftEndpoint lost = engine.state().leader();
--- a/coordinator/src/main/java/saltstage/coordinator/settings/AgentSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/AgentSettings.java
@@ -18,20 +18,20 @@
  */
 public record AgentSettings(
         String region,
-        Map<String, InetSocketAddress> relays,
-        Map<String, InetSocketAddress> nodes,
-        List<String> work) {
+        Map<String, InetSocketAddress> relayAdminAddresses,
+        Map<String, InetSocketAddress> nodeAddresses,
+        List<String> workCommand) {
     /** Reads the block {@code agent} of a file. */
     public static AgentSettings read(Path file) throws MalformedException {
         try {
-            return of(file.toString(), Files.readString(file));
+            return parse(file.toString(), Files.readString(file));
         } catch (IOException e) {
             throw new MalformedException("settings: cannot read " + file);
         }
     }
 
     /** Takes the text of a file that errors shall call by this name. */
-    public static AgentSettings of(String name, String text) throws MalformedException {
+    public static AgentSettings parse(String name, String text) throws MalformedException {
         HclBlock top = HclFile.parse(name, text);
         List<HclBlock> agents = top.blocks("agent");
         if (agents.size() != 1 || agents.get(0).labels().size() != 1) {
@@ -42,18 +42,18 @@
         AgentSettings read =
                 new AgentSettings(
                         agent.labels().get(0),
-                        places(agent, "relay", "admin"),
-                        places(agent, "node", "at"),
+                        readAddresses(agent, "relay", "admin"),
+                        readAddresses(agent, "node", "at"),
                         agent.strings("work"));
         agent.rejectUnknown();
         top.rejectUnknown();
-        if (read.relays().isEmpty() || read.nodes().isEmpty()) {
+        if (read.relayAdminAddresses().isEmpty() || read.nodeAddresses().isEmpty()) {
             throw agent.blockError("names no 'relay' or no 'node'");
         }
         return read;
     }
 
-    private static Map<String, InetSocketAddress> places(HclBlock in, String type, String attribute)
+    private static Map<String, InetSocketAddress> readAddresses(HclBlock in, String type, String attribute)
             throws MalformedException {
         Map<String, InetSocketAddress> places = new LinkedHashMap<>();
         for (HclBlock block : in.blocks(type)) {
--- a/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
@@ -23,27 +23,27 @@
  */
 public final class CoordinatorSettings {
     /** Where a replica is heard: by its peers and by clients. */
-    public record Place(InetSocketAddress peers, InetSocketAddress clients) {}
+    public record MemberAddresses(InetSocketAddress peerAddress, InetSocketAddress clientAddress) {}
 
     private final String group;
     private final Path dir;
-    private final Map<String, Place> members = new LinkedHashMap<>();
-    private final Map<String, InetSocketAddress> reach = new LinkedHashMap<>();
+    private final Map<String, MemberAddresses> members = new LinkedHashMap<>();
+    private final Map<String, InetSocketAddress> peerAddressOverrides = new LinkedHashMap<>();
     private final Map<String, DistributorSettings> distributors = new LinkedHashMap<>();
-    private final double speed;
-    private final int snapshotEvery;
-    private final int mostPending;
-    private final int speaks;
+    private final double engineClockSpeed;
+    private final int snapshotIntervalEntries;
+    private final int maxPendingEntries;
+    private final int supportedFeatureLevel;
     private final double clockRate;
-    private final long wallOff;
+    private final long wallClockOffsetMs;
 
     private CoordinatorSettings(HclBlock block) throws MalformedException {
         group = block.requiredString("group");
         dir = Path.of(block.string("dir", "coordinator-data"));
-        speed = block.integer("speed", 7, 1, 10);
-        snapshotEvery = (int) block.integer("snapshot_every", 10_000, 100, 1_000_000);
-        mostPending = (int) block.integer("most_pending", 4_096, 16, 100_000);
-        speaks =
+        engineClockSpeed = block.integer("speed", 7, 1, 10);
+        snapshotIntervalEntries = (int) block.integer("snapshot_every", 10_000, 100, 1_000_000);
+        maxPendingEntries = (int) block.integer("most_pending", 4_096, 16, 100_000);
+        supportedFeatureLevel =
                 (int)
                         block.integer(
                                 "speaks",
@@ -54,7 +54,7 @@
             if (member.labels().size() != 1) {
                 throw member.blockError("takes one label, the replica's name");
             }
-            Place place = new Place(address(member, "peers"), address(member, "clients"));
+            MemberAddresses place = new MemberAddresses(requiredAddress(member, "peers"), requiredAddress(member, "clients"));
             if (members.put(member.labels().get(0), place) != null) {
                 throw member.blockError("'" + member.labels().get(0) + "' is given twice");
             }
@@ -67,19 +67,19 @@
             if (other.labels().size() != 1) {
                 throw other.blockError("takes one label, the replica's name");
             }
-            reach.put(other.labels().get(0), address(other, "at"));
+            peerAddressOverrides.put(other.labels().get(0), requiredAddress(other, "at"));
             other.rejectUnknown();
         }
         HclBlock trial = block.block("trial");
         clockRate = trial == null ? 1 : trial.integer("clock_percent", 100, 50, 200) / 100.0;
-        wallOff = trial == null ? 0 : trial.integer("wall_off_ms", 0, -7_200_000, 7_200_000);
+        wallClockOffsetMs = trial == null ? 0 : trial.integer("wall_off_ms", 0, -7_200_000, 7_200_000);
         if (trial != null) {
             trial.rejectUnknown();
         }
         block.rejectUnknown();
     }
 
-    private static InetSocketAddress address(HclBlock block, String name)
+    private static InetSocketAddress requiredAddress(HclBlock block, String name)
             throws MalformedException {
         String text = block.requiredString(name);
         try {
@@ -93,7 +93,7 @@
     /** Reads a file; what is wrong with it is said in one line, with file, line and name. */
     public static CoordinatorSettings read(Path file) throws MalformedException {
         try {
-            return of(file.toString(), Files.readString(file));
+            return parse(file.toString(), Files.readString(file));
         } catch (CharacterCodingException e) {
             throw new MalformedException(file + ": not UTF-8 text");
         } catch (IOException e) {
@@ -102,25 +102,25 @@
     }
 
     /** Takes the text of a file that errors shall call by this name. */
-    public static CoordinatorSettings of(String name, String text) throws MalformedException {
+    public static CoordinatorSettings parse(String name, String text) throws MalformedException {
         HclBlock top = HclFile.parse(name, text);
         HclBlock block = top.block("coordinator");
         if (block == null) {
             throw new MalformedException(name + ": no block 'coordinator'");
         }
         CoordinatorSettings read = new CoordinatorSettings(block);
-        read.distributors.putAll(DistributorSettings.all(top));
+        read.distributors.putAll(DistributorSettings.readAll(top));
         top.rejectUnknown();
         return read;
     }
 
     /** The replicas that the file names. */
-    public Map<String, Place> members() {
+    public Map<String, MemberAddresses> members() {
         return members;
     }
 
     /** A distributor that the file names. */
-    public DistributorSettings distributor(String name) throws MalformedException {
+    public DistributorSettings distributorSettings(String name) throws MalformedException {
         DistributorSettings distributor = distributors.get(name);
         if (distributor == null) {
             throw new MalformedException(
@@ -138,9 +138,9 @@
     }
 
     /** How this replica of it is set up; one that joins is heard where it says. */
-    public ReplicaSettings replica(String name, Path otherDir, Place joining)
+    public ReplicaSettings replicaSettings(String name, Path otherDir, MemberAddresses joining)
             throws MalformedException {
-        Place place = joining == null ? members.get(name) : joining;
+        MemberAddresses place = joining == null ? members.get(name) : joining;
         if (place == null) {
             throw new MalformedException(
                     "no member '" + name + "' in the settings; there are " + members.keySet());
@@ -149,10 +149,10 @@
         Map<String, String> clients = new LinkedHashMap<>();
         members.forEach(
                 (other, at) -> {
-                    reached.put(other, at.peers());
-                    clients.put(other, HostPort.format(at.clients()));
+                    reached.put(other, at.peerAddress());
+                    clients.put(other, HostPort.format(at.clientAddress()));
                 });
-        reached.putAll(reach);
+        reached.putAll(peerAddressOverrides);
         List<String> first = new ArrayList<>(members.keySet());
         if (joining != null) { // it belongs to the group only once it was taken in
             first.remove(name);
@@ -161,16 +161,16 @@
                 group,
                 name,
                 first,
-                place.peers(),
-                place.clients(),
+                place.peerAddress(),
+                place.clientAddress(),
                 reached,
                 clients,
                 otherDir == null ? dir.resolve(name) : otherDir,
-                speed,
-                snapshotEvery,
-                mostPending,
-                speaks,
+                engineClockSpeed,
+                snapshotIntervalEntries,
+                maxPendingEntries,
+                supportedFeatureLevel,
                 clockRate,
-                () -> System.currentTimeMillis() + wallOff);
+                () -> System.currentTimeMillis() + wallClockOffsetMs);
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/settings/DistributorSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/DistributorSettings.java
@@ -21,19 +21,19 @@
 public record DistributorSettings(
         String name,
         String zone,
-        InetSocketAddress clients,
-        List<InetSocketAddress> sources,
+        InetSocketAddress listenAddress,
+        List<InetSocketAddress> sourceAddresses,
         Path dir) {
-    private static final String NAME = "[!-~]{1,100}";
+    private static final String NAME_PATTERN = "[!-~]{1,100}";
 
     /** Reads all such blocks, by name. */
-    static Map<String, DistributorSettings> all(HclBlock top) throws MalformedException {
+    static Map<String, DistributorSettings> readAll(HclBlock top) throws MalformedException {
         Map<String, DistributorSettings> distributors = new LinkedHashMap<>();
         for (HclBlock block : top.blocks("distributor")) {
-            if (block.labels().size() != 1 || !block.labels().get(0).matches(NAME)) {
+            if (block.labels().size() != 1 || !block.labels().get(0).matches(NAME_PATTERN)) {
                 throw block.blockError("takes one label, the distributor's name");
             }
-            DistributorSettings read = of(block);
+            DistributorSettings read = readBlock(block);
             block.rejectUnknown();
             if (distributors.put(read.name(), read) != null) {
                 throw block.blockError("'" + read.name() + "' is given twice");
@@ -42,25 +42,25 @@
         return distributors;
     }
 
-    private static DistributorSettings of(HclBlock block) throws MalformedException {
+    private static DistributorSettings readBlock(HclBlock block) throws MalformedException {
         String name = block.labels().get(0);
         String zone = block.requiredString("zone");
-        if (!zone.matches(NAME) || zone.length() > ConfigurationLimits.MAX_ZONE_LENGTH) {
+        if (!zone.matches(NAME_PATTERN) || zone.length() > ConfigurationLimits.MAX_ZONE_LENGTH) {
             throw block.attributeError("zone", "a name without blanks, such as \"a1\"");
         }
         List<InetSocketAddress> sources = new ArrayList<>();
         for (String source : block.strings("sources")) {
-            sources.add(address(block, "sources", source));
+            sources.add(parseAddress(block, "sources", source));
         }
         if (sources.isEmpty()) {
             throw block.blockError("'sources' is missing: the replicas' client addresses");
         }
-        InetSocketAddress clients = address(block, "clients", block.requiredString("clients"));
+        InetSocketAddress clients = parseAddress(block, "clients", block.requiredString("clients"));
         Path dir = Path.of(block.string("dir", "distributor-data")).resolve(name);
         return new DistributorSettings(name, zone, clients, sources, dir);
     }
 
-    private static InetSocketAddress address(HclBlock block, String attribute, String text)
+    private static InetSocketAddress parseAddress(HclBlock block, String attribute, String text)
             throws MalformedException {
         try {
             return BackendList.parseAddress(text);
--- a/coordinator/src/main/java/saltstage/coordinator/settings/FleetSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/FleetSettings.java
@@ -21,14 +21,14 @@
 
 /** What operators have agreed about the fleet, from the block {@code fleet} of a settings file. */
 public final class FleetSettings {
-    private static final List<String> DAYS =
+    private static final List<String> DAY_NAMES =
             List.of("mon", "tue", "wed", "thu", "fri", "sat", "sun");
-    private static final Pattern TIME = Pattern.compile("([01]?\\d|2[0-4]):([0-5]\\d)");
-    private static final long UNIT = 1_000; // a mean connection load, in thousandths
-    private static final long MOST_LOADS = 10_000_000;
+    private static final Pattern TIME_PATTERN = Pattern.compile("([01]?\\d|2[0-4]):([0-5]\\d)");
+    private static final long CAPACITY_UNITS_PER_LOAD = 1_000; // a mean connection load, in thousandths
+    private static final long MAX_LOADS = 10_000_000;
 
     /** So far ahead changes of the clocks are written into the plan; it is set anew long before. */
-    private static final Duration AHEAD = Duration.ofDays(800);
+    private static final Duration ZONE_TRANSITION_HORIZON = Duration.ofDays(800);
 
     private FleetSettings() {}
 
@@ -38,14 +38,14 @@
      */
     public static FleetPlan read(Path file, Instant now) throws MalformedException {
         try {
-            return of(file.toString(), Files.readString(file), now);
+            return parse(file.toString(), Files.readString(file), now);
         } catch (IOException e) {
             throw new MalformedException("settings: cannot read " + file);
         }
     }
 
     /** Takes the text of a file that errors shall call by this name. */
-    public static FleetPlan of(String name, String text, Instant now) throws MalformedException {
+    public static FleetPlan parse(String name, String text, Instant now) throws MalformedException {
         HclBlock top = HclFile.parse(name, text);
         HclBlock fleet = top.block("fleet");
         if (fleet == null) {
@@ -54,11 +54,11 @@
         Map<String, List<FleetPlan.UtcOffsetChange>> zones = new TreeMap<>();
         List<FleetPlan.Region> regions = new ArrayList<>();
         for (HclBlock block : fleet.blocks("region")) {
-            regions.add(region(block, zones, now));
+            regions.add(readRegion(block, zones, now));
         }
         List<FleetPlan.Floor> floors = new ArrayList<>();
         for (HclBlock block : fleet.blocks("floor")) {
-            floors.add(floor(block, zones, now));
+            floors.add(readFloor(block, zones, now));
         }
         FleetPlan plan =
                 new FleetPlan(
@@ -79,21 +79,21 @@
         return plan;
     }
 
-    private static String label(HclBlock block) throws MalformedException {
+    private static String requiredLabel(HclBlock block) throws MalformedException {
         if (block.labels().size() != 1) {
             throw block.blockError("takes one label, its name");
         }
         return block.labels().get(0);
     }
 
-    private static FleetPlan.Region region(
+    private static FleetPlan.Region readRegion(
             HclBlock block, Map<String, List<FleetPlan.UtcOffsetChange>> zones, Instant now)
             throws MalformedException {
         List<FleetPlan.Node> nodes = new ArrayList<>();
         for (HclBlock node : block.blocks("node")) {
             nodes.add(
                     new FleetPlan.Node(
-                            label(node), UNIT * node.integer("capacity", 0, 1, MOST_LOADS)));
+                            requiredLabel(node), CAPACITY_UNITS_PER_LOAD * node.integer("capacity", 0, 1, MAX_LOADS)));
             node.rejectUnknown();
         }
         if (nodes.stream().anyMatch(node -> node.capacity() == 0)) {
@@ -103,26 +103,26 @@
         for (HclBlock out : block.blocks("black_out")) {
             List<Integer> days = new ArrayList<>();
             for (String day : out.strings("days")) {
-                if (!DAYS.contains(day)) {
-                    throw out.attributeError("days", "a list of " + DAYS);
+                if (!DAY_NAMES.contains(day)) {
+                    throw out.attributeError("days", "a list of " + DAY_NAMES);
                 }
-                days.add(1 + DAYS.indexOf(day));
+                days.add(1 + DAY_NAMES.indexOf(day));
             }
             blackOuts.add(
                     new FleetPlan.BlackOut(
                             days.isEmpty() ? List.of(1, 2, 3, 4, 5, 6, 7) : days,
-                            minute(out, "from"),
-                            minute(out, "to")));
+                            readMinuteOfDay(out, "from"),
+                            readMinuteOfDay(out, "to")));
             out.rejectUnknown();
         }
-        String zone = zone(block, zones, now);
-        FleetPlan.Region region = new FleetPlan.Region(label(block), zone, nodes, blackOuts);
+        String zone = readZone(block, zones, now);
+        FleetPlan.Region region = new FleetPlan.Region(requiredLabel(block), zone, nodes, blackOuts);
         block.rejectUnknown();
         return region;
     }
 
-    private static int minute(HclBlock block, String name) throws MalformedException {
-        Matcher time = TIME.matcher(block.requiredString(name));
+    private static int readMinuteOfDay(HclBlock block, String name) throws MalformedException {
+        Matcher time = TIME_PATTERN.matcher(block.requiredString(name));
         if (!time.matches()) {
             throw block.attributeError(name, "a time of day such as \"17:30\"");
         }
@@ -130,18 +130,18 @@
                 1_440, 60 * Integer.parseInt(time.group(1)) + Integer.parseInt(time.group(2)));
     }
 
-    private static FleetPlan.Floor floor(
+    private static FleetPlan.Floor readFloor(
             HclBlock block, Map<String, List<FleetPlan.UtcOffsetChange>> zones, Instant now)
             throws MalformedException {
         List<Long> demand =
-                block.integers("demand", 0, MOST_LOADS).stream().map(d -> d * UNIT).toList();
+                block.integers("demand", 0, MAX_LOADS).stream().map(d -> d * CAPACITY_UNITS_PER_LOAD).toList();
         FleetPlan.Floor floor =
                 new FleetPlan.Floor(
-                        label(block),
+                        requiredLabel(block),
                         block.strings("regions"),
-                        UNIT * block.integer("least", 0, 0, MOST_LOADS),
+                        CAPACITY_UNITS_PER_LOAD * block.integer("least", 0, 0, MAX_LOADS),
                         demand,
-                        zone(block, zones, now));
+                        readZone(block, zones, now));
         if (floor.regions().isEmpty() || !demand.isEmpty() && demand.size() != 24) {
             throw block.blockError(
                     "takes 'regions', and 'demand' as 24 figures, one an hour, if at all");
@@ -150,7 +150,7 @@
         return floor;
     }
 
-    private static String zone(
+    private static String readZone(
             HclBlock block, Map<String, List<FleetPlan.UtcOffsetChange>> zones, Instant now)
             throws MalformedException {
         String name = block.string("zone", "UTC");
@@ -166,7 +166,7 @@
                             new FleetPlan.UtcOffsetChange(
                                     0, rules.getOffset(now).getTotalSeconds() * 1_000L));
                     ZoneOffsetTransition next = rules.nextTransition(now);
-                    while (next != null && next.getInstant().isBefore(now.plus(AHEAD))) {
+                    while (next != null && next.getInstant().isBefore(now.plus(ZONE_TRANSITION_HORIZON))) {
                         shifts.add(
                                 new FleetPlan.UtcOffsetChange(
                                         next.getInstant().toEpochMilli(),
--- a/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
@@ -34,7 +34,7 @@
 
 /** Every call of the API against a group of one replica: statuses, and the names in the JSON. */
 class ApiHandlerTest {
-    private static final int ENGINE_SPEED = 7;
+    private static final int ENGINE_CLOCK_SPEED = 7;
     private static final long TEST_TIMEOUT_SECONDS = 20;
 
     @TempDir static Path dir;
@@ -58,7 +58,7 @@
                         Map.of(),
                         Map.of(),
                         dir,
-                        ENGINE_SPEED,
+                        ENGINE_CLOCK_SPEED,
                         10_000,
                         4_096,
                         3,
@@ -77,7 +77,7 @@
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TEST_TIMEOUT_SECONDS);
         while (get("/v1/leases").status() != 200
                 || get("/v1/status").body().path("level").asInt() < 3
-                || replica.leaderClients() == null) { // it does not know its own member row yet
+                || replica.leaderClientAddress() == null) { // it does not know its own member row yet
             assertTrue(System.nanoTime() < deadline, "no leader at level 3 in time");
             Thread.sleep(50);
         }
@@ -117,12 +117,12 @@
         return send(HttpMethod.POST, uri, body).get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private static String command(String client, int seq, long waitMs, String command) {
+    private static String commandBody(String client, int seq, long waitMs, String command) {
         return "{\"client\":\"%s\",\"seq\":%d,\"waitMs\":%d,\"command\":%s}"
                 .formatted(client, seq, waitMs, command);
     }
 
-    private static String acquire(String name, String owner, boolean queue) {
+    private static String acquireCommand(String name, String owner, boolean queue) {
         return ("{\"op\":\"acquire\",\"name\":\"%s\",\"owner\":\"%s\","
                         + "\"ttlMs\":60000,\"priority\":0,\"queue\":%b}")
                 .formatted(name, owner, queue);
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void unknownCallsAndMethodsAreRefused() throws Exception {
+    void unknownRoutesAndMethodsAreRejected() throws Exception {
         Response unknown = post("/v1/none?x=1", "no JSON");
         assertEquals(404, unknown.status());
         assertEquals("no such call: POST /v1/none", unknown.body().path("error").asText());
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void malformedBodiesAndParametersAreNamed() throws Exception {
+    void malformedBodiesAndParametersAreReported() throws Exception {
         assertBadRequest("the body is no JSON object", post("/v1/do", "[]"));
         assertBadRequest("the body is no JSON object", post("/v1/do", ""));
         Response broken = post("/v1/do", "{");
@@ -165,14 +165,14 @@
     @Test
     void commandsAreCheckedBeforeTheyAreProposed() throws Exception {
         String numbers = "'client' takes a text of up to 100 characters, 'seq' a number from 1 on";
-        String acquire = acquire("checked", "o", false);
-        assertBadRequest(numbers, post("/v1/do", command("c".repeat(101), 1, 0, acquire)));
-        assertBadRequest(numbers, post("/v1/do", command("c", 0, 0, acquire)));
+        String acquire = acquireCommand("checked", "o", false);
+        assertBadRequest(numbers, post("/v1/do", commandBody("c".repeat(101), 1, 0, acquire)));
+        assertBadRequest(numbers, post("/v1/do", commandBody("c", 0, 0, acquire)));
         String notForClients = "'command' takes a command for clients";
         assertBadRequest(
                 notForClients,
-                post("/v1/do", command("c", 1, 0, "{\"op\":\"forget\",\"member\":\"a\"}")));
-        Response unknown = post("/v1/do", command("c", 1, 0, "{\"op\":\"none\"}"));
+                post("/v1/do", commandBody("c", 1, 0, "{\"op\":\"forget\",\"member\":\"a\"}")));
+        Response unknown = post("/v1/do", commandBody("c", 1, 0, "{\"op\":\"none\"}"));
         assertEquals(400, unknown.status());
         assertTrue(unknown.body().path("error").asText().startsWith("'command': "));
         assertEquals(0, get("/v1/leases?prefix=checked").body().path("leases").size());
@@ -180,7 +180,7 @@
 
     @Test
     void leaseIsGrantedListedWatchedAndPassedOn() throws Exception {
-        JsonNode granted = post("/v1/do", command("g1", 1, 0, acquire("p/x", "o1", false))).body();
+        JsonNode granted = post("/v1/do", commandBody("g1", 1, 0, acquireCommand("p/x", "o1", false))).body();
         assertEquals("granted", granted.path("result").asText());
         Response list = get("/v1/leases?prefix=p/&limit=1&stale=1");
         assertEquals(200, list.status());
@@ -189,7 +189,7 @@
         JsonNode lease = get("/v1/lease?name=p/x").body();
         assertTrue(lease.path("groupNow").isIntegralNumber());
         long revision = lease.path("leases").get(0).path("revision").asLong();
-        String waiting = command("g2", 1, 2_000, acquire("p/x", "o2", true));
+        String waiting = commandBody("g2", 1, 2_000, acquireCommand("p/x", "o2", true));
         CompletableFuture<Response> queued = send(HttpMethod.POST, "/v1/do", waiting);
         CompletableFuture<Response> watched =
                 send(HttpMethod.GET, "/v1/lease?name=p/x&waitMs=2000&after=" + revision, "");
@@ -198,12 +198,12 @@
                         .formatted(granted.path("fence").asLong());
         assertEquals(
                 "released",
-                post("/v1/do", command("g1", 2, 0, release)).body().path("what").asText());
+                post("/v1/do", commandBody("g1", 2, 0, release)).body().path("what").asText());
         Response held = queued.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertEquals("held", held.body().path("result").asText(), "it asks again to be granted");
         Response changed = watched.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(changed.body().path("leases").get(0).path("revision").asLong() > revision);
-        String again = command("g2", 2, 0, acquire("p/x", "o2", true));
+        String again = commandBody("g2", 2, 0, acquireCommand("p/x", "o2", true));
         assertEquals("granted", post("/v1/do", again).body().path("result").asText());
     }
 
@@ -229,7 +229,7 @@
     }
 
     @Test
-    void snapshotsAreTakenOnceAndShownWithTheAdvice() throws Exception {
+    void snapshotsAreAcceptedOnceAndShownWithTheAdvice() throws Exception {
         String snapshot =
                 "{\"node\":\"n1\",\"region\":\"r\",\"incarnation\":1,\"seq\":1,\"capacity\":100,"
                         + "\"delayMs\":0.5,\"setupMs\":1.5,\"tenants\":[],\"others\":7}";
@@ -253,14 +253,14 @@
     }
 
     @Test
-    void membersAreToldJoinedAndKept() throws Exception {
+    void membershipRequestsReportTheMemberStateAndRejectAnotherDisk() throws Exception {
         Response status = get("/v1/status");
         assertEquals(200, status.status());
         assertEquals("leader", status.body().path("role").asText());
         assertEquals("a", status.body().path("voters").get(0).asText());
         String self =
                 "{\"name\":\"a\",\"disk\":\"%s\",\"peers\":\"127.0.0.1:1\",\"clients\":\"127.0.0.1:2\"}";
-        Response joined = post("/v1/join", self.formatted(replica.disk()));
+        Response joined = post("/v1/join", self.formatted(replica.diskId()));
         assertEquals("votes", joined.body().path("state").asText());
         Response otherDisk = post("/v1/join", self.formatted("other"));
         assertEquals(400, otherDisk.status());
@@ -282,8 +282,8 @@
     }
 
     @Test
-    void malformedPathsAreBadRequestsAndTakeNoCallForGood() throws Exception {
-        for (int i = 0; i <= ApiHandler.MAX_CONCURRENT_CALLS; i++) {
+    void malformedPathsAreBadRequestsAndDoNotLeakRequestSlots() throws Exception {
+        for (int i = 0; i <= ApiHandler.MAX_CONCURRENT_REQUESTS; i++) {
             assertEquals(400, get("/%zz").status());
         }
         assertEquals(200, get("/v1/leases").status());
--- a/coordinator/src/test/java/saltstage/coordinator/api/RevisionWatchTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/api/RevisionWatchTest.java
@@ -15,73 +15,73 @@
     private static final int WAITERS = 200;
 
     /** A state whose changes are told by hand. */
-    private static final class State implements RevisionWatch.Source {
-        private final List<Runnable> told = new ArrayList<>();
+    private static final class FakeRevisionSource implements RevisionWatch.RevisionSource {
+        private final List<Runnable> listeners = new ArrayList<>();
         private long revision = 5;
-        private int looks;
-        private boolean full;
+        private int revisionReads;
+        private boolean listenersFull;
 
         @Override
-        public boolean onChange(Runnable runnable) {
-            return !full && told.add(runnable);
+        public boolean onNextChange(Runnable runnable) {
+            return !listenersFull && listeners.add(runnable);
         }
 
         @Override
         public CompletableFuture<Long> revision() {
-            looks++;
+            revisionReads++;
             return CompletableFuture.completedFuture(revision);
         }
 
-        void change() {
-            List<Runnable> now = List.copyOf(told);
-            told.clear();
+        void notifyListeners() {
+            List<Runnable> now = List.copyOf(listeners);
+            listeners.clear();
             now.forEach(Runnable::run);
         }
     }
 
-    private final State state = new State();
-    private final RevisionWatch watch = new RevisionWatch(state);
+    private final FakeRevisionSource source = new FakeRevisionSource();
+    private final RevisionWatch watch = new RevisionWatch(source);
 
-    private CompletableFuture<Boolean> waiter(long waitMs) {
-        return watch.movedBeyond(5, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs));
+    private CompletableFuture<Boolean> awaitRevisionAfter5(long waitMs) {
+        return watch.awaitRevisionAfter(5, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs));
     }
 
     @Test
-    void changeOfSomethingElseCostsOneLookForAllAndWakesNobody() {
+    void unrelatedChangeCostsOneReadForAllAndCompletesNoWaiter() {
         List<CompletableFuture<Boolean>> waiters = new ArrayList<>();
         for (int i = 0; i < WAITERS; i++) {
-            waiters.add(waiter(60_000));
+            waiters.add(awaitRevisionAfter5(60_000));
         }
-        int before = state.looks;
+        int before = source.revisionReads;
         for (int tick = 0; tick < 10; tick++) {
-            state.change();
+            source.notifyListeners();
         }
-        assertEquals(10, state.looks - before);
+        assertEquals(10, source.revisionReads - before);
         assertTrue(waiters.stream().noneMatch(CompletableFuture::isDone));
-        state.revision = 6;
-        state.change();
+        source.revision = 6;
+        source.notifyListeners();
         assertTrue(waiters.stream().allMatch(one -> one.getNow(false)));
-        state.change();
-        int after = state.looks;
-        state.change();
-        assertEquals(after, state.looks, "nobody waits, nobody looks");
+        source.notifyListeners();
+        int after = source.revisionReads;
+        source.notifyListeners();
+        assertEquals(after, source.revisionReads, "nobody waits, nobody looks");
     }
 
     @Test
-    void revisionThatMovedJustBeforeTheWaitIsNotMissed() {
-        state.revision = 6;
-        assertTrue(waiter(60_000).getNow(false));
+    void revisionThatAdvancedJustBeforeTheWaitIsNotMissed() {
+        source.revision = 6;
+        assertTrue(awaitRevisionAfter5(60_000).getNow(false));
     }
 
     @Test
-    void waitEndsAtItsDeadlineAlsoWhereNoChangeCanBeTold() throws Exception {
-        assertFalse(waiter(0).get(5, TimeUnit.SECONDS));
-        state.full = true;
-        assertFalse(waiter(20).get(5, TimeUnit.SECONDS));
-        state.full = false;
-        CompletableFuture<Boolean> next = waiter(60_000);
-        state.revision = 6;
-        state.change();
+    void waitEndsAtItsDeadlineEvenIfNoListenerCanBeAdded() throws Exception {
+        assertFalse(awaitRevisionAfter5(0).get(5, TimeUnit.SECONDS));
+        source.listenersFull = true;
+        assertFalse(awaitRevisionAfter5(20).get(5, TimeUnit.SECONDS));
+        source.listenersFull = false;
+        CompletableFuture<Boolean> next = awaitRevisionAfter5(60_000);
+        source.revision = 6;
+        source.notifyListeners();
         assertTrue(next.getNow(false));
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/client/LeaseClientTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/client/LeaseClientTest.java
@@ -12,31 +12,31 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltstage.coordinator.client.ScriptedReplica.Answer;
+import saltstage.coordinator.client.ScriptedReplica.ScriptedResponse;
 
 /** What may happen to the thread that renews leases. */
 @Timeout(30)
 class LeaseClientTest {
     private static final Duration TTL = Duration.ofMillis(800);
-    private static final Duration WAIT = Duration.ofSeconds(5);
+    private static final Duration ACQUIRE_TIMEOUT = Duration.ofSeconds(5);
 
     /** Three spans: what is not renewed is lost by then. */
-    private static final long WATCHED_MS = 2_400;
+    private static final long OBSERVATION_MS = 2_400;
 
-    private final AtomicInteger renewals = new AtomicInteger();
+    private final AtomicInteger renewalCount = new AtomicInteger();
 
     /** Grants and renews all; what a renewal is answered instead, by what it asks for, or null. */
-    private ScriptedReplica replica(Function<JsonNode, Answer> instead) throws Exception {
+    private ScriptedReplica startReplica(Function<JsonNode, ScriptedResponse> instead) throws Exception {
         return new ScriptedReplica(
                 asked -> {
                     JsonNode command = asked.path("command");
                     if (command.path("op").asText().equals("renew")) {
-                        renewals.incrementAndGet();
-                        Answer answer = instead.apply(command);
-                        return answer != null ? answer : renewed(command, List.of());
+                        renewalCount.incrementAndGet();
+                        ScriptedResponse answer = instead.apply(command);
+                        return answer != null ? answer : renewedResponse(command, List.of());
                     }
                     return command.path("op").asText().equals("acquire")
-                            ? new Answer(
+                            ? new ScriptedResponse(
                                     200,
                                     Map.of(
                                             "result",
@@ -47,65 +47,65 @@
                                             7,
                                             "ttlMs",
                                             TTL.toMillis()))
-                            : new Answer(200, Map.of("result", "done", "what", "released"));
+                            : new ScriptedResponse(200, Map.of("result", "done", "what", "released"));
                 });
     }
 
-    private static Answer renewed(JsonNode command, List<String> lost) {
+    private static ScriptedResponse renewedResponse(JsonNode command, List<String> lost) {
         Map<String, Long> ttls = new HashMap<>();
         command.path("fences")
                 .fieldNames()
                 .forEachRemaining(name -> ttls.put(name, TTL.toMillis()));
         ttls.keySet().removeAll(lost);
-        return new Answer(
+        return new ScriptedResponse(
                 200, Map.of("result", "renewed", "ttlMs", ttls, "lost", new ArrayList<>(lost)));
     }
 
-    private static LeaseClient client(ScriptedReplica replica) {
+    private static LeaseClient createClient(ScriptedReplica replica) {
         return new LeaseClient(
-                new GroupClient(List.of(replica.place()), Ticker.SYSTEM),
-                new GroupClient(List.of(replica.place()), Ticker.SYSTEM),
+                new GroupClient(List.of(replica.address()), Ticker.SYSTEM),
+                new GroupClient(List.of(replica.address()), Ticker.SYSTEM),
                 Ticker.SYSTEM,
                 "test");
     }
 
     @Test
-    void renewalThatIsAnsweredAsABadRequestIsFollowedByOthers() throws Exception {
-        Answer bad = new Answer(400, Map.of("error", "scripted"));
-        try (ScriptedReplica replica = replica(command -> renewals.get() == 1 ? bad : null);
-                LeaseClient client = client(replica)) {
-            LeaseClient.Lease lease = client.acquire("a", TTL, WAIT, 0, () -> {});
-            Thread.sleep(WATCHED_MS);
+    void renewalContinuesAfterABadRequestResponse() throws Exception {
+        ScriptedResponse bad = new ScriptedResponse(400, Map.of("error", "scripted"));
+        try (ScriptedReplica replica = startReplica(command -> renewalCount.get() == 1 ? bad : null);
+                LeaseClient client = createClient(replica)) {
+            LeaseClient.Lease lease = client.acquire("a", TTL, ACQUIRE_TIMEOUT, 0, () -> {});
+            Thread.sleep(OBSERVATION_MS);
             assertTrue(
                     !lease.remaining().isZero(),
-                    "the lease is renewed after " + renewals + " renewals");
+                    "the lease is renewed after " + renewalCount + " renewals");
         }
     }
 
     @Test
-    void lossWhoseListenerThrowsLeavesOtherLeasesRenewed() throws Exception {
+    void throwingLossListenerDoesNotStopRenewalOfOtherLeases() throws Exception {
         try (ScriptedReplica replica =
-                        replica(
+                        startReplica(
                                 command ->
                                         command.path("fences").size() == 2
-                                                ? renewed(command, List.of("a"))
+                                                ? renewedResponse(command, List.of("a"))
                                                 : null);
-                LeaseClient client = client(replica)) {
+                LeaseClient client = createClient(replica)) {
             LeaseClient.Lease lost =
                     client.acquire(
                             "a",
                             TTL,
-                            WAIT,
+                            ACQUIRE_TIMEOUT,
                             0,
                             () -> {
                                 throw new IllegalStateException("scripted");
                             });
-            LeaseClient.Lease kept = client.acquire("b", TTL, WAIT, 0, () -> {});
-            Thread.sleep(WATCHED_MS);
+            LeaseClient.Lease kept = client.acquire("b", TTL, ACQUIRE_TIMEOUT, 0, () -> {});
+            Thread.sleep(OBSERVATION_MS);
             assertTrue(lost.remaining().isZero(), "it was lost");
             assertTrue(
                     !kept.remaining().isZero(),
-                    "the other is renewed after " + renewals + " renewals");
+                    "the other is renewed after " + renewalCount + " renewals");
         }
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/client/ScriptedReplica.java
+++ b/coordinator/src/test/java/saltstage/coordinator/client/ScriptedReplica.java
@@ -12,23 +12,23 @@
 /** A replica's front whose answers the test decides. */
 final class ScriptedReplica implements AutoCloseable {
     /** A status and the body that goes with it. */
-    record Answer(int status, Object body) {}
+    record ScriptedResponse(int status, Object body) {}
 
     private final HttpServer server;
 
     /**
      * Answers each call by what the function makes of its body, which is null where there is none.
      */
-    ScriptedReplica(Function<JsonNode, Answer> answers) throws IOException {
+    ScriptedReplica(Function<JsonNode, ScriptedResponse> answers) throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-        server.createContext("/", exchange -> answer(exchange, answers));
+        server.createContext("/", exchange -> respond(exchange, answers));
         server.start();
     }
 
-    private static void answer(HttpExchange exchange, Function<JsonNode, Answer> answers)
+    private static void respond(HttpExchange exchange, Function<JsonNode, ScriptedResponse> answers)
             throws IOException {
         byte[] body = exchange.getRequestBody().readAllBytes();
-        Answer answer =
+        ScriptedResponse answer =
                 answers.apply(body.length == 0 ? null : GroupCodec.jsonMapper().readTree(body));
         byte[] bytes = GroupCodec.jsonMapper().writeValueAsBytes(answer.body());
         exchange.sendResponseHeaders(answer.status(), bytes.length);
@@ -37,7 +37,7 @@
     }
 
     /** Where it takes calls, as HOST:PORT. */
-    String place() {
+    String address() {
         return "127.0.0.1:" + server.getAddress().getPort();
     }
 
--- a/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
@@ -42,18 +42,18 @@
 
 /** The configuration's commands and read API over HTTP, against a group of one replica. */
 class GroupConfigCommandTest {
-    private static final int ENGINE_SPEED = 7;
+    private static final int ENGINE_CLOCK_SPEED = 7;
     private static final long TEST_TIMEOUT_SECONDS = 20;
-    private static final String BACKEND = "address=10.0.0.7:4100,zone=a1";
+    private static final String BACKEND_VALUE = "address=10.0.0.7:4100,zone=a1";
 
     @TempDir Path dir;
 
     private final HttpClient http = HttpClient.newHttpClient();
-    private final InetSocketAddress clients = freeAddress();
+    private final InetSocketAddress clientAddress = freeAddress();
     private Replica replica;
     private HttpListener listener;
-    private String out;
-    private String err;
+    private String capturedOut;
+    private String capturedErr;
 
     private static InetSocketAddress freeAddress() {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -71,11 +71,11 @@
                         "a",
                         List.of("a"),
                         freeAddress(),
-                        clients,
+                        clientAddress,
                         Map.of(),
                         Map.of(),
                         dir,
-                        ENGINE_SPEED,
+                        ENGINE_CLOCK_SPEED,
                         10_000,
                         4_096,
                         GroupState.SUPPORTED_FEATURE_LEVEL,
@@ -90,7 +90,7 @@
                         store,
                         transport,
                         (code, why) -> System.err.println("replica ended: " + code + " " + why));
-        listener = new HttpListener(clients, new ApiHandler(replica));
+        listener = new HttpListener(clientAddress, new ApiHandler(replica));
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TEST_TIMEOUT_SECONDS);
         while (body(get("/v1/status")).path("level").asInt() < ConfigurationCommands.MIN_FEATURE_LEVEL) {
             assertTrue(System.nanoTime() < deadline, "the group's level has not risen in time");
@@ -105,7 +105,7 @@
     }
 
     private URI uri(String path) {
-        return URI.create("http://127.0.0.1:" + clients.getPort() + path);
+        return URI.create("http://127.0.0.1:" + clientAddress.getPort() + path);
     }
 
     private HttpResponse<String> get(String path) throws Exception {
@@ -125,12 +125,12 @@
         return GroupCodec.jsonMapper().readTree(response.body());
     }
 
-    private int run(String... words) {
+    private int runCommand(String... words) {
         String[] all = new String[words.length + 3];
         all[0] = "config";
         System.arraycopy(words, 0, all, 1, words.length);
         all[words.length + 1] = "--at";
-        all[words.length + 2] = "127.0.0.1:" + clients.getPort();
+        all[words.length + 2] = "127.0.0.1:" + clientAddress.getPort();
         PrintStream usualOut = System.out;
         PrintStream usualErr = System.err;
         ByteArrayOutputStream newOut = new ByteArrayOutputStream();
@@ -142,25 +142,25 @@
         } finally {
             System.setOut(usualOut);
             System.setErr(usualErr);
-            out = newOut.toString(StandardCharsets.UTF_8);
-            err = newErr.toString(StandardCharsets.UTF_8);
+            capturedOut = newOut.toString(StandardCharsets.UTF_8);
+            capturedErr = newErr.toString(StandardCharsets.UTF_8);
         }
     }
 
     @Test
-    void entriesArePutReadRefusedAndRolledBack() throws Exception {
-        assertEquals(0, run("put", "backend/gw-1", BACKEND, "shard/t/1", "gw-1"), () -> err);
-        assertEquals("revision 1, 2 changed\n", out);
-        assertEquals(1, run("put", "shard/t/1", "gw-2"));
-        assertTrue(err.contains("shard/t/1: 'gw-2' is not accepted; the identifier"), err);
-        assertEquals(1, run("put", "shard/t/1", "gw-1", "--expect", "shard/t/1=7"));
-        assertTrue(err.contains("it is at revision 1"), err);
+    void entriesArePutReadRejectedAndRolledBack() throws Exception {
+        assertEquals(0, runCommand("put", "backend/gw-1", BACKEND_VALUE, "shard/t/1", "gw-1"), () -> capturedErr);
+        assertEquals("revision 1, 2 changed\n", capturedOut);
+        assertEquals(1, runCommand("put", "shard/t/1", "gw-2"));
+        assertTrue(capturedErr.contains("shard/t/1: 'gw-2' is not accepted; the identifier"), capturedErr);
+        assertEquals(1, runCommand("put", "shard/t/1", "gw-1", "--expect", "shard/t/1=7"));
+        assertTrue(capturedErr.contains("it is at revision 1"), capturedErr);
         Path file = dir.resolve("change.json");
         Files.writeString(
                 file, "{\"mutations\":[{\"key\":\"shard/t/2\",\"shard\":{\"backend\":\"gw-1\"}}]}");
         assertEquals(
                 0,
-                run(
+                runCommand(
                         "put",
                         "--file",
                         file.toString(),
@@ -170,26 +170,26 @@
                         "shard/t/1=1",
                         "--by",
                         "bea"));
-        assertEquals(0, run("get", "shard/"));
-        assertEquals("shard/t/2 gw-1 (revision 2)\n", out);
-        assertEquals(1, run("get", "suspension/"));
-        assertEquals(0, run("history"));
-        assertTrue(out.contains("bea, 2 changed\n  shard/t/1 deleted\n  shard/t/2 gw-1"), out);
-        assertEquals(1, run("rollback", "9"));
-        assertEquals(0, run("rollback", "1"), () -> err);
-        assertEquals(0, run("get", "--json"));
-        SnapshotPage page = ConfigurationJson.parseSnapshotPage(out.trim());
+        assertEquals(0, runCommand("get", "shard/"));
+        assertEquals("shard/t/2 gw-1 (revision 2)\n", capturedOut);
+        assertEquals(1, runCommand("get", "suspension/"));
+        assertEquals(0, runCommand("history"));
+        assertTrue(capturedOut.contains("bea, 2 changed\n  shard/t/1 deleted\n  shard/t/2 gw-1"), capturedOut);
+        assertEquals(1, runCommand("rollback", "9"));
+        assertEquals(0, runCommand("rollback", "1"), () -> capturedErr);
+        assertEquals(0, runCommand("get", "--json"));
+        SnapshotPage page = ConfigurationJson.parseSnapshotPage(capturedOut.trim());
         assertEquals(3, page.revision());
         assertEquals(2, page.entries().size());
-        assertEquals(0, run("rollback", "1"));
-        assertTrue(out.contains("all is as it was"), out);
-        assertEquals(2, run("get", "--none"));
-        assertEquals(1, run("put", "planet/x", "1"));
+        assertEquals(0, runCommand("rollback", "1"));
+        assertTrue(capturedOut.contains("all is as it was"), capturedOut);
+        assertEquals(2, runCommand("get", "--none"));
+        assertEquals(1, runCommand("put", "planet/x", "1"));
     }
 
     @Test
-    void followersAreAnsweredByTheTable() throws Exception {
-        run("put", "backend/gw-1", BACKEND);
+    void followerRequestsGetTheDocumentedStatuses() throws Exception {
+        runCommand("put", "backend/gw-1", BACKEND_VALUE);
         String zero = "0000000000000000";
         HttpResponse<String> first = get("/v1/configuration/changes?after=0&digest=" + zero);
         assertEquals(200, first.statusCode());
@@ -216,7 +216,7 @@
                                                         + digest))
                                 .build(),
                         HttpResponse.BodyHandlers.ofString());
-        run("put", "shard/t/1", "gw-1");
+        runCommand("put", "shard/t/1", "gw-1");
         String woken = waiting.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS).body();
         assertEquals(2, ConfigurationJson.parseChanges(woken).changes().get(0).revision());
     }
@@ -228,8 +228,8 @@
     }
 
     @Test
-    void reportsAreShownAgainstTheRevisionThatIsAskedAbout() throws Exception {
-        run("put", "backend/gw-1", BACKEND);
+    void reportsAreShownForTheRequestedRevision() throws Exception {
+        runCommand("put", "backend/gw-1", BACKEND_VALUE);
         String report =
                 "{\"distributor\":\"d1\",\"zone\":\"a1\",\"revision\":1,\"confirmedByRevision\":"
                         + "{\"1\":190,\"0\":5},\"followers\":195,\"behind\":[{\"follower\":\"r7\","
@@ -240,16 +240,16 @@
         JsonNode status = body(get("/v1/configuration/status"));
         assertEquals(1, status.path("asked").asLong());
         assertEquals(190, status.path("zones").path(0).path("confirmed").asInt());
-        assertEquals(0, run("status"));
-        assertTrue(out.contains("a1 by d1: 190 of 195 have it"), out);
-        assertTrue(out.contains("  r7 is at 0, behind for "), out);
+        assertEquals(0, runCommand("status"));
+        assertTrue(capturedOut.contains("a1 by d1: 190 of 195 have it"), capturedOut);
+        assertTrue(capturedOut.contains("  r7 is at 0, behind for "), capturedOut);
     }
 
     @Test
     void watchPrintsEachChangeAndNoGroupIsExitCode69() throws Exception {
-        run("put", "backend/gw-1", BACKEND);
+        runCommand("put", "backend/gw-1", BACKEND_VALUE);
         CompletableFuture<Integer> watched =
-                CompletableFuture.supplyAsync(() -> run("watch", "--changes", "1"));
+                CompletableFuture.supplyAsync(() -> runCommand("watch", "--changes", "1"));
         Thread.sleep(500);
         String change =
                 "{\"client\":\"w\",\"seq\":%d,\"command\":{\"op\":\"change-configuration\",\"author\":"
@@ -260,7 +260,7 @@
             Thread.sleep(100);
         }
         assertEquals(0, watched.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS));
-        assertTrue(out.matches("revision \\d+\n  shard/t/\\d+ gw-1\n"), out);
+        assertTrue(capturedOut.matches("revision \\d+\n  shard/t/\\d+ gw-1\n"), capturedOut);
         String nowhere = "127.0.0.1:" + freeAddress().getPort();
         assertEquals(
                 ExitCode.UNREACHABLE,
--- a/coordinator/src/test/java/saltstage/coordinator/command/LauncherTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/command/LauncherTest.java
@@ -34,7 +34,7 @@
         "serve --settings f, saltstage",
         "check put --at, saltstage",
     })
-    void commandReachesItsProgramWithAllOfItsWords(String words, String jar) throws Exception {
+    void commandIsRoutedToItsProgramWithAllArguments(String words, String jar) throws Exception {
         Path script = home.resolve("bin/saltstage");
         Files.createDirectories(script.getParent());
         Files.copy(Path.of("..", "bin", "saltstage"), script);
--- a/coordinator/src/test/java/saltstage/coordinator/replica/LogStoreTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/replica/LogStoreTest.java
@@ -29,7 +29,7 @@
 /** What a replica finds again after a start is what the engine was promised, and nothing else. */
 class LogStoreTest {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
-    private static final Member A = new Member("a");
+    private static final Member MEMBER_A = new Member("a");
 
     @TempDir Path dir;
 
@@ -42,7 +42,7 @@
     }
 
     private static RaftGroupMembersView members() {
-        return RaftCodec.view(new RaftCodec.Members(0, List.of("a", "b"), List.of("a", "b")));
+        return RaftCodec.toMembersView(new RaftCodec.Members(0, List.of("a", "b"), List.of("a", "b")));
     }
 
     private static SnapshotChunk chunk(long index, int at, int of) {
@@ -60,7 +60,7 @@
         return Store.open(new FileDisk(dir), StoreOptions.defaults(), StoreEventListener.NONE);
     }
 
-    private static LogStore begun(Store store) throws IOException {
+    private static LogStore newLog(Store store) throws IOException {
         LogStore log = new LogStore(store, why -> {});
         log.persistAndFlushLocalEndpoint(
                 MODEL.createRaftEndpointPersistentStateBuilder()
@@ -76,7 +76,7 @@
         return log;
     }
 
-    private RestoredRaftState restored() throws IOException {
+    private RestoredRaftState reopenAndRestore() throws IOException {
         try (Store store = open()) {
             return new LogStore(store, why -> {}).restore();
         }
@@ -87,14 +87,14 @@
     }
 
     @Test
-    void nothingWasKept() throws IOException {
-        assertNull(restored());
+    void emptyStoreRestoresNothing() throws IOException {
+        assertNull(reopenAndRestore());
     }
 
     @Test
-    void flushedEntriesVoteAndTermAreThereAndTruncatedOnesAreNot() throws IOException {
+    void flushedEntriesVoteAndTermAreRestoredAndTruncatedOnesAreNot() throws IOException {
         try (Store store = open()) {
-            LogStore log = begun(store);
+            LogStore log = newLog(store);
             log.persistLogEntries(List.of(entry(1, 1), entry(2, 1), entry(3, 1)));
             log.flush();
             log.truncateLogEntriesFrom(2);
@@ -102,7 +102,7 @@
             log.flush();
             log.persistLogEntries(List.of(entry(3, 3))); // never flushed: it was promised to nobody
         }
-        RestoredRaftState state = restored();
+        RestoredRaftState state = reopenAndRestore();
         assertEquals(List.of(1L, 2L), indices(state));
         assertEquals(3, state.getLogEntries().get(1).getTerm());
         assertArrayEquals(new byte[] {2, 3}, (byte[]) state.getLogEntries().get(1).getOperation());
@@ -111,9 +111,9 @@
     }
 
     @Test
-    void wholeSnapshotCountsAndHalfAOneDoesNot() throws IOException {
+    void completeSnapshotIsRestoredAndPartialOneIsIgnored() throws IOException {
         try (Store store = open()) {
-            LogStore log = begun(store);
+            LogStore log = newLog(store);
             log.persistLogEntries(LongStream.rangeClosed(1, 9).mapToObj(i -> entry(i, 2)).toList());
             log.persistSnapshotChunk(chunk(5, 0, 2));
             log.persistSnapshotChunk(chunk(5, 1, 2));
@@ -121,28 +121,28 @@
             log.truncateLogEntriesUntil(3);
             log.flush();
         }
-        RestoredRaftState state = restored();
+        RestoredRaftState state = reopenAndRestore();
         assertEquals(5, state.getSnapshotEntry().getIndex());
         assertEquals(2, state.getSnapshotEntry().getSnapshotChunkCount());
         assertEquals(List.of(6L, 7L, 8L, 9L), indices(state));
     }
 
     @Test
-    void logWithAHoleIsRefused() throws IOException {
+    void logWithAMissingEntryIsRejected() throws IOException {
         try (Store store = open()) {
-            LogStore log = begun(store);
+            LogStore log = newLog(store);
             log.persistLogEntries(List.of(entry(1, 1), entry(2, 1), entry(4, 1)));
             log.flush();
         }
-        assertThrows(IOException.class, this::restored);
+        assertThrows(IOException.class, this::reopenAndRestore);
     }
 
     @Test
-    void diskOfAnotherMemberIsRefused() throws IOException {
+    void diskOfAnotherMemberIsRejected() throws IOException {
         try (Store store = open()) {
-            Identity.of(store, settings("a"));
-            assertEquals("a", Identity.of(store, settings("a")).member());
-            assertThrows(IOException.class, () -> Identity.of(store, settings("b")));
+            Identity.loadOrCreate(store, settings("a"));
+            assertEquals("a", Identity.loadOrCreate(store, settings("a")).member());
+            assertThrows(IOException.class, () -> Identity.loadOrCreate(store, settings("b")));
         }
     }
 
@@ -168,7 +168,7 @@
         return List.of(
                 MODEL.createAppendEntriesRequestBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(MEMBER_A)
                         .setTerm(7)
                         .setPreviousLogTerm(6)
                         .setPreviousLogIndex(5)
@@ -179,14 +179,14 @@
                                         MODEL.createLogEntryBuilder()
                                                 .setIndex(7)
                                                 .setTerm(7)
-                                                .setOperation(NewTerm.ENTRY)
+                                                .setOperation(NewTermOperation.INSTANCE)
                                                 .build()))
                         .setQuerySequenceNumber(3)
                         .setFlowControlSequenceNumber(2)
                         .build(),
                 MODEL.createAppendEntriesSuccessResponseBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(MEMBER_A)
                         .setTerm(7)
                         .setLastLogIndex(9)
                         .setQuerySequenceNumber(3)
@@ -194,7 +194,7 @@
                         .build(),
                 MODEL.createAppendEntriesFailureResponseBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(MEMBER_A)
                         .setTerm(7)
                         .setExpectedNextIndex(9)
                         .setQuerySequenceNumber(3)
@@ -206,7 +206,7 @@
         return List.of(
                 MODEL.createInstallSnapshotRequestBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(MEMBER_A)
                         .setTerm(7)
                         .setSenderLeader(true)
                         .setSnapshotTerm(6)
@@ -220,7 +220,7 @@
                         .build(),
                 MODEL.createInstallSnapshotResponseBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(MEMBER_A)
                         .setTerm(7)
                         .setSnapshotIndex(5)
                         .setRequestedSnapshotChunkIndex(1)
@@ -233,14 +233,14 @@
         return List.of(
                 MODEL.createPreVoteRequestBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(MEMBER_A)
                         .setTerm(7)
                         .setLastLogTerm(6)
                         .setLastLogIndex(5)
                         .build(),
                 MODEL.createPreVoteResponseBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(MEMBER_A)
                         .setTerm(7)
                         .setGranted(true)
                         .build());
@@ -250,7 +250,7 @@
         return List.of(
                 MODEL.createVoteRequestBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(MEMBER_A)
                         .setTerm(7)
                         .setLastLogTerm(6)
                         .setLastLogIndex(5)
@@ -258,13 +258,13 @@
                         .build(),
                 MODEL.createVoteResponseBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(MEMBER_A)
                         .setTerm(7)
                         .setGranted(true)
                         .build(),
                 MODEL.createTriggerLeaderElectionRequestBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(MEMBER_A)
                         .setTerm(7)
                         .setLastLogTerm(6)
                         .setLastLogIndex(5)
@@ -272,7 +272,7 @@
     }
 
     @Test
-    void everyMessageComesBackAsItWas() throws IOException {
+    void everyMessageIsUnchangedAfterEncodingAndDecoding() throws IOException {
         RaftCodec codec = new RaftCodec("g");
         List<RaftMessage> all = new ArrayList<>();
         all.addAll(appendMessages());
@@ -281,9 +281,9 @@
         all.addAll(voteMessages());
         assertEquals(10, all.size());
         for (RaftMessage message : all) {
-            RaftMessage back = codec.message(codec.bytes(message));
+            RaftMessage back = codec.decode(codec.encode(message));
             assertEquals(message.getClass(), back.getClass());
-            assertArrayEquals(codec.bytes(message), codec.bytes(back));
+            assertArrayEquals(codec.encode(message), codec.encode(back));
             assertEquals(
                     message.toString().replaceAll("\\[B@\\w+", ""),
                     back.toString().replaceAll("\\[B@\\w+", ""));
@@ -294,13 +294,13 @@
      * Whatever a peer sends: a message, or an IOException that ends its link; never another fault.
      */
     @Property(tries = 2_000)
-    void bytesThatAreNoMessageAreRefused(@ForAll byte[] noise, @ForAll long seed) {
+    void invalidBytesAreRejectedWithAnIoException(@ForAll byte[] noise, @ForAll long seed) {
         RaftCodec codec = new RaftCodec("g");
         byte[] sound =
-                codec.bytes(
+                codec.encode(
                         MODEL.createVoteRequestBuilder()
                                 .setGroupId("g")
-                                .setSender(A)
+                                .setSender(MEMBER_A)
                                 .setTerm(7)
                                 .setLastLogTerm(6)
                                 .setLastLogIndex(5)
@@ -312,7 +312,7 @@
         }
         for (byte[] bytes : List.of(noise, sound)) {
             try {
-                codec.message(bytes);
+                codec.decode(bytes);
             } catch (IOException refused) { // the only way out but a message
                 continue;
             }
--- a/coordinator/src/test/java/saltstage/coordinator/replica/PeerLinksTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/replica/PeerLinksTest.java
@@ -16,10 +16,10 @@
 
 /** When a link tries to connect; the test runs what is due. */
 class PeerLinksTest {
-    private static final InetSocketAddress PEER = new InetSocketAddress("127.0.0.1", 7_001);
+    private static final InetSocketAddress PEER_ADDRESS = new InetSocketAddress("127.0.0.1", 7_001);
 
-    private final Queue<Runnable> due = new ArrayDeque<>();
-    private final List<InetSocketAddress> connects = new ArrayList<>();
+    private final Queue<Runnable> scheduledTasks = new ArrayDeque<>();
+    private final List<InetSocketAddress> connectAttempts = new ArrayList<>();
 
     /** Does things at once; what throws ends alone, as on the loops of the transport in use. */
     private final class ScriptedLoop implements Loop {
@@ -39,8 +39,8 @@
 
         @Override
         public Timer schedule(Duration delay, Runnable task) {
-            due.add(task);
-            return () -> due.remove(task);
+            scheduledTasks.add(task);
+            return () -> scheduledTasks.remove(task);
         }
     }
 
@@ -63,7 +63,7 @@
                 Duration limit,
                 Connection.WriteLimits bounds,
                 ConnectListener connecting) {
-            connects.add(to);
+            connectAttempts.add(to);
         }
 
         @Override
@@ -73,11 +73,11 @@
 
         @Override
         public void close() {
-            due.clear();
+            scheduledTasks.clear();
         }
     }
 
-    private PeerLinks links(Function<String, InetSocketAddress> addresses) {
+    private PeerLinks createLinks(Function<String, InetSocketAddress> addresses) {
         PeerLinks.Hello self = new PeerLinks.Hello("group", "a", "disk", "process", 1, "", "");
         return new PeerLinks(
                 new ScriptedTransport(),
@@ -92,32 +92,32 @@
     void peerWhoseAddressCannotBeReadIsLookedUpAgain() {
         List<String> asked = new ArrayList<>();
         PeerLinks links =
-                links(
+                createLinks(
                         peer -> {
                             asked.add(peer);
                             if (asked.size() == 1) {
                                 throw new IllegalArgumentException("an address without a port");
                             }
-                            return PEER;
+                            return PEER_ADDRESS;
                         });
-        links.keep("b");
+        links.ensureLink("b");
         assertEquals(1, asked.size());
-        assertEquals(1, due.size(), "another try is due");
-        due.remove().run();
-        assertEquals(List.of(PEER), connects);
+        assertEquals(1, scheduledTasks.size(), "another try is due");
+        scheduledTasks.remove().run();
+        assertEquals(List.of(PEER_ADDRESS), connectAttempts);
     }
 
     @Test
     void peerWhoseAddressIsNotKnownYetIsLookedUpAgain() {
         List<String> asked = new ArrayList<>();
         PeerLinks links =
-                links(
+                createLinks(
                         peer -> {
                             asked.add(peer);
-                            return asked.size() == 1 ? null : PEER;
+                            return asked.size() == 1 ? null : PEER_ADDRESS;
                         });
-        links.keep("b");
-        due.remove().run();
-        assertEquals(List.of(PEER), connects);
+        links.ensureLink("b");
+        scheduledTasks.remove().run();
+        assertEquals(List.of(PEER_ADDRESS), connectAttempts);
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/settings/DistributorSettingsTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/settings/DistributorSettingsTest.java
@@ -12,31 +12,31 @@
 
 /** Blocks {@code distributor} of the settings file. */
 class DistributorSettingsTest {
-    private static final String GROUP =
+    private static final String GROUP_BLOCK =
             "coordinator {\n  group = \"g\"\n  member \"r1\" {\n    peers = \"127.0.0.1:7101\"\n"
                     + "    clients = \"127.0.0.1:7201\"\n  }\n}\n";
-    private static final String DISTRIBUTOR =
+    private static final String DISTRIBUTOR_BLOCK =
             "distributor \"d-a1\" {\n  zone = \"a1\"\n  clients = \"127.0.0.1:7301\"\n"
                     + "  sources = [\"127.0.0.1:7201\"]\n}\n";
 
-    private static CoordinatorSettings read(String text) throws MalformedException {
-        return CoordinatorSettings.of("f.hcl", text);
+    private static CoordinatorSettings parse(String text) throws MalformedException {
+        return CoordinatorSettings.parse("f.hcl", text);
     }
 
     @Test
-    void distributorStandsBesideTheGroup() throws Exception {
-        DistributorSettings read = read(GROUP + DISTRIBUTOR).distributor("d-a1");
+    void distributorIsReadFromTheGroupsFile() throws Exception {
+        DistributorSettings read = parse(GROUP_BLOCK + DISTRIBUTOR_BLOCK).distributorSettings("d-a1");
         assertEquals("a1", read.zone());
-        assertEquals(7301, read.clients().getPort());
-        assertEquals(1, read.sources().size());
+        assertEquals(7301, read.listenAddress().getPort());
+        assertEquals(1, read.sourceAddresses().size());
         assertEquals(Path.of("distributor-data", "d-a1"), read.dir());
-        assertThrows(MalformedException.class, () -> read(GROUP).distributor("d-a1"));
+        assertThrows(MalformedException.class, () -> parse(GROUP_BLOCK).distributorSettings("d-a1"));
     }
 
     @Test
-    void shippedFileShowsBoth() throws Exception {
+    void exampleFileIsValid() throws Exception {
         Path shipped = Path.of("..", "deploy", "coordinator.hcl");
-        assertEquals(3, CoordinatorSettings.read(shipped).distributor("d-a2").sources().size());
+        assertEquals(3, CoordinatorSettings.read(shipped).distributorSettings("d-a2").sourceAddresses().size());
     }
 
     @ParameterizedTest
@@ -50,9 +50,9 @@
                 "zone = \"a1\"                   | zones = \"a1\"           | zone",
                 "distributor \"d-a1\"            | distributor              | name",
             })
-    void whatIsWrongIsNamed(String sound, String wrong, String named) {
-        String text = GROUP + DISTRIBUTOR.replace(sound.trim(), wrong.trim());
-        MalformedException refused = assertThrows(MalformedException.class, () -> read(text));
+    void errorNamesFileAndSetting(String sound, String wrong, String named) {
+        String text = GROUP_BLOCK + DISTRIBUTOR_BLOCK.replace(sound.trim(), wrong.trim());
+        MalformedException refused = assertThrows(MalformedException.class, () -> parse(text));
         assertTrue(refused.getMessage().contains(named.trim()), refused.getMessage());
         assertTrue(refused.getMessage().startsWith("f.hcl:"), refused.getMessage());
     }
--- a/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
+++ b/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
@@ -255,7 +255,7 @@
                     new GroupClient(List.of(hosts.get(name) + ":" + CLIENT_PORT), Ticker.SYSTEM);
             JsonNode status = one.get("/v1/status", STATUS);
             return status.path("role").asText().equals("leader");
-        } catch (GroupClient.Unreachable down) {
+        } catch (GroupClient.GroupUnreachableException down) {
             return false;
         }
     }
--- a/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
@@ -99,7 +99,7 @@
         Reply agreed = null;
         for (int i = 0; i < 100 && !(agreed instanceof Acknowledgement); i++) {
             agreed = client.send(new WindowCommands.SetFleet(
-                FleetSettings.of("fleet", fleet.toString(), Instant.now()), "demo"), CALL).reply();
+                FleetSettings.parse("fleet", fleet.toString(), Instant.now()), "demo"), CALL).reply();
             Thread.sleep(100);
         }
         Thread.sleep(2_000); // clients come
--- a/lab/src/main/java/saltstage/lab/trial/GroupUnderTest.java
+++ b/lab/src/main/java/saltstage/lab/trial/GroupUnderTest.java
@@ -140,7 +140,7 @@
                     if (status.path("role").asText().equals("leader")) {
                         return name;
                     }
-                } catch (GroupClient.Unreachable gone) {
+                } catch (GroupClient.GroupUnreachableException gone) {
                     continue;
                 }
             }
--- a/lab/src/main/java/saltstage/lab/trial/WindowTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/WindowTrial.java
@@ -76,7 +76,7 @@
         Reply agreed = null;
         for (int i = 0; i < 100 && !(agreed instanceof saltstage.coordinator.model.Acknowledgement); i++) {
             try {
-                agreed = client.send(new WindowCommands.SetFleet(FleetSettings.of("fleet.hcl", fleet,
+                agreed = client.send(new WindowCommands.SetFleet(FleetSettings.parse("fleet.hcl", fleet,
                     Instant.now()), "trial"), CALL).reply(); // until every voter was heard to know windows
             } catch (MalformedException bad) {
                 throw new IOException(bad);
--- a/lab/src/main/java/saltstage/lab/trial/WorkerCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/WorkerCommand.java
@@ -48,22 +48,22 @@
                     Socket socket = new Socket("127.0.0.1", witness)) {
                 socket.setTcpNoDelay(true);
                 act(socket, lease, 10 + drawn.nextInt(150), drawn);
-            } catch (LeaseClient.NotGranted | LeaseClient.Lost | IOException again) {
+            } catch (LeaseClient.LeaseNotGrantedException | LeaseClient.LeaseLostException | IOException again) {
                 System.out.println(again.getMessage());
             }
         }
     }
 
     private void act(Socket socket, LeaseClient.Lease lease, int times, Random drawn)
-            throws IOException, LeaseClient.Lost, InterruptedException {
+            throws IOException, LeaseClient.LeaseLostException, InterruptedException {
         BufferedReader in = new BufferedReader(
             new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         for (int i = 0; i < times; i++) {
             lease.checkStillHeld();
-            socket.getOutputStream().write((name + "-" + ProcessHandle.current().pid() + " " + lease.fence()
+            socket.getOutputStream().write((name + "-" + ProcessHandle.current().pid() + " " + lease.fencingToken()
                 + "\n").getBytes(StandardCharsets.US_ASCII));
             if (!"ok".equals(in.readLine())) {
-                System.out.println("refused by its fence: " + lease.fence());
+                System.out.println("refused by its fence: " + lease.fencingToken());
                 return;
             }
             Thread.sleep(2 + drawn.nextInt(12));
--- a/lab/src/test/java/saltstage/lab/trial/GroupTest.java
+++ b/lab/src/test/java/saltstage/lab/trial/GroupTest.java
@@ -163,7 +163,7 @@
     }
 
     private static void assertUnreachable(Executable call) {
-        assertThrows(GroupClient.Unreachable.class, call);
+        assertThrows(GroupClient.GroupUnreachableException.class, call);
     }
 
     @Test
