--- a/coordinator/src/main/java/saltstage/coordinator/agent/Agent.java
+++ b/coordinator/src/main/java/saltstage/coordinator/agent/Agent.java
@@ -59,7 +59,8 @@
     public void run() throws InterruptedException {
         while (true) {
             String name = WindowCommands.leaseName(settings.region());
-            try (LeaseClient.Lease lease = leaseClient.acquire(name, LEASE_TTL, LEASE_WAIT, 0, this::stopWork)) {
+            try (LeaseClient.Lease lease =
+                    leaseClient.acquire(name, LEASE_TTL, LEASE_WAIT, 0, this::stopWork)) {
                 Log.info("agent.holds", "region", settings.region(), "fence", lease.fencingToken());
                 reportedLoss = -1;
                 carryOutWindows(lease);
@@ -80,7 +81,8 @@
         workFailuresByWindow.clear();
     }
 
-    private void carryOutWindows(LeaseClient.Lease lease) throws LeaseClient.LeaseLostException, InterruptedException {
+    private void carryOutWindows(LeaseClient.Lease lease)
+            throws LeaseClient.LeaseLostException, InterruptedException {
         while (true) {
             lease.checkStillHeld();
             try {
@@ -121,11 +123,14 @@
         switch (window.state()) {
             case PLANNED -> {
                 if (window.start() <= plans.day()) {
-                    sendCommand(new WindowCommands.Begin(id, leaseClient.owner(), lease.fencingToken()), lease);
+                    sendCommand(
+                            new WindowCommands.Begin(id, leaseClient.owner(), lease.fencingToken()),
+                            lease);
                 }
             }
             case DRAINING -> {
-                if (setSuspendedOnAllRelays(window, true, lease) && inState >= window.wish().drainMs()) {
+                if (setSuspendedOnAllRelays(window, true, lease)
+                        && inState >= window.wish().drainMs()) {
                     reportStep(id, Step.OUT, 0, lease);
                 }
             }
@@ -154,7 +159,10 @@
     private void reportStep(long id, Step step, long proven, LeaseClient.Lease lease)
             throws LeaseClient.LeaseLostException, GroupUnreachableException, InterruptedException {
         Log.info("agent.step", "window", id, "step", step, "proven", proven);
-        sendCommand(new WindowCommands.Report(id, leaseClient.owner(), lease.fencingToken(), step, proven), lease);
+        sendCommand(
+                new WindowCommands.Report(
+                        id, leaseClient.owner(), lease.fencingToken(), step, proven),
+                lease);
     }
 
     /** Each relay has said so of each node, now. */
@@ -183,7 +191,8 @@
      * Whether what is to be done at the nodes is done: the command has ended well, or the time is
      * over.
      */
-    private synchronized boolean startOrCheckWork(Window window, long inState, LeaseClient.Lease lease) {
+    private synchronized boolean startOrCheckWork(
+            Window window, long inState, LeaseClient.Lease lease) {
         if (settings.workCommand().isEmpty()) {
             return inState >= window.wish().workMs();
         }
@@ -229,7 +238,8 @@
      */
     private void advanceWarmUp(Window window, Plans plans, long inState, LeaseClient.Lease lease)
             throws LeaseClient.LeaseLostException, GroupUnreachableException, InterruptedException {
-        if (!setSuspendedOnAllRelays(window, false, lease) || countAnsweringNodes(window) < window.wish().nodes().size()) {
+        if (!setSuspendedOnAllRelays(window, false, lease)
+                || countAnsweringNodes(window) < window.wish().nodes().size()) {
             return;
         }
         long warmMs = window.wish().warmMs();
@@ -263,7 +273,10 @@
                         || at == null) {
                     continue;
                 }
-                int looks = RelayClient.isAnswering(at) ? 0 : failedPingsByNode.getOrDefault(node.id(), 0) + 1;
+                int looks =
+                        RelayClient.isAnswering(at)
+                                ? 0
+                                : failedPingsByNode.getOrDefault(node.id(), 0) + 1;
                 failedPingsByNode.put(node.id(), looks);
                 lost += looks >= FAILED_PINGS_UNTIL_MISSING ? node.capacity() : 0;
             }
@@ -271,7 +284,10 @@
         if (lost != reportedLoss
                 && sendCommand(
                                 new WindowCommands.Outage(
-                                        settings.region(), lost, leaseClient.owner(), lease.fencingToken()),
+                                        settings.region(),
+                                        lost,
+                                        leaseClient.owner(),
+                                        lease.fencingToken()),
                                 lease)
                         instanceof saltstage.coordinator.model.Acknowledgement) {
             Log.info("agent.missing", "region", settings.region(), "lost", lost);
--- a/coordinator/src/main/java/saltstage/coordinator/api/AdviceRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/AdviceRoutes.java
@@ -48,7 +48,8 @@
                     state.advice().image(),
                     snapshots.views(nowMs()),
                     state.advice().recentMoves(state.time().now()),
-                    state.windows().nodesToAvoid(state.time().wallClockTime(), MAINTENANCE_LOOKAHEAD_MS));
+                    state.windows()
+                            .nodesToAvoid(state.time().wallClockTime(), MAINTENANCE_LOOKAHEAD_MS));
         }
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/api/ConfigurationRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ConfigurationRoutes.java
@@ -95,7 +95,9 @@
         int most = ConfigurationLimits.MAX_CHANGES_PER_RESPONSE;
         int limit = (int) request.integerParameter("limit", most, most);
         long waitMs = Math.min(MAX_WAIT_MS, request.integerParameter("waitMs", 0, MAX_REVISION));
-        return readOrAwaitChanges(new ChangesQuery(revision, digest, limit, StateChanges.deadlineNanos(waitMs)))
+        return readOrAwaitChanges(
+                        new ChangesQuery(
+                                revision, digest, limit, StateChanges.deadlineNanos(waitMs)))
                 .thenApplyAsync(ConfigurationRoutes::toResponse);
     }
 
@@ -120,7 +122,8 @@
                                         : CompletableFuture.completedFuture(read));
     }
 
-    private static ChangesResult readChanges(ConfigurationRegistry configuration, ChangesQuery poll) {
+    private static ChangesResult readChanges(
+            ConfigurationRegistry configuration, ChangesQuery poll) {
         return new ChangesResult(
                 configuration.changesAfter(poll.revision(), poll.digest(), poll.limit()),
                 configuration.revision(),
@@ -128,9 +131,13 @@
     }
 
     private CompletableFuture<ChangesResult> awaitChanges(ChangesQuery poll, ChangesResult empty) {
-        return revisionWatch.awaitRevisionAfter(poll.revision(), poll.deadlineNanos())
+        return revisionWatch
+                .awaitRevisionAfter(poll.revision(), poll.deadlineNanos())
                 .thenCompose(
-                        moved -> moved ? readOrAwaitChanges(poll) : CompletableFuture.completedFuture(empty));
+                        moved ->
+                                moved
+                                        ? readOrAwaitChanges(poll)
+                                        : CompletableFuture.completedFuture(empty));
     }
 
     private static ApiResponse toResponse(ChangesResult read) {
@@ -142,11 +149,13 @@
         return switch ((ChangeHistory.Failure) read.answer()) {
             case DIVERGED -> errorResponse(CONFLICT, ErrorResponse.DIVERGED, read.revision(), 0);
             case TRUNCATED -> errorResponse(GONE, ErrorResponse.TRUNCATED, read.revision(), 0);
-            case BEHIND -> errorResponse(MISDIRECTED_REQUEST, ErrorResponse.BEHIND, read.revision(), 0);
+            case BEHIND ->
+                    errorResponse(MISDIRECTED_REQUEST, ErrorResponse.BEHIND, read.revision(), 0);
         };
     }
 
-    private static ApiResponse errorResponse(int status, String error, long revision, long retryMs) {
+    private static ApiResponse errorResponse(
+            int status, String error, long revision, long retryMs) {
         ErrorResponse body = new ErrorResponse(error, revision, retryMs);
         return new ApiResponse(status, new RawJson(ConfigurationJson.toJson(body)));
     }
--- a/coordinator/src/main/java/saltstage/coordinator/api/HttpListener.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/HttpListener.java
@@ -65,7 +65,8 @@
                                             return;
                                         }
                                         child.closeFuture()
-                                                .addListener(over -> connectionCount.decrementAndGet());
+                                                .addListener(
+                                                        over -> connectionCount.decrementAndGet());
                                         child.config().setTcpNoDelay(true);
                                         child.pipeline()
                                                 .addLast(
--- a/coordinator/src/main/java/saltstage/coordinator/api/LeaseRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/LeaseRoutes.java
@@ -55,7 +55,8 @@
     }
 
     /** The lease once its revision is another one than {@code after}, or at the deadline. */
-    private CompletableFuture<LeaseList> readOnceChanged(String name, long after, long deadlineNanos) {
+    private CompletableFuture<LeaseList> readOnceChanged(
+            String name, long after, long deadlineNanos) {
         return replica.read(state -> findLease(state, name), false)
                 .thenCompose(
                         read ->
--- a/coordinator/src/main/java/saltstage/coordinator/client/GroupClient.java
+++ b/coordinator/src/main/java/saltstage/coordinator/client/GroupClient.java
@@ -89,7 +89,8 @@
                             .put("seq", sequenceNumber)
                             .put("waitMs", wait.toMillis());
             body.set("command", GroupCodec.jsonMapper().valueToTree(command));
-            JsonNode answer = call("POST", "/v1/do", body.toString(), until, ATTEMPT_TIMEOUT.plus(wait));
+            JsonNode answer =
+                    call("POST", "/v1/do", body.toString(), until, ATTEMPT_TIMEOUT.plus(wait));
             Reply reply;
             try {
                 reply = GroupCodec.jsonMapper().treeToValue(answer, Reply.class);
@@ -111,7 +112,12 @@
      */
     public synchronized JsonNode get(String path, Duration within)
             throws GroupUnreachableException, InterruptedException {
-        return call("GET", path, null, ticker.nanos() + within.toNanos(), ATTEMPT_TIMEOUT.plusSeconds(2));
+        return call(
+                "GET",
+                path,
+                null,
+                ticker.nanos() + within.toNanos(),
+                ATTEMPT_TIMEOUT.plusSeconds(2));
     }
 
     /** Posts an operator's call, which may be sent more than once. */
@@ -133,7 +139,8 @@
             if (left <= 0) {
                 throw new GroupUnreachableException(last);
             }
-            String place = leaderAddress != null ? leaderAddress : replicaAddresses.get(nextReplica);
+            String place =
+                    leaderAddress != null ? leaderAddress : replicaAddresses.get(nextReplica);
             try {
                 Duration timeout =
                         Duration.ofNanos(Math.max(1_000_000, Math.min(left, patience.toNanos())));
@@ -151,7 +158,8 @@
                                 + ": "
                                 + answer.path("error").asText("status " + response.statusCode());
                 if (response.statusCode() == 400 || response.statusCode() == 404) {
-                    selectNextReplica(null, place); // what is at that address may be no replica any more
+                    selectNextReplica(
+                            null, place); // what is at that address may be no replica any more
                     throw new IllegalArgumentException(last);
                 }
                 selectNextReplica(answer.path("leader").asText(null), place);
--- a/coordinator/src/main/java/saltstage/coordinator/client/LeaseClient.java
+++ b/coordinator/src/main/java/saltstage/coordinator/client/LeaseClient.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 import java.util.UUID;
 import java.util.concurrent.ConcurrentHashMap;
-import saltstage.coordinator.client.GroupClient.TimedReply;
 import saltstage.coordinator.client.GroupClient.GroupUnreachableException;
+import saltstage.coordinator.client.GroupClient.TimedReply;
 import saltstage.coordinator.lease.LeaseCommands.Acquire;
 import saltstage.coordinator.lease.LeaseCommands.Release;
 import saltstage.coordinator.lease.LeaseCommands.Renew;
@@ -101,7 +101,9 @@
 
         /** How long it holds at least, by this process's clock. */
         public Duration remaining() {
-            return closedOrLost ? Duration.ZERO : Duration.ofNanos(Math.max(0, validUntilNanos - ticker.nanos()));
+            return closedOrLost
+                    ? Duration.ZERO
+                    : Duration.ofNanos(Math.max(0, validUntilNanos - ticker.nanos()));
         }
 
         /** Throws where it is lost, or may be: to be called before each act. */
@@ -167,7 +169,11 @@
             long left = until - ticker.nanos();
             boolean queue = left > 0;
             Duration hold =
-                    queue ? MAX_QUEUE_WAIT.toNanos() < left ? MAX_QUEUE_WAIT : Duration.ofNanos(left) : Duration.ZERO;
+                    queue
+                            ? MAX_QUEUE_WAIT.toNanos() < left
+                                    ? MAX_QUEUE_WAIT
+                                    : Duration.ofNanos(left)
+                            : Duration.ZERO;
             TimedReply said =
                     groupClient.send(
                             new Acquire(name, owner, ttl.toMillis(), priority, queue),
@@ -233,12 +239,15 @@
             return;
         }
         try {
-            TimedReply said = renewalClient.send(new Renew(owner, fences), Duration.ofNanos(soonest));
+            TimedReply said =
+                    renewalClient.send(new Renew(owner, fences), Duration.ofNanos(soonest));
             if (said.reply() instanceof Renewed renewed) {
                 renewed.ttlMs().keySet().forEach(name -> asked.get(name).extend(said.sentNanos()));
                 renewed.lost().forEach(name -> asked.get(name).markLost());
             }
-        } catch (GroupUnreachableException notNow) { // what is not renewed in time is lost by the clock above
+        } catch (
+                GroupUnreachableException
+                        notNow) { // what is not renewed in time is lost by the clock above
             return;
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/command/AdviceCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/AdviceCommand.java
@@ -118,7 +118,10 @@
 
         @CommandLine.Mixin private GroupOptions group;
 
-        @Option(names = "--every", converter = GroupOptions.DurationConverter.class, defaultValue = "2s")
+        @Option(
+                names = "--every",
+                converter = GroupOptions.DurationConverter.class,
+                defaultValue = "2s")
         private java.time.Duration every;
 
         @Override
@@ -133,14 +136,17 @@
             GroupClient client = group.createClient();
             while (true) {
                 try (LeaseClient.Lease lease =
-                        leases.acquire(AdviceCommands.LEASE_NAME, LEASE_TTL, LEASE_WAIT, 0, () -> {})) {
+                        leases.acquire(
+                                AdviceCommands.LEASE_NAME, LEASE_TTL, LEASE_WAIT, 0, () -> {})) {
                     Log.info("advisor.speaks", "fence", lease.fencingToken());
                     while (true) {
                         lease.checkStillHeld();
                         advise(client, lease, leases.owner());
                         Thread.sleep(every.toMillis());
                     }
-                } catch (LeaseClient.LeaseLostException | LeaseClient.LeaseNotGrantedException | java.io.IOException notNow) {
+                } catch (LeaseClient.LeaseLostException
+                        | LeaseClient.LeaseNotGrantedException
+                        | java.io.IOException notNow) {
                     Log.info("advisor.waits", "why", notNow.getMessage());
                     Thread.sleep(200);
                 }
@@ -166,7 +172,10 @@
             Reply reply =
                     client.send(
                                     new AdviceCommands.Advise(
-                                            owner, lease.fencingToken(), advice.moves(), advice.why()),
+                                            owner,
+                                            lease.fencingToken(),
+                                            advice.moves(),
+                                            advice.why()),
                                     group.timeout())
                             .reply();
             if (reply instanceof Rejection no) {
--- a/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
@@ -186,7 +186,9 @@
                             .put("disk", disk)
                             .put("peers", HostPort.format(mine.peerListenAddress()))
                             .put("clients", HostPort.format(mine.clientListenAddress()));
-            for (String state = ""; !state.equals("votes"); Thread.sleep(JOIN_RETRY_DELAY.toMillis())) {
+            for (String state = "";
+                    !state.equals("votes");
+                    Thread.sleep(JOIN_RETRY_DELAY.toMillis())) {
                 String now =
                         group.post("/v1/join", body, Duration.ofSeconds(30)).path("state").asText();
                 if (!now.equals(state)) {
--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
@@ -54,8 +54,8 @@
     private GroupConfigCommand() {}
 
     /** Sends a change and prints what came of it; 1 where it was refused. */
-    private static int sendChange(GroupOptions group, GroupClient client, ChangeConfiguration change)
-            throws Exception {
+    private static int sendChange(
+            GroupOptions group, GroupClient client, ChangeConfiguration change) throws Exception {
         Reply reply = client.send(change, group.timeout()).reply();
         if (reply instanceof Changed changed) {
             String text =
@@ -78,7 +78,8 @@
     private static ConfigurationRegistry.History readHistory(
             GroupOptions group, GroupClient client, long after, int limit) throws Exception {
         JsonNode read =
-                client.get(API_PATH + "history?after=" + after + "&limit=" + limit, group.timeout());
+                client.get(
+                        API_PATH + "history?after=" + after + "&limit=" + limit, group.timeout());
         return GroupCodec.jsonMapper().treeToValue(read, ConfigurationRegistry.History.class);
     }
 
@@ -198,13 +199,15 @@
             return true;
         }
 
-        private SnapshotPage readPage(GroupClient client, long revision, String from) throws Exception {
+        private SnapshotPage readPage(GroupClient client, long revision, String from)
+                throws Exception {
             String key =
                     from.isEmpty()
                             ? ""
                             : "&from=" + URLEncoder.encode(from, StandardCharsets.UTF_8);
             String path = API_PATH + "snapshot?current=1&revision=" + revision + key;
-            return ConfigurationJson.parseSnapshotPage(client.get(path, group.timeout()).toString());
+            return ConfigurationJson.parseSnapshotPage(
+                    client.get(path, group.timeout()).toString());
         }
     }
 
@@ -258,7 +261,9 @@
             }
             System.out.println("revision " + change.revision());
             change.mutations()
-                    .forEach(mutation -> System.out.println("  " + MutationText.formatLine(mutation)));
+                    .forEach(
+                            mutation ->
+                                    System.out.println("  " + MutationText.formatLine(mutation)));
         }
     }
 
@@ -282,7 +287,8 @@
 
         @Override
         public Integer call() throws Exception {
-            ConfigurationRegistry.History read = readHistory(group, group.createClient(), after, limit);
+            ConfigurationRegistry.History read =
+                    readHistory(group, group.createClient(), after, limit);
             if (group.isJson()) {
                 System.out.println(GroupCodec.jsonMapper().writeValueAsString(read));
                 return 0;
@@ -355,7 +361,8 @@
             List<AcceptedChange> changes = new ArrayList<>();
             long reached = revision;
             while (true) {
-                ConfigurationRegistry.History read = readHistory(group, client, reached, HISTORY_PAGE);
+                ConfigurationRegistry.History read =
+                        readHistory(group, client, reached, HISTORY_PAGE);
                 if (revision > read.revision()) {
                     throw new MalformedException("the newest revision is " + read.revision());
                 }
@@ -393,7 +400,8 @@
                 throw new MalformedException("--revision takes a whole number from 0 on");
             }
             JsonNode read =
-                    group.createClient().get(API_PATH + "status?revision=" + revision, group.timeout());
+                    group.createClient()
+                            .get(API_PATH + "status?revision=" + revision, group.timeout());
             if (group.isJson()) {
                 System.out.println(read);
                 return 0;
--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupOptions.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupOptions.java
@@ -99,8 +99,8 @@
     /** Posts a call with one field to the API, in JSON. */
     JsonNode post(String path, String field, String value)
             throws IOException, InterruptedException, MalformedException {
-        return createClient().post(
-                        path, GroupCodec.jsonMapper().createObjectNode().put(field, value), within);
+        return createClient()
+                .post(path, GroupCodec.jsonMapper().createObjectNode().put(field, value), within);
     }
 
     Duration timeout() {
--- a/coordinator/src/main/java/saltstage/coordinator/command/LeaseCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/LeaseCommand.java
@@ -51,7 +51,10 @@
         @Option(names = "--owner", required = true)
         private String owner;
 
-        @Option(names = "--ttl", converter = GroupOptions.DurationConverter.class, defaultValue = "30s")
+        @Option(
+                names = "--ttl",
+                converter = GroupOptions.DurationConverter.class,
+                defaultValue = "30s")
         private Duration ttl;
 
         @Override
@@ -101,7 +104,9 @@
         @Override
         public Integer call() throws Exception {
             Reply reply =
-                    group.send(new LeaseCommands.Release(held.name(), held.owner(), held.fencingToken()));
+                    group.send(
+                            new LeaseCommands.Release(
+                                    held.name(), held.owner(), held.fencingToken()));
             group.print(reply, ((Acknowledgement) reply).what());
             return ExitCode.OK;
         }
@@ -205,7 +210,10 @@
         @Parameters(index = "0", paramLabel = "NAME")
         private String name;
 
-        @Option(names = "--ttl", converter = GroupOptions.DurationConverter.class, defaultValue = "10s")
+        @Option(
+                names = "--ttl",
+                converter = GroupOptions.DurationConverter.class,
+                defaultValue = "10s")
         private Duration ttl;
 
         @Option(
@@ -249,7 +257,9 @@
             Runtime.getRuntime().addShutdownHook(ended);
             try {
                 while (!child.waitFor(20, TimeUnit.MILLISECONDS)) {
-                    if (lost.get() || lease.remaining().toMillis() < ttl.toMillis() * TERMINATION_TTL_FRACTION) {
+                    if (lost.get()
+                            || lease.remaining().toMillis()
+                                    < ttl.toMillis() * TERMINATION_TTL_FRACTION) {
                         return terminate(child, lease);
                     }
                 }
--- a/coordinator/src/main/java/saltstage/coordinator/command/MutationText.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/MutationText.java
@@ -66,7 +66,8 @@
                             removeOrDefault(parts, ADDRESS, ""),
                             removeOrDefault(parts, ZONE, ""),
                             Integer.parseInt(removeOrDefault(parts, CELL, "0")),
-                            BackendState.valueOf(removeOrDefault(parts, STATE, BackendState.READY.name())),
+                            BackendState.valueOf(
+                                    removeOrDefault(parts, STATE, BackendState.READY.name())),
                             Double.parseDouble(removeOrDefault(parts, WEIGHT, "1")),
                             Long.parseLong(removeOrDefault(parts, STARTED_AT, "0")));
             if (parts.isEmpty()) {
--- a/coordinator/src/main/java/saltstage/coordinator/command/WindowCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/WindowCommand.java
@@ -48,7 +48,8 @@
                 window.why());
     }
 
-    private static Reply sendOrPrintRejection(GroupOptions group, Command command) throws Exception {
+    private static Reply sendOrPrintRejection(GroupOptions group, Command command)
+            throws Exception {
         try {
             return group.send(command);
         } catch (CommandRejectedException refused) {
@@ -65,11 +66,16 @@
         if (reply instanceof WindowReplies.Planned planned) {
             group.print(
                     planned,
-                    String.join("\n", planned.windows().stream().map(WindowCommand::formatWindow).toList())
+                    String.join(
+                                    "\n",
+                                    planned.windows().stream()
+                                            .map(WindowCommand::formatWindow)
+                                            .toList())
                             + (planned.known() ? "\nit was asked for before" : ""));
         } else {
             group.print(
-                    reply, reply instanceof WindowReplies.Now now ? formatWindow(now.window()) : "done");
+                    reply,
+                    reply instanceof WindowReplies.Now now ? formatWindow(now.window()) : "done");
         }
         return ExitCode.OK;
     }
@@ -117,13 +123,22 @@
         @Option(names = "--by", description = "who asks (default: the user's name)")
         private String by = System.getProperty("user.name");
 
-        @Option(names = "--drain", converter = GroupOptions.DurationConverter.class, defaultValue = "2m")
+        @Option(
+                names = "--drain",
+                converter = GroupOptions.DurationConverter.class,
+                defaultValue = "2m")
         private Duration drain;
 
-        @Option(names = "--work", converter = GroupOptions.DurationConverter.class, defaultValue = "30m")
+        @Option(
+                names = "--work",
+                converter = GroupOptions.DurationConverter.class,
+                defaultValue = "30m")
         private Duration work;
 
-        @Option(names = "--warm", converter = GroupOptions.DurationConverter.class, defaultValue = "1m")
+        @Option(
+                names = "--warm",
+                converter = GroupOptions.DurationConverter.class,
+                defaultValue = "1m")
         private Duration warm;
 
         @Option(names = "--earliest", description = "as 2026-12-02T22:00:00Z (default: now)")
@@ -223,7 +238,8 @@
 
         @Override
         public Integer call() throws Exception {
-            return sendAndPrint(group, new WindowCommands.Withdraw(id, System.getProperty("user.name")));
+            return sendAndPrint(
+                    group, new WindowCommands.Withdraw(id, System.getProperty("user.name")));
         }
     }
 
@@ -243,7 +259,8 @@
 
         @Override
         public Integer call() throws Exception {
-            return sendAndPrint(group, new WindowCommands.Pause(id, !off, System.getProperty("user.name")));
+            return sendAndPrint(
+                    group, new WindowCommands.Pause(id, !off, System.getProperty("user.name")));
         }
     }
 
@@ -257,7 +274,10 @@
 
         @CommandLine.Mixin private GroupOptions group;
 
-        @Option(names = "--for", converter = GroupOptions.DurationConverter.class, defaultValue = "24h")
+        @Option(
+                names = "--for",
+                converter = GroupOptions.DurationConverter.class,
+                defaultValue = "24h")
         private Duration span;
 
         @Override
@@ -271,14 +291,21 @@
             }
             for (JsonNode level : read) {
                 long there = level.path("capacity").asLong() + level.path("missing").asLong();
-                int filled = (int) (BAR_WIDTH_CHARS * level.path("capacity").asLong() / Math.max(1, there));
+                int filled =
+                        (int)
+                                (BAR_WIDTH_CHARS
+                                        * level.path("capacity").asLong()
+                                        / Math.max(1, there));
                 int floor =
                         (int)
                                 Math.min(
                                         BAR_WIDTH_CHARS,
-                                        BAR_WIDTH_CHARS * level.path("need").asLong() / Math.max(1, there));
+                                        BAR_WIDTH_CHARS
+                                                * level.path("need").asLong()
+                                                / Math.max(1, there));
                 StringBuilder bar =
-                        new StringBuilder("#".repeat(filled) + ".".repeat(BAR_WIDTH_CHARS - filled));
+                        new StringBuilder(
+                                "#".repeat(filled) + ".".repeat(BAR_WIDTH_CHARS - filled));
                 bar.insert(floor, '|');
                 System.out.printf(
                         "%-12s %s %s %d of %d, floor %d%n",
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ChangeValidator.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ChangeValidator.java
@@ -51,7 +51,9 @@
         boolean settings = false;
         for (Mutation mutation : mutations.values()) {
             Rejected fault =
-                    mutation.isDeletion() ? deletionRejection(mutation.key()) : valueRejection(mutation);
+                    mutation.isDeletion()
+                            ? deletionRejection(mutation.key())
+                            : valueRejection(mutation);
             if (fault != null) {
                 return fault;
             }
@@ -65,12 +67,14 @@
         EntryKey key = mutation.key();
         String carried = ValueRules.validationError(mutation.value());
         if (carried != null) {
-            return rejected(RejectionCode.INVALID_VALUE, key, displayText(mutation.value()), carried);
+            return rejected(
+                    RejectionCode.INVALID_VALUE, key, displayText(mutation.value()), carried);
         }
         return switch (key.kind()) {
             case SETTING -> settingRejection(key, (EntryValue.Setting) mutation.value());
             case BACKEND -> backendRejection(key, (EntryValue.Backend) mutation.value());
-            case SHARD -> unknownBackendRejection(key, ((EntryValue.Shard) mutation.value()).backend());
+            case SHARD ->
+                    unknownBackendRejection(key, ((EntryValue.Shard) mutation.value()).backend());
             case SUSPENSION -> unknownBackendRejection(key, key.name());
         };
     }
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationRegistry.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationRegistry.java
@@ -73,7 +73,8 @@
         }
         image.entries().forEach(entry -> shardCounts.replace(null, entry.value()));
         history =
-                new ChangeHistory(image.baseRevision(), AcceptedChange.parseDigest(image.baseDigest()));
+                new ChangeHistory(
+                        image.baseRevision(), AcceptedChange.parseDigest(image.baseDigest()));
         image.changes().forEach(this::addToHistory);
         if (history.newestRevision() != view.revision()) {
             throw new IllegalArgumentException(
@@ -133,7 +134,8 @@
         return bytes <= ConfigurationLimits.MAX_BYTES_PER_CHANGE
                 ? null
                 : malformed(
-                        bytes + " bytes", ConfigurationLimits.MAX_BYTES_PER_CHANGE + " bytes would do");
+                        bytes + " bytes",
+                        ConfigurationLimits.MAX_BYTES_PER_CHANGE + " bytes would do");
     }
 
     private static Rejected malformed(String value, String wanted) {
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReport.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReport.java
@@ -47,7 +47,11 @@
                     + " visible characters";
         }
         if (behind.size() > MAX_NAMED_FOLLOWERS || confirmedByRevision.size() > MAX_REVISIONS) {
-            return "at most " + MAX_NAMED_FOLLOWERS + " followers and " + MAX_REVISIONS + " revisions are named";
+            return "at most "
+                    + MAX_NAMED_FOLLOWERS
+                    + " followers and "
+                    + MAX_REVISIONS
+                    + " revisions are named";
         }
         boolean negative =
                 followers < 0
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReports.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReports.java
@@ -39,12 +39,15 @@
      * monotonic clock.
      */
     public void update(FollowerReport report, long nowMs) {
-        reports.put(new ReportKey(report.zone(), report.distributor()), new ReceivedReport(report, nowMs));
+        reports.put(
+                new ReportKey(report.zone(), report.distributor()),
+                new ReceivedReport(report, nowMs));
         if (reports.size() > MAX_REPORTS) {
             reports.entrySet().stream()
                     .min(
                             Map.Entry.comparingByValue(
-                                    (one, other) -> Long.compare(one.receivedAtMs(), other.receivedAtMs())))
+                                    (one, other) ->
+                                            Long.compare(one.receivedAtMs(), other.receivedAtMs())))
                     .ifPresent(oldest -> reports.remove(oldest.getKey()));
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/SettingRules.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/SettingRules.java
@@ -51,7 +51,8 @@
     static boolean isReloadable(String name) {
         int dot = name.indexOf('.');
         return dot > 0
-                && RELOADABLE_SETTINGS.getOrDefault(name.substring(0, dot), Set.of())
+                && RELOADABLE_SETTINGS
+                        .getOrDefault(name.substring(0, dot), Set.of())
                         .contains(name.substring(dot + 1));
     }
 
@@ -91,7 +92,8 @@
         blocks.forEach(
                 (block, lines) -> {
                     file.append(block).append(" {\n");
-                    REQUIRED_SETTINGS.getOrDefault(block, List.of())
+                    REQUIRED_SETTINGS
+                            .getOrDefault(block, List.of())
                             .forEach(line -> file.append(line).append('\n'));
                     lines.forEach(line -> file.append(line).append('\n'));
                     file.append("}\n");
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/ConfirmationReporter.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/ConfirmationReporter.java
@@ -58,7 +58,10 @@
     private void reportDueZones() throws InterruptedException {
         for (ZoneConfirmations due : schedule.dueZones(zones(), nowMs.getAsLong())) {
             try {
-                groupClient.post(REPORTS_PATH, GroupCodec.jsonMapper().valueToTree(toReport(due)), CALL_TIMEOUT);
+                groupClient.post(
+                        REPORTS_PATH,
+                        GroupCodec.jsonMapper().valueToTree(toReport(due)),
+                        CALL_TIMEOUT);
                 schedule.markReported(due, nowMs.getAsLong());
                 failing = false;
             } catch (IOException | IllegalArgumentException failed) {
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHandler.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHandler.java
@@ -65,7 +65,8 @@
     private final String zone;
     private final LongSupplier nowMs;
     private final FollowerRegistry registry = new FollowerRegistry(SILENT_AFTER_MS);
-    private final SnapshotAdmission admission = new SnapshotAdmission(MAX_SNAPSHOT_TRANSFERS, EXPECTED_TRANSFER_MS);
+    private final SnapshotAdmission admission =
+            new SnapshotAdmission(MAX_SNAPSHOT_TRANSFERS, EXPECTED_TRANSFER_MS);
     private final WaitingRequests waitingRequests = new WaitingRequests(MAX_WAITING_REQUESTS);
     private final SnapshotPager pager = new SnapshotPager();
     private final EncodedBodyCache<ChangesKey> changesBodies =
@@ -218,7 +219,8 @@
         return answer instanceof ChangeHistory.Changes || answer == ChangeHistory.Failure.TRUNCATED;
     }
 
-    private CompletableFuture<EncodedResponse> holdRequest(ReadRequest.Changes request, long untilMs) {
+    private CompletableFuture<EncodedResponse> holdRequest(
+            ReadRequest.Changes request, long untilMs) {
         WaitingRequests.WaitingRequest held = waitingRequests.add(request, untilMs);
         if (held == null) {
             return completed(error(SERVICE_UNAVAILABLE, ErrorResponse.BUSY, 0, BUSY_RETRY_MS));
@@ -244,7 +246,8 @@
     private EncodedResponse encode(ReadRequest.Changes request, ChangeHistory.Result answer) {
         if (answer instanceof ChangeHistory.Changes some) {
             ChangesKey key = new ChangesKey(request.after(), request.limit());
-            return new EncodedResponse(OK, changesBodies.getOrEncode(key, () -> encode(some.changes())));
+            return new EncodedResponse(
+                    OK, changesBodies.getOrEncode(key, () -> encode(some.changes())));
         }
         return switch ((ChangeHistory.Failure) answer) {
             case DIVERGED -> error(CONFLICT, ErrorResponse.DIVERGED, view.revision(), 0);
@@ -275,7 +278,8 @@
         ReadRequest.Snapshot same =
                 new ReadRequest.Snapshot(page.revision(), request.from(), request.limit(), "");
         PageKey key = new PageKey(page.digest(), same);
-        return new EncodedResponse(OK, pageBodies.getOrEncode(key, () -> utf8(ConfigurationJson.toJson(page))));
+        return new EncodedResponse(
+                OK, pageBodies.getOrEncode(key, () -> utf8(ConfigurationJson.toJson(page))));
     }
 
     private EncodedResponse handleStatus(ReadRequest.Status request) {
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHttpServer.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHttpServer.java
@@ -61,7 +61,10 @@
                     "cannot listen on " + address + ": " + bound.cause().getMessage());
         }
         serverChannel = bound.channel();
-        eventLoopGroup.next().scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        eventLoopGroup
+                .next()
+                .scheduleAtFixedRate(
+                        this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorProcess.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorProcess.java
@@ -58,7 +58,8 @@
     private final Thread reporterThread;
 
     /** Starts it; throws IOException where its folder or its address cannot be had. */
-    public DistributorProcess(DistributorSettings settings, FailureHandler failure) throws IOException {
+    public DistributorProcess(DistributorSettings settings, FailureHandler failure)
+            throws IOException {
         Files.createDirectories(settings.dir());
         directory = new ConfigurationDirectory(settings.dir(), Log::info);
         DistributorHandler handler =
@@ -77,7 +78,9 @@
                         new ServingListener(handler, failure));
         GroupClient group =
                 new GroupClient(
-                        settings.sourceAddresses().stream().map(DistributorProcess::hostAndPort).toList(),
+                        settings.sourceAddresses().stream()
+                                .map(DistributorProcess::hostAndPort)
+                                .toList(),
                         Ticker.SYSTEM);
         ConfirmationReporter reports =
                 new ConfirmationReporter(
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerConnection.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerConnection.java
@@ -55,7 +55,9 @@
         }
         lastProgressNanos = System.nanoTime();
         if (!request.decoderResult().isSuccess() || request.method() != HttpMethod.GET) {
-            writeResponse(new EncodedResponse(HttpResponseStatus.METHOD_NOT_ALLOWED.code(), new byte[0]), false);
+            writeResponse(
+                    new EncodedResponse(HttpResponseStatus.METHOD_NOT_ALLOWED.code(), new byte[0]),
+                    false);
             return;
         }
         boolean keepAlive = HttpUtil.isKeepAlive(request);
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerRegistry.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerRegistry.java
@@ -68,7 +68,9 @@
         }
 
         void removeExpiredSilent(long nowMs) {
-            silentFollowers.values().removeIf(one -> nowMs - one.lastRequestMs > SILENT_RETENTION_MS);
+            silentFollowers
+                    .values()
+                    .removeIf(one -> nowMs - one.lastRequestMs > SILENT_RETENTION_MS);
         }
 
         boolean isEmpty() {
@@ -178,7 +180,8 @@
         List<ZoneConfirmations.Silent> silent = new ArrayList<>();
         for (Follower one : zone.silentFollowers.values()) {
             silent.add(
-                    new ZoneConfirmations.Silent(one.name, one.confirmedRevision, nowMs - one.lastRequestMs));
+                    new ZoneConfirmations.Silent(
+                            one.name, one.confirmedRevision, nowMs - one.lastRequestMs));
         }
         return silent;
     }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/ReadRequest.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/ReadRequest.java
@@ -81,7 +81,8 @@
     record Parameters(Map<String, List<String>> valuesByName) {
         private static final Pattern INTEGER_PATTERN = Pattern.compile("\\d{1,16}");
         private static final int MAX_NAME_LENGTH = ConfigurationLimits.MAX_IDENTIFIER_LENGTH;
-        private static final Pattern NAME_PATTERN = Pattern.compile("[!-~]{0," + MAX_NAME_LENGTH + "}");
+        private static final Pattern NAME_PATTERN =
+                Pattern.compile("[!-~]{0," + MAX_NAME_LENGTH + "}");
 
         String string(String name, String absent) {
             List<String> values = valuesByName.getOrDefault(name, List.of());
@@ -93,7 +94,11 @@
             String text = string(name, "");
             if (!NAME_PATTERN.matcher(text).matches()) {
                 throw new MalformedException(
-                        "'" + name + "' takes up to " + MAX_NAME_LENGTH + " visible ASCII characters");
+                        "'"
+                                + name
+                                + "' takes up to "
+                                + MAX_NAME_LENGTH
+                                + " visible ASCII characters");
             }
             return text;
         }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/ReportSchedule.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/ReportSchedule.java
@@ -33,7 +33,8 @@
 
     /** The leader has taken this one. */
     void markReported(ZoneConfirmations zone, long nowMs) {
-        lastReportByZone.put(zone.zone(), new LastReport(zone.revision(), zone.confirmedByRevision(), nowMs));
+        lastReportByZone.put(
+                zone.zone(), new LastReport(zone.revision(), zone.confirmedByRevision(), nowMs));
     }
 
     /** Another leader may know nothing: all is to be reported anew. */
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/SnapshotAdmission.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/SnapshotAdmission.java
@@ -48,7 +48,8 @@
      */
     public long admit(String follower, long nowMs) {
         removeAbandoned(nowMs);
-        if (lastPageRequestByFollower.remove(follower) != null || lastPageRequestByFollower.size() < maxTransfers) {
+        if (lastPageRequestByFollower.remove(follower) != null
+                || lastPageRequestByFollower.size() < maxTransfers) {
             lastPageRequestByFollower.put(follower, nowMs);
             retryTimeByFollower.remove(follower);
             return 0;
@@ -60,7 +61,9 @@
         Long told = retryTimeByFollower.get(follower);
         if (told == null || told <= nowMs) {
             retryTimeByFollower.remove(follower);
-            nextRetryTimeMs = Math.max(nextRetryTimeMs, nowMs) + Math.max(1, expectedTransferMs / maxTransfers);
+            nextRetryTimeMs =
+                    Math.max(nextRetryTimeMs, nowMs)
+                            + Math.max(1, expectedTransferMs / maxTransfers);
             told = Math.min(nextRetryTimeMs, nowMs + MAX_RETRY_MS);
             nextRetryTimeMs = told;
             if (retryTimeByFollower.size() < MAX_WAITING_FOLLOWERS) {
--- a/coordinator/src/main/java/saltstage/coordinator/group/GroupState.java
+++ b/coordinator/src/main/java/saltstage/coordinator/group/GroupState.java
@@ -95,7 +95,9 @@
                 new TreeMap<>(members),
                 featureLevel < WindowCommands.MIN_FEATURE_LEVEL ? null : windows.image(),
                 featureLevel < AdviceCommands.MIN_FEATURE_LEVEL ? null : advice.image(),
-                featureLevel < ConfigurationCommands.MIN_FEATURE_LEVEL ? null : configuration.image());
+                featureLevel < ConfigurationCommands.MIN_FEATURE_LEVEL
+                        ? null
+                        : configuration.image());
     }
 
     /** Carries one entry of the log out. */
--- a/coordinator/src/main/java/saltstage/coordinator/replica/LeaderTasks.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/LeaderTasks.java
@@ -61,7 +61,8 @@
         if (now - lastTickNanos >= period - CHECK_PERIOD.toNanos() / 2) {
             lastTickNanos = now;
             directory
-                    .pendingIntroductions(Member.sortedNames(node.getEffectiveMembers().getMembers()))
+                    .pendingIntroductions(
+                            Member.sortedNames(node.getEffectiveMembers().getMembers()))
                     .forEach(this::propose);
             introduceSelf();
             proposeTick(now);
@@ -80,10 +81,12 @@
     private void proposeTick(long nowNanos) {
         Map<String, Long> walls =
                 new TreeMap<>(Map.of(settings.name(), settings.wallClock().getAsLong()));
-        Map<String, Integer> speaks = new TreeMap<>(Map.of(settings.name(), settings.supportedFeatureLevel()));
+        Map<String, Integer> speaks =
+                new TreeMap<>(Map.of(settings.name(), settings.supportedFeatureLevel()));
         heartbeats.forEach(
                 (name, received) -> {
-                    long ageMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - received.receivedAtNanos());
+                    long ageMs =
+                            TimeUnit.NANOSECONDS.toMillis(nowNanos - received.receivedAtNanos());
                     if (ageMs < MAX_HEARTBEAT_AGE_MS) {
                         walls.put(name, received.heartbeat().wallMs() + ageMs);
                         speaks.put(name, received.heartbeat().speaks());
--- a/coordinator/src/main/java/saltstage/coordinator/replica/LogStore.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/LogStore.java
@@ -130,7 +130,9 @@
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
         for (LogEntry entry : entries) {
-            put(logKey(LOG_KEY_PREFIX, entry.getIndex()), GroupCodec.toCbor(RaftCodec.toEntry(entry)));
+            put(
+                    logKey(LOG_KEY_PREFIX, entry.getIndex()),
+                    GroupCodec.toCbor(RaftCodec.toEntry(entry)));
             firstIndex = firstIndex == 0 ? entry.getIndex() : firstIndex;
             lastIndex = entry.getIndex();
         }
@@ -204,7 +206,8 @@
                         .setLocalEndpoint(new Member(me.member()))
                         .setVoting(me.voting())
                         .build(),
-                RaftCodec.toMembersView(GroupCodec.cborMapper().readValue(first, RaftCodec.Members.class)),
+                RaftCodec.toMembersView(
+                        GroupCodec.cborMapper().readValue(first, RaftCodec.Members.class)),
                 MODEL.createRaftTermPersistentStateBuilder()
                         .setTerm(term.term())
                         .setVotedFor(term.votedFor() == null ? null : new Member(term.votedFor()))
--- a/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
@@ -184,7 +184,9 @@
         public void received(Connection on, ByteBuffer bytes) {
             if (inputBuffer.remaining() < bytes.remaining()) {
                 int need = inputBuffer.position() + bytes.remaining();
-                inputBuffer = ByteBuffer.allocate(Math.max(need, 2 * inputBuffer.capacity())).put(inputBuffer.flip());
+                inputBuffer =
+                        ByteBuffer.allocate(Math.max(need, 2 * inputBuffer.capacity()))
+                                .put(inputBuffer.flip());
             }
             inputBuffer.put(bytes).flip();
             try {
@@ -269,7 +271,8 @@
     }
 
     /** The connection kept to a peer. */
-    private final class OutboundLink extends FrameReader implements saltstage.net.Transport.ConnectListener {
+    private final class OutboundLink extends FrameReader
+            implements saltstage.net.Transport.ConnectListener {
         private final String peer;
         private Connection connection;
         private long reconnectDelayMs = MIN_RECONNECT_DELAY_MS;
@@ -306,7 +309,9 @@
         }
 
         private void scheduleReconnect() {
-            long drawn = reconnectDelayMs / 2 + ThreadLocalRandom.current().nextLong(reconnectDelayMs / 2 + 1);
+            long drawn =
+                    reconnectDelayMs / 2
+                            + ThreadLocalRandom.current().nextLong(reconnectDelayMs / 2 + 1);
             reconnectDelayMs = Math.min(MAX_RECONNECT_DELAY_MS, reconnectDelayMs * 2);
             loop.schedule(Duration.ofMillis(drawn), this::connect);
         }
@@ -320,7 +325,8 @@
             connection = made;
             reconnectDelayMs = MIN_RECONNECT_DELAY_MS;
             made.write(PeerLinks.encodeFrame(HELLO, GroupCodec.toCbor(self)));
-            made.write(PeerLinks.encodeFrame(HEARTBEAT, GroupCodec.toCbor(heartbeatSupplier.get())));
+            made.write(
+                    PeerLinks.encodeFrame(HEARTBEAT, GroupCodec.toCbor(heartbeatSupplier.get())));
             connected = true;
             return this;
         }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/RaftCodec.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/RaftCodec.java
@@ -134,7 +134,8 @@
         if (operation instanceof UpdateRaftGroupMembersOp change) {
             return new Op(
                     null,
-                    new Members(0, namesOf(change.getMembers()), namesOf(change.getVotingMembers())),
+                    new Members(
+                            0, namesOf(change.getMembers()), namesOf(change.getVotingMembers())),
                     nameOf(change.getEndpoint()),
                     change.getMode().name());
         }
@@ -332,7 +333,8 @@
             return simplePacket(Kind.PRE_VOTED, m, 0, 0, m.isGranted());
         }
         if (message instanceof VoteRequest m) {
-            return simplePacket(Kind.VOTE, m, m.getLastLogTerm(), m.getLastLogIndex(), m.isSticky());
+            return simplePacket(
+                    Kind.VOTE, m, m.getLastLogTerm(), m.getLastLogIndex(), m.isSticky());
         }
         if (message instanceof VoteResponse m) {
             return simplePacket(Kind.VOTED, m, 0, 0, m.isGranted());
--- a/coordinator/src/main/java/saltstage/coordinator/replica/RaftThread.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/RaftThread.java
@@ -90,7 +90,8 @@
 
             @Override
             public long millis() {
-                return CLOCK_START_MS + (long) ((System.nanoTime() - startNanos) * clockSpeed / 1_000_000);
+                return CLOCK_START_MS
+                        + (long) ((System.nanoTime() - startNanos) * clockSpeed / 1_000_000);
             }
 
             @Override
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Replica.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Replica.java
@@ -60,7 +60,8 @@
     private volatile boolean closed;
 
     /** Starts it; a store that belongs to another group, name or disk is refused. */
-    public Replica(ReplicaSettings settings, Store store, Transport transport, FatalErrorHandler fatal)
+    public Replica(
+            ReplicaSettings settings, Store store, Transport transport, FatalErrorHandler fatal)
             throws IOException {
         this.settings = settings;
         this.fatalErrorHandler = fatal;
@@ -73,7 +74,14 @@
         directory = new PeerDirectory(settings, identity.group());
         String process = Long.toHexString(System.nanoTime()) + "-" + ProcessHandle.current().pid();
         PeerLinks.Hello self = createHello(process);
-        links = new PeerLinks(transport, codec, self, this, directory::peerAddress, this::currentHeartbeat);
+        links =
+                new PeerLinks(
+                        transport,
+                        codec,
+                        self,
+                        this,
+                        directory::peerAddress,
+                        this::currentHeartbeat);
         node = createEngine();
         proposer = new Proposer(node, process, settings.clockRate());
         membership = new Membership(node, directory, proposer);
@@ -96,14 +104,18 @@
     }
 
     private PeerLinks.Heartbeat currentHeartbeat() {
-        return new PeerLinks.Heartbeat(settings.wallClock().getAsLong(), settings.supportedFeatureLevel());
+        return new PeerLinks.Heartbeat(
+                settings.wallClock().getAsLong(), settings.supportedFeatureLevel());
     }
 
     /** The consensus engine on what the log holds, or on the group's first members. */
     private RaftNode createEngine() throws IOException {
         LogStore log =
                 new LogStore(
-                        store, why -> fatalErrorHandler.exit(EXIT_STORE_FAILED, "store: " + why.getMessage()));
+                        store,
+                        why ->
+                                fatalErrorHandler.exit(
+                                        EXIT_STORE_FAILED, "store: " + why.getMessage()));
         RestoredRaftState restored = log.restore();
         RaftNode.RaftNodeBuilder builder =
                 RaftNode.newBuilder()
--- a/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStateMachine.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStateMachine.java
@@ -63,7 +63,8 @@
     public void takeSnapshot(long index, Consumer<Object> chunks) {
         byte[] all = GroupCodec.encodeSnapshot(state.image());
         for (int at = 0; at < all.length; at += SNAPSHOT_CHUNK_BYTES) {
-            chunks.accept(Arrays.copyOfRange(all, at, Math.min(all.length, at + SNAPSHOT_CHUNK_BYTES)));
+            chunks.accept(
+                    Arrays.copyOfRange(all, at, Math.min(all.length, at + SNAPSHOT_CHUNK_BYTES)));
         }
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/settings/AgentSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/AgentSettings.java
@@ -53,8 +53,8 @@
         return read;
     }
 
-    private static Map<String, InetSocketAddress> readAddresses(HclBlock in, String type, String attribute)
-            throws MalformedException {
+    private static Map<String, InetSocketAddress> readAddresses(
+            HclBlock in, String type, String attribute) throws MalformedException {
         Map<String, InetSocketAddress> places = new LinkedHashMap<>();
         for (HclBlock block : in.blocks(type)) {
             String text = block.requiredString(attribute);
--- a/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
@@ -54,7 +54,9 @@
             if (member.labels().size() != 1) {
                 throw member.blockError("takes one label, the replica's name");
             }
-            MemberAddresses place = new MemberAddresses(requiredAddress(member, "peers"), requiredAddress(member, "clients"));
+            MemberAddresses place =
+                    new MemberAddresses(
+                            requiredAddress(member, "peers"), requiredAddress(member, "clients"));
             if (members.put(member.labels().get(0), place) != null) {
                 throw member.blockError("'" + member.labels().get(0) + "' is given twice");
             }
@@ -72,7 +74,8 @@
         }
         HclBlock trial = block.block("trial");
         clockRate = trial == null ? 1 : trial.integer("clock_percent", 100, 50, 200) / 100.0;
-        wallClockOffsetMs = trial == null ? 0 : trial.integer("wall_off_ms", 0, -7_200_000, 7_200_000);
+        wallClockOffsetMs =
+                trial == null ? 0 : trial.integer("wall_off_ms", 0, -7_200_000, 7_200_000);
         if (trial != null) {
             trial.rejectUnknown();
         }
--- a/coordinator/src/main/java/saltstage/coordinator/settings/FleetSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/FleetSettings.java
@@ -24,7 +24,8 @@
     private static final List<String> DAY_NAMES =
             List.of("mon", "tue", "wed", "thu", "fri", "sat", "sun");
     private static final Pattern TIME_PATTERN = Pattern.compile("([01]?\\d|2[0-4]):([0-5]\\d)");
-    private static final long CAPACITY_UNITS_PER_LOAD = 1_000; // a mean connection load, in thousandths
+    private static final long CAPACITY_UNITS_PER_LOAD =
+            1_000; // a mean connection load, in thousandths
     private static final long MAX_LOADS = 10_000_000;
 
     /** So far ahead changes of the clocks are written into the plan; it is set anew long before. */
@@ -93,7 +94,8 @@
         for (HclBlock node : block.blocks("node")) {
             nodes.add(
                     new FleetPlan.Node(
-                            requiredLabel(node), CAPACITY_UNITS_PER_LOAD * node.integer("capacity", 0, 1, MAX_LOADS)));
+                            requiredLabel(node),
+                            CAPACITY_UNITS_PER_LOAD * node.integer("capacity", 0, 1, MAX_LOADS)));
             node.rejectUnknown();
         }
         if (nodes.stream().anyMatch(node -> node.capacity() == 0)) {
@@ -116,7 +118,8 @@
             out.rejectUnknown();
         }
         String zone = readZone(block, zones, now);
-        FleetPlan.Region region = new FleetPlan.Region(requiredLabel(block), zone, nodes, blackOuts);
+        FleetPlan.Region region =
+                new FleetPlan.Region(requiredLabel(block), zone, nodes, blackOuts);
         block.rejectUnknown();
         return region;
     }
@@ -134,7 +137,9 @@
             HclBlock block, Map<String, List<FleetPlan.UtcOffsetChange>> zones, Instant now)
             throws MalformedException {
         List<Long> demand =
-                block.integers("demand", 0, MAX_LOADS).stream().map(d -> d * CAPACITY_UNITS_PER_LOAD).toList();
+                block.integers("demand", 0, MAX_LOADS).stream()
+                        .map(d -> d * CAPACITY_UNITS_PER_LOAD)
+                        .toList();
         FleetPlan.Floor floor =
                 new FleetPlan.Floor(
                         requiredLabel(block),
@@ -166,7 +171,8 @@
                             new FleetPlan.UtcOffsetChange(
                                     0, rules.getOffset(now).getTotalSeconds() * 1_000L));
                     ZoneOffsetTransition next = rules.nextTransition(now);
-                    while (next != null && next.getInstant().isBefore(now.plus(ZONE_TRANSITION_HORIZON))) {
+                    while (next != null
+                            && next.getInstant().isBefore(now.plus(ZONE_TRANSITION_HORIZON))) {
                         shifts.add(
                                 new FleetPlan.UtcOffsetChange(
                                         next.getInstant().toEpochMilli(),
--- a/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
@@ -64,7 +64,8 @@
                         3,
                         1,
                         System::currentTimeMillis);
-        Store store = Store.open(new FileDisk(dir), StoreOptions.defaults(), StoreEventListener.NONE);
+        Store store =
+                Store.open(new FileDisk(dir), StoreOptions.defaults(), StoreEventListener.NONE);
         NettyTransport transport =
                 new NettyTransport(1, false, (where, fault) -> fault.printStackTrace());
         replica =
@@ -77,7 +78,8 @@
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TEST_TIMEOUT_SECONDS);
         while (get("/v1/leases").status() != 200
                 || get("/v1/status").body().path("level").asInt() < 3
-                || replica.leaderClientAddress() == null) { // it does not know its own member row yet
+                || replica.leaderClientAddress()
+                        == null) { // it does not know its own member row yet
             assertTrue(System.nanoTime() < deadline, "no leader at level 3 in time");
             Thread.sleep(50);
         }
@@ -180,7 +182,8 @@
 
     @Test
     void leaseIsGrantedListedWatchedAndPassedOn() throws Exception {
-        JsonNode granted = post("/v1/do", commandBody("g1", 1, 0, acquireCommand("p/x", "o1", false))).body();
+        JsonNode granted =
+                post("/v1/do", commandBody("g1", 1, 0, acquireCommand("p/x", "o1", false))).body();
         assertEquals("granted", granted.path("result").asText());
         Response list = get("/v1/leases?prefix=p/&limit=1&stale=1");
         assertEquals(200, list.status());
--- a/coordinator/src/test/java/saltstage/coordinator/api/RevisionWatchTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/api/RevisionWatchTest.java
@@ -43,7 +43,8 @@
     private final RevisionWatch watch = new RevisionWatch(source);
 
     private CompletableFuture<Boolean> awaitRevisionAfter5(long waitMs) {
-        return watch.awaitRevisionAfter(5, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs));
+        return watch.awaitRevisionAfter(
+                5, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs));
     }
 
     @Test
--- a/coordinator/src/test/java/saltstage/coordinator/client/LeaseClientTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/client/LeaseClientTest.java
@@ -26,7 +26,8 @@
     private final AtomicInteger renewalCount = new AtomicInteger();
 
     /** Grants and renews all; what a renewal is answered instead, by what it asks for, or null. */
-    private ScriptedReplica startReplica(Function<JsonNode, ScriptedResponse> instead) throws Exception {
+    private ScriptedReplica startReplica(Function<JsonNode, ScriptedResponse> instead)
+            throws Exception {
         return new ScriptedReplica(
                 asked -> {
                     JsonNode command = asked.path("command");
@@ -47,7 +48,8 @@
                                             7,
                                             "ttlMs",
                                             TTL.toMillis()))
-                            : new ScriptedResponse(200, Map.of("result", "done", "what", "released"));
+                            : new ScriptedResponse(
+                                    200, Map.of("result", "done", "what", "released"));
                 });
     }
 
@@ -72,7 +74,8 @@
     @Test
     void renewalContinuesAfterABadRequestResponse() throws Exception {
         ScriptedResponse bad = new ScriptedResponse(400, Map.of("error", "scripted"));
-        try (ScriptedReplica replica = startReplica(command -> renewalCount.get() == 1 ? bad : null);
+        try (ScriptedReplica replica =
+                        startReplica(command -> renewalCount.get() == 1 ? bad : null);
                 LeaseClient client = createClient(replica)) {
             LeaseClient.Lease lease = client.acquire("a", TTL, ACQUIRE_TIMEOUT, 0, () -> {});
             Thread.sleep(OBSERVATION_MS);
--- a/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
@@ -81,7 +81,8 @@
                         GroupState.SUPPORTED_FEATURE_LEVEL,
                         1,
                         System::currentTimeMillis);
-        Store store = Store.open(new FileDisk(dir), StoreOptions.defaults(), StoreEventListener.NONE);
+        Store store =
+                Store.open(new FileDisk(dir), StoreOptions.defaults(), StoreEventListener.NONE);
         NettyTransport transport =
                 new NettyTransport(1, false, (where, fault) -> fault.printStackTrace());
         replica =
@@ -92,7 +93,8 @@
                         (code, why) -> System.err.println("replica ended: " + code + " " + why));
         listener = new HttpListener(clientAddress, new ApiHandler(replica));
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TEST_TIMEOUT_SECONDS);
-        while (body(get("/v1/status")).path("level").asInt() < ConfigurationCommands.MIN_FEATURE_LEVEL) {
+        while (body(get("/v1/status")).path("level").asInt()
+                < ConfigurationCommands.MIN_FEATURE_LEVEL) {
             assertTrue(System.nanoTime() < deadline, "the group's level has not risen in time");
             Thread.sleep(50);
         }
@@ -149,10 +151,15 @@
 
     @Test
     void entriesArePutReadRejectedAndRolledBack() throws Exception {
-        assertEquals(0, runCommand("put", "backend/gw-1", BACKEND_VALUE, "shard/t/1", "gw-1"), () -> capturedErr);
+        assertEquals(
+                0,
+                runCommand("put", "backend/gw-1", BACKEND_VALUE, "shard/t/1", "gw-1"),
+                () -> capturedErr);
         assertEquals("revision 1, 2 changed\n", capturedOut);
         assertEquals(1, runCommand("put", "shard/t/1", "gw-2"));
-        assertTrue(capturedErr.contains("shard/t/1: 'gw-2' is not accepted; the identifier"), capturedErr);
+        assertTrue(
+                capturedErr.contains("shard/t/1: 'gw-2' is not accepted; the identifier"),
+                capturedErr);
         assertEquals(1, runCommand("put", "shard/t/1", "gw-1", "--expect", "shard/t/1=7"));
         assertTrue(capturedErr.contains("it is at revision 1"), capturedErr);
         Path file = dir.resolve("change.json");
@@ -174,7 +181,9 @@
         assertEquals("shard/t/2 gw-1 (revision 2)\n", capturedOut);
         assertEquals(1, runCommand("get", "suspension/"));
         assertEquals(0, runCommand("history"));
-        assertTrue(capturedOut.contains("bea, 2 changed\n  shard/t/1 deleted\n  shard/t/2 gw-1"), capturedOut);
+        assertTrue(
+                capturedOut.contains("bea, 2 changed\n  shard/t/1 deleted\n  shard/t/2 gw-1"),
+                capturedOut);
         assertEquals(1, runCommand("rollback", "9"));
         assertEquals(0, runCommand("rollback", "1"), () -> capturedErr);
         assertEquals(0, runCommand("get", "--json"));
@@ -193,7 +202,9 @@
         String zero = "0000000000000000";
         HttpResponse<String> first = get("/v1/configuration/changes?after=0&digest=" + zero);
         assertEquals(200, first.statusCode());
-        String digest = ConfigurationJson.formatDigest(ConfigurationJson.parseChanges(first.body()).digest());
+        String digest =
+                ConfigurationJson.formatDigest(
+                        ConfigurationJson.parseChanges(first.body()).digest());
         assertError(409, "diverged", "changes?after=1&digest=" + zero);
         assertError(421, "behind", "changes?after=2&digest=" + digest);
         assertError(410, "truncated", "snapshot?revision=77");
@@ -202,7 +213,8 @@
         HttpResponse<String> snapshot = get("/v1/configuration/snapshot?revision=0&limit=1");
         assertEquals(
                 digest,
-                ConfigurationJson.formatDigest(ConfigurationJson.parseSnapshotPage(snapshot.body()).digest()));
+                ConfigurationJson.formatDigest(
+                        ConfigurationJson.parseSnapshotPage(snapshot.body()).digest()));
         long began = System.nanoTime();
         HttpResponse<String> none =
                 get("/v1/configuration/changes?after=1&waitMs=300&digest=" + digest);
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationGroupTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationGroupTest.java
@@ -97,7 +97,8 @@
         assertEquals(state.configuration().image(), restored.configuration().image());
         assertArrayEquals(bytes, GroupCodec.encodeSnapshot(restored.image()));
         assertEquals(
-                state.configuration().changesAfter(0, 0, 10), restored.configuration().changesAfter(0, 0, 10));
+                state.configuration().changesAfter(0, 0, 10),
+                restored.configuration().changesAfter(0, 0, 10));
     }
 
     @Test
@@ -107,7 +108,8 @@
         ChangeConfiguration placed = change(mutation("shard/t/1", new EntryValue.Shard("gw-1")));
         Reply first = apply("c", 2, placed);
         apply("other", 1, change(mutation("shard/t/1", null)));
-        assertEquals(first, apply("c", 2, placed), "the answer was lost and the command sent again");
+        assertEquals(
+                first, apply("c", 2, placed), "the answer was lost and the command sent again");
         assertFalse(
                 state.configuration().view().entries().containsKey(EntryKey.parse("shard/t/1")),
                 "carried out a second time it would undo the other writer's change");
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationRegistryTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationRegistryTest.java
@@ -41,7 +41,8 @@
         try {
             String text = "{\"mutations\":[" + String.join(",", mutations) + "]}";
             List<Mutation> read = ConfigurationJson.parseMutations(text);
-            return registry.applyChange(new ChangeConfiguration("ana", read, expected), ACCEPTED_AT_MS);
+            return registry.applyChange(
+                    new ChangeConfiguration("ana", read, expected), ACCEPTED_AT_MS);
         } catch (MalformedException bad) {
             throw new IllegalArgumentException(bad);
         }
@@ -131,7 +132,8 @@
                             "10.0.0.7:1", "", 0, EntryValue.BackendState.READY, weight, 0);
             Mutation bad = new Mutation(EntryKey.parse("backend/gw-1"), value);
             Reply reply =
-                    registry.applyChange(new ChangeConfiguration("ana", List.of(bad), Map.of()), ACCEPTED_AT_MS);
+                    registry.applyChange(
+                            new ChangeConfiguration("ana", List.of(bad), Map.of()), ACCEPTED_AT_MS);
             assertTrue(((Rejected) reply).wanted().contains("'weight'"));
         }
     }
@@ -173,7 +175,11 @@
 
     @Test
     void referencedBackendIsDeletedOnlyWithItsReferences() {
-        put(backendJson("gw-1"), backendJson("gw-2"), shardJson("t/1", "gw-1"), shardJson("t/2", "gw-1"));
+        put(
+                backendJson("gw-1"),
+                backendJson("gw-2"),
+                shardJson("t/1", "gw-1"),
+                shardJson("t/2", "gw-1"));
         assertRejected("IN_USE", "backend/gw-1", "2 shards", deletionJson("backend/gw-1"));
         assertRejected(
                 "IN_USE",
@@ -195,14 +201,16 @@
         Changed seen = put(backendJson("gw-1"), backendJson("gw-2"), shardJson("t/1", "gw-1"));
         Map<String, Long> expected = Map.of("shard/t/1", seen.revision());
         assertInstanceOf(Changed.class, change(expected, shardJson("t/1", "gw-2")));
-        Rejected late = assertInstanceOf(Rejected.class, change(expected, deletionJson("shard/t/1")));
+        Rejected late =
+                assertInstanceOf(Rejected.class, change(expected, deletionJson("shard/t/1")));
         assertEquals(RejectionCode.CONFLICT, late.code());
         assertTrue(late.wanted().contains("revision 2"), late.wanted());
         assertEquals(2, registry.revision());
         Map<String, Long> absent = Map.of("shard/t/9", 0L);
         assertInstanceOf(Changed.class, change(absent, shardJson("t/9", "gw-1")));
         assertEquals(
-                RejectionCode.CONFLICT, ((Rejected) change(absent, shardJson("t/9", "gw-2"))).code());
+                RejectionCode.CONFLICT,
+                ((Rejected) change(absent, shardJson("t/9", "gw-2"))).code());
     }
 
     @Test
@@ -239,7 +247,9 @@
         ConfigurationRegistry drawn = new ConfigurationRegistry();
         Map<Long, Map<EntryKey, EntryValue>> past = new HashMap<>(Map.of(0L, Map.of()));
         for (int i = 0; i < 60; i++) {
-            drawn.applyChange(new ChangeConfiguration("ana", randomMutations(random), Map.of()), ACCEPTED_AT_MS);
+            drawn.applyChange(
+                    new ChangeConfiguration("ana", randomMutations(random), Map.of()),
+                    ACCEPTED_AT_MS);
             past.put(drawn.revision(), values(drawn));
         }
         ConfigurationRegistry restored = new ConfigurationRegistry(drawn.image());
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/FollowerReportsTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/FollowerReportsTest.java
@@ -45,6 +45,7 @@
         assertNull(report("d1", List.of()).validationError());
         assertNotNull(report("", List.of()).validationError());
         assertNotNull(report("d1", List.of(new Behind("r", -1, 0))).validationError());
-        assertNotNull(report("d1", Collections.nCopies(101, new Behind("r", 1, 0))).validationError());
+        assertNotNull(
+                report("d1", Collections.nCopies(101, new Behind("r", 1, 0))).validationError());
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHandlerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHandlerTest.java
@@ -45,7 +45,8 @@
         return change;
     }
 
-    private CompletableFuture<EncodedResponse> pollChanges(String name, long after, long digest, long waitMs) {
+    private CompletableFuture<EncodedResponse> pollChanges(
+            String name, long after, long digest, long waitMs) {
         return handler.handle(
                 "/v1/configuration/changes?after="
                         + after
@@ -81,7 +82,8 @@
                 new ChangesResponse(1, first.digest(), List.of(first)),
                 ConfigurationJson.parseChanges(text(answer)));
 
-        CompletableFuture<EncodedResponse> held = pollChanges("relay-1", 1, first.digest(), WAIT_MS);
+        CompletableFuture<EncodedResponse> held =
+                pollChanges("relay-1", 1, first.digest(), WAIT_MS);
         assertFalse(held.isDone());
         Change second = acceptAndServe("gw-2");
         assertEquals(List.of(second), ConfigurationJson.parseChanges(text(held.join())).changes());
@@ -146,7 +148,8 @@
         nowMs.set(WAIT_MS);
         handler.sweep();
         assertEquals(
-                new ChangesResponse(0, 0, List.of()), ConfigurationJson.parseChanges(text(held.join())));
+                new ChangesResponse(0, 0, List.of()),
+                ConfigurationJson.parseChanges(text(held.join())));
     }
 
     @Test
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHttpServerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHttpServerTest.java
@@ -145,7 +145,12 @@
         awaitWaiting(2);
         applyChange(500, 2_000); // 1 MB: far over what a socket takes without its reader
         assertEquals(
-                500, ConfigurationJson.parseChanges(readBody(reader)).changes().get(0).mutations().size());
+                500,
+                ConfigurationJson.parseChanges(readBody(reader))
+                        .changes()
+                        .get(0)
+                        .mutations()
+                        .size());
         Thread.sleep(FollowerConnection.WRITE_TIMEOUT.plusSeconds(1).toMillis());
         int taken = stuck.getInputStream().readAllBytes().length; // what the socket still held
         assertTrue(taken < 900_000, taken + " bytes");
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/ReportScheduleTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/ReportScheduleTest.java
@@ -22,7 +22,8 @@
         ZoneConfirmations busy = zone("a2", 5);
         assertEquals(List.of(quiet, busy), schedule.dueZones(List.of(quiet, busy), 0));
         schedule.markReported(quiet, 0);
-        assertEquals(List.of(busy), schedule.dueZones(List.of(quiet, busy), 1_000), "not yet taken");
+        assertEquals(
+                List.of(busy), schedule.dueZones(List.of(quiet, busy), 1_000), "not yet taken");
         schedule.markReported(busy, 1_000);
 
         ZoneConfirmations changed = zone("a2", 6);
--- a/coordinator/src/test/java/saltstage/coordinator/replica/LogStoreTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/replica/LogStoreTest.java
@@ -42,7 +42,8 @@
     }
 
     private static RaftGroupMembersView members() {
-        return RaftCodec.toMembersView(new RaftCodec.Members(0, List.of("a", "b"), List.of("a", "b")));
+        return RaftCodec.toMembersView(
+                new RaftCodec.Members(0, List.of("a", "b"), List.of("a", "b")));
     }
 
     private static SnapshotChunk chunk(long index, int at, int of) {
--- a/coordinator/src/test/java/saltstage/coordinator/settings/DistributorSettingsTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/settings/DistributorSettingsTest.java
@@ -25,18 +25,25 @@
 
     @Test
     void distributorIsReadFromTheGroupsFile() throws Exception {
-        DistributorSettings read = parse(GROUP_BLOCK + DISTRIBUTOR_BLOCK).distributorSettings("d-a1");
+        DistributorSettings read =
+                parse(GROUP_BLOCK + DISTRIBUTOR_BLOCK).distributorSettings("d-a1");
         assertEquals("a1", read.zone());
         assertEquals(7301, read.listenAddress().getPort());
         assertEquals(1, read.sourceAddresses().size());
         assertEquals(Path.of("distributor-data", "d-a1"), read.dir());
-        assertThrows(MalformedException.class, () -> parse(GROUP_BLOCK).distributorSettings("d-a1"));
+        assertThrows(
+                MalformedException.class, () -> parse(GROUP_BLOCK).distributorSettings("d-a1"));
     }
 
     @Test
     void exampleFileIsValid() throws Exception {
         Path shipped = Path.of("..", "deploy", "coordinator.hcl");
-        assertEquals(3, CoordinatorSettings.read(shipped).distributorSettings("d-a2").sourceAddresses().size());
+        assertEquals(
+                3,
+                CoordinatorSettings.read(shipped)
+                        .distributorSettings("d-a2")
+                        .sourceAddresses()
+                        .size());
     }
 
     @ParameterizedTest
--- a/relay/src/main/java/saltstage/amqp/AmqpBackendConnection.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpBackendConnection.java
@@ -39,7 +39,8 @@
     private boolean opened;
     private Instant idleSince;
 
-    AmqpBackendConnection(AmqpFrontend front, BackendConnectionPool pool, Backend peer, Connection net) {
+    AmqpBackendConnection(
+            AmqpFrontend front, BackendConnectionPool pool, Backend peer, Connection net) {
         super(net, front::now, front.settings().limits().maxFrameBytes());
         this.frontend = front;
         this.pool = pool;
@@ -63,7 +64,8 @@
                 .closeHandler(
                         up -> {
                             ErrorCondition why = up.getRemoteCondition();
-                            connectionLost(why == null ? "closed" : String.valueOf(why.getCondition()));
+                            connectionLost(
+                                    why == null ? "closed" : String.valueOf(why.getCondition()));
                             close(null);
                         });
         startEngine(made);
@@ -142,7 +144,8 @@
 
     void closeIfIdle() {
         boolean left = backend.hasEnded() || !backend.canAcceptRequests();
-        if (links.isEmpty() && (left || Duration.between(idleSince, now()).compareTo(IDLE_TIMEOUT) > 0)) {
+        if (links.isEmpty()
+                && (left || Duration.between(idleSince, now()).compareTo(IDLE_TIMEOUT) > 0)) {
             pool.removeConnection(this);
             close(null);
         }
--- a/relay/src/main/java/saltstage/amqp/AmqpClientConnection.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpClientConnection.java
@@ -21,8 +21,8 @@
 import org.apache.qpid.protonj2.engine.Sender;
 import org.apache.qpid.protonj2.engine.Session;
 import org.apache.qpid.protonj2.engine.exceptions.ProtocolViolationException;
-import org.apache.qpid.protonj2.engine.impl.ProtonFlowControl;
 import org.apache.qpid.protonj2.engine.impl.ProtonConstants;
+import org.apache.qpid.protonj2.engine.impl.ProtonFlowControl;
 import org.apache.qpid.protonj2.engine.sasl.SaslOutcome;
 import org.apache.qpid.protonj2.engine.sasl.SaslServerContext;
 import org.apache.qpid.protonj2.engine.sasl.SaslServerListener;
@@ -68,7 +68,8 @@
     private int beginCount;
     private boolean linksEnded;
 
-    AmqpClientConnection(AmqpFrontend front, BackendConnectionPool pool, Connection net, boolean overfull) {
+    AmqpClientConnection(
+            AmqpFrontend front, BackendConnectionPool pool, Connection net, boolean overfull) {
         super(net, front::now, front.settings().limits().maxFrameBytes());
         this.frontend = front;
         this.backendPool = pool;
@@ -200,7 +201,8 @@
             String name = new String(bytes, first + 1, next - first - 1, StandardCharsets.UTF_8);
             String acts = new String(bytes, 0, first, StandardCharsets.UTF_8);
             boolean fits =
-                    frontend.userSecrets().matches(name, Arrays.copyOfRange(bytes, next + 1, bytes.length));
+                    frontend.userSecrets()
+                            .matches(name, Arrays.copyOfRange(bytes, next + 1, bytes.length));
             if (!fits || !acts.isEmpty() && !acts.equals(name)) {
                 return false;
             }
@@ -227,7 +229,8 @@
     private final class EmptyFrameCounter implements EngineHandler {
         @Override
         public void handleRead(EngineHandlerContext context, IncomingAMQPEnvelope frame) {
-            if (frame == EmptyEnvelope.INSTANCE && exceedsRate(++emptyFrameCount, MAX_EMPTY_FRAMES_PER_SECOND)) {
+            if (frame == EmptyEnvelope.INSTANCE
+                    && exceedsRate(++emptyFrameCount, MAX_EMPTY_FRAMES_PER_SECOND)) {
                 closeForFlooding("empty frames");
                 return;
             }
@@ -260,7 +263,11 @@
         remotely.open();
         if (overLimit) {
             Log.warn(
-                    "amqp.full", "from", remoteAddress, "connections", settings.limits().maxConnections());
+                    "amqp.full",
+                    "from",
+                    remoteAddress,
+                    "connections",
+                    settings.limits().maxConnections());
             close(ErrorConditions.rejected(frontend.config().maxRetryAfter()));
         } else if (frontend.isDraining()) {
             close(ErrorConditions.relayDraining());
@@ -295,7 +302,9 @@
                 link,
                 target == null ? null : target.getAddress(),
                 dynamic,
-                asked -> new ClientSenderLink(frontend, this, link, asked, frontend.isIdempotent(asked)));
+                asked ->
+                        new ClientSenderLink(
+                                frontend, this, link, asked, frontend.isIdempotent(asked)));
     }
 
     private void onAttach(Sender link) {
@@ -312,7 +321,8 @@
         ClientLink create(AttachMapper.AttachRequest asked);
     }
 
-    private void acceptOrRejectAttach(Link<?> link, String address, boolean dynamic, ClientLinkFactory making) {
+    private void acceptOrRejectAttach(
+            Link<?> link, String address, boolean dynamic, ClientLinkFactory making) {
         if (exceedsRate(++attachCount, settings.limits().maxAttachesPerSecond())) {
             closeForFlooding("attaches");
             return;
--- a/relay/src/main/java/saltstage/amqp/AmqpConnection.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpConnection.java
@@ -63,7 +63,8 @@
                             ByteBuffer bytes = part.getReadableBuffer();
                             // protonj2 1.0.0 shows all of the array here, also what was not written
                             // to it
-                            netConnection.write(bytes.limit(bytes.position() + part.getReadableBytes()));
+                            netConnection.write(
+                                    bytes.limit(bytes.position() + part.getReadableBytes()));
                         }
                     }
                     if (done != null) { // the buffer is not closed: headers are shared ones
--- a/relay/src/main/java/saltstage/amqp/AmqpFrontend.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpFrontend.java
@@ -108,7 +108,9 @@
 
     /** Listens; returns where. */
     public InetSocketAddress start() throws IOException {
-        listener = transport.listen(settings().listenAddress(), ACCEPT_BACKLOG, WRITE_LIMITS, this::accept);
+        listener =
+                transport.listen(
+                        settings().listenAddress(), ACCEPT_BACKLOG, WRITE_LIMITS, this::accept);
         reserveDescriptors();
         pipeline.addFrontend(this);
         transport.loops().forEach(this::scheduleMaintenance);
@@ -195,10 +197,14 @@
         }
         found.replaceAll(
                 (peer, count) ->
-                        Math.max(MIN_LINKS_MOVED_PER_INTERVAL, (count + MOVE_SPREAD_INTERVALS - 1) / MOVE_SPREAD_INTERVALS));
+                        Math.max(
+                                MIN_LINKS_MOVED_PER_INTERVAL,
+                                (count + MOVE_SPREAD_INTERVALS - 1) / MOVE_SPREAD_INTERVALS));
         for (ClientLink link : links) {
             Attempt up = link.establishedAttempt();
-            if (up != null && found.getOrDefault(up.backend(), 0) > 0 && pipeline.move(up, "drain")) {
+            if (up != null
+                    && found.getOrDefault(up.backend(), 0) > 0
+                    && pipeline.move(up, "drain")) {
                 found.merge(up.backend(), -1, Integer::sum);
             }
         }
--- a/relay/src/main/java/saltstage/amqp/AttachMapper.java
+++ b/relay/src/main/java/saltstage/amqp/AttachMapper.java
@@ -44,7 +44,8 @@
             Map<Symbol, Object> properties) {}
 
     /** What it asks for, and how long its client waits for the attach to be answered. */
-    record MappedRequest(RequestAttributes attributes, Duration clientTimeout, boolean idempotent) {}
+    record MappedRequest(
+            RequestAttributes attributes, Duration clientTimeout, boolean idempotent) {}
 
     private final Configuration config;
     private final AmqpSettings.LinkProperties linkProperties;
@@ -59,10 +60,12 @@
     /**
      * Maps a link; again: it stood before and its backend was lost. The name is the relay's own.
      */
-    MappedRequest map(AttachRequest asked, String name, boolean again) throws AttachRejectedException {
+    MappedRequest map(AttachRequest asked, String name, boolean again)
+            throws AttachRejectedException {
         if (asked.address() == null || asked.address().isEmpty()) {
             throw new AttachRejectedException(
-                    ErrorConditions.notImplemented("a link needs an address, CLASS or CLASS/GROUP"));
+                    ErrorConditions.notImplemented(
+                            "a link needs an address, CLASS or CLASS/GROUP"));
         }
         int slash = asked.address().indexOf('/');
         String word = slash < 0 ? asked.address() : asked.address().substring(0, slash);
@@ -70,7 +73,8 @@
         String told = textProperty(asked, linkProperties.groupProperty());
         group = told == null ? group : told;
         if (group != null && !GROUP_PATTERN.matcher(group).matches()) {
-            throw new AttachRejectedException(ErrorConditions.notFound("a group takes 1 to 128 printable characters"));
+            throw new AttachRejectedException(
+                    ErrorConditions.notFound("a group takes 1 to 128 printable characters"));
         }
         String key = textProperty(asked, linkProperties.keyProperty());
         key = key == null ? asked.containerId() + '\n' + asked.linkName() : key;
@@ -82,7 +86,8 @@
         try {
             place = config.serviceClassIndex(word);
         } catch (MalformedException unknown) {
-            throw new AttachRejectedException(ErrorConditions.notFound("unknown class in the address"));
+            throw new AttachRejectedException(
+                    ErrorConditions.notFound("unknown class in the address"));
         }
         try {
             tenant = config.tenantIndex(asked.user() == null ? anonymousTenant : asked.user());
@@ -98,13 +103,15 @@
                 repeatable);
     }
 
-    private Duration clientTimeout(AttachRequest asked, Duration most) throws AttachRejectedException {
+    private Duration clientTimeout(AttachRequest asked, Duration most)
+            throws AttachRejectedException {
         Object told = property(asked, linkProperties.deadlineProperty());
         if (told == null) {
             return most;
         }
         if (!(told instanceof Number n) || n.longValue() < 1) {
-            throw new AttachRejectedException(ErrorConditions.notFound("the deadline property takes milliseconds"));
+            throw new AttachRejectedException(
+                    ErrorConditions.notFound("the deadline property takes milliseconds"));
         }
         return Duration.ofMillis(Math.min(most.toMillis(), n.longValue()));
     }
--- a/relay/src/main/java/saltstage/amqp/BackendConnectionPool.java
+++ b/relay/src/main/java/saltstage/amqp/BackendConnectionPool.java
@@ -95,7 +95,9 @@
 
         @Override
         public ConnectionHandler connected(Connection connection) {
-            AmqpBackendConnection up = new AmqpBackendConnection(frontend, BackendConnectionPool.this, backend, connection);
+            AmqpBackendConnection up =
+                    new AmqpBackendConnection(
+                            frontend, BackendConnectionPool.this, backend, connection);
             pendingConnects.remove(backend, this);
             connections.computeIfAbsent(backend, any -> new ArrayList<>()).add(up);
             up.open();
--- a/relay/src/main/java/saltstage/amqp/BackendLink.java
+++ b/relay/src/main/java/saltstage/amqp/BackendLink.java
@@ -155,7 +155,9 @@
         // two clients that chose the same name must not take each other's link.
         link =
                 owner.createLink(
-                        session.session(), connection, attempt.context().attributes().clientRequestId());
+                        session.session(),
+                        connection,
+                        attempt.context().attributes().clientRequestId());
         link.closeHandler(ended -> detachReceived(ended.getRemoteCondition()))
                 .detachHandler(ended -> detachReceived(ended.getRemoteCondition()))
                 .openHandler(opened -> attachReceived());
--- a/relay/src/main/java/saltstage/amqp/ClientLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientLink.java
@@ -56,7 +56,11 @@
     private ErrorCondition detachCondition;
     private int consecutiveBackendLosses;
 
-    ClientLink(AmqpFrontend front, AmqpClientConnection owner, Link<?> link, AttachMapper.AttachRequest asked) {
+    ClientLink(
+            AmqpFrontend front,
+            AmqpClientConnection owner,
+            Link<?> link,
+            AttachMapper.AttachRequest asked) {
         this.frontend = front;
         this.connection = owner;
         this.link = link;
@@ -66,7 +70,8 @@
     /** Begins: asks for a place, or is turned away at once. */
     final void start() {
         try {
-            mappedRequest = frontend.attachMapper().map(attachRequest, frontend.newRequestId(), false);
+            mappedRequest =
+                    frontend.attachMapper().map(attachRequest, frontend.newRequestId(), false);
         } catch (AttachMapper.AttachRejectedException bad) {
             rejectAttach(bad.condition());
             return;
@@ -77,7 +82,10 @@
     private void requestAdmission() {
         frontend.admissionControl()
                 .admitFromFrontend(
-                        this, mappedRequest.attributes(), mappedRequest.clientTimeout(), taken -> context = taken);
+                        this,
+                        mappedRequest.attributes(),
+                        mappedRequest.clientTimeout(),
+                        taken -> context = taken);
     }
 
     /**
@@ -123,7 +131,8 @@
 
     @Override
     public final void startAttempt(Attempt begun, Instant until) {
-        connection.loop()
+        connection
+                .loop()
                 .execute(
                         () -> {
                             if (state == State.ENDED || begun.context() != context) {
@@ -290,7 +299,8 @@
         state = State.REATTACHING;
         frontend.countReattached();
         try {
-            mappedRequest = frontend.attachMapper().map(attachRequest, frontend.newRequestId(), true);
+            mappedRequest =
+                    frontend.attachMapper().map(attachRequest, frontend.newRequestId(), true);
             requestAdmission();
         } catch (AttachMapper.AttachRejectedException changed) {
             detachWithoutBackend(changed.condition());
@@ -323,7 +333,8 @@
                 "id",
                 up.context().attributes().clientRequestId());
         if (reason.startsWith("peer")) {
-            backendLink.connectionLost(true); // nothing more will come from there: what waits goes elsewhere
+            backendLink.connectionLost(
+                    true); // nothing more will come from there: what waits goes elsewhere
             return;
         }
         startDetach(ErrorConditions.moved(reason));
--- a/relay/src/main/java/saltstage/amqp/ClientSenderLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientSenderLink.java
@@ -21,9 +21,11 @@
 import saltstage.amqp.DeliveryForwarder.Delivery;
 
 /**
- * The link of a client that sends. {@link DeliveryForwarder} decides; this joins it to the two engines.
+ * The link of a client that sends. {@link DeliveryForwarder} decides; this joins it to the two
+ * engines.
  */
-final class ClientSenderLink extends ClientLink implements DeliveryForwarder.ClientEndpoint, DeliveryForwarder.BackendEndpoint {
+final class ClientSenderLink extends ClientLink
+        implements DeliveryForwarder.ClientEndpoint, DeliveryForwarder.BackendEndpoint {
     private static final byte[] NO_BYTES = {};
 
     private final Receiver clientReceiver;
@@ -91,7 +93,8 @@
 
     /** Reads what may be held; the rest waits in the engine and with it the client's session. */
     private void readDeliveries() {
-        while (!unreadDeliveries.isEmpty() && (forwarder.canBufferMore() || isCompleted(unreadDeliveries.peek()))) {
+        while (!unreadDeliveries.isEmpty()
+                && (forwarder.canBufferMore() || isCompleted(unreadDeliveries.peek()))) {
             IncomingDelivery in = unreadDeliveries.poll();
             Delivery delivery = in.getLinkedResource();
             byte[] bytes = NO_BYTES;
@@ -148,7 +151,9 @@
         }
         in.settle();
         readDeliveries();
-        connection().restoreWindow(clientReceiver, 0); // a transfer without bytes uses the window up as well
+        connection()
+                .restoreWindow(
+                        clientReceiver, 0); // a transfer without bytes uses the window up as well
     }
 
     /** The client has settled: in the mode 'second' the backend waits for that (2.6.12). */
@@ -167,7 +172,10 @@
     }
 
     private boolean canUpdate(OutgoingDelivery out) {
-        return backendLink() != null && backendLink().isAttached() && out.getLink() == backendSender && !out.isSettled();
+        return backendLink() != null
+                && backendLink().isAttached()
+                && out.getLink() == backendSender
+                && !out.isSettled();
     }
 
     // ---- to the client
@@ -175,7 +183,9 @@
     @Override
     public void grantCredit(int more) {
         if (!isEnded() && connection().canSendFrames()) {
-            connection().restoreWindow(clientReceiver, 0); // the session's window first, for all its links
+            connection()
+                    .restoreWindow(
+                            clientReceiver, 0); // the session's window first, for all its links
             clientReceiver.addCredit(more);
         }
     }
@@ -184,7 +194,9 @@
     public void sendOutcome(Delivery delivery, DeliveryState state, boolean settled) {
         IncomingDelivery in = (IncomingDelivery) delivery.clientDelivery();
         frontend().countOutcome(state);
-        if (connection().canSendFrames() && clientReceiver.isRemotelyOpen() && clientReceiver.isLocallyOpen()) {
+        if (connection().canSendFrames()
+                && clientReceiver.isRemotelyOpen()
+                && clientReceiver.isLocallyOpen()) {
             // One that still comes is settled when it has ended: until then the engine must know
             // it.
             in.disposition(state, settled && !in.isPartial());
@@ -196,7 +208,9 @@
     @Override
     public boolean canSend() {
         // protonj2 1.0.0 goes on calling a sender sendable whose credit it has just let go
-        if (backendLink() == null || !backendLink().isWritable() || backendSender.getCredit() == 0) {
+        if (backendLink() == null
+                || !backendLink().isWritable()
+                || backendSender.getCredit() == 0) {
             return false;
         }
         if (!backendSender.isSendable()) {
@@ -211,7 +225,11 @@
         OutgoingDelivery out = (OutgoingDelivery) delivery.backendDelivery();
         if (out == null) {
             IncomingDelivery in = (IncomingDelivery) delivery.clientDelivery();
-            out = backendSender.next().setTag(copyTag(in.getTag())).setMessageFormat(in.getMessageFormat());
+            out =
+                    backendSender
+                            .next()
+                            .setTag(copyTag(in.getTag()))
+                            .setMessageFormat(in.getMessageFormat());
             out.setLinkedResource(delivery);
             delivery.setBackendDelivery(out);
             if (delivery.isPresettled()) {
@@ -287,7 +305,10 @@
 
     /** A backend that drains its credit is told so once what the client may still send has come. */
     private void answerBackendDrain() {
-        if (isEnded() || backendSender == null || backendLink() == null || !backendLink().isAttached()) {
+        if (isEnded()
+                || backendSender == null
+                || backendLink() == null
+                || !backendLink().isAttached()) {
             return;
         }
         if (!backendSender.isDraining()) {
@@ -318,7 +339,8 @@
     public Link<?> createLink(Session session, AmqpConnection on, String name) {
         backendSender = session.sender(name);
         copyAttachTo(backendSender);
-        return backendSender.creditStateUpdateHandler(this::creditReceived)
+        return backendSender
+                .creditStateUpdateHandler(this::creditReceived)
                 .deliveryStateUpdatedHandler(this::backendDispositionReceived);
     }
 
@@ -353,14 +375,18 @@
     @Override
     protected void drainCredit() {
         forwarder.stopGrantingCredit();
-        if (clientReceiver.getCredit() > 0 && !clientReceiver.isDraining() && connection().canSendFrames()) {
+        if (clientReceiver.getCredit() > 0
+                && !clientReceiver.isDraining()
+                && connection().canSendFrames()) {
             clientReceiver.drain();
         }
     }
 
     @Override
     protected boolean isSettled() {
-        return forwarder.size() == 0 && clientReceiver.getCredit() == 0 && !clientReceiver.isDraining();
+        return forwarder.size() == 0
+                && clientReceiver.getCredit() == 0
+                && !clientReceiver.isDraining();
     }
 
     @Override
--- a/relay/src/main/java/saltstage/amqp/DeliveryForwarder.java
+++ b/relay/src/main/java/saltstage/amqp/DeliveryForwarder.java
@@ -48,7 +48,12 @@
     }
 
     /** The bounds; see {@link saltstage.config.AmqpSettings}. */
-    record Limits(int maxUnsettled, int maxBufferedBytes, int maxRetainedDeliveryBytes, int maxAttempts, Duration deliveryTimeout) {}
+    record Limits(
+            int maxUnsettled,
+            int maxBufferedBytes,
+            int maxRetainedDeliveryBytes,
+            int maxAttempts,
+            Duration deliveryTimeout) {}
 
     /** One delivery. */
     static final class Delivery {
@@ -215,7 +220,9 @@
         for (Delivery delivery : deliveriesInOrder()) {
             boolean again =
                     !delivery.everStarted
-                            || idempotent && !delivery.discardingSent && delivery.attempts < limits.maxAttempts();
+                            || idempotent
+                                    && !delivery.discardingSent
+                                    && delivery.attempts < limits.maxAttempts();
             if (delivery.presettled && delivery.everStarted) {
                 again = false; // owed nothing, and perhaps there already
             }
@@ -352,9 +359,11 @@
                 delivery.everStarted = true;
                 delivery.attempts++;
             }
-            boolean last = delivery.fullyReceived && delivery.nextChunk >= delivery.chunks.size() - 1;
+            boolean last =
+                    delivery.fullyReceived && delivery.nextChunk >= delivery.chunks.size() - 1;
             byte[] piece = more ? delivery.chunks.get(delivery.nextChunk) : new byte[0];
-            delivery.nextChunkOffset += backend.send(delivery, piece, delivery.nextChunkOffset, last);
+            delivery.nextChunkOffset +=
+                    backend.send(delivery, piece, delivery.nextChunkOffset, last);
             if (delivery.nextChunkOffset < piece.length) {
                 return false;
             }
@@ -377,7 +386,9 @@
 
     /** What is too large to be kept is only passed through: what has gone on is let go. */
     private void discardSentChunks(Delivery delivery) {
-        if (!idempotent || delivery.discardingSent || delivery.bufferedBytes > limits.maxRetainedDeliveryBytes()) {
+        if (!idempotent
+                || delivery.discardingSent
+                || delivery.bufferedBytes > limits.maxRetainedDeliveryBytes()) {
             delivery.discardingSent = true;
             int freed = 0;
             for (int i = 0; i < delivery.nextChunk; i++) {
--- a/relay/src/main/java/saltstage/amqp/DispositionBatcher.java
+++ b/relay/src/main/java/saltstage/amqp/DispositionBatcher.java
@@ -85,7 +85,8 @@
                 (channel, ranges) ->
                         ranges.drain(
                                 (first, last) -> {
-                                    disposition.reset()
+                                    disposition
+                                            .reset()
                                             .setRole(role)
                                             .setFirst(first)
                                             .setSettled(true)
@@ -93,7 +94,8 @@
                                     if (last != first) {
                                         disposition.setLast(last);
                                     }
-                                    context.fireWrite(envelopePool.take(disposition, channel, null));
+                                    context.fireWrite(
+                                            envelopePool.take(disposition, channel, null));
                                 }));
     }
 }
--- a/relay/src/main/java/saltstage/amqp/UserSecrets.java
+++ b/relay/src/main/java/saltstage/amqp/UserSecrets.java
@@ -14,7 +14,8 @@
  * Users and their secrets, from a file of lines {@code USER:SECRET}; {@code #} begins a comment.
  */
 final class UserSecrets {
-    private static final byte[] UNKNOWN_USER_SECRET = "nobody has this one".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] UNKNOWN_USER_SECRET =
+            "nobody has this one".getBytes(StandardCharsets.UTF_8);
 
     private final Map<String, byte[]> secretsByUser = new HashMap<>();
 
--- a/relay/src/main/java/saltstage/amqp/ValidatedSettings.java
+++ b/relay/src/main/java/saltstage/amqp/ValidatedSettings.java
@@ -10,9 +10,14 @@
  * All that the operator's settings say of the front, read and checked as a whole; replaced as a
  * whole.
  */
-record ValidatedSettings(AmqpSettings settings, AttachMapper attachMapper, UserSecrets userSecrets, DeliveryForwarder.Limits forwardingLimits) {
+record ValidatedSettings(
+        AmqpSettings settings,
+        AttachMapper attachMapper,
+        UserSecrets userSecrets,
+        DeliveryForwarder.Limits forwardingLimits) {
     /** Checks what the settings alone cannot know: the tenant of ANONYMOUS, the file of secrets. */
-    static ValidatedSettings validate(AmqpSettings settings, Configuration config) throws MalformedException {
+    static ValidatedSettings validate(AmqpSettings settings, Configuration config)
+            throws MalformedException {
         UserSecrets secrets =
                 settings.authentication().secretsFile() == null
                         ? UserSecrets.empty()
--- a/relay/src/main/java/saltstage/configuration/EntryKey.java
+++ b/relay/src/main/java/saltstage/configuration/EntryKey.java
@@ -16,7 +16,9 @@
     public EntryKey {
         if (!NAME_PATTERN.matcher(name).matches()) {
             throw new IllegalArgumentException(
-                    "the name of a " + kind.wireName() + " takes 1 to 160 visible ASCII characters");
+                    "the name of a "
+                            + kind.wireName()
+                            + " takes 1 to 160 visible ASCII characters");
         }
     }
 
--- a/relay/src/main/java/saltstage/configuration/ValueRules.java
+++ b/relay/src/main/java/saltstage/configuration/ValueRules.java
@@ -10,7 +10,8 @@
     private static final Pattern ZONE_PATTERN =
             Pattern.compile("[A-Za-z0-9._-]{0," + ConfigurationLimits.MAX_ZONE_LENGTH + "}");
     private static final Pattern ADDRESS_PATTERN =
-            Pattern.compile("[A-Za-z0-9.:\\[\\]_-]{1," + ConfigurationLimits.MAX_ADDRESS_LENGTH + "}");
+            Pattern.compile(
+                    "[A-Za-z0-9.:\\[\\]_-]{1," + ConfigurationLimits.MAX_ADDRESS_LENGTH + "}");
     private static final Pattern IDENTIFIER_PATTERN =
             Pattern.compile("[!-~]{1," + ConfigurationLimits.MAX_IDENTIFIER_LENGTH + "}");
 
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
@@ -81,7 +81,10 @@
         this.store = store;
         this.clock = clock;
         persistedConfiguration = load(store);
-        durableRevision = new StoredRevision(persistedConfiguration.view().revision(), persistedConfiguration.view().digest());
+        durableRevision =
+                new StoredRevision(
+                        persistedConfiguration.view().revision(),
+                        persistedConfiguration.view().digest());
         persistedConfirmationAt = persistedConfiguration.confirmedAt();
     }
 
@@ -98,7 +101,8 @@
                 events);
     }
 
-    static ConfigurationStore open(Disk disk, StoreOptions options, Clock clock, StoreEventListener events)
+    static ConfigurationStore open(
+            Disk disk, StoreOptions options, Clock clock, StoreEventListener events)
             throws IOException {
         Store store = Store.open(disk, options, events);
         try {
@@ -134,7 +138,8 @@
             }
             ConfigurationView view = verifiedView(StoredRevision.decode(state), readEntries(now));
             byte[] confirmed = now.get(CONFIRMED_KEY);
-            return new PersistedConfiguration(view, confirmed == null ? null : decodeInstant(confirmed));
+            return new PersistedConfiguration(
+                    view, confirmed == null ? null : decodeInstant(confirmed));
         }
     }
 
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
@@ -195,7 +195,9 @@
         markSourceConnected();
         effects.add(new FollowerEffect.Confirmed(view.revision()));
         if (early) {
-            scheduleRetry(RetryDelay.fullJitter(MAX_EARLY_RESPONSE_DELAY, MAX_EARLY_RESPONSE_DELAY, 1, random));
+            scheduleRetry(
+                    RetryDelay.fullJitter(
+                            MAX_EARLY_RESPONSE_DELAY, MAX_EARLY_RESPONSE_DELAY, 1, random));
         } else {
             request();
         }
@@ -316,11 +318,15 @@
             preferredSourceFailures++;
         }
         schedulePreferredSourceRetry();
-        scheduleRetry(RetryDelay.fullJitter(timings.baseRetryDelay(), timings.maxRetryDelay(), failures, random));
+        scheduleRetry(
+                RetryDelay.fullJitter(
+                        timings.baseRetryDelay(), timings.maxRetryDelay(), failures, random));
     }
 
     private void schedulePreferredSourceRetry() {
-        if (source == PREFERRED_SOURCE || preferredRetryTimer != NO_OPERATION || preferredRetryDue) {
+        if (source == PREFERRED_SOURCE
+                || preferredRetryTimer != NO_OPERATION
+                || preferredRetryDue) {
             return;
         }
         preferredRetryTimer = nextOperationId();
@@ -350,7 +356,10 @@
         if (snapshotAssembler != null) {
             effects.add(
                     new FollowerEffect.RequestSnapshotPage(
-                            awaitedOperationId, source, snapshotAssembler.revision(), snapshotAssembler.nextKey()));
+                            awaitedOperationId,
+                            source,
+                            snapshotAssembler.revision(),
+                            snapshotAssembler.nextKey()));
             return;
         }
         if (preferredRetryDue) {
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerTimings.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerTimings.java
@@ -21,7 +21,13 @@
     /** Checks that each is positive; throws IllegalArgumentException otherwise. */
     public FollowerTimings {
         for (Duration each :
-                new Duration[] {pollWait, baseRetryDelay, maxRetryDelay, basePreferredRetryDelay, maxPreferredRetryDelay}) {
+                new Duration[] {
+                    pollWait,
+                    baseRetryDelay,
+                    maxRetryDelay,
+                    basePreferredRetryDelay,
+                    maxPreferredRetryDelay
+                }) {
             if (each.isZero() || each.isNegative()) {
                 throw new IllegalArgumentException("a follower's time-outs must be positive");
             }
--- a/relay/src/main/java/saltstage/configuration/follower/RetryDelay.java
+++ b/relay/src/main/java/saltstage/configuration/follower/RetryDelay.java
@@ -15,7 +15,8 @@
     }
 
     /** A pause from half of the bound to the bound. */
-    static Duration equalJitter(Duration base, Duration most, int failures, RandomGenerator random) {
+    static Duration equalJitter(
+            Duration base, Duration most, int failures, RandomGenerator random) {
         Duration bound = exponentialBound(base, most, failures);
         return randomBetween(bound.dividedBy(2), bound, random);
     }
--- a/relay/src/main/java/saltstage/configuration/follower/SourceRequestBuilder.java
+++ b/relay/src/main/java/saltstage/configuration/follower/SourceRequestBuilder.java
@@ -17,7 +17,8 @@
 
     SourceRequestBuilder(FollowerOptions options) {
         this.options = options;
-        followerQuery = "&follower=" + urlEncode(options.name()) + "&zone=" + urlEncode(options.zone());
+        followerQuery =
+                "&follower=" + urlEncode(options.name()) + "&zone=" + urlEncode(options.zone());
     }
 
     HttpRequest build(FollowerEffect.RequestChanges request) {
--- a/relay/src/main/java/saltstage/store/AcknowledgedSeqFile.java
+++ b/relay/src/main/java/saltstage/store/AcknowledgedSeqFile.java
@@ -40,11 +40,13 @@
     }
 
     /** Makes the file, durable but for its name, and opens it to write. */
-    static AcknowledgedSeqFile create(Disk disk, SegmentFormat.StoreId store, long seq) throws IOException {
+    static AcknowledgedSeqFile create(Disk disk, SegmentFormat.StoreId store, long seq)
+            throws IOException {
         disk.delete(TEMPORARY_NAME);
         try (Disk.File file = disk.create(TEMPORARY_NAME)) {
             ByteBuffer all = ByteBuffer.allocate(FILE_BYTES);
-            all.put(0, encodeSlot(store, seq), 0, SLOT_CONTENT_BYTES).put(SLOT_BYTES, encodeSlot(store, seq), 0, SLOT_CONTENT_BYTES);
+            all.put(0, encodeSlot(store, seq), 0, SLOT_CONTENT_BYTES)
+                    .put(SLOT_BYTES, encodeSlot(store, seq), 0, SLOT_CONTENT_BYTES);
             if (file.write(all, 0) < FILE_BYTES) {
                 throw new IOException("short write of " + TEMPORARY_NAME);
             }
@@ -65,14 +67,16 @@
     }
 
     /** Opens it to write, with the number that the log came to. */
-    static AcknowledgedSeqFile open(Disk disk, SegmentFormat.StoreId store, long seq) throws IOException {
+    static AcknowledgedSeqFile open(Disk disk, SegmentFormat.StoreId store, long seq)
+            throws IOException {
         Disk.File file = disk.open(NAME, true);
         boolean opened = false;
         try {
             long[] slots = readSlots(file, store);
             // What the last run wrote may never have been forced: the slot that says more is not
             // left alone.
-            AcknowledgedSeqFile made = new AcknowledgedSeqFile(file, store, slots[0] >= slots[1] ? 0 : 1, seq);
+            AcknowledgedSeqFile made =
+                    new AcknowledgedSeqFile(file, store, slots[0] >= slots[1] ? 0 : 1, seq);
             made.writeSlot();
             made.forceAndSwitchSlot();
             opened = true;
@@ -146,17 +150,24 @@
             return null;
         }
         in.flip();
-        boolean sound = in.getLong(0) == MAGIC && in.getInt(CRC_OFFSET) == SegmentFormat.crcExcluding(in, CRC_OFFSET);
+        boolean sound =
+                in.getLong(0) == MAGIC
+                        && in.getInt(CRC_OFFSET) == SegmentFormat.crcExcluding(in, CRC_OFFSET);
         return sound ? in : null;
     }
 
     /** What each slot says; -1 for one that a write was cut off in, which never happens to both. */
-    private static long[] readSlots(Disk.File file, SegmentFormat.StoreId store) throws IOException {
+    private static long[] readSlots(Disk.File file, SegmentFormat.StoreId store)
+            throws IOException {
         if (file.size() != FILE_BYTES) {
             throw new StoreException.Damaged(
                     NAME,
                     Math.min(file.size(), FILE_BYTES),
-                    "the file is " + file.size() + " bytes long; " + FILE_BYTES + " were taken for it");
+                    "the file is "
+                            + file.size()
+                            + " bytes long; "
+                            + FILE_BYTES
+                            + " were taken for it");
         }
         long[] said = {-1, -1};
         for (int i = 0; i < 2; i++) {
--- a/relay/src/main/java/saltstage/store/Batch.java
+++ b/relay/src/main/java/saltstage/store/Batch.java
@@ -19,7 +19,9 @@
     /** One change; a null value deletes. */
     record Change(byte[] key, byte[] value) {
         int encodedBytes() {
-            return SegmentFormat.ENTRY_HEADER_BYTES + key.length + (value == null ? 0 : value.length);
+            return SegmentFormat.ENTRY_HEADER_BYTES
+                    + key.length
+                    + (value == null ? 0 : value.length);
         }
     }
 
--- a/relay/src/main/java/saltstage/store/Checkpoint.java
+++ b/relay/src/main/java/saltstage/store/Checkpoint.java
@@ -16,7 +16,8 @@
     private static final int BLOCK_BYTES = 64 << 10;
     private static final int BLOCK_HEADER_BYTES = 8;
     private static final int ENTRY_HEADER_BYTES = 22;
-    private static final int MAX_BLOCK_BYTES = BLOCK_BYTES + ENTRY_HEADER_BYTES + Batch.MAX_KEY_BYTES;
+    private static final int MAX_BLOCK_BYTES =
+            BLOCK_BYTES + ENTRY_HEADER_BYTES + Batch.MAX_KEY_BYTES;
 
     private Checkpoint() {}
 
@@ -34,7 +35,12 @@
 
     /** Writes the index as of this number; the file is durable, its name is not. */
     static WriteResult write(
-            Disk.File file, SegmentFormat.StoreId store, long id, long seq, Index index, ProgressListener progress)
+            Disk.File file,
+            SegmentFormat.StoreId store,
+            long id,
+            long seq,
+            Index index,
+            ProgressListener progress)
             throws IOException {
         CRC32C all = new CRC32C();
         ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
@@ -141,7 +147,9 @@
             throws IOException {
         ByteBuffer head = ByteBuffer.allocate(BLOCK_HEADER_BYTES);
         int length = file.read(head, at) < BLOCK_HEADER_BYTES ? -1 : head.getInt(0);
-        if (length < ENTRY_HEADER_BYTES || length > MAX_BLOCK_BYTES || at + BLOCK_HEADER_BYTES + length > end) {
+        if (length < ENTRY_HEADER_BYTES
+                || length > MAX_BLOCK_BYTES
+                || at + BLOCK_HEADER_BYTES + length > end) {
             throw new StoreException.Damaged(name, at, "no sound block");
         }
         ByteBuffer block = ByteBuffer.allocate(BLOCK_HEADER_BYTES + length);
@@ -158,7 +166,8 @@
                 throw new StoreException.Damaged(name, at, "an entry does not fit its block");
             }
             int valueLength = block.getInt();
-            Index.Location place = new Index.Location(block.getLong(), block.getLong(), valueLength);
+            Index.Location place =
+                    new Index.Location(block.getLong(), block.getLong(), valueLength);
             byte[] key = new byte[keyLength];
             block.get(key);
             if (!into.add(key, place)) {
--- a/relay/src/main/java/saltstage/store/FileDisk.java
+++ b/relay/src/main/java/saltstage/store/FileDisk.java
@@ -61,13 +61,19 @@
     @Override
     public File open(String name, boolean toWrite) throws IOException {
         return toWrite
-                ? new FileHandle(directory.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE)
+                ? new FileHandle(
+                        directory.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE)
                 : new FileHandle(directory.resolve(name), StandardOpenOption.READ);
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        mapDiskFull(() -> Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE));
+        mapDiskFull(
+                () ->
+                        Files.move(
+                                directory.resolve(from),
+                                directory.resolve(to),
+                                StandardCopyOption.ATOMIC_MOVE));
     }
 
     @Override
@@ -90,7 +96,9 @@
     public Closeable lock(String name) throws IOException {
         FileChannel channel =
                 FileChannel.open(
-                        directory.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                        directory.resolve(name),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE);
         FileLock lock = null;
         try {
             lock = channel.tryLock();
--- a/relay/src/main/java/saltstage/store/GroupCommit.java
+++ b/relay/src/main/java/saltstage/store/GroupCommit.java
@@ -47,7 +47,8 @@
         synchronized (waiting) {
             int bytes = 0;
             while (!waiting.isEmpty()
-                    && (group.isEmpty() || bytes + waiting.peek().batch().encodedBytes() <= MAX_GROUP_BYTES)) {
+                    && (group.isEmpty()
+                            || bytes + waiting.peek().batch().encodedBytes() <= MAX_GROUP_BYTES)) {
                 bytes += waiting.peek().batch().encodedBytes();
                 group.add(waiting.remove());
             }
--- a/relay/src/main/java/saltstage/store/Index.java
+++ b/relay/src/main/java/saltstage/store/Index.java
@@ -276,7 +276,9 @@
             if (i == 0) {
                 return slice(1, keyEnds.length);
             }
-            return i == keyEnds.length - 1 ? slice(0, i) : slice(0, i).join(slice(i + 1, keyEnds.length));
+            return i == keyEnds.length - 1
+                    ? slice(0, i)
+                    : slice(0, i).join(slice(i + 1, keyEnds.length));
         }
     }
 
@@ -334,7 +336,9 @@
                 return new Node[] {new Branch(more, moreLows)};
             }
             int split = i == n - 1 ? FILL_NODE_ENTRIES : (n + 1) / 2;
-            return new Node[] {slice(more, moreLows, 0, split), slice(more, moreLows, split, n + 1)};
+            return new Node[] {
+                slice(more, moreLows, 0, split), slice(more, moreLows, split, n + 1)
+            };
         }
 
         private static Branch slice(Node[] children, byte[][] lows, int from, int to) {
@@ -422,7 +426,8 @@
             }
             entryIndex++;
             while (entryIndex >= leaf.count()) {
-                while (!branches.isEmpty() && nextChildren.peek() >= branches.peek().children.length) {
+                while (!branches.isEmpty()
+                        && nextChildren.peek() >= branches.peek().children.length) {
                     branches.pop();
                     nextChildren.pop();
                 }
@@ -519,7 +524,8 @@
                 List<Node> above = new ArrayList<>();
                 for (int i = 0; i < level.size(); i += FILL_NODE_ENTRIES) {
                     Node[] children =
-                            level.subList(i, Math.min(level.size(), i + FILL_NODE_ENTRIES)).toArray(Node[]::new);
+                            level.subList(i, Math.min(level.size(), i + FILL_NODE_ENTRIES))
+                                    .toArray(Node[]::new);
                     above.add(new Branch(children, lowKeys(children)));
                 }
                 level = above;
--- a/relay/src/main/java/saltstage/store/LogWriter.java
+++ b/relay/src/main/java/saltstage/store/LogWriter.java
@@ -55,7 +55,9 @@
             if (state.stopReason() != null) {
                 throw state.stopReason();
             }
-            int most = SegmentFormat.FRAME_HEADER_BYTES + taken.stream().mapToInt(p -> p.batch().encodedBytes()).sum();
+            int most =
+                    SegmentFormat.FRAME_HEADER_BYTES
+                            + taken.stream().mapToInt(p -> p.batch().encodedBytes()).sum();
             if (!state.activeSegment.hasRoomFor(SegmentFormat.alignUp(most))) {
                 roll(SegmentFormat.alignUp(most));
             }
@@ -90,7 +92,8 @@
             return;
         }
         out.putInt(start + 12, count);
-        SegmentFormat.FrameHeader head = SegmentFormat.endFrame(out, start, segment.checksumSeed(), offset);
+        SegmentFormat.FrameHeader head =
+                SegmentFormat.endFrame(out, start, segment.checksumSeed(), offset);
         try {
             makeDurable(segment, out, head, offset);
             state.acknowledgedSeqFile.update(seq - 1);
@@ -114,7 +117,12 @@
     }
 
     private static void appendBatch(
-            ByteBuffer out, Batch batch, long seq, long segment, long offset, GroupChanges effects) {
+            ByteBuffer out,
+            Batch batch,
+            long seq,
+            long segment,
+            long offset,
+            GroupChanges effects) {
         out.putInt(batch.changes().size());
         for (Batch.Change change : batch.changes()) {
             long at = Index.Location.addressOf(segment, offset + out.position());
@@ -123,7 +131,8 @@
                 SegmentFormat.encodeEntry(out, SegmentFormat.DELETE, change.key(), null, seq);
                 effects.index = effects.index.delete(change.key());
             } else {
-                SegmentFormat.encodeEntry(out, SegmentFormat.PUT, change.key(), change.value(), seq);
+                SegmentFormat.encodeEntry(
+                        out, SegmentFormat.PUT, change.key(), change.value(), seq);
                 effects.index =
                         effects.index.put(
                                 change.key(), new Index.Location(at, seq, change.value().length));
@@ -136,7 +145,8 @@
      * A small group goes out with its mirror; behind a large one comes its mark, once it is
      * durable.
      */
-    private static void makeDurable(Segment segment, ByteBuffer out, SegmentFormat.FrameHeader head, long offset)
+    private static void makeDurable(
+            Segment segment, ByteBuffer out, SegmentFormat.FrameHeader head, long offset)
             throws IOException {
         boolean mirrored = head.totalBytes() <= SegmentFormat.MAX_MIRRORED_BYTES;
         if (mirrored) {
@@ -152,7 +162,8 @@
         }
     }
 
-    private static void writeFully(Segment segment, ByteBuffer out, long offset) throws IOException {
+    private static void writeFully(Segment segment, ByteBuffer out, long offset)
+            throws IOException {
         int whole = out.remaining();
         int written = segment.file().write(out, offset);
         if (written < whole) {
@@ -160,12 +171,14 @@
         }
     }
 
-    private void publishGroup(Segment segment, SegmentFormat.FrameHeader head, long offset, GroupChanges effects) {
+    private void publishGroup(
+            Segment segment, SegmentFormat.FrameHeader head, long offset, GroupChanges effects) {
         segment.setUsedBytes(offset + head.totalBytes());
         segment.addLiveBytes(effects.addedBytes);
         SegmentSet set = state.view().segments();
         for (int i = 0; i < effects.replacedLocations.size(); i++) {
-            set.get(effects.replacedLocations.get(i).segmentId()).addLiveBytes(-effects.replacedBytes.get(i));
+            set.get(effects.replacedLocations.get(i).segmentId())
+                    .addLiveBytes(-effects.replacedBytes.get(i));
         }
         state.installView(new StoreState.View(effects.index, set, state.nextSeq - 1));
     }
@@ -186,7 +199,9 @@
      */
     void roll(int groupTotal) throws StoreException {
         try {
-            long need = SegmentFormat.SEGMENT_HEADER_BYTES + (long) SegmentFormat.reservedBytes(groupTotal);
+            long need =
+                    SegmentFormat.SEGMENT_HEADER_BYTES
+                            + (long) SegmentFormat.reservedBytes(groupTotal);
             SpareSegment ready =
                     spare != null && spare.size() >= need
                             ? spare
@@ -210,7 +225,11 @@
         long id = state.nextFileId++;
         SegmentFormat.SegmentHeader header =
                 new SegmentFormat.SegmentHeader(
-                        SegmentFormat.LOG_SEGMENT, state.manifest.storeId(), id, ready.size(), state.nextSeq);
+                        SegmentFormat.LOG_SEGMENT,
+                        state.manifest.storeId(),
+                        id,
+                        ready.size(),
+                        state.nextSeq);
         ByteBuffer out = SegmentFormat.encodeHeader(header);
         if (ready.file().write(out, 0) < SegmentFormat.SEGMENT_HEADER_BYTES) {
             throw new IOException("short write of a header");
@@ -221,7 +240,8 @@
         // it is
         String name = Segment.fileName(id, SegmentFormat.LOG_SEGMENT);
         state.disk.rename(ready.fileName(), name);
-        state.disk.syncDirectory(); // a manifest must not be durable before the names that are in it
+        state.disk
+                .syncDirectory(); // a manifest must not be durable before the names that are in it
         Segment next = new Segment(state.disk, name, state.disk.open(name, true), header);
         Segment before = state.activeSegment;
         SegmentSet set = state.view().segments().with(next);
--- a/relay/src/main/java/saltstage/store/Maintenance.java
+++ b/relay/src/main/java/saltstage/store/Maintenance.java
@@ -17,7 +17,8 @@
  */
 final class Maintenance {
     private static final int MAX_COPY_FRAME_BYTES = 128 << 10;
-    private static final int INDEX_UPDATES_PER_LOCK = 64; // entries pointed elsewhere at a time, while writers wait
+    private static final int INDEX_UPDATES_PER_LOCK =
+            64; // entries pointed elsewhere at a time, while writers wait
     private static final long MAX_PAUSE_NS = 50_000_000;
 
     private final StoreState state;
@@ -38,10 +39,13 @@
     void runIfDue() {
         maintenanceLock.lock();
         try {
-            List<Long> victims = policy.selectForCompaction(sealedSegments(), state.manifest.checkpoint().bytes());
+            List<Long> victims =
+                    policy.selectForCompaction(
+                            sealedSegments(), state.manifest.checkpoint().bytes());
             if (!victims.isEmpty()) {
                 compact(victims, new RateLimiter(state.options.compactionBytesPerSecond()));
-            } else if (policy.isCheckpointDue(state.logBytesSinceCheckpoint, state.manifest.checkpoint().bytes())) {
+            } else if (policy.isCheckpointDue(
+                    state.logBytesSinceCheckpoint, state.manifest.checkpoint().bytes())) {
                 checkpoint();
             }
         } catch (Disk.FullException e) {
@@ -59,7 +63,12 @@
             state.checkOpen();
             return state.view().segments().all().stream()
                     .filter(s -> s != state.activeSegment)
-                    .map(s -> new MaintenancePolicy.SealedSegment(s.id(), s.usedBytes() - SegmentFormat.SEGMENT_HEADER_BYTES, s.liveBytes()))
+                    .map(
+                            s ->
+                                    new MaintenancePolicy.SealedSegment(
+                                            s.id(),
+                                            s.usedBytes() - SegmentFormat.SEGMENT_HEADER_BYTES,
+                                            s.liveBytes()))
                     .toList();
         } finally {
             state.writeLock.unlock();
@@ -145,7 +154,8 @@
         }
     }
 
-    private Checkpoint.WriteResult writeCheckpoint(long id, StoreState.View seen) throws IOException {
+    private Checkpoint.WriteResult writeCheckpoint(long id, StoreState.View seen)
+            throws IOException {
         String name = Checkpoint.fileName(id);
         boolean done = false;
         try (Disk.File file = state.disk.create(name)) {
@@ -191,11 +201,13 @@
             }
             SegmentSet set = state.view().segments();
             state.publishManifest(state.segmentRefs(set, dead::contains), ref);
-            dead.forEach(
-                    Segment::markForDeletion); // before their last reader, who may be the one below, lets go
+            dead.forEach(Segment::markForDeletion); // before their last reader, who may be the one
+            // below, lets go
             state.logBytesSinceCheckpoint -= log;
             if (!dead.isEmpty()) {
-                state.installView(new StoreState.View(state.view().index(), set.without(dead), state.view().seq()));
+                state.installView(
+                        new StoreState.View(
+                                state.view().index(), set.without(dead), state.view().seq()));
             }
         } finally {
             state.writeLock.unlock();
@@ -231,7 +243,11 @@
     private final class Copier {
         private final RateLimiter rateLimiter;
         private final ByteBuffer frameBuffer =
-                ByteBuffer.allocate(MAX_COPY_FRAME_BYTES + SegmentFormat.FRAME_HEADER_BYTES + SegmentFormat.BATCH_HEADER_BYTES + SegmentFormat.ALIGNMENT_BYTES);
+                ByteBuffer.allocate(
+                        MAX_COPY_FRAME_BYTES
+                                + SegmentFormat.FRAME_HEADER_BYTES
+                                + SegmentFormat.BATCH_HEADER_BYTES
+                                + SegmentFormat.ALIGNMENT_BYTES);
         private List<MovedEntry> bufferedEntries = new ArrayList<>();
         private final List<MovedEntry> movedEntries = new ArrayList<>();
         private Disk.File output;
@@ -249,16 +265,19 @@
                 if (found == null) {
                     throw new StoreException.Damaged(victim.fileName(), at, "no sound record");
                 }
-                if (found.header().kind() == SegmentFormat.GROUP_FRAME || found.header().kind() == SegmentFormat.COPY_FRAME) {
+                if (found.header().kind() == SegmentFormat.GROUP_FRAME
+                        || found.header().kind() == SegmentFormat.COPY_FRAME) {
                     reader.visitEntries(
-                            found, (entry, batch, offset, raw) -> copyIfLive(victim, entry, offset, raw));
+                            found,
+                            (entry, batch, offset, raw) -> copyIfLive(victim, entry, offset, raw));
                 }
                 throttle(found.header().totalBytes());
                 at = found.endOffset();
             }
         }
 
-        private void copyIfLive(Segment victim, SegmentFormat.Entry entry, long offset, ByteBuffer raw)
+        private void copyIfLive(
+                Segment victim, SegmentFormat.Entry entry, long offset, ByteBuffer raw)
                 throws IOException {
             long from = Index.Location.addressOf(victim.id(), offset);
             Index.Location place = state.view().index().find(entry.key());
@@ -269,7 +288,10 @@
                 flushFrame();
                 writeEntries(
                         ByteBuffer.allocate(
-                                raw.remaining() + SegmentFormat.FRAME_HEADER_BYTES + SegmentFormat.BATCH_HEADER_BYTES + SegmentFormat.ALIGNMENT_BYTES),
+                                raw.remaining()
+                                        + SegmentFormat.FRAME_HEADER_BYTES
+                                        + SegmentFormat.BATCH_HEADER_BYTES
+                                        + SegmentFormat.ALIGNMENT_BYTES),
                         List.of(raw),
                         List.of(new MovedEntry(entry.key(), from, place)));
                 return;
@@ -309,19 +331,25 @@
         /** Writes a frame of entries; where each of them now stands is known from here on. */
         private void writeFrame(ByteBuffer frame, List<MovedEntry> of) throws IOException {
             if (output != null
-                    && endOffset + frame.position() + SegmentFormat.ALIGNMENT_BYTES > state.options.segmentBytes()) {
+                    && endOffset + frame.position() + SegmentFormat.ALIGNMENT_BYTES
+                            > state.options.segmentBytes()) {
                 finishSegment();
             }
             if (output == null) {
                 openSegment();
             }
             frame.putInt(SegmentFormat.FRAME_HEADER_BYTES, of.size());
-            SegmentFormat.endFrame(frame, 0, new SegmentFormat.ChecksumSeed(state.manifest.storeId(), segmentId), endOffset);
+            SegmentFormat.endFrame(
+                    frame,
+                    0,
+                    new SegmentFormat.ChecksumSeed(state.manifest.storeId(), segmentId),
+                    endOffset);
             int bytes = frame.flip().remaining();
             if (output.write(frame, endOffset) < bytes) {
                 throw new IOException("short write of " + segmentFileName());
             }
-            long at = endOffset + SegmentFormat.FRAME_HEADER_BYTES + SegmentFormat.BATCH_HEADER_BYTES;
+            long at =
+                    endOffset + SegmentFormat.FRAME_HEADER_BYTES + SegmentFormat.BATCH_HEADER_BYTES;
             for (MovedEntry entry : of) {
                 movedEntries.add(
                         new MovedEntry(
@@ -331,7 +359,10 @@
                                         Index.Location.addressOf(segmentId, at),
                                         entry.newLocation().version(),
                                         entry.newLocation().valueLength())));
-                at += SegmentFormat.ENTRY_HEADER_BYTES + entry.key().length + entry.newLocation().valueLength();
+                at +=
+                        SegmentFormat.ENTRY_HEADER_BYTES
+                                + entry.key().length
+                                + entry.newLocation().valueLength();
             }
             endOffset += bytes;
             copiedBytes += bytes;
@@ -360,8 +391,14 @@
         /** Completes a segment of copies, and points the index into it. */
         private void finishSegment() throws IOException {
             SegmentFormat.SegmentHeader header =
-                    new SegmentFormat.SegmentHeader(SegmentFormat.COPY_SEGMENT, state.manifest.storeId(), segmentId, endOffset, 0);
-            if (output.write(SegmentFormat.encodeHeader(header), 0) < SegmentFormat.SEGMENT_HEADER_BYTES) {
+                    new SegmentFormat.SegmentHeader(
+                            SegmentFormat.COPY_SEGMENT,
+                            state.manifest.storeId(),
+                            segmentId,
+                            endOffset,
+                            0);
+            if (output.write(SegmentFormat.encodeHeader(header), 0)
+                    < SegmentFormat.SEGMENT_HEADER_BYTES) {
                 throw new IOException("short write of " + segmentFileName());
             }
             output.force(); // its name becomes durable with that of the checkpoint which points
@@ -372,12 +409,16 @@
             state.writeLock.lock();
             try {
                 StoreState.View now = state.view();
-                state.installView(new StoreState.View(now.index(), now.segments().with(segment), now.seq()));
+                state.installView(
+                        new StoreState.View(now.index(), now.segments().with(segment), now.seq()));
             } finally {
                 state.writeLock.unlock();
             }
             for (int i = 0; i < movedEntries.size(); i += INDEX_UPDATES_PER_LOCK) {
-                updateIndex(segment, movedEntries.subList(i, Math.min(movedEntries.size(), i + INDEX_UPDATES_PER_LOCK)));
+                updateIndex(
+                        segment,
+                        movedEntries.subList(
+                                i, Math.min(movedEntries.size(), i + INDEX_UPDATES_PER_LOCK)));
             }
             movedEntries.clear();
         }
@@ -391,7 +432,10 @@
                 for (MovedEntry entry : entries) {
                     Index.Location place = index.find(entry.key());
                     if (place != null && place.address() == entry.oldAddress()) {
-                        int bytes = SegmentFormat.ENTRY_HEADER_BYTES + entry.key().length + place.valueLength();
+                        int bytes =
+                                SegmentFormat.ENTRY_HEADER_BYTES
+                                        + entry.key().length
+                                        + place.valueLength();
                         now.segments().get(place.segmentId()).addLiveBytes(-bytes);
                         to.addLiveBytes(bytes);
                         index = index.put(entry.key(), entry.newLocation());
--- a/relay/src/main/java/saltstage/store/MaintenancePolicy.java
+++ b/relay/src/main/java/saltstage/store/MaintenancePolicy.java
@@ -57,7 +57,9 @@
         List<SealedSegment> order = new ArrayList<>(sealed);
         order.removeIf(s -> s.deadBytes() < MIN_DEAD_SHARE * s.usedBytes());
         order.sort(
-                Comparator.comparingDouble((SealedSegment s) -> (double) s.liveBytes() / Math.max(1, s.usedBytes()))
+                Comparator.comparingDouble(
+                                (SealedSegment s) ->
+                                        (double) s.liveBytes() / Math.max(1, s.usedBytes()))
                         .thenComparingLong(SealedSegment::id));
         List<Long> chosen = new ArrayList<>();
         long copied = 0;
--- a/relay/src/main/java/saltstage/store/RateLimiter.java
+++ b/relay/src/main/java/saltstage/store/RateLimiter.java
@@ -19,11 +19,18 @@
     /** Takes so many bytes at this time; returns how many nanoseconds to wait before the next. */
     long take(long bytes, long nanos) {
         if (started) {
-            debtBytes = Math.max(0, debtBytes - (nanos - lastTakeNs) / NANOS_PER_SECOND * maxBytesPerSecond);
+            debtBytes =
+                    Math.max(
+                            0,
+                            debtBytes
+                                    - (nanos - lastTakeNs) / NANOS_PER_SECOND * maxBytesPerSecond);
         }
         started = true;
         lastTakeNs = nanos;
         debtBytes += bytes;
-        return (long) (Math.max(0, debtBytes - maxBytesPerSecond / BURSTS_PER_SECOND) / maxBytesPerSecond * NANOS_PER_SECOND);
+        return (long)
+                (Math.max(0, debtBytes - maxBytesPerSecond / BURSTS_PER_SECOND)
+                        / maxBytesPerSecond
+                        * NANOS_PER_SECOND);
     }
 }
--- a/relay/src/main/java/saltstage/store/Recovery.java
+++ b/relay/src/main/java/saltstage/store/Recovery.java
@@ -49,7 +49,8 @@
             index =
                     manifest.checkpoint().id() == 0
                             ? Index.EMPTY
-                            : Checkpoint.read(state.disk, manifest.storeId(), manifest.checkpoint());
+                            : Checkpoint.read(
+                                    state.disk, manifest.storeId(), manifest.checkpoint());
             nextSeq = manifest.checkpoint().seq() + 1;
             replay();
             for (String name : leftovers) { // only once all else has turned out sound
@@ -90,7 +91,8 @@
                 try (Disk.File file = state.disk.open(name, false)) {
                     SegmentFormat.SegmentHeader header = readHeader(name, file);
                     Segment segment = new Segment(state.disk, name, file, header);
-                    if (new SegmentReader(segment).frameAt(SegmentFormat.SEGMENT_HEADER_BYTES) != null
+                    if (new SegmentReader(segment).frameAt(SegmentFormat.SEGMENT_HEADER_BYTES)
+                                    != null
                             || header.baseSeq() != 1
                             || !new SegmentReader(segment)
                                     .scanTail(SegmentFormat.SEGMENT_HEADER_BYTES, 1)
@@ -131,7 +133,8 @@
         SegmentFormat.StoreId id = new SegmentFormat.StoreId(random.nextLong(), random.nextLong());
         AcknowledgedSeqFile.create(state.disk, id, 0).close();
         state.manifest =
-                new Manifest(Manifest.FORMAT_VERSION, id, 0, 1, Manifest.CheckpointRef.NONE, List.of());
+                new Manifest(
+                        Manifest.FORMAT_VERSION, id, 0, 1, Manifest.CheckpointRef.NONE, List.of());
         state.nextFileId = 1;
         state.nextSeq = 1;
         state.installView(new StoreState.View(Index.EMPTY, new SegmentSet(List.of()), 0));
@@ -156,7 +159,8 @@
                 SegmentFormat.SegmentHeader header = readHeader(part.fileName(), file);
                 checkMatchesManifest(part, header, file.size());
                 segment = new Segment(state.disk, part.fileName(), file, header);
-                segment.setUsedBytes(part.sealed() ? part.usedBytes() : SegmentFormat.SEGMENT_HEADER_BYTES);
+                segment.setUsedBytes(
+                        part.sealed() ? part.usedBytes() : SegmentFormat.SEGMENT_HEADER_BYTES);
                 segments.add(segment);
             } finally {
                 if (segment == null) {
@@ -173,13 +177,16 @@
         }
     }
 
-    private static SegmentFormat.SegmentHeader readHeader(String name, Disk.File file) throws IOException {
+    private static SegmentFormat.SegmentHeader readHeader(String name, Disk.File file)
+            throws IOException {
         ByteBuffer in = ByteBuffer.allocate(SegmentFormat.SEGMENT_HEADER_BYTES);
         file.read(in, 0);
         return SegmentFormat.decodeHeader(name, in.flip());
     }
 
-    private void checkMatchesManifest(Manifest.SegmentRef part, SegmentFormat.SegmentHeader header, long size) throws StoreException {
+    private void checkMatchesManifest(
+            Manifest.SegmentRef part, SegmentFormat.SegmentHeader header, long size)
+            throws StoreException {
         if (!header.storeId().equals(manifest.storeId())) {
             throw new StoreException.Damaged(
                     part.fileName(), 16, "the segment belongs to another store");
@@ -188,7 +195,8 @@
                 || header.kind() != part.kind()
                 || header.size() != part.size()
                 || header.baseSeq() != part.baseSeq()) {
-            throw new StoreException.Damaged(part.fileName(), 32, "not the segment of the manifest");
+            throw new StoreException.Damaged(
+                    part.fileName(), 32, "not the segment of the manifest");
         }
         if (size != part.size()) {
             throw new StoreException.Damaged(
@@ -202,7 +210,8 @@
      * What an unfinished or finished step left; what could hold acknowledged records is refused.
      */
     private List<String> findLeftovers(List<String> names) throws IOException {
-        Set<String> known = new HashSet<>(List.of(Manifest.NAME, AcknowledgedSeqFile.NAME, LOCK_FILE_NAME));
+        Set<String> known =
+                new HashSet<>(List.of(Manifest.NAME, AcknowledgedSeqFile.NAME, LOCK_FILE_NAME));
         List<String> left = new ArrayList<>();
         manifest.segments().forEach(part -> known.add(part.fileName()));
         known.add(manifest.checkpoint().fileName());
@@ -229,7 +238,8 @@
     private void checkIsLeftover(String name) throws IOException {
         boolean newer =
                 name.endsWith(".log")
-                        && Long.parseUnsignedLong(name.substring(0, 16), 16) >= manifest.nextFileId();
+                        && Long.parseUnsignedLong(name.substring(0, 16), 16)
+                                >= manifest.nextFileId();
         try (Disk.File file = state.disk.open(name, false)) {
             SegmentFormat.SegmentHeader header;
             try {
@@ -263,7 +273,10 @@
             if (part.kind() != SegmentFormat.LOG_SEGMENT || part.id() < from) {
                 continue;
             }
-            long start = part.id() == from ? manifest.checkpoint().replayOffset() : SegmentFormat.SEGMENT_HEADER_BYTES;
+            long start =
+                    part.id() == from
+                            ? manifest.checkpoint().replayOffset()
+                            : SegmentFormat.SEGMENT_HEADER_BYTES;
             if (part.id() != from && part.baseSeq() != nextSeq) {
                 throw new StoreException.Damaged(
                         part.fileName(),
@@ -278,7 +291,8 @@
         }
     }
 
-    private void replaySealed(Segment segment, Manifest.SegmentRef part, long start) throws IOException {
+    private void replaySealed(Segment segment, Manifest.SegmentRef part, long start)
+            throws IOException {
         SegmentReader reader = new SegmentReader(segment);
         long at = start;
         while (at < part.usedBytes()) {
@@ -305,11 +319,16 @@
                 || found.header().batchCount() < 1) {
             return null;
         }
-        applyEntries(reader, found.payload().duplicate(), found.header(), at + SegmentFormat.FRAME_HEADER_BYTES);
+        applyEntries(
+                reader,
+                found.payload().duplicate(),
+                found.header(),
+                at + SegmentFormat.FRAME_HEADER_BYTES);
         return found;
     }
 
-    private void applyEntries(SegmentReader reader, ByteBuffer payload, SegmentFormat.FrameHeader head, long offset)
+    private void applyEntries(
+            SegmentReader reader, ByteBuffer payload, SegmentFormat.FrameHeader head, long offset)
             throws IOException {
         long segment = reader.segmentId();
         reader.visitEntries(
@@ -353,7 +372,8 @@
                 continue;
             }
             SegmentReader.TailScan tail = reader.scanTail(at, nextSeq);
-            TailClassifier.TailState verdict = TailClassifier.classify(tail.findings(), acknowledgedSeq >= nextSeq);
+            TailClassifier.TailState verdict =
+                    TailClassifier.classify(tail.findings(), acknowledgedSeq >= nextSeq);
             if (verdict == TailClassifier.TailState.DAMAGED
                     || verdict == TailClassifier.TailState.RESTORABLE && restored == at) {
                 throw new StoreException.Damaged(
@@ -381,11 +401,16 @@
      * Puts a damaged group back from its mirror; where nothing may be written it is read from
      * there.
      */
-    private long restoreFromMirror(Segment segment, SegmentReader reader, SegmentReader.Frame mirror, long at)
+    private long restoreFromMirror(
+            Segment segment, SegmentReader reader, SegmentReader.Frame mirror, long at)
             throws IOException {
-        ByteBuffer copy = mirror.payload().duplicate().position(SegmentFormat.MIRROR_HEADER_BYTES).slice();
-        SegmentFormat.FrameHeader head = SegmentFormat.decodeFrame(copy.duplicate(), segment.checksumSeed(), at);
-        if (head == null || head.kind() != SegmentFormat.GROUP_FRAME || head.firstSeq() != nextSeq) {
+        ByteBuffer copy =
+                mirror.payload().duplicate().position(SegmentFormat.MIRROR_HEADER_BYTES).slice();
+        SegmentFormat.FrameHeader head =
+                SegmentFormat.decodeFrame(copy.duplicate(), segment.checksumSeed(), at);
+        if (head == null
+                || head.kind() != SegmentFormat.GROUP_FRAME
+                || head.firstSeq() != nextSeq) {
             throw new StoreException.Damaged(
                     segment.fileName(), mirror.offset(), "the mirror holds another record");
         }
@@ -400,9 +425,14 @@
         }
         applyEntries(
                 reader,
-                copy.position(SegmentFormat.FRAME_HEADER_BYTES).limit(SegmentFormat.FRAME_HEADER_BYTES + head.payloadLength()).slice(),
+                copy.position(SegmentFormat.FRAME_HEADER_BYTES)
+                        .limit(SegmentFormat.FRAME_HEADER_BYTES + head.payloadLength())
+                        .slice(),
                 head,
-                mirror.offset() + SegmentFormat.FRAME_HEADER_BYTES + SegmentFormat.MIRROR_HEADER_BYTES + SegmentFormat.FRAME_HEADER_BYTES);
+                mirror.offset()
+                        + SegmentFormat.FRAME_HEADER_BYTES
+                        + SegmentFormat.MIRROR_HEADER_BYTES
+                        + SegmentFormat.FRAME_HEADER_BYTES);
         return at + head.totalBytes();
     }
 
@@ -435,14 +465,18 @@
         }
         zeroRange(segment, at, tail.nonZeroEnd());
         ByteBuffer out =
-                ByteBuffer.allocate(last.header().totalBytes() + SegmentFormat.trailerBytes(last.header().totalBytes()));
+                ByteBuffer.allocate(
+                        last.header().totalBytes()
+                                + SegmentFormat.trailerBytes(last.header().totalBytes()));
         out.limit(last.header().totalBytes());
         segment.file().read(out, last.offset());
         out.limit(out.capacity()).position(last.header().totalBytes());
         if (last.header().totalBytes() <= SegmentFormat.MAX_MIRRORED_BYTES) {
-            SegmentFormat.encodeMirror(out, 0, last.header(), segment.checksumSeed(), last.offset());
+            SegmentFormat.encodeMirror(
+                    out, 0, last.header(), segment.checksumSeed(), last.offset());
         } else {
-            SegmentFormat.encodeCommitMarker(out, last.header(), segment.checksumSeed(), last.offset());
+            SegmentFormat.encodeCommitMarker(
+                    out, last.header(), segment.checksumSeed(), last.offset());
         }
         writeFully(segment, out.flip().position(last.header().totalBytes()), at);
         segment.file().force();
@@ -471,13 +505,16 @@
                         0,
                         "an entry points to a segment that is not there");
             }
-            segment.addLiveBytes(SegmentFormat.ENTRY_HEADER_BYTES + cursor.key().length + place.valueLength());
+            segment.addLiveBytes(
+                    SegmentFormat.ENTRY_HEADER_BYTES + cursor.key().length + place.valueLength());
         }
         if (writable && acknowledgedSeq < 0) {
-            state.acknowledgedSeqFile = AcknowledgedSeqFile.create(state.disk, manifest.storeId(), nextSeq - 1);
+            state.acknowledgedSeqFile =
+                    AcknowledgedSeqFile.create(state.disk, manifest.storeId(), nextSeq - 1);
             state.disk.syncDirectory();
         } else if (writable) {
-            state.acknowledgedSeqFile = AcknowledgedSeqFile.open(state.disk, manifest.storeId(), nextSeq - 1);
+            state.acknowledgedSeqFile =
+                    AcknowledgedSeqFile.open(state.disk, manifest.storeId(), nextSeq - 1);
         }
         state.manifest = manifest;
         state.nextFileId = manifest.nextFileId();
--- a/relay/src/main/java/saltstage/store/SegmentFormat.java
+++ b/relay/src/main/java/saltstage/store/SegmentFormat.java
@@ -81,7 +81,9 @@
 
     /** Room that a group needs behind it for its mirror or mark. */
     static int trailerBytes(int groupTotal) {
-        return groupTotal <= MAX_MIRRORED_BYTES ? alignUp(FRAME_HEADER_BYTES + MIRROR_HEADER_BYTES + groupTotal) : COMMIT_MARKER_BYTES;
+        return groupTotal <= MAX_MIRRORED_BYTES
+                ? alignUp(FRAME_HEADER_BYTES + MIRROR_HEADER_BYTES + groupTotal)
+                : COMMIT_MARKER_BYTES;
     }
 
     static ByteBuffer encodeHeader(SegmentHeader header) {
@@ -115,7 +117,12 @@
         }
         if (in.getShort(8) != FORMAT_VERSION) {
             throw new StoreException(
-                    file + ": format " + in.getShort(8) + " is not known; " + FORMAT_VERSION + " is");
+                    file
+                            + ": format "
+                            + in.getShort(8)
+                            + " is not known; "
+                            + FORMAT_VERSION
+                            + " is");
         }
         return new SegmentHeader(
                 in.get(10),
@@ -138,7 +145,11 @@
     record ChecksumSeed(StoreId storeId, long segmentId) {
         int crc(ByteBuffer frame, long offset) {
             ByteBuffer seed = ByteBuffer.allocate(32);
-            seed.putLong(storeId.high()).putLong(storeId.low()).putLong(segmentId).putLong(offset).flip();
+            seed.putLong(storeId.high())
+                    .putLong(storeId.low())
+                    .putLong(segmentId)
+                    .putLong(offset)
+                    .flip();
             CRC32C crc = new CRC32C();
             crc.update(seed);
             crc.update(frame.duplicate().limit(frame.position() + FRAME_CRC_OFFSET));
@@ -213,7 +224,8 @@
         if (value != null) {
             out.put(value);
         }
-        out.putInt(start + ENTRY_HEADER_BYTES - 4, entryCrc(out.duplicate().flip().position(start)));
+        out.putInt(
+                start + ENTRY_HEADER_BYTES - 4, entryCrc(out.duplicate().flip().position(start)));
     }
 
     private static int entryCrc(ByteBuffer entry) {
@@ -254,14 +266,20 @@
     static void encodeBatch(ByteBuffer out, List<Batch.Change> changes, long seq) {
         out.putInt(changes.size());
         for (Batch.Change change : changes) {
-            encodeEntry(out, change.value() == null ? DELETE : PUT, change.key(), change.value(), seq);
+            encodeEntry(
+                    out, change.value() == null ? DELETE : PUT, change.key(), change.value(), seq);
         }
     }
 
     /**
      * A copy of the group that stands whole in the buffer up to its position, written behind it.
      */
-    static void encodeMirror(ByteBuffer out, int groupStart, FrameHeader group, ChecksumSeed seed, long groupOffset) {
+    static void encodeMirror(
+            ByteBuffer out,
+            int groupStart,
+            FrameHeader group,
+            ChecksumSeed seed,
+            long groupOffset) {
         ByteBuffer copy = out.duplicate().flip().position(groupStart);
         int start = beginFrame(out, MIRROR_FRAME, group.batchCount(), group.firstSeq());
         out.putLong(groupOffset).put(copy);
@@ -269,7 +287,8 @@
     }
 
     /** The mark that the group before it is durable. */
-    static void encodeCommitMarker(ByteBuffer out, FrameHeader group, ChecksumSeed seed, long groupOffset) {
+    static void encodeCommitMarker(
+            ByteBuffer out, FrameHeader group, ChecksumSeed seed, long groupOffset) {
         int start = beginFrame(out, COMMIT_MARKER_FRAME, group.batchCount(), group.firstSeq());
         out.putLong(groupOffset);
         endFrame(out, start, seed, groupOffset + group.totalBytes());
--- a/relay/src/main/java/saltstage/store/SegmentReader.java
+++ b/relay/src/main/java/saltstage/store/SegmentReader.java
@@ -20,7 +20,8 @@
     /** Is given each entry of a frame. */
     interface EntryVisitor {
         /** An entry, the number of the batch within its group, its offset, and its bytes. */
-        void visit(SegmentFormat.Entry entry, int batch, long offset, ByteBuffer raw) throws IOException;
+        void visit(SegmentFormat.Entry entry, int batch, long offset, ByteBuffer raw)
+                throws IOException;
     }
 
     private final Segment segment;
@@ -43,7 +44,8 @@
 
     /** The sound frame at this offset, or null. */
     Frame frameAt(long offset) throws IOException {
-        if (offset + SegmentFormat.FRAME_HEADER_BYTES > size || !ensureBuffered(offset, SegmentFormat.FRAME_HEADER_BYTES)) {
+        if (offset + SegmentFormat.FRAME_HEADER_BYTES > size
+                || !ensureBuffered(offset, SegmentFormat.FRAME_HEADER_BYTES)) {
             return null;
         }
         int length = buffer.getInt((int) (offset - bufferStart) + 8);
@@ -54,13 +56,16 @@
         }
         ByteBuffer frame = buffer.duplicate();
         frame.position((int) (offset - bufferStart));
-        SegmentFormat.FrameHeader head = SegmentFormat.decodeFrame(frame, segment.checksumSeed(), offset);
+        SegmentFormat.FrameHeader head =
+                SegmentFormat.decodeFrame(frame, segment.checksumSeed(), offset);
         if (head == null) {
             return null;
         }
         int payload = frame.position() + SegmentFormat.FRAME_HEADER_BYTES;
         return new Frame(
-                head, offset, frame.limit(payload + head.payloadLength()).position(payload).slice());
+                head,
+                offset,
+                frame.limit(payload + head.payloadLength()).position(payload).slice());
     }
 
     private boolean ensureBuffered(long offset, int bytes) throws IOException {
@@ -77,19 +82,26 @@
 
     /** Visits the entries of a group or copy in order. */
     void visitEntries(Frame found, EntryVisitor visitor) throws IOException {
-        visitEntries(found.payload().duplicate(), found.header(), found.offset() + SegmentFormat.FRAME_HEADER_BYTES, visitor);
+        visitEntries(
+                found.payload().duplicate(),
+                found.header(),
+                found.offset() + SegmentFormat.FRAME_HEADER_BYTES,
+                visitor);
     }
 
     /** Visits the entries of a payload whose first byte has this offset. */
-    void visitEntries(ByteBuffer payload, SegmentFormat.FrameHeader head, long offset, EntryVisitor visitor)
+    void visitEntries(
+            ByteBuffer payload, SegmentFormat.FrameHeader head, long offset, EntryVisitor visitor)
             throws IOException {
         for (int batch = 0; batch < head.batchCount(); batch++) {
-            int changes = payload.remaining() < SegmentFormat.BATCH_HEADER_BYTES ? -1 : payload.getInt();
+            int changes =
+                    payload.remaining() < SegmentFormat.BATCH_HEADER_BYTES ? -1 : payload.getInt();
             for (int i = 0; i < changes; i++) {
                 int at = payload.position();
                 SegmentFormat.Entry entry = SegmentFormat.decodeEntry(payload);
                 if (entry == null) {
-                    throw new StoreException.Damaged(segment.fileName(), offset + at, "no sound entry");
+                    throw new StoreException.Damaged(
+                            segment.fileName(), offset + at, "no sound entry");
                 }
                 visitor.visit(
                         entry,
@@ -117,7 +129,9 @@
         boolean mark = false;
         boolean last = false;
         long nonZero = from;
-        for (long at = from; at + SegmentFormat.ALIGNMENT_BYTES <= size; at += SegmentFormat.ALIGNMENT_BYTES) {
+        for (long at = from;
+                at + SegmentFormat.ALIGNMENT_BYTES <= size;
+                at += SegmentFormat.ALIGNMENT_BYTES) {
             if (!ensureBuffered(at, SegmentFormat.ALIGNMENT_BYTES)) {
                 break;
             }
@@ -126,7 +140,9 @@
             }
             nonZero = at + SegmentFormat.ALIGNMENT_BYTES;
             Frame found =
-                    buffer.getInt((int) (at - bufferStart)) == SegmentFormat.FRAME_MAGIC ? frameAt(at) : null;
+                    buffer.getInt((int) (at - bufferStart)) == SegmentFormat.FRAME_MAGIC
+                            ? frameAt(at)
+                            : null;
             if (found == null) {
                 continue;
             }
@@ -140,7 +156,8 @@
             mirror = head.kind() == SegmentFormat.MIRROR_FRAME && ofIt ? found : mirror;
             last |=
                     at == from
-                            && (head.kind() == SegmentFormat.MIRROR_FRAME || head.kind() == SegmentFormat.COMMIT_MARKER_FRAME)
+                            && (head.kind() == SegmentFormat.MIRROR_FRAME
+                                    || head.kind() == SegmentFormat.COMMIT_MARKER_FRAME)
                             && head.firstSeq() + head.batchCount() == expected;
         }
         return new TailScan(
@@ -150,8 +167,8 @@
     }
 
     /**
-     * What {@link #scanTail} found; mirror is that of the unreadable group, and nonZero the end of what
-     * stands.
+     * What {@link #scanTail} found; mirror is that of the unreadable group, and nonZero the end of
+     * what stands.
      */
     record TailScan(TailClassifier.Findings findings, Frame mirror, long nonZeroEnd) {}
 }
--- a/relay/src/main/java/saltstage/store/Snapshot.java
+++ b/relay/src/main/java/saltstage/store/Snapshot.java
@@ -89,7 +89,9 @@
         public byte[] value() throws IOException {
             checkOpen();
             Index.Location place = cursor.location();
-            return view.segments().get(place.segmentId()).readValue(place.offset(), cursor.key(), place);
+            return view.segments()
+                    .get(place.segmentId())
+                    .readValue(place.offset(), cursor.key(), place);
         }
     }
 
--- a/relay/src/main/java/saltstage/store/Store.java
+++ b/relay/src/main/java/saltstage/store/Store.java
@@ -156,7 +156,9 @@
             return state.view().seq();
         }
         long seq = groupCommit.commit(batch);
-        if (maintenanceThread != null && !maintenanceRequested && state.logBytesSinceCheckpoint > state.options.segmentBytes() / 2) {
+        if (maintenanceThread != null
+                && !maintenanceRequested
+                && state.logBytesSinceCheckpoint > state.options.segmentBytes() / 2) {
             maintenanceRequested = true;
             LockSupport.unpark(maintenanceThread);
         }
@@ -263,7 +265,9 @@
             long live = 0;
             for (Index.Cursor cursor = now.index().cursor(null); cursor.advance(); live++) {
                 Index.Location place = cursor.location();
-                now.segments().get(place.segmentId()).readValue(place.offset(), cursor.key(), place);
+                now.segments()
+                        .get(place.segmentId())
+                        .readValue(place.offset(), cursor.key(), place);
             }
             return new VerificationResult(records[0], live, now.seq());
         } finally {
@@ -305,7 +309,8 @@
                     && state.logBytesSinceCheckpoint > 0
                     && state.logBytesSinceCheckpoint
                             >= Math.min(
-                                    state.manifest.checkpoint().bytes(), CLOSING_CHECKPOINT_LOG_BYTES)) {
+                                    state.manifest.checkpoint().bytes(),
+                                    CLOSING_CHECKPOINT_LOG_BYTES)) {
                 maintenance.checkpoint();
             }
         } catch (IOException notNow) { // the log has it all: the next start only takes longer
--- a/relay/src/main/java/saltstage/store/StoreOptions.java
+++ b/relay/src/main/java/saltstage/store/StoreOptions.java
@@ -4,7 +4,8 @@
  * How a store works: the size of a log segment in bytes, whether a thread of its own checkpoints
  * and compacts (else only by hand), and how many bytes a second compaction may copy.
  */
-public record StoreOptions(int segmentBytes, boolean backgroundMaintenance, long compactionBytesPerSecond) {
+public record StoreOptions(
+        int segmentBytes, boolean backgroundMaintenance, long compactionBytesPerSecond) {
     /** The smallest segment that the store makes. */
     public static final int MIN_SEGMENT_BYTES = 1 << 10;
 
--- a/relay/src/main/java/saltstage/store/StoreState.java
+++ b/relay/src/main/java/saltstage/store/StoreState.java
@@ -108,7 +108,8 @@
      * before the rename leaves the old one in force and is passed on; from the rename on it stops
      * the store.
      */
-    void publishManifest(List<Manifest.SegmentRef> parts, Manifest.CheckpointRef checkpoint) throws IOException {
+    void publishManifest(List<Manifest.SegmentRef> parts, Manifest.CheckpointRef checkpoint)
+            throws IOException {
         Manifest next =
                 new Manifest(
                         Manifest.FORMAT_VERSION,
--- a/relay/src/main/java/saltstage/store/TailClassifier.java
+++ b/relay/src/main/java/saltstage/store/TailClassifier.java
@@ -42,6 +42,8 @@
         if (found.hasCommitMarker() || acknowledged) {
             return TailState.DAMAGED;
         }
-        return found.isRestZero() || found.hasTrailerOfPrevious() ? TailState.CLEAN : TailState.TORN;
+        return found.isRestZero() || found.hasTrailerOfPrevious()
+                ? TailState.CLEAN
+                : TailState.TORN;
     }
 }
--- a/relay/src/test/java/saltstage/amqp/AmqpFrontendFuzzTest.java
+++ b/relay/src/test/java/saltstage/amqp/AmqpFrontendFuzzTest.java
@@ -28,7 +28,7 @@
 /**
  * Any bytes in place of any part of a client's conversation, in pieces of any size: nothing is thrown, and
  * nothing of the client is left when its connection is over.
- * {@code JAZZER_FUZZ=1 mvn test -pl relay -Dtest=FrontFuzzTest} searches; CI plays some chances.
+ * {@code JAZZER_FUZZ=1 mvn test -pl relay -Dtest=AmqpFrontendFuzzTest} searches; CI plays some chances.
  */
 class AmqpFrontendFuzzTest {
     /** Header, open, begin, attach of a sender, a transfer, a flow, detach and close (2.7). */
--- a/relay/src/test/java/saltstage/amqp/DeliveryForwarderTest.java
+++ b/relay/src/test/java/saltstage/amqp/DeliveryForwarderTest.java
@@ -123,9 +123,12 @@
             }
             assertTrue(forwarder.size() <= LIMITS.maxUnsettled(), "too many are held");
             assertTrue(
-                    forwarder.bufferedBytes() >= 0 && forwarder.bufferedBytes() <= LIMITS.maxBufferedBytes() + 200,
+                    forwarder.bufferedBytes() >= 0
+                            && forwarder.bufferedBytes() <= LIMITS.maxBufferedBytes() + 200,
                     "bytes held");
-            assertTrue(attempts.values().stream().allMatch(count -> count <= LIMITS.maxAttempts()), "tries");
+            assertTrue(
+                    attempts.values().stream().allMatch(count -> count <= LIMITS.maxAttempts()),
+                    "tries");
         }
 
         private void backendGrantsCapacity() {
@@ -157,10 +160,14 @@
 
         private void backendAccepts() {
             if (backend != null && !backend.completeDeliveries.isEmpty()) {
-                Delivery answered = backend.completeDeliveries.remove(random.nextInt(backend.completeDeliveries.size()));
+                Delivery answered =
+                        backend.completeDeliveries.remove(
+                                random.nextInt(backend.completeDeliveries.size()));
                 if (!answered.isPresettled()) {
                     assertEquals(
-                            deliveryBytes.get(answered), backend.receivedBytes.get(answered), "bytes of the delivery");
+                            deliveryBytes.get(answered),
+                            backend.receivedBytes.get(answered),
+                            "bytes of the delivery");
                     forwarder.outcomeReceived(answered, Accepted.getInstance(), true);
                 }
             }
@@ -186,7 +193,9 @@
             assertEquals(0, forwarder.size());
             assertEquals(0, forwarder.bufferedBytes());
             for (Delivery one : deliveries.values()) {
-                assertTrue(one.isPresettled() || client.outcomes.containsKey(one.clientDelivery()), "no outcome");
+                assertTrue(
+                        one.isPresettled() || client.outcomes.containsKey(one.clientDelivery()),
+                        "no outcome");
             }
         }
     }
@@ -235,7 +244,9 @@
                 sendDelivery(forwarder, 10);
                 sendDelivery(forwarder, 20);
             }
-            assertEquals(List.of(0, 1), far.completeDeliveries.stream().map(Delivery::clientDelivery).toList());
+            assertEquals(
+                    List.of(0, 1),
+                    far.completeDeliveries.stream().map(Delivery::clientDelivery).toList());
             assertEquals(Map.of(), client.outcomes);
             forwarder.backendLost();
         }
@@ -270,11 +281,15 @@
     void expiredDeliveryFailsAtItsDeadline() {
         FakeBackend far = attachBackend(forwarder, 10, 1_000);
         Delivery late = sendDelivery(forwarder, 10);
-        assertEquals(0, forwarder.expireDeliveries(START.plus(LIMITS.deliveryTimeout()).minusMillis(1)));
+        assertEquals(
+                0, forwarder.expireDeliveries(START.plus(LIMITS.deliveryTimeout()).minusMillis(1)));
         assertEquals(1, forwarder.expireDeliveries(START.plus(LIMITS.deliveryTimeout())));
         assertTrue(client.outcomes.get(0) instanceof Modified);
-        assertEquals(List.of(), far.completeDeliveries); // and the backend's copy is settled, not left open
-        forwarder.outcomeReceived(late, Accepted.getInstance(), true); // its late word changes nothing
+        assertEquals(
+                List.of(),
+                far.completeDeliveries); // and the backend's copy is settled, not left open
+        forwarder.outcomeReceived(
+                late, Accepted.getInstance(), true); // its late word changes nothing
         assertTrue(client.outcomes.get(0) instanceof Modified);
     }
 
--- a/relay/src/test/java/saltstage/amqp/DispositionBatcherTest.java
+++ b/relay/src/test/java/saltstage/amqp/DispositionBatcherTest.java
@@ -36,7 +36,8 @@
                             (self, method, with) -> {
                                 if (method.getName().equals("fireWrite")) {
                                     OutgoingAMQPEnvelope envelope = (OutgoingAMQPEnvelope) with[0];
-                                    written.add(describe(envelope.getBody(), envelope.getChannel()));
+                                    written.add(
+                                            describe(envelope.getBody(), envelope.getChannel()));
                                 }
                                 return method.getName().equals("engine") ? engine : null;
                             });
@@ -56,7 +57,8 @@
         return channel + ":" + said.getPerformativeType();
     }
 
-    private void writeDisposition(int channel, Role role, int id, DeliveryState state, boolean settled) {
+    private void writeDisposition(
+            int channel, Role role, int id, DeliveryState state, boolean settled) {
         write(
                 channel,
                 new Disposition().setRole(role).setFirst(id).setState(state).setSettled(settled));
--- a/relay/src/test/java/saltstage/configuration/ChangeHistoryTest.java
+++ b/relay/src/test/java/saltstage/configuration/ChangeHistoryTest.java
@@ -31,7 +31,8 @@
         ChangeHistory history = new ChangeHistory(0, EntryDigest.EMPTY, MAX_CHANGES, 1 << 20);
         appendChanges(history, 10);
         for (long revision = 0; revision <= 10; revision++) {
-            ChangeHistory.Result answer = history.changesAfter(revision, digests.get(revision), 100);
+            ChangeHistory.Result answer =
+                    history.changesAfter(revision, digests.get(revision), 100);
             if (revision < 10 - MAX_CHANGES) {
                 assertEquals(ChangeHistory.Failure.TRUNCATED, answer, "after " + revision);
                 continue;
@@ -49,7 +50,8 @@
         ChangeHistory history = new ChangeHistory(0, EntryDigest.EMPTY, MAX_CHANGES, 1 << 20);
         appendChanges(history, 10);
         for (long revision = 10 - MAX_CHANGES; revision <= 10; revision++) {
-            ChangeHistory.Result answer = history.changesAfter(revision, digests.get(revision) + 1, 100);
+            ChangeHistory.Result answer =
+                    history.changesAfter(revision, digests.get(revision) + 1, 100);
             assertEquals(ChangeHistory.Failure.DIVERGED, answer, "at " + revision);
         }
         assertEquals(ChangeHistory.Failure.BEHIND, history.changesAfter(11, view.digest(), 100));
--- a/relay/src/test/java/saltstage/configuration/ConfigurationJsonTest.java
+++ b/relay/src/test/java/saltstage/configuration/ConfigurationJsonTest.java
@@ -36,7 +36,8 @@
         Change change = new Change(9, -2, mutations);
         ChangesResponse response = new ChangesResponse(9, -2, List.of(change));
         assertEquals(response, ConfigurationJson.parseChanges(ConfigurationJson.toJson(response)));
-        assertEquals(mutations, ConfigurationJson.parseMutations(ConfigurationJson.toJson(mutations)));
+        assertEquals(
+                mutations, ConfigurationJson.parseMutations(ConfigurationJson.toJson(mutations)));
         ErrorResponse error = new ErrorResponse(ErrorResponse.BUSY, 0, 250);
         assertEquals(error, ConfigurationJson.parseError(ConfigurationJson.toJson(error)));
     }
--- a/relay/src/test/java/saltstage/configuration/FollowerConvergenceTest.java
+++ b/relay/src/test/java/saltstage/configuration/FollowerConvergenceTest.java
@@ -165,7 +165,9 @@
             SnapshotPage page = source.pager.page(source.view, asked.get(i), null, 5_000);
             assertEquals(i < asked.size() - 2, page == null, "snapshot " + asked.get(i));
             assertTrue(
-                    page == null || page.entries().size() == source.entriesByRevision.get(asked.get(i)).size());
+                    page == null
+                            || page.entries().size()
+                                    == source.entriesByRevision.get(asked.get(i)).size());
         }
     }
 }
--- a/relay/src/test/java/saltstage/configuration/follower/ConfigurationClientTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ConfigurationClientTest.java
@@ -148,7 +148,9 @@
         ConfigurationClient client = startFollower(first, second);
         await("the newer one is followed", () -> client.revision() == 5);
         first.close();
-        await("the older one is asked", () -> failoverReasons.stream().anyMatch(l -> l.startsWith("behind")));
+        await(
+                "the older one is asked",
+                () -> failoverReasons.stream().anyMatch(l -> l.startsWith("behind")));
         assertEquals(5, client.revision());
         assertEquals(List.of(1L, 2L, 3L, 4L, 5L), appliedRevisions);
     }
@@ -156,7 +158,8 @@
     @Test
     void returnsToThePreferredSource() throws Exception {
         ServedView view = viewWithRevisions(1);
-        ScriptedSource first = startSource((query, out) -> ScriptedSource.writeResponse(out, 500, "{}"));
+        ScriptedSource first =
+                startSource((query, out) -> ScriptedSource.writeResponse(out, 500, "{}"));
         ScriptedSource second = startSource(view);
         startFollower(first, second);
         await("the second is followed", () -> connectedSources.equals(List.of(second.uri())));
@@ -175,19 +178,23 @@
 
     @Test
     void malformedJsonChangesNothing() throws Exception {
-        assertFailsOver("malformed", (query, out) -> ScriptedSource.writeResponse(out, 200, "{\"revision\":7"));
+        assertFailsOver(
+                "malformed",
+                (query, out) -> ScriptedSource.writeResponse(out, 200, "{\"revision\":7"));
     }
 
     @Test
     void foreignJsonChangesNothing() throws Exception {
         String foreign = "{\"rev\":3,\"all\":true,\"targets\":[]}";
-        assertFailsOver("malformed", (query, out) -> ScriptedSource.writeResponse(out, 200, foreign));
+        assertFailsOver(
+                "malformed", (query, out) -> ScriptedSource.writeResponse(out, 200, foreign));
     }
 
     @Test
     void foreignErrorChangesNothing() throws Exception {
         String foreign = "{\"error\":\"no such page\"}";
-        assertFailsOver("status 410", (query, out) -> ScriptedSource.writeResponse(out, 410, foreign));
+        assertFailsOver(
+                "status 410", (query, out) -> ScriptedSource.writeResponse(out, 410, foreign));
     }
 
     @Test
--- a/relay/src/test/java/saltstage/configuration/follower/ConfigurationStoreTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ConfigurationStoreTest.java
@@ -65,11 +65,16 @@
 
         void checkRecovered(FaultInjectingDisk after) throws IOException {
             try (ConfigurationStore store =
-                    ConfigurationStore.open(after, SMALL_SEGMENTS, CLOCK, StoreEventListener.NONE)) {
+                    ConfigurationStore.open(
+                            after, SMALL_SEGMENTS, CLOCK, StoreEventListener.NONE)) {
                 ConfigurationView view = store.persistedConfiguration().view();
                 assertTrue(
                         view.revision() == durableRevision || view.revision() == attemptedRevision,
-                        view.revision() + " is neither " + durableRevision + " nor " + attemptedRevision);
+                        view.revision()
+                                + " is neither "
+                                + durableRevision
+                                + " nor "
+                                + attemptedRevision);
                 assertEquals(history.viewAt(view.revision()).digest(), view.digest());
                 assertEquals(history.viewAt(view.revision()).entries(), view.entries());
             }
@@ -110,7 +115,8 @@
                 ConfigurationStore.open(disk, SMALL_SEGMENTS, CLOCK, StoreEventListener.NONE)) {
             store.write(history.changesResponse(1, 5).changes());
             store.write(history.changesResponse(3, 7).changes());
-            assertThrows(IOException.class, () -> store.write(history.changesResponse(9, 9).changes()));
+            assertThrows(
+                    IOException.class, () -> store.write(history.changesResponse(9, 9).changes()));
             store.recordConfirmation(NOON.plusSeconds(1)); // not worth a write
         }
         PersistedConfiguration held = ConfigurationStore.read(disk);
@@ -157,7 +163,11 @@
     @Test
     void foreignStoreIsSetAside() throws IOException {
         Path dir = folder.resolve("state");
-        try (Store other = Store.open(FileDisk.openOrCreate(dir), StoreOptions.defaults(), StoreEventListener.NONE)) {
+        try (Store other =
+                Store.open(
+                        FileDisk.openOrCreate(dir),
+                        StoreOptions.defaults(),
+                        StoreEventListener.NONE)) {
             other.put("learnt".getBytes(), new byte[9]);
         }
         assertSetAside(dir, "a store of something else");
@@ -166,10 +176,15 @@
     @Test
     void entriesThatDifferFromTheirDigestAreSetAside() throws IOException {
         Path dir = folder.resolve("state");
-        try (ConfigurationDirectory sound = new ConfigurationDirectory(dir, StoreEventListener.NONE)) {
+        try (ConfigurationDirectory sound =
+                new ConfigurationDirectory(dir, StoreEventListener.NONE)) {
             sound.write(history.changesResponse(1, 5).changes());
         }
-        try (Store store = Store.open(FileDisk.openOrCreate(dir), StoreOptions.defaults(), StoreEventListener.NONE)) {
+        try (Store store =
+                Store.open(
+                        FileDisk.openOrCreate(dir),
+                        StoreOptions.defaults(),
+                        StoreEventListener.NONE)) {
             store.delete("entry/shard/topic/2".getBytes());
         }
         assertSetAside(dir, "differ from their digest");
@@ -178,7 +193,8 @@
     @Test
     void aDamagedStoreIsSetAside() throws IOException {
         Path dir = folder.resolve("state");
-        try (ConfigurationDirectory sound = new ConfigurationDirectory(dir, StoreEventListener.NONE)) {
+        try (ConfigurationDirectory sound =
+                new ConfigurationDirectory(dir, StoreEventListener.NONE)) {
             sound.write(history.changesResponse(1, 5).changes());
         }
         Files.writeString(dir.resolve("manifest"), "rubbish");
--- a/relay/src/test/java/saltstage/configuration/follower/FollowerExplorationTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/FollowerExplorationTest.java
@@ -28,7 +28,8 @@
     void allEventOrdersPreserveTheInvariants() {
         explore(new ArrayList<>());
         assertTrue(pathCount > 60_000, "paths explored: " + pathCount);
-        assertTrue(newestRevision >= 5, "the newest revision that a path came to: " + newestRevision);
+        assertTrue(
+                newestRevision >= 5, "the newest revision that a path came to: " + newestRevision);
     }
 
     private void explore(List<Integer> path) {
@@ -65,7 +66,8 @@
         List<FollowerEvent> events = new ArrayList<>();
         long number = follower.pendingOperationId();
         if (follower.pendingEffect instanceof FollowerEffect.RequestChanges request) {
-            responses(request.after()).forEach(answer -> events.add(changesReceived(number, answer)));
+            responses(request.after())
+                    .forEach(answer -> events.add(changesReceived(number, answer)));
             addFailures(number, events);
         } else if (follower.pendingEffect instanceof FollowerEffect.RequestSnapshotPage request) {
             pages(follower.state.view().revision(), request.from())
@@ -107,9 +109,7 @@
                     new ChangesResponse(
                             after + 1,
                             WRONG_DIGEST,
-                            List.of(
-                                    new Change(
-                                            next.revision(), WRONG_DIGEST, next.mutations()))));
+                            List.of(new Change(next.revision(), WRONG_DIGEST, next.mutations()))));
         }
         if (after > 0) {
             answers.add(history.changesResponse(after, after));
--- a/relay/src/test/java/saltstage/configuration/follower/FollowerHarness.java
+++ b/relay/src/test/java/saltstage/configuration/follower/FollowerHarness.java
@@ -113,14 +113,16 @@
             }
             check(effect);
         }
-        assertTrue(state.view().revision() >= appliedView.revision(), "older than what is in force");
+        assertTrue(
+                state.view().revision() >= appliedView.revision(), "older than what is in force");
     }
 
     private void check(FollowerEffect effect) {
         if (effect instanceof FollowerEffect.RequestChanges request) {
             assertEquals(durableView.revision(), request.after(), "confirmed, but not durable");
             assertEquals(durableView.digest(), request.digest(), "confirmed, but not durable");
-            assertEquals(durableView.revision(), appliedView.revision(), "confirmed, but not in force");
+            assertEquals(
+                    durableView.revision(), appliedView.revision(), "confirmed, but not in force");
         } else if (effect instanceof FollowerEffect.ChangesApplied changes) {
             for (Change change : changes.changes()) {
                 assertEquals(ConfigurationView.Outcome.APPLIED, appliedView.apply(change));
--- a/relay/src/test/java/saltstage/configuration/follower/FollowerInterleavingTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/FollowerInterleavingTest.java
@@ -79,7 +79,8 @@
         if (writes && random.nextInt(4) == 0) {
             return new FollowerEvent.WriteFailed(number, "no room");
         }
-        if (follower.pendingEffect instanceof FollowerEffect.RequestChanges && random.nextInt(6) == 0) {
+        if (follower.pendingEffect instanceof FollowerEffect.RequestChanges
+                && random.nextInt(6) == 0) {
             int from = 1 + random.nextInt(NEWEST); // from anywhere: a gap, doubles, older ones
             int to = Math.min(NEWEST, from + random.nextInt(5));
             return new FollowerEvent.ChangesReceived(
@@ -105,7 +106,8 @@
         return new FollowerEvent.WriteCompleted(number);
     }
 
-    private FollowerEvent responseTo(FollowerEffect.RequestChanges request, int revision, int limit) {
+    private FollowerEvent responseTo(
+            FollowerEffect.RequestChanges request, int revision, int limit) {
         ChangeHistory kept = new ChangeHistory(0, 0);
         for (int i = 1; i <= revision; i++) {
             kept.append(history.change(i));
@@ -114,7 +116,8 @@
         if (answer instanceof ChangeHistory.Changes changes) {
             return new FollowerEvent.ChangesReceived(
                     request.request(),
-                    new ChangesResponse(revision, history.viewAt(revision).digest(), changes.changes()),
+                    new ChangesResponse(
+                            revision, history.viewAt(revision).digest(), changes.changes()),
                     Duration.ofSeconds(25));
         }
         return switch ((ChangeHistory.Failure) answer) {
--- a/relay/src/test/java/saltstage/configuration/follower/ScriptedSource.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ScriptedSource.java
@@ -24,7 +24,8 @@
         void respond(Map<String, String> query, OutputStream out) throws Exception;
     }
 
-    private final ServerSocket serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    private final ServerSocket serverSocket =
+            new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
     private final AtomicLong byteCount = new AtomicLong();
     private final AtomicLong requestCount = new AtomicLong();
--- a/relay/src/test/java/saltstage/configuration/follower/ServedView.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ServedView.java
@@ -84,6 +84,8 @@
 
     private void writeError(OutputStream out, int status, String error) throws Exception {
         ScriptedSource.writeResponse(
-                out, status, ConfigurationJson.toJson(new ErrorResponse(error, view.revision(), 0)));
+                out,
+                status,
+                ConfigurationJson.toJson(new ErrorResponse(error, view.revision(), 0)));
     }
 }
--- a/relay/src/test/java/saltstage/process/ConfigurationTest.java
+++ b/relay/src/test/java/saltstage/process/ConfigurationTest.java
@@ -194,7 +194,9 @@
 
     @Test
     public void aForeignSourceChangesNothing() throws Exception {
-        source.setScript((query, out) -> ScriptedSource.writeResponse(out, 200, "{\"rev\":9,\"targets\":[]}"));
+        source.setScript(
+                (query, out) ->
+                        ScriptedSource.writeResponse(out, 200, "{\"rev\":9,\"targets\":[]}"));
         Files.writeString(
                 settings,
                 "configuration {\n  sources = [\""
--- a/relay/src/test/java/saltstage/process/PersistenceTest.java
+++ b/relay/src/test/java/saltstage/process/PersistenceTest.java
@@ -183,7 +183,9 @@
     public void aStoreInUseIsReportedAndTheRelayServes() throws Exception {
         try (Store held =
                 Store.open(
-                        FileDisk.openOrCreate(dir), saltstage.store.StoreOptions.defaults(), StoreEventListener.NONE)) {
+                        FileDisk.openOrCreate(dir),
+                        saltstage.store.StoreOptions.defaults(),
+                        StoreEventListener.NONE)) {
             assertServesWithoutStore(
                     "keep.lost dir=" + dir + " why=\"the store is open in another process\"");
             assertTrue(held.isWritable());
--- a/relay/src/test/java/saltstage/store/CrashTest.java
+++ b/relay/src/test/java/saltstage/store/CrashTest.java
@@ -21,7 +21,8 @@
         return disk.operationCount();
     }
 
-    private static void assertRecovers(StoreWorkload night, FaultInjectingDisk left, String what) throws IOException {
+    private static void assertRecovers(StoreWorkload night, FaultInjectingDisk left, String what)
+            throws IOException {
         StoreWorkload next = new StoreWorkload();
         try {
             next.open(left);
@@ -44,7 +45,10 @@
         next.commit("later=2", "all");
         TreeMap<String, String> more = next.acknowledged;
         next.store.close();
-        assertEquals(more, StoreWorkload.dump(new StoreWorkload().open(left.durableCopy()).store), what + ", reopened");
+        assertEquals(
+                more,
+                StoreWorkload.dump(new StoreWorkload().open(left.durableCopy()).store),
+                what + ", reopened");
     }
 
     @Test
@@ -113,7 +117,9 @@
         int operations = countOperations();
         int stopped = 0;
         for (FaultInjectingDisk.Fault fault :
-                new FaultInjectingDisk.Fault[] {FaultInjectingDisk.Fault.IO_ERROR, FaultInjectingDisk.Fault.SHORT_WRITE}) {
+                new FaultInjectingDisk.Fault[] {
+                    FaultInjectingDisk.Fault.IO_ERROR, FaultInjectingDisk.Fault.SHORT_WRITE
+                }) {
             for (int at = 0; at < operations; at++) {
                 FaultInjectingDisk disk = new FaultInjectingDisk();
                 disk.injectFaultAt(at, fault);
@@ -126,10 +132,14 @@
                 if (night.store != null && !night.store.isWritable()) {
                     assertThrows(
                             StoreException.WritesStopped.class,
-                            () -> night.store.put(StoreWorkload.bytes("more"), StoreWorkload.bytes("1")));
-                    assertEquals(night.acknowledged, StoreWorkload.dump(night.store), "reads go on");
+                            () ->
+                                    night.store.put(
+                                            StoreWorkload.bytes("more"), StoreWorkload.bytes("1")));
+                    assertEquals(
+                            night.acknowledged, StoreWorkload.dump(night.store), "reads go on");
                     assertTrue(
-                            night.events.stream().anyMatch(line -> line.startsWith("store.stopped")));
+                            night.events.stream()
+                                    .anyMatch(line -> line.startsWith("store.stopped")));
                 }
                 assertRecovers(night, disk.afterCrash(new Random(at)), fault + " at " + at);
             }
@@ -143,7 +153,8 @@
     @Test
     void spareSegmentCreatedBeforeAnotherSegmentIsReplayedAfterIt() throws IOException {
         FaultInjectingDisk disk = new FaultInjectingDisk();
-        StoreState core = new StoreState(disk, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE);
+        StoreState core =
+                new StoreState(disk, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE);
         new Recovery(core, true).run();
         LogWriter writer = new LogWriter(core);
         GroupCommit commits = new GroupCommit(writer::write);
@@ -158,7 +169,8 @@
         commits.commit(new Batch().put(StoreWorkload.bytes("a"), StoreWorkload.bytes("2")));
         TreeMap<String, String> wanted = new TreeMap<>();
         wanted.put("a", "2");
-        assertEquals(wanted, StoreWorkload.dump(new StoreWorkload().open(disk.durableCopy()).store));
+        assertEquals(
+                wanted, StoreWorkload.dump(new StoreWorkload().open(disk.durableCopy()).store));
     }
 
     /**
@@ -168,7 +180,9 @@
     @Test
     void aFailedForceStopsWritesPermanently() throws IOException {
         for (FaultInjectingDisk.Fault fault :
-                new FaultInjectingDisk.Fault[] {FaultInjectingDisk.Fault.IO_ERROR, FaultInjectingDisk.Fault.SHORT_WRITE}) {
+                new FaultInjectingDisk.Fault[] {
+                    FaultInjectingDisk.Fault.IO_ERROR, FaultInjectingDisk.Fault.SHORT_WRITE
+                }) {
             FaultInjectingDisk disk = new FaultInjectingDisk();
             StoreWorkload night = new StoreWorkload().open(disk);
             night.commit("a=1");
@@ -197,7 +211,10 @@
                 night.run();
             } catch (StoreException.DiskFull | Disk.FullException full) {
                 refused++;
-                assertEquals(night.acknowledged, StoreWorkload.dump(night.store), "reads go on at " + at);
+                assertEquals(
+                        night.acknowledged,
+                        StoreWorkload.dump(night.store),
+                        "reads go on at " + at);
             }
             disk.clearFaults();
             night.commit("room=again");
@@ -213,7 +230,9 @@
         StoreWorkload night = new StoreWorkload().open(disk);
         night.commit("a=1");
         disk.injectFaultAt(1, FaultInjectingDisk.Fault.CRASH); // the force of the next commit
-        assertThrows(FaultInjectingDisk.SimulatedCrash.class, () -> night.commit("b=" + "x".repeat(700)));
+        assertThrows(
+                FaultInjectingDisk.SimulatedCrash.class,
+                () -> night.commit("b=" + "x".repeat(700)));
         int[] sector = new int[1];
         FaultInjectingDisk left =
                 disk.afterCrash(
@@ -243,7 +262,10 @@
                         .findFirst()
                         .orElseThrow();
         byte[] content = left.content(log);
-        int end = SegmentFormat.SEGMENT_HEADER_BYTES + 2 * 72 + 200; // the first group, its mirror, and more than that
+        int end =
+                SegmentFormat.SEGMENT_HEADER_BYTES
+                        + 2 * 72
+                        + 200; // the first group, its mirror, and more than that
         for (int i = end; i < content.length; i++) {
             assertEquals(0, content[i], "left over at " + i);
         }
