--- a/relay/src/test/java/saltstage/store/DamageTest.java
+++ b/relay/src/test/java/saltstage/store/DamageTest.java
@@ -34,7 +34,8 @@
 
     /** 1: refused cleanly; 0: the exact state. Anything else fails. */
     private int openOutcome(FaultInjectingDisk changed, String what) {
-        try (Store store = Store.open(changed, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE)) {
+        try (Store store =
+                Store.open(changed, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE)) {
             assertEquals(acknowledged, StoreWorkload.dump(store), what);
             store.put(StoreWorkload.bytes("after"), StoreWorkload.bytes("all"));
             return 0;
@@ -138,7 +139,11 @@
         night.commit("b=2");
         String log = fileNameWithSuffix(young, ".log");
         byte[] whole = young.content(log);
-        int last = SegmentFormat.SEGMENT_HEADER_BYTES + SegmentFormat.alignUp(SegmentFormat.FRAME_HEADER_BYTES + whole[SegmentFormat.SEGMENT_HEADER_BYTES + 11]);
+        int last =
+                SegmentFormat.SEGMENT_HEADER_BYTES
+                        + SegmentFormat.alignUp(
+                                SegmentFormat.FRAME_HEADER_BYTES
+                                        + whole[SegmentFormat.SEGMENT_HEADER_BYTES + 11]);
         whole[last + SegmentFormat.FRAME_HEADER_BYTES + 10] ^= 1;
         young.putFile(log, whole);
         StoreWorkload after = new StoreWorkload().open(young.durableCopy());
@@ -158,7 +163,10 @@
         assertEquals(0, openOutcome(young.durableCopy(), "unharmed"));
         String log =
                 young.list().stream()
-                        .filter(name -> young.content(name).length > SegmentFormat.MAX_MIRRORED_BYTES)
+                        .filter(
+                                name ->
+                                        young.content(name).length
+                                                > SegmentFormat.MAX_MIRRORED_BYTES)
                         .findFirst()
                         .orElseThrow();
         byte[] whole = young.content(log);
@@ -182,7 +190,9 @@
         String log = fileNameWithSuffix(young, ".log");
         byte[] whole = young.content(log);
         int payload = SegmentFormat.BATCH_HEADER_BYTES + SegmentFormat.ENTRY_HEADER_BYTES + 2;
-        int group = SegmentFormat.SEGMENT_HEADER_BYTES + SegmentFormat.alignUp(SegmentFormat.FRAME_HEADER_BYTES + payload);
+        int group =
+                SegmentFormat.SEGMENT_HEADER_BYTES
+                        + SegmentFormat.alignUp(SegmentFormat.FRAME_HEADER_BYTES + payload);
         int mirror = group + SegmentFormat.alignUp(SegmentFormat.FRAME_HEADER_BYTES + payload);
         int end = mirror + SegmentFormat.trailerBytes(mirror - group);
         int refused = 0;
@@ -201,7 +211,11 @@
             }
         }
         assertEquals(
-                (SegmentFormat.FRAME_HEADER_BYTES + payload) * (SegmentFormat.FRAME_HEADER_BYTES + SegmentFormat.MIRROR_HEADER_BYTES + mirror - group),
+                (SegmentFormat.FRAME_HEADER_BYTES + payload)
+                        * (SegmentFormat.FRAME_HEADER_BYTES
+                                + SegmentFormat.MIRROR_HEADER_BYTES
+                                + mirror
+                                - group),
                 refused);
         for (int from = group; from < end; from++) { // as if the tail had never been written
             byte[] zeroed = whole.clone();
@@ -286,7 +300,9 @@
             FaultInjectingDisk young = rests.durableCopy();
             store.put(StoreWorkload.bytes("a"), StoreWorkload.bytes("1"));
             SegmentFormat.StoreId id = Manifest.read(rests).storeId();
-            for (int i = 0; i < 2000 && AcknowledgedSeqFile.read(afterPowerLoss(rests), id) < 1; i++) {
+            for (int i = 0;
+                    i < 2000 && AcknowledgedSeqFile.read(afterPowerLoss(rests), id) < 1;
+                    i++) {
                 Thread.sleep(10);
             }
             assertEquals(1, openOutcome(withLogOf(young, afterPowerLoss(rests)), "at rest"));
@@ -303,7 +319,14 @@
             night.commit("b=" + i);
             byte[] sure = afterPowerLoss(young).content(AcknowledgedSeqFile.NAME);
             byte[] now = young.content(AcknowledgedSeqFile.NAME);
-            boolean first = Arrays.equals(sure, 0, AcknowledgedSeqFile.SLOT_BYTES, now, 0, AcknowledgedSeqFile.SLOT_BYTES);
+            boolean first =
+                    Arrays.equals(
+                            sure,
+                            0,
+                            AcknowledgedSeqFile.SLOT_BYTES,
+                            now,
+                            0,
+                            AcknowledgedSeqFile.SLOT_BYTES);
             boolean second =
                     Arrays.equals(
                             sure,
@@ -356,7 +379,9 @@
             int higher = slotSeq(before, 0) > slotSeq(before, 1) ? 0 : 1;
             FaultInjectingDisk killed = young.durableCopy();
             killed.injectFaultAt(1, FaultInjectingDisk.Fault.CRASH); // the force
-            assertThrows(FaultInjectingDisk.SimulatedCrash.class, () -> AcknowledgedSeqFile.open(killed, id, 9));
+            assertThrows(
+                    FaultInjectingDisk.SimulatedCrash.class,
+                    () -> AcknowledgedSeqFile.open(killed, id, 9));
             byte[] after = killed.content(AcknowledgedSeqFile.NAME);
             assertEquals(9, slotSeq(after, higher));
             assertEquals(slotSeq(before, 1 - higher), slotSeq(after, 1 - higher));
@@ -427,7 +452,10 @@
     void damagedCheckpointBlockIsReportedWithItsOffset() throws IOException {
         FaultInjectingDisk large = new FaultInjectingDisk();
         try (Store store =
-                Store.open(large, new StoreOptions(1 << 20, false, 1 << 30), StoreEventListener.NONE)) {
+                Store.open(
+                        large,
+                        new StoreOptions(1 << 20, false, 1 << 30),
+                        StoreEventListener.NONE)) {
             Batch batch = new Batch();
             for (int i = 0; i < 4000; i++) {
                 batch.put(StoreWorkload.bytes("key" + i), StoreWorkload.bytes("1"));
@@ -463,12 +491,17 @@
                 i++) { // of a later record, at each alignment that it could come to stand at
             made.position(made.position() + 1);
             int start = SegmentFormat.beginFrame(made, SegmentFormat.GROUP_FRAME, 1, 1000);
-            SegmentFormat.endFrame(made, start, new SegmentFormat.ChecksumSeed(manifest.storeId(), 1), 64);
+            SegmentFormat.endFrame(
+                    made, start, new SegmentFormat.ChecksumSeed(manifest.storeId(), 1), 64);
         }
         byte[] frame = made.array();
         night.store.put(StoreWorkload.bytes("b"), frame);
         night.store.put(StoreWorkload.bytes("c"), frame);
-        try (Store again = Store.open(young.durableCopy(), StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE)) {
+        try (Store again =
+                Store.open(
+                        young.durableCopy(),
+                        StoreWorkload.SMALL_SEGMENTS,
+                        StoreEventListener.NONE)) {
             assertTrue(Arrays.equals(frame, again.get(StoreWorkload.bytes("c"))));
         }
     }
--- a/relay/src/test/java/saltstage/store/FaultInjectingDisk.java
+++ b/relay/src/test/java/saltstage/store/FaultInjectingDisk.java
@@ -51,7 +51,8 @@
         static byte[] withWrite(byte[] content, PendingWrite write) {
             byte[] next =
                     Arrays.copyOf(
-                            content, Math.max(content.length, write.position() + write.bytes().length));
+                            content,
+                            Math.max(content.length, write.position() + write.bytes().length));
             System.arraycopy(write.bytes(), 0, next, write.position(), write.bytes().length);
             return next;
         }
@@ -118,7 +119,9 @@
                             int until =
                                     Math.min(
                                             write.bytes().length,
-                                            at + SECTOR_BYTES - (write.position() + at) % SECTOR_BYTES);
+                                            at
+                                                    + SECTOR_BYTES
+                                                    - (write.position() + at) % SECTOR_BYTES);
                             if (keep.nextBoolean()) {
                                 content =
                                         Inode.withWrite(
@@ -266,7 +269,11 @@
         public int read(ByteBuffer into, long position) {
             synchronized (FaultInjectingDisk.this) {
                 int bytes =
-                        (int) Math.max(0, Math.min(into.remaining(), inode.content.length - position));
+                        (int)
+                                Math.max(
+                                        0,
+                                        Math.min(
+                                                into.remaining(), inode.content.length - position));
                 into.put(inode.content, (int) Math.min(position, inode.content.length), bytes);
                 return bytes;
             }
--- a/relay/src/test/java/saltstage/store/MaintenancePolicyTest.java
+++ b/relay/src/test/java/saltstage/store/MaintenancePolicyTest.java
@@ -27,7 +27,8 @@
 
     @Test
     void nothingIsCompactedWhileFewBytesAreDead() {
-        List<SealedSegment> sealed = List.of(new SealedSegment(1, 1_000, 1), new SealedSegment(2, 1_000, 2));
+        List<SealedSegment> sealed =
+                List.of(new SealedSegment(1, 1_000, 1), new SealedSegment(2, 1_000, 2));
         assertEquals(List.of(), policy.selectForCompaction(sealed, 0));
         List<SealedSegment> more = new ArrayList<>(sealed);
         more.add(new SealedSegment(3, 1_000, 900));
@@ -44,7 +45,9 @@
     @Test
     void manualCompactionSelectsEverySegmentWithDeadData() {
         assertEquals(
-                List.of(2L), MaintenancePolicy.selectAllWithDeadData(List.of(new SealedSegment(1, 10, 10), new SealedSegment(2, 10, 9))));
+                List.of(2L),
+                MaintenancePolicy.selectAllWithDeadData(
+                        List.of(new SealedSegment(1, 10, 10), new SealedSegment(2, 10, 9))));
     }
 
     @Property(tries = 300, seed = "7")
--- a/relay/src/test/java/saltstage/store/StoreFuzzTest.java
+++ b/relay/src/test/java/saltstage/store/StoreFuzzTest.java
@@ -33,7 +33,9 @@
                     for (String change : changes) {
                         int equals = change.indexOf('=');
                         if (equals > 0) {
-                            REQUESTED_VALUES.computeIfAbsent(change.substring(0, equals), k -> new HashSet<>())
+                            REQUESTED_VALUES
+                                    .computeIfAbsent(
+                                            change.substring(0, equals), k -> new HashSet<>())
                                     .add(change.substring(equals + 1));
                         }
                     }
@@ -59,7 +61,8 @@
         System.arraycopy(data, 3, content, at, bytes);
         FaultInjectingDisk changed = WORKLOAD_DISK.durableCopy();
         changed.putFile(name, (data[0] & 0x80) != 0 ? Arrays.copyOf(content, at + bytes) : content);
-        try (Store store = Store.open(changed, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE)) {
+        try (Store store =
+                Store.open(changed, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE)) {
             TreeMap<String, String> found = StoreWorkload.dump(store);
             found.forEach(
                     (key, value) ->
--- a/relay/src/test/java/saltstage/store/StoreTest.java
+++ b/relay/src/test/java/saltstage/store/StoreTest.java
@@ -96,7 +96,8 @@
     void staleExpectedVersionRejectsTheWholeBatch() throws IOException {
         try (Store store = openStore(4096, false)) {
             long first =
-                    store.commit(new Batch().expectVersion(bytes("a"), 0).put(bytes("a"), bytes("1")));
+                    store.commit(
+                            new Batch().expectVersion(bytes("a"), 0).put(bytes("a"), bytes("1")));
             StoreException.VersionConflict conflict =
                     assertThrows(
                             StoreException.VersionConflict.class,
@@ -109,7 +110,10 @@
             assertEquals(first, conflict.actualVersion());
             assertNull(store.get(bytes("b")));
             long second =
-                    store.commit(new Batch().expectVersion(bytes("a"), first).put(bytes("a"), bytes("2")));
+                    store.commit(
+                            new Batch()
+                                    .expectVersion(bytes("a"), first)
+                                    .put(bytes("a"), bytes("2")));
             assertTrue(second > first);
             assertArrayEquals(bytes("2"), store.get(bytes("a")));
         }
@@ -312,17 +316,25 @@
     @Test
     void groupWithRejectedLargeBatchStaysWithinItsReservedSpace() throws IOException {
         FaultInjectingDisk disk = new FaultInjectingDisk();
-        StoreState core = new StoreState(disk, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE);
+        StoreState core =
+                new StoreState(disk, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE);
         new Recovery(core, true).run();
         LogWriter writer = new LogWriter(core);
         PendingBatch small =
-                new PendingBatch(new Batch().put(bytes("s"), new byte[SegmentFormat.MAX_MIRRORED_BYTES - 200]));
+                new PendingBatch(
+                        new Batch()
+                                .put(bytes("s"), new byte[SegmentFormat.MAX_MIRRORED_BYTES - 200]));
         PendingBatch large =
-                new PendingBatch(new Batch().expectVersion(bytes("x"), 9).put(bytes("l"), new byte[1_000]));
+                new PendingBatch(
+                        new Batch().expectVersion(bytes("x"), 9).put(bytes("l"), new byte[1_000]));
         writer.write(List.of(small, large));
         assertEquals(1, small.result());
         assertThrows(StoreException.VersionConflict.class, large::result);
-        try (Store store = Store.open(disk.durableCopy(), StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE)) {
+        try (Store store =
+                Store.open(
+                        disk.durableCopy(),
+                        StoreWorkload.SMALL_SEGMENTS,
+                        StoreEventListener.NONE)) {
             assertEquals(1, store.verify().liveKeys());
         }
     }
--- a/relay/src/test/java/saltstage/store/StoreWorkload.java
+++ b/relay/src/test/java/saltstage/store/StoreWorkload.java
@@ -26,7 +26,11 @@
     }
 
     StoreWorkload open(Disk disk) throws IOException {
-        store = Store.open(disk, SMALL_SEGMENTS, (event, pairs) -> events.add(event + " " + List.of(pairs)));
+        store =
+                Store.open(
+                        disk,
+                        SMALL_SEGMENTS,
+                        (event, pairs) -> events.add(event + " " + List.of(pairs)));
         return this;
     }
 
--- a/relay/src/test/java/saltstage/store/TailClassifierTest.java
+++ b/relay/src/test/java/saltstage/store/TailClassifierTest.java
@@ -26,7 +26,8 @@
                                             ? TailState.DAMAGED
                                             : zero || last ? TailState.CLEAN : TailState.TORN;
             assertEquals(
-                    wanted, TailClassifier.classify(new Findings(later, mirror, mark, zero, last), said));
+                    wanted,
+                    TailClassifier.classify(new Findings(later, mirror, mark, zero, last), said));
         }
     }
 }
