--- a/relay/src/main/java/saltstage/Api.java
+++ b/relay/src/main/java/saltstage/Api.java
@@ -158,13 +158,13 @@
         void start(long now);
 
         /** The list service says something; servers is empty for REFUSED. */
-        void backendListReceived(long now, BackendListKind kind, List<ListedBackend> servers);
+        void backendListReceived(long now, BackendListKind kind, List<ListedBackend> listedBackends);
 
         /** A request has come in: it is owed one final answer. */
         void requestReceived(long now, Request request);
 
         /** A connection was already open through this node at its start. */
-        void connectionRestored(long now, Request request, String server);
+        void connectionRestored(long now, Request request, String backendId);
 
         /** The connection stands; time-out and deadline no longer run. */
         void connectionEstablished(long now, long id, long latency);
@@ -179,7 +179,7 @@
         void connectionReported(long now, long id, ConnectionReport kind, double level);
 
         /** A probe has come back: SERVED with the load asked of the server over what it can do. */
-        void probeCompleted(long now, String server, Outcome outcome, double asked);
+        void probeCompleted(long now, String backendId, Outcome outcome, double utilization);
 
         /** A timer set through {@link Actions#setTimer} is due. */
         void timerFired(long now, String token);
@@ -188,7 +188,7 @@
     /** What a node does; called from within an event. */
     public interface Actions {
         /** Starts the next attempt; timeout 0: until the client gives up. */
-        void sendAttempt(long id, String server, long timeout);
+        void sendAttempt(long id, String backendId, long timeout);
 
         /** Final answer: rejected, a retry is harmless; retryAfter 0: no advice. */
         void reject(long id, long retryAfter);
@@ -203,7 +203,7 @@
         void setTimer(String token, long delay);
 
         /** Asks a server for its load. */
-        void probe(String server);
+        void probe(String backendId);
 
         /** Subscribes to the changes of the server list. */
         void watchBackendList();
--- a/relay/src/main/java/saltstage/BalancerState.java
+++ b/relay/src/main/java/saltstage/BalancerState.java
@@ -26,15 +26,15 @@
         double deviation;
         boolean hasSample;
 
-        void set(double mean, double off) {
+        void set(double mean, double meanDeviation) {
             value = mean;
-            deviation = off;
+            deviation = meanDeviation;
             hasSample = mean > 0;
         }
 
         double add(double sample) {
-            double off = Math.abs(sample - value);
-            deviation = hasSample ? deviation + NEW_SAMPLE_WEIGHT * (off - deviation) : sample / 2;
+            double absoluteError = Math.abs(sample - value);
+            deviation = hasSample ? deviation + NEW_SAMPLE_WEIGHT * (absoluteError - deviation) : sample / 2;
             value = hasSample ? value + NEW_SAMPLE_WEIGHT * (sample - value) : sample;
             hasSample = true;
             return sample;
@@ -51,19 +51,19 @@
         /**
          * RAP: a newcomer to a full table takes the least counter's place by chance (paper, II-C).
          */
-        void add(long who, double weight, Random random) {
-            int least = 0;
+        void add(long clientKey, double weight, Random random) {
+            int smallest = 0;
             for (int i = 0; i < size; i++) {
-                if (clients[i] == who) {
+                if (clients[i] == clientKey) {
                     counters[i] += weight;
                     return;
                 }
-                least = counters[i] < counters[least] ? i : least;
+                smallest = counters[i] < counters[smallest] ? i : smallest;
             }
-            least = size < MAX_TABLE_CLIENTS ? size++ : least;
-            if (random.nextDouble() < weight / (counters[least] + weight)) {
-                clients[least] = who;
-                counters[least] += weight;
+            smallest = size < MAX_TABLE_CLIENTS ? size++ : smallest;
+            if (random.nextDouble() < weight / (counters[smallest] + weight)) {
+                clients[smallest] = clientKey;
+                counters[smallest] += weight;
             }
         }
     }
@@ -95,8 +95,8 @@
 
         final long firstSeenAt; // a former node may have spent what the rule allowed before
 
-        BackendState(ListedBackend server, long hash, int windows, long now) {
-            this.listEntry = server;
+        BackendState(ListedBackend listEntry, long hash, int windows, long now) {
+            this.listEntry = listEntry;
             firstSeenAt = now;
             this.hash = hash;
             heavyHitterTables = new HeavyHitterTable[windows];
@@ -107,24 +107,24 @@
          * alike.
          */
         double estimatedUtilization() {
-            double alike =
+            double scaled =
                     placedLoadAtReport > 0
                             ? reportedUtilization
                                     * Math.max(0.5, Math.min(2, placedLoad / placedLoadAtReport))
                             : reportedUtilization;
             // Where little stood here the ratio tells nothing: a node that just started would feed
             // one.
-            double more = placedLoad - placedLoadAtReport;
-            return estimatedCapacity > 0 && more > 0
-                    ? Math.max(alike, reportedUtilization + more / estimatedCapacity)
-                    : alike;
+            double addedLoad = placedLoad - placedLoadAtReport;
+            return estimatedCapacity > 0 && addedLoad > 0
+                    ? Math.max(scaled, reportedUtilization + addedLoad / estimatedCapacity)
+                    : scaled;
         }
 
         /**
          * A set-up has succeeded here; where it sets up and then resets, that alone is no proof.
          */
-        void setupSucceeded(long latency, long now, long proof) {
-            ejectedUntil = onProbation ? now + proof : now;
+        void setupSucceeded(long latency, long now, long probationMicros) {
+            ejectedUntil = onProbation ? now + probationMicros : now;
             setupLatency.add(latency);
             minSetupLatency = Math.min(minSetupLatency, latency);
         }
@@ -154,17 +154,17 @@
         double load;
         long stateChangedAt;
 
-        RequestState(Request request, ServiceClass service, long route) {
+        RequestState(Request request, ServiceClass serviceClass, long placementHash) {
             this.request = request;
-            this.serviceClass = service;
-            this.placementHash = route;
+            this.serviceClass = serviceClass;
+            this.placementHash = placementHash;
             clientKey = request.key() != Api.NONE ? request.key() : request.group();
         }
 
-        void startAttempt(BackendState to, long now) {
-            triedBackends.add(to);
-            probationAttempt = to.onProbation;
-            backend = to;
+        void startAttempt(BackendState target, long now) {
+            triedBackends.add(target);
+            probationAttempt = target.onProbation;
+            backend = target;
             attempts++;
             attemptActive = true;
             stateChangedAt = now;
@@ -177,9 +177,9 @@
             backend.establishedRequests.add(this);
         }
 
-        void updateLoad(double level) {
-            backend.placedLoad += level - load;
-            load = level;
+        void updateLoad(double newLoad) {
+            backend.placedLoad += newLoad - load;
+            load = newLoad;
         }
 
         void endAttempt() {
--- a/relay/src/main/java/saltstage/LoadBalancer.java
+++ b/relay/src/main/java/saltstage/LoadBalancer.java
@@ -87,9 +87,9 @@
     private static final double REJECTION_DECREASE_PER_PERIOD =
             0.06; // less each other period: a fifth, since jams clear slowly
 
-    private final Settings relaySettings;
+    private final Settings settings;
     private final SafetyRules safetyRules;
-    private final Api.Actions relayActions;
+    private final Api.Actions actions;
     private final Random random;
     private final TreeMap<String, BackendState> backends = new TreeMap<>();
     private final Map<Long, RequestState> requests = new HashMap<>();
@@ -109,7 +109,7 @@
     private double diversionThreshold;
     private int failedListCalls;
     private double totalPlacedLoad;
-    private final ProbeSelection probeSelection = new ProbeSelection(h -> warmUpFraction(h) < 1);
+    private final ProbeSelection probeSelection = new ProbeSelection(backend -> warmUpFraction(backend) < 1);
     private final Set<BackendState> usedBackends =
             new LinkedHashSet<>(); // a node that sees little ranks little
     private final Map<Long, Integer> connectionsByGroup = new HashMap<>();
@@ -130,9 +130,9 @@
 
     /** One node with its own seed; it acts through the sink alone. */
     public LoadBalancer(Settings settings, long seed, Api.Actions actions) {
-        relaySettings = settings;
+        this.settings = settings;
         safetyRules = settings.safetyRules();
-        relayActions = actions;
+        this.actions = actions;
         random = new Random(seed);
         requestLoad.value = 1; // the unit of load until one is told
         minMessageLatencyTarget =
@@ -145,20 +145,20 @@
     // ---- what outlives a node: it costs time to learn again
 
     /** Hands out what was learnt, as plain data. */
-    public LearnedState learnedState(long at) {
-        List<LearnedBackend> servers =
+    public LearnedState learnedState(long time) {
+        List<LearnedBackend> learnedBackends =
                 backends.values().stream()
-                        .filter(h -> h.setupLatency.hasSample || at < h.ejectedUntil)
+                        .filter(backend -> backend.setupLatency.hasSample || time < backend.ejectedUntil)
                         .map(
-                                h ->
+                                backend ->
                                         new LearnedBackend(
-                                                h.listEntry.id(),
-                                                h.listEntry.startedAt(),
-                                                h.setupLatency.value,
-                                                h.setupLatency.deviation,
-                                                h.minSetupLatency,
-                                                h.consecutiveFailures,
-                                                Math.max(0, h.ejectedUntil - at)))
+                                                backend.listEntry.id(),
+                                                backend.listEntry.startedAt(),
+                                                backend.setupLatency.value,
+                                                backend.setupLatency.deviation,
+                                                backend.minSetupLatency,
+                                                backend.consecutiveFailures,
+                                                Math.max(0, backend.ejectedUntil - time)))
                         .toList();
         Map<Long, Double> shares = new TreeMap<>();
         connectionsByGroup.forEach(
@@ -176,47 +176,47 @@
                 utilizationOfWarmBackends > 0
                         ? ownLoadOnWarmBackends / utilizationOfWarmBackends
                         : 0,
-                servers,
+                learnedBackends,
                 shares);
     }
 
     /** The servers that have failed and are left alone for now. */
-    public Set<String> ejectedBackends(long at) {
+    public Set<String> ejectedBackends(long time) {
         return new TreeSet<>(
                 backends.keySet().stream()
-                        .filter(id -> at < backends.get(id).ejectedUntil)
+                        .filter(id -> time < backends.get(id).ejectedUntil)
                         .toList());
     }
 
     /** Takes in what a former node of this name has learnt, of the processes that still run. */
-    public void restoreLearnedState(long at, LearnedState known) {
-        setupLatency.set(known.setupLatency(), known.setupLatencyDeviation());
-        connectionLifetime.set(known.meanConnectionLifetime(), known.meanConnectionLifetime() / 2);
+    public void restoreLearnedState(long time, LearnedState learned) {
+        setupLatency.set(learned.setupLatency(), learned.setupLatencyDeviation());
+        connectionLifetime.set(learned.meanConnectionLifetime(), learned.meanConnectionLifetime() / 2);
         requestLoad.set(
-                known.meanRequestLoad() > 0 ? known.meanRequestLoad() : 1,
-                known.meanRequestLoad() / 2);
-        requestLoad.hasSample = known.meanRequestLoad() > 0;
-        meanGroupShare = known.meanGroupShare();
+                learned.meanRequestLoad() > 0 ? learned.meanRequestLoad() : 1,
+                learned.meanRequestLoad() / 2);
+        requestLoad.hasSample = learned.meanRequestLoad() > 0;
+        meanGroupShare = learned.meanGroupShare();
         utilizationOfWarmBackends =
-                known.capacityShare() > 0
+                learned.capacityShare() > 0
                         ? LEARNED_CAPACITY_WEIGHT_PERIODS
                                 * backends.values().stream().mapToDouble(this::weight).sum()
                         : 0;
-        ownLoadOnWarmBackends = known.capacityShare() * utilizationOfWarmBackends;
-        learnedGroupShares = Map.copyOf(known.groupShares());
-        for (LearnedBackend learnt : known.backends()) {
-            BackendState h = backends.get(learnt.id());
-            if (h != null && h.listEntry.startedAt() == learnt.startedAt()) {
-                h.setupLatency.set(learnt.setupLatency(), learnt.setupLatencyDeviation());
-                h.minSetupLatency = learnt.minSetupLatency();
-                h.consecutiveFailures =
-                        learnt.remainingEjection() > 0
-                                ? Math.min(learnt.consecutiveFailures(), MAX_EJECTION_DOUBLINGS)
+        ownLoadOnWarmBackends = learned.capacityShare() * utilizationOfWarmBackends;
+        learnedGroupShares = Map.copyOf(learned.groupShares());
+        for (LearnedBackend learnedBackend : learned.backends()) {
+            BackendState backend = backends.get(learnedBackend.id());
+            if (backend != null && backend.listEntry.startedAt() == learnedBackend.startedAt()) {
+                backend.setupLatency.set(learnedBackend.setupLatency(), learnedBackend.setupLatencyDeviation());
+                backend.minSetupLatency = learnedBackend.minSetupLatency();
+                backend.consecutiveFailures =
+                        learnedBackend.remainingEjection() > 0
+                                ? Math.min(learnedBackend.consecutiveFailures(), MAX_EJECTION_DOUBLINGS)
                                 : 0;
-                h.ejectedUntil =
-                        at
+                backend.ejectedUntil =
+                        time
                                 + Math.min(
-                                        learnt.remainingEjection(),
+                                        learnedBackend.remainingEjection(),
                                         EJECTION_MICROS << MAX_EJECTION_DOUBLINGS);
             }
         }
@@ -225,26 +225,26 @@
     // ---- events
 
     @Override
-    public void start(long at) {
-        now = at;
-        if (relaySettings
+    public void start(long eventTime) {
+        now = eventTime;
+        if (settings
                 .watchesBackendList()) { // Nodes that start together must not call together: the
             // service
             // is small.
-            relayActions.setTimer(
+            actions.setTimer(
                     "list",
                     1 + (long) (random.nextDouble() * safetyRules.discoveryCallInterval() / 8));
         }
-        if (relaySettings.probingEnabled()) {
-            relayActions.setTimer("probe", 1 + (long) (random.nextDouble() * PROBE_TICK_MICROS));
+        if (settings.probingEnabled()) {
+            actions.setTimer("probe", 1 + (long) (random.nextDouble() * PROBE_TICK_MICROS));
         }
     }
 
     @Override
-    public void backendListReceived(long at, BackendListKind kind, List<ListedBackend> servers) {
-        now = at;
+    public void backendListReceived(long eventTime, BackendListKind kind, List<ListedBackend> listedBackends) {
+        now = eventTime;
         if (kind == BackendListKind.CALL_FAILED) {
-            relayActions.setTimer(
+            actions.setTimer(
                     "list",
                     (long)
                             (LIST_RETRY_DELAY_MICROS
@@ -257,11 +257,11 @@
             return;
         }
         failedListCalls = kind == BackendListKind.CACHED ? failedListCalls : 0;
-        servers.forEach(this::updateBackend);
+        listedBackends.forEach(this::updateBackend);
         if (kind != BackendListKind.DELTA) {
-            Set<String> named = Set.copyOf(servers.stream().map(ListedBackend::id).toList());
+            Set<String> listedIds = Set.copyOf(listedBackends.stream().map(ListedBackend::id).toList());
             backends.values().stream()
-                    .filter(h -> !named.contains(h.listEntry.id()))
+                    .filter(backend -> !listedIds.contains(backend.listEntry.id()))
                     .toList()
                     .forEach(this::removeBackend);
         }
@@ -269,8 +269,8 @@
     }
 
     @Override
-    public void requestReceived(long at, Request request) {
-        now = at;
+    public void requestReceived(long eventTime, Request request) {
+        now = eventTime;
         if (now - statisticsUpdatedAt >= STATISTICS_PERIOD_MICROS) {
             updateStatistics();
         }
@@ -278,142 +278,142 @@
     }
 
     @Override
-    public void connectionRestored(long at, Request request, String server) {
-        now = at;
-        RequestState c = registerRequest(request);
-        ListedBackend unlisted = new ListedBackend(server, 0, 0, Health.GONE, 1, 0);
-        c.startAttempt(
+    public void connectionRestored(long eventTime, Request request, String backendId) {
+        now = eventTime;
+        RequestState state = registerRequest(request);
+        ListedBackend unlisted = new ListedBackend(backendId, 0, 0, Health.GONE, 1, 0);
+        state.startAttempt(
                 backends.getOrDefault(
-                        server, new BackendState(unlisted, hash(server), HEAVY_HITTER_WINDOWS, at)),
-                at);
-        c.markEstablished(
-                at - EJECTION_MICROS); // it has stood, whatever comes: its end says nothing of
+                        backendId, new BackendState(unlisted, hash(backendId), HEAVY_HITTER_WINDOWS, eventTime)),
+                eventTime);
+        state.markEstablished(
+                eventTime - EJECTION_MICROS); // it has stood, whatever comes: its end says nothing of
         // set-ups
-        countArrival(c.backend, c);
-        usedBackends.add(c.backend);
+        countArrival(state.backend, state);
+        usedBackends.add(state.backend);
     }
 
     @Override
-    public void connectionEstablished(long at, long id, long latency) {
-        now = at;
-        RequestState c = requests.get(id);
-        if (c != null) {
-            c.markEstablished(at);
-            c.backend.setupSucceeded(latency, at, EJECTION_MICROS);
+    public void connectionEstablished(long eventTime, long id, long latency) {
+        now = eventTime;
+        RequestState state = requests.get(id);
+        if (state != null) {
+            state.markEstablished(eventTime);
+            state.backend.setupSucceeded(latency, eventTime, EJECTION_MICROS);
             setupLatency.add(latency);
             recentEstablished++;
         }
     }
 
     @Override
-    public void attemptEnded(long at, long id, Outcome outcome, boolean over) {
-        now = at;
-        RequestState c = requests.get(id);
-        if (c == null) {
+    public void attemptEnded(long eventTime, long id, Outcome outcome, boolean over) {
+        now = eventTime;
+        RequestState state = requests.get(id);
+        if (state == null) {
             return;
         }
-        c.endAttempt();
+        state.endAttempt();
         recentAttempts -= outcome.hasNoEffect() ? 1 : 0;
-        if (c.established
+        if (state.established
                 && outcome == Outcome.RESET
-                && at - c.stateChangedAt < EJECTION_MICROS) { // it did not stand
+                && eventTime - state.stateChangedAt < EJECTION_MICROS) { // it did not stand
             recentEstablished--;
-            c.backend.onProbation = true;
-            c.backend.ejectedUntil =
-                    c.probationAttempt
-                            ? at
-                            : c.backend.ejectedUntil; // it counts as the next strike
+            state.backend.onProbation = true;
+            state.backend.ejectedUntil =
+                    state.probationAttempt
+                            ? eventTime
+                            : state.backend.ejectedUntil; // it counts as the next strike
         }
-        if (outcome == Outcome.SERVED && at - c.stateChangedAt > EJECTION_MICROS) {
-            c.backend.consecutiveFailures = 0;
+        if (outcome == Outcome.SERVED && eventTime - state.stateChangedAt > EJECTION_MICROS) {
+            state.backend.consecutiveFailures = 0;
         }
-        if (c.established && !c.loadReported && c.request.loadHint() <= 0) {
-            estimateLoadFromLifetime(c, at);
-            countArrival(c.backend, c);
+        if (state.established && !state.loadReported && state.request.loadHint() <= 0) {
+            estimateLoadFromLifetime(state, eventTime);
+            countArrival(state.backend, state);
         }
         // Without this, light clients would keep going to a server that takes all and serves
         // nothing.
-        if (c.established ? outcome == Outcome.RESET : BACKEND_FAILURES.contains(outcome)) {
-            recordFailure(c.backend);
+        if (state.established ? outcome == Outcome.RESET : BACKEND_FAILURES.contains(outcome)) {
+            recordFailure(state.backend);
         }
-        if (over || c.clientLeft) {
+        if (over || state.clientLeft) {
             requests.remove(id);
             return;
         }
-        if (!outcome.hasNoEffect() && c.firstUncertainAttemptAt == Api.NONE) {
-            c.firstUncertainAttemptAt = c.stateChangedAt;
-            c.firstUncertainBackend = c.backend;
+        if (!outcome.hasNoEffect() && state.firstUncertainAttemptAt == Api.NONE) {
+            state.firstUncertainAttemptAt = state.stateChangedAt;
+            state.firstUncertainBackend = state.backend;
         }
-        dispatch(c);
+        dispatch(state);
     }
 
-    private void estimateLoadFromLifetime(RequestState c, long at) {
+    private void estimateLoadFromLifetime(RequestState state, long eventTime) {
         // Neither hint nor told load: the time that it was open marks it.
-        connectionLifetime.add(at - c.stateChangedAt);
-        c.load =
-                requestLoad.value * (at - c.stateChangedAt) / Math.max(1, connectionLifetime.value);
+        connectionLifetime.add(eventTime - state.stateChangedAt);
+        state.load =
+                requestLoad.value * (eventTime - state.stateChangedAt) / Math.max(1, connectionLifetime.value);
     }
 
     @Override
-    public void clientLeft(long at, long id) {
-        now = at;
-        RequestState c = requests.get(id);
+    public void clientLeft(long eventTime, long id) {
+        now = eventTime;
+        RequestState state = requests.get(id);
         waitingRequests.remove(id);
-        if (c != null && c.attemptActive) {
-            c.clientLeft = true;
+        if (state != null && state.attemptActive) {
+            state.clientLeft = true;
         } else {
             requests.remove(id);
         }
     }
 
     @Override
-    public void connectionReported(long at, long id, ConnectionReport kind, double level) {
-        now = at;
-        RequestState c = requests.get(id);
-        if (c == null || !c.attemptActive) {
+    public void connectionReported(long eventTime, long id, ConnectionReport kind, double level) {
+        now = eventTime;
+        RequestState state = requests.get(id);
+        if (state == null || !state.attemptActive) {
             return;
         }
-        BackendState h = c.backend;
+        BackendState backend = state.backend;
         if (kind == ConnectionReport.DELAY) {
-            boolean persists = isOverloaded(h);
-            h.reportedDelayMicros = level * 1000;
-            h.lastDelayReportAt = at;
-            double share =
+            boolean persists = isOverloaded(backend);
+            backend.reportedDelayMicros = level * 1000;
+            backend.lastDelayReportAt = eventTime;
+            double fraction =
                     SHED_FRACTION_PER_SECOND
                             * Math.min(
                                     MAX_SHED_MULTIPLIER,
-                                    h.reportedDelayMicros / minMessageLatencyTarget);
+                                    backend.reportedDelayMicros / minMessageLatencyTarget);
             if (persists
-                    && isOverloaded(h)
-                    && random.nextDouble() < share * h.establishedRequests.size()) {
-                shedConnection(h);
+                    && isOverloaded(backend)
+                    && random.nextDouble() < fraction * backend.establishedRequests.size()) {
+                shedConnection(backend);
             }
         } else {
-            c.loadReported = true;
-            if (c.request.loadHint() <= 0) {
+            state.loadReported = true;
+            if (state.request.loadHint() <= 0) {
                 requestLoad.add(
                         level); // Without hints told loads give the unit; a guess would not.
             }
-            c.updateLoad(level);
-            countArrival(h, c);
+            state.updateLoad(level);
+            countArrival(backend, state);
         }
     }
 
     @Override
-    public void timerFired(long at, String token) {
-        now = at;
+    public void timerFired(long eventTime, String token) {
+        now = eventTime;
         if (token.equals("list")) {
-            relayActions.watchBackendList();
+            actions.watchBackendList();
         } else if (token.equals("probe")) {
-            relayActions.setTimer("probe", PROBE_TICK_MICROS);
+            actions.setTimer("probe", PROBE_TICK_MICROS);
             backends.values()
                     .forEach(
-                            h ->
-                                    h.smoothedPlacedLoad +=
+                            backend ->
+                                    backend.smoothedPlacedLoad +=
                                             PLACED_LOAD_SMOOTHING_PER_TICK
-                                                    * (h.placedLoad - h.smoothedPlacedLoad));
+                                                    * (backend.placedLoad - backend.smoothedPlacedLoad));
             probeSelection.select(backends.values(), now).stream()
-                    .filter(h -> now >= h.nextProbeAt && h.isReady())
+                    .filter(backend -> now >= backend.nextProbeAt && backend.isReady())
                     .forEach(this::probeBackend);
         } else if (waitingRequests.containsKey(Long.parseLong(token))) {
             rejectOrFail(waitingRequests.get(Long.parseLong(token)));
@@ -421,131 +421,131 @@
     }
 
     @Override
-    public void probeCompleted(long at, String server, Outcome outcome, double asked) {
-        now = at;
-        BackendState h = backends.get(server);
-        if (h == null || outcome != Outcome.SERVED || asked < 0) {
+    public void probeCompleted(long eventTime, String backendId, Outcome outcome, double utilization) {
+        now = eventTime;
+        BackendState backend = backends.get(backendId);
+        if (backend == null || outcome != Outcome.SERVED || utilization < 0) {
             return;
         }
-        h.reportedUtilization = asked;
-        h.lastLoadReportAt = at;
-        h.placedLoadAtReport = h.smoothedPlacedLoad;
+        backend.reportedUtilization = utilization;
+        backend.lastLoadReportAt = eventTime;
+        backend.placedLoadAtReport = backend.smoothedPlacedLoad;
         double excess =
-                asked
-                        - (isOverloaded(h) && fleetUtilization() < FLEET_HEADROOM_UTILIZATION
+                utilization
+                        - (isOverloaded(backend) && fleetUtilization() < FLEET_HEADROOM_UTILIZATION
                                 ? SHED_TARGET_UTILIZATION
                                 : OVERLOAD_UTILIZATION);
         // Each node moves its part of what is too much: one a second would take longer than
         // troubles last.
-        for (double due = SHED_FRACTION_PER_PROBE * excess / asked * h.establishedRequests.size();
-                due > 0;
-                due--) {
-            if (random.nextDouble() < due) {
-                shedConnection(h);
+        for (double movesDue = SHED_FRACTION_PER_PROBE * excess / utilization * backend.establishedRequests.size();
+                movesDue > 0;
+                movesDue--) {
+            if (random.nextDouble() < movesDue) {
+                shedConnection(backend);
             }
         }
     }
 
-    private void probeBackend(BackendState h) {
-        boolean watched =
-                isOverloaded(h)
-                        || warmUpFraction(h) < 1
-                        || hasFreshLoadReport(h) && h.estimatedUtilization() > BUSY_UTILIZATION;
-        h.nextProbeAt = now + (watched ? FREQUENT_PROBE_INTERVAL_MICROS : PROBE_INTERVAL_MICROS);
-        relayActions.probe(h.listEntry.id());
+    private void probeBackend(BackendState backend) {
+        boolean frequent =
+                isOverloaded(backend)
+                        || warmUpFraction(backend) < 1
+                        || hasFreshLoadReport(backend) && backend.estimatedUtilization() > BUSY_UTILIZATION;
+        backend.nextProbeAt = now + (frequent ? FREQUENT_PROBE_INTERVAL_MICROS : PROBE_INTERVAL_MICROS);
+        actions.probe(backend.listEntry.id());
     }
 
-    private boolean hasFreshLoadReport(BackendState h) {
-        return now - h.lastLoadReportAt < PROBE_INTERVAL_MICROS + FREQUENT_PROBE_INTERVAL_MICROS;
+    private boolean hasFreshLoadReport(BackendState backend) {
+        return now - backend.lastLoadReportAt < PROBE_INTERVAL_MICROS + FREQUENT_PROBE_INTERVAL_MICROS;
     }
 
-    private RequestState registerRequest(Request r) {
-        long route = r.group() != Api.NONE ? r.group() : r.key();
-        long order = mix(route != Api.NONE ? route : random.nextLong());
-        RequestState c =
-                new RequestState(r, relaySettings.serviceClasses().get(r.serviceClass()), order);
-        c.load = r.loadHint() > 0 ? requestLoad.add(r.loadHint()) : requestLoad.value;
-        requests.put(r.id(), c);
-        return c;
+    private RequestState registerRequest(Request request) {
+        long placementKey = request.group() != Api.NONE ? request.group() : request.key();
+        long placementHash = mix(placementKey != Api.NONE ? placementKey : random.nextLong());
+        RequestState state =
+                new RequestState(request, settings.serviceClasses().get(request.serviceClass()), placementHash);
+        state.load = request.loadHint() > 0 ? requestLoad.add(request.loadHint()) : requestLoad.value;
+        requests.put(request.id(), state);
+        return state;
     }
 
     // ---- the list
 
-    private void updateBackend(ListedBackend s) {
-        BackendState h = backends.get(s.id());
+    private void updateBackend(ListedBackend entry) {
+        BackendState backend = backends.get(entry.id());
         // A restarted process has nothing of the old one: neither its speed nor its warmth.
-        if (h != null && (s.health() == Health.GONE || h.listEntry.startedAt() != s.startedAt())) {
-            removeBackend(h);
-            h = null;
+        if (backend != null && (entry.health() == Health.GONE || backend.listEntry.startedAt() != entry.startedAt())) {
+            removeBackend(backend);
+            backend = null;
         }
-        if (s.health() != Health.GONE) {
-            placementStale |= h == null || h.listEntry.health() != s.health();
+        if (entry.health() != Health.GONE) {
+            placementStale |= backend == null || backend.listEntry.health() != entry.health();
             backends.computeIfAbsent(
-                                    s.id(),
-                                    id -> new BackendState(s, hash(id), HEAVY_HITTER_WINDOWS, now))
+                                    entry.id(),
+                                    id -> new BackendState(entry, hash(id), HEAVY_HITTER_WINDOWS, now))
                             .listEntry =
-                    s;
+                    entry;
         }
     }
 
     /**
      * Tables are rebuilt later: until then they must not lead to a server that has left (rule 3).
      */
-    private void removeBackend(BackendState h) {
-        backends.remove(h.listEntry.id());
-        h.listed = false;
-        usedBackends.remove(h);
+    private void removeBackend(BackendState backend) {
+        backends.remove(backend.listEntry.id());
+        backend.listed = false;
+        usedBackends.remove(backend);
         placementStale = true;
     }
 
     private void rebuildPlacement() {
         readyBackends = backends.values().stream().filter(BackendState::isReady).toList();
-        List<BackendState> near =
+        List<BackendState> localBackends =
                 readyBackends.stream()
-                        .filter(h -> h.listEntry.zone() == relaySettings.zone())
+                        .filter(backend -> backend.listEntry.zone() == settings.zone())
                         .toList();
-        near =
-                relaySettings.crossZoneCost() > MAX_CROSS_ZONE_COST && !near.isEmpty()
-                        ? near
+        localBackends =
+                settings.crossZoneCost() > MAX_CROSS_ZONE_COST && !localBackends.isEmpty()
+                        ? localBackends
                         : readyBackends;
-        localBackendCount = near.size();
-        localPlacement = PlacementTable.of(near, this::weight);
-        globalPlacement = near == readyBackends ? localPlacement : null;
+        localBackendCount = localBackends.size();
+        localPlacement = PlacementTable.of(localBackends, this::weight);
+        globalPlacement = localBackends == readyBackends ? localPlacement : null;
         placementStale = false;
         placementRebuiltAt = now;
     }
 
-    private double weight(BackendState h) {
-        return relaySettings.comparableWeights() && h.listEntry.weight() > 0
-                ? h.listEntry.weight()
+    private double weight(BackendState backend) {
+        return settings.comparableWeights() && backend.listEntry.weight() > 0
+                ? backend.listEntry.weight()
                 : 1;
     }
 
     // ---- the ordinary path
 
     /** Sends the request on, holds it, or answers it. */
-    private void dispatch(RequestState c) {
-        waitingRequests.remove(c.request.id());
-        long left = c.request.deadline() - now;
-        double kept = Math.exp((throttleUpdatedAt - now) / THROTTLE_DECAY_MICROS);
-        recentAttempts *= kept;
-        recentEstablished *= kept;
+    private void dispatch(RequestState state) {
+        waitingRequests.remove(state.request.id());
+        long remainingMicros = state.request.deadline() - now;
+        double retention = Math.exp((throttleUpdatedAt - now) / THROTTLE_DECAY_MICROS);
+        recentAttempts *= retention;
+        recentEstablished *= retention;
         throttleUpdatedAt = now;
         // When set-ups fail wherever they go (a shared store, resets), only twice as many as lately
         // stood.
-        boolean no =
+        boolean throttled =
                 random.nextDouble() * recentAttempts
                         < recentAttempts
                                 - THROTTLE_ATTEMPTS_PER_ESTABLISHED * recentEstablished
                                 - THROTTLE_RESERVE_ATTEMPTS;
         // A jammed fleet serves nobody: the least worth is turned away early, by all nodes alike.
-        boolean least =
-                c.attempts == 0 && priorityRank(c) < rejectionThreshold && !c.request.midFlow();
-        if (no
-                || left <= relaySettings.timerResolution() && c.attempts > 0
-                || c.attempts >= relaySettings.maxAttempts()
-                || !canRetry(c)) {
-            rejectOrFail(c);
+        boolean belowThreshold =
+                state.attempts == 0 && priorityRank(state) < rejectionThreshold && !state.request.midFlow();
+        if (throttled
+                || remainingMicros <= settings.timerResolution() && state.attempts > 0
+                || state.attempts >= settings.maxAttempts()
+                || !canRetry(state)) {
+            rejectOrFail(state);
             return;
         }
         if (placementStale
@@ -554,167 +554,167 @@
                         || localPlacement.isEmpty())) {
             rebuildPlacement();
         }
-        BackendState h = least ? fallbackBackend(c, true) : chooseBackend(c);
-        if (h != null) {
-            startAttempt(c, h, left);
-        } else if (c.firstUncertainAttemptAt == Api.NONE
+        BackendState backend = belowThreshold ? fallbackBackend(state, true) : chooseBackend(state);
+        if (backend != null) {
+            startAttempt(state, backend, remainingMicros);
+        } else if (state.firstUncertainAttemptAt == Api.NONE
                 && backends.values().stream().noneMatch(BackendState::isReady)) {
             // No server is known: the list may still name one before the client gives up.
-            waitingRequests.put(c.request.id(), c);
-            relayActions.setTimer(
-                    Long.toString(c.request.id()),
-                    Math.max(1, left - relaySettings.timerResolution()));
+            waitingRequests.put(state.request.id(), state);
+            actions.setTimer(
+                    Long.toString(state.request.id()),
+                    Math.max(1, remainingMicros - settings.timerResolution()));
         } else {
-            rejectOrFail(c);
+            rejectOrFail(state);
         }
     }
 
-    private void startAttempt(RequestState c, BackendState h, long left) {
-        c.startAttempt(h, now);
-        usedBackends.add(h);
+    private void startAttempt(RequestState state, BackendState backend, long remainingMicros) {
+        state.startAttempt(backend, now);
+        usedBackends.add(backend);
         recentAttempts++;
-        h.warmUpBudget -= warmUpFraction(h) < 1 ? c.load : 0;
-        if (h.onProbation
-                && h.establishedRequests.stream()
-                        .anyMatch(o -> now - o.stateChangedAt >= EJECTION_MICROS)) {
-            h.onProbation = false; // the last trial stands: it serves again
-            h.consecutiveFailures = 0;
-        } else if (h.consecutiveFailures > 0) {
-            eject(h); // One trial at a time: nobody else goes there until this one has answered.
+        backend.warmUpBudget -= warmUpFraction(backend) < 1 ? state.load : 0;
+        if (backend.onProbation
+                && backend.establishedRequests.stream()
+                        .anyMatch(other -> now - other.stateChangedAt >= EJECTION_MICROS)) {
+            backend.onProbation = false; // the last trial stands: it serves again
+            backend.consecutiveFailures = 0;
+        } else if (backend.consecutiveFailures > 0) {
+            eject(backend); // One trial at a time: nobody else goes there until this one has answered.
         }
-        relayActions.sendAttempt(c.request.id(), h.listEntry.id(), attemptTimeout(c, left));
+        actions.sendAttempt(state.request.id(), backend.listEntry.id(), attemptTimeout(state, remainingMicros));
     }
 
     /**
      * A group too big for a server would jam its default: the places it has by its share of what is
      * open.
      */
-    private int groupSpread(RequestState c) {
+    private int groupSpread(RequestState state) {
         double prior =
                 GROUP_SHARE_PRIOR_CONNECTIONS
-                        * learnedGroupShares.getOrDefault(c.placementHash, meanGroupShare);
+                        * learnedGroupShares.getOrDefault(state.placementHash, meanGroupShare);
         double share =
-                (connectionsByGroup.getOrDefault(c.placementHash, 0) + prior)
+                (connectionsByGroup.getOrDefault(state.placementHash, 0) + prior)
                         / (establishedCount + GROUP_SHARE_PRIOR_CONNECTIONS);
-        return c.request.midFlow()
+        return state.request.midFlow()
                 ? 1
                 : Math.max(1, (int) (GROUP_SPREAD_FACTOR * share * localBackendCount));
     }
 
     /** The default or its stand-in in the key's fixed order; a heavy client may leave it. */
-    private BackendState chooseBackend(RequestState c) {
+    private BackendState chooseBackend(RequestState state) {
         BackendState first = null;
         BackendState best = null;
-        int width = groupSpread(c);
-        int start = random.nextInt(width);
-        for (int i = 0; i < width + ALTERNATIVE_CANDIDATES; i++) {
-            BackendState h =
+        int spread = groupSpread(state);
+        int start = random.nextInt(spread);
+        for (int i = 0; i < spread + ALTERNATIVE_CANDIDATES; i++) {
+            BackendState backend =
                     candidate(
-                            c.placementHash,
-                            i < width ? (start + i) % width : i,
-                            i < width + ALTERNATIVE_CANDIDATES / 2);
-            boolean fit = h != null && isUsable(h, c) && now >= h.ejectedUntil && canAdmit(h, c);
-            if (!fit) {
+                            state.placementHash,
+                            i < spread ? (start + i) % spread : i,
+                            i < spread + ALTERNATIVE_CANDIDATES / 2);
+            boolean eligible = backend != null && isUsable(backend, state) && now >= backend.ejectedUntil && canAdmit(backend, state);
+            if (!eligible) {
                 continue;
             }
-            h.lastConsideredAt = now;
+            backend.lastConsideredAt = now;
             if (first == null) {
-                first = h;
-                countArrival(h, c);
+                first = backend;
+                countArrival(backend, state);
                 BackendState other =
-                        c.request.midFlow() || c.attempts > 0 ? null : diversionTarget(c, h);
+                        state.request.midFlow() || state.attempts > 0 ? null : diversionTarget(state, backend);
                 if (other != null) {
                     return other;
                 }
             }
-            if (c.request.midFlow()
-                    || !isOverloaded(h)
-                            && (!hasFreshLoadReport(h)
-                                    || h.estimatedUtilization() <= BUSY_UTILIZATION)) {
-                return h;
+            if (state.request.midFlow()
+                    || !isOverloaded(backend)
+                            && (!hasFreshLoadReport(backend)
+                                    || backend.estimatedUtilization() <= BUSY_UTILIZATION)) {
+                return backend;
             }
             best =
-                    !isOverloaded(h)
+                    !isOverloaded(backend)
                                     && (best == null
-                                            || h.estimatedUtilization()
+                                            || backend.estimatedUtilization()
                                                     < best.estimatedUtilization())
-                            ? h
+                            ? backend
                             : best;
         }
         // The least busy one; where all are jammed one more would be served nothing and slow the
         // rest.
-        return best != null ? best : fallbackBackend(c, first != null);
+        return best != null ? best : fallbackBackend(state, first != null);
     }
 
     /**
      * Where no place of the key takes it: a cold server that has room, else any but one that resets
      * all.
      */
-    private BackendState fallbackBackend(RequestState c, boolean coldOnly) {
+    private BackendState fallbackBackend(RequestState state, boolean coldOnly) {
         return backends.values().stream()
                 .filter(
-                        h ->
-                                isUsable(h, c)
-                                        && (warmUpFraction(h) < 1
-                                                ? now >= h.ejectedUntil && c.load <= warmUpBudget(h)
+                        backend ->
+                                isUsable(backend, state)
+                                        && (warmUpFraction(backend) < 1
+                                                ? now >= backend.ejectedUntil && state.load <= warmUpBudget(backend)
                                                 : !coldOnly
-                                                        && (!h.onProbation
-                                                                || now >= h.ejectedUntil)))
-                .min(Comparator.comparingLong(h -> h.ejectedUntil))
+                                                        && (!backend.onProbation
+                                                                || now >= backend.ejectedUntil)))
+                .min(Comparator.comparingLong(backend -> backend.ejectedUntil))
                 .orElse(null);
     }
 
     /** The key's place in its fixed order of servers, the same at every node with the same list. */
-    private BackendState candidate(long route, int i, boolean near) {
-        if (!near && globalPlacement == null) {
+    private BackendState candidate(long placementHash, int position, boolean local) {
+        if (!local && globalPlacement == null) {
             globalPlacement = PlacementTable.of(readyBackends, this::weight);
         }
-        return (near ? localPlacement : globalPlacement).backendAt(i == 0 ? route : mix(route + i));
+        return (local ? localPlacement : globalPlacement).backendAt(position == 0 ? placementHash : mix(placementHash + position));
     }
 
-    private boolean isUsable(BackendState h, RequestState c) {
-        return h.listed
-                && h.isReady()
-                && !c.triedBackends.contains(h)
-                && isInDeduplicationScope(h, c);
+    private boolean isUsable(BackendState backend, RequestState state) {
+        return backend.listed
+                && backend.isReady()
+                && !state.triedBackends.contains(backend)
+                && isInDeduplicationScope(backend, state);
     }
 
     /**
      * A cold server takes the keys under a threshold that rises with what it can carry: all nodes
      * agree.
      */
-    private boolean canAdmit(BackendState h, RequestState c) {
-        return warmUpFraction(h) >= 1
-                || toUnitInterval(c.placementHash ^ h.hash) < warmUpFraction(h)
-                        && c.load <= warmUpBudget(h);
+    private boolean canAdmit(BackendState backend, RequestState state) {
+        return warmUpFraction(backend) >= 1
+                || toUnitInterval(state.placementHash ^ backend.hash) < warmUpFraction(backend)
+                        && state.load <= warmUpBudget(backend);
     }
 
     // A node's share of what rule 4 allows: a half as time goes, the other at once where a report
     // shows room.
-    private double warmUpBudget(BackendState h) {
-        if (h.warmUpBudgetUpdatedAt
+    private double warmUpBudget(BackendState backend) {
+        if (backend.warmUpBudgetUpdatedAt
                 == 0) { // Nodes start anywhere within one connection: few spend at the same time.
-            h.warmUpBudget = random.nextDouble() * requestLoad.value;
-            h.warmUpBudgetUpdatedAt =
-                    Math.max(h.firstSeenAt, now - safetyRules.warmUpBudgetWindow());
+            backend.warmUpBudget = random.nextDouble() * requestLoad.value;
+            backend.warmUpBudgetUpdatedAt =
+                    Math.max(backend.firstSeenAt, now - safetyRules.warmUpBudgetWindow());
         }
         double rate =
                 WARM_UP_SAFETY_FACTOR
                         * safetyRules.maxWarmUpLoadMultiple()
-                        * warmUpFraction(h)
-                        * capacityShare(h)
+                        * warmUpFraction(backend)
+                        * capacityShare(backend)
                         / safetyRules.warmUpPeriod();
-        h.warmUpBudget =
+        backend.warmUpBudget =
                 Math.min(
-                        h.warmUpBudget + rate * (now - h.warmUpBudgetUpdatedAt), requestLoad.value);
-        h.warmUpBudgetUpdatedAt = now;
-        double alike =
-                h.reportedUtilization
+                        backend.warmUpBudget + rate * (now - backend.warmUpBudgetUpdatedAt), requestLoad.value);
+        backend.warmUpBudgetUpdatedAt = now;
+        double estimatedUtilization =
+                backend.reportedUtilization
                         + WARM_UP_SAFETY_FACTOR
-                                * (h.placedLoad - h.placedLoadAtReport)
-                                / capacityShare(h); // all relays read that report
-        return h.warmUpBudget
-                + (hasFreshLoadReport(h) && alike < SHED_TARGET_UTILIZATION * warmUpFraction(h)
+                                * (backend.placedLoad - backend.placedLoadAtReport)
+                                / capacityShare(backend); // all relays read that report
+        return backend.warmUpBudget
+                + (hasFreshLoadReport(backend) && estimatedUtilization < SHED_TARGET_UTILIZATION * warmUpFraction(backend)
                         ? rate * safetyRules.warmUpBudgetWindow()
                         : 0);
     }
@@ -723,29 +723,29 @@
      * This node's part of what a warm server can do: as reports tell, or half its even part of
      * shares.
      */
-    private double capacityShare(BackendState h) {
+    private double capacityShare(BackendState backend) {
         double quota =
-                relaySettings.tenantQuotas().stream().mapToLong(q -> q).sum()
+                settings.tenantQuotas().stream().mapToLong(q -> q).sum()
                         * requestLoad.value
-                        / relaySettings.relayCount();
-        double mean =
+                        / settings.relayCount();
+        double minShare =
                 Math.max(
                                 utilizationOfWarmBackends > 0 ? 0 : totalPlacedLoad,
                                 WARM_UP_SAFETY_FACTOR * quota)
                         / Math.max(1, backends.size());
         return Math.max(
                 utilizationOfWarmBackends > 0
-                        ? ownLoadOnWarmBackends / utilizationOfWarmBackends * weight(h)
+                        ? ownLoadOnWarmBackends / utilizationOfWarmBackends * weight(backend)
                         : 0,
-                mean);
+                minShare);
     }
 
-    private double warmUpFraction(BackendState h) {
+    private double warmUpFraction(BackendState backend) {
         // It runs for as long as it has been known, whatever the wall clocks say of its start.
         double age =
-                (now - Math.min(h.listEntry.startedAt(), h.firstSeenAt))
+                (now - Math.min(backend.listEntry.startedAt(), backend.firstSeenAt))
                         / Math.max(1.0, safetyRules.warmUpPeriod());
-        return h.listEntry.startedAt() == 0 || age >= 1
+        return backend.listEntry.startedAt() == 0 || age >= 1
                 ? 1
                 : safetyRules.initialWarmUpFraction()
                         + (1 - safetyRules.initialWarmUpFraction()) * age;
@@ -755,31 +755,31 @@
      * The paper's test: heavy, above percentile p, and a gap that is worth a fresh set-up; else
      * null.
      */
-    private BackendState diversionTarget(RequestState c, BackendState from) {
-        double own = queueingDelay(from);
-        if (own <= MIN_DIVERSION_GAP_SETUPS * setupLatency.value
-                || !isHeavyClient(from, c)
-                || own <= diversionThreshold) {
+    private BackendState diversionTarget(RequestState state, BackendState defaultBackend) {
+        double ownDelay = queueingDelay(defaultBackend);
+        if (ownDelay <= MIN_DIVERSION_GAP_SETUPS * setupLatency.value
+                || !isHeavyClient(defaultBackend, state)
+                || ownDelay <= diversionThreshold) {
             return null;
         }
-        BackendState least = null;
+        BackendState best = null;
         for (int i = 0; i < DIVERSION_CANDIDATES; i++) {
-            BackendState h = localPlacement.randomBackend(random);
-            boolean fit =
-                    h != from && isUsable(h, c) && now >= h.ejectedUntil && warmUpFraction(h) >= 1;
-            if (fit
-                    && (least == null
-                            || queueingDelay(h) < queueingDelay(least)
-                            || queueingDelay(h) == queueingDelay(least)
-                                    && h.placedLoad / weight(h)
-                                            < least.placedLoad / weight(least))) {
-                least = h;
+            BackendState backend = localPlacement.randomBackend(random);
+            boolean eligible =
+                    backend != defaultBackend && isUsable(backend, state) && now >= backend.ejectedUntil && warmUpFraction(backend) >= 1;
+            if (eligible
+                    && (best == null
+                            || queueingDelay(backend) < queueingDelay(best)
+                            || queueingDelay(backend) == queueingDelay(best)
+                                    && backend.placedLoad / weight(backend)
+                                            < best.placedLoad / weight(best))) {
+                best = backend;
             }
         }
-        return least != null
-                        && own - queueingDelay(least)
+        return best != null
+                        && ownDelay - queueingDelay(best)
                                 > MIN_DIVERSION_GAP_SETUPS * setupLatency.value
-                ? least
+                ? best
                 : null;
     }
 
@@ -787,9 +787,9 @@
      * A node without a connection there is told no more; without memory it would soon send the next
      * one.
      */
-    private boolean hasFreshDelayReport(BackendState h) {
-        return now - h.lastDelayReportAt
-                < (!h.establishedRequests.isEmpty()
+    private boolean hasFreshDelayReport(BackendState backend) {
+        return now - backend.lastDelayReportAt
+                < (!backend.establishedRequests.isEmpty()
                         ? MAX_DELAY_REPORT_AGE_MICROS
                         : MAX_DELAY_REPORT_AGE_UNCONNECTED_MICROS);
     }
@@ -798,55 +798,55 @@
      * W: the told delay, else the recent set-up latency above the lowest seen, else the others'
      * mean.
      */
-    private double queueingDelay(BackendState h) {
-        return hasFreshDelayReport(h)
-                ? h.reportedDelayMicros
-                : h.setupLatency.hasSample
-                        ? Math.max(0, h.setupLatency.value - h.minSetupLatency)
+    private double queueingDelay(BackendState backend) {
+        return hasFreshDelayReport(backend)
+                ? backend.reportedDelayMicros
+                : backend.setupLatency.hasSample
+                        ? Math.max(0, backend.setupLatency.value - backend.minSetupLatency)
                         : meanQueueingDelay;
     }
 
     /** The percentile and the mean of W, and the groups that are open, once a period. */
     private void updateStatistics() {
         statisticsUpdatedAt = now;
-        double[] all = new double[Math.max(backends.size(), usedBackends.size())];
-        int n = 0;
-        int heard = 0;
-        int slow = 0;
-        double sum = 0;
+        double[] delays = new double[Math.max(backends.size(), usedBackends.size())];
+        int count = 0;
+        int connectedBackends = 0;
+        int overloadedBackends = 0;
+        double delaySum = 0;
         totalPlacedLoad = 0;
         establishedCount = 0;
         connectionsByGroup.clear();
-        double pairs = 0;
-        for (BackendState h : usedBackends) {
-            for (RequestState c : h.establishedRequests) {
-                pairs += connectionsByGroup.merge(c.placementHash, 1, Integer::sum) - 1;
+        double sameGroupPairs = 0;
+        for (BackendState backend : usedBackends) {
+            for (RequestState state : backend.establishedRequests) {
+                sameGroupPairs += connectionsByGroup.merge(state.placementHash, 1, Integer::sum) - 1;
             }
-            establishedCount += h.establishedRequests.size();
-            totalPlacedLoad += h.placedLoad;
-            heard += h.establishedRequests.isEmpty() ? 0 : 1;
-            slow += !h.establishedRequests.isEmpty() && isOverloaded(h) ? 1 : 0;
-            all[n] = queueingDelay(h);
-            sum += all[n++];
+            establishedCount += backend.establishedRequests.size();
+            totalPlacedLoad += backend.placedLoad;
+            connectedBackends += backend.establishedRequests.isEmpty() ? 0 : 1;
+            overloadedBackends += !backend.establishedRequests.isEmpty() && isOverloaded(backend) ? 1 : 0;
+            delays[count] = queueingDelay(backend);
+            delaySum += delays[count++];
         }
-        updateGroupShares(pairs);
+        updateGroupShares(sameGroupPairs);
         updateCapacityEstimates();
-        meanQueueingDelay = n == 0 ? 0 : sum / n;
-        Arrays.fill(all, n, all.length, meanQueueingDelay);
-        Arrays.sort(all);
-        updateRejectionThreshold(heard, slow);
+        meanQueueingDelay = count == 0 ? 0 : delaySum / count;
+        Arrays.fill(delays, count, delays.length, meanQueueingDelay);
+        Arrays.sort(delays);
+        updateRejectionThreshold(connectedBackends, overloadedBackends);
         diversionThreshold =
-                all.length == 0 ? 0 : all[(int) (DIVERSION_QUANTILE * (all.length - 1))];
+                delays.length == 0 ? 0 : delays[(int) (DIVERSION_QUANTILE * (delays.length - 1))];
     }
 
     /** Takes the number of pairs of established connections that are of the same group. */
-    private void updateGroupShares(double pairs) {
+    private void updateGroupShares(double sameGroupPairs) {
         if (learnedGroupShares.isEmpty()
                 || establishedCount
                         >= GROUP_SHARE_PRIOR_CONNECTIONS) { // few say less than what was remembered
             meanGroupShare =
                     2
-                            * pairs
+                            * sameGroupPairs
                             / Math.max(
                                     1,
                                     establishedCount
@@ -865,27 +865,27 @@
     private void updateCapacityEstimates() {
         ownLoadOnWarmBackends *= CAPACITY_SHARE_RETENTION_PER_PERIOD;
         utilizationOfWarmBackends *= CAPACITY_SHARE_RETENTION_PER_PERIOD;
-        for (BackendState h :
+        for (BackendState backend :
                 backends.values()) { // also at the first request, before the tables are built
-            double told =
-                    h.isReady()
-                                    && hasFreshLoadReport(h)
-                                    && warmUpFraction(h) >= 1
+            double sampleWeight =
+                    backend.isReady()
+                                    && hasFreshLoadReport(backend)
+                                    && warmUpFraction(backend) >= 1
                                     && totalPlacedLoad > 0
                             ? 1
                             : 0;
-            ownLoadOnWarmBackends += told * h.placedLoadAtReport;
-            utilizationOfWarmBackends += told * h.reportedUtilization * weight(h);
-            h.estimatedCapacity = capacityShare(h) * relaySettings.relayCount();
+            ownLoadOnWarmBackends += sampleWeight * backend.placedLoadAtReport;
+            utilizationOfWarmBackends += sampleWeight * backend.reportedUtilization * weight(backend);
+            backend.estimatedCapacity = capacityShare(backend) * settings.relayCount();
         }
     }
 
     /**
      * Takes how many backends have connections of this relay, and how many of these are overloaded.
      */
-    private void updateRejectionThreshold(int heard, int slow) {
-        boolean full =
-                slow > OVERLOADED_FLEET_FRACTION * heard
+    private void updateRejectionThreshold(int connectedBackends, int overloadedBackends) {
+        boolean fleetOverloaded =
+                overloadedBackends > OVERLOADED_FLEET_FRACTION * connectedBackends
                         || fleetUtilization() > OVERLOAD_UTILIZATION;
         rejectionThreshold =
                 Math.min(
@@ -893,78 +893,78 @@
                         Math.max(
                                 0,
                                 rejectionThreshold
-                                        + (full
+                                        + (fleetOverloaded
                                                 ? REJECTION_INCREASE_PER_PERIOD
                                                 : -REJECTION_DECREASE_PER_PERIOD)));
     }
 
     /** The mean load asked of the servers that report; unknown where most do not. */
     private double fleetUtilization() {
-        double[] asked =
+        double[] utilizations =
                 readyBackends.stream()
                         .filter(this::hasFreshLoadReport)
                         .mapToDouble(BackendState::estimatedUtilization)
                         .toArray();
-        boolean most = asked.length * 2 > Math.min(readyBackends.size(), Api.MAX_PROBED_BACKENDS);
-        return most ? Arrays.stream(asked).average().orElse(0) : Api.NONE;
+        boolean enoughReports = utilizations.length * 2 > Math.min(readyBackends.size(), Api.MAX_PROBED_BACKENDS);
+        return enoughReports ? Arrays.stream(utilizations).average().orElse(0) : Api.NONE;
     }
 
     /**
      * Where a request stands among all, 0 the first to go: by worth, then by key, at all nodes
      * alike.
      */
-    private double priorityRank(RequestState c) {
-        int below = 0;
-        for (ServiceClass s : relaySettings.serviceClasses()) {
-            below += s.value() < c.serviceClass.value() ? 1 : 0;
+    private double priorityRank(RequestState state) {
+        int lowerValueClasses = 0;
+        for (ServiceClass other : settings.serviceClasses()) {
+            lowerValueClasses += other.value() < state.serviceClass.value() ? 1 : 0;
         }
-        return (below + toUnitInterval(c.clientKey)) / relaySettings.serviceClasses().size();
+        return (lowerValueClasses + toUnitInterval(state.clientKey)) / settings.serviceClasses().size();
     }
 
     /**
      * Only a told delay says so: the mean of the few jammed servers that were heard would condemn
      * all.
      */
-    private boolean isOverloaded(BackendState h) {
-        boolean slow =
-                hasFreshDelayReport(h) && h.reportedDelayMicros > minMessageLatencyTarget / 3;
-        return slow || hasFreshLoadReport(h) && h.estimatedUtilization() > OVERLOAD_UTILIZATION;
+    private boolean isOverloaded(BackendState backend) {
+        boolean delayed =
+                hasFreshDelayReport(backend) && backend.reportedDelayMicros > minMessageLatencyTarget / 3;
+        return delayed || hasFreshLoadReport(backend) && backend.estimatedUtilization() > OVERLOAD_UTILIZATION;
     }
 
     // ---- heavy clients
 
-    private void countArrival(BackendState h, RequestState c) {
-        HeavyHitterTable t = h.heavyHitterTables[0];
-        if (t == null || t.arrivals >= WINDOW_ARRIVALS) {
+    private void countArrival(BackendState backend, RequestState state) {
+        HeavyHitterTable table = backend.heavyHitterTables[0];
+        if (table == null || table.arrivals >= WINDOW_ARRIVALS) {
             System.arraycopy(
-                    h.heavyHitterTables, 0, h.heavyHitterTables, 1, HEAVY_HITTER_WINDOWS - 1);
-            t = new HeavyHitterTable();
-            h.heavyHitterTables[0] = t;
+                    backend.heavyHitterTables, 0, backend.heavyHitterTables, 1, HEAVY_HITTER_WINDOWS - 1);
+            table = new HeavyHitterTable();
+            backend.heavyHitterTables[0] = table;
         }
-        t.arrivals++;
-        t.add(c.clientKey, requestLoad.value > 0 ? c.load / requestLoad.value : 1, random);
+        table.arrivals++;
+        table.add(state.clientKey, requestLoad.value > 0 ? state.load / requestLoad.value : 1, random);
     }
 
     // Moves the heaviest connection off a server whose delay persists. By chance, so that all nodes
     // together
     // move a small share a second: each sees the same jam, and all at once would empty the server.
-    private void shedConnection(BackendState h) {
-        RequestState most = null;
-        for (RequestState c : h.establishedRequests) {
-            boolean least = priorityRank(c) < rejectionThreshold;
-            if (c.moving) {
+    private void shedConnection(BackendState backend) {
+        RequestState candidate = null;
+        for (RequestState state : backend.establishedRequests) {
+            boolean belowThreshold = priorityRank(state) < rejectionThreshold;
+            if (state.moving) {
                 continue;
             }
-            if (most == null
-                    || (least != priorityRank(most) < rejectionThreshold
-                            ? least
-                            : c.load > most.load)) {
-                most = c;
+            if (candidate == null
+                    || (belowThreshold != priorityRank(candidate) < rejectionThreshold
+                            ? belowThreshold
+                            : state.load > candidate.load)) {
+                candidate = state;
             }
         }
-        if (most != null && (isHeavyClient(h, most) || priorityRank(most) < rejectionThreshold)) {
-            most.moving = true;
-            relayActions.moveClient(most.request.id());
+        if (candidate != null && (isHeavyClient(backend, candidate) || priorityRank(candidate) < rejectionThreshold)) {
+            candidate.moving = true;
+            actions.moveClient(candidate.request.id());
         }
     }
 
@@ -972,14 +972,14 @@
      * In a table that is not yet full all are named: a heavy client also counts more than the mean
      * one.
      */
-    private boolean isHeavyClient(BackendState h, RequestState c) {
-        double sum = 0;
-        for (HeavyHitterTable t : h.heavyHitterTables) {
-            for (int i = 0; t != null && i < t.size; i++) {
-                sum += t.clients[i] == c.clientKey ? t.counters[i] : 0;
+    private boolean isHeavyClient(BackendState backend, RequestState state) {
+        double count = 0;
+        for (HeavyHitterTable table : backend.heavyHitterTables) {
+            for (int i = 0; table != null && i < table.size; i++) {
+                count += table.clients[i] == state.clientKey ? table.counters[i] : 0;
             }
         }
-        return sum > 1;
+        return count > 1;
     }
 
     // ---- attempts, failures, answers
@@ -988,65 +988,65 @@
      * The aim, longer each time; until the client gives up if it is the last chance, or all wait
      * anyway.
      */
-    private long attemptTimeout(RequestState c, long left) {
-        double aim = c.serviceClass.latencyTarget();
-        boolean last = c.attempts >= relaySettings.maxAttempts() || left <= 2 * aim / 3;
-        last |=
-                c.serviceClass.idempotency()
+    private long attemptTimeout(RequestState state, long remainingMicros) {
+        double latencyTarget = state.serviceClass.latencyTarget();
+        boolean unlimited = state.attempts >= settings.maxAttempts() || remainingMicros <= 2 * latencyTarget / 3;
+        unlimited |=
+                state.serviceClass.idempotency()
                         == Idempotency.NOT_IDEMPOTENT; // an early time-out would only end it
-        last |=
+        unlimited |=
                 recentAttempts
                         > THROTTLE_ATTEMPTS_PER_ESTABLISHED * recentEstablished
                                 + THROTTLE_RESERVE_ATTEMPTS;
-        return last ? 0 : (long) Math.min(left, aim * c.attempts);
+        return unlimited ? 0 : (long) Math.min(remainingMicros, latencyTarget * state.attempts);
     }
 
     /**
      * No effect twice: what may have run is repeated only where and while its repeats are
      * discarded.
      */
-    private boolean canRetry(RequestState c) {
-        return c.firstUncertainAttemptAt == Api.NONE
-                || c.serviceClass.idempotency() == Idempotency.IDEMPOTENT
-                || c.serviceClass.idempotency() == Idempotency.DEDUPLICATED
-                        && now - c.firstUncertainAttemptAt < c.serviceClass.deduplicationWindow();
+    private boolean canRetry(RequestState state) {
+        return state.firstUncertainAttemptAt == Api.NONE
+                || state.serviceClass.idempotency() == Idempotency.IDEMPOTENT
+                || state.serviceClass.idempotency() == Idempotency.DEDUPLICATED
+                        && now - state.firstUncertainAttemptAt < state.serviceClass.deduplicationWindow();
     }
 
-    private boolean isInDeduplicationScope(BackendState h, RequestState c) {
+    private boolean isInDeduplicationScope(BackendState backend, RequestState state) {
         DeduplicationScope scope =
-                c.serviceClass.idempotency() == Idempotency.IDEMPOTENT
+                state.serviceClass.idempotency() == Idempotency.IDEMPOTENT
                         ? DeduplicationScope.ALL
-                        : c.serviceClass.deduplicationScope();
-        return c.firstUncertainAttemptAt == Api.NONE
+                        : state.serviceClass.deduplicationScope();
+        return state.firstUncertainAttemptAt == Api.NONE
                 || scope == DeduplicationScope.ALL
-                || h.listEntry.zone() == c.firstUncertainBackend.listEntry.zone()
+                || backend.listEntry.zone() == state.firstUncertainBackend.listEntry.zone()
                         && (scope == DeduplicationScope.ZONE
-                                || h.listEntry.cell() == c.firstUncertainBackend.listEntry.cell());
+                                || backend.listEntry.cell() == state.firstUncertainBackend.listEntry.cell());
     }
 
-    private void rejectOrFail(RequestState c) {
-        waitingRequests.remove(c.request.id());
-        requests.remove(c.request.id());
-        if (c.firstUncertainAttemptAt == Api.NONE
-                || c.serviceClass.idempotency() == Idempotency.IDEMPOTENT
-                || c.serviceClass.idempotency() == Idempotency.DEDUPLICATED
-                        && c.serviceClass.deduplicationScope() == DeduplicationScope.ALL) {
-            relayActions.reject(c.request.id(), relaySettings.maxRetryAfter());
+    private void rejectOrFail(RequestState state) {
+        waitingRequests.remove(state.request.id());
+        requests.remove(state.request.id());
+        if (state.firstUncertainAttemptAt == Api.NONE
+                || state.serviceClass.idempotency() == Idempotency.IDEMPOTENT
+                || state.serviceClass.idempotency() == Idempotency.DEDUPLICATED
+                        && state.serviceClass.deduplicationScope() == DeduplicationScope.ALL) {
+            actions.reject(state.request.id(), settings.maxRetryAfter());
         } else {
-            relayActions.fail(c.request.id());
+            actions.fail(state.request.id());
         }
     }
 
     /** A failure ejects at once: a node that sees little would not live to see a second one. */
-    private void recordFailure(BackendState h) {
-        h.consecutiveFailures =
+    private void recordFailure(BackendState backend) {
+        backend.consecutiveFailures =
                 Math.min(
-                        h.consecutiveFailures + (now < h.ejectedUntil ? 0 : 1),
+                        backend.consecutiveFailures + (now < backend.ejectedUntil ? 0 : 1),
                         MAX_EJECTION_DOUBLINGS);
-        eject(h);
+        eject(backend);
     }
 
-    private void eject(BackendState h) {
-        h.ejectedUntil = now + EJECTION_MICROS * (1L << Math.max(0, h.consecutiveFailures - 1));
+    private void eject(BackendState backend) {
+        backend.ejectedUntil = now + EJECTION_MICROS * (1L << Math.max(0, backend.consecutiveFailures - 1));
     }
 }
--- a/relay/src/main/java/saltstage/PlacementTable.java
+++ b/relay/src/main/java/saltstage/PlacementTable.java
@@ -33,24 +33,24 @@
         }
         int size = Math.max(MIN_SLOTS, Integer.highestOneBit(SLOTS_PER_BACKEND * members.size()));
         BackendState[] table = new BackendState[size];
-        int[] next = new int[members.size()];
+        int[] nextPosition = new int[members.size()];
         double[] credit = new double[members.size()];
         double[] weights = members.stream().mapToDouble(weight).toArray();
-        double most = Arrays.stream(weights).max().orElse(1);
+        double maxWeight = Arrays.stream(weights).max().orElse(1);
         for (int filled = 0; filled < size; ) {
-            for (int i = 0; i < next.length && filled < size; i++) {
-                credit[i] += weights[i] / most;
+            for (int i = 0; i < nextPosition.length && filled < size; i++) {
+                credit[i] += weights[i] / maxWeight;
                 if (credit[i] < 1) {
                     continue;
                 }
                 credit[i] -= 1;
-                BackendState h = members.get(i);
-                int skip = (int) (h.hash >>> 32) | 1;
+                BackendState member = members.get(i);
+                int skip = (int) (member.hash >>> 32) | 1;
                 int slot;
                 do {
-                    slot = (int) h.hash + next[i]++ * skip & size - 1;
+                    slot = (int) member.hash + nextPosition[i]++ * skip & size - 1;
                 } while (table[slot] != null);
-                table[slot] = h;
+                table[slot] = member;
                 filled++;
             }
         }
--- a/relay/src/main/java/saltstage/ProbeSelection.java
+++ b/relay/src/main/java/saltstage/ProbeSelection.java
@@ -23,41 +23,41 @@
     private List<BackendState> selected = List.of();
     private long selectedAt = Long.MIN_VALUE / 2;
 
-    ProbeSelection(Predicate<BackendState> cold) {
-        this.isCold = cold;
+    ProbeSelection(Predicate<BackendState> isCold) {
+        this.isCold = isCold;
     }
 
     /** Of these servers, the ones to probe at this time. */
-    Collection<BackendState> select(Collection<BackendState> hosts, long now) {
-        if (hosts.size() <= Api.MAX_PROBED_BACKENDS) {
-            return hosts;
+    Collection<BackendState> select(Collection<BackendState> backends, long now) {
+        if (backends.size() <= Api.MAX_PROBED_BACKENDS) {
+            return backends;
         }
         if (now - selectedAt >= SELECTION_INTERVAL_MICROS) {
             selectedAt = now;
             selected =
-                    hosts.stream()
-                            .filter(h -> priority(h, now) < NOT_SELECTED)
+                    backends.stream()
+                            .filter(backend -> priority(backend, now) < NOT_SELECTED)
                             .sorted(
-                                    Comparator.comparingInt((BackendState h) -> priority(h, now))
+                                    Comparator.comparingInt((BackendState backend) -> priority(backend, now))
                                             .thenComparing(
                                                     Comparator.comparingLong(
-                                                                    (BackendState h) ->
-                                                                            h.lastConsideredAt)
+                                                                    (BackendState backend) ->
+                                                                            backend.lastConsideredAt)
                                                             .reversed())
-                                            .thenComparingLong(h -> h.hash))
+                                            .thenComparingLong(backend -> backend.hash))
                             .limit(Api.MAX_PROBED_BACKENDS)
                             .toList();
         }
         return selected;
     }
 
-    private int priority(BackendState h, long now) {
-        if (!h.establishedRequests.isEmpty()) {
+    private int priority(BackendState backend, long now) {
+        if (!backend.establishedRequests.isEmpty()) {
             return 0;
         }
-        if (now - h.lastConsideredAt < MAX_CONSIDERED_AGE_MICROS) {
+        if (now - backend.lastConsideredAt < MAX_CONSIDERED_AGE_MICROS) {
             return 1;
         }
-        return isCold.test(h) || h.consecutiveFailures > 0 ? 2 : NOT_SELECTED;
+        return isCold.test(backend) || backend.consecutiveFailures > 0 ? 2 : NOT_SELECTED;
     }
 }
--- a/relay/src/main/java/saltstage/sim/SimulatorAdapter.java
+++ b/relay/src/main/java/saltstage/sim/SimulatorAdapter.java
@@ -41,22 +41,22 @@
 
     /** Runs until the end of input. */
     public void run() throws IOException {
-        for (SimulatorMessage line = readMessage(); line != null; line = readMessage()) {
-            if (!line.type.equals("FRAME")) {
-                throw line.malformed("message", "FRAME expected");
+        for (SimulatorMessage frame = readMessage(); frame != null; frame = readMessage()) {
+            if (!frame.type.equals("FRAME")) {
+                throw frame.malformed("message", "FRAME expected");
             }
-            now = line.number("Ts", 0, Long.MAX_VALUE);
-            long batch = line.number("batch", 0, Long.MAX_VALUE);
+            now = frame.number("Ts", 0, Long.MAX_VALUE);
+            long batch = frame.number("batch", 0, Long.MAX_VALUE);
             reply.setLength(0);
-            boolean turn = false;
-            while (!turn) {
+            boolean batchComplete = false;
+            while (!batchComplete) {
                 SimulatorMessage event = readMessage();
                 if (event == null) {
                     throw new MalformedMessageException(
                             "line " + lineNumber + ": input ends before YOUR_TURN");
                 }
-                turn = event.type.equals("YOUR_TURN");
-                if (!turn) {
+                batchComplete = event.type.equals("YOUR_TURN");
+                if (!batchComplete) {
                     handle(event);
                 }
             }
@@ -74,16 +74,16 @@
         return text == null ? null : new SimulatorMessage(text, lineNumber);
     }
 
-    private void handle(SimulatorMessage e) throws IOException {
-        int who = (int) e.number("Who", 0, Integer.MAX_VALUE);
+    private void handle(SimulatorMessage message) throws IOException {
+        int instanceId = (int) message.number("Who", 0, Integer.MAX_VALUE);
         try {
-            dispatch(e, who);
-        } catch (MalformedMessageException m) {
-            throw m;
+            dispatch(message, instanceId);
+        } catch (MalformedMessageException malformed) {
+            throw malformed;
         } catch (RuntimeException failure) {
             StackTraceElement[] trace = failure.getStackTrace();
             reply.append("CRASH\tWho=")
-                    .append(who)
+                    .append(instanceId)
                     .append("\tLine=")
                     .append(
                             (failure + (trace.length > 0 ? " at " + trace[0] : ""))
@@ -92,46 +92,46 @@
         }
     }
 
-    private void dispatch(SimulatorMessage e, int who) throws IOException {
-        if (e.type.equals("LAUNCH")) {
-            Settings settings = new SettingsReader(e.fields(), e::malformed).read();
-            long seed = e.number("Salt", Long.MIN_VALUE, Long.MAX_VALUE);
-            LoadBalancer logic = new LoadBalancer(settings, seed, new ActionWriter(who));
-            instances.put(who, new Instance(settings, logic));
-            logic.start(now);
+    private void dispatch(SimulatorMessage message, int instanceId) throws IOException {
+        if (message.type.equals("LAUNCH")) {
+            Settings settings = new SettingsReader(message.fields(), message::malformed).read();
+            long seed = message.number("Salt", Long.MIN_VALUE, Long.MAX_VALUE);
+            LoadBalancer loadBalancer = new LoadBalancer(settings, seed, new ActionWriter(instanceId));
+            instances.put(instanceId, new Instance(settings, loadBalancer));
+            loadBalancer.start(now);
             return;
         }
-        Instance at = instances.get(who);
-        if (at == null) {
-            throw e.malformed("Who", "unknown instance: " + who);
+        Instance instance = instances.get(instanceId);
+        if (instance == null) {
+            throw message.malformed("Who", "unknown instance: " + instanceId);
         }
-        LoadBalancer logic = at.loadBalancer();
-        switch (e.type) {
-            case "DISCOVERY" -> handleBackendList(e, logic);
-            case "JOB_IN" -> logic.requestReceived(now, readRequest(e, at.settings()));
+        LoadBalancer loadBalancer = instance.loadBalancer();
+        switch (message.type) {
+            case "DISCOVERY" -> handleBackendList(message, loadBalancer);
+            case "JOB_IN" -> loadBalancer.requestReceived(now, readRequest(message, instance.settings()));
             case "OPEN" ->
-                    logic.connectionRestored(now, readRequest(e, at.settings()), e.require("Host"));
+                    loadBalancer.connectionRestored(now, readRequest(message, instance.settings()), message.require("Host"));
             case "STREAMING" ->
-                    logic.connectionEstablished(
-                            now, requestId(e), e.number("DelaySeen", 0, Long.MAX_VALUE));
+                    loadBalancer.connectionEstablished(
+                            now, requestId(message), message.number("DelaySeen", 0, Long.MAX_VALUE));
             case "VERDICT" ->
-                    logic.attemptEnded(now, requestId(e), readOutcome(e), e.flag("Ended"));
-            case "DROPPED" -> logic.clientLeft(now, requestId(e));
-            case "NOTICE" -> handleConnectionReport(e, logic);
+                    loadBalancer.attemptEnded(now, requestId(message), readOutcome(message), message.flag("Ended"));
+            case "DROPPED" -> loadBalancer.clientLeft(now, requestId(message));
+            case "NOTICE" -> handleConnectionReport(message, loadBalancer);
             case "ECHO" ->
-                    logic.probeCompleted(now, e.require("Host"), readOutcome(e), utilization(e));
-            case "REMINDER" -> logic.timerFired(now, e.require("Token"));
-            case "EXIT" -> instances.remove(who);
+                    loadBalancer.probeCompleted(now, message.require("Host"), readOutcome(message), utilization(message));
+            case "REMINDER" -> loadBalancer.timerFired(now, message.require("Token"));
+            case "EXIT" -> instances.remove(instanceId);
             default -> {} // peers are not used; what is unknown is passed over
         }
     }
 
-    private static long requestId(SimulatorMessage e) {
-        return e.number("Corr", 0, MAX_ID);
+    private static long requestId(SimulatorMessage message) {
+        return message.number("Corr", 0, MAX_ID);
     }
 
-    private static Outcome readOutcome(SimulatorMessage e) {
-        return switch (e.require("Code")) {
+    private static Outcome readOutcome(SimulatorMessage message) {
+        return switch (message.require("Code")) {
             case "S" -> Outcome.SERVED;
             case "E" -> Outcome.ERROR;
             case "F" -> Outcome.FULL;
@@ -140,93 +140,93 @@
             case "R" -> Outcome.RESET;
             case "X" -> Outcome.CANCELLED;
             case "N" -> Outcome.MOOT;
-            default -> throw e.malformed("Code", "unknown: " + e.find("Code"));
+            default -> throw message.malformed("Code", "unknown: " + message.find("Code"));
         };
     }
 
     /** The load asked of the server over what it can do, where its report names it. */
-    private static double utilization(SimulatorMessage e) {
-        String report = e.find("Report");
+    private static double utilization(SimulatorMessage message) {
+        String report = message.find("Report");
         for (String pair : report == null ? new String[0] : report.split(",")) {
             if (pair.startsWith("x0:")) {
                 try {
                     return Double.parseDouble(pair.substring(3));
                 } catch (NumberFormatException bad) {
-                    throw e.malformed("Report", "x0 is not a number: " + pair);
+                    throw message.malformed("Report", "x0 is not a number: " + pair);
                 }
             }
         }
         return Api.NONE;
     }
 
-    private void handleConnectionReport(SimulatorMessage e, LoadBalancer logic) {
-        long topic = e.number("Topic", 0, Integer.MAX_VALUE);
+    private void handleConnectionReport(SimulatorMessage message, LoadBalancer loadBalancer) {
+        long topic = message.number("Topic", 0, Integer.MAX_VALUE);
         if (topic == 1 || topic == 2) {
-            logic.connectionReported(
+            loadBalancer.connectionReported(
                     now,
-                    requestId(e),
+                    requestId(message),
                     topic == 1 ? ConnectionReport.LOAD : ConnectionReport.DELAY,
-                    e.decimal("Level"));
+                    message.decimal("Level"));
         }
     }
 
-    private static Request readRequest(SimulatorMessage e, Settings settings) {
+    private static Request readRequest(SimulatorMessage message, Settings settings) {
         return new Request(
-                requestId(e),
-                (int) e.number("Qos", 0, settings.serviceClasses().size() - 1),
-                (int) e.number("Billing", 0, 0, Integer.MAX_VALUE),
-                e.number("NameKey", Api.NONE, 0, MAX_KEY),
-                e.number("Room", Api.NONE, 0, MAX_KEY),
-                e.number("Estimate", Api.NONE, 0, Long.MAX_VALUE),
-                e.number("Deadline", 0, Long.MAX_VALUE),
-                e.flag("Again"),
-                e.flag("MidFlow"));
+                requestId(message),
+                (int) message.number("Qos", 0, settings.serviceClasses().size() - 1),
+                (int) message.number("Billing", 0, 0, Integer.MAX_VALUE),
+                message.number("NameKey", Api.NONE, 0, MAX_KEY),
+                message.number("Room", Api.NONE, 0, MAX_KEY),
+                message.number("Estimate", Api.NONE, 0, Long.MAX_VALUE),
+                message.number("Deadline", 0, Long.MAX_VALUE),
+                message.flag("Again"),
+                message.flag("MidFlow"));
     }
 
-    private void handleBackendList(SimulatorMessage e, LoadBalancer logic) throws IOException {
+    private void handleBackendList(SimulatorMessage message, LoadBalancer loadBalancer) throws IOException {
         BackendListKind kind =
-                switch (e.require("Scope")) {
+                switch (message.require("Scope")) {
                     case "changes" -> BackendListKind.DELTA;
                     case "all" -> BackendListKind.FULL;
                     case "remembered" -> BackendListKind.CACHED;
                     case "refused" -> BackendListKind.CALL_FAILED;
-                    default -> throw e.malformed("Scope", "unknown: " + e.find("Scope"));
+                    default -> throw message.malformed("Scope", "unknown: " + message.find("Scope"));
                 };
-        long rows = e.number("RowsIn", 0, 0, Integer.MAX_VALUE);
-        List<ListedBackend> servers = new ArrayList<>();
-        for (long i = 0; i < rows; i++) {
-            SimulatorMessage m = readMessage();
-            if (m == null || !m.type.equals("M")) {
-                throw e.malformed("RowsIn", rows + " entries promised, " + i + " came");
+        long rowCount = message.number("RowsIn", 0, 0, Integer.MAX_VALUE);
+        List<ListedBackend> backends = new ArrayList<>();
+        for (long i = 0; i < rowCount; i++) {
+            SimulatorMessage row = readMessage();
+            if (row == null || !row.type.equals("M")) {
+                throw message.malformed("RowsIn", rowCount + " entries promised, " + i + " came");
             }
-            servers.add(readBackend(m));
+            backends.add(readBackend(row));
         }
-        logic.backendListReceived(now, kind, servers);
+        loadBalancer.backendListReceived(now, kind, backends);
     }
 
-    private static ListedBackend readBackend(SimulatorMessage m) {
+    private static ListedBackend readBackend(SimulatorMessage row) {
         Health health =
-                switch (m.require("Health")) {
+                switch (row.require("Health")) {
                     case "Ready" -> Health.READY;
                     case "Terminating" -> Health.DRAINING;
                     case "Gone" -> Health.GONE;
-                    default -> throw m.malformed("Health", "unknown: " + m.find("Health"));
+                    default -> throw row.malformed("Health", "unknown: " + row.find("Health"));
                 };
         return new ListedBackend(
-                m.require("Host"),
-                (int) m.number("Zone", 0, 0, Integer.MAX_VALUE),
-                (int) m.number("Cluster", 0, 0, Integer.MAX_VALUE),
+                row.require("Host"),
+                (int) row.number("Zone", 0, 0, Integer.MAX_VALUE),
+                (int) row.number("Cluster", 0, 0, Integer.MAX_VALUE),
                 health,
-                m.find("Units") == null ? 1 : m.decimal("Units"),
-                m.number("Launched", 0, 0, Long.MAX_VALUE));
+                row.find("Units") == null ? 1 : row.decimal("Units"),
+                row.number("Launched", 0, 0, Long.MAX_VALUE));
     }
 
     /** Writes the actions of one instance. */
     private final class ActionWriter implements Api.Actions {
         private final int instanceId;
 
-        ActionWriter(int who) {
-            this.instanceId = who;
+        ActionWriter(int instanceId) {
+            this.instanceId = instanceId;
         }
 
         private StringBuilder beginAction(String name) {
@@ -234,12 +234,12 @@
         }
 
         @Override
-        public void sendAttempt(long id, String server, long timeout) {
+        public void sendAttempt(long id, String backendId, long timeout) {
             beginAction("HAND_OFF").append("\tCorr=").append(id);
             if (timeout > 0) {
                 reply.append("\tLimit=").append(timeout);
             }
-            reply.append("\tHost=").append(server).append('\n');
+            reply.append("\tHost=").append(backendId).append('\n');
         }
 
         @Override
@@ -272,8 +272,8 @@
         }
 
         @Override
-        public void probe(String server) {
-            beginAction("CHECK").append("\tHost=").append(server).append('\n');
+        public void probe(String backendId) {
+            beginAction("CHECK").append("\tHost=").append(backendId).append('\n');
         }
 
         @Override
--- a/relay/src/main/java/saltstage/sim/SimulatorMessage.java
+++ b/relay/src/main/java/saltstage/sim/SimulatorMessage.java
@@ -9,23 +9,23 @@
     private final String text;
     private final int lineNumber;
 
-    SimulatorMessage(String text, int number) {
+    SimulatorMessage(String text, int lineNumber) {
         this.text = text;
-        this.lineNumber = number;
+        this.lineNumber = lineNumber;
         int tab = text.indexOf('\t');
         type = tab < 0 ? text : text.substring(0, tab);
     }
 
-    MalformedMessageException malformed(String field, String what) {
+    MalformedMessageException malformed(String field, String problem) {
         return new MalformedMessageException(
-                "line " + lineNumber + ": " + type + ": " + field + ": " + what);
+                "line " + lineNumber + ": " + type + ": " + field + ": " + problem);
     }
 
     /** The value of a part, or null. */
     String find(String name) {
-        for (int at = text.indexOf('\t'); at >= 0; at = text.indexOf('\t', at + 1)) {
-            int equals = at + 1 + name.length();
-            if (text.startsWith(name, at + 1)
+        for (int tab = text.indexOf('\t'); tab >= 0; tab = text.indexOf('\t', tab + 1)) {
+            int equals = tab + 1 + name.length();
+            if (text.startsWith(name, tab + 1)
                     && equals < text.length()
                     && text.charAt(equals) == '=') {
                 int end = text.indexOf('\t', equals);
@@ -43,35 +43,35 @@
         return value;
     }
 
-    long number(String name, long absent, long least, long most) {
+    long number(String name, long absent, long min, long max) {
         String value = find(name);
         if (value == null) {
             return absent;
         }
         try {
-            long n = Long.parseLong(value);
-            if (n < least || n > most) {
+            long parsed = Long.parseLong(value);
+            if (parsed < min || parsed > max) {
                 throw malformed(name, "out of range: " + value);
             }
-            return n;
+            return parsed;
         } catch (NumberFormatException e) {
             throw malformed(name, "not a whole number: " + value);
         }
     }
 
-    long number(String name, long least, long most) {
+    long number(String name, long min, long max) {
         require(name);
-        return number(name, 0, least, most);
+        return number(name, 0, min, max);
     }
 
     double decimal(String name) {
         String value = require(name);
         try {
-            double d = Double.parseDouble(value);
-            if (!Double.isFinite(d) || d < 0) {
+            double parsed = Double.parseDouble(value);
+            if (!Double.isFinite(parsed) || parsed < 0) {
                 throw malformed(name, "out of range: " + value);
             }
-            return d;
+            return parsed;
         } catch (NumberFormatException e) {
             throw malformed(name, "not a number: " + value);
         }
@@ -87,15 +87,15 @@
 
     /** All parts of the line by name. */
     Map<String, String> fields() {
-        Map<String, String> pairs = new HashMap<>();
+        Map<String, String> values = new HashMap<>();
         String[] parts = text.split("\t");
         for (int i = 1; i < parts.length; i++) {
             int equals = parts[i].indexOf('=');
             if (equals < 1) {
                 throw malformed(parts[i], "not name=value");
             }
-            pairs.put(parts[i].substring(0, equals), parts[i].substring(equals + 1));
+            values.put(parts[i].substring(0, equals), parts[i].substring(equals + 1));
         }
-        return pairs;
+        return values;
     }
 }
--- a/relay/src/test/java/saltstage/ColdBackendFleetTest.java
+++ b/relay/src/test/java/saltstage/ColdBackendFleetTest.java
@@ -49,20 +49,20 @@
                         10 * LoadBalancerHarness.SECOND_MICROS);
     }
 
-    private LoadBalancerHarness newRelay(int fleet, int seed) {
-        Settings s =
+    private LoadBalancerHarness newRelay(int fleetSize, int seed) {
+        Settings base =
                 LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass());
         long share = (long) (WARM_CAPACITY_CONNECTIONS * (WARM_BACKENDS + 1));
-        LoadBalancerHarness rig =
+        LoadBalancerHarness harness =
                 new LoadBalancerHarness(
                         new Settings(
-                                fleet,
+                                fleetSize,
                                 0,
-                                s.serviceClasses(),
+                                base.serviceClasses(),
                                 List.of(share),
-                                s.overQuotaValue(),
-                                s.maxAttempts(),
-                                s.connectTimeout(),
+                                base.overQuotaValue(),
+                                base.maxAttempts(),
+                                base.connectTimeout(),
                                 false,
                                 true,
                                 0.02,
@@ -71,14 +71,14 @@
                                 true,
                                 rules),
                         seed);
-        rig.now = now;
+        harness.now = now;
         ListedBackend[] all = new ListedBackend[WARM_BACKENDS + 1];
         for (int i = 0; i < WARM_BACKENDS; i++) {
             all[i] = LoadBalancerHarness.backend("s" + i, 0);
         }
         all[WARM_BACKENDS] = new ListedBackend("cold", 0, 1, Health.READY, 1, startedAt);
-        rig.receiveList(BackendListKind.FULL, all);
-        return rig;
+        harness.receiveList(BackendListKind.FULL, all);
+        return harness;
     }
 
     /**
@@ -95,10 +95,10 @@
                 connectionsByBackend.merge("s" + server, 1, Integer::sum);
             }
         }
-        for (LoadBalancerHarness rig : relays) {
+        for (LoadBalancerHarness harness : relays) {
             for (int i = 0; i < 40; i++) {
-                rig.loadBalancer.timerFired(
-                        rig.now, "probe"); // what is placed now is what reports speak of
+                harness.loadBalancer.timerFired(
+                        harness.now, "probe"); // what is placed now is what reports speak of
             }
         }
     }
@@ -114,13 +114,13 @@
      * Each relay is told what all servers hold of what they can, the cold one only where that is
      * meant.
      */
-    private void reportLoad(boolean cold) {
-        for (LoadBalancerHarness rig : relays) {
+    private void reportLoad(boolean includeCold) {
+        for (LoadBalancerHarness harness : relays) {
             connectionsByBackend.forEach(
-                    (server, held) -> {
-                        if (cold || !server.equals("cold")) {
-                            rig.loadBalancer.probeCompleted(
-                                    now, server, Outcome.SERVED, held / WARM_CAPACITY_CONNECTIONS);
+                    (server, connections) -> {
+                        if (includeCold || !server.equals("cold")) {
+                            harness.loadBalancer.probeCompleted(
+                                    now, server, Outcome.SERVED, connections / WARM_CAPACITY_CONNECTIONS);
                         }
                     });
         }
@@ -132,8 +132,8 @@
      */
     private double maxBudgetUse(boolean skewed, boolean reported) {
         List<Long> sent = new ArrayList<>();
-        double worst = 0;
-        int crowd =
+        double maxUse = 0;
+        int requestsPerStep =
                 (int)
                         (2
                                 * WARM_CAPACITY_CONNECTIONS
@@ -144,15 +144,15 @@
             if (now % LoadBalancerHarness.SECOND_MICROS < STEP_MICROS) {
                 reportLoad(reported);
             }
-            for (int i = 0; i < crowd; i++) {
+            for (int i = 0; i < requestsPerStep; i++) {
                 sendRequest(skewed, sent);
             }
             long from = now - rules.warmUpBudgetWindow();
             sent.removeIf(at -> at <= from);
-            double n = currentBudget();
-            worst = Math.max(worst, sent.size() / (n + 2 * Math.sqrt(n) + 2));
+            double budget = currentBudget();
+            maxUse = Math.max(maxUse, sent.size() / (budget + 2 * Math.sqrt(budget) + 2));
         }
-        return worst;
+        return maxUse;
     }
 
     /**
@@ -160,10 +160,10 @@
      * backend.
      */
     private void sendRequest(boolean skewed, List<Long> sent) {
-        LoadBalancerHarness rig = randomRelay(skewed);
-        rig.now = now;
+        LoadBalancerHarness harness = randomRelay(skewed);
+        harness.now = now;
         long id = ++lastRequestId;
-        rig.loadBalancer.requestReceived(
+        harness.loadBalancer.requestReceived(
                 now,
                 new Request(
                         id,
@@ -175,24 +175,24 @@
                         now + 1_200_000,
                         false,
                         false));
-        String server = rig.backendByRequest.get(id);
+        String server = harness.backendByRequest.get(id);
         if ("cold".equals(server)) {
             sent.add(now);
         }
         if (server != null) {
-            rig.establish(id, 10_000);
+            harness.establish(id, 10_000);
             connectionsByBackend.merge(server, 1, Integer::sum);
         }
     }
 
     /** The connections that the cold backend may get now in one budget window: N. */
     private double currentBudget() {
-        double warmth =
+        double warmUpFraction =
                 rules.initialWarmUpFraction()
                         + (1 - rules.initialWarmUpFraction())
                                 * Math.min(1, (now - startedAt) / (double) rules.warmUpPeriod());
         return rules.maxWarmUpLoadMultiple()
-                * warmth
+                * warmUpFraction
                 * WARM_CAPACITY_CONNECTIONS
                 * rules.warmUpBudgetWindow()
                 / rules.warmUpPeriod();
@@ -203,8 +203,8 @@
     void allRelaysHaveJustListedTheBackend(int size, int seconds) {
         setWarmUpSeconds(seconds);
         startFleet(size, false);
-        double most = maxBudgetUse(false, false);
-        assertTrue(most <= 1, most + " of the budget");
+        double maxUse = maxBudgetUse(false, false);
+        assertTrue(maxUse <= 1, maxUse + " of the budget");
     }
 
     @ParameterizedTest
@@ -212,8 +212,8 @@
     void loadReportsShowFreeCapacity(int size, int seconds) {
         setWarmUpSeconds(seconds);
         startFleet(size, false);
-        double most = maxBudgetUse(false, true);
-        assertTrue(most <= 1, most + " of the budget");
+        double maxUse = maxBudgetUse(false, true);
+        assertTrue(maxUse <= 1, maxUse + " of the budget");
     }
 
     @ParameterizedTest
@@ -221,8 +221,8 @@
     void trafficIsSkewed(int size, int seconds) {
         setWarmUpSeconds(seconds);
         startFleet(size, true);
-        double most = maxBudgetUse(true, true);
-        assertTrue(most <= 1, most + " of the budget");
+        double maxUse = maxBudgetUse(true, true);
+        assertTrue(maxUse <= 1, maxUse + " of the budget");
     }
 
     @ParameterizedTest
@@ -233,7 +233,7 @@
         for (int i = 0; i < size; i++) {
             relays.add(newRelay(size, i + 1));
         }
-        double most = maxBudgetUse(false, true);
-        assertTrue(most <= 1, most + " of the budget");
+        double maxUse = maxBudgetUse(false, true);
+        assertTrue(maxUse <= 1, maxUse + " of the budget");
     }
 }
--- a/relay/src/test/java/saltstage/ColdBackendTest.java
+++ b/relay/src/test/java/saltstage/ColdBackendTest.java
@@ -34,65 +34,65 @@
         return harness(connections, quota, 2 * LoadBalancerHarness.SECOND_MICROS);
     }
 
-    private static LoadBalancerHarness harness(int connections, long quota, long fall) {
-        Settings s =
+    private static LoadBalancerHarness harness(int connections, long quota, long budgetWindow) {
+        Settings base =
                 LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass());
-        SafetyRules slow =
+        SafetyRules slowWarmUp =
                 new SafetyRules(
                         LoadBalancerHarness.SECOND_MICROS,
                         0.25,
                         1_000 * LoadBalancerHarness.SECOND_MICROS,
                         2.5,
-                        fall,
+                        budgetWindow,
                         10 * LoadBalancerHarness.SECOND_MICROS);
-        LoadBalancerHarness rig =
+        LoadBalancerHarness harness =
                 new LoadBalancerHarness(
                         new Settings(
-                                s.relayCount(),
-                                s.zone(),
-                                s.serviceClasses(),
+                                base.relayCount(),
+                                base.zone(),
+                                base.serviceClasses(),
                                 List.of(quota, quota),
-                                s.overQuotaValue(),
-                                s.maxAttempts(),
-                                s.connectTimeout(),
+                                base.overQuotaValue(),
+                                base.maxAttempts(),
+                                base.connectTimeout(),
                                 false,
                                 true,
                                 0.02,
                                 0,
                                 5000,
                                 false,
-                                slow),
+                                slowWarmUp),
                         1);
-        rig.receiveList(
+        harness.receiveList(
                 BackendListKind.FULL,
                 LoadBalancerHarness.backend("s0", 0),
-                new ListedBackend("s1", 1, 1, Health.READY, 1, rig.now));
+                new ListedBackend("s1", 1, 1, Health.READY, 1, harness.now));
         for (int i = 0; i < connections; i++) {
-            rig.restoreConnection("s0", 1);
+            harness.restoreConnection("s0", 1);
         }
-        rig.route(0, 1, 1, 1);
-        return rig;
+        harness.route(0, 1, 1, 1);
+        return harness;
     }
 
-    private static long countSentToCold(LoadBalancerHarness rig, boolean again, long pause) {
-        return countSentToCold(rig, 200, again, pause);
+    private static long countSentToCold(LoadBalancerHarness harness, boolean reconnecting, long pause) {
+        return countSentToCold(harness, 200, reconnecting, pause);
     }
 
     private static long countSentToCold(
-            LoadBalancerHarness rig, int requests, boolean again, long pause) {
-        long before = rig.backendByRequest.values().stream().filter("s1"::equals).count();
-        for (long k = 0; k < requests; k++) {
-            sendRequest(rig, k, again, pause);
+            LoadBalancerHarness harness, int requests, boolean reconnecting, long pause) {
+        long before = harness.backendByRequest.values().stream().filter("s1"::equals).count();
+        for (long key = 0; key < requests; key++) {
+            sendRequest(harness, key, reconnecting, pause);
         }
-        return rig.backendByRequest.values().stream().filter("s1"::equals).count() - before;
+        return harness.backendByRequest.values().stream().filter("s1"::equals).count() - before;
     }
 
-    private static void sendRequest(LoadBalancerHarness rig, long k, boolean again, long pause) {
-        rig.now += pause;
-        long deadline = rig.now + 1_200_000;
-        rig.loadBalancer.requestReceived(
-                rig.now, new Request(100_000 + k, 0, 0, k, k, 1, deadline, again, false));
-        rig.establish(100_000 + k, 10_000);
+    private static void sendRequest(LoadBalancerHarness harness, long key, boolean reconnecting, long pause) {
+        harness.now += pause;
+        long deadline = harness.now + 1_200_000;
+        harness.loadBalancer.requestReceived(
+                harness.now, new Request(100_000 + key, 0, 0, key, key, 1, deadline, reconnecting, false));
+        harness.establish(100_000 + key, 10_000);
     }
 
     @Test
@@ -104,8 +104,8 @@
 
     @Test
     void backendWithStartTimeInTheFutureIsWarmAfterTheWarmUpPeriod() {
-        LoadBalancerHarness rig = harness(4_000);
-        rig.receiveList(
+        LoadBalancerHarness harness = harness(4_000);
+        harness.receiveList(
                 BackendListKind.FULL,
                 LoadBalancerHarness.backend("s0", 0),
                 new ListedBackend(
@@ -114,9 +114,9 @@
                         1,
                         Health.READY,
                         1,
-                        rig.now + 3_600 * LoadBalancerHarness.SECOND_MICROS));
-        rig.now += WARM_UP_MICROS + LoadBalancerHarness.SECOND_MICROS;
-        assertEquals(100, countSentToCold(rig, false, 1_000), 25);
+                        harness.now + 3_600 * LoadBalancerHarness.SECOND_MICROS));
+        harness.now += WARM_UP_MICROS + LoadBalancerHarness.SECOND_MICROS;
+        assertEquals(100, countSentToCold(harness, false, 1_000), 25);
     }
 
     @Test
@@ -126,8 +126,8 @@
 
     @Test
     void reportOfFreeCapacityReleasesHalfOfThisRelaysShareAtOnce() {
-        long blind = countSentToCold(harness(60, 100, WARM_UP_MICROS), false, 1_000);
-        assertTrue(blind <= 2, "a burst is held to the budget: " + blind);
+        long withoutReport = countSentToCold(harness(60, 100, WARM_UP_MICROS), false, 1_000);
+        assertTrue(withoutReport <= 2, "a burst is held to the budget: " + withoutReport);
         assertEquals(
                 9, countSentToCold(harnessWithLoadReport(0.01, WARM_UP_MICROS), false, 1_000), 2);
         assertEquals(
@@ -138,25 +138,25 @@
         assertEquals(
                 6, countSentToCold(harnessWithLoadReport(0.1, WARM_UP_MICROS), false, 1_000), 2);
         assertTrue(
-                countSentToCold(harnessWithLoadReport(0.3, WARM_UP_MICROS), false, 1_000) <= blind,
+                countSentToCold(harnessWithLoadReport(0.3, WARM_UP_MICROS), false, 1_000) <= withoutReport,
                 "more than its part is asked");
     }
 
     @Test
     void coldBackendIsProbedEachSecond() {
-        LoadBalancerHarness rig = harness();
-        rig.loadBalancer.timerFired(rig.now, "probe");
-        rig.actions.clear();
-        rig.now += 1_100_000;
-        rig.loadBalancer.timerFired(rig.now, "probe");
-        assertTrue(rig.actions.contains("probe s1"), "it fills within seconds");
-        assertTrue(!rig.actions.contains("probe s0"), "a calm warm one can wait");
+        LoadBalancerHarness harness = harness();
+        harness.loadBalancer.timerFired(harness.now, "probe");
+        harness.actions.clear();
+        harness.now += 1_100_000;
+        harness.loadBalancer.timerFired(harness.now, "probe");
+        assertTrue(harness.actions.contains("probe s1"), "it fills within seconds");
+        assertTrue(!harness.actions.contains("probe s0"), "a calm warm one can wait");
     }
 
-    private static LoadBalancerHarness harnessWithLoadReport(double asked, long fall) {
-        LoadBalancerHarness rig = harness(60, 100, fall);
-        rig.loadBalancer.probeCompleted(rig.now, "s1", Outcome.SERVED, asked);
-        return rig;
+    private static LoadBalancerHarness harnessWithLoadReport(double utilization, long budgetWindow) {
+        LoadBalancerHarness harness = harness(60, 100, budgetWindow);
+        harness.loadBalancer.probeCompleted(harness.now, "s1", Outcome.SERVED, utilization);
+        return harness;
     }
 
     @Test
@@ -178,15 +178,15 @@
     }
 
     private static long countSentToColdBesideOverloaded(long pause) {
-        LoadBalancerHarness rig = harness();
-        rig.restoreConnection(
+        LoadBalancerHarness harness = harness();
+        harness.restoreConnection(
                 "s1", 1); // else all that is heard of would be jammed: the fleet's matter
-        long before = rig.backendByRequest.values().stream().filter("s1"::equals).count();
+        long before = harness.backendByRequest.values().stream().filter("s1"::equals).count();
         for (int i = 0; i < 200; i++) {
-            rig.reportDelay("s0", 500);
-            sendRequest(rig, i, false, pause);
+            harness.reportDelay("s0", 500);
+            sendRequest(harness, i, false, pause);
         }
-        return rig.backendByRequest.values().stream().filter("s1"::equals).count() - before;
+        return harness.backendByRequest.values().stream().filter("s1"::equals).count() - before;
     }
 
     @Test
@@ -204,34 +204,34 @@
 
     @Test
     void budgetIsAFractionOfTheObservedWarmCapacity() {
-        LoadBalancerHarness few = harness(10);
+        LoadBalancerHarness withoutReports = harness(10);
         assertTrue(
-                countSentToCold(few, 100, false, LoadBalancerHarness.SECOND_MICROS / 2) <= 2,
+                countSentToCold(withoutReports, 100, false, LoadBalancerHarness.SECOND_MICROS / 2) <= 2,
                 "ten connections tell of a small fleet");
-        LoadBalancerHarness told = harness(10);
+        LoadBalancerHarness withReport = harness(10);
         for (int i = 0; i < 40; i++) {
-            told.loadBalancer.timerFired(told.now, "probe");
+            withReport.loadBalancer.timerFired(withReport.now, "probe");
         }
-        told.loadBalancer.probeCompleted(
-                told.now, "s0", Outcome.SERVED, 0.002); // these ten are a 500th of what it can do
+        withReport.loadBalancer.probeCompleted(
+                withReport.now, "s0", Outcome.SERVED, 0.002); // these ten are a 500th of what it can do
         assertEquals(
-                13, countSentToCold(told, 100, false, LoadBalancerHarness.SECOND_MICROS / 2), 7);
+                13, countSentToCold(withReport, 100, false, LoadBalancerHarness.SECOND_MICROS / 2), 7);
     }
 
     @Test
     void capacityShareIsHandedToTheSuccessorAndOutlastsLowTraffic() {
-        LoadBalancerHarness old = harness(10);
+        LoadBalancerHarness predecessor = harness(10);
         for (int i = 0; i < 40; i++) {
-            old.loadBalancer.timerFired(old.now, "probe");
+            predecessor.loadBalancer.timerFired(predecessor.now, "probe");
         }
-        old.loadBalancer.probeCompleted(old.now, "s0", Outcome.SERVED, 0.002);
-        old.now += 2 * LoadBalancerHarness.SECOND_MICROS;
-        old.route(0, 1, 1, 1); // ranks
-        LoadBalancerHarness fresh = harness(10);
-        fresh.loadBalancer.restoreLearnedState(fresh.now, old.loadBalancer.learnedState(old.now));
-        fresh.loadBalancer.probeCompleted(
-                fresh.now, "s0", Outcome.SERVED, 0.3); // the old process's connections, not its own
+        predecessor.loadBalancer.probeCompleted(predecessor.now, "s0", Outcome.SERVED, 0.002);
+        predecessor.now += 2 * LoadBalancerHarness.SECOND_MICROS;
+        predecessor.route(0, 1, 1, 1); // ranks
+        LoadBalancerHarness successor = harness(10);
+        successor.loadBalancer.restoreLearnedState(successor.now, predecessor.loadBalancer.learnedState(predecessor.now));
+        successor.loadBalancer.probeCompleted(
+                successor.now, "s0", Outcome.SERVED, 0.3); // the old process's connections, not its own
         assertEquals(
-                13, countSentToCold(fresh, 100, false, LoadBalancerHarness.SECOND_MICROS / 2), 7);
+                13, countSentToCold(successor, 100, false, LoadBalancerHarness.SECOND_MICROS / 2), 7);
     }
 }
--- a/relay/src/test/java/saltstage/DecisionModuleTest.java
+++ b/relay/src/test/java/saltstage/DecisionModuleTest.java
@@ -19,7 +19,7 @@
  */
 class DecisionModuleTest {
     private static final Path PACKAGE = Path.of("src/main/java/saltstage");
-    private static final int LEAST_FILES = 5;
+    private static final int MIN_SOURCE_FILES = 5;
     private static final Pattern IMPORT =
             Pattern.compile("\\bimport\\s+(?:static\\s+)?([\\w.]+(?:\\.\\*)?)\\s*;");
 
@@ -52,18 +52,18 @@
     @Test
     void importsOnlyUtilitiesAndItsOwnTypes() throws IOException {
         List<String> forbidden = new ArrayList<>();
-        int seen = 0;
+        int importCount = 0;
         for (Path file : sources()) {
             Matcher imports = IMPORT.matcher(Files.readString(file));
             while (imports.find()) {
-                seen++;
+                importCount++;
                 if (!ALLOWED_IMPORT.matcher(imports.group(1)).matches()) {
                     forbidden.add(file.getFileName() + " imports " + imports.group(1));
                 }
             }
         }
         assertEquals(List.of(), forbidden);
-        assertTrue(seen > 0, "no import was found");
+        assertTrue(importCount > 0, "no import was found");
     }
 
     @Test
@@ -97,7 +97,7 @@
         try (Stream<Path> files = Files.list(PACKAGE)) {
             List<Path> sources =
                     files.filter(file -> file.toString().endsWith(".java")).sorted().toList();
-            assertTrue(sources.size() >= LEAST_FILES, "files in " + PACKAGE + ": " + sources);
+            assertTrue(sources.size() >= MIN_SOURCE_FILES, "files in " + PACKAGE + ": " + sources);
             return sources;
         }
     }
--- a/relay/src/test/java/saltstage/LoadBalancerHarness.java
+++ b/relay/src/test/java/saltstage/LoadBalancerHarness.java
@@ -75,7 +75,7 @@
                 10 * SECOND_MICROS);
     }
 
-    static Settings settings(double crossing, boolean asks, ServiceClass... classes) {
+    static Settings settings(double crossZoneCost, boolean watchesBackendList, ServiceClass... classes) {
         return new Settings(
                 40,
                 0,
@@ -84,9 +84,9 @@
                 0.2,
                 6,
                 250_000,
-                asks,
+                watchesBackendList,
                 true,
-                crossing,
+                crossZoneCost,
                 0,
                 5000,
                 false,
@@ -106,26 +106,26 @@
         return new ListedBackend(id, zone, zone * 10 + id.hashCode() % 2, Health.READY, 1, 0);
     }
 
-    static ListedBackend withHealth(ListedBackend s, Health health) {
-        return new ListedBackend(s.id(), s.zone(), s.cell(), health, s.weight(), s.startedAt());
+    static ListedBackend withHealth(ListedBackend backend, Health health) {
+        return new ListedBackend(backend.id(), backend.zone(), backend.cell(), health, backend.weight(), backend.startedAt());
     }
 
-    static ListedBackend[] backends(int n) {
+    static ListedBackend[] backends(int count) {
         return Stream.iterate(0, i -> i + 1)
-                .limit(n)
+                .limit(count)
                 .map(i -> backend("s" + i, i % 2))
                 .toArray(ListedBackend[]::new);
     }
 
-    LoadBalancerHarness receiveList(BackendListKind kind, ListedBackend... servers) {
-        loadBalancer.backendListReceived(now, kind, List.of(servers));
+    LoadBalancerHarness receiveList(BackendListKind kind, ListedBackend... listedBackends) {
+        loadBalancer.backendListReceived(now, kind, List.of(listedBackends));
         return this;
     }
 
-    long request(int cls, long key, long group, long hint) {
+    long request(int serviceClass, long key, long group, long loadHint) {
         long id = ++lastRequestId;
         loadBalancer.requestReceived(
-                now, new Request(id, cls, 0, key, group, hint, now + 1_200_000, false, false));
+                now, new Request(id, serviceClass, 0, key, group, loadHint, now + 1_200_000, false, false));
         return id;
     }
 
@@ -142,18 +142,18 @@
     }
 
     /** Tells that messages at a server take so long, as of an open connection there. */
-    void reportDelay(String server, double ms) {
+    void reportDelay(String backendId, double delayMillis) {
         loadBalancer.connectionReported(
-                now, restoreConnection(server, Api.NONE), ConnectionReport.DELAY, ms);
+                now, restoreConnection(backendId, Api.NONE), ConnectionReport.DELAY, delayMillis);
     }
 
     /** A connection that was open at this server already. */
-    long restoreConnection(String server, long hint) {
+    long restoreConnection(String backendId, long loadHint) {
         long id = ++lastRequestId;
         loadBalancer.connectionRestored(
                 now,
-                new Request(id, 0, 0, id + 1_000_000, Api.NONE, hint, now, false, false),
-                server);
+                new Request(id, 0, 0, id + 1_000_000, Api.NONE, loadHint, now, false, false),
+                backendId);
         return id;
     }
 
@@ -162,14 +162,14 @@
         return route(0, key, Api.NONE, Api.NONE);
     }
 
-    String route(int cls, long key, long group, long hint) {
-        long id = request(cls, key, group, hint);
-        String server = backendByRequest.get(id);
-        if (server != null) {
+    String route(int serviceClass, long key, long group, long loadHint) {
+        long id = request(serviceClass, key, group, loadHint);
+        String backendId = backendByRequest.get(id);
+        if (backendId != null) {
             establish(id, 10_000);
             loadBalancer.attemptEnded(now, id, Outcome.SERVED, true);
         }
-        return server;
+        return backendId;
     }
 
     long attemptCount() {
@@ -181,10 +181,10 @@
     }
 
     @Override
-    public void sendAttempt(long id, String server, long timeout) {
-        backendByRequest.put(id, server);
+    public void sendAttempt(long id, String backendId, long timeout) {
+        backendByRequest.put(id, backendId);
         lastAttemptTimeout = timeout;
-        actions.add("send " + id + " " + server);
+        actions.add("send " + id + " " + backendId);
     }
 
     @Override
@@ -208,8 +208,8 @@
     }
 
     @Override
-    public void probe(String server) {
-        actions.add("probe " + server);
+    public void probe(String backendId) {
+        actions.add("probe " + backendId);
     }
 
     @Override
--- a/relay/src/test/java/saltstage/PlacementAndDiversionTest.java
+++ b/relay/src/test/java/saltstage/PlacementAndDiversionTest.java
@@ -17,10 +17,10 @@
 class PlacementAndDiversionTest {
     private static final int KEY_COUNT = 4000;
 
-    private static Map<Long, String> defaultBackends(LoadBalancerHarness rig) {
+    private static Map<Long, String> defaultBackends(LoadBalancerHarness harness) {
         Map<Long, String> map = new HashMap<>();
         for (long k = 0; k < KEY_COUNT; k++) {
-            map.put(k, rig.route(k));
+            map.put(k, harness.route(k));
         }
         return map;
     }
@@ -29,28 +29,28 @@
     void maglevSpreadsKeysEvenlyAndByWeight() {
         ListedBackend[] fleet = LoadBalancerHarness.backends(10);
         fleet[0] = new ListedBackend("s0", 0, 0, Health.READY, 2, 0);
-        Map<String, Integer> n = new HashMap<>();
-        LoadBalancerHarness rig =
+        Map<String, Integer> keysByBackend = new HashMap<>();
+        LoadBalancerHarness harness =
                 LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
                         .receiveList(BackendListKind.FULL, fleet);
-        defaultBackends(rig).values().forEach(s -> n.merge(s, 1, Integer::sum));
-        for (Map.Entry<String, Integer> e : n.entrySet()) {
-            double due = KEY_COUNT / 11.0 * (e.getKey().equals("s0") ? 2 : 1);
-            assertEquals(due, e.getValue(), 0.25 * due, e.getKey());
+        defaultBackends(harness).values().forEach(s -> keysByBackend.merge(s, 1, Integer::sum));
+        for (Map.Entry<String, Integer> e : keysByBackend.entrySet()) {
+            double expected = KEY_COUNT / 11.0 * (e.getKey().equals("s0") ? 2 : 1);
+            assertEquals(expected, e.getValue(), 0.25 * expected, e.getKey());
         }
-        assertEquals(10, n.size());
+        assertEquals(10, keysByBackend.size());
     }
 
     @Test
     void maglevMovesFewKeysWhenABackendLeaves() {
         ListedBackend[] fleet = LoadBalancerHarness.backends(20);
-        LoadBalancerHarness rig =
+        LoadBalancerHarness harness =
                 LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
                         .receiveList(BackendListKind.FULL, fleet);
-        Map<Long, String> before = defaultBackends(rig);
-        rig.receiveList(
+        Map<Long, String> before = defaultBackends(harness);
+        harness.receiveList(
                 BackendListKind.DELTA, LoadBalancerHarness.withHealth(fleet[7], Health.GONE));
-        Map<Long, String> after = defaultBackends(rig);
+        Map<Long, String> after = defaultBackends(harness);
         long moved =
                 before.keySet().stream()
                         .filter(
@@ -85,45 +85,45 @@
 
     @Test
     void groupTakesPrecedenceOverClientKeyAndNoKeyStillGetsABackend() {
-        LoadBalancerHarness rig =
+        LoadBalancerHarness harness =
                 LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(20));
         for (long client = 0; client < 30; client++) {
-            assertEquals(rig.route(0, 1, 77, Api.NONE), rig.route(0, client, 77, Api.NONE));
+            assertEquals(harness.route(0, 1, 77, Api.NONE), harness.route(0, client, 77, Api.NONE));
         }
-        assertNotNull(rig.route(0, Api.NONE, Api.NONE, Api.NONE));
+        assertNotNull(harness.route(0, Api.NONE, Api.NONE, Api.NONE));
     }
 
     @Test
     void groupTooBigForOneBackendIsSpreadOverSeveral() {
-        LoadBalancerHarness rig =
+        LoadBalancerHarness harness =
                 LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(30));
-        Set<String> first = new TreeSet<>();
-        Set<String> big = new TreeSet<>();
+        Set<String> early = new TreeSet<>();
+        Set<String> later = new TreeSet<>();
         for (long i = 0; i < 200; i++) {
-            rig.now += 100_000;
-            rig.establish(rig.request(0, i, 1000 + i, 100), 10_000);
-            long id = rig.request(0, i, 5, 100);
-            rig.establish(id, 10_000);
-            (i < 10 ? first : big).add(rig.backendByRequest.get(id));
+            harness.now += 100_000;
+            harness.establish(harness.request(0, i, 1000 + i, 100), 10_000);
+            long id = harness.request(0, i, 5, 100);
+            harness.establish(id, 10_000);
+            (i < 10 ? early : later).add(harness.backendByRequest.get(id));
         }
-        assertEquals(1, first.size(), "one server until it is known to be big");
-        assertTrue(big.size() > 8 && big.size() < 25, "half of all connections, on " + big);
+        assertEquals(1, early.size(), "one server until it is known to be big");
+        assertTrue(later.size() > 8 && later.size() < 25, "half of all connections, on " + later);
     }
 
     @Test
     void smallGroupsStayOnOneBackend() {
-        LoadBalancerHarness rig =
+        LoadBalancerHarness harness =
                 LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(30));
         for (long i = 0; i < 200; i++) {
-            rig.now += 100_000;
-            long one = rig.request(0, i, 1000 + i, 100);
-            long two = rig.request(0, i + 500, 1000 + i, 100);
-            rig.establish(one, 10_000);
-            rig.establish(two, 10_000);
-            assertEquals(rig.backendByRequest.get(one), rig.backendByRequest.get(two));
+            harness.now += 100_000;
+            long one = harness.request(0, i, 1000 + i, 100);
+            long two = harness.request(0, i + 500, 1000 + i, 100);
+            harness.establish(one, 10_000);
+            harness.establish(two, 10_000);
+            assertEquals(harness.backendByRequest.get(one), harness.backendByRequest.get(two));
         }
     }
 
@@ -132,10 +132,10 @@
         int light = 0;
         int heavy = 0;
         for (int seed = 1; seed <= 50; seed++) {
-            LoadBalancerHarness rig = harnessWithDelayedDefault(25, seed * 7919L);
-            String home = rig.backendByRequest.get(rig.backendByRequest.lastKey());
-            light += rig.route(0, 5003, 5, 100).equals(home) ? 0 : 1;
-            heavy += rig.route(0, 5002, 5, 10_000).equals(home) ? 0 : 1;
+            LoadBalancerHarness harness = harnessWithDelayedDefault(25, seed * 7919L);
+            String defaultBackend = harness.backendByRequest.get(harness.backendByRequest.lastKey());
+            light += harness.route(0, 5003, 5, 100).equals(defaultBackend) ? 0 : 1;
+            heavy += harness.route(0, 5002, 5, 10_000).equals(defaultBackend) ? 0 : 1;
         }
         assertTrue(
                 light <= 15, light + " of 50 light clients left; the table admits few by chance");
@@ -144,9 +144,9 @@
 
     @Test
     void noDiversionWithoutAGapWorthASetup() {
-        LoadBalancerHarness rig = harnessWithDelayedDefault(9);
-        String home = rig.route(0, 5001, 5, 100);
-        assertEquals(home, rig.route(0, 5002, 5, 10_000), "9 ms is less than a set-up of 10 ms");
+        LoadBalancerHarness harness = harnessWithDelayedDefault(9);
+        String defaultBackend = harness.route(0, 5001, 5, 100);
+        assertEquals(defaultBackend, harness.route(0, 5002, 5, 10_000), "9 ms is less than a set-up of 10 ms");
     }
 
     @Test
@@ -169,44 +169,44 @@
      * Of 30 heavy clients of a default told 25 ms, with so many of the other servers told so many
      * ms.
      */
-    private static int divertedHeavyClients(int others, double ms) {
-        int left = 0;
+    private static int divertedHeavyClients(int others, double othersDelayMillis) {
+        int diverted = 0;
         for (int seed = 1; seed <= 30; seed++) {
-            LoadBalancerHarness rig = harnessWithDelayedDefault(25, seed * 7919L);
-            String home = rig.backendByRequest.get(rig.backendByRequest.lastKey());
-            int told = 0;
-            for (int i = 0; i < 20 && told < others; i++) {
-                if (!home.equals("s" + i)) {
-                    rig.reportDelay("s" + i, ms);
-                    told++;
+            LoadBalancerHarness harness = harnessWithDelayedDefault(25, seed * 7919L);
+            String defaultBackend = harness.backendByRequest.get(harness.backendByRequest.lastKey());
+            int reported = 0;
+            for (int i = 0; i < 20 && reported < others; i++) {
+                if (!defaultBackend.equals("s" + i)) {
+                    harness.reportDelay("s" + i, othersDelayMillis);
+                    reported++;
                 }
             }
-            rig.now += 1_000_000;
-            left += rig.route(0, 5002, 5, 10_000).equals(home) ? 0 : 1;
+            harness.now += 1_000_000;
+            diverted += harness.route(0, 5002, 5, 10_000).equals(defaultBackend) ? 0 : 1;
         }
-        return left;
+        return diverted;
     }
 
     /**
      * Twenty servers that all were heard from; the default of group 5 is told to take so many ms.
      */
-    private static LoadBalancerHarness harnessWithDelayedDefault(double ms) {
-        return harnessWithDelayedDefault(ms, 1);
+    private static LoadBalancerHarness harnessWithDelayedDefault(double delayMillis) {
+        return harnessWithDelayedDefault(delayMillis, 1);
     }
 
-    private static LoadBalancerHarness harnessWithDelayedDefault(double ms, long seed) {
-        LoadBalancerHarness rig =
+    private static LoadBalancerHarness harnessWithDelayedDefault(double delayMillis, long seed) {
+        LoadBalancerHarness harness =
                 new LoadBalancerHarness(
                                 LoadBalancerHarness.settings(
                                         0.02, false, LoadBalancerHarness.idempotentClass()),
                                 seed)
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(20));
         for (long k = 0; k < 400; k++) {
-            rig.route(0, k, k, 1000);
+            harness.route(0, k, k, 1000);
         }
-        rig.reportDelay(rig.route(0, 5001, 5, 100), ms);
-        rig.now += 300_000;
-        return rig;
+        harness.reportDelay(harness.route(0, 5001, 5, 100), delayMillis);
+        harness.now += 300_000;
+        return harness;
     }
 
     @Test
--- a/relay/src/test/java/saltstage/ReconnectStormTest.java
+++ b/relay/src/test/java/saltstage/ReconnectStormTest.java
@@ -59,8 +59,8 @@
             }
         }
 
-        void schedule(long when, Runnable what) {
-            eventQueue.add(new ScheduledEvent(when, nextOrder++, what));
+        void schedule(long timeMicros, Runnable action) {
+            eventQueue.add(new ScheduledEvent(timeMicros, nextOrder++, action));
         }
 
         void run() {
@@ -80,16 +80,16 @@
         }
 
         private void startRequest(LoadBalancerHarness relay, long key) {
-            long before = relay.attemptCount();
+            long attemptsBefore = relay.attemptCount();
             long id = relay.request(key);
-            followAttempt(relay, id, before);
+            followAttempt(relay, id, attemptsBefore);
         }
 
         /**
          * What was sent since, if anything, waits its turn and is given up when its patience ends.
          */
-        private void followAttempt(LoadBalancerHarness relay, long id, long before) {
-            if (relay.attemptCount() == before) {
+        private void followAttempt(LoadBalancerHarness relay, long id, long attemptsBefore) {
+            if (relay.attemptCount() == attemptsBefore) {
                 return;
             }
             attemptCount++;
@@ -97,22 +97,22 @@
             int attempt = attemptsByRequest.merge(request, 1, Integer::sum);
             long now = relay.now;
             storeFreeAt = Math.max(storeFreeAt, now) + STORE_SETUP_MICROS;
-            long ready = storeFreeAt;
-            long until =
+            long setupDoneAt = storeFreeAt;
+            long timeoutAt =
                     relay.lastAttemptTimeout == 0 ? Long.MAX_VALUE : now + relay.lastAttemptTimeout;
             schedule(
-                    Math.min(ready, until),
+                    Math.min(setupDoneAt, timeoutAt),
                     () -> {
                         if (attemptsByRequest.get(request) != attempt) {
                             return;
                         }
-                        if (ready <= until) {
+                        if (setupDoneAt <= timeoutAt) {
                             establishedCount++;
-                            relay.establish(id, ready - now);
+                            relay.establish(id, setupDoneAt - now);
                         } else {
-                            long sent = relay.attemptCount();
+                            long attemptsSoFar = relay.attemptCount();
                             relay.endAttempt(id, Outcome.TIMEOUT);
-                            followAttempt(relay, id, sent);
+                            followAttempt(relay, id, attemptsSoFar);
                         }
                     });
         }
--- a/relay/src/test/java/saltstage/SafetyRulesTest.java
+++ b/relay/src/test/java/saltstage/SafetyRulesTest.java
@@ -15,183 +15,183 @@
 class SafetyRulesTest {
     @Test
     void waitingRequestIsAnsweredBeforeItsDeadline() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass());
-        long id = rig.request(1);
-        assertEquals("timer " + id + " 1195000", rig.lastAction());
-        rig.now += 1_195_000;
-        rig.loadBalancer.timerFired(rig.now, Long.toString(id));
-        assertEquals("refuse " + id, rig.lastAction());
-        rig.receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(3));
-        assertEquals(0, rig.attemptCount());
+        LoadBalancerHarness harness = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass());
+        long id = harness.request(1);
+        assertEquals("timer " + id + " 1195000", harness.lastAction());
+        harness.now += 1_195_000;
+        harness.loadBalancer.timerFired(harness.now, Long.toString(id));
+        assertEquals("refuse " + id, harness.lastAction());
+        harness.receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(3));
+        assertEquals(0, harness.attemptCount());
     }
 
     @Test
     void waitingRequestIsSentWhenABackendIsListed() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass());
-        long id = rig.request(1);
-        rig.receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(3));
-        assertTrue(rig.backendByRequest.containsKey(id));
+        LoadBalancerHarness harness = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass());
+        long id = harness.request(1);
+        harness.receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(3));
+        assertTrue(harness.backendByRequest.containsKey(id));
     }
 
     @Test
     void requestWaitsWhenTheLastBackendDrainsBeforeTablesAreRebuilt() {
         ListedBackend only = LoadBalancerHarness.backend("s0", 0);
-        LoadBalancerHarness rig =
+        LoadBalancerHarness harness =
                 LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
                         .receiveList(BackendListKind.FULL, only);
-        assertEquals("s0", rig.route(1));
-        rig.receiveList(
+        assertEquals("s0", harness.route(1));
+        harness.receiveList(
                 BackendListKind.DELTA, LoadBalancerHarness.withHealth(only, Health.DRAINING));
-        rig.request(2);
-        assertTrue(rig.lastAction().startsWith("timer"), rig.lastAction());
+        harness.request(2);
+        assertTrue(harness.lastAction().startsWith("timer"), harness.lastAction());
     }
 
     @Test
     void clientThatLeftGetsNoAnswer() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass());
-        long held = rig.request(1);
-        rig.loadBalancer.clientLeft(rig.now, held);
-        rig.receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(3));
-        long out = rig.request(2);
-        rig.loadBalancer.clientLeft(rig.now, out);
-        int before = rig.actions.size();
-        rig.endAttempt(out, Outcome.TIMEOUT);
-        assertEquals(before, rig.actions.size());
-        assertEquals(1, rig.attemptCount());
+        LoadBalancerHarness harness = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass());
+        long waiting = harness.request(1);
+        harness.loadBalancer.clientLeft(harness.now, waiting);
+        harness.receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(3));
+        long sent = harness.request(2);
+        harness.loadBalancer.clientLeft(harness.now, sent);
+        int before = harness.actions.size();
+        harness.endAttempt(sent, Outcome.TIMEOUT);
+        assertEquals(before, harness.actions.size());
+        assertEquals(1, harness.attemptCount());
     }
 
     @Test
     void timeoutAtTheDeadlineIsAnswered() {
-        LoadBalancerHarness rig =
+        LoadBalancerHarness harness =
                 LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(3));
-        long id = rig.request(1);
-        rig.now += 1_200_000;
-        rig.endAttempt(id, Outcome.TIMEOUT);
-        assertEquals("refuse " + id, rig.lastAction());
+        long id = harness.request(1);
+        harness.now += 1_200_000;
+        harness.endAttempt(id, Outcome.TIMEOUT);
+        assertEquals("refuse " + id, harness.lastAction());
     }
 
     @Test
     void nextAttemptGoesElsewhereAndOnlyAfterTheFirstEnded() {
-        LoadBalancerHarness rig =
+        LoadBalancerHarness harness =
                 LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(5));
-        long id = rig.request(1);
-        String first = rig.backendByRequest.get(id);
-        assertEquals(1, rig.attemptCount());
-        assertEquals(300_000, rig.lastAttemptTimeout, "the aim: leaves room for another");
-        rig.now += rig.lastAttemptTimeout;
-        rig.endAttempt(id, Outcome.TIMEOUT);
-        assertEquals(2, rig.attemptCount());
-        assertNotEquals(first, rig.backendByRequest.get(id));
+        long id = harness.request(1);
+        String first = harness.backendByRequest.get(id);
+        assertEquals(1, harness.attemptCount());
+        assertEquals(300_000, harness.lastAttemptTimeout, "the aim: leaves room for another");
+        harness.now += harness.lastAttemptTimeout;
+        harness.endAttempt(id, Outcome.TIMEOUT);
+        assertEquals(2, harness.attemptCount());
+        assertNotEquals(first, harness.backendByRequest.get(id));
     }
 
     @Test
     void attemptsAreLimited() {
-        LoadBalancerHarness rig =
+        LoadBalancerHarness harness =
                 LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(20));
-        long id = rig.request(1);
+        long id = harness.request(1);
         for (int i = 0; i < 6; i++) {
-            rig.endAttempt(id, Outcome.UNREACHABLE);
+            harness.endAttempt(id, Outcome.UNREACHABLE);
         }
-        assertEquals(6, rig.attemptCount());
-        assertEquals("refuse " + id, rig.lastAction());
+        assertEquals(6, harness.attemptCount());
+        assertEquals("refuse " + id, harness.lastAction());
     }
 
     @Test
     void notIdempotentRequestThatMayHaveRunFails() {
-        LoadBalancerHarness rig =
+        LoadBalancerHarness harness =
                 LoadBalancerHarness.of(LoadBalancerHarness.notIdempotentClass())
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(5));
-        long id = rig.request(1);
-        assertEquals(0, rig.lastAttemptTimeout, "an early time-out would only end it");
-        rig.endAttempt(id, Outcome.RESET);
-        assertEquals("fail " + id, rig.lastAction());
-        long other = rig.request(2);
-        rig.endAttempt(other, Outcome.UNREACHABLE);
-        assertEquals(3, rig.attemptCount());
+        long id = harness.request(1);
+        assertEquals(0, harness.lastAttemptTimeout, "an early time-out would only end it");
+        harness.endAttempt(id, Outcome.RESET);
+        assertEquals("fail " + id, harness.lastAction());
+        long other = harness.request(2);
+        harness.endAttempt(other, Outcome.UNREACHABLE);
+        assertEquals(3, harness.attemptCount());
     }
 
     @Test
     void deduplicatedRequestIsRetriedOnlyInItsScopeAndWindow() {
-        LoadBalancerHarness rig =
+        LoadBalancerHarness harness =
                 LoadBalancerHarness.of(
                                 LoadBalancerHarness.deduplicatedClass(DeduplicationScope.ZONE))
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(20));
         for (int i = 0; i < 20; i++) {
-            long id = rig.request(i);
-            String first = rig.backendByRequest.get(id);
-            rig.endAttempt(id, Outcome.TIMEOUT);
-            String second = rig.backendByRequest.get(id);
+            long id = harness.request(i);
+            String first = harness.backendByRequest.get(id);
+            harness.endAttempt(id, Outcome.TIMEOUT);
+            String second = harness.backendByRequest.get(id);
             assertEquals(zone(first), zone(second));
-            rig.now += 600_000;
-            long sends = rig.attemptCount();
-            rig.endAttempt(id, Outcome.TIMEOUT);
-            assertEquals(sends, rig.attemptCount(), "its memory is over");
-            assertEquals("fail " + id, rig.lastAction());
-            rig.now += 60 * LoadBalancerHarness.SECOND_MICROS;
+            harness.now += 600_000;
+            long attemptsBefore = harness.attemptCount();
+            harness.endAttempt(id, Outcome.TIMEOUT);
+            assertEquals(attemptsBefore, harness.attemptCount(), "its memory is over");
+            assertEquals("fail " + id, harness.lastAction());
+            harness.now += 60 * LoadBalancerHarness.SECOND_MICROS;
         }
     }
 
     @Test
     void requestDeduplicatedInACellStaysInTheCell() {
-        LoadBalancerHarness rig =
+        LoadBalancerHarness harness =
                 LoadBalancerHarness.of(
                         LoadBalancerHarness.deduplicatedClass(DeduplicationScope.CELL));
-        ListedBackend[] two = {
+        ListedBackend[] backends = {
             new ListedBackend("a", 0, 1, Health.READY, 1, 0),
             new ListedBackend("b", 0, 2, Health.READY, 1, 0)
         };
-        rig.receiveList(BackendListKind.FULL, two);
-        long id = rig.request(1);
-        rig.endAttempt(id, Outcome.TIMEOUT);
-        assertEquals(1, rig.attemptCount());
-        assertEquals("fail " + id, rig.lastAction());
+        harness.receiveList(BackendListKind.FULL, backends);
+        long id = harness.request(1);
+        harness.endAttempt(id, Outcome.TIMEOUT);
+        assertEquals(1, harness.attemptCount());
+        assertEquals("fail " + id, harness.lastAction());
     }
 
     @Test
     void drainingAndGoneBackendsGetNoRequests() {
         ListedBackend[] fleet = LoadBalancerHarness.backends(4);
-        LoadBalancerHarness rig =
+        LoadBalancerHarness harness =
                 LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
                         .receiveList(BackendListKind.FULL, fleet);
-        rig.receiveList(
+        harness.receiveList(
                 BackendListKind.DELTA,
                 LoadBalancerHarness.withHealth(fleet[0], Health.DRAINING),
                 LoadBalancerHarness.withHealth(fleet[1], Health.GONE));
         for (int i = 0; i < 200; i++) {
-            String to = rig.route(i);
-            assertFalse(to.equals("s0") || to.equals("s1"), to);
+            String backendId = harness.route(i);
+            assertFalse(backendId.equals("s0") || backendId.equals("s1"), backendId);
         }
-        rig.receiveList(BackendListKind.FULL, fleet[3]);
+        harness.receiveList(BackendListKind.FULL, fleet[3]);
         for (int i = 0; i < 50; i++) {
-            assertEquals("s3", rig.route(i));
+            assertEquals("s3", harness.route(i));
         }
     }
 
     @Test
     void coldBackendTakesARisingShare() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass());
+        LoadBalancerHarness harness = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass());
         ListedBackend[] fleet = LoadBalancerHarness.backends(2);
-        fleet[1] = new ListedBackend("s1", 1, 1, Health.READY, 1, rig.now);
-        rig.receiveList(BackendListKind.FULL, fleet);
-        int cold = countSentToCold(rig);
-        rig.now += 5 * LoadBalancerHarness.SECOND_MICROS;
-        int half = countSentToCold(rig);
-        rig.now += 6 * LoadBalancerHarness.SECOND_MICROS;
-        int warm = countSentToCold(rig);
+        fleet[1] = new ListedBackend("s1", 1, 1, Health.READY, 1, harness.now);
+        harness.receiveList(BackendListKind.FULL, fleet);
+        int cold = countSentToCold(harness);
+        harness.now += 5 * LoadBalancerHarness.SECOND_MICROS;
+        int half = countSentToCold(harness);
+        harness.now += 6 * LoadBalancerHarness.SECOND_MICROS;
+        int warm = countSentToCold(harness);
         assertTrue(cold <= 160, "cold " + cold);
         assertTrue(half <= 360, "half warm " + half);
         assertEquals(500, warm, 50);
     }
 
-    private static int countSentToCold(LoadBalancerHarness rig) {
-        int n = 0;
+    private static int countSentToCold(LoadBalancerHarness harness) {
+        int count = 0;
         for (int i = 0; i < 1000; i++) {
-            n += rig.route(i).equals("s1") ? 1 : 0;
+            count += harness.route(i).equals("s1") ? 1 : 0;
         }
-        return n;
+        return count;
     }
 
     private static int zone(String id) {
--- a/relay/src/test/java/saltstage/WideFleetPlacementTest.java
+++ b/relay/src/test/java/saltstage/WideFleetPlacementTest.java
@@ -17,20 +17,20 @@
 
     @Test
     void nearlyEveryBackendOfAWideFleetIsSentRequests() {
-        LoadBalancerHarness rig = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass());
-        rig.receiveList(
+        LoadBalancerHarness harness = LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass());
+        harness.receiveList(
                 BackendListKind.FULL,
                 IntStream.range(0, BACKENDS)
                         .mapToObj(i -> LoadBalancerHarness.backend("s" + i, 0))
                         .toArray(ListedBackend[]::new));
         for (long key = 0; key < KEYS_PER_BACKEND * BACKENDS; key++) {
-            rig.now += 1_000;
-            rig.loadBalancer.requestReceived(
-                    rig.now,
-                    new Request(key, 0, 0, key, key, 1, rig.now + 1_200_000, false, false));
-            rig.establish(key, 10_000);
+            harness.now += 1_000;
+            harness.loadBalancer.requestReceived(
+                    harness.now,
+                    new Request(key, 0, 0, key, key, 1, harness.now + 1_200_000, false, false));
+            harness.establish(key, 10_000);
         }
-        Set<String> reached = new HashSet<>(rig.backendByRequest.values());
+        Set<String> reached = new HashSet<>(harness.backendByRequest.values());
         assertTrue(reached.size() > 0.95 * BACKENDS, "reached " + reached.size());
     }
 }
