--- a/relay/src/main/java/saltstage/BalancerState.java
+++ b/relay/src/main/java/saltstage/BalancerState.java
@@ -10,17 +10,20 @@
 import saltstage.Api.Request;
 import saltstage.Api.ServiceClass;
 
-/** What a node remembers, as plain data; what it decides with them is in {@link LoadBalancer}. */
+/** The state of a relay's decisions, as plain data; {@link LoadBalancer} makes the decisions. */
 final class BalancerState {
     /** Weight of a new sample in a running mean. */
     private static final double NEW_SAMPLE_WEIGHT = 0.2;
 
-    /** d: a node sees few connections of a server; a longer table would mark all. */
+    /**
+     * Places in a table, d in the paper: a relay sees few connections of a backend, and a longer
+     * table would mark all clients as heavy.
+     */
     private static final int MAX_TABLE_CLIENTS = 4;
 
     private BalancerState() {}
 
-    /** A running mean that starts at its first sample, with the mean deviation. */
+    /** An exponentially weighted mean and mean deviation, which start at the first sample. */
     static final class RunningMean {
         double value;
         double deviation;
@@ -41,7 +44,7 @@
         }
     }
 
-    /** One of the f tables of a server: at most d clients with their counters. */
+    /** One of the f tables of a backend (paper, figure 2): up to d clients with counters. */
     static final class HeavyHitterTable {
         final long[] clients = new long[MAX_TABLE_CLIENTS];
         final double[] counters = new double[MAX_TABLE_CLIENTS];
@@ -49,7 +52,8 @@
         int arrivals;
 
         /**
-         * RAP: a newcomer to a full table takes the least counter's place by chance (paper, II-C).
+         * RAP: in a full table, a new client replaces the one with the smallest counter with a
+         * probability that depends on its weight (paper, II-C).
          */
         void add(long clientKey, double weight, Random random) {
             int smallest = 0;
@@ -68,7 +72,7 @@
         }
     }
 
-    /** A server as this node knows it. */
+    /** A backend as this relay knows it. */
     static final class BackendState {
         ListedBackend listEntry;
         final long hash;
@@ -82,18 +86,33 @@
         final List<RequestState> establishedRequests = new ArrayList<>(0);
         double warmUpBudget;
         long warmUpBudgetUpdatedAt;
-        double reportedUtilization; // of what it can do, as last probed
+
+        /** Load over capacity, as last probed. */
+        double reportedUtilization;
+
         double placedLoadAtReport;
-        double smoothedPlacedLoad; // as it was about when the next report is taken
-        double estimatedCapacity; // about, in units of load; 0 where nothing tells
+
+        /** The load placed at about the time that the next load report describes. */
+        double smoothedPlacedLoad;
+
+        /** In units of load; 0 if unknown. */
+        double estimatedCapacity;
+
         long lastLoadReportAt = Long.MIN_VALUE / 2;
         long nextProbeAt = Long.MIN_VALUE / 2;
-        long lastConsideredAt = Long.MIN_VALUE / 2; // for a request
+
+        /** When a request was last considered for this backend. */
+        long lastConsideredAt = Long.MIN_VALUE / 2;
+
         int consecutiveFailures;
-        boolean onProbation; // what it set up last did not stand
+
+        /** Whether the backend reset its last new connection soon after the set-up. */
+        boolean onProbation;
+
         long ejectedUntil = Long.MIN_VALUE / 2;
 
-        final long firstSeenAt; // a former node may have spent what the rule allowed before
+        /** A predecessor of this relay may have used up the warm-up budget before this time. */
+        final long firstSeenAt;
 
         BackendState(ListedBackend listEntry, long hash, int windows, long now) {
             this.listEntry = listEntry;
@@ -103,8 +122,8 @@
         }
 
         /**
-         * The load asked of it now: reports are late, and what comes from here meanwhile grows
-         * alike.
+         * Estimates the present utilization from the last report and the load placed since: reports
+         * are late, and the load of the other relays is assumed to grow like that of this one.
          */
         double estimatedUtilization() {
             double scaled =
@@ -112,8 +131,8 @@
                             ? reportedUtilization
                                     * Math.max(0.5, Math.min(2, placedLoad / placedLoadAtReport))
                             : reportedUtilization;
-            // Where little stood here the ratio tells nothing: a node that just started would feed
-            // one.
+            // With little load placed at the report the ratio means nothing, and a relay that just
+            // started would send all its requests to one backend.
             double addedLoad = placedLoad - placedLoadAtReport;
             return estimatedCapacity > 0 && addedLoad > 0
                     ? Math.max(scaled, reportedUtilization + addedLoad / estimatedCapacity)
@@ -121,7 +140,8 @@
         }
 
         /**
-         * A set-up has succeeded here; where it sets up and then resets, that alone is no proof.
+         * Ends the ejection after a successful set-up. On probation the set-up alone proves nothing,
+         * since the backend may reset the connection again.
          */
         void setupSucceeded(long latency, long now, long probationMicros) {
             ejectedUntil = onProbation ? now + probationMicros : now;
@@ -134,7 +154,7 @@
         }
     }
 
-    /** A request with its attempts, then the connection it became. */
+    /** A request with its attempts, and the connection that it becomes. */
     static final class RequestState {
         final Request request;
         final ServiceClass serviceClass;
@@ -150,7 +170,10 @@
         boolean clientLeft;
         boolean loadReported;
         boolean moving;
-        boolean probationAttempt; // of a server whose last one did not stand
+
+        /** Whether the backend was on probation when the attempt started. */
+        boolean probationAttempt;
+
         double load;
         long stateChangedAt;
 
@@ -189,12 +212,12 @@
         }
     }
 
-    /** A hash as a number from 0 to 1. */
+    /** Returns a hash of the number in the interval from 0 (inclusive) to 1 (exclusive). */
     static double toUnitInterval(long z) {
         return (mix(z) >>> 11) * 0x1p-53;
     }
 
-    /** FNV-1a, mixed. */
+    /** Returns the FNV-1a hash of the text, mixed by {@link #mix}. */
     static long hash(String text) {
         long h = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
@@ -203,7 +226,7 @@
         return mix(h);
     }
 
-    /** The finalizer of SplitMix64. */
+    /** Returns the output of one step of SplitMix64. */
     static long mix(long z) {
         long x = (z + 0x9e3779b97f4a7c15L);
         x = (x ^ (x >>> 30)) * 0xbf58476d1ce4e5b9L;
--- a/relay/src/main/java/saltstage/LoadBalancer.java
+++ b/relay/src/main/java/saltstage/LoadBalancer.java
@@ -1,4 +1,4 @@
-// The types, events and actions used here are in Api.java, beside this file: read that first.
+// Api.java, beside this file, defines the types, events and actions used here: read it first.
 package saltstage;
 
 import static saltstage.BalancerState.*;
@@ -8,84 +8,183 @@
 import saltstage.BalancerState.*;
 
 /**
- * Every decision of one node; single-threaded, its time comes with the events, its chance from the
- * seed.
+ * Makes all decisions of one relay: which backend gets a request, when a request is retried,
+ * rejected or failed, and which established connections are moved.
+ *
+ * <p>An instance handles one event at a time. It takes the time from the events and random numbers
+ * from its seed, so that the same events always lead to the same actions.
  */
 public final class LoadBalancer implements Api.Events {
-    // The mechanism
-    private static final int HEAVY_HITTER_WINDOWS =
-            2; // f: the running window and the one before (paper, figure 2)
-    private static final int WINDOW_ARRIVALS =
-            16; // N: four for each place, so that places are contested
-    private static final double DIVERSION_QUANTILE =
-            0.8; // p: only the worst fifth of the servers may be left
-    private static final double MIN_DIVERSION_GAP_SETUPS = 1; // the paper's default
-    private static final int DIVERSION_CANDIDATES =
-            6; // for the least loaded: misses the busy ones, ranks no fleet
-    private static final long STATISTICS_PERIOD_MICROS =
-            1_000_000; // quantiles are kept so long: delays come each second
-    // Stand-ins
-    private static final double GROUP_SPREAD_FACTOR =
-            1.5; // a group's places for each server's worth of it: none is full
-    private static final double GROUP_SHARE_PRIOR_CONNECTIONS =
-            10; // connections that the mean share of a group weighs as much as
-    private static final int ALTERNATIVE_CANDIDATES =
-            12; // more places in a key's order; half near where crossings are dear
-    private static final double MAX_CROSS_ZONE_COST =
-            0.05; // of a request's worth: dearer than a group's set-up
-    private static final double WARM_UP_SAFETY_FACTOR =
-            0.5; // of what rule 4 allows: the rest is for chance
-    private static final double CAPACITY_SHARE_RETENTION_PER_PERIOD =
-            0.97; // a second: what machines can do changes in minutes
-    private static final double LEARNED_CAPACITY_WEIGHT_PERIODS =
-            5; // what was learnt before counts as so many seconds
-    private static final int TABLE_REBUILDS_PER_WARM_UP =
-            4; // tables wait a part of the warm-up; who left is passed over
-    // Health
-    private static final long MAX_DELAY_REPORT_AGE_MICROS =
-            2_500_000; // told delays come each second
-    private static final long MAX_DELAY_REPORT_AGE_UNCONNECTED_MICROS =
-            10_000_000; // of the last one, where no own connection is left
-    private static final long EJECTION_MICROS =
-            2_000_000; // a failed server is left alone, twice as long each time
-    private static final int MAX_EJECTION_DOUBLINGS = 3; // 8 s: troubles last tens of seconds
-    private static final Set<Outcome> BACKEND_FAILURES =
-            EnumSet.range(Outcome.FULL, Outcome.RESET); // the server's
-    private static final double THROTTLE_ATTEMPTS_PER_ESTABLISHED =
-            2; // set-ups tried for each that stood, where most fail
-    private static final double THROTTLE_RESERVE_ATTEMPTS =
-            5; // and so many more: a node sees little
-    private static final double THROTTLE_DECAY_MICROS =
-            10_000_000; // the memory for this: storms last longer
-    private static final long LIST_RETRY_DELAY_MICROS =
-            500_000; // first pause after a refused call to the list service
-    // Probes: each has its price, so that only who may need it is asked often
-    private static final long PROBE_INTERVAL_MICROS =
-            3_000_000; // sooner than idle connections are closed
-    private static final long FREQUENT_PROBE_INTERVAL_MICROS =
-            1_000_000; // reports are refreshed about as often
-    private static final double BUSY_UTILIZATION =
-            0.7; // load asked over what can be done: from here on it is watched
-    private static final double OVERLOAD_UTILIZATION = 0.9; // and from here on messages come late
-    private static final double SHED_TARGET_UTILIZATION =
-            0.8; // down to here a jammed one is relieved: what piled up must go
-    private static final double FLEET_HEADROOM_UTILIZATION =
-            0.7; // of the fleet: a jammed server's clients have where to go
+    /**
+     * Number of windows in which arrivals are counted, f in the paper: the running window and the
+     * one before it (figure 2).
+     */
+    private static final int HEAVY_HITTER_WINDOWS = 2;
+
+    /**
+     * Arrivals in one window, N in the paper: four for each place in a table, so that clients
+     * compete for the places.
+     */
+    private static final int WINDOW_ARRIVALS = 16;
+
+    /**
+     * Percentile p of the paper: heavy clients may leave only the fifth of the backends with the
+     * longest queueing delay.
+     */
+    private static final double DIVERSION_QUANTILE = 0.8;
+
+    /**
+     * Minimum difference between two queueing delays, in mean set-up latencies: the default of the
+     * paper.
+     */
+    private static final double MIN_DIVERSION_GAP_SETUPS = 1;
+
+    /**
+     * Backends drawn to find the least loaded one: enough to miss the busy ones without ranking
+     * the whole fleet.
+     */
+    private static final int DIVERSION_CANDIDATES = 6;
+
+    /** Quantiles are kept for this period because delay reports come each second. */
+    private static final long STATISTICS_PERIOD_MICROS = 1_000_000;
+
+    /**
+     * Backends over which a group is spread for each backend's worth of connections, so that it
+     * fills none of them.
+     */
+    private static final double GROUP_SPREAD_FACTOR = 1.5;
+
+    /** Number of observed connections that the mean group share weighs as much as. */
+    private static final double GROUP_SHARE_PRIOR_CONNECTIONS = 10;
+
+    /**
+     * Further candidates in the placement order of a key; half of them are local where crossing
+     * zones is expensive.
+     */
+    private static final int ALTERNATIVE_CANDIDATES = 12;
+
+    /**
+     * Fraction of a request's value. A higher cost of crossing zones exceeds the cost of setting
+     * up a group, so that requests stay in the zone.
+     */
+    private static final double MAX_CROSS_ZONE_COST = 0.05;
+
+    /** Fraction used of the load that rule 4 allows; the rest is a margin for random variation. */
+    private static final double WARM_UP_SAFETY_FACTOR = 0.5;
+
+    /**
+     * Fraction of the capacity estimate retained each second: the capacity of machines changes
+     * within minutes.
+     */
+    private static final double CAPACITY_SHARE_RETENTION_PER_PERIOD = 0.97;
+
+    /** Seconds of observation that a restored capacity share weighs as much as. */
+    private static final double LEARNED_CAPACITY_WEIGHT_PERIODS = 5;
+
+    /**
+     * Placement tables are rebuilt at most this often in a warm-up period; backends that left
+     * meanwhile are skipped.
+     */
+    private static final int TABLE_REBUILDS_PER_WARM_UP = 4;
+
+    /** Delay reports come each second; older ones no longer count. */
+    private static final long MAX_DELAY_REPORT_AGE_MICROS = 2_500_000;
+
+    /**
+     * Maximum age of the last delay report of a backend to which this relay has no connection
+     * left.
+     */
+    private static final long MAX_DELAY_REPORT_AGE_UNCONNECTED_MICROS = 10_000_000;
+
+    /**
+     * Duration of the first ejection of a failed backend; it doubles with each further failure.
+     */
+    private static final long EJECTION_MICROS = 2_000_000;
+
+    /** Limits an ejection to 8 s, since outages last tens of seconds. */
+    private static final int MAX_EJECTION_DOUBLINGS = 3;
+
+    /** Outcomes that are failures of the backend. */
+    private static final Set<Outcome> BACKEND_FAILURES = EnumSet.range(Outcome.FULL, Outcome.RESET);
+
+    /**
+     * Attempts allowed for each connection that was established lately, where most attempts fail.
+     */
+    private static final double THROTTLE_ATTEMPTS_PER_ESTABLISHED = 2;
+
+    /** Attempts allowed in addition, since one relay sees few of them. */
+    private static final double THROTTLE_RESERVE_ATTEMPTS = 5;
+
+    /**
+     * Time constant with which recent attempts are forgotten; failure storms last longer than
+     * this.
+     */
+    private static final double THROTTLE_DECAY_MICROS = 10_000_000;
+
+    /** First delay after a failed call to the discovery service. */
+    private static final long LIST_RETRY_DELAY_MICROS = 500_000;
+
+    /**
+     * Shorter than the time after which idle connections are closed. Each probe has a cost, so
+     * only backends that may need it are probed more often.
+     */
+    private static final long PROBE_INTERVAL_MICROS = 3_000_000;
+
+    /** Load reports are refreshed about as often. */
+    private static final long FREQUENT_PROBE_INTERVAL_MICROS = 1_000_000;
+
+    /** Utilization, load over capacity, from which a backend is probed frequently. */
+    private static final double BUSY_UTILIZATION = 0.7;
+
+    /** Utilization from which messages are delayed. */
+    private static final double OVERLOAD_UTILIZATION = 0.9;
+
+    /**
+     * Utilization down to which an overloaded backend sheds load, since its backlog must be worked
+     * off as well.
+     */
+    private static final double SHED_TARGET_UTILIZATION = 0.8;
+
+    /**
+     * Utilization of the fleet below which the clients of an overloaded backend find room
+     * elsewhere.
+     */
+    private static final double FLEET_HEADROOM_UTILIZATION = 0.7;
+
     private static final long PROBE_TICK_MICROS = 250_000;
-    private static final double PLACED_LOAD_SMOOTHING_PER_TICK =
-            0.25; // each step: reports are about a second old when they come
-    private static final double SHED_FRACTION_PER_PROBE =
-            0.6; // of what is too much moved at each probe: reports are late
-    // Overload
-    private static final double SHED_FRACTION_PER_SECOND =
-            0.1; // of a server's connections a second, at a delay of the aim
-    private static final double MAX_SHED_MULTIPLIER = 4; // times that, at longer delays
-    private static final double OVERLOADED_FLEET_FRACTION =
-            0.5; // share of the servers heard that makes it the fleet's matter
-    private static final double REJECTION_INCREASE_PER_PERIOD =
-            0.12; // more of the demand refused each second of a jammed fleet
-    private static final double REJECTION_DECREASE_PER_PERIOD =
-            0.06; // less each other period: a fifth, since jams clear slowly
+
+    /**
+     * Weight of the present placed load at each tick: load reports are about a second old when
+     * they arrive.
+     */
+    private static final double PLACED_LOAD_SMOOTHING_PER_TICK = 0.25;
+
+    /** Fraction of the excess load that is moved at each probe, since reports are late. */
+    private static final double SHED_FRACTION_PER_PROBE = 0.6;
+
+    /**
+     * Fraction of a backend's connections moved each second at a delay that equals the latency
+     * target.
+     */
+    private static final double SHED_FRACTION_PER_SECOND = 0.1;
+
+    /** Maximum multiple of that fraction at longer delays. */
+    private static final double MAX_SHED_MULTIPLIER = 4;
+
+    /**
+     * Fraction of the backends with connections of this relay above which the whole fleet counts
+     * as overloaded.
+     */
+    private static final double OVERLOADED_FLEET_FRACTION = 0.5;
+
+    /** Increase of the rejected fraction of the demand in each second of an overloaded fleet. */
+    private static final double REJECTION_INCREASE_PER_PERIOD = 0.12;
+
+    /**
+     * Decrease of the rejected fraction in each other second; slower than the increase because
+     * overload clears slowly.
+     */
+    private static final double REJECTION_DECREASE_PER_PERIOD = 0.06;
 
     private final Settings settings;
     private final SafetyRules safetyRules;
@@ -110,17 +209,23 @@
     private int failedListCalls;
     private double totalPlacedLoad;
     private final ProbeSelection probeSelection = new ProbeSelection(backend -> warmUpFraction(backend) < 1);
-    private final Set<BackendState> usedBackends =
-            new LinkedHashSet<>(); // a node that sees little ranks little
+
+    /** Only these are ranked, so that a relay with little traffic ranks few backends. */
+    private final Set<BackendState> usedBackends = new LinkedHashSet<>();
+
     private final Map<Long, Integer> connectionsByGroup = new HashMap<>();
     private Map<Long, Double> learnedGroupShares = Map.of();
     private double meanGroupShare;
-    private double
-            ownLoadOnWarmBackends; // this node's load on warm servers, and what was asked of them
-    // by all: with
-    private double
-            utilizationOfWarmBackends; // their weights, the part of what one can do that is this
-    // node's to send
+
+    /** Load that this relay has placed on warm backends, decayed each period. */
+    private double ownLoadOnWarmBackends;
+
+    /**
+     * Utilization of the same backends by all relays, multiplied by their weights. The own load
+     * divided by it is the part of the capacity of one backend that this relay may use.
+     */
+    private double utilizationOfWarmBackends;
+
     private int establishedCount;
     private int localBackendCount;
     private double rejectionThreshold;
@@ -128,13 +233,13 @@
     private double recentEstablished;
     private long throttleUpdatedAt;
 
-    /** One node with its own seed; it acts through the sink alone. */
+    /** Creates the balancer of one relay, which acts only through the given actions. */
     public LoadBalancer(Settings settings, long seed, Api.Actions actions) {
         this.settings = settings;
         safetyRules = settings.safetyRules();
         this.actions = actions;
         random = new Random(seed);
-        requestLoad.value = 1; // the unit of load until one is told
+        requestLoad.value = 1; // the unit of load until a load is reported
         minMessageLatencyTarget =
                 settings.serviceClasses().stream()
                         .mapToDouble(ServiceClass::messageLatencyTarget)
@@ -142,9 +247,7 @@
                         .orElse(0);
     }
 
-    // ---- what outlives a node: it costs time to learn again
-
-    /** Hands out what was learnt, as plain data. */
+    /** Returns what a successor would need time to learn again. */
     public LearnedState learnedState(long time) {
         List<LearnedBackend> learnedBackends =
                 backends.values().stream()
@@ -163,10 +266,8 @@
         Map<Long, Double> shares = new TreeMap<>();
         connectionsByGroup.forEach(
                 (group, open) -> shares.put(group, open / (double) Math.max(1, establishedCount)));
-        shares.values()
-                .removeIf(
-                        share ->
-                                share <= meanGroupShare); // the others are told as well by the mean
+        // The mean describes the smaller groups as well.
+        shares.values().removeIf(share -> share <= meanGroupShare);
         return new LearnedState(
                 setupLatency.value,
                 setupLatency.deviation,
@@ -180,7 +281,7 @@
                 shares);
     }
 
-    /** The servers that have failed and are left alone for now. */
+    /** Returns the backends that are ejected at the given time after failures. */
     public Set<String> ejectedBackends(long time) {
         return new TreeSet<>(
                 backends.keySet().stream()
@@ -188,7 +289,10 @@
                         .toList());
     }
 
-    /** Takes in what a former node of this name has learnt, of the processes that still run. */
+    /**
+     * Adopts what a predecessor of this relay has learned; backend processes that no longer run are
+     * skipped.
+     */
     public void restoreLearnedState(long time, LearnedState learned) {
         setupLatency.set(learned.setupLatency(), learned.setupLatencyDeviation());
         connectionLifetime.set(learned.meanConnectionLifetime(), learned.meanConnectionLifetime() / 2);
@@ -222,15 +326,11 @@
         }
     }
 
-    // ---- events
-
     @Override
     public void start(long eventTime) {
         now = eventTime;
-        if (settings
-                .watchesBackendList()) { // Nodes that start together must not call together: the
-            // service
-            // is small.
+        if (settings.watchesBackendList()) {
+            // Relays that start together must not call together: the discovery service is small.
             actions.setTimer(
                     "list",
                     1 + (long) (random.nextDouble() * safetyRules.discoveryCallInterval() / 8));
@@ -250,10 +350,8 @@
                             (LIST_RETRY_DELAY_MICROS
                                     * (1 << failedListCalls)
                                     * (0.5 + random.nextDouble())));
-            failedListCalls =
-                    Math.min(
-                            failedListCalls + 1,
-                            2); // 3 s at most: on sockets a change counts as told after 6
+            // At most 3 s between calls: over sockets, a change must be known after 6 s.
+            failedListCalls = Math.min(failedListCalls + 1, 2);
             return;
         }
         failedListCalls = kind == BackendListKind.CACHED ? failedListCalls : 0;
@@ -286,9 +384,8 @@
                 backends.getOrDefault(
                         backendId, new BackendState(unlisted, hash(backendId), HEAVY_HITTER_WINDOWS, eventTime)),
                 eventTime);
-        state.markEstablished(
-                eventTime - EJECTION_MICROS); // it has stood, whatever comes: its end says nothing of
-        // set-ups
+        // It has been established for long enough that its end says nothing about set-ups.
+        state.markEstablished(eventTime - EJECTION_MICROS);
         countArrival(state.backend, state);
         usedBackends.add(state.backend);
     }
@@ -316,13 +413,13 @@
         recentAttempts -= outcome.hasNoEffect() ? 1 : 0;
         if (state.established
                 && outcome == Outcome.RESET
-                && eventTime - state.stateChangedAt < EJECTION_MICROS) { // it did not stand
+                && eventTime - state.stateChangedAt < EJECTION_MICROS) {
+            // A connection that was reset this early does not count as established.
             recentEstablished--;
             state.backend.onProbation = true;
+            // A failed trial counts as a further consecutive failure.
             state.backend.ejectedUntil =
-                    state.probationAttempt
-                            ? eventTime
-                            : state.backend.ejectedUntil; // it counts as the next strike
+                    state.probationAttempt ? eventTime : state.backend.ejectedUntil;
         }
         if (outcome == Outcome.SERVED && eventTime - state.stateChangedAt > EJECTION_MICROS) {
             state.backend.consecutiveFailures = 0;
@@ -331,8 +428,7 @@
             estimateLoadFromLifetime(state, eventTime);
             countArrival(state.backend, state);
         }
-        // Without this, light clients would keep going to a server that takes all and serves
-        // nothing.
+        // Otherwise light clients would keep going to a backend that accepts all and serves none.
         if (state.established ? outcome == Outcome.RESET : BACKEND_FAILURES.contains(outcome)) {
             recordFailure(state.backend);
         }
@@ -348,7 +444,7 @@
     }
 
     private void estimateLoadFromLifetime(RequestState state, long eventTime) {
-        // Neither hint nor told load: the time that it was open marks it.
+        // Without a load hint or report, the lifetime of the connection indicates its load.
         connectionLifetime.add(eventTime - state.stateChangedAt);
         state.load =
                 requestLoad.value * (eventTime - state.stateChangedAt) / Math.max(1, connectionLifetime.value);
@@ -391,8 +487,7 @@
         } else {
             state.loadReported = true;
             if (state.request.loadHint() <= 0) {
-                requestLoad.add(
-                        level); // Without hints told loads give the unit; a guess would not.
+                requestLoad.add(level); // without hints, reported loads define the unit of load
             }
             state.updateLoad(level);
             countArrival(backend, state);
@@ -435,8 +530,8 @@
                         - (isOverloaded(backend) && fleetUtilization() < FLEET_HEADROOM_UTILIZATION
                                 ? SHED_TARGET_UTILIZATION
                                 : OVERLOAD_UTILIZATION);
-        // Each node moves its part of what is too much: one a second would take longer than
-        // troubles last.
+        // Each relay moves its part of the excess load: moving one connection a second would take
+        // longer than an overload lasts.
         for (double movesDue = SHED_FRACTION_PER_PROBE * excess / utilization * backend.establishedRequests.size();
                 movesDue > 0;
                 movesDue--) {
@@ -469,11 +564,9 @@
         return state;
     }
 
-    // ---- the list
-
     private void updateBackend(ListedBackend entry) {
         BackendState backend = backends.get(entry.id());
-        // A restarted process has nothing of the old one: neither its speed nor its warmth.
+        // A restarted process is cold, and what was learned about the old one does not apply to it.
         if (backend != null && (entry.health() == Health.GONE || backend.listEntry.startedAt() != entry.startedAt())) {
             removeBackend(backend);
             backend = null;
@@ -489,7 +582,8 @@
     }
 
     /**
-     * Tables are rebuilt later: until then they must not lead to a server that has left (rule 3).
+     * Marks the backend as not listed: placement tables are rebuilt later and must not lead to a
+     * backend that has left (rule 3).
      */
     private void removeBackend(BackendState backend) {
         backends.remove(backend.listEntry.id());
@@ -521,9 +615,7 @@
                 : 1;
     }
 
-    // ---- the ordinary path
-
-    /** Sends the request on, holds it, or answers it. */
+    /** Starts the next attempt of the request, lets it wait for a backend, or answers it. */
     private void dispatch(RequestState state) {
         waitingRequests.remove(state.request.id());
         long remainingMicros = state.request.deadline() - now;
@@ -531,14 +623,14 @@
         recentAttempts *= retention;
         recentEstablished *= retention;
         throttleUpdatedAt = now;
-        // When set-ups fail wherever they go (a shared store, resets), only twice as many as lately
-        // stood.
+        // When attempts fail at all backends (a shared store, resets), only twice as many are
+        // started as were lately established.
         boolean throttled =
                 random.nextDouble() * recentAttempts
                         < recentAttempts
                                 - THROTTLE_ATTEMPTS_PER_ESTABLISHED * recentEstablished
                                 - THROTTLE_RESERVE_ATTEMPTS;
-        // A jammed fleet serves nobody: the least worth is turned away early, by all nodes alike.
+        // An overloaded fleet serves nobody: all relays reject requests of the lowest value early.
         boolean belowThreshold =
                 state.attempts == 0 && priorityRank(state) < rejectionThreshold && !state.request.midFlow();
         if (throttled
@@ -559,7 +651,7 @@
             startAttempt(state, backend, remainingMicros);
         } else if (state.firstUncertainAttemptAt == Api.NONE
                 && backends.values().stream().noneMatch(BackendState::isReady)) {
-            // No server is known: the list may still name one before the client gives up.
+            // No backend is ready, but one may be listed before the client gives up.
             waitingRequests.put(state.request.id(), state);
             actions.setTimer(
                     Long.toString(state.request.id()),
@@ -577,17 +669,17 @@
         if (backend.onProbation
                 && backend.establishedRequests.stream()
                         .anyMatch(other -> now - other.stateChangedAt >= EJECTION_MICROS)) {
-            backend.onProbation = false; // the last trial stands: it serves again
+            backend.onProbation = false; // the last trial stayed established
             backend.consecutiveFailures = 0;
         } else if (backend.consecutiveFailures > 0) {
-            eject(backend); // One trial at a time: nobody else goes there until this one has answered.
+            eject(backend); // One trial at a time: no other request goes there until it has ended.
         }
         actions.sendAttempt(state.request.id(), backend.listEntry.id(), attemptTimeout(state, remainingMicros));
     }
 
     /**
-     * A group too big for a server would jam its default: the places it has by its share of what is
-     * open.
+     * Returns over how many backends the group is spread, by its share of the established
+     * connections: a group too big for one backend would overload its default.
      */
     private int groupSpread(RequestState state) {
         double prior =
@@ -601,7 +693,10 @@
                 : Math.max(1, (int) (GROUP_SPREAD_FACTOR * share * localBackendCount));
     }
 
-    /** The default or its stand-in in the key's fixed order; a heavy client may leave it. */
+    /**
+     * Returns the default backend of the request or the next suitable one in the fixed order of its
+     * key. A heavy client may be diverted from it.
+     */
     private BackendState chooseBackend(RequestState state) {
         BackendState first = null;
         BackendState best = null;
@@ -641,14 +736,13 @@
                             ? backend
                             : best;
         }
-        // The least busy one; where all are jammed one more would be served nothing and slow the
-        // rest.
+        // Where all are overloaded, one more request would not be served and would slow the rest.
         return best != null ? best : fallbackBackend(state, first != null);
     }
 
     /**
-     * Where no place of the key takes it: a cold server that has room, else any but one that resets
-     * all.
+     * Returns a backend for a request that none of its candidates can take: a cold one with
+     * room, or else any backend but those that reset all connections.
      */
     private BackendState fallbackBackend(RequestState state, boolean coldOnly) {
         return backends.values().stream()
@@ -664,7 +758,10 @@
                 .orElse(null);
     }
 
-    /** The key's place in its fixed order of servers, the same at every node with the same list. */
+    /**
+     * Returns the backend at a position in the fixed order of a key, which is the same at every relay
+     * with the same list.
+     */
     private BackendState candidate(long placementHash, int position, boolean local) {
         if (!local && globalPlacement == null) {
             globalPlacement = PlacementTable.of(readyBackends, this::weight);
@@ -680,8 +777,8 @@
     }
 
     /**
-     * A cold server takes the keys under a threshold that rises with what it can carry: all nodes
-     * agree.
+     * Returns whether the backend may take the request. A cold backend takes the keys below a
+     * threshold that rises with its warm-up, so that all relays agree, within its load budget.
      */
     private boolean canAdmit(BackendState backend, RequestState state) {
         return warmUpFraction(backend) >= 1
@@ -689,11 +786,13 @@
                         && state.load <= warmUpBudget(backend);
     }
 
-    // A node's share of what rule 4 allows: a half as time goes, the other at once where a report
-    // shows room.
+    /**
+     * Returns this relay's remaining share of the load that rule 4 allows: one half accrues over
+     * time, the other is available at once where a load report shows free capacity.
+     */
     private double warmUpBudget(BackendState backend) {
-        if (backend.warmUpBudgetUpdatedAt
-                == 0) { // Nodes start anywhere within one connection: few spend at the same time.
+        if (backend.warmUpBudgetUpdatedAt == 0) {
+            // Relays start at a random part of one connection, so that few spend at the same time.
             backend.warmUpBudget = random.nextDouble() * requestLoad.value;
             backend.warmUpBudgetUpdatedAt =
                     Math.max(backend.firstSeenAt, now - safetyRules.warmUpBudgetWindow());
@@ -708,11 +807,12 @@
                 Math.min(
                         backend.warmUpBudget + rate * (now - backend.warmUpBudgetUpdatedAt), requestLoad.value);
         backend.warmUpBudgetUpdatedAt = now;
+        // All relays read the same report and place load after it.
         double estimatedUtilization =
                 backend.reportedUtilization
                         + WARM_UP_SAFETY_FACTOR
                                 * (backend.placedLoad - backend.placedLoadAtReport)
-                                / capacityShare(backend); // all relays read that report
+                                / capacityShare(backend);
         return backend.warmUpBudget
                 + (hasFreshLoadReport(backend) && estimatedUtilization < SHED_TARGET_UTILIZATION * warmUpFraction(backend)
                         ? rate * safetyRules.warmUpBudgetWindow()
@@ -720,8 +820,8 @@
     }
 
     /**
-     * This node's part of what a warm server can do: as reports tell, or half its even part of
-     * shares.
+     * Returns this relay's share of the capacity of a warm backend: as load reports show it, but at
+     * least half of an even share of the tenant quotas.
      */
     private double capacityShare(BackendState backend) {
         double quota =
@@ -741,7 +841,7 @@
     }
 
     private double warmUpFraction(BackendState backend) {
-        // It runs for as long as it has been known, whatever the wall clocks say of its start.
+        // It has run at least since it was first seen, whatever the clocks say about its start.
         double age =
                 (now - Math.min(backend.listEntry.startedAt(), backend.firstSeenAt))
                         / Math.max(1.0, safetyRules.warmUpPeriod());
@@ -752,8 +852,9 @@
     }
 
     /**
-     * The paper's test: heavy, above percentile p, and a gap that is worth a fresh set-up; else
-     * null.
+     * Returns the backend to which the request should be diverted, or null. By the paper's test,
+     * the client must be heavy, the delay of its default above percentile p, and the gap worth a
+     * new set-up.
      */
     private BackendState diversionTarget(RequestState state, BackendState defaultBackend) {
         double ownDelay = queueingDelay(defaultBackend);
@@ -784,8 +885,9 @@
     }
 
     /**
-     * A node without a connection there is told no more; without memory it would soon send the next
-     * one.
+     * Returns whether the last delay report still counts. Without a connection no further reports
+     * come, so the last one is kept for longer; otherwise the relay would soon send the next request
+     * there.
      */
     private boolean hasFreshDelayReport(BackendState backend) {
         return now - backend.lastDelayReportAt
@@ -795,8 +897,8 @@
     }
 
     /**
-     * W: the told delay, else the recent set-up latency above the lowest seen, else the others'
-     * mean.
+     * Returns W of the paper: the reported delay, else the recent set-up latency above the lowest
+     * one seen, else the mean of the other backends.
      */
     private double queueingDelay(BackendState backend) {
         return hasFreshDelayReport(backend)
@@ -806,7 +908,7 @@
                         : meanQueueingDelay;
     }
 
-    /** The percentile and the mean of W, and the groups that are open, once a period. */
+    /** Updates the percentile and the mean of W and the group sizes, once per period. */
     private void updateStatistics() {
         statisticsUpdatedAt = now;
         double[] delays = new double[Math.max(backends.size(), usedBackends.size())];
@@ -839,19 +941,13 @@
                 delays.length == 0 ? 0 : delays[(int) (DIVERSION_QUANTILE * (delays.length - 1))];
     }
 
-    /** Takes the number of pairs of established connections that are of the same group. */
+    /** Updates the group shares from the number of pairs of connections of the same group. */
     private void updateGroupShares(double sameGroupPairs) {
-        if (learnedGroupShares.isEmpty()
-                || establishedCount
-                        >= GROUP_SHARE_PRIOR_CONNECTIONS) { // few say less than what was remembered
+        // A few connections say less than the restored shares.
+        if (learnedGroupShares.isEmpty() || establishedCount >= GROUP_SHARE_PRIOR_CONNECTIONS) {
+            // The expected share of the group of a connection drawn at random.
             meanGroupShare =
-                    2
-                            * sameGroupPairs
-                            / Math.max(
-                                    1,
-                                    establishedCount
-                                            * (establishedCount
-                                                    - 1)); // of the group of a connection drawn
+                    2 * sameGroupPairs / Math.max(1, establishedCount * (establishedCount - 1));
             learnedGroupShares =
                     establishedCount > GROUP_SHARE_PRIOR_CONNECTIONS * GROUP_SHARE_PRIOR_CONNECTIONS
                             ? Map.of()
@@ -860,13 +956,13 @@
     }
 
     /**
-     * Decays the share of the capacity that this relay uses and updates it from fresh load reports.
+     * Decays the capacity estimates and updates them from recent load reports.
      */
     private void updateCapacityEstimates() {
         ownLoadOnWarmBackends *= CAPACITY_SHARE_RETENTION_PER_PERIOD;
         utilizationOfWarmBackends *= CAPACITY_SHARE_RETENTION_PER_PERIOD;
-        for (BackendState backend :
-                backends.values()) { // also at the first request, before the tables are built
+        // The first request comes before the placement tables are built, so all backends are used.
+        for (BackendState backend : backends.values()) {
             double sampleWeight =
                     backend.isReady()
                                     && hasFreshLoadReport(backend)
@@ -881,7 +977,7 @@
     }
 
     /**
-     * Takes how many backends have connections of this relay, and how many of these are overloaded.
+     * Raises the rejection threshold while the fleet is overloaded and lowers it otherwise.
      */
     private void updateRejectionThreshold(int connectedBackends, int overloadedBackends) {
         boolean fleetOverloaded =
@@ -898,7 +994,10 @@
                                                 : -REJECTION_DECREASE_PER_PERIOD)));
     }
 
-    /** The mean load asked of the servers that report; unknown where most do not. */
+    /**
+     * Returns the mean utilization of the backends with recent load reports, or {@link Api#NONE} if
+     * fewer than half have one.
+     */
     private double fleetUtilization() {
         double[] utilizations =
                 readyBackends.stream()
@@ -910,8 +1009,8 @@
     }
 
     /**
-     * Where a request stands among all, 0 the first to go: by worth, then by key, at all nodes
-     * alike.
+     * Returns the rank of a request by value and then by key, from 0 for the first to be rejected to
+     * 1. It is the same at all relays.
      */
     private double priorityRank(RequestState state) {
         int lowerValueClasses = 0;
@@ -922,8 +1021,8 @@
     }
 
     /**
-     * Only a told delay says so: the mean of the few jammed servers that were heard would condemn
-     * all.
+     * Returns whether a delay or load report of this backend itself shows an overload: a mean over
+     * the few overloaded backends that reported would condemn all.
      */
     private boolean isOverloaded(BackendState backend) {
         boolean delayed =
@@ -931,8 +1030,6 @@
         return delayed || hasFreshLoadReport(backend) && backend.estimatedUtilization() > OVERLOAD_UTILIZATION;
     }
 
-    // ---- heavy clients
-
     private void countArrival(BackendState backend, RequestState state) {
         HeavyHitterTable table = backend.heavyHitterTables[0];
         if (table == null || table.arrivals >= WINDOW_ARRIVALS) {
@@ -945,9 +1042,11 @@
         table.add(state.clientKey, requestLoad.value > 0 ? state.load / requestLoad.value : 1, random);
     }
 
-    // Moves the heaviest connection off a server whose delay persists. By chance, so that all nodes
-    // together
-    // move a small share a second: each sees the same jam, and all at once would empty the server.
+    /**
+     * Moves the heaviest connection off an overloaded backend, preferring those of low value. Callers
+     * do so at random, so that all relays together move a small share a second: each sees the same
+     * overload, and all at once would empty the backend.
+     */
     private void shedConnection(BackendState backend) {
         RequestState candidate = null;
         for (RequestState state : backend.establishedRequests) {
@@ -969,8 +1068,8 @@
     }
 
     /**
-     * In a table that is not yet full all are named: a heavy client also counts more than the mean
-     * one.
+     * Returns whether the client is heavy. A table that is not yet full contains every client, so a
+     * heavy client must also count more than the mean one.
      */
     private boolean isHeavyClient(BackendState backend, RequestState state) {
         double count = 0;
@@ -982,18 +1081,16 @@
         return count > 1;
     }
 
-    // ---- attempts, failures, answers
-
     /**
-     * The aim, longer each time; until the client gives up if it is the last chance, or all wait
-     * anyway.
+     * Returns the latency target multiplied by the number of attempts, or 0 (until the client gives
+     * up) if this is the last attempt or most attempts wait anyway.
      */
     private long attemptTimeout(RequestState state, long remainingMicros) {
         double latencyTarget = state.serviceClass.latencyTarget();
         boolean unlimited = state.attempts >= settings.maxAttempts() || remainingMicros <= 2 * latencyTarget / 3;
         unlimited |=
                 state.serviceClass.idempotency()
-                        == Idempotency.NOT_IDEMPOTENT; // an early time-out would only end it
+                        == Idempotency.NOT_IDEMPOTENT; // a timeout would only fail it early
         unlimited |=
                 recentAttempts
                         > THROTTLE_ATTEMPTS_PER_ESTABLISHED * recentEstablished
@@ -1002,8 +1099,8 @@
     }
 
     /**
-     * No effect twice: what may have run is repeated only where and while its repeats are
-     * discarded.
+     * Returns whether a repeat cannot have an effect twice: a request that may have run is retried
+     * only where and while its repeats are discarded.
      */
     private boolean canRetry(RequestState state) {
         return state.firstUncertainAttemptAt == Api.NONE
@@ -1037,7 +1134,7 @@
         }
     }
 
-    /** A failure ejects at once: a node that sees little would not live to see a second one. */
+    /** Ejects the backend at once: a relay with little traffic might not see a second failure. */
     private void recordFailure(BackendState backend) {
         backend.consecutiveFailures =
                 Math.min(
--- a/relay/src/main/java/saltstage/PlacementTable.java
+++ b/relay/src/main/java/saltstage/PlacementTable.java
@@ -7,15 +7,16 @@
 import saltstage.BalancerState.BackendState;
 
 /**
- * Maglev hashing: keys are looked up in a table that is the same at every node with the same list.
+ * Maglev hashing: maps keys to backends through a table that is the same at every relay with the
+ * same backend list.
  */
 final class PlacementTable {
     static final PlacementTable EMPTY = new PlacementTable(new BackendState[0]);
 
-    /** At least; odd skips visit every slot of a power of two. */
+    /** A power of two, so that every odd skip visits all slots. */
     private static final int MIN_SLOTS = 2048;
 
-    /** Else some servers of a wide fleet would have no slot. */
+    /** With fewer slots some backends of a wide fleet would have none. */
     private static final int SLOTS_PER_BACKEND = 7;
 
     private final BackendState[] slots;
@@ -25,7 +26,8 @@
     }
 
     /**
-     * Each server in turn, as often as its weight says, claims the next free slot of its own order.
+     * Builds the table: each backend in turn, as often as its weight says, claims the next free slot
+     * in its own order of slots.
      */
     static PlacementTable of(List<BackendState> members, ToDoubleFunction<BackendState> weight) {
         if (members.isEmpty()) {
@@ -61,12 +63,12 @@
         return slots.length == 0;
     }
 
-    /** The server at this hash, or null where there is none. */
+    /** Returns the backend for this hash, or null if the table is empty. */
     BackendState backendAt(long hash) {
         return isEmpty() ? null : slots[(int) hash & slots.length - 1];
     }
 
-    /** A server by chance, as often as it has slots. */
+    /** Returns a random backend, each with a probability proportional to its number of slots. */
     BackendState randomBackend(Random random) {
         return slots[random.nextInt(slots.length)];
     }
--- a/relay/src/main/java/saltstage/ProbeSelection.java
+++ b/relay/src/main/java/saltstage/ProbeSelection.java
@@ -7,14 +7,14 @@
 import saltstage.BalancerState.BackendState;
 
 /**
- * Which servers a node probes: all of them, or in a wide fleet those that matter to it, in this
- * order: that hold its connections, that a request was lately considered for, that are cold or have
- * failed.
+ * Selects the backends that a relay probes: all of them, or in a wide fleet those that matter to
+ * it. These are, in order, backends with connections of this relay, backends that were lately
+ * considered for a request, and backends that are cold or have failed.
  */
 final class ProbeSelection {
     private static final long SELECTION_INTERVAL_MICROS = 1_000_000;
 
-    /** After a request might have gone there. */
+    /** How long a backend counts as lately considered after a request could have gone there. */
     private static final long MAX_CONSIDERED_AGE_MICROS = 10_000_000;
 
     private static final int NOT_SELECTED = 3;
@@ -27,7 +27,7 @@
         this.isCold = isCold;
     }
 
-    /** Of these servers, the ones to probe at this time. */
+    /** Returns the backends to probe at this time. */
     Collection<BackendState> select(Collection<BackendState> backends, long now) {
         if (backends.size() <= Api.MAX_PROBED_BACKENDS) {
             return backends;
--- a/relay/src/main/java/saltstage/sim/MalformedMessageException.java
+++ b/relay/src/main/java/saltstage/sim/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package saltstage.sim;
 
-/** Input that is not the wire; its message names the line and the field. */
+/** Thrown for input that violates the simulator protocol; its text names the line and the field. */
 public final class MalformedMessageException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/relay/src/main/java/saltstage/sim/SimulatorAdapter.java
+++ b/relay/src/main/java/saltstage/sim/SimulatorAdapter.java
@@ -18,7 +18,10 @@
 import saltstage.LoadBalancer;
 import saltstage.config.SettingsReader;
 
-/** Reads batches of events, hands them to the instances and writes their actions. */
+/**
+ * Connects load balancers to a simulator: reads batches of events, passes them to the instances and
+ * writes their actions.
+ */
 public final class SimulatorAdapter {
     private static final long MAX_KEY = (1L << 53) - 1;
     private static final long MAX_ID = (1L << 32) - 1;
@@ -30,16 +33,16 @@
     private int lineNumber;
     private long now;
 
-    /** One instance: its settings, for checks, and its decisions. */
+    /** One simulated relay; its settings are kept to check the requests. */
     private record Instance(Settings settings, LoadBalancer loadBalancer) {}
 
-    /** A host that reads there and replies here. */
+    /** Creates an adapter that reads events from {@code in} and writes actions to {@code out}. */
     public SimulatorAdapter(BufferedReader in, Writer out) {
         this.in = in;
         this.out = out;
     }
 
-    /** Runs until the end of input. */
+    /** Handles batches until the end of the input. */
     public void run() throws IOException {
         for (SimulatorMessage frame = readMessage(); frame != null; frame = readMessage()) {
             if (!frame.type.equals("FRAME")) {
@@ -122,7 +125,7 @@
                     loadBalancer.probeCompleted(now, message.require("Host"), readOutcome(message), utilization(message));
             case "REMINDER" -> loadBalancer.timerFired(now, message.require("Token"));
             case "EXIT" -> instances.remove(instanceId);
-            default -> {} // peers are not used; what is unknown is passed over
+            default -> {} // messages between peers are not used, and unknown types are ignored
         }
     }
 
@@ -144,7 +147,7 @@
         };
     }
 
-    /** The load asked of the server over what it can do, where its report names it. */
+    /** Returns load over capacity from the backend's report, or {@link Api#NONE} if it has none. */
     private static double utilization(SimulatorMessage message) {
         String report = message.find("Report");
         for (String pair : report == null ? new String[0] : report.split(",")) {
@@ -221,7 +224,7 @@
                 row.number("Launched", 0, 0, Long.MAX_VALUE));
     }
 
-    /** Writes the actions of one instance. */
+    /** Writes the actions of one instance to the reply. */
     private final class ActionWriter implements Api.Actions {
         private final int instanceId;
 
--- a/relay/src/main/java/saltstage/sim/SimulatorMessage.java
+++ b/relay/src/main/java/saltstage/sim/SimulatorMessage.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One line of the wire: a message and its name=value parts. */
+/** One line of the simulator protocol: a message type and its name=value fields. */
 final class SimulatorMessage {
     final String type;
     private final String text;
@@ -21,7 +21,7 @@
                 "line " + lineNumber + ": " + type + ": " + field + ": " + problem);
     }
 
-    /** The value of a part, or null. */
+    /** Returns the value of a field, or null if it is absent. */
     String find(String name) {
         for (int tab = text.indexOf('\t'); tab >= 0; tab = text.indexOf('\t', tab + 1)) {
             int equals = tab + 1 + name.length();
@@ -85,7 +85,7 @@
         return "1".equals(value);
     }
 
-    /** All parts of the line by name. */
+    /** Returns all fields of the line by name. */
     Map<String, String> fields() {
         Map<String, String> values = new HashMap<>();
         String[] parts = text.split("\t");
--- a/relay/src/test/java/saltstage/ColdBackendFleetTest.java
+++ b/relay/src/test/java/saltstage/ColdBackendFleetTest.java
@@ -18,15 +18,17 @@
 import saltstage.Api.Settings;
 
 /**
- * Rule 4 for the sum of all processes: within any span that the settings name a cold server gets no
- * more than the budget N of its present capacity, and 2 * root of N + 2 for chance, however many
- * relays share it. No relay is told what the others do; what they have in common is the list, the
- * reports and the settings.
+ * Guards against relays that each keep to rule 4 but together overload a cold backend. Within any
+ * budget window a cold backend may get at most N connections, the budget for its present capacity,
+ * and 2 * sqrt(N) + 2 more for random variation, however many relays share it. The relays have only
+ * the backend list, the load reports and the settings in common.
  */
 class ColdBackendFleetTest {
     private static final int WARM_BACKENDS = 9;
-    private static final double WARM_CAPACITY_CONNECTIONS =
-            80; // connections of mean load that fill a warm server
+
+    /** Connections of mean load that fill a warm backend. */
+    private static final double WARM_CAPACITY_CONNECTIONS = 80;
+
     private static final double INITIAL_UTILIZATION = 0.6;
     private static final long STEP_MICROS = 20_000;
 
@@ -82,23 +84,23 @@
     }
 
     /**
-     * So many relays that hold what the warm servers carry; skewed: the first half has four fifths
-     * of it.
+     * Starts relays that hold the connections of the warm backends; if skewed, the first half of
+     * the relays holds four fifths of them.
      */
     private void startFleet(int size, boolean skewed) {
         for (int i = 0; i < size; i++) {
             relays.add(newRelay(size, i + 1));
         }
-        for (int server = 0; server < WARM_BACKENDS; server++) {
+        for (int backend = 0; backend < WARM_BACKENDS; backend++) {
             for (int k = 0; k < INITIAL_UTILIZATION * WARM_CAPACITY_CONNECTIONS; k++) {
-                randomRelay(skewed).restoreConnection("s" + server, 1);
-                connectionsByBackend.merge("s" + server, 1, Integer::sum);
+                randomRelay(skewed).restoreConnection("s" + backend, 1);
+                connectionsByBackend.merge("s" + backend, 1, Integer::sum);
             }
         }
         for (LoadBalancerHarness harness : relays) {
             for (int i = 0; i < 40; i++) {
-                harness.loadBalancer.timerFired(
-                        harness.now, "probe"); // what is placed now is what reports speak of
+                // Load reports describe the load that is placed now.
+                harness.loadBalancer.timerFired(harness.now, "probe");
             }
         }
     }
@@ -111,24 +113,24 @@
     }
 
     /**
-     * Each relay is told what all servers hold of what they can, the cold one only where that is
-     * meant.
+     * Reports the utilization of all warm backends to each relay, and that of the cold one if {@code
+     * includeCold} is set.
      */
     private void reportLoad(boolean includeCold) {
         for (LoadBalancerHarness harness : relays) {
             connectionsByBackend.forEach(
-                    (server, connections) -> {
-                        if (includeCold || !server.equals("cold")) {
+                    (backendId, connections) -> {
+                        if (includeCold || !backendId.equals("cold")) {
                             harness.loadBalancer.probeCompleted(
-                                    now, server, Outcome.SERVED, connections / WARM_CAPACITY_CONNECTIONS);
+                                    now, backendId, Outcome.SERVED, connections / WARM_CAPACITY_CONNECTIONS);
                         }
                     });
         }
     }
 
     /**
-     * The most of N + 2 * root of N + 2 that any span was sent, in a crowd that comes for two
-     * spans.
+     * Returns the largest part of N + 2 * sqrt(N) + 2 that was sent in any budget window, while
+     * requests beyond the capacity of the fleet arrive for two windows.
      */
     private double maxBudgetUse(boolean skewed, boolean reported) {
         List<Long> sent = new ArrayList<>();
@@ -148,7 +150,7 @@
                 sendRequest(skewed, sent);
             }
             long from = now - rules.warmUpBudgetWindow();
-            sent.removeIf(at -> at <= from);
+            sent.removeIf(time -> time <= from);
             double budget = currentBudget();
             maxUse = Math.max(maxUse, sent.size() / (budget + 2 * Math.sqrt(budget) + 2));
         }
@@ -175,17 +177,17 @@
                         now + 1_200_000,
                         false,
                         false));
-        String server = harness.backendByRequest.get(id);
-        if ("cold".equals(server)) {
+        String backendId = harness.backendByRequest.get(id);
+        if ("cold".equals(backendId)) {
             sent.add(now);
         }
-        if (server != null) {
+        if (backendId != null) {
             harness.establish(id, 10_000);
-            connectionsByBackend.merge(server, 1, Integer::sum);
+            connectionsByBackend.merge(backendId, 1, Integer::sum);
         }
     }
 
-    /** The connections that the cold backend may get now in one budget window: N. */
+    /** Returns N, the connections that the cold backend may get in one budget window now. */
     private double currentBudget() {
         double warmUpFraction =
                 rules.initialWarmUpFraction()
--- a/relay/src/test/java/saltstage/ColdBackendTest.java
+++ b/relay/src/test/java/saltstage/ColdBackendTest.java
@@ -14,11 +14,13 @@
 import saltstage.Api.Settings;
 
 /**
- * Rule 4: s1 has just started and warms up over 1,000 s; s0 is warm and holds 4,000 connections.
+ * Guards against a cold backend that gets more load than rule 4 allows. Backend s1 has just
+ * started and warms up over 1,000 s; s0 is warm and by default holds 4,000 connections.
  */
 class ColdBackendTest {
     /**
-     * As long as the warm-up: what the rule allows in it is the warm server's filling, a few times.
+     * A budget window as long as the warm-up: within it the rule allows a few times the capacity of
+     * the warm backend.
      */
     private static final long WARM_UP_MICROS = 1_000 * LoadBalancerHarness.SECOND_MICROS;
 
@@ -97,7 +99,7 @@
 
     @Test
     void keysAreAdmittedUnderTheThreshold() {
-        // Its half of the keys, times a share that rises from 0.25 to 0.55: about 40 of 200.
+        // Half of the keys times a fraction that rises from 0.25 to 0.55: about 40 of 200.
         assertEquals(
                 40, countSentToCold(harness(), false, 2 * LoadBalancerHarness.SECOND_MICROS), 15);
     }
@@ -127,19 +129,20 @@
     @Test
     void reportOfFreeCapacityReleasesHalfOfThisRelaysShareAtOnce() {
         long withoutReport = countSentToCold(harness(60, 100, WARM_UP_MICROS), false, 1_000);
-        assertTrue(withoutReport <= 2, "a burst is held to the budget: " + withoutReport);
+        assertTrue(withoutReport <= 2, "sent in a burst without a report: " + withoutReport);
         assertEquals(
                 9, countSentToCold(harnessWithLoadReport(0.01, WARM_UP_MICROS), false, 1_000), 2);
         assertEquals(
                 5,
                 countSentToCold(harnessWithLoadReport(0.01, WARM_UP_MICROS / 2), false, 1_000),
                 2);
-        // Own placements count as every relay's: half of the room, half the clients.
+        // Each relay assumes that the others place as much as it does: with half the free capacity it
+        // sends half the clients.
         assertEquals(
                 6, countSentToCold(harnessWithLoadReport(0.1, WARM_UP_MICROS), false, 1_000), 2);
         assertTrue(
                 countSentToCold(harnessWithLoadReport(0.3, WARM_UP_MICROS), false, 1_000) <= withoutReport,
-                "more than its part is asked");
+                "the report shows more load than its warm-up allows");
     }
 
     @Test
@@ -149,8 +152,8 @@
         harness.actions.clear();
         harness.now += 1_100_000;
         harness.loadBalancer.timerFired(harness.now, "probe");
-        assertTrue(harness.actions.contains("probe s1"), "it fills within seconds");
-        assertTrue(!harness.actions.contains("probe s0"), "a calm warm one can wait");
+        assertTrue(harness.actions.contains("probe s1"), "a cold backend can fill within seconds");
+        assertTrue(!harness.actions.contains("probe s0"), "a warm backend without overload is probed less often");
     }
 
     private static LoadBalancerHarness harnessWithLoadReport(double utilization, long budgetWindow) {
@@ -163,7 +166,7 @@
     void reconnectingClientsAreHeldToTheSameBudget() {
         assertEquals(
                 40, countSentToCold(harness(), true, 2 * LoadBalancerHarness.SECOND_MICROS), 15);
-        assertTrue(countSentToCold(harness(), true, 1_000) <= 2, "a crowd of them too");
+        assertTrue(countSentToCold(harness(), true, 1_000) <= 2, "a burst of reconnecting clients is held to the budget");
     }
 
     @Test
@@ -171,16 +174,16 @@
         assertEquals(
                 200,
                 countSentToColdBesideOverloaded(2 * LoadBalancerHarness.SECOND_MICROS),
-                "all that come, as it has room");
+                "the cold backend has room for all");
         assertTrue(
                 countSentToColdBesideOverloaded(1_000) <= 2,
-                "a burst is held to the budget all the same");
+                "a burst is held to the budget");
     }
 
     private static long countSentToColdBesideOverloaded(long pause) {
         LoadBalancerHarness harness = harness();
-        harness.restoreConnection(
-                "s1", 1); // else all that is heard of would be jammed: the fleet's matter
+        // Otherwise all backends with connections would be overloaded, and thus the whole fleet.
+        harness.restoreConnection("s1", 1);
         long before = harness.backendByRequest.values().stream().filter("s1"::equals).count();
         for (int i = 0; i < 200; i++) {
             harness.reportDelay("s0", 500);
@@ -207,13 +210,13 @@
         LoadBalancerHarness withoutReports = harness(10);
         assertTrue(
                 countSentToCold(withoutReports, 100, false, LoadBalancerHarness.SECOND_MICROS / 2) <= 2,
-                "ten connections tell of a small fleet");
+                "ten connections indicate a small capacity");
         LoadBalancerHarness withReport = harness(10);
         for (int i = 0; i < 40; i++) {
             withReport.loadBalancer.timerFired(withReport.now, "probe");
         }
-        withReport.loadBalancer.probeCompleted(
-                withReport.now, "s0", Outcome.SERVED, 0.002); // these ten are a 500th of what it can do
+        // The ten connections use a 500th of the capacity.
+        withReport.loadBalancer.probeCompleted(withReport.now, "s0", Outcome.SERVED, 0.002);
         assertEquals(
                 13, countSentToCold(withReport, 100, false, LoadBalancerHarness.SECOND_MICROS / 2), 7);
     }
@@ -226,11 +229,11 @@
         }
         predecessor.loadBalancer.probeCompleted(predecessor.now, "s0", Outcome.SERVED, 0.002);
         predecessor.now += 2 * LoadBalancerHarness.SECOND_MICROS;
-        predecessor.route(0, 1, 1, 1); // ranks
+        predecessor.route(0, 1, 1, 1); // updates the statistics
         LoadBalancerHarness successor = harness(10);
         successor.loadBalancer.restoreLearnedState(successor.now, predecessor.loadBalancer.learnedState(predecessor.now));
-        successor.loadBalancer.probeCompleted(
-                successor.now, "s0", Outcome.SERVED, 0.3); // the old process's connections, not its own
+        // The reported load comes from connections of the predecessor.
+        successor.loadBalancer.probeCompleted(successor.now, "s0", Outcome.SERVED, 0.3);
         assertEquals(
                 13, countSentToCold(successor, 100, false, LoadBalancerHarness.SECOND_MICROS / 2), 7);
     }
--- a/relay/src/test/java/saltstage/FailureTest.java
+++ b/relay/src/test/java/saltstage/FailureTest.java
@@ -13,7 +13,7 @@
 import saltstage.Api.ListedBackend;
 import saltstage.Api.Outcome;
 
-/** The failures found in simulated service, each as small as it can be shown. */
+/** Guards against failures that were found in simulations, each reduced to a small scenario. */
 class FailureTest {
     private static LoadBalancerHarness harness() {
         return LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
@@ -29,13 +29,13 @@
         harness.endAttempt(id, Outcome.TIMEOUT);
         String alternative = harness.backendByRequest.get(id);
         assertEquals(
-                alternative, harness.route(0, 2, 5, Api.NONE), "the group stays together at its stand-in");
+                alternative, harness.route(0, 2, 5, Api.NONE), "the group stays together at its alternative backend");
         harness.now += 2_100_000;
-        assertEquals(silent, harness.backendByRequest.get(harness.request(0, 3, 5, Api.NONE)), "one trial");
+        assertEquals(silent, harness.backendByRequest.get(harness.request(0, 3, 5, Api.NONE)), "one request retries the ejected backend");
         assertEquals(
                 alternative,
                 harness.backendByRequest.get(harness.request(0, 4, 5, Api.NONE)),
-                "and no second beside it");
+                "no second request goes there during the trial");
     }
 
     @Test
@@ -60,10 +60,10 @@
         long trial = harness.request(0, 2, 5, Api.NONE);
         assertEquals(defaultBackend, harness.backendByRequest.get(trial));
         harness.establish(trial, 10_000);
-        assertNotEquals(defaultBackend, harness.route(0, 3, 5, Api.NONE), "that it was set up proves nothing");
+        assertNotEquals(defaultBackend, harness.route(0, 3, 5, Api.NONE), "a successful set-up alone does not end the probation");
         harness.now += 2_100_000;
-        assertEquals(defaultBackend, harness.route(0, 4, 5, Api.NONE), "that it stands does");
-        assertEquals(defaultBackend, harness.route(0, 6, 5, Api.NONE), "for all");
+        assertEquals(defaultBackend, harness.route(0, 4, 5, Api.NONE), "a connection that stays established ends the probation");
+        assertEquals(defaultBackend, harness.route(0, 6, 5, Api.NONE), "all requests use the recovered backend");
     }
 
     @Test
@@ -76,31 +76,30 @@
         }
         String alternative = harness.route(0, 2, 5, Api.NONE);
         assertNotEquals(defaultBackend, alternative);
-        assertEquals(alternative, harness.route(0, 3, 5, Api.NONE), "the group stays together there");
+        assertEquals(alternative, harness.route(0, 3, 5, Api.NONE), "the group stays together at the alternative backend");
         for (int i = 0; i < 10; i++) {
             harness.loadBalancer.probeCompleted(
                     harness.now, "s" + i, Outcome.SERVED, defaultBackend.equals("s" + i) ? 0.8 : 0.85);
         }
-        assertEquals(defaultBackend, harness.route(0, 4, 5, Api.NONE), "the least busy, where all are");
+        assertEquals(defaultBackend, harness.route(0, 4, 5, Api.NONE), "the least utilized backend, as all are busy");
     }
 
     @Test
     void loadPlacedByANewRelayCountsBeforeTheNextReport() {
         LoadBalancerHarness harness = harness();
         for (int i = 0; i < 10; i++) {
-            harness.loadBalancer.probeCompleted(
-                    harness.now, "s" + i, Outcome.SERVED, 0.4); // nothing of it is this node's
+            // None of the reported load comes from this relay.
+            harness.loadBalancer.probeCompleted(harness.now, "s" + i, Outcome.SERVED, 0.4);
         }
         for (int i = 0; i < 200; i++) {
-            harness.establish(
-                    harness.request(0, i, 5, Api.NONE),
-                    10_000); // one group: all have the same first place
+            // All belong to one group and so have the same default backend.
+            harness.establish(harness.request(0, i, 5, Api.NONE), 10_000);
         }
         long onSameBackend =
                 harness.backendByRequest.values().stream()
                         .filter(harness.backendByRequest.firstEntry().getValue()::equals)
                         .count();
-        assertTrue(onSameBackend < 150, "of 200 came to one: " + onSameBackend);
+        assertTrue(onSameBackend < 150, "of 200 requests sent to one backend: " + onSameBackend);
     }
 
     @Test
@@ -113,8 +112,8 @@
         harness.loadBalancer.attemptEnded(harness.now, id, Outcome.RESET, true);
         long attemptsBefore = harness.attemptCount();
         harness.request(2);
-        assertEquals(attemptsBefore, harness.attemptCount(), "it is answered at once");
-        assertTrue(harness.lastAction().startsWith("refuse"));
+        assertEquals(attemptsBefore, harness.attemptCount(), "the request is answered without an attempt");
+        assertTrue(harness.lastAction().startsWith("reject"));
     }
 
     @Test
@@ -131,7 +130,7 @@
         assertNotEquals(
                 defaultBackend,
                 harness.route(0, 9, 5, Api.NONE),
-                "the third time it is left for longer than 2 s");
+                "the third ejection lasts longer than 2 s");
     }
 
     @Test
@@ -143,7 +142,7 @@
         assertNotEquals(defaultBackend, alternative);
         assertEquals(alternative, harness.route(0, 3, 5, 100));
         harness.now += 2_600_000;
-        assertEquals(defaultBackend, harness.route(0, 4, 5, 100), "not told again, so it is over");
+        assertEquals(defaultBackend, harness.route(0, 4, 5, 100), "without a further report the overload is over");
     }
 
     @Test
@@ -161,8 +160,8 @@
 
     @Test
     void overloadedBackendIsSkippedWhileItsReportIsFresh() {
-        // A node without a connection at a server is told no delay of it: without probes it feeds
-        // the jam.
+        // A relay without a connection to a backend gets no delay reports of it: without probes it
+        // would send more requests to an overloaded backend.
         LoadBalancerHarness harness =
                 LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(4));
@@ -173,15 +172,15 @@
         harness.loadBalancer.probeCompleted(harness.now, defaultBackend, Outcome.SERVED, 1.2);
         assertNotEquals(defaultBackend, harness.route(key));
         harness.loadBalancer.probeCompleted(harness.now, defaultBackend, Outcome.ERROR, Api.NONE);
-        assertNotEquals(defaultBackend, harness.route(key), "a probe that fails tells nothing");
+        assertNotEquals(defaultBackend, harness.route(key), "a failed probe does not change the report");
         harness.now += 5 * LoadBalancerHarness.SECOND_MICROS;
         assertEquals(defaultBackend, harness.route(key));
     }
 
     @Test
     void loadPlacedSinceTheReportIsAddedToIt() {
-        // A crowd is placed within the second that a report is old: by the report alone all would
-        // go there.
+        // Many requests arrive within the second between two reports: by the report alone all of
+        // them would go to the same backend.
         LoadBalancerHarness harness =
                 LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(4));
@@ -215,7 +214,7 @@
             harness.now += LoadBalancerHarness.SECOND_MICROS;
             harness.loadBalancer.probeCompleted(harness.now, "s1", Outcome.SERVED, 0.9);
         }
-        assertEquals(0, moveCount(harness), "none is moved off a server that can do what is asked");
+        assertEquals(0, moveCount(harness), "none is moved off a backend within its capacity");
         for (int i = 0; i < 40; i++) {
             harness.now += LoadBalancerHarness.SECOND_MICROS;
             harness.loadBalancer.probeCompleted(harness.now, "s1", Outcome.SERVED, 1.3);
@@ -232,7 +231,7 @@
         }
         long heavy = harness.restoreConnection("s1", 9000);
         harness.loadBalancer.connectionReported(harness.now, reportingConnection, ConnectionReport.DELAY, 500);
-        assertEquals(0, moveCount(harness), "not at the first");
+        assertEquals(0, moveCount(harness), "none is moved at the first report");
         for (int i = 0; i < 10; i++) {
             harness.now += 1_000_000;
             harness.loadBalancer.connectionReported(harness.now, reportingConnection, ConnectionReport.DELAY, 500);
@@ -270,13 +269,13 @@
             lowValueRejected += harness.route(1, k, k, 100) == null ? 1 : 0;
             highValueRejected += harness.route(0, k, k, 100) == null ? 1 : 0;
         }
-        assertTrue(lowValueRejected > 50, lowValueRejected + " of the cheap refused");
-        assertTrue(highValueRejected < 20, highValueRejected + " of the dear refused");
+        assertTrue(lowValueRejected > 50, lowValueRejected + " requests of low value rejected");
+        assertTrue(highValueRejected < 20, highValueRejected + " requests of high value rejected");
         for (int i = 0; i < 400; i++) {
             harness.now += 250_000;
             harness.route(0, 7, 7, 100);
         }
-        assertTrue(harness.route(1, 1, 1, 100) != null, "the jam is over");
+        assertTrue(harness.route(1, 1, 1, 100) != null, "requests are accepted again after the overload");
     }
 
     @Test
@@ -285,27 +284,27 @@
         for (int i = 0; i < 200; i++) {
             long id = harness.request(i);
             for (int attempt = 0;
-                    attempt < 6 && !harness.lastAction().endsWith("refuse " + id);
+                    attempt < 6 && !harness.lastAction().endsWith("reject " + id);
                     attempt++) {
                 harness.endAttempt(id, Outcome.ERROR);
             }
         }
         assertTrue(
                 harness.attemptCount() < 60,
-                harness.attemptCount() + " attempts for 200 requests of which none stands");
+                harness.attemptCount() + " attempts for 200 requests of which none is established");
         harness.now += 60_000_000;
-        assertTrue(harness.route(1) != null, "tried again once the storm is over");
+        assertTrue(harness.route(1) != null, "attempts resume after the error storm");
     }
 
     @Test
     void attemptsThatWaitEverywhereDoNotTimeOutEarly() {
-        // Behind a queue that all share each try given up is work wasted and one more in the queue.
+        // In a queue that all backends share, a timeout wastes work and adds an attempt to the queue.
         LoadBalancerHarness harness =
                 LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(4));
         for (int i = 1; i <= 5; i++) {
             harness.request(i);
-            assertTrue(harness.lastAttemptTimeout > 0, "an early one leaves room for another try");
+            assertTrue(harness.lastAttemptTimeout > 0, "an early attempt leaves time for another one");
         }
         harness.request(6);
         assertEquals(0, harness.lastAttemptTimeout);
@@ -327,7 +326,7 @@
         oldConnections.forEach(id -> harness.loadBalancer.attemptEnded(harness.now, id, Outcome.RESET, true));
         harness.now += 5_000_000;
         for (long k = 0; k < 30; k++) {
-            assertTrue(harness.route(k) != null, "request " + k + " after a crowd of resets");
+            assertTrue(harness.route(k) != null, "request " + k + " after 30 resets");
         }
     }
 
@@ -342,7 +341,7 @@
             }
             harness.now += 20_000;
         }
-        assertTrue(harness.attemptCount() < 60, harness.attemptCount() + " set-ups, all reset");
+        assertTrue(harness.attemptCount() < 60, harness.attemptCount() + " attempts, all reset");
     }
 
     @Test
@@ -364,10 +363,10 @@
         }
         assertTrue(
                 difference > 5,
-                "of 40 clients each, " + difference + " more that were open long left the default");
+                "of 40 clients each, " + difference + " more with long connections left the default");
     }
 
-    /** Whether a client leaves its slow default after a connection that was open so long. */
+    /** Returns whether a client leaves its slow default after a connection of this duration. */
     private static boolean isDiverted(long seed, long openMicros) {
         LoadBalancerHarness harness =
                 new LoadBalancerHarness(
@@ -376,7 +375,7 @@
                                 seed)
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(10));
         for (long k = 0; k < 200; k++) {
-            harness.route(1_000 + k); // all servers are heard from
+            harness.route(1_000 + k); // the set-up latency of all backends is known
         }
         String defaultBackend = harness.route(0, 1, 5, Api.NONE);
         for (int round = 0; round < 20; round++) {
@@ -419,7 +418,7 @@
         }
         assertTrue(
                 harness.backendByRequest.values().stream().filter("s1"::equals).count() <= 2,
-                "the budget, no more");
+                "no more than the budget");
     }
 
     @Test
@@ -436,7 +435,7 @@
         ListedBackend[] far = {LoadBalancerHarness.backend("s1", 1)};
         harness.receiveList(BackendListKind.FULL, far);
         harness.now += 3 * LoadBalancerHarness.SECOND_MICROS;
-        assertEquals("s1", harness.route(1), "the other zone when the own has none");
+        assertEquals("s1", harness.route(1), "the other zone is used when the own has no backend");
     }
 
     @Test
--- a/relay/src/test/java/saltstage/LoadBalancerHarness.java
+++ b/relay/src/test/java/saltstage/LoadBalancerHarness.java
@@ -17,7 +17,7 @@
 import saltstage.Api.ServiceClass;
 import saltstage.Api.Settings;
 
-/** Drives one node through Api and keeps what it did. */
+/** Drives one load balancer through its Api and records its actions. */
 final class LoadBalancerHarness implements Api.Actions {
     static final long SECOND_MICROS = 1_000_000;
     final List<String> actions = new ArrayList<>();
@@ -141,13 +141,13 @@
         loadBalancer.attemptEnded(now, id, outcome, false);
     }
 
-    /** Tells that messages at a server take so long, as of an open connection there. */
+    /** Reports a message delay of a backend for a connection that is established there. */
     void reportDelay(String backendId, double delayMillis) {
         loadBalancer.connectionReported(
                 now, restoreConnection(backendId, Api.NONE), ConnectionReport.DELAY, delayMillis);
     }
 
-    /** A connection that was open at this server already. */
+    /** Restores a connection that is already established at the backend, and returns its id. */
     long restoreConnection(String backendId, long loadHint) {
         long id = ++lastRequestId;
         loadBalancer.connectionRestored(
@@ -157,7 +157,10 @@
         return id;
     }
 
-    /** Where a fresh request with this key goes; it is served at once, with the usual latency. */
+    /**
+     * Returns the backend of a new request with this key, or null. The request is established with
+     * the usual latency and served at once.
+     */
     String route(long key) {
         return route(0, key, Api.NONE, Api.NONE);
     }
@@ -189,7 +192,7 @@
 
     @Override
     public void reject(long id, long retryAfter) {
-        actions.add("refuse " + id);
+        actions.add("reject " + id);
     }
 
     @Override
--- a/relay/src/test/java/saltstage/PlacementAndDiversionTest.java
+++ b/relay/src/test/java/saltstage/PlacementAndDiversionTest.java
@@ -14,6 +14,10 @@
 import saltstage.Api.Health;
 import saltstage.Api.ListedBackend;
 
+/**
+ * Checks where keys and groups are placed, and when heavy clients are diverted from their default
+ * backend.
+ */
 class PlacementAndDiversionTest {
     private static final int KEY_COUNT = 4000;
 
@@ -58,7 +62,7 @@
                                         !before.get(k).equals("s7")
                                                 && !before.get(k).equals(after.get(k)))
                         .count();
-        assertTrue(moved < KEY_COUNT * 0.05, moved + " keys moved that need not");
+        assertTrue(moved < KEY_COUNT * 0.05, moved + " keys of other backends moved");
     }
 
     @Test
@@ -108,8 +112,8 @@
             harness.establish(id, 10_000);
             (i < 10 ? early : later).add(harness.backendByRequest.get(id));
         }
-        assertEquals(1, early.size(), "one server until it is known to be big");
-        assertTrue(later.size() > 8 && later.size() < 25, "half of all connections, on " + later);
+        assertEquals(1, early.size(), "one backend until the group is known to be big");
+        assertTrue(later.size() > 8 && later.size() < 25, "backends of half of all connections: " + later);
     }
 
     @Test
@@ -146,17 +150,17 @@
     void noDiversionWithoutAGapWorthASetup() {
         LoadBalancerHarness harness = harnessWithDelayedDefault(9);
         String defaultBackend = harness.route(0, 5001, 5, 100);
-        assertEquals(defaultBackend, harness.route(0, 5002, 5, 10_000), "9 ms is less than a set-up of 10 ms");
+        assertEquals(defaultBackend, harness.route(0, 5002, 5, 10_000), "a gap of 9 ms is less than a set-up of 10 ms");
     }
 
     @Test
     void noDiversionBelowThePercentile() {
-        // Half of the others are worse off than the default, the rest idle: the gap alone would let
-        // it leave.
+        // Half of the others are slower than the default and the rest are idle: by the gap alone the
+        // client would be diverted.
         assertEquals(0, divertedHeavyClients(10, 30));
         assertTrue(
                 divertedHeavyClients(0, 30) > 10,
-                "alone among idle servers it is in the worst fifth");
+                "the only slow backend is in the slowest fifth");
     }
 
     @Test
@@ -166,8 +170,8 @@
     }
 
     /**
-     * Of 30 heavy clients of a default told 25 ms, with so many of the other servers told so many
-     * ms.
+     * Returns how many of 30 heavy clients leave a default with a reported delay of 25 ms, when
+     * {@code others} of the other backends report a delay of {@code othersDelayMillis}.
      */
     private static int divertedHeavyClients(int others, double othersDelayMillis) {
         int diverted = 0;
@@ -188,7 +192,8 @@
     }
 
     /**
-     * Twenty servers that all were heard from; the default of group 5 is told to take so many ms.
+     * Returns a harness with twenty backends of known set-up latency, of which the default of group 5
+     * reports the given delay.
      */
     private static LoadBalancerHarness harnessWithDelayedDefault(double delayMillis) {
         return harnessWithDelayedDefault(delayMillis, 1);
@@ -223,7 +228,7 @@
                 if (table.clients[k] == 99) {
                     admitted++;
                     assertEquals(
-                            4, table.counters[k], 1e-9, "starts above the counter it replaced");
+                            4, table.counters[k], 1e-9, "adds its weight to the replaced counter");
                 }
             }
         }
--- a/relay/src/test/java/saltstage/ReconnectStormTest.java
+++ b/relay/src/test/java/saltstage/ReconnectStormTest.java
@@ -12,16 +12,19 @@
 import saltstage.Api.Outcome;
 
 /**
- * Clients of relays that died come back at the others, and each set-up waits its turn at a store
- * that all servers share. What is given up there is still worked through, so impatience feeds the
- * queue it flees.
+ * Guards against attempts that time out too early in a reconnect storm. Clients of failed relays
+ * reconnect through the others, and each set-up waits in the queue of a store that all backends
+ * share. The store still processes the set-ups that timed out, so each retry lengthens the queue.
  */
 class ReconnectStormTest {
     private static final int RELAY_COUNT = 14;
     private static final int CLIENT_COUNT = 120;
-    private static final long RECONNECT_SPAN_MICROS =
-            600_000; // in which all come back: 1.4 times what the store bears
-    private static final long STORE_SETUP_MICROS = 7_000; // of one set-up at the store
+
+    /** Time in which all clients reconnect, at 1.4 times the rate that the store can handle. */
+    private static final long RECONNECT_SPAN_MICROS = 600_000;
+
+    /** Duration of one set-up at the store. */
+    private static final long STORE_SETUP_MICROS = 7_000;
 
     private record ScheduledEvent(long timeMicros, int order, Runnable action)
             implements Comparable<ScheduledEvent> {
@@ -33,12 +36,14 @@
         }
     }
 
-    /** The relays of a fleet, their clients and the store, on one clock. */
+    /** Simulates the relays of a fleet, their clients and the store on one clock. */
     private static final class StormSimulation {
         private final PriorityQueue<ScheduledEvent> eventQueue = new PriorityQueue<>();
         private final List<LoadBalancerHarness> relays = new ArrayList<>();
-        private final Map<String, Integer> attemptsByRequest =
-                new HashMap<>(); // of a request, by relay and id
+
+        /** Number of attempts by relay and request id. */
+        private final Map<String, Integer> attemptsByRequest = new HashMap<>();
+
         private long storeFreeAt;
         private int nextOrder;
         private int attemptCount;
@@ -53,7 +58,8 @@
                                 i + 1);
                 relays.add(
                         relay.receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(7)));
-                for (long key = 0; key < 10; key++) { // calm before: set-ups are known to be quick
+                // Before the storm the relay learns a low set-up latency.
+                for (long key = 0; key < 10; key++) {
                     relay.route(key);
                 }
             }
@@ -86,7 +92,8 @@
         }
 
         /**
-         * What was sent since, if anything, waits its turn and is given up when its patience ends.
+         * Follows an attempt that was started since {@code attemptsBefore}, if any: it waits for the
+         * store until it is established or times out.
          */
         private void followAttempt(LoadBalancerHarness relay, long id, long attemptsBefore) {
             if (relay.attemptCount() == attemptsBefore) {
--- a/relay/src/test/java/saltstage/SafetyRulesTest.java
+++ b/relay/src/test/java/saltstage/SafetyRulesTest.java
@@ -12,6 +12,7 @@
 import saltstage.Api.ListedBackend;
 import saltstage.Api.Outcome;
 
+/** Checks the four safety rules and the limits of retries. */
 class SafetyRulesTest {
     @Test
     void waitingRequestIsAnsweredBeforeItsDeadline() {
@@ -20,7 +21,7 @@
         assertEquals("timer " + id + " 1195000", harness.lastAction());
         harness.now += 1_195_000;
         harness.loadBalancer.timerFired(harness.now, Long.toString(id));
-        assertEquals("refuse " + id, harness.lastAction());
+        assertEquals("reject " + id, harness.lastAction());
         harness.receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(3));
         assertEquals(0, harness.attemptCount());
     }
@@ -68,7 +69,7 @@
         long id = harness.request(1);
         harness.now += 1_200_000;
         harness.endAttempt(id, Outcome.TIMEOUT);
-        assertEquals("refuse " + id, harness.lastAction());
+        assertEquals("reject " + id, harness.lastAction());
     }
 
     @Test
@@ -79,7 +80,7 @@
         long id = harness.request(1);
         String first = harness.backendByRequest.get(id);
         assertEquals(1, harness.attemptCount());
-        assertEquals(300_000, harness.lastAttemptTimeout, "the aim: leaves room for another");
+        assertEquals(300_000, harness.lastAttemptTimeout, "the latency target leaves time for another attempt");
         harness.now += harness.lastAttemptTimeout;
         harness.endAttempt(id, Outcome.TIMEOUT);
         assertEquals(2, harness.attemptCount());
@@ -96,7 +97,7 @@
             harness.endAttempt(id, Outcome.UNREACHABLE);
         }
         assertEquals(6, harness.attemptCount());
-        assertEquals("refuse " + id, harness.lastAction());
+        assertEquals("reject " + id, harness.lastAction());
     }
 
     @Test
@@ -105,7 +106,7 @@
                 LoadBalancerHarness.of(LoadBalancerHarness.notIdempotentClass())
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(5));
         long id = harness.request(1);
-        assertEquals(0, harness.lastAttemptTimeout, "an early time-out would only end it");
+        assertEquals(0, harness.lastAttemptTimeout, "a timeout would only fail the request early");
         harness.endAttempt(id, Outcome.RESET);
         assertEquals("fail " + id, harness.lastAction());
         long other = harness.request(2);
@@ -128,7 +129,7 @@
             harness.now += 600_000;
             long attemptsBefore = harness.attemptCount();
             harness.endAttempt(id, Outcome.TIMEOUT);
-            assertEquals(attemptsBefore, harness.attemptCount(), "its memory is over");
+            assertEquals(attemptsBefore, harness.attemptCount(), "the deduplication window has ended");
             assertEquals("fail " + id, harness.lastAction());
             harness.now += 60 * LoadBalancerHarness.SECOND_MICROS;
         }
--- a/relay/src/test/java/saltstage/WideFleetPlacementTest.java
+++ b/relay/src/test/java/saltstage/WideFleetPlacementTest.java
@@ -10,7 +10,10 @@
 import saltstage.Api.ListedBackend;
 import saltstage.Api.Request;
 
-/** The largest fleet that the operators name. */
+/**
+ * Guards against backends that get no slot in the placement table of the largest fleet to be
+ * supported.
+ */
 class WideFleetPlacementTest {
     private static final int BACKENDS = 3_200;
     private static final int KEYS_PER_BACKEND = 8;
@@ -31,6 +34,6 @@
             harness.establish(key, 10_000);
         }
         Set<String> reached = new HashSet<>(harness.backendByRequest.values());
-        assertTrue(reached.size() > 0.95 * BACKENDS, "reached " + reached.size());
+        assertTrue(reached.size() > 0.95 * BACKENDS, "backends with requests: " + reached.size());
     }
 }
--- a/relay/src/test/java/saltstage/sim/SimulatorAdapterTest.java
+++ b/relay/src/test/java/saltstage/sim/SimulatorAdapterTest.java
@@ -10,6 +10,7 @@
 import java.io.StringWriter;
 import org.junit.jupiter.api.Test;
 
+/** Checks the simulator protocol: the lines that batches of events are answered with. */
 class SimulatorAdapterTest {
     private static final String LAUNCH =
             "LAUNCH\tWho=1\tSalt=5\tServices.count=1\tServices.0.Aim=300000"
