--- a/relay/src/main/java/saltstage/Api.java
+++ b/relay/src/main/java/saltstage/Api.java
@@ -115,8 +115,8 @@
     /**
      * The parameters of the four safety rules.
      *
-     * @param drainGracePeriod microseconds for which requests may still reach a backend after it starts to
-     *     drain
+     * @param drainGracePeriod microseconds for which requests may still reach a backend after it
+     *     starts to drain
      * @param initialWarmUpFraction fraction of its full load that a backend can take when it starts
      * @param warmUpPeriod microseconds from the start of a backend until it can take its full load
      * @param maxWarmUpLoadMultiple how many times the present capacity of a cold backend all relays
@@ -258,7 +258,8 @@
         void start(long now);
 
         /** The discovery service has answered; the list is empty for {@code CALL_FAILED}. */
-        void backendListReceived(long now, BackendListKind kind, List<ListedBackend> listedBackends);
+        void backendListReceived(
+                long now, BackendListKind kind, List<ListedBackend> listedBackends);
 
         /** A request has arrived; it must get exactly one final answer. */
         void requestReceived(long now, Request request);
--- a/relay/src/main/java/saltstage/BalancerState.java
+++ b/relay/src/main/java/saltstage/BalancerState.java
@@ -37,7 +37,10 @@
 
         double add(double sample) {
             double absoluteError = Math.abs(sample - value);
-            deviation = hasSample ? deviation + NEW_SAMPLE_WEIGHT * (absoluteError - deviation) : sample / 2;
+            deviation =
+                    hasSample
+                            ? deviation + NEW_SAMPLE_WEIGHT * (absoluteError - deviation)
+                            : sample / 2;
             value = hasSample ? value + NEW_SAMPLE_WEIGHT * (sample - value) : sample;
             hasSample = true;
             return sample;
@@ -140,8 +143,8 @@
         }
 
         /**
-         * Ends the ejection after a successful set-up. On probation the set-up alone proves nothing,
-         * since the backend may reset the connection again.
+         * Ends the ejection after a successful set-up. On probation the set-up alone proves
+         * nothing, since the backend may reset the connection again.
          */
         void setupSucceeded(long latency, long now, long probationMicros) {
             ejectedUntil = onProbation ? now + probationMicros : now;
--- a/relay/src/main/java/saltstage/LoadBalancer.java
+++ b/relay/src/main/java/saltstage/LoadBalancer.java
@@ -40,8 +40,8 @@
     private static final double MIN_DIVERSION_GAP_SETUPS = 1;
 
     /**
-     * Backends drawn to find the least loaded one: enough to miss the busy ones without ranking
-     * the whole fleet.
+     * Backends drawn to find the least loaded one: enough to miss the busy ones without ranking the
+     * whole fleet.
      */
     private static final int DIVERSION_CANDIDATES = 6;
 
@@ -64,8 +64,8 @@
     private static final int ALTERNATIVE_CANDIDATES = 12;
 
     /**
-     * Fraction of a request's value. A higher cost of crossing zones exceeds the cost of setting
-     * up a group, so that requests stay in the zone.
+     * Fraction of a request's value. A higher cost of crossing zones exceeds the cost of setting up
+     * a group, so that requests stay in the zone.
      */
     private static final double MAX_CROSS_ZONE_COST = 0.05;
 
@@ -91,14 +91,11 @@
     private static final long MAX_DELAY_REPORT_AGE_MICROS = 2_500_000;
 
     /**
-     * Maximum age of the last delay report of a backend to which this relay has no connection
-     * left.
+     * Maximum age of the last delay report of a backend to which this relay has no connection left.
      */
     private static final long MAX_DELAY_REPORT_AGE_UNCONNECTED_MICROS = 10_000_000;
 
-    /**
-     * Duration of the first ejection of a failed backend; it doubles with each further failure.
-     */
+    /** Duration of the first ejection of a failed backend; it doubles with each further failure. */
     private static final long EJECTION_MICROS = 2_000_000;
 
     /** Limits an ejection to 8 s, since outages last tens of seconds. */
@@ -116,8 +113,7 @@
     private static final double THROTTLE_RESERVE_ATTEMPTS = 5;
 
     /**
-     * Time constant with which recent attempts are forgotten; failure storms last longer than
-     * this.
+     * Time constant with which recent attempts are forgotten; failure storms last longer than this.
      */
     private static final double THROTTLE_DECAY_MICROS = 10_000_000;
 
@@ -125,8 +121,8 @@
     private static final long LIST_RETRY_DELAY_MICROS = 500_000;
 
     /**
-     * Shorter than the time after which idle connections are closed. Each probe has a cost, so
-     * only backends that may need it are probed more often.
+     * Shorter than the time after which idle connections are closed. Each probe has a cost, so only
+     * backends that may need it are probed more often.
      */
     private static final long PROBE_INTERVAL_MICROS = 3_000_000;
 
@@ -154,8 +150,8 @@
     private static final long PROBE_TICK_MICROS = 250_000;
 
     /**
-     * Weight of the present placed load at each tick: load reports are about a second old when
-     * they arrive.
+     * Weight of the present placed load at each tick: load reports are about a second old when they
+     * arrive.
      */
     private static final double PLACED_LOAD_SMOOTHING_PER_TICK = 0.25;
 
@@ -172,8 +168,8 @@
     private static final double MAX_SHED_MULTIPLIER = 4;
 
     /**
-     * Fraction of the backends with connections of this relay above which the whole fleet counts
-     * as overloaded.
+     * Fraction of the backends with connections of this relay above which the whole fleet counts as
+     * overloaded.
      */
     private static final double OVERLOADED_FLEET_FRACTION = 0.5;
 
@@ -208,7 +204,8 @@
     private double diversionThreshold;
     private int failedListCalls;
     private double totalPlacedLoad;
-    private final ProbeSelection probeSelection = new ProbeSelection(backend -> warmUpFraction(backend) < 1);
+    private final ProbeSelection probeSelection =
+            new ProbeSelection(backend -> warmUpFraction(backend) < 1);
 
     /** Only these are ranked, so that a relay with little traffic ranks few backends. */
     private final Set<BackendState> usedBackends = new LinkedHashSet<>();
@@ -251,7 +248,10 @@
     public LearnedState learnedState(long time) {
         List<LearnedBackend> learnedBackends =
                 backends.values().stream()
-                        .filter(backend -> backend.setupLatency.hasSample || time < backend.ejectedUntil)
+                        .filter(
+                                backend ->
+                                        backend.setupLatency.hasSample
+                                                || time < backend.ejectedUntil)
                         .map(
                                 backend ->
                                         new LearnedBackend(
@@ -295,7 +295,8 @@
      */
     public void restoreLearnedState(long time, LearnedState learned) {
         setupLatency.set(learned.setupLatency(), learned.setupLatencyDeviation());
-        connectionLifetime.set(learned.meanConnectionLifetime(), learned.meanConnectionLifetime() / 2);
+        connectionLifetime.set(
+                learned.meanConnectionLifetime(), learned.meanConnectionLifetime() / 2);
         requestLoad.set(
                 learned.meanRequestLoad() > 0 ? learned.meanRequestLoad() : 1,
                 learned.meanRequestLoad() / 2);
@@ -311,11 +312,14 @@
         for (LearnedBackend learnedBackend : learned.backends()) {
             BackendState backend = backends.get(learnedBackend.id());
             if (backend != null && backend.listEntry.startedAt() == learnedBackend.startedAt()) {
-                backend.setupLatency.set(learnedBackend.setupLatency(), learnedBackend.setupLatencyDeviation());
+                backend.setupLatency.set(
+                        learnedBackend.setupLatency(), learnedBackend.setupLatencyDeviation());
                 backend.minSetupLatency = learnedBackend.minSetupLatency();
                 backend.consecutiveFailures =
                         learnedBackend.remainingEjection() > 0
-                                ? Math.min(learnedBackend.consecutiveFailures(), MAX_EJECTION_DOUBLINGS)
+                                ? Math.min(
+                                        learnedBackend.consecutiveFailures(),
+                                        MAX_EJECTION_DOUBLINGS)
                                 : 0;
                 backend.ejectedUntil =
                         time
@@ -341,7 +345,8 @@
     }
 
     @Override
-    public void backendListReceived(long eventTime, BackendListKind kind, List<ListedBackend> listedBackends) {
+    public void backendListReceived(
+            long eventTime, BackendListKind kind, List<ListedBackend> listedBackends) {
         now = eventTime;
         if (kind == BackendListKind.CALL_FAILED) {
             actions.setTimer(
@@ -357,7 +362,8 @@
         failedListCalls = kind == BackendListKind.CACHED ? failedListCalls : 0;
         listedBackends.forEach(this::updateBackend);
         if (kind != BackendListKind.DELTA) {
-            Set<String> listedIds = Set.copyOf(listedBackends.stream().map(ListedBackend::id).toList());
+            Set<String> listedIds =
+                    Set.copyOf(listedBackends.stream().map(ListedBackend::id).toList());
             backends.values().stream()
                     .filter(backend -> !listedIds.contains(backend.listEntry.id()))
                     .toList()
@@ -382,7 +388,9 @@
         ListedBackend unlisted = new ListedBackend(backendId, 0, 0, Health.GONE, 1, 0);
         state.startAttempt(
                 backends.getOrDefault(
-                        backendId, new BackendState(unlisted, hash(backendId), HEAVY_HITTER_WINDOWS, eventTime)),
+                        backendId,
+                        new BackendState(
+                                unlisted, hash(backendId), HEAVY_HITTER_WINDOWS, eventTime)),
                 eventTime);
         // It has been established for long enough that its end says nothing about set-ups.
         state.markEstablished(eventTime - EJECTION_MICROS);
@@ -447,7 +455,9 @@
         // Without a load hint or report, the lifetime of the connection indicates its load.
         connectionLifetime.add(eventTime - state.stateChangedAt);
         state.load =
-                requestLoad.value * (eventTime - state.stateChangedAt) / Math.max(1, connectionLifetime.value);
+                requestLoad.value
+                        * (eventTime - state.stateChangedAt)
+                        / Math.max(1, connectionLifetime.value);
     }
 
     @Override
@@ -506,7 +516,8 @@
                             backend ->
                                     backend.smoothedPlacedLoad +=
                                             PLACED_LOAD_SMOOTHING_PER_TICK
-                                                    * (backend.placedLoad - backend.smoothedPlacedLoad));
+                                                    * (backend.placedLoad
+                                                            - backend.smoothedPlacedLoad));
             probeSelection.select(backends.values(), now).stream()
                     .filter(backend -> now >= backend.nextProbeAt && backend.isReady())
                     .forEach(this::probeBackend);
@@ -516,7 +527,8 @@
     }
 
     @Override
-    public void probeCompleted(long eventTime, String backendId, Outcome outcome, double utilization) {
+    public void probeCompleted(
+            long eventTime, String backendId, Outcome outcome, double utilization) {
         now = eventTime;
         BackendState backend = backends.get(backendId);
         if (backend == null || outcome != Outcome.SERVED || utilization < 0) {
@@ -532,7 +544,11 @@
                                 : OVERLOAD_UTILIZATION);
         // Each relay moves its part of the excess load: moving one connection a second would take
         // longer than an overload lasts.
-        for (double movesDue = SHED_FRACTION_PER_PROBE * excess / utilization * backend.establishedRequests.size();
+        for (double movesDue =
+                        SHED_FRACTION_PER_PROBE
+                                * excess
+                                / utilization
+                                * backend.establishedRequests.size();
                 movesDue > 0;
                 movesDue--) {
             if (random.nextDouble() < movesDue) {
@@ -545,21 +561,28 @@
         boolean frequent =
                 isOverloaded(backend)
                         || warmUpFraction(backend) < 1
-                        || hasFreshLoadReport(backend) && backend.estimatedUtilization() > BUSY_UTILIZATION;
-        backend.nextProbeAt = now + (frequent ? FREQUENT_PROBE_INTERVAL_MICROS : PROBE_INTERVAL_MICROS);
+                        || hasFreshLoadReport(backend)
+                                && backend.estimatedUtilization() > BUSY_UTILIZATION;
+        backend.nextProbeAt =
+                now + (frequent ? FREQUENT_PROBE_INTERVAL_MICROS : PROBE_INTERVAL_MICROS);
         actions.probe(backend.listEntry.id());
     }
 
     private boolean hasFreshLoadReport(BackendState backend) {
-        return now - backend.lastLoadReportAt < PROBE_INTERVAL_MICROS + FREQUENT_PROBE_INTERVAL_MICROS;
+        return now - backend.lastLoadReportAt
+                < PROBE_INTERVAL_MICROS + FREQUENT_PROBE_INTERVAL_MICROS;
     }
 
     private RequestState registerRequest(Request request) {
         long placementKey = request.group() != Api.NONE ? request.group() : request.key();
         long placementHash = mix(placementKey != Api.NONE ? placementKey : random.nextLong());
         RequestState state =
-                new RequestState(request, settings.serviceClasses().get(request.serviceClass()), placementHash);
-        state.load = request.loadHint() > 0 ? requestLoad.add(request.loadHint()) : requestLoad.value;
+                new RequestState(
+                        request,
+                        settings.serviceClasses().get(request.serviceClass()),
+                        placementHash);
+        state.load =
+                request.loadHint() > 0 ? requestLoad.add(request.loadHint()) : requestLoad.value;
         requests.put(request.id(), state);
         return state;
     }
@@ -567,7 +590,9 @@
     private void updateBackend(ListedBackend entry) {
         BackendState backend = backends.get(entry.id());
         // A restarted process is cold, and what was learned about the old one does not apply to it.
-        if (backend != null && (entry.health() == Health.GONE || backend.listEntry.startedAt() != entry.startedAt())) {
+        if (backend != null
+                && (entry.health() == Health.GONE
+                        || backend.listEntry.startedAt() != entry.startedAt())) {
             removeBackend(backend);
             backend = null;
         }
@@ -575,7 +600,9 @@
             placementStale |= backend == null || backend.listEntry.health() != entry.health();
             backends.computeIfAbsent(
                                     entry.id(),
-                                    id -> new BackendState(entry, hash(id), HEAVY_HITTER_WINDOWS, now))
+                                    id ->
+                                            new BackendState(
+                                                    entry, hash(id), HEAVY_HITTER_WINDOWS, now))
                             .listEntry =
                     entry;
         }
@@ -632,7 +659,9 @@
                                 - THROTTLE_RESERVE_ATTEMPTS;
         // An overloaded fleet serves nobody: all relays reject requests of the lowest value early.
         boolean belowThreshold =
-                state.attempts == 0 && priorityRank(state) < rejectionThreshold && !state.request.midFlow();
+                state.attempts == 0
+                        && priorityRank(state) < rejectionThreshold
+                        && !state.request.midFlow();
         if (throttled
                 || remainingMicros <= settings.timerResolution() && state.attempts > 0
                 || state.attempts >= settings.maxAttempts()
@@ -674,7 +703,8 @@
         } else if (backend.consecutiveFailures > 0) {
             eject(backend); // One trial at a time: no other request goes there until it has ended.
         }
-        actions.sendAttempt(state.request.id(), backend.listEntry.id(), attemptTimeout(state, remainingMicros));
+        actions.sendAttempt(
+                state.request.id(), backend.listEntry.id(), attemptTimeout(state, remainingMicros));
     }
 
     /**
@@ -708,7 +738,11 @@
                             state.placementHash,
                             i < spread ? (start + i) % spread : i,
                             i < spread + ALTERNATIVE_CANDIDATES / 2);
-            boolean eligible = backend != null && isUsable(backend, state) && now >= backend.ejectedUntil && canAdmit(backend, state);
+            boolean eligible =
+                    backend != null
+                            && isUsable(backend, state)
+                            && now >= backend.ejectedUntil
+                            && canAdmit(backend, state);
             if (!eligible) {
                 continue;
             }
@@ -717,7 +751,9 @@
                 first = backend;
                 countArrival(backend, state);
                 BackendState other =
-                        state.request.midFlow() || state.attempts > 0 ? null : diversionTarget(state, backend);
+                        state.request.midFlow() || state.attempts > 0
+                                ? null
+                                : diversionTarget(state, backend);
                 if (other != null) {
                     return other;
                 }
@@ -741,8 +777,8 @@
     }
 
     /**
-     * Returns a backend for a request that none of its candidates can take: a cold one with
-     * room, or else any backend but those that reset all connections.
+     * Returns a backend for a request that none of its candidates can take: a cold one with room,
+     * or else any backend but those that reset all connections.
      */
     private BackendState fallbackBackend(RequestState state, boolean coldOnly) {
         return backends.values().stream()
@@ -750,7 +786,8 @@
                         backend ->
                                 isUsable(backend, state)
                                         && (warmUpFraction(backend) < 1
-                                                ? now >= backend.ejectedUntil && state.load <= warmUpBudget(backend)
+                                                ? now >= backend.ejectedUntil
+                                                        && state.load <= warmUpBudget(backend)
                                                 : !coldOnly
                                                         && (!backend.onProbation
                                                                 || now >= backend.ejectedUntil)))
@@ -759,14 +796,15 @@
     }
 
     /**
-     * Returns the backend at a position in the fixed order of a key, which is the same at every relay
-     * with the same list.
+     * Returns the backend at a position in the fixed order of a key, which is the same at every
+     * relay with the same list.
      */
     private BackendState candidate(long placementHash, int position, boolean local) {
         if (!local && globalPlacement == null) {
             globalPlacement = PlacementTable.of(readyBackends, this::weight);
         }
-        return (local ? localPlacement : globalPlacement).backendAt(position == 0 ? placementHash : mix(placementHash + position));
+        return (local ? localPlacement : globalPlacement)
+                .backendAt(position == 0 ? placementHash : mix(placementHash + position));
     }
 
     private boolean isUsable(BackendState backend, RequestState state) {
@@ -805,7 +843,8 @@
                         / safetyRules.warmUpPeriod();
         backend.warmUpBudget =
                 Math.min(
-                        backend.warmUpBudget + rate * (now - backend.warmUpBudgetUpdatedAt), requestLoad.value);
+                        backend.warmUpBudget + rate * (now - backend.warmUpBudgetUpdatedAt),
+                        requestLoad.value);
         backend.warmUpBudgetUpdatedAt = now;
         // All relays read the same report and place load after it.
         double estimatedUtilization =
@@ -814,7 +853,9 @@
                                 * (backend.placedLoad - backend.placedLoadAtReport)
                                 / capacityShare(backend);
         return backend.warmUpBudget
-                + (hasFreshLoadReport(backend) && estimatedUtilization < SHED_TARGET_UTILIZATION * warmUpFraction(backend)
+                + (hasFreshLoadReport(backend)
+                                && estimatedUtilization
+                                        < SHED_TARGET_UTILIZATION * warmUpFraction(backend)
                         ? rate * safetyRules.warmUpBudgetWindow()
                         : 0);
     }
@@ -867,7 +908,10 @@
         for (int i = 0; i < DIVERSION_CANDIDATES; i++) {
             BackendState backend = localPlacement.randomBackend(random);
             boolean eligible =
-                    backend != defaultBackend && isUsable(backend, state) && now >= backend.ejectedUntil && warmUpFraction(backend) >= 1;
+                    backend != defaultBackend
+                            && isUsable(backend, state)
+                            && now >= backend.ejectedUntil
+                            && warmUpFraction(backend) >= 1;
             if (eligible
                     && (best == null
                             || queueingDelay(backend) < queueingDelay(best)
@@ -886,8 +930,8 @@
 
     /**
      * Returns whether the last delay report still counts. Without a connection no further reports
-     * come, so the last one is kept for longer; otherwise the relay would soon send the next request
-     * there.
+     * come, so the last one is kept for longer; otherwise the relay would soon send the next
+     * request there.
      */
     private boolean hasFreshDelayReport(BackendState backend) {
         return now - backend.lastDelayReportAt
@@ -922,12 +966,14 @@
         double sameGroupPairs = 0;
         for (BackendState backend : usedBackends) {
             for (RequestState state : backend.establishedRequests) {
-                sameGroupPairs += connectionsByGroup.merge(state.placementHash, 1, Integer::sum) - 1;
+                sameGroupPairs +=
+                        connectionsByGroup.merge(state.placementHash, 1, Integer::sum) - 1;
             }
             establishedCount += backend.establishedRequests.size();
             totalPlacedLoad += backend.placedLoad;
             connectedBackends += backend.establishedRequests.isEmpty() ? 0 : 1;
-            overloadedBackends += !backend.establishedRequests.isEmpty() && isOverloaded(backend) ? 1 : 0;
+            overloadedBackends +=
+                    !backend.establishedRequests.isEmpty() && isOverloaded(backend) ? 1 : 0;
             delays[count] = queueingDelay(backend);
             delaySum += delays[count++];
         }
@@ -955,9 +1001,7 @@
         }
     }
 
-    /**
-     * Decays the capacity estimates and updates them from recent load reports.
-     */
+    /** Decays the capacity estimates and updates them from recent load reports. */
     private void updateCapacityEstimates() {
         ownLoadOnWarmBackends *= CAPACITY_SHARE_RETENTION_PER_PERIOD;
         utilizationOfWarmBackends *= CAPACITY_SHARE_RETENTION_PER_PERIOD;
@@ -971,14 +1015,13 @@
                             ? 1
                             : 0;
             ownLoadOnWarmBackends += sampleWeight * backend.placedLoadAtReport;
-            utilizationOfWarmBackends += sampleWeight * backend.reportedUtilization * weight(backend);
+            utilizationOfWarmBackends +=
+                    sampleWeight * backend.reportedUtilization * weight(backend);
             backend.estimatedCapacity = capacityShare(backend) * settings.relayCount();
         }
     }
 
-    /**
-     * Raises the rejection threshold while the fleet is overloaded and lowers it otherwise.
-     */
+    /** Raises the rejection threshold while the fleet is overloaded and lowers it otherwise. */
     private void updateRejectionThreshold(int connectedBackends, int overloadedBackends) {
         boolean fleetOverloaded =
                 overloadedBackends > OVERLOADED_FLEET_FRACTION * connectedBackends
@@ -1004,20 +1047,22 @@
                         .filter(this::hasFreshLoadReport)
                         .mapToDouble(BackendState::estimatedUtilization)
                         .toArray();
-        boolean enoughReports = utilizations.length * 2 > Math.min(readyBackends.size(), Api.MAX_PROBED_BACKENDS);
+        boolean enoughReports =
+                utilizations.length * 2 > Math.min(readyBackends.size(), Api.MAX_PROBED_BACKENDS);
         return enoughReports ? Arrays.stream(utilizations).average().orElse(0) : Api.NONE;
     }
 
     /**
-     * Returns the rank of a request by value and then by key, from 0 for the first to be rejected to
-     * 1. It is the same at all relays.
+     * Returns the rank of a request by value and then by key, from 0 for the first to be rejected
+     * to 1. It is the same at all relays.
      */
     private double priorityRank(RequestState state) {
         int lowerValueClasses = 0;
         for (ServiceClass other : settings.serviceClasses()) {
             lowerValueClasses += other.value() < state.serviceClass.value() ? 1 : 0;
         }
-        return (lowerValueClasses + toUnitInterval(state.clientKey)) / settings.serviceClasses().size();
+        return (lowerValueClasses + toUnitInterval(state.clientKey))
+                / settings.serviceClasses().size();
     }
 
     /**
@@ -1026,26 +1071,36 @@
      */
     private boolean isOverloaded(BackendState backend) {
         boolean delayed =
-                hasFreshDelayReport(backend) && backend.reportedDelayMicros > minMessageLatencyTarget / 3;
-        return delayed || hasFreshLoadReport(backend) && backend.estimatedUtilization() > OVERLOAD_UTILIZATION;
+                hasFreshDelayReport(backend)
+                        && backend.reportedDelayMicros > minMessageLatencyTarget / 3;
+        return delayed
+                || hasFreshLoadReport(backend)
+                        && backend.estimatedUtilization() > OVERLOAD_UTILIZATION;
     }
 
     private void countArrival(BackendState backend, RequestState state) {
         HeavyHitterTable table = backend.heavyHitterTables[0];
         if (table == null || table.arrivals >= WINDOW_ARRIVALS) {
             System.arraycopy(
-                    backend.heavyHitterTables, 0, backend.heavyHitterTables, 1, HEAVY_HITTER_WINDOWS - 1);
+                    backend.heavyHitterTables,
+                    0,
+                    backend.heavyHitterTables,
+                    1,
+                    HEAVY_HITTER_WINDOWS - 1);
             table = new HeavyHitterTable();
             backend.heavyHitterTables[0] = table;
         }
         table.arrivals++;
-        table.add(state.clientKey, requestLoad.value > 0 ? state.load / requestLoad.value : 1, random);
+        table.add(
+                state.clientKey,
+                requestLoad.value > 0 ? state.load / requestLoad.value : 1,
+                random);
     }
 
     /**
-     * Moves the heaviest connection off an overloaded backend, preferring those of low value. Callers
-     * do so at random, so that all relays together move a small share a second: each sees the same
-     * overload, and all at once would empty the backend.
+     * Moves the heaviest connection off an overloaded backend, preferring those of low value.
+     * Callers do so at random, so that all relays together move a small share a second: each sees
+     * the same overload, and all at once would empty the backend.
      */
     private void shedConnection(BackendState backend) {
         RequestState candidate = null;
@@ -1061,7 +1116,9 @@
                 candidate = state;
             }
         }
-        if (candidate != null && (isHeavyClient(backend, candidate) || priorityRank(candidate) < rejectionThreshold)) {
+        if (candidate != null
+                && (isHeavyClient(backend, candidate)
+                        || priorityRank(candidate) < rejectionThreshold)) {
             candidate.moving = true;
             actions.moveClient(candidate.request.id());
         }
@@ -1087,7 +1144,9 @@
      */
     private long attemptTimeout(RequestState state, long remainingMicros) {
         double latencyTarget = state.serviceClass.latencyTarget();
-        boolean unlimited = state.attempts >= settings.maxAttempts() || remainingMicros <= 2 * latencyTarget / 3;
+        boolean unlimited =
+                state.attempts >= settings.maxAttempts()
+                        || remainingMicros <= 2 * latencyTarget / 3;
         unlimited |=
                 state.serviceClass.idempotency()
                         == Idempotency.NOT_IDEMPOTENT; // a timeout would only fail it early
@@ -1106,7 +1165,8 @@
         return state.firstUncertainAttemptAt == Api.NONE
                 || state.serviceClass.idempotency() == Idempotency.IDEMPOTENT
                 || state.serviceClass.idempotency() == Idempotency.DEDUPLICATED
-                        && now - state.firstUncertainAttemptAt < state.serviceClass.deduplicationWindow();
+                        && now - state.firstUncertainAttemptAt
+                                < state.serviceClass.deduplicationWindow();
     }
 
     private boolean isInDeduplicationScope(BackendState backend, RequestState state) {
@@ -1118,7 +1178,8 @@
                 || scope == DeduplicationScope.ALL
                 || backend.listEntry.zone() == state.firstUncertainBackend.listEntry.zone()
                         && (scope == DeduplicationScope.ZONE
-                                || backend.listEntry.cell() == state.firstUncertainBackend.listEntry.cell());
+                                || backend.listEntry.cell()
+                                        == state.firstUncertainBackend.listEntry.cell());
     }
 
     private void rejectOrFail(RequestState state) {
@@ -1144,6 +1205,7 @@
     }
 
     private void eject(BackendState backend) {
-        backend.ejectedUntil = now + EJECTION_MICROS * (1L << Math.max(0, backend.consecutiveFailures - 1));
+        backend.ejectedUntil =
+                now + EJECTION_MICROS * (1L << Math.max(0, backend.consecutiveFailures - 1));
     }
 }
--- a/relay/src/main/java/saltstage/PlacementTable.java
+++ b/relay/src/main/java/saltstage/PlacementTable.java
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Builds the table: each backend in turn, as often as its weight says, claims the next free slot
-     * in its own order of slots.
+     * Builds the table: each backend in turn, as often as its weight says, claims the next free
+     * slot in its own order of slots.
      */
     static PlacementTable of(List<BackendState> members, ToDoubleFunction<BackendState> weight) {
         if (members.isEmpty()) {
--- a/relay/src/main/java/saltstage/ProbeSelection.java
+++ b/relay/src/main/java/saltstage/ProbeSelection.java
@@ -38,7 +38,9 @@
                     backends.stream()
                             .filter(backend -> priority(backend, now) < NOT_SELECTED)
                             .sorted(
-                                    Comparator.comparingInt((BackendState backend) -> priority(backend, now))
+                                    Comparator.comparingInt(
+                                                    (BackendState backend) ->
+                                                            priority(backend, now))
                                             .thenComparing(
                                                     Comparator.comparingLong(
                                                                     (BackendState backend) ->
--- a/relay/src/main/java/saltstage/sim/SimulatorAdapter.java
+++ b/relay/src/main/java/saltstage/sim/SimulatorAdapter.java
@@ -99,7 +99,8 @@
         if (message.type.equals("LAUNCH")) {
             Settings settings = new SettingsReader(message.fields(), message::malformed).read();
             long seed = message.number("Salt", Long.MIN_VALUE, Long.MAX_VALUE);
-            LoadBalancer loadBalancer = new LoadBalancer(settings, seed, new ActionWriter(instanceId));
+            LoadBalancer loadBalancer =
+                    new LoadBalancer(settings, seed, new ActionWriter(instanceId));
             instances.put(instanceId, new Instance(settings, loadBalancer));
             loadBalancer.start(now);
             return;
@@ -111,18 +112,29 @@
         LoadBalancer loadBalancer = instance.loadBalancer();
         switch (message.type) {
             case "DISCOVERY" -> handleBackendList(message, loadBalancer);
-            case "JOB_IN" -> loadBalancer.requestReceived(now, readRequest(message, instance.settings()));
+            case "JOB_IN" ->
+                    loadBalancer.requestReceived(now, readRequest(message, instance.settings()));
             case "OPEN" ->
-                    loadBalancer.connectionRestored(now, readRequest(message, instance.settings()), message.require("Host"));
+                    loadBalancer.connectionRestored(
+                            now,
+                            readRequest(message, instance.settings()),
+                            message.require("Host"));
             case "STREAMING" ->
                     loadBalancer.connectionEstablished(
-                            now, requestId(message), message.number("DelaySeen", 0, Long.MAX_VALUE));
+                            now,
+                            requestId(message),
+                            message.number("DelaySeen", 0, Long.MAX_VALUE));
             case "VERDICT" ->
-                    loadBalancer.attemptEnded(now, requestId(message), readOutcome(message), message.flag("Ended"));
+                    loadBalancer.attemptEnded(
+                            now, requestId(message), readOutcome(message), message.flag("Ended"));
             case "DROPPED" -> loadBalancer.clientLeft(now, requestId(message));
             case "NOTICE" -> handleConnectionReport(message, loadBalancer);
             case "ECHO" ->
-                    loadBalancer.probeCompleted(now, message.require("Host"), readOutcome(message), utilization(message));
+                    loadBalancer.probeCompleted(
+                            now,
+                            message.require("Host"),
+                            readOutcome(message),
+                            utilization(message));
             case "REMINDER" -> loadBalancer.timerFired(now, message.require("Token"));
             case "EXIT" -> instances.remove(instanceId);
             default -> {} // messages between peers are not used, and unknown types are ignored
@@ -186,14 +198,16 @@
                 message.flag("MidFlow"));
     }
 
-    private void handleBackendList(SimulatorMessage message, LoadBalancer loadBalancer) throws IOException {
+    private void handleBackendList(SimulatorMessage message, LoadBalancer loadBalancer)
+            throws IOException {
         BackendListKind kind =
                 switch (message.require("Scope")) {
                     case "changes" -> BackendListKind.DELTA;
                     case "all" -> BackendListKind.FULL;
                     case "remembered" -> BackendListKind.CACHED;
                     case "refused" -> BackendListKind.CALL_FAILED;
-                    default -> throw message.malformed("Scope", "unknown: " + message.find("Scope"));
+                    default ->
+                            throw message.malformed("Scope", "unknown: " + message.find("Scope"));
                 };
         long rowCount = message.number("RowsIn", 0, 0, Integer.MAX_VALUE);
         List<ListedBackend> backends = new ArrayList<>();
--- a/relay/src/test/java/saltstage/ColdBackendFleetTest.java
+++ b/relay/src/test/java/saltstage/ColdBackendFleetTest.java
@@ -113,8 +113,8 @@
     }
 
     /**
-     * Reports the utilization of all warm backends to each relay, and that of the cold one if {@code
-     * includeCold} is set.
+     * Reports the utilization of all warm backends to each relay, and that of the cold one if
+     * {@code includeCold} is set.
      */
     private void reportLoad(boolean includeCold) {
         for (LoadBalancerHarness harness : relays) {
@@ -122,7 +122,10 @@
                     (backendId, connections) -> {
                         if (includeCold || !backendId.equals("cold")) {
                             harness.loadBalancer.probeCompleted(
-                                    now, backendId, Outcome.SERVED, connections / WARM_CAPACITY_CONNECTIONS);
+                                    now,
+                                    backendId,
+                                    Outcome.SERVED,
+                                    connections / WARM_CAPACITY_CONNECTIONS);
                         }
                     });
         }
--- a/relay/src/test/java/saltstage/ColdBackendTest.java
+++ b/relay/src/test/java/saltstage/ColdBackendTest.java
@@ -14,8 +14,8 @@
 import saltstage.Api.Settings;
 
 /**
- * Guards against a cold backend that gets more load than rule 4 allows. Backend s1 has just
- * started and warms up over 1,000 s; s0 is warm and by default holds 4,000 connections.
+ * Guards against a cold backend that gets more load than rule 4 allows. Backend s1 has just started
+ * and warms up over 1,000 s; s0 is warm and by default holds 4,000 connections.
  */
 class ColdBackendTest {
     /**
@@ -76,7 +76,8 @@
         return harness;
     }
 
-    private static long countSentToCold(LoadBalancerHarness harness, boolean reconnecting, long pause) {
+    private static long countSentToCold(
+            LoadBalancerHarness harness, boolean reconnecting, long pause) {
         return countSentToCold(harness, 200, reconnecting, pause);
     }
 
@@ -89,11 +90,13 @@
         return harness.backendByRequest.values().stream().filter("s1"::equals).count() - before;
     }
 
-    private static void sendRequest(LoadBalancerHarness harness, long key, boolean reconnecting, long pause) {
+    private static void sendRequest(
+            LoadBalancerHarness harness, long key, boolean reconnecting, long pause) {
         harness.now += pause;
         long deadline = harness.now + 1_200_000;
         harness.loadBalancer.requestReceived(
-                harness.now, new Request(100_000 + key, 0, 0, key, key, 1, deadline, reconnecting, false));
+                harness.now,
+                new Request(100_000 + key, 0, 0, key, key, 1, deadline, reconnecting, false));
         harness.establish(100_000 + key, 10_000);
     }
 
@@ -136,12 +139,14 @@
                 5,
                 countSentToCold(harnessWithLoadReport(0.01, WARM_UP_MICROS / 2), false, 1_000),
                 2);
-        // Each relay assumes that the others place as much as it does: with half the free capacity it
+        // Each relay assumes that the others place as much as it does: with half the free capacity
+        // it
         // sends half the clients.
         assertEquals(
                 6, countSentToCold(harnessWithLoadReport(0.1, WARM_UP_MICROS), false, 1_000), 2);
         assertTrue(
-                countSentToCold(harnessWithLoadReport(0.3, WARM_UP_MICROS), false, 1_000) <= withoutReport,
+                countSentToCold(harnessWithLoadReport(0.3, WARM_UP_MICROS), false, 1_000)
+                        <= withoutReport,
                 "the report shows more load than its warm-up allows");
     }
 
@@ -153,10 +158,13 @@
         harness.now += 1_100_000;
         harness.loadBalancer.timerFired(harness.now, "probe");
         assertTrue(harness.actions.contains("probe s1"), "a cold backend can fill within seconds");
-        assertTrue(!harness.actions.contains("probe s0"), "a warm backend without overload is probed less often");
+        assertTrue(
+                !harness.actions.contains("probe s0"),
+                "a warm backend without overload is probed less often");
     }
 
-    private static LoadBalancerHarness harnessWithLoadReport(double utilization, long budgetWindow) {
+    private static LoadBalancerHarness harnessWithLoadReport(
+            double utilization, long budgetWindow) {
         LoadBalancerHarness harness = harness(60, 100, budgetWindow);
         harness.loadBalancer.probeCompleted(harness.now, "s1", Outcome.SERVED, utilization);
         return harness;
@@ -166,7 +174,9 @@
     void reconnectingClientsAreHeldToTheSameBudget() {
         assertEquals(
                 40, countSentToCold(harness(), true, 2 * LoadBalancerHarness.SECOND_MICROS), 15);
-        assertTrue(countSentToCold(harness(), true, 1_000) <= 2, "a burst of reconnecting clients is held to the budget");
+        assertTrue(
+                countSentToCold(harness(), true, 1_000) <= 2,
+                "a burst of reconnecting clients is held to the budget");
     }
 
     @Test
@@ -175,9 +185,7 @@
                 200,
                 countSentToColdBesideOverloaded(2 * LoadBalancerHarness.SECOND_MICROS),
                 "the cold backend has room for all");
-        assertTrue(
-                countSentToColdBesideOverloaded(1_000) <= 2,
-                "a burst is held to the budget");
+        assertTrue(countSentToColdBesideOverloaded(1_000) <= 2, "a burst is held to the budget");
     }
 
     private static long countSentToColdBesideOverloaded(long pause) {
@@ -209,7 +217,8 @@
     void budgetIsAFractionOfTheObservedWarmCapacity() {
         LoadBalancerHarness withoutReports = harness(10);
         assertTrue(
-                countSentToCold(withoutReports, 100, false, LoadBalancerHarness.SECOND_MICROS / 2) <= 2,
+                countSentToCold(withoutReports, 100, false, LoadBalancerHarness.SECOND_MICROS / 2)
+                        <= 2,
                 "ten connections indicate a small capacity");
         LoadBalancerHarness withReport = harness(10);
         for (int i = 0; i < 40; i++) {
@@ -218,7 +227,9 @@
         // The ten connections use a 500th of the capacity.
         withReport.loadBalancer.probeCompleted(withReport.now, "s0", Outcome.SERVED, 0.002);
         assertEquals(
-                13, countSentToCold(withReport, 100, false, LoadBalancerHarness.SECOND_MICROS / 2), 7);
+                13,
+                countSentToCold(withReport, 100, false, LoadBalancerHarness.SECOND_MICROS / 2),
+                7);
     }
 
     @Test
@@ -231,10 +242,13 @@
         predecessor.now += 2 * LoadBalancerHarness.SECOND_MICROS;
         predecessor.route(0, 1, 1, 1); // updates the statistics
         LoadBalancerHarness successor = harness(10);
-        successor.loadBalancer.restoreLearnedState(successor.now, predecessor.loadBalancer.learnedState(predecessor.now));
+        successor.loadBalancer.restoreLearnedState(
+                successor.now, predecessor.loadBalancer.learnedState(predecessor.now));
         // The reported load comes from connections of the predecessor.
         successor.loadBalancer.probeCompleted(successor.now, "s0", Outcome.SERVED, 0.3);
         assertEquals(
-                13, countSentToCold(successor, 100, false, LoadBalancerHarness.SECOND_MICROS / 2), 7);
+                13,
+                countSentToCold(successor, 100, false, LoadBalancerHarness.SECOND_MICROS / 2),
+                7);
     }
 }
--- a/relay/src/test/java/saltstage/FailureTest.java
+++ b/relay/src/test/java/saltstage/FailureTest.java
@@ -29,9 +29,14 @@
         harness.endAttempt(id, Outcome.TIMEOUT);
         String alternative = harness.backendByRequest.get(id);
         assertEquals(
-                alternative, harness.route(0, 2, 5, Api.NONE), "the group stays together at its alternative backend");
+                alternative,
+                harness.route(0, 2, 5, Api.NONE),
+                "the group stays together at its alternative backend");
         harness.now += 2_100_000;
-        assertEquals(silent, harness.backendByRequest.get(harness.request(0, 3, 5, Api.NONE)), "one request retries the ejected backend");
+        assertEquals(
+                silent,
+                harness.backendByRequest.get(harness.request(0, 3, 5, Api.NONE)),
+                "one request retries the ejected backend");
         assertEquals(
                 alternative,
                 harness.backendByRequest.get(harness.request(0, 4, 5, Api.NONE)),
@@ -60,10 +65,19 @@
         long trial = harness.request(0, 2, 5, Api.NONE);
         assertEquals(defaultBackend, harness.backendByRequest.get(trial));
         harness.establish(trial, 10_000);
-        assertNotEquals(defaultBackend, harness.route(0, 3, 5, Api.NONE), "a successful set-up alone does not end the probation");
+        assertNotEquals(
+                defaultBackend,
+                harness.route(0, 3, 5, Api.NONE),
+                "a successful set-up alone does not end the probation");
         harness.now += 2_100_000;
-        assertEquals(defaultBackend, harness.route(0, 4, 5, Api.NONE), "a connection that stays established ends the probation");
-        assertEquals(defaultBackend, harness.route(0, 6, 5, Api.NONE), "all requests use the recovered backend");
+        assertEquals(
+                defaultBackend,
+                harness.route(0, 4, 5, Api.NONE),
+                "a connection that stays established ends the probation");
+        assertEquals(
+                defaultBackend,
+                harness.route(0, 6, 5, Api.NONE),
+                "all requests use the recovered backend");
     }
 
     @Test
@@ -72,16 +86,28 @@
         String defaultBackend = harness.route(0, 1, 5, Api.NONE);
         for (int i = 0; i < 10; i++) {
             harness.loadBalancer.probeCompleted(
-                    harness.now, "s" + i, Outcome.SERVED, defaultBackend.equals("s" + i) ? 0.85 : 0.3);
+                    harness.now,
+                    "s" + i,
+                    Outcome.SERVED,
+                    defaultBackend.equals("s" + i) ? 0.85 : 0.3);
         }
         String alternative = harness.route(0, 2, 5, Api.NONE);
         assertNotEquals(defaultBackend, alternative);
-        assertEquals(alternative, harness.route(0, 3, 5, Api.NONE), "the group stays together at the alternative backend");
+        assertEquals(
+                alternative,
+                harness.route(0, 3, 5, Api.NONE),
+                "the group stays together at the alternative backend");
         for (int i = 0; i < 10; i++) {
             harness.loadBalancer.probeCompleted(
-                    harness.now, "s" + i, Outcome.SERVED, defaultBackend.equals("s" + i) ? 0.8 : 0.85);
+                    harness.now,
+                    "s" + i,
+                    Outcome.SERVED,
+                    defaultBackend.equals("s" + i) ? 0.8 : 0.85);
         }
-        assertEquals(defaultBackend, harness.route(0, 4, 5, Api.NONE), "the least utilized backend, as all are busy");
+        assertEquals(
+                defaultBackend,
+                harness.route(0, 4, 5, Api.NONE),
+                "the least utilized backend, as all are busy");
     }
 
     @Test
@@ -112,7 +138,10 @@
         harness.loadBalancer.attemptEnded(harness.now, id, Outcome.RESET, true);
         long attemptsBefore = harness.attemptCount();
         harness.request(2);
-        assertEquals(attemptsBefore, harness.attemptCount(), "the request is answered without an attempt");
+        assertEquals(
+                attemptsBefore,
+                harness.attemptCount(),
+                "the request is answered without an attempt");
         assertTrue(harness.lastAction().startsWith("reject"));
     }
 
@@ -142,7 +171,10 @@
         assertNotEquals(defaultBackend, alternative);
         assertEquals(alternative, harness.route(0, 3, 5, 100));
         harness.now += 2_600_000;
-        assertEquals(defaultBackend, harness.route(0, 4, 5, 100), "without a further report the overload is over");
+        assertEquals(
+                defaultBackend,
+                harness.route(0, 4, 5, 100),
+                "without a further report the overload is over");
     }
 
     @Test
@@ -172,7 +204,8 @@
         harness.loadBalancer.probeCompleted(harness.now, defaultBackend, Outcome.SERVED, 1.2);
         assertNotEquals(defaultBackend, harness.route(key));
         harness.loadBalancer.probeCompleted(harness.now, defaultBackend, Outcome.ERROR, Api.NONE);
-        assertNotEquals(defaultBackend, harness.route(key), "a failed probe does not change the report");
+        assertNotEquals(
+                defaultBackend, harness.route(key), "a failed probe does not change the report");
         harness.now += 5 * LoadBalancerHarness.SECOND_MICROS;
         assertEquals(defaultBackend, harness.route(key));
     }
@@ -230,11 +263,13 @@
             harness.restoreConnection("s1", 100);
         }
         long heavy = harness.restoreConnection("s1", 9000);
-        harness.loadBalancer.connectionReported(harness.now, reportingConnection, ConnectionReport.DELAY, 500);
+        harness.loadBalancer.connectionReported(
+                harness.now, reportingConnection, ConnectionReport.DELAY, 500);
         assertEquals(0, moveCount(harness), "none is moved at the first report");
         for (int i = 0; i < 10; i++) {
             harness.now += 1_000_000;
-            harness.loadBalancer.connectionReported(harness.now, reportingConnection, ConnectionReport.DELAY, 500);
+            harness.loadBalancer.connectionReported(
+                    harness.now, reportingConnection, ConnectionReport.DELAY, 500);
         }
         assertTrue(harness.actions.contains("move " + heavy));
         assertTrue(moveCount(harness) <= 10, "at most one a second");
@@ -251,11 +286,14 @@
                         LoadBalancerHarness.idempotentClass(), LoadBalancerHarness.lowValueClass());
         harness.receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(10));
         List<Long> openConnections =
-                IntStream.range(0, 10).mapToObj(i -> harness.restoreConnection("s" + i, 100)).toList();
+                IntStream.range(0, 10)
+                        .mapToObj(i -> harness.restoreConnection("s" + i, 100))
+                        .toList();
         for (int i = 0; i < 40; i++) {
             harness.now += 100_000;
             if (i % 10 == 0) {
-                openConnections.subList(0, 6)
+                openConnections
+                        .subList(0, 6)
                         .forEach(
                                 id ->
                                         harness.loadBalancer.connectionReported(
@@ -275,7 +313,9 @@
             harness.now += 250_000;
             harness.route(0, 7, 7, 100);
         }
-        assertTrue(harness.route(1, 1, 1, 100) != null, "requests are accepted again after the overload");
+        assertTrue(
+                harness.route(1, 1, 1, 100) != null,
+                "requests are accepted again after the overload");
     }
 
     @Test
@@ -298,13 +338,15 @@
 
     @Test
     void attemptsThatWaitEverywhereDoNotTimeOutEarly() {
-        // In a queue that all backends share, a timeout wastes work and adds an attempt to the queue.
+        // In a queue that all backends share, a timeout wastes work and adds an attempt to the
+        // queue.
         LoadBalancerHarness harness =
                 LoadBalancerHarness.of(LoadBalancerHarness.idempotentClass())
                         .receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(4));
         for (int i = 1; i <= 5; i++) {
             harness.request(i);
-            assertTrue(harness.lastAttemptTimeout > 0, "an early attempt leaves time for another one");
+            assertTrue(
+                    harness.lastAttemptTimeout > 0, "an early attempt leaves time for another one");
         }
         harness.request(6);
         assertEquals(0, harness.lastAttemptTimeout);
@@ -323,7 +365,8 @@
                 IntStream.range(0, 30)
                         .mapToObj(i -> harness.restoreConnection("s" + i % 10, 100))
                         .toList();
-        oldConnections.forEach(id -> harness.loadBalancer.attemptEnded(harness.now, id, Outcome.RESET, true));
+        oldConnections.forEach(
+                id -> harness.loadBalancer.attemptEnded(harness.now, id, Outcome.RESET, true));
         harness.now += 5_000_000;
         for (long k = 0; k < 30; k++) {
             assertTrue(harness.route(k) != null, "request " + k + " after 30 resets");
@@ -350,7 +393,8 @@
         String defaultBackend = harness.route(0, 1, 5, 100);
         harness.reportDelay(defaultBackend, 90);
         harness.loadBalancer.requestReceived(
-                harness.now, new Api.Request(900, 0, 0, 2, 5, 100, harness.now + 1_200_000, false, true));
+                harness.now,
+                new Api.Request(900, 0, 0, 2, 5, 100, harness.now + 1_200_000, false, true));
         assertEquals(defaultBackend, harness.backendByRequest.get(900L));
     }
 
@@ -363,7 +407,9 @@
         }
         assertTrue(
                 difference > 5,
-                "of 40 clients each, " + difference + " more with long connections left the default");
+                "of 40 clients each, "
+                        + difference
+                        + " more with long connections left the default");
     }
 
     /** Returns whether a client leaves its slow default after a connection of this duration. */
@@ -386,7 +432,8 @@
         }
         harness.reportDelay(defaultBackend, 25);
         harness.now += 300_000;
-        return !defaultBackend.equals(harness.backendByRequest.get(harness.request(0, 7, 5, Api.NONE)));
+        return !defaultBackend.equals(
+                harness.backendByRequest.get(harness.request(0, 7, 5, Api.NONE)));
     }
 
     @Test
--- a/relay/src/test/java/saltstage/LoadBalancerHarness.java
+++ b/relay/src/test/java/saltstage/LoadBalancerHarness.java
@@ -75,7 +75,8 @@
                 10 * SECOND_MICROS);
     }
 
-    static Settings settings(double crossZoneCost, boolean watchesBackendList, ServiceClass... classes) {
+    static Settings settings(
+            double crossZoneCost, boolean watchesBackendList, ServiceClass... classes) {
         return new Settings(
                 40,
                 0,
@@ -107,7 +108,13 @@
     }
 
     static ListedBackend withHealth(ListedBackend backend, Health health) {
-        return new ListedBackend(backend.id(), backend.zone(), backend.cell(), health, backend.weight(), backend.startedAt());
+        return new ListedBackend(
+                backend.id(),
+                backend.zone(),
+                backend.cell(),
+                health,
+                backend.weight(),
+                backend.startedAt());
     }
 
     static ListedBackend[] backends(int count) {
@@ -125,7 +132,9 @@
     long request(int serviceClass, long key, long group, long loadHint) {
         long id = ++lastRequestId;
         loadBalancer.requestReceived(
-                now, new Request(id, serviceClass, 0, key, group, loadHint, now + 1_200_000, false, false));
+                now,
+                new Request(
+                        id, serviceClass, 0, key, group, loadHint, now + 1_200_000, false, false));
         return id;
     }
 
--- a/relay/src/test/java/saltstage/PlacementAndDiversionTest.java
+++ b/relay/src/test/java/saltstage/PlacementAndDiversionTest.java
@@ -113,7 +113,9 @@
             (i < 10 ? early : later).add(harness.backendByRequest.get(id));
         }
         assertEquals(1, early.size(), "one backend until the group is known to be big");
-        assertTrue(later.size() > 8 && later.size() < 25, "backends of half of all connections: " + later);
+        assertTrue(
+                later.size() > 8 && later.size() < 25,
+                "backends of half of all connections: " + later);
     }
 
     @Test
@@ -137,7 +139,8 @@
         int heavy = 0;
         for (int seed = 1; seed <= 50; seed++) {
             LoadBalancerHarness harness = harnessWithDelayedDefault(25, seed * 7919L);
-            String defaultBackend = harness.backendByRequest.get(harness.backendByRequest.lastKey());
+            String defaultBackend =
+                    harness.backendByRequest.get(harness.backendByRequest.lastKey());
             light += harness.route(0, 5003, 5, 100).equals(defaultBackend) ? 0 : 1;
             heavy += harness.route(0, 5002, 5, 10_000).equals(defaultBackend) ? 0 : 1;
         }
@@ -150,17 +153,20 @@
     void noDiversionWithoutAGapWorthASetup() {
         LoadBalancerHarness harness = harnessWithDelayedDefault(9);
         String defaultBackend = harness.route(0, 5001, 5, 100);
-        assertEquals(defaultBackend, harness.route(0, 5002, 5, 10_000), "a gap of 9 ms is less than a set-up of 10 ms");
+        assertEquals(
+                defaultBackend,
+                harness.route(0, 5002, 5, 10_000),
+                "a gap of 9 ms is less than a set-up of 10 ms");
     }
 
     @Test
     void noDiversionBelowThePercentile() {
-        // Half of the others are slower than the default and the rest are idle: by the gap alone the
+        // Half of the others are slower than the default and the rest are idle: by the gap alone
+        // the
         // client would be diverted.
         assertEquals(0, divertedHeavyClients(10, 30));
         assertTrue(
-                divertedHeavyClients(0, 30) > 10,
-                "the only slow backend is in the slowest fifth");
+                divertedHeavyClients(0, 30) > 10, "the only slow backend is in the slowest fifth");
     }
 
     @Test
@@ -177,7 +183,8 @@
         int diverted = 0;
         for (int seed = 1; seed <= 30; seed++) {
             LoadBalancerHarness harness = harnessWithDelayedDefault(25, seed * 7919L);
-            String defaultBackend = harness.backendByRequest.get(harness.backendByRequest.lastKey());
+            String defaultBackend =
+                    harness.backendByRequest.get(harness.backendByRequest.lastKey());
             int reported = 0;
             for (int i = 0; i < 20 && reported < others; i++) {
                 if (!defaultBackend.equals("s" + i)) {
@@ -192,8 +199,8 @@
     }
 
     /**
-     * Returns a harness with twenty backends of known set-up latency, of which the default of group 5
-     * reports the given delay.
+     * Returns a harness with twenty backends of known set-up latency, of which the default of group
+     * 5 reports the given delay.
      */
     private static LoadBalancerHarness harnessWithDelayedDefault(double delayMillis) {
         return harnessWithDelayedDefault(delayMillis, 1);
--- a/relay/src/test/java/saltstage/ReconnectStormTest.java
+++ b/relay/src/test/java/saltstage/ReconnectStormTest.java
@@ -92,8 +92,8 @@
         }
 
         /**
-         * Follows an attempt that was started since {@code attemptsBefore}, if any: it waits for the
-         * store until it is established or times out.
+         * Follows an attempt that was started since {@code attemptsBefore}, if any: it waits for
+         * the store until it is established or times out.
          */
         private void followAttempt(LoadBalancerHarness relay, long id, long attemptsBefore) {
             if (relay.attemptCount() == attemptsBefore) {
--- a/relay/src/test/java/saltstage/SafetyRulesTest.java
+++ b/relay/src/test/java/saltstage/SafetyRulesTest.java
@@ -80,7 +80,10 @@
         long id = harness.request(1);
         String first = harness.backendByRequest.get(id);
         assertEquals(1, harness.attemptCount());
-        assertEquals(300_000, harness.lastAttemptTimeout, "the latency target leaves time for another attempt");
+        assertEquals(
+                300_000,
+                harness.lastAttemptTimeout,
+                "the latency target leaves time for another attempt");
         harness.now += harness.lastAttemptTimeout;
         harness.endAttempt(id, Outcome.TIMEOUT);
         assertEquals(2, harness.attemptCount());
@@ -129,7 +132,8 @@
             harness.now += 600_000;
             long attemptsBefore = harness.attemptCount();
             harness.endAttempt(id, Outcome.TIMEOUT);
-            assertEquals(attemptsBefore, harness.attemptCount(), "the deduplication window has ended");
+            assertEquals(
+                    attemptsBefore, harness.attemptCount(), "the deduplication window has ended");
             assertEquals("fail " + id, harness.lastAction());
             harness.now += 60 * LoadBalancerHarness.SECOND_MICROS;
         }
