--- a/relay/src/main/java/saltstage/BalancerState.java
+++ b/relay/src/main/java/saltstage/BalancerState.java
@@ -128,7 +128,7 @@
          * Estimates the present utilization from the last report and the load placed since: reports
          * are late, and the load of the other relays is assumed to grow like that of this one.
          */
-        double estimatedUtilization() {
+        double utilization() {
             double scaled =
                     placedLoadAtReport > 0
                             ? reportedUtilization
--- a/relay/src/main/java/saltstage/LoadBalancer.java
+++ b/relay/src/main/java/saltstage/LoadBalancer.java
@@ -561,8 +561,7 @@
         boolean frequent =
                 isOverloaded(backend)
                         || warmUpFraction(backend) < 1
-                        || hasFreshLoadReport(backend)
-                                && backend.estimatedUtilization() > BUSY_UTILIZATION;
+                        || hasFreshLoadReport(backend) && backend.utilization() > BUSY_UTILIZATION;
         backend.nextProbeAt =
                 now + (frequent ? FREQUENT_PROBE_INTERVAL_MICROS : PROBE_INTERVAL_MICROS);
         actions.probe(backend.listEntry.id());
@@ -650,8 +649,7 @@
         recentAttempts *= retention;
         recentEstablished *= retention;
         throttleUpdatedAt = now;
-        // When attempts fail at all backends (a shared store, resets), only twice as many are
-        // started as were lately established.
+        // If all backends fail (shared store, resets), start only twice as many as succeeded.
         boolean throttled =
                 random.nextDouble() * recentAttempts
                         < recentAttempts
@@ -725,7 +723,9 @@
 
     /**
      * Returns the default backend of the request or the next suitable one in the fixed order of its
-     * key. A heavy client may be diverted from it.
+     * key. A heavy client may be diverted from it. Where all candidates are busy, the least
+     * utilized one is returned, but no overloaded one: one more request would not be served there
+     * and would slow the others.
      */
     private BackendState chooseBackend(RequestState state) {
         BackendState first = null;
@@ -733,46 +733,42 @@
         int spread = groupSpread(state);
         int start = random.nextInt(spread);
         for (int i = 0; i < spread + ALTERNATIVE_CANDIDATES; i++) {
-            BackendState backend =
+            BackendState next =
                     candidate(
                             state.placementHash,
                             i < spread ? (start + i) % spread : i,
                             i < spread + ALTERNATIVE_CANDIDATES / 2);
             boolean eligible =
-                    backend != null
-                            && isUsable(backend, state)
-                            && now >= backend.ejectedUntil
-                            && canAdmit(backend, state);
+                    next != null
+                            && isUsable(next, state)
+                            && now >= next.ejectedUntil
+                            && canAdmit(next, state);
             if (!eligible) {
                 continue;
             }
-            backend.lastConsideredAt = now;
+            next.lastConsideredAt = now;
             if (first == null) {
-                first = backend;
-                countArrival(backend, state);
+                first = next;
+                countArrival(next, state);
                 BackendState other =
                         state.request.midFlow() || state.attempts > 0
                                 ? null
-                                : diversionTarget(state, backend);
+                                : diversionTarget(state, next);
                 if (other != null) {
                     return other;
                 }
             }
             if (state.request.midFlow()
-                    || !isOverloaded(backend)
-                            && (!hasFreshLoadReport(backend)
-                                    || backend.estimatedUtilization() <= BUSY_UTILIZATION)) {
-                return backend;
+                    || !isOverloaded(next)
+                            && (!hasFreshLoadReport(next)
+                                    || next.utilization() <= BUSY_UTILIZATION)) {
+                return next;
             }
             best =
-                    !isOverloaded(backend)
-                                    && (best == null
-                                            || backend.estimatedUtilization()
-                                                    < best.estimatedUtilization())
-                            ? backend
+                    !isOverloaded(next) && (best == null || next.utilization() < best.utilization())
+                            ? next
                             : best;
         }
-        // Where all are overloaded, one more request would not be served and would slow the rest.
         return best != null ? best : fallbackBackend(state, first != null);
     }
 
@@ -1045,7 +1041,7 @@
         double[] utilizations =
                 readyBackends.stream()
                         .filter(this::hasFreshLoadReport)
-                        .mapToDouble(BackendState::estimatedUtilization)
+                        .mapToDouble(BackendState::utilization)
                         .toArray();
         boolean enoughReports =
                 utilizations.length * 2 > Math.min(readyBackends.size(), Api.MAX_PROBED_BACKENDS);
@@ -1074,8 +1070,7 @@
                 hasFreshDelayReport(backend)
                         && backend.reportedDelayMicros > minMessageLatencyTarget / 3;
         return delayed
-                || hasFreshLoadReport(backend)
-                        && backend.estimatedUtilization() > OVERLOAD_UTILIZATION;
+                || hasFreshLoadReport(backend) && backend.utilization() > OVERLOAD_UTILIZATION;
     }
 
     private void countArrival(BackendState backend, RequestState state) {
--- a/relay/src/test/java/saltstage/ColdBackendTest.java
+++ b/relay/src/test/java/saltstage/ColdBackendTest.java
@@ -139,9 +139,8 @@
                 5,
                 countSentToCold(harnessWithLoadReport(0.01, WARM_UP_MICROS / 2), false, 1_000),
                 2);
-        // Each relay assumes that the others place as much as it does: with half the free capacity
-        // it
-        // sends half the clients.
+        // Each relay assumes that the others place as much load as it does: with half the free
+        // capacity it sends half the clients.
         assertEquals(
                 6, countSentToCold(harnessWithLoadReport(0.1, WARM_UP_MICROS), false, 1_000), 2);
         assertTrue(
--- a/relay/src/test/java/saltstage/PlacementAndDiversionTest.java
+++ b/relay/src/test/java/saltstage/PlacementAndDiversionTest.java
@@ -162,8 +162,7 @@
     @Test
     void noDiversionBelowThePercentile() {
         // Half of the others are slower than the default and the rest are idle: by the gap alone
-        // the
-        // client would be diverted.
+        // the client would be diverted.
         assertEquals(0, divertedHeavyClients(10, 30));
         assertTrue(
                 divertedHeavyClients(0, 30) > 10, "the only slow backend is in the slowest fifth");
