--- a/relay/src/main/java/saltstage/PlacementTable.java
+++ b/relay/src/main/java/saltstage/PlacementTable.java
@@ -7,15 +7,16 @@
 import saltstage.BalancerState.BackendState;
 
 /**
- * Maglev hashing: keys are looked up in a table that is the same at every node with the same list.
+ * Maglev hashing: maps keys to backends through a table that is the same at every relay with the
+ * same backend list.
  */
 final class PlacementTable {
     static final PlacementTable EMPTY = new PlacementTable(new BackendState[0]);
 
-    /** At least; odd skips visit every slot of a power of two. */
+    /** A power of two, so that every odd skip visits all slots. */
     private static final int MIN_SLOTS = 2048;
 
-    /** Else some servers of a wide fleet would have no slot. */
+    /** With fewer slots some backends of a wide fleet would have none. */
     private static final int SLOTS_PER_BACKEND = 7;
 
     private final BackendState[] slots;
@@ -25,7 +26,8 @@
     }
 
     /**
-     * Each server in turn, as often as its weight says, claims the next free slot of its own order.
+     * Builds the table: each backend in turn, as often as its weight says, claims the next free
+     * slot in its own order of slots.
      */
     static PlacementTable of(List<BackendState> members, ToDoubleFunction<BackendState> weight) {
         if (members.isEmpty()) {
@@ -33,24 +35,24 @@
         }
         int size = Math.max(MIN_SLOTS, Integer.highestOneBit(SLOTS_PER_BACKEND * members.size()));
         BackendState[] table = new BackendState[size];
-        int[] next = new int[members.size()];
+        int[] nextPosition = new int[members.size()];
         double[] credit = new double[members.size()];
         double[] weights = members.stream().mapToDouble(weight).toArray();
-        double most = Arrays.stream(weights).max().orElse(1);
+        double maxWeight = Arrays.stream(weights).max().orElse(1);
         for (int filled = 0; filled < size; ) {
-            for (int i = 0; i < next.length && filled < size; i++) {
-                credit[i] += weights[i] / most;
+            for (int i = 0; i < nextPosition.length && filled < size; i++) {
+                credit[i] += weights[i] / maxWeight;
                 if (credit[i] < 1) {
                     continue;
                 }
                 credit[i] -= 1;
-                BackendState h = members.get(i);
-                int skip = (int) (h.hash >>> 32) | 1;
+                BackendState member = members.get(i);
+                int skip = (int) (member.hash >>> 32) | 1;
                 int slot;
                 do {
-                    slot = (int) h.hash + next[i]++ * skip & size - 1;
+                    slot = (int) member.hash + nextPosition[i]++ * skip & size - 1;
                 } while (table[slot] != null);
-                table[slot] = h;
+                table[slot] = member;
                 filled++;
             }
         }
@@ -61,12 +63,12 @@
         return slots.length == 0;
     }
 
-    /** The server at this hash, or null where there is none. */
+    /** Returns the backend for this hash, or null if the table is empty. */
     BackendState backendAt(long hash) {
         return isEmpty() ? null : slots[(int) hash & slots.length - 1];
     }
 
-    /** A server by chance, as often as it has slots. */
+    /** Returns a random backend, each with a probability proportional to its number of slots. */
     BackendState randomBackend(Random random) {
         return slots[random.nextInt(slots.length)];
     }
--- a/relay/src/test/java/saltstage/ColdBackendFleetTest.java
+++ b/relay/src/test/java/saltstage/ColdBackendFleetTest.java
@@ -18,15 +18,17 @@
 import saltstage.Api.Settings;
 
 /**
- * Rule 4 for the sum of all processes: within any span that the settings name a cold server gets no
- * more than the budget N of its present capacity, and 2 * root of N + 2 for chance, however many
- * relays share it. No relay is told what the others do; what they have in common is the list, the
- * reports and the settings.
+ * Guards against relays that each keep to rule 4 but together overload a cold backend. Within any
+ * budget window a cold backend may get at most N connections, the budget for its present capacity,
+ * and 2 * sqrt(N) + 2 more for random variation, however many relays share it. The relays have only
+ * the backend list, the load reports and the settings in common.
  */
 class ColdBackendFleetTest {
     private static final int WARM_BACKENDS = 9;
-    private static final double WARM_CAPACITY_CONNECTIONS =
-            80; // connections of mean load that fill a warm server
+
+    /** Connections of mean load that fill a warm backend. */
+    private static final double WARM_CAPACITY_CONNECTIONS = 80;
+
     private static final double INITIAL_UTILIZATION = 0.6;
     private static final long STEP_MICROS = 20_000;
 
@@ -49,20 +51,20 @@
                         10 * LoadBalancerHarness.SECOND_MICROS);
     }
 
-    private LoadBalancerHarness newRelay(int fleet, int seed) {
-        Settings s =
+    private LoadBalancerHarness newRelay(int fleetSize, int seed) {
+        Settings base =
                 LoadBalancerHarness.settings(0.02, false, LoadBalancerHarness.idempotentClass());
         long share = (long) (WARM_CAPACITY_CONNECTIONS * (WARM_BACKENDS + 1));
-        LoadBalancerHarness rig =
+        LoadBalancerHarness harness =
                 new LoadBalancerHarness(
                         new Settings(
-                                fleet,
+                                fleetSize,
                                 0,
-                                s.serviceClasses(),
+                                base.serviceClasses(),
                                 List.of(share),
-                                s.overQuotaValue(),
-                                s.maxAttempts(),
-                                s.connectTimeout(),
+                                base.overQuotaValue(),
+                                base.maxAttempts(),
+                                base.connectTimeout(),
                                 false,
                                 true,
                                 0.02,
@@ -71,34 +73,34 @@
                                 true,
                                 rules),
                         seed);
-        rig.now = now;
+        harness.now = now;
         ListedBackend[] all = new ListedBackend[WARM_BACKENDS + 1];
         for (int i = 0; i < WARM_BACKENDS; i++) {
             all[i] = LoadBalancerHarness.backend("s" + i, 0);
         }
         all[WARM_BACKENDS] = new ListedBackend("cold", 0, 1, Health.READY, 1, startedAt);
-        rig.receiveList(BackendListKind.FULL, all);
-        return rig;
+        harness.receiveList(BackendListKind.FULL, all);
+        return harness;
     }
 
     /**
-     * So many relays that hold what the warm servers carry; skewed: the first half has four fifths
-     * of it.
+     * Starts relays that hold the connections of the warm backends; if skewed, the first half of
+     * the relays holds four fifths of them.
      */
     private void startFleet(int size, boolean skewed) {
         for (int i = 0; i < size; i++) {
             relays.add(newRelay(size, i + 1));
         }
-        for (int server = 0; server < WARM_BACKENDS; server++) {
+        for (int backend = 0; backend < WARM_BACKENDS; backend++) {
             for (int k = 0; k < INITIAL_UTILIZATION * WARM_CAPACITY_CONNECTIONS; k++) {
-                randomRelay(skewed).restoreConnection("s" + server, 1);
-                connectionsByBackend.merge("s" + server, 1, Integer::sum);
+                randomRelay(skewed).restoreConnection("s" + backend, 1);
+                connectionsByBackend.merge("s" + backend, 1, Integer::sum);
             }
         }
-        for (LoadBalancerHarness rig : relays) {
+        for (LoadBalancerHarness harness : relays) {
             for (int i = 0; i < 40; i++) {
-                rig.loadBalancer.timerFired(
-                        rig.now, "probe"); // what is placed now is what reports speak of
+                // Load reports describe the load that is placed now.
+                harness.loadBalancer.timerFired(harness.now, "probe");
             }
         }
     }
@@ -111,29 +113,32 @@
     }
 
     /**
-     * Each relay is told what all servers hold of what they can, the cold one only where that is
-     * meant.
+     * Reports the utilization of all warm backends to each relay, and that of the cold one if
+     * {@code includeCold} is set.
      */
-    private void reportLoad(boolean cold) {
-        for (LoadBalancerHarness rig : relays) {
+    private void reportLoad(boolean includeCold) {
+        for (LoadBalancerHarness harness : relays) {
             connectionsByBackend.forEach(
-                    (server, held) -> {
-                        if (cold || !server.equals("cold")) {
-                            rig.loadBalancer.probeCompleted(
-                                    now, server, Outcome.SERVED, held / WARM_CAPACITY_CONNECTIONS);
+                    (backendId, connections) -> {
+                        if (includeCold || !backendId.equals("cold")) {
+                            harness.loadBalancer.probeCompleted(
+                                    now,
+                                    backendId,
+                                    Outcome.SERVED,
+                                    connections / WARM_CAPACITY_CONNECTIONS);
                         }
                     });
         }
     }
 
     /**
-     * The most of N + 2 * root of N + 2 that any span was sent, in a crowd that comes for two
-     * spans.
+     * Returns the largest part of N + 2 * sqrt(N) + 2 that was sent in any budget window, while
+     * requests beyond the capacity of the fleet arrive for two windows.
      */
     private double maxBudgetUse(boolean skewed, boolean reported) {
         List<Long> sent = new ArrayList<>();
-        double worst = 0;
-        int crowd =
+        double maxUse = 0;
+        int requestsPerStep =
                 (int)
                         (2
                                 * WARM_CAPACITY_CONNECTIONS
@@ -144,15 +149,15 @@
             if (now % LoadBalancerHarness.SECOND_MICROS < STEP_MICROS) {
                 reportLoad(reported);
             }
-            for (int i = 0; i < crowd; i++) {
+            for (int i = 0; i < requestsPerStep; i++) {
                 sendRequest(skewed, sent);
             }
             long from = now - rules.warmUpBudgetWindow();
-            sent.removeIf(at -> at <= from);
-            double n = currentBudget();
-            worst = Math.max(worst, sent.size() / (n + 2 * Math.sqrt(n) + 2));
+            sent.removeIf(time -> time <= from);
+            double budget = currentBudget();
+            maxUse = Math.max(maxUse, sent.size() / (budget + 2 * Math.sqrt(budget) + 2));
         }
-        return worst;
+        return maxUse;
     }
 
     /**
@@ -160,10 +165,10 @@
      * backend.
      */
     private void sendRequest(boolean skewed, List<Long> sent) {
-        LoadBalancerHarness rig = randomRelay(skewed);
-        rig.now = now;
+        LoadBalancerHarness harness = randomRelay(skewed);
+        harness.now = now;
         long id = ++lastRequestId;
-        rig.loadBalancer.requestReceived(
+        harness.loadBalancer.requestReceived(
                 now,
                 new Request(
                         id,
@@ -175,24 +180,24 @@
                         now + 1_200_000,
                         false,
                         false));
-        String server = rig.backendByRequest.get(id);
-        if ("cold".equals(server)) {
+        String backendId = harness.backendByRequest.get(id);
+        if ("cold".equals(backendId)) {
             sent.add(now);
         }
-        if (server != null) {
-            rig.establish(id, 10_000);
-            connectionsByBackend.merge(server, 1, Integer::sum);
+        if (backendId != null) {
+            harness.establish(id, 10_000);
+            connectionsByBackend.merge(backendId, 1, Integer::sum);
         }
     }
 
-    /** The connections that the cold backend may get now in one budget window: N. */
+    /** Returns N, the connections that the cold backend may get in one budget window now. */
     private double currentBudget() {
-        double warmth =
+        double warmUpFraction =
                 rules.initialWarmUpFraction()
                         + (1 - rules.initialWarmUpFraction())
                                 * Math.min(1, (now - startedAt) / (double) rules.warmUpPeriod());
         return rules.maxWarmUpLoadMultiple()
-                * warmth
+                * warmUpFraction
                 * WARM_CAPACITY_CONNECTIONS
                 * rules.warmUpBudgetWindow()
                 / rules.warmUpPeriod();
@@ -203,8 +208,8 @@
     void allRelaysHaveJustListedTheBackend(int size, int seconds) {
         setWarmUpSeconds(seconds);
         startFleet(size, false);
-        double most = maxBudgetUse(false, false);
-        assertTrue(most <= 1, most + " of the budget");
+        double maxUse = maxBudgetUse(false, false);
+        assertTrue(maxUse <= 1, maxUse + " of the budget");
     }
 
     @ParameterizedTest
@@ -212,8 +217,8 @@
     void loadReportsShowFreeCapacity(int size, int seconds) {
         setWarmUpSeconds(seconds);
         startFleet(size, false);
-        double most = maxBudgetUse(false, true);
-        assertTrue(most <= 1, most + " of the budget");
+        double maxUse = maxBudgetUse(false, true);
+        assertTrue(maxUse <= 1, maxUse + " of the budget");
     }
 
     @ParameterizedTest
@@ -221,8 +226,8 @@
     void trafficIsSkewed(int size, int seconds) {
         setWarmUpSeconds(seconds);
         startFleet(size, true);
-        double most = maxBudgetUse(true, true);
-        assertTrue(most <= 1, most + " of the budget");
+        double maxUse = maxBudgetUse(true, true);
+        assertTrue(maxUse <= 1, maxUse + " of the budget");
     }
 
     @ParameterizedTest
@@ -233,7 +238,7 @@
         for (int i = 0; i < size; i++) {
             relays.add(newRelay(size, i + 1));
         }
-        double most = maxBudgetUse(false, true);
-        assertTrue(most <= 1, most + " of the budget");
+        double maxUse = maxBudgetUse(false, true);
+        assertTrue(maxUse <= 1, maxUse + " of the budget");
     }
 }
--- a/relay/src/test/java/saltstage/ReconnectStormTest.java
+++ b/relay/src/test/java/saltstage/ReconnectStormTest.java
@@ -12,16 +12,19 @@
 import saltstage.Api.Outcome;
 
 /**
- * Clients of relays that died come back at the others, and each set-up waits its turn at a store
- * that all servers share. What is given up there is still worked through, so impatience feeds the
- * queue it flees.
+ * Guards against attempts that time out too early in a reconnect storm. Clients of failed relays
+ * reconnect through the others, and each set-up waits in the queue of a store that all backends
+ * share. The store still processes the set-ups that timed out, so each retry lengthens the queue.
  */
 class ReconnectStormTest {
     private static final int RELAY_COUNT = 14;
     private static final int CLIENT_COUNT = 120;
-    private static final long RECONNECT_SPAN_MICROS =
-            600_000; // in which all come back: 1.4 times what the store bears
-    private static final long STORE_SETUP_MICROS = 7_000; // of one set-up at the store
+
+    /** Time in which all clients reconnect, at 1.4 times the rate that the store can handle. */
+    private static final long RECONNECT_SPAN_MICROS = 600_000;
+
+    /** Duration of one set-up at the store. */
+    private static final long STORE_SETUP_MICROS = 7_000;
 
     private record ScheduledEvent(long timeMicros, int order, Runnable action)
             implements Comparable<ScheduledEvent> {
@@ -33,12 +36,14 @@
         }
     }
 
-    /** The relays of a fleet, their clients and the store, on one clock. */
+    /** Simulates the relays of a fleet, their clients and the store on one clock. */
     private static final class StormSimulation {
         private final PriorityQueue<ScheduledEvent> eventQueue = new PriorityQueue<>();
         private final List<LoadBalancerHarness> relays = new ArrayList<>();
-        private final Map<String, Integer> attemptsByRequest =
-                new HashMap<>(); // of a request, by relay and id
+
+        /** Number of attempts by relay and request id. */
+        private final Map<String, Integer> attemptsByRequest = new HashMap<>();
+
         private long storeFreeAt;
         private int nextOrder;
         private int attemptCount;
@@ -53,14 +58,15 @@
                                 i + 1);
                 relays.add(
                         relay.receiveList(BackendListKind.FULL, LoadBalancerHarness.backends(7)));
-                for (long key = 0; key < 10; key++) { // calm before: set-ups are known to be quick
+                // Before the storm the relay learns a low set-up latency.
+                for (long key = 0; key < 10; key++) {
                     relay.route(key);
                 }
             }
         }
 
-        void schedule(long when, Runnable what) {
-            eventQueue.add(new ScheduledEvent(when, nextOrder++, what));
+        void schedule(long timeMicros, Runnable action) {
+            eventQueue.add(new ScheduledEvent(timeMicros, nextOrder++, action));
         }
 
         void run() {
@@ -80,16 +86,17 @@
         }
 
         private void startRequest(LoadBalancerHarness relay, long key) {
-            long before = relay.attemptCount();
+            long attemptsBefore = relay.attemptCount();
             long id = relay.request(key);
-            followAttempt(relay, id, before);
+            followAttempt(relay, id, attemptsBefore);
         }
 
         /**
-         * What was sent since, if anything, waits its turn and is given up when its patience ends.
+         * Follows an attempt that was started since {@code attemptsBefore}, if any: it waits for
+         * the store until it is established or times out.
          */
-        private void followAttempt(LoadBalancerHarness relay, long id, long before) {
-            if (relay.attemptCount() == before) {
+        private void followAttempt(LoadBalancerHarness relay, long id, long attemptsBefore) {
+            if (relay.attemptCount() == attemptsBefore) {
                 return;
             }
             attemptCount++;
@@ -97,22 +104,22 @@
             int attempt = attemptsByRequest.merge(request, 1, Integer::sum);
             long now = relay.now;
             storeFreeAt = Math.max(storeFreeAt, now) + STORE_SETUP_MICROS;
-            long ready = storeFreeAt;
-            long until =
+            long setupDoneAt = storeFreeAt;
+            long timeoutAt =
                     relay.lastAttemptTimeout == 0 ? Long.MAX_VALUE : now + relay.lastAttemptTimeout;
             schedule(
-                    Math.min(ready, until),
+                    Math.min(setupDoneAt, timeoutAt),
                     () -> {
                         if (attemptsByRequest.get(request) != attempt) {
                             return;
                         }
-                        if (ready <= until) {
+                        if (setupDoneAt <= timeoutAt) {
                             establishedCount++;
-                            relay.establish(id, ready - now);
+                            relay.establish(id, setupDoneAt - now);
                         } else {
-                            long sent = relay.attemptCount();
+                            long attemptsSoFar = relay.attemptCount();
                             relay.endAttempt(id, Outcome.TIMEOUT);
-                            followAttempt(relay, id, sent);
+                            followAttempt(relay, id, attemptsSoFar);
                         }
                     });
         }
