--- a/relay/src/main/java/saltstage/stage/AdmissionControl.java
+++ b/relay/src/main/java/saltstage/stage/AdmissionControl.java
@@ -19,22 +19,26 @@
 import saltstage.wire.OpenRequest;
 
 /**
- * Decides whether the relay itself can take a request: room for sockets, names that the settings
- * know.
+ * Decides whether the relay can accept a request: whether descriptors are left, and whether the
+ * configuration knows the names that the request uses.
  */
 public final class AdmissionControl {
     /**
-     * Descriptors of the relay itself: the jar, the listener, discovery, the log, a reload, probes.
+     * Descriptors that the relay needs for itself: the jar, the listener, discovery, the log, a
+     * configuration reload and probes.
      */
     private static final int RESERVED_DESCRIPTORS = 40;
 
     private static final int MAX_PENDING_CLIENT_LIMIT = 512;
     private static final int MIN_PENDING_CLIENT_LIMIT = 8;
 
-    /** The answer takes its way back too: the relay's clock must run out before the client's. */
+    /** The relay must give up before the client does, as the answer still has to travel back. */
     private static final Duration DEADLINE_MARGIN = Duration.ofMillis(15);
 
-    /** A module that has not answered so long after the deadline has lost the request. */
+    /**
+     * When the load balancer has decided nothing this long after the deadline, it has lost the
+     * request.
+     */
     private static final Duration OVERDUE_GRACE = Duration.ofMillis(25);
 
     private static final Duration RESTORE_TIMEOUT = Duration.ofSeconds(35);
@@ -67,23 +71,26 @@
     }
 
     /**
-     * Room for connections without a request: what a third for clients and as much for backends
-     * leaves.
+     * Returns the maximum number of connections without a request. A third of the descriptors is
+     * set aside for clients and a third for backends; these connections use the remainder.
      */
     static int maxPendingClients(int sockets) {
         int left = sockets - 2 * (sockets / 3) - RESERVED_DESCRIPTORS;
         return Math.max(MIN_PENDING_CLIENT_LIMIT, Math.min(MAX_PENDING_CLIENT_LIMIT, left));
     }
 
-    /** Requests that may be held: each takes a client's descriptor and a backend's. */
+    /**
+     * Returns the maximum number of open requests; each needs one descriptor for the client and one
+     * for the backend.
+     */
     static int maxRequests(int sockets) {
         return (sockets - RESERVED_DESCRIPTORS - maxPendingClients(sockets)) / 2;
     }
 
     /**
-     * Whether a request is refused as there is no room for it beside those that are admitted and so
-     * many that are about to be: the last descriptors are for the backends of those that are
-     * already here.
+     * Rejects a request if there is no room for it beside the admitted requests and the given
+     * number of requests that are about to be admitted. The last descriptors are reserved for the
+     * backend connections of requests that are already here.
      */
     boolean rejectIfFull(OpenRequest line, int arriving) throws MalformedException {
         if (openRequestIds.size() + arriving < maxRequests(descriptorLimit - reservedDescriptors)) {
@@ -99,7 +106,7 @@
         Log.warn("admit.full", "requests", openRequestIds.size(), "sockets", descriptorLimit);
     }
 
-    /** Admits a request and has it routed. */
+    /** Admits a request and hands it to the router. */
     RequestContext admit(LineClient client, OpenRequest line)
             throws MalformedException, IOException {
         Instant now = clock.now();
@@ -117,12 +124,13 @@
         Duration patience = line.clientTimeout(config.clientTimeout(serviceClass));
         Instant deadline = now.plus(at != null ? RESTORE_TIMEOUT : patience).minus(DEADLINE_MARGIN);
         if (client.reader().hasMoreInput()) {
-            // Several commands at once: the first would stand, and the others would come to its
-            // backend.
+            // The client sent several commands at once. The first would be established, and the
+            // others would be passed to its backend.
             throw new MalformedException(OutcomeRecorder.ONE_LINE_ONLY_ERROR);
         }
         if (!openRequestIds.add(line.id())) {
-            // Passed on, another's id would be a second copy of that request at a backend.
+            // A second request with the same id would look like a duplicate of the first one to a
+            // backend.
             throw new MalformedException("id is in use");
         }
         client.setOpenRequest(line);
@@ -130,8 +138,8 @@
                 new RequestContext(lastRequestId.incrementAndGet(), terms, deadline, client);
         outcomeRecorder.requestReceived();
         if (client.reader().isEndOfInput()) {
-            // Its line was read late, and it did not wait: nothing may be sent anywhere for who has
-            // left.
+            // The client left before its line was read. Nothing may be sent to a backend for a
+            // client that has left.
             context.end(RequestContext.Phase.WAITING);
             outcomeRecorder.clientLeft(context);
         } else if (openRequestIds.size() > maxRequests(descriptorLimit - reservedDescriptors)) {
@@ -146,8 +154,9 @@
     }
 
     /**
-     * Takes a request of a front that knows its own limits and has it routed. The context is handed
-     * over before that, as the answer may come at once and on another thread.
+     * Admits a request from a frontend that enforces its own limits, and hands it to the router.
+     * The context is passed to the consumer before that, because the answer may come at once and on
+     * another thread.
      */
     public void admitFromFrontend(
             ClientConnection client,
@@ -173,27 +182,33 @@
                 () -> failIfOverdue(context));
     }
 
-    /** So many descriptors are another front's; said before clients come. */
+    /** Reserves descriptors for another frontend; called before clients connect. */
     public void reserveDescriptors(int descriptors) {
         reservedDescriptors += descriptors;
     }
 
-    /** So many descriptors are the relay's now; what is over that already stays. */
+    /**
+     * Sets the number of descriptors that the relay may use. Requests beyond a lower limit stay
+     * open.
+     */
     void setDescriptorLimit(int most) {
         descriptorLimit = most;
     }
 
-    /** What the relay itself needs, and two for each request. */
+    /**
+     * Returns the number of descriptors in use: those reserved for the relay, and two for each
+     * request.
+     */
     int descriptorsInUse() {
         return RESERVED_DESCRIPTORS + reservedDescriptors + 2 * openRequestIds.size();
     }
 
-    /** The request's connection is over: its id may be used anew. */
+    /** Releases the id of a request whose connection has ended, so that it may be used again. */
     void release(RequestContext context) {
         openRequestIds.remove(context.attributes().clientRequestId());
     }
 
-    /** How many requests wait or stand. */
+    /** Returns the number of requests that are waiting or established. */
     int requestCount() {
         return openRequestIds.size();
     }
@@ -205,7 +220,7 @@
         }
     }
 
-    /** The answer to a client that there is no room for. */
+    /** Returns the answer to a client that is rejected for lack of room. */
     String busyLine() {
         return LineClient.busyLine(config.maxRetryAfter());
     }
--- a/relay/src/main/java/saltstage/stage/AttemptStarter.java
+++ b/relay/src/main/java/saltstage/stage/AttemptStarter.java
@@ -8,7 +8,9 @@
 import saltstage.session.MonotonicClock;
 import saltstage.session.RequestContext;
 
-/** Starts a try that the module has decided on; the client's protocol makes it. */
+/**
+ * Starts an attempt that the load balancer has decided on; the client's protocol carries it out.
+ */
 public final class AttemptStarter {
     private final MonotonicClock clock;
     private final BackendRegistry backends;
@@ -20,7 +22,7 @@
         this.outcomeRecorder = book;
     }
 
-    /** Starts the next try of a request; a zero limit is the client's deadline. */
+    /** Starts the next attempt of a request. A limit of zero means the client's deadline. */
     void start(RequestContext context, String uid, Duration limit) {
         Instant now = clock.now();
         Instant most = now.plus(limit);
--- a/relay/src/main/java/saltstage/stage/BackendProber.java
+++ b/relay/src/main/java/saltstage/stage/BackendProber.java
@@ -18,23 +18,23 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Asks backends for their load, all of them on one thread. Each has one connection that stays open,
- * as a new one costs the backend time and work; however many backends are listed, only so many
- * connections are kept.
+ * Probes backends for their load, all of them on one thread. Each backend has one connection that
+ * stays open, as a new one costs the backend time and work. The number of connections is limited,
+ * however many backends are listed.
  */
 final class BackendProber {
     /**
-     * To backends that the module asks no more: it may soon ask them again, and a new connection
-     * costs.
+     * Connections to backends that the load balancer no longer probes. They are kept because it may
+     * soon probe them again, and a new connection costs time and work.
      */
     private static final int MAX_IDLE_CONNECTIONS = 64;
 
-    /** Beyond them, whoever was not asked for the longest time gives way. */
+    /** Beyond this limit, the idle connection that was unused for the longest time is closed. */
     static final int MAX_CONNECTIONS = Api.MAX_PROBED_BACKENDS + MAX_IDLE_CONNECTIONS;
 
     private static final Duration PROBE_TIMEOUT = Duration.ofMillis(250);
 
-    /** How often connections to backends that are not listed any more are looked for. */
+    /** Interval between checks for connections to backends that are no longer listed. */
     private static final Duration CLEANUP_INTERVAL = Duration.ofSeconds(5);
 
     private final BackendRegistry backends;
@@ -47,7 +47,7 @@
 
     /** Starts a thread, as {@link Threads#start} does. */
     interface ThreadStarter {
-        /** False where the machine has no thread left. */
+        /** Returns false if the machine has no thread left. */
         boolean start(String name, Threads.Work work);
     }
 
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Asks a backend soon; one that has not answered yet is not asked twice. Where no thread could
-     * be had, or it has ended by a fault, the next call tries to start one.
+     * Requests a probe of a backend; a backend that still owes an answer is not probed again. If no
+     * thread could be started, or the thread ended by a fault, the next call tries to start one.
      */
     void requestProbe(String uid) {
         Backend peer = backends.find(uid);
@@ -137,7 +137,7 @@
     private void beginProbe(Backend peer) {
         ProbeConnection open = connections.remove(peer);
         if (open != null) {
-            connections.put(peer, open); // to the end of the order
+            connections.put(peer, open); // moves it to the end of the order
         }
         if (peer.hasEnded() || peer.isSuspended() || open != null && open.isAwaitingAnswer()) {
             return;
@@ -155,7 +155,7 @@
 
     private void connect(Backend peer) {
         if (connections.size() >= MAX_CONNECTIONS && !closeIdleConnection()) {
-            return; // all are awaited: this one is asked at its next turn
+            return; // all connections await an answer: this backend waits for its next probe
         }
         try {
             connections.put(peer, new ProbeConnection(peer, selector, PROBE_TIMEOUT));
@@ -183,8 +183,8 @@
             }
         } catch (ProbeConnection.ConnectionClosedException ended) {
             closeConnection(connection);
-            if (wasAsked
-                    && connection.hasAnsweredBefore()) { // closed as idle while it was asked again
+            // The backend may have closed an idle connection while the probe was on its way.
+            if (wasAsked && connection.hasAnsweredBefore()) {
                 connect(connection.backend());
             } else if (wasAsked) {
                 reportOutcome(connection, Outcome.RESET, Api.NONE);
--- a/relay/src/main/java/saltstage/stage/ClientAcceptor.java
+++ b/relay/src/main/java/saltstage/stage/ClientAcceptor.java
@@ -23,32 +23,36 @@
 import saltstage.log.Log;
 
 /**
- * Accepts connections, hears first lines and waits for those that were answered to hang up, all on
- * one thread that waits for nobody. A connection costs no other thread before it has asked. Those
- * without a request have room of their own; where it is full, who came first must go, as clients
- * ask as soon as they come.
+ * Accepts connections, reads first lines and waits for answered clients to close, all on one thread
+ * that never blocks on a client. A connection costs no other thread before its request has arrived.
+ * Connections without a request have a limit of their own. When it is reached, the oldest is
+ * evicted, as clients send their request as soon as they connect.
  */
 public final class ClientAcceptor {
     /**
-     * A client that has sent no whole first line by then has nothing to say; 3 s is what it is
-     * owed.
+     * A client that has not sent a complete first line by then is answered. Clients are entitled to
+     * an answer within 3 s.
      */
     private static final Duration FIRST_LINE_TIMEOUT = Duration.ofSeconds(2);
 
-    /** How long a client that was answered may take to hang up. */
+    /** How long a client may take to close its connection after the answer. */
     private static final Duration LINGER = Duration.ofMillis(800);
 
     /**
-     * To read all that somebody sends on and on would cost more than an honest client ever does.
+     * Limits how much is read from a client after its answer: reading endless input would cost more
+     * than any honest client needs.
      */
     private static final int MAX_IGNORED_BYTES = 64 << 10;
 
-    /** Nobody has to go sooner after coming: clients ask as soon as they come. */
+    /**
+     * A client is not evicted earlier than this after it connected. It is short because clients
+     * send their request as soon as they connect.
+     */
     private static final Duration EVICTION_GRACE = Duration.ofMillis(100);
 
     private static final int READ_BUFFER_BYTES = 8 << 10;
 
-    /** A fault that stays, as a want of descriptors, must not eat the one core. */
+    /** A lasting fault, such as a lack of descriptors, must not use up the only core. */
     private static final Duration ACCEPT_RETRY_PAUSE = Duration.ofMillis(50);
 
     private static final Duration FULL_PAUSE = Duration.ofMillis(5);
@@ -71,29 +75,33 @@
     private volatile int capacity;
     private volatile int publishedClientCount;
 
-    /** Those that were handed back and are not lingering yet. */
+    /** Clients that were handed back to this thread and are not lingering yet. */
     private final AtomicInteger returningCount = new AtomicInteger();
 
     private volatile boolean stopping;
 
-    /** What is done with first lines, on the acceptor's thread; must not block. */
+    /** Handles first lines. Its methods are called on the acceptor's thread and must not block. */
     interface FirstLineListener {
         /**
-         * A first line, or a piece that is none. Whoever returns true takes the client over, by
-         * {@link #requestReceived}; else it has been answered or may say another line.
+         * Receives a first line, or a piece of input that is not a complete line. If this returns
+         * true, the listener takes the client over by {@link #requestReceived}; otherwise the
+         * client has been answered or may send another line.
          */
         boolean firstLineReceived(PendingClient client, byte[] line);
 
-        /** The client has asked: its channel blocks from now on and is the callee's. */
+        /**
+         * Takes over a client whose request has arrived. From now on its channel is in blocking
+         * mode and belongs to the listener.
+         */
         void requestReceived(PendingClient client);
 
-        /** No whole first line came in time: the client is to be answered. */
+        /** Answers a client that sent no complete first line in time. */
         void firstLineTimedOut(PendingClient client);
 
-        /** There is no room for this one any more: it may be told so, and is closed. */
+        /** Called before a client is closed for lack of room; the listener may answer it first. */
         void clientEvicted(PendingClient client);
 
-        /** The relay is about to end: the client is to be answered. */
+        /** Answers a client because the relay is about to end. */
         void relayShuttingDown(PendingClient client);
     }
 
@@ -107,14 +115,17 @@
         }
     }
 
-    /** Accepts from this socket, which must not block, from now on. */
+    /** Starts accepting connections from this socket, which must be in non-blocking mode. */
     public void start(ServerSocketChannel from) throws IOException {
         listener = from;
         acceptKey = from.register(selector, SelectionKey.OP_ACCEPT);
         Threads.startLoop("acceptor", this::runCycle);
     }
 
-    /** Accepts no more; when this returns, all that was accepted has been taken. */
+    /**
+     * Stops accepting connections. When this returns, every connection that was queued has been
+     * accepted, unless the acceptor exceeded {@code STOP_TIMEOUT}.
+     */
     public void stop() throws InterruptedException {
         stopping = true;
         selector.wakeup();
@@ -123,27 +134,33 @@
         }
     }
 
-    /** There is room for so many without a request from now on; who is there stays. */
+    /**
+     * Sets the maximum number of clients without a request. Clients beyond a lower maximum stay
+     * connected.
+     */
     void setCapacity(int now) {
         capacity = now;
     }
 
-    /** How many have no request. */
+    /** Returns the number of clients without a request. */
     int pendingClientCount() {
         return publishedClientCount + returningCount.get();
     }
 
-    /** How many connections were accepted since the start. */
+    /** Returns the number of connections accepted since the start. */
     long acceptedCount() {
         return acceptedCount.get();
     }
 
-    /** Has all that have not asked yet answered; never blocks. */
+    /** Answers all clients that have not sent a request yet; never blocks. */
     void rejectPendingClients() {
         execute(() -> List.copyOf(awaitingFirstLine).forEach(firstLineListener::relayShuttingDown));
     }
 
-    /** Takes a client that was answered after it had asked: it may hang up, and is then closed. */
+    /**
+     * Takes back a client that was answered after its request. The client may close the connection
+     * first; then, or after the linger time, the channel is closed.
+     */
     void lingerAndClose(SocketChannel channel) {
         returningCount.incrementAndGet();
         execute(
@@ -160,7 +177,10 @@
                 });
     }
 
-    /** Answers a client that has no request, and lets it hang up; on the acceptor's thread only. */
+    /**
+     * Answers a client that has no request, and lets it close the connection; may be called on the
+     * acceptor's thread only.
+     */
     void answer(PendingClient client, String line) {
         try {
             client.send(line);
@@ -185,7 +205,7 @@
     }
 
     private void runCycle() throws IOException {
-        if (tasks.isEmpty()) { // handing over may have taken the wake-up of a task
+        if (tasks.isEmpty()) { // handing over requests may have consumed a task's wake-up
             selector.select(selectTimeoutMillis());
         }
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
@@ -222,8 +242,6 @@
         }
     }
 
-    // ---- accepting
-
     private void acceptAll() {
         try {
             while (makeRoom()) {
@@ -236,17 +254,22 @@
                 releaseClosedDescriptors();
             }
             pauseAccepting(System.nanoTime() + FULL_PAUSE.toNanos());
-        } catch (IOException fault) { // the platform's: descriptors, memory, a reset while queued
+        } catch (IOException fault) {
+            // The fault is the platform's: no descriptors or memory, or a reset while queued.
             Log.warn(
                     "accept.failed", "why", fault.getMessage(), "pending", registeredClientCount());
             if (!lingering.isEmpty()) {
-                closeClient(lingering.iterator().next()); // its descriptor may be what is wanted
+                // This frees the descriptor that may be missing.
+                closeClient(lingering.iterator().next());
             }
             pauseAccepting(System.nanoTime() + ACCEPT_RETRY_PAUSE.toNanos());
         }
     }
 
-    /** The descriptor of a closed channel is free only once the selector has let go of it. */
+    /**
+     * Releases the descriptors of closed channels, which happens only when the selector next
+     * selects.
+     */
     private void releaseClosedDescriptors() throws IOException {
         if (unreleasedChannels >= MAX_UNRELEASED_CHANNELS) {
             unreleasedChannels = 0;
@@ -260,7 +283,8 @@
     }
 
     /**
-     * Makes room if need be: who has its answer goes first, then who has been silent the longest.
+     * Makes room for a connection if needed: first closes an answered client, then the client that
+     * has been silent for the longest time.
      */
     private boolean makeRoom() {
         if (registeredClientCount() < capacity) {
@@ -271,13 +295,15 @@
             return true;
         }
         PendingClient first = awaitingFirstLine.iterator().next();
-        read(first); // what it has said meanwhile may be a request
+        read(first); // its unread input may be a request
         if (!awaitingFirstLine.contains(first)) {
             return true;
         }
+        // Many clients connected at once, and this one has had no time to send its line. The new
+        // ones wait in the listen queue.
         if (first.deadlineNanos() - System.nanoTime()
                 > FIRST_LINE_TIMEOUT.minus(EVICTION_GRACE).toNanos()) {
-            return false; // many came at once, and it had no time yet: the others wait in the queue
+            return false;
         }
         firstLineListener.clientEvicted(first);
         closeClient(first);
@@ -291,19 +317,17 @@
             PendingClient client = new PendingClient(channel);
             channel.register(selector, SelectionKey.OP_READ, client);
             awaitFirstLine(client);
-        } catch (IOException reset) { // it left while it waited to be accepted
+        } catch (IOException reset) { // the client left while it waited to be accepted
             close(channel);
         }
     }
 
     private void awaitFirstLine(PendingClient client) {
         client.setDeadlineNanos(System.nanoTime() + FIRST_LINE_TIMEOUT.toNanos());
-        awaitingFirstLine.remove(client); // to the end of the order
+        awaitingFirstLine.remove(client); // moves it to the end of the order
         awaitingFirstLine.add(client);
     }
 
-    // ---- first lines
-
     private void read(PendingClient client) {
         try {
             boolean open = client.read(readBuffer);
@@ -335,8 +359,8 @@
     }
 
     /**
-     * A channel blocks again only once the selector has let go of it, so all are let go of
-     * together.
+     * Hands over clients whose requests have arrived. A channel can be set to blocking mode only
+     * after the selector has dropped its key, so all keys are dropped together.
      */
     private void handOverRequests() throws IOException {
         if (handingOver.isEmpty()) {
@@ -360,8 +384,6 @@
         handingOver.clear();
     }
 
-    // ---- time
-
     private long selectTimeoutMillis() {
         long next =
                 Math.min(
@@ -373,7 +395,10 @@
         return next == Long.MAX_VALUE ? 0 : Math.max(1, next / 1_000_000 + 1);
     }
 
-    /** Deadlines of a set are in the order in which its members came. */
+    /**
+     * Returns the time until the first deadline; the clients of a set are in the order of their
+     * deadlines.
+     */
     private static long nanosUntilFirstDeadline(Set<PendingClient> clients) {
         Iterator<PendingClient> first = clients.iterator();
         return first.hasNext()
@@ -407,7 +432,7 @@
     private static void close(SocketChannel channel) {
         try {
             channel.close();
-        } catch (IOException ended) { // the other side was first
+        } catch (IOException ended) { // the client closed it first
             return;
         }
     }
--- a/relay/src/main/java/saltstage/stage/Frontend.java
+++ b/relay/src/main/java/saltstage/stage/Frontend.java
@@ -1,16 +1,21 @@
 package saltstage.stage;
 
-/** Where clients come in; each protocol has its own. */
+/** Accepts clients; each protocol has its own frontend. */
 public interface Frontend {
-    /** The relay leaves: newcomers shall look elsewhere, as far as the protocol can tell them. */
+    /**
+     * Starts draining: new clients are told to go elsewhere, as far as the protocol can say so.
+     */
     void startDraining();
 
-    /** The relay is about to end: who is connected and has no request is told so; never blocks. */
+    /**
+     * Answers connected clients that have no request, because the relay is about to end; never
+     * blocks.
+     */
     void rejectPendingClients();
 
-    /** How many clients are connected, with a request and without. */
+    /** Returns the number of connected clients, with and without a request. */
     int clientCount();
 
-    /** How many requests wait or stand. */
+    /** Returns the number of requests that are waiting or established. */
     int requestCount();
 }
--- a/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
+++ b/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
@@ -20,7 +20,10 @@
 import saltstage.wire.BackendMessage;
 import saltstage.wire.LineConnection;
 
-/** Makes a try in lines: connects, sends the first line on, waits for the answer. A thread each. */
+/**
+ * Runs attempts over the line protocol: connects to the backend, sends the first line and waits for
+ * the answer. Each attempt has its own thread.
+ */
 final class LineAttemptRunner {
     private static final Duration RESTORE_RETRY_PAUSE = Duration.ofMillis(200);
 
@@ -46,7 +49,7 @@
         this.forwarder = relay;
     }
 
-    /** Makes the try on a thread of its own. */
+    /** Runs the attempt on its own thread. */
     void start(Attempt begun, Instant until) {
         if (!threadBudget.start("try", () -> runAndForward(begun, until))) {
             outcomeRecorder.attemptEnded(begun, Outcome.UNREACHABLE);
@@ -59,7 +62,8 @@
             outcome = runAttempt(begun, until, false);
         } finally {
             if (outcome != null) {
-                begun.cancel(); // the old try is closed before the module may send the next
+                // The attempt is closed before the load balancer may start the next one.
+                begun.cancel();
                 outcomeRecorder.attemptEnded(begun, outcome);
             }
         }
@@ -68,7 +72,7 @@
         }
     }
 
-    /** Makes the try; null where it stands. */
+    /** Runs the attempt; returns null if it was established. */
     private Outcome runAttempt(Attempt begun, Instant until, boolean restore) {
         Backend peer = begun.backend();
         LineConnection backend;
@@ -83,11 +87,12 @@
             backend = LineConnection.connect(socket, peer.entry().endpoint(), connect);
             begun.connectionOpened(backend);
             Duration left = Duration.between(clock.now(), until);
-            // Connecting takes time: the backend may have been told to drain, or the request's time
-            // be up.
+            // Connecting takes time: meanwhile the backend may have started draining, or the
+            // request's time may have run out.
             if (peer.isSuspended() || isDeduplicationExpired(begun.context())) {
-                return Outcome
-                        .MOOT; // it came about while this connected: nothing against the backend
+                // The suspension or the expiry happened while this attempt was connecting, so it
+                // does not count against the backend.
+                return Outcome.MOOT;
             }
             if (!restore && !peer.canAcceptRequests() || left.isNegative() || left.isZero()) {
                 return Outcome.UNREACHABLE;
@@ -110,7 +115,8 @@
     }
 
     /**
-     * Repeats are discarded for so long only; the module asked that before the connection came up.
+     * Returns whether the deduplication window has passed, within which the backend discards
+     * repeats. The load balancer checked this before the connection was established.
      */
     private boolean isDeduplicationExpired(RequestContext context) {
         ServiceClass service =
@@ -136,8 +142,8 @@
             case ERR:
                 return Outcome.ERROR;
             default:
-                // A backend that answers what no backend may say has failed; its words go no
-                // further.
+                // A backend that sends an answer outside the protocol has failed. Its text is not
+                // passed on.
                 Log.warn(
                         "try.malformed",
                         "peer",
@@ -151,8 +157,8 @@
     }
 
     /**
-     * Sends a connection that was open before the relay started back to its backend, until it
-     * stands.
+     * Restores a connection that was open before the relay started: retries at its backend until it
+     * is established.
      */
     void restore(RequestContext context, String uid) {
         if (!threadBudget.start("restore", () -> restoreOrFail(context, uid))) {
@@ -164,7 +170,8 @@
         try {
             retryRestore(context, uid);
         } finally {
-            outcomeRecorder.fail(context); // where it neither stood nor ended, also by a fault
+            // This has no effect if the request was established or has ended. It also covers faults.
+            outcomeRecorder.fail(context);
         }
     }
 
--- a/relay/src/main/java/saltstage/stage/LineClient.java
+++ b/relay/src/main/java/saltstage/stage/LineClient.java
@@ -13,7 +13,7 @@
 import saltstage.wire.LineConnection;
 import saltstage.wire.OpenRequest;
 
-/** A client that speaks lines. */
+/** A client that uses the line protocol. */
 public final class LineClient extends LineConnection implements ClientConnection {
     private final Timers timers;
     private final LineAttemptRunner attemptRunner;
@@ -21,7 +21,7 @@
     private final CountDownLatch answerWritten = new CountDownLatch(1);
     private volatile OpenRequest openRequest;
 
-    /** A client that has asked, with what it has said behind its first line. */
+    /** Creates a client whose request has arrived, with the input that followed its first line. */
     LineClient(
             Socket socket, byte[] rest, Timers timers, LineAttemptRunner tries, LineForwarder relay)
             throws IOException {
@@ -31,12 +31,12 @@
         this.forwarder = relay;
     }
 
-    /** Its first line has come. */
+    /** Sets the parsed first line. */
     void setOpenRequest(OpenRequest line) {
         openRequest = line;
     }
 
-    /** Its first line. */
+    /** Returns the parsed first line. */
     OpenRequest openRequest() {
         return openRequest;
     }
@@ -51,12 +51,15 @@
         answer("ERR " + why);
     }
 
-    /** The line that refuses, with the advice when to come again if there is any. */
+    /** Returns the line that rejects a request, with the retry delay if there is one. */
     static String busyLine(Duration retryAfter) {
         return retryAfter.isZero() ? "BUSY" : "BUSY " + retryAfter.toMillis();
     }
 
-    /** A few bytes on a connection that carried none before: this does not block. */
+    /**
+     * Sends the final answer. This does not block: it is a few bytes on a connection that carried
+     * none before.
+     */
     private void answer(String line) {
         try {
             sendLine(line);
@@ -69,12 +72,15 @@
         timers.schedule(OutcomeRecorder.LINGER, this::close);
     }
 
-    /** Whether its final answer, one that is not UP, has been written: nobody writes any more. */
+    /**
+     * Returns whether the final answer, one other than UP, has been written. Nothing is written to
+     * the client after it.
+     */
     boolean isAnswered() {
         return answerWritten.getCount() == 0;
     }
 
-    /** Waits until whoever has ended the request has written the answer. */
+    /** Waits until the thread that ended the request has written the answer. */
     void awaitAnswer() throws InterruptedException {
         if (!answerWritten.await(OutcomeRecorder.LINGER.toMillis(), TimeUnit.MILLISECONDS)) {
             Log.warn("answer.late", "id", openRequest.id());
--- a/relay/src/main/java/saltstage/stage/LineForwarder.java
+++ b/relay/src/main/java/saltstage/stage/LineForwarder.java
@@ -13,26 +13,26 @@
 import saltstage.wire.LineConnection;
 
 /**
- * Passes the lines of standing connections on, both ways, whole and unchanged, and ends or moves
- * them. The try's thread is the only one that writes to a client that has its UP: MOVE always falls
- * between two lines.
+ * Forwards the lines of established connections in both directions, whole and unchanged, and ends
+ * or moves the connections. After UP, only the attempt's thread writes to the client, so MOVE is
+ * always sent between two lines.
  */
 final class LineForwarder {
     /**
-     * How long an ended side may linger: a close with unread input would reset what was sent before
-     * it.
+     * How long a connection stays open after its output has ended. Closing it with unread input
+     * would reset it, and data that was sent before could be lost.
      */
     private static final Duration LINGER = Duration.ofMillis(800);
 
-    /** A client that takes no more must not hold a moved connection. */
+    /** A moved connection is closed after this time, even if the client reads nothing any more. */
     private static final Duration MOVE_TIMEOUT = Duration.ofMillis(1_200);
 
     private static final Duration PARTIAL_LINE_TIMEOUT = Duration.ofMillis(300);
 
     /**
-     * Clients speak every 2 s and are answered at once (0.15 ms was measured at a jammed backend
-     * too). 7 s with nothing back is the limit: 2 s, this, a beat and the rest of a line stay well
-     * within.
+     * Clients send a message every 2 s, and a backend answers at once (within 0.15 ms, even when it
+     * is overloaded). A client may go at most 7 s without a response: the 2 s, this timeout, one
+     * check interval and the rest of a line stay well within that.
      */
     private static final Duration BACKEND_RESPONSE_TIMEOUT = Duration.ofSeconds(3);
 
@@ -48,7 +48,7 @@
         this.outcomeRecorder = book;
     }
 
-    /** Passes UP on to the client. */
+    /** Forwards UP to the client. */
     Outcome forwardUp(Attempt up, byte[] piece) {
         try {
             client(up).send(piece);
@@ -58,7 +58,7 @@
         return null;
     }
 
-    /** Carries what the backend sends until one side ends or the client is moved. */
+    /** Forwards the backend's lines until one side ends or the client is moved. */
     void forwardFromBackend(Attempt up) {
         Outcome outcome = Outcome.RESET;
         try {
@@ -81,8 +81,9 @@
                 }
                 boolean whole = piece[piece.length - 1] == '\n';
                 if (!whole && !midLine && up.moveReason() != null) {
-                    break; // it crossed the end of reading: the client has nothing of it and needs
-                    // its MOVE
+                    // The line was cut off when the backend's input was shut down. The client has
+                    // received no part of it and can still get its MOVE.
+                    break;
                 }
                 BackendMessage answer = BackendMessage.parse(piece);
                 last = answer.kind();
@@ -122,10 +123,10 @@
 
     private Outcome finishMove(Attempt up) {
         LineClient client = client(up);
+        // MOVE is sent before the request's end is recorded. After that, the client would be
+        // disconnected if it sent something.
         try {
-            client.sendLine(
-                    "MOVE"); // before its end is told: a client that speaks in that moment is hung
-            // up on
+            client.sendLine("MOVE");
         } catch (IOException gone) {
             up.markClientEnded();
         }
@@ -146,9 +147,8 @@
             backendConnection(up).close();
             return Outcome.RESET;
         }
-        client.shutdownOutput(); // half-close: what the client still sends goes on to the backend
-        // for
-        // a moment
+        // Half-close: what the client still sends is forwarded to the backend for a moment.
+        client.shutdownOutput();
         if (clientFirst) {
             up.context().end(Phase.ESTABLISHED);
             client.close();
@@ -169,8 +169,8 @@
     }
 
     /**
-     * Passes on what the client sent; the thread that reads the backend notices where it takes no
-     * more.
+     * Forwards input from the client to the backend. If the write fails, the thread that reads from
+     * the backend notices the end.
      */
     void sendToBackend(Attempt up, byte[] piece) {
         try {
@@ -181,7 +181,7 @@
         }
     }
 
-    /** The client has ended its side: the backend sees the same. */
+    /** Passes the client's end of input, or its reset, on to the backend. */
     void handleClientEnd(Attempt up, boolean reset) {
         up.markClientEnded();
         LineConnection backend = backendConnection(up);
@@ -197,8 +197,8 @@
     }
 
     /**
-     * Has a standing connection's client moved; never blocks. A reason "peer..." is the backend's
-     * fault.
+     * Moves the client of an established connection; never blocks. A reason that starts with "peer"
+     * blames the backend.
      */
     boolean move(Attempt up, String reason) {
         if (up.context().phase() != Phase.ESTABLISHED || !up.requestMove(reason)) {
@@ -214,9 +214,8 @@
                 up.context().attributes().clientRequestId());
         LineConnection backend = backendConnection(up);
         if (backend.reader().hasPartialLine()) {
-            timers.schedule(
-                    PARTIAL_LINE_TIMEOUT,
-                    backend::shutdownInput); // the line may still be ended within that
+            // The backend may still complete the partial line within this time.
+            timers.schedule(PARTIAL_LINE_TIMEOUT, backend::shutdownInput);
         } else {
             backend.shutdownInput();
         }
@@ -231,7 +230,7 @@
         return true;
     }
 
-    /** Moves the clients of backends that bring nothing back. */
+    /** Moves the clients of backends that no longer respond. */
     void checkUnresponsiveBackends() {
         Instant limit = clock.now().minus(BACKEND_RESPONSE_TIMEOUT);
         for (Attempt up : outcomeRecorder.establishedAttempts()) {
--- a/relay/src/main/java/saltstage/stage/LineFrontend.java
+++ b/relay/src/main/java/saltstage/stage/LineFrontend.java
@@ -11,8 +11,8 @@
 import saltstage.wire.OpenRequest;
 
 /**
- * Takes clients in: judges first lines, answers PING, turns bad input away, carries what clients
- * send.
+ * Frontend of the line protocol: checks first lines, answers PING, rejects malformed input and
+ * forwards what clients send.
  */
 public final class LineFrontend implements Frontend, ClientAcceptor.FirstLineListener {
     private final ClientAcceptor acceptor;
@@ -25,19 +25,20 @@
             new LinkedBlockingQueue<>();
     private final Queue<OpenRequest> parsedLines = new java.util.ArrayDeque<>();
 
-    /** Requests that have been heard and are not admitted yet. */
+    /** Requests whose first line has arrived and that are not admitted yet. */
     private final AtomicInteger unadmittedCount = new AtomicInteger();
 
     private volatile boolean draining;
 
-    /** A client that has asked, with its request. */
+    /** A client whose request has arrived, with that request. */
     private record ReceivedRequest(PendingClient client, OpenRequest line) {}
 
     /**
-     * Makes a client of a connection that has asked, with what it has said behind its first line.
+     * Creates a client from a connection whose request has arrived, with the input that followed
+     * its first line.
      */
     interface ClientFactory {
-        /** The client. */
+        /** Creates the client. */
         LineClient create(PendingClient asking) throws IOException;
     }
 
@@ -56,20 +57,20 @@
         this.threadBudget = threads;
     }
 
-    /** Where connections are accepted. */
+    /** Returns the acceptor of this frontend's connections. */
     public ClientAcceptor acceptor() {
         return acceptor;
     }
 
     /**
-     * Starts what takes requests over from the acceptor, which may not wait for the start of
-     * threads.
+     * Starts the thread that takes requests over from the acceptor, which must not wait for other
+     * threads to start.
      */
     public void start() {
         Threads.startLoop("starter", () -> startRequest(receivedRequests.take()));
     }
 
-    /** From now on PING is not answered with PONG: the front shall look elsewhere. */
+    /** Stops answering PING with PONG, so that the caller sends new clients elsewhere. */
     @Override
     public void startDraining() {
         draining = true;
@@ -80,20 +81,18 @@
         acceptor.rejectPendingClients();
     }
 
-    /** How many clients are connected, with a request and without. */
+    /** Returns the number of connected clients, with and without a request. */
     @Override
     public int clientCount() {
         return requestCount() + unadmittedCount.get() + acceptor.pendingClientCount();
     }
 
-    /** How many requests wait or stand. */
+    /** Returns the number of requests that are waiting or established. */
     @Override
     public int requestCount() {
         return admissionControl.requestCount();
     }
 
-    // ---- on the acceptor's thread
-
     @Override
     public boolean firstLineReceived(PendingClient client, byte[] piece) {
         try {
@@ -106,7 +105,8 @@
             }
             client.send(draining ? "ERR leaving" : "PONG");
         } catch (MalformedException bad) {
-            // Bad input must cost one line, be seen in the log and never reach a backend.
+            // Malformed input must cost only one line, must be logged and must never reach a
+            // backend.
             rejectWithWarning(client, "client.malformed", "ERR " + bad.getMessage());
         } catch (IOException gone) {
             rejectWithWarning(client, "client.broken", "ERR " + gone.getMessage());
@@ -127,15 +127,14 @@
 
     @Override
     public void requestReceived(PendingClient client) {
-        receivedRequests.add(
-                new ReceivedRequest(
-                        client, parsedLines.remove())); // lines are parsed in the order of this
+        // Lines are parsed in the order of these calls.
+        receivedRequests.add(new ReceivedRequest(client, parsedLines.remove()));
     }
 
     @Override
     public void firstLineTimedOut(PendingClient client) {
-        // Who has said nothing may ask in this moment: that it was refused is true of what it asks
-        // too.
+        // A client that has sent nothing may be sending a request at this moment. BUSY is then true
+        // of that request, too.
         rejectWithWarning(
                 client,
                 "client.silent",
@@ -162,8 +161,6 @@
         acceptor.answer(client, answer);
     }
 
-    // ---- on the starter's thread
-
     private void startRequest(ReceivedRequest request) throws IOException {
         LineClient client;
         try {
@@ -181,7 +178,7 @@
         }
     }
 
-    /** There is no thread for this request: it is told to come again. */
+    /** Rejects a request for lack of a thread. */
     private void rejectForThreads(LineClient client) {
         outcomeRecorder.rejectedForThreads();
         outcomeRecorder.sendLine(client, admissionControl.busyLine());
@@ -190,8 +187,6 @@
         unadmittedCount.decrementAndGet();
     }
 
-    // ---- on the client's thread
-
     private void serve(LineClient client, OpenRequest line) throws InterruptedException {
         RequestContext context = null;
         boolean over = false;
@@ -218,9 +213,7 @@
         }
     }
 
-    /**
-     * A fault of ours, as a class that cannot be loaded: its client is owed an answer all the same.
-     */
+    /** Answers the client after a fault of the relay, such as a class that cannot be loaded. */
     private void failAfterFault(LineClient client, RequestContext context) {
         if (context == null) {
             outcomeRecorder.sendLine(client, "ERR failed");
@@ -250,7 +243,10 @@
         }
     }
 
-    /** Its request has ended, by whatever thread: that one may still be writing the answer. */
+    /**
+     * Lets the client of an ended request close the connection. The thread that ended the request
+     * may still be writing the answer.
+     */
     private void lingerAndClose(LineClient client, RequestContext context)
             throws InterruptedException {
         if (!context.wasEstablished()) {
@@ -261,8 +257,8 @@
     }
 
     /**
-     * Reads the client to its end; the connection must not be closed while the other side may still
-     * send.
+     * Reads from the client until its input ends. The connection must not be closed while the
+     * client may still send.
      */
     private void forwardFromClient(LineClient client, RequestContext context)
             throws InterruptedException {
@@ -271,7 +267,8 @@
             byte[] piece = client.reader().readLine();
             while (piece != null) {
                 if (context.phase() == RequestContext.Phase.WAITING) {
-                    outcomeRecorder.failForEarlyInput(context); // it has not waited for its answer
+                    // The client did not wait for its answer.
+                    outcomeRecorder.failForEarlyInput(context);
                 }
                 if (context.phase() != RequestContext.Phase.ESTABLISHED) {
                     lingerAndClose(client, context);
--- a/relay/src/main/java/saltstage/stage/MovePacing.java
+++ b/relay/src/main/java/saltstage/stage/MovePacing.java
@@ -2,12 +2,13 @@
 
 import java.time.Duration;
 
-/** How fast clients that have to leave are moved: evenly over the time there is, not as a flood. */
+/** Computes how fast clients are moved away: evenly over the available time, not all at once. */
 public final class MovePacing {
     private MovePacing() {}
 
     /**
-     * How many of those that stand to move in this step, so that none is left when the time is up.
+     * Returns how many established connections to move in this step, so that none is left when the
+     * time is up.
      */
     public static long movesPerStep(int standing, Duration left, Duration step) {
         long steps = Math.max(1, left.toMillis() / step.toMillis());
--- a/relay/src/main/java/saltstage/stage/NonBlockingWrites.java
+++ b/relay/src/main/java/saltstage/stage/NonBlockingWrites.java
@@ -4,11 +4,14 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
 
-/** Writing on channels that do not block. */
+/** Writes to channels in non-blocking mode. */
 final class NonBlockingWrites {
     private NonBlockingWrites() {}
 
-    /** Writes a few bytes, in as many parts as the system takes; fails where it takes no more. */
+    /**
+     * Writes a few bytes, in as many parts as the system accepts; throws an exception if it accepts
+     * no more.
+     */
     static void writeFully(SocketChannel channel, byte[] bytes) throws IOException {
         ByteBuffer left = ByteBuffer.wrap(bytes);
         while (left.hasRemaining()) {
--- a/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
+++ b/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
@@ -25,14 +25,17 @@
 import saltstage.wire.BackendMessage;
 
 /**
- * Books what became of requests: the one final answer, the outcome for the module, loads and
- * delays.
+ * Records the results of requests: sends the one final answer, counts results, and reports
+ * outcomes, loads and delays to the load balancer.
  */
 public final class OutcomeRecorder {
-    /** A close with unread input resets the connection and may take the answer with it. */
+    /**
+     * How long a connection stays open after the answer. Closing it with unread input resets it,
+     * and the answer may be lost.
+     */
     static final Duration LINGER = Duration.ofMillis(800);
 
-    /** What a client is told that says more than its first line before it has its answer. */
+    /** Error text for a client that sends more than its first line before it has its answer. */
     static final String ONE_LINE_ONLY_ERROR = "only one line before the answer";
 
     private final Configuration config;
@@ -68,24 +71,24 @@
         received.incrementAndGet();
     }
 
-    /** A request was refused before it was admitted, as there was no room for it. */
+    /** Counts a request that was rejected before admission for lack of room. */
     void rejectedBeforeAdmission(int serviceClass) {
         received.incrementAndGet();
         rejected.incrementAndGet();
         counters.countResult(serviceClass, RequestCounters.Result.DROPPED);
     }
 
-    /** A request was refused before it was admitted, as there was no thread for it. */
+    /** Counts a request that was rejected before admission for lack of a thread. */
     void rejectedForThreads() {
         rejectedForThreads.incrementAndGet();
     }
 
-    /** A try was written whole. */
+    /** Counts an attempt whose first line was sent completely. */
     public void attemptSent() {
         counters.countAttempt();
     }
 
-    /** The final answer 'refused', with the advice when to come again. */
+    /** Sends the final answer that rejects the request, with the delay before a retry. */
     void reject(RequestContext context, Duration retryAfter) {
         if (context.end(Phase.WAITING)) {
             sendRejection(context, retryAfter);
@@ -112,15 +115,15 @@
     }
 
     /**
-     * The relay leaves: what waits gets its final answer, and the try that is out is given up. What
-     * may have run is refused only where it may simply be repeated; the module hears of no end that
-     * it could act on.
+     * Ends a waiting request because the relay is shutting down, and cancels its current attempt. A
+     * request that may have run is rejected only if it can simply be repeated, and fails otherwise.
+     * The load balancer gets no event that it could act on.
      */
     void endForShutdown(RequestContext context) {
         if (!context.end(Phase.WAITING)) {
             return;
         }
-        Attempt out = context.currentAttempt(); // the last one: who has ended begins none
+        Attempt out = context.currentAttempt(); // the last attempt: an ended request starts no more
         ServiceClass service =
                 config.settings().serviceClasses().get(context.attributes().serviceClass());
         boolean harmless =
@@ -135,14 +138,14 @@
         cancelAttempt(out);
     }
 
-    /** The final answer that promises nothing. */
+    /** Sends the final answer that says nothing about the request's effect. */
     public void fail(RequestContext context) {
         fail(context, "failed");
     }
 
     /**
-     * The client has not waited for its answer: what it asked in that form is nothing a backend may
-     * get.
+     * Fails a request whose client sent more input before its answer. No backend may get a request
+     * in that form.
      */
     void failForEarlyInput(RequestContext context) {
         if (fail(context, ONE_LINE_ONLY_ERROR)) {
@@ -165,7 +168,7 @@
         return true;
     }
 
-    /** A line that is not waited for. */
+    /** Sends a line to the client; a failure is only logged. */
     void sendLine(LineClient client, String line) {
         try {
             client.sendLine(line);
@@ -174,7 +177,10 @@
         }
     }
 
-    /** The client left before its answer: the try is given up, and who makes it books its end. */
+    /**
+     * Records that the client left before its answer. The attempt is cancelled, and the thread that
+     * runs it records its end.
+     */
     public void clientLeft(RequestContext context) {
         clientsLeft.incrementAndGet();
         Attempt out = context.currentAttempt();
@@ -183,14 +189,14 @@
     }
 
     /**
-     * The module sent what could not be sent: the peer has left the list, or nothing is owed any
-     * more.
+     * Reports an attempt that could not be started: the backend has left the list, or the request
+     * has ended.
      */
     void attemptNotSent(RequestContext context) {
         router.attemptEnded(context, Outcome.MOOT, context.phase() == Phase.ENDED);
     }
 
-    /** A try ended before it stood. */
+    /** Records the end of an attempt that was not established. */
     public void attemptEnded(Attempt ended, Outcome outcome) {
         if (!outcome.hasNoEffect()) {
             ended.context().recordPossibleExecution(ended.sentAt());
@@ -199,7 +205,10 @@
         router.attemptEnded(ended.context(), over ? Outcome.CANCELLED : outcome, over);
     }
 
-    /** The backend has taken it; false where the client is past it. */
+    /**
+     * Records that the backend has accepted the request; returns false if the request has already
+     * ended.
+     */
     public boolean establish(Attempt up, boolean restored) {
         if (!up.context().establish()) {
             return false;
@@ -217,12 +226,12 @@
         return true;
     }
 
-    /** All tries that stand; a live view. */
+    /** Returns all established attempts as a live view. */
     public Collection<Attempt> establishedAttempts() {
         return establishedAttempts;
     }
 
-    /** A standing connection is over. */
+    /** Records the end of an established connection. */
     public void connectionEnded(Attempt up, Outcome outcome) {
         establishedAttempts.remove(up);
         up.backend().establishedAttempts().remove(up);
@@ -232,7 +241,7 @@
         router.attemptEnded(up.context(), outcome, true);
     }
 
-    /** A line came back on a standing connection. */
+    /** Records a line that was received on an established connection. */
     void lineReceived(Attempt up, BackendMessage answer) {
         if (answer.kind() == BackendMessage.Kind.LOAD) {
             loadReported(up, answer.load());
@@ -245,9 +254,9 @@
     }
 
     /**
-     * A told figure. Backends use the one word LOAD for both notes: taken as a load, a message
-     * delay of 300 ms would make its connection the lightest of all, and the module would never
-     * hear of the jam.
+     * Handles a reported value. Backends use the one word LOAD for both load and message delay. If
+     * a message delay of 300 ms were taken as a load, its connection would appear to be the
+     * lightest of all, and the load balancer would never learn of the overload.
      */
     private void loadReported(Attempt up, double figure) {
         if (figure < 0) {
@@ -261,7 +270,8 @@
     }
 
     /**
-     * Once a second: tells the module where messages take long, on one connection each, or no more.
+     * Reports to the load balancer, once a second, which backends are slow to answer messages and
+     * which no longer are. Each report is made on one of the backend's connections.
      */
     void reportDelays() {
         Instant now = clock.now();
@@ -279,7 +289,10 @@
         }
     }
 
-    /** Writes the totals to the log; accepted: how many connections have come since the start. */
+    /**
+     * Writes the totals to the log. The accepted count is the number of connections since the
+     * start.
+     */
     void logTotals(int clients, long accepted, Object... more) {
         Runtime jvm = Runtime.getRuntime();
         Object[] pairs = {
--- a/relay/src/main/java/saltstage/stage/PendingClient.java
+++ b/relay/src/main/java/saltstage/stage/PendingClient.java
@@ -9,8 +9,8 @@
 import saltstage.wire.LineReader;
 
 /**
- * A connection that has no request: one that has not asked yet, or one that was answered and may
- * hang up.
+ * A connection without a request: either its request has not arrived yet, or it was answered and
+ * the client may close it.
  */
 final class PendingClient {
     private static final int INITIAL_BUFFER_BYTES = 256;
@@ -34,12 +34,15 @@
         return channel;
     }
 
-    /** Who it is, for the log. */
+    /** Returns the client's address, for the log. */
     String remote() {
         return String.valueOf(remote);
     }
 
-    /** When it has waited, or lingered, long enough; by {@link System#nanoTime}. */
+    /**
+     * Returns when the wait for the first line or the linger time ends, on the clock of {@link
+     * System#nanoTime}.
+     */
     long deadlineNanos() {
         return deadlineNanos;
     }
@@ -48,7 +51,7 @@
         deadlineNanos = at;
     }
 
-    /** Whether it has its answer: what it sends from then on is ignored. */
+    /** Returns whether the client has been answered; its input is ignored from then on. */
     boolean isAnswered() {
         return answered;
     }
@@ -57,7 +60,7 @@
         answered = true;
     }
 
-    /** Reads what has come; false where nothing more will. */
+    /** Reads the available input; returns false at the end of input. */
     boolean read(ByteBuffer scratch) throws IOException {
         scratch.clear();
         int read = channel.read(scratch);
@@ -74,14 +77,15 @@
         return !inputEnded;
     }
 
-    /** How many bytes have come since it was answered. */
+    /** Returns the number of bytes received since the answer. */
     int ignoredBytes() {
         return ignoredBytes;
     }
 
     /**
-     * Takes its first line with its end, or null where that has not come. A piece without an end is
-     * a part of an overlong line, or what came before the end of input.
+     * Takes the first line with its terminator, or returns null if it is not complete. A piece
+     * without a terminator is a part of an overlong line, or the input before the end of the
+     * stream.
      */
     byte[] takeLine() {
         for (int i = 0; i < length; i++) {
@@ -95,12 +99,12 @@
         return inputEnded && length > 0 ? takeBytes(length) : null;
     }
 
-    /** Takes what came behind the line. */
+    /** Takes the input that followed the line. */
     byte[] takeRemaining() {
         return takeBytes(length);
     }
 
-    /** Whether it has begun a line, or says more than one. */
+    /** Returns whether there is buffered input: a partial line, or input beyond the first line. */
     boolean hasBufferedInput() {
         return length > 0;
     }
@@ -113,7 +117,8 @@
     }
 
     /**
-     * Writes a line whole; there is room for it on a connection that carried next to none before.
+     * Writes a complete line. The socket buffer has room for it, as the connection has carried next
+     * to nothing before.
      */
     void send(String line) throws IOException {
         NonBlockingWrites.writeFully(
@@ -121,7 +126,8 @@
     }
 
     /**
-     * Half-close: a close over unread bytes would reset the connection and take the answer with it.
+     * Shuts down the output only. Closing the connection with unread input would reset it, and the
+     * answer could be lost.
      */
     void endSending() throws IOException {
         channel.shutdownOutput();
@@ -130,7 +136,7 @@
     void close() {
         try {
             channel.close();
-        } catch (IOException ended) { // the other side was first
+        } catch (IOException ended) { // the client closed it first
             return;
         }
     }
--- a/relay/src/main/java/saltstage/stage/ProbeConnection.java
+++ b/relay/src/main/java/saltstage/stage/ProbeConnection.java
@@ -12,7 +12,7 @@
 import saltstage.wire.LineReader;
 
 /**
- * A connection over which one backend is asked for its load, again and again; none of its calls
+ * A connection over which one backend is probed for its load repeatedly; none of its methods
  * blocks.
  */
 final class ProbeConnection {
@@ -28,7 +28,7 @@
     private boolean answeredBefore;
     private long deadlineNanos;
 
-    /** Begins to connect; the question is sent as soon as the connection is up. */
+    /** Starts connecting; the probe is sent as soon as the connection is up. */
     ProbeConnection(Backend peer, Selector selector, Duration limit) throws IOException {
         this.backend = peer;
         channel = SocketChannel.open();
@@ -51,25 +51,25 @@
         return backend;
     }
 
-    /** Whether an answer is awaited. */
+    /** Returns whether an answer is awaited. */
     boolean isAwaitingAnswer() {
         return awaitingAnswer;
     }
 
     /**
-     * Whether it has brought an answer before: its end then may only mean that it was idle for too
-     * long.
+     * Returns whether this connection has carried an answer before. If so, the backend may have
+     * closed it only because it was idle for too long.
      */
     boolean hasAnsweredBefore() {
         return answeredBefore;
     }
 
-    /** Nanoseconds until the answer that is awaited is overdue. */
+    /** Returns the nanoseconds until the awaited answer is overdue. */
     long remainingNanos() {
         return deadlineNanos - System.nanoTime();
     }
 
-    /** Asks on a connection that is up and awaits nothing. */
+    /** Sends a probe on a connection that is up and awaits no answer. */
     void sendProbe(Duration limit) throws IOException {
         awaitingAnswer = true;
         deadlineNanos = System.nanoTime() + limit.toNanos();
@@ -83,11 +83,10 @@
     }
 
     /**
-     * Goes on with what has come about; returns the line that answers, or null where it is still
+     * Handles a readiness event of the channel; returns the answer line, or null if it is still
      * awaited.
      *
-     * @throws ConnectionClosedException where the backend has ended the connection without an
-     *     answer
+     * @throws ConnectionClosedException if the backend has closed the connection without an answer
      */
     byte[] handleReady(Duration limit) throws IOException {
         if (!connected) {
@@ -117,12 +116,12 @@
     void close() {
         try {
             channel.close();
-        } catch (IOException ended) { // the backend was first
+        } catch (IOException ended) { // the backend closed it first
             return;
         }
     }
 
-    /** The backend has ended the connection. */
+    /** Thrown when the backend has closed the connection without an answer. */
     static final class ConnectionClosedException extends IOException {
         private static final long serialVersionUID = 1;
     }
--- a/relay/src/main/java/saltstage/stage/RelayPipeline.java
+++ b/relay/src/main/java/saltstage/stage/RelayPipeline.java
@@ -18,9 +18,15 @@
 import saltstage.session.Timers;
 import saltstage.wire.BackendList;
 
-/** The stages, joined: take in, admit, route, send, relay, book. */
+/**
+ * Connects the stages that a request passes: frontend, admission, routing, attempts, forwarding and
+ * recording of the outcome.
+ */
 public final class RelayPipeline {
-    /** A process that ended resets its connections itself; a machine that vanished does not. */
+    /**
+     * Delay before the clients of a backend that is gone are moved. A process that ended resets its
+     * connections itself, but a machine that vanished does not.
+     */
     private static final Duration BACKEND_GONE_MOVE_DELAY = Duration.ofMillis(300);
 
     private final Timers timers;
@@ -33,7 +39,7 @@
     private final LineFrontend lineFrontend;
     private final List<Frontend> frontends = new CopyOnWriteArrayList<>();
 
-    /** Joins the stages; watch subscribes to discovery. */
+    /** Creates the stages; the {@code watch} argument subscribes to discovery. */
     public RelayPipeline(
             Configuration config,
             MonotonicClock clock,
@@ -45,7 +51,8 @@
     }
 
     /**
-     * Joins the stages; clients that have asked are met through these sockets of their channels.
+     * Creates the stages. The function returns the socket through which the relay talks to a client
+     * whose request has arrived.
      */
     public RelayPipeline(
             Configuration config,
@@ -132,45 +139,45 @@
         };
     }
 
-    /** The first stage. */
+    /** Returns the frontend of the line protocol. */
     public LineFrontend lineFrontend() {
         return lineFrontend;
     }
 
-    /** The owner of the decisions. */
+    /** Returns the router. */
     public Router router() {
         return router;
     }
 
-    /** The stage that admits requests. */
+    /** Returns the stage that admits requests. */
     public AdmissionControl admissionControl() {
         return admissionControl;
     }
 
-    /** The stage that books what became of them. */
+    /** Returns the stage that records the outcomes of requests. */
     public OutcomeRecorder outcomeRecorder() {
         return outcomeRecorder;
     }
 
-    /** Where clients come in: the lines' front and those that were added. */
+    /** Returns the line frontend and the frontends that were added. */
     public List<Frontend> frontends() {
         return frontends;
     }
 
-    /** One more way for clients to come in. */
+    /** Adds a frontend. */
     public void addFrontend(Frontend front) {
         frontends.add(front);
     }
 
     /**
-     * Has a standing try's client moved, whatever it speaks; a reason "peer..." is the backend's
-     * fault.
+     * Moves the client of an established attempt, whatever its protocol. A reason that starts with
+     * "peer" blames the backend.
      */
     public boolean move(Attempt up, String reason) {
         return up.context().client().move(up, reason);
     }
 
-    /** Discovery has told something, and these processes have ended by it. */
+    /** Handles a backend list from discovery, and the backends that it has ended. */
     public void backendListReceived(List<Backend> ended, BackendList list) {
         Log.info(
                 "discovery.list",
@@ -183,46 +190,50 @@
         setDescriptorLimit(descriptorLimit);
         router.backendListReceived(list);
         for (Backend peer : ended) {
-            // Its clients are moved: the machine may never send a reset.
+            // The clients are moved because the backend's machine may never send a reset.
             timers.schedule(
                     BACKEND_GONE_MOVE_DELAY,
                     () -> peer.establishedAttempts().forEach(up -> move(up, "peer gone")));
         }
     }
 
-    /** So many descriptors are this process's; said again while another one takes part of them. */
+    /**
+     * Sets the number of descriptors that this process may use. It is called again while another
+     * process uses a part of them.
+     */
     public void setDescriptorLimit(int most) {
         descriptorLimit = most;
-        int left = most - probedBackends.getAsInt(); // connections for probes
+        int left = most - probedBackends.getAsInt(); // without the connections for probes
         admissionControl.setDescriptorLimit(left);
         lineFrontend.acceptor().setCapacity(AdmissionControl.maxPendingClients(left));
     }
 
-    /** About how many descriptors are in use. */
+    /** Returns the approximate number of descriptors in use. */
     public int descriptorsInUse() {
         return admissionControl.descriptorsInUse()
                 + lineFrontend.acceptor().pendingClientCount()
                 + probedBackends.getAsInt();
     }
 
-    /** Looks for backends that bring nothing back. */
+    /** Moves the clients of backends that no longer respond. */
     public void checkUnresponsiveBackends() {
         forwarder.checkUnresponsiveBackends();
     }
 
-    /** Tells the module which backends are slow; once a second. */
+    /** Tells the load balancer which backends are slow; called once a second. */
     public void reportDelays() {
         outcomeRecorder.reportDelays();
     }
 
-    /** Writes the totals to the log, with these names and values behind them. */
+    /** Writes the totals to the log, followed by the given names and values. */
     public void logTotals(Object... more) {
         int clients = frontends.stream().mapToInt(Frontend::clientCount).sum();
         outcomeRecorder.logTotals(clients, lineFrontend.acceptor().acceptedCount(), more);
     }
 
     /**
-     * The relay leaves: what still waits is answered, and may mostly come again elsewhere at once.
+     * Answers all waiting requests because the relay is shutting down. Most of them may be sent
+     * again elsewhere at once.
      */
     public void rejectWaiting() {
         router.openRequests().forEach(outcomeRecorder::endForShutdown);
--- a/relay/src/main/java/saltstage/stage/Router.java
+++ b/relay/src/main/java/saltstage/stage/Router.java
@@ -30,10 +30,10 @@
 import saltstage.wire.BackendList;
 
 /**
- * The owner of the decisions: feeds {@link LoadBalancer} one event at a time, in order, on one
- * clock. What it decides is gathered under the lock and done after it, by the thread that brought
- * the event; none of that blocks. Only here are the relay's names and times turned into the
- * module's ids and microseconds and back.
+ * Feeds {@link LoadBalancer} one event at a time, in order, on one clock. Its decisions are
+ * collected under the lock and carried out after it is released, by the thread that brought the
+ * event; none of them blocks. This class alone converts the relay's names and times to the load
+ * balancer's ids and microseconds and back.
  */
 public final class Router {
     private static final long MAX_KEY = (1L << 53) - 1;
@@ -48,21 +48,21 @@
     private final Map<Long, RequestContext> contexts = new ConcurrentHashMap<>();
     private List<Runnable> collectedActions = new ArrayList<>();
 
-    /** What the other stages do on a decision. */
+    /** The actions of the other stages that carry out decisions. */
     public interface RoutingActions {
-        /** Starts the next try; a zero limit is the client's deadline. */
+        /** Starts the next attempt; a limit of zero means the client's deadline. */
         void sendAttempt(RequestContext context, String uid, Duration limit);
 
-        /** Rejects the request at once. */
+        /** Rejects the request immediately. */
         void reject(RequestContext context, Duration retryAfter);
 
-        /** Fails the request at once. */
+        /** Fails the request immediately. */
         void fail(RequestContext context);
 
-        /** Moves the client of a standing connection. */
+        /** Moves the client of an established connection. */
         void moveClient(RequestContext context);
 
-        /** Asks a backend for its load; never blocks. */
+        /** Probes a backend for its load; never blocks. */
         void probe(String uid);
 
         /** Subscribes to discovery. */
@@ -73,7 +73,7 @@
         void deliver(LoadBalancer logic, long now);
     }
 
-    /** The decisions for this configuration. */
+    /** Creates a router with a load balancer for this configuration. */
     public Router(
             Configuration config,
             MonotonicClock clock,
@@ -88,13 +88,13 @@
         loadBalancer = new LoadBalancer(config.settings(), config.seed(), new ActionCollector());
     }
 
-    /** The relay starts, with the list as it last had it. */
+    /** Starts with the backend list that the relay last had. */
     public void start(BackendList known) {
         deliver(LoadBalancer::start);
         deliverBackendList(known, BackendListKind.CACHED);
     }
 
-    /** Discovery has told something. */
+    /** Handles a backend list from discovery. */
     public void backendListReceived(BackendList list) {
         deliverBackendList(list, list.full() ? BackendListKind.FULL : BackendListKind.DELTA);
     }
@@ -104,18 +104,22 @@
         deliver((logic, now) -> logic.backendListReceived(now, kind, servers));
     }
 
-    /** Operators have suspended or restored a backend: to the module it drains, or no more. */
+    /**
+     * Handles the suspension of a backend by an operator, or its end. To the load balancer, a
+     * suspended backend is draining.
+     */
     public void suspensionChanged(Backend peer) {
         deliver(
                 (logic, now) -> {
-                    if (!peer.hasEnded()) { // else the module is told of its end, or has been
+                    // The end of a backend is reported to the load balancer separately.
+                    if (!peer.hasEnded()) {
                         logic.backendListReceived(
                                 now, BackendListKind.DELTA, List.of(toListedBackend(peer.entry())));
                     }
                 });
     }
 
-    /** The backends that the module leaves alone just now. */
+    /** Returns the backends that the load balancer currently ejects. */
     public Set<String> ejectedBackends() {
         lock.lock();
         try {
@@ -125,21 +129,21 @@
         }
     }
 
-    /** A call to discovery failed, or the watch broke. */
+    /** Handles a failed call to discovery or a broken watch. */
     public void discoveryCallFailed() {
         deliver(
                 (logic, now) ->
                         logic.backendListReceived(now, BackendListKind.CALL_FAILED, List.of()));
     }
 
-    /** A request was admitted: it is owed one final answer. */
+    /** Handles an admitted request, which must get one final answer. */
     public void requestAdmitted(RequestContext context) {
         Request request = toBalancerRequest(context);
         contexts.put(context.id(), context);
         deliver((logic, now) -> logic.requestReceived(now, request));
     }
 
-    /** A connection that was open before the relay started stands again. */
+    /** Handles the restoration of a connection that was open before the relay started. */
     public void connectionRestored(Attempt standing) {
         RequestContext context = standing.context();
         Request request = toBalancerRequest(context);
@@ -149,13 +153,13 @@
                         logic.connectionRestored(now, request, standing.backend().entry().uid()));
     }
 
-    /** A try stands. */
+    /** Handles an attempt that was established. */
     public void connectionEstablished(Attempt standing) {
         long latency = toMicros(Duration.between(standing.sentAt(), clock.now()));
         deliver((logic, now) -> logic.connectionEstablished(now, standing.context().id(), latency));
     }
 
-    /** A try has ended; over: nothing more is owed. */
+    /** Handles the end of an attempt; {@code over} means that the request has ended, too. */
     public void attemptEnded(RequestContext context, Outcome outcome, boolean over) {
         if (over) {
             contexts.remove(context.id());
@@ -163,13 +167,13 @@
         deliver((logic, now) -> logic.attemptEnded(now, context.id(), outcome, over));
     }
 
-    /** The client has left before its answer. */
+    /** Handles a client that left before its answer. */
     public void clientLeft(RequestContext context) {
         contexts.remove(context.id());
         deliver((logic, now) -> logic.clientLeft(now, context.id()));
     }
 
-    /** A backend told the load of a connection, in microseconds of work a second. */
+    /** Handles a backend's report of a connection's load, in microseconds of work per second. */
     public void loadReported(Attempt standing, double level) {
         deliver(
                 (logic, now) ->
@@ -177,7 +181,7 @@
                                 now, standing.context().id(), ConnectionReport.LOAD, level));
     }
 
-    /** Messages take so long at the backend of this try. */
+    /** Handles the message delay at the backend of this attempt. */
     public void delayReported(Attempt standing, Duration delay) {
         deliver(
                 (logic, now) ->
@@ -188,12 +192,12 @@
                                 toMicros(delay) / 1000.0));
     }
 
-    /** A probe has come back. */
+    /** Handles the result of a probe. */
     public void probeCompleted(String uid, Outcome outcome, double asked) {
         deliver((logic, now) -> logic.probeCompleted(now, uid, outcome, asked));
     }
 
-    /** What the module has learnt, as plain data. */
+    /** Returns what the load balancer has learned, as plain data. */
     public Api.LearnedState learnedState() {
         lock.lock();
         try {
@@ -203,12 +207,12 @@
         }
     }
 
-    /** Gives the module what one before it had learnt. */
+    /** Gives the load balancer what an earlier one had learned. */
     public void restoreLearnedState(Api.LearnedState known) {
         deliver((logic, now) -> logic.restoreLearnedState(now, known));
     }
 
-    /** All contexts, for the end of the relay. */
+    /** Returns all open requests; used when the relay shuts down. */
     public List<RequestContext> openRequests() {
         return List.copyOf(contexts.values());
     }
@@ -219,8 +223,8 @@
         try {
             event.deliver(loadBalancer, toEpochMicros(clock.now()));
         } catch (RuntimeException fault) {
-            // A fault of the module costs this event; the deadline guard of Admit answers its
-            // request.
+            // A fault of the load balancer costs only this event; the overdue check of
+            // AdmissionControl answers its request.
             Log.error("module.fault", fault);
         } finally {
             todo = collectedActions;
@@ -230,8 +234,6 @@
         todo.forEach(Runnable::run);
     }
 
-    // ---- the one place of ids and microseconds
-
     private static long toEpochMicros(Instant at) {
         return ChronoUnit.MICROS.between(Instant.EPOCH, at);
     }
@@ -276,8 +278,8 @@
     }
 
     /**
-     * FNV-1a: keys are texts on sockets and numbers in the module, and all relays must agree on
-     * them.
+     * Hashes a key with FNV-1a. Keys are texts on the wire and numbers in the load balancer, and
+     * all relays must compute the same numbers.
      */
     private static long hashKey(String text) {
         if (text == null) {
@@ -290,7 +292,7 @@
         return (hash ^ hash >>> 32) & MAX_KEY;
     }
 
-    /** Gathers what the module decides within an event. */
+    /** Collects the load balancer's decisions during an event. */
     private final class ActionCollector implements Api.Actions {
         private void collect(long id, Consumer<RequestContext> effect) {
             RequestContext context = contexts.get(id);
--- a/relay/src/main/java/saltstage/stage/ThreadBudget.java
+++ b/relay/src/main/java/saltstage/stage/ThreadBudget.java
@@ -6,30 +6,36 @@
 import saltstage.metrics.ProcessUsage;
 
 /**
- * How many requests there are threads for. A platform with a limit on threads tells it only by
- * refusing one, and then none is left for a signal, which the JVM handles on a new thread. So room
- * is proven before it is given away: threads are started for a moment, and a reserve of what was
- * proven is never given to requests.
+ * Limits the number of requests by the number of threads that the platform can start. A platform
+ * with a thread limit shows it only by refusing to start a thread, and then no thread is left for a
+ * signal, which the JVM handles on a new thread. Capacity is therefore verified before it is
+ * granted: threads are started for a moment, and a reserve of the verified number is never given to
+ * requests.
  */
 final class ThreadBudget {
-    /** One that reads the client and one that reads the backend. */
+    /** One thread reads from the client, and one reads from the backend. */
     static final int THREADS_PER_REQUEST = 2;
 
-    /** Kept free for signals, calls to discovery, operators' calls and the JVM's own threads. */
+    /**
+     * Threads kept free for signals, calls to discovery, operator calls and the JVM's own threads.
+     */
     static final int RESERVED_THREADS = 24;
 
-    /** How much more room is proven at a time. */
+    /** Number of additional threads that are verified at a time. */
     private static final int GROWTH_STEP_THREADS = 32;
 
-    /** A refusal that lasts this often as long as the pause is none of a moment. */
+    /**
+     * If a thread start still fails after this many attempts with the pause between them, the
+     * failure is not temporary.
+     */
     private static final int MAX_START_ATTEMPTS = 50;
 
     private static final Duration RETRY_PAUSE = Duration.ofMillis(2);
 
-    /** Other threads may have begun meanwhile. */
+    /** Tolerates other threads that may have started in the meantime. */
     private static final int UNRELATED_THREADS_TOLERANCE = 4;
 
-    /** A platform that has refused a thread is not tried again sooner. */
+    /** A platform that refused a thread is not tested again before this interval has passed. */
     private static final Duration LIMITED_RETRY_INTERVAL = Duration.ofSeconds(1);
 
     private final ThreadStarter starter;
@@ -41,7 +47,7 @@
 
     /** Starts a thread, as {@link Threads#start} does. */
     interface ThreadStarter {
-        /** False where the machine has no thread left. */
+        /** Returns false if the machine has no thread left. */
         boolean start(String name, Threads.Work work);
     }
 
@@ -50,8 +56,8 @@
     }
 
     /**
-     * Takes the threads of one request; false where the platform has no room for them beside the
-     * reserve.
+     * Acquires the threads of one request; returns false if the platform has no capacity for them
+     * beside the reserve.
      */
     synchronized boolean tryAcquire() {
         if (grantedThreads + THREADS_PER_REQUEST > verifiedThreads
@@ -65,14 +71,14 @@
         return true;
     }
 
-    /** Gives the threads of one request back. */
+    /** Releases the threads of one request. */
     synchronized void release() {
         grantedThreads -= THREADS_PER_REQUEST;
     }
 
     /**
-     * Starts a thread of a request that has acquired it; what is refused for a moment is tried
-     * again.
+     * Starts a thread of a request that has acquired it, and retries if the start fails for a
+     * moment.
      */
     boolean start(String name, Threads.Work work) {
         adjustRunning(1);
@@ -111,7 +117,7 @@
         runningThreads += more;
     }
 
-    /** How many threads requests have now. */
+    /** Returns the number of threads that requests are running. */
     synchronized int runningThreads() {
         return runningThreads;
     }
@@ -133,7 +139,10 @@
         retryAtNanos = System.nanoTime() + LIMITED_RETRY_INTERVAL.toNanos();
     }
 
-    /** How many of so many threads can be there at once; on the return none of them is left. */
+    /**
+     * Returns how many of the wanted number of threads can exist at the same time. All of them have
+     * ended when this returns, unless the platform is slow to release them.
+     */
     private int countStartableThreads(int wanted) {
         long before = ProcessUsage.threads();
         CountDownLatch over = new CountDownLatch(1);
@@ -155,7 +164,10 @@
         return started;
     }
 
-    /** A thread that has done its work is the platform's for a moment more, and counts there. */
+    /**
+     * Waits for threads to exit. The platform counts a thread for a moment longer after its work is
+     * done.
+     */
     private static void awaitThreadExit(long before) {
         for (int i = 0;
                 i < MAX_START_ATTEMPTS
--- a/relay/src/main/java/saltstage/stage/Threads.java
+++ b/relay/src/main/java/saltstage/stage/Threads.java
@@ -2,23 +2,26 @@
 
 import saltstage.log.Log;
 
-/** Platform threads with small stacks; none of them ends the relay, or ends unseen. */
+/**
+ * Starts platform threads with small stacks. A fault in one of them is logged and does not end the
+ * relay.
+ */
 public final class Threads {
     /**
-     * Two threads stand for each connection: the usual megabyte each is address space that nothing
-     * uses.
+     * Stack size of a thread. Each connection has two threads, and the usual stack of a megabyte
+     * would be address space that is never used.
      */
     private static final long STACK_BYTES = 256 << 10;
 
     private Threads() {}
 
-    /** What a thread does. */
+    /** The work of a thread. */
     public interface Work {
-        /** Does it. */
+        /** Does the work; the starter of the thread logs an exception. */
         void run() throws Exception;
     }
 
-    /** Starts a thread; false, and a line in the log, where the machine has none left. */
+    /** Starts a thread; returns false and logs a warning if the machine has no thread left. */
     public static boolean start(String name, Work work) {
         boolean started = tryStart(name, work);
         if (!started) {
@@ -27,19 +30,19 @@
         return started;
     }
 
-    /** Starts a thread; false where the machine has none left. */
+    /** Starts a thread; returns false if the machine has no thread left. */
     static boolean tryStart(String name, Work work) {
         try {
             Thread thread = new Thread(null, () -> runGuarded(name, work), name, STACK_BYTES);
             thread.setDaemon(true);
             thread.start();
             return true;
-        } catch (OutOfMemoryError none) { // what the JVM says when the system refuses it a thread
+        } catch (OutOfMemoryError none) { // thrown by the JVM when the system refuses it a thread
             return false;
         }
     }
 
-    /** Starts a thread that does the work over and over, whatever a single round throws. */
+    /** Starts a thread that repeats the work forever, even if a round throws an exception. */
     public static void startLoop(String name, Work round) {
         if (!start(name, () -> runRepeatedly(name, round))) {
             throw new IllegalStateException("no thread for " + name);
@@ -54,7 +57,7 @@
                 throw e;
             } catch (Exception | OutOfMemoryError | StackOverflowError fault) {
                 Log.error("thread.fault." + name, fault);
-                Thread.sleep(50); // a fault that stays must not eat the one core
+                Thread.sleep(50); // a lasting fault must not use up the only core
             }
         }
     }
@@ -62,7 +65,7 @@
     private static void runGuarded(String name, Work work) {
         try {
             work.run();
-        } catch (Throwable fault) { // the last guard: the thread ends, the relay does not
+        } catch (Throwable fault) { // the last guard: the thread ends, but the relay does not
             Log.error("thread.fault", fault);
         }
     }
--- a/relay/src/test/java/saltstage/stage/BackendProberTest.java
+++ b/relay/src/test/java/saltstage/stage/BackendProberTest.java
@@ -18,7 +18,8 @@
 import saltstage.wire.BackendList;
 
 /**
- * The thread of probes: the test decides whether the machine has one, and runs what it would do.
+ * Guards against probes that stop for good because their thread could not be started or ended by a
+ * fault. The test decides whether a thread can be started, and runs its work itself.
  */
 @Timeout(30)
 class BackendProberTest {
@@ -75,7 +76,7 @@
     @Test
     void threadIsReplacedOnTheNextRequestAfterAFault() {
         threadStartResults.addAll(List.of(true, true));
-        prober.setRouter(null); // the fault: who is told of the probe's outcome throws
+        prober.setRouter(null); // the fault: reporting the probe's outcome throws
         prober.requestProbe(UID);
         assertThrows(NullPointerException.class, () -> started.get(0).run());
         prober.requestProbe(UID);
--- a/relay/src/test/java/saltstage/stage/ThreadBudgetTest.java
+++ b/relay/src/test/java/saltstage/stage/ThreadBudgetTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests before a platform that gives so many threads and no more. */
+/**
+ * Guards against requests that use up all threads of a platform with a thread limit, so that none
+ * is left for signals and the relay's own calls.
+ */
 @Timeout(30)
 class ThreadBudgetTest {
     private static final int PLATFORM_THREADS = 100;
