--- a/relay/src/test/java/saltstage/stage/BackendProberTest.java
+++ b/relay/src/test/java/saltstage/stage/BackendProberTest.java
@@ -33,11 +33,11 @@
 
     private boolean start(String name, Threads.Work work) {
         startAttempts++;
-        boolean left = threadStartResults.remove();
-        if (left) {
+        boolean threadAvailable = threadStartResults.remove();
+        if (threadAvailable) {
             started.add(work);
         }
-        return left;
+        return threadAvailable;
     }
 
     @BeforeEach
@@ -68,9 +68,9 @@
         assertEquals(1, startAttempts);
         prober.requestProbe(UID);
         assertEquals(
-                1, started.size(), "the second ask starts the thread that the first did not get");
+                1, started.size(), "the second request starts the thread that the first did not");
         prober.requestProbe(UID);
-        assertEquals(2, startAttempts, "all probes have one thread");
+        assertEquals(2, startAttempts, "all probes share one thread");
     }
 
     @Test
@@ -80,6 +80,6 @@
         prober.requestProbe(UID);
         assertThrows(NullPointerException.class, () -> started.get(0).run());
         prober.requestProbe(UID);
-        assertEquals(2, started.size(), "the thread that is gone is replaced");
+        assertEquals(2, started.size(), "the thread that ended by a fault is replaced");
     }
 }
--- a/relay/src/test/java/saltstage/stage/ThreadBudgetTest.java
+++ b/relay/src/test/java/saltstage/stage/ThreadBudgetTest.java
@@ -42,7 +42,8 @@
             admitted++;
             for (int i = 0; i < ThreadBudget.THREADS_PER_REQUEST; i++) {
                 assertTrue(
-                        budget.start("request", requestsEnd::await), "what was acquired is there");
+                        budget.start("request", requestsEnd::await),
+                        "an acquired thread can be started");
             }
             int running = admitted * ThreadBudget.THREADS_PER_REQUEST;
             while (budget.runningThreads() < running) {
