--- a/relay/src/main/java/saltstage/stage/AdmissionControl.java
+++ b/relay/src/main/java/saltstage/stage/AdmissionControl.java
@@ -58,16 +58,16 @@
             Configuration config,
             MonotonicClock clock,
             Timers timers,
-            Router route,
-            LineAttemptRunner tries,
-            OutcomeRecorder book) {
+            Router router,
+            LineAttemptRunner attemptRunner,
+            OutcomeRecorder outcomeRecorder) {
         this.config = config;
         descriptorLimit = config.maxSockets();
         this.clock = clock;
         this.timers = timers;
-        this.router = route;
-        this.attemptRunner = tries;
-        this.outcomeRecorder = book;
+        this.router = router;
+        this.attemptRunner = attemptRunner;
+        this.outcomeRecorder = outcomeRecorder;
     }
 
     /**
@@ -75,8 +75,8 @@
      * set aside for clients and a third for backends; these connections use the remainder.
      */
     static int maxPendingClients(int sockets) {
-        int left = sockets - 2 * (sockets / 3) - RESERVED_DESCRIPTORS;
-        return Math.max(MIN_PENDING_CLIENT_LIMIT, Math.min(MAX_PENDING_CLIENT_LIMIT, left));
+        int remaining = sockets - 2 * (sockets / 3) - RESERVED_DESCRIPTORS;
+        return Math.max(MIN_PENDING_CLIENT_LIMIT, Math.min(MAX_PENDING_CLIENT_LIMIT, remaining));
     }
 
     /**
@@ -111,7 +111,7 @@
             throws MalformedException, IOException {
         Instant now = clock.now();
         int serviceClass = config.serviceClassIndex(line.field("c"));
-        RequestAttributes terms =
+        RequestAttributes attributes =
                 new RequestAttributes(
                         line.id(),
                         serviceClass,
@@ -120,9 +120,11 @@
                         line.field("g"),
                         line.numericField("h", Api.NONE),
                         line.hasFlag("again"));
-        String at = line.field("at");
-        Duration patience = line.clientTimeout(config.clientTimeout(serviceClass));
-        Instant deadline = now.plus(at != null ? RESTORE_TIMEOUT : patience).minus(DEADLINE_MARGIN);
+        String backendUid = line.field("at");
+        Duration clientTimeout = line.clientTimeout(config.clientTimeout(serviceClass));
+        Instant deadline =
+                now.plus(backendUid != null ? RESTORE_TIMEOUT : clientTimeout)
+                        .minus(DEADLINE_MARGIN);
         if (client.reader().hasMoreInput()) {
             // The client sent several commands at once. The first would be established, and the
             // others would be passed to its backend.
@@ -135,7 +137,7 @@
         }
         client.setOpenRequest(line);
         RequestContext context =
-                new RequestContext(lastRequestId.incrementAndGet(), terms, deadline, client);
+                new RequestContext(lastRequestId.incrementAndGet(), attributes, deadline, client);
         outcomeRecorder.requestReceived();
         if (client.reader().isEndOfInput()) {
             // The client left before its line was read. Nothing may be sent to a backend for a
@@ -145,8 +147,8 @@
         } else if (openRequestIds.size() > maxRequests(descriptorLimit - reservedDescriptors)) {
             logFull();
             outcomeRecorder.reject(context, config.maxRetryAfter());
-        } else if (at != null) {
-            attemptRunner.restore(context, at);
+        } else if (backendUid != null) {
+            attemptRunner.restore(context, backendUid);
         } else {
             startRouting(context, now);
         }
@@ -160,18 +162,18 @@
      */
     public void admitFromFrontend(
             ClientConnection client,
-            RequestAttributes terms,
-            Duration patience,
-            Consumer<RequestContext> taken) {
+            RequestAttributes attributes,
+            Duration clientTimeout,
+            Consumer<RequestContext> onAdmitted) {
         Instant now = clock.now();
         RequestContext context =
                 new RequestContext(
                         lastRequestId.incrementAndGet(),
-                        terms,
-                        now.plus(patience).minus(DEADLINE_MARGIN),
+                        attributes,
+                        now.plus(clientTimeout).minus(DEADLINE_MARGIN),
                         client);
         outcomeRecorder.requestReceived();
-        taken.accept(context);
+        onAdmitted.accept(context);
         startRouting(context, now);
     }
 
@@ -191,8 +193,8 @@
      * Sets the number of descriptors that the relay may use. Requests beyond a lower limit stay
      * open.
      */
-    void setDescriptorLimit(int most) {
-        descriptorLimit = most;
+    void setDescriptorLimit(int limit) {
+        descriptorLimit = limit;
     }
 
     /**
--- a/relay/src/main/java/saltstage/stage/AttemptStarter.java
+++ b/relay/src/main/java/saltstage/stage/AttemptStarter.java
@@ -16,24 +16,27 @@
     private final BackendRegistry backends;
     private final OutcomeRecorder outcomeRecorder;
 
-    AttemptStarter(MonotonicClock clock, BackendRegistry peers, OutcomeRecorder book) {
+    AttemptStarter(
+            MonotonicClock clock, BackendRegistry backends, OutcomeRecorder outcomeRecorder) {
         this.clock = clock;
-        this.backends = peers;
-        this.outcomeRecorder = book;
+        this.backends = backends;
+        this.outcomeRecorder = outcomeRecorder;
     }
 
     /** Starts the next attempt of a request. A limit of zero means the client's deadline. */
     void start(RequestContext context, String uid, Duration limit) {
         Instant now = clock.now();
-        Instant most = now.plus(limit);
-        Instant until =
-                limit.isZero() || most.isAfter(context.deadline()) ? context.deadline() : most;
-        Backend peer = backends.find(uid);
-        Attempt begun = peer == null ? null : context.beginAttempt(peer, now);
-        if (begun == null) {
+        Instant limitEnd = now.plus(limit);
+        Instant attemptDeadline =
+                limit.isZero() || limitEnd.isAfter(context.deadline())
+                        ? context.deadline()
+                        : limitEnd;
+        Backend backend = backends.find(uid);
+        Attempt attempt = backend == null ? null : context.beginAttempt(backend, now);
+        if (attempt == null) {
             outcomeRecorder.attemptNotSent(context);
         } else {
-            context.client().startAttempt(begun, until);
+            context.client().startAttempt(attempt, attemptDeadline);
         }
     }
 }
--- a/relay/src/main/java/saltstage/stage/BackendProber.java
+++ b/relay/src/main/java/saltstage/stage/BackendProber.java
@@ -51,17 +51,17 @@
         boolean start(String name, Threads.Work work);
     }
 
-    BackendProber(BackendRegistry peers) {
-        this(peers, Threads::start);
+    BackendProber(BackendRegistry backends) {
+        this(backends, Threads::start);
     }
 
-    BackendProber(BackendRegistry peers, ThreadStarter threads) {
-        this.backends = peers;
-        this.threadStarter = threads;
+    BackendProber(BackendRegistry backends, ThreadStarter threadStarter) {
+        this.backends = backends;
+        this.threadStarter = threadStarter;
     }
 
-    void setRouter(Router to) {
-        router = to;
+    void setRouter(Router newRouter) {
+        router = newRouter;
     }
 
     /**
@@ -69,11 +69,11 @@
      * thread could be started, or the thread ended by a fault, the next call tries to start one.
      */
     void requestProbe(String uid) {
-        Backend peer = backends.find(uid);
-        if (peer == null) {
+        Backend backend = backends.find(uid);
+        if (backend == null) {
             return;
         }
-        requestedBackends.add(peer);
+        requestedBackends.add(backend);
         wakeUp();
     }
 
@@ -85,7 +85,7 @@
         try {
             selector = Selector.open();
             running = threadStarter.start("probes", this::run);
-        } catch (IOException none) {
+        } catch (IOException e) {
             running = false;
         }
         if (!running) {
@@ -115,31 +115,33 @@
             handleReady((ProbeConnection) key.attachment());
         }
         selector.selectedKeys().clear();
-        for (Backend peer = requestedBackends.poll();
-                peer != null;
-                peer = requestedBackends.poll()) {
-            beginProbe(peer);
+        for (Backend backend = requestedBackends.poll();
+                backend != null;
+                backend = requestedBackends.poll()) {
+            beginProbe(backend);
         }
         closeOverdueConnections();
     }
 
     private long selectTimeoutMillis() {
-        long least = CLEANUP_INTERVAL.toNanos();
+        long shortestNanos = CLEANUP_INTERVAL.toNanos();
         for (ProbeConnection connection : connections.values()) {
-            least =
+            shortestNanos =
                     connection.isAwaitingAnswer()
-                            ? Math.min(least, connection.remainingNanos())
-                            : least;
+                            ? Math.min(shortestNanos, connection.remainingNanos())
+                            : shortestNanos;
         }
-        return Math.max(1, least / 1_000_000 + 1);
+        return Math.max(1, shortestNanos / 1_000_000 + 1);
     }
 
-    private void beginProbe(Backend peer) {
-        ProbeConnection open = connections.remove(peer);
+    private void beginProbe(Backend backend) {
+        ProbeConnection open = connections.remove(backend);
         if (open != null) {
-            connections.put(peer, open); // moves it to the end of the order
+            connections.put(backend, open); // moves it to the end of the order
         }
-        if (peer.hasEnded() || peer.isSuspended() || open != null && open.isAwaitingAnswer()) {
+        if (backend.hasEnded()
+                || backend.isSuspended()
+                || open != null && open.isAwaitingAnswer()) {
             return;
         }
         try {
@@ -150,17 +152,17 @@
         } catch (IOException closedAsIdle) {
             closeConnection(open);
         }
-        connect(peer);
+        connect(backend);
     }
 
-    private void connect(Backend peer) {
+    private void connect(Backend backend) {
         if (connections.size() >= MAX_CONNECTIONS && !closeIdleConnection()) {
             return; // all connections await an answer: this backend waits for its next probe
         }
         try {
-            connections.put(peer, new ProbeConnection(peer, selector, PROBE_TIMEOUT));
+            connections.put(backend, new ProbeConnection(backend, selector, PROBE_TIMEOUT));
         } catch (IOException refused) {
-            router.probeCompleted(peer.entry().uid(), Outcome.TIMEOUT, Api.NONE);
+            router.probeCompleted(backend.entry().uid(), Outcome.TIMEOUT, Api.NONE);
         }
     }
 
@@ -175,46 +177,46 @@
     }
 
     private void handleReady(ProbeConnection connection) {
-        boolean wasAsked = connection.isAwaitingAnswer();
+        boolean wasAwaitingAnswer = connection.isAwaitingAnswer();
         try {
             byte[] line = connection.handleReady(PROBE_TIMEOUT);
             if (line != null) {
-                handleReport(connection, wasAsked, line);
+                handleReport(connection, wasAwaitingAnswer, line);
             }
         } catch (ProbeConnection.ConnectionClosedException ended) {
             closeConnection(connection);
             // The backend may have closed an idle connection while the probe was on its way.
-            if (wasAsked && connection.hasAnsweredBefore()) {
+            if (wasAwaitingAnswer && connection.hasAnsweredBefore()) {
                 connect(connection.backend());
-            } else if (wasAsked) {
+            } else if (wasAwaitingAnswer) {
                 reportOutcome(connection, Outcome.RESET, Api.NONE);
             }
         } catch (IOException broken) {
             closeConnection(connection);
-            if (wasAsked) {
+            if (wasAwaitingAnswer) {
                 reportOutcome(connection, Outcome.TIMEOUT, Api.NONE);
             }
         }
     }
 
-    private void handleReport(ProbeConnection connection, boolean wasAsked, byte[] line) {
+    private void handleReport(ProbeConnection connection, boolean wasAwaitingAnswer, byte[] line) {
         double load = Api.NONE;
         try {
             LoadReport report = LoadReport.parse(line);
             load = report == null ? Api.NONE : report.field("x0");
-        } catch (MalformedException bad) {
+        } catch (MalformedException e) {
             Log.warn(
                     "probe.malformed",
                     "peer",
                     connection.backend().entry().uid(),
                     "why",
-                    bad.getMessage());
+                    e.getMessage());
         }
-        boolean reported = wasAsked && load != Api.NONE;
+        boolean reported = wasAwaitingAnswer && load != Api.NONE;
         if (!reported) {
             closeConnection(connection);
         }
-        if (wasAsked) {
+        if (wasAwaitingAnswer) {
             reportOutcome(connection, reported ? Outcome.SERVED : Outcome.ERROR, load);
         }
     }
--- a/relay/src/main/java/saltstage/stage/ClientAcceptor.java
+++ b/relay/src/main/java/saltstage/stage/ClientAcceptor.java
@@ -105,20 +105,20 @@
         void relayShuttingDown(PendingClient client);
     }
 
-    ClientAcceptor(int room, FirstLineListener firstLines) {
-        this.capacity = room;
-        this.firstLineListener = firstLines;
+    ClientAcceptor(int capacity, FirstLineListener firstLineListener) {
+        this.capacity = capacity;
+        this.firstLineListener = firstLineListener;
         try {
             selector = Selector.open();
-        } catch (IOException none) {
-            throw new java.io.UncheckedIOException("no selector for clients", none);
+        } catch (IOException e) {
+            throw new java.io.UncheckedIOException("no selector for clients", e);
         }
     }
 
     /** Starts accepting connections from this socket, which must be in non-blocking mode. */
-    public void start(ServerSocketChannel from) throws IOException {
-        listener = from;
-        acceptKey = from.register(selector, SelectionKey.OP_ACCEPT);
+    public void start(ServerSocketChannel serverSocket) throws IOException {
+        listener = serverSocket;
+        acceptKey = serverSocket.register(selector, SelectionKey.OP_ACCEPT);
         Threads.startLoop("acceptor", this::runCycle);
     }
 
@@ -138,8 +138,8 @@
      * Sets the maximum number of clients without a request. Clients beyond a lower maximum stay
      * connected.
      */
-    void setCapacity(int now) {
-        capacity = now;
+    void setCapacity(int newCapacity) {
+        capacity = newCapacity;
     }
 
     /** Returns the number of clients without a request. */
@@ -171,7 +171,7 @@
                         PendingClient client = new PendingClient(channel);
                         channel.register(selector, SelectionKey.OP_READ, client);
                         linger(client);
-                    } catch (IOException gone) {
+                    } catch (IOException e) {
                         close(channel);
                     }
                 });
@@ -187,8 +187,8 @@
             client.endSending();
             awaitingFirstLine.remove(client);
             linger(client);
-        } catch (IOException gone) {
-            Log.info("client.broken", "why", gone.getMessage());
+        } catch (IOException e) {
+            Log.info("client.broken", "why", e.getMessage());
             closeClient(client);
         }
     }
@@ -277,9 +277,9 @@
         }
     }
 
-    private void pauseAccepting(long until) {
+    private void pauseAccepting(long resumeAtNanos) {
         acceptKey.interestOps(0);
-        resumeAcceptingAtNanos = until;
+        resumeAcceptingAtNanos = resumeAtNanos;
     }
 
     /**
@@ -317,7 +317,7 @@
             PendingClient client = new PendingClient(channel);
             channel.register(selector, SelectionKey.OP_READ, client);
             awaitFirstLine(client);
-        } catch (IOException reset) { // the client left while it waited to be accepted
+        } catch (IOException e) { // the client left while it waited to be accepted
             close(channel);
         }
     }
@@ -343,8 +343,8 @@
             } else if (!open) {
                 closeClient(client);
             }
-        } catch (IOException broken) {
-            Log.info("client.broken", "why", broken.getMessage());
+        } catch (IOException e) {
+            Log.info("client.broken", "why", e.getMessage());
             closeClient(client);
         }
     }
@@ -376,7 +376,7 @@
         for (PendingClient client : handingOver) {
             try {
                 client.channel().configureBlocking(true);
-            } catch (ClosedChannelException gone) {
+            } catch (ClosedChannelException e) {
                 Log.info("client.broken", "why", "closed");
             }
             firstLineListener.requestReceived(client);
--- a/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
+++ b/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
@@ -37,79 +37,82 @@
     LineAttemptRunner(
             Configuration config,
             MonotonicClock clock,
-            BackendRegistry peers,
-            OutcomeRecorder book,
-            LineForwarder relay,
-            ThreadBudget threads) {
-        this.threadBudget = threads;
+            BackendRegistry backends,
+            OutcomeRecorder outcomeRecorder,
+            LineForwarder forwarder,
+            ThreadBudget threadBudget) {
+        this.threadBudget = threadBudget;
         this.config = config;
         this.clock = clock;
-        this.backends = peers;
-        this.outcomeRecorder = book;
-        this.forwarder = relay;
+        this.backends = backends;
+        this.outcomeRecorder = outcomeRecorder;
+        this.forwarder = forwarder;
     }
 
     /** Runs the attempt on its own thread. */
-    void start(Attempt begun, Instant until) {
-        if (!threadBudget.start("try", () -> runAndForward(begun, until))) {
-            outcomeRecorder.attemptEnded(begun, Outcome.UNREACHABLE);
+    void start(Attempt attempt, Instant deadline) {
+        if (!threadBudget.start("try", () -> runAndForward(attempt, deadline))) {
+            outcomeRecorder.attemptEnded(attempt, Outcome.UNREACHABLE);
         }
     }
 
-    private void runAndForward(Attempt begun, Instant until) {
+    private void runAndForward(Attempt attempt, Instant deadline) {
         Outcome outcome = Outcome.ERROR;
         try {
-            outcome = runAttempt(begun, until, false);
+            outcome = runAttempt(attempt, deadline, false);
         } finally {
             if (outcome != null) {
                 // The attempt is closed before the load balancer may start the next one.
-                begun.cancel();
-                outcomeRecorder.attemptEnded(begun, outcome);
+                attempt.cancel();
+                outcomeRecorder.attemptEnded(attempt, outcome);
             }
         }
         if (outcome == null) {
-            forwarder.forwardFromBackend(begun);
+            forwarder.forwardFromBackend(attempt);
         }
     }
 
     /** Runs the attempt; returns null if it was established. */
-    private Outcome runAttempt(Attempt begun, Instant until, boolean restore) {
-        Backend peer = begun.backend();
-        LineConnection backend;
+    private Outcome runAttempt(Attempt attempt, Instant deadline, boolean restore) {
+        Backend backend = attempt.backend();
+        LineConnection connection;
         try {
-            Duration connect =
-                    shorter(config.connectTimeout(), Duration.between(clock.now(), until));
-            if (connect.isNegative()) {
+            Duration connectTimeout =
+                    shorter(config.connectTimeout(), Duration.between(clock.now(), deadline));
+            if (connectTimeout.isNegative()) {
                 return Outcome.UNREACHABLE;
             }
             Socket socket = new Socket();
-            begun.connectionStarted(() -> LineConnection.close(socket));
-            backend = LineConnection.connect(socket, peer.entry().endpoint(), connect);
-            begun.connectionOpened(backend);
-            Duration left = Duration.between(clock.now(), until);
+            attempt.connectionStarted(() -> LineConnection.close(socket));
+            connection = LineConnection.connect(socket, backend.entry().endpoint(), connectTimeout);
+            attempt.connectionOpened(connection);
+            Duration remaining = Duration.between(clock.now(), deadline);
             // Connecting takes time: meanwhile the backend may have started draining, or the
             // request's time may have run out.
-            if (peer.isSuspended() || isDeduplicationExpired(begun.context())) {
+            if (backend.isSuspended() || isDeduplicationExpired(attempt.context())) {
                 // The suspension or the expiry happened while this attempt was connecting, so it
                 // does not count against the backend.
                 return Outcome.MOOT;
             }
-            if (!restore && !peer.canAcceptRequests() || left.isNegative() || left.isZero()) {
+            if (!restore && !backend.canAcceptRequests()
+                    || remaining.isNegative()
+                    || remaining.isZero()) {
                 return Outcome.UNREACHABLE;
             }
-            backend.sendLine(client(begun.context()).openRequest().withClientTimeout(left));
+            connection.sendLine(
+                    client(attempt.context()).openRequest().withClientTimeout(remaining));
             outcomeRecorder.attemptSent();
         } catch (IOException neverSent) {
             return Outcome.UNREACHABLE;
         }
         try {
             byte[] piece =
-                    backend.reader()
-                            .readLine(atLeastOneMilli(Duration.between(clock.now(), until)));
-            return piece == null ? Outcome.RESET : handleAnswer(begun, piece, restore);
-        } catch (SocketTimeoutException slow) {
+                    connection.reader()
+                            .readLine(atLeastOneMilli(Duration.between(clock.now(), deadline)));
+            return piece == null ? Outcome.RESET : handleAnswer(attempt, piece, restore);
+        } catch (SocketTimeoutException e) {
             return Outcome.TIMEOUT;
-        } catch (IOException broken) {
+        } catch (IOException e) {
             return Outcome.RESET;
         }
     }
@@ -119,21 +122,23 @@
      * repeats. The load balancer checked this before the connection was established.
      */
     private boolean isDeduplicationExpired(RequestContext context) {
-        ServiceClass service =
+        ServiceClass serviceClass =
                 config.settings().serviceClasses().get(context.attributes().serviceClass());
-        Instant since = context.possibleExecutionSince();
-        return since != null
-                && service.idempotency() == Idempotency.DEDUPLICATED
+        Instant possibleExecutionSince = context.possibleExecutionSince();
+        return possibleExecutionSince != null
+                && serviceClass.idempotency() == Idempotency.DEDUPLICATED
                 && !clock.now()
-                        .isBefore(since.plus(service.deduplicationWindow(), ChronoUnit.MICROS));
+                        .isBefore(
+                                possibleExecutionSince.plus(
+                                        serviceClass.deduplicationWindow(), ChronoUnit.MICROS));
     }
 
-    private Outcome handleAnswer(Attempt begun, byte[] piece, boolean restore) {
+    private Outcome handleAnswer(Attempt attempt, byte[] piece, boolean restore) {
         BackendMessage answer = BackendMessage.parse(piece);
         switch (answer.kind()) {
             case UP:
-                return outcomeRecorder.establish(begun, restore)
-                        ? forwarder.forwardUp(begun, piece)
+                return outcomeRecorder.establish(attempt, restore)
+                        ? forwarder.forwardUp(attempt, piece)
                         : Outcome.CANCELLED;
             case BUSY:
                 return Outcome.FULL;
@@ -147,7 +152,7 @@
                 Log.warn(
                         "try.malformed",
                         "peer",
-                        begun.backend().entry().uid(),
+                        attempt.backend().entry().uid(),
                         "kind",
                         answer.kind(),
                         "line",
@@ -170,27 +175,28 @@
         try {
             retryRestore(context, uid);
         } finally {
-            // This has no effect if the request was established or has ended. It also covers faults.
+            // This has no effect if the request was established or has ended; it also covers
+            // faults.
             outcomeRecorder.fail(context);
         }
     }
 
     private void retryRestore(RequestContext context, String uid) throws InterruptedException {
-        String waitsFor = null;
+        String lastReason = null;
         while (context.phase() == Phase.WAITING && clock.now().isBefore(context.deadline())) {
-            Backend peer = backends.find(uid);
-            Attempt begun = peer == null ? null : context.beginAttempt(peer, clock.now());
+            Backend backend = backends.find(uid);
+            Attempt attempt = backend == null ? null : context.beginAttempt(backend, clock.now());
             Outcome outcome =
-                    begun == null ? Outcome.MOOT : runAttempt(begun, context.deadline(), true);
+                    attempt == null ? Outcome.MOOT : runAttempt(attempt, context.deadline(), true);
             if (outcome == null) {
-                forwarder.forwardFromBackend(begun);
+                forwarder.forwardFromBackend(attempt);
                 return;
             }
-            if (begun != null) {
-                begun.cancel();
+            if (attempt != null) {
+                attempt.cancel();
             }
-            String why = peer == null ? "not listed" : outcome.name();
-            if (!why.equals(waitsFor)) {
+            String reason = backend == null ? "not listed" : outcome.name();
+            if (!reason.equals(lastReason)) {
                 Log.info(
                         "restore.waiting",
                         "id",
@@ -198,9 +204,9 @@
                         "peer",
                         uid,
                         "why",
-                        why);
+                        reason);
             }
-            waitsFor = why;
+            lastReason = reason;
             Thread.sleep(RESTORE_RETRY_PAUSE.toMillis());
         }
         Log.warn("restore.failed", "id", context.attributes().clientRequestId(), "peer", uid);
@@ -214,7 +220,7 @@
         return a.compareTo(b) < 0 ? a : b;
     }
 
-    private static Duration atLeastOneMilli(Duration span) {
-        return span.isNegative() || span.isZero() ? Duration.ofMillis(1) : span;
+    private static Duration atLeastOneMilli(Duration duration) {
+        return duration.isNegative() || duration.isZero() ? Duration.ofMillis(1) : duration;
     }
 }
--- a/relay/src/main/java/saltstage/stage/LineClient.java
+++ b/relay/src/main/java/saltstage/stage/LineClient.java
@@ -23,12 +23,16 @@
 
     /** Creates a client whose request has arrived, with the input that followed its first line. */
     LineClient(
-            Socket socket, byte[] rest, Timers timers, LineAttemptRunner tries, LineForwarder relay)
+            Socket socket,
+            byte[] remainingInput,
+            Timers timers,
+            LineAttemptRunner attemptRunner,
+            LineForwarder forwarder)
             throws IOException {
-        super(socket, rest);
+        super(socket, remainingInput);
         this.timers = timers;
-        this.attemptRunner = tries;
-        this.forwarder = relay;
+        this.attemptRunner = attemptRunner;
+        this.forwarder = forwarder;
     }
 
     /** Sets the parsed first line. */
@@ -47,8 +51,8 @@
     }
 
     @Override
-    public void fail(String why) {
-        answer("ERR " + why);
+    public void fail(String reason) {
+        answer("ERR " + reason);
     }
 
     /** Returns the line that rejects a request, with the retry delay if there is one. */
@@ -63,8 +67,8 @@
     private void answer(String line) {
         try {
             sendLine(line);
-        } catch (IOException gone) {
-            Log.info("client.broken", "why", gone.getMessage());
+        } catch (IOException e) {
+            Log.info("client.broken", "why", e.getMessage());
         } finally {
             shutdownOutput();
             answerWritten.countDown();
@@ -88,12 +92,12 @@
     }
 
     @Override
-    public void startAttempt(Attempt begun, Instant until) {
-        attemptRunner.start(begun, until);
+    public void startAttempt(Attempt attempt, Instant deadline) {
+        attemptRunner.start(attempt, deadline);
     }
 
     @Override
-    public boolean move(Attempt up, String reason) {
-        return forwarder.move(up, reason);
+    public boolean move(Attempt attempt, String reason) {
+        return forwarder.move(attempt, reason);
     }
 }
--- a/relay/src/main/java/saltstage/stage/LineForwarder.java
+++ b/relay/src/main/java/saltstage/stage/LineForwarder.java
@@ -42,150 +42,153 @@
     private final Timers timers;
     private final OutcomeRecorder outcomeRecorder;
 
-    LineForwarder(MonotonicClock clock, Timers timers, OutcomeRecorder book) {
+    LineForwarder(MonotonicClock clock, Timers timers, OutcomeRecorder outcomeRecorder) {
         this.clock = clock;
         this.timers = timers;
-        this.outcomeRecorder = book;
+        this.outcomeRecorder = outcomeRecorder;
     }
 
     /** Forwards UP to the client. */
-    Outcome forwardUp(Attempt up, byte[] piece) {
+    Outcome forwardUp(Attempt attempt, byte[] piece) {
         try {
-            client(up).send(piece);
-        } catch (IOException clientGone) {
-            up.markClientEnded();
+            client(attempt).send(piece);
+        } catch (IOException e) {
+            attempt.markClientEnded();
         }
         return null;
     }
 
     /** Forwards the backend's lines until one side ends or the client is moved. */
-    void forwardFromBackend(Attempt up) {
+    void forwardFromBackend(Attempt attempt) {
         Outcome outcome = Outcome.RESET;
         try {
-            outcome = forwardLines(up);
+            outcome = forwardLines(attempt);
         } finally {
-            outcomeRecorder.connectionEnded(up, outcome);
+            outcomeRecorder.connectionEnded(attempt, outcome);
         }
     }
 
-    private Outcome forwardLines(Attempt up) {
-        LineConnection backend = backendConnection(up);
-        BackendMessage.Kind last = BackendMessage.Kind.OTHER;
+    private Outcome forwardLines(Attempt attempt) {
+        LineConnection backend = backendConnection(attempt);
+        BackendMessage.Kind lastKind = BackendMessage.Kind.OTHER;
         boolean midLine = false;
         boolean reset = false;
         try {
-            while (up.moveReason() == null || midLine) {
+            while (attempt.moveReason() == null || midLine) {
                 byte[] piece = backend.reader().readLine();
                 if (piece == null) {
                     break;
                 }
-                boolean whole = piece[piece.length - 1] == '\n';
-                if (!whole && !midLine && up.moveReason() != null) {
+                boolean completeLine = piece[piece.length - 1] == '\n';
+                if (!completeLine && !midLine && attempt.moveReason() != null) {
                     // The line was cut off when the backend's input was shut down. The client has
                     // received no part of it and can still get its MOVE.
                     break;
                 }
-                BackendMessage answer = BackendMessage.parse(piece);
-                last = answer.kind();
-                midLine = !whole;
-                outcomeRecorder.lineReceived(up, answer);
-                if (!sendToClient(up, piece)) {
-                    return endAfterClientLoss(up);
+                BackendMessage message = BackendMessage.parse(piece);
+                lastKind = message.kind();
+                midLine = !completeLine;
+                outcomeRecorder.lineReceived(attempt, message);
+                if (!sendToClient(attempt, piece)) {
+                    return endAfterClientLoss(attempt);
                 }
             }
-        } catch (IOException broken) {
+        } catch (IOException e) {
             reset = true;
         }
-        if (up.moveReason() != null && !up.hasClientEnded() && !midLine) {
-            return finishMove(up);
+        if (attempt.moveReason() != null && !attempt.hasClientEnded() && !midLine) {
+            return finishMove(attempt);
         }
-        return endAfterBackend(up, last, reset);
+        return endAfterBackend(attempt, lastKind, reset);
     }
 
-    private boolean sendToClient(Attempt up, byte[] piece) {
-        up.setWritingToClient(true);
+    private boolean sendToClient(Attempt attempt, byte[] piece) {
+        attempt.setWritingToClient(true);
         try {
-            client(up).send(piece);
+            client(attempt).send(piece);
             return true;
-        } catch (IOException gone) {
+        } catch (IOException e) {
             return false;
         } finally {
-            up.setWritingToClient(false);
+            attempt.setWritingToClient(false);
         }
     }
 
-    private Outcome endAfterClientLoss(Attempt up) {
-        up.context().end(Phase.ESTABLISHED);
-        backendConnection(up).reset();
-        client(up).close();
+    private Outcome endAfterClientLoss(Attempt attempt) {
+        attempt.context().end(Phase.ESTABLISHED);
+        backendConnection(attempt).reset();
+        client(attempt).close();
         return Outcome.CANCELLED;
     }
 
-    private Outcome finishMove(Attempt up) {
-        LineClient client = client(up);
+    private Outcome finishMove(Attempt attempt) {
+        LineClient client = client(attempt);
         // MOVE is sent before the request's end is recorded. After that, the client would be
         // disconnected if it sent something.
         try {
             client.sendLine("MOVE");
-        } catch (IOException gone) {
-            up.markClientEnded();
+        } catch (IOException e) {
+            attempt.markClientEnded();
         }
-        up.context().end(Phase.ESTABLISHED);
-        backendConnection(up).close();
+        attempt.context().end(Phase.ESTABLISHED);
+        backendConnection(attempt).close();
         client.shutdownOutput();
         timers.schedule(LINGER, client::close);
-        return up.moveReason().startsWith("peer") ? Outcome.RESET : Outcome.CANCELLED;
+        return attempt.moveReason().startsWith("peer") ? Outcome.RESET : Outcome.CANCELLED;
     }
 
-    private Outcome endAfterBackend(Attempt up, BackendMessage.Kind last, boolean reset) {
-        LineClient client = client(up);
-        boolean polite = last == BackendMessage.Kind.BYE || last == BackendMessage.Kind.MOVE;
-        boolean clientFirst = up.hasClientEnded();
-        if (reset && !polite && !clientFirst) {
-            up.context().end(Phase.ESTABLISHED);
+    private Outcome endAfterBackend(Attempt attempt, BackendMessage.Kind lastKind, boolean reset) {
+        LineClient client = client(attempt);
+        boolean endAnnounced =
+                lastKind == BackendMessage.Kind.BYE || lastKind == BackendMessage.Kind.MOVE;
+        boolean clientEndedFirst = attempt.hasClientEnded();
+        if (reset && !endAnnounced && !clientEndedFirst) {
+            attempt.context().end(Phase.ESTABLISHED);
             client.reset();
-            backendConnection(up).close();
+            backendConnection(attempt).close();
             return Outcome.RESET;
         }
         // Half-close: what the client still sends is forwarded to the backend for a moment.
         client.shutdownOutput();
-        if (clientFirst) {
-            up.context().end(Phase.ESTABLISHED);
+        if (clientEndedFirst) {
+            attempt.context().end(Phase.ESTABLISHED);
             client.close();
-            backendConnection(up).close();
+            backendConnection(attempt).close();
         } else {
             timers.schedule(
                     LINGER,
                     () -> {
-                        up.context().end(Phase.ESTABLISHED);
+                        attempt.context().end(Phase.ESTABLISHED);
                         client.close();
-                        backendConnection(up).close();
+                        backendConnection(attempt).close();
                     });
         }
-        if (last == BackendMessage.Kind.BYE) {
+        if (lastKind == BackendMessage.Kind.BYE) {
             return Outcome.SERVED;
         }
-        return clientFirst || last == BackendMessage.Kind.MOVE ? Outcome.CANCELLED : Outcome.RESET;
+        return clientEndedFirst || lastKind == BackendMessage.Kind.MOVE
+                ? Outcome.CANCELLED
+                : Outcome.RESET;
     }
 
     /**
      * Forwards input from the client to the backend. If the write fails, the thread that reads from
      * the backend notices the end.
      */
-    void sendToBackend(Attempt up, byte[] piece) {
+    void sendToBackend(Attempt attempt, byte[] piece) {
         try {
-            up.lineSent(clock.now());
-            backendConnection(up).send(piece);
-        } catch (IOException ended) {
+            attempt.lineSent(clock.now());
+            backendConnection(attempt).send(piece);
+        } catch (IOException e) {
             return;
         }
     }
 
     /** Passes the client's end of input, or its reset, on to the backend. */
-    void handleClientEnd(Attempt up, boolean reset) {
-        up.markClientEnded();
-        LineConnection backend = backendConnection(up);
-        if (backend == null || up.context().phase() != Phase.ESTABLISHED) {
+    void handleClientEnd(Attempt attempt, boolean reset) {
+        attempt.markClientEnded();
+        LineConnection backend = backendConnection(attempt);
+        if (backend == null || attempt.context().phase() != Phase.ESTABLISHED) {
             return;
         }
         if (reset) {
@@ -200,8 +203,8 @@
      * Moves the client of an established connection; never blocks. A reason that starts with "peer"
      * blames the backend.
      */
-    boolean move(Attempt up, String reason) {
-        if (up.context().phase() != Phase.ESTABLISHED || !up.requestMove(reason)) {
+    boolean move(Attempt attempt, String reason) {
+        if (attempt.context().phase() != Phase.ESTABLISHED || !attempt.requestMove(reason)) {
             return false;
         }
         Log.info(
@@ -209,10 +212,10 @@
                 "why",
                 reason,
                 "peer",
-                up.backend().entry().uid(),
+                attempt.backend().entry().uid(),
                 "id",
-                up.context().attributes().clientRequestId());
-        LineConnection backend = backendConnection(up);
+                attempt.context().attributes().clientRequestId());
+        LineConnection backend = backendConnection(attempt);
         if (backend.reader().hasPartialLine()) {
             // The backend may still complete the partial line within this time.
             timers.schedule(PARTIAL_LINE_TIMEOUT, backend::shutdownInput);
@@ -222,8 +225,8 @@
         timers.schedule(
                 MOVE_TIMEOUT,
                 () -> {
-                    if (up.context().phase() == Phase.ESTABLISHED) {
-                        client(up).close();
+                    if (attempt.context().phase() == Phase.ESTABLISHED) {
+                        client(attempt).close();
                         backend.close();
                     }
                 });
@@ -233,27 +236,27 @@
     /** Moves the clients of backends that no longer respond. */
     void checkUnresponsiveBackends() {
         Instant limit = clock.now().minus(BACKEND_RESPONSE_TIMEOUT);
-        for (Attempt up : outcomeRecorder.establishedAttempts()) {
-            Instant since = up.unansweredSince();
+        for (Attempt attempt : outcomeRecorder.establishedAttempts()) {
+            Instant since = attempt.unansweredSince();
             if (since != null
                     && since.isBefore(limit)
-                    && !up.hasClientEnded()
-                    && move(up, "peer silent")) {
+                    && !attempt.hasClientEnded()
+                    && move(attempt, "peer silent")) {
                 Log.info(
                         "relay.silent",
                         "peer",
-                        up.backend().entry().uid(),
+                        attempt.backend().entry().uid(),
                         "id",
-                        up.context().attributes().clientRequestId());
+                        attempt.context().attributes().clientRequestId());
             }
         }
     }
 
-    private static LineClient client(Attempt up) {
-        return (LineClient) up.context().client();
+    private static LineClient client(Attempt attempt) {
+        return (LineClient) attempt.context().client();
     }
 
-    private static LineConnection backendConnection(Attempt up) {
-        return (LineConnection) up.connection();
+    private static LineConnection backendConnection(Attempt attempt) {
+        return (LineConnection) attempt.connection();
     }
 }
--- a/relay/src/main/java/saltstage/stage/LineFrontend.java
+++ b/relay/src/main/java/saltstage/stage/LineFrontend.java
@@ -39,22 +39,22 @@
      */
     interface ClientFactory {
         /** Creates the client. */
-        LineClient create(PendingClient asking) throws IOException;
+        LineClient create(PendingClient pendingClient) throws IOException;
     }
 
     LineFrontend(
-            int room,
-            AdmissionControl admit,
-            ClientFactory clients,
-            LineForwarder relay,
-            OutcomeRecorder book,
-            ThreadBudget threads) {
-        acceptor = new ClientAcceptor(room, this);
-        this.admissionControl = admit;
-        this.clientFactory = clients;
-        this.forwarder = relay;
-        this.outcomeRecorder = book;
-        this.threadBudget = threads;
+            int maxPendingClients,
+            AdmissionControl admissionControl,
+            ClientFactory clientFactory,
+            LineForwarder forwarder,
+            OutcomeRecorder outcomeRecorder,
+            ThreadBudget threadBudget) {
+        acceptor = new ClientAcceptor(maxPendingClients, this);
+        this.admissionControl = admissionControl;
+        this.clientFactory = clientFactory;
+        this.forwarder = forwarder;
+        this.outcomeRecorder = outcomeRecorder;
+        this.threadBudget = threadBudget;
     }
 
     /** Returns the acceptor of this frontend's connections. */
@@ -104,12 +104,12 @@
                 throw new MalformedException(OutcomeRecorder.ONE_LINE_ONLY_ERROR);
             }
             client.send(draining ? "ERR leaving" : "PONG");
-        } catch (MalformedException bad) {
+        } catch (MalformedException e) {
             // Malformed input must cost only one line, must be logged and must never reach a
             // backend.
-            rejectWithWarning(client, "client.malformed", "ERR " + bad.getMessage());
-        } catch (IOException gone) {
-            rejectWithWarning(client, "client.broken", "ERR " + gone.getMessage());
+            rejectWithWarning(client, "client.malformed", "ERR " + e.getMessage());
+        } catch (IOException e) {
+            rejectWithWarning(client, "client.broken", "ERR " + e.getMessage());
         }
         return false;
     }
@@ -146,8 +146,8 @@
         Log.warn("doorway.full", "from", client.remote());
         try {
             client.send(admissionControl.busyLine());
-        } catch (IOException gone) {
-            Log.info("client.broken", "why", gone.getMessage());
+        } catch (IOException e) {
+            Log.info("client.broken", "why", e.getMessage());
         }
     }
 
@@ -165,7 +165,7 @@
         LineClient client;
         try {
             client = clientFactory.create(request.client());
-        } catch (IOException gone) {
+        } catch (IOException e) {
             request.client().close();
             unadmittedCount.decrementAndGet();
             return;
@@ -189,7 +189,7 @@
 
     private void serve(LineClient client, OpenRequest line) throws InterruptedException {
         RequestContext context = null;
-        boolean over = false;
+        boolean completed = false;
         try {
             context = admitOrReject(client, line);
             if (context != null && client.isAnswered()) {
@@ -197,13 +197,13 @@
             } else if (context != null) {
                 forwardFromClient(client, context);
             }
-            over = true;
-        } catch (IOException gone) {
-            Log.info("client.broken", "why", gone.getMessage());
+            completed = true;
+        } catch (IOException e) {
+            Log.info("client.broken", "why", e.getMessage());
             client.close();
-            over = true;
+            completed = true;
         } finally {
-            if (!over) {
+            if (!completed) {
                 failAfterFault(client, context);
             }
             if (context != null) {
@@ -227,14 +227,14 @@
     private RequestContext admitOrReject(LineClient client, OpenRequest line) throws IOException {
         try {
             return admissionControl.admit(client, line);
-        } catch (MalformedException bad) {
+        } catch (MalformedException e) {
             Log.warn(
                     "client.malformed",
                     "from",
                     client.remoteAddress(),
                     "answer",
-                    "ERR " + bad.getMessage());
-            outcomeRecorder.sendLine(client, "ERR " + bad.getMessage());
+                    "ERR " + e.getMessage());
+            outcomeRecorder.sendLine(client, "ERR " + e.getMessage());
             client.shutdownOutput();
             acceptor.lingerAndClose(client.channel());
             return null;
@@ -277,7 +277,7 @@
                 forwarder.sendToBackend(context.currentAttempt(), piece);
                 piece = client.reader().readLine();
             }
-        } catch (IOException broken) {
+        } catch (IOException e) {
             reset = true;
         }
         if (context.end(RequestContext.Phase.WAITING)) {
--- a/relay/src/main/java/saltstage/stage/MovePacing.java
+++ b/relay/src/main/java/saltstage/stage/MovePacing.java
@@ -10,8 +10,8 @@
      * Returns how many established connections to move in this step, so that none is left when the
      * time is up.
      */
-    public static long movesPerStep(int standing, Duration left, Duration step) {
-        long steps = Math.max(1, left.toMillis() / step.toMillis());
-        return (standing + steps - 1) / steps;
+    public static long movesPerStep(int establishedCount, Duration remaining, Duration step) {
+        long steps = Math.max(1, remaining.toMillis() / step.toMillis());
+        return (establishedCount + steps - 1) / steps;
     }
 }
--- a/relay/src/main/java/saltstage/stage/NonBlockingWrites.java
+++ b/relay/src/main/java/saltstage/stage/NonBlockingWrites.java
@@ -13,9 +13,9 @@
      * no more.
      */
     static void writeFully(SocketChannel channel, byte[] bytes) throws IOException {
-        ByteBuffer left = ByteBuffer.wrap(bytes);
-        while (left.hasRemaining()) {
-            if (channel.write(left) == 0) {
+        ByteBuffer remaining = ByteBuffer.wrap(bytes);
+        while (remaining.hasRemaining()) {
+            if (channel.write(remaining) == 0) {
                 throw new IOException("the other side takes nothing");
             }
         }
--- a/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
+++ b/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
@@ -55,16 +55,16 @@
     OutcomeRecorder(
             Configuration config,
             MonotonicClock clock,
-            BackendRegistry peers,
-            RequestCounters counts) {
-        this.counters = counts;
+            BackendRegistry backends,
+            RequestCounters counters) {
+        this.counters = counters;
         this.config = config;
         this.clock = clock;
-        this.backends = peers;
+        this.backends = backends;
     }
 
-    void setRouter(Router to) {
-        router = to;
+    void setRouter(Router newRouter) {
+        router = newRouter;
     }
 
     void requestReceived() {
@@ -101,16 +101,16 @@
         context.client().reject(retryAfter);
     }
 
-    private void sendFailure(RequestContext context, String why) {
+    private void sendFailure(RequestContext context, String reason) {
         failed.incrementAndGet();
         counters.countResult(
                 context.attributes().serviceClass(), RequestCounters.Result.BAD_GATEWAY);
-        context.client().fail(why);
+        context.client().fail(reason);
     }
 
-    private static void cancelAttempt(Attempt out) {
-        if (out != null) {
-            out.cancel();
+    private static void cancelAttempt(Attempt attempt) {
+        if (attempt != null) {
+            attempt.cancel();
         }
     }
 
@@ -123,19 +123,20 @@
         if (!context.end(Phase.WAITING)) {
             return;
         }
-        Attempt out = context.currentAttempt(); // the last attempt: an ended request starts no more
-        ServiceClass service =
+        // This is the last attempt: an ended request starts no more.
+        Attempt attempt = context.currentAttempt();
+        ServiceClass serviceClass =
                 config.settings().serviceClasses().get(context.attributes().serviceClass());
-        boolean harmless =
-                service.idempotency() == Idempotency.IDEMPOTENT
-                        || service.idempotency() == Idempotency.DEDUPLICATED
-                                && service.deduplicationScope() == DeduplicationScope.ALL;
-        if (out == null || harmless) {
+        boolean repeatable =
+                serviceClass.idempotency() == Idempotency.IDEMPOTENT
+                        || serviceClass.idempotency() == Idempotency.DEDUPLICATED
+                                && serviceClass.deduplicationScope() == DeduplicationScope.ALL;
+        if (attempt == null || repeatable) {
             sendRejection(context, Duration.ZERO);
         } else {
             sendFailure(context, "failed");
         }
-        cancelAttempt(out);
+        cancelAttempt(attempt);
     }
 
     /** Sends the final answer that says nothing about the request's effect. */
@@ -159,11 +160,11 @@
         }
     }
 
-    private boolean fail(RequestContext context, String why) {
+    private boolean fail(RequestContext context, String reason) {
         if (!context.end(Phase.WAITING)) {
             return false;
         }
-        sendFailure(context, why);
+        sendFailure(context, reason);
         cancelAttempt(context.currentAttempt());
         return true;
     }
@@ -172,8 +173,8 @@
     void sendLine(LineClient client, String line) {
         try {
             client.sendLine(line);
-        } catch (IOException gone) {
-            Log.info("client.broken", "why", gone.getMessage());
+        } catch (IOException e) {
+            Log.info("client.broken", "why", e.getMessage());
         }
     }
 
@@ -183,9 +184,9 @@
      */
     public void clientLeft(RequestContext context) {
         clientsLeft.incrementAndGet();
-        Attempt out = context.currentAttempt();
+        Attempt attempt = context.currentAttempt();
         router.clientLeft(context);
-        cancelAttempt(out);
+        cancelAttempt(attempt);
     }
 
     /**
@@ -197,31 +198,32 @@
     }
 
     /** Records the end of an attempt that was not established. */
-    public void attemptEnded(Attempt ended, Outcome outcome) {
+    public void attemptEnded(Attempt attempt, Outcome outcome) {
         if (!outcome.hasNoEffect()) {
-            ended.context().recordPossibleExecution(ended.sentAt());
+            attempt.context().recordPossibleExecution(attempt.sentAt());
         }
-        boolean over = ended.context().phase() == Phase.ENDED;
-        router.attemptEnded(ended.context(), over ? Outcome.CANCELLED : outcome, over);
+        boolean requestEnded = attempt.context().phase() == Phase.ENDED;
+        router.attemptEnded(
+                attempt.context(), requestEnded ? Outcome.CANCELLED : outcome, requestEnded);
     }
 
     /**
      * Records that the backend has accepted the request; returns false if the request has already
      * ended.
      */
-    public boolean establish(Attempt up, boolean restored) {
-        if (!up.context().establish()) {
+    public boolean establish(Attempt attempt, boolean restored) {
+        if (!attempt.context().establish()) {
             return false;
         }
         established.incrementAndGet();
         counters.countResult(
-                up.context().attributes().serviceClass(), RequestCounters.Result.PASSED);
-        establishedAttempts.add(up);
-        up.backend().establishedAttempts().add(up);
+                attempt.context().attributes().serviceClass(), RequestCounters.Result.PASSED);
+        establishedAttempts.add(attempt);
+        attempt.backend().establishedAttempts().add(attempt);
         if (restored) {
-            router.connectionRestored(up);
+            router.connectionRestored(attempt);
         } else {
-            router.connectionEstablished(up);
+            router.connectionEstablished(attempt);
         }
         return true;
     }
@@ -232,24 +234,24 @@
     }
 
     /** Records the end of an established connection. */
-    public void connectionEnded(Attempt up, Outcome outcome) {
-        establishedAttempts.remove(up);
-        up.backend().establishedAttempts().remove(up);
+    public void connectionEnded(Attempt attempt, Outcome outcome) {
+        establishedAttempts.remove(attempt);
+        attempt.backend().establishedAttempts().remove(attempt);
         if (outcome == Outcome.RESET) {
             resets.incrementAndGet();
         }
-        router.attemptEnded(up.context(), outcome, true);
+        router.attemptEnded(attempt.context(), outcome, true);
     }
 
     /** Records a line that was received on an established connection. */
-    void lineReceived(Attempt up, BackendMessage answer) {
-        if (answer.kind() == BackendMessage.Kind.LOAD) {
-            loadReported(up, answer.load());
+    void lineReceived(Attempt attempt, BackendMessage message) {
+        if (message.kind() == BackendMessage.Kind.LOAD) {
+            loadReported(attempt, message.load());
             return;
         }
-        Instant since = up.takeUnansweredSince();
+        Instant since = attempt.takeUnansweredSince();
         if (since != null) {
-            up.backend().recordResponseDelay(Duration.between(since, clock.now()));
+            attempt.backend().recordResponseDelay(Duration.between(since, clock.now()));
         }
     }
 
@@ -258,14 +260,14 @@
      * a message delay of 300 ms were taken as a load, its connection would appear to be the
      * lightest of all, and the load balancer would never learn of the overload.
      */
-    private void loadReported(Attempt up, double figure) {
-        if (figure < 0) {
-            Log.warn("load.malformed", "peer", up.backend().entry().uid());
-        } else if (up.backend().isDelayReport(up, figure, clock.now())) {
-            router.delayReported(up, Duration.ofNanos((long) (figure * 1e6)));
+    private void loadReported(Attempt attempt, double value) {
+        if (value < 0) {
+            Log.warn("load.malformed", "peer", attempt.backend().entry().uid());
+        } else if (attempt.backend().isDelayReport(attempt, value, clock.now())) {
+            router.delayReported(attempt, Duration.ofNanos((long) (value * 1e6)));
         } else {
-            up.setLoad(figure);
-            router.loadReported(up, figure);
+            attempt.setLoad(value);
+            router.loadReported(attempt, value);
         }
     }
 
@@ -275,16 +277,16 @@
      */
     void reportDelays() {
         Instant now = clock.now();
-        for (Backend peer : backends.all()) {
-            Duration delay = peer.takeMedianDelay(now);
+        for (Backend backend : backends.all()) {
+            Duration delay = backend.takeMedianDelay(now);
             if (delay == null) {
                 continue;
             }
             boolean slow = delay.compareTo(config.minMessageLatencyTarget().dividedBy(3)) > 0;
-            if (slow | peer.markSlow(slow)) {
-                peer.establishedAttempts().stream()
+            if (slow | backend.markSlow(slow)) {
+                backend.establishedAttempts().stream()
                         .findFirst()
-                        .ifPresent(up -> router.delayReported(up, delay));
+                        .ifPresent(attempt -> router.delayReported(attempt, delay));
             }
         }
     }
@@ -293,13 +295,13 @@
      * Writes the totals to the log. The accepted count is the number of connections since the
      * start.
      */
-    void logTotals(int clients, long accepted, Object... more) {
+    void logTotals(int clientCount, long acceptedCount, Object... extraPairs) {
         Runtime jvm = Runtime.getRuntime();
         Object[] pairs = {
             "clients",
-            clients,
+            clientCount,
             "accepted",
-            accepted,
+            acceptedCount,
             "standing",
             establishedAttempts.size(),
             "taken",
@@ -325,8 +327,8 @@
             "heap_kb",
             (jvm.totalMemory() - jvm.freeMemory()) >> 10
         };
-        Object[] all = Arrays.copyOf(pairs, pairs.length + more.length);
-        System.arraycopy(more, 0, all, pairs.length, more.length);
+        Object[] all = Arrays.copyOf(pairs, pairs.length + extraPairs.length);
+        System.arraycopy(extraPairs, 0, all, pairs.length, extraPairs.length);
         Log.info("totals", all);
     }
 }
--- a/relay/src/main/java/saltstage/stage/PendingClient.java
+++ b/relay/src/main/java/saltstage/stage/PendingClient.java
@@ -47,8 +47,8 @@
         return deadlineNanos;
     }
 
-    void setDeadlineNanos(long at) {
-        deadlineNanos = at;
+    void setDeadlineNanos(long newDeadlineNanos) {
+        deadlineNanos = newDeadlineNanos;
     }
 
     /** Returns whether the client has been answered; its input is ignored from then on. */
@@ -61,18 +61,19 @@
     }
 
     /** Reads the available input; returns false at the end of input. */
-    boolean read(ByteBuffer scratch) throws IOException {
-        scratch.clear();
-        int read = channel.read(scratch);
-        inputEnded |= read < 0;
+    boolean read(ByteBuffer buffer) throws IOException {
+        buffer.clear();
+        int bytesRead = channel.read(buffer);
+        inputEnded |= bytesRead < 0;
         if (answered) {
-            ignoredBytes += Math.max(0, read);
-        } else if (read > 0) {
-            if (length + read > received.length) {
-                received = Arrays.copyOf(received, Math.max(2 * received.length, length + read));
+            ignoredBytes += Math.max(0, bytesRead);
+        } else if (bytesRead > 0) {
+            if (length + bytesRead > received.length) {
+                received =
+                        Arrays.copyOf(received, Math.max(2 * received.length, length + bytesRead));
             }
-            System.arraycopy(scratch.array(), 0, received, length, read);
-            length += read;
+            System.arraycopy(buffer.array(), 0, received, length, bytesRead);
+            length += bytesRead;
         }
         return !inputEnded;
     }
@@ -109,10 +110,10 @@
         return length > 0;
     }
 
-    private byte[] takeBytes(int to) {
-        byte[] piece = Arrays.copyOf(received, to);
-        System.arraycopy(received, to, received, 0, length - to);
-        length -= to;
+    private byte[] takeBytes(int count) {
+        byte[] piece = Arrays.copyOf(received, count);
+        System.arraycopy(received, count, received, 0, length - count);
+        length -= count;
         return piece;
     }
 
@@ -136,7 +137,7 @@
     void close() {
         try {
             channel.close();
-        } catch (IOException ended) { // the client closed it first
+        } catch (IOException e) { // the client closed it first
             return;
         }
     }
--- a/relay/src/main/java/saltstage/stage/ProbeConnection.java
+++ b/relay/src/main/java/saltstage/stage/ProbeConnection.java
@@ -29,21 +29,21 @@
     private long deadlineNanos;
 
     /** Starts connecting; the probe is sent as soon as the connection is up. */
-    ProbeConnection(Backend peer, Selector selector, Duration limit) throws IOException {
-        this.backend = peer;
+    ProbeConnection(Backend backend, Selector selector, Duration timeout) throws IOException {
+        this.backend = backend;
         channel = SocketChannel.open();
         try {
             channel.configureBlocking(false);
             channel.socket().setTcpNoDelay(true);
             key = channel.register(selector, SelectionKey.OP_CONNECT, this);
-            deadlineNanos = System.nanoTime() + limit.toNanos();
+            deadlineNanos = System.nanoTime() + timeout.toNanos();
             awaitingAnswer = true;
-            if (channel.connect(peer.entry().endpoint())) {
-                handleConnected(limit);
+            if (channel.connect(backend.entry().endpoint())) {
+                handleConnected(timeout);
             }
-        } catch (IOException | RuntimeException refused) {
+        } catch (IOException | RuntimeException e) {
             channel.close();
-            throw refused;
+            throw e;
         }
     }
 
@@ -70,16 +70,16 @@
     }
 
     /** Sends a probe on a connection that is up and awaits no answer. */
-    void sendProbe(Duration limit) throws IOException {
+    void sendProbe(Duration timeout) throws IOException {
         awaitingAnswer = true;
-        deadlineNanos = System.nanoTime() + limit.toNanos();
+        deadlineNanos = System.nanoTime() + timeout.toNanos();
         NonBlockingWrites.writeFully(channel, STATS_LINE);
     }
 
-    private void handleConnected(Duration limit) throws IOException {
+    private void handleConnected(Duration timeout) throws IOException {
         connected = true;
         key.interestOps(SelectionKey.OP_READ);
-        sendProbe(limit);
+        sendProbe(timeout);
     }
 
     /**
@@ -88,19 +88,19 @@
      *
      * @throws ConnectionClosedException if the backend has closed the connection without an answer
      */
-    byte[] handleReady(Duration limit) throws IOException {
+    byte[] handleReady(Duration timeout) throws IOException {
         if (!connected) {
             if (channel.finishConnect()) {
-                handleConnected(limit);
+                handleConnected(timeout);
             }
             return null;
         }
-        int read = channel.read(received);
-        if (read < 0 && received.position() == 0) {
+        int bytesRead = channel.read(received);
+        if (bytesRead < 0 && received.position() == 0) {
             throw new ConnectionClosedException();
         }
-        boolean whole = read > 0 && received.get(received.position() - 1) == '\n';
-        if (read < 0 || whole || received.position() > LineReader.MAX_LINE_BYTES) {
+        boolean completeLine = bytesRead > 0 && received.get(received.position() - 1) == '\n';
+        if (bytesRead < 0 || completeLine || received.position() > LineReader.MAX_LINE_BYTES) {
             byte[] line = Arrays.copyOf(received.array(), received.position());
             received.clear();
             awaitingAnswer = false;
@@ -116,7 +116,7 @@
     void close() {
         try {
             channel.close();
-        } catch (IOException ended) { // the backend closed it first
+        } catch (IOException e) { // the backend closed it first
             return;
         }
     }
--- a/relay/src/main/java/saltstage/stage/RelayPipeline.java
+++ b/relay/src/main/java/saltstage/stage/RelayPipeline.java
@@ -34,20 +34,20 @@
     private final LineForwarder forwarder;
     private final OutcomeRecorder outcomeRecorder;
     private final AdmissionControl admissionControl;
-    private final IntSupplier probedBackends;
+    private final IntSupplier probedBackendCount;
     private volatile int descriptorLimit;
     private final LineFrontend lineFrontend;
     private final List<Frontend> frontends = new CopyOnWriteArrayList<>();
 
-    /** Creates the stages; the {@code watch} argument subscribes to discovery. */
+    /** Creates the stages; the {@code watchStarter} argument subscribes to discovery. */
     public RelayPipeline(
             Configuration config,
             MonotonicClock clock,
             Timers timers,
-            BackendRegistry peers,
-            RequestCounters counts,
-            Runnable watch) {
-        this(config, clock, timers, peers, counts, watch, SocketChannel::socket);
+            BackendRegistry backends,
+            RequestCounters counters,
+            Runnable watchStarter) {
+        this(config, clock, timers, backends, counters, watchStarter, SocketChannel::socket);
     }
 
     /**
@@ -58,58 +58,59 @@
             Configuration config,
             MonotonicClock clock,
             Timers timers,
-            BackendRegistry peers,
-            RequestCounters counts,
-            Runnable watch,
-            Function<SocketChannel, Socket> sockets) {
+            BackendRegistry backends,
+            RequestCounters counters,
+            Runnable watchStarter,
+            Function<SocketChannel, Socket> socketFactory) {
         this.timers = timers;
-        outcomeRecorder = new OutcomeRecorder(config, clock, peers, counts);
+        outcomeRecorder = new OutcomeRecorder(config, clock, backends, counters);
         forwarder = new LineForwarder(clock, timers, outcomeRecorder);
-        ThreadBudget threads = new ThreadBudget(Threads::tryStart);
-        LineAttemptRunner tries =
-                new LineAttemptRunner(config, clock, peers, outcomeRecorder, forwarder, threads);
-        AttemptStarter send = new AttemptStarter(clock, peers, outcomeRecorder);
-        BackendProber probe = new BackendProber(peers);
+        ThreadBudget threadBudget = new ThreadBudget(Threads::tryStart);
+        LineAttemptRunner attemptRunner =
+                new LineAttemptRunner(
+                        config, clock, backends, outcomeRecorder, forwarder, threadBudget);
+        AttemptStarter attemptStarter = new AttemptStarter(clock, backends, outcomeRecorder);
+        BackendProber prober = new BackendProber(backends);
         router =
                 new Router(
                         config,
                         clock,
                         timers,
-                        createRoutingActions(send, probe, watch),
-                        peers::isSuspended);
+                        createRoutingActions(attemptStarter, prober, watchStarter),
+                        backends::isSuspended);
         outcomeRecorder.setRouter(router);
-        probe.setRouter(router);
-        probedBackends =
+        prober.setRouter(router);
+        probedBackendCount =
                 () ->
                         config.settings().probingEnabled()
-                                ? Math.min(peers.all().size(), BackendProber.MAX_CONNECTIONS)
+                                ? Math.min(backends.all().size(), BackendProber.MAX_CONNECTIONS)
                                 : 0;
         descriptorLimit = config.maxSockets();
         admissionControl =
-                new AdmissionControl(config, clock, timers, router, tries, outcomeRecorder);
+                new AdmissionControl(config, clock, timers, router, attemptRunner, outcomeRecorder);
         lineFrontend =
                 new LineFrontend(
                         AdmissionControl.maxPendingClients(config.maxSockets()),
                         admissionControl,
-                        asking ->
+                        pendingClient ->
                                 new LineClient(
-                                        sockets.apply(asking.channel()),
-                                        asking.takeRemaining(),
+                                        socketFactory.apply(pendingClient.channel()),
+                                        pendingClient.takeRemaining(),
                                         timers,
-                                        tries,
+                                        attemptRunner,
                                         forwarder),
                         forwarder,
                         outcomeRecorder,
-                        threads);
+                        threadBudget);
         frontends.add(lineFrontend);
     }
 
     private Router.RoutingActions createRoutingActions(
-            AttemptStarter send, BackendProber probe, Runnable watch) {
+            AttemptStarter attemptStarter, BackendProber prober, Runnable watchStarter) {
         return new Router.RoutingActions() {
             @Override
             public void sendAttempt(RequestContext context, String uid, Duration limit) {
-                send.start(context, uid, limit);
+                attemptStarter.start(context, uid, limit);
             }
 
             @Override
@@ -129,12 +130,12 @@
 
             @Override
             public void probe(String uid) {
-                probe.requestProbe(uid);
+                prober.requestProbe(uid);
             }
 
             @Override
             public void watchBackendList() {
-                watch.run();
+                watchStarter.run();
             }
         };
     }
@@ -165,20 +166,20 @@
     }
 
     /** Adds a frontend. */
-    public void addFrontend(Frontend front) {
-        frontends.add(front);
+    public void addFrontend(Frontend frontend) {
+        frontends.add(frontend);
     }
 
     /**
      * Moves the client of an established attempt, whatever its protocol. A reason that starts with
      * "peer" blames the backend.
      */
-    public boolean move(Attempt up, String reason) {
-        return up.context().client().move(up, reason);
+    public boolean move(Attempt attempt, String reason) {
+        return attempt.context().client().move(attempt, reason);
     }
 
     /** Handles a backend list from discovery, and the backends that it has ended. */
-    public void backendListReceived(List<Backend> ended, BackendList list) {
+    public void backendListReceived(List<Backend> endedBackends, BackendList list) {
         Log.info(
                 "discovery.list",
                 "rev",
@@ -189,11 +190,13 @@
                 list.entries().size());
         setDescriptorLimit(descriptorLimit);
         router.backendListReceived(list);
-        for (Backend peer : ended) {
+        for (Backend backend : endedBackends) {
             // The clients are moved because the backend's machine may never send a reset.
             timers.schedule(
                     BACKEND_GONE_MOVE_DELAY,
-                    () -> peer.establishedAttempts().forEach(up -> move(up, "peer gone")));
+                    () ->
+                            backend.establishedAttempts()
+                                    .forEach(attempt -> move(attempt, "peer gone")));
         }
     }
 
@@ -201,18 +204,18 @@
      * Sets the number of descriptors that this process may use. It is called again while another
      * process uses a part of them.
      */
-    public void setDescriptorLimit(int most) {
-        descriptorLimit = most;
-        int left = most - probedBackends.getAsInt(); // without the connections for probes
-        admissionControl.setDescriptorLimit(left);
-        lineFrontend.acceptor().setCapacity(AdmissionControl.maxPendingClients(left));
+    public void setDescriptorLimit(int limit) {
+        descriptorLimit = limit;
+        int remaining = limit - probedBackendCount.getAsInt(); // without the connections for probes
+        admissionControl.setDescriptorLimit(remaining);
+        lineFrontend.acceptor().setCapacity(AdmissionControl.maxPendingClients(remaining));
     }
 
     /** Returns the approximate number of descriptors in use. */
     public int descriptorsInUse() {
         return admissionControl.descriptorsInUse()
                 + lineFrontend.acceptor().pendingClientCount()
-                + probedBackends.getAsInt();
+                + probedBackendCount.getAsInt();
     }
 
     /** Moves the clients of backends that no longer respond. */
@@ -226,9 +229,9 @@
     }
 
     /** Writes the totals to the log, followed by the given names and values. */
-    public void logTotals(Object... more) {
-        int clients = frontends.stream().mapToInt(Frontend::clientCount).sum();
-        outcomeRecorder.logTotals(clients, lineFrontend.acceptor().acceptedCount(), more);
+    public void logTotals(Object... extraPairs) {
+        int clientCount = frontends.stream().mapToInt(Frontend::clientCount).sum();
+        outcomeRecorder.logTotals(clientCount, lineFrontend.acceptor().acceptedCount(), extraPairs);
     }
 
     /**
--- a/relay/src/main/java/saltstage/stage/Router.java
+++ b/relay/src/main/java/saltstage/stage/Router.java
@@ -70,7 +70,7 @@
     }
 
     private interface BalancerEvent {
-        void deliver(LoadBalancer logic, long now);
+        void deliver(LoadBalancer balancer, long now);
     }
 
     /** Creates a router with a load balancer for this configuration. */
@@ -78,13 +78,13 @@
             Configuration config,
             MonotonicClock clock,
             Timers timers,
-            RoutingActions effects,
-            Predicate<String> suspended) {
-        this.suspensionCheck = suspended;
+            RoutingActions actions,
+            Predicate<String> suspensionCheck) {
+        this.suspensionCheck = suspensionCheck;
         this.config = config;
         this.clock = clock;
         this.timers = timers;
-        this.actions = effects;
+        this.actions = actions;
         loadBalancer = new LoadBalancer(config.settings(), config.seed(), new ActionCollector());
     }
 
@@ -100,21 +100,23 @@
     }
 
     private void deliverBackendList(BackendList list, BackendListKind kind) {
-        List<ListedBackend> servers = list.entries().stream().map(this::toListedBackend).toList();
-        deliver((logic, now) -> logic.backendListReceived(now, kind, servers));
+        List<ListedBackend> backends = list.entries().stream().map(this::toListedBackend).toList();
+        deliver((balancer, now) -> balancer.backendListReceived(now, kind, backends));
     }
 
     /**
      * Handles the suspension of a backend by an operator, or its end. To the load balancer, a
      * suspended backend is draining.
      */
-    public void suspensionChanged(Backend peer) {
+    public void suspensionChanged(Backend backend) {
         deliver(
-                (logic, now) -> {
+                (balancer, now) -> {
                     // The end of a backend is reported to the load balancer separately.
-                    if (!peer.hasEnded()) {
-                        logic.backendListReceived(
-                                now, BackendListKind.DELTA, List.of(toListedBackend(peer.entry())));
+                    if (!backend.hasEnded()) {
+                        balancer.backendListReceived(
+                                now,
+                                BackendListKind.DELTA,
+                                List.of(toListedBackend(backend.entry())));
                     }
                 });
     }
@@ -132,69 +134,71 @@
     /** Handles a failed call to discovery or a broken watch. */
     public void discoveryCallFailed() {
         deliver(
-                (logic, now) ->
-                        logic.backendListReceived(now, BackendListKind.CALL_FAILED, List.of()));
+                (balancer, now) ->
+                        balancer.backendListReceived(now, BackendListKind.CALL_FAILED, List.of()));
     }
 
     /** Handles an admitted request, which must get one final answer. */
     public void requestAdmitted(RequestContext context) {
         Request request = toBalancerRequest(context);
         contexts.put(context.id(), context);
-        deliver((logic, now) -> logic.requestReceived(now, request));
+        deliver((balancer, now) -> balancer.requestReceived(now, request));
     }
 
     /** Handles the restoration of a connection that was open before the relay started. */
-    public void connectionRestored(Attempt standing) {
-        RequestContext context = standing.context();
+    public void connectionRestored(Attempt attempt) {
+        RequestContext context = attempt.context();
         Request request = toBalancerRequest(context);
         contexts.put(context.id(), context);
         deliver(
-                (logic, now) ->
-                        logic.connectionRestored(now, request, standing.backend().entry().uid()));
+                (balancer, now) ->
+                        balancer.connectionRestored(now, request, attempt.backend().entry().uid()));
     }
 
     /** Handles an attempt that was established. */
-    public void connectionEstablished(Attempt standing) {
-        long latency = toMicros(Duration.between(standing.sentAt(), clock.now()));
-        deliver((logic, now) -> logic.connectionEstablished(now, standing.context().id(), latency));
+    public void connectionEstablished(Attempt attempt) {
+        long latency = toMicros(Duration.between(attempt.sentAt(), clock.now()));
+        deliver(
+                (balancer, now) ->
+                        balancer.connectionEstablished(now, attempt.context().id(), latency));
     }
 
-    /** Handles the end of an attempt; {@code over} means that the request has ended, too. */
-    public void attemptEnded(RequestContext context, Outcome outcome, boolean over) {
-        if (over) {
+    /** Handles the end of an attempt; {@code requestEnded} means that the request ended with it. */
+    public void attemptEnded(RequestContext context, Outcome outcome, boolean requestEnded) {
+        if (requestEnded) {
             contexts.remove(context.id());
         }
-        deliver((logic, now) -> logic.attemptEnded(now, context.id(), outcome, over));
+        deliver((balancer, now) -> balancer.attemptEnded(now, context.id(), outcome, requestEnded));
     }
 
     /** Handles a client that left before its answer. */
     public void clientLeft(RequestContext context) {
         contexts.remove(context.id());
-        deliver((logic, now) -> logic.clientLeft(now, context.id()));
+        deliver((balancer, now) -> balancer.clientLeft(now, context.id()));
     }
 
     /** Handles a backend's report of a connection's load, in microseconds of work per second. */
-    public void loadReported(Attempt standing, double level) {
+    public void loadReported(Attempt attempt, double load) {
         deliver(
-                (logic, now) ->
-                        logic.connectionReported(
-                                now, standing.context().id(), ConnectionReport.LOAD, level));
+                (balancer, now) ->
+                        balancer.connectionReported(
+                                now, attempt.context().id(), ConnectionReport.LOAD, load));
     }
 
     /** Handles the message delay at the backend of this attempt. */
-    public void delayReported(Attempt standing, Duration delay) {
+    public void delayReported(Attempt attempt, Duration delay) {
         deliver(
-                (logic, now) ->
-                        logic.connectionReported(
+                (balancer, now) ->
+                        balancer.connectionReported(
                                 now,
-                                standing.context().id(),
+                                attempt.context().id(),
                                 ConnectionReport.DELAY,
                                 toMicros(delay) / 1000.0));
     }
 
     /** Handles the result of a probe. */
-    public void probeCompleted(String uid, Outcome outcome, double asked) {
-        deliver((logic, now) -> logic.probeCompleted(now, uid, outcome, asked));
+    public void probeCompleted(String uid, Outcome outcome, double load) {
+        deliver((balancer, now) -> balancer.probeCompleted(now, uid, outcome, load));
     }
 
     /** Returns what the load balancer has learned, as plain data. */
@@ -209,7 +213,7 @@
 
     /** Gives the load balancer what an earlier one had learned. */
     public void restoreLearnedState(Api.LearnedState known) {
-        deliver((logic, now) -> logic.restoreLearnedState(now, known));
+        deliver((balancer, now) -> balancer.restoreLearnedState(now, known));
     }
 
     /** Returns all open requests; used when the relay shuts down. */
@@ -218,7 +222,7 @@
     }
 
     private void deliver(BalancerEvent event) {
-        List<Runnable> todo;
+        List<Runnable> pendingActions;
         lock.lock();
         try {
             event.deliver(loadBalancer, toEpochMicros(clock.now()));
@@ -227,19 +231,19 @@
             // AdmissionControl answers its request.
             Log.error("module.fault", fault);
         } finally {
-            todo = collectedActions;
+            pendingActions = collectedActions;
             collectedActions = new ArrayList<>();
             lock.unlock();
         }
-        todo.forEach(Runnable::run);
+        pendingActions.forEach(Runnable::run);
     }
 
-    private static long toEpochMicros(Instant at) {
-        return ChronoUnit.MICROS.between(Instant.EPOCH, at);
+    private static long toEpochMicros(Instant instant) {
+        return ChronoUnit.MICROS.between(Instant.EPOCH, instant);
     }
 
-    private static long toMicros(Duration span) {
-        return span.toNanos() / 1000;
+    private static long toMicros(Duration duration) {
+        return duration.toNanos() / 1000;
     }
 
     private static Duration toDuration(long micros) {
@@ -264,16 +268,16 @@
     }
 
     private Request toBalancerRequest(RequestContext context) {
-        RequestAttributes terms = context.attributes();
+        RequestAttributes attributes = context.attributes();
         return new Request(
                 context.id(),
-                terms.serviceClass(),
-                terms.tenant(),
-                hashKey(terms.key()),
-                hashKey(terms.group()),
-                terms.loadHint(),
+                attributes.serviceClass(),
+                attributes.tenant(),
+                hashKey(attributes.key()),
+                hashKey(attributes.group()),
+                attributes.loadHint(),
                 toEpochMicros(context.deadline()),
-                terms.reconnecting(),
+                attributes.reconnecting(),
                 false);
     }
 
@@ -294,16 +298,16 @@
 
     /** Collects the load balancer's decisions during an event. */
     private final class ActionCollector implements Api.Actions {
-        private void collect(long id, Consumer<RequestContext> effect) {
+        private void collect(long id, Consumer<RequestContext> action) {
             RequestContext context = contexts.get(id);
             if (context != null) {
-                collectedActions.add(() -> effect.accept(context));
+                collectedActions.add(() -> action.accept(context));
             }
         }
 
         @Override
-        public void sendAttempt(long id, String server, long timeout) {
-            collect(id, context -> actions.sendAttempt(context, server, toDuration(timeout)));
+        public void sendAttempt(long id, String backendUid, long timeout) {
+            collect(id, context -> actions.sendAttempt(context, backendUid, toDuration(timeout)));
         }
 
         @Override
@@ -326,12 +330,13 @@
         @Override
         public void setTimer(String token, long delay) {
             timers.schedule(
-                    toDuration(delay), () -> deliver((logic, now) -> logic.timerFired(now, token)));
+                    toDuration(delay),
+                    () -> deliver((balancer, now) -> balancer.timerFired(now, token)));
         }
 
         @Override
-        public void probe(String server) {
-            collectedActions.add(() -> actions.probe(server));
+        public void probe(String backendUid) {
+            collectedActions.add(() -> actions.probe(backendUid));
         }
 
         @Override
--- a/relay/src/main/java/saltstage/stage/ThreadBudget.java
+++ b/relay/src/main/java/saltstage/stage/ThreadBudget.java
@@ -113,8 +113,8 @@
         }
     }
 
-    private synchronized void adjustRunning(int more) {
-        runningThreads += more;
+    private synchronized void adjustRunning(int delta) {
+        runningThreads += delta;
     }
 
     /** Returns the number of threads that requests are running. */
@@ -123,19 +123,19 @@
     }
 
     private void verifyCapacity() {
-        int waiting = Math.max(0, grantedThreads - runningThreads);
-        int wanted = waiting + GROWTH_STEP_THREADS + RESERVED_THREADS;
-        int room = countStartableThreads(wanted);
-        verifiedThreads = runningThreads + room - RESERVED_THREADS;
-        if (room < wanted && !limited) {
+        int unstarted = Math.max(0, grantedThreads - runningThreads);
+        int wanted = unstarted + GROWTH_STEP_THREADS + RESERVED_THREADS;
+        int startable = countStartableThreads(wanted);
+        verifiedThreads = runningThreads + startable - RESERVED_THREADS;
+        if (startable < wanted && !limited) {
             Log.warn(
                     "threads.limited",
                     "requests",
                     verifiedThreads / THREADS_PER_REQUEST,
                     "threads",
-                    runningThreads + room);
+                    runningThreads + startable);
         }
-        limited = room < wanted;
+        limited = startable < wanted;
         retryAtNanos = System.nanoTime() + LIMITED_RETRY_INTERVAL.toNanos();
     }
 
@@ -144,23 +144,23 @@
      * ended when this returns, unless the platform is slow to release them.
      */
     private int countStartableThreads(int wanted) {
-        long before = ProcessUsage.threads();
-        CountDownLatch over = new CountDownLatch(1);
-        CountDownLatch ended = new CountDownLatch(wanted);
+        long threadsBefore = ProcessUsage.threads();
+        CountDownLatch released = new CountDownLatch(1);
+        CountDownLatch finished = new CountDownLatch(wanted);
         int started = 0;
-        while (started < wanted && starter.start("room", () -> awaitThenEnd(over, ended))) {
+        while (started < wanted && starter.start("room", () -> awaitThenEnd(released, finished))) {
             started++;
         }
-        over.countDown();
+        released.countDown();
         for (int i = started; i < wanted; i++) {
-            ended.countDown();
+            finished.countDown();
         }
         try {
-            ended.await();
+            finished.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        awaitThreadExit(before);
+        awaitThreadExit(threadsBefore);
         return started;
     }
 
@@ -168,10 +168,10 @@
      * Waits for threads to exit. The platform counts a thread for a moment longer after its work is
      * done.
      */
-    private static void awaitThreadExit(long before) {
+    private static void awaitThreadExit(long threadsBefore) {
         for (int i = 0;
                 i < MAX_START_ATTEMPTS
-                        && ProcessUsage.threads() > before + UNRELATED_THREADS_TOLERANCE;
+                        && ProcessUsage.threads() > threadsBefore + UNRELATED_THREADS_TOLERANCE;
                 i++) {
             if (!pause()) {
                 return;
@@ -179,12 +179,12 @@
         }
     }
 
-    private static void awaitThenEnd(CountDownLatch over, CountDownLatch ended)
+    private static void awaitThenEnd(CountDownLatch released, CountDownLatch finished)
             throws InterruptedException {
         try {
-            over.await();
+            released.await();
         } finally {
-            ended.countDown();
+            finished.countDown();
         }
     }
 }
--- a/relay/src/main/java/saltstage/stage/Threads.java
+++ b/relay/src/main/java/saltstage/stage/Threads.java
@@ -37,22 +37,22 @@
             thread.setDaemon(true);
             thread.start();
             return true;
-        } catch (OutOfMemoryError none) { // thrown by the JVM when the system refuses it a thread
+        } catch (OutOfMemoryError e) { // thrown by the JVM when the system refuses it a thread
             return false;
         }
     }
 
     /** Starts a thread that repeats the work forever, even if a round throws an exception. */
-    public static void startLoop(String name, Work round) {
-        if (!start(name, () -> runRepeatedly(name, round))) {
+    public static void startLoop(String name, Work work) {
+        if (!start(name, () -> runRepeatedly(name, work))) {
             throw new IllegalStateException("no thread for " + name);
         }
     }
 
-    private static void runRepeatedly(String name, Work round) throws InterruptedException {
+    private static void runRepeatedly(String name, Work work) throws InterruptedException {
         while (true) {
             try {
-                round.run();
+                work.run();
             } catch (InterruptedException e) {
                 throw e;
             } catch (Exception | OutOfMemoryError | StackOverflowError fault) {
