--- a/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
+++ b/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
@@ -107,7 +107,8 @@
         }
         try {
             byte[] piece =
-                    connection.reader()
+                    connection
+                            .reader()
                             .readLine(atLeastOneMilli(Duration.between(clock.now(), deadline)));
             return piece == null ? Outcome.RESET : handleAnswer(attempt, piece, restore);
         } catch (SocketTimeoutException e) {
