--- a/relay/src/main/java/saltstage/stage/AdmissionControl.java
+++ b/relay/src/main/java/saltstage/stage/AdmissionControl.java
@@ -120,11 +120,9 @@
                         line.field("g"),
                         line.numericField("h", Api.NONE),
                         line.hasFlag("again"));
-        String backendUid = line.field("at");
-        Duration clientTimeout = line.clientTimeout(config.clientTimeout(serviceClass));
-        Instant deadline =
-                now.plus(backendUid != null ? RESTORE_TIMEOUT : clientTimeout)
-                        .minus(DEADLINE_MARGIN);
+        String uid = line.field("at");
+        Duration timeout = line.clientTimeout(config.clientTimeout(serviceClass));
+        Instant deadline = now.plus(uid != null ? RESTORE_TIMEOUT : timeout).minus(DEADLINE_MARGIN);
         if (client.reader().hasMoreInput()) {
             // The client sent several commands at once. The first would be established, and the
             // others would be passed to its backend.
@@ -147,8 +145,8 @@
         } else if (openRequestIds.size() > maxRequests(descriptorLimit - reservedDescriptors)) {
             logFull();
             outcomeRecorder.reject(context, config.maxRetryAfter());
-        } else if (backendUid != null) {
-            attemptRunner.restore(context, backendUid);
+        } else if (uid != null) {
+            attemptRunner.restore(context, uid);
         } else {
             startRouting(context, now);
         }
