--- a/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
+++ b/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
@@ -20,7 +20,10 @@
 import saltstage.wire.BackendMessage;
 import saltstage.wire.LineConnection;
 
-/** Makes a try in lines: connects, sends the first line on, waits for the answer. A thread each. */
+/**
+ * Runs attempts over the line protocol: connects to the backend, sends the first line and waits for
+ * the answer. Each attempt has its own thread.
+ */
 final class LineAttemptRunner {
     private static final Duration RESTORE_RETRY_PAUSE = Duration.ofMillis(200);
 
@@ -34,100 +37,109 @@
     LineAttemptRunner(
             Configuration config,
             MonotonicClock clock,
-            BackendRegistry peers,
-            OutcomeRecorder book,
-            LineForwarder relay,
-            ThreadBudget threads) {
-        this.threadBudget = threads;
+            BackendRegistry backends,
+            OutcomeRecorder outcomeRecorder,
+            LineForwarder forwarder,
+            ThreadBudget threadBudget) {
+        this.threadBudget = threadBudget;
         this.config = config;
         this.clock = clock;
-        this.backends = peers;
-        this.outcomeRecorder = book;
-        this.forwarder = relay;
+        this.backends = backends;
+        this.outcomeRecorder = outcomeRecorder;
+        this.forwarder = forwarder;
     }
 
-    /** Makes the try on a thread of its own. */
-    void start(Attempt begun, Instant until) {
-        if (!threadBudget.start("try", () -> runAndForward(begun, until))) {
-            outcomeRecorder.attemptEnded(begun, Outcome.UNREACHABLE);
+    /** Runs the attempt on its own thread. */
+    void start(Attempt attempt, Instant deadline) {
+        if (!threadBudget.start("try", () -> runAndForward(attempt, deadline))) {
+            outcomeRecorder.attemptEnded(attempt, Outcome.UNREACHABLE);
         }
     }
 
-    private void runAndForward(Attempt begun, Instant until) {
+    private void runAndForward(Attempt attempt, Instant deadline) {
         Outcome outcome = Outcome.ERROR;
         try {
-            outcome = runAttempt(begun, until, false);
+            outcome = runAttempt(attempt, deadline, false);
         } finally {
             if (outcome != null) {
-                begun.cancel(); // the old try is closed before the module may send the next
-                outcomeRecorder.attemptEnded(begun, outcome);
+                // The attempt is closed before the load balancer may start the next one.
+                attempt.cancel();
+                outcomeRecorder.attemptEnded(attempt, outcome);
             }
         }
         if (outcome == null) {
-            forwarder.forwardFromBackend(begun);
+            forwarder.forwardFromBackend(attempt);
         }
     }
 
-    /** Makes the try; null where it stands. */
-    private Outcome runAttempt(Attempt begun, Instant until, boolean restore) {
-        Backend peer = begun.backend();
-        LineConnection backend;
+    /** Runs the attempt; returns null if it was established. */
+    private Outcome runAttempt(Attempt attempt, Instant deadline, boolean restore) {
+        Backend backend = attempt.backend();
+        LineConnection connection;
         try {
-            Duration connect =
-                    shorter(config.connectTimeout(), Duration.between(clock.now(), until));
-            if (connect.isNegative()) {
+            Duration connectTimeout =
+                    shorter(config.connectTimeout(), Duration.between(clock.now(), deadline));
+            if (connectTimeout.isNegative()) {
                 return Outcome.UNREACHABLE;
             }
             Socket socket = new Socket();
-            begun.connectionStarted(() -> LineConnection.close(socket));
-            backend = LineConnection.connect(socket, peer.entry().endpoint(), connect);
-            begun.connectionOpened(backend);
-            Duration left = Duration.between(clock.now(), until);
-            // Connecting takes time: the backend may have been told to drain, or the request's time
-            // be up.
-            if (peer.isSuspended() || isDeduplicationExpired(begun.context())) {
-                return Outcome
-                        .MOOT; // it came about while this connected: nothing against the backend
+            attempt.connectionStarted(() -> LineConnection.close(socket));
+            connection = LineConnection.connect(socket, backend.entry().endpoint(), connectTimeout);
+            attempt.connectionOpened(connection);
+            Duration remaining = Duration.between(clock.now(), deadline);
+            // Connecting takes time: meanwhile the backend may have started draining, or the
+            // request's time may have run out.
+            if (backend.isSuspended() || isDeduplicationExpired(attempt.context())) {
+                // The suspension or the expiry happened while this attempt was connecting, so it
+                // does not count against the backend.
+                return Outcome.MOOT;
             }
-            if (!restore && !peer.canAcceptRequests() || left.isNegative() || left.isZero()) {
+            if (!restore && !backend.canAcceptRequests()
+                    || remaining.isNegative()
+                    || remaining.isZero()) {
                 return Outcome.UNREACHABLE;
             }
-            backend.sendLine(client(begun.context()).openRequest().withClientTimeout(left));
+            connection.sendLine(
+                    client(attempt.context()).openRequest().withClientTimeout(remaining));
             outcomeRecorder.attemptSent();
         } catch (IOException neverSent) {
             return Outcome.UNREACHABLE;
         }
         try {
             byte[] piece =
-                    backend.reader()
-                            .readLine(atLeastOneMilli(Duration.between(clock.now(), until)));
-            return piece == null ? Outcome.RESET : handleAnswer(begun, piece, restore);
-        } catch (SocketTimeoutException slow) {
+                    connection
+                            .reader()
+                            .readLine(atLeastOneMilli(Duration.between(clock.now(), deadline)));
+            return piece == null ? Outcome.RESET : handleAnswer(attempt, piece, restore);
+        } catch (SocketTimeoutException e) {
             return Outcome.TIMEOUT;
-        } catch (IOException broken) {
+        } catch (IOException e) {
             return Outcome.RESET;
         }
     }
 
     /**
-     * Repeats are discarded for so long only; the module asked that before the connection came up.
+     * Returns whether the deduplication window has passed, within which the backend discards
+     * repeats. The load balancer checked this before the connection was established.
      */
     private boolean isDeduplicationExpired(RequestContext context) {
-        ServiceClass service =
+        ServiceClass serviceClass =
                 config.settings().serviceClasses().get(context.attributes().serviceClass());
-        Instant since = context.possibleExecutionSince();
-        return since != null
-                && service.idempotency() == Idempotency.DEDUPLICATED
+        Instant possibleExecutionSince = context.possibleExecutionSince();
+        return possibleExecutionSince != null
+                && serviceClass.idempotency() == Idempotency.DEDUPLICATED
                 && !clock.now()
-                        .isBefore(since.plus(service.deduplicationWindow(), ChronoUnit.MICROS));
+                        .isBefore(
+                                possibleExecutionSince.plus(
+                                        serviceClass.deduplicationWindow(), ChronoUnit.MICROS));
     }
 
-    private Outcome handleAnswer(Attempt begun, byte[] piece, boolean restore) {
+    private Outcome handleAnswer(Attempt attempt, byte[] piece, boolean restore) {
         BackendMessage answer = BackendMessage.parse(piece);
         switch (answer.kind()) {
             case UP:
-                return outcomeRecorder.establish(begun, restore)
-                        ? forwarder.forwardUp(begun, piece)
+                return outcomeRecorder.establish(attempt, restore)
+                        ? forwarder.forwardUp(attempt, piece)
                         : Outcome.CANCELLED;
             case BUSY:
                 return Outcome.FULL;
@@ -136,12 +148,12 @@
             case ERR:
                 return Outcome.ERROR;
             default:
-                // A backend that answers what no backend may say has failed; its words go no
-                // further.
+                // A backend that sends an answer outside the protocol has failed. Its text is not
+                // passed on.
                 Log.warn(
                         "try.malformed",
                         "peer",
-                        begun.backend().entry().uid(),
+                        attempt.backend().entry().uid(),
                         "kind",
                         answer.kind(),
                         "line",
@@ -151,8 +163,8 @@
     }
 
     /**
-     * Sends a connection that was open before the relay started back to its backend, until it
-     * stands.
+     * Restores a connection that was open before the relay started: retries at its backend until it
+     * is established.
      */
     void restore(RequestContext context, String uid) {
         if (!threadBudget.start("restore", () -> restoreOrFail(context, uid))) {
@@ -164,26 +176,28 @@
         try {
             retryRestore(context, uid);
         } finally {
-            outcomeRecorder.fail(context); // where it neither stood nor ended, also by a fault
+            // This has no effect if the request was established or has ended; it also covers
+            // faults.
+            outcomeRecorder.fail(context);
         }
     }
 
     private void retryRestore(RequestContext context, String uid) throws InterruptedException {
-        String waitsFor = null;
+        String lastReason = null;
         while (context.phase() == Phase.WAITING && clock.now().isBefore(context.deadline())) {
-            Backend peer = backends.find(uid);
-            Attempt begun = peer == null ? null : context.beginAttempt(peer, clock.now());
+            Backend backend = backends.find(uid);
+            Attempt attempt = backend == null ? null : context.beginAttempt(backend, clock.now());
             Outcome outcome =
-                    begun == null ? Outcome.MOOT : runAttempt(begun, context.deadline(), true);
+                    attempt == null ? Outcome.MOOT : runAttempt(attempt, context.deadline(), true);
             if (outcome == null) {
-                forwarder.forwardFromBackend(begun);
+                forwarder.forwardFromBackend(attempt);
                 return;
             }
-            if (begun != null) {
-                begun.cancel();
+            if (attempt != null) {
+                attempt.cancel();
             }
-            String why = peer == null ? "not listed" : outcome.name();
-            if (!why.equals(waitsFor)) {
+            String reason = backend == null ? "not listed" : outcome.name();
+            if (!reason.equals(lastReason)) {
                 Log.info(
                         "restore.waiting",
                         "id",
@@ -191,9 +205,9 @@
                         "peer",
                         uid,
                         "why",
-                        why);
+                        reason);
             }
-            waitsFor = why;
+            lastReason = reason;
             Thread.sleep(RESTORE_RETRY_PAUSE.toMillis());
         }
         Log.warn("restore.failed", "id", context.attributes().clientRequestId(), "peer", uid);
@@ -207,7 +221,7 @@
         return a.compareTo(b) < 0 ? a : b;
     }
 
-    private static Duration atLeastOneMilli(Duration span) {
-        return span.isNegative() || span.isZero() ? Duration.ofMillis(1) : span;
+    private static Duration atLeastOneMilli(Duration duration) {
+        return duration.isNegative() || duration.isZero() ? Duration.ofMillis(1) : duration;
     }
 }
--- a/relay/src/main/java/saltstage/stage/LineForwarder.java
+++ b/relay/src/main/java/saltstage/stage/LineForwarder.java
@@ -13,26 +13,26 @@
 import saltstage.wire.LineConnection;
 
 /**
- * Passes the lines of standing connections on, both ways, whole and unchanged, and ends or moves
- * them. The try's thread is the only one that writes to a client that has its UP: MOVE always falls
- * between two lines.
+ * Forwards the lines of established connections in both directions, whole and unchanged, and ends
+ * or moves the connections. After UP, only the attempt's thread writes to the client, so MOVE is
+ * always sent between two lines.
  */
 final class LineForwarder {
     /**
-     * How long an ended side may linger: a close with unread input would reset what was sent before
-     * it.
+     * How long a connection stays open after its output has ended. Closing it with unread input
+     * would reset it, and data that was sent before could be lost.
      */
     private static final Duration LINGER = Duration.ofMillis(800);
 
-    /** A client that takes no more must not hold a moved connection. */
+    /** A moved connection is closed after this time, even if the client reads nothing any more. */
     private static final Duration MOVE_TIMEOUT = Duration.ofMillis(1_200);
 
     private static final Duration PARTIAL_LINE_TIMEOUT = Duration.ofMillis(300);
 
     /**
-     * Clients speak every 2 s and are answered at once (0.15 ms was measured at a jammed backend
-     * too). 7 s with nothing back is the limit: 2 s, this, a beat and the rest of a line stay well
-     * within.
+     * Clients send a message every 2 s, and a backend answers at once (within 0.15 ms, even when it
+     * is overloaded). A client may go at most 7 s without a response: the 2 s, this timeout, one
+     * check interval and the rest of a line stay well within that.
      */
     private static final Duration BACKEND_RESPONSE_TIMEOUT = Duration.ofSeconds(3);
 
@@ -42,150 +42,153 @@
     private final Timers timers;
     private final OutcomeRecorder outcomeRecorder;
 
-    LineForwarder(MonotonicClock clock, Timers timers, OutcomeRecorder book) {
+    LineForwarder(MonotonicClock clock, Timers timers, OutcomeRecorder outcomeRecorder) {
         this.clock = clock;
         this.timers = timers;
-        this.outcomeRecorder = book;
+        this.outcomeRecorder = outcomeRecorder;
     }
 
-    /** Passes UP on to the client. */
-    Outcome forwardUp(Attempt up, byte[] piece) {
+    /** Forwards UP to the client. */
+    Outcome forwardUp(Attempt attempt, byte[] piece) {
         try {
-            client(up).send(piece);
-        } catch (IOException clientGone) {
-            up.markClientEnded();
+            client(attempt).send(piece);
+        } catch (IOException e) {
+            attempt.markClientEnded();
         }
         return null;
     }
 
-    /** Carries what the backend sends until one side ends or the client is moved. */
-    void forwardFromBackend(Attempt up) {
+    /** Forwards the backend's lines until one side ends or the client is moved. */
+    void forwardFromBackend(Attempt attempt) {
         Outcome outcome = Outcome.RESET;
         try {
-            outcome = forwardLines(up);
+            outcome = forwardLines(attempt);
         } finally {
-            outcomeRecorder.connectionEnded(up, outcome);
+            outcomeRecorder.connectionEnded(attempt, outcome);
         }
     }
 
-    private Outcome forwardLines(Attempt up) {
-        LineConnection backend = backendConnection(up);
-        BackendMessage.Kind last = BackendMessage.Kind.OTHER;
+    private Outcome forwardLines(Attempt attempt) {
+        LineConnection backend = backendConnection(attempt);
+        BackendMessage.Kind lastKind = BackendMessage.Kind.OTHER;
         boolean midLine = false;
         boolean reset = false;
         try {
-            while (up.moveReason() == null || midLine) {
+            while (attempt.moveReason() == null || midLine) {
                 byte[] piece = backend.reader().readLine();
                 if (piece == null) {
                     break;
                 }
-                boolean whole = piece[piece.length - 1] == '\n';
-                if (!whole && !midLine && up.moveReason() != null) {
-                    break; // it crossed the end of reading: the client has nothing of it and needs
-                    // its MOVE
+                boolean completeLine = piece[piece.length - 1] == '\n';
+                if (!completeLine && !midLine && attempt.moveReason() != null) {
+                    // The line was cut off when the backend's input was shut down. The client has
+                    // received no part of it and can still get its MOVE.
+                    break;
                 }
-                BackendMessage answer = BackendMessage.parse(piece);
-                last = answer.kind();
-                midLine = !whole;
-                outcomeRecorder.lineReceived(up, answer);
-                if (!sendToClient(up, piece)) {
-                    return endAfterClientLoss(up);
+                BackendMessage message = BackendMessage.parse(piece);
+                lastKind = message.kind();
+                midLine = !completeLine;
+                outcomeRecorder.lineReceived(attempt, message);
+                if (!sendToClient(attempt, piece)) {
+                    return endAfterClientLoss(attempt);
                 }
             }
-        } catch (IOException broken) {
+        } catch (IOException e) {
             reset = true;
         }
-        if (up.moveReason() != null && !up.hasClientEnded() && !midLine) {
-            return finishMove(up);
+        if (attempt.moveReason() != null && !attempt.hasClientEnded() && !midLine) {
+            return finishMove(attempt);
         }
-        return endAfterBackend(up, last, reset);
+        return endAfterBackend(attempt, lastKind, reset);
     }
 
-    private boolean sendToClient(Attempt up, byte[] piece) {
-        up.setWritingToClient(true);
+    private boolean sendToClient(Attempt attempt, byte[] piece) {
+        attempt.setWritingToClient(true);
         try {
-            client(up).send(piece);
+            client(attempt).send(piece);
             return true;
-        } catch (IOException gone) {
+        } catch (IOException e) {
             return false;
         } finally {
-            up.setWritingToClient(false);
+            attempt.setWritingToClient(false);
         }
     }
 
-    private Outcome endAfterClientLoss(Attempt up) {
-        up.context().end(Phase.ESTABLISHED);
-        backendConnection(up).reset();
-        client(up).close();
+    private Outcome endAfterClientLoss(Attempt attempt) {
+        attempt.context().end(Phase.ESTABLISHED);
+        backendConnection(attempt).reset();
+        client(attempt).close();
         return Outcome.CANCELLED;
     }
 
-    private Outcome finishMove(Attempt up) {
-        LineClient client = client(up);
+    private Outcome finishMove(Attempt attempt) {
+        LineClient client = client(attempt);
+        // MOVE is sent before the request's end is recorded. After that, the client would be
+        // disconnected if it sent something.
         try {
-            client.sendLine(
-                    "MOVE"); // before its end is told: a client that speaks in that moment is hung
-            // up on
-        } catch (IOException gone) {
-            up.markClientEnded();
+            client.sendLine("MOVE");
+        } catch (IOException e) {
+            attempt.markClientEnded();
         }
-        up.context().end(Phase.ESTABLISHED);
-        backendConnection(up).close();
+        attempt.context().end(Phase.ESTABLISHED);
+        backendConnection(attempt).close();
         client.shutdownOutput();
         timers.schedule(LINGER, client::close);
-        return up.moveReason().startsWith("peer") ? Outcome.RESET : Outcome.CANCELLED;
+        return attempt.moveReason().startsWith("peer") ? Outcome.RESET : Outcome.CANCELLED;
     }
 
-    private Outcome endAfterBackend(Attempt up, BackendMessage.Kind last, boolean reset) {
-        LineClient client = client(up);
-        boolean polite = last == BackendMessage.Kind.BYE || last == BackendMessage.Kind.MOVE;
-        boolean clientFirst = up.hasClientEnded();
-        if (reset && !polite && !clientFirst) {
-            up.context().end(Phase.ESTABLISHED);
+    private Outcome endAfterBackend(Attempt attempt, BackendMessage.Kind lastKind, boolean reset) {
+        LineClient client = client(attempt);
+        boolean endAnnounced =
+                lastKind == BackendMessage.Kind.BYE || lastKind == BackendMessage.Kind.MOVE;
+        boolean clientEndedFirst = attempt.hasClientEnded();
+        if (reset && !endAnnounced && !clientEndedFirst) {
+            attempt.context().end(Phase.ESTABLISHED);
             client.reset();
-            backendConnection(up).close();
+            backendConnection(attempt).close();
             return Outcome.RESET;
         }
-        client.shutdownOutput(); // half-close: what the client still sends goes on to the backend
-        // for
-        // a moment
-        if (clientFirst) {
-            up.context().end(Phase.ESTABLISHED);
+        // Half-close: what the client still sends is forwarded to the backend for a moment.
+        client.shutdownOutput();
+        if (clientEndedFirst) {
+            attempt.context().end(Phase.ESTABLISHED);
             client.close();
-            backendConnection(up).close();
+            backendConnection(attempt).close();
         } else {
             timers.schedule(
                     LINGER,
                     () -> {
-                        up.context().end(Phase.ESTABLISHED);
+                        attempt.context().end(Phase.ESTABLISHED);
                         client.close();
-                        backendConnection(up).close();
+                        backendConnection(attempt).close();
                     });
         }
-        if (last == BackendMessage.Kind.BYE) {
+        if (lastKind == BackendMessage.Kind.BYE) {
             return Outcome.SERVED;
         }
-        return clientFirst || last == BackendMessage.Kind.MOVE ? Outcome.CANCELLED : Outcome.RESET;
+        return clientEndedFirst || lastKind == BackendMessage.Kind.MOVE
+                ? Outcome.CANCELLED
+                : Outcome.RESET;
     }
 
     /**
-     * Passes on what the client sent; the thread that reads the backend notices where it takes no
-     * more.
+     * Forwards input from the client to the backend. If the write fails, the thread that reads from
+     * the backend notices the end.
      */
-    void sendToBackend(Attempt up, byte[] piece) {
+    void sendToBackend(Attempt attempt, byte[] piece) {
         try {
-            up.lineSent(clock.now());
-            backendConnection(up).send(piece);
-        } catch (IOException ended) {
+            attempt.lineSent(clock.now());
+            backendConnection(attempt).send(piece);
+        } catch (IOException e) {
             return;
         }
     }
 
-    /** The client has ended its side: the backend sees the same. */
-    void handleClientEnd(Attempt up, boolean reset) {
-        up.markClientEnded();
-        LineConnection backend = backendConnection(up);
-        if (backend == null || up.context().phase() != Phase.ESTABLISHED) {
+    /** Passes the client's end of input, or its reset, on to the backend. */
+    void handleClientEnd(Attempt attempt, boolean reset) {
+        attempt.markClientEnded();
+        LineConnection backend = backendConnection(attempt);
+        if (backend == null || attempt.context().phase() != Phase.ESTABLISHED) {
             return;
         }
         if (reset) {
@@ -197,11 +200,11 @@
     }
 
     /**
-     * Has a standing connection's client moved; never blocks. A reason "peer..." is the backend's
-     * fault.
+     * Moves the client of an established connection; never blocks. A reason that starts with "peer"
+     * blames the backend.
      */
-    boolean move(Attempt up, String reason) {
-        if (up.context().phase() != Phase.ESTABLISHED || !up.requestMove(reason)) {
+    boolean move(Attempt attempt, String reason) {
+        if (attempt.context().phase() != Phase.ESTABLISHED || !attempt.requestMove(reason)) {
             return false;
         }
         Log.info(
@@ -209,52 +212,51 @@
                 "why",
                 reason,
                 "peer",
-                up.backend().entry().uid(),
+                attempt.backend().entry().uid(),
                 "id",
-                up.context().attributes().clientRequestId());
-        LineConnection backend = backendConnection(up);
+                attempt.context().attributes().clientRequestId());
+        LineConnection backend = backendConnection(attempt);
         if (backend.reader().hasPartialLine()) {
-            timers.schedule(
-                    PARTIAL_LINE_TIMEOUT,
-                    backend::shutdownInput); // the line may still be ended within that
+            // The backend may still complete the partial line within this time.
+            timers.schedule(PARTIAL_LINE_TIMEOUT, backend::shutdownInput);
         } else {
             backend.shutdownInput();
         }
         timers.schedule(
                 MOVE_TIMEOUT,
                 () -> {
-                    if (up.context().phase() == Phase.ESTABLISHED) {
-                        client(up).close();
+                    if (attempt.context().phase() == Phase.ESTABLISHED) {
+                        client(attempt).close();
                         backend.close();
                     }
                 });
         return true;
     }
 
-    /** Moves the clients of backends that bring nothing back. */
+    /** Moves the clients of backends that no longer respond. */
     void checkUnresponsiveBackends() {
         Instant limit = clock.now().minus(BACKEND_RESPONSE_TIMEOUT);
-        for (Attempt up : outcomeRecorder.establishedAttempts()) {
-            Instant since = up.unansweredSince();
+        for (Attempt attempt : outcomeRecorder.establishedAttempts()) {
+            Instant since = attempt.unansweredSince();
             if (since != null
                     && since.isBefore(limit)
-                    && !up.hasClientEnded()
-                    && move(up, "peer silent")) {
+                    && !attempt.hasClientEnded()
+                    && move(attempt, "peer silent")) {
                 Log.info(
                         "relay.silent",
                         "peer",
-                        up.backend().entry().uid(),
+                        attempt.backend().entry().uid(),
                         "id",
-                        up.context().attributes().clientRequestId());
+                        attempt.context().attributes().clientRequestId());
             }
         }
     }
 
-    private static LineClient client(Attempt up) {
-        return (LineClient) up.context().client();
+    private static LineClient client(Attempt attempt) {
+        return (LineClient) attempt.context().client();
     }
 
-    private static LineConnection backendConnection(Attempt up) {
-        return (LineConnection) up.connection();
+    private static LineConnection backendConnection(Attempt attempt) {
+        return (LineConnection) attempt.connection();
     }
 }
--- a/relay/src/main/java/saltstage/stage/LineFrontend.java
+++ b/relay/src/main/java/saltstage/stage/LineFrontend.java
@@ -11,8 +11,8 @@
 import saltstage.wire.OpenRequest;
 
 /**
- * Takes clients in: judges first lines, answers PING, turns bad input away, carries what clients
- * send.
+ * Frontend of the line protocol: checks first lines, answers PING, rejects malformed input and
+ * forwards what clients send.
  */
 public final class LineFrontend implements Frontend, ClientAcceptor.FirstLineListener {
     private final ClientAcceptor acceptor;
@@ -25,51 +25,52 @@
             new LinkedBlockingQueue<>();
     private final Queue<OpenRequest> parsedLines = new java.util.ArrayDeque<>();
 
-    /** Requests that have been heard and are not admitted yet. */
+    /** Requests whose first line has arrived and that are not admitted yet. */
     private final AtomicInteger unadmittedCount = new AtomicInteger();
 
     private volatile boolean draining;
 
-    /** A client that has asked, with its request. */
+    /** A client whose request has arrived, with that request. */
     private record ReceivedRequest(PendingClient client, OpenRequest line) {}
 
     /**
-     * Makes a client of a connection that has asked, with what it has said behind its first line.
+     * Creates a client from a connection whose request has arrived, with the input that followed
+     * its first line.
      */
     interface ClientFactory {
-        /** The client. */
-        LineClient create(PendingClient asking) throws IOException;
+        /** Creates the client. */
+        LineClient create(PendingClient pendingClient) throws IOException;
     }
 
     LineFrontend(
-            int room,
-            AdmissionControl admit,
-            ClientFactory clients,
-            LineForwarder relay,
-            OutcomeRecorder book,
-            ThreadBudget threads) {
-        acceptor = new ClientAcceptor(room, this);
-        this.admissionControl = admit;
-        this.clientFactory = clients;
-        this.forwarder = relay;
-        this.outcomeRecorder = book;
-        this.threadBudget = threads;
+            int maxPendingClients,
+            AdmissionControl admissionControl,
+            ClientFactory clientFactory,
+            LineForwarder forwarder,
+            OutcomeRecorder outcomeRecorder,
+            ThreadBudget threadBudget) {
+        acceptor = new ClientAcceptor(maxPendingClients, this);
+        this.admissionControl = admissionControl;
+        this.clientFactory = clientFactory;
+        this.forwarder = forwarder;
+        this.outcomeRecorder = outcomeRecorder;
+        this.threadBudget = threadBudget;
     }
 
-    /** Where connections are accepted. */
+    /** Returns the acceptor of this frontend's connections. */
     public ClientAcceptor acceptor() {
         return acceptor;
     }
 
     /**
-     * Starts what takes requests over from the acceptor, which may not wait for the start of
-     * threads.
+     * Starts the thread that takes requests over from the acceptor, which must not wait for other
+     * threads to start.
      */
     public void start() {
         Threads.startLoop("starter", () -> startRequest(receivedRequests.take()));
     }
 
-    /** From now on PING is not answered with PONG: the front shall look elsewhere. */
+    /** Stops answering PING with PONG, so that the caller sends new clients elsewhere. */
     @Override
     public void startDraining() {
         draining = true;
@@ -80,20 +81,18 @@
         acceptor.rejectPendingClients();
     }
 
-    /** How many clients are connected, with a request and without. */
+    /** Returns the number of connected clients, with and without a request. */
     @Override
     public int clientCount() {
         return requestCount() + unadmittedCount.get() + acceptor.pendingClientCount();
     }
 
-    /** How many requests wait or stand. */
+    /** Returns the number of requests that are waiting or established. */
     @Override
     public int requestCount() {
         return admissionControl.requestCount();
     }
 
-    // ---- on the acceptor's thread
-
     @Override
     public boolean firstLineReceived(PendingClient client, byte[] piece) {
         try {
@@ -105,11 +104,12 @@
                 throw new MalformedException(OutcomeRecorder.ONE_LINE_ONLY_ERROR);
             }
             client.send(draining ? "ERR leaving" : "PONG");
-        } catch (MalformedException bad) {
-            // Bad input must cost one line, be seen in the log and never reach a backend.
-            rejectWithWarning(client, "client.malformed", "ERR " + bad.getMessage());
-        } catch (IOException gone) {
-            rejectWithWarning(client, "client.broken", "ERR " + gone.getMessage());
+        } catch (MalformedException e) {
+            // Malformed input must cost only one line, must be logged and must never reach a
+            // backend.
+            rejectWithWarning(client, "client.malformed", "ERR " + e.getMessage());
+        } catch (IOException e) {
+            rejectWithWarning(client, "client.broken", "ERR " + e.getMessage());
         }
         return false;
     }
@@ -127,15 +127,14 @@
 
     @Override
     public void requestReceived(PendingClient client) {
-        receivedRequests.add(
-                new ReceivedRequest(
-                        client, parsedLines.remove())); // lines are parsed in the order of this
+        // Lines are parsed in the order of these calls.
+        receivedRequests.add(new ReceivedRequest(client, parsedLines.remove()));
     }
 
     @Override
     public void firstLineTimedOut(PendingClient client) {
-        // Who has said nothing may ask in this moment: that it was refused is true of what it asks
-        // too.
+        // A client that has sent nothing may be sending a request at this moment. BUSY is then true
+        // of that request, too.
         rejectWithWarning(
                 client,
                 "client.silent",
@@ -147,8 +146,8 @@
         Log.warn("doorway.full", "from", client.remote());
         try {
             client.send(admissionControl.busyLine());
-        } catch (IOException gone) {
-            Log.info("client.broken", "why", gone.getMessage());
+        } catch (IOException e) {
+            Log.info("client.broken", "why", e.getMessage());
         }
     }
 
@@ -162,13 +161,11 @@
         acceptor.answer(client, answer);
     }
 
-    // ---- on the starter's thread
-
     private void startRequest(ReceivedRequest request) throws IOException {
         LineClient client;
         try {
             client = clientFactory.create(request.client());
-        } catch (IOException gone) {
+        } catch (IOException e) {
             request.client().close();
             unadmittedCount.decrementAndGet();
             return;
@@ -181,7 +178,7 @@
         }
     }
 
-    /** There is no thread for this request: it is told to come again. */
+    /** Rejects a request for lack of a thread. */
     private void rejectForThreads(LineClient client) {
         outcomeRecorder.rejectedForThreads();
         outcomeRecorder.sendLine(client, admissionControl.busyLine());
@@ -190,11 +187,9 @@
         unadmittedCount.decrementAndGet();
     }
 
-    // ---- on the client's thread
-
     private void serve(LineClient client, OpenRequest line) throws InterruptedException {
         RequestContext context = null;
-        boolean over = false;
+        boolean completed = false;
         try {
             context = admitOrReject(client, line);
             if (context != null && client.isAnswered()) {
@@ -202,13 +197,13 @@
             } else if (context != null) {
                 forwardFromClient(client, context);
             }
-            over = true;
-        } catch (IOException gone) {
-            Log.info("client.broken", "why", gone.getMessage());
+            completed = true;
+        } catch (IOException e) {
+            Log.info("client.broken", "why", e.getMessage());
             client.close();
-            over = true;
+            completed = true;
         } finally {
-            if (!over) {
+            if (!completed) {
                 failAfterFault(client, context);
             }
             if (context != null) {
@@ -218,9 +213,7 @@
         }
     }
 
-    /**
-     * A fault of ours, as a class that cannot be loaded: its client is owed an answer all the same.
-     */
+    /** Answers the client after a fault of the relay, such as a class that cannot be loaded. */
     private void failAfterFault(LineClient client, RequestContext context) {
         if (context == null) {
             outcomeRecorder.sendLine(client, "ERR failed");
@@ -234,14 +227,14 @@
     private RequestContext admitOrReject(LineClient client, OpenRequest line) throws IOException {
         try {
             return admissionControl.admit(client, line);
-        } catch (MalformedException bad) {
+        } catch (MalformedException e) {
             Log.warn(
                     "client.malformed",
                     "from",
                     client.remoteAddress(),
                     "answer",
-                    "ERR " + bad.getMessage());
-            outcomeRecorder.sendLine(client, "ERR " + bad.getMessage());
+                    "ERR " + e.getMessage());
+            outcomeRecorder.sendLine(client, "ERR " + e.getMessage());
             client.shutdownOutput();
             acceptor.lingerAndClose(client.channel());
             return null;
@@ -250,7 +243,10 @@
         }
     }
 
-    /** Its request has ended, by whatever thread: that one may still be writing the answer. */
+    /**
+     * Lets the client of an ended request close the connection. The thread that ended the request
+     * may still be writing the answer.
+     */
     private void lingerAndClose(LineClient client, RequestContext context)
             throws InterruptedException {
         if (!context.wasEstablished()) {
@@ -261,8 +257,8 @@
     }
 
     /**
-     * Reads the client to its end; the connection must not be closed while the other side may still
-     * send.
+     * Reads from the client until its input ends. The connection must not be closed while the
+     * client may still send.
      */
     private void forwardFromClient(LineClient client, RequestContext context)
             throws InterruptedException {
@@ -271,7 +267,8 @@
             byte[] piece = client.reader().readLine();
             while (piece != null) {
                 if (context.phase() == RequestContext.Phase.WAITING) {
-                    outcomeRecorder.failForEarlyInput(context); // it has not waited for its answer
+                    // The client did not wait for its answer.
+                    outcomeRecorder.failForEarlyInput(context);
                 }
                 if (context.phase() != RequestContext.Phase.ESTABLISHED) {
                     lingerAndClose(client, context);
@@ -280,7 +277,7 @@
                 forwarder.sendToBackend(context.currentAttempt(), piece);
                 piece = client.reader().readLine();
             }
-        } catch (IOException broken) {
+        } catch (IOException e) {
             reset = true;
         }
         if (context.end(RequestContext.Phase.WAITING)) {
--- a/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
+++ b/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
@@ -25,14 +25,17 @@
 import saltstage.wire.BackendMessage;
 
 /**
- * Books what became of requests: the one final answer, the outcome for the module, loads and
- * delays.
+ * Records the results of requests: sends the one final answer, counts results, and reports
+ * outcomes, loads and delays to the load balancer.
  */
 public final class OutcomeRecorder {
-    /** A close with unread input resets the connection and may take the answer with it. */
+    /**
+     * How long a connection stays open after the answer. Closing it with unread input resets it,
+     * and the answer may be lost.
+     */
     static final Duration LINGER = Duration.ofMillis(800);
 
-    /** What a client is told that says more than its first line before it has its answer. */
+    /** Error text for a client that sends more than its first line before it has its answer. */
     static final String ONE_LINE_ONLY_ERROR = "only one line before the answer";
 
     private final Configuration config;
@@ -52,40 +55,40 @@
     OutcomeRecorder(
             Configuration config,
             MonotonicClock clock,
-            BackendRegistry peers,
-            RequestCounters counts) {
-        this.counters = counts;
+            BackendRegistry backends,
+            RequestCounters counters) {
+        this.counters = counters;
         this.config = config;
         this.clock = clock;
-        this.backends = peers;
+        this.backends = backends;
     }
 
-    void setRouter(Router to) {
-        router = to;
+    void setRouter(Router newRouter) {
+        router = newRouter;
     }
 
     void requestReceived() {
         received.incrementAndGet();
     }
 
-    /** A request was refused before it was admitted, as there was no room for it. */
+    /** Counts a request that was rejected before admission for lack of room. */
     void rejectedBeforeAdmission(int serviceClass) {
         received.incrementAndGet();
         rejected.incrementAndGet();
         counters.countResult(serviceClass, RequestCounters.Result.DROPPED);
     }
 
-    /** A request was refused before it was admitted, as there was no thread for it. */
+    /** Counts a request that was rejected before admission for lack of a thread. */
     void rejectedForThreads() {
         rejectedForThreads.incrementAndGet();
     }
 
-    /** A try was written whole. */
+    /** Counts an attempt whose first line was sent completely. */
     public void attemptSent() {
         counters.countAttempt();
     }
 
-    /** The final answer 'refused', with the advice when to come again. */
+    /** Sends the final answer that rejects the request, with the delay before a retry. */
     void reject(RequestContext context, Duration retryAfter) {
         if (context.end(Phase.WAITING)) {
             sendRejection(context, retryAfter);
@@ -98,51 +101,52 @@
         context.client().reject(retryAfter);
     }
 
-    private void sendFailure(RequestContext context, String why) {
+    private void sendFailure(RequestContext context, String reason) {
         failed.incrementAndGet();
         counters.countResult(
                 context.attributes().serviceClass(), RequestCounters.Result.BAD_GATEWAY);
-        context.client().fail(why);
+        context.client().fail(reason);
     }
 
-    private static void cancelAttempt(Attempt out) {
-        if (out != null) {
-            out.cancel();
+    private static void cancelAttempt(Attempt attempt) {
+        if (attempt != null) {
+            attempt.cancel();
         }
     }
 
     /**
-     * The relay leaves: what waits gets its final answer, and the try that is out is given up. What
-     * may have run is refused only where it may simply be repeated; the module hears of no end that
-     * it could act on.
+     * Ends a waiting request because the relay is shutting down, and cancels its current attempt. A
+     * request that may have run is rejected only if it can simply be repeated, and fails otherwise.
+     * The load balancer gets no event that it could act on.
      */
     void endForShutdown(RequestContext context) {
         if (!context.end(Phase.WAITING)) {
             return;
         }
-        Attempt out = context.currentAttempt(); // the last one: who has ended begins none
-        ServiceClass service =
+        // This is the last attempt: an ended request starts no more.
+        Attempt attempt = context.currentAttempt();
+        ServiceClass serviceClass =
                 config.settings().serviceClasses().get(context.attributes().serviceClass());
-        boolean harmless =
-                service.idempotency() == Idempotency.IDEMPOTENT
-                        || service.idempotency() == Idempotency.DEDUPLICATED
-                                && service.deduplicationScope() == DeduplicationScope.ALL;
-        if (out == null || harmless) {
+        boolean repeatable =
+                serviceClass.idempotency() == Idempotency.IDEMPOTENT
+                        || serviceClass.idempotency() == Idempotency.DEDUPLICATED
+                                && serviceClass.deduplicationScope() == DeduplicationScope.ALL;
+        if (attempt == null || repeatable) {
             sendRejection(context, Duration.ZERO);
         } else {
             sendFailure(context, "failed");
         }
-        cancelAttempt(out);
+        cancelAttempt(attempt);
     }
 
-    /** The final answer that promises nothing. */
+    /** Sends the final answer that says nothing about the request's effect. */
     public void fail(RequestContext context) {
         fail(context, "failed");
     }
 
     /**
-     * The client has not waited for its answer: what it asked in that form is nothing a backend may
-     * get.
+     * Fails a request whose client sent more input before its answer. No backend may get a request
+     * in that form.
      */
     void failForEarlyInput(RequestContext context) {
         if (fail(context, ONE_LINE_ONLY_ERROR)) {
@@ -156,137 +160,148 @@
         }
     }
 
-    private boolean fail(RequestContext context, String why) {
+    private boolean fail(RequestContext context, String reason) {
         if (!context.end(Phase.WAITING)) {
             return false;
         }
-        sendFailure(context, why);
+        sendFailure(context, reason);
         cancelAttempt(context.currentAttempt());
         return true;
     }
 
-    /** A line that is not waited for. */
+    /** Sends a line to the client; a failure is only logged. */
     void sendLine(LineClient client, String line) {
         try {
             client.sendLine(line);
-        } catch (IOException gone) {
-            Log.info("client.broken", "why", gone.getMessage());
+        } catch (IOException e) {
+            Log.info("client.broken", "why", e.getMessage());
         }
     }
 
-    /** The client left before its answer: the try is given up, and who makes it books its end. */
+    /**
+     * Records that the client left before its answer. The attempt is cancelled, and the thread that
+     * runs it records its end.
+     */
     public void clientLeft(RequestContext context) {
         clientsLeft.incrementAndGet();
-        Attempt out = context.currentAttempt();
+        Attempt attempt = context.currentAttempt();
         router.clientLeft(context);
-        cancelAttempt(out);
+        cancelAttempt(attempt);
     }
 
     /**
-     * The module sent what could not be sent: the peer has left the list, or nothing is owed any
-     * more.
+     * Reports an attempt that could not be started: the backend has left the list, or the request
+     * has ended.
      */
     void attemptNotSent(RequestContext context) {
         router.attemptEnded(context, Outcome.MOOT, context.phase() == Phase.ENDED);
     }
 
-    /** A try ended before it stood. */
-    public void attemptEnded(Attempt ended, Outcome outcome) {
+    /** Records the end of an attempt that was not established. */
+    public void attemptEnded(Attempt attempt, Outcome outcome) {
         if (!outcome.hasNoEffect()) {
-            ended.context().recordPossibleExecution(ended.sentAt());
+            attempt.context().recordPossibleExecution(attempt.sentAt());
         }
-        boolean over = ended.context().phase() == Phase.ENDED;
-        router.attemptEnded(ended.context(), over ? Outcome.CANCELLED : outcome, over);
+        boolean requestEnded = attempt.context().phase() == Phase.ENDED;
+        router.attemptEnded(
+                attempt.context(), requestEnded ? Outcome.CANCELLED : outcome, requestEnded);
     }
 
-    /** The backend has taken it; false where the client is past it. */
-    public boolean establish(Attempt up, boolean restored) {
-        if (!up.context().establish()) {
+    /**
+     * Records that the backend has accepted the request; returns false if the request has already
+     * ended.
+     */
+    public boolean establish(Attempt attempt, boolean restored) {
+        if (!attempt.context().establish()) {
             return false;
         }
         established.incrementAndGet();
         counters.countResult(
-                up.context().attributes().serviceClass(), RequestCounters.Result.PASSED);
-        establishedAttempts.add(up);
-        up.backend().establishedAttempts().add(up);
+                attempt.context().attributes().serviceClass(), RequestCounters.Result.PASSED);
+        establishedAttempts.add(attempt);
+        attempt.backend().establishedAttempts().add(attempt);
         if (restored) {
-            router.connectionRestored(up);
+            router.connectionRestored(attempt);
         } else {
-            router.connectionEstablished(up);
+            router.connectionEstablished(attempt);
         }
         return true;
     }
 
-    /** All tries that stand; a live view. */
+    /** Returns all established attempts as a live view. */
     public Collection<Attempt> establishedAttempts() {
         return establishedAttempts;
     }
 
-    /** A standing connection is over. */
-    public void connectionEnded(Attempt up, Outcome outcome) {
-        establishedAttempts.remove(up);
-        up.backend().establishedAttempts().remove(up);
+    /** Records the end of an established connection. */
+    public void connectionEnded(Attempt attempt, Outcome outcome) {
+        establishedAttempts.remove(attempt);
+        attempt.backend().establishedAttempts().remove(attempt);
         if (outcome == Outcome.RESET) {
             resets.incrementAndGet();
         }
-        router.attemptEnded(up.context(), outcome, true);
+        router.attemptEnded(attempt.context(), outcome, true);
     }
 
-    /** A line came back on a standing connection. */
-    void lineReceived(Attempt up, BackendMessage answer) {
-        if (answer.kind() == BackendMessage.Kind.LOAD) {
-            loadReported(up, answer.load());
+    /** Records a line that was received on an established connection. */
+    void lineReceived(Attempt attempt, BackendMessage message) {
+        if (message.kind() == BackendMessage.Kind.LOAD) {
+            loadReported(attempt, message.load());
             return;
         }
-        Instant since = up.takeUnansweredSince();
+        Instant since = attempt.takeUnansweredSince();
         if (since != null) {
-            up.backend().recordResponseDelay(Duration.between(since, clock.now()));
+            attempt.backend().recordResponseDelay(Duration.between(since, clock.now()));
         }
     }
 
     /**
-     * A told figure. Backends use the one word LOAD for both notes: taken as a load, a message
-     * delay of 300 ms would make its connection the lightest of all, and the module would never
-     * hear of the jam.
+     * Handles a reported value. Backends use the one word LOAD for both load and message delay. If
+     * a message delay of 300 ms were taken as a load, its connection would appear to be the
+     * lightest of all, and the load balancer would never learn of the overload.
      */
-    private void loadReported(Attempt up, double figure) {
-        if (figure < 0) {
-            Log.warn("load.malformed", "peer", up.backend().entry().uid());
-        } else if (up.backend().isDelayReport(up, figure, clock.now())) {
-            router.delayReported(up, Duration.ofNanos((long) (figure * 1e6)));
+    private void loadReported(Attempt attempt, double value) {
+        if (value < 0) {
+            Log.warn("load.malformed", "peer", attempt.backend().entry().uid());
+        } else if (attempt.backend().isDelayReport(attempt, value, clock.now())) {
+            router.delayReported(attempt, Duration.ofNanos((long) (value * 1e6)));
         } else {
-            up.setLoad(figure);
-            router.loadReported(up, figure);
+            attempt.setLoad(value);
+            router.loadReported(attempt, value);
         }
     }
 
     /**
-     * Once a second: tells the module where messages take long, on one connection each, or no more.
+     * Reports to the load balancer, once a second, which backends are slow to answer messages and
+     * which no longer are. Each report is made on one of the backend's connections.
      */
     void reportDelays() {
         Instant now = clock.now();
-        for (Backend peer : backends.all()) {
-            Duration delay = peer.takeMedianDelay(now);
+        for (Backend backend : backends.all()) {
+            Duration delay = backend.takeMedianDelay(now);
             if (delay == null) {
                 continue;
             }
             boolean slow = delay.compareTo(config.minMessageLatencyTarget().dividedBy(3)) > 0;
-            if (slow | peer.markSlow(slow)) {
-                peer.establishedAttempts().stream()
+            if (slow | backend.markSlow(slow)) {
+                backend.establishedAttempts().stream()
                         .findFirst()
-                        .ifPresent(up -> router.delayReported(up, delay));
+                        .ifPresent(attempt -> router.delayReported(attempt, delay));
             }
         }
     }
 
-    /** Writes the totals to the log; accepted: how many connections have come since the start. */
-    void logTotals(int clients, long accepted, Object... more) {
+    /**
+     * Writes the totals to the log. The accepted count is the number of connections since the
+     * start.
+     */
+    void logTotals(int clientCount, long acceptedCount, Object... extraPairs) {
         Runtime jvm = Runtime.getRuntime();
         Object[] pairs = {
             "clients",
-            clients,
+            clientCount,
             "accepted",
-            accepted,
+            acceptedCount,
             "standing",
             establishedAttempts.size(),
             "taken",
@@ -312,8 +327,8 @@
             "heap_kb",
             (jvm.totalMemory() - jvm.freeMemory()) >> 10
         };
-        Object[] all = Arrays.copyOf(pairs, pairs.length + more.length);
-        System.arraycopy(more, 0, all, pairs.length, more.length);
+        Object[] all = Arrays.copyOf(pairs, pairs.length + extraPairs.length);
+        System.arraycopy(extraPairs, 0, all, pairs.length, extraPairs.length);
         Log.info("totals", all);
     }
 }
--- a/relay/src/main/java/saltstage/stage/ProbeConnection.java
+++ b/relay/src/main/java/saltstage/stage/ProbeConnection.java
@@ -12,7 +12,7 @@
 import saltstage.wire.LineReader;
 
 /**
- * A connection over which one backend is asked for its load, again and again; none of its calls
+ * A connection over which one backend is probed for its load repeatedly; none of its methods
  * blocks.
  */
 final class ProbeConnection {
@@ -28,22 +28,22 @@
     private boolean answeredBefore;
     private long deadlineNanos;
 
-    /** Begins to connect; the question is sent as soon as the connection is up. */
-    ProbeConnection(Backend peer, Selector selector, Duration limit) throws IOException {
-        this.backend = peer;
+    /** Starts connecting; the probe is sent as soon as the connection is up. */
+    ProbeConnection(Backend backend, Selector selector, Duration timeout) throws IOException {
+        this.backend = backend;
         channel = SocketChannel.open();
         try {
             channel.configureBlocking(false);
             channel.socket().setTcpNoDelay(true);
             key = channel.register(selector, SelectionKey.OP_CONNECT, this);
-            deadlineNanos = System.nanoTime() + limit.toNanos();
+            deadlineNanos = System.nanoTime() + timeout.toNanos();
             awaitingAnswer = true;
-            if (channel.connect(peer.entry().endpoint())) {
-                handleConnected(limit);
+            if (channel.connect(backend.entry().endpoint())) {
+                handleConnected(timeout);
             }
-        } catch (IOException | RuntimeException refused) {
+        } catch (IOException | RuntimeException e) {
             channel.close();
-            throw refused;
+            throw e;
         }
     }
 
@@ -51,57 +51,56 @@
         return backend;
     }
 
-    /** Whether an answer is awaited. */
+    /** Returns whether an answer is awaited. */
     boolean isAwaitingAnswer() {
         return awaitingAnswer;
     }
 
     /**
-     * Whether it has brought an answer before: its end then may only mean that it was idle for too
-     * long.
+     * Returns whether this connection has carried an answer before. If so, the backend may have
+     * closed it only because it was idle for too long.
      */
     boolean hasAnsweredBefore() {
         return answeredBefore;
     }
 
-    /** Nanoseconds until the answer that is awaited is overdue. */
+    /** Returns the nanoseconds until the awaited answer is overdue. */
     long remainingNanos() {
         return deadlineNanos - System.nanoTime();
     }
 
-    /** Asks on a connection that is up and awaits nothing. */
-    void sendProbe(Duration limit) throws IOException {
+    /** Sends a probe on a connection that is up and awaits no answer. */
+    void sendProbe(Duration timeout) throws IOException {
         awaitingAnswer = true;
-        deadlineNanos = System.nanoTime() + limit.toNanos();
+        deadlineNanos = System.nanoTime() + timeout.toNanos();
         NonBlockingWrites.writeFully(channel, STATS_LINE);
     }
 
-    private void handleConnected(Duration limit) throws IOException {
+    private void handleConnected(Duration timeout) throws IOException {
         connected = true;
         key.interestOps(SelectionKey.OP_READ);
-        sendProbe(limit);
+        sendProbe(timeout);
     }
 
     /**
-     * Goes on with what has come about; returns the line that answers, or null where it is still
+     * Handles a readiness event of the channel; returns the answer line, or null if it is still
      * awaited.
      *
-     * @throws ConnectionClosedException where the backend has ended the connection without an
-     *     answer
+     * @throws ConnectionClosedException if the backend has closed the connection without an answer
      */
-    byte[] handleReady(Duration limit) throws IOException {
+    byte[] handleReady(Duration timeout) throws IOException {
         if (!connected) {
             if (channel.finishConnect()) {
-                handleConnected(limit);
+                handleConnected(timeout);
             }
             return null;
         }
-        int read = channel.read(received);
-        if (read < 0 && received.position() == 0) {
+        int bytesRead = channel.read(received);
+        if (bytesRead < 0 && received.position() == 0) {
             throw new ConnectionClosedException();
         }
-        boolean whole = read > 0 && received.get(received.position() - 1) == '\n';
-        if (read < 0 || whole || received.position() > LineReader.MAX_LINE_BYTES) {
+        boolean completeLine = bytesRead > 0 && received.get(received.position() - 1) == '\n';
+        if (bytesRead < 0 || completeLine || received.position() > LineReader.MAX_LINE_BYTES) {
             byte[] line = Arrays.copyOf(received.array(), received.position());
             received.clear();
             awaitingAnswer = false;
@@ -117,12 +116,12 @@
     void close() {
         try {
             channel.close();
-        } catch (IOException ended) { // the backend was first
+        } catch (IOException e) { // the backend closed it first
             return;
         }
     }
 
-    /** The backend has ended the connection. */
+    /** Thrown when the backend has closed the connection without an answer. */
     static final class ConnectionClosedException extends IOException {
         private static final long serialVersionUID = 1;
     }
--- a/relay/src/main/java/saltstage/stage/RelayPipeline.java
+++ b/relay/src/main/java/saltstage/stage/RelayPipeline.java
@@ -18,9 +18,15 @@
 import saltstage.session.Timers;
 import saltstage.wire.BackendList;
 
-/** The stages, joined: take in, admit, route, send, relay, book. */
+/**
+ * Connects the stages that a request passes: frontend, admission, routing, attempts, forwarding and
+ * recording of the outcome.
+ */
 public final class RelayPipeline {
-    /** A process that ended resets its connections itself; a machine that vanished does not. */
+    /**
+     * Delay before the clients of a backend that is gone are moved. A process that ended resets its
+     * connections itself, but a machine that vanished does not.
+     */
     private static final Duration BACKEND_GONE_MOVE_DELAY = Duration.ofMillis(300);
 
     private final Timers timers;
@@ -28,81 +34,83 @@
     private final LineForwarder forwarder;
     private final OutcomeRecorder outcomeRecorder;
     private final AdmissionControl admissionControl;
-    private final IntSupplier probedBackends;
+    private final IntSupplier probedBackendCount;
     private volatile int descriptorLimit;
     private final LineFrontend lineFrontend;
     private final List<Frontend> frontends = new CopyOnWriteArrayList<>();
 
-    /** Joins the stages; watch subscribes to discovery. */
+    /** Creates the stages; the {@code watchStarter} argument subscribes to discovery. */
     public RelayPipeline(
             Configuration config,
             MonotonicClock clock,
             Timers timers,
-            BackendRegistry peers,
-            RequestCounters counts,
-            Runnable watch) {
-        this(config, clock, timers, peers, counts, watch, SocketChannel::socket);
+            BackendRegistry backends,
+            RequestCounters counters,
+            Runnable watchStarter) {
+        this(config, clock, timers, backends, counters, watchStarter, SocketChannel::socket);
     }
 
     /**
-     * Joins the stages; clients that have asked are met through these sockets of their channels.
+     * Creates the stages. The function returns the socket through which the relay talks to a client
+     * whose request has arrived.
      */
     public RelayPipeline(
             Configuration config,
             MonotonicClock clock,
             Timers timers,
-            BackendRegistry peers,
-            RequestCounters counts,
-            Runnable watch,
-            Function<SocketChannel, Socket> sockets) {
+            BackendRegistry backends,
+            RequestCounters counters,
+            Runnable watchStarter,
+            Function<SocketChannel, Socket> socketFactory) {
         this.timers = timers;
-        outcomeRecorder = new OutcomeRecorder(config, clock, peers, counts);
+        outcomeRecorder = new OutcomeRecorder(config, clock, backends, counters);
         forwarder = new LineForwarder(clock, timers, outcomeRecorder);
-        ThreadBudget threads = new ThreadBudget(Threads::tryStart);
-        LineAttemptRunner tries =
-                new LineAttemptRunner(config, clock, peers, outcomeRecorder, forwarder, threads);
-        AttemptStarter send = new AttemptStarter(clock, peers, outcomeRecorder);
-        BackendProber probe = new BackendProber(peers);
+        ThreadBudget threadBudget = new ThreadBudget(Threads::tryStart);
+        LineAttemptRunner attemptRunner =
+                new LineAttemptRunner(
+                        config, clock, backends, outcomeRecorder, forwarder, threadBudget);
+        AttemptStarter attemptStarter = new AttemptStarter(clock, backends, outcomeRecorder);
+        BackendProber prober = new BackendProber(backends);
         router =
                 new Router(
                         config,
                         clock,
                         timers,
-                        createRoutingActions(send, probe, watch),
-                        peers::isSuspended);
+                        createRoutingActions(attemptStarter, prober, watchStarter),
+                        backends::isSuspended);
         outcomeRecorder.setRouter(router);
-        probe.setRouter(router);
-        probedBackends =
+        prober.setRouter(router);
+        probedBackendCount =
                 () ->
                         config.settings().probingEnabled()
-                                ? Math.min(peers.all().size(), BackendProber.MAX_CONNECTIONS)
+                                ? Math.min(backends.all().size(), BackendProber.MAX_CONNECTIONS)
                                 : 0;
         descriptorLimit = config.maxSockets();
         admissionControl =
-                new AdmissionControl(config, clock, timers, router, tries, outcomeRecorder);
+                new AdmissionControl(config, clock, timers, router, attemptRunner, outcomeRecorder);
         lineFrontend =
                 new LineFrontend(
                         AdmissionControl.maxPendingClients(config.maxSockets()),
                         admissionControl,
-                        asking ->
+                        pendingClient ->
                                 new LineClient(
-                                        sockets.apply(asking.channel()),
-                                        asking.takeRemaining(),
+                                        socketFactory.apply(pendingClient.channel()),
+                                        pendingClient.takeRemaining(),
                                         timers,
-                                        tries,
+                                        attemptRunner,
                                         forwarder),
                         forwarder,
                         outcomeRecorder,
-                        threads);
+                        threadBudget);
         frontends.add(lineFrontend);
     }
 
     private Router.RoutingActions createRoutingActions(
-            AttemptStarter send, BackendProber probe, Runnable watch) {
+            AttemptStarter attemptStarter, BackendProber prober, Runnable watchStarter) {
         return new Router.RoutingActions() {
             @Override
             public void sendAttempt(RequestContext context, String uid, Duration limit) {
-                send.start(context, uid, limit);
+                attemptStarter.start(context, uid, limit);
             }
 
             @Override
@@ -122,56 +130,56 @@
 
             @Override
             public void probe(String uid) {
-                probe.requestProbe(uid);
+                prober.requestProbe(uid);
             }
 
             @Override
             public void watchBackendList() {
-                watch.run();
+                watchStarter.run();
             }
         };
     }
 
-    /** The first stage. */
+    /** Returns the frontend of the line protocol. */
     public LineFrontend lineFrontend() {
         return lineFrontend;
     }
 
-    /** The owner of the decisions. */
+    /** Returns the router. */
     public Router router() {
         return router;
     }
 
-    /** The stage that admits requests. */
+    /** Returns the stage that admits requests. */
     public AdmissionControl admissionControl() {
         return admissionControl;
     }
 
-    /** The stage that books what became of them. */
+    /** Returns the stage that records the outcomes of requests. */
     public OutcomeRecorder outcomeRecorder() {
         return outcomeRecorder;
     }
 
-    /** Where clients come in: the lines' front and those that were added. */
+    /** Returns the line frontend and the frontends that were added. */
     public List<Frontend> frontends() {
         return frontends;
     }
 
-    /** One more way for clients to come in. */
-    public void addFrontend(Frontend front) {
-        frontends.add(front);
+    /** Adds a frontend. */
+    public void addFrontend(Frontend frontend) {
+        frontends.add(frontend);
     }
 
     /**
-     * Has a standing try's client moved, whatever it speaks; a reason "peer..." is the backend's
-     * fault.
+     * Moves the client of an established attempt, whatever its protocol. A reason that starts with
+     * "peer" blames the backend.
      */
-    public boolean move(Attempt up, String reason) {
-        return up.context().client().move(up, reason);
+    public boolean move(Attempt attempt, String reason) {
+        return attempt.context().client().move(attempt, reason);
     }
 
-    /** Discovery has told something, and these processes have ended by it. */
-    public void backendListReceived(List<Backend> ended, BackendList list) {
+    /** Handles a backend list from discovery, and the backends that it has ended. */
+    public void backendListReceived(List<Backend> endedBackends, BackendList list) {
         Log.info(
                 "discovery.list",
                 "rev",
@@ -182,47 +190,53 @@
                 list.entries().size());
         setDescriptorLimit(descriptorLimit);
         router.backendListReceived(list);
-        for (Backend peer : ended) {
-            // Its clients are moved: the machine may never send a reset.
+        for (Backend backend : endedBackends) {
+            // The clients are moved because the backend's machine may never send a reset.
             timers.schedule(
                     BACKEND_GONE_MOVE_DELAY,
-                    () -> peer.establishedAttempts().forEach(up -> move(up, "peer gone")));
+                    () ->
+                            backend.establishedAttempts()
+                                    .forEach(attempt -> move(attempt, "peer gone")));
         }
     }
 
-    /** So many descriptors are this process's; said again while another one takes part of them. */
-    public void setDescriptorLimit(int most) {
-        descriptorLimit = most;
-        int left = most - probedBackends.getAsInt(); // connections for probes
-        admissionControl.setDescriptorLimit(left);
-        lineFrontend.acceptor().setCapacity(AdmissionControl.maxPendingClients(left));
+    /**
+     * Sets the number of descriptors that this process may use. It is called again while another
+     * process uses a part of them.
+     */
+    public void setDescriptorLimit(int limit) {
+        descriptorLimit = limit;
+        int remaining = limit - probedBackendCount.getAsInt(); // without the connections for probes
+        admissionControl.setDescriptorLimit(remaining);
+        lineFrontend.acceptor().setCapacity(AdmissionControl.maxPendingClients(remaining));
     }
 
-    /** About how many descriptors are in use. */
+    /** Returns the approximate number of descriptors in use. */
     public int descriptorsInUse() {
         return admissionControl.descriptorsInUse()
                 + lineFrontend.acceptor().pendingClientCount()
-                + probedBackends.getAsInt();
+                + probedBackendCount.getAsInt();
     }
 
-    /** Looks for backends that bring nothing back. */
+    /** Moves the clients of backends that no longer respond. */
     public void checkUnresponsiveBackends() {
         forwarder.checkUnresponsiveBackends();
     }
 
-    /** Tells the module which backends are slow; once a second. */
+    /** Tells the load balancer which backends are slow; called once a second. */
     public void reportDelays() {
         outcomeRecorder.reportDelays();
     }
 
-    /** Writes the totals to the log, with these names and values behind them. */
-    public void logTotals(Object... more) {
-        int clients = frontends.stream().mapToInt(Frontend::clientCount).sum();
-        outcomeRecorder.logTotals(clients, lineFrontend.acceptor().acceptedCount(), more);
+    /** Writes the totals to the log, followed by the given names and values. */
+    public void logTotals(Object... extraPairs) {
+        int clientCount = frontends.stream().mapToInt(Frontend::clientCount).sum();
+        outcomeRecorder.logTotals(clientCount, lineFrontend.acceptor().acceptedCount(), extraPairs);
     }
 
     /**
-     * The relay leaves: what still waits is answered, and may mostly come again elsewhere at once.
+     * Answers all waiting requests because the relay is shutting down. Most of them may be sent
+     * again elsewhere at once.
      */
     public void rejectWaiting() {
         router.openRequests().forEach(outcomeRecorder::endForShutdown);
--- a/relay/src/test/java/saltstage/stage/BackendProberTest.java
+++ b/relay/src/test/java/saltstage/stage/BackendProberTest.java
@@ -18,7 +18,8 @@
 import saltstage.wire.BackendList;
 
 /**
- * The thread of probes: the test decides whether the machine has one, and runs what it would do.
+ * Guards against probes that stop for good because their thread could not be started or ended by a
+ * fault. The test decides whether a thread can be started, and runs its work itself.
  */
 @Timeout(30)
 class BackendProberTest {
@@ -32,11 +33,11 @@
 
     private boolean start(String name, Threads.Work work) {
         startAttempts++;
-        boolean left = threadStartResults.remove();
-        if (left) {
+        boolean threadAvailable = threadStartResults.remove();
+        if (threadAvailable) {
             started.add(work);
         }
-        return left;
+        return threadAvailable;
     }
 
     @BeforeEach
@@ -67,18 +68,18 @@
         assertEquals(1, startAttempts);
         prober.requestProbe(UID);
         assertEquals(
-                1, started.size(), "the second ask starts the thread that the first did not get");
+                1, started.size(), "the second request starts the thread that the first did not");
         prober.requestProbe(UID);
-        assertEquals(2, startAttempts, "all probes have one thread");
+        assertEquals(2, startAttempts, "all probes share one thread");
     }
 
     @Test
     void threadIsReplacedOnTheNextRequestAfterAFault() {
         threadStartResults.addAll(List.of(true, true));
-        prober.setRouter(null); // the fault: who is told of the probe's outcome throws
+        prober.setRouter(null); // the fault: reporting the probe's outcome throws
         prober.requestProbe(UID);
         assertThrows(NullPointerException.class, () -> started.get(0).run());
         prober.requestProbe(UID);
-        assertEquals(2, started.size(), "the thread that is gone is replaced");
+        assertEquals(2, started.size(), "the thread that ended by a fault is replaced");
     }
 }
--- a/relay/src/test/java/saltstage/stage/ThreadBudgetTest.java
+++ b/relay/src/test/java/saltstage/stage/ThreadBudgetTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests before a platform that gives so many threads and no more. */
+/**
+ * Guards against requests that use up all threads of a platform with a thread limit, so that none
+ * is left for signals and the relay's own calls.
+ */
 @Timeout(30)
 class ThreadBudgetTest {
     private static final int PLATFORM_THREADS = 100;
@@ -39,7 +42,8 @@
             admitted++;
             for (int i = 0; i < ThreadBudget.THREADS_PER_REQUEST; i++) {
                 assertTrue(
-                        budget.start("request", requestsEnd::await), "what was acquired is there");
+                        budget.start("request", requestsEnd::await),
+                        "an acquired thread can be started");
             }
             int running = admitted * ThreadBudget.THREADS_PER_REQUEST;
             while (budget.runningThreads() < running) {
