--- a/relay/src/main/java/saltstage/session/Attempt.java
+++ b/relay/src/main/java/saltstage/session/Attempt.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import saltstage.wire.BackendConnection;
 
-/** One attempt at one backend; once it stands, what is known of its connection. */
+/** One attempt to send a request to a backend; once established, the state of its connection. */
 public final class Attempt {
     private final RequestContext context;
     private final Backend backend;
@@ -24,22 +24,25 @@
         this.sentAt = sentAt;
     }
 
-    /** The request it is for. */
+    /** Returns the request that this attempt belongs to. */
     public RequestContext context() {
         return context;
     }
 
-    /** The backend it goes to. */
+    /** Returns the backend that the request is sent to. */
     public Backend backend() {
         return backend;
     }
 
-    /** When the module sent it. */
+    /** Returns when the load balancer started the attempt. */
     public Instant sentAt() {
         return sentAt;
     }
 
-    /** Its connection is about to be made: a try that was given up by now is not begun. */
+    /**
+     * Registers the connection that is about to be opened. Throws if the attempt was cancelled
+     * before, so that no connection is begun.
+     */
     public synchronized void connectionStarted(BackendConnection to) throws IOException {
         if (cancelled) {
             throw new IOException("given up");
@@ -47,7 +50,10 @@
         pendingConnection = to;
     }
 
-    /** Its connection is up; closed again at once where the try was given up meanwhile. */
+    /**
+     * Registers the open connection. Closes it at once and throws if the attempt was cancelled
+     * meanwhile.
+     */
     public synchronized void connectionOpened(BackendConnection to) throws IOException {
         connection = to;
         if (cancelled) {
@@ -56,58 +62,72 @@
         }
     }
 
-    /** Its connection, or null before it is up. */
+    /** Returns the open connection, or null before it is open. */
     public synchronized BackendConnection connection() {
         return connection;
     }
 
-    /** Closes its connection, now or as soon as there is one. */
+    /** Cancels the attempt: closes its connection, now or as soon as there is one. */
     public synchronized void cancel() {
         cancelled = true;
         if (connection != null) {
             connection.close();
         } else if (pendingConnection != null) {
-            pendingConnection
-                    .close(); // else it would take a place at the backend, and a descriptor here,
-            // for nobody
+            // Otherwise it would occupy a slot at the backend and a descriptor here to no use.
+            pendingConnection.close();
         }
     }
 
-    /** A line went to the backend. */
+    /** Records that a line was sent to the backend. */
     public void lineSent(Instant now) {
         if (unansweredSince == null) {
             unansweredSince = now;
         }
     }
 
-    /** A line came back: the time since the oldest that was unanswered, else null. */
+    /**
+     * Called when a line was received from the backend: returns when the oldest unanswered line was
+     * sent and clears it; null if no line was unanswered.
+     */
     public Instant takeUnansweredSince() {
         Instant since = unansweredSince;
         unansweredSince = null;
         return since;
     }
 
-    /** When the oldest unanswered line went to the backend, or null. */
+    /**
+     * Returns when the oldest unanswered line was sent to the backend; null if there is none or a
+     * write to the client is in progress.
+     */
     public Instant unansweredSince() {
         return writingToClient ? null : unansweredSince;
     }
 
-    /** Marks that a write to the client is under way: its slowness is not the backend's. */
+    /**
+     * Records whether a write to the client is in progress: the backend is not to blame for a slow
+     * client.
+     */
     public void setWritingToClient(boolean now) {
         writingToClient = now;
     }
 
-    /** The load last told of it; endless before the first. */
+    /**
+     * Returns the load last reported on this connection; {@code Double.MAX_VALUE} before the first
+     * report.
+     */
     public double load() {
         return load;
     }
 
-    /** Its load was told. */
+    /** Records the load reported on this connection. */
     public void setLoad(double told) {
         load = told;
     }
 
-    /** Asks that the client be moved, once; the thread that reads from the backend does it. */
+    /**
+     * Requests that the client be moved; returns false if that was requested before. The thread
+     * that reads from the backend performs the move.
+     */
     public synchronized boolean requestMove(String reason) {
         if (moveReason != null) {
             return false;
@@ -116,17 +136,17 @@
         return true;
     }
 
-    /** Why the client is to be moved, or null. */
+    /** Returns why the client is to be moved, or null if no move was requested. */
     public String moveReason() {
         return moveReason;
     }
 
-    /** The client has ended its side. */
+    /** Records that the client has closed its side of the connection. */
     public void markClientEnded() {
         clientEnded = true;
     }
 
-    /** Whether the client has ended its side. */
+    /** Returns whether the client has closed its side of the connection. */
     public boolean hasClientEnded() {
         return clientEnded;
     }
--- a/relay/src/main/java/saltstage/session/Backend.java
+++ b/relay/src/main/java/saltstage/session/Backend.java
@@ -11,12 +11,13 @@
 import saltstage.wire.BackendList;
 
 /**
- * A backend process as this relay knows it: its place in the list and the tries that stand there.
+ * A backend process as this relay knows it: its entry in the backend list and its established
+ * attempts.
  */
 public final class Backend {
     private static final int MAX_DELAY_SAMPLES = 64;
 
-    /** One late line may be the relay's own fault. */
+    /** A single late line may have been delayed by the relay itself. */
     private static final int MIN_DELAY_SAMPLES = 2;
 
     private final Predicate<String> suspensionCheck;
@@ -33,7 +34,7 @@
         this.suspensionCheck = suspendedOnes;
     }
 
-    /** What discovery last said of it. */
+    /** Returns its latest entry in the backend list. */
     public BackendList.Entry entry() {
         return entry;
     }
@@ -46,36 +47,41 @@
         ended = true;
     }
 
-    /** Whether discovery has told that this process is gone or was started anew. */
+    /** Returns whether discovery has reported that this process is gone or was restarted. */
     public boolean hasEnded() {
         return ended;
     }
 
-    /** Whether it may be sent new work, by all that was told up to now. */
+    /**
+     * Returns whether new requests may be sent to it, according to the current backend list and
+     * suspensions.
+     */
     public boolean canAcceptRequests() {
         return !ended && entry.state() == BackendList.State.READY && !isSuspended();
     }
 
     /**
-     * Whether operators have suspended it: nothing more may be sent there, whatever the list says.
+     * Returns whether operators have suspended it: nothing more may be sent to it, whatever the
+     * backend list says.
      */
     public boolean isSuspended() {
         return suspensionCheck.test(entry.uid());
     }
 
-    /** The tries that stand at it; a live view. */
+    /** Returns the attempts established at this backend, as a live view. */
     public Set<Attempt> establishedAttempts() {
         return establishedAttempts;
     }
 
-    /** A message came back after this time. */
+    /** Records the time after which a message was answered. */
     public synchronized void recordResponseDelay(Duration delay) {
         delaySamples[sampleCount++ % MAX_DELAY_SAMPLES] = delay;
     }
 
     /**
-     * What messages took since the last call, as the middle one; null where none went through.
-     * Unanswered messages count with their age: a backend that answers nothing is not a fast one.
+     * Returns the median message delay since the last call, or null if there are too few samples.
+     * The age of an unanswered message counts as a sample if it is above the median, because a
+     * backend that answers nothing is not a fast one.
      */
     public synchronized Duration takeMedianDelay(Instant now) {
         int held = Math.min(sampleCount, MAX_DELAY_SAMPLES);
@@ -98,13 +104,14 @@
     }
 
     /**
-     * Whether a figure told on this connection is a message delay in milliseconds, and not a load.
+     * Returns whether a value reported on this connection is a message delay in milliseconds rather
+     * than a load.
      */
     public synchronized boolean isDelayReport(Attempt on, double figure, Instant now) {
         return loadReportClassifier.isDelay(on, figure, now);
     }
 
-    /** Remembers whether its messages are slow now; returns whether they were. */
+    /** Records whether messages are slow now; returns whether they were slow before. */
     public synchronized boolean markSlow(boolean now) {
         boolean was = slow;
         slow = now;
--- a/relay/src/main/java/saltstage/session/BackendRegistry.java
+++ b/relay/src/main/java/saltstage/session/BackendRegistry.java
@@ -10,49 +10,49 @@
 import java.util.function.Predicate;
 import saltstage.wire.BackendList;
 
-/** The list of backends as this relay has it. */
+/** The backend list as this relay currently has it. */
 public final class BackendRegistry {
     private final Map<String, Backend> backends = new ConcurrentHashMap<>();
     private final Predicate<String> suspensionCheck;
     private volatile long revision;
 
-    /** No backend is suspended. */
+    /** Creates an empty registry in which no backend is suspended. */
     public BackendRegistry() {
         this(uid -> false);
     }
 
-    /** A list of which operators may have suspended some. */
+    /** Creates an empty registry in which operators may have suspended some backends. */
     public BackendRegistry(Predicate<String> suspended) {
         this.suspensionCheck = suspended;
     }
 
-    /** Whether operators have suspended this backend, listed or not. */
+    /** Returns whether operators have suspended this backend, listed or not. */
     public boolean isSuspended(String uid) {
         return suspensionCheck.test(uid);
     }
 
-    /** The version of the list held. */
+    /** Returns the revision of the current list. */
     public long revision() {
         return revision;
     }
 
-    /** The backend of this name, or null. */
+    /** Returns the backend with this uid, or null. */
     public Backend find(String uid) {
         return backends.get(uid);
     }
 
-    /** All that are listed. */
+    /** Returns all listed backends. */
     public Collection<Backend> all() {
         return backends.values();
     }
 
-    /** The whole list as it is now. */
+    /** Returns the full list as it is now. */
     public synchronized BackendList toBackendList() {
         return new BackendList(
                 revision, true, backends.values().stream().map(Backend::entry).toList());
     }
 
-    /** Takes a list or a change of it; returns the processes that have ended by it. */
+    /** Applies a full list or a delta; returns the backend processes that have ended by it. */
     public synchronized List<Backend> update(BackendList list) {
         revision = list.revision();
         List<Backend> ended = new ArrayList<>();
--- a/relay/src/main/java/saltstage/session/ClientConnection.java
+++ b/relay/src/main/java/saltstage/session/ClientConnection.java
@@ -4,23 +4,32 @@
 import java.time.Instant;
 
 /**
- * The client's side of one request, whatever protocol it speaks: how it is answered, how a try is
- * made for it, how it is moved. The stages decide and book; what is spoken lies behind this. None
- * of it blocks.
+ * The client's side of one request, independent of the protocol: how the request is answered, how
+ * an attempt is made for it and how the client is moved. The stages decide and record; the
+ * implementations speak the protocol. No method blocks.
  */
 public interface ClientConnection {
-    /** Final answer: refused, trying again is harmless; zero gives no advice when. */
+    /**
+     * Sends the final answer that the request is rejected and that a retry is harmless; zero gives
+     * no advice when to retry.
+     */
     void reject(Duration retryAfter);
 
-    /** Final answer: failed. */
+    /** Sends the final answer that the request has failed. */
     void fail(String why);
 
-    /** Makes a try, which has this long; its end, or that it stands, is booked by who makes it. */
+    /**
+     * Starts an attempt that may take until this time. The implementation records when the attempt
+     * is established or ends.
+     */
     void startAttempt(Attempt begun, Instant until);
 
-    /** Moves the client of a standing try; false where that is under way or too late. */
+    /**
+     * Moves the client of an established attempt; returns false if a move is in progress or it is
+     * too late.
+     */
     boolean move(Attempt up, String reason);
 
-    /** Who it is, for the log. */
+    /** Returns the remote address, for the log. */
     String remoteAddress();
 }
--- a/relay/src/main/java/saltstage/session/LoadReportClassifier.java
+++ b/relay/src/main/java/saltstage/session/LoadReportClassifier.java
@@ -4,35 +4,36 @@
 import java.time.Instant;
 
 /**
- * Tells a backend's two kinds of figures apart; both come as LOAD. A load is in microseconds of
- * work a second and comes whenever it changes. A message delay is in milliseconds and comes on one
- * connection, each second while it is long and once more after: always at the same part of the
- * second, with whole seconds between.
+ * Distinguishes the two kinds of values that a backend reports in LOAD lines. A load is in
+ * microseconds of work per second and is reported whenever it changes. A message delay is in
+ * milliseconds and is reported on one connection every second while it is long, and once more
+ * afterwards: always at the same offset within the second, whole seconds apart.
  */
 final class LoadReportClassifier {
-    /**
-     * From here on a figure is a load: no queue that clients still wait in is five seconds long.
-     */
+    /** Values from here on are loads: no queue in which clients still wait is five seconds long. */
     private static final double MAX_DELAY_MILLIS = 5_000;
 
-    private static final double MIN_LOAD_MICROS_PER_SECOND =
-            500; // of 1,000,000 a core; the least loads seen: 714, 789, 944
+    /** A core provides 1,000,000; the smallest loads observed are 714, 789 and 944. */
+    private static final double MIN_LOAD_MICROS_PER_SECOND = 500;
 
     /**
-     * A small load may come too: but not on a connection that asked for so many times more before.
+     * A small value may be a load as well, but not on a connection whose last load was more than
+     * this many times larger.
      */
     private static final double MAX_LOAD_DROP_FACTOR = 20;
 
     private static final long REPORT_INTERVAL_MILLIS = 1_000;
-    private static final long INTERVAL_TOLERANCE_MILLIS =
-            20; // tellings were seen within 10 ms of their part of the second
+
+    /** Reports were observed within 10 ms of their offset within the second. */
+    private static final long INTERVAL_TOLERANCE_MILLIS = 20;
+
     private static final Duration MAX_REPORT_AGE = Duration.ofMinutes(1);
 
     private Instant lastDelayAt;
     private Instant lastAmbiguousAt;
     private Attempt lastAmbiguousAttempt;
 
-    /** Whether this figure, told on this connection, is a delay. */
+    /** Returns whether this value, reported on this connection, is a message delay. */
     boolean isDelay(Attempt on, double figure, Instant now) {
         boolean delay =
                 figure < MAX_DELAY_MILLIS
--- a/relay/src/main/java/saltstage/session/RequestAttributes.java
+++ b/relay/src/main/java/saltstage/session/RequestAttributes.java
@@ -1,10 +1,11 @@
 package saltstage.session;
 
 /**
- * What a request asks for, in no protocol's words: its name (unique among the open ones), the
- * places of its class and tenant in the settings, the flow's key, the group and the guess at its
- * load where given (null and negative where not), and whether its client was moved or broken off
- * before.
+ * The attributes of a request, independent of the protocol.
+ *
+ * <p>The id is unique among the open requests. The service class and the tenant are indexes into
+ * the settings. The key identifies the flow; group is null and the load hint is negative if not
+ * given. Reconnecting means that the client was moved or disconnected before.
  */
 public record RequestAttributes(
         String clientRequestId,
--- a/relay/src/main/java/saltstage/session/RequestContext.java
+++ b/relay/src/main/java/saltstage/session/RequestContext.java
@@ -2,10 +2,11 @@
 
 import java.time.Instant;
 
-/** A client's request, then the connection it became; it gets exactly one final answer. */
+/** A client's request and, once established, its connection; it gets exactly one final answer. */
 public final class RequestContext {
     /**
-     * WAITING for its final answer, STANDING at a backend, ENDED: answered, left, moved or over.
+     * WAITING for the final answer; ESTABLISHED at a backend; ENDED when answered, abandoned by the
+     * client, moved or closed.
      */
     public enum Phase {
         WAITING,
@@ -22,7 +23,7 @@
     private Attempt currentAttempt;
     private Instant possibleExecutionSince;
 
-    /** A request that was just taken. */
+    /** Creates the context of a request that was just accepted. */
     public RequestContext(
             long id, RequestAttributes terms, Instant deadline, ClientConnection client) {
         this.id = id;
@@ -31,37 +32,37 @@
         this.client = client;
     }
 
-    /** The relay's own number for it. */
+    /** Returns the relay's own number for this request. */
     public long id() {
         return id;
     }
 
-    /** What it asks for. */
+    /** Returns the attributes of the request. */
     public RequestAttributes attributes() {
         return attributes;
     }
 
-    /** When the client gives up. */
+    /** Returns when the client gives up. */
     public Instant deadline() {
         return deadline;
     }
 
-    /** The client's side. */
+    /** Returns the client's side. */
     public ClientConnection client() {
         return client;
     }
 
-    /** How far it has come. */
+    /** Returns the current phase. */
     public synchronized Phase phase() {
         return phase;
     }
 
-    /** The try that is out or stands, or null. */
+    /** Returns the attempt that is in progress or established, or null. */
     public synchronized Attempt currentAttempt() {
         return currentAttempt;
     }
 
-    /** Begins the next try, or returns null where no answer is owed any more. */
+    /** Begins the next attempt; returns null if the request no longer waits for an answer. */
     public synchronized Attempt beginAttempt(Backend peer, Instant sentAt) {
         if (phase != Phase.WAITING) {
             return null;
@@ -70,17 +71,17 @@
         return currentAttempt;
     }
 
-    /** A try that was sent then may have had its effect. */
+    /** Records that an attempt sent at this time may have been executed. */
     public synchronized void recordPossibleExecution(Instant sentAt) {
         possibleExecutionSince = possibleExecutionSince == null ? sentAt : possibleExecutionSince;
     }
 
-    /** When the first try that may have had its effect was sent, or null. */
+    /** Returns when the first attempt that may have been executed was sent, or null. */
     public synchronized Instant possibleExecutionSince() {
         return possibleExecutionSince;
     }
 
-    /** The first UP wins: from here on the connection stands. */
+    /** Marks the request as established. Only the first UP returns true. */
     public synchronized boolean establish() {
         if (phase != Phase.WAITING) {
             return false;
@@ -90,12 +91,15 @@
         return true;
     }
 
-    /** Whether it ever stood at a backend: its client then has its UP. */
+    /** Returns whether it was ever established at a backend: the client has then received UP. */
     public synchronized boolean wasEstablished() {
         return wasEstablished;
     }
 
-    /** Ends it; true for the one caller that may say how. */
+    /**
+     * Ends the request if it is in this phase; returns true for the one caller that may decide how
+     * it ends.
+     */
     public synchronized boolean end(Phase from) {
         if (phase != from) {
             return false;
@@ -105,7 +109,7 @@
         return true;
     }
 
-    /** Waits until it has ended. */
+    /** Waits until the request has ended. */
     public synchronized void awaitEnd() throws InterruptedException {
         while (phase != Phase.ENDED) {
             wait();
--- a/relay/src/main/java/saltstage/session/Timers.java
+++ b/relay/src/main/java/saltstage/session/Timers.java
@@ -5,7 +5,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** What is due later, run in order of time on one thread of its own; what runs must not block. */
+/** Tasks to be run later, in order of time on one dedicated thread. A task must not block. */
 public final class Timers {
     private record ScheduledTask(Instant dueAt, long sequence, Runnable task) {}
 
@@ -16,18 +16,18 @@
                             .thenComparingLong(ScheduledTask::sequence));
     private long nextSequence;
 
-    /** Timers on this clock; {@link #awaitNext} feeds the thread that runs them. */
+    /** Creates timers on this clock; {@link #awaitNext} supplies the thread that runs the tasks. */
     public Timers(MonotonicClock clock) {
         this.clock = clock;
     }
 
-    /** Runs the task once, that much later. */
+    /** Schedules the task to run once after this delay. */
     public synchronized void schedule(Duration delay, Runnable task) {
         queue.add(new ScheduledTask(clock.now().plus(delay), nextSequence++, task));
         notifyAll();
     }
 
-    /** Waits for the next task that is due. */
+    /** Waits until a task is due and returns it. */
     public synchronized Runnable awaitNext() throws InterruptedException {
         while (true) {
             ScheduledTask due = queue.peek();
--- a/relay/src/test/java/saltstage/PackagesTest.java
+++ b/relay/src/test/java/saltstage/PackagesTest.java
@@ -12,7 +12,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Dependencies between packages go one way; a new one has to be named here. */
+/**
+ * Guards against dependency cycles between packages: a package may import only those that are
+ * listed for it here.
+ */
 class PackagesTest {
     private static final Path ROOT = Path.of("src/main/java/saltstage");
     private static final Pattern IMPORT =
@@ -44,7 +47,7 @@
                                 ? ""
                                 : ROOT.relativize(file).getName(0).toString();
                 if (own.equals("lifecycle")) {
-                    continue; // on top: it may import all, and nothing may import it
+                    continue; // the top layer: it may import every package, and none may import it
                 }
                 Matcher imports = IMPORT.matcher(Files.readString(file));
                 while (imports.find()) {
@@ -57,6 +60,6 @@
                 }
             }
         }
-        assertTrue(seen[0] > 50, "imports seen: " + seen[0]);
+        assertTrue(seen[0] > 50, "imports found: " + seen[0]);
     }
 }
--- a/relay/src/test/java/saltstage/session/BackendRegistryTest.java
+++ b/relay/src/test/java/saltstage/session/BackendRegistryTest.java
@@ -16,7 +16,8 @@
 import saltstage.wire.BackendList.State;
 
 /**
- * Guards what a try looks at when it is really sent: may this very process still be given new work?
+ * Guards against sending a new request to a backend process that is draining, gone or restarted: an
+ * attempt checks its backend immediately before it sends.
  */
 public class BackendRegistryTest {
     private final BackendRegistry backends = new BackendRegistry();
@@ -71,7 +72,7 @@
     public void requestEndsOnlyOnce() {
         RequestContext context = new RequestContext(1, null, Instant.EPOCH, null);
         assertTrue(context.end(Phase.WAITING));
-        assertFalse("a second answer", context.end(Phase.WAITING));
-        assertNull("a try after the answer", context.beginAttempt(null, Instant.EPOCH));
+        assertFalse("a request got a second answer", context.end(Phase.WAITING));
+        assertNull("an attempt began after the answer", context.beginAttempt(null, Instant.EPOCH));
     }
 }
--- a/relay/src/test/java/saltstage/session/LoadReportClassifierTest.java
+++ b/relay/src/test/java/saltstage/session/LoadReportClassifierTest.java
@@ -7,7 +7,8 @@
 import org.junit.Test;
 
 /**
- * Guards against jams that the module never hears of: both kinds of figures come in the same word.
+ * Guards against message delays that are mistaken for loads, so that the load balancer never learns
+ * of an overload: both kinds of values are reported in the same LOAD line.
  */
 public class LoadReportClassifierTest {
     private static final Instant START = Instant.ofEpochSecond(1_000);
@@ -35,19 +36,19 @@
     public void loadsAreNotDelays() {
         assertFalse(isDelayAt(0, heavy, 2_267));
         assertFalse(isDelayAt(300, heavy, 996_787));
-        assertFalse("a light connection grew lighter", isDelayAt(500, light, 714));
-        assertFalse("a heavy one grew light", isDelayAt(900, heavy, 789));
+        assertFalse("the load of a lightly loaded connection decreased", isDelayAt(500, light, 714));
+        assertFalse("the load of a heavily loaded connection became small", isDelayAt(900, heavy, 789));
         assertTrue(isDelayAt(1_000, heavy, 58));
-        assertFalse("near a delay's part of the second", isDelayAt(1_970, light, 1_761));
+        assertFalse("near the offset of delay reports", isDelayAt(1_970, light, 1_761));
         assertFalse(
-                "too long for a delay, at its part of the second", isDelayAt(2_000, heavy, 9_055));
+                "too large for a delay, at the offset of delay reports", isDelayAt(2_000, heavy, 9_055));
     }
 
     @Test
     public void longDelayIsRecognizedByItsReportIntervalEvenAfterAPause() {
         assertTrue(isDelayAt(0, heavy, 14.2));
         assertTrue("two seconds later", isDelayAt(2_002, heavy, 1_965));
-        assertFalse("a small load between two tellings", isDelayAt(2_500, light, 2_897));
+        assertFalse("a small load between two reports", isDelayAt(2_500, light, 2_897));
         assertTrue(isDelayAt(3_001, light, 1_402));
     }
 
