--- a/relay/src/test/java/saltstage/process/AcceptBurstTest.java
+++ b/relay/src/test/java/saltstage/process/AcceptBurstTest.java
@@ -14,13 +14,16 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 
-/** All clients that were open before a start come at once, and threads start slowly. */
+/**
+ * Guards against connections that are lost in a burst: after a start all clients that were
+ * connected before return at once, while threads start slowly.
+ */
 public class AcceptBurstTest {
     private static final int CLIENTS = 1_500;
     private static final int THREAD_START_MICROS = 2_000;
     private static final int MAX_DESCRIPTORS = 1_200;
 
-    /** A SYN that a full queue has dropped is sent again after a second. */
+    /** The kernel sends a SYN that a full listen queue has dropped again after a second. */
     private static final int CONNECTED_WITHIN_MS = 1_000;
 
     private static final int UP_WITHIN_MS = 40_000;
@@ -45,7 +48,7 @@
                     .getBytes(StandardCharsets.US_ASCII);
         }
 
-        /** The first word of its answer, or how the connection ended. */
+        /** Returns the first word of the answer, or how the connection ended. */
         String read(SocketChannel channel) {
             try {
                 return channel.read(received) < 0
@@ -87,7 +90,7 @@
             while (connected < CLIENTS && System.nanoTime() < connectedBy) {
                 serve(selector);
             }
-            assertEquals("connected without a SYN sent again", CLIENTS, connected);
+            assertEquals("connected without a retransmitted SYN", CLIENTS, connected);
             long answeredBy = start + TimeUnit.MILLISECONDS.toNanos(UP_WITHIN_MS);
             while (answered < CLIENTS && System.nanoTime() < answeredBy) {
                 serve(selector);
@@ -95,7 +98,7 @@
             System.out.println("answers to a burst: " + answers);
             assertEquals("answered: " + answers, CLIENTS, answered);
             assertEquals(
-                    "each is served or told to come again",
+                    "each request is established or rejected",
                     CLIENTS,
                     answers.getOrDefault("UP", 0) + answers.getOrDefault("BUSY", 0));
             assertTrue(answers.containsKey("UP"));
--- a/relay/src/test/java/saltstage/process/ClockStepTest.java
+++ b/relay/src/test/java/saltstage/process/ClockStepTest.java
@@ -11,16 +11,20 @@
 import saltstage.process.RelayTestEnvironment.TestServer;
 
 /**
- * The wall clock is stepped while a relay runs: its deadlines and its end are spans of real time.
+ * Guards against deadlines and drain times that follow the wall clock: the clock is stepped while a
+ * relay runs, and both must still be spans of real time.
  */
 public class ClockStepTest {
     private static final int STEP_AFTER_MS = 1_500;
     private static final int DEADLINE_MS = 1_500;
 
-    /** Up to half a second after its time a request earns nothing; later it is lost. */
+    /**
+     * A request answered up to half a second after its deadline earns nothing; later it counts as
+     * lost.
+     */
     private static final int LOST_AFTER_MS = DEADLINE_MS + 500;
 
-    /** The relay's own clock may run out this much sooner than the client's. */
+    /** The relay's own timer may expire this much before the client's deadline. */
     private static final int EARLY_TOLERANCE_MS = 200;
 
     private static final int END_WITHIN_MS = 3_700;
@@ -60,14 +64,12 @@
             RelayTestEnvironment.await(
                     "the new configuration is read", () -> world.hasLogged("reload.done"));
             Duration off = Duration.between(Instant.now(), timeOf(world, "reload.done"));
-            assertEquals("the step was seen", seconds, off.toSeconds(), 10);
+            assertEquals("the relay observes the clock step", seconds, off.toSeconds(), 10);
 
             long asked = System.nanoTime();
             TestConnection waiting = world.sendOpen("waiting", DEADLINE_MS);
-            assertTrue(
-                    backend.accept()
-                            .readLine()
-                            .startsWith("OPEN waiting")); // and hears nothing back
+            // The backend accepts the connection and never answers.
+            assertTrue(backend.accept().readLine().startsWith("OPEN waiting"));
             waiting.socket.setSoTimeout(LOST_AFTER_MS);
             assertTrue(waiting.readLine().startsWith("BUSY"));
             long answeredMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
@@ -77,7 +79,7 @@
             ProcessSupervisor.signal(world.process().pid(), "TERM");
             assertEquals("MOVE", standing.readLine());
             assertTrue(
-                    "it ends before SIGKILL would come",
+                    "the relay ends before SIGKILL would come",
                     world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, world.process().exitValue());
         }
--- a/relay/src/test/java/saltstage/process/DiscoveryTest.java
+++ b/relay/src/test/java/saltstage/process/DiscoveryTest.java
@@ -14,7 +14,10 @@
 import saltstage.process.RelayTestEnvironment.TestConnection;
 import saltstage.process.RelayTestEnvironment.TestServer;
 
-/** The running program and discovery: one watch, and an old list that still serves. */
+/**
+ * Guards the running program against outages of discovery: it keeps one watch, resumes it after
+ * failures, and serves from the cached list meanwhile.
+ */
 public class DiscoveryTest {
     private RelayTestEnvironment environment;
     private TestServer backend;
@@ -38,14 +41,14 @@
         TestConnection watch =
                 environment.answerWatch("", RelayTestEnvironment.backendList(5, false));
         assertTrue(environment.hasLogged("watch=1&after=4 "));
-        RelayTestEnvironment.await("the change is taken", () -> environment.hasLogged("rev=5"));
+        RelayTestEnvironment.await("the change is applied", () -> environment.hasLogged("rev=5"));
         watch.close();
         TestConnection refused = environment.discovery.accept();
         assertTrue(refused.readLine().contains("after=5 "));
         refused.sendLine("HTTP/1.1 503 Service Unavailable").sendLine("").close();
         environment.answerWatch("{\"rev\":9,\"all\":tr");
         environment.answerWatch(RelayTestEnvironment.backendList(6, true, readyEntry));
-        RelayTestEnvironment.await("the list is taken", () -> environment.hasLogged("rev=6"));
+        RelayTestEnvironment.await("the list is applied", () -> environment.hasLogged("rev=6"));
         environment.establish(backend, environment.sendOpen("a1", 20_000));
     }
 
@@ -74,12 +77,13 @@
                         false,
                         RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "draining"),
                         RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "ready")));
-        RelayTestEnvironment.await("the change is taken", () -> environment.hasLogged("rev=2"));
+        RelayTestEnvironment.await("the change is applied", () -> environment.hasLogged("rev=2"));
         Duration took = Duration.ofNanos(System.nanoTime() - begun);
         assertTrue(
-                "told counts from 6 s on, took " + took, took.compareTo(Duration.ofSeconds(5)) < 0);
+                "a change counts from 6 s on, took " + took,
+                took.compareTo(Duration.ofSeconds(5)) < 0);
         environment.establish(second, environment.sendOpen("a1", 20_000));
-        while (hangs.readLine() != null) { // the rest of its call; then it is given up
+        while (hangs.readLine() != null) { // the rest of the call, until the relay closes it
             continue;
         }
     }
@@ -111,16 +115,14 @@
                                                         && line.contains("rev=2")));
         environment.establish(second, environment.sendOpen("a1", 20_000));
         watch.take().close();
+        // The watch is renewed at once, without a call by the load balancer.
         environment.answerWatch(
                 RelayTestEnvironment.backendList(
                         3,
                         false,
                         RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "gone"),
-                        RelayTestEnvironment.backendEntry(
-                                "s-1",
-                                backend.endpoint(),
-                                "ready"))); // asked again at once, and not by the module
-        RelayTestEnvironment.await("the change is taken", () -> environment.hasLogged("rev=3"));
+                        RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready")));
+        RelayTestEnvironment.await("the change is applied", () -> environment.hasLogged("rev=3"));
         environment.establish(backend, environment.sendOpen("a2", 20_000));
     }
 
@@ -172,14 +174,15 @@
         environment.startWith(
                 environment.config(64, RelayTestEnvironment.backendList(1, true, ready)));
         for (int i = 0; i < 300; i++) {
-            environment.connectClient(); // and says nothing
+            environment.connectClient(); // sends nothing
         }
         RelayTestEnvironment.await(
-                "who came first has to go", () -> environment.hasLogged("doorway.full"));
+                "the oldest pending clients are rejected",
+                () -> environment.hasLogged("doorway.full"));
         TestConnection served = environment.sendOpen("d1", 20_000);
         environment.establish(backend, served);
         down.set(false);
-        environment.discovery.accept().close(); // the last that goes in vain, or the one after it
+        environment.discovery.accept().close(); // the last call that fails, or the next one
         environment.answerWatch(
                 RelayTestEnvironment.backendList(
                         2,
@@ -187,7 +190,7 @@
                         RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "draining"),
                         RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "ready")));
         RelayTestEnvironment.await(
-                "the list's return is heard", () -> environment.hasLogged("discovery.list rev=2"));
+                "the list is received again", () -> environment.hasLogged("discovery.list rev=2"));
         environment.establish(second, environment.sendOpen("d2", 20_000));
         assertFalse(environment.hasLogged("thread.fault"));
         environment.process().toHandle().destroy();
@@ -219,7 +222,7 @@
                                         "s-1", backend.endpoint(), "draining"),
                                 RelayTestEnvironment.backendEntry(
                                         "s-2", second.endpoint(), "ready")));
-        RelayTestEnvironment.await("the change is taken", () -> environment.hasLogged("rev=2"));
+        RelayTestEnvironment.await("the change is applied", () -> environment.hasLogged("rev=2"));
         environment.establish(second, environment.sendOpen("a2", 20_000));
         RelayTestEnvironment.sendChunk(
                 watch,
@@ -238,11 +241,11 @@
         TestConnection standing = environment.sendOpen("a1", 20_000);
         TestConnection side = environment.establish(backend, standing);
         TestConnection old = environment.answerWatch(RelayTestEnvironment.backendList(5, false));
-        RelayTestEnvironment.await("the change is taken", () -> environment.hasLogged("rev=5"));
+        RelayTestEnvironment.await("the change is applied", () -> environment.hasLogged("rev=5"));
         TestServer moved = environment.startBackend();
         environment.reload("{\"name\":\"half a fi");
         RelayTestEnvironment.await(
-                "the bad file is refused", () -> environment.hasLogged("reload.refused"));
+                "the malformed file is rejected", () -> environment.hasLogged("reload.refused"));
         environment.reload(
                 environment.config(4096, moved, RelayTestEnvironment.backendList(1, true)));
         environment.answerWatch(
@@ -252,8 +255,8 @@
                         false,
                         RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "draining")));
         assertTrue(environment.hasLogged("watch=1&after=5 "));
-        RelayTestEnvironment.await("the change is taken", () -> environment.hasLogged("rev=6"));
-        assertNull("the old watch is given up", old.readLine());
+        RelayTestEnvironment.await("the change is applied", () -> environment.hasLogged("rev=6"));
+        assertNull("the old watch is closed", old.readLine());
         side.sendLine("M 1 still here");
         assertEquals("M 1 still here", standing.readLine());
     }
@@ -272,7 +275,8 @@
         assertEquals("MOVE", standing.readLine());
         standing.close();
         RelayTestEnvironment.await(
-                "the reload was no end of its own", () -> environment.hasLogged("reload.done"));
+                "the reload is completed during the drain",
+                () -> environment.hasLogged("reload.done"));
         assertTrue(environment.waitForExit());
         assertEquals(0, environment.process().exitValue());
     }
--- a/relay/src/test/java/saltstage/process/FakeBackendFleet.java
+++ b/relay/src/test/java/saltstage/process/FakeBackendFleet.java
@@ -13,8 +13,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Any number of backends in one thread: the list names each by an id of its own and all at one
- * address. Requests stand at once, probes are told a light load, and lines come back as they are.
+ * Simulates any number of backends in one thread. The backend list gives each its own uid, and all
+ * share one address. Every request is established at once, probes report a light load, and lines
+ * are echoed.
  */
 final class FakeBackendFleet implements AutoCloseable {
     final AtomicInteger probeCount = new AtomicInteger();
@@ -24,7 +25,7 @@
     private final ServerSocketChannel listener = ServerSocketChannel.open();
     private final Selector selector = Selector.open();
 
-    /** One backend's side of a connection. */
+    /** The backend side of a connection. */
     private static final class Connection {
         private final StringBuilder unread = new StringBuilder();
         private boolean probed;
@@ -35,7 +36,7 @@
         listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 4096);
         listener.configureBlocking(false);
         listener.register(selector, SelectionKey.OP_ACCEPT);
-        Thread loop = new Thread(this::serve, "stand-in fleet");
+        Thread loop = new Thread(this::serve, "fake backend fleet");
         loop.setDaemon(true);
         loop.start();
     }
@@ -44,7 +45,7 @@
         return "s-" + backend;
     }
 
-    /** The whole list. */
+    /** Returns the full backend list as JSON. */
     String list(int rev) throws IOException {
         String endpoint = "127.0.0.1:" + ((InetSocketAddress) listener.getLocalAddress()).getPort();
         return RelayTestEnvironment.backendList(
--- a/relay/src/test/java/saltstage/process/FaultSoakTest.java
+++ b/relay/src/test/java/saltstage/process/FaultSoakTest.java
@@ -14,9 +14,10 @@
 import saltstage.process.RelayTestEnvironment.TestConnection;
 
 /**
- * A relay whose calls to the network fail for a moment now and then, by seed: clients come and go, some say
- * nothing, a new configuration comes, and the relay is told to end. More seeds by hand:
- * {@code mvn -pl relay test -Dtest=FaultSoakTest -Dsoak.first=1 -Dsoak.seeds=50}.
+ * Guards against requests that are lost to transient failures of network calls, which a seed chooses.
+ * Meanwhile clients come and go, some send nothing, the configuration is reloaded and the relay is
+ * terminated. To run more seeds: {@code mvn -pl relay test -Dtest=FaultSoakTest -Dsoak.first=1
+ * -Dsoak.seeds=50}.
  */
 public class FaultSoakTest {
     private static final int FIRST_SEED = Integer.getInteger("soak.first", 1);
@@ -25,7 +26,7 @@
     private static final int CLIENTS = 150;
     private static final int IDLE_CLIENTS = 40;
     private static final int DEADLINE_MS = 2_000;
-    /** Up to half a second after its time a request earns nothing; later it is lost. */
+    /** A request answered up to half a second after its deadline earns nothing; later it counts as lost. */
     private static final int LOST_AFTER_MS = DEADLINE_MS + 500;
     private static final int END_WITHIN_MS = 3_700;
 
@@ -39,7 +40,7 @@
                 broken.add(seed + ": " + outcome);
             }
         }
-        assertEquals("seeds with a broken rule", List.of(), broken);
+        assertEquals("seeds that broke a rule", List.of(), broken);
     }
 
     private static String runSeed(int seed) throws Exception {
--- a/relay/src/test/java/saltstage/process/IdleClientsTest.java
+++ b/relay/src/test/java/saltstage/process/IdleClientsTest.java
@@ -13,21 +13,22 @@
 import saltstage.process.RelayTestEnvironment.TestConnection;
 import saltstage.process.RelayTestEnvironment.TestServer;
 
-/** Clients that say nothing, as many as come, before a relay that may have few threads. */
+/**
+ * Guards against idle clients that exhaust the threads of a relay: clients that connect and send
+ * nothing, again and again, must not prevent the relay from handling signals and requests.
+ */
 public class IdleClientsTest {
     private static final int MAX_THREADS = 96;
     private static final int IDLE_CLIENTS = 300;
     private static final int MAX_DESCRIPTORS = 1_024;
 
-    /** After SIGHUP a change counts as told so much later. */
+    /** The time after SIGHUP by which the relay has to use a changed configuration. */
     private static final int RELOAD_WITHIN_MS = 4_000;
 
-    /**
-     * SIGKILL comes so long after SIGTERM at the earliest: 3 s as the longest deadline, and 0.7 s.
-     */
+    /** The earliest time of SIGKILL after SIGTERM: 3 s for the longest deadline, plus 0.7 s. */
     private static final int END_WITHIN_MS = 3_700;
 
-    /** Comes again whenever it is hung up on. */
+    /** Clients that send nothing and connect again whenever they are disconnected. */
     private static final class IdleClients implements AutoCloseable {
         private final List<Thread> threads = new ArrayList<>();
         private volatile boolean stopped;
@@ -90,7 +91,7 @@
                 world.establish(backend, client);
                 ProcessSupervisor.signal(world.process().pid(), "TERM");
                 assertTrue(
-                        "it ends before SIGKILL would come",
+                        "the relay ends before SIGKILL would come",
                         world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
                 assertEquals(0, world.process().exitValue());
                 assertEquals("MOVE", client.readLine());
--- a/relay/src/test/java/saltstage/process/ManyBackendsTest.java
+++ b/relay/src/test/java/saltstage/process/ManyBackendsTest.java
@@ -10,20 +10,23 @@
 import saltstage.process.RelayTestEnvironment.TestConnection;
 
 /**
- * A relay before far more backends than it has threads or descriptors, under the limits of the
- * platform.
+ * Guards against probes of a large fleet that use up the threads and descriptors which connections
+ * need: the relay has far more backends than the platform allows threads or descriptors.
  */
 public class ManyBackendsTest {
-    /** Sixteen times the largest usual fleet. */
+    /** Sixteen times the size of the largest usual fleet. */
     private static final int BACKENDS = 1_440;
 
     private static final int RESTORED_CONNECTIONS = 100;
     private static final int MAX_THREADS = 512;
 
-    /** What a scored day allows beyond the standing connections, and those. */
+    /**
+     * The descriptors that the platform allows in addition to the established connections, and two
+     * for each of these.
+     */
     private static final int MAX_DESCRIPTORS = 1_024 + 2 * RESTORED_CONNECTIONS;
 
-    /** Who was open before the run is lost if it is not up by then. */
+    /** A connection that was open before the start is lost if it is not restored by then. */
     private static final int UP_WITHIN_MS = 40_000;
 
     private static final int PROBE_START_DELAY_MS = 1_000;
@@ -68,7 +71,7 @@
                     "backends with connections are probed", () -> fleet.probeCount.get() > 0);
             int probed = fleet.probeConnectionCount.get();
             assertTrue("connections for probes: " + probed, probed <= Api.MAX_PROBED_BACKENDS);
-            assertTrue("discovery is asked", world.discovery.accept(UP_WITHIN_MS) != null);
+            assertTrue("the relay calls discovery", world.discovery.accept(UP_WITHIN_MS) != null);
         }
     }
 }
--- a/relay/src/test/java/saltstage/process/PlatformLimits.java
+++ b/relay/src/test/java/saltstage/process/PlatformLimits.java
@@ -10,13 +10,16 @@
 import java.util.Map;
 
 /**
- * Limits of a platform for a relay under test: a shim that is loaded into it, and a descriptor
- * limit.
+ * Simulates the limits of a platform for a relay under test by a preloaded shim library and a
+ * descriptor limit.
  */
 final class PlatformLimits {
     private static final Path SOURCE = Path.of("src/test/c/platform_limits.c");
 
-    /** What a JVM opens beyond the one jar of the service: the class path of the tests has many. */
+    /**
+     * Descriptors that the test JVM opens in addition to the single jar of the service: the class
+     * path of the tests has many entries.
+     */
     private static final int CLASS_PATH_DESCRIPTORS = 64;
 
     private static Path library;
@@ -24,33 +27,33 @@
     private final Map<String, String> limits = new HashMap<>();
     private int maxDescriptors;
 
-    /** The process may have at most so many threads. */
+    /** Limits the number of threads of the process. */
     PlatformLimits maxThreads(int most) {
         limits.put("LIMIT_THREADS", Integer.toString(most));
         return this;
     }
 
-    /** Starting a thread takes this much longer. */
+    /** Delays the start of each thread by this time. */
     PlatformLimits threadStartDelayMicros(int micros) {
         limits.put("DELAY_THREAD_US", Integer.toString(micros));
         return this;
     }
 
-    /** A thread that has ended counts for this much longer. */
+    /** Keeps a thread that has ended in the thread count for this time. */
     PlatformLimits threadEndDelayMicros(int micros) {
         limits.put("DELAY_END_US", Integer.toString(micros));
         return this;
     }
 
-    /** The queue of a listening socket holds at most so many connections. */
+    /** Limits the number of connections in the queue of a listening socket. */
     PlatformLimits maxBacklog(int most) {
         limits.put("LIMIT_BACKLOG", Integer.toString(most));
         return this;
     }
 
     /**
-     * So many of a thousand calls to the network fail for a moment or are short, drawn from this
-     * seed.
+     * Makes this many of a thousand network calls fail transiently or transfer only part of the
+     * data, chosen from this seed.
      */
     PlatformLimits networkFaults(long seed, int perMille) {
         limits.put("FAULT_SEED", Long.toString(seed));
@@ -58,20 +61,20 @@
         return this;
     }
 
-    /** The wall clock is stepped by so many seconds, so long after the start. */
+    /** Steps the wall clock by this many seconds, this long after the start. */
     PlatformLimits clockStep(int seconds, int afterMillis) {
         limits.put("CLOCK_STEP_S", Integer.toString(seconds));
         limits.put("CLOCK_STEP_AFTER_MS", Integer.toString(afterMillis));
         return this;
     }
 
-    /** The process may hold at most so many descriptors, its class path aside. */
+    /** Limits the number of descriptors of the process, not counting its class path. */
     PlatformLimits maxDescriptors(int most) {
         maxDescriptors = most;
         return this;
     }
 
-    /** Puts these limits on a process that is to be started. */
+    /** Applies these limits to a process that is not started yet. */
     void applyTo(ProcessBuilder process) throws IOException, InterruptedException {
         process.environment().putAll(limits);
         process.environment().put("LD_PRELOAD", library().toString());
@@ -101,7 +104,7 @@
                                     "-ldl")
                             .inheritIO()
                             .start();
-            assertEquals("the shim compiles", 0, compiler.waitFor());
+            assertEquals("exit code of the shim's compiler", 0, compiler.waitFor());
             library = built;
         }
         return library;
--- a/relay/src/test/java/saltstage/process/PlatformLimitsTest.java
+++ b/relay/src/test/java/saltstage/process/PlatformLimitsTest.java
@@ -10,7 +10,10 @@
 import org.junit.Test;
 import saltstage.process.RelayTestEnvironment.TestConnection;
 
-/** Limits of the platform, reached one by one: what was taken is kept, and signals are heard. */
+/**
+ * Guards against a relay that fails at a limit of its platform: when threads or descriptors run
+ * out, established connections stay, further requests are rejected, and signals are still handled.
+ */
 public class PlatformLimitsTest {
     private static final int CLIENTS = 80;
     private static final int IDLE_CLIENTS = 200;
@@ -41,7 +44,7 @@
             }
             int busy = openRequests(world, standing);
             assertTrue("the limit was reached", busy > 0);
-            assertTrue("standing: " + standing.size(), standing.size() > 10);
+            assertTrue("established: " + standing.size(), standing.size() > 10);
             world.reload(config);
             IdleClientsTest.awaitWithin(
                     RELOAD_WITHIN_MS,
@@ -52,7 +55,7 @@
                 assertEquals("MOVE", client.readLine());
             }
             assertTrue(
-                    "it ends before SIGKILL would come",
+                    "the relay ends before SIGKILL would come",
                     world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
             assertEquals(0, world.process().exitValue());
         } finally {
--- a/relay/src/test/java/saltstage/process/ProcessSupervisor.java
+++ b/relay/src/test/java/saltstage/process/ProcessSupervisor.java
@@ -13,9 +13,9 @@
 import java.util.stream.Stream;
 
 /**
- * The platform's part in replacing a process: holds the clients' listening socket and starts relays
- * that inherit it as descriptor 0. Java cannot hand descriptors on; the Perl that is on every
- * Debian can.
+ * Takes the platform's role when a process is replaced: holds the listening socket for clients and
+ * starts relays that inherit it as descriptor 0. Java cannot pass descriptors on, so this uses the
+ * Perl that every Debian installation has.
  */
 final class ProcessSupervisor implements AutoCloseable {
     private static final String SUPERVISOR_SCRIPT =
@@ -31,7 +31,7 @@
                             + " or die;",
                     "exec('/bin/sh', '-c', $line); } print \"started $p\\n\" }");
 
-    /** A thread's state in /proc while its process is stopped. */
+    /** The state of a thread in /proc while its process is stopped. */
     private static final char STOPPED_STATE = 'T';
 
     final Map<Long, Integer> exitCodes = new ConcurrentHashMap<>();
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Starts a relay with this configuration and operators' port; its log goes to the file. */
+    /** Starts a relay with this configuration and operator port; its log is written to the file. */
     long start(Path config, int admin, Path log) throws Exception {
         List<String> words =
                 RelayTestEnvironment.programBuilder(List.of("serve", "--config", config.toString()))
@@ -96,7 +96,7 @@
     }
 
     /**
-     * Stops a process; on the return none of its threads runs any more, so none accepts a
+     * Stops a process with SIGSTOP. On return none of its threads runs, so none accepts a
      * connection.
      */
     static void stop(long pid) throws Exception {
@@ -113,7 +113,8 @@
     }
 
     /**
-     * The state of a thread, which stands behind the name in brackets; unknown once it has ended.
+     * Returns the state of a thread, which follows the name in parentheses; {@code '?'} once the
+     * thread has ended.
      */
     private static char threadState(Path thread) {
         try {
--- a/relay/src/test/java/saltstage/process/RaceConditionTest.java
+++ b/relay/src/test/java/saltstage/process/RaceConditionTest.java
@@ -50,7 +50,10 @@
 import saltstage.wire.Json;
 import saltstage.wire.LineConnection;
 
-/** Two events that cross: the stages on real connections, each halted where the other must come. */
+/**
+ * Guards against races between two concurrent events. The stages of the pipeline run on real
+ * connections, and each test halts one event at the point where the other has to occur.
+ */
 @Timeout(60)
 class RaceConditionTest {
     private final MonotonicClock clock = new MonotonicClock();
@@ -63,14 +66,14 @@
     private boolean accepting;
     private final Map<Integer, HaltingSocket> sockets = new ConcurrentHashMap<>();
 
-    /** What happens at a named point of the relay's own socket to a client. */
+    /** An action that runs at a named step of the relay's own socket to a client. */
     private interface HaltHook {
         void onStep(String step) throws IOException;
     }
 
     /**
-     * A client's socket as the relay holds it once it has asked; each write, half-close and close
-     * halts.
+     * A client's socket as the relay holds it after the client has sent its request; each write,
+     * half-close and close runs a hook first.
      */
     private static final class HaltingSocket extends Socket {
         private volatile HaltHook hook = step -> {};
@@ -156,6 +159,7 @@
 
     private void startPipeline(String effect, String... endpoints) throws Exception {
         backends = new BackendRegistry(suspended::contains);
+        // The connect timeout is raised so that connecting may take long.
         Configuration config =
                 Configuration.parse(
                         RelayTestEnvironment.config(
@@ -164,7 +168,7 @@
                                         4096,
                                         RelayTestEnvironment.backendList(1, true))
                                 .replace("retryable", effect)
-                                .replace(":200000", ":20000000")); // connections may take as long
+                                .replace(":200000", ":20000000"));
         pipeline =
                 new RelayPipeline(
                         config,
@@ -189,7 +193,7 @@
         }
     }
 
-    /** Discovery tells a change. */
+    /** Delivers a change of the backend list to the pipeline as discovery does. */
     private void backendListReceived(int rev, String target) throws Exception {
         BackendList told =
                 BackendList.parse(
@@ -215,7 +219,10 @@
         return client;
     }
 
-    /** A client that does this before the relay has accepted it, where none was accepted yet. */
+    /**
+     * Connects a client and runs this action before the relay accepts it, provided that no client
+     * was accepted yet.
+     */
     private Client connectClient(BeforeAccept early) throws IOException {
         Socket socket =
                 new Socket(
@@ -228,7 +235,7 @@
 
     private static void awaitEvent(BooleanSupplier condition) throws IOException {
         try {
-            RelayTestEnvironment.await("the other event came", condition);
+            RelayTestEnvironment.await("the other event occurs", condition);
         } catch (InterruptedException e) {
             throw new IOException(e);
         }
@@ -289,7 +296,7 @@
         assertNull(client.connection().readLine());
     }
 
-    /** Whether the thread that reads a backend waits for more of a line. */
+    /** Returns whether the thread that reads from a backend waits for the rest of a line. */
     private static boolean isWaitingForRestOfLine() {
         return Thread.getAllStackTraces().values().stream()
                 .anyMatch(
@@ -307,7 +314,8 @@
         side.sendRaw("M 1 whole\r\nM 2 ha");
         assertEquals("M 1 whole", client.connection().readLine());
         RelayTestEnvironment.await(
-                "the rest is waited for", RaceConditionTest::isWaitingForRestOfLine);
+                "the relay waits for the rest of the line",
+                RaceConditionTest::isWaitingForRestOfLine);
         pipeline.move(
                 pipeline.outcomeRecorder().establishedAttempts().iterator().next(), "balance");
         side.sendLine("lf");
@@ -315,11 +323,12 @@
         assertEquals("MOVE", client.connection().readLine());
     }
 
-    /** A backend whose connections do not come up before the test lets them. */
+    /** A backend whose connections are not established before the test allows it. */
     private static final class SlowAcceptBackend implements AutoCloseable {
         final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        private final List<Socket> fillers =
-                new ArrayList<>(); // two may wait, then nobody is answered
+
+        /** Two connections fill the listen queue; the next connection then gets no response. */
+        private final List<Socket> fillers = new ArrayList<>();
 
         SlowAcceptBackend() throws IOException {
             listener.setSoTimeout(RelayTestEnvironment.AWAIT_TIMEOUT_MS);
@@ -332,7 +341,7 @@
             return "127.0.0.1:" + listener.getLocalPort();
         }
 
-        /** The relay's connection, which comes up now. */
+        /** Returns the relay's connection, which is established now. */
         TestConnection acceptConnection() throws IOException {
             for (Socket ignored : fillers) {
                 listener.accept().close();
@@ -392,7 +401,7 @@
             startPipeline("retryable", late.endpoint());
             Client client = connectClient();
             client.connection().sendLine("OPEN h1 k c=chat,t=acme,d=20000");
-            RelayTestEnvironment.await("it is dialled", RaceConditionTest::isConnecting);
+            RelayTestEnvironment.await("the relay is connecting", RaceConditionTest::isConnecting);
             backendListReceived(
                     9, RelayTestEnvironment.backendEntry("s-1", late.endpoint(), "draining"));
             assertNull(late.acceptConnection().readLine());
@@ -405,7 +414,7 @@
             startPipeline("retryable", late.endpoint());
             Client client = connectClient();
             client.connection().sendLine("OPEN h2 k c=chat,t=acme,d=20000");
-            RelayTestEnvironment.await("it is dialled", RaceConditionTest::isConnecting);
+            RelayTestEnvironment.await("the relay is connecting", RaceConditionTest::isConnecting);
             suspended.add("s-1");
             assertNull(late.acceptConnection().readLine());
         }
@@ -423,9 +432,11 @@
                     9, RelayTestEnvironment.backendEntry("s-2", late.endpoint(), "ready"));
             long since = System.nanoTime();
             first.sendLine("ERR");
-            RelayTestEnvironment.await("the repeat is dialled", RaceConditionTest::isConnecting);
             RelayTestEnvironment.await(
-                    "its window is over", () -> System.nanoTime() - since > 100_000_000);
+                    "the repeated attempt is connecting", RaceConditionTest::isConnecting);
+            RelayTestEnvironment.await(
+                    "its deduplication window has passed",
+                    () -> System.nanoTime() - since > 100_000_000);
             assertNull(late.acceptConnection().readLine());
             assertEquals("BUSY 1500", client.connection().readLine());
         }
@@ -461,7 +472,7 @@
             connectClient(line -> line.sendLine(ask).close());
         }
         Client last = connectClient();
-        establish(last, "c1"); // the first that the backend hears of
+        establish(last, "c1"); // the first request that reaches the backend
     }
 
     @Test
@@ -488,10 +499,8 @@
                 refused++;
                 assertEquals("BUSY", answer);
                 assertNull(client.connection().readLine());
-                establish(
-                        connectClient(),
-                        "d" + i,
-                        sent); // its id is free, and the backend heard of nobody before
+                // The id is free again, and no request has reached the backend before.
+                establish(connectClient(), "d" + i, sent);
             } else {
                 assertEquals(
                         "OPEN d" + i,
@@ -500,7 +509,7 @@
                 assertEquals("UP r1", heard.take());
             }
         }
-        System.out.println("turned away " + refused + " of 100");
+        System.out.println("rejected " + refused + " of 100");
     }
 
     @Test
@@ -509,15 +518,15 @@
             Client client = connectClient();
             client.connection().sendRaw("OPEN ");
             RelayTestEnvironment.await(
-                    "it is there", () -> pipeline.lineFrontend().clientCount() > 0);
-            Thread.sleep(2 * i); // half of its line is read, or not
+                    "the client is accepted", () -> pipeline.lineFrontend().clientCount() > 0);
+            Thread.sleep(2 * i); // the first part of its line may be read or not
             pipeline.lineFrontend().rejectPendingClients();
             client.connection().sendLine("e1 k c=chat,t=acme,d=9000");
             assertEquals("BUSY", client.connection().readLine());
             assertNull(client.connection().readLine());
             client.connection().close();
             RelayTestEnvironment.await(
-                    "it is hung up on", () -> pipeline.lineFrontend().clientCount() == 0);
+                    "the client is disconnected", () -> pipeline.lineFrontend().clientCount() == 0);
         }
         establish(connectClient(), "e2");
     }
@@ -568,15 +577,15 @@
                 new String[] {"retryable", "fragile", "dedup", "dedup\",\"Group\":\"zone"}) {
             startPipeline(effect, backend.endpoint());
             Client client = connectClient();
-            client.connection()
-                    .sendLine("OPEN g1 k c=chat,t=acme,d=50000"); // longer than the test waits
+            // The deadline is longer than the test runs.
+            client.connection().sendLine("OPEN g1 k c=chat,t=acme,d=50000");
             TestConnection side = backend.accept();
             assertTrue(side.readLine().startsWith("OPEN g1"));
             pipeline.rejectWaiting();
             boolean harmless = effect.equals("retryable") || effect.equals("dedup");
             assertEquals(harmless ? "BUSY" : "ERR failed", client.connection().readLine());
             assertNull(client.connection().readLine());
-            assertNull(side.readLine(), "its backend may not take it any more");
+            assertNull(side.readLine(), "the backend must not accept the request any more");
         }
     }
 }
--- a/relay/src/test/java/saltstage/process/RelayTestEnvironment.java
+++ b/relay/src/test/java/saltstage/process/RelayTestEnvironment.java
@@ -25,13 +25,13 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The real program as a process, and the clients, backends and discovery that it meets, on free
- * ports.
+ * Runs the real program as a process, with the clients, backends and discovery server that it
+ * communicates with, on free ports.
  */
 final class RelayTestEnvironment implements AutoCloseable {
     /**
-     * How long a condition is waited for: far more than it takes, so that a slow machine fails
-     * nothing.
+     * The time to wait for a condition: far longer than it takes, so that a slow machine does not
+     * fail a test.
      */
     static final int AWAIT_TIMEOUT_MS = 30_000;
 
@@ -41,7 +41,7 @@
     final int adminPort = freePort();
     final Map<String, String> environmentVariables = new HashMap<>();
 
-    /** Limits of the platform that the relay runs under, or null. */
+    /** Limits of the platform that the relay runs under, or null for none. */
     PlatformLimits platformLimits;
 
     private int clientPort = freePort();
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Something that listens; each accepted connection is a Line. */
+    /** A listening server whose accepted connections are read line by line. */
     static final class TestServer implements AutoCloseable {
         private final ServerSocket listener =
                 new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
@@ -75,7 +75,7 @@
             return new TestConnection(listener.accept());
         }
 
-        /** Whoever comes within this time, or null. */
+        /** Returns the next connection accepted within this time, or null. */
         TestConnection accept(int millis) throws IOException {
             listener.setSoTimeout(millis);
             try {
@@ -97,7 +97,7 @@
         }
     }
 
-    /** One connection, line by line. */
+    /** A connection that is read and written line by line. */
     static final class TestConnection implements AutoCloseable {
         final Socket socket;
         private final BufferedReader in;
@@ -120,7 +120,7 @@
             return sendRaw(line + "\r\n");
         }
 
-        /** The next line, or null at the end of input. */
+        /** Returns the next line, or null at the end of the input. */
         String readLine() throws IOException {
             return in.readLine();
         }
@@ -131,7 +131,7 @@
         }
     }
 
-    /** A list entry. */
+    /** Returns an entry of a backend list as JSON. */
     static String backendEntry(String uid, String endpoint, String state) {
         return withDoubleQuotes(
                 "{'uid':'"
@@ -144,7 +144,7 @@
                         + "','capacity_hint':1.0,'boot_ms':0}");
     }
 
-    /** A list or a change of it. */
+    /** Returns a full backend list or a delta as JSON. */
     static String backendList(int rev, boolean all, String... targets) {
         return "{\"rev\":"
                 + rev
@@ -185,16 +185,17 @@
                         + "'Effect':'retryable'}]}}");
     }
 
-    /** Starts the relay with this known list and waits until it is ready. */
+    /** Starts the relay with this initial backend list and waits until it is ready. */
     RelayTestEnvironment start(String known) throws Exception {
         return startWith(config(4096, known));
     }
 
+    /** Starts the relay with this configuration and waits until it is ready. */
     RelayTestEnvironment startWith(String config) throws Exception {
         return startWith(config, null);
     }
 
-    /** Starts the relay with this configuration and the operator's settings, if there are any. */
+    /** Starts the relay with this configuration and the operator's settings, which may be null. */
     RelayTestEnvironment startWith(String config, Path settings) throws Exception {
         if (configFile == null) {
             configFile = Files.createTempFile("saltstage", ".json");
@@ -226,7 +227,7 @@
         return this;
     }
 
-    /** Gives it the JVM flags that the relay has in service. */
+    /** Adds the JVM flags that the deployed relay runs with. */
     private static void addProductionFlags(ProcessBuilder relay) throws IOException {
         String deployed = Files.readString(Path.of("..", "deploy", "balancer.toml"));
         String flags = deployed.replaceAll("(?s).*run = \"exec java (.*?) -jar .*", "$1");
@@ -238,7 +239,7 @@
                                 .toList());
     }
 
-    /** Kills the relay outright; what it had logged is forgotten. */
+    /** Kills the relay and clears the log lines collected from it. */
     void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
         logLines.clear();
@@ -248,13 +249,13 @@
         return configFile;
     }
 
-    /** Replaces the configuration and tells the relay so. */
+    /** Replaces the configuration file and signals the relay to reload it. */
     void reload(String config) throws Exception {
         Files.writeString(configFile, config);
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
     }
 
-    /** The program with these arguments, standard error merged into its output. */
+    /** Starts the program with these arguments, with standard error merged into its output. */
     static Process launch(String... arguments) throws IOException {
         return programBuilder(List.of(arguments))
                 .redirectErrorStream(true)
@@ -262,7 +263,7 @@
                 .start();
     }
 
-    /** The program with these arguments, to be started. */
+    /** Returns a builder of the program with these arguments, not yet started. */
     static ProcessBuilder programBuilder(List<String> arguments) {
         List<String> command =
                 new ArrayList<>(
@@ -287,7 +288,8 @@
     }
 
     /**
-     * Waits for a line that the relay has written: it is read from its output by another thread.
+     * Waits until the relay has logged this text. Another thread reads the output, so the line may
+     * appear later than its effects.
      */
     void awaitLogged(String part) throws InterruptedException {
         await("the log says " + part, () -> hasLogged(part));
@@ -300,14 +302,17 @@
         }
     }
 
-    /** A connection of an operator's to this port. */
+    /** Opens an operator connection to this port. */
     TestConnection connectOperator(int at) throws IOException {
         TestConnection line = new TestConnection(new Socket("127.0.0.1", at));
         closeables.add(line);
         return line;
     }
 
-    /** Deletes a folder and what is in it; a relay that is still ending may leave a file. */
+    /**
+     * Deletes a directory and its contents; a relay that is still shutting down may leave a file
+     * behind.
+     */
     static void deleteRecursively(Path folder) throws IOException {
         try (java.util.stream.Stream<Path> files = Files.walk(folder)) {
             files.sorted(java.util.Comparator.reverseOrder())
@@ -315,7 +320,7 @@
         }
     }
 
-    /** What an operator's call is answered, all lines. */
+    /** Makes an operator call and returns all lines of the answer. */
     String operatorCall(int at, String call) throws IOException {
         try (TestConnection line = connectOperator(at).sendLine(call)) {
             StringBuilder all = new StringBuilder();
@@ -330,17 +335,17 @@
         return operatorCall(adminPort, call);
     }
 
-    /** Where clients come. */
+    /** Returns the port that clients connect to. */
     int clientPort() {
         return clientPort;
     }
 
-    /** Clients come to this port from now on. */
+    /** Sets the port that clients connect to from now on. */
     void setClientPort(int where) {
         clientPort = where;
     }
 
-    /** A new client connection. */
+    /** Opens a new client connection. */
     TestConnection connectClient() throws IOException {
         Socket socket = new Socket();
         socket.connect(new InetSocketAddress("127.0.0.1", clientPort), AWAIT_TIMEOUT_MS);
@@ -349,7 +354,7 @@
         return line;
     }
 
-    /** A client that has asked for a connection. */
+    /** Opens a client connection and sends an OPEN request on it. */
     TestConnection sendOpen(String id, int patienceMs) throws IOException {
         return connectClient()
                 .sendLine(
@@ -360,7 +365,10 @@
                                 + ",g=5c0f6e1a");
     }
 
-    /** Takes the relay's next connection at a backend up to UP, and passes UP to the client. */
+    /**
+     * Accepts the relay's next connection at a backend, answers UP and checks that the client
+     * receives it.
+     */
     TestConnection establish(TestServer backend, TestConnection client) throws IOException {
         TestConnection side = backend.accept();
         closeables.add(side);
@@ -370,7 +378,7 @@
         return side;
     }
 
-    /** A backend that will be closed with the world. */
+    /** Starts a backend that is closed together with this environment. */
     TestServer startBackend() throws IOException {
         TestServer service = new TestServer();
         closeables.add(service);
@@ -378,7 +386,8 @@
     }
 
     /**
-     * Takes a watch of the relay's and answers it with its head and these objects, one chunk each.
+     * Accepts a watch from the relay and answers it with a response head and these objects, one per
+     * chunk.
      */
     TestConnection answerWatch(String... objects) throws IOException {
         return answerWatch(discovery, objects);
@@ -411,7 +420,7 @@
         return process.waitFor(AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Does something on a thread of its own; what it returns can be awaited. */
+    /** Runs the work on a thread of its own; the returned queue receives its result. */
     static <T> BlockingQueue<T> runInBackground(java.util.concurrent.Callable<T> work) {
         BlockingQueue<T> result = new LinkedBlockingQueue<>();
         Thread thread =
--- a/relay/src/test/java/saltstage/process/RestoreBurstTest.java
+++ b/relay/src/test/java/saltstage/process/RestoreBurstTest.java
@@ -7,11 +7,14 @@
 import org.junit.Test;
 import saltstage.process.RelayTestEnvironment.TestConnection;
 
-/** Open connections that come back at once, on a platform whose threads just suffice for them. */
+/**
+ * Guards against restored connections that find no thread: open connections are restored all at
+ * once on a platform whose thread limit is just sufficient for them.
+ */
 public class RestoreBurstTest {
     private static final int RESTORED_CONNECTIONS = 90;
 
-    /** Two for each, the JVM's and the relay's own, and the reserve. */
+    /** Two threads for each connection, those of the JVM and the relay itself, and the reserve. */
     private static final int MAX_THREADS = 2 * RESTORED_CONNECTIONS + 70;
 
     private static final int THREAD_END_MICROS = 30_000;
--- a/relay/src/test/java/saltstage/process/ServeTest.java
+++ b/relay/src/test/java/saltstage/process/ServeTest.java
@@ -16,7 +16,10 @@
 import saltstage.process.RelayTestEnvironment.TestConnection;
 import saltstage.process.RelayTestEnvironment.TestServer;
 
-/** The running program between clients and backends. */
+/**
+ * Tests the running program between clients and backends: how requests are answered, forwarded,
+ * rejected, moved and restored.
+ */
 public class ServeTest {
     private RelayTestEnvironment environment;
     private TestServer backend;
@@ -132,7 +135,7 @@
         assertEquals("BUSY 1500", client.readLine());
         assertNull(client.readLine());
         assertThrows(
-                "the backend is hung up on",
+                "the connection to the backend is closed",
                 IOException.class,
                 () -> {
                     while (true) {
@@ -146,7 +149,7 @@
         TestConnection client = environment.sendOpen("a3", 2_500);
         TestConnection side = backend.accept();
         side.readLine();
-        assertNull("the try is closed", side.readLine());
+        assertNull("the attempt is closed", side.readLine());
         assertTrue(client.readLine().startsWith("BUSY"));
     }
 
@@ -191,7 +194,7 @@
                             }
                             return true;
                         });
-        assertNull("the flood meets its reader's limit", flooded.poll(300, TimeUnit.MILLISECONDS));
+        assertNull("the slow reader blocks the flood", flooded.poll(300, TimeUnit.MILLISECONDS));
         other.sendLine("M 1 hello");
         assertEquals("M 1 hello", side.readLine());
         side.sendLine("M 1 hello");
@@ -205,7 +208,7 @@
         TestConnection client = environment.sendOpen("a9", 20_000);
         TestConnection side = environment.establish(backend, client);
         side.sendRaw("M 1 half a");
-        environment.process().toHandle().destroy(); // Process.destroy would close the log too
+        environment.process().toHandle().destroy(); // Process.destroy would also close the log
         RelayTestEnvironment.await("the drain begins", () -> environment.hasLogged("drain.start"));
         side.sendRaw(" line\r\n");
         TestConnection late = environment.sendOpen("b1", 20_000);
@@ -229,13 +232,13 @@
         environment.process().toHandle().destroy();
         assertEquals("MOVE", client.readLine());
         assertNull(client.readLine());
-        assertNull("the backend is let go", side.readLine());
+        assertNull("the connection to the backend is closed", side.readLine());
     }
 
     @Test
     public void requestsAfterTheFinalRejectionAreAnsweredToo() throws Exception {
         TestConnection waits = environment.sendOpen("a9", 20_000);
-        backend.accept().readLine(); // and never answers
+        backend.accept().readLine(); // the backend never answers
         environment.process().toHandle().destroy();
         assertEquals("BUSY", waits.readLine());
         for (int i = 0; i < 5; i++) {
@@ -275,7 +278,9 @@
                         .findFirst()
                         .get();
         long late = Long.parseLong(start.replaceAll(".*late_ms=(\\d+).*", "$1"));
-        assertTrue("0.8 s at least, less " + late, passed + late >= 800);
+        assertTrue(
+                "the move comes at least 0.8 s after the signal, less the lateness of " + late,
+                passed + late >= 800);
     }
 
     @Test
@@ -288,7 +293,7 @@
         Thread.sleep(2_000);
         new ProcessBuilder("kill", "-CONT", pid).start().waitFor();
         RelayTestEnvironment.await(
-                "the drain counts what it was late",
+                "the drain logs how late it starts",
                 () ->
                         environment.logLines.stream()
                                 .anyMatch(
@@ -317,7 +322,7 @@
         side.readLine();
         client.sendLine("OPEN e2 k c=chat,t=acme,d=2000");
         assertEquals("ERR only one line before the answer", client.readLine());
-        assertNull("the try is given up", side.readLine());
+        assertNull("the attempt is cancelled", side.readLine());
     }
 
     @Test
@@ -416,7 +421,8 @@
         }
         environment.establish(backend, environment.sendOpen("g1", 20_000));
         RelayTestEnvironment.await(
-                "who came first has to go", () -> environment.hasLogged("doorway.full"));
+                "the oldest pending clients are rejected",
+                () -> environment.hasLogged("doorway.full"));
         assertFalse(environment.hasLogged("admit.full"));
     }
 
@@ -460,7 +466,7 @@
             environment.sendOpen("d" + i, 20_000);
         }
         RelayTestEnvironment.await(
-                "two are taken",
+                "two requests are accepted",
                 () -> {
                     try (TestConnection third = environment.sendOpen("d9", 20_000)) {
                         return "BUSY 1500".equals(third.readLine());
@@ -476,7 +482,7 @@
         TestConnection client =
                 environment.connectClient().sendLine("OPEN c1 k c=chat,t=acme,d=2000,at=s-1");
         TestConnection refused = backend.accept();
-        refused.close(); // it may fail at first
+        refused.close(); // the first attempt may fail
         TestConnection side = environment.establish(backend, client);
         side.sendLine("M 1 here");
         assertEquals("M 1 here", client.readLine());
