--- a/relay/src/main/java/saltstage/session/Attempt.java
+++ b/relay/src/main/java/saltstage/session/Attempt.java
@@ -18,9 +18,9 @@
     private volatile boolean writingToClient;
     private volatile double load = Double.MAX_VALUE;
 
-    Attempt(RequestContext context, Backend peer, Instant sentAt) {
+    Attempt(RequestContext context, Backend backend, Instant sentAt) {
         this.context = context;
-        this.backend = peer;
+        this.backend = backend;
         this.sentAt = sentAt;
     }
 
@@ -43,21 +43,21 @@
      * Registers the connection that is about to be opened. Throws if the attempt was cancelled
      * before, so that no connection is begun.
      */
-    public synchronized void connectionStarted(BackendConnection to) throws IOException {
+    public synchronized void connectionStarted(BackendConnection newConnection) throws IOException {
         if (cancelled) {
             throw new IOException("given up");
         }
-        pendingConnection = to;
+        pendingConnection = newConnection;
     }
 
     /**
      * Registers the open connection. Closes it at once and throws if the attempt was cancelled
      * meanwhile.
      */
-    public synchronized void connectionOpened(BackendConnection to) throws IOException {
-        connection = to;
+    public synchronized void connectionOpened(BackendConnection newConnection) throws IOException {
+        connection = newConnection;
         if (cancelled) {
-            to.close();
+            newConnection.close();
             throw new IOException("given up");
         }
     }
@@ -107,8 +107,8 @@
      * Records whether a write to the client is in progress: the backend is not to blame for a slow
      * client.
      */
-    public void setWritingToClient(boolean now) {
-        writingToClient = now;
+    public void setWritingToClient(boolean writing) {
+        writingToClient = writing;
     }
 
     /**
@@ -120,8 +120,8 @@
     }
 
     /** Records the load reported on this connection. */
-    public void setLoad(double told) {
-        load = told;
+    public void setLoad(double reportedLoad) {
+        load = reportedLoad;
     }
 
     /**
--- a/relay/src/main/java/saltstage/session/Backend.java
+++ b/relay/src/main/java/saltstage/session/Backend.java
@@ -29,9 +29,9 @@
     private int sampleCount;
     private boolean slow;
 
-    Backend(BackendList.Entry entry, Predicate<String> suspendedOnes) {
+    Backend(BackendList.Entry entry, Predicate<String> suspensionCheck) {
         this.entry = entry;
-        this.suspensionCheck = suspendedOnes;
+        this.suspensionCheck = suspensionCheck;
     }
 
     /** Returns its latest entry in the backend list. */
@@ -39,8 +39,8 @@
         return entry;
     }
 
-    void update(BackendList.Entry changed) {
-        entry = changed;
+    void update(BackendList.Entry newEntry) {
+        entry = newEntry;
     }
 
     void markEnded() {
@@ -84,37 +84,37 @@
      * backend that answers nothing is not a fast one.
      */
     public synchronized Duration takeMedianDelay(Instant now) {
-        int held = Math.min(sampleCount, MAX_DELAY_SAMPLES);
-        List<Duration> all = new ArrayList<>(Arrays.asList(delaySamples).subList(0, held));
+        int available = Math.min(sampleCount, MAX_DELAY_SAMPLES);
+        List<Duration> delays = new ArrayList<>(Arrays.asList(delaySamples).subList(0, available));
         sampleCount = 0;
-        Duration typical = median(all);
-        for (Attempt up : establishedAttempts) {
-            Instant since = up.unansweredSince();
+        Duration medianDelay = median(delays);
+        for (Attempt attempt : establishedAttempts) {
+            Instant since = attempt.unansweredSince();
             Duration age = since == null ? Duration.ZERO : Duration.between(since, now);
-            if (age.compareTo(typical == null ? Duration.ZERO : typical) > 0) {
-                all.add(age);
+            if (age.compareTo(medianDelay == null ? Duration.ZERO : medianDelay) > 0) {
+                delays.add(age);
             }
         }
-        return all.size() < MIN_DELAY_SAMPLES ? null : median(all);
+        return delays.size() < MIN_DELAY_SAMPLES ? null : median(delays);
     }
 
-    private static Duration median(List<Duration> all) {
-        all.sort(null);
-        return all.isEmpty() ? null : all.get(all.size() / 2);
+    private static Duration median(List<Duration> delays) {
+        delays.sort(null);
+        return delays.isEmpty() ? null : delays.get(delays.size() / 2);
     }
 
     /**
      * Returns whether a value reported on this connection is a message delay in milliseconds rather
      * than a load.
      */
-    public synchronized boolean isDelayReport(Attempt on, double figure, Instant now) {
-        return loadReportClassifier.isDelay(on, figure, now);
+    public synchronized boolean isDelayReport(Attempt attempt, double value, Instant now) {
+        return loadReportClassifier.isDelay(attempt, value, now);
     }
 
     /** Records whether messages are slow now; returns whether they were slow before. */
-    public synchronized boolean markSlow(boolean now) {
-        boolean was = slow;
-        slow = now;
-        return was;
+    public synchronized boolean markSlow(boolean nowSlow) {
+        boolean wasSlow = slow;
+        slow = nowSlow;
+        return wasSlow;
     }
 }
--- a/relay/src/main/java/saltstage/session/BackendRegistry.java
+++ b/relay/src/main/java/saltstage/session/BackendRegistry.java
@@ -22,8 +22,8 @@
     }
 
     /** Creates an empty registry in which operators may have suspended some backends. */
-    public BackendRegistry(Predicate<String> suspended) {
-        this.suspensionCheck = suspended;
+    public BackendRegistry(Predicate<String> suspensionCheck) {
+        this.suspensionCheck = suspensionCheck;
     }
 
     /** Returns whether operators have suspended this backend, listed or not. */
@@ -56,14 +56,15 @@
     public synchronized List<Backend> update(BackendList list) {
         revision = list.revision();
         List<Backend> ended = new ArrayList<>();
-        Set<String> named = new HashSet<>();
+        Set<String> listedUids = new HashSet<>();
         for (BackendList.Entry entry : list.entries()) {
-            named.add(entry.uid());
-            Backend held = backends.get(entry.uid());
-            boolean restarted = held != null && !held.entry().startedAt().equals(entry.startedAt());
-            if (held != null && (restarted || entry.state() == BackendList.State.GONE)) {
+            listedUids.add(entry.uid());
+            Backend known = backends.get(entry.uid());
+            boolean restarted =
+                    known != null && !known.entry().startedAt().equals(entry.startedAt());
+            if (known != null && (restarted || entry.state() == BackendList.State.GONE)) {
                 backends.remove(entry.uid());
-                ended.add(held);
+                ended.add(known);
             }
             if (entry.state() != BackendList.State.GONE) {
                 backends.computeIfAbsent(entry.uid(), uid -> new Backend(entry, suspensionCheck))
@@ -71,10 +72,10 @@
             }
         }
         if (list.full()) {
-            for (Backend held : List.copyOf(backends.values())) {
-                if (!named.contains(held.entry().uid())) {
-                    backends.remove(held.entry().uid());
-                    ended.add(held);
+            for (Backend known : List.copyOf(backends.values())) {
+                if (!listedUids.contains(known.entry().uid())) {
+                    backends.remove(known.entry().uid());
+                    ended.add(known);
                 }
             }
         }
--- a/relay/src/main/java/saltstage/session/ClientConnection.java
+++ b/relay/src/main/java/saltstage/session/ClientConnection.java
@@ -16,19 +16,19 @@
     void reject(Duration retryAfter);
 
     /** Sends the final answer that the request has failed. */
-    void fail(String why);
+    void fail(String reason);
 
     /**
      * Starts an attempt that may take until this time. The implementation records when the attempt
      * is established or ends.
      */
-    void startAttempt(Attempt begun, Instant until);
+    void startAttempt(Attempt attempt, Instant deadline);
 
     /**
      * Moves the client of an established attempt; returns false if a move is in progress or it is
      * too late.
      */
-    boolean move(Attempt up, String reason);
+    boolean move(Attempt attempt, String reason);
 
     /** Returns the remote address, for the log. */
     String remoteAddress();
--- a/relay/src/main/java/saltstage/session/LoadReportClassifier.java
+++ b/relay/src/main/java/saltstage/session/LoadReportClassifier.java
@@ -34,36 +34,36 @@
     private Attempt lastAmbiguousAttempt;
 
     /** Returns whether this value, reported on this connection, is a message delay. */
-    boolean isDelay(Attempt on, double figure, Instant now) {
+    boolean isDelay(Attempt attempt, double value, Instant now) {
         boolean delay =
-                figure < MAX_DELAY_MILLIS
+                value < MAX_DELAY_MILLIS
                         && (isPeriodic(lastDelayAt, now, MAX_REPORT_AGE)
-                                || lastAmbiguousAttempt == on
+                                || lastAmbiguousAttempt == attempt
                                         && isPeriodic(
                                                 lastAmbiguousAt,
                                                 now,
                                                 Duration.ofMillis(
                                                         REPORT_INTERVAL_MILLIS
                                                                 + INTERVAL_TOLERANCE_MILLIS))
-                                || figure < MIN_LOAD_MICROS_PER_SECOND
-                                        && figure * MAX_LOAD_DROP_FACTOR < on.load());
+                                || value < MIN_LOAD_MICROS_PER_SECOND
+                                        && value * MAX_LOAD_DROP_FACTOR < attempt.load());
         if (delay) {
             lastDelayAt = now;
-        } else if (figure < MAX_DELAY_MILLIS) {
+        } else if (value < MAX_DELAY_MILLIS) {
             lastAmbiguousAt = now;
-            lastAmbiguousAttempt = on;
+            lastAmbiguousAttempt = attempt;
         }
         return delay;
     }
 
-    private static boolean isPeriodic(Instant last, Instant now, Duration memory) {
+    private static boolean isPeriodic(Instant last, Instant now, Duration maxAge) {
         if (last == null) {
             return false;
         }
-        Duration since = Duration.between(last, now);
-        long off = (since.toMillis() + INTERVAL_TOLERANCE_MILLIS) % REPORT_INTERVAL_MILLIS;
-        return off <= 2 * INTERVAL_TOLERANCE_MILLIS
-                && since.toMillis() > INTERVAL_TOLERANCE_MILLIS
-                && since.compareTo(memory) <= 0;
+        Duration elapsed = Duration.between(last, now);
+        long offset = (elapsed.toMillis() + INTERVAL_TOLERANCE_MILLIS) % REPORT_INTERVAL_MILLIS;
+        return offset <= 2 * INTERVAL_TOLERANCE_MILLIS
+                && elapsed.toMillis() > INTERVAL_TOLERANCE_MILLIS
+                && elapsed.compareTo(maxAge) <= 0;
     }
 }
--- a/relay/src/main/java/saltstage/session/RequestContext.java
+++ b/relay/src/main/java/saltstage/session/RequestContext.java
@@ -25,9 +25,9 @@
 
     /** Creates the context of a request that was just accepted. */
     public RequestContext(
-            long id, RequestAttributes terms, Instant deadline, ClientConnection client) {
+            long id, RequestAttributes attributes, Instant deadline, ClientConnection client) {
         this.id = id;
-        this.attributes = terms;
+        this.attributes = attributes;
         this.deadline = deadline;
         this.client = client;
     }
@@ -63,11 +63,11 @@
     }
 
     /** Begins the next attempt; returns null if the request no longer waits for an answer. */
-    public synchronized Attempt beginAttempt(Backend peer, Instant sentAt) {
+    public synchronized Attempt beginAttempt(Backend backend, Instant sentAt) {
         if (phase != Phase.WAITING) {
             return null;
         }
-        currentAttempt = new Attempt(this, peer, sentAt);
+        currentAttempt = new Attempt(this, backend, sentAt);
         return currentAttempt;
     }
 
@@ -100,8 +100,8 @@
      * Ends the request if it is in this phase; returns true for the one caller that may decide how
      * it ends.
      */
-    public synchronized boolean end(Phase from) {
-        if (phase != from) {
+    public synchronized boolean end(Phase expected) {
+        if (phase != expected) {
             return false;
         }
         phase = Phase.ENDED;
--- a/relay/src/main/java/saltstage/session/Timers.java
+++ b/relay/src/main/java/saltstage/session/Timers.java
@@ -30,12 +30,12 @@
     /** Waits until a task is due and returns it. */
     public synchronized Runnable awaitNext() throws InterruptedException {
         while (true) {
-            ScheduledTask due = queue.peek();
-            if (due == null) {
+            ScheduledTask next = queue.peek();
+            if (next == null) {
                 wait();
                 continue;
             }
-            long nanos = Duration.between(clock.now(), due.dueAt()).toNanos();
+            long nanos = Duration.between(clock.now(), next.dueAt()).toNanos();
             if (nanos <= 0) {
                 return queue.remove().task();
             }
--- a/relay/src/test/java/saltstage/PackagesTest.java
+++ b/relay/src/test/java/saltstage/PackagesTest.java
@@ -39,27 +39,27 @@
 
     @Test
     void eachPackageImportsOnlyWhatStandsBelowIt() throws IOException {
-        int[] seen = new int[1];
+        int[] importCount = new int[1];
         try (Stream<Path> files = Files.walk(ROOT)) {
-            for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
-                String own =
+            for (Path file : files.filter(path -> path.toString().endsWith(".java")).toList()) {
+                String ownPackage =
                         ROOT.relativize(file).getNameCount() == 1
                                 ? ""
                                 : ROOT.relativize(file).getName(0).toString();
-                if (own.equals("lifecycle")) {
+                if (ownPackage.equals("lifecycle")) {
                     continue; // the top layer: it may import every package, and none may import it
                 }
                 Matcher imports = IMPORT.matcher(Files.readString(file));
                 while (imports.find()) {
-                    seen[0]++;
+                    importCount[0]++;
                     assertTrue(
-                            own.equals(imports.group(1))
-                                    || ALLOWED.getOrDefault(own, Set.of())
+                            ownPackage.equals(imports.group(1))
+                                    || ALLOWED.getOrDefault(ownPackage, Set.of())
                                             .contains(imports.group(1)),
                             file + " imports " + imports.group(1));
                 }
             }
         }
-        assertTrue(seen[0] > 50, "imports found: " + seen[0]);
+        assertTrue(importCount[0] > 50, "imports found: " + importCount[0]);
     }
 }
--- a/relay/src/test/java/saltstage/process/AcceptBurstTest.java
+++ b/relay/src/test/java/saltstage/process/AcceptBurstTest.java
@@ -71,20 +71,20 @@
 
     @Test
     public void listenQueueAbsorbsABurstFasterThanThreadsStart() throws Exception {
-        try (RelayTestEnvironment world = new RelayTestEnvironment();
+        try (RelayTestEnvironment environment = new RelayTestEnvironment();
                 FakeBackendFleet fleet = new FakeBackendFleet(20);
                 Selector selector = Selector.open()) {
-            world.platformLimits =
+            environment.platformLimits =
                     new PlatformLimits()
                             .threadStartDelayMicros(THREAD_START_MICROS)
                             .maxDescriptors(MAX_DESCRIPTORS);
-            world.startWith(world.config(MAX_DESCRIPTORS, fleet.list(1)));
+            environment.startWith(environment.config(MAX_DESCRIPTORS, fleet.list(1)));
             long start = System.nanoTime();
             for (int i = 0; i < CLIENTS; i++) {
                 SocketChannel channel = SocketChannel.open();
                 channel.configureBlocking(false);
                 channel.register(selector, SelectionKey.OP_CONNECT, new Client(i));
-                channel.connect(new InetSocketAddress("127.0.0.1", world.clientPort()));
+                channel.connect(new InetSocketAddress("127.0.0.1", environment.clientPort()));
             }
             long connectedBy = start + TimeUnit.MILLISECONDS.toNanos(CONNECTED_WITHIN_MS);
             while (connected < CLIENTS && System.nanoTime() < connectedBy) {
--- a/relay/src/test/java/saltstage/process/ClockStepTest.java
+++ b/relay/src/test/java/saltstage/process/ClockStepTest.java
@@ -45,49 +45,52 @@
     }
 
     private static void runWithClockStep(int seconds) throws Exception {
-        try (RelayTestEnvironment world = new RelayTestEnvironment()) {
-            TestServer backend = world.startBackend();
-            world.platformLimits = new PlatformLimits().clockStep(seconds, STEP_AFTER_MS);
+        try (RelayTestEnvironment environment = new RelayTestEnvironment()) {
+            TestServer backend = environment.startBackend();
+            environment.platformLimits = new PlatformLimits().clockStep(seconds, STEP_AFTER_MS);
             String config =
-                    world.config(
+                    environment.config(
                             1_024,
                             RelayTestEnvironment.backendList(
                                     1,
                                     true,
                                     RelayTestEnvironment.backendEntry(
                                             "s-1", backend.endpoint(), "ready")));
-            world.startWith(config);
-            TestConnection standing = world.sendOpen("standing", 5_000);
-            world.establish(backend, standing);
+            environment.startWith(config);
+            TestConnection established = environment.sendOpen("standing", 5_000);
+            environment.establish(backend, established);
             Thread.sleep(2 * STEP_AFTER_MS);
-            world.reload(config);
+            environment.reload(config);
             RelayTestEnvironment.await(
-                    "the new configuration is read", () -> world.hasLogged("reload.done"));
-            Duration off = Duration.between(Instant.now(), timeOf(world, "reload.done"));
-            assertEquals("the relay observes the clock step", seconds, off.toSeconds(), 10);
+                    "the new configuration is read", () -> environment.hasLogged("reload.done"));
+            Duration offset = Duration.between(Instant.now(), timeOf(environment, "reload.done"));
+            assertEquals("the relay observes the clock step", seconds, offset.toSeconds(), 10);
 
-            long asked = System.nanoTime();
-            TestConnection waiting = world.sendOpen("waiting", DEADLINE_MS);
+            long sentAt = System.nanoTime();
+            TestConnection waiting = environment.sendOpen("waiting", DEADLINE_MS);
             // The backend accepts the connection and never answers.
             assertTrue(backend.accept().readLine().startsWith("OPEN waiting"));
             waiting.socket.setSoTimeout(LOST_AFTER_MS);
             assertTrue(waiting.readLine().startsWith("BUSY"));
-            long answeredMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
+            long answeredMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt);
             assertTrue(
                     "answered after " + answeredMs, answeredMs >= DEADLINE_MS - EARLY_TOLERANCE_MS);
 
-            ProcessSupervisor.signal(world.process().pid(), "TERM");
-            assertEquals("MOVE", standing.readLine());
+            ProcessSupervisor.signal(environment.process().pid(), "TERM");
+            assertEquals("MOVE", established.readLine());
             assertTrue(
                     "the relay ends before SIGKILL would come",
-                    world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
-            assertEquals(0, world.process().exitValue());
+                    environment.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
+            assertEquals(0, environment.process().exitValue());
         }
     }
 
-    private static Instant timeOf(RelayTestEnvironment world, String event) {
+    private static Instant timeOf(RelayTestEnvironment environment, String event) {
         String line =
-                world.logLines.stream().filter(l -> l.contains(event)).findFirst().orElseThrow();
+                environment.logLines.stream()
+                        .filter(logLine -> logLine.contains(event))
+                        .findFirst()
+                        .orElseThrow();
         return Instant.parse(line.substring(0, line.indexOf(' ')));
     }
 }
--- a/relay/src/test/java/saltstage/process/DiscoveryTest.java
+++ b/relay/src/test/java/saltstage/process/DiscoveryTest.java
@@ -68,9 +68,9 @@
                         true,
                         readyEntry,
                         RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "draining")));
-        TestConnection hangs = environment.discovery.accept();
-        long begun = System.nanoTime();
-        assertTrue(hangs.readLine().contains("after=1 "));
+        TestConnection hanging = environment.discovery.accept();
+        long start = System.nanoTime();
+        assertTrue(hanging.readLine().contains("after=1 "));
         environment.answerWatch(
                 RelayTestEnvironment.backendList(
                         2,
@@ -78,12 +78,12 @@
                         RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "draining"),
                         RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "ready")));
         RelayTestEnvironment.await("the change is applied", () -> environment.hasLogged("rev=2"));
-        Duration took = Duration.ofNanos(System.nanoTime() - begun);
+        Duration elapsed = Duration.ofNanos(System.nanoTime() - start);
         assertTrue(
-                "a change counts from 6 s on, took " + took,
-                took.compareTo(Duration.ofSeconds(5)) < 0);
+                "a change counts from 6 s on, took " + elapsed,
+                elapsed.compareTo(Duration.ofSeconds(5)) < 0);
         environment.establish(second, environment.sendOpen("a1", 20_000));
-        while (hangs.readLine() != null) { // the rest of the call, until the relay closes it
+        while (hanging.readLine() != null) { // the rest of the call, until the relay closes it
             continue;
         }
     }
@@ -145,14 +145,14 @@
                         true,
                         readyEntry,
                         RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "draining")));
-        TestConnection standing = environment.sendOpen("a1", 20_000);
-        environment.establish(backend, standing);
+        TestConnection established = environment.sendOpen("a1", 20_000);
+        environment.establish(backend, established);
         environment.answerWatch(
                 RelayTestEnvironment.backendList(
                         2,
                         true,
                         RelayTestEnvironment.backendEntry("s-2", second.endpoint(), "ready")));
-        assertEquals("MOVE", standing.readLine());
+        assertEquals("MOVE", established.readLine());
         environment.establish(second, environment.sendOpen("a2", 20_000));
     }
 
@@ -177,7 +177,7 @@
             environment.connectClient(); // sends nothing
         }
         RelayTestEnvironment.await(
-                "the oldest pending clients are rejected",
+                "the oldest pending client is evicted",
                 () -> environment.hasLogged("doorway.full"));
         TestConnection served = environment.sendOpen("d1", 20_000);
         environment.establish(backend, served);
@@ -211,8 +211,8 @@
     public void drainingBackendGetsNoRequestsAndClientsOfAGoneOneAreMoved() throws Exception {
         TestServer second = environment.startBackend();
         environment.start(RelayTestEnvironment.backendList(1, true, readyEntry));
-        TestConnection standing = environment.sendOpen("a1", 20_000);
-        environment.establish(backend, standing);
+        TestConnection established = environment.sendOpen("a1", 20_000);
+        environment.establish(backend, established);
         TestConnection watch =
                 environment.answerWatch(
                         RelayTestEnvironment.backendList(
@@ -232,48 +232,49 @@
                                 RelayTestEnvironment.backendEntry(
                                         "s-1", backend.endpoint(), "gone"))
                         + "\n");
-        assertEquals("MOVE", standing.readLine());
+        assertEquals("MOVE", established.readLine());
     }
 
     @Test
     public void reloadMovesTheWatchAtOnceAndKeepsListAndConnections() throws Exception {
         environment.start(RelayTestEnvironment.backendList(4, true, readyEntry));
-        TestConnection standing = environment.sendOpen("a1", 20_000);
-        TestConnection side = environment.establish(backend, standing);
-        TestConnection old = environment.answerWatch(RelayTestEnvironment.backendList(5, false));
+        TestConnection established = environment.sendOpen("a1", 20_000);
+        TestConnection side = environment.establish(backend, established);
+        TestConnection oldWatch =
+                environment.answerWatch(RelayTestEnvironment.backendList(5, false));
         RelayTestEnvironment.await("the change is applied", () -> environment.hasLogged("rev=5"));
-        TestServer moved = environment.startBackend();
+        TestServer newDiscovery = environment.startBackend();
         environment.reload("{\"name\":\"half a fi");
         RelayTestEnvironment.await(
                 "the malformed file is rejected", () -> environment.hasLogged("reload.refused"));
         environment.reload(
-                environment.config(4096, moved, RelayTestEnvironment.backendList(1, true)));
+                environment.config(4096, newDiscovery, RelayTestEnvironment.backendList(1, true)));
         environment.answerWatch(
-                moved,
+                newDiscovery,
                 RelayTestEnvironment.backendList(
                         6,
                         false,
                         RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "draining")));
         assertTrue(environment.hasLogged("watch=1&after=5 "));
         RelayTestEnvironment.await("the change is applied", () -> environment.hasLogged("rev=6"));
-        assertNull("the old watch is closed", old.readLine());
+        assertNull("the old watch is closed", oldWatch.readLine());
         side.sendLine("M 1 still here");
-        assertEquals("M 1 still here", standing.readLine());
+        assertEquals("M 1 still here", established.readLine());
     }
 
     @Test
     public void terminationDuringAReloadStillMovesClients() throws Exception {
         environment.start(RelayTestEnvironment.backendList(4, true, readyEntry));
-        TestConnection standing = environment.sendOpen("a1", 20_000);
-        environment.establish(backend, standing);
+        TestConnection established = environment.sendOpen("a1", 20_000);
+        environment.establish(backend, established);
         environment.reload(
                 environment.config(
                         4096,
                         environment.startBackend(),
                         RelayTestEnvironment.backendList(1, true)));
         environment.process().toHandle().destroy();
-        assertEquals("MOVE", standing.readLine());
-        standing.close();
+        assertEquals("MOVE", established.readLine());
+        established.close();
         RelayTestEnvironment.await(
                 "the reload is completed during the drain",
                 () -> environment.hasLogged("reload.done"));
--- a/relay/src/test/java/saltstage/process/FakeBackendFleet.java
+++ b/relay/src/test/java/saltstage/process/FakeBackendFleet.java
@@ -41,8 +41,8 @@
         loop.start();
     }
 
-    static String uid(int backend) {
-        return "s-" + backend;
+    static String uid(int index) {
+        return "s-" + index;
     }
 
     /** Returns the full backend list as JSON. */
--- a/relay/src/test/java/saltstage/process/FaultSoakTest.java
+++ b/relay/src/test/java/saltstage/process/FaultSoakTest.java
@@ -32,65 +32,65 @@
 
     @Test
     public void everyRequestIsAnsweredInTimeDespiteTransientNetworkFaults() throws Exception {
-        List<String> broken = new ArrayList<>();
+        List<String> brokenSeeds = new ArrayList<>();
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
             String outcome = runSeed(seed);
             System.out.println("soak seed " + seed + ": " + outcome);
             if (!outcome.startsWith("kept")) {
-                broken.add(seed + ": " + outcome);
+                brokenSeeds.add(seed + ": " + outcome);
             }
         }
-        assertEquals("seeds that broke a rule", List.of(), broken);
+        assertEquals("seeds that broke a rule", List.of(), brokenSeeds);
     }
 
     private static String runSeed(int seed) throws Exception {
         Random random = new Random(seed);
         TreeMap<String, Integer> answers = new TreeMap<>();
-        List<TestConnection> standing = new ArrayList<>();
-        List<Socket> silent = new ArrayList<>();
-        try (RelayTestEnvironment world = new RelayTestEnvironment(); var fleet = new FakeBackendFleet(5)) {
-            world.platformLimits = new PlatformLimits().networkFaults(seed, FAULTS_PER_MILLE);
-            String config = world.config(512, fleet.list(1));
-            world.startWith(config);
+        List<TestConnection> established = new ArrayList<>();
+        List<Socket> idle = new ArrayList<>();
+        try (RelayTestEnvironment environment = new RelayTestEnvironment(); var fleet = new FakeBackendFleet(5)) {
+            environment.platformLimits = new PlatformLimits().networkFaults(seed, FAULTS_PER_MILLE);
+            String config = environment.config(512, fleet.list(1));
+            environment.startWith(config);
             for (int i = 0; i < CLIENTS; i++) {
                 if (random.nextInt(CLIENTS) < IDLE_CLIENTS) {
-                    silent.add(new Socket("127.0.0.1", world.clientPort()));
+                    idle.add(new Socket("127.0.0.1", environment.clientPort()));
                 }
-                TestConnection client = world.sendOpen("id" + i, DEADLINE_MS);
+                TestConnection client = environment.sendOpen("id" + i, DEADLINE_MS);
                 String answer = readAnswer(client);
                 answers.merge(answer.split(" ")[0], 1, Integer::sum);
                 if (answer.startsWith("UP")) {
                     if (random.nextBoolean()) {
-                        standing.add(client);
+                        established.add(client);
                     } else {
                         client.close();
                     }
                 }
                 if (i == CLIENTS / 2) {
-                    world.reload(config);
+                    environment.reload(config);
                 }
             }
-            RelayTestEnvironment.await("the new configuration is read", () -> world.hasLogged("reload.done"));
-            ProcessSupervisor.signal(world.process().pid(), "TERM");
+            RelayTestEnvironment.await("the new configuration is read", () -> environment.hasLogged("reload.done"));
+            ProcessSupervisor.signal(environment.process().pid(), "TERM");
             int moved = 0;
-            for (TestConnection client : standing) {
+            for (TestConnection client : established) {
                 moved += "MOVE".equals(readAnswer(client, END_WITHIN_MS)) ? 1 : 0;
             }
-            boolean ended = world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS);
-            for (Socket one : silent) {
-                one.close();
+            boolean ended = environment.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS);
+            for (Socket socket : idle) {
+                socket.close();
             }
-            int whole = answers.getOrDefault("UP", 0) + answers.getOrDefault("BUSY", 0)
+            int answered = answers.getOrDefault("UP", 0) + answers.getOrDefault("BUSY", 0)
                 + answers.getOrDefault("ERR", 0);
-            boolean kept = whole == CLIENTS && moved == standing.size() && ended
-                && world.process().exitValue() == 0;
-            return (kept ? "kept " : "broken ") + answers + ", moved " + moved + " of " + standing.size()
-                + (ended ? "" : ", not ended") + (kept ? "" : loggedErrors(world));
+            boolean passed = answered == CLIENTS && moved == established.size() && ended
+                && environment.process().exitValue() == 0;
+            return (passed ? "kept " : "broken ") + answers + ", moved " + moved + " of " + established.size()
+                + (ended ? "" : ", not ended") + (passed ? "" : loggedErrors(environment));
         }
     }
 
-    private static String loggedErrors(RelayTestEnvironment world) {
-        return " " + world.logLines.stream().filter(line -> line.contains(" ERROR ")).limit(3).toList();
+    private static String loggedErrors(RelayTestEnvironment environment) {
+        return " " + environment.logLines.stream().filter(line -> line.contains(" ERROR ")).limit(3).toList();
     }
 
     private static String readAnswer(TestConnection client) throws IOException {
@@ -102,7 +102,7 @@
         try {
             String line = client.readLine();
             return line == null ? "end" : line;
-        } catch (SocketTimeoutException nothing) {
+        } catch (SocketTimeoutException timeout) {
             return "nothing";
         } catch (IOException reset) {
             return "reset";
--- a/relay/src/test/java/saltstage/process/IdleClientsTest.java
+++ b/relay/src/test/java/saltstage/process/IdleClientsTest.java
@@ -35,10 +35,10 @@
 
         IdleClients(int port) {
             for (int i = 0; i < IDLE_CLIENTS; i++) {
-                Thread member = new Thread(() -> reconnectRepeatedly(port));
-                member.setDaemon(true);
-                member.start();
-                threads.add(member);
+                Thread thread = new Thread(() -> reconnectRepeatedly(port));
+                thread.setDaemon(true);
+                thread.start();
+                threads.add(thread);
             }
         }
 
@@ -47,7 +47,7 @@
                 try (Socket socket = new Socket("127.0.0.1", port)) {
                     socket.getInputStream().transferTo(java.io.OutputStream.nullOutputStream());
                     Thread.sleep(100);
-                } catch (IOException | InterruptedException refused) {
+                } catch (IOException | InterruptedException disconnected) {
                     Thread.onSpinWait();
                 }
             }
@@ -59,41 +59,41 @@
         }
     }
 
-    static void awaitWithin(int millis, String what, BooleanSupplier condition)
+    static void awaitWithin(int millis, String event, BooleanSupplier condition)
             throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         while (!condition.getAsBoolean()) {
-            assertTrue(what + " within " + millis + " ms", System.nanoTime() < until);
+            assertTrue(event + " within " + millis + " ms", System.nanoTime() < deadline);
             Thread.sleep(10);
         }
     }
 
     @Test
     public void signalsAreHandledWhileIdleClientsCouldExhaustThreads() throws Exception {
-        try (RelayTestEnvironment world = new RelayTestEnvironment()) {
-            TestServer backend = world.startBackend();
+        try (RelayTestEnvironment environment = new RelayTestEnvironment()) {
+            TestServer backend = environment.startBackend();
             String known =
                     RelayTestEnvironment.backendList(
                             1,
                             true,
                             RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready"));
-            world.platformLimits = new PlatformLimits().maxThreads(MAX_THREADS);
-            String config = world.config(MAX_DESCRIPTORS, known);
-            world.startWith(config);
-            try (IdleClients crowd = new IdleClients(world.clientPort())) {
+            environment.platformLimits = new PlatformLimits().maxThreads(MAX_THREADS);
+            String config = environment.config(MAX_DESCRIPTORS, known);
+            environment.startWith(config);
+            try (IdleClients idleClients = new IdleClients(environment.clientPort())) {
                 Thread.sleep(1_000);
-                world.reload(config);
+                environment.reload(config);
                 awaitWithin(
                         RELOAD_WITHIN_MS,
                         "the new configuration is read",
-                        () -> world.hasLogged("reload.done"));
-                TestConnection client = world.sendOpen("served", 5_000);
-                world.establish(backend, client);
-                ProcessSupervisor.signal(world.process().pid(), "TERM");
+                        () -> environment.hasLogged("reload.done"));
+                TestConnection client = environment.sendOpen("served", 5_000);
+                environment.establish(backend, client);
+                ProcessSupervisor.signal(environment.process().pid(), "TERM");
                 assertTrue(
                         "the relay ends before SIGKILL would come",
-                        world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
-                assertEquals(0, world.process().exitValue());
+                        environment.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
+                assertEquals(0, environment.process().exitValue());
                 assertEquals("MOVE", client.readLine());
             }
         }
--- a/relay/src/test/java/saltstage/process/ManyBackendsTest.java
+++ b/relay/src/test/java/saltstage/process/ManyBackendsTest.java
@@ -41,15 +41,15 @@
     @Test
     public void openConnectionsAreRestoredWithMoreBackendsThanThreadsOrDescriptors()
             throws Exception {
-        try (RelayTestEnvironment world = new RelayTestEnvironment();
+        try (RelayTestEnvironment environment = new RelayTestEnvironment();
                 FakeBackendFleet fleet = new FakeBackendFleet(BACKENDS)) {
-            world.platformLimits =
+            environment.platformLimits =
                     new PlatformLimits().maxThreads(MAX_THREADS).maxDescriptors(MAX_DESCRIPTORS);
-            world.startWith(withProbes(world.config(MAX_DESCRIPTORS, fleet.list(1))));
+            environment.startWith(withProbes(environment.config(MAX_DESCRIPTORS, fleet.list(1))));
             Thread.sleep(PROBE_START_DELAY_MS);
             List<TestConnection> clients = new ArrayList<>();
             for (int i = 0; i < RESTORED_CONNECTIONS; i++) {
-                clients.add(world.connectClient());
+                clients.add(environment.connectClient());
             }
             for (int i = 0; i < RESTORED_CONNECTIONS; i++) {
                 clients.get(i)
@@ -66,12 +66,14 @@
                 client.socket.setSoTimeout(UP_WITHIN_MS);
                 assertEquals("UP r1", client.readLine());
             }
-            assertEquals("UP r1", world.sendOpen("new", 5_000).readLine());
+            assertEquals("UP r1", environment.sendOpen("new", 5_000).readLine());
             RelayTestEnvironment.await(
                     "backends with connections are probed", () -> fleet.probeCount.get() > 0);
             int probed = fleet.probeConnectionCount.get();
             assertTrue("connections for probes: " + probed, probed <= Api.MAX_PROBED_BACKENDS);
-            assertTrue("the relay calls discovery", world.discovery.accept(UP_WITHIN_MS) != null);
+            assertTrue(
+                    "the relay calls discovery",
+                    environment.discovery.accept(UP_WITHIN_MS) != null);
         }
     }
 }
--- a/relay/src/test/java/saltstage/process/PlatformLimits.java
+++ b/relay/src/test/java/saltstage/process/PlatformLimits.java
@@ -28,8 +28,8 @@
     private int maxDescriptors;
 
     /** Limits the number of threads of the process. */
-    PlatformLimits maxThreads(int most) {
-        limits.put("LIMIT_THREADS", Integer.toString(most));
+    PlatformLimits maxThreads(int max) {
+        limits.put("LIMIT_THREADS", Integer.toString(max));
         return this;
     }
 
@@ -46,8 +46,8 @@
     }
 
     /** Limits the number of connections in the queue of a listening socket. */
-    PlatformLimits maxBacklog(int most) {
-        limits.put("LIMIT_BACKLOG", Integer.toString(most));
+    PlatformLimits maxBacklog(int max) {
+        limits.put("LIMIT_BACKLOG", Integer.toString(max));
         return this;
     }
 
@@ -69,8 +69,8 @@
     }
 
     /** Limits the number of descriptors of the process, not counting its class path. */
-    PlatformLimits maxDescriptors(int most) {
-        maxDescriptors = most;
+    PlatformLimits maxDescriptors(int max) {
+        maxDescriptors = max;
         return this;
     }
 
@@ -86,7 +86,7 @@
 
     private static synchronized Path library() throws IOException, InterruptedException {
         if (library == null) {
-            Path built =
+            Path output =
                     Files.createDirectories(Path.of("target", "shims"))
                             .resolve("platform_limits.so")
                             .toAbsolutePath();
@@ -99,13 +99,13 @@
                                     "-Wall",
                                     "-Werror",
                                     "-o",
-                                    built.toString(),
+                                    output.toString(),
                                     SOURCE.toString(),
                                     "-ldl")
                             .inheritIO()
                             .start();
             assertEquals("exit code of the shim's compiler", 0, compiler.waitFor());
-            library = built;
+            library = output;
         }
         return library;
     }
--- a/relay/src/test/java/saltstage/process/PlatformLimitsTest.java
+++ b/relay/src/test/java/saltstage/process/PlatformLimitsTest.java
@@ -32,55 +32,55 @@
     }
 
     private static void runUnderLimits(PlatformLimits platform, int sockets) throws Exception {
-        List<TestConnection> standing = new ArrayList<>();
-        List<Socket> silent = new ArrayList<>();
-        try (RelayTestEnvironment world = new RelayTestEnvironment();
+        List<TestConnection> established = new ArrayList<>();
+        List<Socket> idle = new ArrayList<>();
+        try (RelayTestEnvironment environment = new RelayTestEnvironment();
                 FakeBackendFleet fleet = new FakeBackendFleet(5)) {
-            world.platformLimits = platform;
-            String config = world.config(sockets, fleet.list(1));
-            world.startWith(config);
+            environment.platformLimits = platform;
+            String config = environment.config(sockets, fleet.list(1));
+            environment.startWith(config);
             for (int i = 0; i < IDLE_CLIENTS; i++) {
-                silent.add(new Socket("127.0.0.1", world.clientPort()));
+                idle.add(new Socket("127.0.0.1", environment.clientPort()));
             }
-            int busy = openRequests(world, standing);
-            assertTrue("the limit was reached", busy > 0);
-            assertTrue("established: " + standing.size(), standing.size() > 10);
-            world.reload(config);
+            int rejected = openRequests(environment, established);
+            assertTrue("the limit was reached", rejected > 0);
+            assertTrue("established: " + established.size(), established.size() > 10);
+            environment.reload(config);
             IdleClientsTest.awaitWithin(
                     RELOAD_WITHIN_MS,
                     "the new configuration is read",
-                    () -> world.hasLogged("reload.done"));
-            ProcessSupervisor.signal(world.process().pid(), "TERM");
-            for (TestConnection client : standing) {
+                    () -> environment.hasLogged("reload.done"));
+            ProcessSupervisor.signal(environment.process().pid(), "TERM");
+            for (TestConnection client : established) {
                 assertEquals("MOVE", client.readLine());
             }
             assertTrue(
                     "the relay ends before SIGKILL would come",
-                    world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
-            assertEquals(0, world.process().exitValue());
+                    environment.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
+            assertEquals(0, environment.process().exitValue());
         } finally {
-            for (Socket one : silent) {
-                one.close();
+            for (Socket socket : idle) {
+                socket.close();
             }
         }
     }
 
     /** Adds the requests that are established to the list; returns how many are rejected. */
-    private static int openRequests(RelayTestEnvironment world, List<TestConnection> standing)
-            throws Exception {
-        int busy = 0;
+    private static int openRequests(
+            RelayTestEnvironment environment, List<TestConnection> established) throws Exception {
+        int rejected = 0;
         for (int i = 0; i < CLIENTS; i++) {
-            TestConnection client = world.sendOpen("id" + i, DEADLINE_MS);
+            TestConnection client = environment.sendOpen("id" + i, DEADLINE_MS);
             client.socket.setSoTimeout(DEADLINE_MS + 500);
             String answer = client.readLine();
             if ("UP r1".equals(answer)) {
-                standing.add(client);
+                established.add(client);
             } else {
-                busy++;
+                rejected++;
                 assertTrue(
                         "client " + i + ": " + answer, answer != null && answer.startsWith("BUSY"));
             }
         }
-        return busy;
+        return rejected;
     }
 }
--- a/relay/src/test/java/saltstage/process/ProcessSupervisor.java
+++ b/relay/src/test/java/saltstage/process/ProcessSupervisor.java
@@ -66,28 +66,28 @@
     }
 
     /** Starts a relay with this configuration and operator port; its log is written to the file. */
-    long start(Path config, int admin, Path log) throws Exception {
-        List<String> words =
+    long start(Path config, int adminPort, Path log) throws Exception {
+        List<String> command =
                 RelayTestEnvironment.programBuilder(List.of("serve", "--config", config.toString()))
                         .command();
         String line =
                 "TMPDIR="
                         + directory
                         + " GW_LISTEN_FD=0 GW_ADMIN=127.0.0.1:"
-                        + admin
+                        + adminPort
                         + " exec "
-                        + String.join(" ", words)
+                        + String.join(" ", command)
                         + " > "
                         + log
                         + " 2>&1\n";
         synchronized (startedPids) {
-            int before = startedPids.size();
+            int startedBefore = startedPids.size();
             supervisor.getOutputStream().write(line.getBytes(StandardCharsets.UTF_8));
             supervisor.getOutputStream().flush();
-            while (startedPids.size() == before) {
+            while (startedPids.size() == startedBefore) {
                 startedPids.wait(RelayTestEnvironment.AWAIT_TIMEOUT_MS);
             }
-            return startedPids.get(before);
+            return startedPids.get(startedBefore);
         }
     }
 
--- a/relay/src/test/java/saltstage/process/RaceConditionTest.java
+++ b/relay/src/test/java/saltstage/process/RaceConditionTest.java
@@ -93,9 +93,10 @@
         public OutputStream getOutputStream() throws IOException {
             return new FilterOutputStream(socket.getOutputStream()) {
                 @Override
-                public void write(byte[] bytes, int from, int most) throws IOException {
-                    hook.onStep(new String(bytes, from, most, StandardCharsets.ISO_8859_1).trim());
-                    out.write(bytes, from, most);
+                public void write(byte[] bytes, int from, int length) throws IOException {
+                    hook.onStep(
+                            new String(bytes, from, length, StandardCharsets.ISO_8859_1).trim());
+                    out.write(bytes, from, length);
                 }
             };
         }
@@ -195,10 +196,10 @@
 
     /** Delivers a change of the backend list to the pipeline as discovery does. */
     private void backendListReceived(int rev, String target) throws Exception {
-        BackendList told =
+        BackendList list =
                 BackendList.parse(
                         Json.parseObject(RelayTestEnvironment.backendList(rev, false, target)));
-        pipeline.backendListReceived(backends.update(told), told);
+        pipeline.backendListReceived(backends.update(list), list);
     }
 
     @AfterEach
@@ -223,13 +224,13 @@
      * Connects a client and runs this action before the relay accepts it, provided that no client
      * was accepted yet.
      */
-    private Client connectClient(BeforeAccept early) throws IOException {
+    private Client connectClient(BeforeAccept beforeAccept) throws IOException {
         Socket socket =
                 new Socket(
                         InetAddress.getLoopbackAddress(), clientListener.socket().getLocalPort());
         Client client =
                 new Client(new TestConnection(socket), haltingSocket(socket.getLocalPort()));
-        early.run(client.connection());
+        beforeAccept.run(client.connection());
         return client;
     }
 
@@ -252,43 +253,43 @@
         answerUp(client, id, accepted.take());
     }
 
-    private TestConnection answerUp(Client client, String id, TestConnection side)
+    private TestConnection answerUp(Client client, String id, TestConnection backendSide)
             throws IOException {
-        assertTrue(side.readLine().startsWith("OPEN " + id));
-        side.sendLine("UP r1");
+        assertTrue(backendSide.readLine().startsWith("OPEN " + id));
+        backendSide.sendLine("UP r1");
         assertEquals("UP r1", client.connection().readLine());
-        return side;
+        return backendSide;
     }
 
     @Test
     void clientSendingDuringItsMoveStillReceivesMove() throws Exception {
         Client client = connectClient();
-        TestConnection side = establish(client, "a1");
-        CountDownLatch hungUp = new CountDownLatch(1);
-        BlockingQueue<String> passedOn = new LinkedBlockingQueue<>();
+        TestConnection backendSide = establish(client, "a1");
+        CountDownLatch halfClosed = new CountDownLatch(1);
+        BlockingQueue<String> forwarded = new LinkedBlockingQueue<>();
         client.relaySocket().hook =
                 step -> {
                     if (step.equals("half-close")) {
-                        hungUp.countDown();
+                        halfClosed.countDown();
                     } else if (step.equals("MOVE")) {
                         client.connection().sendLine("M 1 in that moment");
                         RelayTestEnvironment.runInBackground(
-                                () -> passedOn.add(String.valueOf(side.readLine())));
-                        awaitEvent(() -> !passedOn.isEmpty() || hungUp.getCount() == 0);
+                                () -> forwarded.add(String.valueOf(backendSide.readLine())));
+                        awaitEvent(() -> !forwarded.isEmpty() || halfClosed.getCount() == 0);
                     }
                 };
         pipeline.move(
                 pipeline.outcomeRecorder().establishedAttempts().iterator().next(), "balance");
         assertEquals("MOVE", client.connection().readLine());
         assertNull(client.connection().readLine());
-        assertEquals("M 1 in that moment", passedOn.take());
+        assertEquals("M 1 in that moment", forwarded.take());
     }
 
     @Test
     void partialLineIsDroppedBeforeMove() throws Exception {
         Client client = connectClient();
-        TestConnection side = establish(client, "a2");
-        side.sendRaw("M 1 whole\r\nM 2 ha");
+        TestConnection backendSide = establish(client, "a2");
+        backendSide.sendRaw("M 1 whole\r\nM 2 ha");
         assertEquals("M 1 whole", client.connection().readLine());
         pipeline.move(
                 pipeline.outcomeRecorder().establishedAttempts().iterator().next(), "balance");
@@ -310,15 +311,15 @@
     @Test
     void lineCompletedDuringTheMoveIsDeliveredBeforeIt() throws Exception {
         Client client = connectClient();
-        TestConnection side = establish(client, "a3");
-        side.sendRaw("M 1 whole\r\nM 2 ha");
+        TestConnection backendSide = establish(client, "a3");
+        backendSide.sendRaw("M 1 whole\r\nM 2 ha");
         assertEquals("M 1 whole", client.connection().readLine());
         RelayTestEnvironment.await(
                 "the relay waits for the rest of the line",
                 RaceConditionTest::isWaitingForRestOfLine);
         pipeline.move(
                 pipeline.outcomeRecorder().establishedAttempts().iterator().next(), "balance");
-        side.sendLine("lf");
+        backendSide.sendLine("lf");
         assertEquals("M 2 half", client.connection().readLine());
         assertEquals("MOVE", client.connection().readLine());
     }
@@ -360,13 +361,13 @@
 
     @Test
     void cancelledAttemptDoesNotConnectAndAConnectingOneEndsAtOnce() throws Exception {
-        Attempt left = newAttempt();
-        left.cancel();
-        assertThrows(IOException.class, () -> left.connectionStarted(() -> {}));
-        try (SlowAcceptBackend late = new SlowAcceptBackend()) {
-            Attempt connects = newAttempt();
+        Attempt cancelled = newAttempt();
+        cancelled.cancel();
+        assertThrows(IOException.class, () -> cancelled.connectionStarted(() -> {}));
+        try (SlowAcceptBackend slowBackend = new SlowAcceptBackend()) {
+            Attempt connecting = newAttempt();
             Socket socket = new Socket();
-            connects.connectionStarted(() -> LineConnection.close(socket));
+            connecting.connectionStarted(() -> LineConnection.close(socket));
             BlockingQueue<Exception> ended =
                     RelayTestEnvironment.runInBackground(
                             () ->
@@ -376,12 +377,12 @@
                                                 LineConnection.connect(
                                                         socket,
                                                         (InetSocketAddress)
-                                                                late.listener
+                                                                slowBackend.listener
                                                                         .getLocalSocketAddress(),
                                                         Duration.ofMinutes(10));
-                                                connects.connectionOpened(() -> {});
+                                                connecting.connectionOpened(() -> {});
                                             }));
-            connects.cancel();
+            connecting.cancel();
             ended.take();
             assertTrue(socket.isClosed());
         }
@@ -397,55 +398,56 @@
 
     @Test
     void backendDrainedWhileConnectingIsSentNothing() throws Exception {
-        try (SlowAcceptBackend late = new SlowAcceptBackend()) {
-            startPipeline("retryable", late.endpoint());
+        try (SlowAcceptBackend slowBackend = new SlowAcceptBackend()) {
+            startPipeline("retryable", slowBackend.endpoint());
             Client client = connectClient();
             client.connection().sendLine("OPEN h1 k c=chat,t=acme,d=20000");
             RelayTestEnvironment.await("the relay is connecting", RaceConditionTest::isConnecting);
             backendListReceived(
-                    9, RelayTestEnvironment.backendEntry("s-1", late.endpoint(), "draining"));
-            assertNull(late.acceptConnection().readLine());
+                    9,
+                    RelayTestEnvironment.backendEntry("s-1", slowBackend.endpoint(), "draining"));
+            assertNull(slowBackend.acceptConnection().readLine());
         }
     }
 
     @Test
     void backendSuspendedWhileConnectingIsSentNothing() throws Exception {
-        try (SlowAcceptBackend late = new SlowAcceptBackend()) {
-            startPipeline("retryable", late.endpoint());
+        try (SlowAcceptBackend slowBackend = new SlowAcceptBackend()) {
+            startPipeline("retryable", slowBackend.endpoint());
             Client client = connectClient();
             client.connection().sendLine("OPEN h2 k c=chat,t=acme,d=20000");
             RelayTestEnvironment.await("the relay is connecting", RaceConditionTest::isConnecting);
             suspended.add("s-1");
-            assertNull(late.acceptConnection().readLine());
+            assertNull(slowBackend.acceptConnection().readLine());
         }
     }
 
     @Test
     void repeatConnectedAfterTheDeduplicationWindowIsNotSent() throws Exception {
-        try (SlowAcceptBackend late = new SlowAcceptBackend()) {
+        try (SlowAcceptBackend slowBackend = new SlowAcceptBackend()) {
             startPipeline("dedup\",\"MemorySpan\":\"100000", backend.endpoint());
             Client client = connectClient();
             client.connection().sendLine("OPEN i1 k c=chat,t=acme,d=20000");
             TestConnection first = backend.accept();
             first.readLine();
             backendListReceived(
-                    9, RelayTestEnvironment.backendEntry("s-2", late.endpoint(), "ready"));
-            long since = System.nanoTime();
+                    9, RelayTestEnvironment.backendEntry("s-2", slowBackend.endpoint(), "ready"));
+            long start = System.nanoTime();
             first.sendLine("ERR");
             RelayTestEnvironment.await(
                     "the repeated attempt is connecting", RaceConditionTest::isConnecting);
             RelayTestEnvironment.await(
                     "its deduplication window has passed",
-                    () -> System.nanoTime() - since > 100_000_000);
-            assertNull(late.acceptConnection().readLine());
+                    () -> System.nanoTime() - start > 100_000_000);
+            assertNull(slowBackend.acceptConnection().readLine());
             assertEquals("BUSY 1500", client.connection().readLine());
         }
     }
 
     private Attempt newAttempt() {
-        BackendRegistry peers = new BackendRegistry();
+        BackendRegistry registry = new BackendRegistry();
         try {
-            peers.update(
+            registry.update(
                     Configuration.parse(
                                     RelayTestEnvironment.config(
                                             1,
@@ -457,19 +459,19 @@
                                                     RelayTestEnvironment.backendEntry(
                                                             "s-1", backend.endpoint(), "ready"))))
                             .knownBackends());
-        } catch (saltstage.wire.MalformedException bad) {
-            throw new IllegalStateException(bad);
+        } catch (saltstage.wire.MalformedException invalid) {
+            throw new IllegalStateException(invalid);
         }
         return new RequestContext(
                         1, new RequestAttributes("x", 0, 0, "k", null, 0, false), clock.now(), null)
-                .beginAttempt(peers.find("s-1"), clock.now());
+                .beginAttempt(registry.find("s-1"), clock.now());
     }
 
     @Test
     void clientThatLeftBeforeItsLineIsReadHasNoAttempt() throws Exception {
         for (int i = 0; i < 20; i++) {
-            String ask = "OPEN b" + i + " k c=chat,t=acme,d=9000";
-            connectClient(line -> line.sendLine(ask).close());
+            String open = "OPEN b" + i + " k c=chat,t=acme,d=9000";
+            connectClient(line -> line.sendLine(open).close());
         }
         Client last = connectClient();
         establish(last, "c1"); // the first request that reaches the backend
@@ -477,39 +479,39 @@
 
     @Test
     void requestArrivingDuringShutdownIsEitherRejectedOrForwarded() throws Exception {
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 100; i++) {
             startPipeline("retryable", backend.endpoint());
             Client client = connectClient();
-            String ask = "OPEN d" + i + " k c=chat,t=acme,d=9000";
-            RelayTestEnvironment.runInBackground(() -> client.connection().sendLine(ask));
+            String open = "OPEN d" + i + " k c=chat,t=acme,d=9000";
+            RelayTestEnvironment.runInBackground(() -> client.connection().sendLine(open));
             pipeline.lineFrontend().rejectPendingClients();
-            TestConnection side = null;
+            TestConnection backendSide = null;
             String answer = null;
-            BlockingQueue<TestConnection> sent =
+            BlockingQueue<TestConnection> accepted =
                     RelayTestEnvironment.runInBackground(() -> backend.accept());
-            BlockingQueue<String> heard =
+            BlockingQueue<String> answers =
                     RelayTestEnvironment.runInBackground(
                             () -> String.valueOf(client.connection().readLine()));
-            while (side == null && answer == null) {
-                side = sent.poll(1, TimeUnit.MILLISECONDS);
-                answer = heard.poll(1, TimeUnit.MILLISECONDS);
+            while (backendSide == null && answer == null) {
+                backendSide = accepted.poll(1, TimeUnit.MILLISECONDS);
+                answer = answers.poll(1, TimeUnit.MILLISECONDS);
             }
             if (answer != null) {
-                refused++;
+                rejected++;
                 assertEquals("BUSY", answer);
                 assertNull(client.connection().readLine());
                 // The id is free again, and no request has reached the backend before.
-                establish(connectClient(), "d" + i, sent);
+                establish(connectClient(), "d" + i, accepted);
             } else {
                 assertEquals(
                         "OPEN d" + i,
-                        side.readLine().substring(0, 6 + Integer.toString(i).length()));
-                side.sendLine("UP r1");
-                assertEquals("UP r1", heard.take());
+                        backendSide.readLine().substring(0, 6 + Integer.toString(i).length()));
+                backendSide.sendLine("UP r1");
+                assertEquals("UP r1", answers.take());
             }
         }
-        System.out.println("rejected " + refused + " of 100");
+        System.out.println("rejected " + rejected + " of 100");
     }
 
     @Test
@@ -552,18 +554,18 @@
         Client client = connectClient();
         client.connection().sendLine("OPEN j1 k c=chat,t=acme,d=50000");
         assertTrue(backend.accept().readLine().startsWith("OPEN j1"));
-        CountDownLatch hungUp = new CountDownLatch(1);
+        CountDownLatch halfClosed = new CountDownLatch(1);
         client.relaySocket().hook =
                 step -> {
                     if (step.equals("half-close")) {
-                        hungUp.countDown();
+                        halfClosed.countDown();
                     } else if (step.equals("BUSY")) {
                         client.connection().sendLine("M 1 early");
-                        long since = System.nanoTime();
+                        long start = System.nanoTime();
                         awaitEvent(
                                 () ->
-                                        hungUp.getCount() == 0
-                                                || System.nanoTime() - since > 200_000_000);
+                                        halfClosed.getCount() == 0
+                                                || System.nanoTime() - start > 200_000_000);
                     }
                 };
         pipeline.rejectWaiting();
@@ -579,13 +581,13 @@
             Client client = connectClient();
             // The deadline is longer than the test runs.
             client.connection().sendLine("OPEN g1 k c=chat,t=acme,d=50000");
-            TestConnection side = backend.accept();
-            assertTrue(side.readLine().startsWith("OPEN g1"));
+            TestConnection backendSide = backend.accept();
+            assertTrue(backendSide.readLine().startsWith("OPEN g1"));
             pipeline.rejectWaiting();
-            boolean harmless = effect.equals("retryable") || effect.equals("dedup");
-            assertEquals(harmless ? "BUSY" : "ERR failed", client.connection().readLine());
+            boolean repeatable = effect.equals("retryable") || effect.equals("dedup");
+            assertEquals(repeatable ? "BUSY" : "ERR failed", client.connection().readLine());
             assertNull(client.connection().readLine());
-            assertNull(side.readLine(), "the backend must not accept the request any more");
+            assertNull(backendSide.readLine(), "the backend must not accept the request any more");
         }
     }
 }
--- a/relay/src/test/java/saltstage/process/RelayTestEnvironment.java
+++ b/relay/src/test/java/saltstage/process/RelayTestEnvironment.java
@@ -53,8 +53,8 @@
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return any.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
@@ -80,7 +80,7 @@
             listener.setSoTimeout(millis);
             try {
                 return accept();
-            } catch (SocketTimeoutException nobody) {
+            } catch (SocketTimeoutException timeout) {
                 return null;
             } finally {
                 listener.setSoTimeout(AWAIT_TIMEOUT_MS);
@@ -145,11 +145,11 @@
     }
 
     /** Returns a full backend list or a delta as JSON. */
-    static String backendList(int rev, boolean all, String... targets) {
+    static String backendList(int rev, boolean full, String... targets) {
         return "{\"rev\":"
                 + rev
                 + ",\"all\":"
-                + all
+                + full
                 + ",\"targets\":["
                 + String.join(",", targets)
                 + "]}";
@@ -163,8 +163,8 @@
         return config(sockets, discovery, known);
     }
 
-    String config(int sockets, TestServer told, String known) {
-        return config(clientPort, told.endpoint(), sockets, known);
+    String config(int sockets, TestServer server, String known) {
+        return config(clientPort, server.endpoint(), sockets, known);
     }
 
     static String config(int port, String discovery, int sockets, String known) {
@@ -229,8 +229,8 @@
 
     /** Adds the JVM flags that the deployed relay runs with. */
     private static void addProductionFlags(ProcessBuilder relay) throws IOException {
-        String deployed = Files.readString(Path.of("..", "deploy", "balancer.toml"));
-        String flags = deployed.replaceAll("(?s).*run = \"exec java (.*?) -jar .*", "$1");
+        String deployment = Files.readString(Path.of("..", "deploy", "balancer.toml"));
+        String flags = deployment.replaceAll("(?s).*run = \"exec java (.*?) -jar .*", "$1");
         relay.command()
                 .addAll(
                         1,
@@ -277,8 +277,8 @@
         return new ProcessBuilder(command);
     }
 
-    private void readLog(Process from) {
-        new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8))
+    private void readLog(Process relay) {
+        new BufferedReader(new InputStreamReader(relay.getInputStream(), StandardCharsets.UTF_8))
                 .lines()
                 .forEach(logLines::add);
     }
@@ -295,18 +295,18 @@
         await("the log says " + part, () -> hasLogged(part));
     }
 
-    static void await(String what, BooleanSupplier condition) throws InterruptedException {
+    static void await(String event, BooleanSupplier condition) throws InterruptedException {
         for (int waited = 0; !condition.getAsBoolean(); waited += 10) {
-            assertTrue("waited in vain until " + what, waited < AWAIT_TIMEOUT_MS);
+            assertTrue("waited in vain until " + event, waited < AWAIT_TIMEOUT_MS);
             Thread.sleep(10);
         }
     }
 
     /** Opens an operator connection to this port. */
-    TestConnection connectOperator(int at) throws IOException {
-        TestConnection line = new TestConnection(new Socket("127.0.0.1", at));
-        closeables.add(line);
-        return line;
+    TestConnection connectOperator(int port) throws IOException {
+        TestConnection connection = new TestConnection(new Socket("127.0.0.1", port));
+        closeables.add(connection);
+        return connection;
     }
 
     /**
@@ -321,13 +321,15 @@
     }
 
     /** Makes an operator call and returns all lines of the answer. */
-    String operatorCall(int at, String call) throws IOException {
-        try (TestConnection line = connectOperator(at).sendLine(call)) {
-            StringBuilder all = new StringBuilder();
-            for (String heard = line.readLine(); heard != null; heard = line.readLine()) {
-                all.append(heard).append('\n');
+    String operatorCall(int port, String call) throws IOException {
+        try (TestConnection connection = connectOperator(port).sendLine(call)) {
+            StringBuilder answer = new StringBuilder();
+            for (String line = connection.readLine();
+                    line != null;
+                    line = connection.readLine()) {
+                answer.append(line).append('\n');
             }
-            return all.toString();
+            return answer.toString();
         }
     }
 
@@ -341,27 +343,27 @@
     }
 
     /** Sets the port that clients connect to from now on. */
-    void setClientPort(int where) {
-        clientPort = where;
+    void setClientPort(int port) {
+        clientPort = port;
     }
 
     /** Opens a new client connection. */
     TestConnection connectClient() throws IOException {
         Socket socket = new Socket();
         socket.connect(new InetSocketAddress("127.0.0.1", clientPort), AWAIT_TIMEOUT_MS);
-        TestConnection line = new TestConnection(socket);
-        closeables.add(line);
-        return line;
+        TestConnection connection = new TestConnection(socket);
+        closeables.add(connection);
+        return connection;
     }
 
     /** Opens a client connection and sends an OPEN request on it. */
-    TestConnection sendOpen(String id, int patienceMs) throws IOException {
+    TestConnection sendOpen(String id, int timeoutMs) throws IOException {
         return connectClient()
                 .sendLine(
                         "OPEN "
                                 + id
                                 + " 7f3a9c21e0b4d655 c=chat,t=acme,d="
-                                + patienceMs
+                                + timeoutMs
                                 + ",g=5c0f6e1a");
     }
 
@@ -380,9 +382,9 @@
 
     /** Starts a backend that is closed together with this environment. */
     TestServer startBackend() throws IOException {
-        TestServer service = new TestServer();
-        closeables.add(service);
-        return service;
+        TestServer backend = new TestServer();
+        closeables.add(backend);
+        return backend;
     }
 
     /**
@@ -393,8 +395,8 @@
         return answerWatch(discovery, objects);
     }
 
-    TestConnection answerWatch(TestServer asked, String... objects) throws IOException {
-        TestConnection watch = asked.accept();
+    TestConnection answerWatch(TestServer server, String... objects) throws IOException {
+        TestConnection watch = server.accept();
         closeables.add(watch);
         String request = watch.readLine();
         logLines.add("asked " + request);
--- a/relay/src/test/java/saltstage/process/RestoreBurstTest.java
+++ b/relay/src/test/java/saltstage/process/RestoreBurstTest.java
@@ -22,16 +22,16 @@
 
     @Test
     public void threadCapacityCheckTakesNoThreadsFromRestoredConnections() throws Exception {
-        try (RelayTestEnvironment world = new RelayTestEnvironment();
+        try (RelayTestEnvironment environment = new RelayTestEnvironment();
                 FakeBackendFleet fleet = new FakeBackendFleet(8)) {
-            world.platformLimits =
+            environment.platformLimits =
                     new PlatformLimits()
                             .maxThreads(MAX_THREADS)
                             .threadEndDelayMicros(THREAD_END_MICROS);
-            world.startWith(world.config(1_024, fleet.list(1)));
+            environment.startWith(environment.config(1_024, fleet.list(1)));
             List<TestConnection> clients = new ArrayList<>();
             for (int i = 0; i < RESTORED_CONNECTIONS; i++) {
-                clients.add(world.connectClient());
+                clients.add(environment.connectClient());
             }
             for (int i = 0; i < RESTORED_CONNECTIONS; i++) {
                 clients.get(i)
--- a/relay/src/test/java/saltstage/process/ServeTest.java
+++ b/relay/src/test/java/saltstage/process/ServeTest.java
@@ -43,18 +43,18 @@
     @Test
     public void upIsForwardedThenLinesBothWaysUntilBye() throws Exception {
         TestConnection client = environment.sendOpen("a1", 20_000);
-        TestConnection side = backend.accept();
-        String first = side.readLine();
+        TestConnection backendSide = backend.accept();
+        String first = backendSide.readLine();
         assertTrue(
                 first,
                 first.matches("OPEN a1 7f3a9c21e0b4d655 c=chat,t=acme,d=[1-9]\\d{0,4},g=5c0f6e1a"));
-        side.sendLine("UP 77af");
+        backendSide.sendLine("UP 77af");
         assertEquals("UP 77af", client.readLine());
         client.sendLine("M 1 hello").sendRaw("M 2 in two");
-        assertEquals("M 1 hello", side.readLine());
+        assertEquals("M 1 hello", backendSide.readLine());
         client.sendRaw(" parts\r\n");
-        assertEquals("M 2 in two parts", side.readLine());
-        side.sendLine("LOAD 41000.5").sendLine("M 1 hello").sendLine("BYE").close();
+        assertEquals("M 2 in two parts", backendSide.readLine());
+        backendSide.sendLine("LOAD 41000.5").sendLine("M 1 hello").sendLine("BYE").close();
         assertEquals("LOAD 41000.5", client.readLine());
         assertEquals("M 1 hello", client.readLine());
         assertEquals("BYE", client.readLine());
@@ -63,7 +63,7 @@
 
     @Test
     public void malformedFirstLinesGetOneErrorLineAndNeverReachABackend() throws Exception {
-        String[] bad = {
+        String[] malformedLines = {
             "GET / HTTP/1.1\r\n",
             "OPEN x\r\n",
             "OPEN a b c=none,t=acme,d=9\r\n",
@@ -76,7 +76,7 @@
             "OPEN a b c=chat,t=acme,d=9\r\n".repeat(300),
             "PING\r\n".repeat(300)
         };
-        for (String line : bad) {
+        for (String line : malformedLines) {
             TestConnection client = environment.connectClient().sendRaw(line);
             String answer = client.readLine();
             assertTrue(line + " got " + answer, answer.startsWith("ERR "));
@@ -90,12 +90,12 @@
     public void slowFirstLineTimesOutEvenIfBytesKeepArriving() throws Exception {
         TestConnection client = environment.connectClient();
         BlockingQueue<String> answer = RelayTestEnvironment.runInBackground(client::readLine);
-        String heard = null;
-        for (int i = 0; heard == null && i < 100; i++) {
+        String received = null;
+        for (int i = 0; received == null && i < 100; i++) {
             client.sendRaw("O");
-            heard = answer.poll(300, TimeUnit.MILLISECONDS);
+            received = answer.poll(300, TimeUnit.MILLISECONDS);
         }
-        assertEquals("ERR first line too slow", heard);
+        assertEquals("ERR first line too slow", received);
     }
 
     @Test
@@ -118,9 +118,9 @@
     @Test
     public void malformedAnswerFailsTheAttemptAndTheLastFailureIsAnsweredAtOnce() throws Exception {
         TestConnection client = environment.sendOpen("a2", 20_000);
-        TestConnection side = backend.accept();
-        side.readLine();
-        side.sendLine("HELLO");
+        TestConnection backendSide = backend.accept();
+        backendSide.readLine();
+        backendSide.sendLine("HELLO");
         assertTrue(client.readLine().matches("BUSY 1500"));
         assertNull(client.readLine());
         environment.awaitLogged("try.malformed");
@@ -129,9 +129,9 @@
     @Test
     public void endlessAnswerFailsTheAttempt() throws Exception {
         TestConnection client = environment.sendOpen("a6", 20_000);
-        TestConnection side = backend.accept();
-        side.readLine();
-        side.sendRaw("U".repeat(6_000));
+        TestConnection backendSide = backend.accept();
+        backendSide.readLine();
+        backendSide.sendRaw("U".repeat(6_000));
         assertEquals("BUSY 1500", client.readLine());
         assertNull(client.readLine());
         assertThrows(
@@ -139,7 +139,7 @@
                 IOException.class,
                 () -> {
                     while (true) {
-                        side.sendRaw("P".repeat(6_000));
+                        backendSide.sendRaw("P".repeat(6_000));
                     }
                 });
     }
@@ -147,57 +147,57 @@
     @Test
     public void attemptAtASilentBackendIsCancelledBeforeTheClientDeadline() throws Exception {
         TestConnection client = environment.sendOpen("a3", 2_500);
-        TestConnection side = backend.accept();
-        side.readLine();
-        assertNull("the attempt is closed", side.readLine());
+        TestConnection backendSide = backend.accept();
+        backendSide.readLine();
+        assertNull("the attempt is closed", backendSide.readLine());
         assertTrue(client.readLine().startsWith("BUSY"));
     }
 
     @Test
     public void clientDisconnectCancelsItsAttempt() throws Exception {
         TestConnection client = environment.sendOpen("a4", 20_000);
-        TestConnection side = backend.accept();
-        side.readLine();
+        TestConnection backendSide = backend.accept();
+        backendSide.readLine();
         client.close();
-        assertNull(side.readLine());
+        assertNull(backendSide.readLine());
     }
 
     @Test
     public void halfCloseAndResetArePropagated() throws Exception {
         TestConnection client = environment.sendOpen("a5", 20_000);
-        TestConnection side = environment.establish(backend, client);
+        TestConnection backendSide = environment.establish(backend, client);
         client.socket.shutdownOutput();
-        assertNull(side.readLine());
-        side.sendLine("BYE").close();
+        assertNull(backendSide.readLine());
+        backendSide.sendLine("BYE").close();
         assertEquals("BYE", client.readLine());
         assertNull(client.readLine());
 
         TestConnection other = environment.sendOpen("a6", 20_000);
-        TestConnection broken = environment.establish(backend, other);
-        broken.socket.setSoLinger(true, 0);
-        broken.close();
+        TestConnection resettingBackend = environment.establish(backend, other);
+        resettingBackend.socket.setSoLinger(true, 0);
+        resettingBackend.close();
         assertThrows(IOException.class, other::readLine);
     }
 
     @Test
     public void slowReaderDoesNotBlockOthers() throws Exception {
         TestConnection slow = environment.sendOpen("a7", 20_000);
-        TestConnection flood = environment.establish(backend, slow);
+        TestConnection floodingBackend = environment.establish(backend, slow);
         TestConnection other = environment.sendOpen("a8", 20_000);
-        TestConnection side = environment.establish(backend, other);
+        TestConnection backendSide = environment.establish(backend, other);
         String line = "M " + "y".repeat(4_000);
-        BlockingQueue<Boolean> flooded =
+        BlockingQueue<Boolean> floodDone =
                 RelayTestEnvironment.runInBackground(
                         () -> {
                             for (int i = 0; i < 5_000; i++) {
-                                flood.sendLine(line);
+                                floodingBackend.sendLine(line);
                             }
                             return true;
                         });
-        assertNull("the slow reader blocks the flood", flooded.poll(300, TimeUnit.MILLISECONDS));
+        assertNull("the slow reader blocks the flood", floodDone.poll(300, TimeUnit.MILLISECONDS));
         other.sendLine("M 1 hello");
-        assertEquals("M 1 hello", side.readLine());
-        side.sendLine("M 1 hello");
+        assertEquals("M 1 hello", backendSide.readLine());
+        backendSide.sendLine("M 1 hello");
         assertEquals("M 1 hello", other.readLine());
         assertEquals(line, slow.readLine());
     }
@@ -206,11 +206,11 @@
     public void terminationMovesEstablishedClientsBetweenLinesAndAcceptsLateRequests()
             throws Exception {
         TestConnection client = environment.sendOpen("a9", 20_000);
-        TestConnection side = environment.establish(backend, client);
-        side.sendRaw("M 1 half a");
+        TestConnection backendSide = environment.establish(backend, client);
+        backendSide.sendRaw("M 1 half a");
         environment.process().toHandle().destroy(); // Process.destroy would also close the log
         RelayTestEnvironment.await("the drain begins", () -> environment.hasLogged("drain.start"));
-        side.sendRaw(" line\r\n");
+        backendSide.sendRaw(" line\r\n");
         TestConnection late = environment.sendOpen("b1", 20_000);
         environment.establish(backend, late);
         assertEquals("M 1 half a line", client.readLine());
@@ -226,21 +226,21 @@
     @Test
     public void endlessLineDoesNotPreventTheMove() throws Exception {
         TestConnection client = environment.sendOpen("a9", 20_000);
-        TestConnection side = environment.establish(backend, client);
-        side.sendRaw("M 1 whole\r\nM 2 ha");
+        TestConnection backendSide = environment.establish(backend, client);
+        backendSide.sendRaw("M 1 whole\r\nM 2 ha");
         assertEquals("M 1 whole", client.readLine());
         environment.process().toHandle().destroy();
         assertEquals("MOVE", client.readLine());
         assertNull(client.readLine());
-        assertNull("the connection to the backend is closed", side.readLine());
+        assertNull("the connection to the backend is closed", backendSide.readLine());
     }
 
     @Test
     public void requestsAfterTheFinalRejectionAreAnsweredToo() throws Exception {
-        TestConnection waits = environment.sendOpen("a9", 20_000);
+        TestConnection waiting = environment.sendOpen("a9", 20_000);
         backend.accept().readLine(); // the backend never answers
         environment.process().toHandle().destroy();
-        assertEquals("BUSY", waits.readLine());
+        assertEquals("BUSY", waiting.readLine());
         for (int i = 0; i < 5; i++) {
             TestConnection late = environment.sendOpen("b" + i, 20_000);
             assertEquals("BUSY", late.readLine());
@@ -251,12 +251,12 @@
 
     @Test
     public void idleClientIsRejectedAtShutdownWithoutAReset() throws Exception {
-        TestConnection rests = environment.connectClient();
-        assertEquals("PONG", rests.sendLine("PING").readLine());
+        TestConnection idle = environment.connectClient();
+        assertEquals("PONG", idle.sendLine("PING").readLine());
         environment.process().toHandle().destroy();
-        assertEquals("BUSY", rests.readLine());
-        rests.sendLine("OPEN c9 k c=chat,t=acme,d=2000");
-        assertNull(rests.readLine());
+        assertEquals("BUSY", idle.readLine());
+        idle.sendLine("OPEN c9 k c=chat,t=acme,d=2000");
+        assertNull(idle.readLine());
         assertTrue(environment.waitForExit());
         assertTrue(backend.hasNoConnectionWithin(100));
     }
@@ -264,11 +264,11 @@
     @Test
     public void clientsAreStillServedBetweenTerminationAndMove() throws Exception {
         TestConnection client = environment.sendOpen("a9", 20_000);
-        TestConnection side = environment.establish(backend, client);
+        TestConnection backendSide = environment.establish(backend, client);
         long before = System.nanoTime();
         environment.process().toHandle().destroy();
         RelayTestEnvironment.await("the drain begins", () -> environment.hasLogged("drain.start"));
-        side.sendLine("M 1 still served");
+        backendSide.sendLine("M 1 still served");
         assertEquals("M 1 still served", client.readLine());
         assertEquals("MOVE", client.readLine());
         long passed = (System.nanoTime() - before) / 1_000_000;
@@ -307,31 +307,31 @@
     @Test
     public void clientOfAnUnresponsiveBackendIsMoved() throws Exception {
         TestConnection client = environment.sendOpen("b2", 20_000);
-        TestConnection side = environment.establish(backend, client);
+        TestConnection backendSide = environment.establish(backend, client);
         client.sendLine("M 1 anybody");
-        assertEquals("M 1 anybody", side.readLine());
+        assertEquals("M 1 anybody", backendSide.readLine());
         assertEquals("MOVE", client.readLine());
-        assertNull(side.readLine());
+        assertNull(backendSide.readLine());
         assertFalse(environment.hasLogged("ERROR"));
     }
 
     @Test
     public void requestFailsIfItsClientSendsBeforeTheAnswer() throws Exception {
         TestConnection client = environment.sendOpen("e1", 20_000);
-        TestConnection side = backend.accept();
-        side.readLine();
+        TestConnection backendSide = backend.accept();
+        backendSide.readLine();
         client.sendLine("OPEN e2 k c=chat,t=acme,d=2000");
         assertEquals("ERR only one line before the answer", client.readLine());
-        assertNull("the attempt is cancelled", side.readLine());
+        assertNull("the attempt is cancelled", backendSide.readLine());
     }
 
     @Test
     public void duplicateOpenIdIsNotSentToABackend() throws Exception {
         TestConnection first = environment.sendOpen("f1", 20_000);
-        TestConnection side = environment.establish(backend, first);
+        TestConnection backendSide = environment.establish(backend, first);
         assertEquals("ERR id is in use", environment.sendOpen("f1", 20_000).readLine());
         assertTrue(backend.hasNoConnectionWithin(100));
-        side.sendLine("BYE").close();
+        backendSide.sendLine("BYE").close();
         assertEquals("BYE", first.readLine());
         assertNull(first.readLine());
         first.close();
@@ -350,12 +350,12 @@
     public void endlessSenderIsAnsweredAndCutOff() throws Exception {
         TestConnection client = environment.connectClient();
         BlockingQueue<String> answer = RelayTestEnvironment.runInBackground(client::readLine);
-        byte[] some = "x".repeat(64 << 10).getBytes(java.nio.charset.StandardCharsets.US_ASCII);
+        byte[] block = "x".repeat(64 << 10).getBytes(java.nio.charset.StandardCharsets.US_ASCII);
         assertThrows(
                 IOException.class,
                 () -> {
                     for (int i = 0; i < 960; i++) { // 60 MB
-                        client.socket.getOutputStream().write(some);
+                        client.socket.getOutputStream().write(block);
                     }
                 });
         assertEquals("ERR line too long", answer.take());
@@ -366,13 +366,13 @@
         environment.close();
         environment = new RelayTestEnvironment();
         backend = environment.startBackend();
-        TestServer full = environment.startBackend();
+        TestServer overloaded = environment.startBackend();
         String list =
                 RelayTestEnvironment.backendList(
                         1,
                         true,
                         RelayTestEnvironment.backendEntry("s-1", backend.endpoint(), "ready"),
-                        RelayTestEnvironment.backendEntry("s-2", full.endpoint(), "ready"));
+                        RelayTestEnvironment.backendEntry("s-2", overloaded.endpoint(), "ready"));
         environment.startWith(
                 environment
                         .config(256, list)
@@ -380,10 +380,10 @@
                         .replace(
                                 "\"Zone\":0",
                                 "\"Zone\":0,\"Report\":{\"How\":\"pull\",\"Fields\":[\"x0\",\"queue\"]}"));
-        BlockingQueue<Boolean> second = new LinkedBlockingQueue<>();
+        BlockingQueue<Boolean> answeredProbes = new LinkedBlockingQueue<>();
         String[] reports = {"x0=0.3,queue=0", "x0=1.4,queue=9"};
         for (int i = 0; i < 2; i++) {
-            TestConnection probes = (i == 0 ? backend : full).accept();
+            TestConnection probes = (i == 0 ? backend : overloaded).accept();
             String report = reports[i];
             RelayTestEnvironment.runInBackground(
                     () -> {
@@ -391,13 +391,13 @@
                                 "STATS".equals(line);
                                 line = probes.readLine()) {
                             probes.sendLine("PONG " + report);
-                            second.add(true);
+                            answeredProbes.add(true);
                         }
                         return false;
                     });
         }
         for (int i = 0; i < 4; i++) {
-            assertTrue(second.take());
+            assertTrue(answeredProbes.take());
         }
         for (int i = 0; i < 12; i++) {
             String fields = " c=chat,t=acme,d=9000,g=" + i;
@@ -405,7 +405,7 @@
                     backend,
                     environment.connectClient().sendLine("OPEN h" + i + " k" + i + fields));
         }
-        assertTrue(full.hasNoConnectionWithin(100));
+        assertTrue(overloaded.hasNoConnectionWithin(100));
     }
 
     @Test
@@ -421,7 +421,7 @@
         }
         environment.establish(backend, environment.sendOpen("g1", 20_000));
         RelayTestEnvironment.await(
-                "the oldest pending clients are rejected",
+                "the oldest pending client is evicted",
                 () -> environment.hasLogged("doorway.full"));
         assertFalse(environment.hasLogged("admit.full"));
     }
@@ -436,11 +436,11 @@
         environment.startWith(
                 environment.config(52, RelayTestEnvironment.backendList(1, true, ready)));
         TestConnection first = environment.sendOpen("d1", 20_000);
-        TestConnection side = environment.establish(backend, first);
+        TestConnection backendSide = environment.establish(backend, first);
         environment.establish(backend, environment.sendOpen("d2", 20_000));
         assertEquals("BUSY 1500", environment.sendOpen("d3", 20_000).readLine());
         environment.awaitLogged("admit.full");
-        side.sendLine("M 1 still here");
+        backendSide.sendLine("M 1 still here");
         assertEquals("M 1 still here", first.readLine());
     }
 
@@ -481,10 +481,10 @@
     public void connectionsOpenBeforeTheStartAreRestoredToTheirBackend() throws Exception {
         TestConnection client =
                 environment.connectClient().sendLine("OPEN c1 k c=chat,t=acme,d=2000,at=s-1");
-        TestConnection refused = backend.accept();
-        refused.close(); // the first attempt may fail
-        TestConnection side = environment.establish(backend, client);
-        side.sendLine("M 1 here");
+        TestConnection failedAttempt = backend.accept();
+        failedAttempt.close(); // the first attempt may fail
+        TestConnection backendSide = environment.establish(backend, client);
+        backendSide.sendLine("M 1 here");
         assertEquals("M 1 here", client.readLine());
     }
 }
--- a/relay/src/test/java/saltstage/session/BackendRegistryTest.java
+++ b/relay/src/test/java/saltstage/session/BackendRegistryTest.java
@@ -22,11 +22,11 @@
 public class BackendRegistryTest {
     private final BackendRegistry backends = new BackendRegistry();
 
-    private List<Backend> update(boolean all, BackendList.Entry... entries) {
-        return backends.update(new BackendList(1, all, List.of(entries)));
+    private List<Backend> update(boolean full, BackendList.Entry... entries) {
+        return backends.update(new BackendList(1, full, List.of(entries)));
     }
 
-    private static BackendList.Entry entry(String uid, State state, long started) {
+    private static BackendList.Entry entry(String uid, State state, long startedMs) {
         return new BackendList.Entry(
                 uid,
                 new InetSocketAddress("127.0.0.1", 1),
@@ -34,17 +34,17 @@
                 0,
                 state,
                 1,
-                Instant.ofEpochMilli(started));
+                Instant.ofEpochMilli(startedMs));
     }
 
     @Test
     public void drainingBackendStaysListedButAcceptsNoRequests() {
         update(true, entry("s-1", State.READY, 0));
-        Backend held = backends.find("s-1");
-        assertTrue(held.canAcceptRequests());
+        Backend known = backends.find("s-1");
+        assertTrue(known.canAcceptRequests());
         assertEquals(List.of(), update(false, entry("s-1", State.DRAINING, 0)));
-        assertSame(held, backends.find("s-1"));
-        assertFalse(held.canAcceptRequests());
+        assertSame(known, backends.find("s-1"));
+        assertFalse(known.canAcceptRequests());
     }
 
     @Test
--- a/relay/src/test/java/saltstage/session/LoadReportClassifierTest.java
+++ b/relay/src/test/java/saltstage/session/LoadReportClassifierTest.java
@@ -17,13 +17,13 @@
     private final Attempt light = attemptWithLoad(2_900);
 
     private static Attempt attemptWithLoad(double load) {
-        Attempt on = new Attempt(null, null, START);
-        on.setLoad(load);
-        return on;
+        Attempt attempt = new Attempt(null, null, START);
+        attempt.setLoad(load);
+        return attempt;
     }
 
-    private boolean isDelayAt(int millis, Attempt on, double figure) {
-        return classifier.isDelay(on, figure, START.plusMillis(millis));
+    private boolean isDelayAt(int millis, Attempt attempt, double value) {
+        return classifier.isDelay(attempt, value, START.plusMillis(millis));
     }
 
     @Test
@@ -36,12 +36,13 @@
     public void loadsAreNotDelays() {
         assertFalse(isDelayAt(0, heavy, 2_267));
         assertFalse(isDelayAt(300, heavy, 996_787));
-        assertFalse("the load of a lightly loaded connection decreased", isDelayAt(500, light, 714));
-        assertFalse("the load of a heavily loaded connection became small", isDelayAt(900, heavy, 789));
+        assertFalse("the load of a light connection decreased", isDelayAt(500, light, 714));
+        assertFalse("the load of a heavy connection became small", isDelayAt(900, heavy, 789));
         assertTrue(isDelayAt(1_000, heavy, 58));
         assertFalse("near the offset of delay reports", isDelayAt(1_970, light, 1_761));
         assertFalse(
-                "too large for a delay, at the offset of delay reports", isDelayAt(2_000, heavy, 9_055));
+                "too large for a delay, at the offset of delay reports",
+                isDelayAt(2_000, heavy, 9_055));
     }
 
     @Test
