--- a/relay/src/test/java/saltstage/PackagesTest.java
+++ b/relay/src/test/java/saltstage/PackagesTest.java
@@ -38,7 +38,7 @@
                     Map.entry("amqp", Set.of("net", "stage", "session", "wire", "config", "log")));
 
     @Test
-    void eachPackageImportsOnlyWhatStandsBelowIt() throws IOException {
+    void packagesImportOnlyWhatIsAllowedForThem() throws IOException {
         int[] importCount = new int[1];
         try (Stream<Path> files = Files.walk(ROOT)) {
             for (Path file : files.filter(path -> path.toString().endsWith(".java")).toList()) {
--- a/relay/src/test/java/saltstage/process/RelayTestEnvironment.java
+++ b/relay/src/test/java/saltstage/process/RelayTestEnvironment.java
@@ -297,7 +297,7 @@
 
     static void await(String event, BooleanSupplier condition) throws InterruptedException {
         for (int waited = 0; !condition.getAsBoolean(); waited += 10) {
-            assertTrue("waited in vain until " + event, waited < AWAIT_TIMEOUT_MS);
+            assertTrue("timed out waiting until " + event, waited < AWAIT_TIMEOUT_MS);
             Thread.sleep(10);
         }
     }
