--- a/relay/src/test/java/saltstage/process/FaultSoakTest.java
+++ b/relay/src/test/java/saltstage/process/FaultSoakTest.java
@@ -48,7 +48,8 @@
         TreeMap<String, Integer> answers = new TreeMap<>();
         List<TestConnection> established = new ArrayList<>();
         List<Socket> idle = new ArrayList<>();
-        try (RelayTestEnvironment environment = new RelayTestEnvironment(); var fleet = new FakeBackendFleet(5)) {
+        try (RelayTestEnvironment environment = new RelayTestEnvironment();
+                var fleet = new FakeBackendFleet(5)) {
             environment.platformLimits = new PlatformLimits().networkFaults(seed, FAULTS_PER_MILLE);
             String config = environment.config(512, fleet.list(1));
             environment.startWith(config);
@@ -70,7 +71,8 @@
                     environment.reload(config);
                 }
             }
-            RelayTestEnvironment.await("the new configuration is read", () -> environment.hasLogged("reload.done"));
+            RelayTestEnvironment.await(
+                "the new configuration is read", () -> environment.hasLogged("reload.done"));
             ProcessSupervisor.signal(environment.process().pid(), "TERM");
             int moved = 0;
             for (TestConnection client : established) {
--- a/relay/src/test/java/saltstage/process/RelayTestEnvironment.java
+++ b/relay/src/test/java/saltstage/process/RelayTestEnvironment.java
@@ -324,9 +324,7 @@
     String operatorCall(int port, String call) throws IOException {
         try (TestConnection connection = connectOperator(port).sendLine(call)) {
             StringBuilder answer = new StringBuilder();
-            for (String line = connection.readLine();
-                    line != null;
-                    line = connection.readLine()) {
+            for (String line = connection.readLine(); line != null; line = connection.readLine()) {
                 answer.append(line).append('\n');
             }
             return answer.toString();
