--- a/relay/src/test/java/saltstage/process/FaultSoakTest.java
+++ b/relay/src/test/java/saltstage/process/FaultSoakTest.java
@@ -48,16 +48,15 @@
         TreeMap<String, Integer> answers = new TreeMap<>();
         List<TestConnection> established = new ArrayList<>();
         List<Socket> idle = new ArrayList<>();
-        try (RelayTestEnvironment environment = new RelayTestEnvironment();
-                var fleet = new FakeBackendFleet(5)) {
-            environment.platformLimits = new PlatformLimits().networkFaults(seed, FAULTS_PER_MILLE);
-            String config = environment.config(512, fleet.list(1));
-            environment.startWith(config);
+        try (RelayTestEnvironment relay = new RelayTestEnvironment(); var fleet = new FakeBackendFleet(5)) {
+            relay.platformLimits = new PlatformLimits().networkFaults(seed, FAULTS_PER_MILLE);
+            String config = relay.config(512, fleet.list(1));
+            relay.startWith(config);
             for (int i = 0; i < CLIENTS; i++) {
                 if (random.nextInt(CLIENTS) < IDLE_CLIENTS) {
-                    idle.add(new Socket("127.0.0.1", environment.clientPort()));
+                    idle.add(new Socket("127.0.0.1", relay.clientPort()));
                 }
-                TestConnection client = environment.sendOpen("id" + i, DEADLINE_MS);
+                TestConnection client = relay.sendOpen("id" + i, DEADLINE_MS);
                 String answer = readAnswer(client);
                 answers.merge(answer.split(" ")[0], 1, Integer::sum);
                 if (answer.startsWith("UP")) {
@@ -68,31 +67,30 @@
                     }
                 }
                 if (i == CLIENTS / 2) {
-                    environment.reload(config);
+                    relay.reload(config);
                 }
             }
-            RelayTestEnvironment.await(
-                "the new configuration is read", () -> environment.hasLogged("reload.done"));
-            ProcessSupervisor.signal(environment.process().pid(), "TERM");
+            RelayTestEnvironment.await("the new configuration is read", () -> relay.hasLogged("reload.done"));
+            ProcessSupervisor.signal(relay.process().pid(), "TERM");
             int moved = 0;
             for (TestConnection client : established) {
                 moved += "MOVE".equals(readAnswer(client, END_WITHIN_MS)) ? 1 : 0;
             }
-            boolean ended = environment.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS);
+            boolean ended = relay.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS);
             for (Socket socket : idle) {
                 socket.close();
             }
             int answered = answers.getOrDefault("UP", 0) + answers.getOrDefault("BUSY", 0)
                 + answers.getOrDefault("ERR", 0);
             boolean passed = answered == CLIENTS && moved == established.size() && ended
-                && environment.process().exitValue() == 0;
+                && relay.process().exitValue() == 0;
             return (passed ? "kept " : "broken ") + answers + ", moved " + moved + " of " + established.size()
-                + (ended ? "" : ", not ended") + (passed ? "" : loggedErrors(environment));
+                + (ended ? "" : ", not ended") + (passed ? "" : loggedErrors(relay));
         }
     }
 
-    private static String loggedErrors(RelayTestEnvironment environment) {
-        return " " + environment.logLines.stream().filter(line -> line.contains(" ERROR ")).limit(3).toList();
+    private static String loggedErrors(RelayTestEnvironment relay) {
+        return " " + relay.logLines.stream().filter(line -> line.contains(" ERROR ")).limit(3).toList();
     }
 
     private static String readAnswer(TestConnection client) throws IOException {
