--- a/relay/src/test/java/saltstage/PackagesTest.java
+++ b/relay/src/test/java/saltstage/PackagesTest.java
@@ -12,7 +12,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Dependencies between packages go one way; a new one has to be named here. */
+/**
+ * Guards against dependency cycles between packages: a package may import only those that are
+ * listed for it here.
+ */
 class PackagesTest {
     private static final Path ROOT = Path.of("src/main/java/saltstage");
     private static final Pattern IMPORT =
@@ -35,28 +38,28 @@
                     Map.entry("amqp", Set.of("net", "stage", "session", "wire", "config", "log")));
 
     @Test
-    void eachPackageImportsOnlyWhatStandsBelowIt() throws IOException {
-        int[] seen = new int[1];
+    void packagesImportOnlyWhatIsAllowedForThem() throws IOException {
+        int[] importCount = new int[1];
         try (Stream<Path> files = Files.walk(ROOT)) {
-            for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
-                String own =
+            for (Path file : files.filter(path -> path.toString().endsWith(".java")).toList()) {
+                String ownPackage =
                         ROOT.relativize(file).getNameCount() == 1
                                 ? ""
                                 : ROOT.relativize(file).getName(0).toString();
-                if (own.equals("lifecycle")) {
-                    continue; // on top: it may import all, and nothing may import it
+                if (ownPackage.equals("lifecycle")) {
+                    continue; // the top layer: it may import every package, and none may import it
                 }
                 Matcher imports = IMPORT.matcher(Files.readString(file));
                 while (imports.find()) {
-                    seen[0]++;
+                    importCount[0]++;
                     assertTrue(
-                            own.equals(imports.group(1))
-                                    || ALLOWED.getOrDefault(own, Set.of())
+                            ownPackage.equals(imports.group(1))
+                                    || ALLOWED.getOrDefault(ownPackage, Set.of())
                                             .contains(imports.group(1)),
                             file + " imports " + imports.group(1));
                 }
             }
         }
-        assertTrue(seen[0] > 50, "imports seen: " + seen[0]);
+        assertTrue(importCount[0] > 50, "imports found: " + importCount[0]);
     }
 }
--- a/relay/src/test/java/saltstage/process/ClockStepTest.java
+++ b/relay/src/test/java/saltstage/process/ClockStepTest.java
@@ -11,16 +11,20 @@
 import saltstage.process.RelayTestEnvironment.TestServer;
 
 /**
- * The wall clock is stepped while a relay runs: its deadlines and its end are spans of real time.
+ * Guards against deadlines and drain times that follow the wall clock: the clock is stepped while a
+ * relay runs, and both must still be spans of real time.
  */
 public class ClockStepTest {
     private static final int STEP_AFTER_MS = 1_500;
     private static final int DEADLINE_MS = 1_500;
 
-    /** Up to half a second after its time a request earns nothing; later it is lost. */
+    /**
+     * A request answered up to half a second after its deadline earns nothing; later it counts as
+     * lost.
+     */
     private static final int LOST_AFTER_MS = DEADLINE_MS + 500;
 
-    /** The relay's own clock may run out this much sooner than the client's. */
+    /** The relay's own timer may expire this much before the client's deadline. */
     private static final int EARLY_TOLERANCE_MS = 200;
 
     private static final int END_WITHIN_MS = 3_700;
@@ -41,51 +45,52 @@
     }
 
     private static void runWithClockStep(int seconds) throws Exception {
-        try (RelayTestEnvironment world = new RelayTestEnvironment()) {
-            TestServer backend = world.startBackend();
-            world.platformLimits = new PlatformLimits().clockStep(seconds, STEP_AFTER_MS);
+        try (RelayTestEnvironment environment = new RelayTestEnvironment()) {
+            TestServer backend = environment.startBackend();
+            environment.platformLimits = new PlatformLimits().clockStep(seconds, STEP_AFTER_MS);
             String config =
-                    world.config(
+                    environment.config(
                             1_024,
                             RelayTestEnvironment.backendList(
                                     1,
                                     true,
                                     RelayTestEnvironment.backendEntry(
                                             "s-1", backend.endpoint(), "ready")));
-            world.startWith(config);
-            TestConnection standing = world.sendOpen("standing", 5_000);
-            world.establish(backend, standing);
+            environment.startWith(config);
+            TestConnection established = environment.sendOpen("standing", 5_000);
+            environment.establish(backend, established);
             Thread.sleep(2 * STEP_AFTER_MS);
-            world.reload(config);
+            environment.reload(config);
             RelayTestEnvironment.await(
-                    "the new configuration is read", () -> world.hasLogged("reload.done"));
-            Duration off = Duration.between(Instant.now(), timeOf(world, "reload.done"));
-            assertEquals("the step was seen", seconds, off.toSeconds(), 10);
+                    "the new configuration is read", () -> environment.hasLogged("reload.done"));
+            Duration offset = Duration.between(Instant.now(), timeOf(environment, "reload.done"));
+            assertEquals("the relay observes the clock step", seconds, offset.toSeconds(), 10);
 
-            long asked = System.nanoTime();
-            TestConnection waiting = world.sendOpen("waiting", DEADLINE_MS);
-            assertTrue(
-                    backend.accept()
-                            .readLine()
-                            .startsWith("OPEN waiting")); // and hears nothing back
+            long sentAt = System.nanoTime();
+            TestConnection waiting = environment.sendOpen("waiting", DEADLINE_MS);
+            // The backend accepts the connection and never answers.
+            assertTrue(backend.accept().readLine().startsWith("OPEN waiting"));
             waiting.socket.setSoTimeout(LOST_AFTER_MS);
             assertTrue(waiting.readLine().startsWith("BUSY"));
-            long answeredMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
+            long answeredMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt);
             assertTrue(
                     "answered after " + answeredMs, answeredMs >= DEADLINE_MS - EARLY_TOLERANCE_MS);
 
-            ProcessSupervisor.signal(world.process().pid(), "TERM");
-            assertEquals("MOVE", standing.readLine());
+            ProcessSupervisor.signal(environment.process().pid(), "TERM");
+            assertEquals("MOVE", established.readLine());
             assertTrue(
-                    "it ends before SIGKILL would come",
-                    world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
-            assertEquals(0, world.process().exitValue());
+                    "the relay ends before SIGKILL would come",
+                    environment.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS));
+            assertEquals(0, environment.process().exitValue());
         }
     }
 
-    private static Instant timeOf(RelayTestEnvironment world, String event) {
+    private static Instant timeOf(RelayTestEnvironment environment, String event) {
         String line =
-                world.logLines.stream().filter(l -> l.contains(event)).findFirst().orElseThrow();
+                environment.logLines.stream()
+                        .filter(logLine -> logLine.contains(event))
+                        .findFirst()
+                        .orElseThrow();
         return Instant.parse(line.substring(0, line.indexOf(' ')));
     }
 }
--- a/relay/src/test/java/saltstage/process/FaultSoakTest.java
+++ b/relay/src/test/java/saltstage/process/FaultSoakTest.java
@@ -14,9 +14,10 @@
 import saltstage.process.RelayTestEnvironment.TestConnection;
 
 /**
- * A relay whose calls to the network fail for a moment now and then, by seed: clients come and go, some say
- * nothing, a new configuration comes, and the relay is told to end. More seeds by hand:
- * {@code mvn -pl relay test -Dtest=FaultSoakTest -Dsoak.first=1 -Dsoak.seeds=50}.
+ * Guards against requests that are lost to transient failures of network calls, which a seed chooses.
+ * Meanwhile clients come and go, some send nothing, the configuration is reloaded and the relay is
+ * terminated. To run more seeds: {@code mvn -pl relay test -Dtest=FaultSoakTest -Dsoak.first=1
+ * -Dsoak.seeds=50}.
  */
 public class FaultSoakTest {
     private static final int FIRST_SEED = Integer.getInteger("soak.first", 1);
@@ -25,71 +26,71 @@
     private static final int CLIENTS = 150;
     private static final int IDLE_CLIENTS = 40;
     private static final int DEADLINE_MS = 2_000;
-    /** Up to half a second after its time a request earns nothing; later it is lost. */
+    /** A request answered up to half a second after its deadline earns nothing; later it counts as lost. */
     private static final int LOST_AFTER_MS = DEADLINE_MS + 500;
     private static final int END_WITHIN_MS = 3_700;
 
     @Test
     public void everyRequestIsAnsweredInTimeDespiteTransientNetworkFaults() throws Exception {
-        List<String> broken = new ArrayList<>();
+        List<String> brokenSeeds = new ArrayList<>();
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
             String outcome = runSeed(seed);
             System.out.println("soak seed " + seed + ": " + outcome);
             if (!outcome.startsWith("kept")) {
-                broken.add(seed + ": " + outcome);
+                brokenSeeds.add(seed + ": " + outcome);
             }
         }
-        assertEquals("seeds with a broken rule", List.of(), broken);
+        assertEquals("seeds that broke a rule", List.of(), brokenSeeds);
     }
 
     private static String runSeed(int seed) throws Exception {
         Random random = new Random(seed);
         TreeMap<String, Integer> answers = new TreeMap<>();
-        List<TestConnection> standing = new ArrayList<>();
-        List<Socket> silent = new ArrayList<>();
-        try (RelayTestEnvironment world = new RelayTestEnvironment(); var fleet = new FakeBackendFleet(5)) {
-            world.platformLimits = new PlatformLimits().networkFaults(seed, FAULTS_PER_MILLE);
-            String config = world.config(512, fleet.list(1));
-            world.startWith(config);
+        List<TestConnection> established = new ArrayList<>();
+        List<Socket> idle = new ArrayList<>();
+        try (RelayTestEnvironment relay = new RelayTestEnvironment(); var fleet = new FakeBackendFleet(5)) {
+            relay.platformLimits = new PlatformLimits().networkFaults(seed, FAULTS_PER_MILLE);
+            String config = relay.config(512, fleet.list(1));
+            relay.startWith(config);
             for (int i = 0; i < CLIENTS; i++) {
                 if (random.nextInt(CLIENTS) < IDLE_CLIENTS) {
-                    silent.add(new Socket("127.0.0.1", world.clientPort()));
+                    idle.add(new Socket("127.0.0.1", relay.clientPort()));
                 }
-                TestConnection client = world.sendOpen("id" + i, DEADLINE_MS);
+                TestConnection client = relay.sendOpen("id" + i, DEADLINE_MS);
                 String answer = readAnswer(client);
                 answers.merge(answer.split(" ")[0], 1, Integer::sum);
                 if (answer.startsWith("UP")) {
                     if (random.nextBoolean()) {
-                        standing.add(client);
+                        established.add(client);
                     } else {
                         client.close();
                     }
                 }
                 if (i == CLIENTS / 2) {
-                    world.reload(config);
+                    relay.reload(config);
                 }
             }
-            RelayTestEnvironment.await("the new configuration is read", () -> world.hasLogged("reload.done"));
-            ProcessSupervisor.signal(world.process().pid(), "TERM");
+            RelayTestEnvironment.await("the new configuration is read", () -> relay.hasLogged("reload.done"));
+            ProcessSupervisor.signal(relay.process().pid(), "TERM");
             int moved = 0;
-            for (TestConnection client : standing) {
+            for (TestConnection client : established) {
                 moved += "MOVE".equals(readAnswer(client, END_WITHIN_MS)) ? 1 : 0;
             }
-            boolean ended = world.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS);
-            for (Socket one : silent) {
-                one.close();
+            boolean ended = relay.process().waitFor(END_WITHIN_MS, TimeUnit.MILLISECONDS);
+            for (Socket socket : idle) {
+                socket.close();
             }
-            int whole = answers.getOrDefault("UP", 0) + answers.getOrDefault("BUSY", 0)
+            int answered = answers.getOrDefault("UP", 0) + answers.getOrDefault("BUSY", 0)
                 + answers.getOrDefault("ERR", 0);
-            boolean kept = whole == CLIENTS && moved == standing.size() && ended
-                && world.process().exitValue() == 0;
-            return (kept ? "kept " : "broken ") + answers + ", moved " + moved + " of " + standing.size()
-                + (ended ? "" : ", not ended") + (kept ? "" : loggedErrors(world));
+            boolean passed = answered == CLIENTS && moved == established.size() && ended
+                && relay.process().exitValue() == 0;
+            return (passed ? "kept " : "broken ") + answers + ", moved " + moved + " of " + established.size()
+                + (ended ? "" : ", not ended") + (passed ? "" : loggedErrors(relay));
         }
     }
 
-    private static String loggedErrors(RelayTestEnvironment world) {
-        return " " + world.logLines.stream().filter(line -> line.contains(" ERROR ")).limit(3).toList();
+    private static String loggedErrors(RelayTestEnvironment relay) {
+        return " " + relay.logLines.stream().filter(line -> line.contains(" ERROR ")).limit(3).toList();
     }
 
     private static String readAnswer(TestConnection client) throws IOException {
@@ -101,7 +102,7 @@
         try {
             String line = client.readLine();
             return line == null ? "end" : line;
-        } catch (SocketTimeoutException nothing) {
+        } catch (SocketTimeoutException timeout) {
             return "nothing";
         } catch (IOException reset) {
             return "reset";
--- a/relay/src/test/java/saltstage/process/RestoreBurstTest.java
+++ b/relay/src/test/java/saltstage/process/RestoreBurstTest.java
@@ -7,11 +7,14 @@
 import org.junit.Test;
 import saltstage.process.RelayTestEnvironment.TestConnection;
 
-/** Open connections that come back at once, on a platform whose threads just suffice for them. */
+/**
+ * Guards against restored connections that find no thread: open connections are restored all at
+ * once on a platform whose thread limit is just sufficient for them.
+ */
 public class RestoreBurstTest {
     private static final int RESTORED_CONNECTIONS = 90;
 
-    /** Two for each, the JVM's and the relay's own, and the reserve. */
+    /** Two threads for each connection, those of the JVM and the relay itself, and the reserve. */
     private static final int MAX_THREADS = 2 * RESTORED_CONNECTIONS + 70;
 
     private static final int THREAD_END_MICROS = 30_000;
@@ -19,16 +22,16 @@
 
     @Test
     public void threadCapacityCheckTakesNoThreadsFromRestoredConnections() throws Exception {
-        try (RelayTestEnvironment world = new RelayTestEnvironment();
+        try (RelayTestEnvironment environment = new RelayTestEnvironment();
                 FakeBackendFleet fleet = new FakeBackendFleet(8)) {
-            world.platformLimits =
+            environment.platformLimits =
                     new PlatformLimits()
                             .maxThreads(MAX_THREADS)
                             .threadEndDelayMicros(THREAD_END_MICROS);
-            world.startWith(world.config(1_024, fleet.list(1)));
+            environment.startWith(environment.config(1_024, fleet.list(1)));
             List<TestConnection> clients = new ArrayList<>();
             for (int i = 0; i < RESTORED_CONNECTIONS; i++) {
-                clients.add(world.connectClient());
+                clients.add(environment.connectClient());
             }
             for (int i = 0; i < RESTORED_CONNECTIONS; i++) {
                 clients.get(i)
