--- a/coordinator/src/main/java/saltstage/coordinator/window/CapacityTable.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/CapacityTable.java
@@ -6,20 +6,20 @@
 import java.util.Map;
 
 /**
- * What is missing at each floor, slot by slot, from now to a horizon: the planner's table. A slot
- * counts the most that is missing at any moment of it; losses within a window only fall, so that is
- * at its first moment, or at the begin of a window within it, which takes the slot from its first
- * moment on.
+ * The capacity left above each floor, slot by slot, from now to a horizon. The planner uses it to
+ * find free slots. A slot counts the largest loss at any moment of it. The loss of a window never
+ * rises while the window runs, so the largest loss is the one at the first moment of the slot, or
+ * at the begin of a window that begins within the slot. Such a window counts for the whole slot.
  */
 final class CapacityTable {
-    /** Five weeks of five minutes: what lies beyond is not planned yet. */
+    /** Five weeks of five-minute slots; nothing beyond them is planned yet. */
     private static final int MAX_SLOTS = 10_100;
 
     private final FleetPlan plan;
     private final long startMs;
     private final int slotCount;
 
-    /** A floor's room by slot: what there is, less what must be, less what is missing. */
+    /** The headroom of each floor by slot: total capacity less required and missing capacity. */
     private final Map<String, long[]> headroom = new HashMap<>();
 
     private final Map<String, List<FleetPlan.Floor>> floorsByRegion = new HashMap<>();
@@ -27,7 +27,7 @@
     private final Map<String, int[]> usageByRegion = new HashMap<>();
     private final int[] regionsInMaintenance;
 
-    /** What keeps a window from a slot. */
+    /** The first slot that blocks a window, and the reason. */
     record Conflict(int slot, String why) {}
 
     CapacityTable(FleetPlan plan, long now, long until) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** The most that must be there at any moment of a slot; hours may change within one. */
+    /** The highest required capacity of a slot; the hour of the forecast may change within it. */
     private long maxNeed(FleetPlan.Floor floor, int slot) {
         return Math.max(
                 plan.requiredCapacity(floor, slotStart(slot)),
@@ -80,7 +80,8 @@
     }
 
     /**
-     * Something is missing in a region outside any window, from now on until it is said to be back.
+     * Subtracts capacity that a region has lost outside any window. The loss counts in all slots,
+     * because it lasts until the capacity is reported back.
      */
     void addOutage(String region, long lost) {
         for (FleetPlan.Floor floor : floorsByRegion.getOrDefault(region, List.of())) {
@@ -91,7 +92,7 @@
         }
     }
 
-    /** Counts a window, or with -1 counts it no more. */
+    /** Counts a window if {@code sign} is 1, or removes it from the table if it is -1. */
     void add(Window window, long now, int sign) {
         long begin = window.begun() > 0 ? window.begun() : window.start();
         boolean open = window.isOverdue(now) || window.state() == Window.State.RETURNING;
@@ -107,7 +108,8 @@
             if (i < last && (sign > 0 ? used[i] == 0 : used[i] == 1)) {
                 regionsInMaintenance[i] += sign;
             }
-            used[i] += i < last ? sign : sign * 1_000; // after it the region rests, and is not out
+            // Thousands count the windows whose spacing covers the slot: no node is out then.
+            used[i] += i < last ? sign : sign * 1_000;
         }
         for (FleetPlan.Floor floor : floorsByRegion.getOrDefault(region, List.of())) {
             long[] row = headroom.get(floor.name());
@@ -123,8 +125,8 @@
     }
 
     /**
-     * What keeps a window that begins then from some slot; null: nothing. It is looked at as if
-     * planned.
+     * Returns what blocks a window that begins at the given time, or null if nothing does. The
+     * window is treated as planned.
      */
     Conflict conflict(Window window, long begin, long now) {
         Window there = window.withSchedule(begin, Window.State.PLANNED, now, "");
@@ -172,8 +174,8 @@
     }
 
     /**
-     * The first begin from a moment on, within its latest end, that nothing blocks; or why there is
-     * none.
+     * Returns the first begin, not before the given time and early enough for the latest end, that
+     * nothing blocks, or the reason why there is none.
      */
     Fit firstFit(Window window, long notBefore, long now) {
         long begin = Math.max(notBefore, Math.max(now, window.wish().earliest()));
@@ -186,18 +188,18 @@
                         begin, last == null ? "its earliest moment" : "not earlier: " + last.why());
             }
             last = conflict;
-            // What a window takes only falls with its time: begun later, and before the blocked
-            // slot, it would take as much of that slot or more.
+            // The loss of a window never rises while it runs. If the window began later but before
+            // the blocked slot, it would take at least as much of that slot.
             first = Math.max(slotAt(begin), conflict.slot()) + 1;
             begin = slotStart(first);
         }
         return new Fit(-1, last == null ? "it is longer than the time given" : last.why());
     }
 
-    /** When it may begin (-1: never in time), and why then. */
+    /** The time at which a window may begin, or -1 if it cannot end in time, and the reason. */
     record Fit(long begin, String why) {}
 
-    /** The room of a floor in the present slot. */
+    /** The headroom of a floor in the present slot. */
     long currentHeadroom(String floor) {
         return headroom.get(floor)[0];
     }
--- a/coordinator/src/main/java/saltstage/coordinator/window/FleetPlan.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/FleetPlan.java
@@ -6,15 +6,15 @@
 import java.util.stream.Stream;
 
 /**
- * What was agreed about the fleet: its regions, what must be kept, and when nothing may begin.
- * Capacity is in thousandths of a mean connection load, times are in milliseconds since 1970. Time
- * zones are given by their offsets, with each change of them: replicas must not differ because
- * their zone tables do.
+ * The agreed description of the fleet: its regions, the capacity floors that must be kept, and the
+ * black-outs. Capacity is in thousandths of a mean connection load, times are in milliseconds since
+ * 1970. A time zone is given as the list of its UTC offset changes, so that replicas with different
+ * zone tables still come to the same result.
  *
- * @param slotMs the grain of planning: what happens within a slot is taken for the whole of it
- * @param mostRegions so many regions may be in maintenance at once
- * @param spacingMs between the end of one window of a region and the next begin there
- * @param coldPermille what a node that has just returned can do, in thousandths of its capacity
+ * @param slotMs length of a planning slot; what happens within a slot counts for all of it
+ * @param mostRegions how many regions may be in maintenance at once
+ * @param spacingMs minimum time between the end of a window and the next begin in the same region
+ * @param coldPermille share of its capacity that a node has right after its return, in thousandths
  */
 public record FleetPlan(
         long slotMs,
@@ -24,32 +24,33 @@
         int mostRegions,
         long spacingMs,
         int coldPermille) {
-    /** Sums of these stay far from where they would overflow. */
+    /** Keeps sums of capacities far below the overflow of a long. */
     private static final long MAX_CAPACITY = 1_000_000_000_000_000L;
 
-    /** From then on local time is so much ahead of UTC. */
+    /** From {@code fromMs} on, local time is ahead of UTC by {@code offsetMs}. */
     public record UtcOffsetChange(long fromMs, long offsetMs) {}
 
-    /** A region. */
+    /** A region with its time zone, its nodes and its black-outs. */
     public record Region(String name, String zone, List<Node> nodes, List<BlackOut> blackOuts) {
         long capacity() {
             return nodes.stream().mapToLong(Node::capacity).sum();
         }
     }
 
-    /** A node and what it can hold when warm. */
+    /** A node and its capacity when it is warm. */
     public record Node(String id, long capacity) {}
 
     /**
-     * On these days of the week (1 Monday) and minutes of the day, in the region's zone, nothing is
-     * out.
+     * A weekly period in which no node of the region may be out. Days are days of the week (1 is
+     * Monday), minutes are minutes of the day, both in the time zone of the region.
      */
     public record BlackOut(List<Integer> days, int fromMinute, int toMinute) {}
 
     /**
-     * What must be there, at every moment, of these regions together: never less than a figure, nor
-     * than the demand that is forecast for that hour of the day. The global floor names all
-     * regions, a region's one, a tenant's those that it is confined to.
+     * The capacity that some regions must have together at every moment: at least {@code least},
+     * and at least the demand that is forecast for the hour of the day. The global floor names all
+     * regions, the floor of a region names that region, and the floor of a tenant names the regions
+     * to which the tenant is confined.
      */
     public record Floor(
             String name, List<String> regions, long least, List<Long> demandByHour, String zone) {}
@@ -58,7 +59,7 @@
         return regions.stream().filter(r -> r.name().equals(name)).findFirst().orElse(null);
     }
 
-    /** Minutes since local midnight on Monday of some week, at this moment. */
+    /** The local minute of the week at a moment, counted from midnight on Monday. */
     long minuteOfWeek(String zone, long at) {
         long offset = 0;
         for (UtcOffsetChange shift : zones.getOrDefault(zone, List.of())) {
@@ -67,7 +68,8 @@
             }
             offset = shift.offsetMs();
         }
-        long thursday = Math.floorDiv(at + offset, 60_000); // 1 January 1970 was one
+        // 1 January 1970 was a Thursday, three days after a Monday.
+        long thursday = Math.floorDiv(at + offset, 60_000);
         return Math.floorMod(thursday + 3 * 1_440, 7 * 1_440);
     }
 
@@ -76,9 +78,8 @@
         int day = 1 + (int) (minutes / 1_440);
         int minute = (int) (minutes % 1_440);
         for (BlackOut out : region.blackOuts()) {
-            boolean over =
-                    out.fromMinute()
-                            > out.toMinute(); // past midnight: it belongs to the day it began
+            // A black-out that spans midnight belongs to the day on which it began.
+            boolean over = out.fromMinute() > out.toMinute();
             boolean today = out.days().contains(day);
             boolean yesterday = out.days().contains(day == 1 ? 7 : day - 1);
             if (over
@@ -98,7 +99,7 @@
         return Math.max(floor.least(), floor.demandByHour().get(hour));
     }
 
-    /** What is wrong with it, or null. */
+    /** Returns the first error in this plan, or null if it is valid. */
     String validationError() {
         if (slotMs < 100
                 || slotMs > 3_600_000
--- a/coordinator/src/main/java/saltstage/coordinator/window/FloorLevels.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/FloorLevels.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import saltstage.coordinator.window.Window.State;
 
-/** Each floor over time, for operators to look at: what is there, what must be, what is missing. */
+/** Computes the available, required and missing capacity of each floor over time, for operators. */
 final class FloorLevels {
     private final WindowStore store;
     private final FleetPlan plan;
@@ -18,7 +18,10 @@
         countedWindows = store.inState(s -> s == State.PLANNED || s.isInProgress());
     }
 
-    /** Each floor at the begin of each slot between two moments, thinned to {@code most} rows. */
+    /**
+     * Returns the levels of each floor between two moments, one per slot, or fewer if that would
+     * give more than about {@code most} rows per floor.
+     */
     List<Windows.FloorLevel> between(long from, long to, int most) {
         List<Windows.FloorLevel> levels = new ArrayList<>();
         if (plan == null) {
@@ -36,7 +39,8 @@
     private Windows.FloorLevel level(FleetPlan.Floor floor, long at) {
         long missing = outageLoss(floor);
         for (Window window : countedWindows) {
-            boolean counts = at > now || window.state().isInProgress(); // a plan is not out yet
+            // A planned window is not out yet.
+            boolean counts = at > now || window.state().isInProgress();
             if (counts && floor.regions().contains(window.wish().region())) {
                 missing += window.lossAt(at, now, plan.coldPermille());
             }
--- a/coordinator/src/main/java/saltstage/coordinator/window/Planner.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Planner.java
@@ -4,11 +4,12 @@
 import java.util.Map;
 
 /**
- * Finds a begin for one window among what is missing already and what is planned. Which window is
- * placed first is up to the caller: what runs is greedy, by urgency.
+ * Finds a begin for one window, given the capacity that is missing already and the windows that are
+ * planned. The caller decides the order in which windows are placed: the planning is greedy, by
+ * urgency.
  */
 final class Planner {
-    /** Five weeks; what lies beyond is not planned yet. */
+    /** Five weeks; nothing beyond them is planned yet. */
     private static final long HORIZON_MS = 35L * 86_400_000;
 
     private final FleetPlan plan;
@@ -23,7 +24,10 @@
         this.outages = outages;
     }
 
-    /** The table with what is fixed. */
+    /**
+     * Returns a table that counts the fixed windows and the outages, and reaches far enough for the
+     * waiting windows.
+     */
     CapacityTable table(Collection<Window> waiting) {
         long until = now + plan.slotMs();
         for (Window window : waiting) {
@@ -39,10 +43,10 @@
     }
 
     /**
-     * Places one window into the table, after those that it must come after and apart from those
-     * that it must be; it is put off, with the reason, where nothing fits.
+     * Finds a start for one window, after the windows it must follow and apart from those it must
+     * not overlap. If nothing fits, the window is put off, with the reason.
      *
-     * @param known all windows that it may name, by number
+     * @param known all windows that the window may refer to, by number
      */
     Window place(CapacityTable table, Window window, Map<Long, Window> known) {
         long notBefore = now;
--- a/coordinator/src/main/java/saltstage/coordinator/window/Replanner.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Replanner.java
@@ -8,24 +8,26 @@
 import saltstage.coordinator.window.Window.State;
 
 /**
- * What follows from any change: drains are turned back while a floor is short, then the windows
- * that wait are planned anew, then the oldest that are over are forgotten.
+ * Applies what follows from any change: aborts drains while a floor is short, then plans the
+ * waiting windows anew, then removes the oldest finished windows.
  */
 final class Replanner {
-    /** Windows that are over are kept for operators to read, up to this many. */
+    /** How many finished windows are kept for operators to read. */
     private static final int MAX_FINISHED_WINDOWS = 500;
 
     /** A planned window that has not begun this many slots after its start is planned anew. */
     private static final int MAX_START_DELAY_SLOTS = 2;
 
-    /** Whom to turn back first: not emergencies, low priority, latest begun, highest number. */
+    /**
+     * Order of aborting drains: emergencies last, then low priority, latest begin, highest number.
+     */
     private static final Comparator<Window> LEAST_IMPORTANT_FIRST =
             Comparator.comparing((Window w) -> w.wish().emergency())
                     .thenComparing(w -> w.wish().priority())
                     .thenComparing(w -> -w.begun())
                     .thenComparing(w -> -w.id());
 
-    /** Whom to plan first: emergencies, those that have a place, high priority, lowest number. */
+    /** Order of planning: emergencies, planned windows, high priority, lowest number. */
     private static final Comparator<Window> MOST_URGENT_FIRST =
             Comparator.comparing((Window w) -> !w.wish().emergency())
                     .thenComparing(w -> w.state() != State.PLANNED)
@@ -38,22 +40,22 @@
         this.store = store;
     }
 
-    /** Applies all that follows from a change at this moment. */
+    /** Applies everything that follows from a change at this time. */
     void reconcile(long now) {
         store.plan().floors().forEach(floor -> abortDrains(floor, now));
         replan(now);
         removeOldWindows();
     }
 
-    /** Whether a planned window has missed its start: its agent is gone, or was refused. */
+    /** Whether a planned window missed its start because its agent is gone or was rejected. */
     boolean hasMissedStart(Window window, long now) {
         return window.state() == State.PLANNED
                 && window.start() < now - MAX_START_DELAY_SLOTS * store.plan().slotMs();
     }
 
     /**
-     * While a floor is short, drains that have not become outages are given back, the least wanted
-     * first.
+     * Aborts drains, the least important first, while the floor is short. Windows whose nodes are
+     * out already cannot be aborted.
      */
     private void abortDrains(FleetPlan.Floor floor, long now) {
         while (true) {
@@ -71,7 +73,7 @@
         }
     }
 
-    /** A floor's room in the present slot, counting what is on its way back already as there. */
+    /** The headroom of a floor in the present slot, with returning nodes counted as available. */
     private long headroomWithReturning(FleetPlan.Floor floor, long now) {
         long returning =
                 store.inState(s -> s == State.RETURNING).stream()
@@ -82,7 +84,8 @@
     }
 
     /**
-     * Keeps every plan that still holds; moves, and says so, only what cannot stay where it was.
+     * Keeps every planned start that still fits. Moves only the other windows, and records that in
+     * their reason.
      */
     private void replan(long now) {
         Planner planner = store.planner(now);
--- a/coordinator/src/main/java/saltstage/coordinator/window/Window.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Window.java
@@ -1,14 +1,14 @@
 package saltstage.coordinator.window;
 
 /**
- * A window as it stands. Times in milliseconds since 1970; 0: not yet.
+ * The current state of a maintenance window. Times are in milliseconds since 1970; 0 means not yet.
  *
- * @param start when it is planned to begin
- * @param begun when its drain was allowed
- * @param since when its present state began
- * @param proven what of its capacity was proven to be back, in thousandths of a mean connection
+ * @param start when the window is planned to begin
+ * @param begun when the drain was allowed to begin
+ * @param since when the present state began
+ * @param proven how much of the capacity was proven to be back, in thousandths of a mean connection
  *     load
- * @param why how it came to its present place
+ * @param why reason for the present state or start
  */
 public record Window(
         long id,
@@ -22,33 +22,33 @@
         String why) {
     /** The states of a window. */
     public enum State {
-        /** It waits for its time. */
+        /** The window has a start and waits for it. */
         PLANNED,
-        /** No time was found yet that would do; it is tried again when something changes. */
+        /** No start was found yet; planning is repeated when something changes. */
         PUT_OFF,
-        /** An operator holds it back. */
+        /** An operator paused the window. */
         PAUSED,
-        /** Its nodes take nothing new, and their connections leave. */
+        /** The nodes take no new connections, and their connections are moved away. */
         DRAINING,
-        /** Its nodes may be worked on. */
+        /** The nodes are out and may be worked on. */
         OUT,
-        /** Its nodes are back and cold. */
+        /** The nodes are back, but still cold. */
         WARMING,
-        /** It was turned back while it drained; its nodes are being given back. */
+        /** The drain was aborted; the nodes are returning to service. */
         RETURNING,
-        /** All of it was done and proven. */
+        /** The work is done and the return of the capacity is proven. */
         DONE,
-        /** Nothing came of it. */
+        /** The window was given up before its work began. */
         WITHDRAWN,
-        /** Its time ran out before a moment was found. */
+        /** The latest end can no longer be met. */
         EXPIRED;
 
-        /** Whether its capacity counts as out, but for what was proven. */
+        /** Whether the capacity counts as out, except for the proven part. */
         public boolean isInProgress() {
             return this == DRAINING || this == OUT || this == WARMING || this == RETURNING;
         }
 
-        /** Whether it may still begin. */
+        /** Whether the window may still begin. */
         public boolean isWaiting() {
             return this == PLANNED || this == PUT_OFF || this == PAUSED;
         }
@@ -71,22 +71,22 @@
                 id, wish, state, capacity, start, begun, since, Math.max(proven, back), why);
     }
 
-    /** When it should be over, from its begin or its plan. */
+    /** The planned end, counted from the actual begin or else from the planned start. */
     long plannedEnd() {
         return (begun > 0 ? begun : start) + wish.durationMs();
     }
 
-    /** Whether it has taken longer than it was to. */
+    /** Whether the window is in progress past its planned end. */
     public boolean isOverdue(long now) {
         return state.isInProgress() && now > plannedEnd();
     }
 
-    /** What of its capacity is missing at a moment, as far as is known now. */
+    /** The capacity that is missing at a moment, as far as is known now. */
     long lossAt(long at, long now, int coldPermille) {
         if (state.isInProgress()) {
             long least = capacity - proven;
             if (at <= now || isOverdue(now) || state == State.RETURNING) {
-                return least; // until it is proven back, whatever was planned
+                return least; // counts until proven back, whatever was planned
             }
             return Math.min(least, plannedLoss(at, begun, coldPermille));
         }
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowCommands.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowCommands.java
@@ -3,27 +3,28 @@
 import saltstage.coordinator.model.Command;
 
 /**
- * What can be asked of windows. What an agent says it says under its region's lease and its fence.
+ * The commands for maintenance windows. An agent sends its commands under the lease of its region
+ * and with the fencing token of that lease.
  */
 public final class WindowCommands {
-    /** From this feature level on. */
+    /** The feature level from which on these commands are understood. */
     public static final int MIN_FEATURE_LEVEL = 2;
 
     private WindowCommands() {}
 
-    /** What an agent has come to. */
+    /** The steps of a window that an agent reports. */
     public enum Step {
-        /** The connections have left; the nodes may be worked on. */
+        /** All connections were moved away; the nodes may be worked on. */
         OUT,
-        /** The nodes are back, and cold. */
+        /** The nodes are back, but still cold. */
         WARMING,
-        /** So much of the capacity is proven to be back. */
+        /** A part of the capacity is proven to be back. */
         PROVEN,
-        /** All is over. */
+        /** The window is over. */
         DONE
     }
 
-    /** The agreement about the fleet, in place of the one before. */
+    /** Replaces the plan of the fleet. */
     public record SetFleet(FleetPlan plan, String by) implements Command {
         @Override
         public int minFeatureLevel() {
@@ -31,7 +32,7 @@
         }
     }
 
-    /** Wants a window. */
+    /** Requests a window. */
     public record Propose(WindowRequest wish) implements Command {
         @Override
         public int minFeatureLevel() {
@@ -39,7 +40,7 @@
         }
     }
 
-    /** Wants it no more; a drain that has begun is turned back. */
+    /** Withdraws a window; a drain that has begun is aborted. */
     public record Withdraw(long id, String by) implements Command {
         @Override
         public int minFeatureLevel() {
@@ -47,7 +48,7 @@
         }
     }
 
-    /** Holds a window back, or lets it go on. */
+    /** Pauses a window, or resumes it. */
     public record Pause(long id, boolean on, String by) implements Command {
         @Override
         public int minFeatureLevel() {
@@ -55,7 +56,7 @@
         }
     }
 
-    /** May this window's drain begin now? */
+    /** Asks whether the drain of a window may begin now. */
     public record Begin(long id, String owner, long fence) implements Command {
         @Override
         public int minFeatureLevel() {
@@ -63,7 +64,7 @@
         }
     }
 
-    /** An agent's step; said again it changes nothing. */
+    /** Reports a step of a window; a repeated report changes nothing. */
     public record Report(long id, String owner, long fence, Step step, long proven)
             implements Command {
         @Override
@@ -72,7 +73,7 @@
         }
     }
 
-    /** So much of a region's capacity is missing outside its windows; 0: nothing any more. */
+    /** Reports the capacity that a region has lost outside its windows; 0 ends the outage. */
     public record Outage(String region, long lost, String owner, long fence) implements Command {
         @Override
         public int minFeatureLevel() {
@@ -80,7 +81,7 @@
         }
     }
 
-    /** The lease under which a region's agent acts. */
+    /** The name of the lease under which the agent of a region acts. */
     public static String leaseName(String region) {
         return "agent/" + region;
     }
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowProgress.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowProgress.java
@@ -6,7 +6,7 @@
 import saltstage.coordinator.window.Window.State;
 import saltstage.coordinator.window.WindowCommands.Step;
 
-/** Takes a window from its begin to its end, as the agent of its region reports. */
+/** Advances a window from its begin to its end, as the agent of its region reports. */
 final class WindowProgress {
     private final WindowStore store;
     private final Replanner replanner;
@@ -16,7 +16,7 @@
         this.replanner = replanner;
     }
 
-    /** Whether a window's drain may begin now; asked by the agent that holds its region's lease. */
+    /** Lets a drain begin if it may; called for the agent that holds the lease of the region. */
     Reply begin(long id, long now) {
         Window window = store.find(id);
         if (window == null) {
@@ -42,7 +42,7 @@
         return new WindowReplies.Now(store.find(id));
     }
 
-    /** Why a planned window may not begin after all, by what is really missing; or null. */
+    /** Why a planned window may not begin, given the actual losses, or null if it may. */
     private String obstacle(Window window, long now) {
         CapacityTable table = store.planner(now).table(List.of(window));
         CapacityTable.Conflict conflict = table.conflict(window, now, now);
@@ -68,7 +68,7 @@
         return one.wish().apart().stream().anyMatch(other.wish().apart()::contains);
     }
 
-    /** Takes a step of the agent that holds the region's lease. */
+    /** Applies a step that was reported by the agent that holds the lease of the region. */
     Reply report(long id, Step step, long proven, long now) {
         Window window = store.find(id);
         if (window == null) {
@@ -104,8 +104,8 @@
     }
 
     /**
-     * The window after a step, the same where the step was taken before; null: the step does not
-     * follow.
+     * Returns the window after a step: the same window if the step was taken before, or null if the
+     * step does not follow from the present state.
      */
     private Window windowAfterStep(Step step, Window window, long proven, long now) {
         State state = window.state();
@@ -137,7 +137,7 @@
         };
     }
 
-    /** A drain that was turned back is over: planned anew, unless it was withdrawn. */
+    /** Ends an aborted drain: the window is planned anew, unless it was withdrawn. */
     private Window windowAfterReturn(Window window, long now) {
         boolean withdrawn = store.withdrawnDrains().remove(window.id());
         State state = withdrawn ? State.WITHDRAWN : State.PUT_OFF;
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowProposals.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowProposals.java
@@ -8,11 +8,11 @@
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.window.Window.State;
 
-/** Takes requests for windows: finds each its place, or says why there is none. */
+/** Handles requests for windows: finds a start for each, or tells why there is none. */
 final class WindowProposals {
     private static final int MAX_WAITING_WINDOWS = 5_000;
 
-    /** How much longer a refused request's time is taken, to say when it would do. */
+    /** Extra time allowed to a rejected request when searching for a start that would fit. */
     private static final long LOOK_AHEAD_MS = 14L * 86_400_000;
 
     private final WindowStore store;
@@ -23,7 +23,7 @@
         this.replanner = replanner;
     }
 
-    /** Plans a window; the same request again is the same window. */
+    /** Plans a window; an equivalent request returns the windows that exist already. */
     Reply propose(WindowRequest request, long now) {
         if (store.plan() == null) {
             return new Rejection("no-plan", "nothing is agreed about the fleet yet", 0);
@@ -61,7 +61,7 @@
         return store.inState(state -> state.isWaiting() || state.isInProgress());
     }
 
-    /** One node cannot be in two windows at once; one after the other is asked for by 'after'. */
+    /** A node cannot be in two windows unless the request names the other one in 'after'. */
     private static boolean hasSharedNodes(Window window, WindowRequest request) {
         return window.wish().region().equals(request.region())
                 && window.wish().nodes().stream().anyMatch(request.nodes()::contains)
@@ -69,7 +69,8 @@
     }
 
     /**
-     * Plans it whole, else in halves where it may be split, else says why not and when it would do.
+     * Plans the request as one window, or in halves if it may be split. Otherwise returns a
+     * rejection with the reason and the time from which the request would fit.
      */
     private Rejection add(WindowRequest request, long now, List<Window> made) {
         Window window = unplanned(store.nextId(), request, capacity(request), now, "proposed");
@@ -78,7 +79,7 @@
             store.add(placed);
             made.add(placed);
             if (request.emergency()) {
-                replanner.reconcile(now); // whoever it displaced is moved, and told so
+                replanner.reconcile(now); // moves the displaced windows and records why
             }
             return null;
         }
@@ -88,7 +89,10 @@
         return rejection(window, placed, now);
     }
 
-    /** Finds a place for one window; an emergency counts only other emergencies' plans. */
+    /**
+     * Finds a start for one window; an emergency ignores other planned windows unless they are
+     * emergencies too.
+     */
     private Window place(Window window, long now) {
         List<Window> planned = store.inState(s -> s == State.PLANNED);
         List<Window> counted =
@@ -102,7 +106,7 @@
         return planner.place(table, window, known);
     }
 
-    /** Both halves, or nothing. */
+    /** Plans both halves, or restores the earlier state and returns the rejection. */
     private Rejection addInHalves(WindowRequest request, long now, List<Window> made) {
         List<Window> before = store.all();
         List<String> nodes = request.nodes();
@@ -132,7 +136,7 @@
         return new Rejection("no-room", why, Math.max(1, fit.begin() - now));
     }
 
-    /** A table that reaches as far as this window may go, with these others counted. */
+    /** Returns a table that reaches to the latest end of the window and counts the others. */
     private static CapacityTable tableWith(
             Planner planner, List<Window> counted, Window window, long now) {
         List<Window> waiting = new ArrayList<>(counted);
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowReplies.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowReplies.java
@@ -3,13 +3,17 @@
 import java.util.List;
 import saltstage.coordinator.model.Reply;
 
-/** What asking of windows comes to. */
+/** The replies to commands for maintenance windows. */
 public final class WindowReplies {
     private WindowReplies() {}
 
-    /** The windows of a wish, one or, where it was split, several. */
+    /**
+     * The windows of a request: one, or several if it was split.
+     *
+     * @param known whether the windows existed already
+     */
     public record Planned(List<Window> windows, boolean known) implements Reply {}
 
-    /** A window as it is now. */
+    /** The current state of a window. */
     public record Now(Window window) implements Reply {}
 }
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowRequest.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowRequest.java
@@ -6,19 +6,19 @@
 /**
  * A request for a maintenance window.
  *
- * @param nodes those of the region that shall be out
+ * @param nodes the nodes of the region that shall be out
  * @param drainMs how long moving their connections out may take
- * @param workMs how long they are out
- * @param warmMs how long they take to be warm again
- * @param earliest not before, milliseconds since 1970
- * @param latest over by then, warm again
- * @param priority the higher goes first
- * @param emergency may put planned ones off, whatever their priority; never goes under a floor
+ * @param workMs how long the nodes are out
+ * @param warmMs how long the nodes take to warm up
+ * @param earliest earliest begin, in milliseconds since 1970
+ * @param latest latest end, with all nodes warm again, in milliseconds since 1970
+ * @param priority windows of higher priority are planned first
+ * @param emergency may displace planned windows of any priority, but never breaches a floor
  * @param split whether the nodes may go in several windows
- * @param after windows that must be over before it begins
- * @param apart never at the same time as another window that has one of these words
- * @param by who asks
- * @param purpose what for; the same nodes for the same purpose are the same window
+ * @param after numbers of the windows that must be over before this one begins
+ * @param apart exclusion words; windows that share one never overlap
+ * @param by who requests the window
+ * @param purpose reason for the window; the same nodes and purpose mean the same window
  */
 public record WindowRequest(
         String region,
@@ -35,19 +35,19 @@
         List<String> apart,
         String by,
         String purpose) {
-    /** How long it takes in all, in milliseconds. */
+    /** The total duration in milliseconds. */
     public long durationMs() {
         return drainMs + workMs + warmMs;
     }
 
-    /** The same for some of the nodes only. */
+    /** Returns the same request for some of the nodes only. */
     WindowRequest withNodes(List<String> some) {
         return new WindowRequest(
                 region, some, drainMs, workMs, warmMs, earliest, latest, priority, emergency, split,
                 after, apart, by, purpose);
     }
 
-    /** The same as a whole, with so much more time until it must be over. */
+    /** Returns the same request, not split, with a later latest end. */
     WindowRequest withMoreTime(long moreMs) {
         return new WindowRequest(
                 region,
@@ -66,7 +66,7 @@
                 purpose);
     }
 
-    /** Whether it asks for the same nodes for the same purpose. */
+    /** Whether the other request names the same nodes and the same purpose. */
     boolean isEquivalentTo(WindowRequest other) {
         return region.equals(other.region)
                 && purpose.equals(other.purpose)
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowRequestValidator.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowRequestValidator.java
@@ -6,17 +6,17 @@
 
 /** Checks requests for windows against the plan and against the limits on their size. */
 final class WindowRequestValidator {
-    /** The most nodes, predecessors or exclusion words that a request names. */
+    /** How many nodes, predecessors or exclusion words a request may name. */
     private static final int MAX_LIST_SIZE = 1_000;
 
-    /** In the year 2100: sums of times stay far from where they would overflow. */
+    /** A moment in the year 2100; keeps sums of times far below the overflow of a long. */
     private static final long MAX_END_MS = 4_102_444_800_000L;
 
     private static final long MAX_DURATION_MS = 7L * 86_400_000;
 
     private WindowRequestValidator() {}
 
-    /** What is wrong with a request, or null. */
+    /** Returns the first error in a request, or null if it is valid. */
     static String validationError(WindowRequest request, FleetPlan plan) {
         FleetPlan.Region region = plan.region(request.region());
         if (region == null) {
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowStore.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowStore.java
@@ -9,7 +9,7 @@
 import java.util.function.Predicate;
 import saltstage.coordinator.window.Window.State;
 
-/** The plan, the windows and the outages of a group: all that a snapshot keeps of windows. */
+/** Holds the plan, the windows and the outages of a group, as far as a snapshot contains them. */
 final class WindowStore {
     private FleetPlan plan;
     private long lastId;
@@ -64,13 +64,13 @@
         windows.remove(id);
     }
 
-    /** Puts all windows back to what {@link #all} gave before. */
+    /** Replaces all windows by an earlier result of {@link #all}. */
     void restore(Collection<Window> before) {
         windows.clear();
         before.forEach(this::put);
     }
 
-    /** The windows in one of these states, by number. */
+    /** The windows whose state matches, by number. */
     List<Window> inState(Predicate<State> states) {
         return windows.values().stream().filter(w -> states.test(w.state())).toList();
     }
@@ -80,23 +80,23 @@
         return lastId + 1;
     }
 
-    /** Keeps a new window under the next number. */
+    /** Adds a new window, which must have the next number. */
     void add(Window window) {
         lastId++;
         put(window);
     }
 
-    /** What is missing outside any window, by region. */
+    /** The capacity that is missing outside any window, by region. */
     Map<String, Long> outages() {
         return outages;
     }
 
-    /** Windows that were withdrawn while they drained, until their nodes are back. */
+    /** The numbers of windows withdrawn during their drain whose nodes are not back yet. */
     Set<Long> withdrawnDrains() {
         return withdrawnDrains;
     }
 
-    /** The moment up to which the passing of time was considered. */
+    /** The time up to which the effects of passing time have been applied. */
     long advancedTo() {
         return advancedTo;
     }
@@ -105,7 +105,7 @@
         advancedTo = now;
     }
 
-    /** A planner that counts what is missing now as missing. */
+    /** Returns a planner that counts the windows in progress and the outages. */
     Planner planner(long now) {
         return new Planner(plan, now, inState(State::isInProgress), outages);
     }
--- a/coordinator/src/main/java/saltstage/coordinator/window/Windows.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Windows.java
@@ -11,13 +11,13 @@
 import saltstage.coordinator.window.WindowCommands.Step;
 
 /**
- * All windows of a group and the rules that they keep: at every moment what is planned to be
- * missing and what is missing together leave every floor. Capacity counts as out from the moment at
- * which a drain may begin until its return is proven, whatever becomes of its agent. Free of I/O,
- * threads and clocks; times are in milliseconds since 1970.
+ * All maintenance windows of a group and their central rule: the planned and the actual losses
+ * together never breach a capacity floor. Capacity counts as out from the moment at which a drain
+ * may begin until its return is proven, even if the agent is lost meanwhile. The class uses no I/O,
+ * threads or clocks; times are in milliseconds since 1970.
  */
 public final class Windows {
-    /** What a snapshot keeps; the component names are part of it. */
+    /** The snapshot of all windows; the component names are part of its stored form. */
     public record Image(
             FleetPlan plan,
             long ids,
@@ -26,7 +26,7 @@
             Set<Long> unwanted,
             long looked) {}
 
-    /** A floor at a moment: what is there at least, what must be, what is missing. */
+    /** The minimum available, the required and the missing capacity of a floor at a moment. */
     public record FloorLevel(String floor, long at, long capacity, long need, long missing) {}
 
     private final WindowStore store;
@@ -34,12 +34,12 @@
     private final WindowProposals proposals;
     private final WindowProgress progress;
 
-    /** Nothing is agreed or planned. */
+    /** Starts without a plan and without windows. */
     public Windows() {
         this(new Image(null, 0, List.of(), Map.of(), Set.of(), 0));
     }
 
-    /** As a snapshot has it. */
+    /** Restores the state from a snapshot. */
     public Windows(Image image) {
         store = new WindowStore(image);
         replanner = new Replanner(store);
@@ -47,32 +47,32 @@
         progress = new WindowProgress(store, replanner);
     }
 
-    /** What a snapshot keeps. */
+    /** Returns the snapshot of the present state. */
     public Image image() {
         return store.image();
     }
 
-    /** What was agreed, or null. */
+    /** The agreed plan, or null. */
     public FleetPlan plan() {
         return store.plan();
     }
 
-    /** All of them, by number. */
+    /** All windows by number. */
     public List<Window> all() {
         return store.all();
     }
 
-    /** One of them, or null. */
+    /** The window of this number, or null. */
     public Window find(long id) {
         return store.find(id);
     }
 
-    /** Whether any may still change by itself. */
+    /** Whether any window waits or is in progress. */
     public boolean hasOpenWindows() {
         return !store.inState(s -> s.isWaiting() || s.isInProgress()).isEmpty();
     }
 
-    /** Applies, once a slot, what time alone has changed. */
+    /** Applies, at most once per slot, the effects of passing time. */
     public void advance(long now) {
         long before = store.advancedTo();
         if (plan() == null
@@ -89,7 +89,7 @@
                 store.put(window.withState(State.EXPIRED, now, why));
                 changed = true;
             } else if (window.isOverdue(now) && !window.isOverdue(before)) {
-                changed = true; // what it holds is missing until it says otherwise
+                changed = true; // its capacity counts as missing until proven back
             } else if (replanner.hasMissedStart(window, now)) {
                 changed = true;
             }
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Agrees about the fleet; what no longer fits is put off. */
+    /** Replaces the plan; windows that no longer fit are moved or put off. */
     public Reply setPlan(FleetPlan next, long now) {
         String fault = next == null ? "no plan" : next.validationError();
         if (fault != null) {
@@ -130,12 +130,12 @@
                         .containsAll(window.wish().nodes());
     }
 
-    /** Plans a window; the same request again is the same window. */
+    /** Plans a window; an equivalent request returns the windows that exist already. */
     public Reply propose(WindowRequest request, long now) {
         return proposals.propose(request, now);
     }
 
-    /** Gives a window up; a drain that has begun is turned back. */
+    /** Withdraws a window; a drain that has begun is aborted. */
     public Reply withdraw(long id, String by, long now) {
         Window window = store.find(id);
         if (window == null) {
@@ -149,14 +149,14 @@
             store.put(window);
             replanner.reconcile(now);
         } else if (window.state() == State.DRAINING) {
-            store.withdrawnDrains().add(id); // it counts as out until its return is proven
+            store.withdrawnDrains().add(id); // counts as out until its return is proven
             window = window.withState(State.RETURNING, now, "withdrawn by " + by);
             store.put(window);
         }
         return new WindowReplies.Now(window);
     }
 
-    /** Holds it back, or lets it go on; a drain that has begun is not held. */
+    /** Pauses or resumes a window that waits; a drain that has begun cannot be paused. */
     public Reply pause(long id, boolean on, String by, long now) {
         Window window = store.find(id);
         if (window == null || !window.state().isWaiting()) {
@@ -169,17 +169,17 @@
         return new WindowReplies.Now(store.find(id));
     }
 
-    /** Whether a window's drain may begin now; asked by the agent that holds its region's lease. */
+    /** Lets a drain begin if it may; called for the agent that holds the lease of the region. */
     public Reply begin(long id, long now) {
         return progress.begin(id, now);
     }
 
-    /** Takes a step of the agent that holds the region's lease. */
+    /** Applies a step that was reported by the agent that holds the lease of the region. */
     public Reply report(long id, Step step, long proven, long now) {
         return progress.report(id, step, proven, now);
     }
 
-    /** Something is missing outside any window, or is back. */
+    /** Sets the capacity that a region has lost outside any window; 0 ends the outage. */
     public Reply reportOutage(String region, long lost, long now) {
         if (plan() == null
                 || plan().region(region) == null
@@ -197,7 +197,8 @@
     }
 
     /**
-     * Nodes that nothing should be moved to: out, coming back, or planned to be out before long.
+     * Returns the nodes that should get no moved connections: those that are out or coming back,
+     * and those of windows planned to begin within {@code aheadMs}.
      */
     public Set<String> nodesToAvoid(long now, long aheadMs) {
         Set<String> nodes = new TreeSet<>();
@@ -210,7 +211,10 @@
         return nodes;
     }
 
-    /** Each floor at the begin of each slot between two moments, thinned to {@code most} rows. */
+    /**
+     * Returns the levels of each floor between two moments, one per slot, or fewer if that would
+     * give more than about {@code most} rows per floor.
+     */
     public List<FloorLevel> levels(long from, long to, int most, long now) {
         return new FloorLevels(store, now).between(from, to, most);
     }
--- a/coordinator/src/test/java/saltstage/coordinator/window/WindowsTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/window/WindowsTest.java
@@ -17,7 +17,7 @@
 import saltstage.coordinator.window.Window.State;
 import saltstage.coordinator.window.WindowCommands.Step;
 
-/** Windows: what may be out at once, and what counts as out. */
+/** Tests how much capacity may be out at once, and which capacity counts as out. */
 class WindowsTest {
     private static final long MINUTE = 60_000;
     private static final long HOUR = 60 * MINUTE;
@@ -37,7 +37,9 @@
         return new FleetPlan.Region(name, "Z", nodes(name, 4), blackOuts);
     }
 
-    /** Three regions of four nodes, 400 each; of 1,200 in all, this much must be there. */
+    /**
+     * Three regions of four nodes with a capacity of 400 each, 1,200 in all, and one global floor.
+     */
     private static FleetPlan plan(long floor, int mostRegions, long spacing) {
         List<FleetPlan.Region> regions =
                 List.of(region("a", List.of()), region("b", List.of()), region("c", List.of()));
@@ -122,10 +124,8 @@
                 second.start() < MONDAY + HOUR, "while it warms there is room before its very end");
         assertInstanceOf(
                 Rejection.class, windows.begin(second.id(), MONDAY), "not before its time");
-        currentWindow(
-                windows.begin(
-                        first.id(),
-                        MONDAY)); // it is planned to be warming by then, and has proven nothing
+        // The first is planned to warm up by the start of the second, but has proven nothing.
+        currentWindow(windows.begin(first.id(), MONDAY));
         Rejection gate =
                 assertInstanceOf(Rejection.class, windows.begin(second.id(), second.start()));
         assertEquals("not-now", gate.code(), gate.why());
@@ -166,7 +166,7 @@
                 plannedWindow(
                         windows.propose(request("b", 1, MONDAY, MONDAY + 90 * HOUR, 0), MONDAY));
         currentWindow(windows.begin(first.id(), MONDAY));
-        long late = MONDAY + 5 * HOUR; // nothing was heard of it since
+        long late = MONDAY + 5 * HOUR; // no report came since the begin
         windows.advance(late);
         assertTrue(windows.find(first.id()).isOverdue(late));
         assertInstanceOf(Rejection.class, windows.begin(second.id(), late));
@@ -353,7 +353,8 @@
                         0,
                         310);
         windows.setPlan(plan, MONDAY);
-        long saturday = MONDAY + 5 * 24 * HOUR; // closed from 22:00 there, which is 21:00 UTC
+        // On Saturday the black-out begins at 22:00 local time, 21:00 UTC.
+        long saturday = MONDAY + 5 * 24 * HOUR;
         Window night =
                 plannedWindow(
                         windows.propose(
@@ -393,14 +394,14 @@
                         .state());
     }
 
-    /** A copy through an image is the same. */
+    /** Checks that a copy made through an image equals the original. */
     private static final class ImageCheck {
         static void assertRoundTrips(Windows windows) {
             assertEquals(windows.image(), new Windows(windows.image()).image());
         }
     }
 
-    /** Proposes a window, or does something to one that is there. */
+    /** Proposes a window, or applies a random command to an existing one. */
     private static void applyRandomChange(Windows played, Random drawn, long now, int step) {
         String region = "abc".substring(drawn.nextInt(3)).substring(0, 1);
         List<Window> all = new ArrayList<>(played.all());
@@ -437,7 +438,8 @@
     }
 
     /**
-     * Whatever is proposed, begun, reported, withdrawn, in whatever order: no floor is ever short.
+     * Applies random commands in random order. Guards against a window that is allowed to begin
+     * although a floor would be breached.
      */
     @Property(tries = 60)
     void allowedWindowsNeverBreachAFloor(@ForAll long seed) {
