--- a/coordinator/src/main/java/saltstage/coordinator/window/CapacityTable.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/CapacityTable.java
@@ -36,30 +36,30 @@
         slotCount = (int) Math.min(MAX_SLOTS, Math.max(1, (until - startMs) / plan.slotMs() + 2));
         regionsInMaintenance = new int[slotCount];
         for (FleetPlan.Floor floor : plan.floors()) {
-            long there =
+            long totalCapacity =
                     floor.regions().stream().mapToLong(name -> plan.region(name).capacity()).sum();
-            long[] row = new long[slotCount];
+            long[] slotHeadroom = new long[slotCount];
             for (int i = 0; i < slotCount; i++) {
-                row[i] = there - maxNeed(floor, i);
+                slotHeadroom[i] = totalCapacity - maxNeed(floor, i);
             }
-            headroom.put(floor.name(), row);
+            headroom.put(floor.name(), slotHeadroom);
             floor.regions()
                     .forEach(
                             name ->
                                     floorsByRegion
-                                            .computeIfAbsent(name, any -> new ArrayList<>())
+                                            .computeIfAbsent(name, key -> new ArrayList<>())
                                             .add(floor));
         }
         for (FleetPlan.Region region : plan.regions()) {
-            boolean[] row = new boolean[slotCount];
+            boolean[] slotBlackedOut = new boolean[slotCount];
             if (!region.blackOuts().isEmpty()) {
                 for (int i = 0; i < slotCount; i++) {
-                    row[i] =
+                    slotBlackedOut[i] =
                             plan.isBlackedOut(region, slotStart(i))
                                     || plan.isBlackedOut(region, slotStart(i + 1) - 1);
                 }
             }
-            blackedOutSlots.put(region.name(), row);
+            blackedOutSlots.put(region.name(), slotBlackedOut);
             usageByRegion.put(region.name(), new int[slotCount]);
         }
     }
@@ -75,19 +75,20 @@
         return startMs + slot * plan.slotMs();
     }
 
-    private int slotAt(long at) {
-        return (int) Math.max(0, Math.min(slotCount, Math.floorDiv(at - startMs, plan.slotMs())));
+    private int slotAt(long timeMs) {
+        return (int)
+                Math.max(0, Math.min(slotCount, Math.floorDiv(timeMs - startMs, plan.slotMs())));
     }
 
     /**
      * Subtracts capacity that a region has lost outside any window. The loss counts in all slots,
      * because it lasts until the capacity is reported back.
      */
-    void addOutage(String region, long lost) {
+    void addOutage(String region, long lostCapacity) {
         for (FleetPlan.Floor floor : floorsByRegion.getOrDefault(region, List.of())) {
-            long[] row = headroom.get(floor.name());
+            long[] slotHeadroom = headroom.get(floor.name());
             for (int i = 0; i < slotCount; i++) {
-                row[i] -= lost;
+                slotHeadroom[i] -= lostCapacity;
             }
         }
     }
@@ -95,26 +96,26 @@
     /** Counts a window if {@code sign} is 1, or removes it from the table if it is -1. */
     void add(Window window, long now, int sign) {
         long begin = window.begun() > 0 ? window.begun() : window.start();
-        boolean open = window.isOverdue(now) || window.state() == Window.State.RETURNING;
-        int first = window.state().isInProgress() ? 0 : slotAt(begin);
-        int last = open ? slotCount : Math.min(slotCount, slotAt(window.plannedEnd() - 1) + 1);
+        boolean openEnded = window.isOverdue(now) || window.state() == Window.State.RETURNING;
+        int firstSlot = window.state().isInProgress() ? 0 : slotAt(begin);
+        int end = openEnded ? slotCount : Math.min(slotCount, slotAt(window.plannedEnd() - 1) + 1);
         String region = window.wish().region();
-        int[] used = usageByRegion.get(region);
-        int spaced =
+        int[] usage = usageByRegion.get(region);
+        int spacingEnd =
                 Math.min(
                         slotCount,
-                        last + (int) ((plan.spacingMs() + plan.slotMs() - 1) / plan.slotMs()));
-        for (int i = first; i < spaced; i++) {
-            if (i < last && (sign > 0 ? used[i] == 0 : used[i] == 1)) {
+                        end + (int) ((plan.spacingMs() + plan.slotMs() - 1) / plan.slotMs()));
+        for (int i = firstSlot; i < spacingEnd; i++) {
+            if (i < end && (sign > 0 ? usage[i] == 0 : usage[i] == 1)) {
                 regionsInMaintenance[i] += sign;
             }
             // Thousands count the windows whose spacing covers the slot: no node is out then.
-            used[i] += i < last ? sign : sign * 1_000;
+            usage[i] += i < end ? sign : sign * 1_000;
         }
         for (FleetPlan.Floor floor : floorsByRegion.getOrDefault(region, List.of())) {
-            long[] row = headroom.get(floor.name());
-            for (int i = first; i < last; i++) {
-                row[i] -=
+            long[] slotHeadroom = headroom.get(floor.name());
+            for (int i = firstSlot; i < end; i++) {
+                slotHeadroom[i] -=
                         sign
                                 * window.lossAt(
                                         Math.max(slotStart(i), Math.max(now, begin)),
@@ -129,43 +130,43 @@
      * window is treated as planned.
      */
     Conflict conflict(Window window, long begin, long now) {
-        Window there = window.withSchedule(begin, Window.State.PLANNED, now, "");
-        int first = slotAt(begin);
-        int last = slotAt(there.plannedEnd() - 1) + 1;
-        if (last > slotCount) {
+        Window planned = window.withSchedule(begin, Window.State.PLANNED, now, "");
+        int firstSlot = slotAt(begin);
+        int end = slotAt(planned.plannedEnd() - 1) + 1;
+        if (end > slotCount) {
             return new Conflict(slotCount, "it would not be over within the planned time");
         }
         String region = window.wish().region();
-        boolean[] shut = blackedOutSlots.get(region);
-        int[] used = usageByRegion.get(region);
-        for (int i = first; i < last; i++) {
-            if (shut[i]) {
+        boolean[] slotBlackedOut = blackedOutSlots.get(region);
+        int[] usage = usageByRegion.get(region);
+        for (int i = firstSlot; i < end; i++) {
+            if (slotBlackedOut[i]) {
                 return new Conflict(i, "a black-out of " + region);
             }
-            if (used[i] >= 1_000 && i == first) {
+            if (usage[i] >= 1_000 && i == firstSlot) {
                 return new Conflict(i, region + " rests after a window");
             }
-            if (used[i] % 1_000 == 0 && regionsInMaintenance[i] >= plan.mostRegions()) {
+            if (usage[i] % 1_000 == 0 && regionsInMaintenance[i] >= plan.mostRegions()) {
                 return new Conflict(i, plan.mostRegions() + " regions are in maintenance already");
             }
         }
-        int rest = last + (int) ((plan.spacingMs() + plan.slotMs() - 1) / plan.slotMs());
-        for (int i = last; i < Math.min(slotCount, rest) && used[last - 1] % 1_000 == 0; i++) {
-            if (used[i] % 1_000 > 0) {
+        int spacingEnd = end + (int) ((plan.spacingMs() + plan.slotMs() - 1) / plan.slotMs());
+        for (int i = end; i < Math.min(slotCount, spacingEnd) && usage[end - 1] % 1_000 == 0; i++) {
+            if (usage[i] % 1_000 > 0) {
                 return new Conflict(i, region + " rests before its next window");
             }
         }
         for (FleetPlan.Floor floor : floorsByRegion.getOrDefault(region, List.of())) {
-            long[] row = headroom.get(floor.name());
-            for (int i = first; i < last; i++) {
-                long loss = there.lossAt(Math.max(slotStart(i), begin), now, plan.coldPermille());
-                if (row[i] < loss) {
+            long[] slotHeadroom = headroom.get(floor.name());
+            for (int i = firstSlot; i < end; i++) {
+                long loss = planned.lossAt(Math.max(slotStart(i), begin), now, plan.coldPermille());
+                if (slotHeadroom[i] < loss) {
                     return new Conflict(
                             i,
                             "floor "
                                     + floor.name()
                                     + " would be short by "
-                                    + (loss - row[i])
+                                    + (loss - slotHeadroom[i])
                                     + " thousandths of a mean load");
                 }
             }
@@ -179,21 +180,26 @@
      */
     Fit firstFit(Window window, long notBefore, long now) {
         long begin = Math.max(notBefore, Math.max(now, window.wish().earliest()));
-        Conflict last = null;
-        int first = slotAt(begin);
-        while (begin + window.wish().durationMs() <= window.wish().latest() && first < slotCount) {
+        Conflict lastConflict = null;
+        int firstSlot = slotAt(begin);
+        while (begin + window.wish().durationMs() <= window.wish().latest()
+                && firstSlot < slotCount) {
             Conflict conflict = conflict(window, begin, now);
             if (conflict == null) {
                 return new Fit(
-                        begin, last == null ? "its earliest moment" : "not earlier: " + last.why());
+                        begin,
+                        lastConflict == null
+                                ? "its earliest moment"
+                                : "not earlier: " + lastConflict.why());
             }
-            last = conflict;
+            lastConflict = conflict;
             // The loss of a window never rises while it runs. If the window began later but before
             // the blocked slot, it would take at least as much of that slot.
-            first = Math.max(slotAt(begin), conflict.slot()) + 1;
-            begin = slotStart(first);
+            firstSlot = Math.max(slotAt(begin), conflict.slot()) + 1;
+            begin = slotStart(firstSlot);
         }
-        return new Fit(-1, last == null ? "it is longer than the time given" : last.why());
+        return new Fit(
+                -1, lastConflict == null ? "it is longer than the time given" : lastConflict.why());
     }
 
     /** The time at which a window may begin, or -1 if it cannot end in time, and the reason. */
--- a/coordinator/src/main/java/saltstage/coordinator/window/FleetPlan.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/FleetPlan.java
@@ -60,42 +60,45 @@
     }
 
     /** The local minute of the week at a moment, counted from midnight on Monday. */
-    long minuteOfWeek(String zone, long at) {
-        long offset = 0;
-        for (UtcOffsetChange shift : zones.getOrDefault(zone, List.of())) {
-            if (shift.fromMs() > at) {
+    long minuteOfWeek(String zone, long timeMs) {
+        long offsetMs = 0;
+        for (UtcOffsetChange offsetChange : zones.getOrDefault(zone, List.of())) {
+            if (offsetChange.fromMs() > timeMs) {
                 break;
             }
-            offset = shift.offsetMs();
+            offsetMs = offsetChange.offsetMs();
         }
         // 1 January 1970 was a Thursday, three days after a Monday.
-        long thursday = Math.floorDiv(at + offset, 60_000);
-        return Math.floorMod(thursday + 3 * 1_440, 7 * 1_440);
+        long minutesSinceEpoch = Math.floorDiv(timeMs + offsetMs, 60_000);
+        return Math.floorMod(minutesSinceEpoch + 3 * 1_440, 7 * 1_440);
     }
 
-    boolean isBlackedOut(Region region, long at) {
-        long minutes = minuteOfWeek(region.zone(), at);
-        int day = 1 + (int) (minutes / 1_440);
-        int minute = (int) (minutes % 1_440);
-        for (BlackOut out : region.blackOuts()) {
+    boolean isBlackedOut(Region region, long timeMs) {
+        long minuteOfWeek = minuteOfWeek(region.zone(), timeMs);
+        int dayOfWeek = 1 + (int) (minuteOfWeek / 1_440);
+        int minuteOfDay = (int) (minuteOfWeek % 1_440);
+        for (BlackOut blackOut : region.blackOuts()) {
             // A black-out that spans midnight belongs to the day on which it began.
-            boolean over = out.fromMinute() > out.toMinute();
-            boolean today = out.days().contains(day);
-            boolean yesterday = out.days().contains(day == 1 ? 7 : day - 1);
-            if (over
-                    ? today && minute >= out.fromMinute() || yesterday && minute < out.toMinute()
-                    : today && minute >= out.fromMinute() && minute < out.toMinute()) {
+            boolean spansMidnight = blackOut.fromMinute() > blackOut.toMinute();
+            boolean hasToday = blackOut.days().contains(dayOfWeek);
+            boolean hasYesterday = blackOut.days().contains(dayOfWeek == 1 ? 7 : dayOfWeek - 1);
+            if (spansMidnight
+                    ? hasToday && minuteOfDay >= blackOut.fromMinute()
+                            || hasYesterday && minuteOfDay < blackOut.toMinute()
+                    : hasToday
+                            && minuteOfDay >= blackOut.fromMinute()
+                            && minuteOfDay < blackOut.toMinute()) {
                 return true;
             }
         }
         return false;
     }
 
-    long requiredCapacity(Floor floor, long at) {
+    long requiredCapacity(Floor floor, long timeMs) {
         if (floor.demandByHour().isEmpty()) {
             return floor.least();
         }
-        int hour = (int) (minuteOfWeek(floor.zone(), at) % 1_440 / 60);
+        int hour = (int) (minuteOfWeek(floor.zone(), timeMs) % 1_440 / 60);
         return Math.max(floor.least(), floor.demandByHour().get(hour));
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/window/FloorLevels.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/FloorLevels.java
@@ -20,34 +20,34 @@
 
     /**
      * Returns the levels of each floor between two moments, one per slot, or fewer if that would
-     * give more than about {@code most} rows per floor.
+     * give more than about {@code maxRows} rows per floor.
      */
-    List<Windows.FloorLevel> between(long from, long to, int most) {
+    List<Windows.FloorLevel> between(long from, long to, int maxRows) {
         List<Windows.FloorLevel> levels = new ArrayList<>();
         if (plan == null) {
             return levels;
         }
-        long step = Math.max(plan.slotMs(), (to - from) / Math.max(1, most));
+        long stepMs = Math.max(plan.slotMs(), (to - from) / Math.max(1, maxRows));
         for (FleetPlan.Floor floor : plan.floors()) {
-            for (long at = from; at < to; at += step) {
-                levels.add(level(floor, at));
+            for (long timeMs = from; timeMs < to; timeMs += stepMs) {
+                levels.add(level(floor, timeMs));
             }
         }
         return levels;
     }
 
-    private Windows.FloorLevel level(FleetPlan.Floor floor, long at) {
+    private Windows.FloorLevel level(FleetPlan.Floor floor, long timeMs) {
         long missing = outageLoss(floor);
         for (Window window : countedWindows) {
             // A planned window is not out yet.
-            boolean counts = at > now || window.state().isInProgress();
-            if (counts && floor.regions().contains(window.wish().region())) {
-                missing += window.lossAt(at, now, plan.coldPermille());
+            boolean isCounted = timeMs > now || window.state().isInProgress();
+            if (isCounted && floor.regions().contains(window.wish().region())) {
+                missing += window.lossAt(timeMs, now, plan.coldPermille());
             }
         }
         long capacity = totalCapacity(floor) - missing;
         return new Windows.FloorLevel(
-                floor.name(), at, capacity, plan.requiredCapacity(floor, at), missing);
+                floor.name(), timeMs, capacity, plan.requiredCapacity(floor, timeMs), missing);
     }
 
     private long totalCapacity(FleetPlan.Floor floor) {
--- a/coordinator/src/main/java/saltstage/coordinator/window/Planner.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Planner.java
@@ -14,13 +14,13 @@
 
     private final FleetPlan plan;
     private final long now;
-    private final Collection<Window> fixed;
+    private final Collection<Window> fixedWindows;
     private final Map<String, Long> outages;
 
-    Planner(FleetPlan plan, long now, Collection<Window> fixed, Map<String, Long> outages) {
+    Planner(FleetPlan plan, long now, Collection<Window> fixedWindows, Map<String, Long> outages) {
         this.plan = plan;
         this.now = now;
-        this.fixed = fixed;
+        this.fixedWindows = fixedWindows;
         this.outages = outages;
     }
 
@@ -33,12 +33,12 @@
         for (Window window : waiting) {
             until = Math.max(until, window.wish().latest());
         }
-        for (Window window : fixed) {
+        for (Window window : fixedWindows) {
             until = Math.max(until, window.plannedEnd());
         }
         CapacityTable table = new CapacityTable(plan, now, Math.min(until, now + HORIZON_MS));
         outages.forEach(table::addOutage);
-        fixed.forEach(window -> table.add(window, now, 1));
+        fixedWindows.forEach(window -> table.add(window, now, 1));
         return table;
     }
 
@@ -46,48 +46,55 @@
      * Finds a start for one window, after the windows it must follow and apart from those it must
      * not overlap. If nothing fits, the window is put off, with the reason.
      *
-     * @param known all windows that the window may refer to, by number
+     * @param windowsById all windows that the window may refer to, by number
      */
-    Window place(CapacityTable table, Window window, Map<Long, Window> known) {
+    Window place(CapacityTable table, Window window, Map<Long, Window> windowsById) {
         long notBefore = now;
-        for (Long before : window.wish().after()) {
-            Window first = known.get(before);
-            if (first == null || first.state() == Window.State.DONE) {
+        for (Long predecessorId : window.wish().after()) {
+            Window predecessor = windowsById.get(predecessorId);
+            if (predecessor == null || predecessor.state() == Window.State.DONE) {
                 continue;
             }
-            if (first.state() != Window.State.PLANNED && !first.state().isInProgress()) {
+            if (predecessor.state() != Window.State.PLANNED
+                    && !predecessor.state().isInProgress()) {
                 return window.withSchedule(
-                        0, Window.State.PUT_OFF, now, "window " + before + " must be over before");
+                        0,
+                        Window.State.PUT_OFF,
+                        now,
+                        "window " + predecessorId + " must be over before");
             }
-            notBefore = Math.max(notBefore, first.plannedEnd());
+            notBefore = Math.max(notBefore, predecessor.plannedEnd());
         }
         while (true) {
-            CapacityTable.Fit found = table.firstFit(window, notBefore, now);
-            if (found.begin() < 0) {
-                return window.withSchedule(0, Window.State.PUT_OFF, now, found.why());
+            CapacityTable.Fit fit = table.firstFit(window, notBefore, now);
+            if (fit.begin() < 0) {
+                return window.withSchedule(0, Window.State.PUT_OFF, now, fit.why());
             }
-            Window there =
-                    window.withSchedule(found.begin(), Window.State.PLANNED, now, found.why());
-            Window with = findExclusiveOverlap(there, known);
-            if (with == null) {
-                return there;
+            Window planned = window.withSchedule(fit.begin(), Window.State.PLANNED, now, fit.why());
+            Window overlapping = findExclusiveOverlap(planned, windowsById);
+            if (overlapping == null) {
+                return planned;
             }
-            if (with.isOverdue(now)) {
+            if (overlapping.isOverdue(now)) {
                 return window.withSchedule(
-                        0, Window.State.PUT_OFF, now, "never together with window " + with.id());
+                        0,
+                        Window.State.PUT_OFF,
+                        now,
+                        "never together with window " + overlapping.id());
             }
-            notBefore = with.plannedEnd();
+            notBefore = overlapping.plannedEnd();
         }
     }
 
-    private static Window findExclusiveOverlap(Window window, Map<Long, Window> known) {
+    private static Window findExclusiveOverlap(Window window, Map<Long, Window> windowsById) {
         if (window.wish().apart().isEmpty()) {
             return null;
         }
-        for (Window other : known.values()) {
-            boolean counts = other.state() == Window.State.PLANNED || other.state().isInProgress();
+        for (Window other : windowsById.values()) {
+            boolean isCounted =
+                    other.state() == Window.State.PLANNED || other.state().isInProgress();
             long begin = other.begun() > 0 ? other.begun() : other.start();
-            if (counts
+            if (isCounted
                     && other.id() != window.id()
                     && other.wish().apart().stream().anyMatch(window.wish().apart()::contains)
                     && begin < window.plannedEnd()
--- a/coordinator/src/main/java/saltstage/coordinator/window/Replanner.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Replanner.java
@@ -59,17 +59,17 @@
      */
     private void abortDrains(FleetPlan.Floor floor, long now) {
         while (true) {
-            long room = headroomWithReturning(floor, now);
-            Window least =
+            long headroom = headroomWithReturning(floor, now);
+            Window leastImportant =
                     store.inState(s -> s == State.DRAINING).stream()
                             .filter(w -> floor.regions().contains(w.wish().region()))
                             .min(LEAST_IMPORTANT_FIRST)
                             .orElse(null);
-            if (room >= 0 || least == null) {
+            if (headroom >= 0 || leastImportant == null) {
                 return;
             }
-            String why = "turned back: floor " + floor.name() + " is short by " + -room;
-            store.put(least.withState(State.RETURNING, now, why));
+            String why = "turned back: floor " + floor.name() + " is short by " + -headroom;
+            store.put(leastImportant.withState(State.RETURNING, now, why));
         }
     }
 
@@ -91,62 +91,63 @@
         Planner planner = store.planner(now);
         List<Window> waiting = store.inState(s -> s == State.PLANNED || s == State.PUT_OFF);
         CapacityTable table = planner.table(waiting);
-        Map<Long, Window> known = new LinkedHashMap<>();
-        store.inState(s -> !s.isWaiting()).forEach(w -> known.put(w.id(), w));
+        Map<Long, Window> windowsById = new LinkedHashMap<>();
+        store.inState(s -> !s.isWaiting()).forEach(w -> windowsById.put(w.id(), w));
         List<Window> displaced = new ArrayList<>();
         for (Window window : waiting.stream().sorted(MOST_URGENT_FIRST).toList()) {
-            if (canStay(window, table, known, now)) {
+            if (canStay(window, table, windowsById, now)) {
                 table.add(window, now, 1);
-                known.put(window.id(), window);
+                windowsById.put(window.id(), window);
             } else {
                 displaced.add(window);
             }
         }
-        displaced.forEach(window -> place(planner, table, known, window, now));
+        displaced.forEach(window -> place(planner, table, windowsById, window, now));
     }
 
-    private boolean canStay(Window window, CapacityTable table, Map<Long, Window> known, long now) {
+    private boolean canStay(
+            Window window, CapacityTable table, Map<Long, Window> windowsById, long now) {
         return window.state() == State.PLANNED
                 && !hasMissedStart(window, now)
                 && window.wish().after().stream()
-                        .allMatch(id -> isOverBy(id, window.start(), known))
+                        .allMatch(id -> isOverBy(id, window.start(), windowsById))
                 && table.conflict(window, Math.max(now, window.start()), now) == null;
     }
 
-    private static boolean isOverBy(long id, long by, Map<Long, Window> known) {
-        Window first = known.get(id);
-        return first != null
-                && (first.state() == State.DONE
-                        || first.plannedEnd() <= by
-                                && (first.state() == State.PLANNED
-                                        || first.state().isInProgress()));
+    private static boolean isOverBy(long id, long deadline, Map<Long, Window> windowsById) {
+        Window predecessor = windowsById.get(id);
+        return predecessor != null
+                && (predecessor.state() == State.DONE
+                        || predecessor.plannedEnd() <= deadline
+                                && (predecessor.state() == State.PLANNED
+                                        || predecessor.state().isInProgress()));
     }
 
     private void place(
             Planner planner,
             CapacityTable table,
-            Map<Long, Window> known,
+            Map<Long, Window> windowsById,
             Window window,
             long now) {
-        Window placed = planner.place(table, window, known);
+        Window placed = planner.place(table, window, windowsById);
         if (window.state() == State.PLANNED && placed.start() != window.start()) {
             String why = "moved from " + window.start() + ": " + placed.why();
             placed = placed.withState(placed.state(), now, why);
         }
         store.put(placed);
-        known.put(placed.id(), placed);
+        windowsById.put(placed.id(), placed);
         if (placed.state() == State.PLANNED) {
             table.add(placed, now, 1);
         }
     }
 
     private void removeOldWindows() {
-        List<Window> over =
+        List<Window> finished =
                 store.inState(s -> !s.isWaiting() && !s.isInProgress()).stream()
                         .sorted(Comparator.comparingLong(Window::since))
                         .toList();
-        over.stream()
-                .limit(Math.max(0, over.size() - MAX_FINISHED_WINDOWS))
+        finished.stream()
+                .limit(Math.max(0, finished.size() - MAX_FINISHED_WINDOWS))
                 .forEach(w -> store.remove(w.id()));
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/window/Window.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Window.java
@@ -54,21 +54,21 @@
         }
     }
 
-    Window withState(State next, long at, String because) {
-        return new Window(id, wish, next, capacity, start, begun, at, proven, because);
+    Window withState(State newState, long now, String reason) {
+        return new Window(id, wish, newState, capacity, start, begun, now, proven, reason);
     }
 
-    Window withSchedule(long otherStart, State next, long now, String because) {
-        return new Window(id, wish, next, capacity, otherStart, begun, now, proven, because);
+    Window withSchedule(long newStart, State newState, long now, String reason) {
+        return new Window(id, wish, newState, capacity, newStart, begun, now, proven, reason);
     }
 
     Window beginDrain(long now) {
         return new Window(id, wish, State.DRAINING, capacity, start, now, now, 0, "begun");
     }
 
-    Window withProvenCapacity(long back) {
+    Window withProvenCapacity(long newlyProven) {
         return new Window(
-                id, wish, state, capacity, start, begun, since, Math.max(proven, back), why);
+                id, wish, state, capacity, start, begun, since, Math.max(proven, newlyProven), why);
     }
 
     /** The planned end, counted from the actual begin or else from the planned start. */
@@ -82,26 +82,26 @@
     }
 
     /** The capacity that is missing at a moment, as far as is known now. */
-    long lossAt(long at, long now, int coldPermille) {
+    long lossAt(long timeMs, long now, int coldPermille) {
         if (state.isInProgress()) {
-            long least = capacity - proven;
-            if (at <= now || isOverdue(now) || state == State.RETURNING) {
-                return least; // counts until proven back, whatever was planned
+            long unproven = capacity - proven;
+            if (timeMs <= now || isOverdue(now) || state == State.RETURNING) {
+                return unproven; // counts until proven back, whatever was planned
             }
-            return Math.min(least, plannedLoss(at, begun, coldPermille));
+            return Math.min(unproven, plannedLoss(timeMs, begun, coldPermille));
         }
-        return state == State.PLANNED ? plannedLoss(at, start, coldPermille) : 0;
+        return state == State.PLANNED ? plannedLoss(timeMs, start, coldPermille) : 0;
     }
 
-    private long plannedLoss(long at, long from, int coldPermille) {
-        long warming = from + wish.drainMs() + wish.workMs();
-        if (at < from || at >= warming + wish.warmMs()) {
+    private long plannedLoss(long timeMs, long begin, int coldPermille) {
+        long warmUpStart = begin + wish.drainMs() + wish.workMs();
+        if (timeMs < begin || timeMs >= warmUpStart + wish.warmMs()) {
             return 0;
         }
-        if (at < warming || wish.warmMs() == 0) {
+        if (timeMs < warmUpStart || wish.warmMs() == 0) {
             return capacity;
         }
-        long cold = capacity - capacity * coldPermille / 1_000;
-        return cold - cold * (at - warming) / wish.warmMs();
+        long coldLoss = capacity - capacity * coldPermille / 1_000;
+        return coldLoss - coldLoss * (timeMs - warmUpStart) / wish.warmMs();
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowProgress.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowProgress.java
@@ -53,10 +53,10 @@
         if (!inOrder) {
             return "a window that must be over before is not";
         }
-        boolean alone =
+        boolean noneExclusive =
                 store.inState(State::isInProgress).stream()
                         .noneMatch(other -> areExclusive(other, window));
-        return alone ? null : "another of its kind is under way";
+        return noneExclusive ? null : "another of its kind is under way";
     }
 
     private boolean isForgottenOrDone(long id) {
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowProposals.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowProposals.java
@@ -28,16 +28,16 @@
         if (store.plan() == null) {
             return new Rejection("no-plan", "nothing is agreed about the fleet yet", 0);
         }
-        String fault = WindowRequestValidator.validationError(request, store.plan());
-        if (fault != null) {
-            return new Rejection("bad-wish", fault, 0);
+        String error = WindowRequestValidator.validationError(request, store.plan());
+        if (error != null) {
+            return new Rejection("bad-wish", error, 0);
         }
-        List<Window> same =
+        List<Window> equivalent =
                 openWindows().stream()
                         .filter(window -> window.wish().isEquivalentTo(request))
                         .toList();
-        if (!same.isEmpty()) {
-            return new WindowReplies.Planned(same, true);
+        if (!equivalent.isEmpty()) {
+            return new WindowReplies.Planned(equivalent, true);
         }
         if (store.inState(State::isWaiting).size() >= MAX_WAITING_WINDOWS) {
             return new Rejection("too-many", MAX_WAITING_WINDOWS + " windows wait already", 0);
@@ -52,9 +52,9 @@
                     "window " + overlapping.id() + " has some of these nodes; name it in 'after'";
             return new Rejection("taken", why, 0);
         }
-        List<Window> made = new ArrayList<>();
-        Rejection refused = add(request, now, made);
-        return refused != null ? refused : new WindowReplies.Planned(made, false);
+        List<Window> created = new ArrayList<>();
+        Rejection rejection = add(request, now, created);
+        return rejection != null ? rejection : new WindowReplies.Planned(created, false);
     }
 
     private List<Window> openWindows() {
@@ -72,19 +72,19 @@
      * Plans the request as one window, or in halves if it may be split. Otherwise returns a
      * rejection with the reason and the time from which the request would fit.
      */
-    private Rejection add(WindowRequest request, long now, List<Window> made) {
+    private Rejection add(WindowRequest request, long now, List<Window> created) {
         Window window = unplanned(store.nextId(), request, capacity(request), now, "proposed");
         Window placed = place(window, now);
         if (placed.state() == State.PLANNED) {
             store.add(placed);
-            made.add(placed);
+            created.add(placed);
             if (request.emergency()) {
                 replanner.reconcile(now); // moves the displaced windows and records why
             }
             return null;
         }
         if (request.split() && request.nodes().size() > 1) {
-            return addInHalves(request, now, made);
+            return addInHalves(request, now, created);
         }
         return rejection(window, placed, now);
     }
@@ -101,33 +101,33 @@
                         : planned;
         Planner planner = store.planner(now);
         CapacityTable table = tableWith(planner, counted, window, now);
-        Map<Long, Window> known = new LinkedHashMap<>();
-        store.all().forEach(w -> known.put(w.id(), w));
-        return planner.place(table, window, known);
+        Map<Long, Window> windowsById = new LinkedHashMap<>();
+        store.all().forEach(w -> windowsById.put(w.id(), w));
+        return planner.place(table, window, windowsById);
     }
 
     /** Plans both halves, or restores the earlier state and returns the rejection. */
-    private Rejection addInHalves(WindowRequest request, long now, List<Window> made) {
+    private Rejection addInHalves(WindowRequest request, long now, List<Window> created) {
         List<Window> before = store.all();
         List<String> nodes = request.nodes();
         int half = (nodes.size() + 1) / 2;
-        Rejection refused = add(request.withNodes(nodes.subList(0, half)), now, made);
-        if (refused == null) {
-            refused = add(request.withNodes(nodes.subList(half, nodes.size())), now, made);
+        Rejection rejection = add(request.withNodes(nodes.subList(0, half)), now, created);
+        if (rejection == null) {
+            rejection = add(request.withNodes(nodes.subList(half, nodes.size())), now, created);
         }
-        if (refused != null) {
+        if (rejection != null) {
             store.restore(before);
-            made.clear();
+            created.clear();
         }
-        return refused;
+        return rejection;
     }
 
     private Rejection rejection(Window window, Window placed, long now) {
         WindowRequest request = window.wish().withMoreTime(LOOK_AHEAD_MS);
-        Window longer = unplanned(window.id(), request, window.capacity(), now, "");
+        Window extended = unplanned(window.id(), request, window.capacity(), now, "");
         List<Window> planned = store.inState(s -> s == State.PLANNED);
-        CapacityTable table = tableWith(store.planner(now), planned, longer, now);
-        CapacityTable.Fit fit = table.firstFit(longer, now, now);
+        CapacityTable table = tableWith(store.planner(now), planned, extended, now);
+        CapacityTable.Fit fit = table.firstFit(extended, now, now);
         if (fit.begin() < 0) {
             String why = placed.why() + "; nor would it do within two weeks more";
             return new Rejection("no-room", why, 0);
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowRequest.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowRequest.java
@@ -41,14 +41,14 @@
     }
 
     /** Returns the same request for some of the nodes only. */
-    WindowRequest withNodes(List<String> some) {
+    WindowRequest withNodes(List<String> subset) {
         return new WindowRequest(
-                region, some, drainMs, workMs, warmMs, earliest, latest, priority, emergency, split,
-                after, apart, by, purpose);
+                region, subset, drainMs, workMs, warmMs, earliest, latest, priority, emergency,
+                split, after, apart, by, purpose);
     }
 
     /** Returns the same request, not split, with a later latest end. */
-    WindowRequest withMoreTime(long moreMs) {
+    WindowRequest withMoreTime(long extraMs) {
         return new WindowRequest(
                 region,
                 nodes,
@@ -56,7 +56,7 @@
                 workMs,
                 warmMs,
                 earliest,
-                latest + moreMs,
+                latest + extraMs,
                 priority,
                 emergency,
                 false,
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowRequestValidator.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowRequestValidator.java
@@ -25,14 +25,15 @@
         if (isTooLarge(request)) {
             return "a window names up to " + MAX_LIST_SIZE + " of each, and ends by " + MAX_END_MS;
         }
-        Set<String> known = new TreeSet<>(region.nodes().stream().map(FleetPlan.Node::id).toList());
+        Set<String> regionNodes =
+                new TreeSet<>(region.nodes().stream().map(FleetPlan.Node::id).toList());
         if (request.nodes().isEmpty()
-                || !known.containsAll(request.nodes())
+                || !regionNodes.containsAll(request.nodes())
                 || new HashSet<>(request.nodes()).size() < request.nodes().size()) {
             return "a window takes nodes of its region, each once; "
                     + request.region()
                     + " has "
-                    + known;
+                    + regionNodes;
         }
         if (hasInvalidDuration(request)) {
             return "a window lasts up to seven days, and no part of it is negative";
@@ -60,8 +61,8 @@
                 || isOutOfRange(request.durationMs(), 1);
     }
 
-    private static boolean isOutOfRange(long durationMs, long leastMs) {
-        return durationMs < leastMs || durationMs > MAX_DURATION_MS;
+    private static boolean isOutOfRange(long durationMs, long minMs) {
+        return durationMs < minMs || durationMs > MAX_DURATION_MS;
     }
 
     private static boolean isBlank(String text) {
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowStore.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowStore.java
@@ -42,8 +42,8 @@
         return plan;
     }
 
-    void setPlan(FleetPlan next) {
-        plan = next;
+    void setPlan(FleetPlan newPlan) {
+        plan = newPlan;
     }
 
     /** All windows by number; a copy. */
@@ -65,9 +65,9 @@
     }
 
     /** Replaces all windows by an earlier result of {@link #all}. */
-    void restore(Collection<Window> before) {
+    void restore(Collection<Window> earlierWindows) {
         windows.clear();
-        before.forEach(this::put);
+        earlierWindows.forEach(this::put);
     }
 
     /** The windows whose state matches, by number. */
--- a/coordinator/src/main/java/saltstage/coordinator/window/Windows.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Windows.java
@@ -74,9 +74,9 @@
 
     /** Applies, at most once per slot, the effects of passing time. */
     public void advance(long now) {
-        long before = store.advancedTo();
+        long advancedTo = store.advancedTo();
         if (plan() == null
-                || now / plan().slotMs() == before / plan().slotMs()
+                || now / plan().slotMs() == advancedTo / plan().slotMs()
                 || !hasOpenWindows()) {
             return;
         }
@@ -88,7 +88,7 @@
                 String why = "its time ran out: " + window.why();
                 store.put(window.withState(State.EXPIRED, now, why));
                 changed = true;
-            } else if (window.isOverdue(now) && !window.isOverdue(before)) {
+            } else if (window.isOverdue(now) && !window.isOverdue(advancedTo)) {
                 changed = true; // its capacity counts as missing until proven back
             } else if (replanner.hasMissedStart(window, now)) {
                 changed = true;
@@ -100,20 +100,20 @@
     }
 
     /** Replaces the plan; windows that no longer fit are moved or put off. */
-    public Reply setPlan(FleetPlan next, long now) {
-        String fault = next == null ? "no plan" : next.validationError();
-        if (fault != null) {
-            return new Rejection("bad-plan", fault, 0);
+    public Reply setPlan(FleetPlan newPlan, long now) {
+        String error = newPlan == null ? "no plan" : newPlan.validationError();
+        if (error != null) {
+            return new Rejection("bad-plan", error, 0);
         }
         for (Window window : store.inState(State::isInProgress)) {
-            if (!hasNodesOf(next, window)) {
+            if (!hasNodesOf(newPlan, window)) {
                 String why = "window " + window.id() + " has nodes out that the plan does not name";
                 return new Rejection("in-use", why, 0);
             }
         }
-        store.setPlan(next);
+        store.setPlan(newPlan);
         for (Window window : store.inState(State::isWaiting)) {
-            if (WindowRequestValidator.validationError(window.wish(), next) != null) {
+            if (WindowRequestValidator.validationError(window.wish(), newPlan) != null) {
                 store.put(window.withState(State.WITHDRAWN, now, "the new plan has no such nodes"));
             }
         }
@@ -157,14 +157,15 @@
     }
 
     /** Pauses or resumes a window that waits; a drain that has begun cannot be paused. */
-    public Reply pause(long id, boolean on, String by, long now) {
+    public Reply pause(long id, boolean paused, String by, long now) {
         Window window = store.find(id);
         if (window == null || !window.state().isWaiting()) {
             return new Rejection("no-window", "no window " + id + " that waits", 0);
         }
-        State state = on ? State.PAUSED : State.PUT_OFF;
+        State state = paused ? State.PAUSED : State.PUT_OFF;
         store.put(
-                window.withSchedule(0, state, now, (on ? "held back by " : "let go on by ") + by));
+                window.withSchedule(
+                        0, state, now, (paused ? "held back by " : "let go on by ") + by));
         replanner.reconcile(now);
         return new WindowReplies.Now(store.find(id));
     }
@@ -180,17 +181,18 @@
     }
 
     /** Sets the capacity that a region has lost outside any window; 0 ends the outage. */
-    public Reply reportOutage(String region, long lost, long now) {
+    public Reply reportOutage(String region, long lostCapacity, long now) {
         if (plan() == null
                 || plan().region(region) == null
-                || lost < 0
-                || lost > plan().region(region).capacity()) {
+                || lostCapacity < 0
+                || lostCapacity > plan().region(region).capacity()) {
             return new Rejection(
                     "bad-outage", "no region " + region + " that could miss so much", 0);
         }
         Map<String, Long> outages = store.outages();
-        Long before = lost == 0 ? outages.remove(region) : outages.put(region, lost);
-        if (before == null ? lost > 0 : before != lost) {
+        Long earlierLoss =
+                lostCapacity == 0 ? outages.remove(region) : outages.put(region, lostCapacity);
+        if (earlierLoss == null ? lostCapacity > 0 : earlierLoss != lostCapacity) {
             replanner.reconcile(now);
         }
         return new Acknowledgement("noted");
@@ -203,8 +205,8 @@
     public Set<String> nodesToAvoid(long now, long aheadMs) {
         Set<String> nodes = new TreeSet<>();
         for (Window window : store.all()) {
-            boolean soon = window.state() == State.PLANNED && window.start() < now + aheadMs;
-            if (soon || window.state().isInProgress()) {
+            boolean startsSoon = window.state() == State.PLANNED && window.start() < now + aheadMs;
+            if (startsSoon || window.state().isInProgress()) {
                 nodes.addAll(window.wish().nodes());
             }
         }
@@ -213,9 +215,9 @@
 
     /**
      * Returns the levels of each floor between two moments, one per slot, or fewer if that would
-     * give more than about {@code most} rows per floor.
+     * give more than about {@code maxRows} rows per floor.
      */
-    public List<FloorLevel> levels(long from, long to, int most, long now) {
-        return new FloorLevels(store, now).between(from, to, most);
+    public List<FloorLevel> levels(long from, long to, int maxRows, long now) {
+        return new FloorLevels(store, now).between(from, to, maxRows);
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/window/WindowsTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/window/WindowsTest.java
@@ -126,17 +126,17 @@
                 Rejection.class, windows.begin(second.id(), MONDAY), "not before its time");
         // The first is planned to warm up by the start of the second, but has proven nothing.
         currentWindow(windows.begin(first.id(), MONDAY));
-        Rejection gate =
+        Rejection rejection =
                 assertInstanceOf(Rejection.class, windows.begin(second.id(), second.start()));
-        assertEquals("not-now", gate.code(), gate.why());
+        assertEquals("not-now", rejection.code(), rejection.why());
     }
 
     @Test
     void sameRequestOfTwoOperatorsIsOneWindow() {
         windows.setPlan(plan(0, 3, 0), MONDAY);
-        WindowRequest wish = request("a", 2, MONDAY, MONDAY + 9 * HOUR, 0);
-        plannedWindow(windows.propose(wish, MONDAY));
-        WindowRequest again =
+        WindowRequest request = request("a", 2, MONDAY, MONDAY + 9 * HOUR, 0);
+        plannedWindow(windows.propose(request, MONDAY));
+        WindowRequest duplicate =
                 new WindowRequest(
                         "a",
                         List.of("a1", "a0"),
@@ -152,7 +152,7 @@
                         List.of(),
                         "somebody else",
                         "upgrade");
-        assertTrue(((WindowReplies.Planned) windows.propose(again, MONDAY)).known());
+        assertTrue(((WindowReplies.Planned) windows.propose(duplicate, MONDAY)).known());
         assertEquals(1, windows.all().size());
     }
 
@@ -166,21 +166,22 @@
                 plannedWindow(
                         windows.propose(request("b", 1, MONDAY, MONDAY + 90 * HOUR, 0), MONDAY));
         currentWindow(windows.begin(first.id(), MONDAY));
-        long late = MONDAY + 5 * HOUR; // no report came since the begin
-        windows.advance(late);
-        assertTrue(windows.find(first.id()).isOverdue(late));
-        assertInstanceOf(Rejection.class, windows.begin(second.id(), late));
+        long overdueTime = MONDAY + 5 * HOUR; // no report came since the begin
+        windows.advance(overdueTime);
+        assertTrue(windows.find(first.id()).isOverdue(overdueTime));
+        assertInstanceOf(Rejection.class, windows.begin(second.id(), overdueTime));
         assertEquals(State.PUT_OFF, windows.find(second.id()).state());
-        currentWindow(windows.report(first.id(), Step.OUT, 0, late));
-        currentWindow(windows.report(first.id(), Step.WARMING, 0, late));
-        currentWindow(windows.report(first.id(), Step.PROVEN, 200, late));
-        assertEquals(100, windows.levels(late, late + 1, 1, late).get(0).missing());
+        currentWindow(windows.report(first.id(), Step.OUT, 0, overdueTime));
+        currentWindow(windows.report(first.id(), Step.WARMING, 0, overdueTime));
+        currentWindow(windows.report(first.id(), Step.PROVEN, 200, overdueTime));
+        assertEquals(
+                100, windows.levels(overdueTime, overdueTime + 1, 1, overdueTime).get(0).missing());
         assertInstanceOf(
                 Rejection.class,
-                windows.report(first.id(), Step.DONE, 0, late),
+                windows.report(first.id(), Step.DONE, 0, overdueTime),
                 "a third is missing");
-        currentWindow(windows.report(first.id(), Step.PROVEN, 300, late));
-        currentWindow(windows.report(first.id(), Step.DONE, 0, late));
+        currentWindow(windows.report(first.id(), Step.PROVEN, 300, overdueTime));
+        currentWindow(windows.report(first.id(), Step.DONE, 0, overdueTime));
         assertEquals(
                 State.PLANNED, windows.find(second.id()).state(), "it is planned anew by itself");
     }
@@ -239,30 +240,36 @@
     void rejectionNamesFloorShortfallAndNextPossibleStart() {
         windows.setPlan(plan(1_000, 3, 0), MONDAY);
         plannedWindow(windows.propose(request("a", 2, MONDAY, MONDAY + HOUR, 0), MONDAY));
-        Rejection no =
+        Rejection rejection =
                 assertInstanceOf(
                         Rejection.class,
                         windows.propose(request("b", 2, MONDAY, MONDAY + 80 * MINUTE, 0), MONDAY));
-        assertTrue(no.why().startsWith("floor all would be short by "), no.why());
-        assertTrue(no.why().contains("would do from " + (MONDAY + no.retryMs())), no.why());
+        assertTrue(rejection.why().startsWith("floor all would be short by "), rejection.why());
+        assertTrue(
+                rejection.why().contains("would do from " + (MONDAY + rejection.retryMs())),
+                rejection.why());
         assertEquals(1, windows.all().size(), "a refused wish leaves nothing");
     }
 
     @Test
     void emergencyDisplacesPlannedWindowsButKeepsTheFloor() {
         windows.setPlan(plan(1_000, 3, 0), MONDAY);
-        Window usual =
+        Window ordinary =
                 plannedWindow(
                         windows.propose(request("a", 2, MONDAY, MONDAY + 9 * HOUR, 9), MONDAY));
-        WindowRequest wish = request("b", 2, MONDAY, MONDAY + 9 * HOUR, 0);
-        Window first =
+        WindowRequest request = request("b", 2, MONDAY, MONDAY + 9 * HOUR, 0);
+        Window emergency =
                 plannedWindow(
                         windows.propose(
                                 emergencyRequest(
-                                        "b", wish.nodes(), 10 * MINUTE, 30 * MINUTE, 20 * MINUTE),
+                                        "b",
+                                        request.nodes(),
+                                        10 * MINUTE,
+                                        30 * MINUTE,
+                                        20 * MINUTE),
                                 MONDAY));
-        assertEquals(MONDAY, first.start());
-        assertTrue(windows.find(usual.id()).why().startsWith("moved from " + usual.start()));
+        assertEquals(MONDAY, emergency.start());
+        assertTrue(windows.find(ordinary.id()).why().startsWith("moved from " + ordinary.start()));
         assertInstanceOf(
                 Rejection.class,
                 windows.propose(
@@ -333,7 +340,7 @@
 
     @Test
     void blackOutFollowsLocalTimeAcrossADaylightSavingChange() {
-        long change = MONDAY + 6 * 24 * HOUR + HOUR; // Sunday 01:00 UTC: from +1 h to +2 h
+        long offsetChange = MONDAY + 6 * 24 * HOUR + HOUR; // Sunday 01:00 UTC: from +1 h to +2 h
         FleetPlan plan =
                 new FleetPlan(
                         MINUTE,
@@ -341,7 +348,7 @@
                                 "Z",
                                 List.of(
                                         new FleetPlan.UtcOffsetChange(0, HOUR),
-                                        new FleetPlan.UtcOffsetChange(change, 2 * HOUR))),
+                                        new FleetPlan.UtcOffsetChange(offsetChange, 2 * HOUR))),
                         List.of(
                                 region(
                                         "a",
@@ -355,7 +362,7 @@
         windows.setPlan(plan, MONDAY);
         // On Saturday the black-out begins at 22:00 local time, 21:00 UTC.
         long saturday = MONDAY + 5 * 24 * HOUR;
-        Window night =
+        Window window =
                 plannedWindow(
                         windows.propose(
                                 request(
@@ -365,22 +372,22 @@
                                         saturday + 48 * HOUR,
                                         0),
                                 MONDAY));
-        assertEquals(saturday + 28 * HOUR, night.start(), "6:00 there comes at 4:00 UTC by now");
+        assertEquals(saturday + 28 * HOUR, window.start(), "6:00 there comes at 4:00 UTC by now");
     }
 
     @Test
     void repeatedStepsAreIdempotentAndOutOfOrderStepsAreRejected() {
         windows.setPlan(plan(0, 3, 0), MONDAY);
-        Window one =
+        Window window =
                 plannedWindow(
                         windows.propose(request("a", 1, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
-        assertInstanceOf(Rejection.class, windows.report(one.id(), Step.OUT, 0, MONDAY));
-        currentWindow(windows.begin(one.id(), MONDAY));
-        Window begun = currentWindow(windows.begin(one.id(), MONDAY + 5));
+        assertInstanceOf(Rejection.class, windows.report(window.id(), Step.OUT, 0, MONDAY));
+        currentWindow(windows.begin(window.id(), MONDAY));
+        Window begun = currentWindow(windows.begin(window.id(), MONDAY + 5));
         assertEquals(MONDAY, begun.begun());
-        assertInstanceOf(Rejection.class, windows.report(one.id(), Step.WARMING, 0, MONDAY));
-        currentWindow(windows.report(one.id(), Step.OUT, 0, MONDAY));
-        Window out = currentWindow(windows.report(one.id(), Step.OUT, 0, MONDAY + 9));
+        assertInstanceOf(Rejection.class, windows.report(window.id(), Step.WARMING, 0, MONDAY));
+        currentWindow(windows.report(window.id(), Step.OUT, 0, MONDAY));
+        Window out = currentWindow(windows.report(window.id(), Step.OUT, 0, MONDAY + 9));
         assertEquals(MONDAY, out.since());
         ImageCheck.assertRoundTrips(windows);
         assertEquals(
@@ -402,38 +409,39 @@
     }
 
     /** Proposes a window, or applies a random command to an existing one. */
-    private static void applyRandomChange(Windows played, Random drawn, long now, int step) {
-        String region = "abc".substring(drawn.nextInt(3)).substring(0, 1);
-        List<Window> all = new ArrayList<>(played.all());
-        Window any = all.isEmpty() ? null : all.get(drawn.nextInt(all.size()));
-        if (any == null || drawn.nextInt(5) == 0) {
-            WindowRequest wish =
-                    request(region, 1 + drawn.nextInt(3), now, now + 24 * HOUR, drawn.nextInt(4));
-            played.propose(
+    private static void applyRandomChange(Windows tested, Random random, long now, int step) {
+        String region = "abc".substring(random.nextInt(3)).substring(0, 1);
+        List<Window> allWindows = new ArrayList<>(tested.all());
+        Window existing =
+                allWindows.isEmpty() ? null : allWindows.get(random.nextInt(allWindows.size()));
+        if (existing == null || random.nextInt(5) == 0) {
+            WindowRequest template =
+                    request(region, 1 + random.nextInt(3), now, now + 24 * HOUR, random.nextInt(4));
+            tested.propose(
                     new WindowRequest(
                             region,
-                            wish.nodes(),
-                            wish.drainMs(),
-                            wish.workMs(),
-                            wish.warmMs(),
+                            template.nodes(),
+                            template.drainMs(),
+                            template.workMs(),
+                            template.warmMs(),
                             now,
-                            wish.latest(),
-                            wish.priority(),
-                            drawn.nextInt(6) == 0,
-                            drawn.nextBoolean(),
+                            template.latest(),
+                            template.priority(),
+                            random.nextInt(6) == 0,
+                            random.nextBoolean(),
                             List.of(),
-                            drawn.nextInt(3) == 0 ? List.of("db") : List.of(),
+                            random.nextInt(3) == 0 ? List.of("db") : List.of(),
                             "ops",
                             "p" + step),
                     now);
             return;
         }
-        switch (drawn.nextInt(8)) {
-            case 0 -> played.withdraw(any.id(), "ops", now);
-            case 1 -> played.pause(any.id(), drawn.nextBoolean(), "ops", now);
-            case 2 -> played.report(any.id(), Step.PROVEN, drawn.nextInt(400), now);
-            case 3, 4 -> played.report(any.id(), Step.values()[drawn.nextInt(4)], 400, now);
-            default -> played.begin(any.id(), now);
+        switch (random.nextInt(8)) {
+            case 0 -> tested.withdraw(existing.id(), "ops", now);
+            case 1 -> tested.pause(existing.id(), random.nextBoolean(), "ops", now);
+            case 2 -> tested.report(existing.id(), Step.PROVEN, random.nextInt(400), now);
+            case 3, 4 -> tested.report(existing.id(), Step.values()[random.nextInt(4)], 400, now);
+            default -> tested.begin(existing.id(), now);
         }
     }
 
@@ -443,19 +451,19 @@
      */
     @Property(tries = 60)
     void allowedWindowsNeverBreachAFloor(@ForAll long seed) {
-        Random drawn = new Random(seed);
-        Windows played = new Windows();
-        long floor = 700 + drawn.nextInt(400);
-        played.setPlan(plan(floor, 1 + drawn.nextInt(3), drawn.nextInt(2) * 20 * MINUTE), MONDAY);
+        Random random = new Random(seed);
+        Windows tested = new Windows();
+        long floor = 700 + random.nextInt(400);
+        tested.setPlan(plan(floor, 1 + random.nextInt(3), random.nextInt(2) * 20 * MINUTE), MONDAY);
         long now = MONDAY;
         for (int i = 0; i < 150; i++) {
-            now += drawn.nextInt(12) * MINUTE;
-            played.advance(now);
-            applyRandomChange(played, drawn, now, i);
-            for (Windows.FloorLevel level : played.levels(now, now + 1, 1, now)) {
+            now += random.nextInt(12) * MINUTE;
+            tested.advance(now);
+            applyRandomChange(tested, random, now, i);
+            for (Windows.FloorLevel level : tested.levels(now, now + 1, 1, now)) {
                 assertTrue(level.capacity() >= level.need(), "at step " + i + ": " + level);
             }
-            ImageCheck.assertRoundTrips(played);
+            ImageCheck.assertRoundTrips(tested);
         }
     }
 }
