--- a/coordinator/src/test/java/saltstage/coordinator/window/WindowsTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/window/WindowsTest.java
@@ -17,7 +17,10 @@
 import saltstage.coordinator.window.Window.State;
 import saltstage.coordinator.window.WindowCommands.Step;
 
-/** Tests how much capacity may be out at once, and which capacity counts as out. */
+/**
+ * Guards against windows that breach a capacity floor together, and against capacity that counts as
+ * back before its return is proven, for example after the loss of an agent.
+ */
 class WindowsTest {
     private static final long MINUTE = 60_000;
     private static final long HOUR = 60 * MINUTE;
@@ -119,11 +122,15 @@
                 plannedWindow(
                         windows.propose(request("b", 2, MONDAY, MONDAY + 9 * HOUR, 0), MONDAY));
         assertEquals(MONDAY, first.start());
-        assertTrue(second.start() >= MONDAY + 40 * MINUTE, "until the first warms 200 are missing");
         assertTrue(
-                second.start() < MONDAY + HOUR, "while it warms there is room before its very end");
+                second.start() >= MONDAY + 40 * MINUTE, "200 are missing until the first warms up");
+        assertTrue(
+                second.start() < MONDAY + HOUR,
+                "the second fits before the warm-up of the first ends");
         assertInstanceOf(
-                Rejection.class, windows.begin(second.id(), MONDAY), "not before its time");
+                Rejection.class,
+                windows.begin(second.id(), MONDAY),
+                "a window must not begin before its start");
         // The first is planned to warm up by the start of the second, but has proven nothing.
         currentWindow(windows.begin(first.id(), MONDAY));
         Rejection rejection =
@@ -179,11 +186,13 @@
         assertInstanceOf(
                 Rejection.class,
                 windows.report(first.id(), Step.DONE, 0, overdueTime),
-                "a third is missing");
+                "a third of the capacity is not proven");
         currentWindow(windows.report(first.id(), Step.PROVEN, 300, overdueTime));
         currentWindow(windows.report(first.id(), Step.DONE, 0, overdueTime));
         assertEquals(
-                State.PLANNED, windows.find(second.id()).state(), "it is planned anew by itself");
+                State.PLANNED,
+                windows.find(second.id()).state(),
+                "the window is planned anew without a request");
     }
 
     @Test
@@ -204,9 +213,13 @@
         windows.reportOutage("c", 200, MONDAY + MINUTE);
         assertEquals(State.RETURNING, windows.find(low.id()).state());
         assertEquals(
-                State.DRAINING, windows.find(high.id()).state(), "of the two it is wanted more");
+                State.DRAINING,
+                windows.find(high.id()).state(),
+                "the drain of higher priority goes on");
         assertEquals(
-                State.PUT_OFF, windows.find(later.id()).state(), "with one returning nothing fits");
+                State.PUT_OFF,
+                windows.find(later.id()).state(),
+                "no start fits while a window is returning");
         currentWindow(windows.report(low.id(), Step.PROVEN, 200, MONDAY + 5 * MINUTE));
         currentWindow(windows.report(low.id(), Step.DONE, 0, MONDAY + 5 * MINUTE));
         windows.reportOutage("c", 0, MONDAY + 6 * MINUTE);
@@ -228,7 +241,7 @@
         assertInstanceOf(
                 Rejection.class,
                 windows.propose(other, MONDAY + 2),
-                "nobody knows when it is back");
+                "the end of the return is not known");
         currentWindow(windows.report(first.id(), Step.PROVEN, 200, MONDAY + 3));
         assertEquals(
                 State.WITHDRAWN,
@@ -248,7 +261,7 @@
         assertTrue(
                 rejection.why().contains("would do from " + (MONDAY + rejection.retryMs())),
                 rejection.why());
-        assertEquals(1, windows.all().size(), "a refused wish leaves nothing");
+        assertEquals(1, windows.all().size(), "a rejected request must leave no window");
     }
 
     @Test
@@ -324,18 +337,19 @@
                         "later");
         Window after = plannedWindow(windows.propose(second, MONDAY));
         assertTrue(
-                after.start() >= first.plannedEnd() + 30 * MINUTE, "the region rests in between");
+                after.start() >= first.plannedEnd() + 30 * MINUTE,
+                "the spacing of the region must pass in between");
         Window other =
                 plannedWindow(
                         windows.propose(request("b", 1, MONDAY, MONDAY + 99 * HOUR, 0), MONDAY));
         assertTrue(
                 other.start() >= first.plannedEnd() && other.plannedEnd() <= after.start()
                         || other.start() >= after.plannedEnd(),
-                "one region at a time");
+                "only one region may be in maintenance at a time");
         assertInstanceOf(
                 Rejection.class,
                 windows.begin(after.id(), after.start()),
-                "the first was never done");
+                "the predecessor is not done");
     }
 
     @Test
@@ -372,7 +386,10 @@
                                         saturday + 48 * HOUR,
                                         0),
                                 MONDAY));
-        assertEquals(saturday + 28 * HOUR, window.start(), "6:00 there comes at 4:00 UTC by now");
+        assertEquals(
+                saturday + 28 * HOUR,
+                window.start(),
+                "6:00 local time is 4:00 UTC after the change");
     }
 
     @Test
