--- a/coordinator/src/main/java/saltstage/coordinator/window/CapacityTable.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/CapacityTable.java
@@ -109,7 +109,7 @@
             if (i < end && (sign > 0 ? usage[i] == 0 : usage[i] == 1)) {
                 regionsInMaintenance[i] += sign;
             }
-            // Thousands count the windows whose spacing covers the slot: no node is out then.
+            // Thousands count the windows whose spacing covers the slot; their nodes are back.
             usage[i] += i < end ? sign : sign * 1_000;
         }
         for (FleetPlan.Floor floor : floorsByRegion.getOrDefault(region, List.of())) {
