--- a/coordinator/src/main/java/saltstage/coordinator/window/FloorLevels.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/FloorLevels.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import saltstage.coordinator.window.Window.State;
 
-/** Each floor over time, for operators to look at: what is there, what must be, what is missing. */
+/** Computes the available, required and missing capacity of each floor over time, for operators. */
 final class FloorLevels {
     private final WindowStore store;
     private final FleetPlan plan;
@@ -18,32 +18,36 @@
         countedWindows = store.inState(s -> s == State.PLANNED || s.isInProgress());
     }
 
-    /** Each floor at the begin of each slot between two moments, thinned to {@code most} rows. */
-    List<Windows.FloorLevel> between(long from, long to, int most) {
+    /**
+     * Returns the levels of each floor between two moments, one per slot, or fewer if that would
+     * give more than about {@code maxRows} rows per floor.
+     */
+    List<Windows.FloorLevel> between(long from, long to, int maxRows) {
         List<Windows.FloorLevel> levels = new ArrayList<>();
         if (plan == null) {
             return levels;
         }
-        long step = Math.max(plan.slotMs(), (to - from) / Math.max(1, most));
+        long stepMs = Math.max(plan.slotMs(), (to - from) / Math.max(1, maxRows));
         for (FleetPlan.Floor floor : plan.floors()) {
-            for (long at = from; at < to; at += step) {
-                levels.add(level(floor, at));
+            for (long timeMs = from; timeMs < to; timeMs += stepMs) {
+                levels.add(level(floor, timeMs));
             }
         }
         return levels;
     }
 
-    private Windows.FloorLevel level(FleetPlan.Floor floor, long at) {
+    private Windows.FloorLevel level(FleetPlan.Floor floor, long timeMs) {
         long missing = outageLoss(floor);
         for (Window window : countedWindows) {
-            boolean counts = at > now || window.state().isInProgress(); // a plan is not out yet
-            if (counts && floor.regions().contains(window.wish().region())) {
-                missing += window.lossAt(at, now, plan.coldPermille());
+            // A planned window is not out yet.
+            boolean isCounted = timeMs > now || window.state().isInProgress();
+            if (isCounted && floor.regions().contains(window.wish().region())) {
+                missing += window.lossAt(timeMs, now, plan.coldPermille());
             }
         }
         long capacity = totalCapacity(floor) - missing;
         return new Windows.FloorLevel(
-                floor.name(), at, capacity, plan.requiredCapacity(floor, at), missing);
+                floor.name(), timeMs, capacity, plan.requiredCapacity(floor, timeMs), missing);
     }
 
     private long totalCapacity(FleetPlan.Floor floor) {
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowProposals.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowProposals.java
@@ -8,11 +8,11 @@
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.window.Window.State;
 
-/** Takes requests for windows: finds each its place, or says why there is none. */
+/** Handles requests for windows: finds a start for each, or tells why there is none. */
 final class WindowProposals {
     private static final int MAX_WAITING_WINDOWS = 5_000;
 
-    /** How much longer a refused request's time is taken, to say when it would do. */
+    /** Extra time allowed to a rejected request when searching for a start that would fit. */
     private static final long LOOK_AHEAD_MS = 14L * 86_400_000;
 
     private final WindowStore store;
@@ -23,21 +23,21 @@
         this.replanner = replanner;
     }
 
-    /** Plans a window; the same request again is the same window. */
+    /** Plans a window; an equivalent request returns the windows that exist already. */
     Reply propose(WindowRequest request, long now) {
         if (store.plan() == null) {
             return new Rejection("no-plan", "nothing is agreed about the fleet yet", 0);
         }
-        String fault = WindowRequestValidator.validationError(request, store.plan());
-        if (fault != null) {
-            return new Rejection("bad-wish", fault, 0);
+        String error = WindowRequestValidator.validationError(request, store.plan());
+        if (error != null) {
+            return new Rejection("bad-wish", error, 0);
         }
-        List<Window> same =
+        List<Window> equivalent =
                 openWindows().stream()
                         .filter(window -> window.wish().isEquivalentTo(request))
                         .toList();
-        if (!same.isEmpty()) {
-            return new WindowReplies.Planned(same, true);
+        if (!equivalent.isEmpty()) {
+            return new WindowReplies.Planned(equivalent, true);
         }
         if (store.inState(State::isWaiting).size() >= MAX_WAITING_WINDOWS) {
             return new Rejection("too-many", MAX_WAITING_WINDOWS + " windows wait already", 0);
@@ -52,16 +52,16 @@
                     "window " + overlapping.id() + " has some of these nodes; name it in 'after'";
             return new Rejection("taken", why, 0);
         }
-        List<Window> made = new ArrayList<>();
-        Rejection refused = add(request, now, made);
-        return refused != null ? refused : new WindowReplies.Planned(made, false);
+        List<Window> created = new ArrayList<>();
+        Rejection rejection = add(request, now, created);
+        return rejection != null ? rejection : new WindowReplies.Planned(created, false);
     }
 
     private List<Window> openWindows() {
         return store.inState(state -> state.isWaiting() || state.isInProgress());
     }
 
-    /** One node cannot be in two windows at once; one after the other is asked for by 'after'. */
+    /** A node cannot be in two windows unless the request names the other one in 'after'. */
     private static boolean hasSharedNodes(Window window, WindowRequest request) {
         return window.wish().region().equals(request.region())
                 && window.wish().nodes().stream().anyMatch(request.nodes()::contains)
@@ -69,26 +69,30 @@
     }
 
     /**
-     * Plans it whole, else in halves where it may be split, else says why not and when it would do.
+     * Plans the request as one window, or in halves if it may be split. Otherwise returns a
+     * rejection with the reason and the time from which the request would fit.
      */
-    private Rejection add(WindowRequest request, long now, List<Window> made) {
+    private Rejection add(WindowRequest request, long now, List<Window> created) {
         Window window = unplanned(store.nextId(), request, capacity(request), now, "proposed");
         Window placed = place(window, now);
         if (placed.state() == State.PLANNED) {
             store.add(placed);
-            made.add(placed);
+            created.add(placed);
             if (request.emergency()) {
-                replanner.reconcile(now); // whoever it displaced is moved, and told so
+                replanner.reconcile(now); // moves the displaced windows and records why
             }
             return null;
         }
         if (request.split() && request.nodes().size() > 1) {
-            return addInHalves(request, now, made);
+            return addInHalves(request, now, created);
         }
         return rejection(window, placed, now);
     }
 
-    /** Finds a place for one window; an emergency counts only other emergencies' plans. */
+    /**
+     * Finds a start for one window; an emergency ignores other planned windows unless they are
+     * emergencies too.
+     */
     private Window place(Window window, long now) {
         List<Window> planned = store.inState(s -> s == State.PLANNED);
         List<Window> counted =
@@ -97,33 +101,33 @@
                         : planned;
         Planner planner = store.planner(now);
         CapacityTable table = tableWith(planner, counted, window, now);
-        Map<Long, Window> known = new LinkedHashMap<>();
-        store.all().forEach(w -> known.put(w.id(), w));
-        return planner.place(table, window, known);
+        Map<Long, Window> windowsById = new LinkedHashMap<>();
+        store.all().forEach(w -> windowsById.put(w.id(), w));
+        return planner.place(table, window, windowsById);
     }
 
-    /** Both halves, or nothing. */
-    private Rejection addInHalves(WindowRequest request, long now, List<Window> made) {
+    /** Plans both halves, or restores the earlier state and returns the rejection. */
+    private Rejection addInHalves(WindowRequest request, long now, List<Window> created) {
         List<Window> before = store.all();
         List<String> nodes = request.nodes();
         int half = (nodes.size() + 1) / 2;
-        Rejection refused = add(request.withNodes(nodes.subList(0, half)), now, made);
-        if (refused == null) {
-            refused = add(request.withNodes(nodes.subList(half, nodes.size())), now, made);
+        Rejection rejection = add(request.withNodes(nodes.subList(0, half)), now, created);
+        if (rejection == null) {
+            rejection = add(request.withNodes(nodes.subList(half, nodes.size())), now, created);
         }
-        if (refused != null) {
+        if (rejection != null) {
             store.restore(before);
-            made.clear();
+            created.clear();
         }
-        return refused;
+        return rejection;
     }
 
     private Rejection rejection(Window window, Window placed, long now) {
         WindowRequest request = window.wish().withMoreTime(LOOK_AHEAD_MS);
-        Window longer = unplanned(window.id(), request, window.capacity(), now, "");
+        Window extended = unplanned(window.id(), request, window.capacity(), now, "");
         List<Window> planned = store.inState(s -> s == State.PLANNED);
-        CapacityTable table = tableWith(store.planner(now), planned, longer, now);
-        CapacityTable.Fit fit = table.firstFit(longer, now, now);
+        CapacityTable table = tableWith(store.planner(now), planned, extended, now);
+        CapacityTable.Fit fit = table.firstFit(extended, now, now);
         if (fit.begin() < 0) {
             String why = placed.why() + "; nor would it do within two weeks more";
             return new Rejection("no-room", why, 0);
@@ -132,7 +136,7 @@
         return new Rejection("no-room", why, Math.max(1, fit.begin() - now));
     }
 
-    /** A table that reaches as far as this window may go, with these others counted. */
+    /** Returns a table that reaches to the latest end of the window and counts the others. */
     private static CapacityTable tableWith(
             Planner planner, List<Window> counted, Window window, long now) {
         List<Window> waiting = new ArrayList<>(counted);
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowRequestValidator.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowRequestValidator.java
@@ -6,17 +6,17 @@
 
 /** Checks requests for windows against the plan and against the limits on their size. */
 final class WindowRequestValidator {
-    /** The most nodes, predecessors or exclusion words that a request names. */
+    /** How many nodes, predecessors or exclusion words a request may name. */
     private static final int MAX_LIST_SIZE = 1_000;
 
-    /** In the year 2100: sums of times stay far from where they would overflow. */
+    /** A moment in the year 2100; keeps sums of times far below the overflow of a long. */
     private static final long MAX_END_MS = 4_102_444_800_000L;
 
     private static final long MAX_DURATION_MS = 7L * 86_400_000;
 
     private WindowRequestValidator() {}
 
-    /** What is wrong with a request, or null. */
+    /** Returns the first error in a request, or null if it is valid. */
     static String validationError(WindowRequest request, FleetPlan plan) {
         FleetPlan.Region region = plan.region(request.region());
         if (region == null) {
@@ -25,14 +25,15 @@
         if (isTooLarge(request)) {
             return "a window names up to " + MAX_LIST_SIZE + " of each, and ends by " + MAX_END_MS;
         }
-        Set<String> known = new TreeSet<>(region.nodes().stream().map(FleetPlan.Node::id).toList());
+        Set<String> regionNodes =
+                new TreeSet<>(region.nodes().stream().map(FleetPlan.Node::id).toList());
         if (request.nodes().isEmpty()
-                || !known.containsAll(request.nodes())
+                || !regionNodes.containsAll(request.nodes())
                 || new HashSet<>(request.nodes()).size() < request.nodes().size()) {
             return "a window takes nodes of its region, each once; "
                     + request.region()
                     + " has "
-                    + known;
+                    + regionNodes;
         }
         if (hasInvalidDuration(request)) {
             return "a window lasts up to seven days, and no part of it is negative";
@@ -60,8 +61,8 @@
                 || isOutOfRange(request.durationMs(), 1);
     }
 
-    private static boolean isOutOfRange(long durationMs, long leastMs) {
-        return durationMs < leastMs || durationMs > MAX_DURATION_MS;
+    private static boolean isOutOfRange(long durationMs, long minMs) {
+        return durationMs < minMs || durationMs > MAX_DURATION_MS;
     }
 
     private static boolean isBlank(String text) {
