--- a/coordinator/src/main/java/saltstage/coordinator/lease/LeaseDeadlines.java
+++ b/coordinator/src/main/java/saltstage/coordinator/lease/LeaseDeadlines.java
@@ -7,31 +7,31 @@
 
 /** Tracks for each lease the next time at which it changes without a command, earliest first. */
 final class LeaseDeadlines {
-    private record Deadline(long at, String name) {}
+    private record Deadline(long dueMs, String name) {}
 
-    private final TreeSet<Deadline> soonest =
-            new TreeSet<>(Comparator.comparingLong(Deadline::at).thenComparing(Deadline::name));
+    private final TreeSet<Deadline> byDueTime =
+            new TreeSet<>(Comparator.comparingLong(Deadline::dueMs).thenComparing(Deadline::name));
     private final Map<String, Deadline> byName = new HashMap<>();
 
     /** Sets a lease's deadline and replaces its previous one. */
-    void set(String name, long at) {
+    void set(String name, long dueMs) {
         remove(name);
-        Deadline deadline = new Deadline(at, name);
+        Deadline deadline = new Deadline(dueMs, name);
         byName.put(name, deadline);
-        soonest.add(deadline);
+        byDueTime.add(deadline);
     }
 
     /** Removes a lease's deadline, if it has one. */
     void remove(String name) {
         Deadline previous = byName.remove(name);
         if (previous != null) {
-            soonest.remove(previous);
+            byDueTime.remove(previous);
         }
     }
 
     /** Returns the earliest deadline, or {@link Long#MAX_VALUE} if there is none. */
     long next() {
-        return soonest.isEmpty() ? Long.MAX_VALUE : soonest.first().at();
+        return byDueTime.isEmpty() ? Long.MAX_VALUE : byDueTime.first().dueMs();
     }
 
     /**
@@ -39,10 +39,10 @@
      * lease, or null if no deadline is due.
      */
     String pollDue(long now) {
-        if (soonest.isEmpty() || soonest.first().at() > now) {
+        if (byDueTime.isEmpty() || byDueTime.first().dueMs() > now) {
             return null;
         }
-        String name = soonest.pollFirst().name();
+        String name = byDueTime.pollFirst().name();
         byName.remove(name);
         return name;
     }
