--- a/coordinator/src/main/java/saltstage/coordinator/group/GroupState.java
+++ b/coordinator/src/main/java/saltstage/coordinator/group/GroupState.java
@@ -211,8 +211,8 @@
      * Checks that the request comes from the agent that holds the region's lease now. Returns the
      * rejection, or null.
      */
-    private Rejection checkFencingToken(String region, String owner, long fence) {
-        return leases.isHeldBy(WindowCommands.leaseName(region), owner, fence, time.now())
+    private Rejection checkFencingToken(String region, String owner, long fencingToken) {
+        return leases.isHeldBy(WindowCommands.leaseName(region), owner, fencingToken, time.now())
                 ? null
                 : new Rejection(
                         "fenced",
--- a/coordinator/src/main/java/saltstage/coordinator/lease/Leases.java
+++ b/coordinator/src/main/java/saltstage/coordinator/lease/Leases.java
@@ -134,11 +134,11 @@
     }
 
     /** Returns whether this owner holds the lease under this fencing token at the given time. */
-    public boolean isHeldBy(String name, String owner, long fence, long now) {
+    public boolean isHeldBy(String name, String owner, long fencingToken, long now) {
         LeaseEntry lease = leases.get(name);
         return lease != null
                 && lease.isHeldBy(owner)
-                && lease.fencingToken() == fence
+                && lease.fencingToken() == fencingToken
                 && now < lease.expires();
     }
 
@@ -221,15 +221,15 @@
         }
     }
 
-    private Reply grant(Acquire request, LeaseEntry lease, long now, long fence) {
+    private Reply grant(Acquire request, LeaseEntry lease, long now, long fencingToken) {
         if (!lease.isHeld() && leases.size() > MAX_LEASES) {
             scheduleOrRemove(lease);
             return new Rejection(
                     "too-many", "the group holds " + MAX_LEASES + " leases already", 0);
         }
-        lease.grant(request, fence, now, ++lastRevision);
+        lease.grant(request, fencingToken, now, ++lastRevision);
         scheduleOrRemove(lease);
-        return new Granted(request.name(), fence, request.ttlMs());
+        return new Granted(request.name(), fencingToken, request.ttlMs());
     }
 
     private static Held heldReply(Acquire request, LeaseEntry lease, long now) {
@@ -250,8 +250,8 @@
         List<String> lost = new ArrayList<>();
         new TreeMap<>(request.fences())
                 .forEach(
-                        (name, fence) -> {
-                            if (isHeldBy(name, request.owner(), fence, now)) {
+                        (name, fencingToken) -> {
+                            if (isHeldBy(name, request.owner(), fencingToken, now)) {
                                 LeaseEntry lease = leases.get(name);
                                 lease.renew(now);
                                 renewed.put(name, lease.ttlMs());
--- a/coordinator/src/test/java/saltstage/coordinator/lease/LeasesTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/lease/LeasesTest.java
@@ -48,8 +48,10 @@
 
     @Test
     void repeatedAcquireReturnsTheSameGrantAndNeverShortensIt() {
-        long fence = grantedToken(acquire("a", 0, false, 0));
-        assertEquals(fence, grantedToken(leases.acquire(new Acquire("x", "a", 500, 0, false), 10)));
+        long fencingToken = grantedToken(acquire("a", 0, false, 0));
+        assertEquals(
+                fencingToken,
+                grantedToken(leases.acquire(new Acquire("x", "a", 500, 0, false), 10)));
         assertInstanceOf(Held.class, acquire("b", 0, false, 999));
     }
 
@@ -66,8 +68,8 @@
                 Held.class,
                 acquire("low", 0, true, 1_000),
                 "the lease is reserved for the waiter of higher priority");
-        long fence = grantedToken(acquire("high", 5, true, 1_001));
-        leases.release(new Release("x", "high", fence), 1_002);
+        long fencingToken = grantedToken(acquire("high", 5, true, 1_001));
+        leases.release(new Release("x", "high", fencingToken), 1_002);
         assertInstanceOf(Held.class, acquire("low2", 0, true, 1_003));
         grantedToken(acquire("low", 0, true, 1_004));
     }
@@ -181,10 +183,10 @@
         }
 
         private void release(String name, String owner, long now) {
-            long fence =
+            long fencingToken =
                     random.nextBoolean() ? fencingTokens.getOrDefault(name, 1L) : random.nextInt(5);
-            actual.release(new Release(name, owner, fence), now);
-            if (owner.equals(holder.get(name)) && fence == fencingTokens.get(name)) {
+            actual.release(new Release(name, owner, fencingToken), now);
+            if (owner.equals(holder.get(name)) && fencingToken == fencingTokens.get(name)) {
                 holder.remove(name);
             }
         }
