--- a/coordinator/src/main/java/saltstage/coordinator/advice/Advisor.java
+++ b/coordinator/src/main/java/saltstage/coordinator/advice/Advisor.java
@@ -48,7 +48,12 @@
         }
     }
 
-    /** A move that was completed or is in progress. */
+    /**
+     * A move that was completed or is in progress.
+     *
+     * @param atMs the time of the move, on the same clock as the time given to {@link #advise}
+     * @param over whether the move has ended and no longer uses up the budget
+     */
     public record RecentMove(
             String tenant, String from, String to, int connections, long atMs, boolean over) {}
 
@@ -99,8 +104,8 @@
             snapshot = view.snapshot();
             confidence = 1 - 0.5 * view.ageMs() / maxAgeMs;
             load = snapshot.load();
-            // Scales the curve to the reported delay; other processes on the machine make it
-            // steeper.
+            // Fits the delay curve to the reported delay: other processes on the machine make the
+            // curve steeper.
             double modeledDelay = modeledDelayMs(load);
             delayScale =
                     Math.max(0.25, Math.min(8, (snapshot.delayMs() + 0.1) / (modeledDelay + 0.1)));
