--- a/lab/src/main/java/saltstage/lab/store/StoreBench.java
+++ b/lab/src/main/java/saltstage/lab/store/StoreBench.java
@@ -232,7 +232,8 @@
                     Path at = dir.resolve("c-" + writers + beside);
                     Histogram latency = new ConcurrentHistogram(3);
                     StoreOptions options = new StoreOptions(8 << 20, beside, 32L << 20);
-                    try (Store store = Store.open(FileDisk.openOrCreate(at), options, StoreEventListener.NONE)) {
+                    try (Store store =
+                            Store.open(FileDisk.openOrCreate(at), options, StoreEventListener.NONE)) {
                         for (long i = 0; i < 100_000;) {
                             Batch batch = new Batch();
                             for (long end = i + 1_000; i < end; i++) {
@@ -245,7 +246,8 @@
                         report.row(writers, beside ? "on" : "off", rate, latency.getValueAtPercentile(50),
                             latency.getValueAtPercentile(99), latency.getValueAtPercentile(99.9),
                             String.format("%.1f", latency.getMaxValue() / 1e3),
-                            String.format("%.2f", store.copiedBytes() / user), store.statistics().fileBytes() >> 20);
+                            String.format("%.2f", store.copiedBytes() / user),
+                            store.statistics().fileBytes() >> 20);
                     }
                     Home.delete(at);
                 }
--- a/lab/src/main/java/saltstage/lab/trial/WorkerCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/WorkerCommand.java
@@ -48,7 +48,8 @@
                     Socket socket = new Socket("127.0.0.1", witness)) {
                 socket.setTcpNoDelay(true);
                 act(socket, lease, 10 + drawn.nextInt(150), drawn);
-            } catch (LeaseClient.LeaseNotGrantedException | LeaseClient.LeaseLostException | IOException again) {
+            } catch (LeaseClient.LeaseNotGrantedException | LeaseClient.LeaseLostException
+                    | IOException again) {
                 System.out.println(again.getMessage());
             }
         }
@@ -60,8 +61,8 @@
             new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         for (int i = 0; i < times; i++) {
             lease.checkStillHeld();
-            socket.getOutputStream().write((name + "-" + ProcessHandle.current().pid() + " " + lease.fencingToken()
-                + "\n").getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream().write((name + "-" + ProcessHandle.current().pid() + " "
+                + lease.fencingToken() + "\n").getBytes(StandardCharsets.US_ASCII));
             if (!"ok".equals(in.readLine())) {
                 System.out.println("refused by its fence: " + lease.fencingToken());
                 return;
--- a/relay/src/main/java/saltstage/amqp/ClientReceiverLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientReceiverLink.java
@@ -28,7 +28,8 @@
     /** The backend was asked to drain for its client. */
     private boolean backendDrainRequested;
 
-    ClientReceiverLink(AmqpFrontend front, AmqpClientConnection owner, Sender client, AttachMapper.AttachRequest asked) {
+    ClientReceiverLink(AmqpFrontend front, AmqpClientConnection owner, Sender client,
+            AttachMapper.AttachRequest asked) {
         super(front, owner, client, asked);
         this.clientSender = client;
         client.creditStateUpdateHandler(any -> {
@@ -41,7 +42,8 @@
     // ---- credit, from the client to the backend
 
     private boolean isEstablished() {
-        return !isEnded() && backendLink() != null && backendLink().isAttached() && connection().canSendFrames();
+        return !isEnded() && backendLink() != null && backendLink().isAttached()
+            && connection().canSendFrames();
     }
 
     private void forwardCredit() {
@@ -57,14 +59,17 @@
         if (more > 0 && !backendReceiver.isDraining()) {
             backendReceiver.addCredit(more);
         } else if (more < 0 && backendReceiver.getCredit() > 0 && !backendReceiver.isDraining()) {
-            ProtonFlowControl.reduceCredit(backendReceiver, -more); // its client wants fewer: the backend must not send for nobody
+            // its client wants fewer: the backend must not send for nobody
+            ProtonFlowControl.reduceCredit(backendReceiver, -more);
         }
     }
 
     /** How much more credit its client has given than the backend has; below 0 where that has too much. */
     private int missingCredit() {
         // What is only partly here has taken no credit yet, on neither side.
-        int here = pendingDeliveries.isEmpty() || !pendingDeliveries.peekLast().isPartial() ? pendingDeliveries.size() : pendingDeliveries.size() - 1;
+        int here = pendingDeliveries.isEmpty() || !pendingDeliveries.peekLast().isPartial()
+            ? pendingDeliveries.size()
+            : pendingDeliveries.size() - 1;
         return clientSender.getCredit() - backendReceiver.getCredit() - here;
     }
 
@@ -118,8 +123,8 @@
             ProtonFlowControl.refreshSender(clientSender);
             refreshing = false;
         }
-        while (isEstablished() && !pendingDeliveries.isEmpty() && connection().isWritable() && clientSender.getCredit() > 0
-            && clientSender.isSendable()) {
+        while (isEstablished() && !pendingDeliveries.isEmpty() && connection().isWritable()
+            && clientSender.getCredit() > 0 && clientSender.isSendable()) {
             IncomingDelivery in = pendingDeliveries.peek();
             if (unsentBytes == null && in.available() > 0) {
                 unsentBytes = in.readAll();
@@ -245,7 +250,8 @@
 
     @Override
     protected boolean isSettled() {
-        return pendingDeliveries.isEmpty() && backendReceiver.getCredit() == 0 && !backendReceiver.hasUnsettled();
+        return pendingDeliveries.isEmpty() && backendReceiver.getCredit() == 0
+            && !backendReceiver.hasUnsettled();
     }
 
     @Override
--- a/relay/src/main/java/saltstage/store/Manifest.java
+++ b/relay/src/main/java/saltstage/store/Manifest.java
@@ -10,8 +10,8 @@
  * acknowledged; 2), its id, the next free file number, the checkpoint in force and all segments in
  * order. Small, and replaced whole by a rename.
  */
-record Manifest(short formatVersion, SegmentFormat.StoreId storeId, long generation, long nextFileId, CheckpointRef checkpoint,
-        List<SegmentRef> segments) {
+record Manifest(short formatVersion, SegmentFormat.StoreId storeId, long generation, long nextFileId,
+        CheckpointRef checkpoint, List<SegmentRef> segments) {
     static final String NAME = "manifest";
     static final String TEMPORARY_NAME = "manifest.tmp";
     static final short FORMAT_VERSION = 2;
@@ -32,7 +32,8 @@
     }
 
     /** A segment; used and lastSeq hold for sealed ones. */
-    record SegmentRef(long id, byte kind, boolean sealed, long size, long usedBytes, long baseSeq, long lastSeq) {
+    record SegmentRef(long id, byte kind, boolean sealed, long size, long usedBytes, long baseSeq,
+            long lastSeq) {
         String fileName() {
             return Segment.fileName(id, kind);
         }
@@ -66,7 +67,8 @@
         }
         short format = in.getShort(8);
         if (format < 1 || format > FORMAT_VERSION) {
-            throw new StoreException(NAME + ": format " + format + " is not known; 1 to " + FORMAT_VERSION + " are");
+            throw new StoreException(NAME + ": format " + format + " is not known; 1 to " + FORMAT_VERSION
+                + " are");
         }
         in.position(16);
         SegmentFormat.StoreId store = new SegmentFormat.StoreId(in.getLong(), in.getLong());
--- a/relay/src/test/java/saltstage/amqp/AmqpComponentsTest.java
+++ b/relay/src/test/java/saltstage/amqp/AmqpComponentsTest.java
@@ -77,7 +77,8 @@
             + " anonymous_tenant = \"two\"\n" + more + "}\n").amqp().orElseThrow());
     }
 
-    private static AttachMapper.AttachRequest attachRequest(String address, String user, Map<Symbol, Object> properties) {
+    private static AttachMapper.AttachRequest attachRequest(String address, String user,
+            Map<Symbol, Object> properties) {
         return new AttachMapper.AttachRequest(address, "container", "link", user, properties);
     }
 
@@ -88,7 +89,8 @@
             plain.attributes());
         assertEquals(Duration.ofSeconds(2), plain.clientTimeout());
         assertTrue(plain.idempotent());
-        AttachMapper.MappedRequest grouped = attachMapper("").map(attachRequest("b/station-7/x", "one", null), "n2", true);
+        AttachMapper.MappedRequest grouped =
+            attachMapper("").map(attachRequest("b/station-7/x", "one", null), "n2", true);
         assertEquals(new RequestAttributes("n2", 1, 0, "container\nlink", "station-7/x", Api.NONE, true),
             grouped.attributes());
         assertFalse(grouped.idempotent());
@@ -98,28 +100,33 @@
     void configuredLinkPropertiesTakePrecedence() throws Exception {
         AttachMapper named =
             attachMapper(" key_property = \"k\"\n group_property = \"g\"\n deadline_property = \"d\"\n");
-        AttachMapper.MappedRequest mapped = named.map(attachRequest("b/x", null, Map.of(Symbol.valueOf("k"), "key",
-            Symbol.valueOf("g"), "group", Symbol.valueOf("d"), 700)), "n", false);
+        AttachMapper.MappedRequest mapped = named.map(attachRequest("b/x", null,
+            Map.of(Symbol.valueOf("k"), "key", Symbol.valueOf("g"), "group", Symbol.valueOf("d"), 700)),
+            "n", false);
         assertEquals(new RequestAttributes("n", 1, 1, "key", "group", Api.NONE, false), mapped.attributes());
         assertEquals(Duration.ofMillis(700), mapped.clientTimeout());
         assertEquals("amqp:not-found",
             rejectionCondition(named, attachRequest("b", null, Map.of(Symbol.valueOf("d"), "soon"))));
         assertEquals(Duration.ofMillis(3_200),
-            named.map(attachRequest("b", null, Map.of(Symbol.valueOf("d"), 99_999)), "n", false).clientTimeout());
+            named.map(attachRequest("b", null, Map.of(Symbol.valueOf("d"), 99_999)), "n", false)
+                .clientTimeout());
     }
 
     private static String rejectionCondition(AttachMapper mapping, AttachMapper.AttachRequest asked) {
-        return assertThrows(AttachMapper.AttachRejectedException.class, () -> mapping.map(asked, "n", false)).condition()
-            .getCondition().toString();
+        return assertThrows(AttachMapper.AttachRejectedException.class, () -> mapping.map(asked, "n", false))
+            .condition().getCondition().toString();
     }
 
     @Test
     void invalidAddressOrUserIsRejected() throws Exception {
         assertEquals("amqp:not-found", rejectionCondition(attachMapper(""), attachRequest("c", null, null)));
-        assertEquals("amqp:not-found", rejectionCondition(attachMapper(""), attachRequest("a", "three", null)));
+        assertEquals("amqp:not-found",
+            rejectionCondition(attachMapper(""), attachRequest("a", "three", null)));
         assertEquals("amqp:not-found", rejectionCondition(attachMapper(""), attachRequest("a/", null, null)));
-        assertEquals("amqp:not-found", rejectionCondition(attachMapper(""), attachRequest("a/two words", null, null)));
-        assertEquals("amqp:not-implemented", rejectionCondition(attachMapper(""), attachRequest(null, null, null)));
+        assertEquals("amqp:not-found",
+            rejectionCondition(attachMapper(""), attachRequest("a/two words", null, null)));
+        assertEquals("amqp:not-implemented",
+            rejectionCondition(attachMapper(""), attachRequest(null, null, null)));
     }
 
     @Test
