--- a/relay/src/test/java/saltstage/store/DamageTest.java
+++ b/relay/src/test/java/saltstage/store/DamageTest.java
@@ -198,16 +198,7 @@
         int refused = 0;
         for (int first = group; first < mirror; first++) {
             for (int second = mirror; second < end; second++) {
-                byte[] damaged = whole.clone();
-                damaged[first] ^= 0x10;
-                damaged[second] ^= 0x10;
-                FaultInjectingDisk changed = young.durableCopy();
-                changed.putFile(log, damaged);
-                int outcome = openOutcome(changed, "flipped at " + first + " and " + second);
-                assertTrue(
-                        outcome == 0 || Arrays.equals(damaged, changed.content(log)),
-                        "left as it was");
-                refused += outcome;
+                refused += outcomeWithTwoBytesFlipped(young, log, whole, first, second);
             }
         }
         assertEquals(
@@ -228,6 +219,19 @@
         System.out.println("the last record and its mirror both damaged: refused " + refused);
     }
 
+    /** Returns {@link #openOutcome}; a refused log must be left as it was. */
+    private int outcomeWithTwoBytesFlipped(
+            FaultInjectingDisk young, String log, byte[] whole, int first, int second) {
+        byte[] damaged = whole.clone();
+        damaged[first] ^= 0x10;
+        damaged[second] ^= 0x10;
+        FaultInjectingDisk changed = young.durableCopy();
+        changed.putFile(log, damaged);
+        int outcome = openOutcome(changed, "flipped at " + first + " and " + second);
+        assertTrue(outcome == 0 || Arrays.equals(damaged, changed.content(log)), "left as it was");
+        return outcome;
+    }
+
     /**
      * Files of an older day under a newer word of what was acknowledged: nothing says so but that.
      */
@@ -319,19 +323,10 @@
             night.commit("b=" + i);
             byte[] sure = afterPowerLoss(young).content(AcknowledgedSeqFile.NAME);
             byte[] now = young.content(AcknowledgedSeqFile.NAME);
-            boolean first =
-                    Arrays.equals(
-                            sure,
-                            0,
-                            AcknowledgedSeqFile.SLOT_BYTES,
-                            now,
-                            0,
-                            AcknowledgedSeqFile.SLOT_BYTES);
+            boolean first = isRangeEqual(sure, now, 0, AcknowledgedSeqFile.SLOT_BYTES);
             boolean second =
-                    Arrays.equals(
+                    isRangeEqual(
                             sure,
-                            AcknowledgedSeqFile.SLOT_BYTES,
-                            AcknowledgedSeqFile.FILE_BYTES,
                             now,
                             AcknowledgedSeqFile.SLOT_BYTES,
                             AcknowledgedSeqFile.FILE_BYTES);
@@ -362,6 +357,10 @@
         }
     }
 
+    private static boolean isRangeEqual(byte[] one, byte[] other, int from, int to) {
+        return Arrays.equals(one, from, to, other, from, to);
+    }
+
     /** After a kill the higher slot may be unforced: that is the one to be written over. */
     @Test
     void openOverwritesTheSlotThatMayNotBeDurable() throws IOException {
