--- a/relay/src/main/java/saltstage/lifecycle/BackendEntries.java
+++ b/relay/src/main/java/saltstage/lifecycle/BackendEntries.java
@@ -11,20 +11,23 @@
 import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
-/** The backends of the configuration as lists in discovery's form. Not thread safe. */
+/**
+ * Turns the backends of the shared configuration into backend lists as discovery sends them. Not
+ * thread safe.
+ */
 final class BackendEntries {
     private static final int MAX_ID_LENGTH = 128;
 
     private final Map<String, BackendList.Entry> entriesById = new TreeMap<>();
     private final Map<String, BackendList.Entry> changed = new TreeMap<>();
 
-    /** Forgets all; what is set from here on is the whole list. */
+    /** Removes all backends; the ones set afterwards are the whole list. */
     void clear() {
         entriesById.clear();
         changed.clear();
     }
 
-    /** A backend says this from now on; null: it is deleted. */
+    /** Sets a backend's value; null deletes the backend. */
     void set(String id, EntryValue.Backend value) {
         BackendList.Entry entry = value == null ? null : toListEntry(id, value);
         BackendList.Entry before =
@@ -36,19 +39,20 @@
         }
     }
 
-    /** Whether any backend is named. */
+    /** Whether no backend is listed. */
     boolean isEmpty() {
         return entriesById.isEmpty();
     }
 
-    /** All that are named. */
+    /** Returns all backends as a full list. */
     BackendList fullList(long revision) {
         changed.clear();
         return new BackendList(revision, true, List.copyOf(entriesById.values()));
     }
 
     /**
-     * What has changed since the last call of this or of {@link #fullList}; null where nothing has.
+     * Returns the changes since the last call of this method or of {@link #fullList}, or null if
+     * there are none.
      */
     BackendList changesSinceLast(long revision) {
         if (changed.isEmpty()) {
@@ -71,7 +75,8 @@
     }
 
     /**
-     * Null where lists cannot carry it; that is logged, and the backend is as one that is deleted.
+     * Returns null for a backend that a list cannot represent; this is logged, and the backend is
+     * treated as deleted.
      */
     private static BackendList.Entry toListEntry(String id, EntryValue.Backend value) {
         if (id.length() > MAX_ID_LENGTH) {
--- a/relay/src/main/java/saltstage/lifecycle/ClientListener.java
+++ b/relay/src/main/java/saltstage/lifecycle/ClientListener.java
@@ -10,14 +10,15 @@
 import saltstage.log.Log;
 
 /**
- * The socket where clients come in: at an address of the relay's own, or one that the platform
- * holds and that every process of the relay inherits. The latter is neither shut down nor closed
- * here: it is the other process's too, and the JVM, when it closes an inherited channel, takes
- * standard error away with it.
+ * Opens the socket that accepts clients: a socket of the process's own, or one that the platform
+ * holds and that every process of the relay inherits. An inherited socket is neither shut down nor
+ * closed here, for two reasons: the other process uses it too, and when the JVM closes an inherited
+ * channel, it closes standard error with it.
  */
 final class ClientListener {
     /**
-     * Connections that may wait to be accepted: all that were open before a start may come at once.
+     * Maximum of connections that wait to be accepted: after a restart, all former clients may
+     * reconnect at once.
      */
     private static final int BACKLOG = 4096;
 
@@ -27,7 +28,8 @@
     private ClientListener() {}
 
     /**
-     * Listens at this address; a want of descriptors may pass, an address that is taken does not.
+     * Listens at an address. A lack of descriptors may be temporary and is retried; an address that
+     * is in use is not.
      */
     static ServerSocketChannel bind(InetSocketAddress address) throws IOException {
         for (int attempt = 1; ; attempt++) {
@@ -66,7 +68,7 @@
         return listener;
     }
 
-    /** Takes over descriptor 0. */
+    /** Returns the listening socket that this process inherited as descriptor 0. */
     static ServerSocketChannel inherited() throws IOException {
         Channel channel;
         try {
@@ -78,9 +80,8 @@
             throw new IOException("descriptor 0 is no listening socket");
         }
         ServerSocketChannel listener = (ServerSocketChannel) channel;
-        // The other process may take what woke this one: accepting must not block. The mode is the
-        // shared
-        // socket's own; a JVM copes that accepts in the other.
+        // Accepting must not block: the other process may take the connection that woke this one.
+        // The mode belongs to the shared socket; a JVM that accepts in blocking mode copes with it.
         listener.configureBlocking(false);
         return listener;
     }
--- a/relay/src/main/java/saltstage/lifecycle/ConfigCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/ConfigCommand.java
@@ -20,7 +20,10 @@
 import saltstage.store.Store;
 import saltstage.wire.MalformedException;
 
-/** The configurations that a relay has accepted. */
+/**
+ * The {@code config} command: shows the configuration versions that a relay has accepted, and
+ * restores one.
+ */
 @Command(
         name = "config",
         mixinStandardHelpOptions = true,
@@ -47,7 +50,7 @@
         T read(Store store) throws IOException;
     }
 
-    /** Where the relay keeps them. */
+    /** The store that holds the versions, found by the operator's settings. */
     static final class SettingsStore {
         @Option(
                 names = "--settings",
@@ -81,7 +84,7 @@
         }
     }
 
-    /** Lists. */
+    /** Lists the versions. */
     @Command(
             name = "history",
             mixinStandardHelpOptions = true,
@@ -120,7 +123,7 @@
         settings
     }
 
-    /** Shows. */
+    /** Prints one version. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
@@ -148,7 +151,7 @@
         }
     }
 
-    /** Rolls back. */
+    /** Restores the files of one version. */
     @Command(
             name = "rollback",
             mixinStandardHelpOptions = true,
--- a/relay/src/main/java/saltstage/lifecycle/ConfiguredSettings.java
+++ b/relay/src/main/java/saltstage/lifecycle/ConfiguredSettings.java
@@ -10,9 +10,10 @@
 import saltstage.log.LogSetup;
 
 /**
- * The settings that configuration changes while the relay runs: {@code log.level} and {@code
- * log.format}. They go before those of the operator's file, which hold again once they are deleted.
- * All others take a restart with another file; each is named in the log once.
+ * The settings that the shared configuration can change while the relay runs: {@code log.level} and
+ * {@code log.format}. They take precedence over those of the operator's file, which apply again
+ * once the former are deleted. All other settings take a restart with another file; each of them is
+ * logged once.
  */
 final class ConfiguredSettings {
     private static final String LOG_LEVEL = "log.level";
@@ -23,24 +24,24 @@
     private OperatorSettings.Logging fileSettings;
     private OperatorSettings.Logging inForce;
 
-    /** Over these of the operator's file. */
+    /** Starts with the logging settings of the operator's file. */
     ConfiguredSettings(OperatorSettings.Logging file) {
         this.fileSettings = file;
         inForce = file;
     }
 
-    /** The operator's file was read anew. */
+    /** Replaces and applies the settings of the operator's file, which was read again. */
     synchronized void setFileSettings(OperatorSettings.Logging read) {
         fileSettings = read;
         apply();
     }
 
-    /** Forgets all. */
+    /** Removes all settings of the shared configuration. */
     synchronized void clear() {
         values.clear();
     }
 
-    /** A setting says this from now on; null: it is deleted. */
+    /** Changes a setting; null deletes it. */
     synchronized void set(String name, String text) {
         if (!name.equals(LOG_LEVEL) && !name.equals(LOG_FORMAT)) {
             if (reportedNames.add(name)) {
@@ -55,7 +56,7 @@
         }
     }
 
-    /** Puts what was set in force. */
+    /** Applies the settings to the log. */
     synchronized void apply() {
         OperatorSettings.Logging wanted =
                 new OperatorSettings.Logging(
--- a/relay/src/main/java/saltstage/lifecycle/DiscoveryCalls.java
+++ b/relay/src/main/java/saltstage/lifecycle/DiscoveryCalls.java
@@ -6,84 +6,84 @@
 import saltstage.wire.BackendList;
 
 /**
- * Decides which calls to discovery are begun, kept and ended: an immutable state and its
- * transitions, without locks, threads or time, which {@link DiscoverySubscription} adds.
+ * Decides which calls to discovery are started, kept and ended. It is an immutable state with its
+ * transitions; {@link DiscoverySubscription} adds locks, threads and time.
  *
- * <p>Guarantees, in whatever order events come, as long as the caller performs every effect of
- * every {@link Step}:
+ * <p>It guarantees the following for every order of events, as long as the caller performs every
+ * effect of every {@link Step}:
  *
  * <ul>
  *   <li>a watch is open, or a call is awaited whose end or time-out is still to come, or the caller
- *       has been told to ask again ({@link Effect.AskLater} or {@link Step#lossReason});
+ *       has been requested to ask again ({@link Effect.AskLater} or {@link Step#lossReason});
  *   <li>there are at most {@link #MAX_CALLS} calls, and a single one once a call is answered;
- *   <li>events of a call that has ended, or that was told to end, change nothing and have no
+ *   <li>events of a call that has ended, or whose end was requested, change nothing and have no
  *       effects;
  *   <li>a list that is older than the one held is not delivered.
  * </ul>
  *
  * @param calls the calls that have not ended, the oldest first
- * @param nextId the number of the call that is begun next
+ * @param nextId the id of the next call to start
  */
 record DiscoveryCalls(List<Call> calls, long nextId) {
     /**
-     * Each has a thread and a descriptor; where the service is asked the oldest has had over 6 s by
-     * then.
+     * Limits calls, as each takes a thread and a descriptor. By the time the limit is reached the
+     * oldest call has had over 6 s to answer, where discovery is called directly and not through an
+     * agent.
      */
     static final int MAX_CALLS = 4;
 
-    /** How far a call has come. */
+    /** The phase of a call. */
     enum Phase {
-        /** Begun and not answered; no other call is begun beside it. */
+        /** Started and not answered; no other call is started beside it. */
         AWAITED,
         /**
-         * Not answered in time: it is kept, as it may answer yet, and another may be begun beside
-         * it.
+         * Not answered in time: the call is kept, as it may still be answered, and another may be
+         * started beside it.
          */
         SUPERSEDED,
         /** Answered: the one call that delivers lists. */
         WATCHING
     }
 
-    /** A call that has not ended; its number is never given to another. */
+    /** A call that has not ended; its id is never reused. */
     record Call(long id, Phase phase) {}
 
-    /** What the caller has to do, in the order given. */
+    /** An action that the caller has to perform, in the order given. */
     sealed interface Effect {
         /**
-         * Begin a call and its time-out; where that is impossible, report it by {@link
-         * #startFailed}.
+         * Start a call and its time-out; if that is impossible, report it by {@link #startFailed}.
          */
         record StartCall(long id) implements Effect {}
 
-        /** End a call; what it still reports is ignored. */
+        /** End a call; its later events are ignored. */
         record EndCall(long id) implements Effect {}
 
-        /** Hand the list on. */
+        /** Deliver the list to the listener. */
         record DeliverList(BackendList list) implements Effect {}
 
-        /** Say that a list was dropped because it is older than the one held. */
+        /** Log that a list was dropped because it is older than the one held. */
         record DropOldList(BackendList list) implements Effect {}
 
-        /** Ask again once the time has passed that a call may take to answer. */
+        /** Ask again after the time that a call may take to answer. */
         record AskLater() implements Effect {}
     }
 
     /**
      * The outcome of one event.
      *
-     * @param next the state from now on
-     * @param effects what has to be done
-     * @param lossReason present if discovery was lost: the reason; the caller has to see to it that
-     *     {@link #ask} follows after a pause
+     * @param next the state after the event
+     * @param effects the actions to perform
+     * @param lossReason the reason if discovery was lost, else empty; the caller then has to call
+     *     {@link #ask} after a pause
      */
     record Step(DiscoveryCalls next, List<Effect> effects, Optional<String> lossReason) {}
 
-    /** No call has been made. */
+    /** Returns the state before the first call. */
     static DiscoveryCalls none() {
         return new DiscoveryCalls(List.of(), 1);
     }
 
-    /** Begins a call, unless a watch is open or a call is awaited. */
+    /** Starts a call, unless a watch is open or a call is awaited. */
     Step ask() {
         if (calls.stream().anyMatch(call -> call.phase() != Phase.SUPERSEDED)) {
             return unchanged();
@@ -96,14 +96,14 @@
         return begin(kept, effects);
     }
 
-    /** Discovery is at another address: all calls end, and one to the new address is begun. */
+    /** Discovery is at another address: all calls end, and one to the new address is started. */
     Step addressChanged() {
         List<Effect> effects = new ArrayList<>();
         calls.forEach(call -> effects.add(new Effect.EndCall(call.id())));
         return begin(List.of(), effects);
     }
 
-    /** A call that was to be begun could not be, for want of a thread. */
+    /** A call could not be started, as no thread was available. */
     Step startFailed(long id) {
         if (find(id).isEmpty()) {
             return unchanged();
@@ -114,7 +114,7 @@
                 Optional.empty());
     }
 
-    /** A call has brought a list: it is the watch from now on, and all others end. */
+    /** A call has delivered a list: it becomes the watch, and all other calls end. */
     Step listArrived(long id, BackendList list, long heldRevision) {
         if (find(id).isEmpty()) {
             return unchanged();
@@ -128,7 +128,7 @@
     }
 
     /**
-     * The time that a call may take to answer has passed: if it has not answered, it is superseded.
+     * The time that a call may take to answer has passed: a call without an answer is superseded.
      */
     Step answerTimedOut(long id) {
         if (find(id).filter(call -> call.phase() == Phase.AWAITED).isEmpty()) {
@@ -143,8 +143,8 @@
     }
 
     /**
-     * A call has ended by itself. The end of a superseded one is no loss: its time-out was one
-     * already.
+     * A call has ended by itself. The end of a superseded call is no loss, as its time-out was
+     * already reported as one.
      */
     Step callEnded(long id, String reason) {
         Optional<Call> ended = find(id);
--- a/relay/src/main/java/saltstage/lifecycle/DiscoverySubscription.java
+++ b/relay/src/main/java/saltstage/lifecycle/DiscoverySubscription.java
@@ -18,25 +18,26 @@
 import saltstage.wire.MalformedException;
 
 /**
- * The relay's one subscription to discovery. A call that is not answered is not hung up on: where
- * the service works through calls in turn, it would be the last again, and the list would never
- * come. It is not waited for alone either: it may hang at a machine that is gone while the service
- * could be reached. So another call is made beside it; the first that delivers a list is the watch,
- * and all others end.
+ * The relay's one subscription to discovery. A call that is not answered in time is not ended: a
+ * service that works through its calls in turn would put a new call last again, and no list would
+ * ever arrive. The relay does not wait for that call alone either: the call may hang at a machine
+ * that is gone while the service can be reached. So another call is made beside it; the first call
+ * that delivers a list becomes the watch, and all others end.
  *
- * <p>What happens to which call is decided by {@link DiscoveryCalls}, which states what is
- * guaranteed; this class has the lock, the threads and the timers.
+ * <p>{@link DiscoveryCalls} decides which calls are started and ended, and states the guarantees;
+ * this class adds the lock, the threads and the timers.
  */
 final class DiscoverySubscription {
     /**
-     * A change counts as told after 6 s: this, the module's longest pause (3 s) and an answer fit
-     * in.
+     * How long a call may take to answer before another is made beside it. The relay counts as
+     * knowing a change after 6 s: this time, the load balancer's longest pause (3 s) and an answer
+     * fit into that.
      */
     static final Duration ANSWER_TIMEOUT = Duration.ofMillis(1_250);
 
     /**
-     * An agent on the relay's machine answers at once, at no cost; what it has counts as told at
-     * once.
+     * The same for an agent on the relay's machine: it answers at once and calls to it are cheap,
+     * and the relay counts as knowing the agent's list at once.
      */
     private static final Duration AGENT_ANSWER_TIMEOUT = Duration.ofMillis(500);
 
@@ -52,15 +53,16 @@
     private DiscoveryCalls calls = DiscoveryCalls.none();
 
     /**
-     * A subscription that has not asked yet.
+     * Creates a subscription without a call; {@link #ask} makes the first one.
      *
-     * @param address where discovery is
-     * @param pushed whether lists are pushed by an agent: it is asked again from here after a
-     *     failed call
-     * @param timers when something is due later
-     * @param heldRevision the version of the list held, after which a call resumes
-     * @param listener takes the lists, one at a time, none of them older than the one held
-     * @param refused told of each failed call where lists are not pushed; it sees to {@link #ask}
+     * @param address the address of discovery
+     * @param pushed whether lists are pushed by an agent: then this class itself calls again after
+     *     a failed call
+     * @param timers runs time-outs and retries
+     * @param heldRevision the revision of the list held, after which a call resumes
+     * @param listener receives the lists, one at a time, none of them older than the one held
+     * @param refused runs after each failed call where lists are not pushed; it has to call {@link
+     *     #ask} later
      */
     DiscoverySubscription(
             InetSocketAddress address,
@@ -77,14 +79,14 @@
         this.failureListener = refused;
     }
 
-    /** Asks, unless a watch is open or a call is awaited; never blocks. */
+    /** Starts a call, unless a watch is open or a call is awaited; never blocks. */
     void ask() {
         handle(DiscoveryCalls::ask);
     }
 
     /**
-     * Discovery is elsewhere from now on: nothing from the old address is delivered after the
-     * return.
+     * Calls discovery at another address from now on; after the return, nothing from the old
+     * address is delivered.
      */
     synchronized void changeAddress(InetSocketAddress to) {
         if (to.equals(address)) {
@@ -99,7 +101,8 @@
     }
 
     /**
-     * Takes an event in; a loss is reported without the lock, as the listener of it takes its own.
+     * Applies an event. A loss is reported outside the lock, as the failure listener takes a lock
+     * of its own.
      */
     private void handle(Function<DiscoveryCalls, Step> event) {
         Step step;
--- a/relay/src/main/java/saltstage/lifecycle/Drain.java
+++ b/relay/src/main/java/saltstage/lifecycle/Drain.java
@@ -11,12 +11,13 @@
 import saltstage.stage.RelayPipeline;
 
 /**
- * The end after SIGTERM. SIGKILL comes 0.7 s after the longest deadline at the earliest, which
- * counts as 3 s where it is longer. New clients are taken as before; those that stand are moved a
- * few at a time, not at once: one that is moved sooner has nowhere to go where the other relay is
- * only just starting. What still waits is rejected after that, and all is over 0.5 s before
- * SIGKILL. A relay whose core is busy with a crowd hears of SIGTERM up to 0.4 s late and moves 170
- * clients no faster than in a second: the rest is for that.
+ * The drain after SIGTERM. SIGKILL comes 0.7 s after the longest client deadline at the earliest,
+ * and a deadline over 3 s counts as 3 s. New clients are accepted as before. Established clients
+ * are moved a few at a time and late: a client that is moved sooner has nowhere to go while the
+ * other relay is only just starting. Requests that still wait are rejected after that, and the
+ * drain is over 0.5 s before SIGKILL. A relay whose core is busy with many clients handles SIGTERM
+ * up to 0.4 s late and needs at least a second to move 170 clients; the remaining time allows for
+ * that.
  */
 final class Drain {
     private static final Duration MAX_DEADLINE = Duration.ofSeconds(3);
@@ -24,10 +25,12 @@
     private static final Duration MOVE_PERIOD = Duration.ofMillis(1_600);
     private static final Duration REJECT_PERIOD = Duration.ofMillis(800);
 
-    /** New clients come for up to 0.4 s more; the front then sends them elsewhere. */
+    /** New clients arrive for up to 0.4 s more; after that they are directed to another relay. */
     private static final Duration MIN_DRAIN_TIME = Duration.ofMillis(900);
 
-    /** So long who has been told that the relay ends may take to hang up. */
+    /**
+     * How long clients may take to disconnect after they were told that the relay is shutting down.
+     */
     private static final Duration DISCONNECT_TIMEOUT = Duration.ofMillis(400);
 
     private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
@@ -41,7 +44,10 @@
     private final boolean hasSuccessor;
 
     /**
-     * A drain that began so late after SIGTERM, as far as known; succeeded: another process serves.
+     * Creates a drain.
+     *
+     * @param late the estimated time between SIGTERM and now
+     * @param succeeded whether another process of this relay already serves
      */
     Drain(
             MonotonicClock clock,
@@ -72,7 +78,9 @@
                 clientCount(),
                 "succeeded",
                 hasSuccessor);
-        if (!hasSuccessor) { // else nobody comes any more, and who has come is served
+        // A successor accepts all new clients, and pending clients of this process are still
+        // served.
+        if (!hasSuccessor) {
             pipeline.frontends().forEach(Frontend::startDraining);
         }
         try {
@@ -101,7 +109,10 @@
                 elapsed().toMillis());
     }
 
-    /** Each time: who comes or asks after the first one has to be answered too. */
+    /**
+     * Rejects all waiting requests and pending clients. Repeated, as clients that arrive later need
+     * an answer too.
+     */
     private void rejectRemaining() {
         pipeline.rejectWaiting();
         pipeline.frontends().forEach(Frontend::rejectPendingClients);
@@ -121,15 +132,15 @@
 
     private boolean isDone() {
         if (hasSuccessor) {
-            return clientCount() == 0; // also those whose first line is still on its way
+            return clientCount() == 0; // counts pending clients too
         }
         return elapsed().compareTo(MIN_DRAIN_TIME) > 0
                 && pipeline.frontends().stream().allMatch(front -> front.requestCount() == 0);
     }
 
     /**
-     * As many of those that stand as the steps that are left ask for, so that the others are not
-     * flooded.
+     * Moves the share of the established clients that is due in this step. Spreading the moves
+     * keeps the other relays from being flooded.
      */
     private void moveDueClients() {
         if (elapsed().compareTo(movesFrom) < 0) {
--- a/relay/src/main/java/saltstage/lifecycle/HangupSignal.java
+++ b/relay/src/main/java/saltstage/lifecycle/HangupSignal.java
@@ -4,23 +4,24 @@
 import sun.misc.SignalHandler;
 
 /**
- * SIGHUP, from the process's first moment on. The JVM's own handler ends the process, and all
- * connections with it; one that comes while the relay still starts is kept until it can be obeyed.
+ * Handles SIGHUP from the start of the process on. The JVM's default handler would end the process
+ * and all its connections. A signal that arrives while the relay is still starting stays pending
+ * until a handler is set.
  */
 final class HangupSignal {
     private Runnable handler;
     private boolean pending;
     private boolean ignored;
 
-    /** Catches them from now on. */
+    /** Replaces the JVM's handler. */
     void install() {
         SignalHandler before = Signal.handle(new Signal("HUP"), hangup -> signalReceived());
         ignored = before == SignalHandler.SIG_IGN;
     }
 
     /**
-     * Whether the process was started with SIGHUP ignored, as under nohup: the JVM then never hears
-     * one.
+     * Whether the process was started with SIGHUP ignored, as under nohup: the JVM then never
+     * receives the signal.
      */
     boolean isIgnored() {
         return ignored;
@@ -37,7 +38,7 @@
         }
     }
 
-    /** What each of them does from now on; if any came before, it is done now. */
+    /** Sets the handler of the signal, and runs it now if a signal is pending. */
     void setHandler(Runnable does) {
         synchronized (this) {
             handler = does;
--- a/relay/src/main/java/saltstage/lifecycle/Main.java
+++ b/relay/src/main/java/saltstage/lifecycle/Main.java
@@ -23,7 +23,7 @@
 import saltstage.sim.SimulatorAdapter;
 import saltstage.wire.MalformedException;
 
-/** The command line. */
+/** The command line of the relay. */
 @Command(
         name = "saltstage",
         description = "A relay for long-lived connections.",
@@ -41,7 +41,7 @@
     private static final int EXIT_FAILED = 1;
     private static final int EXIT_USAGE = 2;
 
-    /** Exits 0 when done, 1 on bad configuration or input, 2 on a wrong command line. */
+    /** Exits with 0 on success, 1 on invalid configuration or input, 2 on a wrong command line. */
     public static void main(String[] args) {
         boolean serving = args.length > 0 && args[0].equals("serve");
         if (serving) {
@@ -51,7 +51,8 @@
     }
 
     /**
-     * A relay that restarts on half a core does not read the commands that it cannot be asked for.
+     * Builds the command line. The serve command skips the operators' commands: loading them would
+     * delay a relay that restarts on half a core.
      */
     private static CommandLine commandLine(boolean serving) {
         CommandLine line = new CommandLine(new Main());
@@ -60,7 +61,7 @@
                     .addSubcommand(new ConfigCommand())
                     .addSubcommand(new OperatorCommand());
         }
-        // One plain line, whatever is wrong: picocli would add the whole usage.
+        // Every error is printed as one plain line; by default picocli would add the whole usage.
         line.setParameterExceptionHandler((e, args) -> reportError(e.getMessage(), EXIT_USAGE));
         line.setExecutionExceptionHandler(
                 (e, at, all) -> reportError(String.valueOf(e.getMessage()), EXIT_FAILED));
@@ -77,7 +78,7 @@
         return reportError("a sub-command is needed; see 'help'", EXIT_USAGE);
     }
 
-    /** The version that the jar was built as. */
+    /** The version that the jar was built with. */
     static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -86,7 +87,7 @@
         }
     }
 
-    /** Where the configuration is. */
+    /** The option that names the configuration file. */
     static final class ConfigOption {
         @Option(
                 names = "--config",
@@ -106,7 +107,7 @@
         }
     }
 
-    /** Where the operator's settings are, if there are any. */
+    /** The option that names the operator's settings file, if there is one. */
     static final class SettingsOption {
         @Option(
                 names = "--settings",
@@ -120,7 +121,7 @@
         }
     }
 
-    /** Serves. */
+    /** Runs the relay. */
     @Command(
             name = "serve",
             description = "Runs the relay until SIGTERM; SIGHUP reads the file anew.",
@@ -156,7 +157,7 @@
         }
     }
 
-    /** Checks. */
+    /** Checks the configuration and the settings. */
     @Command(
             name = "check",
             description = "Reads the configuration and says whether it is sound.",
@@ -182,7 +183,7 @@
         }
     }
 
-    /** Says the version. */
+    /** Prints the version. */
     @Command(name = "version", description = "Prints the version.", mixinStandardHelpOptions = true)
     static final class ShowVersion implements Callable<Integer> {
         @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -196,7 +197,7 @@
         }
     }
 
-    /** The simulator's adapter. */
+    /** Runs the simulator's adapter on standard input and output. */
     @Command(
             name = "wirehost",
             description = "Speaks the simulator's wire on standard input and output.",
--- a/relay/src/main/java/saltstage/lifecycle/OperatorCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/OperatorCommand.java
@@ -18,7 +18,7 @@
 import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
-/** The calls of operators to a relay that runs. */
+/** The {@code call} command: operator calls to a running relay. */
 @Command(
         name = "call",
         mixinStandardHelpOptions = true,
@@ -45,7 +45,10 @@
                 spec.commandLine(), "a sub-command is needed; see 'call help'");
     }
 
-    /** Where the relay is called, and how its answer is shown. */
+    /**
+     * The options of every operator call: the relay's admin address, the time-out and the output
+     * format.
+     */
     static final class RelayClientOptions {
         private static final int MAX_ANSWER_BYTES = 1 << 20;
 
@@ -108,7 +111,7 @@
             }
         }
 
-        /** The names are the relay's own; none holds what JSON would have to escape. */
+        /** Formats an answer as JSON. The metric names are the relay's own and need no escaping. */
         private static String toJson(boolean yes, List<String> lines) {
             List<String> members = new ArrayList<>(List.of("\"ok\":" + yes));
             Map<String, String> figures = new TreeMap<>();
@@ -126,7 +129,7 @@
         }
     }
 
-    /** Whether it serves. */
+    /** Prints whether the relay serves. */
     @Command(
             name = "status",
             description = "Whether this process serves.",
@@ -140,7 +143,7 @@
         }
     }
 
-    /** Its figures. */
+    /** Prints the relay's metrics. */
     @Command(
             name = "metrics",
             description = "The figures of this process.",
@@ -154,7 +157,7 @@
         }
     }
 
-    /** Takes a backend out. */
+    /** Suspends a backend. */
     @Command(
             name = "suspend",
             description = "Nothing more to a backend, until it is restored.",
@@ -171,7 +174,7 @@
         }
     }
 
-    /** Puts a backend back. */
+    /** Restores a suspended backend. */
     @Command(
             name = "restore",
             description = "Uses a backend again.",
--- a/relay/src/main/java/saltstage/lifecycle/ProcessEnvironment.java
+++ b/relay/src/main/java/saltstage/lifecycle/ProcessEnvironment.java
@@ -7,9 +7,11 @@
 import saltstage.wire.MalformedException;
 
 /**
- * What the relay is told by its environment, apart from its configuration: the folder that it
- * shares with a process that replaces it (null: none), where operators call (null: as the
- * configuration says), and whether descriptor 0 is the clients' listening socket.
+ * The settings that a relay reads from its environment variables.
+ *
+ * @param sharedFolder the folder shared with a process that replaces this one, or null
+ * @param adminAddress the address for operator calls, or null to use the configuration's
+ * @param inheritsListener whether descriptor 0 is the clients' listening socket
  */
 record ProcessEnvironment(
         Path sharedFolder, InetSocketAddress adminAddress, boolean inheritsListener) {
--- a/relay/src/main/java/saltstage/lifecycle/RelayOperations.java
+++ b/relay/src/main/java/saltstage/lifecycle/RelayOperations.java
@@ -31,14 +31,14 @@
 import saltstage.wire.BackendList;
 
 /**
- * Does for operators what takes a file or the module's lock, on one thread: bans, what the other
- * process of this relay is left, its part of the descriptors. Who asks for figures reads what was
- * last looked at.
+ * Performs on one thread the work for operators that takes a file or the load balancer's lock:
+ * suspensions, the takeover file for the other process of this relay, and this process's share of
+ * the descriptors. Calls for metrics read the state of the last poll.
  */
 final class RelayOperations implements OperatorService {
     /**
-     * Long enough that the others are not flooded; a machine is not restarted sooner than that by
-     * hand.
+     * The period over which clients are moved off a suspended backend: long enough not to flood the
+     * other backends, and shorter than an operator takes to restart a machine.
      */
     private static final Duration MOVE_PERIOD = Duration.ofSeconds(2);
 
@@ -63,7 +63,10 @@
     private Set<String> appliedSuspensions = Set.of();
     private int polls;
 
-    /** Slots and folder are null where no process is ever replaced by another beside it. */
+    /**
+     * {@code slots} and {@code takeover} are null where no process takes over from another that
+     * still runs.
+     */
     RelayOperations(
             MonotonicClock clock,
             BackendRegistry peers,
@@ -81,8 +84,6 @@
         this.takeoverFile = takeover == null ? null : new AtomicFile(takeover, "takeover 1");
     }
 
-    // ---- what operators ask, on their thread
-
     @Override
     public String notReadyReason() {
         return notReadyReason;
@@ -143,9 +144,7 @@
                 : CompletableFuture.completedFuture("busy, call again");
     }
 
-    // ---- what is told
-
-    /** Null: this process serves; else why not. */
+    /** Sets why this process does not serve; null if it serves. */
     void setNotReadyReason(String why) {
         notReadyReason = why;
         if (slots != null) {
@@ -162,18 +161,20 @@
         }
     }
 
-    /** These were listed: operators may call them by name, also when they are gone. */
+    /**
+     * Remembers the ids of the listed backends: operators may suspend them even when they are gone.
+     */
     void backendListReceived(BackendList list) {
         list.entries().forEach(entry -> knownBackendIds.add(entry.uid()));
     }
 
-    /** What the process before this one has left, or null. */
+    /** Returns the state that the predecessor of this process left, or null. */
     Takeover readTakeover() {
         try {
             byte[] bytes = takeoverFile == null ? null : takeoverFile.read();
             Takeover found = bytes == null ? null : Takeover.fromBytes(bytes);
             if (found != null && found.writtenAt().isBefore(clock.now().minus(MAX_TAKEOVER_AGE))) {
-                return null; // of a process that ended long ago
+                return null; // written by a process that ended long ago
             }
             if (found != null) {
                 knownBackendIds.addAll(found.knownBackendIds());
@@ -185,9 +186,7 @@
         }
     }
 
-    // ---- its own thread
-
-    /** One round: a call, or a look at what the other process has changed. */
+    /** Runs at most one operator call, then polls. */
     void runOnce() throws InterruptedException {
         Runnable call = queuedCalls.poll(POLL_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
         if (call != null) {
@@ -196,7 +195,10 @@
         poll();
     }
 
-    /** Looks at what the other process has changed. */
+    /**
+     * Applies what the other process of this relay has changed, and writes the takeover file for
+     * it.
+     */
     void poll() {
         try {
             suspensions.refresh();
@@ -226,7 +228,7 @@
         }
     }
 
-    /** Tells the module which backends are suspended that were not, or are no more. */
+    /** Reports each backend whose suspension began or ended to the load balancer. */
     private synchronized void applySuspensions() {
         Set<String> now = suspensions.all();
         Set<String> before = appliedSuspensions;
@@ -240,8 +242,8 @@
     }
 
     /**
-     * Clients do not stand where a backend is about to be restarted: they are moved in time, few at
-     * once.
+     * Moves clients off suspended backends, as such a backend is about to be restarted. Only a few
+     * clients are moved at once.
      */
     private void moveClientsOffSuspended() {
         suspendedSince.keySet().retainAll(suspensions.all());
--- a/relay/src/main/java/saltstage/lifecycle/RelayServer.java
+++ b/relay/src/main/java/saltstage/lifecycle/RelayServer.java
@@ -32,13 +32,18 @@
 import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
-/** One running relay: its stages, its loops, its start and its end. */
+/**
+ * One running relay process: sets up the request pipeline, starts the background threads, reloads
+ * the configuration and drains at the end.
+ */
 final class RelayServer {
     private static final Duration TICK_INTERVAL = Duration.ofMillis(500);
     private static final int TICKS_PER_DELAY_REPORT = 2;
     private static final int TICKS_PER_TOTALS = 20;
 
-    /** It answers at once; a start must not wait longer for one that is silent. */
+    /**
+     * How long a start waits for the discovery agent, which answers at once if it can be reached.
+     */
     private static final Duration AGENT_TIMEOUT = Duration.ofSeconds(1);
 
     private static final Duration FINAL_WRITE_TIMEOUT = Duration.ofMillis(200);
@@ -65,15 +70,15 @@
     private Instant nextTickDue = clock.now();
     private Duration tickLateness = Duration.ZERO;
 
-    /** Where the configuration comes from, at the start and again at each reload. */
+    /** Reads the relay's configuration, at the start and again at each reload. */
     interface ConfigurationSource {
-        /** Reads it. */
+        /** Reads and checks the configuration. */
         Configuration read() throws MalformedException;
     }
 
-    /** Where the operator's settings come from, at each reload. */
+    /** Reads the operator's settings, at each reload. */
     interface SettingsSource {
-        /** Reads them. */
+        /** Reads and checks the settings. */
         OperatorSettings read() throws MalformedException;
     }
 
@@ -126,7 +131,7 @@
         try {
             return ProcessSlots.claim(
                     folder.resolve(config.name() + ".slots"), config.maxSockets());
-        } catch (IOException e) { // it serves all the same, as if it were alone
+        } catch (IOException e) { // the relay serves all the same, as if it were the only process
             Log.warn("handover.fault", "why", e.getMessage());
             return null;
         }
@@ -138,7 +143,7 @@
                 : config.adminAddress();
     }
 
-    /** Starts to serve; clients are heard from the return on. */
+    /** Starts the relay; it accepts clients once this method has returned. */
     void start() throws IOException {
         try {
             startParts();
@@ -149,7 +154,8 @@
     }
 
     private void startParts() throws IOException {
-        if (adminAddress() != null) { // first of all: who asks meanwhile is told that it starts
+        // The admin listener starts first, so that operators can call during the start.
+        if (adminAddress() != null) {
             pipeline.admissionControl().reserveDescriptors(AdminListener.MAX_DESCRIPTORS);
             AdminListener operators = new AdminListener(adminAddress(), operations);
             Threads.startLoop("admin", operators::runOnce);
@@ -161,7 +167,8 @@
         if (sharedConfiguration != null) {
             pipeline.admissionControl().reserveDescriptors(SharedConfiguration.MAX_DESCRIPTORS);
         }
-        pipeline.setDescriptorLimit(config.maxSockets()); // probes of these backends take theirs
+        // The limit follows the list: probes of the listed backends take a part of the descriptors.
+        pipeline.setDescriptorLimit(config.maxSockets());
         Threads.startLoop("timers", () -> timers.awaitNext().run());
         pipeline.router().start(known);
         startDiscovery();
@@ -174,7 +181,7 @@
             stateStore.start(pipeline.router()::learnedState);
         }
         synchronized (this) {
-            nextTickDue = clock.now(); // what the start took is no lateness
+            nextTickDue = clock.now(); // the duration of the start does not count as lateness
         }
         tick();
         if (operatorSettings.amqp().isPresent()) {
@@ -187,7 +194,8 @@
         if (adminAddress() != null
                 || environment.inheritsListener()
                 || sharedConfiguration != null) {
-            operations.poll(); // bans and the part of the descriptors hold before the first client
+            // Suspensions and the share of the descriptors apply before the first client comes.
+            operations.poll();
             Threads.startLoop("clerk", operations::runOnce);
         }
         awaitFirstList();
@@ -212,10 +220,10 @@
     }
 
     /**
-     * Where lists are pushed, what the agent has counts as told from a process' first moment, and
-     * the list it was started with may be old: nobody is sent anywhere before the agent has been
-     * heard. It is silent while discovery is down; a relay that came to nothing but its last list
-     * has to serve all the same.
+     * Waits for the agent's list where lists are pushed. The relay counts as knowing the agent's
+     * list from the first moment of its process, and the list it was started with may be old, so no
+     * request is sent to a backend before the agent's list has arrived. The agent sends nothing
+     * while discovery is down; then the relay serves with the last list it has.
      */
     private void awaitFirstList() throws IOException {
         try {
@@ -239,8 +247,8 @@
         if (sharedConfiguration != null) {
             sharedConfiguration.start();
         } else if (!config.settings().watchesBackendList()) {
-            subscription
-                    .ask(); // the module does not: to it, lists that are pushed come by themselves
+            // The load balancer never asks for lists that are pushed.
+            subscription.ask();
         }
     }
 
@@ -258,7 +266,10 @@
         }
     }
 
-    /** The list as the platform remembers it, or as this relay has kept it, whichever is newer. */
+    /**
+     * Returns the list of the configuration or the one that this relay took over or persisted,
+     * whichever is newer.
+     */
     private BackendList newestKnownList(Takeover left) {
         BackendList kept =
                 left != null
@@ -279,15 +290,15 @@
     }
 
     /**
-     * SIGHUP: reads the configuration anew. Discovery is watched at its new address at once,
-     * resumed after what was heard: the old address may go on answering for a while, but what it
-     * does not tell any more counts as told. The list, the module's state and all connections stay.
-     * A bad file changes nothing.
+     * Handles SIGHUP: reads the configuration and the settings again. Discovery is watched at its
+     * new address at once, resumed after the revision held: the old address may go on answering for
+     * a while, but the relay counts as knowing changes that the old address no longer reports. The
+     * backend list, the load balancer's state and all connections stay. An invalid file changes
+     * nothing.
      */
     void reload(ConfigurationSource source, SettingsSource operator) {
-        synchronized (
-                reloadLock) { // not this: a file that is slow to read may hold up neither beat nor
-            // end
+        // A lock of its own: a file that is slow to read must delay neither the tick nor the drain.
+        synchronized (reloadLock) {
             reloadExclusively(source, operator);
         }
     }
@@ -297,20 +308,19 @@
             OperatorSettings chosen = operator.read();
             Configuration read = source.read();
             List<String> later = new ArrayList<>(read.restartRequiredChanges(config));
+            // Everything is checked before any change is applied.
             AmqpFrontend.SettingsChange change =
                     amqpFrontend == null || chosen.amqp().isEmpty()
                             ? null
-                            : amqpFrontend.prepareChange(
-                                    chosen.amqp()
-                                            .get()); // all is checked before anything is in force
+                            : amqpFrontend.prepareChange(chosen.amqp().get());
             if (sharedConfiguration == null) {
                 subscription.changeAddress(read.discoveryAddress());
             }
             if (change != null) {
                 later.addAll(change.apply());
             } else if (amqpFrontend != null || chosen.amqp().isPresent()) {
-                later.add(
-                        "amqp"); // a front is neither begun nor ended beside connections that stand
+                // The frontend is neither started nor stopped while connections are established.
+                later.add("amqp");
             }
             if (!chosen.follower().equals(this.operatorSettings.follower())) {
                 later.add("configuration");
@@ -327,20 +337,21 @@
 
     private void applyLogging(OperatorSettings.Logging logging) {
         if (sharedConfiguration != null) {
-            sharedConfiguration.useLogging(
-                    logging); // a setting of the configuration goes before the file's
+            // A setting of the shared configuration takes precedence over the file's.
+            sharedConfiguration.useLogging(logging);
         } else {
             LogSetup.reconfigure(logging.format(), logging.level().name());
         }
     }
 
     /**
-     * SIGTERM: moves all clients, returns when none is left or time is up; false where the start
-     * failed.
+     * Handles SIGTERM: moves all clients and returns when none is left or the time is up.
+     *
+     * @return false if the start had failed and there is nothing to drain
      */
     boolean drain() {
         if (startFailed) {
-            return false; // the process ends with what went wrong, not as if it had been told to
+            return false; // the process exits with the code of the failed start
         }
         boolean succeeded = operations.hasSuccessor();
         Duration late = lateness();
@@ -363,9 +374,9 @@
     }
 
     /**
-     * How late things happen here just now, by the beat. On a core that is busy with a crowd
-     * SIGTERM was heard 2.3 s after it came; a drain that counts from then still has clients to
-     * move when SIGKILL comes.
+     * Returns how late this process is at present, judged by its tick. On a core that was busy with
+     * many clients, SIGTERM was handled 2.3 s after it came; a drain that counts its time from the
+     * handling on still has clients to move when SIGKILL comes.
      */
     private synchronized Duration lateness() {
         Duration now = Duration.between(nextTickDue, clock.now());
@@ -380,8 +391,8 @@
     }
 
     private void tick() {
-        timers.schedule(
-                TICK_INTERVAL, this::tick); // first of all: what fails below must not end the beat
+        // The next tick is scheduled first: a failure below must not end the ticks.
+        timers.schedule(TICK_INTERVAL, this::tick);
         recordTick();
         ticks++;
         pipeline.checkUnresponsiveBackends();
@@ -409,9 +420,8 @@
     private void backendListReceived(BackendList list) {
         operations.backendListReceived(list);
         pipeline.backendListReceived(backends.update(list), list);
-        if (stateStore != null
-                && sharedConfiguration
-                        == null) { // else its revisions are the configuration's, kept with it
+        // With shared configuration, lists have its revisions and are persisted with it.
+        if (stateStore != null && sharedConfiguration == null) {
             stateStore.saveList(backends.toBackendList());
         }
         firstListReceived.countDown();
--- a/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
+++ b/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
@@ -39,15 +39,19 @@
 import saltstage.wire.BackendList;
 
 /**
- * Configuration by revision as this relay follows it: what the disk holds is in force at once, what
- * sources tell once it is on the disk. Backends go the way of discovery's lists, suspensions that
- * of operators' calls. Loaded only where the operator's settings name a source.
+ * The shared configuration, which this relay follows revision by revision. The persisted
+ * configuration is in force at once; revisions from a source are applied once they are on disk.
+ * Backends are handled like discovery's lists, and suspensions like those of operator calls. The
+ * class is loaded only where the operator's settings name a source.
  */
 final class SharedConfiguration {
-    /** Connections to sources, the client's selector and the store's files. */
+    /** Covers the connections to sources, the HTTP client's selector and the store's files. */
     static final int MAX_DESCRIPTORS = 24;
 
-    /** A follower hears at least every 25 s; three times that without a word is too long. */
+    /**
+     * A source sends something at least every 25 s; three times that without a message counts as
+     * stale.
+     */
     private static final Duration STALE_AFTER = Duration.ofSeconds(75);
 
     private static final Duration STALE_CHECK_INTERVAL = Duration.ofSeconds(15);
@@ -82,7 +86,7 @@
         PersistedConfiguration held = directory.persistedConfiguration();
         confirmedAt = held.confirmedAt();
         replaceAll(held.view());
-        listDelivered = !backends.isEmpty(); // as the list that is known at the start
+        listDelivered = !backends.isEmpty(); // the relay starts with this list
         Log.info(
                 "configuration.kept",
                 "rev",
@@ -100,7 +104,7 @@
                         new Listener());
     }
 
-    /** Opens the directory and puts what it holds in force; the client is not started. */
+    /** Opens the directory and applies the persisted configuration; the client is not started. */
     static SharedConfiguration open(
             OperatorSettings.FollowerSettings following,
             OperatorSettings.Logging logging,
@@ -114,7 +118,7 @@
     private static ConfigurationDirectory open(Path dir) throws IOException {
         try {
             return new ConfigurationDirectory(dir, Log::warn);
-        } catch (IOException unusable) { // without a disk nothing could ever be confirmed
+        } catch (IOException unusable) { // without a disk no revision could be applied
             throw new IOException(
                     "configuration: cannot open dir " + dir + ": " + unusable, unusable);
         }
@@ -146,19 +150,22 @@
         };
     }
 
-    /** The list of backends that the disk held; none where it named none. */
+    /** Returns the persisted list of backends, or empty if it names none. */
     synchronized Optional<BackendList> knownList() {
         return backends.isEmpty()
                 ? Optional.empty()
                 : Optional.of(backends.fullList(client.revision()));
     }
 
-    /** The backend that a shard is placed at, by topic and number such as "topic-7/3". */
+    /**
+     * Returns the backend that a shard is placed on; the shard is named by topic and number, such
+     * as "topic-7/3".
+     */
     Optional<String> backendOfShard(String name) {
         return Optional.ofNullable(backendsByShard.get(name));
     }
 
-    /** Begins to follow. */
+    /** Starts to follow the sources. */
     void start() {
         client.start();
         scheduler.scheduleWithFixedDelay(
@@ -168,12 +175,12 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** The operator's file was read anew. */
+    /** Replaces the logging settings of the operator's file, which was read again. */
     void useLogging(OperatorSettings.Logging logging) {
         settings.setFileSettings(logging);
     }
 
-    /** Ends; a write that is under way is waited for within the limit. */
+    /** Stops following; waits up to the limit for a write that is under way. */
     void close(Duration limit) {
         client.close();
         scheduler.shutdownNow();
@@ -189,7 +196,10 @@
         }
     }
 
-    /** Milliseconds since a source last told or confirmed what is held; -1: none ever did. */
+    /**
+     * Milliseconds since a source last sent or confirmed the configuration held; -1 if none ever
+     * did.
+     */
     private long ageMillis() {
         Instant at = confirmedAt;
         return at == null ? -1 : Math.max(0, Duration.between(at, Instant.now()).toMillis());
@@ -209,8 +219,6 @@
         }
     }
 
-    // ---- entries
-
     private synchronized void replaceAll(ConfigurationView view) {
         backends.clear();
         settings.clear();
@@ -249,9 +257,8 @@
 
     private void applySettingsAndSuspensions() {
         settings.apply();
-        suspensions.setSuspendedByConfiguration(
-                suspendedBackendIds); // before the list: a new backend may be suspended from its
-        // first moment
+        // Applied before the list, as a new backend may be suspended from its first moment.
+        suspensions.setSuspendedByConfiguration(suspendedBackendIds);
     }
 
     private void deliverList(BackendList list) {
@@ -266,7 +273,7 @@
         Log.info("configuration.applied", "rev", revision, "age_ms", ageMillis());
     }
 
-    /** What the follower tells, one call at a time. */
+    /** Receives the follower's events, one at a time. */
     private final class Listener implements FollowerListener {
         @Override
         public void changesApplied(List<Change> changes) {
@@ -296,8 +303,8 @@
         }
 
         /**
-         * The platform's list stays in force until the configuration is known whole and names a
-         * backend.
+         * Delivers the first list. The platform's list stays in force until a source has confirmed
+         * the whole configuration and it names a backend.
          */
         @Override
         public void revisionConfirmed(long revision) {
--- a/relay/src/main/java/saltstage/lifecycle/StoreCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/StoreCommand.java
@@ -24,7 +24,10 @@
 import saltstage.store.StoreException;
 import saltstage.store.StoreOptions;
 
-/** What can be done with a store by hand or by a script. */
+/**
+ * The {@code store} command: reads, changes, verifies and compacts an embedded store by hand or by
+ * a script.
+ */
 @Command(
         name = "store",
         mixinStandardHelpOptions = true,
@@ -58,7 +61,7 @@
         int run(Store store) throws IOException;
     }
 
-    /** The directory of the store. */
+    /** The store's directory, and how a command opens the store in it. */
     static final class StoreDirectory {
         @Parameters(index = "0", paramLabel = "DIR", description = "the store's directory")
         private Path dir;
@@ -87,7 +90,7 @@
         }
     }
 
-    /** One key and value as a line. */
+    /** Reads and writes pairs of key and value, one pair a line. */
     static final class PairLines {
         private final InputStream in;
         private long lineNumber;
@@ -97,7 +100,7 @@
             this.in = in;
         }
 
-        /** The bytes of the next line, null at the end. */
+        /** Returns the bytes of the next line, or null at the end. */
         byte[] nextLine() throws IOException {
             ByteArrayOutputStream read = new ByteArrayOutputStream();
             int b = atEnd ? -1 : in.read();
@@ -112,7 +115,7 @@
             return read.toByteArray();
         }
 
-        /** Adds what the line says to a batch. */
+        /** Adds the pair of a line to a batch; a line with a key alone deletes the key. */
         void addTo(byte[] text, Batch to) throws StoreException {
             int tab = 0;
             while (tab < text.length && text[tab] != '\t') {
@@ -167,7 +170,7 @@
         return new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16);
     }
 
-    /** Loads. */
+    /** Commits pairs from standard input. */
     @Command(
             name = "load",
             mixinStandardHelpOptions = true,
@@ -227,7 +230,7 @@
         }
     }
 
-    /** Dumps. */
+    /** Prints all live pairs. */
     @Command(
             name = "dump",
             mixinStandardHelpOptions = true,
@@ -256,7 +259,7 @@
         }
     }
 
-    /** Gets. */
+    /** Prints the value of one key. */
     @Command(
             name = "get",
             mixinStandardHelpOptions = true,
@@ -291,7 +294,7 @@
         }
     }
 
-    /** Verifies. */
+    /** Checks every record. */
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
@@ -318,7 +321,7 @@
         }
     }
 
-    /** Compacts. */
+    /** Reclaims the space of dead data. */
     @Command(
             name = "compact",
             mixinStandardHelpOptions = true,
@@ -348,7 +351,7 @@
         }
     }
 
-    /** Shows how it stands. */
+    /** Prints the store's statistics. */
     @Command(
             name = "stat",
             mixinStandardHelpOptions = true,
--- a/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
@@ -5,9 +5,9 @@
 import saltstage.lifecycle.DiscoveryCalls.Effect;
 import saltstage.wire.BackendList;
 
-/** The rules in force with one fault put in, which {@link DiscoveryCallsExplorer} has to find. */
+/** The current rules with one fault injected, which {@link DiscoveryCallsExplorer} has to find. */
 record BrokenDiscoveryRules(DiscoveryRules correct, Fault fault) implements DiscoveryRules {
-    /** What is wrong, and how the violation that is found begins. */
+    /** The injected fault, and the beginning of the violation's message. */
     enum Fault {
         NO_RETRY_AFTER_A_FAILED_START("deaf: "),
         TIME_OUT_IS_NOT_REPORTED("deaf: "),
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
@@ -13,12 +13,15 @@
 import saltstage.wire.BackendList;
 
 /**
- * Explores what discovery, the machine and the operator can do to the bookkeeping of calls: every
- * order of events up to a depth, breadth first, each state once. It knows the effects only, not
- * what the rules hold.
+ * Explores every order of events by which discovery, the machine and the operator can affect the
+ * calls: up to a depth, breadth first, each state once. It checks the guarantees by the effects
+ * only, not by the state of the rules.
  */
 final class DiscoveryCallsExplorer {
-    /** A rule does not keep what is guaranteed; the message has the shortest way there. */
+    /**
+     * The rules break a guarantee; the message has the shortest sequence of events that leads to
+     * it.
+     */
     static final class Violation extends AssertionError {
         private static final long serialVersionUID = 1L;
 
@@ -27,11 +30,11 @@
         }
     }
 
-    /** How far an exploration went. */
+    /** The extent of an exploration. */
     record Explored(int depth, int states) {}
 
     /**
-     * A call that has been begun: its thread may report until it ends, its timer until it has
+     * A call that was started: its thread may report events until it ends, its timer until it has
      * fired.
      */
     private record SimulatedCall(
@@ -40,7 +43,10 @@
             boolean timerPending,
             boolean endRequested,
             boolean answered) {
-        /** Told: the rules had it ended. What still comes of it must not matter. */
+        /**
+         * Whether the call runs and the rules have not requested its end; later events of a call
+         * whose end was requested must have no effect.
+         */
         boolean isOpen() {
             return running && !endRequested;
         }
@@ -51,8 +57,8 @@
     }
 
     /**
-     * All that is known of a moment; asks are those that somebody owes: a timer or the decision
-     * module.
+     * The state at one moment. {@code pendingAsks} counts the asks that are still to come from a
+     * timer or from the load balancer.
      */
     private record SimulatedState(
             DiscoveryRules rules,
@@ -74,8 +80,8 @@
         }
 
         /**
-         * The same for two worlds that behave alike: what the rules still know is told apart by
-         * order.
+         * Returns a key that is equal for states that behave alike: calls that the rules still know
+         * are identified by their order, not by their ids.
          */
         String stateKey() {
             Map<Long, String> names = new TreeMap<>();
@@ -115,7 +121,9 @@
         this.maxDepth = depth;
     }
 
-    /** Explores these rules; throws a {@link Violation} where one of the guarantees is not kept. */
+    /**
+     * Explores the given rules up to a depth; throws a {@link Violation} if they break a guarantee.
+     */
     static Explored explore(DiscoveryRules rules, int depth) {
         DiscoveryCallsExplorer explorer = new DiscoveryCallsExplorer(depth);
         explorer.visit(new Node(new SimulatedState(rules, new TreeMap<>(), 5, 1), null, "", 0));
@@ -206,8 +214,8 @@
     }
 
     /**
-     * What follows when the effects are performed; where a call is to begin, a thread may be had or
-     * not.
+     * Performs the effects of an outcome and visits the states that follow. Where a call is to
+     * start, both cases follow: a thread is available, and none is.
      */
     private void applyOutcome(
             Node node, SimulatedState before, DiscoveryRules.Outcome outcome, String event) {
@@ -279,8 +287,8 @@
     }
 
     /**
-     * Whether a call is out once every call has ended, every timer has fired and every ask was
-     * made.
+     * Whether a new call is started after every call has ended, every timer has fired and every
+     * pending ask was made.
      */
     private static boolean asksAgain(SimulatedState world) {
         DiscoveryRules rules = world.rules;
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsTest.java
@@ -11,8 +11,9 @@
 import saltstage.lifecycle.DiscoveryCallsExplorer.Violation;
 
 /**
- * Every order of events that discovery's calls can meet, up to a depth; and rules that must be
- * rejected.
+ * Guards against a relay that stops asking discovery, or that keeps too many calls open. Such
+ * faults come from rare orders of events, so all orders up to a depth are explored. Faulty rules
+ * must be rejected, which shows that the exploration finds such faults.
  */
 @Timeout(120)
 class DiscoveryCallsTest {
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryDelayTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryDelayTest.java
@@ -14,14 +14,20 @@
 import saltstage.config.SettingsReader;
 import saltstage.wire.DiscoveryClient;
 
-/** What a relay may miss of discovery, by its longest pauses: a change counts as told after 6 s. */
+/**
+ * Guards against pauses and time-outs that together exceed 6 s, after which a relay counts as
+ * knowing a change of the backend list.
+ */
 class DiscoveryDelayTest {
     private static final Duration MAX_DELAY = Duration.ofSeconds(6);
 
-    /** A service that works through calls in turn needs some time for an answer. */
+    /** The time that a service that works through its calls in turn may need for an answer. */
     private static final Duration ANSWER_TIME = Duration.ofSeconds(1);
 
-    /** The longest of the module's pauses after so many failed calls in a row, over many seeds. */
+    /**
+     * Returns the load balancer's longest pause after a number of consecutive failed calls, over
+     * many seeds.
+     */
     private static Duration longestPause(int failed) {
         Map<String, String> settings =
                 Map.of(
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryRules.java
@@ -6,11 +6,11 @@
 import saltstage.wire.BackendList;
 
 /**
- * What {@link DiscoveryCallsExplorer} explores: the rules in force, or broken ones that it has to
- * reject.
+ * The rules that {@link DiscoveryCallsExplorer} explores: the current rules, or faulty rules that
+ * it has to reject.
  */
 interface DiscoveryRules {
-    /** What an event leads to. */
+    /** The outcome of an event. */
     record Outcome(DiscoveryRules next, List<Effect> effects, boolean lost) {}
 
     Outcome ask();
@@ -25,15 +25,15 @@
 
     Outcome callEnded(long id);
 
-    /** The state without the numbers of calls, by which two states are told apart. */
+    /** Returns a key that identifies the state, with {@code nameOfCall} in place of call ids. */
     String stateKey(LongFunction<String> nameOfCall);
 
-    /** The rules in force. */
+    /** Returns the rules of {@link DiscoveryCalls}. */
     static DiscoveryRules current() {
         return new CurrentRules(DiscoveryCalls.none());
     }
 
-    /** {@link DiscoveryCalls} as it is. */
+    /** Adapts {@link DiscoveryCalls}. */
     record CurrentRules(DiscoveryCalls calls) implements DiscoveryRules {
         private static Outcome outcome(DiscoveryCalls.Step step) {
             return new Outcome(
--- a/relay/src/test/java/saltstage/lifecycle/DiscoverySubscriptionTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoverySubscriptionTest.java
@@ -31,8 +31,8 @@
 import saltstage.wire.BackendList;
 
 /**
- * Calls to discovery that cross: the test answers each when it is its turn, so every order is
- * forced.
+ * Guards against calls to discovery that are lost, doubled or left open when several overlap. The
+ * test's service answers each call at a chosen moment, so that each order is forced.
  */
 @Timeout(60)
 class DiscoverySubscriptionTest {
@@ -81,7 +81,7 @@
                     if (!service.isClosed()) {
                         timers.schedule(
                                 Duration.ofMillis(10),
-                                subscription::ask); // the module's pause is not meant
+                                subscription::ask); // a short pause in place of the load balancer's
                     }
                 });
     }
@@ -91,7 +91,7 @@
         delivered.add(list.revision());
     }
 
-    /** A call as the service sees it. */
+    /** The service's side of a call. */
     private final class ServiceCall {
         private final Socket socket;
         private final BufferedReader in;
@@ -124,7 +124,7 @@
         void assertClosed() throws IOException {
             try {
                 assertNull(in.readLine());
-            } catch (IOException reset) { // given up as well
+            } catch (IOException reset) { // a reset closes the call too
                 return;
             }
         }
--- a/relay/src/test/java/saltstage/lifecycle/FormerDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/FormerDiscoveryRules.java
@@ -9,9 +9,9 @@
 import saltstage.wire.BackendList;
 
 /**
- * The bookkeeping as it was before the fault was mended: a reference to the newest call beside the
- * set of calls. With {@code forgets}, ending a call forgets it as the newest one as well, which was
- * the first mend.
+ * Former rules with a fault: besides the set of calls they had a reference to the newest call,
+ * which could refer to a call that had ended, and then no call was made any more. With {@code
+ * forgets}, ending a call clears that reference too, which was the first fix.
  */
 final class FormerDiscoveryRules implements DiscoveryRules {
     private static final long NONE = 0;
--- a/relay/src/test/java/saltstage/lifecycle/PairedDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/PairedDiscoveryRules.java
@@ -6,7 +6,7 @@
 import java.util.function.LongFunction;
 import saltstage.wire.BackendList;
 
-/** Two sets of rules that must lead to the same effects at every event. */
+/** Two sets of rules that must have the same effects at every event. */
 record PairedDiscoveryRules(DiscoveryRules first, DiscoveryRules second) implements DiscoveryRules {
     private Outcome applyToBoth(Function<DiscoveryRules, Outcome> event) {
         Outcome one = event.apply(first);
