--- a/relay/src/main/java/saltstage/lifecycle/BackendEntries.java
+++ b/relay/src/main/java/saltstage/lifecycle/BackendEntries.java
@@ -19,23 +19,23 @@
     private static final int MAX_ID_LENGTH = 128;
 
     private final Map<String, BackendList.Entry> entriesById = new TreeMap<>();
-    private final Map<String, BackendList.Entry> changed = new TreeMap<>();
+    private final Map<String, BackendList.Entry> changedById = new TreeMap<>();
 
     /** Removes all backends; the ones set afterwards are the whole list. */
     void clear() {
         entriesById.clear();
-        changed.clear();
+        changedById.clear();
     }
 
     /** Sets a backend's value; null deletes the backend. */
     void set(String id, EntryValue.Backend value) {
         BackendList.Entry entry = value == null ? null : toListEntry(id, value);
-        BackendList.Entry before =
+        BackendList.Entry previous =
                 entry == null ? entriesById.remove(id) : entriesById.put(id, entry);
         if (entry != null) {
-            changed.put(id, entry);
-        } else if (before != null) {
-            changed.put(id, goneEntry(before));
+            changedById.put(id, entry);
+        } else if (previous != null) {
+            changedById.put(id, goneEntry(previous));
         }
     }
 
@@ -46,7 +46,7 @@
 
     /** Returns all backends as a full list. */
     BackendList fullList(long revision) {
-        changed.clear();
+        changedById.clear();
         return new BackendList(revision, true, List.copyOf(entriesById.values()));
     }
 
@@ -55,23 +55,23 @@
      * there are none.
      */
     BackendList changesSinceLast(long revision) {
-        if (changed.isEmpty()) {
+        if (changedById.isEmpty()) {
             return null;
         }
-        Collection<BackendList.Entry> entries = new ArrayList<>(changed.values());
-        changed.clear();
+        Collection<BackendList.Entry> entries = new ArrayList<>(changedById.values());
+        changedById.clear();
         return new BackendList(revision, false, List.copyOf(entries));
     }
 
-    private static BackendList.Entry goneEntry(BackendList.Entry before) {
+    private static BackendList.Entry goneEntry(BackendList.Entry previous) {
         return new BackendList.Entry(
-                before.uid(),
-                before.endpoint(),
-                before.zone(),
-                before.cell(),
+                previous.uid(),
+                previous.endpoint(),
+                previous.zone(),
+                previous.cell(),
                 BackendList.State.GONE,
-                before.weight(),
-                before.startedAt());
+                previous.weight(),
+                previous.startedAt());
     }
 
     /**
@@ -97,8 +97,8 @@
                     toListState(value.state()),
                     value.weight(),
                     Instant.ofEpochMilli(value.startedAtMs()));
-        } catch (MalformedException notInFigures) {
-            Log.warn("configuration.backend.refused", "peer", id, "why", notInFigures.getMessage());
+        } catch (MalformedException malformed) {
+            Log.warn("configuration.backend.refused", "peer", id, "why", malformed.getMessage());
             return null;
         }
     }
--- a/relay/src/main/java/saltstage/lifecycle/ClientListener.java
+++ b/relay/src/main/java/saltstage/lifecycle/ClientListener.java
@@ -35,13 +35,13 @@
         for (int attempt = 1; ; attempt++) {
             try {
                 return open(address);
-            } catch (BindException refused) {
-                throw refused;
-            } catch (IOException wanting) {
+            } catch (BindException addressInUse) {
+                throw addressInUse;
+            } catch (IOException failure) {
                 if (attempt == MAX_BIND_ATTEMPTS) {
-                    throw wanting;
+                    throw failure;
                 }
-                Log.warn("listen.failed", "why", wanting.getMessage());
+                Log.warn("listen.failed", "why", failure.getMessage());
                 pause();
             }
         }
@@ -61,9 +61,9 @@
             listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             listener.bind(address, BACKLOG);
             listener.configureBlocking(false);
-        } catch (IOException | RuntimeException taken) {
+        } catch (IOException | RuntimeException failure) {
             listener.close();
-            throw taken;
+            throw failure;
         }
         return listener;
     }
@@ -73,8 +73,9 @@
         Channel channel;
         try {
             channel = System.inheritedChannel();
-        } catch (IOException | RuntimeException bad) {
-            throw new IOException("descriptor 0 cannot be taken over: " + bad.getMessage(), bad);
+        } catch (IOException | RuntimeException failure) {
+            throw new IOException(
+                    "descriptor 0 cannot be taken over: " + failure.getMessage(), failure);
         }
         if (!(channel instanceof ServerSocketChannel)) {
             throw new IOException("descriptor 0 is no listening socket");
--- a/relay/src/main/java/saltstage/lifecycle/ConfigCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/ConfigCommand.java
@@ -59,21 +59,21 @@
                 description = "the operator's settings, whose store block names the directory")
         private Path file;
 
-        private <T> T read(StoreReader<T> reading) throws IOException, MalformedException {
-            OperatorSettings.PersistenceSettings keeping =
+        private <T> T read(StoreReader<T> reader) throws IOException, MalformedException {
+            OperatorSettings.PersistenceSettings persistence =
                     OperatorSettings.read(file)
                             .persistence()
                             .orElseThrow(
                                     () ->
                                             new MalformedException(
                                                     file + ": there is no store block"));
-            if (!Files.isDirectory(keeping.dir())) {
-                throw new IOException(keeping.dir() + ": there is no store");
+            if (!Files.isDirectory(persistence.dir())) {
+                throw new IOException(persistence.dir() + ": there is no store");
             }
-            try (Store store = Store.openToRead(new FileDisk(keeping.dir()), Log::warn)) {
-                return reading.read(store);
+            try (Store store = Store.openToRead(new FileDisk(persistence.dir()), Log::warn)) {
+                return reader.read(store);
             } catch (IOException e) {
-                throw new IOException(keeping.dir() + ": " + e.getMessage(), e);
+                throw new IOException(persistence.dir() + ": " + e.getMessage(), e);
             }
         }
 
@@ -92,24 +92,25 @@
                     "Lists the versions that are kept: number, time, hash, and the sizes of the two"
                             + " texts.")
     static final class ListVersions implements Callable<Integer> {
-        @CommandLine.Mixin private SettingsStore where;
+        @CommandLine.Mixin private SettingsStore settingsStore;
 
         @Option(names = "--json", description = "one JSON object a line")
         private boolean json;
 
         @Override
         public Integer call() throws IOException, MalformedException {
-            for (ConfigurationVersions.Version v : where.read(ConfigurationVersions::all)) {
-                int configuration = v.configuration().getBytes(StandardCharsets.UTF_8).length;
-                int settings = v.settings().getBytes(StandardCharsets.UTF_8).length;
+            for (ConfigurationVersions.Version version :
+                    settingsStore.read(ConfigurationVersions::all)) {
+                int configuration = version.configuration().getBytes(StandardCharsets.UTF_8).length;
+                int settings = version.settings().getBytes(StandardCharsets.UTF_8).length;
                 System.out.printf(
                         json
                                 ? "{\"version\":%d,\"at\":\"%s\",\"hash\":\"%s\","
                                         + "\"configuration_bytes\":%d,\"settings_bytes\":%d}%n"
                                 : "%d %s %s configuration=%d settings=%d%n",
-                        v.number(),
-                        v.at(),
-                        v.hash(),
+                        version.number(),
+                        version.at(),
+                        version.hash(),
                         configuration,
                         settings);
             }
@@ -129,7 +130,7 @@
             mixinStandardHelpOptions = true,
             description = "Prints a version as it was accepted.")
     static final class Show implements Callable<Integer> {
-        @CommandLine.Mixin private SettingsStore where;
+        @CommandLine.Mixin private SettingsStore settingsStore;
 
         @Parameters(index = "0", paramLabel = "N", description = "the version")
         private long number;
@@ -144,7 +145,7 @@
 
         @Override
         public Integer call() throws IOException, MalformedException {
-            ConfigurationVersions.Version version = where.find(number);
+            ConfigurationVersions.Version version = settingsStore.find(number);
             System.out.print(part == Part.settings ? version.settings() : version.configuration());
             System.out.flush();
             return 0;
@@ -162,7 +163,7 @@
                         + " sound is refused."
             })
     static final class Rollback implements Callable<Integer> {
-        @CommandLine.Mixin private SettingsStore where;
+        @CommandLine.Mixin private SettingsStore settingsStore;
 
         @Parameters(index = "0", paramLabel = "N", description = "the version")
         private long number;
@@ -179,7 +180,7 @@
 
         @Override
         public Integer call() throws IOException, MalformedException {
-            ConfigurationVersions.Version version = where.find(number);
+            ConfigurationVersions.Version version = settingsStore.find(number);
             Configuration.parse(version.configuration());
             OperatorSettings settings =
                     OperatorSettings.parse("version " + number, version.settings());
@@ -191,25 +192,25 @@
             }
             replace(config, version.configuration());
             if (!keepSettings) {
-                replace(where.file, version.settings());
+                replace(settingsStore.file, version.settings());
             }
             System.out.println(
                     "version "
                             + number
                             + " is in "
                             + config
-                            + (keepSettings ? "" : " and " + where.file)
+                            + (keepSettings ? "" : " and " + settingsStore.file)
                             + "; send SIGHUP to the relay");
             return 0;
         }
 
         private static void replace(Path file, String text) throws IOException {
-            Path next = file.resolveSibling(file.getFileName() + ".next");
-            Files.writeString(next, text);
-            try (FileChannel written = FileChannel.open(next, StandardOpenOption.WRITE)) {
-                written.force(true);
+            Path temporary = file.resolveSibling(file.getFileName() + ".next");
+            Files.writeString(temporary, text);
+            try (FileChannel channel = FileChannel.open(temporary, StandardOpenOption.WRITE)) {
+                channel.force(true);
             }
-            Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
+            Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
         }
     }
 }
--- a/relay/src/main/java/saltstage/lifecycle/ConfiguredSettings.java
+++ b/relay/src/main/java/saltstage/lifecycle/ConfiguredSettings.java
@@ -25,14 +25,14 @@
     private OperatorSettings.Logging inForce;
 
     /** Starts with the logging settings of the operator's file. */
-    ConfiguredSettings(OperatorSettings.Logging file) {
-        this.fileSettings = file;
-        inForce = file;
+    ConfiguredSettings(OperatorSettings.Logging fileSettings) {
+        this.fileSettings = fileSettings;
+        inForce = fileSettings;
     }
 
     /** Replaces and applies the settings of the operator's file, which was read again. */
-    synchronized void setFileSettings(OperatorSettings.Logging read) {
-        fileSettings = read;
+    synchronized void setFileSettings(OperatorSettings.Logging newSettings) {
+        fileSettings = newSettings;
         apply();
     }
 
@@ -58,20 +58,20 @@
 
     /** Applies the settings to the log. */
     synchronized void apply() {
-        OperatorSettings.Logging wanted =
+        OperatorSettings.Logging effective =
                 new OperatorSettings.Logging(
                         parseWord(LOG_FORMAT, LogSetup.Format.class, fileSettings.format()),
                         parseWord(LOG_LEVEL, OperatorSettings.Level.class, fileSettings.level()));
-        if (!wanted.equals(inForce)) {
-            inForce = wanted;
-            LogSetup.reconfigure(wanted.format(), wanted.level().name());
+        if (!effective.equals(inForce)) {
+            inForce = effective;
+            LogSetup.reconfigure(effective.format(), effective.level().name());
         }
     }
 
-    private <E extends Enum<E>> E parseWord(String name, Class<E> type, E otherwise) {
+    private <E extends Enum<E>> E parseWord(String name, Class<E> type, E defaultValue) {
         String text = values.get(name);
         if (text == null) {
-            return otherwise;
+            return defaultValue;
         }
         for (E constant : type.getEnumConstants()) {
             if (constant.name().toLowerCase(Locale.ROOT).equals(text)) {
@@ -80,6 +80,6 @@
         }
         values.remove(name);
         Log.warn("configuration.setting", "name", name, "why", "unknown word: " + text);
-        return otherwise;
+        return defaultValue;
     }
 }
--- a/relay/src/main/java/saltstage/lifecycle/DiscoveryCalls.java
+++ b/relay/src/main/java/saltstage/lifecycle/DiscoveryCalls.java
@@ -88,12 +88,12 @@
         if (calls.stream().anyMatch(call -> call.phase() != Phase.SUPERSEDED)) {
             return unchanged();
         }
-        List<Call> kept = new ArrayList<>(calls);
+        List<Call> remaining = new ArrayList<>(calls);
         List<Effect> effects = new ArrayList<>();
-        if (kept.size() >= MAX_CALLS) {
-            effects.add(new Effect.EndCall(kept.remove(0).id()));
+        if (remaining.size() >= MAX_CALLS) {
+            effects.add(new Effect.EndCall(remaining.remove(0).id()));
         }
-        return begin(kept, effects);
+        return begin(remaining, effects);
     }
 
     /** Discovery is at another address: all calls end, and one to the new address is started. */
@@ -121,8 +121,8 @@
         }
         List<Effect> effects = new ArrayList<>();
         without(id).forEach(other -> effects.add(new Effect.EndCall(other.id())));
-        boolean old = list.revision() < heldRevision;
-        effects.add(old ? new Effect.DropOldList(list) : new Effect.DeliverList(list));
+        boolean outdated = list.revision() < heldRevision;
+        effects.add(outdated ? new Effect.DropOldList(list) : new Effect.DeliverList(list));
         List<Call> watch = List.of(new Call(id, Phase.WATCHING));
         return new Step(new DiscoveryCalls(watch, nextId), List.copyOf(effects), Optional.empty());
     }
@@ -134,10 +134,10 @@
         if (find(id).filter(call -> call.phase() == Phase.AWAITED).isEmpty()) {
             return unchanged();
         }
-        List<Call> marked = new ArrayList<>(calls);
-        marked.replaceAll(call -> call.id() == id ? new Call(id, Phase.SUPERSEDED) : call);
+        List<Call> updated = new ArrayList<>(calls);
+        updated.replaceAll(call -> call.id() == id ? new Call(id, Phase.SUPERSEDED) : call);
         return new Step(
-                new DiscoveryCalls(List.copyOf(marked), nextId),
+                new DiscoveryCalls(List.copyOf(updated), nextId),
                 List.of(),
                 Optional.of("no answer yet"));
     }
@@ -153,13 +153,13 @@
         return new Step(new DiscoveryCalls(without(id), nextId), List.of(), loss);
     }
 
-    private Step begin(List<Call> kept, List<Effect> before) {
-        List<Call> begun = new ArrayList<>(kept);
-        begun.add(new Call(nextId, Phase.AWAITED));
-        List<Effect> effects = new ArrayList<>(before);
+    private Step begin(List<Call> remaining, List<Effect> precedingEffects) {
+        List<Call> updated = new ArrayList<>(remaining);
+        updated.add(new Call(nextId, Phase.AWAITED));
+        List<Effect> effects = new ArrayList<>(precedingEffects);
         effects.add(new Effect.StartCall(nextId));
         return new Step(
-                new DiscoveryCalls(List.copyOf(begun), nextId + 1),
+                new DiscoveryCalls(List.copyOf(updated), nextId + 1),
                 List.copyOf(effects),
                 Optional.empty());
     }
--- a/relay/src/main/java/saltstage/lifecycle/DiscoverySubscription.java
+++ b/relay/src/main/java/saltstage/lifecycle/DiscoverySubscription.java
@@ -61,8 +61,8 @@
      * @param timers runs time-outs and retries
      * @param heldRevision the revision of the list held, after which a call resumes
      * @param listener receives the lists, one at a time, none of them older than the one held
-     * @param refused runs after each failed call where lists are not pushed; it has to call {@link
-     *     #ask} later
+     * @param failureListener runs after each failed call where lists are not pushed; it has to call
+     *     {@link #ask} later
      */
     DiscoverySubscription(
             InetSocketAddress address,
@@ -70,13 +70,13 @@
             Timers timers,
             LongSupplier heldRevision,
             Consumer<BackendList> listener,
-            Runnable refused) {
+            Runnable failureListener) {
         this.address = address;
         this.pushed = pushed;
         this.timers = timers;
         this.heldRevision = heldRevision;
         this.listener = listener;
-        this.failureListener = refused;
+        this.failureListener = failureListener;
     }
 
     /** Starts a call, unless a watch is open or a call is awaited; never blocks. */
@@ -88,11 +88,11 @@
      * Calls discovery at another address from now on; after the return, nothing from the old
      * address is delivered.
      */
-    synchronized void changeAddress(InetSocketAddress to) {
-        if (to.equals(address)) {
+    synchronized void changeAddress(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = to;
+        address = newAddress;
         handle(DiscoveryCalls::addressChanged);
     }
 
@@ -147,13 +147,13 @@
     }
 
     private void run(long id, DiscoveryClient client) {
-        String why = "fault";
+        String reason = "fault";
         try {
             client.watch(heldRevision.getAsLong(), list -> listArrived(id, list));
         } catch (IOException | MalformedException e) {
-            why = String.valueOf(e.getMessage());
+            reason = String.valueOf(e.getMessage());
         } finally {
-            callEnded(id, why);
+            callEnded(id, reason);
         }
     }
 
@@ -161,16 +161,16 @@
         handle(calls -> calls.listArrived(id, list, heldRevision.getAsLong()));
     }
 
-    private void callEnded(long id, String why) {
+    private void callEnded(long id, String reason) {
         handle(
                 calls -> {
                     clientsByCallId.remove(id);
-                    return calls.callEnded(id, why);
+                    return calls.callEnded(id, reason);
                 });
     }
 
-    private void reportLost(String why) {
-        Log.warn("discovery.lost", "why", why, "rev", heldRevision.getAsLong());
+    private void reportLost(String reason) {
+        Log.warn("discovery.lost", "why", reason, "rev", heldRevision.getAsLong());
         if (pushed) {
             timers.schedule(AGENT_RETRY_PAUSE, this::ask);
         } else {
--- a/relay/src/main/java/saltstage/lifecycle/Drain.java
+++ b/relay/src/main/java/saltstage/lifecycle/Drain.java
@@ -38,33 +38,33 @@
     private final MonotonicClock clock;
     private final RelayPipeline pipeline;
     private final Instant start;
-    private final Duration movesFrom;
-    private final Duration movesUntil;
+    private final Duration movesStart;
+    private final Duration movesEnd;
     private final Duration drainLimit;
     private final boolean hasSuccessor;
 
     /**
      * Creates a drain.
      *
-     * @param late the estimated time between SIGTERM and now
-     * @param succeeded whether another process of this relay already serves
+     * @param lateness the estimated time between SIGTERM and now
+     * @param hasSuccessor whether another process of this relay already serves
      */
     Drain(
             MonotonicClock clock,
-            RelayPipeline chain,
+            RelayPipeline pipeline,
             Duration longestDeadline,
-            Duration late,
-            boolean succeeded) {
-        this.hasSuccessor = succeeded;
+            Duration lateness,
+            boolean hasSuccessor) {
+        this.hasSuccessor = hasSuccessor;
         this.clock = clock;
-        this.pipeline = chain;
-        start = clock.now().minus(late);
-        Duration most =
+        this.pipeline = pipeline;
+        start = clock.now().minus(lateness);
+        Duration maxDeadline =
                 longestDeadline.compareTo(MAX_DEADLINE) < 0 ? longestDeadline : MAX_DEADLINE;
-        Duration last = notNegative(most.minus(DEADLINE_MARGIN));
-        movesFrom = succeeded ? Duration.ZERO : notNegative(last.minus(MOVE_PERIOD));
-        movesUntil = succeeded && MOVE_PERIOD.compareTo(last) < 0 ? MOVE_PERIOD : last;
-        drainLimit = last.plus(REJECT_PERIOD);
+        Duration lastMove = notNegative(maxDeadline.minus(DEADLINE_MARGIN));
+        movesStart = hasSuccessor ? Duration.ZERO : notNegative(lastMove.minus(MOVE_PERIOD));
+        movesEnd = hasSuccessor && MOVE_PERIOD.compareTo(lastMove) < 0 ? MOVE_PERIOD : lastMove;
+        drainLimit = lastMove.plus(REJECT_PERIOD);
     }
 
     void run() {
@@ -91,8 +91,8 @@
                 }
                 Thread.sleep(POLL_INTERVAL.toMillis());
             }
-            Duration until = elapsed().plus(DISCONNECT_TIMEOUT);
-            while (clientCount() > 0 && elapsed().compareTo(until) < 0) {
+            Duration disconnectDeadline = elapsed().plus(DISCONNECT_TIMEOUT);
+            while (clientCount() > 0 && elapsed().compareTo(disconnectDeadline) < 0) {
                 rejectRemaining();
                 Thread.sleep(POLL_INTERVAL.toMillis());
             }
@@ -118,8 +118,8 @@
         pipeline.frontends().forEach(Frontend::rejectPendingClients);
     }
 
-    private static Duration notNegative(Duration span) {
-        return span.isNegative() ? Duration.ZERO : span;
+    private static Duration notNegative(Duration duration) {
+        return duration.isNegative() ? Duration.ZERO : duration;
     }
 
     private Duration elapsed() {
@@ -135,7 +135,7 @@
             return clientCount() == 0; // counts pending clients too
         }
         return elapsed().compareTo(MIN_DRAIN_TIME) > 0
-                && pipeline.frontends().stream().allMatch(front -> front.requestCount() == 0);
+                && pipeline.frontends().stream().allMatch(frontend -> frontend.requestCount() == 0);
     }
 
     /**
@@ -143,18 +143,18 @@
      * keeps the other relays from being flooded.
      */
     private void moveDueClients() {
-        if (elapsed().compareTo(movesFrom) < 0) {
+        if (elapsed().compareTo(movesStart) < 0) {
             return;
         }
-        List<Attempt> standing = List.copyOf(pipeline.outcomeRecorder().establishedAttempts());
-        long due =
+        List<Attempt> established = List.copyOf(pipeline.outcomeRecorder().establishedAttempts());
+        long movesDue =
                 MovePacing.movesPerStep(
-                        standing.size(), movesUntil.minus(elapsed()), POLL_INTERVAL);
-        for (Attempt up : standing) {
-            if (due <= 0) {
+                        established.size(), movesEnd.minus(elapsed()), POLL_INTERVAL);
+        for (Attempt attempt : established) {
+            if (movesDue <= 0) {
                 break;
             }
-            due -= pipeline.move(up, "relay leaves") ? 1 : 0;
+            movesDue -= pipeline.move(attempt, "relay leaves") ? 1 : 0;
         }
     }
 }
--- a/relay/src/main/java/saltstage/lifecycle/HangupSignal.java
+++ b/relay/src/main/java/saltstage/lifecycle/HangupSignal.java
@@ -15,8 +15,9 @@
 
     /** Replaces the JVM's handler. */
     void install() {
-        SignalHandler before = Signal.handle(new Signal("HUP"), hangup -> signalReceived());
-        ignored = before == SignalHandler.SIG_IGN;
+        SignalHandler previousHandler =
+                Signal.handle(new Signal("HUP"), signal -> signalReceived());
+        ignored = previousHandler == SignalHandler.SIG_IGN;
     }
 
     /**
@@ -28,24 +29,24 @@
     }
 
     private void signalReceived() {
-        Runnable todo;
+        Runnable current;
         synchronized (this) {
-            todo = handler;
-            pending |= todo == null;
+            current = handler;
+            pending |= current == null;
         }
-        if (todo != null) {
-            todo.run();
+        if (current != null) {
+            current.run();
         }
     }
 
     /** Sets the handler of the signal, and runs it now if a signal is pending. */
-    void setHandler(Runnable does) {
+    void setHandler(Runnable newHandler) {
         synchronized (this) {
-            handler = does;
+            handler = newHandler;
             if (!pending) {
                 return;
             }
         }
-        does.run();
+        newHandler.run();
     }
 }
--- a/relay/src/main/java/saltstage/lifecycle/Main.java
+++ b/relay/src/main/java/saltstage/lifecycle/Main.java
@@ -55,22 +55,25 @@
      * delay a relay that restarts on half a core.
      */
     private static CommandLine commandLine(boolean serving) {
-        CommandLine line = new CommandLine(new Main());
+        CommandLine commandLine = new CommandLine(new Main());
         if (!serving) {
-            line.addSubcommand(new StoreCommand())
+            commandLine
+                    .addSubcommand(new StoreCommand())
                     .addSubcommand(new ConfigCommand())
                     .addSubcommand(new OperatorCommand());
         }
         // Every error is printed as one plain line; by default picocli would add the whole usage.
-        line.setParameterExceptionHandler((e, args) -> reportError(e.getMessage(), EXIT_USAGE));
-        line.setExecutionExceptionHandler(
-                (e, at, all) -> reportError(String.valueOf(e.getMessage()), EXIT_FAILED));
-        return line;
+        commandLine.setParameterExceptionHandler(
+                (e, args) -> reportError(e.getMessage(), EXIT_USAGE));
+        commandLine.setExecutionExceptionHandler(
+                (e, command, parseResult) ->
+                        reportError(String.valueOf(e.getMessage()), EXIT_FAILED));
+        return commandLine;
     }
 
-    private static int reportError(String what, int code) {
-        System.err.println("saltstage: " + what.replaceAll("\\s+", " "));
-        return code;
+    private static int reportError(String message, int exitCode) {
+        System.err.println("saltstage: " + message.replaceAll("\\s+", " "));
+        return exitCode;
     }
 
     @Override
@@ -133,25 +136,29 @@
 
         @Override
         public Integer call() throws MalformedException, IOException, InterruptedException {
-            OperatorSettings chosen = settings.read();
-            LogSetup.reconfigure(chosen.logging().format(), chosen.logging().level().name());
+            OperatorSettings operatorSettings = settings.read();
+            LogSetup.reconfigure(
+                    operatorSettings.logging().format(), operatorSettings.logging().level().name());
             if (HANGUP_SIGNAL.isIgnored()) {
                 Log.warn("reload.ignored", "why", "the process was started with SIGHUP ignored");
             }
-            RelayServer program =
-                    new RelayServer(config.read(), chosen, ProcessEnvironment.of(System.getenv()));
+            RelayServer server =
+                    new RelayServer(
+                            config.read(),
+                            operatorSettings,
+                            ProcessEnvironment.of(System.getenv()));
             Runtime.getRuntime()
                     .addShutdownHook(
                             new Thread(
                                     () -> {
-                                        if (program.drain()) {
+                                        if (server.drain()) {
                                             Runtime.getRuntime()
                                                     .halt(0); // a planned end is no failure
                                         }
                                     },
                                     "drain"));
-            program.start();
-            HANGUP_SIGNAL.setHandler(() -> program.reload(config::read, settings::read));
+            server.start();
+            HANGUP_SIGNAL.setHandler(() -> server.reload(config::read, settings::read));
             new CountDownLatch(1).await();
             return 0;
         }
@@ -169,15 +176,16 @@
 
         @Override
         public Integer call() throws MalformedException {
-            boolean both = config.isGiven() || settings.file == null;
+            boolean checksConfiguration = config.isGiven() || settings.file == null;
             if (settings.file != null) {
                 settings.read();
                 System.out.println("sound: settings " + settings.file);
             }
-            if (both) {
-                Configuration read = config.read();
-                int backends = read.knownBackends().entries().size();
-                System.out.println("sound: " + read.name() + ", " + backends + " backends known");
+            if (checksConfiguration) {
+                Configuration configuration = config.read();
+                int backends = configuration.knownBackends().entries().size();
+                System.out.println(
+                        "sound: " + configuration.name() + ", " + backends + " backends known");
             }
             return 0;
         }
--- a/relay/src/main/java/saltstage/lifecycle/OperatorCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/OperatorCommand.java
@@ -64,47 +64,50 @@
                 paramLabel = "MS",
                 defaultValue = "2000",
                 description = "how long to wait, in milliseconds (default: ${DEFAULT-VALUE})")
-        private int timeout;
+        private int timeoutMillis;
 
         @Option(names = "--json", description = "one JSON object instead of lines")
         private boolean json;
 
-        private int call(String call) throws MalformedException {
+        private int call(String command) throws MalformedException {
             if (admin == null || admin.isEmpty()) {
                 throw new MalformedException("no address: set GW_ADMIN or give --admin");
             }
-            InetSocketAddress at = BackendList.parseAddress(admin);
+            InetSocketAddress address = BackendList.parseAddress(admin);
             List<String> lines;
             try {
-                lines = exchange(at, call);
-            } catch (IOException silent) {
+                lines = exchange(address, command);
+            } catch (IOException failure) {
                 System.err.println(
-                        "saltstage: " + admin + " did not answer: " + silent.getMessage());
+                        "saltstage: " + admin + " did not answer: " + failure.getMessage());
                 return EXIT_NO_ANSWER;
             }
             String last = lines.isEmpty() ? "" : lines.get(lines.size() - 1);
-            boolean yes = last.equals("end") || last.startsWith("done");
-            if (!yes && !last.startsWith("error")) {
+            boolean succeeded = last.equals("end") || last.startsWith("done");
+            if (!succeeded && !last.startsWith("error")) {
                 System.err.println("saltstage: " + admin + " did not answer whole");
                 return EXIT_NO_ANSWER;
             }
             System.out.println(
-                    json ? toJson(yes, lines) : String.join(System.lineSeparator(), lines));
-            return yes ? 0 : EXIT_REJECTED;
+                    json ? toJson(succeeded, lines) : String.join(System.lineSeparator(), lines));
+            return succeeded ? 0 : EXIT_REJECTED;
         }
 
-        private List<String> exchange(InetSocketAddress at, String call) throws IOException {
-            long until = System.nanoTime() + Duration.ofMillis(timeout).toNanos();
+        private List<String> exchange(InetSocketAddress address, String command)
+                throws IOException {
+            long deadlineNs = System.nanoTime() + Duration.ofMillis(timeoutMillis).toNanos();
             try (Socket socket = new Socket()) {
-                socket.connect(at, timeout);
-                socket.getOutputStream().write((call + "\r\n").getBytes(StandardCharsets.US_ASCII));
+                socket.connect(address, timeoutMillis);
+                socket.getOutputStream()
+                        .write((command + "\r\n").getBytes(StandardCharsets.US_ASCII));
                 InputStream in = socket.getInputStream();
                 StringBuilder text = new StringBuilder();
-                for (int c = 0; c >= 0 && text.length() < MAX_ANSWER_BYTES; ) {
-                    socket.setSoTimeout((int) Math.max(1, (until - System.nanoTime()) / 1_000_000));
-                    c = in.read();
-                    if (c >= 0) {
-                        text.append((char) c);
+                for (int next = 0; next >= 0 && text.length() < MAX_ANSWER_BYTES; ) {
+                    socket.setSoTimeout(
+                            (int) Math.max(1, (deadlineNs - System.nanoTime()) / 1_000_000));
+                    next = in.read();
+                    if (next >= 0) {
+                        text.append((char) next);
                     }
                 }
                 return text.toString().lines().toList();
@@ -112,19 +115,19 @@
         }
 
         /** Formats an answer as JSON. The metric names are the relay's own and need no escaping. */
-        private static String toJson(boolean yes, List<String> lines) {
-            List<String> members = new ArrayList<>(List.of("\"ok\":" + yes));
-            Map<String, String> figures = new TreeMap<>();
+        private static String toJson(boolean succeeded, List<String> lines) {
+            List<String> members = new ArrayList<>(List.of("\"ok\":" + succeeded));
+            Map<String, String> metrics = new TreeMap<>();
             for (String line : lines) {
                 int colon = line.indexOf(':');
                 int bar = line.indexOf('|');
                 if (line.startsWith("app.") && colon > 0 && bar > colon) {
-                    figures.put(line.substring(0, colon), line.substring(colon + 1, bar));
+                    metrics.put(line.substring(0, colon), line.substring(colon + 1, bar));
                 } else if (!line.equals("end")) {
                     members.add("\"said\":\"" + line.replace('\\', '/').replace('"', '\'') + "\"");
                 }
             }
-            figures.forEach((name, value) -> members.add("\"" + name + "\":" + value));
+            metrics.forEach((name, value) -> members.add("\"" + name + "\":" + value));
             return "{" + String.join(",", members) + "}";
         }
     }
--- a/relay/src/main/java/saltstage/lifecycle/ProcessEnvironment.java
+++ b/relay/src/main/java/saltstage/lifecycle/ProcessEnvironment.java
@@ -29,8 +29,8 @@
                     folder.isEmpty() ? null : Path.of(folder, "saltstage"),
                     admin.isEmpty() ? null : BackendList.parseAddress(admin),
                     !descriptor.isEmpty());
-        } catch (MalformedException bad) {
-            throw new MalformedException("GW_ADMIN: " + bad.getMessage());
+        } catch (MalformedException malformed) {
+            throw new MalformedException("GW_ADMIN: " + malformed.getMessage());
         }
     }
 }
--- a/relay/src/main/java/saltstage/lifecycle/RelayOperations.java
+++ b/relay/src/main/java/saltstage/lifecycle/RelayOperations.java
@@ -64,24 +64,25 @@
     private int polls;
 
     /**
-     * {@code slots} and {@code takeover} are null where no process takes over from another that
+     * {@code slots} and {@code takeoverPath} are null where no process takes over from another that
      * still runs.
      */
     RelayOperations(
             MonotonicClock clock,
-            BackendRegistry peers,
-            RelayPipeline chain,
-            RequestCounters counts,
-            Suspensions bans,
+            BackendRegistry backends,
+            RelayPipeline pipeline,
+            RequestCounters counters,
+            Suspensions suspensions,
             ProcessSlots slots,
-            Path takeover) {
+            Path takeoverPath) {
         this.clock = clock;
-        this.backends = peers;
-        this.pipeline = chain;
-        this.counters = counts;
-        this.suspensions = bans;
+        this.backends = backends;
+        this.pipeline = pipeline;
+        this.counters = counters;
+        this.suspensions = suspensions;
         this.slots = slots;
-        this.takeoverFile = takeover == null ? null : new AtomicFile(takeover, "takeover 1");
+        this.takeoverFile =
+                takeoverPath == null ? null : new AtomicFile(takeoverPath, "takeover 1");
     }
 
     @Override
@@ -91,12 +92,12 @@
 
     @Override
     public String metrics() {
-        Set<String> left = ejectedBackendIds;
+        Set<String> ejected = ejectedBackendIds;
         int known = 0;
         int skipped = 0;
-        for (Backend peer : backends.all()) {
+        for (Backend backend : backends.all()) {
             known++;
-            skipped += peer.isSuspended() || left.contains(peer.entry().uid()) ? 1 : 0;
+            skipped += backend.isSuspended() || ejected.contains(backend.entry().uid()) ? 1 : 0;
         }
         return counters.format(
                 pipeline.frontends().stream().mapToInt(Frontend::requestCount).sum(),
@@ -114,7 +115,7 @@
         return setSuspended(id, false);
     }
 
-    private CompletionStage<String> setSuspended(String id, boolean banned) {
+    private CompletionStage<String> setSuspended(String id, boolean suspended) {
         if (!knownBackendIds.contains(id)) {
             return CompletableFuture.completedFuture("never listed: " + id);
         }
@@ -123,19 +124,19 @@
                 queuedCalls.offer(
                         () -> {
                             try {
-                                suspensions.setSuspended(id, banned);
+                                suspensions.setSuspended(id, suspended);
                                 applySuspensions();
                                 Log.info(
-                                        banned ? "backend.suspended" : "backend.restored",
+                                        suspended ? "backend.suspended" : "backend.restored",
                                         "peer",
                                         id);
                                 answer.complete(
-                                        !banned && suspensions.isSuspendedByConfiguration(id)
+                                        !suspended && suspensions.isSuspendedByConfiguration(id)
                                                 ? "still suspended by configuration: " + id
                                                 : null);
-                            } catch (IOException failed) {
-                                Log.warn("bans.unwritten", "peer", id, "why", failed.getMessage());
-                                answer.complete("not kept: " + failed.getMessage());
+                            } catch (IOException failure) {
+                                Log.warn("bans.unwritten", "peer", id, "why", failure.getMessage());
+                                answer.complete("not kept: " + failure.getMessage());
                             }
                         });
         return queued
@@ -145,14 +146,14 @@
     }
 
     /** Sets why this process does not serve; null if it serves. */
-    void setNotReadyReason(String why) {
-        notReadyReason = why;
+    void setNotReadyReason(String reason) {
+        notReadyReason = reason;
         if (slots != null) {
             try {
                 slots.setPhase(
-                        why == null
+                        reason == null
                                 ? ProcessSlots.Phase.READY
-                                : why.equals("leaving")
+                                : reason.equals("leaving")
                                         ? ProcessSlots.Phase.LEAVING
                                         : ProcessSlots.Phase.STARTING);
             } catch (IOException e) {
@@ -172,16 +173,17 @@
     Takeover readTakeover() {
         try {
             byte[] bytes = takeoverFile == null ? null : takeoverFile.read();
-            Takeover found = bytes == null ? null : Takeover.fromBytes(bytes);
-            if (found != null && found.writtenAt().isBefore(clock.now().minus(MAX_TAKEOVER_AGE))) {
+            Takeover takeover = bytes == null ? null : Takeover.fromBytes(bytes);
+            if (takeover != null
+                    && takeover.writtenAt().isBefore(clock.now().minus(MAX_TAKEOVER_AGE))) {
                 return null; // written by a process that ended long ago
             }
-            if (found != null) {
-                knownBackendIds.addAll(found.knownBackendIds());
+            if (takeover != null) {
+                knownBackendIds.addAll(takeover.knownBackendIds());
             }
-            return found;
-        } catch (IOException bad) {
-            Log.warn("takeover.unreadable", "why", bad.getMessage());
+            return takeover;
+        } catch (IOException failure) {
+            Log.warn("takeover.unreadable", "why", failure.getMessage());
             return null;
         }
     }
@@ -202,8 +204,8 @@
     void poll() {
         try {
             suspensions.refresh();
-        } catch (IOException bad) {
-            Log.warn("bans.unreadable", "why", bad.getMessage());
+        } catch (IOException failure) {
+            Log.warn("bans.unreadable", "why", failure.getMessage());
         }
         applySuspensions();
         moveClientsOffSuspended();
@@ -223,20 +225,20 @@
                                         knownBackendIds)
                                 .toBytes());
             }
-        } catch (IOException failed) {
-            Log.warn("handover.fault", "why", failed.getMessage());
+        } catch (IOException failure) {
+            Log.warn("handover.fault", "why", failure.getMessage());
         }
     }
 
     /** Reports each backend whose suspension began or ended to the load balancer. */
     private synchronized void applySuspensions() {
-        Set<String> now = suspensions.all();
-        Set<String> before = appliedSuspensions;
-        appliedSuspensions = now;
-        for (Backend peer : backends.all()) {
-            String uid = peer.entry().uid();
-            if (now.contains(uid) != before.contains(uid)) {
-                pipeline.router().suspensionChanged(peer);
+        Set<String> current = suspensions.all();
+        Set<String> previous = appliedSuspensions;
+        appliedSuspensions = current;
+        for (Backend backend : backends.all()) {
+            String uid = backend.entry().uid();
+            if (current.contains(uid) != previous.contains(uid)) {
+                pipeline.router().suspensionChanged(backend);
             }
         }
     }
@@ -249,17 +251,17 @@
         suspendedSince.keySet().retainAll(suspensions.all());
         Instant now = clock.now();
         for (String uid : suspensions.all()) {
-            Instant until = suspendedSince.computeIfAbsent(uid, any -> now).plus(MOVE_PERIOD);
-            Backend peer = backends.find(uid);
-            if (peer == null || peer.establishedAttempts().isEmpty()) {
+            Instant until = suspendedSince.computeIfAbsent(uid, key -> now).plus(MOVE_PERIOD);
+            Backend backend = backends.find(uid);
+            if (backend == null || backend.establishedAttempts().isEmpty()) {
                 continue;
             }
-            List<Attempt> standing = List.copyOf(peer.establishedAttempts());
-            long due =
+            List<Attempt> established = List.copyOf(backend.establishedAttempts());
+            long movesDue =
                     MovePacing.movesPerStep(
-                            standing.size(), Duration.between(now, until), POLL_INTERVAL);
-            for (int i = 0; i < standing.size() && due > 0; i++) {
-                due -= pipeline.move(standing.get(i), "suspended") ? 1 : 0;
+                            established.size(), Duration.between(now, until), POLL_INTERVAL);
+            for (int i = 0; i < established.size() && movesDue > 0; i++) {
+                movesDue -= pipeline.move(established.get(i), "suspended") ? 1 : 0;
             }
         }
     }
--- a/relay/src/main/java/saltstage/lifecycle/RelayServer.java
+++ b/relay/src/main/java/saltstage/lifecycle/RelayServer.java
@@ -82,17 +82,19 @@
         OperatorSettings read() throws MalformedException;
     }
 
-    RelayServer(Configuration config, OperatorSettings operator, ProcessEnvironment surroundings)
+    RelayServer(
+            Configuration config, OperatorSettings operatorSettings, ProcessEnvironment environment)
             throws IOException {
-        this.environment = surroundings;
+        this.environment = environment;
         this.config = config;
-        this.operatorSettings = operator;
+        this.operatorSettings = operatorSettings;
         stateStore =
-                operator.persistence()
-                        .map(keeping -> RelayStateStore.open(keeping, clock::now))
+                operatorSettings
+                        .persistence()
+                        .map(persistence -> RelayStateStore.open(persistence, clock::now))
                         .orElse(null);
-        Path folder = surroundings.sharedFolder();
-        boolean handsOver = surroundings.inheritsListener() && folder != null;
+        Path folder = environment.sharedFolder();
+        boolean canHandOver = environment.inheritsListener() && folder != null;
         suspensions = new Suspensions(adminAddress() == null ? null : folder, config.name());
         counters = new RequestCounters(config.serviceClassNames());
         backends = new BackendRegistry(suspensions::isSuspended);
@@ -106,8 +108,8 @@
                         pipeline,
                         counters,
                         suspensions,
-                        handsOver ? claimSlot(folder) : null,
-                        handsOver ? folder.resolve(config.name() + ".takeover") : null);
+                        canHandOver ? claimSlot(folder) : null,
+                        canHandOver ? folder.resolve(config.name() + ".takeover") : null);
         subscription =
                 new DiscoverySubscription(
                         config.discoveryAddress(),
@@ -117,11 +119,11 @@
                         this::backendListReceived,
                         pipeline.router()::discoveryCallFailed);
         sharedConfiguration =
-                operator.follower().isEmpty()
+                operatorSettings.follower().isEmpty()
                         ? null
                         : SharedConfiguration.open(
-                                operator.follower().get(),
-                                operator.logging(),
+                                operatorSettings.follower().get(),
+                                operatorSettings.logging(),
                                 config.name(),
                                 suspensions,
                                 this::backendListReceived);
@@ -147,9 +149,9 @@
     void start() throws IOException {
         try {
             startParts();
-        } catch (IOException | RuntimeException bad) {
+        } catch (IOException | RuntimeException failure) {
             startFailed = true;
-            throw bad;
+            throw failure;
         }
     }
 
@@ -157,23 +159,23 @@
         // The admin listener starts first, so that operators can call during the start.
         if (adminAddress() != null) {
             pipeline.admissionControl().reserveDescriptors(AdminListener.MAX_DESCRIPTORS);
-            AdminListener operators = new AdminListener(adminAddress(), operations);
-            Threads.startLoop("admin", operators::runOnce);
+            AdminListener adminListener = new AdminListener(adminAddress(), operations);
+            Threads.startLoop("admin", adminListener::runOnce);
         }
-        Takeover left = operations.readTakeover();
-        BackendList known = initialList(left);
-        operations.backendListReceived(known);
-        backends.update(known);
+        Takeover takeover = operations.readTakeover();
+        BackendList list = initialList(takeover);
+        operations.backendListReceived(list);
+        backends.update(list);
         if (sharedConfiguration != null) {
             pipeline.admissionControl().reserveDescriptors(SharedConfiguration.MAX_DESCRIPTORS);
         }
         // The limit follows the list: probes of the listed backends take a part of the descriptors.
         pipeline.setDescriptorLimit(config.maxSockets());
         Threads.startLoop("timers", () -> timers.awaitNext().run());
-        pipeline.router().start(known);
+        pipeline.router().start(list);
         startDiscovery();
-        if (left != null) {
-            pipeline.router().restoreLearnedState(left.learnedState());
+        if (takeover != null) {
+            pipeline.router().restoreLearnedState(takeover.learnedState());
         }
         if (stateStore != null) {
             stateStore.persistedLearnedState().ifPresent(pipeline.router()::restoreLearnedState);
@@ -187,7 +189,7 @@
         if (operatorSettings.amqp().isPresent()) {
             startAmqp(operatorSettings.amqp().get());
         }
-        ServerSocketChannel clients =
+        ServerSocketChannel clientSocket =
                 environment.inheritsListener()
                         ? ClientListener.inherited()
                         : ClientListener.bind(config.listenAddress());
@@ -199,12 +201,12 @@
             Threads.startLoop("clerk", operations::runOnce);
         }
         awaitFirstList();
-        startAccepting(clients);
+        startAccepting(clientSocket);
     }
 
-    private void startAccepting(ServerSocketChannel clients) throws IOException {
+    private void startAccepting(ServerSocketChannel clientSocket) throws IOException {
         pipeline.lineFrontend().start();
-        pipeline.lineFrontend().acceptor().start(clients);
+        pipeline.lineFrontend().acceptor().start(clientSocket);
         accepting = true;
         operations.setNotReadyReason(null);
         Log.info(
@@ -212,7 +214,7 @@
                 "name",
                 config.name(),
                 "listen",
-                clients.getLocalAddress(),
+                clientSocket.getLocalAddress(),
                 "rev",
                 backends.revision(),
                 "peers",
@@ -237,10 +239,10 @@
         }
     }
 
-    private BackendList initialList(Takeover left) {
+    private BackendList initialList(Takeover takeover) {
         return sharedConfiguration == null
-                ? newestKnownList(left)
-                : sharedConfiguration.knownList().orElseGet(() -> newestKnownList(left));
+                ? newestKnownList(takeover)
+                : sharedConfiguration.knownList().orElseGet(() -> newestKnownList(takeover));
     }
 
     private void startDiscovery() {
@@ -257,12 +259,12 @@
                 new NettyTransport(
                         settings.loops(),
                         true,
-                        (where, fault) -> Log.error("loop.fault." + where, fault));
+                        (location, fault) -> Log.error("loop.fault." + location, fault));
         try {
             amqpFrontend = new AmqpFrontend(settings, config, pipeline, clock, transport);
             amqpFrontend.start();
-        } catch (MalformedException bad) {
-            throw new IOException(bad.getMessage(), bad);
+        } catch (MalformedException malformed) {
+            throw new IOException(malformed.getMessage(), malformed);
         }
     }
 
@@ -270,23 +272,24 @@
      * Returns the list of the configuration or the one that this relay took over or persisted,
      * whichever is newer.
      */
-    private BackendList newestKnownList(Takeover left) {
-        BackendList kept =
-                left != null
-                        ? left.list()
+    private BackendList newestKnownList(Takeover takeover) {
+        BackendList persisted =
+                takeover != null
+                        ? takeover.list()
                         : stateStore == null ? null : stateStore.persistedList().orElse(null);
-        boolean newer = kept != null && kept.revision() > config.knownBackends().revision();
-        if (kept != null) {
+        boolean newer =
+                persisted != null && persisted.revision() > config.knownBackends().revision();
+        if (persisted != null) {
             Log.info(
                     "keep.list",
                     "rev",
-                    kept.revision(),
+                    persisted.revision(),
                     "known",
                     config.knownBackends().revision(),
                     "taken",
                     newer);
         }
-        return newer ? kept : config.knownBackends();
+        return newer ? persisted : config.knownBackends();
     }
 
     /**
@@ -296,42 +299,49 @@
      * backend list, the load balancer's state and all connections stay. An invalid file changes
      * nothing.
      */
-    void reload(ConfigurationSource source, SettingsSource operator) {
+    void reload(ConfigurationSource configurationSource, SettingsSource settingsSource) {
         // A lock of its own: a file that is slow to read must delay neither the tick nor the drain.
         synchronized (reloadLock) {
-            reloadExclusively(source, operator);
+            reloadExclusively(configurationSource, settingsSource);
         }
     }
 
-    private void reloadExclusively(ConfigurationSource source, SettingsSource operator) {
+    private void reloadExclusively(
+            ConfigurationSource configurationSource, SettingsSource settingsSource) {
         try {
-            OperatorSettings chosen = operator.read();
-            Configuration read = source.read();
-            List<String> later = new ArrayList<>(read.restartRequiredChanges(config));
+            OperatorSettings newSettings = settingsSource.read();
+            Configuration newConfig = configurationSource.read();
+            List<String> restartRequired =
+                    new ArrayList<>(newConfig.restartRequiredChanges(config));
             // Everything is checked before any change is applied.
-            AmqpFrontend.SettingsChange change =
-                    amqpFrontend == null || chosen.amqp().isEmpty()
+            AmqpFrontend.SettingsChange amqpChange =
+                    amqpFrontend == null || newSettings.amqp().isEmpty()
                             ? null
-                            : amqpFrontend.prepareChange(chosen.amqp().get());
+                            : amqpFrontend.prepareChange(newSettings.amqp().get());
             if (sharedConfiguration == null) {
-                subscription.changeAddress(read.discoveryAddress());
+                subscription.changeAddress(newConfig.discoveryAddress());
             }
-            if (change != null) {
-                later.addAll(change.apply());
-            } else if (amqpFrontend != null || chosen.amqp().isPresent()) {
+            if (amqpChange != null) {
+                restartRequired.addAll(amqpChange.apply());
+            } else if (amqpFrontend != null || newSettings.amqp().isPresent()) {
                 // The frontend is neither started nor stopped while connections are established.
-                later.add("amqp");
+                restartRequired.add("amqp");
             }
-            if (!chosen.follower().equals(this.operatorSettings.follower())) {
-                later.add("configuration");
+            if (!newSettings.follower().equals(this.operatorSettings.follower())) {
+                restartRequired.add("configuration");
             }
-            applyLogging(chosen.logging());
+            applyLogging(newSettings.logging());
             if (stateStore != null) {
-                stateStore.saveConfiguration(read.text(), chosen.text());
+                stateStore.saveConfiguration(newConfig.text(), newSettings.text());
             }
-            Log.info("reload.done", "discovery", subscription.address(), "restart_for", later);
-        } catch (MalformedException | RuntimeException bad) {
-            Log.warn("reload.refused", "why", bad.getMessage());
+            Log.info(
+                    "reload.done",
+                    "discovery",
+                    subscription.address(),
+                    "restart_for",
+                    restartRequired);
+        } catch (MalformedException | RuntimeException failure) {
+            Log.warn("reload.refused", "why", failure.getMessage());
         }
     }
 
@@ -353,17 +363,17 @@
         if (startFailed) {
             return false; // the process exits with the code of the failed start
         }
-        boolean succeeded = operations.hasSuccessor();
-        Duration late = lateness();
+        boolean hasSuccessor = operations.hasSuccessor();
+        Duration lateness = lateness();
         operations.setNotReadyReason("leaving");
-        if (succeeded && accepting) {
+        if (hasSuccessor && accepting) {
             try {
                 pipeline.lineFrontend().acceptor().stop();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
-        new Drain(clock, pipeline, config.maxClientTimeout(), late, succeeded).run();
+        new Drain(clock, pipeline, config.maxClientTimeout(), lateness, hasSuccessor).run();
         if (stateStore != null) {
             stateStore.close(FINAL_WRITE_TIMEOUT);
         }
@@ -379,14 +389,14 @@
      * handling on still has clients to move when SIGKILL comes.
      */
     private synchronized Duration lateness() {
-        Duration now = Duration.between(nextTickDue, clock.now());
-        return now.compareTo(tickLateness) > 0 ? now : tickLateness;
+        Duration current = Duration.between(nextTickDue, clock.now());
+        return current.compareTo(tickLateness) > 0 ? current : tickLateness;
     }
 
     private synchronized void recordTick() {
-        Duration halved = tickLateness.dividedBy(2);
-        Duration now = Duration.between(nextTickDue, clock.now());
-        tickLateness = now.compareTo(halved) > 0 ? now : halved;
+        Duration decayed = tickLateness.dividedBy(2);
+        Duration current = Duration.between(nextTickDue, clock.now());
+        tickLateness = current.compareTo(decayed) > 0 ? current : decayed;
         nextTickDue = clock.now().plus(TICK_INTERVAL);
     }
 
--- a/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
+++ b/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
@@ -73,62 +73,65 @@
     private boolean listDelivered;
 
     private SharedConfiguration(
-            OperatorSettings.FollowerSettings following,
+            OperatorSettings.FollowerSettings followerSettings,
             OperatorSettings.Logging logging,
             String relayName,
-            Suspensions bans,
-            Consumer<BackendList> listed)
+            Suspensions suspensions,
+            Consumer<BackendList> listListener)
             throws IOException {
-        this.suspensions = bans;
-        this.listListener = listed;
+        this.suspensions = suspensions;
+        this.listListener = listListener;
         settings = new ConfiguredSettings(logging);
-        directory = open(following.dir());
-        PersistedConfiguration held = directory.persistedConfiguration();
-        confirmedAt = held.confirmedAt();
-        replaceAll(held.view());
+        directory = open(followerSettings.dir());
+        PersistedConfiguration persisted = directory.persistedConfiguration();
+        confirmedAt = persisted.confirmedAt();
+        replaceAll(persisted.view());
         listDelivered = !backends.isEmpty(); // the relay starts with this list
         Log.info(
                 "configuration.kept",
                 "rev",
-                held.view().revision(),
+                persisted.view().revision(),
                 "entries",
-                held.view().entries().size(),
+                persisted.view().entries().size(),
                 "age_ms",
                 ageMillis());
         client =
                 new ConfigurationClient(
-                        options(following, relayName),
+                        options(followerSettings, relayName),
                         resources(),
                         directory,
-                        held.view(),
+                        persisted.view(),
                         new Listener());
     }
 
     /** Opens the directory and applies the persisted configuration; the client is not started. */
     static SharedConfiguration open(
-            OperatorSettings.FollowerSettings following,
+            OperatorSettings.FollowerSettings followerSettings,
             OperatorSettings.Logging logging,
             String relayName,
-            Suspensions bans,
-            Consumer<BackendList> listed)
+            Suspensions suspensions,
+            Consumer<BackendList> listListener)
             throws IOException {
-        return new SharedConfiguration(following, logging, relayName, bans, listed);
+        return new SharedConfiguration(
+                followerSettings, logging, relayName, suspensions, listListener);
     }
 
     private static ConfigurationDirectory open(Path dir) throws IOException {
         try {
             return new ConfigurationDirectory(dir, Log::warn);
-        } catch (IOException unusable) { // without a disk no revision could be applied
+        } catch (IOException failure) { // without a disk no revision could be applied
             throw new IOException(
-                    "configuration: cannot open dir " + dir + ": " + unusable, unusable);
+                    "configuration: cannot open dir " + dir + ": " + failure, failure);
         }
     }
 
     private static FollowerOptions options(
-            OperatorSettings.FollowerSettings following, String relayName) {
-        List<URI> sources = following.sources().stream().map(FollowerOptions::sourceUri).toList();
-        String name = following.name().isEmpty() ? relayName : following.name();
-        return new FollowerOptions(sources, name, following.zone(), FollowerTimings.defaults());
+            OperatorSettings.FollowerSettings followerSettings, String relayName) {
+        List<URI> sources =
+                followerSettings.sources().stream().map(FollowerOptions::sourceUri).toList();
+        String name = followerSettings.name().isEmpty() ? relayName : followerSettings.name();
+        return new FollowerOptions(
+                sources, name, followerSettings.zone(), FollowerTimings.defaults());
     }
 
     private FollowerResources resources() {
@@ -201,8 +204,10 @@
      * did.
      */
     private long ageMillis() {
-        Instant at = confirmedAt;
-        return at == null ? -1 : Math.max(0, Duration.between(at, Instant.now()).toMillis());
+        Instant lastConfirmed = confirmedAt;
+        return lastConfirmed == null
+                ? -1
+                : Math.max(0, Duration.between(lastConfirmed, Instant.now()).toMillis());
     }
 
     private void warnIfStale() {
--- a/relay/src/main/java/saltstage/lifecycle/StoreCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/StoreCommand.java
@@ -66,24 +66,24 @@
         @Parameters(index = "0", paramLabel = "DIR", description = "the store's directory")
         private Path dir;
 
-        int runReadOnly(StoreTask work) throws IOException {
+        int runReadOnly(StoreTask task) throws IOException {
             if (!Files.isDirectory(dir)) {
                 throw new StoreException(dir + ": there is no store");
             }
-            return run(() -> Store.openToRead(new FileDisk(dir), Log::warn), work);
+            return run(() -> Store.openToRead(new FileDisk(dir), Log::warn), task);
         }
 
-        int runWritable(StoreOptions options, StoreTask work) throws IOException {
-            return run(() -> Store.open(FileDisk.openOrCreate(dir), options, Log::warn), work);
+        int runWritable(StoreOptions options, StoreTask task) throws IOException {
+            return run(() -> Store.open(FileDisk.openOrCreate(dir), options, Log::warn), task);
         }
 
         private interface StoreOpener {
             Store open() throws IOException;
         }
 
-        private int run(StoreOpener opening, StoreTask work) throws IOException {
-            try (Store store = opening.open()) {
-                return work.run(store);
+        private int run(StoreOpener opener, StoreTask task) throws IOException {
+            try (Store store = opener.open()) {
+                return task.run(store);
             } catch (StoreException e) {
                 throw new StoreException(dir + ": " + e.getMessage(), e);
             }
@@ -94,7 +94,7 @@
     static final class PairLines {
         private final InputStream in;
         private long lineNumber;
-        private boolean atEnd;
+        private boolean endReached;
 
         PairLines(InputStream in) {
             this.in = in;
@@ -102,34 +102,34 @@
 
         /** Returns the bytes of the next line, or null at the end. */
         byte[] nextLine() throws IOException {
-            ByteArrayOutputStream read = new ByteArrayOutputStream();
-            int b = atEnd ? -1 : in.read();
+            ByteArrayOutputStream line = new ByteArrayOutputStream();
+            int b = endReached ? -1 : in.read();
             if (b < 0) {
                 return null;
             }
             lineNumber++;
             for (; b >= 0 && b != '\n'; b = in.read()) {
-                read.write(b);
+                line.write(b);
             }
-            atEnd = b < 0;
-            return read.toByteArray();
+            endReached = b < 0;
+            return line.toByteArray();
         }
 
         /** Adds the pair of a line to a batch; a line with a key alone deletes the key. */
-        void addTo(byte[] text, Batch to) throws StoreException {
+        void addTo(byte[] line, Batch batch) throws StoreException {
             int tab = 0;
-            while (tab < text.length && text[tab] != '\t') {
+            while (tab < line.length && line[tab] != '\t') {
                 tab++;
             }
-            byte[] key = unescape(text, 0, tab);
+            byte[] key = unescape(line, 0, tab);
             try {
-                if (tab == text.length) {
-                    to.delete(key);
+                if (tab == line.length) {
+                    batch.delete(key);
                 } else {
-                    to.put(key, unescape(text, tab + 1, text.length));
+                    batch.put(key, unescape(line, tab + 1, line.length));
                 }
-            } catch (IllegalArgumentException bad) {
-                throw new StoreException("line " + lineNumber + ": " + bad.getMessage());
+            } catch (IllegalArgumentException invalid) {
+                throw new StoreException("line " + lineNumber + ": " + invalid.getMessage());
             }
         }
 
@@ -143,22 +143,22 @@
                     out.write(text[i]);
                     continue;
                 }
-                int which = ++i < to ? "tn\\".indexOf(text[i]) : -1;
-                if (which < 0) {
+                int escapeIndex = ++i < to ? "tn\\".indexOf(text[i]) : -1;
+                if (escapeIndex < 0) {
                     throw new StoreException(
                             "line " + lineNumber + ": a backslash takes t, n or another behind it");
                 }
-                out.write("\t\n\\".charAt(which));
+                out.write("\t\n\\".charAt(escapeIndex));
             }
             return out.toByteArray();
         }
 
-        static void writeEscaped(OutputStream out, byte[] plain) throws IOException {
-            for (byte b : plain) {
-                int which = "\t\n\\".indexOf(b);
-                if (which >= 0) {
+        static void writeEscaped(OutputStream out, byte[] bytes) throws IOException {
+            for (byte b : bytes) {
+                int escapeIndex = "\t\n\\".indexOf(b);
+                if (escapeIndex >= 0) {
                     out.write('\\');
-                    out.write("tn\\".charAt(which));
+                    out.write("tn\\".charAt(escapeIndex));
                 } else {
                     out.write(b);
                 }
@@ -181,30 +181,31 @@
                         + " stays."
             })
     static final class Load implements Callable<Integer> {
-        @CommandLine.Mixin private StoreDirectory where;
+        @CommandLine.Mixin private StoreDirectory storeDirectory;
 
         @Option(
                 names = "--batch",
                 paramLabel = "N",
                 defaultValue = "1",
                 description = "so many lines are one atomic batch (default 1)")
-        private int lines;
+        private int batchSize;
 
         @Option(
                 names = "--segment",
                 paramLabel = "BYTES",
                 defaultValue = "8388608",
                 description = "size of a log segment (default 8 MiB)")
-        private int segment;
+        private int segmentBytes;
 
         @Override
         public Integer call() throws IOException {
-            if (lines < 1) {
+            if (batchSize < 1) {
                 throw new StoreException("--batch takes a whole number from 1 on");
             }
-            StoreOptions usual = StoreOptions.defaults();
-            return where.runWritable(
-                    new StoreOptions(segment, true, usual.compactionBytesPerSecond()), this::load);
+            StoreOptions defaults = StoreOptions.defaults();
+            return storeDirectory.runWritable(
+                    new StoreOptions(segmentBytes, true, defaults.compactionBytesPerSecond()),
+                    this::load);
         }
 
         private int load(Store store) throws IOException {
@@ -213,7 +214,7 @@
             Batch batch = new Batch();
             for (byte[] line = in.nextLine(); line != null; line = in.nextLine()) {
                 in.addTo(line, batch);
-                if (batch.size() == lines) {
+                if (batch.size() == batchSize) {
                     printAcked(out, store.commit(batch));
                     batch = new Batch();
                 }
@@ -238,15 +239,15 @@
                     "Prints the live pairs in the order of their keys, in the form that load"
                             + " reads.")
     static final class Dump implements Callable<Integer> {
-        @CommandLine.Mixin private StoreDirectory where;
+        @CommandLine.Mixin private StoreDirectory storeDirectory;
 
         @Override
         public Integer call() throws IOException {
-            return where.runReadOnly(
+            return storeDirectory.runReadOnly(
                     store -> {
-                        try (Snapshot now = store.snapshot();
+                        try (Snapshot snapshot = store.snapshot();
                                 OutputStream out = standardOut()) {
-                            Snapshot.Scan scan = now.scan(null, null);
+                            Snapshot.Scan scan = snapshot.scan(null, null);
                             while (scan.next()) {
                                 PairLines.writeEscaped(out, scan.key());
                                 out.write('\t');
@@ -266,22 +267,22 @@
             description =
                     "Prints a key's value, escaped as in dump. Exits 1 if the key is not there.")
     static final class Get implements Callable<Integer> {
-        @CommandLine.Mixin private StoreDirectory where;
+        @CommandLine.Mixin private StoreDirectory storeDirectory;
 
         @Parameters(index = "1", paramLabel = "KEY", description = "the key, escaped as in dump")
         private String key;
 
         @Override
         public Integer call() throws IOException {
-            byte[] wanted =
+            byte[] keyBytes =
                     new PairLines(InputStream.nullInputStream())
                             .unescape(
                                     key.getBytes(StandardCharsets.UTF_8),
                                     0,
                                     key.getBytes(StandardCharsets.UTF_8).length);
-            return where.runReadOnly(
+            return storeDirectory.runReadOnly(
                     store -> {
-                        byte[] value = store.get(wanted);
+                        byte[] value = store.get(keyBytes);
                         if (value == null) {
                             throw new StoreException("there is no such key");
                         }
@@ -302,20 +303,20 @@
                     "Reads every record and live value; prints one line, or refuses with file and"
                             + " offset.")
     static final class Verify implements Callable<Integer> {
-        @CommandLine.Mixin private StoreDirectory where;
+        @CommandLine.Mixin private StoreDirectory storeDirectory;
 
         @Override
         public Integer call() throws IOException {
-            return where.runReadOnly(
+            return storeDirectory.runReadOnly(
                     store -> {
-                        Store.VerificationResult all = store.verify();
+                        Store.VerificationResult result = store.verify();
                         System.out.println(
                                 "ok records="
-                                        + all.entryCount()
+                                        + result.entryCount()
                                         + " live="
-                                        + all.liveKeys()
+                                        + result.liveKeys()
                                         + " seq="
-                                        + all.lastSeq());
+                                        + result.lastSeq());
                         return 0;
                     });
         }
@@ -329,21 +330,22 @@
                     "Gives back the space of deleted and overwritten data; not while another one"
                             + " writes.")
     static final class Compact implements Callable<Integer> {
-        @CommandLine.Mixin private StoreDirectory where;
+        @CommandLine.Mixin private StoreDirectory storeDirectory;
 
         @Override
         public Integer call() throws IOException {
-            StoreOptions usual = StoreOptions.defaults();
-            return where.runWritable(
-                    new StoreOptions(usual.segmentBytes(), false, usual.compactionBytesPerSecond()),
+            StoreOptions defaults = StoreOptions.defaults();
+            return storeDirectory.runWritable(
+                    new StoreOptions(
+                            defaults.segmentBytes(), false, defaults.compactionBytesPerSecond()),
                     store -> {
-                        long before = store.statistics().fileBytes();
+                        long bytesBefore = store.statistics().fileBytes();
                         long copied = store.compact();
                         System.out.println(
                                 "compacted copied="
                                         + copied
                                         + " before="
-                                        + before
+                                        + bytesBefore
                                         + " after="
                                         + store.statistics().fileBytes());
                         return 0;
@@ -357,16 +359,16 @@
             mixinStandardHelpOptions = true,
             description = "Prints what a store holds.")
     static final class ShowStatistics implements Callable<Integer> {
-        @CommandLine.Mixin private StoreDirectory where;
+        @CommandLine.Mixin private StoreDirectory storeDirectory;
 
         @Option(names = "--json", description = "one JSON object")
         private boolean json;
 
         @Override
         public Integer call() throws IOException {
-            return where.runReadOnly(
+            return storeDirectory.runReadOnly(
                     store -> {
-                        Store.Statistics s = store.statistics();
+                        Store.Statistics statistics = store.statistics();
                         String[] names = {
                             "live",
                             "seq",
@@ -379,15 +381,15 @@
                             "log_since"
                         };
                         long[] values = {
-                            s.liveKeys(),
-                            s.lastSeq(),
-                            s.segmentCount(),
-                            s.fileBytes(),
-                            s.liveBytes(),
-                            s.deadBytes(),
-                            s.checkpointSeq(),
-                            s.checkpointBytes(),
-                            s.logBytesSinceCheckpoint()
+                            statistics.liveKeys(),
+                            statistics.lastSeq(),
+                            statistics.segmentCount(),
+                            statistics.fileBytes(),
+                            statistics.liveBytes(),
+                            statistics.deadBytes(),
+                            statistics.checkpointSeq(),
+                            statistics.checkpointBytes(),
+                            statistics.logBytesSinceCheckpoint()
                         };
                         StringBuilder out = new StringBuilder();
                         for (int i = 0; i < names.length; i++) {
--- a/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
@@ -19,8 +19,8 @@
 
         final String expectedViolation;
 
-        Fault(String found) {
-            this.expectedViolation = found;
+        Fault(String expectedViolation) {
+            this.expectedViolation = expectedViolation;
         }
     }
 
@@ -29,18 +29,21 @@
         return new Outcome(next, outcome.effects(), outcome.lost());
     }
 
-    private Outcome dropEffects(Fault dropping, Class<? extends Effect> dropped, Outcome outcome) {
-        List<Effect> kept =
+    private Outcome dropEffects(
+            Fault droppingFault, Class<? extends Effect> droppedType, Outcome outcome) {
+        List<Effect> remaining =
                 outcome.effects().stream()
-                        .filter(effect -> fault != dropping || !dropped.isInstance(effect))
+                        .filter(effect -> fault != droppingFault || !droppedType.isInstance(effect))
                         .toList();
-        return withFault(new Outcome(outcome.next(), kept, outcome.lost()));
+        return withFault(new Outcome(outcome.next(), remaining, outcome.lost()));
     }
 
-    private Outcome dropLoss(Fault dropping, Outcome outcome) {
+    private Outcome dropLoss(Fault droppingFault, Outcome outcome) {
         return withFault(
                 new Outcome(
-                        outcome.next(), outcome.effects(), outcome.lost() && fault != dropping));
+                        outcome.next(),
+                        outcome.effects(),
+                        outcome.lost() && fault != droppingFault));
     }
 
     @Override
@@ -63,8 +66,9 @@
 
     @Override
     public Outcome listArrived(long id, BackendList list, long heldRevision) {
-        long held = fault == Fault.OLD_LISTS_ARE_DELIVERED ? Long.MIN_VALUE : heldRevision;
-        Outcome outcome = correct.listArrived(id, list, held);
+        long comparedRevision =
+                fault == Fault.OLD_LISTS_ARE_DELIVERED ? Long.MIN_VALUE : heldRevision;
+        Outcome outcome = correct.listArrived(id, list, comparedRevision);
         if (fault == Fault.ENDED_CALLS_ARE_NOT_IGNORED && outcome.effects().isEmpty()) {
             return withFault(
                     new Outcome(outcome.next(), List.of(new Effect.DeliverList(list)), false));
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
@@ -25,8 +25,8 @@
     static final class Violation extends AssertionError {
         private static final long serialVersionUID = 1L;
 
-        Violation(String what, Node at) {
-            super(what + " after " + at.path());
+        Violation(String message, Node node) {
+            super(message + " after " + node.path());
         }
     }
 
@@ -104,8 +104,8 @@
     }
 
     private record Node(SimulatedState state, Node parent, String event, int depth) {
-        Node child(SimulatedState next, String what) {
-            return new Node(next, this, what, depth + 1);
+        Node child(SimulatedState next, String event) {
+            return new Node(next, this, event, depth + 1);
         }
 
         String path() {
@@ -141,34 +141,34 @@
     }
 
     private void expand(Node node) {
-        SimulatedState world = node.state;
-        applyOutcome(node, world, world.rules.ask(), "ask unasked");
-        applyOutcome(node, world, world.rules.addressChanged(), "address changes");
-        if (world.pendingAsks > 0) {
-            applyOutcome(node, world.withMoreAsks(-1), world.rules.ask(), "ask");
+        SimulatedState state = node.state;
+        applyOutcome(node, state, state.rules.ask(), "ask unasked");
+        applyOutcome(node, state, state.rules.addressChanged(), "address changes");
+        if (state.pendingAsks > 0) {
+            applyOutcome(node, state.withMoreAsks(-1), state.rules.ask(), "ask");
         }
-        for (SimulatedCall call : List.copyOf(world.calls.values())) {
+        for (SimulatedCall call : List.copyOf(state.calls.values())) {
             if (call.running) {
-                expandRunningCall(node, world, call);
+                expandRunningCall(node, state, call);
             }
             if (call.timerPending) {
-                expandPendingTimer(node, world, call);
+                expandPendingTimer(node, state, call);
             }
         }
     }
 
-    private void expandRunningCall(Node node, SimulatedState world, SimulatedCall call) {
-        for (long revision = world.heldRevision - 1;
-                revision <= world.heldRevision + 1;
+    private void expandRunningCall(Node node, SimulatedState state, SimulatedCall call) {
+        for (long revision = state.heldRevision - 1;
+                revision <= state.heldRevision + 1;
                 revision++) {
             applyOutcome(
                     node,
-                    withAnswer(world, call),
-                    checkIgnoredIfEnded(node, call, listArrives(world, call, revision)),
+                    withAnswer(state, call),
+                    checkIgnoredIfEnded(node, call, listArrives(state, call, revision)),
                     "list " + revision + " by " + call.id);
         }
-        SimulatedState silent =
-                world.withCall(
+        SimulatedState ended =
+                state.withCall(
                         new SimulatedCall(
                                 call.id,
                                 false,
@@ -177,32 +177,32 @@
                                 call.answered));
         applyOutcome(
                 node,
-                silent,
-                checkIgnoredIfEnded(node, call, world.rules.callEnded(call.id)),
+                ended,
+                checkIgnoredIfEnded(node, call, state.rules.callEnded(call.id)),
                 "end of " + call.id);
     }
 
-    private void expandPendingTimer(Node node, SimulatedState world, SimulatedCall call) {
+    private void expandPendingTimer(Node node, SimulatedState state, SimulatedCall call) {
         SimulatedState fired =
-                world.withCall(
+                state.withCall(
                         new SimulatedCall(
                                 call.id, call.running, false, call.endRequested, call.answered));
         applyOutcome(
                 node,
                 fired,
-                checkIgnoredIfEnded(node, call, world.rules.answerTimedOut(call.id)),
+                checkIgnoredIfEnded(node, call, state.rules.answerTimedOut(call.id)),
                 "time-out of " + call.id);
     }
 
-    private static SimulatedState withAnswer(SimulatedState world, SimulatedCall call) {
-        return world.withCall(
+    private static SimulatedState withAnswer(SimulatedState state, SimulatedCall call) {
+        return state.withCall(
                 new SimulatedCall(call.id, true, call.timerPending, call.endRequested, true));
     }
 
     private static DiscoveryRules.Outcome listArrives(
-            SimulatedState world, SimulatedCall call, long revision) {
-        return world.rules.listArrived(
-                call.id, new BackendList(revision, true, List.of()), world.heldRevision);
+            SimulatedState state, SimulatedCall call, long revision) {
+        return state.rules.listArrived(
+                call.id, new BackendList(revision, true, List.of()), state.heldRevision);
     }
 
     private static DiscoveryRules.Outcome checkIgnoredIfEnded(
@@ -219,59 +219,59 @@
      */
     private void applyOutcome(
             Node node, SimulatedState before, DiscoveryRules.Outcome outcome, String event) {
-        SimulatedState world =
+        SimulatedState state =
                 new SimulatedState(
                                 outcome.next(),
                                 before.calls,
                                 before.heldRevision,
                                 before.pendingAsks)
                         .withMoreAsks(outcome.lost() ? 1 : 0);
-        long begun = 0;
+        long startedId = 0;
         for (Effect effect : outcome.effects()) {
             if (effect instanceof Effect.StartCall start) {
-                begun = start.id();
+                startedId = start.id();
             } else {
-                world = perform(world, effect, node.child(world, event));
+                state = perform(state, effect, node.child(state, event));
             }
         }
-        if (begun == 0) {
-            visit(node.child(world, event));
+        if (startedId == 0) {
+            visit(node.child(state, event));
             return;
         }
         visit(
                 node.child(
-                        world.withCall(new SimulatedCall(begun, true, true, false, false)),
-                        event + " begins " + begun));
-        DiscoveryRules.Outcome failed = world.rules.startFailed(begun);
-        applyOutcome(node, world, failed, event + " finds no thread for " + begun);
+                        state.withCall(new SimulatedCall(startedId, true, true, false, false)),
+                        event + " begins " + startedId));
+        DiscoveryRules.Outcome failed = state.rules.startFailed(startedId);
+        applyOutcome(node, state, failed, event + " finds no thread for " + startedId);
     }
 
-    private static SimulatedState perform(SimulatedState world, Effect effect, Node node) {
+    private static SimulatedState perform(SimulatedState state, Effect effect, Node node) {
         if (effect instanceof Effect.EndCall end) {
-            SimulatedCall call = world.calls.get(end.id());
+            SimulatedCall call = state.calls.get(end.id());
             if (call == null || !call.isOpen()) {
                 throw new Violation("a call is ended that is not open: " + end.id(), node);
             }
-            return world.withCall(
+            return state.withCall(
                     new SimulatedCall(call.id, true, call.timerPending, true, call.answered));
         }
         if (effect instanceof Effect.DeliverList deliver) {
             long revision = deliver.list().revision();
-            if (revision < world.heldRevision) {
+            if (revision < state.heldRevision) {
                 throw new Violation("the list goes back to " + revision, node);
             }
-            return new SimulatedState(world.rules, world.calls, revision, world.pendingAsks);
+            return new SimulatedState(state.rules, state.calls, revision, state.pendingAsks);
         }
-        return effect instanceof Effect.AskLater ? world.withMoreAsks(1) : world;
+        return effect instanceof Effect.AskLater ? state.withMoreAsks(1) : state;
     }
 
     private static void checkGuarantees(Node node) {
-        SimulatedState world = node.state;
-        Collection<SimulatedCall> calls = world.calls.values();
+        SimulatedState state = node.state;
+        Collection<SimulatedCall> calls = state.calls.values();
         long open = calls.stream().filter(SimulatedCall::isOpen).count();
         boolean watch = calls.stream().anyMatch(call -> call.isOpen() && call.answered);
         boolean awaited = calls.stream().anyMatch(call -> call.isOpen() && call.timerPending);
-        if (!watch && !awaited && world.pendingAsks == 0) {
+        if (!watch && !awaited && state.pendingAsks == 0) {
             throw new Violation("deaf: no watch, no call whose time-out is to come, no ask", node);
         }
         if (open > DiscoveryCalls.MAX_CALLS) {
@@ -280,7 +280,7 @@
         if (watch && open > 1) {
             throw new Violation("calls beside the watch", node);
         }
-        if (!asksAgain(world)) {
+        if (!asksAgain(state)) {
             throw new Violation(
                     "deaf: discovery is not asked once all that is out falls silent", node);
         }
@@ -290,10 +290,10 @@
      * Whether a new call is started after every call has ended, every timer has fired and every
      * pending ask was made.
      */
-    private static boolean asksAgain(SimulatedState world) {
-        DiscoveryRules rules = world.rules;
-        int asks = world.pendingAsks;
-        for (SimulatedCall call : world.calls.values()) {
+    private static boolean asksAgain(SimulatedState state) {
+        DiscoveryRules rules = state.rules;
+        int asks = state.pendingAsks;
+        for (SimulatedCall call : state.calls.values()) {
             DiscoveryRules.Outcome ended =
                     call.running
                             ? rules.callEnded(call.id)
@@ -305,13 +305,13 @@
             asks += (ended.lost() ? 1 : 0) + (fired.lost() ? 1 : 0);
             rules = fired.next();
         }
-        boolean begun = false;
+        boolean callStarted = false;
         for (int i = 0; i < asks; i++) {
             DiscoveryRules.Outcome asked = rules.ask();
-            begun |=
+            callStarted |=
                     asked.effects().stream().anyMatch(effect -> effect instanceof Effect.StartCall);
             rules = asked.next();
         }
-        return begun;
+        return callStarted;
     }
 }
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsTest.java
@@ -19,17 +19,18 @@
 class DiscoveryCallsTest {
     private static final int MAX_EVENTS = 11;
 
-    private static void assertAccepted(String what, DiscoveryRules rules) {
+    private static void assertAccepted(String description, DiscoveryRules rules) {
         Explored explored = DiscoveryCallsExplorer.explore(rules, MAX_EVENTS);
-        System.out.println("accepted: " + what + ", " + explored);
+        System.out.println("accepted: " + description + ", " + explored);
     }
 
-    private static void assertRejected(String what, DiscoveryRules rules, String found) {
+    private static void assertRejected(
+            String description, DiscoveryRules rules, String expectedViolation) {
         Violation violation =
                 assertThrows(
                         Violation.class, () -> DiscoveryCallsExplorer.explore(rules, MAX_EVENTS));
-        System.out.println("rejected: " + what + ", " + violation.getMessage());
-        assertTrue(violation.getMessage().startsWith(found), violation.getMessage());
+        System.out.println("rejected: " + description + ", " + violation.getMessage());
+        assertTrue(violation.getMessage().startsWith(expectedViolation), violation.getMessage());
     }
 
     @Test
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryDelayTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryDelayTest.java
@@ -28,7 +28,7 @@
      * Returns the load balancer's longest pause after a number of consecutive failed calls, over
      * many seeds.
      */
-    private static Duration longestPause(int failed) {
+    private static Duration longestPause(int failedCalls) {
         Map<String, String> settings =
                 Map.of(
                         "Services.count",
@@ -44,52 +44,53 @@
         long longest = 0;
         for (long seed = 0; seed < 2_000; seed++) {
             List<Long> pauses = new ArrayList<>();
-            Api.Actions acts =
+            Api.Actions actions =
                     (Api.Actions)
                             Proxy.newProxyInstance(
                                     Api.class.getClassLoader(),
                                     new Class<?>[] {Api.Actions.class},
-                                    (proxy, method, given) -> {
+                                    (proxy, method, arguments) -> {
                                         if (method.getName().equals("setTimer")
-                                                && given[0].equals("list")) {
-                                            pauses.add((Long) given[1]);
+                                                && arguments[0].equals("list")) {
+                                            pauses.add((Long) arguments[1]);
                                         }
                                         return null;
                                     });
-            LoadBalancer logic =
+            LoadBalancer loadBalancer =
                     new LoadBalancer(
                             new SettingsReader(
                                             settings,
-                                            (key, what) -> new IllegalArgumentException(key + what))
+                                            (key, problem) ->
+                                                    new IllegalArgumentException(key + problem))
                                     .read(),
                             seed,
-                            acts);
-            for (int i = 0; i < failed; i++) {
-                logic.backendListReceived(i, BackendListKind.CALL_FAILED, List.of());
+                            actions);
+            for (int i = 0; i < failedCalls; i++) {
+                loadBalancer.backendListReceived(i, BackendListKind.CALL_FAILED, List.of());
             }
-            longest = Math.max(longest, pauses.get(failed - 1));
+            longest = Math.max(longest, pauses.get(failedCalls - 1));
         }
         return Duration.ofNanos(longest * 1_000);
     }
 
     @Test
     void watchThatFallsSilentIsReplacedThoughTheFirstCallHangs() {
-        Duration until =
+        Duration delay =
                 DiscoveryClient.SILENCE_TIMEOUT
                         .plus(longestPause(1))
                         .plus(DiscoverySubscription.ANSWER_TIMEOUT)
                         .plus(longestPause(2));
-        assertTrue(until.compareTo(MAX_DELAY) <= 0, until.toString());
+        assertTrue(delay.compareTo(MAX_DELAY) <= 0, delay.toString());
     }
 
     @Test
     void discoveryThatReturnsIsAskedInTimeHoweverLongItWasDown() {
-        for (int failed = 1; failed < 8; failed++) {
-            Duration until =
+        for (int failedCalls = 1; failedCalls < 8; failedCalls++) {
+            Duration delay =
                     DiscoverySubscription.ANSWER_TIMEOUT
-                            .plus(longestPause(failed))
+                            .plus(longestPause(failedCalls))
                             .plus(ANSWER_TIME);
-            assertTrue(until.compareTo(MAX_DELAY) <= 0, failed + " failed: " + until);
+            assertTrue(delay.compareTo(MAX_DELAY) <= 0, failedCalls + " failed: " + delay);
         }
     }
 }
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryRules.java
@@ -72,11 +72,10 @@
 
         @Override
         public String stateKey(LongFunction<String> nameOfCall) {
-            StringBuilder shape = new StringBuilder();
+            StringBuilder key = new StringBuilder();
             calls.calls()
-                    .forEach(
-                            call -> shape.append(nameOfCall.apply(call.id())).append(call.phase()));
-            return shape.toString();
+                    .forEach(call -> key.append(nameOfCall.apply(call.id())).append(call.phase()));
+            return key.toString();
         }
     }
 }
--- a/relay/src/test/java/saltstage/lifecycle/DiscoverySubscriptionTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoverySubscriptionTest.java
@@ -53,8 +53,8 @@
 
     @AfterEach
     void end() throws Exception {
-        for (AutoCloseable each : toClose) {
-            each.close();
+        for (AutoCloseable closeable : toClose) {
+            closeable.close();
         }
     }
 
@@ -98,8 +98,8 @@
         private final String request;
         private boolean headSent;
 
-        ServiceCall(ServerSocket at) throws IOException {
-            socket = at.accept();
+        ServiceCall(ServerSocket serverSocket) throws IOException {
+            socket = serverSocket.accept();
             toClose.add(socket);
             socket.setSoTimeout(30_000);
             in =
@@ -112,8 +112,8 @@
             }
         }
 
-        ServiceCall sendList(long version) throws IOException {
-            String list = "{\"rev\":" + version + ",\"all\":true,\"targets\":[]}\n";
+        ServiceCall sendList(long revision) throws IOException {
+            String list = "{\"rev\":" + revision + ",\"all\":true,\"targets\":[]}\n";
             String head = headSent ? "" : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
             headSent = true;
             String chunk = head + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n";
@@ -131,9 +131,9 @@
     }
 
     private long nextDelivered() throws InterruptedException {
-        Long version = delivered.poll(30, TimeUnit.SECONDS);
-        assertTrue(version != null, "no list was delivered");
-        return version;
+        Long revision = delivered.poll(30, TimeUnit.SECONDS);
+        assertTrue(revision != null, "no list was delivered");
+        return revision;
     }
 
     @Test
@@ -154,10 +154,10 @@
     void lateAnswerIsTakenAndTheCallBesideItEnds() throws Exception {
         subscription.ask();
         ServiceCall late = new ServiceCall(service);
-        ServiceCall beside = new ServiceCall(service);
+        ServiceCall second = new ServiceCall(service);
         late.sendList(5);
         assertEquals(5, nextDelivered());
-        beside.assertClosed();
+        second.assertClosed();
         late.sendList(6);
         assertEquals(6, nextDelivered());
     }
@@ -166,10 +166,10 @@
     void watchThatFallsSilentAfterALateAnswerIsFollowedByANewCall() throws Exception {
         subscription.ask();
         ServiceCall late = new ServiceCall(service);
-        ServiceCall beside = new ServiceCall(service);
+        ServiceCall second = new ServiceCall(service);
         late.sendList(5);
         assertEquals(5, nextDelivered());
-        beside.assertClosed();
+        second.assertClosed();
         late.socket.close();
         new ServiceCall(service).sendList(6);
         assertEquals(6, nextDelivered(), "discovery is asked again when the watch ends");
@@ -187,15 +187,15 @@
     void reloadAsksTheNewAddressAtOnceAndIgnoresTheOldOne() throws Exception {
         subscription.ask();
         ServiceCall old = new ServiceCall(service);
-        ServerSocket elsewhere = listen();
-        subscription.changeAddress(addressOf(elsewhere));
-        ServiceCall now = new ServiceCall(elsewhere);
+        ServerSocket newService = listen();
+        subscription.changeAddress(addressOf(newService));
+        ServiceCall current = new ServiceCall(newService);
         old.assertClosed();
-        now.sendList(7);
+        current.sendList(7);
         assertEquals(7, nextDelivered());
         assertEquals(0, failedCalls.get(), "what ended by the reload is no failure");
-        subscription.changeAddress(addressOf(elsewhere));
-        now.sendList(8);
+        subscription.changeAddress(addressOf(newService));
+        current.sendList(8);
         assertEquals(8, nextDelivered(), "the same address again changes nothing");
     }
 
@@ -217,10 +217,10 @@
         subscription.ask();
         new ServiceCall(service).socket.close();
         ServiceCall silent = new ServiceCall(service);
-        ServiceCall answers = new ServiceCall(service).sendList(5);
+        ServiceCall answering = new ServiceCall(service).sendList(5);
         assertEquals(5, nextDelivered());
         silent.assertClosed();
-        assertEquals("GET /discovery/hosts?watch=1&after=4 HTTP/1.1", answers.request);
+        assertEquals("GET /discovery/hosts?watch=1&after=4 HTTP/1.1", answering.request);
         assertEquals(0, failedCalls.get());
     }
 
--- a/relay/src/test/java/saltstage/lifecycle/FormerDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/FormerDiscoveryRules.java
@@ -11,7 +11,7 @@
 /**
  * Former rules with a fault: besides the set of calls they had a reference to the newest call,
  * which could refer to a call that had ended, and then no call was made any more. With {@code
- * forgets}, ending a call clears that reference too, which was the first fix.
+ * forgetsEndedCall}, ending a call clears that reference too, which was the first fix.
  */
 final class FormerDiscoveryRules implements DiscoveryRules {
     private static final long NONE = 0;
@@ -23,8 +23,8 @@
     private long watch = NONE;
     private long nextId = 1;
 
-    FormerDiscoveryRules(boolean forgets) {
-        this.forgetsEndedCall = forgets;
+    FormerDiscoveryRules(boolean forgetsEndedCall) {
+        this.forgetsEndedCall = forgetsEndedCall;
     }
 
     private FormerDiscoveryRules copy() {
@@ -87,8 +87,8 @@
         if (calls.contains(id)) {
             next.watch = id;
             calls.stream().filter(other -> other != id).forEach(other -> next.end(other, effects));
-            boolean old = list.revision() < heldRevision;
-            effects.add(old ? new Effect.DropOldList(list) : new Effect.DeliverList(list));
+            boolean outdated = list.revision() < heldRevision;
+            effects.add(outdated ? new Effect.DropOldList(list) : new Effect.DeliverList(list));
         }
         return new Outcome(next, effects, false);
     }
@@ -117,11 +117,11 @@
 
     @Override
     public String stateKey(LongFunction<String> nameOfCall) {
-        StringBuilder shape = new StringBuilder();
+        StringBuilder key = new StringBuilder();
         for (long id : calls) {
-            shape.append(nameOfCall.apply(id)).append(superseded.contains(id) ? "superseded" : "");
+            key.append(nameOfCall.apply(id)).append(superseded.contains(id) ? "superseded" : "");
         }
-        return shape
+        return key
                 + " newest="
                 + (newest == NONE ? "none" : nameOfCall.apply(newest) + superseded.contains(newest))
                 + " watch="
--- a/relay/src/test/java/saltstage/lifecycle/PairedDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/PairedDiscoveryRules.java
@@ -9,12 +9,14 @@
 /** Two sets of rules that must have the same effects at every event. */
 record PairedDiscoveryRules(DiscoveryRules first, DiscoveryRules second) implements DiscoveryRules {
     private Outcome applyToBoth(Function<DiscoveryRules, Outcome> event) {
-        Outcome one = event.apply(first);
-        Outcome other = event.apply(second);
-        assertEquals(one.effects(), other.effects());
-        assertEquals(one.lost(), other.lost());
+        Outcome firstOutcome = event.apply(first);
+        Outcome secondOutcome = event.apply(second);
+        assertEquals(firstOutcome.effects(), secondOutcome.effects());
+        assertEquals(firstOutcome.lost(), secondOutcome.lost());
         return new Outcome(
-                new PairedDiscoveryRules(one.next(), other.next()), one.effects(), one.lost());
+                new PairedDiscoveryRules(firstOutcome.next(), secondOutcome.next()),
+                firstOutcome.effects(),
+                firstOutcome.lost());
     }
 
     @Override
