--- a/relay/src/main/java/saltstage/lifecycle/ClientListener.java
+++ b/relay/src/main/java/saltstage/lifecycle/ClientListener.java
@@ -42,12 +42,12 @@
                     throw failure;
                 }
                 Log.warn("listen.failed", "why", failure.getMessage());
-                pause();
+                pauseBeforeRetry();
             }
         }
     }
 
-    private static void pause() throws IOException {
+    private static void pauseBeforeRetry() throws IOException {
         try {
             Thread.sleep(BIND_RETRY_PAUSE.toMillis());
         } catch (InterruptedException e) {
--- a/relay/src/main/java/saltstage/lifecycle/ConfiguredSettings.java
+++ b/relay/src/main/java/saltstage/lifecycle/ConfiguredSettings.java
@@ -60,15 +60,16 @@
     synchronized void apply() {
         OperatorSettings.Logging effective =
                 new OperatorSettings.Logging(
-                        parseWord(LOG_FORMAT, LogSetup.Format.class, fileSettings.format()),
-                        parseWord(LOG_LEVEL, OperatorSettings.Level.class, fileSettings.level()));
+                        parseSetting(LOG_FORMAT, LogSetup.Format.class, fileSettings.format()),
+                        parseSetting(
+                                LOG_LEVEL, OperatorSettings.Level.class, fileSettings.level()));
         if (!effective.equals(inForce)) {
             inForce = effective;
             LogSetup.reconfigure(effective.format(), effective.level().name());
         }
     }
 
-    private <E extends Enum<E>> E parseWord(String name, Class<E> type, E defaultValue) {
+    private <E extends Enum<E>> E parseSetting(String name, Class<E> type, E defaultValue) {
         String text = values.get(name);
         if (text == null) {
             return defaultValue;
--- a/relay/src/main/java/saltstage/lifecycle/DiscoveryCalls.java
+++ b/relay/src/main/java/saltstage/lifecycle/DiscoveryCalls.java
@@ -93,14 +93,14 @@
         if (remaining.size() >= MAX_CALLS) {
             effects.add(new Effect.EndCall(remaining.remove(0).id()));
         }
-        return begin(remaining, effects);
+        return startNextCall(remaining, effects);
     }
 
     /** Discovery is at another address: all calls end, and one to the new address is started. */
     Step addressChanged() {
         List<Effect> effects = new ArrayList<>();
         calls.forEach(call -> effects.add(new Effect.EndCall(call.id())));
-        return begin(List.of(), effects);
+        return startNextCall(List.of(), effects);
     }
 
     /** A call could not be started, as no thread was available. */
@@ -153,7 +153,7 @@
         return new Step(new DiscoveryCalls(without(id), nextId), List.of(), loss);
     }
 
-    private Step begin(List<Call> remaining, List<Effect> precedingEffects) {
+    private Step startNextCall(List<Call> remaining, List<Effect> precedingEffects) {
         List<Call> updated = new ArrayList<>(remaining);
         updated.add(new Call(nextId, Phase.AWAITED));
         List<Effect> effects = new ArrayList<>(precedingEffects);
--- a/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
@@ -26,7 +26,7 @@
 
     private Outcome withFault(Outcome outcome) {
         DiscoveryRules next = new BrokenDiscoveryRules(outcome.next(), fault);
-        return new Outcome(next, outcome.effects(), outcome.lost());
+        return new Outcome(next, outcome.effects(), outcome.discoveryLost());
     }
 
     private Outcome dropEffects(
@@ -35,7 +35,7 @@
                 outcome.effects().stream()
                         .filter(effect -> fault != droppingFault || !droppedType.isInstance(effect))
                         .toList();
-        return withFault(new Outcome(outcome.next(), remaining, outcome.lost()));
+        return withFault(new Outcome(outcome.next(), remaining, outcome.discoveryLost()));
     }
 
     private Outcome dropLoss(Fault droppingFault, Outcome outcome) {
@@ -43,7 +43,7 @@
                 new Outcome(
                         outcome.next(),
                         outcome.effects(),
-                        outcome.lost() && fault != droppingFault));
+                        outcome.discoveryLost() && fault != droppingFault));
     }
 
     @Override
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
@@ -207,7 +207,7 @@
 
     private static DiscoveryRules.Outcome checkIgnoredIfEnded(
             Node node, SimulatedCall call, DiscoveryRules.Outcome outcome) {
-        if (call.endRequested && (outcome.lost() || !outcome.effects().isEmpty())) {
+        if (call.endRequested && (outcome.discoveryLost() || !outcome.effects().isEmpty())) {
             throw new Violation("a call that was ended matters: " + call.id, node);
         }
         return outcome;
@@ -225,7 +225,7 @@
                                 before.calls,
                                 before.heldRevision,
                                 before.pendingAsks)
-                        .withMoreAsks(outcome.lost() ? 1 : 0);
+                        .withMoreAsks(outcome.discoveryLost() ? 1 : 0);
         long startedId = 0;
         for (Effect effect : outcome.effects()) {
             if (effect instanceof Effect.StartCall start) {
@@ -302,7 +302,7 @@
                     call.timerPending
                             ? ended.next().answerTimedOut(call.id)
                             : new DiscoveryRules.Outcome(ended.next(), List.of(), false);
-            asks += (ended.lost() ? 1 : 0) + (fired.lost() ? 1 : 0);
+            asks += (ended.discoveryLost() ? 1 : 0) + (fired.discoveryLost() ? 1 : 0);
             rules = fired.next();
         }
         boolean callStarted = false;
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryRules.java
@@ -11,7 +11,7 @@
  */
 interface DiscoveryRules {
     /** The outcome of an event. */
-    record Outcome(DiscoveryRules next, List<Effect> effects, boolean lost) {}
+    record Outcome(DiscoveryRules next, List<Effect> effects, boolean discoveryLost) {}
 
     Outcome ask();
 
--- a/relay/src/test/java/saltstage/lifecycle/DiscoverySubscriptionTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoverySubscriptionTest.java
@@ -45,14 +45,14 @@
     private DiscoverySubscription subscription;
 
     @BeforeEach
-    void begin() throws IOException {
+    void setUp() throws IOException {
         Threads.startLoop("timers", () -> timers.awaitNext().run());
         service = listen();
         subscription = subscribe(false);
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         for (AutoCloseable closeable : toClose) {
             closeable.close();
         }
--- a/relay/src/test/java/saltstage/lifecycle/FormerDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/FormerDiscoveryRules.java
@@ -37,13 +37,13 @@
         return copy;
     }
 
-    private void end(long id, List<Effect> effects) {
+    private void endCall(long id, List<Effect> effects) {
         calls.remove(id);
         newest = forgetsEndedCall && newest == id ? NONE : newest;
         effects.add(new Effect.EndCall(id));
     }
 
-    private void begin(List<Effect> effects) {
+    private void startCall(List<Effect> effects) {
         calls.add(nextId);
         newest = nextId;
         effects.add(new Effect.StartCall(nextId++));
@@ -55,9 +55,9 @@
         List<Effect> effects = new ArrayList<>();
         if (watch == NONE && (newest == NONE || superseded.contains(newest))) {
             if (calls.size() >= DiscoveryCalls.MAX_CALLS) {
-                next.end(calls.iterator().next(), effects);
+                next.endCall(calls.iterator().next(), effects);
             }
-            next.begin(effects);
+            next.startCall(effects);
         }
         return new Outcome(next, effects, false);
     }
@@ -66,9 +66,9 @@
     public Outcome addressChanged() {
         FormerDiscoveryRules next = copy();
         List<Effect> effects = new ArrayList<>();
-        calls.forEach(id -> next.end(id, effects));
+        calls.forEach(id -> next.endCall(id, effects));
         next.watch = NONE;
-        next.begin(effects);
+        next.startCall(effects);
         return new Outcome(next, effects, false);
     }
 
@@ -86,7 +86,9 @@
         List<Effect> effects = new ArrayList<>();
         if (calls.contains(id)) {
             next.watch = id;
-            calls.stream().filter(other -> other != id).forEach(other -> next.end(other, effects));
+            calls.stream()
+                    .filter(other -> other != id)
+                    .forEach(other -> next.endCall(other, effects));
             boolean outdated = list.revision() < heldRevision;
             effects.add(outdated ? new Effect.DropOldList(list) : new Effect.DeliverList(list));
         }
--- a/relay/src/test/java/saltstage/lifecycle/PairedDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/PairedDiscoveryRules.java
@@ -12,11 +12,11 @@
         Outcome firstOutcome = event.apply(first);
         Outcome secondOutcome = event.apply(second);
         assertEquals(firstOutcome.effects(), secondOutcome.effects());
-        assertEquals(firstOutcome.lost(), secondOutcome.lost());
+        assertEquals(firstOutcome.discoveryLost(), secondOutcome.discoveryLost());
         return new Outcome(
                 new PairedDiscoveryRules(firstOutcome.next(), secondOutcome.next()),
                 firstOutcome.effects(),
-                firstOutcome.lost());
+                firstOutcome.discoveryLost());
     }
 
     @Override
