--- a/relay/src/main/java/saltstage/lifecycle/ConfigCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/ConfigCommand.java
@@ -28,8 +28,8 @@
         name = "config",
         mixinStandardHelpOptions = true,
         description = {
-            "Shows the configurations that a relay has accepted, and brings one back.",
-            "They are read from the store of the settings, also while the relay runs."
+            "Shows the configurations that a relay has accepted, and restores one.",
+            "They are read from the store that the settings name, also while the relay runs."
         },
         subcommands = {
             ConfigCommand.ListVersions.class,
@@ -89,7 +89,7 @@
             name = "history",
             mixinStandardHelpOptions = true,
             description =
-                    "Lists the versions that are kept: number, time, hash, and the sizes of the two"
+                    "Lists the stored versions: number, time, hash, and the sizes of the two"
                             + " texts.")
     static final class ListVersions implements Callable<Integer> {
         @CommandLine.Mixin private SettingsStore settingsStore;
@@ -157,10 +157,10 @@
             name = "rollback",
             mixinStandardHelpOptions = true,
             description = {
-                "Checks a version and puts its texts in place of the files, whole or not at all"
-                        + " each. The relay takes",
-                "them on SIGHUP or at its next start, and that is a new version. One that is not"
-                        + " sound is refused."
+                "Checks a version and replaces the files by its texts, each file atomically."
+                        + " The relay reads",
+                "them on SIGHUP or at its next start, as a new version. An invalid version"
+                        + " is rejected."
             })
     static final class Rollback implements Callable<Integer> {
         @CommandLine.Mixin private SettingsStore settingsStore;
--- a/relay/src/main/java/saltstage/lifecycle/Main.java
+++ b/relay/src/main/java/saltstage/lifecycle/Main.java
@@ -94,7 +94,7 @@
     static final class ConfigOption {
         @Option(
                 names = "--config",
-                description = "the configuration file (default: what GW_CONFIG names)",
+                description = "the configuration file (default: the path in GW_CONFIG)",
                 defaultValue = "${env:GW_CONFIG}")
         private Path file;
 
@@ -115,8 +115,7 @@
         @Option(
                 names = "--settings",
                 paramLabel = "FILE",
-                description =
-                        "the operator's settings in HCL (default: none; all as on the platform)")
+                description = "the operator's settings in HCL (default: none, as on the platform)")
         private Path file;
 
         OperatorSettings read() throws MalformedException {
@@ -127,7 +126,7 @@
     /** Runs the relay. */
     @Command(
             name = "serve",
-            description = "Runs the relay until SIGTERM; SIGHUP reads the file anew.",
+            description = "Runs the relay until SIGTERM; SIGHUP reads the configuration again.",
             mixinStandardHelpOptions = true)
     static final class Serve implements Callable<Integer> {
         @CommandLine.Mixin private ConfigOption config;
@@ -167,7 +166,7 @@
     /** Checks the configuration and the settings. */
     @Command(
             name = "check",
-            description = "Reads the configuration and says whether it is sound.",
+            description = "Reads the configuration and reports whether it is valid.",
             mixinStandardHelpOptions = true)
     static final class Check implements Callable<Integer> {
         @CommandLine.Mixin private ConfigOption config;
@@ -208,7 +207,7 @@
     /** Runs the simulator's adapter on standard input and output. */
     @Command(
             name = "wirehost",
-            description = "Speaks the simulator's wire on standard input and output.",
+            description = "Speaks the simulator's protocol on standard input and output.",
             mixinStandardHelpOptions = true)
     static final class Wirehost implements Callable<Integer> {
         @Override
--- a/relay/src/main/java/saltstage/lifecycle/OperatorCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/OperatorCommand.java
@@ -23,8 +23,8 @@
         name = "call",
         mixinStandardHelpOptions = true,
         description = {
-            "Calls a relay that runs, where its GW_ADMIN or the admin of its configuration says.",
-            "Ends with 0 where the relay said yes, 1 where it said no, 3 where it did not answer."
+            "Calls a running relay at its GW_ADMIN address or its configured admin address.",
+            "Exits with 0 if the relay accepted the call, 1 if it rejected it, 3 on no answer."
         },
         subcommands = {
             OperatorCommand.Status.class,
@@ -56,7 +56,7 @@
                 names = "--admin",
                 paramLabel = "IP:PORT",
                 defaultValue = "${env:GW_ADMIN}",
-                description = "where the relay is called (default: what GW_ADMIN names)")
+                description = "the relay's admin address (default: the value of GW_ADMIN)")
         private String admin;
 
         @Option(
@@ -135,7 +135,7 @@
     /** Prints whether the relay serves. */
     @Command(
             name = "status",
-            description = "Whether this process serves.",
+            description = "Prints whether this process serves.",
             mixinStandardHelpOptions = true)
     static final class Status implements Callable<Integer> {
         @CommandLine.Mixin private RelayClientOptions relay;
@@ -149,7 +149,7 @@
     /** Prints the relay's metrics. */
     @Command(
             name = "metrics",
-            description = "The figures of this process.",
+            description = "Prints the metrics of this process.",
             mixinStandardHelpOptions = true)
     static final class Metrics implements Callable<Integer> {
         @CommandLine.Mixin private RelayClientOptions relay;
@@ -163,12 +163,12 @@
     /** Suspends a backend. */
     @Command(
             name = "suspend",
-            description = "Nothing more to a backend, until it is restored.",
+            description = "Suspends a backend: it gets no more requests until it is restored.",
             mixinStandardHelpOptions = true)
     static final class Suspend implements Callable<Integer> {
         @CommandLine.Mixin private RelayClientOptions relay;
 
-        @Parameters(paramLabel = "ID", description = "the backend, as discovery names it")
+        @Parameters(paramLabel = "ID", description = "the id of the backend in discovery")
         private String id;
 
         @Override
@@ -180,12 +180,12 @@
     /** Restores a suspended backend. */
     @Command(
             name = "restore",
-            description = "Uses a backend again.",
+            description = "Ends the suspension of a backend.",
             mixinStandardHelpOptions = true)
     static final class Restore implements Callable<Integer> {
         @CommandLine.Mixin private RelayClientOptions relay;
 
-        @Parameters(paramLabel = "ID", description = "the backend, as discovery names it")
+        @Parameters(paramLabel = "ID", description = "the id of the backend in discovery")
         private String id;
 
         @Override
--- a/relay/src/main/java/saltstage/lifecycle/StoreCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/StoreCommand.java
@@ -177,8 +177,8 @@
             description = {
                 "Reads pairs from standard input and commits each; a key alone deletes. Prints"
                         + " 'acked SEQ' once a",
-                "commit is durable. A bad line ends it: its batch is not committed, what was acked"
-                        + " stays."
+                "commit is durable. An invalid line ends the command without its batch; acked"
+                        + " batches stay."
             })
     static final class Load implements Callable<Integer> {
         @CommandLine.Mixin private StoreDirectory storeDirectory;
@@ -187,7 +187,7 @@
                 names = "--batch",
                 paramLabel = "N",
                 defaultValue = "1",
-                description = "so many lines are one atomic batch (default 1)")
+                description = "number of lines in one atomic batch (default 1)")
         private int batchSize;
 
         @Option(
@@ -300,7 +300,7 @@
             name = "verify",
             mixinStandardHelpOptions = true,
             description =
-                    "Reads every record and live value; prints one line, or refuses with file and"
+                    "Reads every record and live value; prints one line, or fails with file and"
                             + " offset.")
     static final class Verify implements Callable<Integer> {
         @CommandLine.Mixin private StoreDirectory storeDirectory;
@@ -327,8 +327,8 @@
             name = "compact",
             mixinStandardHelpOptions = true,
             description =
-                    "Gives back the space of deleted and overwritten data; not while another one"
-                            + " writes.")
+                    "Gives back the space of deleted and overwritten data; not while another"
+                            + " process writes.")
     static final class Compact implements Callable<Integer> {
         @CommandLine.Mixin private StoreDirectory storeDirectory;
 
@@ -357,7 +357,7 @@
     @Command(
             name = "stat",
             mixinStandardHelpOptions = true,
-            description = "Prints what a store holds.")
+            description = "Prints the statistics of a store.")
     static final class ShowStatistics implements Callable<Integer> {
         @CommandLine.Mixin private StoreDirectory storeDirectory;
 
--- a/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
@@ -9,13 +9,13 @@
 record BrokenDiscoveryRules(DiscoveryRules correct, Fault fault) implements DiscoveryRules {
     /** The injected fault, and the beginning of the violation's message. */
     enum Fault {
-        NO_RETRY_AFTER_A_FAILED_START("deaf: "),
-        TIME_OUT_IS_NOT_REPORTED("deaf: "),
-        CALL_END_IS_NOT_REPORTED("deaf: "),
+        NO_RETRY_AFTER_A_FAILED_START("not subscribed: "),
+        TIME_OUT_IS_NOT_REPORTED("not subscribed: "),
+        CALL_END_IS_NOT_REPORTED("not subscribed: "),
         OLDEST_CALL_IS_NOT_ENDED((DiscoveryCalls.MAX_CALLS + 1) + " calls"),
-        CALLS_BESIDE_THE_WATCH_ARE_NOT_ENDED("calls beside the watch"),
-        OLD_LISTS_ARE_DELIVERED("the list goes back"),
-        ENDED_CALLS_ARE_NOT_IGNORED("a call that was ended matters");
+        CALLS_BESIDE_THE_WATCH_ARE_NOT_ENDED("calls are open beside the watch"),
+        OLD_LISTS_ARE_DELIVERED("an older list was delivered"),
+        ENDED_CALLS_ARE_NOT_IGNORED("an ended call has an effect");
 
         final String expectedViolation;
 
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
@@ -208,7 +208,7 @@
     private static DiscoveryRules.Outcome checkIgnoredIfEnded(
             Node node, SimulatedCall call, DiscoveryRules.Outcome outcome) {
         if (call.endRequested && (outcome.discoveryLost() || !outcome.effects().isEmpty())) {
-            throw new Violation("a call that was ended matters: " + call.id, node);
+            throw new Violation("an ended call has an effect: " + call.id, node);
         }
         return outcome;
     }
@@ -250,7 +250,7 @@
         if (effect instanceof Effect.EndCall end) {
             SimulatedCall call = state.calls.get(end.id());
             if (call == null || !call.isOpen()) {
-                throw new Violation("a call is ended that is not open: " + end.id(), node);
+                throw new Violation("a call that is not open is ended: " + end.id(), node);
             }
             return state.withCall(
                     new SimulatedCall(call.id, true, call.timerPending, true, call.answered));
@@ -258,7 +258,7 @@
         if (effect instanceof Effect.DeliverList deliver) {
             long revision = deliver.list().revision();
             if (revision < state.heldRevision) {
-                throw new Violation("the list goes back to " + revision, node);
+                throw new Violation("an older list was delivered: " + revision, node);
             }
             return new SimulatedState(state.rules, state.calls, revision, state.pendingAsks);
         }
@@ -272,17 +272,18 @@
         boolean watch = calls.stream().anyMatch(call -> call.isOpen() && call.answered);
         boolean awaited = calls.stream().anyMatch(call -> call.isOpen() && call.timerPending);
         if (!watch && !awaited && state.pendingAsks == 0) {
-            throw new Violation("deaf: no watch, no call whose time-out is to come, no ask", node);
+            throw new Violation("not subscribed: no watch, no awaited call, no pending ask", node);
         }
         if (open > DiscoveryCalls.MAX_CALLS) {
             throw new Violation(open + " calls", node);
         }
         if (watch && open > 1) {
-            throw new Violation("calls beside the watch", node);
+            throw new Violation("calls are open beside the watch", node);
         }
         if (!asksAgain(state)) {
             throw new Violation(
-                    "deaf: discovery is not asked once all that is out falls silent", node);
+                    "not subscribed: no call is started after all pending calls, timers and asks",
+                    node);
         }
     }
 
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsTest.java
@@ -47,7 +47,8 @@
 
     @Test
     void formerBookkeepingIsFoundToStopAsking() {
-        assertRejected("the former bookkeeping", new FormerDiscoveryRules(false), "deaf: ");
+        assertRejected(
+                "the former bookkeeping", new FormerDiscoveryRules(false), "not subscribed: ");
     }
 
     @ParameterizedTest
--- a/relay/src/test/java/saltstage/lifecycle/DiscoverySubscriptionTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoverySubscriptionTest.java
@@ -146,7 +146,7 @@
         assertEquals(
                 6,
                 answered.sendList(6) == null ? 0 : nextDelivered(),
-                "the one that answered is the watch");
+                "the answered call is the watch");
         assertEquals(1, failedCalls.get(), "a superseded call is reported once");
     }
 
@@ -193,7 +193,7 @@
         old.assertClosed();
         current.sendList(7);
         assertEquals(7, nextDelivered());
-        assertEquals(0, failedCalls.get(), "what ended by the reload is no failure");
+        assertEquals(0, failedCalls.get(), "calls ended by the reload are no failures");
         subscription.changeAddress(addressOf(newService));
         current.sendList(8);
         assertEquals(8, nextDelivered(), "the same address again changes nothing");
