--- a/relay/src/main/java/saltstage/lifecycle/Drain.java
+++ b/relay/src/main/java/saltstage/lifecycle/Drain.java
@@ -28,9 +28,7 @@
     /** New clients arrive for up to 0.4 s more; after that they are directed to another relay. */
     private static final Duration MIN_DRAIN_TIME = Duration.ofMillis(900);
 
-    /**
-     * How long clients may take to disconnect after they were told that the relay is shutting down.
-     */
+    /** How long clients may take to disconnect after they were informed of the shutdown. */
     private static final Duration DISCONNECT_TIMEOUT = Duration.ofMillis(400);
 
     private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
--- a/relay/src/main/java/saltstage/lifecycle/RelayServer.java
+++ b/relay/src/main/java/saltstage/lifecycle/RelayServer.java
@@ -156,8 +156,7 @@
     }
 
     private void startParts() throws IOException {
-        // The admin listener starts first, so that operators can call during the start.
-        if (adminAddress() != null) {
+        if (adminAddress() != null) { // first, so that operators can call during the start
             pipeline.admissionControl().reserveDescriptors(AdminListener.MAX_DESCRIPTORS);
             AdminListener adminListener = new AdminListener(adminAddress(), operations);
             Threads.startLoop("admin", adminListener::runOnce);
@@ -169,8 +168,7 @@
         if (sharedConfiguration != null) {
             pipeline.admissionControl().reserveDescriptors(SharedConfiguration.MAX_DESCRIPTORS);
         }
-        // The limit follows the list: probes of the listed backends take a part of the descriptors.
-        pipeline.setDescriptorLimit(config.maxSockets());
+        pipeline.setDescriptorLimit(config.maxSockets()); // after the list: its probes take a part
         Threads.startLoop("timers", () -> timers.awaitNext().run());
         pipeline.router().start(list);
         startDiscovery();
@@ -196,8 +194,7 @@
         if (adminAddress() != null
                 || environment.inheritsListener()
                 || sharedConfiguration != null) {
-            // Suspensions and the share of the descriptors apply before the first client comes.
-            operations.poll();
+            operations.poll(); // suspensions and descriptor share apply before the first client
             Threads.startLoop("clerk", operations::runOnce);
         }
         awaitFirstList();
