--- a/relay/src/main/java/saltstage/lifecycle/Drain.java
+++ b/relay/src/main/java/saltstage/lifecycle/Drain.java
@@ -11,12 +11,13 @@
 import saltstage.stage.RelayPipeline;
 
 /**
- * The end after SIGTERM. SIGKILL comes 0.7 s after the longest deadline at the earliest, which
- * counts as 3 s where it is longer. New clients are taken as before; those that stand are moved a
- * few at a time, not at once: one that is moved sooner has nowhere to go where the other relay is
- * only just starting. What still waits is rejected after that, and all is over 0.5 s before
- * SIGKILL. A relay whose core is busy with a crowd hears of SIGTERM up to 0.4 s late and moves 170
- * clients no faster than in a second: the rest is for that.
+ * The drain after SIGTERM. SIGKILL comes 0.7 s after the longest client deadline at the earliest,
+ * and a deadline over 3 s counts as 3 s. New clients are accepted as before. Established clients
+ * are moved a few at a time and late: a client that is moved sooner has nowhere to go while the
+ * other relay is only just starting. Requests that still wait are rejected after that, and the
+ * drain is over 0.5 s before SIGKILL. A relay whose core is busy with many clients handles SIGTERM
+ * up to 0.4 s late and needs at least a second to move 170 clients; the remaining time allows for
+ * that.
  */
 final class Drain {
     private static final Duration MAX_DEADLINE = Duration.ofSeconds(3);
@@ -24,10 +25,10 @@
     private static final Duration MOVE_PERIOD = Duration.ofMillis(1_600);
     private static final Duration REJECT_PERIOD = Duration.ofMillis(800);
 
-    /** New clients come for up to 0.4 s more; the front then sends them elsewhere. */
+    /** New clients arrive for up to 0.4 s more; after that they are directed to another relay. */
     private static final Duration MIN_DRAIN_TIME = Duration.ofMillis(900);
 
-    /** So long who has been told that the relay ends may take to hang up. */
+    /** How long clients may take to disconnect after they were informed of the shutdown. */
     private static final Duration DISCONNECT_TIMEOUT = Duration.ofMillis(400);
 
     private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
@@ -35,30 +36,33 @@
     private final MonotonicClock clock;
     private final RelayPipeline pipeline;
     private final Instant start;
-    private final Duration movesFrom;
-    private final Duration movesUntil;
+    private final Duration movesStart;
+    private final Duration movesEnd;
     private final Duration drainLimit;
     private final boolean hasSuccessor;
 
     /**
-     * A drain that began so late after SIGTERM, as far as known; succeeded: another process serves.
+     * Creates a drain.
+     *
+     * @param lateness the estimated time between SIGTERM and now
+     * @param hasSuccessor whether another process of this relay already serves
      */
     Drain(
             MonotonicClock clock,
-            RelayPipeline chain,
+            RelayPipeline pipeline,
             Duration longestDeadline,
-            Duration late,
-            boolean succeeded) {
-        this.hasSuccessor = succeeded;
+            Duration lateness,
+            boolean hasSuccessor) {
+        this.hasSuccessor = hasSuccessor;
         this.clock = clock;
-        this.pipeline = chain;
-        start = clock.now().minus(late);
-        Duration most =
+        this.pipeline = pipeline;
+        start = clock.now().minus(lateness);
+        Duration maxDeadline =
                 longestDeadline.compareTo(MAX_DEADLINE) < 0 ? longestDeadline : MAX_DEADLINE;
-        Duration last = notNegative(most.minus(DEADLINE_MARGIN));
-        movesFrom = succeeded ? Duration.ZERO : notNegative(last.minus(MOVE_PERIOD));
-        movesUntil = succeeded && MOVE_PERIOD.compareTo(last) < 0 ? MOVE_PERIOD : last;
-        drainLimit = last.plus(REJECT_PERIOD);
+        Duration lastMove = notNegative(maxDeadline.minus(DEADLINE_MARGIN));
+        movesStart = hasSuccessor ? Duration.ZERO : notNegative(lastMove.minus(MOVE_PERIOD));
+        movesEnd = hasSuccessor && MOVE_PERIOD.compareTo(lastMove) < 0 ? MOVE_PERIOD : lastMove;
+        drainLimit = lastMove.plus(REJECT_PERIOD);
     }
 
     void run() {
@@ -72,7 +76,9 @@
                 clientCount(),
                 "succeeded",
                 hasSuccessor);
-        if (!hasSuccessor) { // else nobody comes any more, and who has come is served
+        // A successor accepts all new clients, and pending clients of this process are still
+        // served.
+        if (!hasSuccessor) {
             pipeline.frontends().forEach(Frontend::startDraining);
         }
         try {
@@ -83,8 +89,8 @@
                 }
                 Thread.sleep(POLL_INTERVAL.toMillis());
             }
-            Duration until = elapsed().plus(DISCONNECT_TIMEOUT);
-            while (clientCount() > 0 && elapsed().compareTo(until) < 0) {
+            Duration disconnectDeadline = elapsed().plus(DISCONNECT_TIMEOUT);
+            while (clientCount() > 0 && elapsed().compareTo(disconnectDeadline) < 0) {
                 rejectRemaining();
                 Thread.sleep(POLL_INTERVAL.toMillis());
             }
@@ -101,14 +107,17 @@
                 elapsed().toMillis());
     }
 
-    /** Each time: who comes or asks after the first one has to be answered too. */
+    /**
+     * Rejects all waiting requests and pending clients. Repeated, as clients that arrive later need
+     * an answer too.
+     */
     private void rejectRemaining() {
         pipeline.rejectWaiting();
         pipeline.frontends().forEach(Frontend::rejectPendingClients);
     }
 
-    private static Duration notNegative(Duration span) {
-        return span.isNegative() ? Duration.ZERO : span;
+    private static Duration notNegative(Duration duration) {
+        return duration.isNegative() ? Duration.ZERO : duration;
     }
 
     private Duration elapsed() {
@@ -121,29 +130,29 @@
 
     private boolean isDone() {
         if (hasSuccessor) {
-            return clientCount() == 0; // also those whose first line is still on its way
+            return clientCount() == 0; // counts pending clients too
         }
         return elapsed().compareTo(MIN_DRAIN_TIME) > 0
-                && pipeline.frontends().stream().allMatch(front -> front.requestCount() == 0);
+                && pipeline.frontends().stream().allMatch(frontend -> frontend.requestCount() == 0);
     }
 
     /**
-     * As many of those that stand as the steps that are left ask for, so that the others are not
-     * flooded.
+     * Moves the share of the established clients that is due in this step. Spreading the moves
+     * keeps the other relays from being flooded.
      */
     private void moveDueClients() {
-        if (elapsed().compareTo(movesFrom) < 0) {
+        if (elapsed().compareTo(movesStart) < 0) {
             return;
         }
-        List<Attempt> standing = List.copyOf(pipeline.outcomeRecorder().establishedAttempts());
-        long due =
+        List<Attempt> established = List.copyOf(pipeline.outcomeRecorder().establishedAttempts());
+        long movesDue =
                 MovePacing.movesPerStep(
-                        standing.size(), movesUntil.minus(elapsed()), POLL_INTERVAL);
-        for (Attempt up : standing) {
-            if (due <= 0) {
+                        established.size(), movesEnd.minus(elapsed()), POLL_INTERVAL);
+        for (Attempt attempt : established) {
+            if (movesDue <= 0) {
                 break;
             }
-            due -= pipeline.move(up, "relay leaves") ? 1 : 0;
+            movesDue -= pipeline.move(attempt, "relay leaves") ? 1 : 0;
         }
     }
 }
--- a/relay/src/main/java/saltstage/lifecycle/Main.java
+++ b/relay/src/main/java/saltstage/lifecycle/Main.java
@@ -23,7 +23,7 @@
 import saltstage.sim.SimulatorAdapter;
 import saltstage.wire.MalformedException;
 
-/** The command line. */
+/** The command line of the relay. */
 @Command(
         name = "saltstage",
         description = "A relay for long-lived connections.",
@@ -41,7 +41,7 @@
     private static final int EXIT_FAILED = 1;
     private static final int EXIT_USAGE = 2;
 
-    /** Exits 0 when done, 1 on bad configuration or input, 2 on a wrong command line. */
+    /** Exits with 0 on success, 1 on invalid configuration or input, 2 on a wrong command line. */
     public static void main(String[] args) {
         boolean serving = args.length > 0 && args[0].equals("serve");
         if (serving) {
@@ -51,25 +51,29 @@
     }
 
     /**
-     * A relay that restarts on half a core does not read the commands that it cannot be asked for.
+     * Builds the command line. The serve command skips the operators' commands: loading them would
+     * delay a relay that restarts on half a core.
      */
     private static CommandLine commandLine(boolean serving) {
-        CommandLine line = new CommandLine(new Main());
+        CommandLine commandLine = new CommandLine(new Main());
         if (!serving) {
-            line.addSubcommand(new StoreCommand())
+            commandLine
+                    .addSubcommand(new StoreCommand())
                     .addSubcommand(new ConfigCommand())
                     .addSubcommand(new OperatorCommand());
         }
-        // One plain line, whatever is wrong: picocli would add the whole usage.
-        line.setParameterExceptionHandler((e, args) -> reportError(e.getMessage(), EXIT_USAGE));
-        line.setExecutionExceptionHandler(
-                (e, at, all) -> reportError(String.valueOf(e.getMessage()), EXIT_FAILED));
-        return line;
+        // Every error is printed as one plain line; by default picocli would add the whole usage.
+        commandLine.setParameterExceptionHandler(
+                (e, args) -> reportError(e.getMessage(), EXIT_USAGE));
+        commandLine.setExecutionExceptionHandler(
+                (e, command, parseResult) ->
+                        reportError(String.valueOf(e.getMessage()), EXIT_FAILED));
+        return commandLine;
     }
 
-    private static int reportError(String what, int code) {
-        System.err.println("saltstage: " + what.replaceAll("\\s+", " "));
-        return code;
+    private static int reportError(String message, int exitCode) {
+        System.err.println("saltstage: " + message.replaceAll("\\s+", " "));
+        return exitCode;
     }
 
     @Override
@@ -77,7 +81,7 @@
         return reportError("a sub-command is needed; see 'help'", EXIT_USAGE);
     }
 
-    /** The version that the jar was built as. */
+    /** The version that the jar was built with. */
     static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -86,11 +90,11 @@
         }
     }
 
-    /** Where the configuration is. */
+    /** The option that names the configuration file. */
     static final class ConfigOption {
         @Option(
                 names = "--config",
-                description = "the configuration file (default: what GW_CONFIG names)",
+                description = "the configuration file (default: the path in GW_CONFIG)",
                 defaultValue = "${env:GW_CONFIG}")
         private Path file;
 
@@ -106,13 +110,12 @@
         }
     }
 
-    /** Where the operator's settings are, if there are any. */
+    /** The option that names the operator's settings file, if there is one. */
     static final class SettingsOption {
         @Option(
                 names = "--settings",
                 paramLabel = "FILE",
-                description =
-                        "the operator's settings in HCL (default: none; all as on the platform)")
+                description = "the operator's settings in HCL (default: none, as on the platform)")
         private Path file;
 
         OperatorSettings read() throws MalformedException {
@@ -120,10 +123,10 @@
         }
     }
 
-    /** Serves. */
+    /** Runs the relay. */
     @Command(
             name = "serve",
-            description = "Runs the relay until SIGTERM; SIGHUP reads the file anew.",
+            description = "Runs the relay until SIGTERM; SIGHUP reads the configuration again.",
             mixinStandardHelpOptions = true)
     static final class Serve implements Callable<Integer> {
         @CommandLine.Mixin private ConfigOption config;
@@ -132,34 +135,38 @@
 
         @Override
         public Integer call() throws MalformedException, IOException, InterruptedException {
-            OperatorSettings chosen = settings.read();
-            LogSetup.reconfigure(chosen.logging().format(), chosen.logging().level().name());
+            OperatorSettings operatorSettings = settings.read();
+            LogSetup.reconfigure(
+                    operatorSettings.logging().format(), operatorSettings.logging().level().name());
             if (HANGUP_SIGNAL.isIgnored()) {
                 Log.warn("reload.ignored", "why", "the process was started with SIGHUP ignored");
             }
-            RelayServer program =
-                    new RelayServer(config.read(), chosen, ProcessEnvironment.of(System.getenv()));
+            RelayServer server =
+                    new RelayServer(
+                            config.read(),
+                            operatorSettings,
+                            ProcessEnvironment.of(System.getenv()));
             Runtime.getRuntime()
                     .addShutdownHook(
                             new Thread(
                                     () -> {
-                                        if (program.drain()) {
+                                        if (server.drain()) {
                                             Runtime.getRuntime()
                                                     .halt(0); // a planned end is no failure
                                         }
                                     },
                                     "drain"));
-            program.start();
-            HANGUP_SIGNAL.setHandler(() -> program.reload(config::read, settings::read));
+            server.start();
+            HANGUP_SIGNAL.setHandler(() -> server.reload(config::read, settings::read));
             new CountDownLatch(1).await();
             return 0;
         }
     }
 
-    /** Checks. */
+    /** Checks the configuration and the settings. */
     @Command(
             name = "check",
-            description = "Reads the configuration and says whether it is sound.",
+            description = "Reads the configuration and reports whether it is valid.",
             mixinStandardHelpOptions = true)
     static final class Check implements Callable<Integer> {
         @CommandLine.Mixin private ConfigOption config;
@@ -168,21 +175,22 @@
 
         @Override
         public Integer call() throws MalformedException {
-            boolean both = config.isGiven() || settings.file == null;
+            boolean checksConfiguration = config.isGiven() || settings.file == null;
             if (settings.file != null) {
                 settings.read();
                 System.out.println("sound: settings " + settings.file);
             }
-            if (both) {
-                Configuration read = config.read();
-                int backends = read.knownBackends().entries().size();
-                System.out.println("sound: " + read.name() + ", " + backends + " backends known");
+            if (checksConfiguration) {
+                Configuration configuration = config.read();
+                int backends = configuration.knownBackends().entries().size();
+                System.out.println(
+                        "sound: " + configuration.name() + ", " + backends + " backends known");
             }
             return 0;
         }
     }
 
-    /** Says the version. */
+    /** Prints the version. */
     @Command(name = "version", description = "Prints the version.", mixinStandardHelpOptions = true)
     static final class ShowVersion implements Callable<Integer> {
         @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -196,10 +204,10 @@
         }
     }
 
-    /** The simulator's adapter. */
+    /** Runs the simulator's adapter on standard input and output. */
     @Command(
             name = "wirehost",
-            description = "Speaks the simulator's wire on standard input and output.",
+            description = "Speaks the simulator's protocol on standard input and output.",
             mixinStandardHelpOptions = true)
     static final class Wirehost implements Callable<Integer> {
         @Override
--- a/relay/src/main/java/saltstage/lifecycle/OperatorCommand.java
+++ b/relay/src/main/java/saltstage/lifecycle/OperatorCommand.java
@@ -18,13 +18,13 @@
 import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
-/** The calls of operators to a relay that runs. */
+/** The {@code call} command: operator calls to a running relay. */
 @Command(
         name = "call",
         mixinStandardHelpOptions = true,
         description = {
-            "Calls a relay that runs, where its GW_ADMIN or the admin of its configuration says.",
-            "Ends with 0 where the relay said yes, 1 where it said no, 3 where it did not answer."
+            "Calls a running relay at its GW_ADMIN address or its configured admin address.",
+            "Exits with 0 if the relay accepted the call, 1 if it rejected it, 3 on no answer."
         },
         subcommands = {
             OperatorCommand.Status.class,
@@ -45,7 +45,10 @@
                 spec.commandLine(), "a sub-command is needed; see 'call help'");
     }
 
-    /** Where the relay is called, and how its answer is shown. */
+    /**
+     * The options of every operator call: the relay's admin address, the time-out and the output
+     * format.
+     */
     static final class RelayClientOptions {
         private static final int MAX_ANSWER_BYTES = 1 << 20;
 
@@ -53,7 +56,7 @@
                 names = "--admin",
                 paramLabel = "IP:PORT",
                 defaultValue = "${env:GW_ADMIN}",
-                description = "where the relay is called (default: what GW_ADMIN names)")
+                description = "the relay's admin address (default: the value of GW_ADMIN)")
         private String admin;
 
         @Option(
@@ -61,75 +64,78 @@
                 paramLabel = "MS",
                 defaultValue = "2000",
                 description = "how long to wait, in milliseconds (default: ${DEFAULT-VALUE})")
-        private int timeout;
+        private int timeoutMillis;
 
         @Option(names = "--json", description = "one JSON object instead of lines")
         private boolean json;
 
-        private int call(String call) throws MalformedException {
+        private int call(String command) throws MalformedException {
             if (admin == null || admin.isEmpty()) {
                 throw new MalformedException("no address: set GW_ADMIN or give --admin");
             }
-            InetSocketAddress at = BackendList.parseAddress(admin);
+            InetSocketAddress address = BackendList.parseAddress(admin);
             List<String> lines;
             try {
-                lines = exchange(at, call);
-            } catch (IOException silent) {
+                lines = exchange(address, command);
+            } catch (IOException failure) {
                 System.err.println(
-                        "saltstage: " + admin + " did not answer: " + silent.getMessage());
+                        "saltstage: " + admin + " did not answer: " + failure.getMessage());
                 return EXIT_NO_ANSWER;
             }
             String last = lines.isEmpty() ? "" : lines.get(lines.size() - 1);
-            boolean yes = last.equals("end") || last.startsWith("done");
-            if (!yes && !last.startsWith("error")) {
+            boolean succeeded = last.equals("end") || last.startsWith("done");
+            if (!succeeded && !last.startsWith("error")) {
                 System.err.println("saltstage: " + admin + " did not answer whole");
                 return EXIT_NO_ANSWER;
             }
             System.out.println(
-                    json ? toJson(yes, lines) : String.join(System.lineSeparator(), lines));
-            return yes ? 0 : EXIT_REJECTED;
+                    json ? toJson(succeeded, lines) : String.join(System.lineSeparator(), lines));
+            return succeeded ? 0 : EXIT_REJECTED;
         }
 
-        private List<String> exchange(InetSocketAddress at, String call) throws IOException {
-            long until = System.nanoTime() + Duration.ofMillis(timeout).toNanos();
+        private List<String> exchange(InetSocketAddress address, String command)
+                throws IOException {
+            long deadlineNs = System.nanoTime() + Duration.ofMillis(timeoutMillis).toNanos();
             try (Socket socket = new Socket()) {
-                socket.connect(at, timeout);
-                socket.getOutputStream().write((call + "\r\n").getBytes(StandardCharsets.US_ASCII));
+                socket.connect(address, timeoutMillis);
+                socket.getOutputStream()
+                        .write((command + "\r\n").getBytes(StandardCharsets.US_ASCII));
                 InputStream in = socket.getInputStream();
                 StringBuilder text = new StringBuilder();
-                for (int c = 0; c >= 0 && text.length() < MAX_ANSWER_BYTES; ) {
-                    socket.setSoTimeout((int) Math.max(1, (until - System.nanoTime()) / 1_000_000));
-                    c = in.read();
-                    if (c >= 0) {
-                        text.append((char) c);
+                for (int next = 0; next >= 0 && text.length() < MAX_ANSWER_BYTES; ) {
+                    socket.setSoTimeout(
+                            (int) Math.max(1, (deadlineNs - System.nanoTime()) / 1_000_000));
+                    next = in.read();
+                    if (next >= 0) {
+                        text.append((char) next);
                     }
                 }
                 return text.toString().lines().toList();
             }
         }
 
-        /** The names are the relay's own; none holds what JSON would have to escape. */
-        private static String toJson(boolean yes, List<String> lines) {
-            List<String> members = new ArrayList<>(List.of("\"ok\":" + yes));
-            Map<String, String> figures = new TreeMap<>();
+        /** Formats an answer as JSON. The metric names are the relay's own and need no escaping. */
+        private static String toJson(boolean succeeded, List<String> lines) {
+            List<String> members = new ArrayList<>(List.of("\"ok\":" + succeeded));
+            Map<String, String> metrics = new TreeMap<>();
             for (String line : lines) {
                 int colon = line.indexOf(':');
                 int bar = line.indexOf('|');
                 if (line.startsWith("app.") && colon > 0 && bar > colon) {
-                    figures.put(line.substring(0, colon), line.substring(colon + 1, bar));
+                    metrics.put(line.substring(0, colon), line.substring(colon + 1, bar));
                 } else if (!line.equals("end")) {
                     members.add("\"said\":\"" + line.replace('\\', '/').replace('"', '\'') + "\"");
                 }
             }
-            figures.forEach((name, value) -> members.add("\"" + name + "\":" + value));
+            metrics.forEach((name, value) -> members.add("\"" + name + "\":" + value));
             return "{" + String.join(",", members) + "}";
         }
     }
 
-    /** Whether it serves. */
+    /** Prints whether the relay serves. */
     @Command(
             name = "status",
-            description = "Whether this process serves.",
+            description = "Prints whether this process serves.",
             mixinStandardHelpOptions = true)
     static final class Status implements Callable<Integer> {
         @CommandLine.Mixin private RelayClientOptions relay;
@@ -140,10 +146,10 @@
         }
     }
 
-    /** Its figures. */
+    /** Prints the relay's metrics. */
     @Command(
             name = "metrics",
-            description = "The figures of this process.",
+            description = "Prints the metrics of this process.",
             mixinStandardHelpOptions = true)
     static final class Metrics implements Callable<Integer> {
         @CommandLine.Mixin private RelayClientOptions relay;
@@ -154,15 +160,15 @@
         }
     }
 
-    /** Takes a backend out. */
+    /** Suspends a backend. */
     @Command(
             name = "suspend",
-            description = "Nothing more to a backend, until it is restored.",
+            description = "Suspends a backend: it gets no more requests until it is restored.",
             mixinStandardHelpOptions = true)
     static final class Suspend implements Callable<Integer> {
         @CommandLine.Mixin private RelayClientOptions relay;
 
-        @Parameters(paramLabel = "ID", description = "the backend, as discovery names it")
+        @Parameters(paramLabel = "ID", description = "the id of the backend in discovery")
         private String id;
 
         @Override
@@ -171,15 +177,15 @@
         }
     }
 
-    /** Puts a backend back. */
+    /** Restores a suspended backend. */
     @Command(
             name = "restore",
-            description = "Uses a backend again.",
+            description = "Ends the suspension of a backend.",
             mixinStandardHelpOptions = true)
     static final class Restore implements Callable<Integer> {
         @CommandLine.Mixin private RelayClientOptions relay;
 
-        @Parameters(paramLabel = "ID", description = "the backend, as discovery names it")
+        @Parameters(paramLabel = "ID", description = "the id of the backend in discovery")
         private String id;
 
         @Override
--- a/relay/src/main/java/saltstage/lifecycle/RelayOperations.java
+++ b/relay/src/main/java/saltstage/lifecycle/RelayOperations.java
@@ -31,14 +31,14 @@
 import saltstage.wire.BackendList;
 
 /**
- * Does for operators what takes a file or the module's lock, on one thread: bans, what the other
- * process of this relay is left, its part of the descriptors. Who asks for figures reads what was
- * last looked at.
+ * Performs on one thread the work for operators that takes a file or the load balancer's lock:
+ * suspensions, the takeover file for the other process of this relay, and this process's share of
+ * the descriptors. Calls for metrics read the state of the last poll.
  */
 final class RelayOperations implements OperatorService {
     /**
-     * Long enough that the others are not flooded; a machine is not restarted sooner than that by
-     * hand.
+     * The period over which clients are moved off a suspended backend: long enough not to flood the
+     * other backends, and shorter than an operator takes to restart a machine.
      */
     private static final Duration MOVE_PERIOD = Duration.ofSeconds(2);
 
@@ -63,26 +63,28 @@
     private Set<String> appliedSuspensions = Set.of();
     private int polls;
 
-    /** Slots and folder are null where no process is ever replaced by another beside it. */
+    /**
+     * {@code slots} and {@code takeoverPath} are null where no process takes over from another that
+     * still runs.
+     */
     RelayOperations(
             MonotonicClock clock,
-            BackendRegistry peers,
-            RelayPipeline chain,
-            RequestCounters counts,
-            Suspensions bans,
+            BackendRegistry backends,
+            RelayPipeline pipeline,
+            RequestCounters counters,
+            Suspensions suspensions,
             ProcessSlots slots,
-            Path takeover) {
+            Path takeoverPath) {
         this.clock = clock;
-        this.backends = peers;
-        this.pipeline = chain;
-        this.counters = counts;
-        this.suspensions = bans;
+        this.backends = backends;
+        this.pipeline = pipeline;
+        this.counters = counters;
+        this.suspensions = suspensions;
         this.slots = slots;
-        this.takeoverFile = takeover == null ? null : new AtomicFile(takeover, "takeover 1");
+        this.takeoverFile =
+                takeoverPath == null ? null : new AtomicFile(takeoverPath, "takeover 1");
     }
 
-    // ---- what operators ask, on their thread
-
     @Override
     public String notReadyReason() {
         return notReadyReason;
@@ -90,12 +92,12 @@
 
     @Override
     public String metrics() {
-        Set<String> left = ejectedBackendIds;
+        Set<String> ejected = ejectedBackendIds;
         int known = 0;
         int skipped = 0;
-        for (Backend peer : backends.all()) {
+        for (Backend backend : backends.all()) {
             known++;
-            skipped += peer.isSuspended() || left.contains(peer.entry().uid()) ? 1 : 0;
+            skipped += backend.isSuspended() || ejected.contains(backend.entry().uid()) ? 1 : 0;
         }
         return counters.format(
                 pipeline.frontends().stream().mapToInt(Frontend::requestCount).sum(),
@@ -113,7 +115,7 @@
         return setSuspended(id, false);
     }
 
-    private CompletionStage<String> setSuspended(String id, boolean banned) {
+    private CompletionStage<String> setSuspended(String id, boolean suspended) {
         if (!knownBackendIds.contains(id)) {
             return CompletableFuture.completedFuture("never listed: " + id);
         }
@@ -122,19 +124,19 @@
                 queuedCalls.offer(
                         () -> {
                             try {
-                                suspensions.setSuspended(id, banned);
+                                suspensions.setSuspended(id, suspended);
                                 applySuspensions();
                                 Log.info(
-                                        banned ? "backend.suspended" : "backend.restored",
+                                        suspended ? "backend.suspended" : "backend.restored",
                                         "peer",
                                         id);
                                 answer.complete(
-                                        !banned && suspensions.isSuspendedByConfiguration(id)
+                                        !suspended && suspensions.isSuspendedByConfiguration(id)
                                                 ? "still suspended by configuration: " + id
                                                 : null);
-                            } catch (IOException failed) {
-                                Log.warn("bans.unwritten", "peer", id, "why", failed.getMessage());
-                                answer.complete("not kept: " + failed.getMessage());
+                            } catch (IOException failure) {
+                                Log.warn("bans.unwritten", "peer", id, "why", failure.getMessage());
+                                answer.complete("not kept: " + failure.getMessage());
                             }
                         });
         return queued
@@ -143,17 +145,15 @@
                 : CompletableFuture.completedFuture("busy, call again");
     }
 
-    // ---- what is told
-
-    /** Null: this process serves; else why not. */
-    void setNotReadyReason(String why) {
-        notReadyReason = why;
+    /** Sets why this process does not serve; null if it serves. */
+    void setNotReadyReason(String reason) {
+        notReadyReason = reason;
         if (slots != null) {
             try {
                 slots.setPhase(
-                        why == null
+                        reason == null
                                 ? ProcessSlots.Phase.READY
-                                : why.equals("leaving")
+                                : reason.equals("leaving")
                                         ? ProcessSlots.Phase.LEAVING
                                         : ProcessSlots.Phase.STARTING);
             } catch (IOException e) {
@@ -162,32 +162,33 @@
         }
     }
 
-    /** These were listed: operators may call them by name, also when they are gone. */
+    /**
+     * Remembers the ids of the listed backends: operators may suspend them even when they are gone.
+     */
     void backendListReceived(BackendList list) {
         list.entries().forEach(entry -> knownBackendIds.add(entry.uid()));
     }
 
-    /** What the process before this one has left, or null. */
+    /** Returns the state that the predecessor of this process left, or null. */
     Takeover readTakeover() {
         try {
             byte[] bytes = takeoverFile == null ? null : takeoverFile.read();
-            Takeover found = bytes == null ? null : Takeover.fromBytes(bytes);
-            if (found != null && found.writtenAt().isBefore(clock.now().minus(MAX_TAKEOVER_AGE))) {
-                return null; // of a process that ended long ago
+            Takeover takeover = bytes == null ? null : Takeover.fromBytes(bytes);
+            if (takeover != null
+                    && takeover.writtenAt().isBefore(clock.now().minus(MAX_TAKEOVER_AGE))) {
+                return null; // written by a process that ended long ago
             }
-            if (found != null) {
-                knownBackendIds.addAll(found.knownBackendIds());
+            if (takeover != null) {
+                knownBackendIds.addAll(takeover.knownBackendIds());
             }
-            return found;
-        } catch (IOException bad) {
-            Log.warn("takeover.unreadable", "why", bad.getMessage());
+            return takeover;
+        } catch (IOException failure) {
+            Log.warn("takeover.unreadable", "why", failure.getMessage());
             return null;
         }
     }
 
-    // ---- its own thread
-
-    /** One round: a call, or a look at what the other process has changed. */
+    /** Runs at most one operator call, then polls. */
     void runOnce() throws InterruptedException {
         Runnable call = queuedCalls.poll(POLL_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
         if (call != null) {
@@ -196,12 +197,15 @@
         poll();
     }
 
-    /** Looks at what the other process has changed. */
+    /**
+     * Applies what the other process of this relay has changed, and writes the takeover file for
+     * it.
+     */
     void poll() {
         try {
             suspensions.refresh();
-        } catch (IOException bad) {
-            Log.warn("bans.unreadable", "why", bad.getMessage());
+        } catch (IOException failure) {
+            Log.warn("bans.unreadable", "why", failure.getMessage());
         }
         applySuspensions();
         moveClientsOffSuspended();
@@ -221,43 +225,43 @@
                                         knownBackendIds)
                                 .toBytes());
             }
-        } catch (IOException failed) {
-            Log.warn("handover.fault", "why", failed.getMessage());
+        } catch (IOException failure) {
+            Log.warn("handover.fault", "why", failure.getMessage());
         }
     }
 
-    /** Tells the module which backends are suspended that were not, or are no more. */
+    /** Reports each backend whose suspension began or ended to the load balancer. */
     private synchronized void applySuspensions() {
-        Set<String> now = suspensions.all();
-        Set<String> before = appliedSuspensions;
-        appliedSuspensions = now;
-        for (Backend peer : backends.all()) {
-            String uid = peer.entry().uid();
-            if (now.contains(uid) != before.contains(uid)) {
-                pipeline.router().suspensionChanged(peer);
+        Set<String> current = suspensions.all();
+        Set<String> previous = appliedSuspensions;
+        appliedSuspensions = current;
+        for (Backend backend : backends.all()) {
+            String uid = backend.entry().uid();
+            if (current.contains(uid) != previous.contains(uid)) {
+                pipeline.router().suspensionChanged(backend);
             }
         }
     }
 
     /**
-     * Clients do not stand where a backend is about to be restarted: they are moved in time, few at
-     * once.
+     * Moves clients off suspended backends, as such a backend is about to be restarted. Only a few
+     * clients are moved at once.
      */
     private void moveClientsOffSuspended() {
         suspendedSince.keySet().retainAll(suspensions.all());
         Instant now = clock.now();
         for (String uid : suspensions.all()) {
-            Instant until = suspendedSince.computeIfAbsent(uid, any -> now).plus(MOVE_PERIOD);
-            Backend peer = backends.find(uid);
-            if (peer == null || peer.establishedAttempts().isEmpty()) {
+            Instant until = suspendedSince.computeIfAbsent(uid, key -> now).plus(MOVE_PERIOD);
+            Backend backend = backends.find(uid);
+            if (backend == null || backend.establishedAttempts().isEmpty()) {
                 continue;
             }
-            List<Attempt> standing = List.copyOf(peer.establishedAttempts());
-            long due =
+            List<Attempt> established = List.copyOf(backend.establishedAttempts());
+            long movesDue =
                     MovePacing.movesPerStep(
-                            standing.size(), Duration.between(now, until), POLL_INTERVAL);
-            for (int i = 0; i < standing.size() && due > 0; i++) {
-                due -= pipeline.move(standing.get(i), "suspended") ? 1 : 0;
+                            established.size(), Duration.between(now, until), POLL_INTERVAL);
+            for (int i = 0; i < established.size() && movesDue > 0; i++) {
+                movesDue -= pipeline.move(established.get(i), "suspended") ? 1 : 0;
             }
         }
     }
--- a/relay/src/main/java/saltstage/lifecycle/RelayServer.java
+++ b/relay/src/main/java/saltstage/lifecycle/RelayServer.java
@@ -32,13 +32,18 @@
 import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
-/** One running relay: its stages, its loops, its start and its end. */
+/**
+ * One running relay process: sets up the request pipeline, starts the background threads, reloads
+ * the configuration and drains at the end.
+ */
 final class RelayServer {
     private static final Duration TICK_INTERVAL = Duration.ofMillis(500);
     private static final int TICKS_PER_DELAY_REPORT = 2;
     private static final int TICKS_PER_TOTALS = 20;
 
-    /** It answers at once; a start must not wait longer for one that is silent. */
+    /**
+     * How long a start waits for the discovery agent, which answers at once if it can be reached.
+     */
     private static final Duration AGENT_TIMEOUT = Duration.ofSeconds(1);
 
     private static final Duration FINAL_WRITE_TIMEOUT = Duration.ofMillis(200);
@@ -65,29 +70,31 @@
     private Instant nextTickDue = clock.now();
     private Duration tickLateness = Duration.ZERO;
 
-    /** Where the configuration comes from, at the start and again at each reload. */
+    /** Reads the relay's configuration, at the start and again at each reload. */
     interface ConfigurationSource {
-        /** Reads it. */
+        /** Reads and checks the configuration. */
         Configuration read() throws MalformedException;
     }
 
-    /** Where the operator's settings come from, at each reload. */
+    /** Reads the operator's settings, at each reload. */
     interface SettingsSource {
-        /** Reads them. */
+        /** Reads and checks the settings. */
         OperatorSettings read() throws MalformedException;
     }
 
-    RelayServer(Configuration config, OperatorSettings operator, ProcessEnvironment surroundings)
+    RelayServer(
+            Configuration config, OperatorSettings operatorSettings, ProcessEnvironment environment)
             throws IOException {
-        this.environment = surroundings;
+        this.environment = environment;
         this.config = config;
-        this.operatorSettings = operator;
+        this.operatorSettings = operatorSettings;
         stateStore =
-                operator.persistence()
-                        .map(keeping -> RelayStateStore.open(keeping, clock::now))
+                operatorSettings
+                        .persistence()
+                        .map(persistence -> RelayStateStore.open(persistence, clock::now))
                         .orElse(null);
-        Path folder = surroundings.sharedFolder();
-        boolean handsOver = surroundings.inheritsListener() && folder != null;
+        Path folder = environment.sharedFolder();
+        boolean canHandOver = environment.inheritsListener() && folder != null;
         suspensions = new Suspensions(adminAddress() == null ? null : folder, config.name());
         counters = new RequestCounters(config.serviceClassNames());
         backends = new BackendRegistry(suspensions::isSuspended);
@@ -101,8 +108,8 @@
                         pipeline,
                         counters,
                         suspensions,
-                        handsOver ? claimSlot(folder) : null,
-                        handsOver ? folder.resolve(config.name() + ".takeover") : null);
+                        canHandOver ? claimSlot(folder) : null,
+                        canHandOver ? folder.resolve(config.name() + ".takeover") : null);
         subscription =
                 new DiscoverySubscription(
                         config.discoveryAddress(),
@@ -112,11 +119,11 @@
                         this::backendListReceived,
                         pipeline.router()::discoveryCallFailed);
         sharedConfiguration =
-                operator.follower().isEmpty()
+                operatorSettings.follower().isEmpty()
                         ? null
                         : SharedConfiguration.open(
-                                operator.follower().get(),
-                                operator.logging(),
+                                operatorSettings.follower().get(),
+                                operatorSettings.logging(),
                                 config.name(),
                                 suspensions,
                                 this::backendListReceived);
@@ -126,7 +133,7 @@
         try {
             return ProcessSlots.claim(
                     folder.resolve(config.name() + ".slots"), config.maxSockets());
-        } catch (IOException e) { // it serves all the same, as if it were alone
+        } catch (IOException e) { // the relay serves all the same, as if it were the only process
             Log.warn("handover.fault", "why", e.getMessage());
             return null;
         }
@@ -138,35 +145,35 @@
                 : config.adminAddress();
     }
 
-    /** Starts to serve; clients are heard from the return on. */
+    /** Starts the relay; it accepts clients once this method has returned. */
     void start() throws IOException {
         try {
             startParts();
-        } catch (IOException | RuntimeException bad) {
+        } catch (IOException | RuntimeException failure) {
             startFailed = true;
-            throw bad;
+            throw failure;
         }
     }
 
     private void startParts() throws IOException {
-        if (adminAddress() != null) { // first of all: who asks meanwhile is told that it starts
+        if (adminAddress() != null) { // first, so that operators can call during the start
             pipeline.admissionControl().reserveDescriptors(AdminListener.MAX_DESCRIPTORS);
-            AdminListener operators = new AdminListener(adminAddress(), operations);
-            Threads.startLoop("admin", operators::runOnce);
+            AdminListener adminListener = new AdminListener(adminAddress(), operations);
+            Threads.startLoop("admin", adminListener::runOnce);
         }
-        Takeover left = operations.readTakeover();
-        BackendList known = initialList(left);
-        operations.backendListReceived(known);
-        backends.update(known);
+        Takeover takeover = operations.readTakeover();
+        BackendList list = initialList(takeover);
+        operations.backendListReceived(list);
+        backends.update(list);
         if (sharedConfiguration != null) {
             pipeline.admissionControl().reserveDescriptors(SharedConfiguration.MAX_DESCRIPTORS);
         }
-        pipeline.setDescriptorLimit(config.maxSockets()); // probes of these backends take theirs
+        pipeline.setDescriptorLimit(config.maxSockets()); // after the list: its probes take a part
         Threads.startLoop("timers", () -> timers.awaitNext().run());
-        pipeline.router().start(known);
+        pipeline.router().start(list);
         startDiscovery();
-        if (left != null) {
-            pipeline.router().restoreLearnedState(left.learnedState());
+        if (takeover != null) {
+            pipeline.router().restoreLearnedState(takeover.learnedState());
         }
         if (stateStore != null) {
             stateStore.persistedLearnedState().ifPresent(pipeline.router()::restoreLearnedState);
@@ -174,29 +181,29 @@
             stateStore.start(pipeline.router()::learnedState);
         }
         synchronized (this) {
-            nextTickDue = clock.now(); // what the start took is no lateness
+            nextTickDue = clock.now(); // the duration of the start does not count as lateness
         }
         tick();
         if (operatorSettings.amqp().isPresent()) {
             startAmqp(operatorSettings.amqp().get());
         }
-        ServerSocketChannel clients =
+        ServerSocketChannel clientSocket =
                 environment.inheritsListener()
                         ? ClientListener.inherited()
                         : ClientListener.bind(config.listenAddress());
         if (adminAddress() != null
                 || environment.inheritsListener()
                 || sharedConfiguration != null) {
-            operations.poll(); // bans and the part of the descriptors hold before the first client
+            operations.poll(); // suspensions and descriptor share apply before the first client
             Threads.startLoop("clerk", operations::runOnce);
         }
         awaitFirstList();
-        startAccepting(clients);
+        startAccepting(clientSocket);
     }
 
-    private void startAccepting(ServerSocketChannel clients) throws IOException {
+    private void startAccepting(ServerSocketChannel clientSocket) throws IOException {
         pipeline.lineFrontend().start();
-        pipeline.lineFrontend().acceptor().start(clients);
+        pipeline.lineFrontend().acceptor().start(clientSocket);
         accepting = true;
         operations.setNotReadyReason(null);
         Log.info(
@@ -204,7 +211,7 @@
                 "name",
                 config.name(),
                 "listen",
-                clients.getLocalAddress(),
+                clientSocket.getLocalAddress(),
                 "rev",
                 backends.revision(),
                 "peers",
@@ -212,10 +219,10 @@
     }
 
     /**
-     * Where lists are pushed, what the agent has counts as told from a process' first moment, and
-     * the list it was started with may be old: nobody is sent anywhere before the agent has been
-     * heard. It is silent while discovery is down; a relay that came to nothing but its last list
-     * has to serve all the same.
+     * Waits for the agent's list where lists are pushed. The relay counts as knowing the agent's
+     * list from the first moment of its process, and the list it was started with may be old, so no
+     * request is sent to a backend before the agent's list has arrived. The agent sends nothing
+     * while discovery is down; then the relay serves with the last list it has.
      */
     private void awaitFirstList() throws IOException {
         try {
@@ -229,18 +236,18 @@
         }
     }
 
-    private BackendList initialList(Takeover left) {
+    private BackendList initialList(Takeover takeover) {
         return sharedConfiguration == null
-                ? newestKnownList(left)
-                : sharedConfiguration.knownList().orElseGet(() -> newestKnownList(left));
+                ? newestKnownList(takeover)
+                : sharedConfiguration.knownList().orElseGet(() -> newestKnownList(takeover));
     }
 
     private void startDiscovery() {
         if (sharedConfiguration != null) {
             sharedConfiguration.start();
         } else if (!config.settings().watchesBackendList()) {
-            subscription
-                    .ask(); // the module does not: to it, lists that are pushed come by themselves
+            // The load balancer never asks for lists that are pushed.
+            subscription.ask();
         }
     }
 
@@ -249,110 +256,121 @@
                 new NettyTransport(
                         settings.loops(),
                         true,
-                        (where, fault) -> Log.error("loop.fault." + where, fault));
+                        (location, fault) -> Log.error("loop.fault." + location, fault));
         try {
             amqpFrontend = new AmqpFrontend(settings, config, pipeline, clock, transport);
             amqpFrontend.start();
-        } catch (MalformedException bad) {
-            throw new IOException(bad.getMessage(), bad);
+        } catch (MalformedException malformed) {
+            throw new IOException(malformed.getMessage(), malformed);
         }
     }
 
-    /** The list as the platform remembers it, or as this relay has kept it, whichever is newer. */
-    private BackendList newestKnownList(Takeover left) {
-        BackendList kept =
-                left != null
-                        ? left.list()
+    /**
+     * Returns the list of the configuration or the one that this relay took over or persisted,
+     * whichever is newer.
+     */
+    private BackendList newestKnownList(Takeover takeover) {
+        BackendList persisted =
+                takeover != null
+                        ? takeover.list()
                         : stateStore == null ? null : stateStore.persistedList().orElse(null);
-        boolean newer = kept != null && kept.revision() > config.knownBackends().revision();
-        if (kept != null) {
+        boolean newer =
+                persisted != null && persisted.revision() > config.knownBackends().revision();
+        if (persisted != null) {
             Log.info(
                     "keep.list",
                     "rev",
-                    kept.revision(),
+                    persisted.revision(),
                     "known",
                     config.knownBackends().revision(),
                     "taken",
                     newer);
         }
-        return newer ? kept : config.knownBackends();
+        return newer ? persisted : config.knownBackends();
     }
 
     /**
-     * SIGHUP: reads the configuration anew. Discovery is watched at its new address at once,
-     * resumed after what was heard: the old address may go on answering for a while, but what it
-     * does not tell any more counts as told. The list, the module's state and all connections stay.
-     * A bad file changes nothing.
+     * Handles SIGHUP: reads the configuration and the settings again. Discovery is watched at its
+     * new address at once, resumed after the revision held: the old address may go on answering for
+     * a while, but the relay counts as knowing changes that the old address no longer reports. The
+     * backend list, the load balancer's state and all connections stay. An invalid file changes
+     * nothing.
      */
-    void reload(ConfigurationSource source, SettingsSource operator) {
-        synchronized (
-                reloadLock) { // not this: a file that is slow to read may hold up neither beat nor
-            // end
-            reloadExclusively(source, operator);
+    void reload(ConfigurationSource configurationSource, SettingsSource settingsSource) {
+        // A lock of its own: a file that is slow to read must delay neither the tick nor the drain.
+        synchronized (reloadLock) {
+            reloadExclusively(configurationSource, settingsSource);
         }
     }
 
-    private void reloadExclusively(ConfigurationSource source, SettingsSource operator) {
+    private void reloadExclusively(
+            ConfigurationSource configurationSource, SettingsSource settingsSource) {
         try {
-            OperatorSettings chosen = operator.read();
-            Configuration read = source.read();
-            List<String> later = new ArrayList<>(read.restartRequiredChanges(config));
-            AmqpFrontend.SettingsChange change =
-                    amqpFrontend == null || chosen.amqp().isEmpty()
+            OperatorSettings newSettings = settingsSource.read();
+            Configuration newConfig = configurationSource.read();
+            List<String> restartRequired =
+                    new ArrayList<>(newConfig.restartRequiredChanges(config));
+            // Everything is checked before any change is applied.
+            AmqpFrontend.SettingsChange amqpChange =
+                    amqpFrontend == null || newSettings.amqp().isEmpty()
                             ? null
-                            : amqpFrontend.prepareChange(
-                                    chosen.amqp()
-                                            .get()); // all is checked before anything is in force
+                            : amqpFrontend.prepareChange(newSettings.amqp().get());
             if (sharedConfiguration == null) {
-                subscription.changeAddress(read.discoveryAddress());
+                subscription.changeAddress(newConfig.discoveryAddress());
             }
-            if (change != null) {
-                later.addAll(change.apply());
-            } else if (amqpFrontend != null || chosen.amqp().isPresent()) {
-                later.add(
-                        "amqp"); // a front is neither begun nor ended beside connections that stand
+            if (amqpChange != null) {
+                restartRequired.addAll(amqpChange.apply());
+            } else if (amqpFrontend != null || newSettings.amqp().isPresent()) {
+                // The frontend is neither started nor stopped while connections are established.
+                restartRequired.add("amqp");
             }
-            if (!chosen.follower().equals(this.operatorSettings.follower())) {
-                later.add("configuration");
+            if (!newSettings.follower().equals(this.operatorSettings.follower())) {
+                restartRequired.add("configuration");
             }
-            applyLogging(chosen.logging());
+            applyLogging(newSettings.logging());
             if (stateStore != null) {
-                stateStore.saveConfiguration(read.text(), chosen.text());
+                stateStore.saveConfiguration(newConfig.text(), newSettings.text());
             }
-            Log.info("reload.done", "discovery", subscription.address(), "restart_for", later);
-        } catch (MalformedException | RuntimeException bad) {
-            Log.warn("reload.refused", "why", bad.getMessage());
+            Log.info(
+                    "reload.done",
+                    "discovery",
+                    subscription.address(),
+                    "restart_for",
+                    restartRequired);
+        } catch (MalformedException | RuntimeException failure) {
+            Log.warn("reload.refused", "why", failure.getMessage());
         }
     }
 
     private void applyLogging(OperatorSettings.Logging logging) {
         if (sharedConfiguration != null) {
-            sharedConfiguration.useLogging(
-                    logging); // a setting of the configuration goes before the file's
+            // A setting of the shared configuration takes precedence over the file's.
+            sharedConfiguration.useLogging(logging);
         } else {
             LogSetup.reconfigure(logging.format(), logging.level().name());
         }
     }
 
     /**
-     * SIGTERM: moves all clients, returns when none is left or time is up; false where the start
-     * failed.
+     * Handles SIGTERM: moves all clients and returns when none is left or the time is up.
+     *
+     * @return false if the start had failed and there is nothing to drain
      */
     boolean drain() {
         if (startFailed) {
-            return false; // the process ends with what went wrong, not as if it had been told to
+            return false; // the process exits with the code of the failed start
         }
-        boolean succeeded = operations.hasSuccessor();
-        Duration late = lateness();
+        boolean hasSuccessor = operations.hasSuccessor();
+        Duration lateness = lateness();
         operations.setNotReadyReason("leaving");
-        if (succeeded && accepting) {
+        if (hasSuccessor && accepting) {
             try {
                 pipeline.lineFrontend().acceptor().stop();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
-        new Drain(clock, pipeline, config.maxClientTimeout(), late, succeeded).run();
+        new Drain(clock, pipeline, config.maxClientTimeout(), lateness, hasSuccessor).run();
         if (stateStore != null) {
             stateStore.close(FINAL_WRITE_TIMEOUT);
         }
@@ -363,25 +381,25 @@
     }
 
     /**
-     * How late things happen here just now, by the beat. On a core that is busy with a crowd
-     * SIGTERM was heard 2.3 s after it came; a drain that counts from then still has clients to
-     * move when SIGKILL comes.
+     * Returns how late this process is at present, judged by its tick. On a core that was busy with
+     * many clients, SIGTERM was handled 2.3 s after it came; a drain that counts its time from the
+     * handling on still has clients to move when SIGKILL comes.
      */
     private synchronized Duration lateness() {
-        Duration now = Duration.between(nextTickDue, clock.now());
-        return now.compareTo(tickLateness) > 0 ? now : tickLateness;
+        Duration current = Duration.between(nextTickDue, clock.now());
+        return current.compareTo(tickLateness) > 0 ? current : tickLateness;
     }
 
     private synchronized void recordTick() {
-        Duration halved = tickLateness.dividedBy(2);
-        Duration now = Duration.between(nextTickDue, clock.now());
-        tickLateness = now.compareTo(halved) > 0 ? now : halved;
+        Duration decayed = tickLateness.dividedBy(2);
+        Duration current = Duration.between(nextTickDue, clock.now());
+        tickLateness = current.compareTo(decayed) > 0 ? current : decayed;
         nextTickDue = clock.now().plus(TICK_INTERVAL);
     }
 
     private void tick() {
-        timers.schedule(
-                TICK_INTERVAL, this::tick); // first of all: what fails below must not end the beat
+        // The next tick is scheduled first: a failure below must not end the ticks.
+        timers.schedule(TICK_INTERVAL, this::tick);
         recordTick();
         ticks++;
         pipeline.checkUnresponsiveBackends();
@@ -409,9 +427,8 @@
     private void backendListReceived(BackendList list) {
         operations.backendListReceived(list);
         pipeline.backendListReceived(backends.update(list), list);
-        if (stateStore != null
-                && sharedConfiguration
-                        == null) { // else its revisions are the configuration's, kept with it
+        // With shared configuration, lists have its revisions and are persisted with it.
+        if (stateStore != null && sharedConfiguration == null) {
             stateStore.saveList(backends.toBackendList());
         }
         firstListReceived.countDown();
--- a/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/BrokenDiscoveryRules.java
@@ -5,42 +5,45 @@
 import saltstage.lifecycle.DiscoveryCalls.Effect;
 import saltstage.wire.BackendList;
 
-/** The rules in force with one fault put in, which {@link DiscoveryCallsExplorer} has to find. */
+/** The current rules with one fault injected, which {@link DiscoveryCallsExplorer} has to find. */
 record BrokenDiscoveryRules(DiscoveryRules correct, Fault fault) implements DiscoveryRules {
-    /** What is wrong, and how the violation that is found begins. */
+    /** The injected fault, and the beginning of the violation's message. */
     enum Fault {
-        NO_RETRY_AFTER_A_FAILED_START("deaf: "),
-        TIME_OUT_IS_NOT_REPORTED("deaf: "),
-        CALL_END_IS_NOT_REPORTED("deaf: "),
+        NO_RETRY_AFTER_A_FAILED_START("not subscribed: "),
+        TIME_OUT_IS_NOT_REPORTED("not subscribed: "),
+        CALL_END_IS_NOT_REPORTED("not subscribed: "),
         OLDEST_CALL_IS_NOT_ENDED((DiscoveryCalls.MAX_CALLS + 1) + " calls"),
-        CALLS_BESIDE_THE_WATCH_ARE_NOT_ENDED("calls beside the watch"),
-        OLD_LISTS_ARE_DELIVERED("the list goes back"),
-        ENDED_CALLS_ARE_NOT_IGNORED("a call that was ended matters");
+        CALLS_BESIDE_THE_WATCH_ARE_NOT_ENDED("calls are open beside the watch"),
+        OLD_LISTS_ARE_DELIVERED("an older list was delivered"),
+        ENDED_CALLS_ARE_NOT_IGNORED("an ended call has an effect");
 
         final String expectedViolation;
 
-        Fault(String found) {
-            this.expectedViolation = found;
+        Fault(String expectedViolation) {
+            this.expectedViolation = expectedViolation;
         }
     }
 
     private Outcome withFault(Outcome outcome) {
         DiscoveryRules next = new BrokenDiscoveryRules(outcome.next(), fault);
-        return new Outcome(next, outcome.effects(), outcome.lost());
+        return new Outcome(next, outcome.effects(), outcome.discoveryLost());
     }
 
-    private Outcome dropEffects(Fault dropping, Class<? extends Effect> dropped, Outcome outcome) {
-        List<Effect> kept =
+    private Outcome dropEffects(
+            Fault droppingFault, Class<? extends Effect> droppedType, Outcome outcome) {
+        List<Effect> remaining =
                 outcome.effects().stream()
-                        .filter(effect -> fault != dropping || !dropped.isInstance(effect))
+                        .filter(effect -> fault != droppingFault || !droppedType.isInstance(effect))
                         .toList();
-        return withFault(new Outcome(outcome.next(), kept, outcome.lost()));
+        return withFault(new Outcome(outcome.next(), remaining, outcome.discoveryLost()));
     }
 
-    private Outcome dropLoss(Fault dropping, Outcome outcome) {
+    private Outcome dropLoss(Fault droppingFault, Outcome outcome) {
         return withFault(
                 new Outcome(
-                        outcome.next(), outcome.effects(), outcome.lost() && fault != dropping));
+                        outcome.next(),
+                        outcome.effects(),
+                        outcome.discoveryLost() && fault != droppingFault));
     }
 
     @Override
@@ -63,8 +66,9 @@
 
     @Override
     public Outcome listArrived(long id, BackendList list, long heldRevision) {
-        long held = fault == Fault.OLD_LISTS_ARE_DELIVERED ? Long.MIN_VALUE : heldRevision;
-        Outcome outcome = correct.listArrived(id, list, held);
+        long comparedRevision =
+                fault == Fault.OLD_LISTS_ARE_DELIVERED ? Long.MIN_VALUE : heldRevision;
+        Outcome outcome = correct.listArrived(id, list, comparedRevision);
         if (fault == Fault.ENDED_CALLS_ARE_NOT_IGNORED && outcome.effects().isEmpty()) {
             return withFault(
                     new Outcome(outcome.next(), List.of(new Effect.DeliverList(list)), false));
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsExplorer.java
@@ -13,25 +13,28 @@
 import saltstage.wire.BackendList;
 
 /**
- * Explores what discovery, the machine and the operator can do to the bookkeeping of calls: every
- * order of events up to a depth, breadth first, each state once. It knows the effects only, not
- * what the rules hold.
+ * Explores every order of events by which discovery, the machine and the operator can affect the
+ * calls: up to a depth, breadth first, each state once. It checks the guarantees by the effects
+ * only, not by the state of the rules.
  */
 final class DiscoveryCallsExplorer {
-    /** A rule does not keep what is guaranteed; the message has the shortest way there. */
+    /**
+     * The rules break a guarantee; the message has the shortest sequence of events that leads to
+     * it.
+     */
     static final class Violation extends AssertionError {
         private static final long serialVersionUID = 1L;
 
-        Violation(String what, Node at) {
-            super(what + " after " + at.path());
+        Violation(String message, Node node) {
+            super(message + " after " + node.path());
         }
     }
 
-    /** How far an exploration went. */
+    /** The extent of an exploration. */
     record Explored(int depth, int states) {}
 
     /**
-     * A call that has been begun: its thread may report until it ends, its timer until it has
+     * A call that was started: its thread may report events until it ends, its timer until it has
      * fired.
      */
     private record SimulatedCall(
@@ -40,7 +43,10 @@
             boolean timerPending,
             boolean endRequested,
             boolean answered) {
-        /** Told: the rules had it ended. What still comes of it must not matter. */
+        /**
+         * Whether the call runs and the rules have not requested its end; later events of a call
+         * whose end was requested must have no effect.
+         */
         boolean isOpen() {
             return running && !endRequested;
         }
@@ -51,8 +57,8 @@
     }
 
     /**
-     * All that is known of a moment; asks are those that somebody owes: a timer or the decision
-     * module.
+     * The state at one moment. {@code pendingAsks} counts the asks that are still to come from a
+     * timer or from the load balancer.
      */
     private record SimulatedState(
             DiscoveryRules rules,
@@ -74,8 +80,8 @@
         }
 
         /**
-         * The same for two worlds that behave alike: what the rules still know is told apart by
-         * order.
+         * Returns a key that is equal for states that behave alike: calls that the rules still know
+         * are identified by their order, not by their ids.
          */
         String stateKey() {
             Map<Long, String> names = new TreeMap<>();
@@ -98,8 +104,8 @@
     }
 
     private record Node(SimulatedState state, Node parent, String event, int depth) {
-        Node child(SimulatedState next, String what) {
-            return new Node(next, this, what, depth + 1);
+        Node child(SimulatedState next, String event) {
+            return new Node(next, this, event, depth + 1);
         }
 
         String path() {
@@ -115,7 +121,9 @@
         this.maxDepth = depth;
     }
 
-    /** Explores these rules; throws a {@link Violation} where one of the guarantees is not kept. */
+    /**
+     * Explores the given rules up to a depth; throws a {@link Violation} if they break a guarantee.
+     */
     static Explored explore(DiscoveryRules rules, int depth) {
         DiscoveryCallsExplorer explorer = new DiscoveryCallsExplorer(depth);
         explorer.visit(new Node(new SimulatedState(rules, new TreeMap<>(), 5, 1), null, "", 0));
@@ -133,34 +141,34 @@
     }
 
     private void expand(Node node) {
-        SimulatedState world = node.state;
-        applyOutcome(node, world, world.rules.ask(), "ask unasked");
-        applyOutcome(node, world, world.rules.addressChanged(), "address changes");
-        if (world.pendingAsks > 0) {
-            applyOutcome(node, world.withMoreAsks(-1), world.rules.ask(), "ask");
+        SimulatedState state = node.state;
+        applyOutcome(node, state, state.rules.ask(), "ask unasked");
+        applyOutcome(node, state, state.rules.addressChanged(), "address changes");
+        if (state.pendingAsks > 0) {
+            applyOutcome(node, state.withMoreAsks(-1), state.rules.ask(), "ask");
         }
-        for (SimulatedCall call : List.copyOf(world.calls.values())) {
+        for (SimulatedCall call : List.copyOf(state.calls.values())) {
             if (call.running) {
-                expandRunningCall(node, world, call);
+                expandRunningCall(node, state, call);
             }
             if (call.timerPending) {
-                expandPendingTimer(node, world, call);
+                expandPendingTimer(node, state, call);
             }
         }
     }
 
-    private void expandRunningCall(Node node, SimulatedState world, SimulatedCall call) {
-        for (long revision = world.heldRevision - 1;
-                revision <= world.heldRevision + 1;
+    private void expandRunningCall(Node node, SimulatedState state, SimulatedCall call) {
+        for (long revision = state.heldRevision - 1;
+                revision <= state.heldRevision + 1;
                 revision++) {
             applyOutcome(
                     node,
-                    withAnswer(world, call),
-                    checkIgnoredIfEnded(node, call, listArrives(world, call, revision)),
+                    withAnswer(state, call),
+                    checkIgnoredIfEnded(node, call, listArrives(state, call, revision)),
                     "list " + revision + " by " + call.id);
         }
-        SimulatedState silent =
-                world.withCall(
+        SimulatedState ended =
+                state.withCall(
                         new SimulatedCall(
                                 call.id,
                                 false,
@@ -169,123 +177,124 @@
                                 call.answered));
         applyOutcome(
                 node,
-                silent,
-                checkIgnoredIfEnded(node, call, world.rules.callEnded(call.id)),
+                ended,
+                checkIgnoredIfEnded(node, call, state.rules.callEnded(call.id)),
                 "end of " + call.id);
     }
 
-    private void expandPendingTimer(Node node, SimulatedState world, SimulatedCall call) {
+    private void expandPendingTimer(Node node, SimulatedState state, SimulatedCall call) {
         SimulatedState fired =
-                world.withCall(
+                state.withCall(
                         new SimulatedCall(
                                 call.id, call.running, false, call.endRequested, call.answered));
         applyOutcome(
                 node,
                 fired,
-                checkIgnoredIfEnded(node, call, world.rules.answerTimedOut(call.id)),
+                checkIgnoredIfEnded(node, call, state.rules.answerTimedOut(call.id)),
                 "time-out of " + call.id);
     }
 
-    private static SimulatedState withAnswer(SimulatedState world, SimulatedCall call) {
-        return world.withCall(
+    private static SimulatedState withAnswer(SimulatedState state, SimulatedCall call) {
+        return state.withCall(
                 new SimulatedCall(call.id, true, call.timerPending, call.endRequested, true));
     }
 
     private static DiscoveryRules.Outcome listArrives(
-            SimulatedState world, SimulatedCall call, long revision) {
-        return world.rules.listArrived(
-                call.id, new BackendList(revision, true, List.of()), world.heldRevision);
+            SimulatedState state, SimulatedCall call, long revision) {
+        return state.rules.listArrived(
+                call.id, new BackendList(revision, true, List.of()), state.heldRevision);
     }
 
     private static DiscoveryRules.Outcome checkIgnoredIfEnded(
             Node node, SimulatedCall call, DiscoveryRules.Outcome outcome) {
-        if (call.endRequested && (outcome.lost() || !outcome.effects().isEmpty())) {
-            throw new Violation("a call that was ended matters: " + call.id, node);
+        if (call.endRequested && (outcome.discoveryLost() || !outcome.effects().isEmpty())) {
+            throw new Violation("an ended call has an effect: " + call.id, node);
         }
         return outcome;
     }
 
     /**
-     * What follows when the effects are performed; where a call is to begin, a thread may be had or
-     * not.
+     * Performs the effects of an outcome and visits the states that follow. Where a call is to
+     * start, both cases follow: a thread is available, and none is.
      */
     private void applyOutcome(
             Node node, SimulatedState before, DiscoveryRules.Outcome outcome, String event) {
-        SimulatedState world =
+        SimulatedState state =
                 new SimulatedState(
                                 outcome.next(),
                                 before.calls,
                                 before.heldRevision,
                                 before.pendingAsks)
-                        .withMoreAsks(outcome.lost() ? 1 : 0);
-        long begun = 0;
+                        .withMoreAsks(outcome.discoveryLost() ? 1 : 0);
+        long startedId = 0;
         for (Effect effect : outcome.effects()) {
             if (effect instanceof Effect.StartCall start) {
-                begun = start.id();
+                startedId = start.id();
             } else {
-                world = perform(world, effect, node.child(world, event));
+                state = perform(state, effect, node.child(state, event));
             }
         }
-        if (begun == 0) {
-            visit(node.child(world, event));
+        if (startedId == 0) {
+            visit(node.child(state, event));
             return;
         }
         visit(
                 node.child(
-                        world.withCall(new SimulatedCall(begun, true, true, false, false)),
-                        event + " begins " + begun));
-        DiscoveryRules.Outcome failed = world.rules.startFailed(begun);
-        applyOutcome(node, world, failed, event + " finds no thread for " + begun);
+                        state.withCall(new SimulatedCall(startedId, true, true, false, false)),
+                        event + " begins " + startedId));
+        DiscoveryRules.Outcome failed = state.rules.startFailed(startedId);
+        applyOutcome(node, state, failed, event + " finds no thread for " + startedId);
     }
 
-    private static SimulatedState perform(SimulatedState world, Effect effect, Node node) {
+    private static SimulatedState perform(SimulatedState state, Effect effect, Node node) {
         if (effect instanceof Effect.EndCall end) {
-            SimulatedCall call = world.calls.get(end.id());
+            SimulatedCall call = state.calls.get(end.id());
             if (call == null || !call.isOpen()) {
-                throw new Violation("a call is ended that is not open: " + end.id(), node);
+                throw new Violation("a call that is not open is ended: " + end.id(), node);
             }
-            return world.withCall(
+            return state.withCall(
                     new SimulatedCall(call.id, true, call.timerPending, true, call.answered));
         }
         if (effect instanceof Effect.DeliverList deliver) {
             long revision = deliver.list().revision();
-            if (revision < world.heldRevision) {
-                throw new Violation("the list goes back to " + revision, node);
+            if (revision < state.heldRevision) {
+                throw new Violation("an older list was delivered: " + revision, node);
             }
-            return new SimulatedState(world.rules, world.calls, revision, world.pendingAsks);
+            return new SimulatedState(state.rules, state.calls, revision, state.pendingAsks);
         }
-        return effect instanceof Effect.AskLater ? world.withMoreAsks(1) : world;
+        return effect instanceof Effect.AskLater ? state.withMoreAsks(1) : state;
     }
 
     private static void checkGuarantees(Node node) {
-        SimulatedState world = node.state;
-        Collection<SimulatedCall> calls = world.calls.values();
+        SimulatedState state = node.state;
+        Collection<SimulatedCall> calls = state.calls.values();
         long open = calls.stream().filter(SimulatedCall::isOpen).count();
         boolean watch = calls.stream().anyMatch(call -> call.isOpen() && call.answered);
         boolean awaited = calls.stream().anyMatch(call -> call.isOpen() && call.timerPending);
-        if (!watch && !awaited && world.pendingAsks == 0) {
-            throw new Violation("deaf: no watch, no call whose time-out is to come, no ask", node);
+        if (!watch && !awaited && state.pendingAsks == 0) {
+            throw new Violation("not subscribed: no watch, no awaited call, no pending ask", node);
         }
         if (open > DiscoveryCalls.MAX_CALLS) {
             throw new Violation(open + " calls", node);
         }
         if (watch && open > 1) {
-            throw new Violation("calls beside the watch", node);
+            throw new Violation("calls are open beside the watch", node);
         }
-        if (!asksAgain(world)) {
+        if (!asksAgain(state)) {
             throw new Violation(
-                    "deaf: discovery is not asked once all that is out falls silent", node);
+                    "not subscribed: no call is started after all pending calls, timers and asks",
+                    node);
         }
     }
 
     /**
-     * Whether a call is out once every call has ended, every timer has fired and every ask was
-     * made.
+     * Whether a new call is started after every call has ended, every timer has fired and every
+     * pending ask was made.
      */
-    private static boolean asksAgain(SimulatedState world) {
-        DiscoveryRules rules = world.rules;
-        int asks = world.pendingAsks;
-        for (SimulatedCall call : world.calls.values()) {
+    private static boolean asksAgain(SimulatedState state) {
+        DiscoveryRules rules = state.rules;
+        int asks = state.pendingAsks;
+        for (SimulatedCall call : state.calls.values()) {
             DiscoveryRules.Outcome ended =
                     call.running
                             ? rules.callEnded(call.id)
@@ -294,16 +303,16 @@
                     call.timerPending
                             ? ended.next().answerTimedOut(call.id)
                             : new DiscoveryRules.Outcome(ended.next(), List.of(), false);
-            asks += (ended.lost() ? 1 : 0) + (fired.lost() ? 1 : 0);
+            asks += (ended.discoveryLost() ? 1 : 0) + (fired.discoveryLost() ? 1 : 0);
             rules = fired.next();
         }
-        boolean begun = false;
+        boolean callStarted = false;
         for (int i = 0; i < asks; i++) {
             DiscoveryRules.Outcome asked = rules.ask();
-            begun |=
+            callStarted |=
                     asked.effects().stream().anyMatch(effect -> effect instanceof Effect.StartCall);
             rules = asked.next();
         }
-        return begun;
+        return callStarted;
     }
 }
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryCallsTest.java
@@ -11,24 +11,26 @@
 import saltstage.lifecycle.DiscoveryCallsExplorer.Violation;
 
 /**
- * Every order of events that discovery's calls can meet, up to a depth; and rules that must be
- * rejected.
+ * Guards against a relay that stops asking discovery, or that keeps too many calls open. Such
+ * faults come from rare orders of events, so all orders up to a depth are explored. Faulty rules
+ * must be rejected, which shows that the exploration finds such faults.
  */
 @Timeout(120)
 class DiscoveryCallsTest {
     private static final int MAX_EVENTS = 11;
 
-    private static void assertAccepted(String what, DiscoveryRules rules) {
+    private static void assertAccepted(String description, DiscoveryRules rules) {
         Explored explored = DiscoveryCallsExplorer.explore(rules, MAX_EVENTS);
-        System.out.println("accepted: " + what + ", " + explored);
+        System.out.println("accepted: " + description + ", " + explored);
     }
 
-    private static void assertRejected(String what, DiscoveryRules rules, String found) {
+    private static void assertRejected(
+            String description, DiscoveryRules rules, String expectedViolation) {
         Violation violation =
                 assertThrows(
                         Violation.class, () -> DiscoveryCallsExplorer.explore(rules, MAX_EVENTS));
-        System.out.println("rejected: " + what + ", " + violation.getMessage());
-        assertTrue(violation.getMessage().startsWith(found), violation.getMessage());
+        System.out.println("rejected: " + description + ", " + violation.getMessage());
+        assertTrue(violation.getMessage().startsWith(expectedViolation), violation.getMessage());
     }
 
     @Test
@@ -45,7 +47,8 @@
 
     @Test
     void formerBookkeepingIsFoundToStopAsking() {
-        assertRejected("the former bookkeeping", new FormerDiscoveryRules(false), "deaf: ");
+        assertRejected(
+                "the former bookkeeping", new FormerDiscoveryRules(false), "not subscribed: ");
     }
 
     @ParameterizedTest
--- a/relay/src/test/java/saltstage/lifecycle/DiscoveryDelayTest.java
+++ b/relay/src/test/java/saltstage/lifecycle/DiscoveryDelayTest.java
@@ -14,15 +14,21 @@
 import saltstage.config.SettingsReader;
 import saltstage.wire.DiscoveryClient;
 
-/** What a relay may miss of discovery, by its longest pauses: a change counts as told after 6 s. */
+/**
+ * Guards against pauses and time-outs that together exceed 6 s, after which a relay counts as
+ * knowing a change of the backend list.
+ */
 class DiscoveryDelayTest {
     private static final Duration MAX_DELAY = Duration.ofSeconds(6);
 
-    /** A service that works through calls in turn needs some time for an answer. */
+    /** The time that a service that works through its calls in turn may need for an answer. */
     private static final Duration ANSWER_TIME = Duration.ofSeconds(1);
 
-    /** The longest of the module's pauses after so many failed calls in a row, over many seeds. */
-    private static Duration longestPause(int failed) {
+    /**
+     * Returns the load balancer's longest pause after a number of consecutive failed calls, over
+     * many seeds.
+     */
+    private static Duration longestPause(int failedCalls) {
         Map<String, String> settings =
                 Map.of(
                         "Services.count",
@@ -38,52 +44,53 @@
         long longest = 0;
         for (long seed = 0; seed < 2_000; seed++) {
             List<Long> pauses = new ArrayList<>();
-            Api.Actions acts =
+            Api.Actions actions =
                     (Api.Actions)
                             Proxy.newProxyInstance(
                                     Api.class.getClassLoader(),
                                     new Class<?>[] {Api.Actions.class},
-                                    (proxy, method, given) -> {
+                                    (proxy, method, arguments) -> {
                                         if (method.getName().equals("setTimer")
-                                                && given[0].equals("list")) {
-                                            pauses.add((Long) given[1]);
+                                                && arguments[0].equals("list")) {
+                                            pauses.add((Long) arguments[1]);
                                         }
                                         return null;
                                     });
-            LoadBalancer logic =
+            LoadBalancer loadBalancer =
                     new LoadBalancer(
                             new SettingsReader(
                                             settings,
-                                            (key, what) -> new IllegalArgumentException(key + what))
+                                            (key, problem) ->
+                                                    new IllegalArgumentException(key + problem))
                                     .read(),
                             seed,
-                            acts);
-            for (int i = 0; i < failed; i++) {
-                logic.backendListReceived(i, BackendListKind.CALL_FAILED, List.of());
+                            actions);
+            for (int i = 0; i < failedCalls; i++) {
+                loadBalancer.backendListReceived(i, BackendListKind.CALL_FAILED, List.of());
             }
-            longest = Math.max(longest, pauses.get(failed - 1));
+            longest = Math.max(longest, pauses.get(failedCalls - 1));
         }
         return Duration.ofNanos(longest * 1_000);
     }
 
     @Test
     void watchThatFallsSilentIsReplacedThoughTheFirstCallHangs() {
-        Duration until =
+        Duration delay =
                 DiscoveryClient.SILENCE_TIMEOUT
                         .plus(longestPause(1))
                         .plus(DiscoverySubscription.ANSWER_TIMEOUT)
                         .plus(longestPause(2));
-        assertTrue(until.compareTo(MAX_DELAY) <= 0, until.toString());
+        assertTrue(delay.compareTo(MAX_DELAY) <= 0, delay.toString());
     }
 
     @Test
     void discoveryThatReturnsIsAskedInTimeHoweverLongItWasDown() {
-        for (int failed = 1; failed < 8; failed++) {
-            Duration until =
+        for (int failedCalls = 1; failedCalls < 8; failedCalls++) {
+            Duration delay =
                     DiscoverySubscription.ANSWER_TIMEOUT
-                            .plus(longestPause(failed))
+                            .plus(longestPause(failedCalls))
                             .plus(ANSWER_TIME);
-            assertTrue(until.compareTo(MAX_DELAY) <= 0, failed + " failed: " + until);
+            assertTrue(delay.compareTo(MAX_DELAY) <= 0, failedCalls + " failed: " + delay);
         }
     }
 }
--- a/relay/src/test/java/saltstage/lifecycle/FormerDiscoveryRules.java
+++ b/relay/src/test/java/saltstage/lifecycle/FormerDiscoveryRules.java
@@ -9,9 +9,9 @@
 import saltstage.wire.BackendList;
 
 /**
- * The bookkeeping as it was before the fault was mended: a reference to the newest call beside the
- * set of calls. With {@code forgets}, ending a call forgets it as the newest one as well, which was
- * the first mend.
+ * Former rules with a fault: besides the set of calls they had a reference to the newest call,
+ * which could refer to a call that had ended, and then no call was made any more. With {@code
+ * forgetsEndedCall}, ending a call clears that reference too, which was the first fix.
  */
 final class FormerDiscoveryRules implements DiscoveryRules {
     private static final long NONE = 0;
@@ -23,8 +23,8 @@
     private long watch = NONE;
     private long nextId = 1;
 
-    FormerDiscoveryRules(boolean forgets) {
-        this.forgetsEndedCall = forgets;
+    FormerDiscoveryRules(boolean forgetsEndedCall) {
+        this.forgetsEndedCall = forgetsEndedCall;
     }
 
     private FormerDiscoveryRules copy() {
@@ -37,13 +37,13 @@
         return copy;
     }
 
-    private void end(long id, List<Effect> effects) {
+    private void endCall(long id, List<Effect> effects) {
         calls.remove(id);
         newest = forgetsEndedCall && newest == id ? NONE : newest;
         effects.add(new Effect.EndCall(id));
     }
 
-    private void begin(List<Effect> effects) {
+    private void startCall(List<Effect> effects) {
         calls.add(nextId);
         newest = nextId;
         effects.add(new Effect.StartCall(nextId++));
@@ -55,9 +55,9 @@
         List<Effect> effects = new ArrayList<>();
         if (watch == NONE && (newest == NONE || superseded.contains(newest))) {
             if (calls.size() >= DiscoveryCalls.MAX_CALLS) {
-                next.end(calls.iterator().next(), effects);
+                next.endCall(calls.iterator().next(), effects);
             }
-            next.begin(effects);
+            next.startCall(effects);
         }
         return new Outcome(next, effects, false);
     }
@@ -66,9 +66,9 @@
     public Outcome addressChanged() {
         FormerDiscoveryRules next = copy();
         List<Effect> effects = new ArrayList<>();
-        calls.forEach(id -> next.end(id, effects));
+        calls.forEach(id -> next.endCall(id, effects));
         next.watch = NONE;
-        next.begin(effects);
+        next.startCall(effects);
         return new Outcome(next, effects, false);
     }
 
@@ -86,9 +86,11 @@
         List<Effect> effects = new ArrayList<>();
         if (calls.contains(id)) {
             next.watch = id;
-            calls.stream().filter(other -> other != id).forEach(other -> next.end(other, effects));
-            boolean old = list.revision() < heldRevision;
-            effects.add(old ? new Effect.DropOldList(list) : new Effect.DeliverList(list));
+            calls.stream()
+                    .filter(other -> other != id)
+                    .forEach(other -> next.endCall(other, effects));
+            boolean outdated = list.revision() < heldRevision;
+            effects.add(outdated ? new Effect.DropOldList(list) : new Effect.DeliverList(list));
         }
         return new Outcome(next, effects, false);
     }
@@ -117,11 +119,11 @@
 
     @Override
     public String stateKey(LongFunction<String> nameOfCall) {
-        StringBuilder shape = new StringBuilder();
+        StringBuilder key = new StringBuilder();
         for (long id : calls) {
-            shape.append(nameOfCall.apply(id)).append(superseded.contains(id) ? "superseded" : "");
+            key.append(nameOfCall.apply(id)).append(superseded.contains(id) ? "superseded" : "");
         }
-        return shape
+        return key
                 + " newest="
                 + (newest == NONE ? "none" : nameOfCall.apply(newest) + superseded.contains(newest))
                 + " watch="
