--- a/relay/src/main/java/saltstage/admin/AdminListener.java
+++ b/relay/src/main/java/saltstage/admin/AdminListener.java
@@ -16,17 +16,21 @@
 import saltstage.log.Log;
 
 /**
- * Listens for operators. One thread, without blocking: a caller that says nothing, says it byte by
- * byte or reads nothing is a few hundred bytes and an entry here, and in no other caller's way.
+ * Accepts operator connections and serves them with one non-blocking thread. A client that sends
+ * nothing, sends byte by byte or reads nothing costs a few hundred bytes and one entry here, and
+ * does not delay other clients.
  */
 public final class AdminListener {
-    /** Descriptors that it may take: the listener, the selector's three, and its callers. */
+    /** Descriptors that it may use: the listener, three for the selector, and the connections. */
     public static final int MAX_DESCRIPTORS = 28;
 
     private static final int MAX_CONNECTIONS = 24;
     private static final int BACKLOG = 256;
 
-    /** Who came so lately may have its line on the way: it is not sent off for another newcomer. */
+    /**
+     * Minimum age of a connection that may be closed to make room: the line of a younger one may
+     * still be on its way.
+     */
     private static final Duration MIN_EVICTION_AGE = Duration.ofMillis(100);
 
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(50);
@@ -35,10 +39,10 @@
     private final ServerSocketChannel listener;
     private final SelectionKey acceptKey;
     private final OperatorService service;
-    private final Set<OperatorConnection> connections = new LinkedHashSet<>(); // by age
+    private final Set<OperatorConnection> connections = new LinkedHashSet<>(); // oldest first
     private final Queue<Runnable> answers = new ConcurrentLinkedQueue<>();
 
-    /** Binds the address; callers wait in its backlog until the first round. */
+    /** Binds the address; connections wait in the backlog until the first {@link #runOnce}. */
     public AdminListener(InetSocketAddress at, OperatorService desk) throws IOException {
         this.service = desk;
         selector = Selector.open();
@@ -55,12 +59,12 @@
         }
     }
 
-    /** Where it listens. */
+    /** Returns the bound address. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) listener.getLocalAddress();
     }
 
-    /** Waits for what comes and does it; called over and over, by one thread. */
+    /** Waits for events and handles them; one thread calls this method in a loop. */
     public void runOnce() throws IOException {
         selector.select(SWEEP_INTERVAL.toMillis());
         for (Runnable answer = answers.poll(); answer != null; answer = answers.poll()) {
@@ -80,8 +84,8 @@
     }
 
     /**
-     * Takes who waits, as far as there is room: for a newcomer, who has long said nothing whole
-     * must go.
+     * Accepts waiting connections while there is room. If there is none, the oldest connection that
+     * has not sent a complete line or not read its answer is closed for a new one.
      */
     private void accept() throws IOException {
         while (connections.size() < MAX_CONNECTIONS || evictOne()) {
@@ -92,7 +96,7 @@
             }
             register(channel);
         }
-        acceptKey.interestOps(0); // else the selector would not sleep until there is room
+        acceptKey.interestOps(0); // otherwise select() returns at once until there is room
     }
 
     private boolean evictOne() {
@@ -113,7 +117,7 @@
             SelectionKey key = channel.register(selector, SelectionKey.OP_READ);
             OperatorConnection caller = new OperatorConnection(channel, key, this::answer);
             connections.add(caller);
-            caller.ready(); // most lines are there already
+            caller.ready(); // the line has usually arrived already
             if (caller.isClosed()) {
                 connections.remove(caller);
             }
--- a/relay/src/main/java/saltstage/admin/OperatorCall.java
+++ b/relay/src/main/java/saltstage/admin/OperatorCall.java
@@ -4,17 +4,17 @@
 import java.util.concurrent.CompletionStage;
 import java.util.regex.Pattern;
 
-/** One call: a word and, where it takes one, a backend's id, parted by one blank. */
+/** One operator call: a command and, if the command takes one, a backend id after blanks. */
 record OperatorCall(String command, String backendId) {
     /**
-     * The longest line, its end not counted: a word, a blank and the longest id that a list may
-     * have.
+     * The longest line without its line end: a command, a blank and the longest id that a backend
+     * list may contain.
      */
     static final int MAX_LINE_BYTES = 160;
 
     private static final Pattern ID_PATTERN = Pattern.compile("[!-~]{1,128}");
 
-    /** A call that cannot be taken; the message is what its caller is told. */
+    /** The call is invalid; the message is sent to the operator. */
     static final class BadCallException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Reads a line without its end. */
+    /** Parses a line without its line end. */
     static OperatorCall parse(String line) throws BadCallException {
         String[] parts = line.strip().split(" +", 3);
         boolean named = parts[0].equals("SUSPEND") || parts[0].equals("RESTORE");
@@ -46,7 +46,7 @@
         return new OperatorCall(parts[0], named ? parts[1] : null);
     }
 
-    /** The whole answer, now or soon. */
+    /** Executes the call; the returned stage completes with the whole answer. */
     CompletionStage<String> execute(OperatorService desk) {
         switch (command) {
             case "STATUS":
--- a/relay/src/main/java/saltstage/admin/OperatorConnection.java
+++ b/relay/src/main/java/saltstage/admin/OperatorConnection.java
@@ -9,12 +9,13 @@
 import java.util.function.BiConsumer;
 
 /**
- * One connection of an operator's: reads its line, waits for the answer, writes it, ends. Never
+ * One operator connection: reads one line, waits for the answer, writes it and closes. It never
  * blocks.
  */
 final class OperatorConnection {
     /**
-     * Longer than a person needs at a keyboard that sends whole lines; a script needs milliseconds.
+     * Longer than a person needs who types at a terminal that sends whole lines; a script needs
+     * milliseconds.
      */
     private static final Duration LINE_TIMEOUT = Duration.ofSeconds(6);
 
@@ -36,7 +37,7 @@
     private ByteBuffer output;
     private long deadlineNs = acceptedAtNs + LINE_TIMEOUT.toNanos();
 
-    /** A caller; its whole line is handed to asks, once. */
+    /** Creates a connection that passes its complete line to the listener once. */
     OperatorConnection(
             SocketChannel channel, SelectionKey key, BiConsumer<OperatorConnection, String> asks) {
         this.channel = channel;
@@ -45,7 +46,7 @@
         key.attach(this);
     }
 
-    /** Something can be read or written. */
+    /** The channel can be read or written. */
     void ready() {
         try {
             if (phase == Phase.READING) {
@@ -73,7 +74,7 @@
         } else if (read < 0) {
             sendAnswer(
                     OperatorCall.errorLine(
-                            "no end of line")); // half an id must not be taken for a whole one
+                            "no end of line")); // a truncated id must not be taken for a complete one
         }
     }
 
@@ -84,7 +85,7 @@
         lineListener.accept(this, line);
     }
 
-    /** Its answer, whole. */
+    /** Sends the whole answer and closes the connection after it. */
     void sendAnswer(String answer) {
         if (phase == Phase.CLOSED) {
             return;
@@ -105,8 +106,7 @@
             channel.shutdownOutput();
             key.interestOps(SelectionKey.OP_READ);
         }
-        // What is still unread would make of a close a reset, and that might take the answer with
-        // it.
+        // Closing a socket with unread input sends a reset, which could discard the answer.
         input.clear();
         int read = channel.read(input);
         if (read < 0 || read == input.capacity()) {
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Whether it must be forgotten: closed, or now that its time is up. */
+    /** Closes the connection if its deadline has passed; returns whether it is closed. */
     boolean closeIfExpired(long now) {
         if (phase != Phase.CLOSED && now - deadlineNs > 0) {
             close();
@@ -126,7 +126,7 @@
         return now - acceptedAtNs > age.toNanos();
     }
 
-    /** Whether it owes the rest of its line, or owes taking its answer. */
+    /** Whether the operator has not yet sent a complete line or not read the whole answer. */
     boolean isEvictable() {
         return phase != Phase.AWAITING_ANSWER;
     }
@@ -144,7 +144,7 @@
         key.cancel();
         try {
             channel.close();
-        } catch (IOException ended) { // the other side was first
+        } catch (IOException ended) { // the peer has closed it first
             return;
         }
     }
--- a/relay/src/main/java/saltstage/admin/OperatorService.java
+++ b/relay/src/main/java/saltstage/admin/OperatorService.java
@@ -2,20 +2,23 @@
 
 import java.util.concurrent.CompletionStage;
 
-/** What operators may ask. Nothing here may block: who calls it answers all operators. */
+/**
+ * The operations behind operator calls. No method may block, because one thread answers all
+ * operators.
+ */
 public interface OperatorService {
-    /** Null where this process serves, else why it does not. */
+    /** Returns null if this process serves clients, otherwise the reason why it does not. */
     String notReadyReason();
 
-    /** The figures, each line with its end. */
+    /** Returns the metrics as text, each line with its line end. */
     String metrics();
 
     /**
-     * Nothing more to this backend; null, or why not, once that holds and will outlive this
-     * process.
+     * Stops sending requests to this backend. The stage completes with null once the suspension is
+     * in force and durable, or with the reason why the call was rejected.
      */
     CompletionStage<String> suspend(String id);
 
-    /** Uses that backend again; null, or why not. */
+    /** Uses the backend again; completes with null, or with the reason for a rejection. */
     CompletionStage<String> restore(String id);
 }
--- a/relay/src/main/java/saltstage/admin/package-info.java
+++ b/relay/src/main/java/saltstage/admin/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Where operators call: one line a connection, one answer, on a thread of its own that waits for
- * nobody. It knows nothing of the relay; {@link saltstage.admin.OperatorService} is what the calls
- * are asked of.
+ * The listener for operator calls: one request line and one answer per connection, served by one
+ * thread that never blocks. The package does not depend on the rest of the relay; it passes calls to
+ * an {@link saltstage.admin.OperatorService}.
  */
 package saltstage.admin;
--- a/relay/src/main/java/saltstage/handover/AtomicFile.java
+++ b/relay/src/main/java/saltstage/handover/AtomicFile.java
@@ -12,8 +12,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * A small file, read whole or not at all: written aside, forced, renamed, with a name and a
- * checksum.
+ * A small file that is read completely or not at all. The content is written to a temporary file
+ * with a format header and a checksum, forced to disk and renamed over the old file.
  */
 public final class AtomicFile {
     private static final long MAX_BYTES = 64 << 20;
@@ -22,13 +22,13 @@
     private final Path path;
     private final byte[] header;
 
-    /** A file of this kind and format; what names another one is refused. */
+    /** Creates a file of the given format; a file with the header of another format is rejected. */
     public AtomicFile(Path path, String format) {
         this.path = path;
         header = ("saltstage " + format + "\n").getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Replaces the content. */
+    /** Replaces the content atomically and durably. */
     public void write(byte[] content) throws IOException {
         Files.createDirectories(path.toAbsolutePath().getParent());
         Path aside = path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
@@ -51,7 +51,9 @@
     }
 
     /**
-     * The content, or null where there is no such file; an IOException names what is wrong with it.
+     * Returns the content, or null if the file does not exist.
+     *
+     * @throws IOException if the file cannot be read or is damaged; the message names the reason
      */
     public byte[] read() throws IOException {
         if (!Files.exists(path)) {
--- a/relay/src/main/java/saltstage/handover/ProcessSlots.java
+++ b/relay/src/main/java/saltstage/handover/ProcessSlots.java
@@ -11,13 +11,13 @@
 import java.time.Duration;
 
 /**
- * A file with a slot for each of the two processes that a relay may have at a time. Its process
- * holds a lock on it, which ends with the process however that ends, and writes there how far it is
- * and how many descriptors it may use. The channel stays open: closing any channel of a file ends
- * all locks on it.
+ * A file with one slot for each of the two processes that a relay may have at a time. A process
+ * locks its slot, and the operating system releases the lock however the process ends. The slot
+ * holds the phase of the process and the number of descriptors it may use. The channel is never
+ * closed, because closing any channel of a file releases all locks that the process holds on it.
  */
 public final class ProcessSlots {
-    /** How far a process is. */
+    /** The stage of a process's life. */
     public enum Phase {
         STARTING,
         READY,
@@ -28,14 +28,17 @@
     private static final int SLOT_BYTES = 16;
     private static final int MAGIC = 0x53_4c_54_31; // "SLT1"
 
-    /** A look at a slot locks it for a moment; who comes to take it just then tries again. */
+    /**
+     * How long a process retries to lock a slot: reading the other process's slot locks a free slot
+     * for a moment, so that a claim at that moment fails.
+     */
     private static final Duration CLAIM_TIMEOUT = Duration.ofSeconds(1);
 
     private static final Duration CLAIM_RETRY_PAUSE = Duration.ofMillis(20);
 
     /**
-     * Descriptors beyond those in use that a process keeps when another comes: for what it still
-     * accepts.
+     * Descriptors beyond those in use that a process keeps when another process starts, for
+     * connections that it still accepts.
      */
     private static final int SPARE_DESCRIPTORS = 16;
 
@@ -51,10 +54,17 @@
         this.maxDescriptors = limit;
     }
 
-    /** What the other process has written; budget 0 where it has not yet seen this one. */
+    /**
+     * The slot contents of the other process; the budget is 0 if the other process has not computed
+     * one yet.
+     */
     private record OtherProcess(Phase phase, int descriptorBudget) {}
 
-    /** Takes a slot; this process and the other may together hold so many descriptors. */
+    /**
+     * Claims a slot for this process.
+     *
+     * @param limit the number of descriptors that this process and the other may hold together
+     */
     public static ProcessSlots claim(Path path, int limit) throws IOException {
         Files.createDirectories(path.toAbsolutePath().getParent());
         FileChannel file =
@@ -85,7 +95,7 @@
             return file.tryLock((long) slot * SLOT_BYTES, SLOT_BYTES, false);
         } catch (
                 OverlappingFileLockException
-                        held) { // by this process, which may have two in a test
+                        held) { // by this process: a test may claim both slots
             return null;
         }
     }
@@ -99,27 +109,29 @@
         }
     }
 
-    /** Says how far this process is. */
+    /** Publishes the phase of this process. */
     public synchronized void setPhase(Phase now) throws IOException {
         phase = now;
         write();
     }
 
-    /** Whether there is another process. */
+    /** Whether another process holds the other slot. */
     public synchronized boolean hasOtherProcess() throws IOException {
         return otherProcess() != null;
     }
 
-    /** Whether another process serves beside this one. */
+    /** Whether another process is ready and serves clients beside this one. */
     public synchronized boolean isOtherProcessReady() throws IOException {
         OtherProcess other = otherProcess();
         return other != null && other.phase() == Phase.READY;
     }
 
     /**
-     * How many descriptors this process may use now, where it uses so many. Who is alone may use
-     * all; who serves and sees another keeps what it has, half at least; a starting one gets what
-     * that leaves, and until it was seen a quarter.
+     * Recomputes how many descriptors this process may use. A single process may use all. A serving
+     * process that sees another keeps those in use plus a reserve, with a minimum of half. A
+     * starting process gets the remainder, or a quarter until the serving process has noticed it.
+     *
+     * @param used the number of descriptors that this process uses now
      */
     public synchronized int updateDescriptorBudget(int used) throws IOException {
         OtherProcess other = otherProcess();
@@ -137,8 +149,8 @@
                             descriptorBudget,
                             Math.max(
                                     maxDescriptors / 2,
-                                    used + SPARE_DESCRIPTORS)); // it only shrinks while two are
-            // here
+                                    used + SPARE_DESCRIPTORS)); // only shrinks beside another
+            // process
         } else {
             now =
                     Math.max(
@@ -156,14 +168,14 @@
         int at = (1 - ownSlot) * SLOT_BYTES;
         FileLock free = tryLock(file, 1 - ownSlot);
         if (free != null) {
-            free.release(); // its process is gone
+            free.release(); // the other process has ended
             return null;
         }
         ByteBuffer slot = ByteBuffer.allocate(SLOT_BYTES);
-        int read = file.read(slot, at);
+        int bytesRead = file.read(slot, at);
         slot.flip();
         if (read < SLOT_BYTES || slot.getInt() != MAGIC) {
-            return new OtherProcess(Phase.STARTING, 0); // it lives and has not written yet
+            return new OtherProcess(Phase.STARTING, 0); // it runs but has not written its slot yet
         }
         int phase = slot.getInt();
         boolean known = phase >= 0 && phase < Phase.values().length;
--- a/relay/src/main/java/saltstage/handover/Suspensions.java
+++ b/relay/src/main/java/saltstage/handover/Suspensions.java
@@ -16,9 +16,9 @@
 import saltstage.log.Log;
 
 /**
- * The backends that operators have suspended. One file holds them for both processes of a relay; a
- * change is made under a lock between the two, so that none undoes the other's. Reading the set
- * waits for nothing.
+ * The suspended backends. Those that operators have suspended are stored in one file for both
+ * processes of a relay; a change is made under a lock between the two, so that neither process
+ * overwrites the other's change. Reading the set never blocks.
  */
 public final class Suspensions {
     private static final Duration LOCK_TIMEOUT = Duration.ofMillis(400);
@@ -32,7 +32,10 @@
     private List<Object> lastReadStamp = List.of();
     private boolean unreadable;
 
-    /** The bans of this folder and name; without a folder they last as long as this process. */
+    /**
+     * Opens the suspensions of the relay with the given name in a directory. Without a directory
+     * they are kept in memory until this process ends.
+     */
     public Suspensions(Path dir, String name) throws IOException {
         path = dir == null ? null : dir.resolve(name + ".bans");
         file = dir == null ? null : new AtomicFile(path, "bans 1");
@@ -53,7 +56,7 @@
         return suspendedByOperators.contains(id) || suspendedByConfiguration.contains(id);
     }
 
-    /** All that are suspended. */
+    /** Returns the ids of all suspended backends. */
     public Set<String> all() {
         if (suspendedByConfiguration.isEmpty()) {
             return suspendedByOperators;
@@ -63,21 +66,21 @@
         return Set.copyOf(all);
     }
 
-    /** Whether configuration suspends this backend, whatever operators of this relay have said. */
+    /** Whether the configuration suspends this backend, regardless of operator calls. */
     public boolean isSuspendedByConfiguration(String id) {
         return suspendedByConfiguration.contains(id);
     }
 
     /**
-     * Replaces the backends that configuration suspends, beside those that operators of this relay
-     * have suspended: one lifts only what it has set. They are in no file; each process hears of
-     * them itself.
+     * Replaces the backends that the configuration suspends. They are separate from those that
+     * operators of this relay have suspended: each side lifts only its own suspensions. They are
+     * not stored in the file, because each process receives the configuration itself.
      */
     public void setSuspendedByConfiguration(Set<String> suspended) {
         suspendedByConfiguration = Set.copyOf(suspended);
     }
 
-    /** Suspends or restores a backend; when this returns, that is durable. */
+    /** Suspends or restores a backend; the change is durable when this method returns. */
     public synchronized void setSuspended(String id, boolean banned) throws IOException {
         if (file == null) {
             suspendedByOperators = withChange(id, banned);
@@ -90,7 +93,7 @@
                 Log.warn(
                         "bans.unreadable",
                         "why",
-                        bad.getMessage()); // what is known here replaces it
+                        bad.getMessage()); // the set in memory replaces the file
             }
             if (suspendedByOperators.contains(id) != banned || unreadable) {
                 Set<String> now = withChange(id, banned);
@@ -131,7 +134,7 @@
         }
     }
 
-    /** Takes what the other process has changed; what cannot be read leaves the set as it is. */
+    /** Loads changes of the other process; if the file is unreadable, the set stays unchanged. */
     public synchronized void refresh() throws IOException {
         if (file != null && !fileStamp().equals(lastReadStamp)) {
             read();
@@ -139,12 +142,12 @@
     }
 
     private void read() throws IOException {
-        List<Object> now = fileStamp(); // before: what is written meanwhile is read again
+        List<Object> now = fileStamp(); // before reading, so that a later write is noticed
         if (now.equals(lastReadStamp)) {
             return;
         }
         lastReadStamp = now;
-        unreadable = true; // until it was read
+        unreadable = true; // until the read has succeeded
         byte[] content = file.read();
         String text = content == null ? "" : new String(content, StandardCharsets.UTF_8);
         suspendedByOperators =
--- a/relay/src/main/java/saltstage/handover/package-info.java
+++ b/relay/src/main/java/saltstage/handover/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the processes of one relay know of each other while one replaces the other, and what both
- * must keep to: files in a folder that they share. Nothing is said from process to process.
+ * State that the old and the new process of one relay share during a handover. They coordinate only
+ * through files in a common directory and never exchange messages.
  */
 package saltstage.handover;
--- a/relay/src/main/java/saltstage/log/EventAppender.java
+++ b/relay/src/main/java/saltstage/log/EventAppender.java
@@ -13,8 +13,9 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * Standard error with a bound: no event fills the log. More lines of one event within a second than
- * the bound are counted, not written, and the count is told with the first line after that second.
+ * Writes to standard error with a rate limit per event name, so that no event floods the log. Lines
+ * of one event beyond the limit within a second are only counted, and the count is logged with the
+ * first line after that second.
  */
 final class EventAppender extends ConsoleAppender<ILoggingEvent> {
     static final int MAX_LINES_PER_SECOND = 20;
--- a/relay/src/main/java/saltstage/log/EventLayout.java
+++ b/relay/src/main/java/saltstage/log/EventLayout.java
@@ -7,8 +7,8 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * One line an event, {@code TIME LEVEL event name=value ...}: plain ASCII, so that nobody forges a
- * line.
+ * Formats an event as one line, {@code TIME LEVEL event name=value ...}. All other characters than
+ * printable ASCII are replaced, so that logged input cannot forge a line.
  */
 final class EventLayout extends LayoutBase<ILoggingEvent> {
     @Override
--- a/relay/src/main/java/saltstage/log/LogSetup.java
+++ b/relay/src/main/java/saltstage/log/LogSetup.java
@@ -13,12 +13,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets Logback up in code: standard error, one line an event. No XML is read: a relay restarts on
- * half a core, and a parser for a file that nobody changes would be most of what logging costs at
- * the start.
+ * Configures Logback in code: standard error, one line per event. No XML is read: a relay restarts
+ * on half a core, and parsing a file that nobody changes would be most of the startup cost of
+ * logging.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
-    /** The forms of a line: as ONCALL.md shows it, or one JSON object. */
+    /** The format of a line: text as described in ONCALL.md, or one JSON object. */
     public enum Format {
         TEXT,
         JSON
@@ -32,7 +32,7 @@
         return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
     }
 
-    /** Changes the form and the least level (debug, info, warn or error) while the program runs. */
+    /** Changes the format and the minimum level (debug, info, warn or error) at run time. */
     public static void reconfigure(Format format, String level) {
         apply(
                 (LoggerContext) LoggerFactory.getILoggerFactory(),
--- a/relay/src/main/java/saltstage/metrics/ProcessUsage.java
+++ b/relay/src/main/java/saltstage/metrics/ProcessUsage.java
@@ -7,10 +7,11 @@
 import java.util.List;
 
 /**
- * What this process uses of the platform, and what its host has dropped before any process saw it.
+ * Operating system resources that this process uses, and connections that its host has dropped
+ * before any process could accept them.
  */
 public final class ProcessUsage {
-    /** Where a figure cannot be read, as without a descriptor to read it with. */
+    /** The value cannot be read, for example because no descriptor is free to read it. */
     public static final long UNKNOWN = -1;
 
     private static final File THREADS = new File("/proc/self/task");
@@ -21,12 +22,12 @@
 
     private ProcessUsage() {}
 
-    /** How many threads it has. */
+    /** Returns the number of threads of this process. */
     public static long threads() {
         return countEntries(THREADS);
     }
 
-    /** How many descriptors it has open. */
+    /** Returns the number of open descriptors of this process. */
     public static long descriptors() {
         return countEntries(DESCRIPTORS);
     }
@@ -37,8 +38,8 @@
     }
 
     /**
-     * Connections that the host has dropped since its start as the queue of a listening socket was
-     * full.
+     * Returns the number of connections that the host has dropped since its start because the accept
+     * queue of a listening socket was full.
      */
     public static long listenOverflows() {
         try {
@@ -48,7 +49,7 @@
         }
     }
 
-    /** Of two lines with one beginning, the first has the names and the second has the figures. */
+    /** Reads a counter from two lines with the same prefix: one of names and one of values. */
     static long counter(List<String> lines, String name) {
         List<String> own = lines.stream().filter(line -> line.startsWith(TCP_COUNTERS)).toList();
         if (own.size() < 2) {
--- a/relay/src/main/java/saltstage/metrics/RequestCounters.java
+++ b/relay/src/main/java/saltstage/metrics/RequestCounters.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import java.util.concurrent.atomic.LongAdder;
 
-/** The counts of this process since its start, and the form in which operators read them. */
+/** Counters of this process since its start, and the text format in which operators read them. */
 public final class RequestCounters {
     private static final String PREFIX = "app.";
 
-    /** How a connection has ended up. */
+    /** The result of a connection. */
     public enum Result {
         PASSED,
         DROPPED,
@@ -18,7 +18,7 @@
     private final LongAdder[][] resultCounts;
     private final LongAdder attempts = new LongAdder();
 
-    /** Counts for classes of these names, in the order of the settings. */
+    /** Creates counters for the named service classes, in the order of the settings. */
     public RequestCounters(List<String> classes) {
         this.serviceClasses = List.copyOf(classes);
         resultCounts = new LongAdder[classes.size()][Result.values().length];
@@ -29,17 +29,17 @@
         }
     }
 
-    /** A connection of this class has ended up so; each is counted once. */
+    /** Counts the result of a connection of this class; each connection is counted once. */
     public void countResult(int serviceClass, Result how) {
         resultCounts[serviceClass][how.ordinal()].increment();
     }
 
-    /** An attempt was written whole to a backend. */
+    /** Counts an attempt that was completely written to a backend. */
     public void countAttempt() {
         attempts.increment();
     }
 
-    /** All figures, a line each; the gauges are the caller's. */
+    /** Formats all counters and the given gauge values, one per line. */
     public String format(int inProgress, int known, int skipped) {
         StringBuilder text = new StringBuilder(64 * (3 * serviceClasses.size() + 4));
         for (int c = 0; c < resultCounts.length; c++) {
--- a/relay/src/main/java/saltstage/metrics/package-info.java
+++ b/relay/src/main/java/saltstage/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** What the relay counts, readable at any time without waiting for anybody. */
+/** The relay's counters and resource usage, which can be read at any time without blocking. */
 package saltstage.metrics;
--- a/relay/src/main/java/saltstage/persistence/ConfigurationVersions.java
+++ b/relay/src/main/java/saltstage/persistence/ConfigurationVersions.java
@@ -12,15 +12,15 @@
 import saltstage.store.Snapshot;
 import saltstage.store.Store;
 
-/** The configurations that a relay has accepted, numbered from 1, the newest so many. */
+/** The newest configurations that a relay has accepted, up to a limit, numbered from 1. */
 public final class ConfigurationVersions {
     private static final byte[] KEYS_START = keyBytes("config/");
-    private static final byte[] KEYS_END = keyBytes("config0"); // the byte behind the slash
+    private static final byte[] KEYS_END = keyBytes("config0"); // '0' follows '/' in ASCII
     private static final String KEY_FORMAT = "config/%016x";
 
     /**
-     * One accepted configuration: the platform's JSON and the operator's settings, which may be
-     * empty.
+     * One accepted configuration: the JSON of the platform and the operator's settings, which may
+     * be empty.
      */
     public record Version(
             long number, Instant at, String hash, String configuration, String settings) {}
@@ -42,7 +42,7 @@
                 "%016x%016x", hash.getMostSignificantBits(), hash.getLeastSignificantBits());
     }
 
-    /** All that are kept, oldest first. */
+    /** Returns all stored versions, oldest first. */
     public static List<Version> all(Store store) throws IOException {
         List<Version> all = new ArrayList<>();
         try (Snapshot now = store.snapshot()) {
@@ -58,7 +58,7 @@
         return all;
     }
 
-    /** One of them. */
+    /** Returns the version with this number, if it is stored. */
     public static Optional<Version> find(Store store, long number) throws IOException {
         byte[] found = store.get(keyBytes(String.format(KEY_FORMAT, number)));
         return found == null
@@ -67,8 +67,10 @@
     }
 
     /**
-     * Adds what was accepted, unless it is the newest already; the oldest beyond the bound go with
-     * it.
+     * Adds a configuration unless it equals the newest version, and deletes the oldest versions
+     * beyond the limit in the same batch.
+     *
+     * @return the number of the version that holds this configuration
      */
     static long addIfChanged(
             Store store, String configuration, String settings, Instant at, int most)
--- a/relay/src/main/java/saltstage/persistence/RelayStateCodec.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateCodec.java
@@ -18,8 +18,8 @@
 import saltstage.wire.BackendList;
 
 /**
- * The bytes of what is kept, each with a version in front; one that is not known is refused, not
- * guessed.
+ * Encodes and decodes persisted values. Each begins with a format version; a value of an unknown
+ * version is rejected rather than guessed.
  */
 final class RelayStateCodec {
     private static final int FORMAT_VERSION = 1;
@@ -45,7 +45,7 @@
         try (DataOutputStream data = new DataOutputStream(out)) {
             data.writeByte(version);
             writing.write(data);
-        } catch (IOException impossible) { // it writes to memory
+        } catch (IOException impossible) { // the stream writes to memory
             throw new IllegalStateException(impossible);
         }
         return out.toByteArray();
@@ -118,7 +118,7 @@
                 });
     }
 
-    /** What was learnt, and when. */
+    /** The learned state and the time at which it was recorded. */
     record TimestampedState(Instant at, LearnedState learnedState) {}
 
     static byte[] encodeLearnedState(TimestampedState dated) {
@@ -158,7 +158,7 @@
 
     static TimestampedState decodeLearnedState(byte[] bytes) throws IOException {
         boolean first =
-                bytes.length > 0 && bytes[0] == FORMAT_VERSION; // without the part of the capacity
+                bytes.length > 0 && bytes[0] == FORMAT_VERSION; // without the capacity share
         return decode(
                 bytes,
                 "learnt state",
--- a/relay/src/main/java/saltstage/persistence/RelayStateStore.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateStore.java
@@ -26,12 +26,12 @@
 import saltstage.wire.BackendList;
 
 /**
- * Keeps the relay's state. What is to be written is handed over and written by one thread, the
- * newest only; nobody who hands over waits. Whatever goes wrong with the store, the relay serves on
- * without it.
+ * Persists the relay's state. Callers hand over new state without blocking, and one thread writes
+ * it; of the backend list and the learned state only the newest is written. If the store fails, the
+ * relay continues without it.
  */
 public final class RelayStateStore {
-    /** How the store stands, as the totals tell it. */
+    /** The state of the store, as it is logged with the totals. */
     public enum State {
         OK,
         FULL,
@@ -63,12 +63,12 @@
         this.clock = clock;
     }
 
-    /** Opens the store; where that fails, it is told, and what is handed over is dropped. */
+    /** Opens the store; if that fails, the failure is logged and later state is discarded. */
     public static RelayStateStore open(PersistenceSettings settings, Supplier<Instant> clock) {
         return open(settings, clock, () -> FileDisk.openOrCreate(settings.dir()));
     }
 
-    /** Where the files are. */
+    /** Opens the disk that holds the files of the store. */
     interface DiskOpener {
         Disk open() throws IOException;
     }
@@ -98,14 +98,12 @@
         }
     }
 
-    /** How the store stands. */
+    /** Returns the state of the store. */
     public synchronized State state() {
         return state;
     }
 
-    // ---- what was kept
-
-    /** The newest list of backends, if one was kept and can be read. */
+    /** Returns the newest persisted backend list, if there is one and it can be read. */
     public Optional<BackendList> persistedList() {
         return readPersisted(
                 "list",
@@ -123,7 +121,10 @@
                 });
     }
 
-    /** What was learnt, unless it is too old; spans are shorter by its age. */
+    /**
+     * Returns the persisted learned state unless it is too old; remaining ejection times are
+     * shortened by its age.
+     */
     public Optional<LearnedState> persistedLearnedState() {
         return readPersisted(
                 "learnt",
@@ -135,7 +136,7 @@
                     RelayStateCodec.TimestampedState dated =
                             RelayStateCodec.decodeLearnedState(bytes);
                     Duration age = Duration.between(dated.at(), clock.get());
-                    // Of a clock that went back nobody can say how old it is.
+                    // If the clock was set back, the age is unknown.
                     boolean fresh =
                             !age.isNegative() && age.compareTo(settings.maxLearnedStateAge()) <= 0;
                     Log.info(
@@ -191,9 +192,7 @@
         }
     }
 
-    // ---- what is to be kept
-
-    /** Begins to write, and to ask for what was learnt at the interval of the settings. */
+    /** Starts writing, and reading the learned state at the interval of the settings. */
     public synchronized void start(Supplier<LearnedState> learnt) {
         learnedStateSource = learnt;
         if (store != null) {
@@ -203,20 +202,20 @@
         }
     }
 
-    /** The whole list of backends as it is now. */
+    /** Schedules the complete current backend list to be written. */
     public synchronized void saveList(BackendList now) {
         pendingList = now;
         notifyAll();
     }
 
-    /** A configuration was accepted. */
+    /** Schedules an accepted configuration to be written. */
     public synchronized void saveConfiguration(String configuration, String operatorSettings) {
         pendingConfigurations.add(
                 new AcceptedConfiguration(configuration, operatorSettings, clock.get()));
         notifyAll();
     }
 
-    /** Writes what there is for the last time, as far as that is done within the limit. */
+    /** Writes pending state a last time and closes the store; waits for that up to the limit. */
     public void close(Duration limit) {
         Thread writing;
         synchronized (this) {
@@ -244,7 +243,7 @@
             Thread.currentThread().interrupt();
         } catch (IOException
                 | RuntimeException
-                | Error e) { // the relay must not be told by its absence
+                | Error e) { // a writer that ends without a report would go unnoticed
             markLost(e instanceof Exception known ? known : new IllegalStateException(e));
         } finally {
             closeStore();
@@ -259,7 +258,10 @@
         }
     }
 
-    /** Waits until there is something to write, or the interval is over; true at the end. */
+    /**
+     * Waits until there is something to write or the interval has passed; returns true when the
+     * store is closing.
+     */
     private synchronized boolean awaitWork() throws InterruptedException {
         long until =
                 System.nanoTime()
@@ -277,7 +279,7 @@
         return closing;
     }
 
-    /** Writes what has come; a full disk keeps it for the next round. */
+    /** Writes pending state; if the disk is full, it stays pending for the next round. */
     private void writePending() throws IOException {
         BackendList newest;
         List<AcceptedConfiguration> configurations;
@@ -296,7 +298,7 @@
             pendingWritten(newest, configurations.size());
         } catch (StoreException.DiskFull full) {
             synchronized (this) {
-                state = State.FULL; // the store itself has told
+                state = State.FULL; // the store itself has logged it
             }
         }
     }
@@ -307,7 +309,7 @@
         pendingConfigurations.subList(0, configurations).clear();
     }
 
-    /** The list in one batch: what differs from the one that is there, and its number. */
+    /** Writes the differences from the stored list and the new revision in one batch. */
     private void writeList(BackendList newest) throws IOException {
         Map<String, byte[]> wanted = new HashMap<>();
         newest.entries()
--- a/relay/src/main/java/saltstage/persistence/Takeover.java
+++ b/relay/src/main/java/saltstage/persistence/Takeover.java
@@ -14,8 +14,8 @@
 import saltstage.wire.BackendList;
 
 /**
- * What a process leaves to the one that replaces it: its list, what it has learnt, every id ever
- * listed.
+ * The state that a relay process leaves to its successor: its backend list, its learned state and
+ * every backend id that was ever listed.
  */
 public record Takeover(
         BackendList list,
@@ -24,7 +24,7 @@
         Set<String> knownBackendIds) {
     private static final int MAX_COUNT = 1 << 20;
 
-    /** As bytes. */
+    /** Encodes this state. */
     public byte[] toBytes() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         DataOutputStream data = new DataOutputStream(out);
@@ -52,7 +52,11 @@
         }
     }
 
-    /** From bytes; an IOException says what is wrong with them. */
+    /**
+     * Decodes a state.
+     *
+     * @throws IOException if the bytes are malformed; the message names the reason
+     */
     public static Takeover fromBytes(byte[] bytes) throws IOException {
         DataInputStream data = new DataInputStream(new ByteArrayInputStream(bytes));
         long rev = data.readLong();
--- a/relay/src/main/java/saltstage/persistence/package-info.java
+++ b/relay/src/main/java/saltstage/persistence/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What a relay keeps over a restart, on {@link saltstage.store}: the list of backends, what its
- * module has learnt, and the configurations it has accepted. Written by a thread of its own, never
- * on a request's path; a store that is lost is told and done without.
+ * State that a relay keeps across restarts, on top of {@link saltstage.store}: the backend list, the
+ * learned state of the load balancer, and the accepted configurations. A separate thread writes it,
+ * never the request path. If the store fails, the relay reports it and continues without
+ * persistence.
  */
 package saltstage.persistence;
