--- a/relay/src/main/java/saltstage/admin/AdminListener.java
+++ b/relay/src/main/java/saltstage/admin/AdminListener.java
@@ -43,19 +43,19 @@
     private final Queue<Runnable> answers = new ConcurrentLinkedQueue<>();
 
     /** Binds the address; connections wait in the backlog until the first {@link #runOnce}. */
-    public AdminListener(InetSocketAddress at, OperatorService desk) throws IOException {
-        this.service = desk;
+    public AdminListener(InetSocketAddress address, OperatorService service) throws IOException {
+        this.service = service;
         selector = Selector.open();
         listener = ServerSocketChannel.open();
         try {
             listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            listener.bind(at, BACKLOG);
+            listener.bind(address, BACKLOG);
             listener.configureBlocking(false);
             acceptKey = listener.register(selector, SelectionKey.OP_ACCEPT);
         } catch (IOException e) {
             listener.close();
             selector.close();
-            throw new IOException("operators' address " + at + ": " + e.getMessage(), e);
+            throw new IOException("operators' address " + address + ": " + e.getMessage(), e);
         }
     }
 
@@ -79,7 +79,7 @@
             }
         }
         long now = System.nanoTime();
-        connections.removeIf(caller -> caller.closeIfExpired(now));
+        connections.removeIf(connection -> connection.closeIfExpired(now));
         accept();
     }
 
@@ -101,10 +101,10 @@
 
     private boolean evictOne() {
         long now = System.nanoTime();
-        for (OperatorConnection caller : connections) {
-            if (caller.isOlderThan(MIN_EVICTION_AGE, now) && caller.isEvictable()) {
-                caller.close();
-                connections.remove(caller);
+        for (OperatorConnection connection : connections) {
+            if (connection.isOlderThan(MIN_EVICTION_AGE, now) && connection.isEvictable()) {
+                connection.close();
+                connections.remove(connection);
                 return true;
             }
         }
@@ -115,36 +115,36 @@
         try {
             channel.configureBlocking(false);
             SelectionKey key = channel.register(selector, SelectionKey.OP_READ);
-            OperatorConnection caller = new OperatorConnection(channel, key, this::answer);
-            connections.add(caller);
-            caller.ready(); // the line has usually arrived already
-            if (caller.isClosed()) {
-                connections.remove(caller);
+            OperatorConnection connection = new OperatorConnection(channel, key, this::answer);
+            connections.add(connection);
+            connection.ready(); // the line has usually arrived already
+            if (connection.isClosed()) {
+                connections.remove(connection);
             }
-        } catch (IOException gone) {
+        } catch (IOException e) {
             channel.close();
         }
     }
 
-    private void answer(OperatorConnection caller, String line) {
+    private void answer(OperatorConnection connection, String line) {
         try {
             OperatorCall.parse(line)
                     .execute(service)
                     .whenComplete(
                             (answer, fault) -> {
-                                String told =
+                                String response =
                                         answer != null
                                                 ? answer
                                                 : OperatorCall.errorLine("failed, see the log");
                                 if (fault != null) {
                                     Log.error("admin.fault", fault);
                                 }
-                                answers.add(() -> caller.sendAnswer(told));
+                                answers.add(() -> connection.sendAnswer(response));
                                 selector.wakeup();
                             });
-        } catch (OperatorCall.BadCallException bad) {
-            Log.warn("admin.refused", "from", caller.remoteAddress(), "why", bad.getMessage());
-            caller.sendAnswer(OperatorCall.errorLine(bad.getMessage()));
+        } catch (OperatorCall.BadCallException e) {
+            Log.warn("admin.refused", "from", connection.remoteAddress(), "why", e.getMessage());
+            connection.sendAnswer(OperatorCall.errorLine(e.getMessage()));
         }
     }
 }
--- a/relay/src/main/java/saltstage/admin/OperatorCall.java
+++ b/relay/src/main/java/saltstage/admin/OperatorCall.java
@@ -18,53 +18,53 @@
     static final class BadCallException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadCallException(String why) {
-            super(why);
+        BadCallException(String reason) {
+            super(reason);
         }
     }
 
     /** Parses a line without its line end. */
     static OperatorCall parse(String line) throws BadCallException {
         String[] parts = line.strip().split(" +", 3);
-        boolean named = parts[0].equals("SUSPEND") || parts[0].equals("RESTORE");
-        if (!named && !parts[0].equals("STATUS") && !parts[0].equals("METRICS")) {
+        boolean takesId = parts[0].equals("SUSPEND") || parts[0].equals("RESTORE");
+        if (!takesId && !parts[0].equals("STATUS") && !parts[0].equals("METRICS")) {
             throw new BadCallException(
                     parts[0].isEmpty()
                             ? "empty call"
                             : "unknown call, known: STATUS, METRICS, SUSPEND ID, RESTORE ID");
         }
-        if (named && parts.length < 2) {
+        if (takesId && parts.length < 2) {
             throw new BadCallException(parts[0] + " takes the id of a backend");
         }
-        if (parts.length > (named ? 2 : 1)) {
+        if (parts.length > (takesId ? 2 : 1)) {
             throw new BadCallException(
-                    parts[0] + (named ? " takes one id" : " takes nothing more"));
+                    parts[0] + (takesId ? " takes one id" : " takes nothing more"));
         }
-        if (named && !ID_PATTERN.matcher(parts[1]).matches()) {
+        if (takesId && !ID_PATTERN.matcher(parts[1]).matches()) {
             throw new BadCallException("that is no id of a backend");
         }
-        return new OperatorCall(parts[0], named ? parts[1] : null);
+        return new OperatorCall(parts[0], takesId ? parts[1] : null);
     }
 
     /** Executes the call; the returned stage completes with the whole answer. */
-    CompletionStage<String> execute(OperatorService desk) {
+    CompletionStage<String> execute(OperatorService service) {
         switch (command) {
             case "STATUS":
-                String why = desk.notReadyReason();
+                String reason = service.notReadyReason();
                 return CompletableFuture.completedFuture(
-                        why == null ? "done ready\r\n" : errorLine(why));
+                        reason == null ? "done ready\r\n" : errorLine(reason));
             case "METRICS":
-                return CompletableFuture.completedFuture(desk.metrics() + "end\r\n");
+                return CompletableFuture.completedFuture(service.metrics() + "end\r\n");
             case "SUSPEND":
-                return desk.suspend(backendId)
-                        .thenApply(bad -> bad == null ? "done suspended\r\n" : errorLine(bad));
+                return service.suspend(backendId)
+                        .thenApply(error -> error == null ? "done suspended\r\n" : errorLine(error));
             default:
-                return desk.restore(backendId)
-                        .thenApply(bad -> bad == null ? "done restored\r\n" : errorLine(bad));
+                return service.restore(backendId)
+                        .thenApply(error -> error == null ? "done restored\r\n" : errorLine(error));
         }
     }
 
-    static String errorLine(String why) {
-        return "error " + why.replaceAll("[^ -~]", "?") + "\r\n";
+    static String errorLine(String reason) {
+        return "error " + reason.replaceAll("[^ -~]", "?") + "\r\n";
     }
 }
--- a/relay/src/main/java/saltstage/admin/OperatorConnection.java
+++ b/relay/src/main/java/saltstage/admin/OperatorConnection.java
@@ -39,10 +39,10 @@
 
     /** Creates a connection that passes its complete line to the listener once. */
     OperatorConnection(
-            SocketChannel channel, SelectionKey key, BiConsumer<OperatorConnection, String> asks) {
+            SocketChannel channel, SelectionKey key, BiConsumer<OperatorConnection, String> lineListener) {
         this.channel = channel;
         this.key = key;
-        this.lineListener = asks;
+        this.lineListener = lineListener;
         key.attach(this);
     }
 
@@ -54,13 +54,13 @@
             } else if (phase == Phase.WRITING) {
                 write();
             }
-        } catch (IOException gone) {
+        } catch (IOException e) {
             close();
         }
     }
 
     private void read() throws IOException {
-        int read = channel.read(input);
+        int bytesRead = channel.read(input);
         for (int i = 0; i < input.position(); i++) {
             if (input.get(i) == '\n') {
                 lineReceived(new String(input.array(), 0, i, StandardCharsets.ISO_8859_1));
@@ -69,9 +69,9 @@
         }
         if (!input.hasRemaining()) {
             sendAnswer(OperatorCall.errorLine("line too long"));
-        } else if (read < 0 && input.position() == 0) {
+        } else if (bytesRead < 0 && input.position() == 0) {
             close();
-        } else if (read < 0) {
+        } else if (bytesRead < 0) {
             sendAnswer(
                     OperatorCall.errorLine(
                             "no end of line")); // a truncated id must not be taken for a complete one
@@ -108,22 +108,22 @@
         }
         // Closing a socket with unread input sends a reset, which could discard the answer.
         input.clear();
-        int read = channel.read(input);
-        if (read < 0 || read == input.capacity()) {
+        int bytesRead = channel.read(input);
+        if (bytesRead < 0 || bytesRead == input.capacity()) {
             close();
         }
     }
 
     /** Closes the connection if its deadline has passed; returns whether it is closed. */
-    boolean closeIfExpired(long now) {
-        if (phase != Phase.CLOSED && now - deadlineNs > 0) {
+    boolean closeIfExpired(long nowNs) {
+        if (phase != Phase.CLOSED && nowNs - deadlineNs > 0) {
             close();
         }
         return phase == Phase.CLOSED;
     }
 
-    boolean isOlderThan(Duration age, long now) {
-        return now - acceptedAtNs > age.toNanos();
+    boolean isOlderThan(Duration age, long nowNs) {
+        return nowNs - acceptedAtNs > age.toNanos();
     }
 
     /** Whether the operator has not yet sent a complete line or not read the whole answer. */
@@ -144,7 +144,7 @@
         key.cancel();
         try {
             channel.close();
-        } catch (IOException ended) { // the peer has closed it first
+        } catch (IOException e) { // the peer has closed it first
             return;
         }
     }
--- a/relay/src/main/java/saltstage/handover/AtomicFile.java
+++ b/relay/src/main/java/saltstage/handover/AtomicFile.java
@@ -31,23 +31,23 @@
     /** Replaces the content atomically and durably. */
     public void write(byte[] content) throws IOException {
         Files.createDirectories(path.toAbsolutePath().getParent());
-        Path aside = path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
-        ByteBuffer all = ByteBuffer.allocate(header.length + content.length + CHECKSUM_BYTES);
-        all.put(header).put(content);
-        all.putInt(checksum(all.array(), all.position())).flip();
+        Path temporaryFile = path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
+        ByteBuffer bytes = ByteBuffer.allocate(header.length + content.length + CHECKSUM_BYTES);
+        bytes.put(header).put(content);
+        bytes.putInt(checksum(bytes.array(), bytes.position())).flip();
         try (FileChannel file =
                 FileChannel.open(
-                        aside,
+                        temporaryFile,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
-            while (all.hasRemaining()) {
-                file.write(all);
+            while (bytes.hasRemaining()) {
+                file.write(bytes);
             }
             file.force(true);
         }
         Files.move(
-                aside, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                temporaryFile, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
     /**
@@ -62,16 +62,16 @@
         if (Files.size(path) > MAX_BYTES) {
             throw new IOException(path + ": too large");
         }
-        byte[] all = Files.readAllBytes(path);
-        int end = all.length - CHECKSUM_BYTES;
+        byte[] bytes = Files.readAllBytes(path);
+        int end = bytes.length - CHECKSUM_BYTES;
         if (end < header.length
-                || !Arrays.equals(header, 0, header.length, all, 0, header.length)) {
+                || !Arrays.equals(header, 0, header.length, bytes, 0, header.length)) {
             throw new IOException(path + ": not in the form of this program");
         }
-        if (ByteBuffer.wrap(all, end, CHECKSUM_BYTES).getInt() != checksum(all, end)) {
+        if (ByteBuffer.wrap(bytes, end, CHECKSUM_BYTES).getInt() != checksum(bytes, end)) {
             throw new IOException(path + ": torn, its checksum differs");
         }
-        return Arrays.copyOfRange(all, header.length, end);
+        return Arrays.copyOfRange(bytes, header.length, end);
     }
 
     private static int checksum(byte[] bytes, int length) {
--- a/relay/src/main/java/saltstage/handover/ProcessSlots.java
+++ b/relay/src/main/java/saltstage/handover/ProcessSlots.java
@@ -48,10 +48,10 @@
     private Phase phase = Phase.STARTING;
     private int descriptorBudget;
 
-    private ProcessSlots(FileChannel file, int own, int limit) {
+    private ProcessSlots(FileChannel file, int slot, int maxDescriptors) {
         this.file = file;
-        this.ownSlot = own;
-        this.maxDescriptors = limit;
+        this.ownSlot = slot;
+        this.maxDescriptors = maxDescriptors;
     }
 
     /**
@@ -65,7 +65,7 @@
      *
      * @param limit the number of descriptors that this process and the other may hold together
      */
-    public static ProcessSlots claim(Path path, int limit) throws IOException {
+    public static ProcessSlots claim(Path path, int maxDescriptors) throws IOException {
         Files.createDirectories(path.toAbsolutePath().getParent());
         FileChannel file =
                 FileChannel.open(
@@ -73,19 +73,19 @@
                         StandardOpenOption.CREATE,
                         StandardOpenOption.READ,
                         StandardOpenOption.WRITE);
-        long until = System.nanoTime() + CLAIM_TIMEOUT.toNanos();
+        long deadlineNs = System.nanoTime() + CLAIM_TIMEOUT.toNanos();
         do {
             for (int i = 0; i < SLOT_COUNT; i++) {
                 FileLock lock = tryLock(file, i);
                 if (lock != null) {
-                    ProcessSlots slots = new ProcessSlots(file, i, limit);
+                    ProcessSlots slots = new ProcessSlots(file, i, maxDescriptors);
                     slots.write();
                     slots.updateDescriptorBudget(0);
                     return slots;
                 }
             }
             pause();
-        } while (System.nanoTime() < until);
+        } while (System.nanoTime() < deadlineNs);
         file.close();
         throw new IOException(path + ": both slots are taken");
     }
@@ -95,7 +95,7 @@
             return file.tryLock((long) slot * SLOT_BYTES, SLOT_BYTES, false);
         } catch (
                 OverlappingFileLockException
-                        held) { // by this process: a test may claim both slots
+                        e) { // by this process: a test may claim both slots
             return null;
         }
     }
@@ -110,8 +110,8 @@
     }
 
     /** Publishes the phase of this process. */
-    public synchronized void setPhase(Phase now) throws IOException {
-        phase = now;
+    public synchronized void setPhase(Phase newPhase) throws IOException {
+        phase = newPhase;
         write();
     }
 
@@ -135,16 +135,16 @@
      */
     public synchronized int updateDescriptorBudget(int used) throws IOException {
         OtherProcess other = otherProcess();
-        int now;
+        int budget;
         if (other == null) {
-            now = maxDescriptors;
+            budget = maxDescriptors;
         } else if (phase == Phase.STARTING || other.phase() == Phase.LEAVING) {
-            now =
+            budget =
                     other.descriptorBudget() > 0 && other.descriptorBudget() < maxDescriptors
                             ? maxDescriptors - other.descriptorBudget()
                             : maxDescriptors / 4;
         } else if (descriptorBudget < maxDescriptors) {
-            now =
+            budget =
                     Math.min(
                             descriptorBudget,
                             Math.max(
@@ -152,34 +152,34 @@
                                     used + SPARE_DESCRIPTORS)); // only shrinks beside another
             // process
         } else {
-            now =
+            budget =
                     Math.max(
                             maxDescriptors / 2,
                             Math.min(used + SPARE_DESCRIPTORS, maxDescriptors * 3 / 4));
         }
-        if (now != descriptorBudget) {
-            descriptorBudget = now;
+        if (budget != descriptorBudget) {
+            descriptorBudget = budget;
             write();
         }
-        return now;
+        return budget;
     }
 
     private OtherProcess otherProcess() throws IOException {
-        int at = (1 - ownSlot) * SLOT_BYTES;
+        int offset = (1 - ownSlot) * SLOT_BYTES;
         FileLock free = tryLock(file, 1 - ownSlot);
         if (free != null) {
             free.release(); // the other process has ended
             return null;
         }
         ByteBuffer slot = ByteBuffer.allocate(SLOT_BYTES);
-        int bytesRead = file.read(slot, at);
+        int bytesRead = file.read(slot, offset);
         slot.flip();
-        if (read < SLOT_BYTES || slot.getInt() != MAGIC) {
+        if (bytesRead < SLOT_BYTES || slot.getInt() != MAGIC) {
             return new OtherProcess(Phase.STARTING, 0); // it runs but has not written its slot yet
         }
         int phase = slot.getInt();
-        boolean known = phase >= 0 && phase < Phase.values().length;
-        return new OtherProcess(known ? Phase.values()[phase] : Phase.STARTING, slot.getInt());
+        boolean valid = phase >= 0 && phase < Phase.values().length;
+        return new OtherProcess(valid ? Phase.values()[phase] : Phase.STARTING, slot.getInt());
     }
 
     private void write() throws IOException {
--- a/relay/src/main/java/saltstage/handover/Suspensions.java
+++ b/relay/src/main/java/saltstage/handover/Suspensions.java
@@ -81,48 +81,48 @@
     }
 
     /** Suspends or restores a backend; the change is durable when this method returns. */
-    public synchronized void setSuspended(String id, boolean banned) throws IOException {
+    public synchronized void setSuspended(String id, boolean suspended) throws IOException {
         if (file == null) {
-            suspendedByOperators = withChange(id, banned);
+            suspendedByOperators = withChange(id, suspended);
             return;
         }
         try (FileLock held = acquireLock()) {
             try {
                 read();
-            } catch (IOException bad) {
+            } catch (IOException e) {
                 Log.warn(
                         "bans.unreadable",
                         "why",
-                        bad.getMessage()); // the set in memory replaces the file
+                        e.getMessage()); // the set in memory replaces the file
             }
-            if (suspendedByOperators.contains(id) != banned || unreadable) {
-                Set<String> now = withChange(id, banned);
-                file.write(String.join("\n", now).getBytes(StandardCharsets.UTF_8));
-                suspendedByOperators = now;
+            if (suspendedByOperators.contains(id) != suspended || unreadable) {
+                Set<String> changed = withChange(id, suspended);
+                file.write(String.join("\n", changed).getBytes(StandardCharsets.UTF_8));
+                suspendedByOperators = changed;
                 lastReadStamp = fileStamp();
                 unreadable = false;
             }
         }
     }
 
-    private Set<String> withChange(String id, boolean banned) {
-        Set<String> now = new TreeSet<>(suspendedByOperators);
-        if (banned) {
-            now.add(id);
+    private Set<String> withChange(String id, boolean suspended) {
+        Set<String> changed = new TreeSet<>(suspendedByOperators);
+        if (suspended) {
+            changed.add(id);
         } else {
-            now.remove(id);
+            changed.remove(id);
         }
-        return Set.copyOf(now);
+        return Set.copyOf(changed);
     }
 
     private FileLock acquireLock() throws IOException {
-        long until = System.nanoTime() + LOCK_TIMEOUT.toNanos();
+        long deadlineNs = System.nanoTime() + LOCK_TIMEOUT.toNanos();
         while (true) {
             FileLock held = lockFile.tryLock();
             if (held != null) {
                 return held;
             }
-            if (System.nanoTime() - until > 0) {
+            if (System.nanoTime() - deadlineNs > 0) {
                 throw new IOException("the other process holds the bans");
             }
             try {
@@ -142,11 +142,11 @@
     }
 
     private void read() throws IOException {
-        List<Object> now = fileStamp(); // before reading, so that a later write is noticed
-        if (now.equals(lastReadStamp)) {
+        List<Object> stamp = fileStamp(); // before reading, so that a later write is noticed
+        if (stamp.equals(lastReadStamp)) {
             return;
         }
-        lastReadStamp = now;
+        lastReadStamp = stamp;
         unreadable = true; // until the read has succeeded
         byte[] content = file.read();
         String text = content == null ? "" : new String(content, StandardCharsets.UTF_8);
@@ -159,7 +159,7 @@
         if (!Files.exists(path)) {
             return List.of();
         }
-        BasicFileAttributes at = Files.readAttributes(path, BasicFileAttributes.class);
-        return List.of(at.lastModifiedTime(), at.size(), String.valueOf(at.fileKey()));
+        BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
+        return List.of(attributes.lastModifiedTime(), attributes.size(), String.valueOf(attributes.fileKey()));
     }
 }
--- a/relay/src/main/java/saltstage/log/EventAppender.java
+++ b/relay/src/main/java/saltstage/log/EventAppender.java
@@ -30,12 +30,12 @@
     @Override
     protected void append(ILoggingEvent event) {
         synchronized (linesByEvent) {
-            long now = Math.floorDiv(event.getTimeStamp(), 1000L);
-            if (now != currentSecond) {
-                currentSecond = now;
-                Map<String, int[]> before = Map.copyOf(linesByEvent);
+            long second = Math.floorDiv(event.getTimeStamp(), 1000L);
+            if (second != currentSecond) {
+                currentSecond = second;
+                Map<String, int[]> previous = Map.copyOf(linesByEvent);
                 linesByEvent.clear();
-                before.forEach(
+                previous.forEach(
                         (name, count) -> {
                             if (count[0] > MAX_LINES_PER_SECOND) {
                                 super.append(
@@ -51,12 +51,12 @@
         }
     }
 
-    private ILoggingEvent suppressed(ILoggingEvent at, String event, int lines) {
-        Logger logger = ((LoggerContext) getContext()).getLogger(at.getLoggerName());
-        LoggingEvent told =
+    private ILoggingEvent suppressed(ILoggingEvent source, String event, int lines) {
+        Logger logger = ((LoggerContext) getContext()).getLogger(source.getLoggerName());
+        LoggingEvent summary =
                 new LoggingEvent(null, logger, Level.WARN, "log.suppressed", null, null);
-        told.setKeyValuePairs(
+        summary.setKeyValuePairs(
                 List.of(new KeyValuePair("event", event), new KeyValuePair("lines", lines)));
-        return told;
+        return summary;
     }
 }
--- a/relay/src/main/java/saltstage/metrics/ProcessUsage.java
+++ b/relay/src/main/java/saltstage/metrics/ProcessUsage.java
@@ -44,19 +44,19 @@
     public static long listenOverflows() {
         try {
             return counter(Files.readAllLines(HOST_COUNTERS), LISTEN_OVERFLOWS);
-        } catch (IOException unreadable) {
+        } catch (IOException e) {
             return UNKNOWN;
         }
     }
 
     /** Reads a counter from two lines with the same prefix: one of names and one of values. */
     static long counter(List<String> lines, String name) {
-        List<String> own = lines.stream().filter(line -> line.startsWith(TCP_COUNTERS)).toList();
-        if (own.size() < 2) {
+        List<String> tcpLines = lines.stream().filter(line -> line.startsWith(TCP_COUNTERS)).toList();
+        if (tcpLines.size() < 2) {
             return UNKNOWN;
         }
-        int place = List.of(own.get(0).split(" ")).indexOf(name);
-        String[] figures = own.get(1).split(" ");
-        return place < 0 || place >= figures.length ? UNKNOWN : Long.parseLong(figures[place]);
+        int index = List.of(tcpLines.get(0).split(" ")).indexOf(name);
+        String[] values = tcpLines.get(1).split(" ");
+        return index < 0 || index >= values.length ? UNKNOWN : Long.parseLong(values[index]);
     }
 }
--- a/relay/src/main/java/saltstage/metrics/RequestCounters.java
+++ b/relay/src/main/java/saltstage/metrics/RequestCounters.java
@@ -22,16 +22,16 @@
     public RequestCounters(List<String> classes) {
         this.serviceClasses = List.copyOf(classes);
         resultCounts = new LongAdder[classes.size()][Result.values().length];
-        for (LongAdder[] each : resultCounts) {
-            for (int i = 0; i < each.length; i++) {
-                each[i] = new LongAdder();
+        for (LongAdder[] counts : resultCounts) {
+            for (int i = 0; i < counts.length; i++) {
+                counts[i] = new LongAdder();
             }
         }
     }
 
     /** Counts the result of a connection of this class; each connection is counted once. */
-    public void countResult(int serviceClass, Result how) {
-        resultCounts[serviceClass][how.ordinal()].increment();
+    public void countResult(int serviceClass, Result result) {
+        resultCounts[serviceClass][result.ordinal()].increment();
     }
 
     /** Counts an attempt that was completely written to a backend. */
@@ -42,15 +42,15 @@
     /** Formats all counters and the given gauge values, one per line. */
     public String format(int inProgress, int known, int skipped) {
         StringBuilder text = new StringBuilder(64 * (3 * serviceClasses.size() + 4));
-        for (int c = 0; c < resultCounts.length; c++) {
-            for (Result how : Result.values()) {
+        for (int index = 0; index < resultCounts.length; index++) {
+            for (Result result : Result.values()) {
                 appendCounter(
                         text,
                         "handled."
-                                + serviceClasses.get(c)
+                                + serviceClasses.get(index)
                                 + "."
-                                + how.name().toLowerCase(java.util.Locale.ROOT),
-                        resultCounts[c][how.ordinal()].sum());
+                                + result.name().toLowerCase(java.util.Locale.ROOT),
+                        resultCounts[index][result.ordinal()].sum());
             }
         }
         appendCounter(text, "upstream_tries", attempts.sum());
--- a/relay/src/main/java/saltstage/persistence/ConfigurationVersions.java
+++ b/relay/src/main/java/saltstage/persistence/ConfigurationVersions.java
@@ -45,8 +45,8 @@
     /** Returns all stored versions, oldest first. */
     public static List<Version> all(Store store) throws IOException {
         List<Version> all = new ArrayList<>();
-        try (Snapshot now = store.snapshot()) {
-            Snapshot.Scan scan = now.scan(KEYS_START, KEYS_END);
+        try (Snapshot snapshot = store.snapshot()) {
+            Snapshot.Scan scan = snapshot.scan(KEYS_START, KEYS_END);
             while (scan.next()) {
                 String key = new String(scan.key(), StandardCharsets.UTF_8);
                 all.add(
@@ -73,7 +73,7 @@
      * @return the number of the version that holds this configuration
      */
     static long addIfChanged(
-            Store store, String configuration, String settings, Instant at, int most)
+            Store store, String configuration, String settings, Instant at, int maxVersions)
             throws IOException {
         List<Version> all = all(store);
         Version newest = all.isEmpty() ? null : all.get(all.size() - 1);
@@ -94,7 +94,7 @@
                                                 hash(configuration, settings),
                                                 configuration,
                                                 settings)));
-        for (int i = 0; i < all.size() + 1 - most; i++) {
+        for (int i = 0; i < all.size() + 1 - maxVersions; i++) {
             batch.delete(keyBytes(String.format(KEY_FORMAT, all.get(i).number())));
         }
         store.commit(batch);
--- a/relay/src/main/java/saltstage/persistence/RelayStateCodec.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateCodec.java
@@ -36,40 +36,40 @@
         T read(DataInputStream in) throws IOException;
     }
 
-    private static byte[] encode(BodyWriter writing) {
-        return encode(FORMAT_VERSION, writing);
+    private static byte[] encode(BodyWriter writer) {
+        return encode(FORMAT_VERSION, writer);
     }
 
-    private static byte[] encode(int version, BodyWriter writing) {
+    private static byte[] encode(int version, BodyWriter writer) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (DataOutputStream data = new DataOutputStream(out)) {
             data.writeByte(version);
-            writing.write(data);
-        } catch (IOException impossible) { // the stream writes to memory
-            throw new IllegalStateException(impossible);
+            writer.write(data);
+        } catch (IOException e) { // the stream writes to memory
+            throw new IllegalStateException(e);
         }
         return out.toByteArray();
     }
 
-    private static <T> T decode(byte[] bytes, String what, BodyReader<T> reading)
+    private static <T> T decode(byte[] bytes, String what, BodyReader<T> reader)
             throws IOException {
-        return decode(bytes, what, FORMAT_VERSION, reading);
+        return decode(bytes, what, FORMAT_VERSION, reader);
     }
 
-    private static <T> T decode(byte[] bytes, String what, int known, BodyReader<T> reading)
+    private static <T> T decode(byte[] bytes, String what, int expectedVersion, BodyReader<T> reader)
             throws IOException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int version = in.readByte();
-            if (version != known) {
-                throw new IOException(what + " of version " + version + "; " + known + " is known");
+            if (version != expectedVersion) {
+                throw new IOException(what + " of version " + version + "; " + expectedVersion + " is known");
             }
-            T read = reading.read(in);
+            T value = reader.read(in);
             if (in.read() >= 0) {
                 throw new IOException(what + ": bytes are left over");
             }
-            return read;
-        } catch (RuntimeException bad) {
-            throw new IOException(what + ": " + bad.getMessage(), bad);
+            return value;
+        } catch (RuntimeException e) {
+            throw new IOException(what + ": " + e.getMessage(), e);
         }
     }
 
@@ -104,12 +104,12 @@
                 in -> {
                     String uid = in.readUTF();
                     byte[] ip = in.readNBytes(in.readByte());
-                    InetSocketAddress at =
+                    InetSocketAddress endpoint =
                             new InetSocketAddress(
                                     InetAddress.getByAddress(ip), in.readUnsignedShort());
                     return new BackendList.Entry(
                             uid,
-                            at,
+                            endpoint,
                             in.readUTF(),
                             in.readInt(),
                             BackendList.State.valueOf(in.readUTF()),
@@ -121,57 +121,57 @@
     /** The learned state and the time at which it was recorded. */
     record TimestampedState(Instant at, LearnedState learnedState) {}
 
-    static byte[] encodeLearnedState(TimestampedState dated) {
+    static byte[] encodeLearnedState(TimestampedState timestamped) {
         return encode(
                 LEARNED_STATE_FORMAT_VERSION,
                 out -> {
-                    LearnedState learnt = dated.learnedState();
-                    out.writeLong(dated.at().toEpochMilli());
-                    for (double figure :
+                    LearnedState learnedState = timestamped.learnedState();
+                    out.writeLong(timestamped.at().toEpochMilli());
+                    for (double value :
                             new double[] {
-                                learnt.setupLatency(),
-                                learnt.setupLatencyDeviation(),
-                                learnt.meanRequestLoad(),
-                                learnt.meanConnectionLifetime(),
-                                learnt.meanGroupShare()
+                                learnedState.setupLatency(),
+                                learnedState.setupLatencyDeviation(),
+                                learnedState.meanRequestLoad(),
+                                learnedState.meanConnectionLifetime(),
+                                learnedState.meanGroupShare()
                             }) {
-                        out.writeDouble(figure);
+                        out.writeDouble(value);
                     }
-                    out.writeInt(learnt.backends().size());
-                    for (LearnedBackend server : learnt.backends()) {
-                        out.writeUTF(server.id());
-                        out.writeLong(server.startedAt());
-                        out.writeDouble(server.setupLatency());
-                        out.writeDouble(server.setupLatencyDeviation());
-                        out.writeDouble(server.minSetupLatency());
-                        out.writeInt(server.consecutiveFailures());
-                        out.writeLong(server.remainingEjection());
+                    out.writeInt(learnedState.backends().size());
+                    for (LearnedBackend backend : learnedState.backends()) {
+                        out.writeUTF(backend.id());
+                        out.writeLong(backend.startedAt());
+                        out.writeDouble(backend.setupLatency());
+                        out.writeDouble(backend.setupLatencyDeviation());
+                        out.writeDouble(backend.minSetupLatency());
+                        out.writeInt(backend.consecutiveFailures());
+                        out.writeLong(backend.remainingEjection());
                     }
-                    out.writeInt(learnt.groupShares().size());
-                    for (Map.Entry<Long, Double> share : learnt.groupShares().entrySet()) {
+                    out.writeInt(learnedState.groupShares().size());
+                    for (Map.Entry<Long, Double> share : learnedState.groupShares().entrySet()) {
                         out.writeLong(share.getKey());
                         out.writeDouble(share.getValue());
                     }
-                    out.writeDouble(learnt.capacityShare());
+                    out.writeDouble(learnedState.capacityShare());
                 });
     }
 
     static TimestampedState decodeLearnedState(byte[] bytes) throws IOException {
-        boolean first =
+        boolean withoutCapacityShare =
                 bytes.length > 0 && bytes[0] == FORMAT_VERSION; // without the capacity share
         return decode(
                 bytes,
                 "learnt state",
-                first ? FORMAT_VERSION : LEARNED_STATE_FORMAT_VERSION,
+                withoutCapacityShare ? FORMAT_VERSION : LEARNED_STATE_FORMAT_VERSION,
                 in -> {
                     Instant at = Instant.ofEpochMilli(in.readLong());
-                    double[] figures = new double[5];
-                    for (int i = 0; i < figures.length; i++) {
-                        figures[i] = readNonNegative(in);
+                    double[] values = new double[5];
+                    for (int i = 0; i < values.length; i++) {
+                        values[i] = readNonNegative(in);
                     }
-                    List<LearnedBackend> servers = new ArrayList<>();
+                    List<LearnedBackend> backends = new ArrayList<>();
                     for (int n = readCount(in); n > 0; n--) {
-                        servers.add(
+                        backends.add(
                                 new LearnedBackend(
                                         in.readUTF(),
                                         in.readLong(),
@@ -185,17 +185,17 @@
                     for (int n = readCount(in); n > 0; n--) {
                         shares.put(in.readLong(), readNonNegative(in));
                     }
-                    double part = first ? 0 : readNonNegative(in);
+                    double capacityShare = withoutCapacityShare ? 0 : readNonNegative(in);
                     return new TimestampedState(
                             at,
                             new LearnedState(
-                                    figures[0],
-                                    figures[1],
-                                    figures[2],
-                                    figures[3],
-                                    figures[4],
-                                    part,
-                                    servers,
+                                    values[0],
+                                    values[1],
+                                    values[2],
+                                    values[3],
+                                    values[4],
+                                    capacityShare,
+                                    backends,
                                     shares));
                 });
     }
@@ -241,9 +241,9 @@
     }
 
     private static void writeText(DataOutputStream out, String text) throws IOException {
-        byte[] plain = text.getBytes(StandardCharsets.UTF_8);
-        out.writeInt(plain.length);
-        out.write(plain);
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+        out.writeInt(bytes.length);
+        out.write(bytes);
     }
 
     private static String readText(DataInputStream in) throws IOException {
--- a/relay/src/main/java/saltstage/persistence/RelayStateStore.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateStore.java
@@ -74,27 +74,27 @@
     }
 
     static RelayStateStore open(
-            PersistenceSettings settings, Supplier<Instant> clock, DiskOpener place) {
-        RelayStateStore keeper = new RelayStateStore(settings, clock);
+            PersistenceSettings settings, Supplier<Instant> clock, DiskOpener diskOpener) {
+        RelayStateStore stateStore = new RelayStateStore(settings, clock);
         try {
-            keeper.store =
+            stateStore.store =
                     Store.open(
-                            place.open(),
+                            diskOpener.open(),
                             new StoreOptions(
                                     settings.segmentBytes(),
                                     true,
                                     settings.compactionBytesPerSecond()),
                             Log::warn);
         } catch (IOException | RuntimeException e) {
-            keeper.markLost(e);
+            stateStore.markLost(e);
         }
-        return keeper;
+        return stateStore;
     }
 
-    private synchronized void markLost(Exception why) {
+    private synchronized void markLost(Exception cause) {
         if (state != State.LOST) {
             state = State.LOST;
-            Log.warn("keep.lost", "dir", settings.dir(), "why", why.getMessage());
+            Log.warn("keep.lost", "dir", settings.dir(), "why", cause.getMessage());
         }
     }
 
@@ -107,17 +107,17 @@
     public Optional<BackendList> persistedList() {
         return readPersisted(
                 "list",
-                now -> {
-                    byte[] rev = now.get(LIST_REVISION_KEY);
-                    if (rev == null) {
+                snapshot -> {
+                    byte[] revision = snapshot.get(LIST_REVISION_KEY);
+                    if (revision == null) {
                         return null;
                     }
                     List<BackendList.Entry> entries = new ArrayList<>();
-                    Snapshot.Scan scan = now.scan(ENTRY_KEYS_START, ENTRY_KEYS_END);
+                    Snapshot.Scan scan = snapshot.scan(ENTRY_KEYS_START, ENTRY_KEYS_END);
                     while (scan.next()) {
                         entries.add(RelayStateCodec.decodeEntry(scan.value()));
                     }
-                    return new BackendList(RelayStateCodec.decodeNumber(rev), true, entries);
+                    return new BackendList(RelayStateCodec.decodeNumber(revision), true, entries);
                 });
     }
 
@@ -128,14 +128,14 @@
     public Optional<LearnedState> persistedLearnedState() {
         return readPersisted(
                 "learnt",
-                now -> {
-                    byte[] bytes = now.get(LEARNED_STATE_KEY);
+                snapshot -> {
+                    byte[] bytes = snapshot.get(LEARNED_STATE_KEY);
                     if (bytes == null) {
                         return null;
                     }
-                    RelayStateCodec.TimestampedState dated =
+                    RelayStateCodec.TimestampedState timestamped =
                             RelayStateCodec.decodeLearnedState(bytes);
-                    Duration age = Duration.between(dated.at(), clock.get());
+                    Duration age = Duration.between(timestamped.at(), clock.get());
                     // If the clock was set back, the age is unknown.
                     boolean fresh =
                             !age.isNegative() && age.compareTo(settings.maxLearnedStateAge()) <= 0;
@@ -144,16 +144,16 @@
                             "age_s",
                             age.toSeconds(),
                             "servers",
-                            dated.learnedState().backends().size(),
+                            timestamped.learnedState().backends().size(),
                             "taken",
                             fresh);
-                    return fresh ? aged(dated.learnedState(), age.toNanos() / 1_000) : null;
+                    return fresh ? aged(timestamped.learnedState(), age.toNanos() / 1_000) : null;
                 });
     }
 
-    private static LearnedState aged(LearnedState learnt, long micros) {
-        List<LearnedBackend> servers =
-                learnt.backends().stream()
+    private static LearnedState aged(LearnedState learnedState, long micros) {
+        List<LearnedBackend> backends =
+                learnedState.backends().stream()
                         .map(
                                 s ->
                                         new LearnedBackend(
@@ -166,26 +166,26 @@
                                                 Math.max(0, s.remainingEjection() - micros)))
                         .toList();
         return new LearnedState(
-                learnt.setupLatency(),
-                learnt.setupLatencyDeviation(),
-                learnt.meanRequestLoad(),
-                learnt.meanConnectionLifetime(),
-                learnt.meanGroupShare(),
-                learnt.capacityShare(),
-                servers,
-                new TreeMap<>(learnt.groupShares()));
+                learnedState.setupLatency(),
+                learnedState.setupLatencyDeviation(),
+                learnedState.meanRequestLoad(),
+                learnedState.meanConnectionLifetime(),
+                learnedState.meanGroupShare(),
+                learnedState.capacityShare(),
+                backends,
+                new TreeMap<>(learnedState.groupShares()));
     }
 
     private interface SnapshotReader<T> {
-        T read(Snapshot now) throws IOException;
+        T read(Snapshot snapshot) throws IOException;
     }
 
-    private <T> Optional<T> readPersisted(String what, SnapshotReader<T> reading) {
+    private <T> Optional<T> readPersisted(String what, SnapshotReader<T> reader) {
         if (store == null) {
             return Optional.empty();
         }
-        try (Snapshot now = store.snapshot()) {
-            return Optional.ofNullable(reading.read(now));
+        try (Snapshot snapshot = store.snapshot()) {
+            return Optional.ofNullable(reader.read(snapshot));
         } catch (IOException e) {
             Log.warn("keep.unreadable", "what", what, "why", e.getMessage());
             return Optional.empty();
@@ -193,8 +193,8 @@
     }
 
     /** Starts writing, and reading the learned state at the interval of the settings. */
-    public synchronized void start(Supplier<LearnedState> learnt) {
-        learnedStateSource = learnt;
+    public synchronized void start(Supplier<LearnedState> learnedState) {
+        learnedStateSource = learnedState;
         if (store != null) {
             writerThread = new Thread(null, this::writeLoop, "keep", 256 << 10);
             writerThread.setDaemon(true);
@@ -203,8 +203,8 @@
     }
 
     /** Schedules the complete current backend list to be written. */
-    public synchronized void saveList(BackendList now) {
-        pendingList = now;
+    public synchronized void saveList(BackendList list) {
+        pendingList = list;
         notifyAll();
     }
 
@@ -217,15 +217,15 @@
 
     /** Writes pending state a last time and closes the store; waits for that up to the limit. */
     public void close(Duration limit) {
-        Thread writing;
+        Thread writer;
         synchronized (this) {
             closing = true;
-            writing = writerThread;
+            writer = writerThread;
             notifyAll();
         }
-        if (writing != null) {
+        if (writer != null) {
             try {
-                writing.join(limit.toMillis());
+                writer.join(limit.toMillis());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -234,9 +234,9 @@
 
     private void writeLoop() {
         try {
-            boolean last = false;
-            while (!last && state() != State.LOST) {
-                last = awaitWork();
+            boolean isLastRound = false;
+            while (!isLastRound && state() != State.LOST) {
+                isLastRound = awaitWork();
                 writePending();
             }
         } catch (InterruptedException e) {
@@ -263,18 +263,18 @@
      * store is closing.
      */
     private synchronized boolean awaitWork() throws InterruptedException {
-        long until =
+        long deadlineNs =
                 System.nanoTime()
                         + (state == State.FULL ? FULL_RETRY_PAUSE : settings.saveInterval())
                                 .toNanos();
         while (!closing
                 && (state == State.FULL
                         || pendingList == null && pendingConfigurations.isEmpty())) {
-            long left = (until - System.nanoTime()) / 1_000_000;
-            if (left <= 0) {
+            long remainingMillis = (deadlineNs - System.nanoTime()) / 1_000_000;
+            if (remainingMillis <= 0) {
                 break;
             }
-            wait(left);
+            wait(remainingMillis);
         }
         return closing;
     }
@@ -291,8 +291,8 @@
             if (newest != null) {
                 writeList(newest);
             }
-            for (AcceptedConfiguration one : configurations) {
-                writeConfiguration(one);
+            for (AcceptedConfiguration accepted : configurations) {
+                writeConfiguration(accepted);
             }
             writeLearnedState();
             pendingWritten(newest, configurations.size());
@@ -311,42 +311,42 @@
 
     /** Writes the differences from the stored list and the new revision in one batch. */
     private void writeList(BackendList newest) throws IOException {
-        Map<String, byte[]> wanted = new HashMap<>();
+        Map<String, byte[]> entriesToWrite = new HashMap<>();
         newest.entries()
                 .forEach(
                         entry ->
-                                wanted.put(
+                                entriesToWrite.put(
                                         ENTRY_KEY_PREFIX + entry.uid(),
                                         RelayStateCodec.encodeEntry(entry)));
         Batch batch = new Batch();
-        try (Snapshot now = store.snapshot()) {
-            byte[] rev = now.get(LIST_REVISION_KEY);
-            if (rev != null && RelayStateCodec.decodeNumber(rev) == newest.revision()) {
+        try (Snapshot snapshot = store.snapshot()) {
+            byte[] revision = snapshot.get(LIST_REVISION_KEY);
+            if (revision != null && RelayStateCodec.decodeNumber(revision) == newest.revision()) {
                 return;
             }
-            Snapshot.Scan scan = now.scan(ENTRY_KEYS_START, ENTRY_KEYS_END);
+            Snapshot.Scan scan = snapshot.scan(ENTRY_KEYS_START, ENTRY_KEYS_END);
             while (scan.next()) {
                 String key = new String(scan.key(), StandardCharsets.UTF_8);
-                byte[] to = wanted.get(key);
-                if (to == null) {
+                byte[] value = entriesToWrite.get(key);
+                if (value == null) {
                     batch.delete(scan.key());
-                } else if (Arrays.equals(to, scan.value())) {
-                    wanted.remove(key);
+                } else if (Arrays.equals(value, scan.value())) {
+                    entriesToWrite.remove(key);
                 }
             }
         }
-        wanted.forEach((key, value) -> batch.put(ConfigurationVersions.keyBytes(key), value));
+        entriesToWrite.forEach((key, value) -> batch.put(ConfigurationVersions.keyBytes(key), value));
         store.commit(batch.put(LIST_REVISION_KEY, RelayStateCodec.encodeNumber(newest.revision())));
     }
 
-    private void writeConfiguration(AcceptedConfiguration one) throws IOException {
+    private void writeConfiguration(AcceptedConfiguration accepted) throws IOException {
         try {
             long number =
                     ConfigurationVersions.addIfChanged(
                             store,
-                            one.configuration(),
-                            one.settings(),
-                            one.at(),
+                            accepted.configuration(),
+                            accepted.settings(),
+                            accepted.at(),
                             settings.maxConfigurations());
             Log.info("keep.configuration", "version", number);
         } catch (IllegalArgumentException tooLarge) {
@@ -355,16 +355,16 @@
     }
 
     private void writeLearnedState() throws IOException {
-        LearnedState now = learnedStateSource.get();
-        byte[] plain =
+        LearnedState current = learnedStateSource.get();
+        byte[] undated =
                 RelayStateCodec.encodeLearnedState(
-                        new RelayStateCodec.TimestampedState(Instant.EPOCH, now));
-        if (!now.backends().isEmpty() && !Arrays.equals(plain, lastWrittenLearnedState)) {
+                        new RelayStateCodec.TimestampedState(Instant.EPOCH, current));
+        if (!current.backends().isEmpty() && !Arrays.equals(undated, lastWrittenLearnedState)) {
             store.put(
                     LEARNED_STATE_KEY,
                     RelayStateCodec.encodeLearnedState(
-                            new RelayStateCodec.TimestampedState(clock.get(), now)));
-            lastWrittenLearnedState = plain;
+                            new RelayStateCodec.TimestampedState(clock.get(), current)));
+            lastWrittenLearnedState = undated;
         }
     }
 }
--- a/relay/src/main/java/saltstage/persistence/Takeover.java
+++ b/relay/src/main/java/saltstage/persistence/Takeover.java
@@ -59,25 +59,25 @@
      */
     public static Takeover fromBytes(byte[] bytes) throws IOException {
         DataInputStream data = new DataInputStream(new ByteArrayInputStream(bytes));
-        long rev = data.readLong();
+        long revision = data.readLong();
         List<BackendList.Entry> entries = new ArrayList<>();
         for (byte[] part : readParts(data)) {
             entries.add(RelayStateCodec.decodeEntry(part));
         }
-        List<byte[]> learnt = readParts(data);
-        if (learnt.size() != 1) {
-            throw new IOException("takeover: " + learnt.size() + " parts of what was learnt");
+        List<byte[]> learnedParts = readParts(data);
+        if (learnedParts.size() != 1) {
+            throw new IOException("takeover: " + learnedParts.size() + " parts of what was learnt");
         }
-        RelayStateCodec.TimestampedState dated = RelayStateCodec.decodeLearnedState(learnt.get(0));
-        List<String> listed = new ArrayList<>();
+        RelayStateCodec.TimestampedState timestamped = RelayStateCodec.decodeLearnedState(learnedParts.get(0));
+        List<String> knownIds = new ArrayList<>();
         for (int n = readCount(data, MAX_COUNT); n > 0; n--) {
-            listed.add(data.readUTF());
+            knownIds.add(data.readUTF());
         }
         return new Takeover(
-                new BackendList(rev, true, entries),
-                dated.at(),
-                dated.learnedState(),
-                Set.copyOf(listed));
+                new BackendList(revision, true, entries),
+                timestamped.at(),
+                timestamped.learnedState(),
+                Set.copyOf(knownIds));
     }
 
     private static List<byte[]> readParts(DataInputStream data) throws IOException {
@@ -88,9 +88,9 @@
         return parts;
     }
 
-    private static int readCount(DataInputStream data, int most) throws IOException {
+    private static int readCount(DataInputStream data, int maxCount) throws IOException {
         int n = data.readInt();
-        if (n < 0 || n > most) {
+        if (n < 0 || n > maxCount) {
             throw new IOException("takeover: a count of " + n);
         }
         return n;
