--- a/relay/src/main/java/saltstage/persistence/RelayStateCodec.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateCodec.java
@@ -119,14 +119,14 @@
     }
 
     /** The learned state and the time at which it was recorded. */
-    record TimestampedState(Instant at, LearnedState learnedState) {}
+    record TimestampedState(Instant recordedAt, LearnedState learnedState) {}
 
     static byte[] encodeLearnedState(TimestampedState timestamped) {
         return encode(
                 LEARNED_STATE_FORMAT_VERSION,
                 out -> {
                     LearnedState learnedState = timestamped.learnedState();
-                    out.writeLong(timestamped.at().toEpochMilli());
+                    out.writeLong(timestamped.recordedAt().toEpochMilli());
                     for (double value :
                             new double[] {
                                 learnedState.setupLatency(),
--- a/relay/src/main/java/saltstage/persistence/RelayStateStore.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateStore.java
@@ -45,7 +45,7 @@
     private static final byte[] LEARNED_STATE_KEY = ConfigurationVersions.keyBytes("learnt");
     private static final Duration FULL_RETRY_PAUSE = Duration.ofSeconds(5);
 
-    private record AcceptedConfiguration(String configuration, String settings, Instant at) {}
+    private record AcceptedConfiguration(String configuration, String settings, Instant acceptedAt) {}
 
     private final PersistenceSettings settings;
     private final Supplier<Instant> clock;
@@ -135,7 +135,7 @@
                     }
                     RelayStateCodec.TimestampedState timestamped =
                             RelayStateCodec.decodeLearnedState(bytes);
-                    Duration age = Duration.between(timestamped.at(), clock.get());
+                    Duration age = Duration.between(timestamped.recordedAt(), clock.get());
                     // If the clock was set back, the age is unknown.
                     boolean fresh =
                             !age.isNegative() && age.compareTo(settings.maxLearnedStateAge()) <= 0;
@@ -346,7 +346,7 @@
                             store,
                             accepted.configuration(),
                             accepted.settings(),
-                            accepted.at(),
+                            accepted.acceptedAt(),
                             settings.maxConfigurations());
             Log.info("keep.configuration", "version", number);
         } catch (IllegalArgumentException tooLarge) {
--- a/relay/src/main/java/saltstage/persistence/Takeover.java
+++ b/relay/src/main/java/saltstage/persistence/Takeover.java
@@ -75,7 +75,7 @@
         }
         return new Takeover(
                 new BackendList(revision, true, entries),
-                timestamped.at(),
+                timestamped.recordedAt(),
                 timestamped.learnedState(),
                 Set.copyOf(knownIds));
     }
