--- a/relay/src/main/java/saltstage/handover/AtomicFile.java
+++ b/relay/src/main/java/saltstage/handover/AtomicFile.java
@@ -60,16 +60,16 @@
             return null;
         }
         if (Files.size(path) > MAX_BYTES) {
-            throw new IOException(path + ": too large");
+            throw new IOException(path + ": file too large");
         }
         byte[] bytes = Files.readAllBytes(path);
         int end = bytes.length - CHECKSUM_BYTES;
         if (end < header.length
                 || !Arrays.equals(header, 0, header.length, bytes, 0, header.length)) {
-            throw new IOException(path + ": not in the form of this program");
+            throw new IOException(path + ": not a file of the expected format");
         }
         if (ByteBuffer.wrap(bytes, end, CHECKSUM_BYTES).getInt() != checksum(bytes, end)) {
-            throw new IOException(path + ": torn, its checksum differs");
+            throw new IOException(path + ": damaged, the checksum does not match");
         }
         return Arrays.copyOfRange(bytes, header.length, end);
     }
--- a/relay/src/main/java/saltstage/persistence/RelayStateCodec.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateCodec.java
@@ -65,7 +65,7 @@
             }
             T value = reader.read(in);
             if (in.read() >= 0) {
-                throw new IOException(what + ": bytes are left over");
+                throw new IOException(what + ": unexpected trailing bytes");
             }
             return value;
         } catch (RuntimeException e) {
@@ -203,7 +203,7 @@
     private static int readCount(DataInputStream in) throws IOException {
         int n = in.readInt();
         if (n < 0 || n > MAX_COUNT) {
-            throw new IOException("a count of " + n);
+            throw new IOException("invalid count: " + n);
         }
         return n;
     }
@@ -211,7 +211,7 @@
     private static double readNonNegative(DataInputStream in) throws IOException {
         double d = in.readDouble();
         if (Double.isNaN(d) || d < 0) {
-            throw new IOException("a figure of " + d);
+            throw new IOException("invalid number: " + d);
         }
         return d;
     }
@@ -249,7 +249,7 @@
     private static String readText(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < 0 || length > in.available()) {
-            throw new IOException("a text of " + length + " bytes");
+            throw new IOException("invalid text length: " + length + " bytes");
         }
         return new String(in.readNBytes(length), StandardCharsets.UTF_8);
     }
--- a/relay/src/main/java/saltstage/persistence/Takeover.java
+++ b/relay/src/main/java/saltstage/persistence/Takeover.java
@@ -66,7 +66,7 @@
         }
         List<byte[]> learnedParts = readParts(data);
         if (learnedParts.size() != 1) {
-            throw new IOException("takeover: " + learnedParts.size() + " parts of what was learnt");
+            throw new IOException("takeover: " + learnedParts.size() + " parts of learned state instead of 1");
         }
         RelayStateCodec.TimestampedState timestamped = RelayStateCodec.decodeLearnedState(learnedParts.get(0));
         List<String> knownIds = new ArrayList<>();
@@ -91,7 +91,7 @@
     private static int readCount(DataInputStream data, int maxCount) throws IOException {
         int n = data.readInt();
         if (n < 0 || n > maxCount) {
-            throw new IOException("takeover: a count of " + n);
+            throw new IOException("takeover: invalid count: " + n);
         }
         return n;
     }
