--- a/relay/src/test/java/saltstage/handover/HandoverTest.java
+++ b/relay/src/test/java/saltstage/handover/HandoverTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What two processes of a relay know of each other. */
+/**
+ * The files that two processes of a relay share. Guards against lost suspensions when both change
+ * them, against use of a torn file, and against a descriptor limit exceeded by both together.
+ */
 class HandoverTest {
     @TempDir private Path dir;
 
@@ -23,7 +26,7 @@
         Suspensions one = new Suspensions(dir, "n0");
         Suspensions two = new Suspensions(dir, "n0");
         one.setSuspended("s-1", true);
-        two.setSuspended("s-2", true); // had not looked at the file since
+        two.setSuspended("s-2", true); // has not read the file since the first change
         assertEquals(Set.of("s-1", "s-2"), two.all());
         assertFalse(one.isSuspended("s-2"));
         one.refresh();
@@ -76,7 +79,7 @@
             assertEquals(400, old.updateDescriptorBudget(used));
             ProcessSlots next = ProcessSlots.claim(path.resolveSibling("slots" + used), 400);
             int first = next.updateDescriptorBudget(10);
-            assertTrue(first <= 100, "before it was seen: " + first);
+            assertTrue(first <= 100, "before the old process noticed it: " + first);
             int kept = old.updateDescriptorBudget(used);
             assertTrue(kept + next.updateDescriptorBudget(10) <= 400, used + " keeps " + kept);
             assertTrue(kept >= 200);
--- a/relay/src/test/java/saltstage/log/LogTest.java
+++ b/relay/src/test/java/saltstage/log/LogTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The log's two forms and its bound. */
+/** The two log formats and the rate limit per event. */
 class LogTest {
     private final PrintStream originalErr = System.err;
 
--- a/relay/src/test/java/saltstage/metrics/ProcessUsageTest.java
+++ b/relay/src/test/java/saltstage/metrics/ProcessUsageTest.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Reading of kernel counters, also where the host does not have them. */
 class ProcessUsageTest {
     @Test
     void counterIsReadByItsNameAndUnknownWhereItIsMissing() {
--- a/relay/src/test/java/saltstage/metrics/RequestCountersTest.java
+++ b/relay/src/test/java/saltstage/metrics/RequestCountersTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The form in which operators read the counts. */
+/** The text format in which operators read the counters; tools parse it line by line. */
 class RequestCountersTest {
     @Test
     void everyClassIsListedFromTheStartAndCountedSeparately() {
--- a/relay/src/test/java/saltstage/persistence/RelayStateStoreTest.java
+++ b/relay/src/test/java/saltstage/persistence/RelayStateStoreTest.java
@@ -19,7 +19,10 @@
 import saltstage.store.FaultInjectingDisk;
 import saltstage.wire.BackendList;
 
-/** What is handed over is kept, whatever the disk does meanwhile, or its loss is told. */
+/**
+ * State that is handed to the store is persisted, or its loss is reported, also when the disk is full
+ * or fails. Guards against use of outdated learned state and of values in an unknown format.
+ */
 class RelayStateStoreTest {
     private static final Instant NOON = Instant.parse("2026-12-01T12:00:00Z");
     private static final PersistenceSettings SETTINGS =
@@ -132,7 +135,7 @@
         RelayStateStore keeper = open(NOON);
         disk.injectFaultAt(0, FaultInjectingDisk.Fault.DISK_FULL);
         keeper.saveConfiguration(
-                "x".repeat(5_000), ""); // more than the segment that was filled beforehand
+                "x".repeat(5_000), ""); // larger than the preallocated segment
         keeper.start(() -> learnedState(1));
         await(() -> keeper.state() == RelayStateStore.State.FULL);
         disk.clearFaults();
@@ -154,7 +157,7 @@
             disk.injectFaultAt(0, FaultInjectingDisk.Fault.IO_ERROR);
             Thread.sleep(10);
         }
-        keeper.saveList(list(99, "s9")); // nobody waits, nothing throws
+        keeper.saveList(list(99, "s9")); // neither blocks nor throws
         keeper.close(Duration.ofSeconds(30));
     }
 
@@ -172,7 +175,7 @@
         assertEquals(
                 0,
                 RelayStateCodec.decodeLearnedState(first).learnedState().capacityShare(),
-                "the first version is known too");
+                "the first format version can be read too");
         bytes[0] = 3;
         assertEquals(
                 "learnt state of version 3; 2 is known",
--- a/relay/src/test/java/saltstage/process/AdminTest.java
+++ b/relay/src/test/java/saltstage/process/AdminTest.java
@@ -14,7 +14,10 @@
 import saltstage.process.RelayTestEnvironment.TestConnection;
 import saltstage.process.RelayTestEnvironment.TestServer;
 
-/** What operators get when they call, beside callers that are slow, rude or many. */
+/**
+ * Answers to operator calls. Guards against connections that are idle, send only part of a line or
+ * are too many: they must not delay or change the calls of others.
+ */
 public class AdminTest {
     private RelayTestEnvironment world;
     private TestServer backend;
@@ -72,7 +75,7 @@
                 assertTrue("answered within a second", System.nanoTime() - from < 1_000_000_000L);
             }
         }
-        assertNull("the oldest had to go", rude.get(0).readLine());
+        assertNull("the oldest connection is closed", rude.get(0).readLine());
     }
 
     @Test
@@ -86,6 +89,6 @@
         TestConnection half = world.connectOperator(world.adminPort).sendRaw("SUSPEND s-1");
         half.socket.shutdownOutput();
         assertEquals("error no end of line", half.readLine());
-        world.establish(backend, world.sendOpen("h1", 20_000)); // s-1 is in use still
+        world.establish(backend, world.sendOpen("h1", 20_000)); // s-1 is still in use
     }
 }
--- a/relay/src/test/java/saltstage/process/CommandLineTest.java
+++ b/relay/src/test/java/saltstage/process/CommandLineTest.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import org.junit.Test;
 
-/** The command line: one plain line and the right exit, whatever is wrong. */
+/** Errors on the command line or in files: one line of output and the documented exit code. */
 public class CommandLineTest {
     private static String run(int exit, String... arguments) throws Exception {
         Process process = RelayTestEnvironment.launch(arguments);
@@ -57,7 +57,7 @@
             run(1, "serve", "--config", "/no/such/file"));
     }
 
-    /** What 'check' says of it, between the program's name and the file's. */
+    /** Returns the message of the check command, without the program name and the file name. */
     private static String checkError(String config) throws Exception {
         String line = check(1, config);
         assertTrue(line, line.matches("saltstage: configuration: .* \\(in /\\S+\\.json\\)"));
--- a/relay/src/test/java/saltstage/process/ConfigurationTest.java
+++ b/relay/src/test/java/saltstage/process/ConfigurationTest.java
@@ -28,8 +28,9 @@
 import saltstage.process.RelayTestEnvironment.TestServer;
 
 /**
- * The running relay and configuration by revision: served by it, kept over a restart, absent
- * without it.
+ * A running relay that receives its configuration in revisions from a source. Guards against
+ * changes that are not applied, configuration lost in a restart, and code of this feature that is
+ * loaded when it is not configured.
  */
 public class ConfigurationTest {
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
@@ -94,7 +95,7 @@
                 "revision " + revision + " is applied", () -> isApplied(revision));
     }
 
-    /** Whether the log says so, in either of its forms. */
+    /** Whether the log, in either of its formats, reports that the revision is applied. */
     private boolean isApplied(long revision) {
         return world.logLines.stream()
                 .anyMatch(
@@ -106,7 +107,7 @@
     }
 
     private void assertAllGoTo(TestServer backend, String name) throws Exception {
-        for (int i = 0; i < 8; i++) { // of 8 keys one at least would go to each of two
+        for (int i = 0; i < 8; i++) { // with 8 keys, each of two backends would get at least one
             world.establish(
                     backend,
                     world.connectClient()
@@ -128,9 +129,9 @@
         accept(
                 backend(
                         "s-1", first,
-                        null)); // as with discovery: what drains keeps its clients until then
+                        null)); // as with discovery, a draining backend keeps its clients until it is gone
         assertTrue(client.readLine().startsWith("MOVE"));
-        assertTrue("discovery is not asked", world.discovery.hasNoConnectionWithin(50));
+        assertTrue("the relay does not connect to discovery", world.discovery.hasNoConnectionWithin(50));
     }
 
     @Test
@@ -149,7 +150,7 @@
         assertFalse(world.hasLogged("age_ms=-1"));
         assertAllGoTo(second, "a");
         RelayTestEnvironment.await(
-                "the source's loss is told", () -> world.hasLogged("configuration.source.left"));
+                "the loss of the source is logged", () -> world.hasLogged("configuration.source.left"));
         assertFalse(world.hasLogged("configuration.applied"));
     }
 
@@ -160,11 +161,11 @@
         TestConnection client = world.sendOpen("a", 20_000);
         world.establish(first, client);
         accept(backend("s-2", second, BackendState.READY), suspension("s-1", "disk"));
-        assertTrue(client.readLine().startsWith("MOVE")); // as after an operator's call
+        assertTrue(client.readLine().startsWith("MOVE")); // as after an operator call
         assertAllGoTo(second, "a");
         assertEquals("done suspended\n", world.operatorCall("SUSPEND s-1"));
         accept(suspension("s-1", null));
-        assertAllGoTo(second, "b"); // the operator's own call stands
+        assertAllGoTo(second, "b"); // the operator's suspension is still in force
         assertEquals("done restored\n", world.operatorCall("RESTORE s-1"));
         accept(suspension("s-2", "disk"));
         assertAllGoTo(first, "c");
@@ -214,8 +215,8 @@
                                 RelayTestEnvironment.backendEntry(
                                         "s-1", first.endpoint(), "ready"))),
                 settings);
-        RelayTestEnvironment.await("it is told", () -> world.hasLogged("why=\"malformed: "));
-        assertAllGoTo(first, "a"); // by the platform's list
+        RelayTestEnvironment.await("the malformed response is logged", () -> world.hasLogged("why=\"malformed: "));
+        assertAllGoTo(first, "a"); // according to the platform's list
     }
 
     @Test
@@ -254,7 +255,7 @@
                         + folder.getRoot().toPath().resolve("configuration")
                         + "\"\n}\n");
         assertFalse(
-                "the check sees what is loaded",
+                "the check detects loaded classes",
                 followerClasses(classesLoadedBy(settings)).isEmpty());
     }
 
@@ -298,7 +299,7 @@
                         .start();
         try {
             RelayTestEnvironment.await("the relay is ready", () -> contains(out, "relay.ready"));
-            relay.destroy(); // SIGTERM: what a drain loads counts too
+            relay.destroy(); // SIGTERM, so that classes loaded by a drain are included
             assertTrue(relay.waitFor(RelayTestEnvironment.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
         } finally {
             relay.destroyForcibly().waitFor();
--- a/relay/src/test/java/saltstage/process/MetricsTest.java
+++ b/relay/src/test/java/saltstage/process/MetricsTest.java
@@ -14,7 +14,10 @@
 import saltstage.process.RelayTestEnvironment.TestConnection;
 import saltstage.process.RelayTestEnvironment.TestServer;
 
-/** The figures against what the test itself has counted at both ends. */
+/**
+ * The metrics compared with the connections that the test itself makes as client and as backend.
+ * Guards against connections that are counted twice, not at all, or with the wrong result.
+ */
 public class MetricsTest {
     private RelayTestEnvironment world;
     private TestServer backend;
@@ -87,14 +90,14 @@
         assertEquals(2, (int) metrics().get("in_progressg"));
         world.connectClient()
                 .sendRaw("rubbish\r\n")
-                .readLine(); // no class, no request: none of the three
+                .readLine(); // without a service class, counted as none of the three results
         TestConnection gone = world.sendOpen("f3", 20_000);
         TestConnection goneSide = backend.accept();
         goneSide.readLine();
         gone.close();
         goneSide.readLine();
         TestConnection early =
-                world.sendOpen("f4", 20_000); // more than its one line, before the answer
+                world.sendOpen("f4", 20_000); // sends a second line before the answer
         TestConnection earlySide = backend.accept();
         earlySide.readLine();
         early.sendLine("M 1");
@@ -111,12 +114,12 @@
         assertEquals(1, (int) now.get("handled.chat.bad_gatewayc"));
         assertEquals(4, (int) now.get("upstream_triesc"));
         RelayTestEnvironment.await(
-                "it has failed and is left alone", () -> metrics().get("skipped_backendsg") == 1);
+                "the failed backend is ejected", () -> metrics().get("skipped_backendsg") == 1);
         side.sendLine("BYE").close();
         assertEquals("BYE", standing.readLine());
         standing.close();
-        RelayTestEnvironment.await("the last has ended", () -> metrics().get("in_progressg") == 0);
-        assertEquals("an end is no second outcome", 1, (int) metrics().get("handled.chat.passedc"));
+        RelayTestEnvironment.await("the last connection has ended", () -> metrics().get("in_progressg") == 0);
+        assertEquals("the end of a connection is not counted as a second result", 1, (int) metrics().get("handled.chat.passedc"));
     }
 
     @Test
--- a/relay/src/test/java/saltstage/process/PersistenceTest.java
+++ b/relay/src/test/java/saltstage/process/PersistenceTest.java
@@ -18,8 +18,8 @@
 import saltstage.store.StoreEventListener;
 
 /**
- * The relay killed and started anew: what it kept is back, and a store that is lost costs nothing
- * else.
+ * A relay that was killed starts again from its persisted state. Guards against state that is lost
+ * or outdated, and against a damaged or locked store that keeps the relay from serving.
  */
 public class PersistenceTest {
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
@@ -64,12 +64,12 @@
                     "the list is known", () -> world.hasLogged("discovery.list rev=41"));
             world.establish(backend, world.sendOpen("a1", 5_000));
             RelayTestEnvironment.await(
-                    "the list and what was learnt are kept",
+                    "the list and the learned state are persisted",
                     () -> isPersisted("list/target/s1") && isPersisted("learnt"));
             world.kill();
 
             world.startWith(
-                    config, settings); // the platform knows an empty list; discovery says nothing
+                    config, settings); // the configured list is empty and discovery does not answer
             assertTrue(world.hasLogged("keep.list rev=41 known=1 taken=true"));
             assertTrue(world.logLines.toString(), world.hasLogged("keep.learnt age_s="));
             assertTrue(world.hasLogged("servers=1 taken=true"));
@@ -88,7 +88,7 @@
                             41,
                             true,
                             RelayTestEnvironment.backendEntry("s1", "127.0.0.1:1", "ready")));
-            RelayTestEnvironment.await("the list is kept", () -> isPersisted("list/target/s1"));
+            RelayTestEnvironment.await("the list is persisted", () -> isPersisted("list/target/s1"));
             world.kill();
             world.startWith(
                     world.config(
@@ -124,9 +124,9 @@
                                             "s1", backend.endpoint(), "ready")));
             world.startWith(config, settings);
             world.establish(backend, world.sendOpen("a1", 5_000));
-            RelayTestEnvironment.await("something learnt is kept", () -> isPersisted("learnt"));
+            RelayTestEnvironment.await("learned state is persisted", () -> isPersisted("learnt"));
             world.kill();
-            Thread.sleep(2_100); // two of the bounds: the age is what is tested
+            Thread.sleep(2_100); // twice the maximum age
             world.startWith(config, settings);
             assertTrue(world.logLines.toString(), world.hasLogged("servers=1 taken=false"));
         }
@@ -138,14 +138,14 @@
             String first = world.config(512, RelayTestEnvironment.backendList(1, true));
             world.startWith(first, settings);
             RelayTestEnvironment.await(
-                    "the first is kept", () -> isPersisted("config/0000000000000001"));
+                    "the first configuration is persisted", () -> isPersisted("config/0000000000000001"));
             String second = first.replace("\"rev\":1", "\"rev\":2");
             world.reload(second);
             RelayTestEnvironment.await(
-                    "the second is kept", () -> isPersisted("config/0000000000000002"));
+                    "the second configuration is persisted", () -> isPersisted("config/0000000000000002"));
             world.reload("{}");
             RelayTestEnvironment.await(
-                    "the bad one is refused", () -> world.hasLogged("reload.refused"));
+                    "the invalid configuration is refused", () -> world.hasLogged("reload.refused"));
             String s = settings.toString();
             List<String> lines =
                     runCommand(0, "config", "history", "--settings", s).lines().toList();
@@ -206,7 +206,7 @@
                     settings);
             assertTrue(world.logLines.toString(), world.hasLogged(told));
             world.establish(backend, world.sendOpen("a1", 5_000));
-            RelayTestEnvironment.await("the totals tell", () -> world.hasLogged("store=LOST"));
+            RelayTestEnvironment.await("the totals report the lost store", () -> world.hasLogged("store=LOST"));
         }
     }
 }
--- a/relay/src/test/java/saltstage/process/StartupSignalsTest.java
+++ b/relay/src/test/java/saltstage/process/StartupSignalsTest.java
@@ -19,7 +19,11 @@
 import saltstage.process.RelayTestEnvironment.TestConnection;
 import saltstage.process.RelayTestEnvironment.TestServer;
 
-/** Signals that come while the relay starts; where it is then is known by what it waits for. */
+/**
+ * Signals that arrive while the relay starts or reloads. Each test stops the relay at a known point,
+ * for example by a named pipe that it reads, so that the signal arrives at that point. Guards against
+ * signals that are lost or end the relay with a failure.
+ */
 @Timeout(60)
 class StartupSignalsTest {
     private RelayTestEnvironment world;
@@ -63,12 +67,12 @@
         return file.resolveSibling("log");
     }
 
-    /** The pipe's end for writing, which is there once the relay opens the other. */
+    /** Opens the write end of the pipe, which blocks until the relay opens it for reading. */
     private OutputStream openOnceRead() throws InterruptedException {
         OutputStream opened =
                 RelayTestEnvironment.runInBackground(() -> Files.newOutputStream(file))
                         .poll(30, TimeUnit.SECONDS);
-        assertNotNull(opened, "nobody reads the configuration");
+        assertNotNull(opened, "the relay does not read the configuration");
         return opened;
     }
 
@@ -90,10 +94,10 @@
             signal("HUP");
             opened.write(config.getBytes());
         }
-        world.discovery.accept().close(); // it has read that and is on its way
+        world.discovery.accept().close(); // the relay has read the configuration and starts
         String anew = world.config(4096, moved, RelayTestEnvironment.backendList(1, true));
         RelayTestEnvironment.runInBackground(
-                () -> Files.writeString(file, anew)); // once somebody reads it
+                () -> Files.writeString(file, anew)); // completes when the relay reads it
         try (TestConnection watch = moved.accept()) {
             assertTrue(watch.readLine().startsWith("GET /discovery/hosts?watch=1"));
         }
@@ -138,7 +142,7 @@
                 world.config(4096, RelayTestEnvironment.backendList(1, true))
                         .replace("on_request", "pushed"));
         launch();
-        try (TestConnection agent = world.discovery.accept()) { // silent: the start waits for it
+        try (TestConnection agent = world.discovery.accept()) { // does not answer: the start waits for it
             signal("TERM");
             assertTrue(
                     process.waitFor(RelayTestEnvironment.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
--- a/relay/src/test/java/saltstage/process/StoreKillTest.java
+++ b/relay/src/test/java/saltstage/process/StoreKillTest.java
@@ -23,8 +23,8 @@
 import saltstage.store.StoreEventListener;
 
 /**
- * A real process that loads a store, killed with SIGKILL at random moments, over and over on one
- * store.
+ * A process that writes to a store is killed with SIGKILL at random moments, repeatedly on the same
+ * store. Guards against acknowledged writes that are lost and against writes that were never made.
  */
 public class StoreKillTest {
     private static final int ROUNDS = 24;
@@ -74,7 +74,7 @@
         assertTrue("acked " + acked, acked > ROUNDS);
     }
 
-    /** One life of the process; returns the batches it acknowledged. */
+    /** Runs the process until it is killed; returns the number of batches it acknowledged. */
     private long killRound(Path dir, int round, int batch, Random random) throws Exception {
         Process loader =
                 RelayTestEnvironment.programBuilder(
@@ -99,20 +99,19 @@
         for (; told != null; told = out.readLine()) {
             assertTrue(told, told.startsWith("acked "));
             if (++acked == until) {
-                // Not destroyForcibly: it closes the pipe, and what was said before is still to be
-                // read.
+                // destroyForcibly would close the pipe, and earlier output is still to be read.
                 new ProcessBuilder("kill", "-KILL", Long.toString(loader.pid())).start().waitFor();
             }
         }
         loader.waitFor();
         feeder.join();
-        assertTrue("the loader ended by itself", acked >= until);
+        assertTrue("the process ended before it was killed", acked >= until);
         TreeMap<String, String> found = dump(dir);
         for (long i = 0; i < acked * batch; i++) {
             apply(expected, line(round, i));
         }
         for (long i = acked * batch; !expected.equals(found) && i < sent.get(); i++) {
-            apply(expected, line(round, i)); // written, but killed before it could say so
+            apply(expected, line(round, i)); // written, but killed before it was acknowledged
         }
         assertEquals("round " + round + ", acked " + acked, expected, found);
         return acked;
@@ -125,7 +124,7 @@
                 in.write((line(round, i) + "\n").getBytes(StandardCharsets.US_ASCII));
                 in.flush();
             }
-        } catch (IOException killed) { // the end that this test makes
+        } catch (IOException killed) { // expected: this test kills the process
             return;
         }
     }
--- a/relay/src/test/java/saltstage/process/SuspendTest.java
+++ b/relay/src/test/java/saltstage/process/SuspendTest.java
@@ -13,7 +13,8 @@
 import saltstage.process.RelayTestEnvironment.TestServer;
 
 /**
- * Operators take a backend out and put it back, whatever discovery says of it and whoever is asked.
+ * Operators suspend and restore a backend. Guards against a suspension that is undone by a discovery
+ * update, by a restart of the relay or by a torn file.
  */
 public class SuspendTest {
     private RelayTestEnvironment world;
@@ -50,7 +51,7 @@
     }
 
     private void assertAllGoToTheOther(String name) throws Exception {
-        for (int i = 0; i < 8; i++) { // of 8 keys one at least would go to each of two
+        for (int i = 0; i < 8; i++) { // with 8 keys, each of two backends would get at least one
             TestConnection client =
                     world.connectClient()
                             .sendLine("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000");
@@ -92,12 +93,12 @@
             world.connectClient().sendLine("OPEN back" + i + " key" + i + " c=chat,t=acme,d=20000");
             came += suspended.accept(50) == null ? 0 : 1;
         }
-        assertEquals("it is used again", 1, came);
+        assertEquals("the restored backend is used again", 1, came);
         RelayTestEnvironment.sendChunk(
                 watch, RelayTestEnvironment.backendList(4, false, suspendedTarget("gone")) + "\n");
         Thread.sleep(100);
         assertEquals(
-                "done suspended\n", world.operatorCall("SUSPEND s-out")); // gone, yet once listed
+                "done suspended\n", world.operatorCall("SUSPEND s-out")); // no longer listed, but listed before
     }
 
     @Test
@@ -125,7 +126,7 @@
         Files.write(bans, whole);
         world.start(bothTargets());
         assertEquals("done ready\n", world.operatorCall("STATUS"));
-        RelayTestEnvironment.await("it is told", () -> world.hasLogged("bans.unreadable"));
+        RelayTestEnvironment.await("the unreadable file is logged", () -> world.hasLogged("bans.unreadable"));
         assertEquals("done suspended\n", world.operatorCall("SUSPEND s-out"));
         assertAllGoToTheOther("torn");
     }
--- a/relay/src/test/java/saltstage/process/UpgradeTest.java
+++ b/relay/src/test/java/saltstage/process/UpgradeTest.java
@@ -19,8 +19,9 @@
 import saltstage.process.RelayTestEnvironment.TestServer;
 
 /**
- * A process is replaced by another that inherits the clients' listening socket, held by the
- * platform.
+ * A relay process is replaced by another that inherits the clients' listening socket, which the
+ * platform holds open. Guards against clients that are lost or served by the wrong process during
+ * the handover.
  */
 public class UpgradeTest {
     private RelayTestEnvironment world;
@@ -101,7 +102,7 @@
         RelayTestEnvironment.await(
                 "the old process has stopped accepting", () -> hasLogged(old, "drain.start"));
         List<TestConnection> others = new ArrayList<>();
-        for (int i = 0; i < 10; i++) { // newcomers in the middle of it, each served
+        for (int i = 0; i < 10; i++) { // clients that connect during the handover are all served
             TestConnection newcomer = world.sendOpen("n" + i, 20_000);
             others.add(world.establish(backend, newcomer));
             Thread.sleep(20);
@@ -120,7 +121,7 @@
         assertTrue(isReady(next));
         assertTrue(hasLogged(old, "succeeded=true"));
         assertFalse(
-                "newcomers are the new process's, not taken and moved", hasLogged(old, " id=n"));
+                "new clients connect to the new process and are not moved", hasLogged(old, " id=n"));
     }
 
     private static void assertPong(TestConnection line) {
@@ -135,9 +136,9 @@
     public void lineThatIsHalfReadAtTheEndIsServedByTheOldProcess() throws Exception {
         Relay old = startReady("old");
         Relay next = startReady("next");
-        // A first line has 2 s, and on a busy machine processes start and hear signals later than
-        // that: the
-        // new one is stopped, so that the old one accepts, and the line begins when the drain has.
+        // A client must send its first line within 2 s, but on a busy machine processes start and
+        // handle signals later than that. The new process is stopped so that the old one accepts
+        // the client, and the client begins its line only after the drain has started.
         ProcessSupervisor.stop(next.pid());
         TestConnection half = world.connectClient();
         assertPong(half);
@@ -145,11 +146,11 @@
         RelayTestEnvironment.await(
                 "the old process has stopped accepting",
                 () -> {
-                    assertPong(half); // each has 2 s again
+                    assertPong(half); // each PING restarts the limit of 2 s
                     return hasLogged(old, "drain.start");
                 });
         half.sendRaw("OPEN u3 ");
-        Thread.sleep(200); // four looks of the drain's at whether anybody is left
+        Thread.sleep(200); // four intervals at which the drain checks for remaining clients
         half.sendLine("7f3a9c21e0b4d655 c=chat,t=acme,d=20000,g=5c0f6e1a");
         TestConnection side = world.establish(backend, half);
         assertEquals("MOVE", half.readLine());
@@ -168,7 +169,7 @@
         Relay first = startReady("first");
         Relay dead = launch("dead");
         ProcessSupervisor.signal(dead.pid(), "KILL");
-        RelayTestEnvironment.await("it is gone", () -> platform.exitCodes.containsKey(dead.pid()));
+        RelayTestEnvironment.await("the killed process has ended", () -> platform.exitCodes.containsKey(dead.pid()));
         world.establish(backend, world.sendOpen("d1", 20_000));
         Relay old = first;
         for (String name : List.of("second", "third")) {
@@ -176,7 +177,7 @@
             ProcessSupervisor.signal(old.pid(), "TERM");
             long pid = old.pid();
             RelayTestEnvironment.await(
-                    "the one before ends", () -> platform.exitCodes.containsKey(pid));
+                    "the predecessor ends", () -> platform.exitCodes.containsKey(pid));
             assertEquals(0, (int) platform.exitCodes.get(pid));
             world.establish(backend, world.sendOpen("to-" + name, 20_000));
             old = next;
