--- a/relay/src/test/java/saltstage/handover/HandoverTest.java
+++ b/relay/src/test/java/saltstage/handover/HandoverTest.java
@@ -45,13 +45,13 @@
 
     @Test
     void tornFileLeavesWhatIsKnownAndIsReplacedByTheNextChange() throws IOException {
-        Suspensions bans = new Suspensions(dir, "n0");
-        bans.setSuspended("s-1", true);
+        Suspensions suspensions = new Suspensions(dir, "n0");
+        suspensions.setSuspended("s-1", true);
         Path file = dir.resolve("n0.bans");
         Files.write(file, new byte[] {1, 2, 3});
-        assertThrows(IOException.class, bans::refresh);
-        assertTrue(bans.isSuspended("s-1"));
-        bans.setSuspended("s-1", true);
+        assertThrows(IOException.class, suspensions::refresh);
+        assertTrue(suspensions.isSuspended("s-1"));
+        suspensions.setSuspended("s-1", true);
         assertTrue(reopened().isSuspended("s-1"));
     }
 
@@ -63,9 +63,9 @@
         file.write(new byte[] {5, 6});
         assertArrayEquals(new byte[] {5, 6}, file.read());
         assertThrows(IOException.class, () -> new AtomicFile(path, "kind 2").read());
-        byte[] all = Files.readAllBytes(path);
-        for (int cut = 0; cut < all.length; cut++) {
-            Files.write(path, java.util.Arrays.copyOf(all, cut));
+        byte[] content = Files.readAllBytes(path);
+        for (int length = 0; length < content.length; length++) {
+            Files.write(path, java.util.Arrays.copyOf(content, length));
             assertThrows(IOException.class, file::read);
         }
     }
@@ -74,21 +74,21 @@
     void twoTogetherNeverHaveMoreDescriptorsThanTheLimit() throws IOException {
         Path path = dir.resolve("slots");
         for (int used : new int[] {10, 150, 200, 300, 390}) {
-            ProcessSlots old = ProcessSlots.claim(path.resolveSibling("slots" + used), 400);
-            old.setPhase(ProcessSlots.Phase.READY);
-            assertEquals(400, old.updateDescriptorBudget(used));
-            ProcessSlots next = ProcessSlots.claim(path.resolveSibling("slots" + used), 400);
-            int first = next.updateDescriptorBudget(10);
-            assertTrue(first <= 100, "before the old process noticed it: " + first);
-            int kept = old.updateDescriptorBudget(used);
-            assertTrue(kept + next.updateDescriptorBudget(10) <= 400, used + " keeps " + kept);
-            assertTrue(kept >= 200);
-            next.setPhase(ProcessSlots.Phase.READY);
-            assertTrue(old.isOtherProcessReady());
-            assertTrue(old.updateDescriptorBudget(used / 2) <= kept);
-            old.setPhase(ProcessSlots.Phase.LEAVING);
+            ProcessSlots predecessor = ProcessSlots.claim(path.resolveSibling("slots" + used), 400);
+            predecessor.setPhase(ProcessSlots.Phase.READY);
+            assertEquals(400, predecessor.updateDescriptorBudget(used));
+            ProcessSlots successor = ProcessSlots.claim(path.resolveSibling("slots" + used), 400);
+            int initialBudget = successor.updateDescriptorBudget(10);
+            assertTrue(initialBudget <= 100, "before the old process noticed it: " + initialBudget);
+            int retained = predecessor.updateDescriptorBudget(used);
+            assertTrue(retained + successor.updateDescriptorBudget(10) <= 400, used + " keeps " + retained);
+            assertTrue(retained >= 200);
+            successor.setPhase(ProcessSlots.Phase.READY);
+            assertTrue(predecessor.isOtherProcessReady());
+            assertTrue(predecessor.updateDescriptorBudget(used / 2) <= retained);
+            predecessor.setPhase(ProcessSlots.Phase.LEAVING);
             assertTrue(
-                    old.updateDescriptorBudget(used / 3) + next.updateDescriptorBudget(10) <= 400);
+                    predecessor.updateDescriptorBudget(used / 3) + successor.updateDescriptorBudget(10) <= 400);
             assertThrows(
                     IOException.class,
                     () -> ProcessSlots.claim(path.resolveSibling("slots" + used), 400));
--- a/relay/src/test/java/saltstage/log/LogTest.java
+++ b/relay/src/test/java/saltstage/log/LogTest.java
@@ -80,12 +80,12 @@
                             Log.info("other");
                         });
         long flood = written.stream().filter(line -> line.contains(" flood ")).count();
-        long told =
+        long suppressed =
                 written.stream()
                         .filter(line -> line.contains("log.suppressed event=flood"))
                         .mapToLong(line -> Long.parseLong(line.replaceAll(".*lines=", "")))
                         .sum();
-        assertEquals(lines, flood + told);
+        assertEquals(lines, flood + suppressed);
         assertTrue(flood <= 3 * EventAppender.MAX_LINES_PER_SECOND, "written: " + flood);
         assertTrue(written.get(written.size() - 1).endsWith(" INFO other"));
     }
--- a/relay/src/test/java/saltstage/metrics/RequestCountersTest.java
+++ b/relay/src/test/java/saltstage/metrics/RequestCountersTest.java
@@ -9,11 +9,11 @@
 class RequestCountersTest {
     @Test
     void everyClassIsListedFromTheStartAndCountedSeparately() {
-        RequestCounters counts = new RequestCounters(List.of("report", "check"));
-        counts.countResult(1, RequestCounters.Result.PASSED);
-        counts.countResult(1, RequestCounters.Result.PASSED);
-        counts.countResult(0, RequestCounters.Result.BAD_GATEWAY);
-        counts.countAttempt();
+        RequestCounters counters = new RequestCounters(List.of("report", "check"));
+        counters.countResult(1, RequestCounters.Result.PASSED);
+        counters.countResult(1, RequestCounters.Result.PASSED);
+        counters.countResult(0, RequestCounters.Result.BAD_GATEWAY);
+        counters.countAttempt();
         assertEquals(
                 String.join(
                         "\r\n",
@@ -28,6 +28,6 @@
                         "app.known_backends:4|g",
                         "app.skipped_backends:1|g",
                         ""),
-                counts.format(3, 4, 1));
+                counters.format(3, 4, 1));
     }
 }
--- a/relay/src/test/java/saltstage/persistence/RelayStateStoreTest.java
+++ b/relay/src/test/java/saltstage/persistence/RelayStateStoreTest.java
@@ -52,15 +52,15 @@
                 Map.of(9L, 0.75));
     }
 
-    private static BackendList list(long rev, String... uids) {
+    private static BackendList list(long revision, String... ids) {
         return new BackendList(
-                rev,
+                revision,
                 true,
-                List.of(uids).stream()
+                List.of(ids).stream()
                         .map(
-                                uid ->
+                                id ->
                                         new BackendList.Entry(
-                                                uid,
+                                                id,
                                                 new InetSocketAddress("127.0.0.1", 9),
                                                 "a",
                                                 3,
@@ -71,38 +71,38 @@
     }
 
     private static void await(BooleanSupplier condition) throws InterruptedException {
-        for (int waited = 0; !condition.getAsBoolean(); waited += 10) {
-            assertTrue(waited < 30_000);
+        for (int waitedMillis = 0; !condition.getAsBoolean(); waitedMillis += 10) {
+            assertTrue(waitedMillis < 30_000);
             Thread.sleep(10);
         }
     }
 
-    private void persist(BackendList list, LearnedState learnt) {
-        RelayStateStore keeper = open(NOON);
-        keeper.saveList(list);
-        keeper.start(() -> learnt);
-        keeper.close(Duration.ofSeconds(30));
-        assertEquals(RelayStateStore.State.OK, keeper.state());
+    private void persist(BackendList list, LearnedState learnedState) {
+        RelayStateStore stateStore = open(NOON);
+        stateStore.saveList(list);
+        stateStore.start(() -> learnedState);
+        stateStore.close(Duration.ofSeconds(30));
+        assertEquals(RelayStateStore.State.OK, stateStore.state());
     }
 
     @Test
     void theListIsRestoredUnchanged() {
         persist(list(5, "s1", "s2", "s3"), learnedState(1));
         persist(list(8, "s2", "s4"), learnedState(1));
-        BackendList back = open(NOON).persistedList().orElseThrow();
-        assertEquals(list(8, "s2", "s4"), back);
+        BackendList restored = open(NOON).persistedList().orElseThrow();
+        assertEquals(list(8, "s2", "s4"), restored);
     }
 
     @Test
     void learnedStateAgesAndATurnedBackClockIsNotTrusted() {
         persist(list(5, "s1"), learnedState(11));
         RelayStateStore later = open(NOON.plusSeconds(2));
-        LearnedState back = later.persistedLearnedState().orElseThrow();
-        assertEquals(11, back.setupLatency());
-        assertEquals(6, back.capacityShare());
-        assertEquals(Map.of(9L, 0.75), back.groupShares());
-        assertEquals(3_000_000, back.backends().get(0).remainingEjection());
-        later.start(() -> back);
+        LearnedState restored = later.persistedLearnedState().orElseThrow();
+        assertEquals(11, restored.setupLatency());
+        assertEquals(6, restored.capacityShare());
+        assertEquals(Map.of(9L, 0.75), restored.groupShares());
+        assertEquals(3_000_000, restored.backends().get(0).remainingEjection());
+        later.start(() -> restored);
         later.close(Duration.ofSeconds(30));
         RelayStateStore tooLate =
                 open(NOON.plusSeconds(2).plus(SETTINGS.maxLearnedStateAge()).plusMillis(1));
@@ -114,32 +114,32 @@
 
     @Test
     void theOldestConfigurationsAreDeletedAndARepeatedOneIsNoNewVersion() throws IOException {
-        RelayStateStore keeper = open(NOON);
+        RelayStateStore stateStore = open(NOON);
         for (String text : new String[] {"a", "b", "b", "c", "d", "e"}) {
-            keeper.saveConfiguration(text, "s");
+            stateStore.saveConfiguration(text, "s");
         }
-        keeper.start(() -> learnedState(1));
-        keeper.close(Duration.ofSeconds(30));
+        stateStore.start(() -> learnedState(1));
+        stateStore.close(Duration.ofSeconds(30));
         try (saltstage.store.Store store =
                 saltstage.store.Store.openToRead(disk, saltstage.store.StoreEventListener.NONE)) {
             assertEquals(
                     List.of("3 c", "4 d", "5 e"),
                     ConfigurationVersions.all(store).stream()
-                            .map(v -> v.number() + " " + v.configuration())
+                            .map(version -> version.number() + " " + version.configuration())
                             .toList());
         }
     }
 
     @Test
     void aFullDiskIsReportedAndPendingStateIsWrittenWhenThereIsRoom() throws Exception {
-        RelayStateStore keeper = open(NOON);
+        RelayStateStore stateStore = open(NOON);
         disk.injectFaultAt(0, FaultInjectingDisk.Fault.DISK_FULL);
-        keeper.saveConfiguration(
+        stateStore.saveConfiguration(
                 "x".repeat(5_000), ""); // larger than the preallocated segment
-        keeper.start(() -> learnedState(1));
-        await(() -> keeper.state() == RelayStateStore.State.FULL);
+        stateStore.start(() -> learnedState(1));
+        await(() -> stateStore.state() == RelayStateStore.State.FULL);
         disk.clearFaults();
-        keeper.close(Duration.ofSeconds(30));
+        stateStore.close(Duration.ofSeconds(30));
         try (saltstage.store.Store store =
                 saltstage.store.Store.openToRead(disk, saltstage.store.StoreEventListener.NONE)) {
             assertEquals(1, ConfigurationVersions.all(store).size());
@@ -148,17 +148,17 @@
 
     @Test
     void aFailedForceLosesOnlyTheStore() throws Exception {
-        RelayStateStore keeper = open(NOON);
+        RelayStateStore stateStore = open(NOON);
         disk.injectFaultAt(0, FaultInjectingDisk.Fault.IO_ERROR);
-        keeper.start(() -> learnedState(1));
-        for (int i = 0; keeper.state() != RelayStateStore.State.LOST; i++) {
+        stateStore.start(() -> learnedState(1));
+        for (int i = 0; stateStore.state() != RelayStateStore.State.LOST; i++) {
             assertTrue(i < 3_000);
-            keeper.saveList(list(i + 1, "s1"));
+            stateStore.saveList(list(i + 1, "s1"));
             disk.injectFaultAt(0, FaultInjectingDisk.Fault.IO_ERROR);
             Thread.sleep(10);
         }
-        keeper.saveList(list(99, "s9")); // neither blocks nor throws
-        keeper.close(Duration.ofSeconds(30));
+        stateStore.saveList(list(99, "s9")); // neither blocks nor throws
+        stateStore.close(Duration.ofSeconds(30));
     }
 
     @Test
@@ -167,14 +167,14 @@
                 RelayStateCodec.encodeLearnedState(
                         new RelayStateCodec.TimestampedState(NOON, learnedState(1)));
         for (int length = 0; length < bytes.length; length++) {
-            byte[] cut = java.util.Arrays.copyOf(bytes, length);
-            assertThrows(IOException.class, () -> RelayStateCodec.decodeLearnedState(cut));
+            byte[] truncated = java.util.Arrays.copyOf(bytes, length);
+            assertThrows(IOException.class, () -> RelayStateCodec.decodeLearnedState(truncated));
         }
-        byte[] first = java.util.Arrays.copyOf(bytes, bytes.length - Double.BYTES);
-        first[0] = 1;
+        byte[] firstVersion = java.util.Arrays.copyOf(bytes, bytes.length - Double.BYTES);
+        firstVersion[0] = 1;
         assertEquals(
                 0,
-                RelayStateCodec.decodeLearnedState(first).learnedState().capacityShare(),
+                RelayStateCodec.decodeLearnedState(firstVersion).learnedState().capacityShare(),
                 "the first format version can be read too");
         bytes[0] = 3;
         assertEquals(
--- a/relay/src/test/java/saltstage/process/AdminTest.java
+++ b/relay/src/test/java/saltstage/process/AdminTest.java
@@ -19,18 +19,18 @@
  * are too many: they must not delay or change the calls of others.
  */
 public class AdminTest {
-    private RelayTestEnvironment world;
+    private RelayTestEnvironment environment;
     private TestServer backend;
-    private Path folder;
+    private Path temporaryDirectory;
 
     @Before
     public void start() throws Exception {
-        world = new RelayTestEnvironment();
-        backend = world.startBackend();
-        world.environmentVariables.put("GW_ADMIN", "127.0.0.1:" + world.adminPort);
-        folder = Files.createTempDirectory("saltstage");
-        world.environmentVariables.put("TMPDIR", folder.toString());
-        world.start(
+        environment = new RelayTestEnvironment();
+        backend = environment.startBackend();
+        environment.environmentVariables.put("GW_ADMIN", "127.0.0.1:" + environment.adminPort);
+        temporaryDirectory = Files.createTempDirectory("saltstage");
+        environment.environmentVariables.put("TMPDIR", temporaryDirectory.toString());
+        environment.start(
                 RelayTestEnvironment.backendList(
                         1,
                         true,
@@ -39,14 +39,14 @@
 
     @After
     public void stop() throws Exception {
-        world.close();
-        RelayTestEnvironment.deleteRecursively(folder);
+        environment.close();
+        RelayTestEnvironment.deleteRecursively(temporaryDirectory);
     }
 
     @Test
     public void callsAreAnsweredAndBadOnesGetOneError() throws Exception {
-        assertEquals("done ready\n", world.operatorCall("STATUS"));
-        for (String bad :
+        assertEquals("done ready\n", environment.operatorCall("STATUS"));
+        for (String invalidCall :
                 List.of(
                         "",
                         "status",
@@ -59,36 +59,36 @@
                         "RESTORE nobody",
                         "SUSPEND \u0001",
                         "x".repeat(5_000))) {
-            String answer = world.operatorCall(bad);
-            assertTrue(bad + " got " + answer, answer.matches("error [ -~]+\n"));
+            String answer = environment.operatorCall(invalidCall);
+            assertTrue(invalidCall + " got " + answer, answer.matches("error [ -~]+\n"));
         }
     }
 
     @Test
     public void idleConnectionsDoNotBlockOthers() throws Exception {
-        List<TestConnection> rude = new ArrayList<>();
+        List<TestConnection> idleConnections = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            rude.add(world.connectOperator(world.adminPort).sendRaw(i % 2 == 0 ? "" : "META"));
+            idleConnections.add(environment.connectOperator(environment.adminPort).sendRaw(i % 2 == 0 ? "" : "META"));
             if (i % 20 == 0) {
-                long from = System.nanoTime();
-                assertEquals("done ready\n", world.operatorCall("STATUS"));
-                assertTrue("answered within a second", System.nanoTime() - from < 1_000_000_000L);
+                long startNs = System.nanoTime();
+                assertEquals("done ready\n", environment.operatorCall("STATUS"));
+                assertTrue("answered within a second", System.nanoTime() - startNs < 1_000_000_000L);
             }
         }
-        assertNull("the oldest connection is closed", rude.get(0).readLine());
+        assertNull("the oldest connection is closed", idleConnections.get(0).readLine());
     }
 
     @Test
     public void lineThatComesInPiecesIsOneCallAndHalfALineIsNone() throws Exception {
-        TestConnection slow = world.connectOperator(world.adminPort);
+        TestConnection slow = environment.connectOperator(environment.adminPort);
         for (String piece : "STATUS\r\n".split("")) {
             slow.sendRaw(piece);
             Thread.sleep(5);
         }
         assertEquals("done ready", slow.readLine());
-        TestConnection half = world.connectOperator(world.adminPort).sendRaw("SUSPEND s-1");
-        half.socket.shutdownOutput();
-        assertEquals("error no end of line", half.readLine());
-        world.establish(backend, world.sendOpen("h1", 20_000)); // s-1 is still in use
+        TestConnection partial = environment.connectOperator(environment.adminPort).sendRaw("SUSPEND s-1");
+        partial.socket.shutdownOutput();
+        assertEquals("error no end of line", partial.readLine());
+        environment.establish(backend, environment.sendOpen("h1", 20_000)); // s-1 is still in use
     }
 }
--- a/relay/src/test/java/saltstage/process/CommandLineTest.java
+++ b/relay/src/test/java/saltstage/process/CommandLineTest.java
@@ -11,19 +11,19 @@
 
 /** Errors on the command line or in files: one line of output and the documented exit code. */
 public class CommandLineTest {
-    private static String run(int exit, String... arguments) throws Exception {
+    private static String run(int expectedExitCode, String... arguments) throws Exception {
         Process process = RelayTestEnvironment.launch(arguments);
         String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(output, exit, process.waitFor());
+        assertEquals(output, expectedExitCode, process.waitFor());
         assertEquals("one line: " + output, 1, output.lines().count());
         return output.trim();
     }
 
-    private static String check(int exit, String config) throws Exception {
+    private static String check(int expectedExitCode, String config) throws Exception {
         Path file = Files.createTempFile("saltstage", ".json");
         try {
             Files.writeString(file, config);
-            return run(exit, "check", "--config", file.toString());
+            return run(expectedExitCode, "check", "--config", file.toString());
         } finally {
             Files.delete(file);
         }
@@ -66,7 +66,7 @@
 
     @Test
     public void invalidSettingsAreNamedWithTheAllowedValues() throws Exception {
-        String[][] bad = {
+        String[][] invalid = {
             {"\"Aim\":60000000", "\"Aim\":0", "Services.0.Aim: out of range: 0.0; 1 or more would do"},
             {"\"Aim\":60000000,", "", "Services.0.Aim: missing; a number of 1 or more is needed"},
             {"\"GiveUp\":60000000", "\"GiveUp\":\"soon\"",
@@ -80,8 +80,9 @@
             {"[{\"Name\":\"acme\"}]", "[{\"Name\":\"acme\"},{\"Name\":\"acme\"}]",
                 "Realms.1.Name: acme is there twice; a name of its own would do"},
         };
-        for (String[] each : bad) {
-            assertEquals("settings: " + each[2], checkError(validConfiguration().replace(each[0], each[1])));
+        for (String[] replacement : invalid) {
+            assertEquals("settings: " + replacement[2],
+                checkError(validConfiguration().replace(replacement[0], replacement[1])));
         }
         assertEquals("limits: sockets: 49; 50 or more would do",
             checkError(validConfiguration().replace("\"sockets\":512", "\"sockets\":49")));
--- a/relay/src/test/java/saltstage/process/ConfigurationTest.java
+++ b/relay/src/test/java/saltstage/process/ConfigurationTest.java
@@ -36,7 +36,7 @@
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
     private final ServedView view = new ServedView();
-    private RelayTestEnvironment world;
+    private RelayTestEnvironment environment;
     private TestServer first;
     private TestServer second;
     private ScriptedSource source;
@@ -44,18 +44,18 @@
 
     @Before
     public void start() throws Exception {
-        world = new RelayTestEnvironment();
-        first = world.startBackend();
-        second = world.startBackend();
+        environment = new RelayTestEnvironment();
+        first = environment.startBackend();
+        second = environment.startBackend();
         source = new ScriptedSource(view);
         settings = folder.getRoot().toPath().resolve("saltstage.hcl");
-        world.environmentVariables.put("GW_ADMIN", "127.0.0.1:" + world.adminPort);
-        world.environmentVariables.put("TMPDIR", folder.getRoot().toString());
+        environment.environmentVariables.put("GW_ADMIN", "127.0.0.1:" + environment.adminPort);
+        environment.environmentVariables.put("TMPDIR", folder.getRoot().toString());
     }
 
     @After
     public void stop() throws Exception {
-        world.close();
+        environment.close();
         source.close();
     }
 
@@ -68,13 +68,13 @@
                         + "  zone = \"a\"\n  dir = \""
                         + folder.getRoot().toPath().resolve("configuration")
                         + "\"\n}\n");
-        world.startWith(world.config(512, RelayTestEnvironment.backendList(41, true)), settings);
+        environment.startWith(environment.config(512, RelayTestEnvironment.backendList(41, true)), settings);
     }
 
-    private static Mutation backend(String id, TestServer at, BackendState state) {
+    private static Mutation backend(String id, TestServer server, BackendState state) {
         return new Mutation(
                 new EntryKey(EntryKind.BACKEND, id),
-                state == null ? null : new EntryValue.Backend(at.endpoint(), "a", 0, state, 1, 0));
+                state == null ? null : new EntryValue.Backend(server.endpoint(), "a", 0, state, 1, 0));
     }
 
     private static Mutation suspension(String id, String reason) {
@@ -97,7 +97,7 @@
 
     /** Whether the log, in either of its formats, reports that the revision is applied. */
     private boolean isApplied(long revision) {
-        return world.logLines.stream()
+        return environment.logLines.stream()
                 .anyMatch(
                         line ->
                                 line.contains("configuration.applied")
@@ -108,9 +108,9 @@
 
     private void assertAllGoTo(TestServer backend, String name) throws Exception {
         for (int i = 0; i < 8; i++) { // with 8 keys, each of two backends would get at least one
-            world.establish(
+            environment.establish(
                     backend,
-                    world.connectClient()
+                    environment.connectClient()
                             .sendLine("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000"));
         }
     }
@@ -120,8 +120,8 @@
             throws Exception {
         startRelay();
         accept(backend("s-1", first, BackendState.READY));
-        TestConnection client = world.sendOpen("a1", 20_000);
-        world.establish(first, client);
+        TestConnection client = environment.sendOpen("a1", 20_000);
+        environment.establish(first, client);
         accept(
                 backend("s-1", first, BackendState.DRAINING),
                 backend("s-2", second, BackendState.READY));
@@ -131,7 +131,7 @@
                         "s-1", first,
                         null)); // as with discovery, a draining backend keeps its clients until it is gone
         assertTrue(client.readLine().startsWith("MOVE"));
-        assertTrue("the relay does not connect to discovery", world.discovery.hasNoConnectionWithin(50));
+        assertTrue("the relay does not connect to discovery", environment.discovery.hasNoConnectionWithin(50));
     }
 
     @Test
@@ -141,36 +141,36 @@
                 backend("s-1", first, BackendState.READY),
                 backend("s-2", second, BackendState.READY),
                 suspension("s-1", "disk"));
-        world.kill();
+        environment.kill();
         source.close();
         startRelay();
         assertTrue(
-                world.logLines.toString(),
-                world.hasLogged("configuration.kept rev=1 entries=3 age_ms="));
-        assertFalse(world.hasLogged("age_ms=-1"));
+                environment.logLines.toString(),
+                environment.hasLogged("configuration.kept rev=1 entries=3 age_ms="));
+        assertFalse(environment.hasLogged("age_ms=-1"));
         assertAllGoTo(second, "a");
         RelayTestEnvironment.await(
-                "the loss of the source is logged", () -> world.hasLogged("configuration.source.left"));
-        assertFalse(world.hasLogged("configuration.applied"));
+                "the loss of the source is logged", () -> environment.hasLogged("configuration.source.left"));
+        assertFalse(environment.hasLogged("configuration.applied"));
     }
 
     @Test
     public void aSuspensionHoldsUntilBothItAndTheOperatorsCallAreLifted() throws Exception {
         startRelay();
         accept(backend("s-1", first, BackendState.READY));
-        TestConnection client = world.sendOpen("a", 20_000);
-        world.establish(first, client);
+        TestConnection client = environment.sendOpen("a", 20_000);
+        environment.establish(first, client);
         accept(backend("s-2", second, BackendState.READY), suspension("s-1", "disk"));
         assertTrue(client.readLine().startsWith("MOVE")); // as after an operator call
         assertAllGoTo(second, "a");
-        assertEquals("done suspended\n", world.operatorCall("SUSPEND s-1"));
+        assertEquals("done suspended\n", environment.operatorCall("SUSPEND s-1"));
         accept(suspension("s-1", null));
         assertAllGoTo(second, "b"); // the operator's suspension is still in force
-        assertEquals("done restored\n", world.operatorCall("RESTORE s-1"));
+        assertEquals("done restored\n", environment.operatorCall("RESTORE s-1"));
         accept(suspension("s-2", "disk"));
         assertAllGoTo(first, "c");
         assertEquals(
-                "error still suspended by configuration: s-2\n", world.operatorCall("RESTORE s-2"));
+                "error still suspended by configuration: s-2\n", environment.operatorCall("RESTORE s-2"));
         assertAllGoTo(first, "d");
     }
 
@@ -178,19 +178,19 @@
     public void theLogsSettingsAreChangedAndOthersNamedOnce() throws Exception {
         startRelay();
         accept(setting("log.format", "json"), setting("pool.size", "3"));
-        world.awaitLogged("\"configuration.applied\"");
+        environment.awaitLogged("\"configuration.applied\"");
         accept(setting("pool.size", "4"));
         accept(setting("log.format", null));
         accept(setting("log.level", "loud"));
         assertEquals(
                 1,
-                world.logLines.stream()
+                environment.logLines.stream()
                         .filter(
                                 line ->
                                         line.contains("name=pool.size")
                                                 || line.contains("\"pool.size\""))
                         .count());
-        world.awaitLogged("why=\"unknown word: loud\"");
+        environment.awaitLogged("why=\"unknown word: loud\"");
     }
 
     @Test
@@ -206,8 +206,8 @@
                         + "  dir = \""
                         + folder.getRoot().toPath().resolve("configuration")
                         + "\"\n}\n");
-        world.startWith(
-                world.config(
+        environment.startWith(
+                environment.config(
                         512,
                         RelayTestEnvironment.backendList(
                                 41,
@@ -215,7 +215,7 @@
                                 RelayTestEnvironment.backendEntry(
                                         "s-1", first.endpoint(), "ready"))),
                 settings);
-        RelayTestEnvironment.await("the malformed response is logged", () -> world.hasLogged("why=\"malformed: "));
+        RelayTestEnvironment.await("the malformed response is logged", () -> environment.hasLogged("why=\"malformed: "));
         assertAllGoTo(first, "a"); // according to the platform's list
     }
 
@@ -231,14 +231,14 @@
                         + file
                         + "\"\n}\n");
         Path config = folder.newFile().toPath();
-        Files.writeString(config, world.config(512, RelayTestEnvironment.backendList(41, true)));
+        Files.writeString(config, environment.config(512, RelayTestEnvironment.backendList(41, true)));
         Process relay =
                 RelayTestEnvironment.launch(
                         "serve", "--config", config.toString(), "--settings", settings.toString());
-        String said = new String(relay.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(said, 1, relay.waitFor());
-        assertTrue(said, said.startsWith("saltstage: configuration: cannot open dir " + file));
-        assertEquals(said, 1, said.lines().count());
+        String output = new String(relay.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(output, 1, relay.waitFor());
+        assertTrue(output, output.startsWith("saltstage: configuration: cannot open dir " + file));
+        assertEquals(output, 1, output.lines().count());
     }
 
     @Test
@@ -273,7 +273,7 @@
         Path config = folder.getRoot().toPath().resolve("relay.json");
         Files.writeString(
                 config,
-                world.config(
+                environment.config(
                         512,
                         RelayTestEnvironment.backendList(
                                 41,
@@ -310,7 +310,7 @@
     private static boolean contains(Path file, String text) {
         try {
             return Files.readString(file).contains(text);
-        } catch (IOException notYet) {
+        } catch (IOException e) {
             return false;
         }
     }
--- a/relay/src/test/java/saltstage/process/MetricsTest.java
+++ b/relay/src/test/java/saltstage/process/MetricsTest.java
@@ -19,18 +19,18 @@
  * Guards against connections that are counted twice, not at all, or with the wrong result.
  */
 public class MetricsTest {
-    private RelayTestEnvironment world;
+    private RelayTestEnvironment environment;
     private TestServer backend;
-    private Path folder;
+    private Path temporaryDirectory;
 
     @Before
     public void start() throws Exception {
-        world = new RelayTestEnvironment();
-        backend = world.startBackend();
-        folder = Files.createTempDirectory("saltstage");
-        world.environmentVariables.put("TMPDIR", folder.toString());
-        world.environmentVariables.put("GW_ADMIN", "127.0.0.1:" + world.adminPort);
-        world.start(
+        environment = new RelayTestEnvironment();
+        backend = environment.startBackend();
+        temporaryDirectory = Files.createTempDirectory("saltstage");
+        environment.environmentVariables.put("TMPDIR", temporaryDirectory.toString());
+        environment.environmentVariables.put("GW_ADMIN", "127.0.0.1:" + environment.adminPort);
+        environment.start(
                 RelayTestEnvironment.backendList(
                         1,
                         true,
@@ -39,21 +39,21 @@
 
     @After
     public void stop() throws Exception {
-        world.close();
-        RelayTestEnvironment.deleteRecursively(folder);
+        environment.close();
+        RelayTestEnvironment.deleteRecursively(temporaryDirectory);
     }
 
     private Map<String, Integer> metrics() {
         try {
-            Map<String, Integer> all = new HashMap<>();
-            String[] lines = world.operatorCall("METRICS").split("\n");
+            Map<String, Integer> values = new HashMap<>();
+            String[] lines = environment.operatorCall("METRICS").split("\n");
             assertEquals("end", lines[lines.length - 1]);
             for (int i = 0; i < lines.length - 1; i++) {
                 assertTrue(lines[i], lines[i].matches("app\\.[a-z_.]+:\\d+\\|[cg]"));
                 String[] parts = lines[i].split("[:|]");
-                all.put(parts[0].substring(4) + parts[2], Integer.parseInt(parts[1]));
+                values.put(parts[0].substring(4) + parts[2], Integer.parseInt(parts[1]));
             }
-            return all;
+            return values;
         } catch (java.io.IOException e) {
             throw new IllegalStateException(e);
         }
@@ -82,42 +82,42 @@
     @Test
     public void eachConnectionIsCountedOnceWhereItEndsUp() throws Exception {
         assertInitialMetrics();
-        TestConnection standing = world.sendOpen("f1", 20_000);
-        TestConnection side = world.establish(backend, standing);
-        TestConnection waiting = world.sendOpen("f2", 20_000);
-        TestConnection waitingSide = backend.accept();
-        waitingSide.readLine();
+        TestConnection established = environment.sendOpen("f1", 20_000);
+        TestConnection backendSide = environment.establish(backend, established);
+        TestConnection rejected = environment.sendOpen("f2", 20_000);
+        TestConnection rejectedBackendSide = backend.accept();
+        rejectedBackendSide.readLine();
         assertEquals(2, (int) metrics().get("in_progressg"));
-        world.connectClient()
+        environment.connectClient()
                 .sendRaw("rubbish\r\n")
                 .readLine(); // without a service class, counted as none of the three results
-        TestConnection gone = world.sendOpen("f3", 20_000);
-        TestConnection goneSide = backend.accept();
-        goneSide.readLine();
-        gone.close();
-        goneSide.readLine();
+        TestConnection closed = environment.sendOpen("f3", 20_000);
+        TestConnection closedBackendSide = backend.accept();
+        closedBackendSide.readLine();
+        closed.close();
+        closedBackendSide.readLine();
         TestConnection early =
-                world.sendOpen("f4", 20_000); // sends a second line before the answer
+                environment.sendOpen("f4", 20_000); // sends a second line before the answer
         TestConnection earlySide = backend.accept();
         earlySide.readLine();
         early.sendLine("M 1");
         assertTrue(early.readLine().startsWith("ERR"));
         early.close();
-        waitingSide.sendLine("BUSY").close();
-        assertTrue(waiting.readLine().startsWith("BUSY"));
-        waiting.close();
+        rejectedBackendSide.sendLine("BUSY").close();
+        assertTrue(rejected.readLine().startsWith("BUSY"));
+        rejected.close();
         RelayTestEnvironment.await(
                 "all but one have ended", () -> metrics().get("in_progressg") == 1);
-        Map<String, Integer> now = metrics();
-        assertEquals(1, (int) now.get("handled.chat.passedc"));
-        assertEquals(1, (int) now.get("handled.chat.droppedc"));
-        assertEquals(1, (int) now.get("handled.chat.bad_gatewayc"));
-        assertEquals(4, (int) now.get("upstream_triesc"));
+        Map<String, Integer> metrics = metrics();
+        assertEquals(1, (int) metrics.get("handled.chat.passedc"));
+        assertEquals(1, (int) metrics.get("handled.chat.droppedc"));
+        assertEquals(1, (int) metrics.get("handled.chat.bad_gatewayc"));
+        assertEquals(4, (int) metrics.get("upstream_triesc"));
         RelayTestEnvironment.await(
                 "the failed backend is ejected", () -> metrics().get("skipped_backendsg") == 1);
-        side.sendLine("BYE").close();
-        assertEquals("BYE", standing.readLine());
-        standing.close();
+        backendSide.sendLine("BYE").close();
+        assertEquals("BYE", established.readLine());
+        established.close();
         RelayTestEnvironment.await("the last connection has ended", () -> metrics().get("in_progressg") == 0);
         assertEquals("the end of a connection is not counted as a second result", 1, (int) metrics().get("handled.chat.passedc"));
     }
@@ -132,22 +132,22 @@
                 json,
                 json.startsWith("0 {\"ok\":true,") && json.contains("\"app.skipped_backends\":1"));
         assertEquals("0 done restored", runCall("restore", "s-1"));
-        world.kill();
+        environment.kill();
         assertTrue(
                 runCall("status")
                         .startsWith(
-                                "3 saltstage: 127.0.0.1:" + world.adminPort + " did not answer"));
+                                "3 saltstage: 127.0.0.1:" + environment.adminPort + " did not answer"));
     }
 
-    private String runCall(String... words) throws Exception {
-        String[] all = new String[words.length + 3];
-        all[0] = "call";
-        System.arraycopy(words, 0, all, 1, words.length);
-        all[words.length + 1] = "--admin";
-        all[words.length + 2] = "127.0.0.1:" + world.adminPort;
-        Process process = RelayTestEnvironment.launch(all);
-        String said =
+    private String runCall(String... arguments) throws Exception {
+        String[] command = new String[arguments.length + 3];
+        command[0] = "call";
+        System.arraycopy(arguments, 0, command, 1, arguments.length);
+        command[arguments.length + 1] = "--admin";
+        command[arguments.length + 2] = "127.0.0.1:" + environment.adminPort;
+        Process process = RelayTestEnvironment.launch(command);
+        String output =
                 new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
-        return process.waitFor() + " " + said;
+        return process.waitFor() + " " + output;
     }
 }
--- a/relay/src/test/java/saltstage/process/StartupSignalsTest.java
+++ b/relay/src/test/java/saltstage/process/StartupSignalsTest.java
@@ -26,20 +26,20 @@
  */
 @Timeout(60)
 class StartupSignalsTest {
-    private RelayTestEnvironment world;
+    private RelayTestEnvironment environment;
     private Path file;
     private Process process;
 
     @BeforeEach
     void begin() throws Exception {
-        world = new RelayTestEnvironment();
+        environment = new RelayTestEnvironment();
         file = Files.createTempDirectory("saltstage").resolve("config.json");
     }
 
     @AfterEach
     void end() throws Exception {
         process.destroyForcibly().waitFor();
-        world.close();
+        environment.close();
         RelayTestEnvironment.deleteRecursively(file.getParent());
     }
 
@@ -55,10 +55,10 @@
                         .start();
     }
 
-    private boolean logged(String part) {
+    private boolean logged(String text) {
         try {
-            return Files.readString(log()).contains(part);
-        } catch (IOException notYet) {
+            return Files.readString(log()).contains(text);
+        } catch (IOException e) {
             return false;
         }
     }
@@ -69,11 +69,11 @@
 
     /** Opens the write end of the pipe, which blocks until the relay opens it for reading. */
     private OutputStream openOnceRead() throws InterruptedException {
-        OutputStream opened =
+        OutputStream pipe =
                 RelayTestEnvironment.runInBackground(() -> Files.newOutputStream(file))
                         .poll(30, TimeUnit.SECONDS);
-        assertNotNull(opened, "the relay does not read the configuration");
-        return opened;
+        assertNotNull(pipe, "the relay does not read the configuration");
+        return pipe;
     }
 
     private void signal(String name) throws Exception {
@@ -86,19 +86,19 @@
 
     @Test
     void hangupBeforeTheConfigurationIsReadIsObeyedAfterTheStart() throws Exception {
-        TestServer moved = world.startBackend();
+        TestServer newDiscovery = environment.startBackend();
         runCommand("mkfifo", file.toString());
         launch();
-        String config = world.config(4096, RelayTestEnvironment.backendList(1, true));
-        try (OutputStream opened = openOnceRead()) {
+        String config = environment.config(4096, RelayTestEnvironment.backendList(1, true));
+        try (OutputStream pipe = openOnceRead()) {
             signal("HUP");
-            opened.write(config.getBytes());
+            pipe.write(config.getBytes());
         }
-        world.discovery.accept().close(); // the relay has read the configuration and starts
-        String anew = world.config(4096, moved, RelayTestEnvironment.backendList(1, true));
+        environment.discovery.accept().close(); // the relay has read the configuration and starts
+        String newConfig = environment.config(4096, newDiscovery, RelayTestEnvironment.backendList(1, true));
         RelayTestEnvironment.runInBackground(
-                () -> Files.writeString(file, anew)); // completes when the relay reads it
-        try (TestConnection watch = moved.accept()) {
+                () -> Files.writeString(file, newConfig)); // completes when the relay reads it
+        try (TestConnection watch = newDiscovery.accept()) {
             assertTrue(watch.readLine().startsWith("GET /discovery/hosts?watch=1"));
         }
         assertTrue(process.isAlive());
@@ -106,13 +106,13 @@
 
     @Test
     void relayThatIsStartedWithHangupsIgnoredSaysThatItDoesNotReload() throws Exception {
-        Files.writeString(file, world.config(4096, RelayTestEnvironment.backendList(1, true)));
+        Files.writeString(file, environment.config(4096, RelayTestEnvironment.backendList(1, true)));
         ProcessBuilder relay =
                 RelayTestEnvironment.programBuilder(List.of("serve", "--config", file.toString()));
-        List<String> ignoring =
+        List<String> commandIgnoringHangup =
                 new ArrayList<>(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
-        ignoring.addAll(relay.command());
-        start(relay.command(ignoring));
+        commandIgnoringHangup.addAll(relay.command());
+        start(relay.command(commandIgnoringHangup));
         RelayTestEnvironment.await("the relay is ready", () -> logged("relay.ready"));
         assertTrue(logged("reload.ignored"));
         signal("HUP");
@@ -121,13 +121,13 @@
 
     @Test
     void terminationIsHeardWhileAReloadWaitsForItsFile() throws Exception {
-        Files.writeString(file, world.config(4096, RelayTestEnvironment.backendList(1, true)));
+        Files.writeString(file, environment.config(4096, RelayTestEnvironment.backendList(1, true)));
         launch();
         RelayTestEnvironment.await("the relay is ready", () -> logged("relay.ready"));
         Files.delete(file);
         runCommand("mkfifo", file.toString());
         signal("HUP");
-        try (OutputStream opened = openOnceRead()) {
+        try (OutputStream pipe = openOnceRead()) {
             signal("TERM");
             assertTrue(
                     process.waitFor(RelayTestEnvironment.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
@@ -139,10 +139,10 @@
     void terminationBeforeTheFirstListIsAPlannedEnd() throws Exception {
         Files.writeString(
                 file,
-                world.config(4096, RelayTestEnvironment.backendList(1, true))
+                environment.config(4096, RelayTestEnvironment.backendList(1, true))
                         .replace("on_request", "pushed"));
         launch();
-        try (TestConnection agent = world.discovery.accept()) { // does not answer: the start waits for it
+        try (TestConnection discoveryConnection = environment.discovery.accept()) { // does not answer: the start waits for it
             signal("TERM");
             assertTrue(
                     process.waitFor(RelayTestEnvironment.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
--- a/relay/src/test/java/saltstage/process/StoreKillTest.java
+++ b/relay/src/test/java/saltstage/process/StoreKillTest.java
@@ -39,20 +39,20 @@
         return i % 5 == 4 ? key : key + "\t" + round + "-" + i + "x".repeat((int) (i % 90));
     }
 
-    private static void apply(TreeMap<String, String> to, String line) {
+    private static void apply(TreeMap<String, String> target, String line) {
         int tab = line.indexOf('\t');
         if (tab < 0) {
-            to.remove(line);
+            target.remove(line);
         } else {
-            to.put(line.substring(0, tab), line.substring(tab + 1));
+            target.put(line.substring(0, tab), line.substring(tab + 1));
         }
     }
 
     private static TreeMap<String, String> dump(Path dir) throws IOException {
         TreeMap<String, String> all = new TreeMap<>();
         try (Store store = Store.openToRead(new FileDisk(dir), StoreEventListener.NONE);
-                Snapshot now = store.snapshot()) {
-            Snapshot.Scan scan = now.scan(null, null);
+                Snapshot snapshot = store.snapshot()) {
+            Snapshot.Scan scan = snapshot.scan(null, null);
             while (scan.next()) {
                 all.put(
                         new String(scan.key(), StandardCharsets.UTF_8),
@@ -90,22 +90,22 @@
         AtomicLong sent = new AtomicLong();
         Thread feeder = new Thread(() -> feed(loader, round, sent));
         feeder.start();
-        BufferedReader out =
+        BufferedReader output =
                 new BufferedReader(
                         new InputStreamReader(loader.getInputStream(), StandardCharsets.US_ASCII));
-        int until = 1 + random.nextInt(400);
+        int killAfter = 1 + random.nextInt(400);
         long acked = 0;
-        String told = out.readLine();
-        for (; told != null; told = out.readLine()) {
-            assertTrue(told, told.startsWith("acked "));
-            if (++acked == until) {
+        String outputLine = output.readLine();
+        for (; outputLine != null; outputLine = output.readLine()) {
+            assertTrue(outputLine, outputLine.startsWith("acked "));
+            if (++acked == killAfter) {
                 // destroyForcibly would close the pipe, and earlier output is still to be read.
                 new ProcessBuilder("kill", "-KILL", Long.toString(loader.pid())).start().waitFor();
             }
         }
         loader.waitFor();
         feeder.join();
-        assertTrue("the process ended before it was killed", acked >= until);
+        assertTrue("the process ended before it was killed", acked >= killAfter);
         TreeMap<String, String> found = dump(dir);
         for (long i = 0; i < acked * batch; i++) {
             apply(expected, line(round, i));
@@ -124,7 +124,7 @@
                 in.write((line(round, i) + "\n").getBytes(StandardCharsets.US_ASCII));
                 in.flush();
             }
-        } catch (IOException killed) { // expected: this test kills the process
+        } catch (IOException e) { // expected: this test kills the process
             return;
         }
     }
@@ -149,29 +149,29 @@
         assertEquals(
                 "saltstage: " + dir + ": line 1: key of 0 bytes; 1 to 4096 are allowed|",
                 run(1, "\tx\n", "load", dir));
-        Path none = dir.resolve("none");
-        assertEquals("saltstage: " + none + ": there is no store|", run(1, "", "verify", none));
+        Path missing = dir.resolve("none");
+        assertEquals("saltstage: " + missing + ": there is no store|", run(1, "", "verify", missing));
         Path log =
                 Files.list(dir)
-                        .filter(f -> f.toString().endsWith(".log"))
+                        .filter(file -> file.toString().endsWith(".log"))
                         .findFirst()
                         .orElseThrow();
         Files.write(log, new byte[10]);
         assertTrue(run(1, "", "dump", dir).matches("saltstage: .*: damaged: \\S+ at \\d+: .*\\|"));
     }
 
-    private static String run(int exit, String in, Object... words) throws Exception {
+    private static String run(int expectedExitCode, String in, Object... arguments) throws Exception {
         List<String> all = new java.util.ArrayList<>(List.of("store"));
-        for (Object word : words) {
-            all.add(word.toString());
+        for (Object argument : arguments) {
+            all.add(argument.toString());
         }
         Process process =
                 RelayTestEnvironment.programBuilder(all).redirectErrorStream(true).start();
-        try (OutputStream to = process.getOutputStream()) {
-            to.write(in.getBytes(StandardCharsets.US_ASCII));
+        try (OutputStream input = process.getOutputStream()) {
+            input.write(in.getBytes(StandardCharsets.US_ASCII));
         }
-        String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-        assertEquals(out, exit, process.waitFor());
-        return out.replace('\n', '|');
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+        assertEquals(output, expectedExitCode, process.waitFor());
+        return output.replace('\n', '|');
     }
 }
--- a/relay/src/test/java/saltstage/process/UpgradeTest.java
+++ b/relay/src/test/java/saltstage/process/UpgradeTest.java
@@ -24,21 +24,21 @@
  * the handover.
  */
 public class UpgradeTest {
-    private RelayTestEnvironment world;
+    private RelayTestEnvironment environment;
     private ProcessSupervisor platform;
     private TestServer backend;
     private Path config;
 
     @Before
     public void start() throws Exception {
-        world = new RelayTestEnvironment();
+        environment = new RelayTestEnvironment();
         platform = new ProcessSupervisor();
-        world.setClientPort(platform.port);
-        backend = world.startBackend();
+        environment.setClientPort(platform.port);
+        backend = environment.startBackend();
         config = platform.directory.resolve("config.json");
         Files.writeString(
                 config,
-                world.config(
+                environment.config(
                         4096,
                         RelayTestEnvironment.backendList(
                                 1,
@@ -50,12 +50,12 @@
     @After
     public void stop() throws Exception {
         platform.close();
-        world.close();
+        environment.close();
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket any = new ServerSocket(0)) {
-            return any.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0)) {
+            return socket.getLocalPort();
         }
     }
 
@@ -75,15 +75,15 @@
 
     private boolean isReady(Relay relay) {
         try {
-            return world.operatorCall(relay.admin(), "STATUS").startsWith("done");
+            return environment.operatorCall(relay.admin(), "STATUS").startsWith("done");
         } catch (IOException notYet) {
             return false;
         }
     }
 
-    private static boolean hasLogged(Relay relay, String part) {
+    private static boolean hasLogged(Relay relay, String text) {
         try {
-            return Files.readString(relay.log()).contains(part);
+            return Files.readString(relay.log()).contains(text);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -92,9 +92,9 @@
     @Test
     public void noNewClientIsLostAndEstablishedOnesAreMovedToTheNewProcess() throws Exception {
         Relay old = startReady("old");
-        TestConnection client = world.sendOpen("u1", 20_000);
-        TestConnection side = world.establish(backend, client);
-        TestConnection waiting = world.sendOpen("u2", 20_000);
+        TestConnection client = environment.sendOpen("u1", 20_000);
+        TestConnection backendSide = environment.establish(backend, client);
+        TestConnection waiting = environment.sendOpen("u2", 20_000);
         TestConnection waitingSide = backend.accept();
         assertTrue(waitingSide.readLine().startsWith("OPEN u2 "));
         Relay next = startReady("next");
@@ -103,21 +103,21 @@
                 "the old process has stopped accepting", () -> hasLogged(old, "drain.start"));
         List<TestConnection> others = new ArrayList<>();
         for (int i = 0; i < 10; i++) { // clients that connect during the handover are all served
-            TestConnection newcomer = world.sendOpen("n" + i, 20_000);
-            others.add(world.establish(backend, newcomer));
+            TestConnection newClient = environment.sendOpen("n" + i, 20_000);
+            others.add(environment.establish(backend, newClient));
             Thread.sleep(20);
         }
         waitingSide.sendLine("UP r2");
         assertEquals("UP r2", waiting.readLine());
-        for (TestConnection standing : List.of(client, waiting)) {
-            assertEquals("MOVE", standing.readLine());
-            assertNull(standing.readLine());
+        for (TestConnection established : List.of(client, waiting)) {
+            assertEquals("MOVE", established.readLine());
+            assertNull(established.readLine());
         }
-        assertNull(side.readLine());
+        assertNull(backendSide.readLine());
         RelayTestEnvironment.await(
                 "the old process ends", () -> platform.exitCodes.containsKey(old.pid()));
         assertEquals(0, (int) platform.exitCodes.get(old.pid()));
-        world.establish(backend, world.sendOpen("u9", 20_000));
+        environment.establish(backend, environment.sendOpen("u9", 20_000));
         assertTrue(isReady(next));
         assertTrue(hasLogged(old, "succeeded=true"));
         assertFalse(
@@ -127,8 +127,8 @@
     private static void assertPong(TestConnection line) {
         try {
             assertEquals("PONG", line.sendLine("PING").readLine());
-        } catch (IOException gone) {
-            throw new UncheckedIOException(gone);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
         }
     }
 
@@ -140,27 +140,27 @@
         // handle signals later than that. The new process is stopped so that the old one accepts
         // the client, and the client begins its line only after the drain has started.
         ProcessSupervisor.stop(next.pid());
-        TestConnection half = world.connectClient();
-        assertPong(half);
+        TestConnection partial = environment.connectClient();
+        assertPong(partial);
         ProcessSupervisor.signal(old.pid(), "TERM");
         RelayTestEnvironment.await(
                 "the old process has stopped accepting",
                 () -> {
-                    assertPong(half); // each PING restarts the limit of 2 s
+                    assertPong(partial); // each PING restarts the limit of 2 s
                     return hasLogged(old, "drain.start");
                 });
-        half.sendRaw("OPEN u3 ");
+        partial.sendRaw("OPEN u3 ");
         Thread.sleep(200); // four intervals at which the drain checks for remaining clients
-        half.sendLine("7f3a9c21e0b4d655 c=chat,t=acme,d=20000,g=5c0f6e1a");
-        TestConnection side = world.establish(backend, half);
-        assertEquals("MOVE", half.readLine());
-        assertNull(half.readLine());
-        assertNull(side.readLine());
+        partial.sendLine("7f3a9c21e0b4d655 c=chat,t=acme,d=20000,g=5c0f6e1a");
+        TestConnection backendSide = environment.establish(backend, partial);
+        assertEquals("MOVE", partial.readLine());
+        assertNull(partial.readLine());
+        assertNull(backendSide.readLine());
         RelayTestEnvironment.await(
                 "the old process ends", () -> platform.exitCodes.containsKey(old.pid()));
         assertEquals(0, (int) platform.exitCodes.get(old.pid()));
         ProcessSupervisor.signal(next.pid(), "CONT");
-        world.establish(backend, world.sendOpen("u9", 20_000));
+        environment.establish(backend, environment.sendOpen("u9", 20_000));
     }
 
     @Test
@@ -170,7 +170,7 @@
         Relay dead = launch("dead");
         ProcessSupervisor.signal(dead.pid(), "KILL");
         RelayTestEnvironment.await("the killed process has ended", () -> platform.exitCodes.containsKey(dead.pid()));
-        world.establish(backend, world.sendOpen("d1", 20_000));
+        environment.establish(backend, environment.sendOpen("d1", 20_000));
         Relay old = first;
         for (String name : List.of("second", "third")) {
             Relay next = startReady(name);
@@ -179,7 +179,7 @@
             RelayTestEnvironment.await(
                     "the predecessor ends", () -> platform.exitCodes.containsKey(pid));
             assertEquals(0, (int) platform.exitCodes.get(pid));
-            world.establish(backend, world.sendOpen("to-" + name, 20_000));
+            environment.establish(backend, environment.sendOpen("to-" + name, 20_000));
             old = next;
         }
     }
@@ -192,9 +192,9 @@
         relay.environment().put("GW_LISTEN_FD", "0");
         relay.redirectErrorStream(true).redirectInput(new java.io.File("/dev/null"));
         Process process = relay.start();
-        String said = new String(process.getInputStream().readAllBytes());
+        String output = new String(process.getInputStream().readAllBytes());
         assertEquals(1, process.waitFor());
-        assertTrue(said, said.contains("saltstage: descriptor 0 is no listening socket"));
+        assertTrue(output, output.contains("saltstage: descriptor 0 is no listening socket"));
         relay.environment().put("GW_LISTEN_FD", "7");
         process = relay.start();
         assertEquals(
