--- a/relay/src/main/java/saltstage/admin/OperatorCall.java
+++ b/relay/src/main/java/saltstage/admin/OperatorCall.java
@@ -57,7 +57,8 @@
                 return CompletableFuture.completedFuture(service.metrics() + "end\r\n");
             case "SUSPEND":
                 return service.suspend(backendId)
-                        .thenApply(error -> error == null ? "done suspended\r\n" : errorLine(error));
+                        .thenApply(
+                                error -> error == null ? "done suspended\r\n" : errorLine(error));
             default:
                 return service.restore(backendId)
                         .thenApply(error -> error == null ? "done restored\r\n" : errorLine(error));
--- a/relay/src/main/java/saltstage/admin/OperatorConnection.java
+++ b/relay/src/main/java/saltstage/admin/OperatorConnection.java
@@ -39,7 +39,9 @@
 
     /** Creates a connection that passes its complete line to the listener once. */
     OperatorConnection(
-            SocketChannel channel, SelectionKey key, BiConsumer<OperatorConnection, String> lineListener) {
+            SocketChannel channel,
+            SelectionKey key,
+            BiConsumer<OperatorConnection, String> lineListener) {
         this.channel = channel;
         this.key = key;
         this.lineListener = lineListener;
@@ -74,7 +76,8 @@
         } else if (bytesRead < 0) {
             sendAnswer(
                     OperatorCall.errorLine(
-                            "no end of line")); // a truncated id must not be taken for a complete one
+                            "no end of line")); // a truncated id must not be taken for a complete
+            // one
         }
     }
 
--- a/relay/src/main/java/saltstage/handover/AtomicFile.java
+++ b/relay/src/main/java/saltstage/handover/AtomicFile.java
@@ -31,7 +31,8 @@
     /** Replaces the content atomically and durably. */
     public void write(byte[] content) throws IOException {
         Files.createDirectories(path.toAbsolutePath().getParent());
-        Path temporaryFile = path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
+        Path temporaryFile =
+                path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
         ByteBuffer bytes = ByteBuffer.allocate(header.length + content.length + CHECKSUM_BYTES);
         bytes.put(header).put(content);
         bytes.putInt(checksum(bytes.array(), bytes.position())).flip();
@@ -47,7 +48,10 @@
             file.force(true);
         }
         Files.move(
-                temporaryFile, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                temporaryFile,
+                path,
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
     }
 
     /**
--- a/relay/src/main/java/saltstage/handover/ProcessSlots.java
+++ b/relay/src/main/java/saltstage/handover/ProcessSlots.java
@@ -93,9 +93,7 @@
     private static FileLock tryLock(FileChannel file, int slot) throws IOException {
         try {
             return file.tryLock((long) slot * SLOT_BYTES, SLOT_BYTES, false);
-        } catch (
-                OverlappingFileLockException
-                        e) { // by this process: a test may claim both slots
+        } catch (OverlappingFileLockException e) { // by this process: a test may claim both slots
             return null;
         }
     }
--- a/relay/src/main/java/saltstage/handover/Suspensions.java
+++ b/relay/src/main/java/saltstage/handover/Suspensions.java
@@ -160,6 +160,9 @@
             return List.of();
         }
         BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
-        return List.of(attributes.lastModifiedTime(), attributes.size(), String.valueOf(attributes.fileKey()));
+        return List.of(
+                attributes.lastModifiedTime(),
+                attributes.size(),
+                String.valueOf(attributes.fileKey()));
     }
 }
--- a/relay/src/main/java/saltstage/metrics/ProcessUsage.java
+++ b/relay/src/main/java/saltstage/metrics/ProcessUsage.java
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Returns the number of connections that the host has dropped since its start because the accept
-     * queue of a listening socket was full.
+     * Returns the number of connections that the host has dropped since its start because the
+     * accept queue of a listening socket was full.
      */
     public static long listenOverflows() {
         try {
@@ -51,7 +51,8 @@
 
     /** Reads a counter from two lines with the same prefix: one of names and one of values. */
     static long counter(List<String> lines, String name) {
-        List<String> tcpLines = lines.stream().filter(line -> line.startsWith(TCP_COUNTERS)).toList();
+        List<String> tcpLines =
+                lines.stream().filter(line -> line.startsWith(TCP_COUNTERS)).toList();
         if (tcpLines.size() < 2) {
             return UNKNOWN;
         }
--- a/relay/src/main/java/saltstage/persistence/RelayStateCodec.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateCodec.java
@@ -56,12 +56,14 @@
         return decode(bytes, what, FORMAT_VERSION, reader);
     }
 
-    private static <T> T decode(byte[] bytes, String what, int expectedVersion, BodyReader<T> reader)
+    private static <T> T decode(
+            byte[] bytes, String what, int expectedVersion, BodyReader<T> reader)
             throws IOException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int version = in.readByte();
             if (version != expectedVersion) {
-                throw new IOException(what + " of version " + version + "; " + expectedVersion + " is known");
+                throw new IOException(
+                        what + " of version " + version + "; " + expectedVersion + " is known");
             }
             T value = reader.read(in);
             if (in.read() >= 0) {
--- a/relay/src/main/java/saltstage/persistence/RelayStateStore.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateStore.java
@@ -45,7 +45,8 @@
     private static final byte[] LEARNED_STATE_KEY = ConfigurationVersions.keyBytes("learnt");
     private static final Duration FULL_RETRY_PAUSE = Duration.ofSeconds(5);
 
-    private record AcceptedConfiguration(String configuration, String settings, Instant acceptedAt) {}
+    private record AcceptedConfiguration(
+            String configuration, String settings, Instant acceptedAt) {}
 
     private final PersistenceSettings settings;
     private final Supplier<Instant> clock;
@@ -335,7 +336,8 @@
                 }
             }
         }
-        entriesToWrite.forEach((key, value) -> batch.put(ConfigurationVersions.keyBytes(key), value));
+        entriesToWrite.forEach(
+                (key, value) -> batch.put(ConfigurationVersions.keyBytes(key), value));
         store.commit(batch.put(LIST_REVISION_KEY, RelayStateCodec.encodeNumber(newest.revision())));
     }
 
--- a/relay/src/main/java/saltstage/persistence/Takeover.java
+++ b/relay/src/main/java/saltstage/persistence/Takeover.java
@@ -66,9 +66,11 @@
         }
         List<byte[]> learnedParts = readParts(data);
         if (learnedParts.size() != 1) {
-            throw new IOException("takeover: " + learnedParts.size() + " parts of learned state instead of 1");
+            throw new IOException(
+                    "takeover: " + learnedParts.size() + " parts of learned state instead of 1");
         }
-        RelayStateCodec.TimestampedState timestamped = RelayStateCodec.decodeLearnedState(learnedParts.get(0));
+        RelayStateCodec.TimestampedState timestamped =
+                RelayStateCodec.decodeLearnedState(learnedParts.get(0));
         List<String> knownIds = new ArrayList<>();
         for (int n = readCount(data, MAX_COUNT); n > 0; n--) {
             knownIds.add(data.readUTF());
--- a/relay/src/test/java/saltstage/handover/HandoverTest.java
+++ b/relay/src/test/java/saltstage/handover/HandoverTest.java
@@ -81,14 +81,18 @@
             int initialBudget = successor.updateDescriptorBudget(10);
             assertTrue(initialBudget <= 100, "before the old process noticed it: " + initialBudget);
             int retained = predecessor.updateDescriptorBudget(used);
-            assertTrue(retained + successor.updateDescriptorBudget(10) <= 400, used + " keeps " + retained);
+            assertTrue(
+                    retained + successor.updateDescriptorBudget(10) <= 400,
+                    used + " keeps " + retained);
             assertTrue(retained >= 200);
             successor.setPhase(ProcessSlots.Phase.READY);
             assertTrue(predecessor.isOtherProcessReady());
             assertTrue(predecessor.updateDescriptorBudget(used / 2) <= retained);
             predecessor.setPhase(ProcessSlots.Phase.LEAVING);
             assertTrue(
-                    predecessor.updateDescriptorBudget(used / 3) + successor.updateDescriptorBudget(10) <= 400);
+                    predecessor.updateDescriptorBudget(used / 3)
+                                    + successor.updateDescriptorBudget(10)
+                            <= 400);
             assertThrows(
                     IOException.class,
                     () -> ProcessSlots.claim(path.resolveSibling("slots" + used), 400));
--- a/relay/src/test/java/saltstage/persistence/RelayStateStoreTest.java
+++ b/relay/src/test/java/saltstage/persistence/RelayStateStoreTest.java
@@ -20,8 +20,8 @@
 import saltstage.wire.BackendList;
 
 /**
- * State that is handed to the store is persisted, or its loss is reported, also when the disk is full
- * or fails. Guards against use of outdated learned state and of values in an unknown format.
+ * State that is handed to the store is persisted, or its loss is reported, also when the disk is
+ * full or fails. Guards against use of outdated learned state and of values in an unknown format.
  */
 class RelayStateStoreTest {
     private static final Instant NOON = Instant.parse("2026-12-01T12:00:00Z");
@@ -134,8 +134,7 @@
     void aFullDiskIsReportedAndPendingStateIsWrittenWhenThereIsRoom() throws Exception {
         RelayStateStore stateStore = open(NOON);
         disk.injectFaultAt(0, FaultInjectingDisk.Fault.DISK_FULL);
-        stateStore.saveConfiguration(
-                "x".repeat(5_000), ""); // larger than the preallocated segment
+        stateStore.saveConfiguration("x".repeat(5_000), ""); // larger than the preallocated segment
         stateStore.start(() -> learnedState(1));
         await(() -> stateStore.state() == RelayStateStore.State.FULL);
         disk.clearFaults();
--- a/relay/src/test/java/saltstage/process/AdminTest.java
+++ b/relay/src/test/java/saltstage/process/AdminTest.java
@@ -68,11 +68,15 @@
     public void idleConnectionsDoNotBlockOthers() throws Exception {
         List<TestConnection> idleConnections = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            idleConnections.add(environment.connectOperator(environment.adminPort).sendRaw(i % 2 == 0 ? "" : "META"));
+            idleConnections.add(
+                    environment
+                            .connectOperator(environment.adminPort)
+                            .sendRaw(i % 2 == 0 ? "" : "META"));
             if (i % 20 == 0) {
                 long startNs = System.nanoTime();
                 assertEquals("done ready\n", environment.operatorCall("STATUS"));
-                assertTrue("answered within a second", System.nanoTime() - startNs < 1_000_000_000L);
+                assertTrue(
+                        "answered within a second", System.nanoTime() - startNs < 1_000_000_000L);
             }
         }
         assertNull("the oldest connection is closed", idleConnections.get(0).readLine());
@@ -86,7 +90,8 @@
             Thread.sleep(5);
         }
         assertEquals("done ready", slow.readLine());
-        TestConnection partial = environment.connectOperator(environment.adminPort).sendRaw("SUSPEND s-1");
+        TestConnection partial =
+                environment.connectOperator(environment.adminPort).sendRaw("SUSPEND s-1");
         partial.socket.shutdownOutput();
         assertEquals("error no end of line", partial.readLine());
         environment.establish(backend, environment.sendOpen("h1", 20_000)); // s-1 is still in use
--- a/relay/src/test/java/saltstage/process/ConfigurationTest.java
+++ b/relay/src/test/java/saltstage/process/ConfigurationTest.java
@@ -68,13 +68,16 @@
                         + "  zone = \"a\"\n  dir = \""
                         + folder.getRoot().toPath().resolve("configuration")
                         + "\"\n}\n");
-        environment.startWith(environment.config(512, RelayTestEnvironment.backendList(41, true)), settings);
+        environment.startWith(
+                environment.config(512, RelayTestEnvironment.backendList(41, true)), settings);
     }
 
     private static Mutation backend(String id, TestServer server, BackendState state) {
         return new Mutation(
                 new EntryKey(EntryKind.BACKEND, id),
-                state == null ? null : new EntryValue.Backend(server.endpoint(), "a", 0, state, 1, 0));
+                state == null
+                        ? null
+                        : new EntryValue.Backend(server.endpoint(), "a", 0, state, 1, 0));
     }
 
     private static Mutation suspension(String id, String reason) {
@@ -110,7 +113,8 @@
         for (int i = 0; i < 8; i++) { // with 8 keys, each of two backends would get at least one
             environment.establish(
                     backend,
-                    environment.connectClient()
+                    environment
+                            .connectClient()
                             .sendLine("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000"));
         }
     }
@@ -129,9 +133,12 @@
         accept(
                 backend(
                         "s-1", first,
-                        null)); // as with discovery, a draining backend keeps its clients until it is gone
+                        null)); // as with discovery, a draining backend keeps its clients until it
+        // is gone
         assertTrue(client.readLine().startsWith("MOVE"));
-        assertTrue("the relay does not connect to discovery", environment.discovery.hasNoConnectionWithin(50));
+        assertTrue(
+                "the relay does not connect to discovery",
+                environment.discovery.hasNoConnectionWithin(50));
     }
 
     @Test
@@ -150,7 +157,8 @@
         assertFalse(environment.hasLogged("age_ms=-1"));
         assertAllGoTo(second, "a");
         RelayTestEnvironment.await(
-                "the loss of the source is logged", () -> environment.hasLogged("configuration.source.left"));
+                "the loss of the source is logged",
+                () -> environment.hasLogged("configuration.source.left"));
         assertFalse(environment.hasLogged("configuration.applied"));
     }
 
@@ -170,7 +178,8 @@
         accept(suspension("s-2", "disk"));
         assertAllGoTo(first, "c");
         assertEquals(
-                "error still suspended by configuration: s-2\n", environment.operatorCall("RESTORE s-2"));
+                "error still suspended by configuration: s-2\n",
+                environment.operatorCall("RESTORE s-2"));
         assertAllGoTo(first, "d");
     }
 
@@ -215,7 +224,9 @@
                                 RelayTestEnvironment.backendEntry(
                                         "s-1", first.endpoint(), "ready"))),
                 settings);
-        RelayTestEnvironment.await("the malformed response is logged", () -> environment.hasLogged("why=\"malformed: "));
+        RelayTestEnvironment.await(
+                "the malformed response is logged",
+                () -> environment.hasLogged("why=\"malformed: "));
         assertAllGoTo(first, "a"); // according to the platform's list
     }
 
@@ -231,7 +242,8 @@
                         + file
                         + "\"\n}\n");
         Path config = folder.newFile().toPath();
-        Files.writeString(config, environment.config(512, RelayTestEnvironment.backendList(41, true)));
+        Files.writeString(
+                config, environment.config(512, RelayTestEnvironment.backendList(41, true)));
         Process relay =
                 RelayTestEnvironment.launch(
                         "serve", "--config", config.toString(), "--settings", settings.toString());
--- a/relay/src/test/java/saltstage/process/MetricsTest.java
+++ b/relay/src/test/java/saltstage/process/MetricsTest.java
@@ -88,7 +88,8 @@
         TestConnection rejectedBackendSide = backend.accept();
         rejectedBackendSide.readLine();
         assertEquals(2, (int) metrics().get("in_progressg"));
-        environment.connectClient()
+        environment
+                .connectClient()
                 .sendRaw("rubbish\r\n")
                 .readLine(); // without a service class, counted as none of the three results
         TestConnection closed = environment.sendOpen("f3", 20_000);
@@ -118,8 +119,12 @@
         backendSide.sendLine("BYE").close();
         assertEquals("BYE", established.readLine());
         established.close();
-        RelayTestEnvironment.await("the last connection has ended", () -> metrics().get("in_progressg") == 0);
-        assertEquals("the end of a connection is not counted as a second result", 1, (int) metrics().get("handled.chat.passedc"));
+        RelayTestEnvironment.await(
+                "the last connection has ended", () -> metrics().get("in_progressg") == 0);
+        assertEquals(
+                "the end of a connection is not counted as a second result",
+                1,
+                (int) metrics().get("handled.chat.passedc"));
     }
 
     @Test
@@ -136,7 +141,9 @@
         assertTrue(
                 runCall("status")
                         .startsWith(
-                                "3 saltstage: 127.0.0.1:" + environment.adminPort + " did not answer"));
+                                "3 saltstage: 127.0.0.1:"
+                                        + environment.adminPort
+                                        + " did not answer"));
     }
 
     private String runCall(String... arguments) throws Exception {
--- a/relay/src/test/java/saltstage/process/PersistenceTest.java
+++ b/relay/src/test/java/saltstage/process/PersistenceTest.java
@@ -31,7 +31,8 @@
     public void writeSettings() throws IOException {
         directory = folder.getRoot().toPath().resolve("state");
         settings = folder.getRoot().toPath().resolve("saltstage.hcl");
-        Files.writeString(settings, "store {\n  dir = \"" + directory + "\"\n  every = \"100ms\"\n}\n");
+        Files.writeString(
+                settings, "store {\n  dir = \"" + directory + "\"\n  every = \"100ms\"\n}\n");
     }
 
     private static String runCommand(int expectedExitCode, String... arguments) throws Exception {
@@ -71,9 +72,12 @@
             environment.startWith(
                     config, settings); // the configured list is empty and discovery does not answer
             assertTrue(environment.hasLogged("keep.list rev=41 known=1 taken=true"));
-            assertTrue(environment.logLines.toString(), environment.hasLogged("keep.learnt age_s="));
+            assertTrue(
+                    environment.logLines.toString(), environment.hasLogged("keep.learnt age_s="));
             assertTrue(environment.hasLogged("servers=1 taken=true"));
-            assertTrue(environment.hasLogged("relay.ready name=n0") && environment.hasLogged("rev=41 peers=1"));
+            assertTrue(
+                    environment.hasLogged("relay.ready name=n0")
+                            && environment.hasLogged("rev=41 peers=1"));
             environment.establish(backend, environment.sendOpen("a2", 5_000));
         }
     }
@@ -82,13 +86,15 @@
     public void aNewerListOfThePlatformWins() throws Exception {
         try (RelayTestEnvironment environment = new RelayTestEnvironment()) {
             RelayTestEnvironment.TestServer backend = environment.startBackend();
-            environment.startWith(environment.config(512, RelayTestEnvironment.backendList(1, true)), settings);
+            environment.startWith(
+                    environment.config(512, RelayTestEnvironment.backendList(1, true)), settings);
             environment.answerWatch(
                     RelayTestEnvironment.backendList(
                             41,
                             true,
                             RelayTestEnvironment.backendEntry("s1", "127.0.0.1:1", "ready")));
-            RelayTestEnvironment.await("the list is persisted", () -> isPersisted("list/target/s1"));
+            RelayTestEnvironment.await(
+                    "the list is persisted", () -> isPersisted("list/target/s1"));
             environment.kill();
             environment.startWith(
                     environment.config(
@@ -128,7 +134,9 @@
             environment.kill();
             Thread.sleep(2_100); // twice the maximum age
             environment.startWith(config, settings);
-            assertTrue(environment.logLines.toString(), environment.hasLogged("servers=1 taken=false"));
+            assertTrue(
+                    environment.logLines.toString(),
+                    environment.hasLogged("servers=1 taken=false"));
         }
     }
 
@@ -138,14 +146,17 @@
             String first = environment.config(512, RelayTestEnvironment.backendList(1, true));
             environment.startWith(first, settings);
             RelayTestEnvironment.await(
-                    "the first configuration is persisted", () -> isPersisted("config/0000000000000001"));
+                    "the first configuration is persisted",
+                    () -> isPersisted("config/0000000000000001"));
             String second = first.replace("\"rev\":1", "\"rev\":2");
             environment.reload(second);
             RelayTestEnvironment.await(
-                    "the second configuration is persisted", () -> isPersisted("config/0000000000000002"));
+                    "the second configuration is persisted",
+                    () -> isPersisted("config/0000000000000002"));
             environment.reload("{}");
             RelayTestEnvironment.await(
-                    "the invalid configuration is refused", () -> environment.hasLogged("reload.refused"));
+                    "the invalid configuration is refused",
+                    () -> environment.hasLogged("reload.refused"));
             String settingsPath = settings.toString();
             List<String> lines =
                     runCommand(0, "config", "history", "--settings", settingsPath).lines().toList();
@@ -162,7 +173,15 @@
                     "the rollback is a new version", () -> isPersisted("config/0000000000000003"));
             assertEquals(
                     "saltstage: there is no version 9\n",
-                    runCommand(1, "config", "rollback", "9", "--settings", settingsPath, "--config", file));
+                    runCommand(
+                            1,
+                            "config",
+                            "rollback",
+                            "9",
+                            "--settings",
+                            settingsPath,
+                            "--config",
+                            file));
             assertEquals(first, Files.readString(environment.configFile()));
         }
         try (Store store = Store.openToRead(new FileDisk(directory), StoreEventListener.NONE)) {
@@ -206,7 +225,8 @@
                     settings);
             assertTrue(environment.logLines.toString(), environment.hasLogged(logText));
             environment.establish(backend, environment.sendOpen("a1", 5_000));
-            RelayTestEnvironment.await("the totals report the lost store", () -> environment.hasLogged("store=LOST"));
+            RelayTestEnvironment.await(
+                    "the totals report the lost store", () -> environment.hasLogged("store=LOST"));
         }
     }
 }
--- a/relay/src/test/java/saltstage/process/StartupSignalsTest.java
+++ b/relay/src/test/java/saltstage/process/StartupSignalsTest.java
@@ -20,9 +20,9 @@
 import saltstage.process.RelayTestEnvironment.TestServer;
 
 /**
- * Signals that arrive while the relay starts or reloads. Each test stops the relay at a known point,
- * for example by a named pipe that it reads, so that the signal arrives at that point. Guards against
- * signals that are lost or end the relay with a failure.
+ * Signals that arrive while the relay starts or reloads. Each test stops the relay at a known
+ * point, for example by a named pipe that it reads, so that the signal arrives at that point.
+ * Guards against signals that are lost or end the relay with a failure.
  */
 @Timeout(60)
 class StartupSignalsTest {
@@ -95,7 +95,8 @@
             pipe.write(config.getBytes());
         }
         environment.discovery.accept().close(); // the relay has read the configuration and starts
-        String newConfig = environment.config(4096, newDiscovery, RelayTestEnvironment.backendList(1, true));
+        String newConfig =
+                environment.config(4096, newDiscovery, RelayTestEnvironment.backendList(1, true));
         RelayTestEnvironment.runInBackground(
                 () -> Files.writeString(file, newConfig)); // completes when the relay reads it
         try (TestConnection watch = newDiscovery.accept()) {
@@ -106,7 +107,8 @@
 
     @Test
     void relayThatIsStartedWithHangupsIgnoredSaysThatItDoesNotReload() throws Exception {
-        Files.writeString(file, environment.config(4096, RelayTestEnvironment.backendList(1, true)));
+        Files.writeString(
+                file, environment.config(4096, RelayTestEnvironment.backendList(1, true)));
         ProcessBuilder relay =
                 RelayTestEnvironment.programBuilder(List.of("serve", "--config", file.toString()));
         List<String> commandIgnoringHangup =
@@ -121,7 +123,8 @@
 
     @Test
     void terminationIsHeardWhileAReloadWaitsForItsFile() throws Exception {
-        Files.writeString(file, environment.config(4096, RelayTestEnvironment.backendList(1, true)));
+        Files.writeString(
+                file, environment.config(4096, RelayTestEnvironment.backendList(1, true)));
         launch();
         RelayTestEnvironment.await("the relay is ready", () -> logged("relay.ready"));
         Files.delete(file);
@@ -139,10 +142,12 @@
     void terminationBeforeTheFirstListIsAPlannedEnd() throws Exception {
         Files.writeString(
                 file,
-                environment.config(4096, RelayTestEnvironment.backendList(1, true))
+                environment
+                        .config(4096, RelayTestEnvironment.backendList(1, true))
                         .replace("on_request", "pushed"));
         launch();
-        try (TestConnection discoveryConnection = environment.discovery.accept()) { // does not answer: the start waits for it
+        try (TestConnection discoveryConnection =
+                environment.discovery.accept()) { // does not answer: the start waits for it
             signal("TERM");
             assertTrue(
                     process.waitFor(RelayTestEnvironment.AWAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
--- a/relay/src/test/java/saltstage/process/StoreKillTest.java
+++ b/relay/src/test/java/saltstage/process/StoreKillTest.java
@@ -150,7 +150,8 @@
                 "saltstage: " + dir + ": line 1: key of 0 bytes; 1 to 4096 are allowed|",
                 run(1, "\tx\n", "load", dir));
         Path missing = dir.resolve("none");
-        assertEquals("saltstage: " + missing + ": there is no store|", run(1, "", "verify", missing));
+        assertEquals(
+                "saltstage: " + missing + ": there is no store|", run(1, "", "verify", missing));
         Path log =
                 Files.list(dir)
                         .filter(file -> file.toString().endsWith(".log"))
@@ -160,7 +161,8 @@
         assertTrue(run(1, "", "dump", dir).matches("saltstage: .*: damaged: \\S+ at \\d+: .*\\|"));
     }
 
-    private static String run(int expectedExitCode, String in, Object... arguments) throws Exception {
+    private static String run(int expectedExitCode, String in, Object... arguments)
+            throws Exception {
         List<String> all = new java.util.ArrayList<>(List.of("store"));
         for (Object argument : arguments) {
             all.add(argument.toString());
@@ -170,7 +172,8 @@
         try (OutputStream input = process.getOutputStream()) {
             input.write(in.getBytes(StandardCharsets.US_ASCII));
         }
-        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+        String output =
+                new String(process.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         assertEquals(output, expectedExitCode, process.waitFor());
         return output.replace('\n', '|');
     }
--- a/relay/src/test/java/saltstage/process/SuspendTest.java
+++ b/relay/src/test/java/saltstage/process/SuspendTest.java
@@ -13,8 +13,8 @@
 import saltstage.process.RelayTestEnvironment.TestServer;
 
 /**
- * Operators suspend and restore a backend. Guards against a suspension that is undone by a discovery
- * update, by a restart of the relay or by a torn file.
+ * Operators suspend and restore a backend. Guards against a suspension that is undone by a
+ * discovery update, by a restart of the relay or by a torn file.
  */
 public class SuspendTest {
     private RelayTestEnvironment environment;
@@ -53,7 +53,8 @@
     private void assertAllGoToTheOther(String name) throws Exception {
         for (int i = 0; i < 8; i++) { // with 8 keys, each of two backends would get at least one
             TestConnection client =
-                    environment.connectClient()
+                    environment
+                            .connectClient()
                             .sendLine("OPEN " + name + i + " key" + i + " c=chat,t=acme,d=20000");
             environment.establish(other, client);
         }
@@ -90,7 +91,9 @@
         assertTrue(environment.operatorCall("METRICS").contains("app.skipped_backends:0|g"));
         int accepted = 0;
         for (int i = 0; i < 32 && accepted == 0; i++) {
-            environment.connectClient().sendLine("OPEN back" + i + " key" + i + " c=chat,t=acme,d=20000");
+            environment
+                    .connectClient()
+                    .sendLine("OPEN back" + i + " key" + i + " c=chat,t=acme,d=20000");
             accepted += suspended.accept(50) == null ? 0 : 1;
         }
         assertEquals("the restored backend is used again", 1, accepted);
@@ -98,7 +101,8 @@
                 watch, RelayTestEnvironment.backendList(4, false, suspendedEntry("gone")) + "\n");
         Thread.sleep(100);
         assertEquals(
-                "done suspended\n", environment.operatorCall("SUSPEND s-out")); // no longer listed, but listed before
+                "done suspended\n",
+                environment.operatorCall("SUSPEND s-out")); // no longer listed, but listed before
     }
 
     @Test
@@ -126,7 +130,8 @@
         Files.write(suspensionsFile, content);
         environment.start(bothEntries());
         assertEquals("done ready\n", environment.operatorCall("STATUS"));
-        RelayTestEnvironment.await("the unreadable file is logged", () -> environment.hasLogged("bans.unreadable"));
+        RelayTestEnvironment.await(
+                "the unreadable file is logged", () -> environment.hasLogged("bans.unreadable"));
         assertEquals("done suspended\n", environment.operatorCall("SUSPEND s-out"));
         assertAllGoToTheOther("torn");
     }
--- a/relay/src/test/java/saltstage/process/UpgradeTest.java
+++ b/relay/src/test/java/saltstage/process/UpgradeTest.java
@@ -121,7 +121,8 @@
         assertTrue(isReady(next));
         assertTrue(hasLogged(old, "succeeded=true"));
         assertFalse(
-                "new clients connect to the new process and are not moved", hasLogged(old, " id=n"));
+                "new clients connect to the new process and are not moved",
+                hasLogged(old, " id=n"));
     }
 
     private static void assertPong(TestConnection line) {
@@ -169,7 +170,8 @@
         Relay first = startReady("first");
         Relay dead = launch("dead");
         ProcessSupervisor.signal(dead.pid(), "KILL");
-        RelayTestEnvironment.await("the killed process has ended", () -> platform.exitCodes.containsKey(dead.pid()));
+        RelayTestEnvironment.await(
+                "the killed process has ended", () -> platform.exitCodes.containsKey(dead.pid()));
         environment.establish(backend, environment.sendOpen("d1", 20_000));
         Relay old = first;
         for (String name : List.of("second", "third")) {
