--- a/relay/src/main/java/saltstage/admin/OperatorConnection.java
+++ b/relay/src/main/java/saltstage/admin/OperatorConnection.java
@@ -76,8 +76,7 @@
         } else if (bytesRead < 0) {
             sendAnswer(
                     OperatorCall.errorLine(
-                            "no end of line")); // a truncated id must not be taken for a complete
-            // one
+                            "no end of line")); // half an id must not pass for a whole one
         }
     }
 
--- a/relay/src/main/java/saltstage/handover/ProcessSlots.java
+++ b/relay/src/main/java/saltstage/handover/ProcessSlots.java
@@ -147,8 +147,7 @@
                             descriptorBudget,
                             Math.max(
                                     maxDescriptors / 2,
-                                    used + SPARE_DESCRIPTORS)); // only shrinks beside another
-            // process
+                                    used + SPARE_DESCRIPTORS)); // only shrinks while both run
         } else {
             budget =
                     Math.max(
--- a/relay/src/test/java/saltstage/process/ConfigurationTest.java
+++ b/relay/src/test/java/saltstage/process/ConfigurationTest.java
@@ -130,11 +130,7 @@
                 backend("s-1", first, BackendState.DRAINING),
                 backend("s-2", second, BackendState.READY));
         assertAllGoTo(second, "b");
-        accept(
-                backend(
-                        "s-1", first,
-                        null)); // as with discovery, a draining backend keeps its clients until it
-        // is gone
+        accept(backend("s-1", first, null)); // as with discovery, only its removal moves them
         assertTrue(client.readLine().startsWith("MOVE"));
         assertTrue(
                 "the relay does not connect to discovery",
--- a/relay/src/test/java/saltstage/process/MetricsTest.java
+++ b/relay/src/test/java/saltstage/process/MetricsTest.java
@@ -121,10 +121,7 @@
         established.close();
         RelayTestEnvironment.await(
                 "the last connection has ended", () -> metrics().get("in_progressg") == 0);
-        assertEquals(
-                "the end of a connection is not counted as a second result",
-                1,
-                (int) metrics().get("handled.chat.passedc"));
+        assertEquals("an end is no second result", 1, (int) metrics().get("handled.chat.passedc"));
     }
 
     @Test
--- a/relay/src/test/java/saltstage/process/PersistenceTest.java
+++ b/relay/src/test/java/saltstage/process/PersistenceTest.java
@@ -52,52 +52,48 @@
 
     @Test
     public void aKilledRelayStartsFromItsPersistedListAndLearnedState() throws Exception {
-        try (RelayTestEnvironment environment = new RelayTestEnvironment()) {
-            RelayTestEnvironment.TestServer backend = environment.startBackend();
-            String config = environment.config(512, RelayTestEnvironment.backendList(1, true));
-            environment.startWith(config, settings);
-            environment.answerWatch(
+        try (RelayTestEnvironment relay = new RelayTestEnvironment()) {
+            RelayTestEnvironment.TestServer backend = relay.startBackend();
+            String config = relay.config(512, RelayTestEnvironment.backendList(1, true));
+            relay.startWith(config, settings);
+            relay.answerWatch(
                     RelayTestEnvironment.backendList(
                             41,
                             true,
                             RelayTestEnvironment.backendEntry("s1", backend.endpoint(), "ready")));
             RelayTestEnvironment.await(
-                    "the list is known", () -> environment.hasLogged("discovery.list rev=41"));
-            environment.establish(backend, environment.sendOpen("a1", 5_000));
+                    "the list is known", () -> relay.hasLogged("discovery.list rev=41"));
+            relay.establish(backend, relay.sendOpen("a1", 5_000));
             RelayTestEnvironment.await(
                     "the list and the learned state are persisted",
                     () -> isPersisted("list/target/s1") && isPersisted("learnt"));
-            environment.kill();
+            relay.kill();
 
-            environment.startWith(
+            relay.startWith(
                     config, settings); // the configured list is empty and discovery does not answer
-            assertTrue(environment.hasLogged("keep.list rev=41 known=1 taken=true"));
-            assertTrue(
-                    environment.logLines.toString(), environment.hasLogged("keep.learnt age_s="));
-            assertTrue(environment.hasLogged("servers=1 taken=true"));
-            assertTrue(
-                    environment.hasLogged("relay.ready name=n0")
-                            && environment.hasLogged("rev=41 peers=1"));
-            environment.establish(backend, environment.sendOpen("a2", 5_000));
+            assertTrue(relay.hasLogged("keep.list rev=41 known=1 taken=true"));
+            assertTrue(relay.logLines.toString(), relay.hasLogged("keep.learnt age_s="));
+            assertTrue(relay.hasLogged("servers=1 taken=true"));
+            assertTrue(relay.hasLogged("relay.ready name=n0") && relay.hasLogged("rev=41 peers=1"));
+            relay.establish(backend, relay.sendOpen("a2", 5_000));
         }
     }
 
     @Test
     public void aNewerListOfThePlatformWins() throws Exception {
-        try (RelayTestEnvironment environment = new RelayTestEnvironment()) {
-            RelayTestEnvironment.TestServer backend = environment.startBackend();
-            environment.startWith(
-                    environment.config(512, RelayTestEnvironment.backendList(1, true)), settings);
-            environment.answerWatch(
+        try (RelayTestEnvironment relay = new RelayTestEnvironment()) {
+            RelayTestEnvironment.TestServer backend = relay.startBackend();
+            relay.startWith(relay.config(512, RelayTestEnvironment.backendList(1, true)), settings);
+            relay.answerWatch(
                     RelayTestEnvironment.backendList(
                             41,
                             true,
                             RelayTestEnvironment.backendEntry("s1", "127.0.0.1:1", "ready")));
             RelayTestEnvironment.await(
                     "the list is persisted", () -> isPersisted("list/target/s1"));
-            environment.kill();
-            environment.startWith(
-                    environment.config(
+            relay.kill();
+            relay.startWith(
+                    relay.config(
                             512,
                             RelayTestEnvironment.backendList(
                                     50,
@@ -105,8 +101,8 @@
                                     RelayTestEnvironment.backendEntry(
                                             "s2", backend.endpoint(), "ready"))),
                     settings);
-            assertTrue(environment.hasLogged("keep.list rev=41 known=50 taken=false"));
-            environment.establish(backend, environment.sendOpen("a1", 5_000));
+            assertTrue(relay.hasLogged("keep.list rev=41 known=50 taken=false"));
+            relay.establish(backend, relay.sendOpen("a1", 5_000));
         }
     }
 
@@ -118,71 +114,59 @@
                         + directory
                         + "\"\n  every = \"100ms\"\n"
                         + "  learnt_for = \"1s\"\n}\n");
-        try (RelayTestEnvironment environment = new RelayTestEnvironment()) {
-            RelayTestEnvironment.TestServer backend = environment.startBackend();
+        try (RelayTestEnvironment relay = new RelayTestEnvironment()) {
+            RelayTestEnvironment.TestServer backend = relay.startBackend();
             String config =
-                    environment.config(
+                    relay.config(
                             512,
                             RelayTestEnvironment.backendList(
                                     1,
                                     true,
                                     RelayTestEnvironment.backendEntry(
                                             "s1", backend.endpoint(), "ready")));
-            environment.startWith(config, settings);
-            environment.establish(backend, environment.sendOpen("a1", 5_000));
+            relay.startWith(config, settings);
+            relay.establish(backend, relay.sendOpen("a1", 5_000));
             RelayTestEnvironment.await("learned state is persisted", () -> isPersisted("learnt"));
-            environment.kill();
+            relay.kill();
             Thread.sleep(2_100); // twice the maximum age
-            environment.startWith(config, settings);
-            assertTrue(
-                    environment.logLines.toString(),
-                    environment.hasLogged("servers=1 taken=false"));
+            relay.startWith(config, settings);
+            assertTrue(relay.logLines.toString(), relay.hasLogged("servers=1 taken=false"));
         }
     }
 
     @Test
     public void acceptedConfigurationsArePersistedShownAndRolledBack() throws Exception {
-        try (RelayTestEnvironment environment = new RelayTestEnvironment()) {
-            String first = environment.config(512, RelayTestEnvironment.backendList(1, true));
-            environment.startWith(first, settings);
+        try (RelayTestEnvironment relay = new RelayTestEnvironment()) {
+            String first = relay.config(512, RelayTestEnvironment.backendList(1, true));
+            relay.startWith(first, settings);
             RelayTestEnvironment.await(
-                    "the first configuration is persisted",
-                    () -> isPersisted("config/0000000000000001"));
+                    "configuration 1 is persisted", () -> isPersisted("config/0000000000000001"));
             String second = first.replace("\"rev\":1", "\"rev\":2");
-            environment.reload(second);
+            relay.reload(second);
             RelayTestEnvironment.await(
-                    "the second configuration is persisted",
-                    () -> isPersisted("config/0000000000000002"));
-            environment.reload("{}");
+                    "configuration 2 is persisted", () -> isPersisted("config/0000000000000002"));
+            relay.reload("{}");
             RelayTestEnvironment.await(
                     "the invalid configuration is refused",
-                    () -> environment.hasLogged("reload.refused"));
-            String settingsPath = settings.toString();
+                    () -> relay.hasLogged("reload.refused"));
+            String path = settings.toString();
             List<String> lines =
-                    runCommand(0, "config", "history", "--settings", settingsPath).lines().toList();
+                    runCommand(0, "config", "history", "--settings", path).lines().toList();
             assertEquals(2, lines.size());
             assertTrue(
                     lines.get(1),
                     lines.get(1).matches("2 \\S+ [0-9a-f]{32} configuration=\\d+ settings=\\d+"));
-            assertEquals(first, runCommand(0, "config", "show", "1", "--settings", settingsPath));
-            String file = environment.configFile().toString();
-            runCommand(0, "config", "rollback", "1", "--settings", settingsPath, "--config", file);
-            assertEquals(first, Files.readString(environment.configFile()));
-            environment.reload(first);
+            assertEquals(first, runCommand(0, "config", "show", "1", "--settings", path));
+            String file = relay.configFile().toString();
+            runCommand(0, "config", "rollback", "1", "--settings", path, "--config", file);
+            assertEquals(first, Files.readString(relay.configFile()));
+            relay.reload(first);
             RelayTestEnvironment.await(
                     "the rollback is a new version", () -> isPersisted("config/0000000000000003"));
             assertEquals(
                     "saltstage: there is no version 9\n",
-                    runCommand(
-                            1,
-                            "config",
-                            "rollback",
-                            "9",
-                            "--settings",
-                            settingsPath,
-                            "--config",
-                            file));
-            assertEquals(first, Files.readString(environment.configFile()));
+                    runCommand(1, "config", "rollback", "9", "--settings", path, "--config", file));
+            assertEquals(first, Files.readString(relay.configFile()));
         }
         try (Store store = Store.openToRead(new FileDisk(directory), StoreEventListener.NONE)) {
             List<ConfigurationVersions.Version> all = ConfigurationVersions.all(store);
@@ -212,10 +196,10 @@
     }
 
     private void assertServesWithoutStore(String logText) throws Exception {
-        try (RelayTestEnvironment environment = new RelayTestEnvironment()) {
-            RelayTestEnvironment.TestServer backend = environment.startBackend();
-            environment.startWith(
-                    environment.config(
+        try (RelayTestEnvironment relay = new RelayTestEnvironment()) {
+            RelayTestEnvironment.TestServer backend = relay.startBackend();
+            relay.startWith(
+                    relay.config(
                             512,
                             RelayTestEnvironment.backendList(
                                     1,
@@ -223,10 +207,10 @@
                                     RelayTestEnvironment.backendEntry(
                                             "s1", backend.endpoint(), "ready"))),
                     settings);
-            assertTrue(environment.logLines.toString(), environment.hasLogged(logText));
-            environment.establish(backend, environment.sendOpen("a1", 5_000));
+            assertTrue(relay.logLines.toString(), relay.hasLogged(logText));
+            relay.establish(backend, relay.sendOpen("a1", 5_000));
             RelayTestEnvironment.await(
-                    "the totals report the lost store", () -> environment.hasLogged("store=LOST"));
+                    "the totals report the lost store", () -> relay.hasLogged("store=LOST"));
         }
     }
 }
