--- a/relay/src/main/java/saltstage/admin/OperatorConnection.java
+++ b/relay/src/main/java/saltstage/admin/OperatorConnection.java
@@ -146,7 +146,7 @@
         key.cancel();
         try {
             channel.close();
-        } catch (IOException e) { // the peer has closed it first
+        } catch (IOException e) { // the operator has closed it first
             return;
         }
     }
