--- a/relay/src/main/java/saltstage/persistence/ConfigurationVersions.java
+++ b/relay/src/main/java/saltstage/persistence/ConfigurationVersions.java
@@ -60,10 +60,10 @@
 
     /** Returns the version with this number, if it is stored. */
     public static Optional<Version> find(Store store, long number) throws IOException {
-        byte[] found = store.get(keyBytes(String.format(KEY_FORMAT, number)));
-        return found == null
+        byte[] value = store.get(keyBytes(String.format(KEY_FORMAT, number)));
+        return value == null
                 ? Optional.empty()
-                : Optional.of(RelayStateCodec.decodeVersion(number, found));
+                : Optional.of(RelayStateCodec.decodeVersion(number, value));
     }
 
     /**
@@ -73,7 +73,7 @@
      * @return the number of the version that holds this configuration
      */
     static long addIfChanged(
-            Store store, String configuration, String settings, Instant at, int maxVersions)
+            Store store, String configuration, String settings, Instant acceptedAt, int maxVersions)
             throws IOException {
         List<Version> all = all(store);
         Version newest = all.isEmpty() ? null : all.get(all.size() - 1);
@@ -90,7 +90,7 @@
                                 RelayStateCodec.encodeVersion(
                                         new Version(
                                                 number,
-                                                at,
+                                                acceptedAt,
                                                 hash(configuration, settings),
                                                 configuration,
                                                 settings)));
--- a/relay/src/main/java/saltstage/persistence/RelayStateCodec.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateCodec.java
@@ -51,27 +51,32 @@
         return out.toByteArray();
     }
 
-    private static <T> T decode(byte[] bytes, String what, BodyReader<T> reader)
+    private static <T> T decode(byte[] bytes, String valueName, BodyReader<T> reader)
             throws IOException {
-        return decode(bytes, what, FORMAT_VERSION, reader);
+        return decode(bytes, valueName, FORMAT_VERSION, reader);
     }
 
     private static <T> T decode(
-            byte[] bytes, String what, int expectedVersion, BodyReader<T> reader)
+            byte[] bytes, String valueName, int expectedVersion, BodyReader<T> reader)
             throws IOException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int version = in.readByte();
             if (version != expectedVersion) {
                 throw new IOException(
-                        what + " of version " + version + "; " + expectedVersion + " is known");
+                        valueName
+                                + " of version "
+                                + version
+                                + "; "
+                                + expectedVersion
+                                + " is known");
             }
             T value = reader.read(in);
             if (in.read() >= 0) {
-                throw new IOException(what + ": unexpected trailing bytes");
+                throw new IOException(valueName + ": unexpected trailing bytes");
             }
             return value;
         } catch (RuntimeException e) {
-            throw new IOException(what + ": " + e.getMessage(), e);
+            throw new IOException(valueName + ": " + e.getMessage(), e);
         }
     }
 
--- a/relay/src/main/java/saltstage/persistence/RelayStateStore.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateStore.java
@@ -181,14 +181,14 @@
         T read(Snapshot snapshot) throws IOException;
     }
 
-    private <T> Optional<T> readPersisted(String what, SnapshotReader<T> reader) {
+    private <T> Optional<T> readPersisted(String valueName, SnapshotReader<T> reader) {
         if (store == null) {
             return Optional.empty();
         }
         try (Snapshot snapshot = store.snapshot()) {
             return Optional.ofNullable(reader.read(snapshot));
         } catch (IOException e) {
-            Log.warn("keep.unreadable", "what", what, "why", e.getMessage());
+            Log.warn("keep.unreadable", "what", valueName, "why", e.getMessage());
             return Optional.empty();
         }
     }
@@ -245,7 +245,7 @@
         } catch (IOException
                 | RuntimeException
                 | Error e) { // a writer that ends without a report would go unnoticed
-            markLost(e instanceof Exception known ? known : new IllegalStateException(e));
+            markLost(e instanceof Exception exception ? exception : new IllegalStateException(e));
         } finally {
             closeStore();
         }
@@ -297,7 +297,7 @@
             }
             writeLearnedState();
             pendingWritten(newest, configurations.size());
-        } catch (StoreException.DiskFull full) {
+        } catch (StoreException.DiskFull e) {
             synchronized (this) {
                 state = State.FULL; // the store itself has logged it
             }
@@ -351,8 +351,8 @@
                             accepted.acceptedAt(),
                             settings.maxConfigurations());
             Log.info("keep.configuration", "version", number);
-        } catch (IllegalArgumentException tooLarge) {
-            Log.warn("keep.unwritten", "what", "configuration", "why", tooLarge.getMessage());
+        } catch (IllegalArgumentException e) {
+            Log.warn("keep.unwritten", "what", "configuration", "why", e.getMessage());
         }
     }
 
