--- a/relay/src/main/java/saltstage/handover/ProcessSlots.java
+++ b/relay/src/main/java/saltstage/handover/ProcessSlots.java
@@ -127,8 +127,9 @@
     /**
      * Recomputes how many descriptors this process may use. A single process may use all. A serving
      * process that sees another keeps those in use plus a reserve, with a minimum of half and a
-     * maximum of three quarters; while both run, it never raises this number again. A starting
-     * process gets the remainder, or a quarter until the serving process has noticed it.
+     * maximum of three quarters, and only lowers this number afterwards. A process that starts, or
+     * whose predecessor is draining, gets the remainder, or a quarter until the other process has
+     * computed a reduced budget.
      *
      * @param used the number of descriptors that this process uses now
      */
