--- a/relay/src/main/java/saltstage/admin/AdminListener.java
+++ b/relay/src/main/java/saltstage/admin/AdminListener.java
@@ -16,17 +16,21 @@
 import saltstage.log.Log;
 
 /**
- * Listens for operators. One thread, without blocking: a caller that says nothing, says it byte by
- * byte or reads nothing is a few hundred bytes and an entry here, and in no other caller's way.
+ * Accepts operator connections and serves them with one non-blocking thread. A client that sends
+ * nothing, sends byte by byte or reads nothing costs a few hundred bytes and one entry here, and
+ * does not delay other clients.
  */
 public final class AdminListener {
-    /** Descriptors that it may take: the listener, the selector's three, and its callers. */
+    /** Descriptors that it may use: the listener, three for the selector, and the connections. */
     public static final int MAX_DESCRIPTORS = 28;
 
     private static final int MAX_CONNECTIONS = 24;
     private static final int BACKLOG = 256;
 
-    /** Who came so lately may have its line on the way: it is not sent off for another newcomer. */
+    /**
+     * Minimum age of a connection that may be closed to make room: the line of a younger one may
+     * still be on its way.
+     */
     private static final Duration MIN_EVICTION_AGE = Duration.ofMillis(100);
 
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(50);
@@ -35,32 +39,32 @@
     private final ServerSocketChannel listener;
     private final SelectionKey acceptKey;
     private final OperatorService service;
-    private final Set<OperatorConnection> connections = new LinkedHashSet<>(); // by age
+    private final Set<OperatorConnection> connections = new LinkedHashSet<>(); // oldest first
     private final Queue<Runnable> answers = new ConcurrentLinkedQueue<>();
 
-    /** Binds the address; callers wait in its backlog until the first round. */
-    public AdminListener(InetSocketAddress at, OperatorService desk) throws IOException {
-        this.service = desk;
+    /** Binds the address; connections wait in the backlog until the first {@link #runOnce}. */
+    public AdminListener(InetSocketAddress address, OperatorService service) throws IOException {
+        this.service = service;
         selector = Selector.open();
         listener = ServerSocketChannel.open();
         try {
             listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            listener.bind(at, BACKLOG);
+            listener.bind(address, BACKLOG);
             listener.configureBlocking(false);
             acceptKey = listener.register(selector, SelectionKey.OP_ACCEPT);
         } catch (IOException e) {
             listener.close();
             selector.close();
-            throw new IOException("operators' address " + at + ": " + e.getMessage(), e);
+            throw new IOException("operators' address " + address + ": " + e.getMessage(), e);
         }
     }
 
-    /** Where it listens. */
+    /** Returns the bound address. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) listener.getLocalAddress();
     }
 
-    /** Waits for what comes and does it; called over and over, by one thread. */
+    /** Waits for events and handles them; one thread calls this method in a loop. */
     public void runOnce() throws IOException {
         selector.select(SWEEP_INTERVAL.toMillis());
         for (Runnable answer = answers.poll(); answer != null; answer = answers.poll()) {
@@ -75,13 +79,13 @@
             }
         }
         long now = System.nanoTime();
-        connections.removeIf(caller -> caller.closeIfExpired(now));
+        connections.removeIf(connection -> connection.closeIfExpired(now));
         accept();
     }
 
     /**
-     * Takes who waits, as far as there is room: for a newcomer, who has long said nothing whole
-     * must go.
+     * Accepts waiting connections while there is room. If there is none, the oldest connection that
+     * has not sent a complete line or not read its answer is closed for a new one.
      */
     private void accept() throws IOException {
         while (connections.size() < MAX_CONNECTIONS || evictOne()) {
@@ -92,15 +96,15 @@
             }
             register(channel);
         }
-        acceptKey.interestOps(0); // else the selector would not sleep until there is room
+        acceptKey.interestOps(0); // otherwise select() returns at once until there is room
     }
 
     private boolean evictOne() {
         long now = System.nanoTime();
-        for (OperatorConnection caller : connections) {
-            if (caller.isOlderThan(MIN_EVICTION_AGE, now) && caller.isEvictable()) {
-                caller.close();
-                connections.remove(caller);
+        for (OperatorConnection connection : connections) {
+            if (connection.isOlderThan(MIN_EVICTION_AGE, now) && connection.isEvictable()) {
+                connection.close();
+                connections.remove(connection);
                 return true;
             }
         }
@@ -111,36 +115,36 @@
         try {
             channel.configureBlocking(false);
             SelectionKey key = channel.register(selector, SelectionKey.OP_READ);
-            OperatorConnection caller = new OperatorConnection(channel, key, this::answer);
-            connections.add(caller);
-            caller.ready(); // most lines are there already
-            if (caller.isClosed()) {
-                connections.remove(caller);
+            OperatorConnection connection = new OperatorConnection(channel, key, this::answer);
+            connections.add(connection);
+            connection.ready(); // the line has usually arrived already
+            if (connection.isClosed()) {
+                connections.remove(connection);
             }
-        } catch (IOException gone) {
+        } catch (IOException e) {
             channel.close();
         }
     }
 
-    private void answer(OperatorConnection caller, String line) {
+    private void answer(OperatorConnection connection, String line) {
         try {
             OperatorCall.parse(line)
                     .execute(service)
                     .whenComplete(
                             (answer, fault) -> {
-                                String told =
+                                String response =
                                         answer != null
                                                 ? answer
                                                 : OperatorCall.errorLine("failed, see the log");
                                 if (fault != null) {
                                     Log.error("admin.fault", fault);
                                 }
-                                answers.add(() -> caller.sendAnswer(told));
+                                answers.add(() -> connection.sendAnswer(response));
                                 selector.wakeup();
                             });
-        } catch (OperatorCall.BadCallException bad) {
-            Log.warn("admin.refused", "from", caller.remoteAddress(), "why", bad.getMessage());
-            caller.sendAnswer(OperatorCall.errorLine(bad.getMessage()));
+        } catch (OperatorCall.BadCallException e) {
+            Log.warn("admin.refused", "from", connection.remoteAddress(), "why", e.getMessage());
+            connection.sendAnswer(OperatorCall.errorLine(e.getMessage()));
         }
     }
 }
--- a/relay/src/main/java/saltstage/handover/AtomicFile.java
+++ b/relay/src/main/java/saltstage/handover/AtomicFile.java
@@ -12,8 +12,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * A small file, read whole or not at all: written aside, forced, renamed, with a name and a
- * checksum.
+ * A small file that is read completely or not at all. The content is written to a temporary file
+ * with a format header and a checksum, forced to disk and renamed over the old file.
  */
 public final class AtomicFile {
     private static final long MAX_BYTES = 64 << 20;
@@ -22,54 +22,60 @@
     private final Path path;
     private final byte[] header;
 
-    /** A file of this kind and format; what names another one is refused. */
+    /** Creates a file of the given format; a file with the header of another format is rejected. */
     public AtomicFile(Path path, String format) {
         this.path = path;
         header = ("saltstage " + format + "\n").getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Replaces the content. */
+    /** Replaces the content atomically and durably. */
     public void write(byte[] content) throws IOException {
         Files.createDirectories(path.toAbsolutePath().getParent());
-        Path aside = path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
-        ByteBuffer all = ByteBuffer.allocate(header.length + content.length + CHECKSUM_BYTES);
-        all.put(header).put(content);
-        all.putInt(checksum(all.array(), all.position())).flip();
+        Path temporaryFile =
+                path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
+        ByteBuffer bytes = ByteBuffer.allocate(header.length + content.length + CHECKSUM_BYTES);
+        bytes.put(header).put(content);
+        bytes.putInt(checksum(bytes.array(), bytes.position())).flip();
         try (FileChannel file =
                 FileChannel.open(
-                        aside,
+                        temporaryFile,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
-            while (all.hasRemaining()) {
-                file.write(all);
+            while (bytes.hasRemaining()) {
+                file.write(bytes);
             }
             file.force(true);
         }
         Files.move(
-                aside, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                temporaryFile,
+                path,
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
     }
 
     /**
-     * The content, or null where there is no such file; an IOException names what is wrong with it.
+     * Returns the content, or null if the file does not exist.
+     *
+     * @throws IOException if the file cannot be read or is damaged; the message names the reason
      */
     public byte[] read() throws IOException {
         if (!Files.exists(path)) {
             return null;
         }
         if (Files.size(path) > MAX_BYTES) {
-            throw new IOException(path + ": too large");
+            throw new IOException(path + ": file too large");
         }
-        byte[] all = Files.readAllBytes(path);
-        int end = all.length - CHECKSUM_BYTES;
+        byte[] bytes = Files.readAllBytes(path);
+        int end = bytes.length - CHECKSUM_BYTES;
         if (end < header.length
-                || !Arrays.equals(header, 0, header.length, all, 0, header.length)) {
-            throw new IOException(path + ": not in the form of this program");
+                || !Arrays.equals(header, 0, header.length, bytes, 0, header.length)) {
+            throw new IOException(path + ": not a file of the expected format");
         }
-        if (ByteBuffer.wrap(all, end, CHECKSUM_BYTES).getInt() != checksum(all, end)) {
-            throw new IOException(path + ": torn, its checksum differs");
+        if (ByteBuffer.wrap(bytes, end, CHECKSUM_BYTES).getInt() != checksum(bytes, end)) {
+            throw new IOException(path + ": damaged, the checksum does not match");
         }
-        return Arrays.copyOfRange(all, header.length, end);
+        return Arrays.copyOfRange(bytes, header.length, end);
     }
 
     private static int checksum(byte[] bytes, int length) {
--- a/relay/src/main/java/saltstage/handover/Suspensions.java
+++ b/relay/src/main/java/saltstage/handover/Suspensions.java
@@ -16,9 +16,9 @@
 import saltstage.log.Log;
 
 /**
- * The backends that operators have suspended. One file holds them for both processes of a relay; a
- * change is made under a lock between the two, so that none undoes the other's. Reading the set
- * waits for nothing.
+ * The suspended backends. Those that operators have suspended are stored in one file for both
+ * processes of a relay; a change is made under a lock between the two, so that neither process
+ * overwrites the other's change. Reading the set never blocks.
  */
 public final class Suspensions {
     private static final Duration LOCK_TIMEOUT = Duration.ofMillis(400);
@@ -32,7 +32,10 @@
     private List<Object> lastReadStamp = List.of();
     private boolean unreadable;
 
-    /** The bans of this folder and name; without a folder they last as long as this process. */
+    /**
+     * Opens the suspensions of the relay with the given name in a directory. Without a directory
+     * they are kept in memory until this process ends.
+     */
     public Suspensions(Path dir, String name) throws IOException {
         path = dir == null ? null : dir.resolve(name + ".bans");
         file = dir == null ? null : new AtomicFile(path, "bans 1");
@@ -53,7 +56,7 @@
         return suspendedByOperators.contains(id) || suspendedByConfiguration.contains(id);
     }
 
-    /** All that are suspended. */
+    /** Returns the ids of all suspended backends. */
     public Set<String> all() {
         if (suspendedByConfiguration.isEmpty()) {
             return suspendedByOperators;
@@ -63,63 +66,63 @@
         return Set.copyOf(all);
     }
 
-    /** Whether configuration suspends this backend, whatever operators of this relay have said. */
+    /** Whether the configuration suspends this backend, regardless of operator calls. */
     public boolean isSuspendedByConfiguration(String id) {
         return suspendedByConfiguration.contains(id);
     }
 
     /**
-     * Replaces the backends that configuration suspends, beside those that operators of this relay
-     * have suspended: one lifts only what it has set. They are in no file; each process hears of
-     * them itself.
+     * Replaces the backends that the configuration suspends. They are separate from those that
+     * operators of this relay have suspended: each side lifts only its own suspensions. They are
+     * not stored in the file, because each process receives the configuration itself.
      */
     public void setSuspendedByConfiguration(Set<String> suspended) {
         suspendedByConfiguration = Set.copyOf(suspended);
     }
 
-    /** Suspends or restores a backend; when this returns, that is durable. */
-    public synchronized void setSuspended(String id, boolean banned) throws IOException {
+    /** Suspends or restores a backend; the change is durable when this method returns. */
+    public synchronized void setSuspended(String id, boolean suspended) throws IOException {
         if (file == null) {
-            suspendedByOperators = withChange(id, banned);
+            suspendedByOperators = withChange(id, suspended);
             return;
         }
         try (FileLock held = acquireLock()) {
             try {
                 read();
-            } catch (IOException bad) {
+            } catch (IOException e) {
                 Log.warn(
                         "bans.unreadable",
                         "why",
-                        bad.getMessage()); // what is known here replaces it
+                        e.getMessage()); // the set in memory replaces the file
             }
-            if (suspendedByOperators.contains(id) != banned || unreadable) {
-                Set<String> now = withChange(id, banned);
-                file.write(String.join("\n", now).getBytes(StandardCharsets.UTF_8));
-                suspendedByOperators = now;
+            if (suspendedByOperators.contains(id) != suspended || unreadable) {
+                Set<String> changed = withChange(id, suspended);
+                file.write(String.join("\n", changed).getBytes(StandardCharsets.UTF_8));
+                suspendedByOperators = changed;
                 lastReadStamp = fileStamp();
                 unreadable = false;
             }
         }
     }
 
-    private Set<String> withChange(String id, boolean banned) {
-        Set<String> now = new TreeSet<>(suspendedByOperators);
-        if (banned) {
-            now.add(id);
+    private Set<String> withChange(String id, boolean suspended) {
+        Set<String> changed = new TreeSet<>(suspendedByOperators);
+        if (suspended) {
+            changed.add(id);
         } else {
-            now.remove(id);
+            changed.remove(id);
         }
-        return Set.copyOf(now);
+        return Set.copyOf(changed);
     }
 
     private FileLock acquireLock() throws IOException {
-        long until = System.nanoTime() + LOCK_TIMEOUT.toNanos();
+        long deadlineNs = System.nanoTime() + LOCK_TIMEOUT.toNanos();
         while (true) {
             FileLock held = lockFile.tryLock();
             if (held != null) {
                 return held;
             }
-            if (System.nanoTime() - until > 0) {
+            if (System.nanoTime() - deadlineNs > 0) {
                 throw new IOException("the other process holds the bans");
             }
             try {
@@ -131,7 +134,7 @@
         }
     }
 
-    /** Takes what the other process has changed; what cannot be read leaves the set as it is. */
+    /** Loads changes of the other process; if the file is unreadable, the set stays unchanged. */
     public synchronized void refresh() throws IOException {
         if (file != null && !fileStamp().equals(lastReadStamp)) {
             read();
@@ -139,12 +142,12 @@
     }
 
     private void read() throws IOException {
-        List<Object> now = fileStamp(); // before: what is written meanwhile is read again
-        if (now.equals(lastReadStamp)) {
+        List<Object> stamp = fileStamp(); // before reading, so that a later write is noticed
+        if (stamp.equals(lastReadStamp)) {
             return;
         }
-        lastReadStamp = now;
-        unreadable = true; // until it was read
+        lastReadStamp = stamp;
+        unreadable = true; // until the read has succeeded
         byte[] content = file.read();
         String text = content == null ? "" : new String(content, StandardCharsets.UTF_8);
         suspendedByOperators =
@@ -156,7 +159,10 @@
         if (!Files.exists(path)) {
             return List.of();
         }
-        BasicFileAttributes at = Files.readAttributes(path, BasicFileAttributes.class);
-        return List.of(at.lastModifiedTime(), at.size(), String.valueOf(at.fileKey()));
+        BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
+        return List.of(
+                attributes.lastModifiedTime(),
+                attributes.size(),
+                String.valueOf(attributes.fileKey()));
     }
 }
--- a/relay/src/main/java/saltstage/log/EventAppender.java
+++ b/relay/src/main/java/saltstage/log/EventAppender.java
@@ -13,8 +13,9 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * Standard error with a bound: no event fills the log. More lines of one event within a second than
- * the bound are counted, not written, and the count is told with the first line after that second.
+ * Writes to standard error with a rate limit per event name, so that no event floods the log. Lines
+ * of one event beyond the limit within a second are only counted, and the count is logged with the
+ * first line after that second.
  */
 final class EventAppender extends ConsoleAppender<ILoggingEvent> {
     static final int MAX_LINES_PER_SECOND = 20;
@@ -29,12 +30,12 @@
     @Override
     protected void append(ILoggingEvent event) {
         synchronized (linesByEvent) {
-            long now = Math.floorDiv(event.getTimeStamp(), 1000L);
-            if (now != currentSecond) {
-                currentSecond = now;
-                Map<String, int[]> before = Map.copyOf(linesByEvent);
+            long second = Math.floorDiv(event.getTimeStamp(), 1000L);
+            if (second != currentSecond) {
+                currentSecond = second;
+                Map<String, int[]> previous = Map.copyOf(linesByEvent);
                 linesByEvent.clear();
-                before.forEach(
+                previous.forEach(
                         (name, count) -> {
                             if (count[0] > MAX_LINES_PER_SECOND) {
                                 super.append(
@@ -50,12 +51,12 @@
         }
     }
 
-    private ILoggingEvent suppressed(ILoggingEvent at, String event, int lines) {
-        Logger logger = ((LoggerContext) getContext()).getLogger(at.getLoggerName());
-        LoggingEvent told =
+    private ILoggingEvent suppressed(ILoggingEvent source, String event, int lines) {
+        Logger logger = ((LoggerContext) getContext()).getLogger(source.getLoggerName());
+        LoggingEvent summary =
                 new LoggingEvent(null, logger, Level.WARN, "log.suppressed", null, null);
-        told.setKeyValuePairs(
+        summary.setKeyValuePairs(
                 List.of(new KeyValuePair("event", event), new KeyValuePair("lines", lines)));
-        return told;
+        return summary;
     }
 }
--- a/relay/src/main/java/saltstage/metrics/ProcessUsage.java
+++ b/relay/src/main/java/saltstage/metrics/ProcessUsage.java
@@ -7,10 +7,11 @@
 import java.util.List;
 
 /**
- * What this process uses of the platform, and what its host has dropped before any process saw it.
+ * Operating system resources that this process uses, and connections that its host has dropped
+ * before any process could accept them.
  */
 public final class ProcessUsage {
-    /** Where a figure cannot be read, as without a descriptor to read it with. */
+    /** The value cannot be read, for example because no descriptor is free to read it. */
     public static final long UNKNOWN = -1;
 
     private static final File THREADS = new File("/proc/self/task");
@@ -21,12 +22,12 @@
 
     private ProcessUsage() {}
 
-    /** How many threads it has. */
+    /** Returns the number of threads of this process. */
     public static long threads() {
         return countEntries(THREADS);
     }
 
-    /** How many descriptors it has open. */
+    /** Returns the number of open descriptors of this process. */
     public static long descriptors() {
         return countEntries(DESCRIPTORS);
     }
@@ -37,25 +38,26 @@
     }
 
     /**
-     * Connections that the host has dropped since its start as the queue of a listening socket was
-     * full.
+     * Returns the number of connections that the host has dropped since its start because the
+     * accept queue of a listening socket was full.
      */
     public static long listenOverflows() {
         try {
             return counter(Files.readAllLines(HOST_COUNTERS), LISTEN_OVERFLOWS);
-        } catch (IOException unreadable) {
+        } catch (IOException e) {
             return UNKNOWN;
         }
     }
 
-    /** Of two lines with one beginning, the first has the names and the second has the figures. */
+    /** Reads a counter from two lines with the same prefix: one of names and one of values. */
     static long counter(List<String> lines, String name) {
-        List<String> own = lines.stream().filter(line -> line.startsWith(TCP_COUNTERS)).toList();
-        if (own.size() < 2) {
+        List<String> tcpLines =
+                lines.stream().filter(line -> line.startsWith(TCP_COUNTERS)).toList();
+        if (tcpLines.size() < 2) {
             return UNKNOWN;
         }
-        int place = List.of(own.get(0).split(" ")).indexOf(name);
-        String[] figures = own.get(1).split(" ");
-        return place < 0 || place >= figures.length ? UNKNOWN : Long.parseLong(figures[place]);
+        int index = List.of(tcpLines.get(0).split(" ")).indexOf(name);
+        String[] values = tcpLines.get(1).split(" ");
+        return index < 0 || index >= values.length ? UNKNOWN : Long.parseLong(values[index]);
     }
 }
--- a/relay/src/main/java/saltstage/persistence/ConfigurationVersions.java
+++ b/relay/src/main/java/saltstage/persistence/ConfigurationVersions.java
@@ -12,15 +12,15 @@
 import saltstage.store.Snapshot;
 import saltstage.store.Store;
 
-/** The configurations that a relay has accepted, numbered from 1, the newest so many. */
+/** The newest configurations that a relay has accepted, up to a limit, numbered from 1. */
 public final class ConfigurationVersions {
     private static final byte[] KEYS_START = keyBytes("config/");
-    private static final byte[] KEYS_END = keyBytes("config0"); // the byte behind the slash
+    private static final byte[] KEYS_END = keyBytes("config0"); // '0' follows '/' in ASCII
     private static final String KEY_FORMAT = "config/%016x";
 
     /**
-     * One accepted configuration: the platform's JSON and the operator's settings, which may be
-     * empty.
+     * One accepted configuration: the JSON of the platform and the operator's settings, which may
+     * be empty.
      */
     public record Version(
             long number, Instant at, String hash, String configuration, String settings) {}
@@ -42,11 +42,11 @@
                 "%016x%016x", hash.getMostSignificantBits(), hash.getLeastSignificantBits());
     }
 
-    /** All that are kept, oldest first. */
+    /** Returns all stored versions, oldest first. */
     public static List<Version> all(Store store) throws IOException {
         List<Version> all = new ArrayList<>();
-        try (Snapshot now = store.snapshot()) {
-            Snapshot.Scan scan = now.scan(KEYS_START, KEYS_END);
+        try (Snapshot snapshot = store.snapshot()) {
+            Snapshot.Scan scan = snapshot.scan(KEYS_START, KEYS_END);
             while (scan.next()) {
                 String key = new String(scan.key(), StandardCharsets.UTF_8);
                 all.add(
@@ -58,20 +58,22 @@
         return all;
     }
 
-    /** One of them. */
+    /** Returns the version with this number, if it is stored. */
     public static Optional<Version> find(Store store, long number) throws IOException {
-        byte[] found = store.get(keyBytes(String.format(KEY_FORMAT, number)));
-        return found == null
+        byte[] value = store.get(keyBytes(String.format(KEY_FORMAT, number)));
+        return value == null
                 ? Optional.empty()
-                : Optional.of(RelayStateCodec.decodeVersion(number, found));
+                : Optional.of(RelayStateCodec.decodeVersion(number, value));
     }
 
     /**
-     * Adds what was accepted, unless it is the newest already; the oldest beyond the bound go with
-     * it.
+     * Adds a configuration unless it equals the newest version, and deletes the oldest versions
+     * beyond the limit in the same batch.
+     *
+     * @return the number of the version that holds this configuration
      */
     static long addIfChanged(
-            Store store, String configuration, String settings, Instant at, int most)
+            Store store, String configuration, String settings, Instant acceptedAt, int maxVersions)
             throws IOException {
         List<Version> all = all(store);
         Version newest = all.isEmpty() ? null : all.get(all.size() - 1);
@@ -88,11 +90,11 @@
                                 RelayStateCodec.encodeVersion(
                                         new Version(
                                                 number,
-                                                at,
+                                                acceptedAt,
                                                 hash(configuration, settings),
                                                 configuration,
                                                 settings)));
-        for (int i = 0; i < all.size() + 1 - most; i++) {
+        for (int i = 0; i < all.size() + 1 - maxVersions; i++) {
             batch.delete(keyBytes(String.format(KEY_FORMAT, all.get(i).number())));
         }
         store.commit(batch);
--- a/relay/src/main/java/saltstage/persistence/RelayStateStore.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateStore.java
@@ -26,12 +26,12 @@
 import saltstage.wire.BackendList;
 
 /**
- * Keeps the relay's state. What is to be written is handed over and written by one thread, the
- * newest only; nobody who hands over waits. Whatever goes wrong with the store, the relay serves on
- * without it.
+ * Persists the relay's state. Callers hand over new state without blocking, and one thread writes
+ * it; of the backend list and the learned state only the newest is written. If the store fails, the
+ * relay continues without it.
  */
 public final class RelayStateStore {
-    /** How the store stands, as the totals tell it. */
+    /** The state of the store, as it is logged with the totals. */
     public enum State {
         OK,
         FULL,
@@ -45,7 +45,8 @@
     private static final byte[] LEARNED_STATE_KEY = ConfigurationVersions.keyBytes("learnt");
     private static final Duration FULL_RETRY_PAUSE = Duration.ofSeconds(5);
 
-    private record AcceptedConfiguration(String configuration, String settings, Instant at) {}
+    private record AcceptedConfiguration(
+            String configuration, String settings, Instant acceptedAt) {}
 
     private final PersistenceSettings settings;
     private final Supplier<Instant> clock;
@@ -63,79 +64,80 @@
         this.clock = clock;
     }
 
-    /** Opens the store; where that fails, it is told, and what is handed over is dropped. */
+    /** Opens the store; if that fails, the failure is logged and later state is discarded. */
     public static RelayStateStore open(PersistenceSettings settings, Supplier<Instant> clock) {
         return open(settings, clock, () -> FileDisk.openOrCreate(settings.dir()));
     }
 
-    /** Where the files are. */
+    /** Opens the disk that holds the files of the store. */
     interface DiskOpener {
         Disk open() throws IOException;
     }
 
     static RelayStateStore open(
-            PersistenceSettings settings, Supplier<Instant> clock, DiskOpener place) {
-        RelayStateStore keeper = new RelayStateStore(settings, clock);
+            PersistenceSettings settings, Supplier<Instant> clock, DiskOpener diskOpener) {
+        RelayStateStore stateStore = new RelayStateStore(settings, clock);
         try {
-            keeper.store =
+            stateStore.store =
                     Store.open(
-                            place.open(),
+                            diskOpener.open(),
                             new StoreOptions(
                                     settings.segmentBytes(),
                                     true,
                                     settings.compactionBytesPerSecond()),
                             Log::warn);
         } catch (IOException | RuntimeException e) {
-            keeper.markLost(e);
+            stateStore.markLost(e);
         }
-        return keeper;
+        return stateStore;
     }
 
-    private synchronized void markLost(Exception why) {
+    private synchronized void markLost(Exception cause) {
         if (state != State.LOST) {
             state = State.LOST;
-            Log.warn("keep.lost", "dir", settings.dir(), "why", why.getMessage());
+            Log.warn("keep.lost", "dir", settings.dir(), "why", cause.getMessage());
         }
     }
 
-    /** How the store stands. */
+    /** Returns the state of the store. */
     public synchronized State state() {
         return state;
     }
 
-    // ---- what was kept
-
-    /** The newest list of backends, if one was kept and can be read. */
+    /** Returns the newest persisted backend list, if there is one and it can be read. */
     public Optional<BackendList> persistedList() {
         return readPersisted(
                 "list",
-                now -> {
-                    byte[] rev = now.get(LIST_REVISION_KEY);
-                    if (rev == null) {
+                snapshot -> {
+                    byte[] revision = snapshot.get(LIST_REVISION_KEY);
+                    if (revision == null) {
                         return null;
                     }
                     List<BackendList.Entry> entries = new ArrayList<>();
-                    Snapshot.Scan scan = now.scan(ENTRY_KEYS_START, ENTRY_KEYS_END);
+                    Snapshot.Scan scan = snapshot.scan(ENTRY_KEYS_START, ENTRY_KEYS_END);
                     while (scan.next()) {
                         entries.add(RelayStateCodec.decodeEntry(scan.value()));
                     }
-                    return new BackendList(RelayStateCodec.decodeNumber(rev), true, entries);
+                    return new BackendList(RelayStateCodec.decodeNumber(revision), true, entries);
                 });
     }
 
-    /** What was learnt, unless it is too old; spans are shorter by its age. */
+    /**
+     * Returns the persisted learned state unless it is too old; remaining ejection times are
+     * shortened by its age.
+     */
     public Optional<LearnedState> persistedLearnedState() {
         return readPersisted(
                 "learnt",
-                now -> {
-                    byte[] bytes = now.get(LEARNED_STATE_KEY);
+                snapshot -> {
+                    byte[] bytes = snapshot.get(LEARNED_STATE_KEY);
                     if (bytes == null) {
                         return null;
                     }
-                    RelayStateCodec.TimestampedState dated =
+                    RelayStateCodec.TimestampedState timestamped =
                             RelayStateCodec.decodeLearnedState(bytes);
-                    Duration age = Duration.between(dated.at(), clock.get());
-                    // Of a clock that went back nobody can say how old it is.
+                    Duration age = Duration.between(timestamped.recordedAt(), clock.get());
+                    // If the clock was set back, the age is unknown.
                     boolean fresh =
                             !age.isNegative() && age.compareTo(settings.maxLearnedStateAge()) <= 0;
                     Log.info(
@@ -143,16 +145,16 @@
                             "age_s",
                             age.toSeconds(),
                             "servers",
-                            dated.learnedState().backends().size(),
+                            timestamped.learnedState().backends().size(),
                             "taken",
                             fresh);
-                    return fresh ? aged(dated.learnedState(), age.toNanos() / 1_000) : null;
+                    return fresh ? aged(timestamped.learnedState(), age.toNanos() / 1_000) : null;
                 });
     }
 
-    private static LearnedState aged(LearnedState learnt, long micros) {
-        List<LearnedBackend> servers =
-                learnt.backends().stream()
+    private static LearnedState aged(LearnedState learnedState, long micros) {
+        List<LearnedBackend> backends =
+                learnedState.backends().stream()
                         .map(
                                 s ->
                                         new LearnedBackend(
@@ -165,37 +167,35 @@
                                                 Math.max(0, s.remainingEjection() - micros)))
                         .toList();
         return new LearnedState(
-                learnt.setupLatency(),
-                learnt.setupLatencyDeviation(),
-                learnt.meanRequestLoad(),
-                learnt.meanConnectionLifetime(),
-                learnt.meanGroupShare(),
-                learnt.capacityShare(),
-                servers,
-                new TreeMap<>(learnt.groupShares()));
+                learnedState.setupLatency(),
+                learnedState.setupLatencyDeviation(),
+                learnedState.meanRequestLoad(),
+                learnedState.meanConnectionLifetime(),
+                learnedState.meanGroupShare(),
+                learnedState.capacityShare(),
+                backends,
+                new TreeMap<>(learnedState.groupShares()));
     }
 
     private interface SnapshotReader<T> {
-        T read(Snapshot now) throws IOException;
+        T read(Snapshot snapshot) throws IOException;
     }
 
-    private <T> Optional<T> readPersisted(String what, SnapshotReader<T> reading) {
+    private <T> Optional<T> readPersisted(String valueName, SnapshotReader<T> reader) {
         if (store == null) {
             return Optional.empty();
         }
-        try (Snapshot now = store.snapshot()) {
-            return Optional.ofNullable(reading.read(now));
+        try (Snapshot snapshot = store.snapshot()) {
+            return Optional.ofNullable(reader.read(snapshot));
         } catch (IOException e) {
-            Log.warn("keep.unreadable", "what", what, "why", e.getMessage());
+            Log.warn("keep.unreadable", "what", valueName, "why", e.getMessage());
             return Optional.empty();
         }
     }
 
-    // ---- what is to be kept
-
-    /** Begins to write, and to ask for what was learnt at the interval of the settings. */
-    public synchronized void start(Supplier<LearnedState> learnt) {
-        learnedStateSource = learnt;
+    /** Starts writing, and reading the learned state at the interval of the settings. */
+    public synchronized void start(Supplier<LearnedState> learnedState) {
+        learnedStateSource = learnedState;
         if (store != null) {
             writerThread = new Thread(null, this::writeLoop, "keep", 256 << 10);
             writerThread.setDaemon(true);
@@ -203,30 +203,30 @@
         }
     }
 
-    /** The whole list of backends as it is now. */
-    public synchronized void saveList(BackendList now) {
-        pendingList = now;
+    /** Schedules the complete current backend list to be written. */
+    public synchronized void saveList(BackendList list) {
+        pendingList = list;
         notifyAll();
     }
 
-    /** A configuration was accepted. */
+    /** Schedules an accepted configuration to be written. */
     public synchronized void saveConfiguration(String configuration, String operatorSettings) {
         pendingConfigurations.add(
                 new AcceptedConfiguration(configuration, operatorSettings, clock.get()));
         notifyAll();
     }
 
-    /** Writes what there is for the last time, as far as that is done within the limit. */
+    /** Writes pending state a last time and closes the store; waits for that up to the limit. */
     public void close(Duration limit) {
-        Thread writing;
+        Thread writer;
         synchronized (this) {
             closing = true;
-            writing = writerThread;
+            writer = writerThread;
             notifyAll();
         }
-        if (writing != null) {
+        if (writer != null) {
             try {
-                writing.join(limit.toMillis());
+                writer.join(limit.toMillis());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -235,17 +235,17 @@
 
     private void writeLoop() {
         try {
-            boolean last = false;
-            while (!last && state() != State.LOST) {
-                last = awaitWork();
+            boolean isLastRound = false;
+            while (!isLastRound && state() != State.LOST) {
+                isLastRound = awaitWork();
                 writePending();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException
                 | RuntimeException
-                | Error e) { // the relay must not be told by its absence
-            markLost(e instanceof Exception known ? known : new IllegalStateException(e));
+                | Error e) { // a writer that ends without a report would go unnoticed
+            markLost(e instanceof Exception exception ? exception : new IllegalStateException(e));
         } finally {
             closeStore();
         }
@@ -259,25 +259,28 @@
         }
     }
 
-    /** Waits until there is something to write, or the interval is over; true at the end. */
+    /**
+     * Waits until there is something to write or the interval has passed; returns true when the
+     * store is closing.
+     */
     private synchronized boolean awaitWork() throws InterruptedException {
-        long until =
+        long deadlineNs =
                 System.nanoTime()
                         + (state == State.FULL ? FULL_RETRY_PAUSE : settings.saveInterval())
                                 .toNanos();
         while (!closing
                 && (state == State.FULL
                         || pendingList == null && pendingConfigurations.isEmpty())) {
-            long left = (until - System.nanoTime()) / 1_000_000;
-            if (left <= 0) {
+            long remainingMillis = (deadlineNs - System.nanoTime()) / 1_000_000;
+            if (remainingMillis <= 0) {
                 break;
             }
-            wait(left);
+            wait(remainingMillis);
         }
         return closing;
     }
 
-    /** Writes what has come; a full disk keeps it for the next round. */
+    /** Writes pending state; if the disk is full, it stays pending for the next round. */
     private void writePending() throws IOException {
         BackendList newest;
         List<AcceptedConfiguration> configurations;
@@ -289,14 +292,14 @@
             if (newest != null) {
                 writeList(newest);
             }
-            for (AcceptedConfiguration one : configurations) {
-                writeConfiguration(one);
+            for (AcceptedConfiguration accepted : configurations) {
+                writeConfiguration(accepted);
             }
             writeLearnedState();
             pendingWritten(newest, configurations.size());
-        } catch (StoreException.DiskFull full) {
+        } catch (StoreException.DiskFull e) {
             synchronized (this) {
-                state = State.FULL; // the store itself has told
+                state = State.FULL; // the store itself has logged it
             }
         }
     }
@@ -307,62 +310,63 @@
         pendingConfigurations.subList(0, configurations).clear();
     }
 
-    /** The list in one batch: what differs from the one that is there, and its number. */
+    /** Writes the differences from the stored list and the new revision in one batch. */
     private void writeList(BackendList newest) throws IOException {
-        Map<String, byte[]> wanted = new HashMap<>();
+        Map<String, byte[]> entriesToWrite = new HashMap<>();
         newest.entries()
                 .forEach(
                         entry ->
-                                wanted.put(
+                                entriesToWrite.put(
                                         ENTRY_KEY_PREFIX + entry.uid(),
                                         RelayStateCodec.encodeEntry(entry)));
         Batch batch = new Batch();
-        try (Snapshot now = store.snapshot()) {
-            byte[] rev = now.get(LIST_REVISION_KEY);
-            if (rev != null && RelayStateCodec.decodeNumber(rev) == newest.revision()) {
+        try (Snapshot snapshot = store.snapshot()) {
+            byte[] revision = snapshot.get(LIST_REVISION_KEY);
+            if (revision != null && RelayStateCodec.decodeNumber(revision) == newest.revision()) {
                 return;
             }
-            Snapshot.Scan scan = now.scan(ENTRY_KEYS_START, ENTRY_KEYS_END);
+            Snapshot.Scan scan = snapshot.scan(ENTRY_KEYS_START, ENTRY_KEYS_END);
             while (scan.next()) {
                 String key = new String(scan.key(), StandardCharsets.UTF_8);
-                byte[] to = wanted.get(key);
-                if (to == null) {
+                byte[] value = entriesToWrite.get(key);
+                if (value == null) {
                     batch.delete(scan.key());
-                } else if (Arrays.equals(to, scan.value())) {
-                    wanted.remove(key);
+                } else if (Arrays.equals(value, scan.value())) {
+                    entriesToWrite.remove(key);
                 }
             }
         }
-        wanted.forEach((key, value) -> batch.put(ConfigurationVersions.keyBytes(key), value));
+        entriesToWrite.forEach(
+                (key, value) -> batch.put(ConfigurationVersions.keyBytes(key), value));
         store.commit(batch.put(LIST_REVISION_KEY, RelayStateCodec.encodeNumber(newest.revision())));
     }
 
-    private void writeConfiguration(AcceptedConfiguration one) throws IOException {
+    private void writeConfiguration(AcceptedConfiguration accepted) throws IOException {
         try {
             long number =
                     ConfigurationVersions.addIfChanged(
                             store,
-                            one.configuration(),
-                            one.settings(),
-                            one.at(),
+                            accepted.configuration(),
+                            accepted.settings(),
+                            accepted.acceptedAt(),
                             settings.maxConfigurations());
             Log.info("keep.configuration", "version", number);
-        } catch (IllegalArgumentException tooLarge) {
-            Log.warn("keep.unwritten", "what", "configuration", "why", tooLarge.getMessage());
+        } catch (IllegalArgumentException e) {
+            Log.warn("keep.unwritten", "what", "configuration", "why", e.getMessage());
         }
     }
 
     private void writeLearnedState() throws IOException {
-        LearnedState now = learnedStateSource.get();
-        byte[] plain =
+        LearnedState current = learnedStateSource.get();
+        byte[] undated =
                 RelayStateCodec.encodeLearnedState(
-                        new RelayStateCodec.TimestampedState(Instant.EPOCH, now));
-        if (!now.backends().isEmpty() && !Arrays.equals(plain, lastWrittenLearnedState)) {
+                        new RelayStateCodec.TimestampedState(Instant.EPOCH, current));
+        if (!current.backends().isEmpty() && !Arrays.equals(undated, lastWrittenLearnedState)) {
             store.put(
                     LEARNED_STATE_KEY,
                     RelayStateCodec.encodeLearnedState(
-                            new RelayStateCodec.TimestampedState(clock.get(), now)));
-            lastWrittenLearnedState = plain;
+                            new RelayStateCodec.TimestampedState(clock.get(), current)));
+            lastWrittenLearnedState = undated;
         }
     }
 }
--- a/relay/src/main/java/saltstage/persistence/Takeover.java
+++ b/relay/src/main/java/saltstage/persistence/Takeover.java
@@ -14,8 +14,8 @@
 import saltstage.wire.BackendList;
 
 /**
- * What a process leaves to the one that replaces it: its list, what it has learnt, every id ever
- * listed.
+ * The state that a relay process leaves to its successor: its backend list, its learned state and
+ * every backend id that was ever listed.
  */
 public record Takeover(
         BackendList list,
@@ -24,7 +24,7 @@
         Set<String> knownBackendIds) {
     private static final int MAX_COUNT = 1 << 20;
 
-    /** As bytes. */
+    /** Encodes this state. */
     public byte[] toBytes() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         DataOutputStream data = new DataOutputStream(out);
@@ -52,28 +52,34 @@
         }
     }
 
-    /** From bytes; an IOException says what is wrong with them. */
+    /**
+     * Decodes a state.
+     *
+     * @throws IOException if the bytes are malformed; the message names the reason
+     */
     public static Takeover fromBytes(byte[] bytes) throws IOException {
         DataInputStream data = new DataInputStream(new ByteArrayInputStream(bytes));
-        long rev = data.readLong();
+        long revision = data.readLong();
         List<BackendList.Entry> entries = new ArrayList<>();
         for (byte[] part : readParts(data)) {
             entries.add(RelayStateCodec.decodeEntry(part));
         }
-        List<byte[]> learnt = readParts(data);
-        if (learnt.size() != 1) {
-            throw new IOException("takeover: " + learnt.size() + " parts of what was learnt");
+        List<byte[]> learnedParts = readParts(data);
+        if (learnedParts.size() != 1) {
+            throw new IOException(
+                    "takeover: " + learnedParts.size() + " parts of learned state instead of 1");
         }
-        RelayStateCodec.TimestampedState dated = RelayStateCodec.decodeLearnedState(learnt.get(0));
-        List<String> listed = new ArrayList<>();
+        RelayStateCodec.TimestampedState timestamped =
+                RelayStateCodec.decodeLearnedState(learnedParts.get(0));
+        List<String> knownIds = new ArrayList<>();
         for (int n = readCount(data, MAX_COUNT); n > 0; n--) {
-            listed.add(data.readUTF());
+            knownIds.add(data.readUTF());
         }
         return new Takeover(
-                new BackendList(rev, true, entries),
-                dated.at(),
-                dated.learnedState(),
-                Set.copyOf(listed));
+                new BackendList(revision, true, entries),
+                timestamped.recordedAt(),
+                timestamped.learnedState(),
+                Set.copyOf(knownIds));
     }
 
     private static List<byte[]> readParts(DataInputStream data) throws IOException {
@@ -84,10 +90,10 @@
         return parts;
     }
 
-    private static int readCount(DataInputStream data, int most) throws IOException {
+    private static int readCount(DataInputStream data, int maxCount) throws IOException {
         int n = data.readInt();
-        if (n < 0 || n > most) {
-            throw new IOException("takeover: a count of " + n);
+        if (n < 0 || n > maxCount) {
+            throw new IOException("takeover: invalid count: " + n);
         }
         return n;
     }
