--- a/relay/src/main/java/saltstage/config/AmqpSettings.java
+++ b/relay/src/main/java/saltstage/config/AmqpSettings.java
@@ -7,31 +7,31 @@
 import saltstage.wire.MalformedException;
 
 /**
- * The AMQP front: where it listens, how a link's address becomes a request, and every limit. Sizes are in
- * bytes; docs/operators/amqp.md tells what each limit protects.
+ * The settings of the AMQP frontend: its listener, its limits, and how links are mapped to requests. Sizes
+ * are in bytes; docs/operators/amqp.md explains what each limit protects.
  */
 public record AmqpSettings(InetSocketAddress listenAddress, int backendPort, int loops,
         Limits limits, Timeouts timeouts, Authentication authentication, LinkProperties linkProperties) {
     /**
-     * How much of each: connections; sessions and links a connection; links in all; deliveries a link that
-     * have no outcome yet; the largest frame; bytes held for a link; bytes of a delivery that are kept so
-     * that it can be sent to another backend; attaches a connection may begin a second.
+     * The limits: connections; sessions and links of one connection; links in total; deliveries of a link
+     * without an outcome; the size of a frame; bytes buffered for a link; bytes of a delivery that are
+     * retained so that it can be sent to another backend; attaches that one connection may begin in a second.
      */
     public record Limits(int maxConnections, int maxSessionsPerConnection, int maxLinksPerConnection,
             int maxLinks, int maxUnsettledPerLink, int maxFrameBytes, int maxLinkBytes,
             int maxRetainedDeliveryBytes, int maxAttachesPerSecond) { }
 
     /**
-     * How long: silence of a client and of a backend; until a newcomer's open has come; until a delivery that
-     * has come whole is given up; what a moved link may take to settle.
+     * The timeouts: silence of a client and of a backend; from a connect until the open frame; from the
+     * complete receipt of a delivery until it fails; until the deliveries of a moved link are settled.
      */
     public record Timeouts(Duration clientIdle, Duration backendIdle, Duration open, Duration delivery,
             Duration settle) { }
 
-    /** Who may come in: the file of users and secrets, or null; the tenant of ANONYMOUS, or null for none. */
+    /** Who may connect: the file of users and secrets, or null; the tenant of ANONYMOUS, or null. */
     public record Authentication(Path secretsFile, String anonymousTenant) { }
 
-    /** Link properties that carry what an address does not; null where none does. */
+    /** The names of the link properties that carry what an address does not contain; null where unused. */
     public record LinkProperties(String keyProperty, String groupProperty, String deadlineProperty) { }
 
     private static final int KIB = 1 << 10;
--- a/relay/src/main/java/saltstage/config/Configuration.java
+++ b/relay/src/main/java/saltstage/config/Configuration.java
@@ -17,9 +17,12 @@
 import saltstage.wire.Json;
 import saltstage.wire.MalformedException;
 
-/** What the relay is told at its start: the file that GW_CONFIG names. */
+/** The platform's configuration of the relay: the file that GW_CONFIG names. */
 public final class Configuration {
-    /** What the relay itself needs, the least doorway, and a request with its backend. */
+    /**
+     * Enough for the relay's own sockets, the smallest number of pending clients, and one request
+     * with its backend.
+     */
     private static final int MIN_SOCKETS = 50;
 
     private static final long MAX_FILE_BYTES = 64 << 20;
@@ -71,7 +74,7 @@
         zoneNames = List.of(settingValues.getOrDefault("Zones", "").split(","));
     }
 
-    /** Reads the file; what is wrong with it is said in one line. */
+    /** Reads the file. The message of the exception is a single line. */
     public static Configuration read(Path file) throws MalformedException {
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
@@ -85,7 +88,7 @@
         }
     }
 
-    /** Takes the text of a configuration. */
+    /** Parses the text of a configuration. */
     public static Configuration parse(String text) throws MalformedException {
         try {
             Configuration read = new Configuration(Json.parseObject(text));
@@ -97,7 +100,8 @@
     }
 
     /**
-     * The settings as the simulator's wire has them: path and value, plain lists joined by commas.
+     * Flattens the settings to pairs of path and value, as in the simulator's protocol; lists of
+     * plain values are joined by commas.
      */
     private void flatten(String at, Object value) {
         if (value instanceof Map<?, ?> members) {
@@ -121,7 +125,7 @@
     private void readNames(String list, List<String> into) throws MalformedException {
         for (int i = 0; settingValues.containsKey(list + i + ".Name"); i++) {
             String name = settingValues.get(list + i + ".Name");
-            if (into.contains(name)) { // requests could mean either
+            if (into.contains(name)) { // requests could not tell the two apart
                 throw new MalformedException(
                         "settings: "
                                 + list
@@ -143,7 +147,8 @@
     }
 
     /**
-     * What a reload does not change: the parts that need a restart to differ from those in force.
+     * The parts that differ from the current configuration and that only a restart can change, not
+     * a reload.
      */
     public List<String> restartRequiredChanges(Configuration inForce) {
         List<String> parts = new ArrayList<>();
@@ -159,7 +164,7 @@
         return parts;
     }
 
-    /** The text that it was read from. */
+    /** The text that the configuration was parsed from. */
     public String text() {
         return text;
     }
@@ -169,47 +174,47 @@
         return name;
     }
 
-    /** Where clients connect. */
+    /** The address where clients connect. */
     public InetSocketAddress listenAddress() {
         return listenAddress;
     }
 
-    /** Where discovery is. */
+    /** The address of the discovery service. */
     public InetSocketAddress discoveryAddress() {
         return discoveryAddress;
     }
 
-    /** Where operators call, or null. */
+    /** The address for operator calls, or null. */
     public InetSocketAddress adminAddress() {
         return adminAddress;
     }
 
-    /** The names of the classes, in the order of the settings. */
+    /** The names of the service classes, in the order of the settings. */
     public List<String> serviceClassNames() {
         return List.copyOf(serviceClassNames);
     }
 
-    /** The seed for the module's random numbers. */
+    /** The seed of the load balancer's random numbers. */
     public long seed() {
         return seed;
     }
 
-    /** How many descriptors the process may hold. */
+    /** The maximum number of file descriptors that the process may hold. */
     public int maxSockets() {
         return maxSockets;
     }
 
-    /** The backends as this relay last had them. */
+    /** The backends that are known at the start, before discovery responds. */
     public BackendList knownBackends() {
         return knownBackends;
     }
 
-    /** The settings in the module's form. */
+    /** The settings in the load balancer's form. */
     public Settings settings() {
         return settings;
     }
 
-    /** The place of a class in the settings. */
+    /** The index of a service class in the settings. */
     public int serviceClassIndex(String name) throws MalformedException {
         int place = serviceClassNames.indexOf(name);
         if (place < 0) {
@@ -218,7 +223,7 @@
         return place;
     }
 
-    /** The place of a tenant in the settings; 0 where there are none. */
+    /** The index of a tenant in the settings; 0 if the settings define no tenants. */
     public int tenantIndex(String name) throws MalformedException {
         int place = tenantNames.isEmpty() ? 0 : tenantNames.indexOf(name);
         if (place < 0) {
@@ -227,18 +232,21 @@
         return place;
     }
 
-    /** The place of a zone; one that the settings do not name is nobody's. */
+    /**
+     * The index of a zone in the settings. An unknown zone gets the next index, which belongs to no
+     * zone.
+     */
     public int zoneIndex(String name) {
         int place = zoneNames.indexOf(name);
         return place < 0 ? zoneNames.size() : place;
     }
 
-    /** How long a client of the class waits where it does not say. */
+    /** The client timeout of a service class, for clients that give none. */
     public Duration clientTimeout(int serviceClass) {
         return ofMicros(settings.serviceClasses().get(serviceClass).clientTimeout());
     }
 
-    /** How long any client waits at most. */
+    /** The longest client timeout of all service classes. */
     public Duration maxClientTimeout() {
         return ofMicros(
                 settings.serviceClasses().stream()
@@ -247,17 +255,17 @@
                         .orElse(0));
     }
 
-    /** How long a connect may take. */
+    /** The timeout of a connect to a backend. */
     public Duration connectTimeout() {
         return ofMicros(settings.connectTimeout());
     }
 
-    /** The longest advice to stay away that clients follow. */
+    /** The longest retry-after time that clients honor. */
     public Duration maxRetryAfter() {
         return ofMicros(settings.maxRetryAfter());
     }
 
-    /** The shortest time within which any class wants its messages answered. */
+    /** The lowest message latency target of all service classes. */
     public Duration minMessageLatencyTarget() {
         return ofMicros(
                 settings.serviceClasses().stream()
--- a/relay/src/main/java/saltstage/config/HclBlock.java
+++ b/relay/src/main/java/saltstage/config/HclBlock.java
@@ -14,9 +14,9 @@
 import saltstage.wire.MalformedException;
 
 /**
- * One block of an operator's file. Its attributes are asked for by name, each checked where it is
- * asked for; {@link #rejectUnknown} then refuses whatever nobody has asked for. Every complaint
- * names file, line and name.
+ * One block of an operator's settings file. Each attribute is checked when it is read by name;
+ * {@link #rejectUnknown} then rejects every attribute and block that was not read. Every error
+ * names the file, the line and the attribute or block.
  */
 public final class HclBlock {
     private static final Pattern DURATION = Pattern.compile("(\\d{1,9})(ms|s|m|h|d)");
@@ -52,7 +52,7 @@
         blocks.add(inner);
     }
 
-    /** Its labels, in order. */
+    /** The labels of the block, in order. */
     public List<String> labels() {
         return labels;
     }
@@ -75,7 +75,7 @@
         return found.isEmpty() ? null : found.get(0);
     }
 
-    /** A text; null where it is absent and nothing stands for it. */
+    /** Returns a text attribute, or the default if it is absent. */
     public String string(String name, String absent) throws MalformedException {
         Attribute given = lookUp(name);
         if (given == null) {
@@ -87,7 +87,7 @@
         return text;
     }
 
-    /** A text that must be there. */
+    /** Returns a required text attribute. */
     public String requiredString(String name) throws MalformedException {
         String text = string(name, null);
         if (text == null) {
@@ -96,7 +96,7 @@
         return text;
     }
 
-    /** One of the constants of an enum, written in small letters. */
+    /** Returns an enum attribute, whose constants are written in lower case. */
     public <E extends Enum<E>> E enumValue(String name, Class<E> of, E absent)
             throws MalformedException {
         String text = string(name, null);
@@ -112,7 +112,7 @@
                 name, "one of " + Arrays.toString(of.getEnumConstants()).toLowerCase(Locale.ROOT));
     }
 
-    /** A whole number within bounds. */
+    /** Returns an integer attribute, which must be within the bounds. */
     public long integer(String name, long absent, long least, long most) throws MalformedException {
         Attribute given = lookUp(name);
         if (given == null) {
@@ -126,7 +126,7 @@
         return d.longValue();
     }
 
-    /** A list of texts; none where it is absent. */
+    /** Returns a list of texts, empty if it is absent. */
     public List<String> strings(String name) throws MalformedException {
         Attribute given = lookUp(name);
         List<String> texts = new ArrayList<>();
@@ -142,7 +142,7 @@
         return texts;
     }
 
-    /** A list of whole numbers within bounds; none where it is absent. */
+    /** Returns a list of integers, each within the bounds; empty if it is absent. */
     public List<Long> integers(String name, long least, long most) throws MalformedException {
         Attribute given = lookUp(name);
         List<Long> numbers = new ArrayList<>();
@@ -165,7 +165,7 @@
         return numbers;
     }
 
-    /** Yes or no. */
+    /** Returns a boolean attribute. */
     public boolean bool(String name, boolean absent) throws MalformedException {
         Attribute given = lookUp(name);
         if (given == null) {
@@ -177,7 +177,10 @@
         return b;
     }
 
-    /** A span such as "250ms", "10s", "5m", "24h" or "30d" within bounds. */
+    /**
+     * Returns a duration such as "250ms", "10s", "5m", "24h" or "30d", which must be within the
+     * bounds.
+     */
     public Duration duration(String name, Duration absent, Duration least, Duration most)
             throws MalformedException {
         String text = string(name, null);
@@ -208,7 +211,7 @@
                         + " ms");
     }
 
-    /** A size in bytes such as "64KiB" or "8MiB" within bounds. */
+    /** Returns a size in bytes such as "64KiB" or "8MiB", which must be within the bounds. */
     public long byteSize(String name, long absent, long least, long most)
             throws MalformedException {
         String text = string(name, null);
@@ -234,7 +237,7 @@
                 "a size such as \"64KiB\" or \"8MiB\", from " + least + " to " + most + " bytes");
     }
 
-    /** Refuses what nobody has asked for. */
+    /** Rejects the attributes and inner blocks that were not read. */
     public void rejectUnknown() throws MalformedException {
         for (Map.Entry<String, Attribute> given : attributes.entrySet()) {
             if (!requested.contains(given.getKey())) {
@@ -249,12 +252,12 @@
         }
     }
 
-    /** A complaint about this block as a whole. */
+    /** Creates an error about this block as a whole. */
     public MalformedException blockError(String what) {
         return errorAt(line, what);
     }
 
-    /** A complaint about an attribute that was taken. */
+    /** Creates an error about the value of an attribute that is present. */
     public MalformedException attributeError(String name, String takes) {
         return errorAt(attributes.get(name).line(), "'" + name + "' takes " + takes);
     }
--- a/relay/src/main/java/saltstage/config/HclFile.java
+++ b/relay/src/main/java/saltstage/config/HclFile.java
@@ -18,10 +18,10 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Reads an operator's HCL file into {@link HclBlock}s. The text is parsed by hcl4j, which drops in
- * silence what it cannot place: a block that is never closed, stray words, a lone brace. So every
- * token of the file is counted against what the library made of it, and the first that is not
- * accounted for is refused with its line. Only plain values are taken: no functions, variables,
+ * Parses an operator's HCL file into {@link HclBlock}s. The parser library hcl4j silently drops
+ * what it cannot place: a block that is never closed, stray words, a lone brace. Therefore every
+ * token of the file is compared with the library's result, and the first token that is missing
+ * there is rejected with its line. Only plain values are accepted: no functions, variables,
  * templates or here-documents.
  */
 public final class HclFile {
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Parses the text of a file that errors shall call by this name; the block returned is its top
-     * level.
+     * Parses the text of a file and returns its top level as a block. Errors refer to the file by
+     * this name.
      */
     public static HclBlock parse(String name, String text) throws MalformedException {
         return new HclFile(name).parseTopLevel(text);
@@ -57,9 +57,8 @@
         } catch (HCLParserException bad) {
             Matcher where = LINE_NUMBER.matcher(String.valueOf(bad.getMessage()));
             throw errorAt(where.find() ? Integer.parseInt(where.group(1)) : 1, "not HCL");
-        } catch (IOException
-                | RuntimeException
-                | Error bad) { // JFlex throws Error on what it cannot match
+        } catch (IOException | RuntimeException | Error bad) {
+            // JFlex throws Error on text that it cannot match.
             throw new MalformedException(name + ": not HCL: " + bad.getMessage());
         }
         HclBlock top = new HclBlock(name, "", List.of(), 1);
@@ -143,7 +142,7 @@
         return symbol.getChildren() == null ? List.of() : symbol.getChildren();
     }
 
-    /** Refuses the first token of the text that is not in what was read. */
+    /** Rejects the first token of the text that is missing in the parsed tokens. */
     private void checkAllTokensParsed(String text) throws MalformedException {
         Iterator<String> known = parsedTokens.iterator();
         int last = 1;
@@ -179,13 +178,13 @@
                 boolean single = in.ttype != StreamTokenizer.TT_WORD && in.ttype != '"';
                 all.add(new Token(single ? String.valueOf((char) in.ttype) : in.sval, in.lineno()));
             }
-        } catch (IOException impossible) { // it reads a string
+        } catch (IOException impossible) { // a StringReader does not fail
             throw new IllegalStateException(impossible);
         }
         return all;
     }
 
-    /** Whether a name can be an attribute's or a block's. */
+    /** Whether the text is a valid name of an attribute or a block. */
     static boolean isIdentifier(String text) {
         return IDENTIFIER.matcher(text).matches();
     }
--- a/relay/src/main/java/saltstage/config/OperatorSettings.java
+++ b/relay/src/main/java/saltstage/config/OperatorSettings.java
@@ -13,12 +13,12 @@
 import saltstage.wire.MalformedException;
 
 /**
- * The operator's own settings, an HCL file: what this program offers beyond the platform's
- * configuration. Everything in it is off, or as it always was, unless it is named; {@code
- * deploy/saltstage.hcl} shows all.
+ * The operator's settings, an HCL file: features of the relay beyond the platform's configuration.
+ * A feature that the file does not name is off or keeps its default; {@code deploy/saltstage.hcl}
+ * shows all settings.
  */
 public final class OperatorSettings {
-    /** The levels of a log line, the least that is written. */
+    /** The lowest level of the log lines that are written. */
     public enum Level {
         DEBUG,
         INFO,
@@ -30,8 +30,9 @@
     public record Logging(LogSetup.Format format, Level level) {}
 
     /**
-     * Where state is kept and how: segments of this size, learnt state no older than this, so many
-     * accepted configurations, and so many bytes a second that compaction may copy.
+     * The persisted state: its directory, the size of a segment file, the maximum age of learned
+     * state that is restored, the interval between saves, the number of accepted configurations
+     * that are retained, and the rate at which compaction may copy.
      */
     public record PersistenceSettings(
             Path dir,
@@ -42,12 +43,12 @@
             long compactionBytesPerSecond) {}
 
     /**
-     * Where configuration by revision comes from.
+     * The sources of configuration revisions.
      *
      * @param sources addresses with ports, the preferred one first; at least one
      * @param zone the zone that this relay runs in, may be empty
-     * @param name what sources call this relay; empty: the relay's own name
-     * @param dir where what was accepted outlives a restart
+     * @param name the name of this relay at the sources; if empty, the relay's own name
+     * @param dir the directory that keeps accepted revisions across restarts
      */
     public record FollowerSettings(List<String> sources, String zone, String name, Path dir) {}
 
@@ -75,13 +76,13 @@
         this.follower = following;
     }
 
-    /** What holds where no file is named. */
+    /** The settings that apply if no file is given. */
     public static OperatorSettings defaults() {
         return new OperatorSettings(
                 "", new Logging(LogSetup.Format.TEXT, Level.INFO), null, null, null);
     }
 
-    /** Reads the file; what is wrong with it is said in one line, with file, line and name. */
+    /** Reads the file. The message of the exception is a single line with file, line and name. */
     public static OperatorSettings read(Path file) throws MalformedException {
         try {
             return parse(file.toString(), Files.readString(file));
@@ -92,7 +93,7 @@
         }
     }
 
-    /** Takes the text of a file that errors shall call by this name. */
+    /** Parses the text of a file. Errors refer to the file by this name. */
     public static OperatorSettings parse(String name, String text) throws MalformedException {
         HclBlock top = HclFile.parse(name, text);
         HclBlock log = top.block("log");
@@ -175,7 +176,7 @@
         }
     }
 
-    /** The text of the file, for the history of configurations. */
+    /** The text of the file, for the stored configuration versions. */
     public String text() {
         return text;
     }
@@ -185,17 +186,17 @@
         return logging;
     }
 
-    /** The AMQP front, if there is one. */
+    /** The settings of the AMQP frontend, if it is enabled. */
     public Optional<AmqpSettings> amqp() {
         return Optional.ofNullable(amqp);
     }
 
-    /** Where configuration by revision comes from, if it does. */
+    /** The sources of configuration revisions, if there are any. */
     public Optional<FollowerSettings> follower() {
         return Optional.ofNullable(follower);
     }
 
-    /** Where state is kept, if it is. */
+    /** The settings of the persisted state, if persistence is enabled. */
     public Optional<PersistenceSettings> persistence() {
         return Optional.ofNullable(persistence);
     }
--- a/relay/src/main/java/saltstage/config/SettingsReader.java
+++ b/relay/src/main/java/saltstage/config/SettingsReader.java
@@ -9,24 +9,24 @@
 import saltstage.Api.ServiceClass;
 import saltstage.Api.Settings;
 
-/** Reads the settings, as path and value, for the module; keys that it does not know are passed over. */
+/** Converts settings given as pairs of path and value for the load balancer. Unknown keys are ignored. */
 public final class SettingsReader {
     private final Map<String, String> values;
     private final ErrorFactory errors;
 
-    /** Makes the exception that names a key and what is wrong with it. */
+    /** Creates the exception for a malformed setting. */
     public interface ErrorFactory {
-        /** The exception to throw. */
+        /** Returns the exception to throw, which names the key and the error. */
         RuntimeException malformed(String key, String what);
     }
 
-    /** A reader of these pairs. */
+    /** Creates a reader of these settings. */
     public SettingsReader(Map<String, String> pairs, ErrorFactory complaint) {
         this.values = pairs;
         this.errors = complaint;
     }
 
-    /** The settings in the module's form. */
+    /** Returns the settings in the load balancer's form. */
     public Settings read() {
         int classes = (int) integer("Services.count", 0, 0, 10_000);
         if (classes == 0) {
--- a/relay/src/main/java/saltstage/net/Connection.java
+++ b/relay/src/main/java/saltstage/net/Connection.java
@@ -3,28 +3,28 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
-/** A connection; all of it is used on its loop only. Ending it twice does no harm. */
+/** A connection. All methods must be called on its loop. It may be closed more than once. */
 public interface Connection {
-    /** Why a connection is over. */
+    /** Why a connection was closed. */
     enum Cause {
         /** This side closed or reset it. */
         OURS,
-        /** The other side ended its sending, and this side its own. */
+        /** Both sides ended their output. */
         ENDED,
-        /** The other side reset it, or the network did. */
+        /** The other side or the network reset it. */
         RESET,
-        /** The other side did not take what was written to it, up to the bound. */
+        /** The other side did not read, and the unsent bytes reached the limit. */
         OVERFLOW,
-        /** The handler threw. */
+        /** The handler threw an exception. */
         FAULT
     }
 
     /**
-     * How much may be unsent: from the first figure of bytes on the connection is not writable, and
-     * writable again at half of it; what would exceed the second ends the connection.
+     * Limits of the unsent bytes. Above {@code softBytes} the connection is not writable until they
+     * fall to half of that; a write that would exceed {@code maxBytes} closes the connection.
      */
     record WriteLimits(int softBytes, int maxBytes) {
-        /** Checks. */
+        /** Validates the limits. */
         public WriteLimits {
             if (softBytes < 2 || maxBytes < softBytes) {
                 throw new IllegalArgumentException("bounds " + softBytes + ", " + maxBytes);
@@ -32,29 +32,33 @@
         }
     }
 
-    /** The loop that it belongs to. */
+    /** The loop that the connection belongs to. */
     Loop loop();
 
-    /** Who is at the other end. */
+    /** The address of the other end. */
     InetSocketAddress remoteAddress();
 
-    /** Writes the bytes, which are copied; what does not fit the bound ends the connection. */
+    /**
+     * Copies and writes the bytes. A write that exceeds the limit of unsent bytes closes the
+     * connection.
+     */
     void write(ByteBuffer bytes);
 
-    /** How many bytes were written and not yet taken by the system. */
+    /** The number of bytes that were written but not yet accepted by the operating system. */
     long unsentBytes();
 
     /**
-     * Whether bytes shall be received from now on; what the other side sends meanwhile waits there.
+     * Starts or stops receiving. While receiving is off, the other side's bytes wait in the network
+     * buffers.
      */
     void setReading(boolean wanted);
 
-    /** Ends the sending, after what was written. */
+    /** Ends the output after the bytes written so far. */
     void shutdownOutput();
 
-    /** Closes both directions, after what was written. */
+    /** Closes both directions after the bytes written so far. */
     void close();
 
-    /** Closes at once; what is unsent is lost, and the other side sees a reset. */
+    /** Closes immediately. Unsent bytes are lost, and the other side sees a reset. */
     void reset();
 }
--- a/relay/src/main/java/saltstage/net/ConnectionHandler.java
+++ b/relay/src/main/java/saltstage/net/ConnectionHandler.java
@@ -2,17 +2,23 @@
 
 import java.nio.ByteBuffer;
 
-/** What happens on a connection, told on its loop; must not block. */
+/** Receives the events of a connection on its loop. The methods must not block. */
 public interface ConnectionHandler {
-    /** Bytes have come; the buffer is the transport's and holds only during the call. */
+    /**
+     * Called when bytes arrive. The buffer belongs to the transport and is valid only during the
+     * call.
+     */
     void received(Connection on, ByteBuffer bytes);
 
-    /** The other side has ended its sending; it may still receive. Told once at the most. */
+    /** Called at most once, when the other side has ended its output; it may still receive. */
     void inputEnded(Connection on);
 
-    /** What is unsent has passed the soft bound, or has come down again. */
+    /**
+     * Called when the unsent bytes exceed the soft limit, and when they have fallen below half of
+     * it.
+     */
     default void writabilityChanged(Connection on, boolean now) {}
 
-    /** It is over; the last that is told, exactly once. */
+    /** Called exactly once, as the last event, when the connection is closed. */
     void closed(Connection on, Connection.Cause why);
 }
--- a/relay/src/main/java/saltstage/net/Loop.java
+++ b/relay/src/main/java/saltstage/net/Loop.java
@@ -2,20 +2,20 @@
 
 import java.time.Duration;
 
-/** One thread that does everything of its connections, one thing after the other. */
+/** An event loop: one thread that runs all events and tasks of its connections in sequence. */
 public interface Loop {
-    /** Something that is due later. */
+    /** A task scheduled for later. */
     interface Timer {
-        /** Keeps it from happening; false where it has happened or was cancelled already. */
+        /** Cancels the task. Returns false if it has run or was cancelled already. */
         boolean cancel();
     }
 
-    /** Whether the caller is on this loop. */
+    /** Whether the caller runs on this loop. */
     boolean isCurrentThread();
 
-    /** Does it on the loop, soon, after what was handed over before. */
+    /** Runs the task on the loop, after all tasks that were submitted before. */
     void execute(Runnable task);
 
-    /** Does it on the loop once, that much later. */
+    /** Runs the task on the loop once, after the delay. */
     Timer schedule(Duration delay, Runnable task);
 }
--- a/relay/src/main/java/saltstage/net/NettyConnection.java
+++ b/relay/src/main/java/saltstage/net/NettyConnection.java
@@ -13,14 +13,12 @@
 import java.nio.ByteBuffer;
 import java.util.function.BiConsumer;
 
-/** A connection on a channel of Netty's. */
+/** A connection on a Netty channel. */
 final class NettyConnection extends ChannelInboundHandlerAdapter implements Connection {
-    /**
-     * Room for the first write of a round, which most often is the only one, and for all that
-     * follow it.
-     */
+    /** Buffer size for the first write of a loop iteration, which is usually the only one. */
     private static final int INITIAL_BUFFER_BYTES = 512;
 
+    /** Buffer size for the further writes of the same loop iteration. */
     private static final int WRITE_BUFFER_BYTES = 16 << 10;
 
     private final SocketChannel channel;
@@ -35,10 +33,7 @@
     private boolean closed;
     private boolean flushScheduled;
 
-    /**
-     * What was written in this round of the loop and is not handed to the channel yet; null:
-     * nothing.
-     */
+    /** The bytes written in this loop iteration and not yet passed to the channel; null if none. */
     private ByteBuf writeBuffer;
 
     NettyConnection(
@@ -56,7 +51,7 @@
         handler = to;
     }
 
-    /** It is on its way: the handler is asked for when it is up. */
+    /** Sets the listener that supplies the handler once the outgoing connection is established. */
     void setConnectListener(Transport.ConnectListener to) {
         connectListener = to;
     }
@@ -88,9 +83,9 @@
         if (writeBuffer != null && writeBuffer.maxWritableBytes() < bytes.remaining()) {
             writeBuffered();
         }
-        if (writeBuffer
-                == null) { // many small writes cost the channel an entry, a buffer and a promise
-            // each
+        // Small writes share a buffer; each alone would cost the channel an entry, a buffer and a
+        // promise.
+        if (writeBuffer == null) {
             writeBuffer =
                     channel.alloc()
                             .ioBuffer(
@@ -102,8 +97,8 @@
                                     Math.max(bytes.remaining(), WRITE_BUFFER_BYTES));
         }
         writeBuffer.writeBytes(bytes);
-        if (!flushScheduled) { // one call of the system for all that is written in this round of
-            // the loop
+        // One system call sends everything that is written in this loop iteration.
+        if (!flushScheduled) {
             flushScheduled = true;
             channel.eventLoop()
                     .execute(
@@ -238,7 +233,7 @@
         }
     }
 
-    /** A handler that throws costs its own connection and nothing else of the loop. */
+    /** Calls the handler. If it throws, only its own connection is closed; the loop goes on. */
     private void callHandler(Runnable call) {
         try {
             call.run();
--- a/relay/src/main/java/saltstage/net/NettyTransport.java
+++ b/relay/src/main/java/saltstage/net/NettyTransport.java
@@ -30,7 +30,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * The transport on Netty's event loops: epoll where its library loads, else the JDK's selectors.
+ * A transport on Netty's event loops. It uses epoll if the native library loads, and the JDK's
+ * selectors otherwise.
  */
 public final class NettyTransport implements Transport {
     private static final long SHUTDOWN_TIMEOUT_MILLIS = 5_000;
@@ -41,7 +42,10 @@
     private final List<Loop> loops = new ArrayList<>();
     private final BiConsumer<String, Throwable> faultListener;
 
-    /** So many loops; what a handler throws is told with its place. */
+    /**
+     * Creates a transport with this many loops. The listener receives every exception that a
+     * handler throws, with the place where it was caught.
+     */
     public NettyTransport(int threads, boolean epollIfThere, BiConsumer<String, Throwable> faults) {
         boolean epoll = epollIfThere && Epoll.isAvailable();
         DefaultThreadFactory daemons = new DefaultThreadFactory("loop", true);
@@ -57,7 +61,7 @@
         }
     }
 
-    /** A loop of Netty's. */
+    /** A loop on a Netty event loop. */
     record NettyLoop(EventLoop eventLoop) implements Loop {
         @Override
         public boolean isCurrentThread() {
--- a/relay/src/main/java/saltstage/net/Transport.java
+++ b/relay/src/main/java/saltstage/net/Transport.java
@@ -4,43 +4,46 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 
-/** Listeners, outgoing connections and loops. */
+/** Provides listeners, outgoing connections and event loops. */
 public interface Transport extends AutoCloseable {
-    /** Decides about who has connected. */
+    /** Decides whether to accept an incoming connection. */
     interface Acceptor {
-        /** The handler of an accepted connection; null: it is reset. */
+        /** Returns the handler of the connection, or null to reset it. */
         ConnectionHandler accept(Connection connection);
     }
 
-    /** Is told what became of a connect, on a loop, one of the two and once. */
+    /**
+     * Receives the result of a connect on the loop: exactly one of the two methods is called, once.
+     */
     interface ConnectListener {
-        /** It is up; the handler of it. */
+        /** Called when the connection is established; returns its handler, or null to reset it. */
         ConnectionHandler connected(Connection connection);
 
-        /** It never came up. */
+        /** Called when the connect failed. */
         void failed(IOException why);
     }
 
-    /** Something that listens. */
+    /** A listening socket. */
     interface Listener {
-        /** Where it listens. */
+        /** The address of the listening socket. */
         InetSocketAddress address();
 
         /**
-         * Whether newcomers are accepted; while they are not, they wait in the system's backlog.
+         * Starts or stops accepting. Meanwhile new connections wait in the operating system's
+         * backlog.
          */
         void setAccepting(boolean wanted);
 
-        /** Listens no more. */
+        /** Closes the listening socket. */
         void close();
     }
 
-    /** Listens; accepted connections are dealt out over the loops. */
+    /** Opens a listening socket; accepted connections are distributed over the loops. */
     Listener listen(
             InetSocketAddress at, int backlog, Connection.WriteLimits bounds, Acceptor acceptor)
             throws IOException;
 
-    /** Connects on this loop within the limit. */
+    /** Connects on this loop within the timeout. */
     void connect(
             Loop on,
             InetSocketAddress to,
@@ -48,10 +51,10 @@
             Connection.WriteLimits bounds,
             ConnectListener connecting);
 
-    /** The loops, at least one. */
+    /** The event loops, at least one. */
     java.util.List<Loop> loops();
 
-    /** Ends all loops and connections. */
+    /** Stops all loops and closes all connections. */
     @Override
     void close();
 }
--- a/relay/src/main/java/saltstage/wire/BackendConnection.java
+++ b/relay/src/main/java/saltstage/wire/BackendConnection.java
@@ -1,7 +1,7 @@
 package saltstage.wire;
 
-/** The backend's side of one try, whatever protocol is spoken there. */
+/** The connection to the backend that serves one attempt, independent of the protocol. */
 public interface BackendConnection {
-    /** Ends it at once, from any thread; ending it twice does no harm. */
+    /** Closes the connection immediately. Any thread may call this, and more than once. */
     void close();
 }
--- a/relay/src/main/java/saltstage/wire/BackendList.java
+++ b/relay/src/main/java/saltstage/wire/BackendList.java
@@ -10,21 +10,21 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What discovery says: the whole list, or the entries that changed. */
+/** A message of the discovery service: the full backend list, or the entries that changed. */
 public record BackendList(long revision, boolean full, List<Entry> entries) {
     private static final Pattern ENDPOINT =
             Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3}):(\\d{1,5})");
     private static final Pattern UID = Pattern.compile("[!-~]{1,128}");
     private static final int MAX_ENTRIES = 100_000;
 
-    /** The states of an entry. */
+    /** The state of a backend as discovery reports it. */
     public enum State {
         READY,
         DRAINING,
         GONE
     }
 
-    /** One backend; startedAt is the epoch for long ago. */
+    /** One backend. {@code startedAt} is the epoch where discovery gives no start time. */
     public record Entry(
             String uid,
             InetSocketAddress endpoint,
@@ -34,7 +34,7 @@
             double weight,
             Instant startedAt) {}
 
-    /** Reads one object of discovery's, or the known list of the configuration. */
+    /** Parses one object from discovery, or the list of known backends in the configuration. */
     public static BackendList parse(Map<String, Object> json) throws MalformedException {
         List<?> targets = Json.member(json, "targets", List.class);
         if (targets.size() > MAX_ENTRIES) {
@@ -75,7 +75,7 @@
                 Instant.ofEpochMilli((long) bootMs));
     }
 
-    /** An address in figures; there is no DNS. */
+    /** Parses a numeric IPv4 address with a port; host names are not resolved. */
     public static InetSocketAddress parseAddress(String text) throws MalformedException {
         Matcher parts = ENDPOINT.matcher(text);
         if (!parts.matches()) {
--- a/relay/src/main/java/saltstage/wire/BackendMessage.java
+++ b/relay/src/main/java/saltstage/wire/BackendMessage.java
@@ -2,9 +2,9 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** A line of a backend, as far as the relay must understand it. */
+/** A line that a backend sent, parsed as far as the relay needs to understand it. */
 public record BackendMessage(Kind kind, String argument) {
-    /** What a line says; OTHER are the connection's own lines. */
+    /** The kind of a line; {@code OTHER} is a line that belongs to the client's own exchange. */
     public enum Kind {
         UP,
         BYE,
@@ -16,7 +16,7 @@
         OTHER
     }
 
-    /** Reads a piece; one that is no whole line is OTHER. */
+    /** Parses a piece of input; a piece that is not a complete line is {@code OTHER}. */
     public static BackendMessage parse(byte[] piece) {
         int n = piece.length;
         if (n < 2 || piece[n - 1] != '\n' || piece[n - 2] != '\r') {
@@ -34,7 +34,7 @@
         return new BackendMessage(Kind.OTHER, line);
     }
 
-    /** The load that a LOAD line tells, or a negative number where it is malformed. */
+    /** The load that a LOAD line reports, or a negative number if it is malformed. */
     public double load() {
         try {
             double level = Double.parseDouble(argument);
--- a/relay/src/main/java/saltstage/wire/ChunkedInputStream.java
+++ b/relay/src/main/java/saltstage/wire/ChunkedInputStream.java
@@ -3,7 +3,10 @@
 import java.io.IOException;
 import java.io.InputStream;
 
-/** The body of a chunked answer; a malformed chunk is an IOException, like a broken connection. */
+/**
+ * Decodes the body of a chunked HTTP response. A malformed chunk causes an IOException, as a broken
+ * connection does.
+ */
 final class ChunkedInputStream extends InputStream {
     private static final int MAX_SIZE_LINE_CHARS = 256;
     private static final long MAX_CHUNK_BYTES = 16 << 20;
--- a/relay/src/main/java/saltstage/wire/DeadlineInputStream.java
+++ b/relay/src/main/java/saltstage/wire/DeadlineInputStream.java
@@ -7,9 +7,9 @@
 import java.time.Duration;
 
 /**
- * What comes on a socket, up to a moment that only {@link #extendDeadline} moves on. A time-out for
- * each read would be put off by every byte: who sends one now and then could keep a reader for ever
- * without telling it anything. What has arrived by then can still be read.
+ * The input of a socket with a deadline that only {@link #extendDeadline} moves. With a timeout for
+ * each read, a sender that trickles single bytes could block the reader forever without sending
+ * anything useful. Bytes that arrived before the deadline can still be read after it.
  */
 final class DeadlineInputStream extends InputStream {
     private final Socket socket;
@@ -22,7 +22,7 @@
         extendDeadline(first);
     }
 
-    /** It has so long from now on. */
+    /** Sets the deadline to this long from now. */
     void extendDeadline(Duration span) {
         deadline = System.nanoTime() + span.toNanos();
     }
--- a/relay/src/main/java/saltstage/wire/DiscoveryClient.java
+++ b/relay/src/main/java/saltstage/wire/DiscoveryClient.java
@@ -10,21 +10,23 @@
 import java.util.Locale;
 
 /**
- * Discovery's watch over HTTP/1.1: one call, a chunked answer of JSON objects, an empty line now
- * and then between them. A watch that brings neither for a while is broken, whatever else it sends.
+ * Watches the discovery service over HTTP/1.1: one request with a chunked response of JSON objects,
+ * and an empty line between them as a heartbeat. A watch that delivers neither an object nor an
+ * empty line within the silence timeout is broken, whatever else it sends.
  */
 public final class DiscoveryClient {
     /**
-     * An empty line comes every 2 s. What a silent watch misses counts as told 6 s after its
-     * silence: this, the module's first pause, one call in vain and the next pause have to fit in.
+     * Discovery sends an empty line every 2 s. Changes that a silent watch misses are taken as
+     * known to the relay 6 s after the silence began, so this timeout, the load balancer's first
+     * retry pause, one failed call and the next pause must fit into 6 s.
      */
     public static final Duration SILENCE_TIMEOUT = Duration.ofMillis(2_500);
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
     /**
-     * Times the silence that a first answer may take: a service that works through calls in turn is
-     * slow.
+     * The first response may take this many times the silence timeout, because a service that
+     * handles its calls one after the other answers late.
      */
     private static final int FIRST_RESPONSE_TIMEOUT_FACTOR = 4;
 
@@ -36,30 +38,33 @@
     private Socket watchSocket;
     private boolean stopped;
 
-    /** A client of the service at this address. */
+    /** Creates a client of the discovery service at this address. */
     public DiscoveryClient(InetSocketAddress address) {
         this(address, SILENCE_TIMEOUT);
     }
 
-    /** A client that takes so much silence for the end of a watch. */
+    /** Creates a client that ends a watch after this much silence. */
     DiscoveryClient(InetSocketAddress address, Duration silence) {
         this.address = address;
         this.silenceTimeout = silence;
     }
 
-    /** Takes what a watch brings. */
+    /** Receives the messages of a watch. */
     public interface Listener {
-        /** A list or a change of it. */
+        /** Called for each full list and each delta. */
         void listReceived(BackendList list);
     }
 
-    /** Ends the watch, also one that is still connecting, and every later one at once. */
+    /**
+     * Ends the current watch, even while it is connecting, and makes every later watch fail
+     * immediately.
+     */
     public synchronized void stop() {
         stopped = true;
         if (watchSocket != null) {
             try {
                 watchSocket.close();
-            } catch (IOException ended) { // it ended by itself: that is all that is wanted
+            } catch (IOException alreadyClosed) {
                 return;
             }
         }
@@ -74,8 +79,8 @@
     }
 
     /**
-     * Watches the changes after a version; it ends by an exception that says why, and by nothing
-     * else.
+     * Watches the changes after a revision. The method never returns normally: the exception says
+     * why the watch ended.
      */
     public void watch(long after, Listener listener) throws IOException, MalformedException {
         try (Socket socket = openSocket()) {
@@ -103,8 +108,9 @@
                 if (object != null) {
                     listener.listReceived(BackendList.parse(Json.parseObject(object)));
                 }
-                if (objects.isBetweenObjects()
-                        && c == '\n') { // half an object, or a line in it, is no sign of life
+                // A partial object, or a line break within one, does not show that the service is
+                // alive.
+                if (objects.isBetweenObjects() && c == '\n') {
                     timed.extendDeadline(silenceTimeout);
                 }
             }
--- a/relay/src/main/java/saltstage/wire/Json.java
+++ b/relay/src/main/java/saltstage/wire/Json.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A strict JSON parser: Map, List, String, Double, Boolean or null; its depth is bounded. */
+/**
+ * A strict JSON parser with bounded nesting depth. Values are Map, List, String, Double, Boolean or
+ * null.
+ */
 public final class Json {
     private static final int MAX_DEPTH = 32;
 
@@ -16,7 +19,7 @@
         this.text = text;
     }
 
-    /** Parses a text that is one object. */
+    /** Parses a text that consists of one object. */
     public static Map<String, Object> parseObject(String text) throws MalformedException {
         Json json = new Json(text);
         Object value = json.parseValue(0);
@@ -27,8 +30,8 @@
         return asObject(value, "the text");
     }
 
-    /** The value as an object. */
-    @SuppressWarnings("unchecked") // every map that the parser makes has such keys and values
+    /** Returns the value as an object, or fails with an error that begins with the given name. */
+    @SuppressWarnings("unchecked") // the parser creates maps with string keys only
     public static Map<String, Object> asObject(Object value, String what)
             throws MalformedException {
         if (!(value instanceof Map)) {
@@ -37,7 +40,7 @@
         return (Map<String, Object>) value;
     }
 
-    /** The member of an object, which must be of this type. */
+    /** Returns a required member of an object; it must have this type. */
     public static <T> T member(Map<String, Object> object, String name, Class<T> type)
             throws MalformedException {
         Object value = object.get(name);
--- a/relay/src/main/java/saltstage/wire/JsonObjectSplitter.java
+++ b/relay/src/main/java/saltstage/wire/JsonObjectSplitter.java
@@ -1,9 +1,8 @@
 package saltstage.wire;
 
 /**
- * Takes a stream of text apart into JSON objects, each on one line or indented over several: it
- * looks at braces and strings only, what is inside is the parser's business. Bounded in the size of
- * an object.
+ * Splits a stream of text into JSON objects, which may share a line or span several. It looks only
+ * at braces and strings and leaves the contents to the parser. The size of an object is bounded.
  */
 final class JsonObjectSplitter {
     private final int maxChars;
@@ -16,7 +15,7 @@
         this.maxChars = most;
     }
 
-    /** Takes a character; the text of an object that ends with it, else null. */
+    /** Accepts the next character. Returns the text of the object that it completes, or null. */
     String accept(char c) throws MalformedException {
         if (depth == 0) {
             if (c == '{') {
@@ -46,7 +45,7 @@
         return null;
     }
 
-    /** Whether no object has begun that has not ended. */
+    /** Whether the stream is outside of any object. */
     boolean isBetweenObjects() {
         return depth == 0;
     }
--- a/relay/src/main/java/saltstage/wire/LineConnection.java
+++ b/relay/src/main/java/saltstage/wire/LineConnection.java
@@ -7,7 +7,10 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 
-/** A TCP connection that carries lines; either side of the relay. Ending it twice does no harm. */
+/**
+ * A TCP connection that carries lines, to a client or to a backend. It may be closed more than
+ * once.
+ */
 public class LineConnection implements BackendConnection {
     private final Socket socket;
     private final LineReader reader;
@@ -17,19 +20,22 @@
         this(socket, new byte[0]);
     }
 
-    /** Wraps a connected socket of which these bytes have been read already. */
+    /** Wraps a connected socket from which these bytes have been read already. */
     public LineConnection(Socket socket, byte[] read) throws IOException {
         socket.setTcpNoDelay(true);
         this.socket = socket;
         reader = new LineReader(socket, read);
     }
 
-    /** Connects within the limit; every failure to do so is an IOException. */
+    /** Connects within the timeout; every failure to connect is an IOException. */
     public static LineConnection connect(InetSocketAddress to, Duration limit) throws IOException {
         return connect(new Socket(), to, limit);
     }
 
-    /** Connects this socket within the limit; closed meanwhile, it fails at once. */
+    /**
+     * Connects this socket within the timeout. Closing the socket meanwhile makes the call fail
+     * immediately.
+     */
     public static LineConnection connect(Socket socket, InetSocketAddress to, Duration limit)
             throws IOException {
         try {
@@ -41,7 +47,7 @@
         }
     }
 
-    /** The bytes that come in. */
+    /** The reader of the incoming lines. */
     public LineReader reader() {
         return reader;
     }
@@ -51,12 +57,12 @@
         return socket.getChannel();
     }
 
-    /** Who is at the other end, for the log. */
+    /** The address of the other end, for the log. */
     public String remoteAddress() {
         return String.valueOf(socket.getRemoteSocketAddress());
     }
 
-    /** Writes a line, adding its end. */
+    /** Writes a line and adds its CRLF. */
     public void sendLine(String line) throws IOException {
         send((line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     }
@@ -66,17 +72,17 @@
         socket.getOutputStream().write(piece);
     }
 
-    /** Half-close: nothing more will be sent. */
+    /** Half-closes the connection: nothing more will be sent. */
     public void shutdownOutput() {
         runQuietly(socket::shutdownOutput);
     }
 
-    /** Makes a reader that waits for more see the end of input. */
+    /** Makes a waiting reader see the end of input. */
     public void shutdownInput() {
         runQuietly(socket::shutdownInput);
     }
 
-    /** Closes at once and lets the other side see a reset. */
+    /** Closes immediately; the other side sees a reset. */
     public void reset() {
         runQuietly(() -> socket.setSoLinger(true, 0));
         close();
@@ -88,7 +94,7 @@
         runQuietly(socket::close);
     }
 
-    /** Closes a socket, whatever it is doing. */
+    /** Closes a socket, even while it connects or reads. */
     public static void close(Socket socket) {
         runQuietly(socket::close);
     }
@@ -100,9 +106,8 @@
     private static void runQuietly(IoAction step) {
         try {
             step.run();
-        } catch (
-                IOException
-                        alreadyEnded) { // the other side or another thread was first: nothing to do
+        } catch (IOException alreadyClosed) {
+            // The other side or another thread has closed the socket.
             return;
         }
     }
--- a/relay/src/main/java/saltstage/wire/LineReader.java
+++ b/relay/src/main/java/saltstage/wire/LineReader.java
@@ -8,16 +8,17 @@
 import java.util.Arrays;
 
 /**
- * Reads lines of bounded length from a socket; what came along with a line is kept for the next
- * call.
+ * Reads lines of bounded length from a socket. Bytes received after a line stay buffered for the
+ * next call.
  */
 public final class LineReader {
-    /** The longest line, its end of two bytes not counted. */
+    /** The longest line, without its CRLF. */
     public static final int MAX_LINE_BYTES = 4096;
 
     private static final int MAX_LINE_BYTES_WITH_END = MAX_LINE_BYTES + 2;
-    private static final int INITIAL_BUFFER_BYTES =
-            512; // most lines are short, and a relay holds many readers
+
+    /** Small, because most lines are short and a relay holds many readers. */
+    private static final int INITIAL_BUFFER_BYTES = 512;
 
     private final Socket socket;
     private final InputStream in;
@@ -26,7 +27,9 @@
     private volatile int end;
     private boolean endOfInput;
 
-    /** A reader of all that comes from this socket, behind these bytes that were read before. */
+    /**
+     * Creates a reader of the socket's input that begins with these bytes, which were read before.
+     */
     public LineReader(Socket socket, byte[] read) throws IOException {
         this.socket = socket;
         in = socket.getInputStream();
@@ -34,15 +37,15 @@
         end = read.length;
     }
 
-    /** The next piece, waiting as long as it takes; see {@link #readLine(Duration)}. */
+    /** Reads the next piece without a timeout; see {@link #readLine(Duration)}. */
     public byte[] readLine() throws IOException {
         return readLine(null);
     }
 
     /**
-     * The next line with its end. A piece without an end is a part of an overlong line, or the rest
-     * before the end of input; null is that end. The time is for the whole line: single bytes do
-     * not prolong it.
+     * Reads the next line with its line end. A piece without a line end is a part of an overlong
+     * line, or the rest before the end of input. Returns null at the end of input. The timeout
+     * applies to the whole line, so single bytes do not extend it.
      */
     public byte[] readLine(Duration limit) throws IOException {
         long until = limit == null ? 0 : System.nanoTime() + limit.toNanos();
@@ -68,14 +71,14 @@
         }
     }
 
-    /** Whether a line has begun and not yet ended. */
+    /** Whether bytes are buffered that no call has returned yet. */
     public boolean hasPartialLine() {
         return end > 0;
     }
 
     /**
-     * Looks at what has come and was not read: true where that is more bytes, which are kept. It
-     * waits for a millisecond, the least that a socket's reader can be told to.
+     * Whether more input has arrived; the bytes stay buffered for the next read. Waits for up to
+     * one millisecond, the shortest read timeout of a socket.
      */
     public boolean hasMoreInput() throws IOException {
         if (!hasPartialLine() && !endOfInput) {
@@ -91,7 +94,7 @@
         return hasPartialLine();
     }
 
-    /** Whether the end of input was read. */
+    /** Whether the end of input has been reached. */
     public boolean isEndOfInput() {
         return endOfInput;
     }
--- a/relay/src/main/java/saltstage/wire/LoadReport.java
+++ b/relay/src/main/java/saltstage/wire/LoadReport.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** What a backend answers to STATS: {@code PONG x0=0.61,queue=2}. */
+/** The response of a backend to a STATS probe: {@code PONG x0=0.61,queue=2}. */
 public final class LoadReport {
     private static final String RESPONSE_PREFIX = "PONG ";
 
@@ -13,8 +13,8 @@
     }
 
     /**
-     * Takes a piece that must be a whole answer; null where it is ERR or PONG alone: nothing is
-     * told.
+     * Parses a piece that must be a complete response. Returns null for ERR and for PONG without
+     * fields, which report no load.
      */
     public static LoadReport parse(byte[] piece) throws MalformedException {
         String line = new String(piece, StandardCharsets.ISO_8859_1);
@@ -28,7 +28,7 @@
         return new LoadReport(line.substring(RESPONSE_PREFIX.length(), line.length() - 2));
     }
 
-    /** A field that must be there, a finite number that is not negative. */
+    /** Returns a required field, a finite number that is not negative. */
     public double field(String name) throws MalformedException {
         for (String pair : fields.split(",")) {
             if (pair.startsWith(name + "=")) {
--- a/relay/src/main/java/saltstage/wire/MalformedException.java
+++ b/relay/src/main/java/saltstage/wire/MalformedException.java
@@ -1,10 +1,10 @@
 package saltstage.wire;
 
-/** What came is not what the protocol allows; the message is one plain line. */
+/** Signals input that violates a protocol or file format. The message is a single line. */
 public final class MalformedException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Says what is wrong. */
+    /** Creates the exception with a message that says what is wrong. */
     public MalformedException(String message) {
         super(message);
     }
--- a/relay/src/main/java/saltstage/wire/OpenRequest.java
+++ b/relay/src/main/java/saltstage/wire/OpenRequest.java
@@ -12,12 +12,15 @@
     private static final Pattern TOKEN = Pattern.compile("[A-Za-z0-9_.:-]{1,64}");
     private static final Pattern VALUE = Pattern.compile("[!-~&&[^,=]]{0,128}");
 
-    /** Figures in plain form; what Java reads as a number beside (NaN, 0x1p3, 9f) is none here. */
+    /** Plain decimal numbers. Other forms that Java parses (NaN, 0x1p3, 9f) are malformed. */
     private static final Pattern NUMBER = Pattern.compile("\\d{1,12}(\\.\\d{1,12})?");
 
     private static final int MAX_FIELDS = 64;
 
-    /** A load that no machine carries would spoil what the module has learnt of loads. */
+    /**
+     * A larger hint would distort the loads that the load balancer has learned, and no backend
+     * could carry it.
+     */
     private static final long MAX_LOAD_HINT = 1_000_000_000;
 
     private final String id;
@@ -30,7 +33,7 @@
         this.fields = fields;
     }
 
-    /** Takes the text of a piece that must be a whole line, ended by CRLF. */
+    /** Decodes a piece that must be a complete line ending in CRLF. */
     public static String decodeLine(byte[] piece) throws MalformedException {
         int n = piece.length;
         if (n < 2 || piece[n - 1] != '\n') {
@@ -43,7 +46,7 @@
         return new String(piece, 0, n - 2, StandardCharsets.ISO_8859_1);
     }
 
-    /** Parses the line without its end. */
+    /** Parses the line without its CRLF. */
     public static OpenRequest parse(String line) throws MalformedException {
         String[] parts = line.split(" ", -1);
         if (!parts[0].equals("OPEN")) {
@@ -81,27 +84,27 @@
         return open;
     }
 
-    /** The connection's id. */
+    /** The client's id of the connection. */
     public String id() {
         return id;
     }
 
-    /** The flow's key. */
+    /** The key of the flow that the connection belongs to. */
     public String key() {
         return key;
     }
 
-    /** A field's value, or null. */
+    /** The value of a field, or null if it is absent. */
     public String field(String name) {
         return fields.get(name);
     }
 
-    /** Whether a mark such as {@code again=1} is set. */
+    /** Whether a flag such as {@code again=1} is set. */
     public boolean hasFlag(String name) {
         return "1".equals(fields.get(name));
     }
 
-    /** A field that holds a number, rounded down. */
+    /** The value of a numeric field, rounded down, or the default if it is absent. */
     public long numericField(String name, long absent) throws MalformedException {
         String value = fields.get(name);
         if (value == null) {
@@ -113,12 +116,14 @@
         return (long) Double.parseDouble(value);
     }
 
-    /** How long the client waits for UP: at most as long as its class does, whatever it says. */
+    /** How long the client waits for UP, capped at the given timeout of its service class. */
     public Duration clientTimeout(Duration most) throws MalformedException {
         return Duration.ofMillis(Math.min(most.toMillis(), numericField("d", most.toMillis())));
     }
 
-    /** The line as it goes on to a backend: unchanged but for d. */
+    /**
+     * The line to forward to a backend; only the field d changes, to the remaining client timeout.
+     */
     public String withClientTimeout(Duration left) {
         StringJoiner list = new StringJoiner(",", "OPEN " + id + " " + key + " ", "");
         fields.forEach(
--- a/relay/src/test/java/saltstage/config/OperatorSettingsTest.java
+++ b/relay/src/test/java/saltstage/config/OperatorSettingsTest.java
@@ -13,7 +13,10 @@
 import saltstage.log.LogSetup;
 import saltstage.wire.MalformedException;
 
-/** The operator's file: what it says holds, and nothing in it is passed over. */
+/**
+ * Checks that every setting of the operator's file takes effect, and that nothing in the file is
+ * silently ignored.
+ */
 class OperatorSettingsTest {
     @Test
     void readsGivenSettingsAndDefaultsTheRest() throws MalformedException {
--- a/relay/src/test/java/saltstage/net/NettyTransportTest.java
+++ b/relay/src/test/java/saltstage/net/NettyTransportTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The transport against plain sockets: bounds, half-closes, resets and faults, on both kinds of
- * loops.
+ * Tests the transport against plain sockets, with the selector and the epoll loops: write limits,
+ * half-closes, resets and handler faults.
  */
 class NettyTransportTest {
     private static final InetSocketAddress ANY_PORT =
--- a/relay/src/test/java/saltstage/wire/DiscoveryClientTest.java
+++ b/relay/src/test/java/saltstage/wire/DiscoveryClientTest.java
@@ -20,14 +20,14 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A discovery service that is slow must be heard in the end; one that tells nothing must be left in
- * time.
+ * Guards against two faults of a watch: giving up a discovery service that only responds late, and
+ * waiting without end for one that sends nothing useful.
  */
 @Timeout(60)
 class DiscoveryClientTest {
     private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(300);
 
-    /** Far more than silence may take here, and far less than for ever. */
+    /** Well above the silence timeout, so that only a watch that hangs exceeds it. */
     private static final Duration MAX_WATCH_DURATION = Duration.ofSeconds(20);
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -37,7 +37,7 @@
     private DiscoveryClient client;
     private final List<BackendList> receivedLists = new ArrayList<>();
 
-    /** What the service does with a call. */
+    /** The behavior of the discovery service on one connection. */
     private interface CallHandler {
         void handle(Socket call) throws IOException, InterruptedException;
     }
@@ -62,8 +62,8 @@
                             while (!serverSocket.isClosed()) {
                                 try (Socket call = serverSocket.accept()) {
                                     script.handle(call);
-                                } catch (IOException
-                                        | InterruptedException hungUp) { // the next call comes
+                                } catch (IOException | InterruptedException hungUp) {
+                                    // The client closed the connection; accept the next one.
                                     continue;
                                 }
                             }
@@ -80,7 +80,7 @@
         send(call, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
-    /** The watch ends by what it must, soon; returns how long that took. */
+    /** Asserts that the watch soon ends with this exception; returns how long it ran. */
     private Duration assertWatchEndsWith(Class<? extends Exception> by) {
         long start = System.nanoTime();
         assertThrows(by, () -> client.watch(0, receivedLists::add));
@@ -116,9 +116,8 @@
                 call -> {
                     send(call, HEAD);
                     sendChunk(call, EMPTY_LIST + "\n");
-                    for (int i = 0;
-                            !call.isClosed();
-                            i++) { // half an object, for ever; lines within it are no sign
+                    for (int i = 0; !call.isClosed(); i++) {
+                        // Only spaces and line breaks within a partial object follow.
                         sendChunk(call, i == 0 ? "{" : i % 3 == 0 ? "\n" : " ");
                         Thread.sleep(20);
                     }
--- a/relay/src/test/java/saltstage/wire/ParserTest.java
+++ b/relay/src/test/java/saltstage/wire/ParserTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** The parsers refuse what is malformed and lose nothing. */
+/** Checks that the parsers reject malformed input and that the line reader loses no bytes. */
 public class ParserTest {
     private static final String OPEN = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=2000,x=1";
 
