--- a/relay/src/main/java/saltstage/config/AmqpSettings.java
+++ b/relay/src/main/java/saltstage/config/AmqpSettings.java
@@ -41,9 +41,9 @@
         InetSocketAddress listen;
         try {
             listen = BackendList.parseAddress(amqp.requiredString("listen"));
-        } catch (MalformedException bad) {
+        } catch (MalformedException e) {
             if (amqp.string("listen", null) == null) {
-                throw bad;
+                throw e;
             }
             throw amqp.attributeError("listen",
                 "an address in figures with a port, such as \"127.0.0.1:5672\"");
@@ -60,7 +60,7 @@
         if (limits.maxLinkBytes() < 4 * limits.maxFrameBytes()) {
             throw amqp.blockError("'link_bytes' must hold at least four frames of 'frame'");
         }
-        Timeouts times = new Timeouts(
+        Timeouts timeouts = new Timeouts(
             amqp.duration("idle", Duration.ofSeconds(60), Duration.ofSeconds(1), Duration.ofHours(1)),
             amqp.duration("backend_idle", Duration.ofSeconds(4), Duration.ofMillis(500), Duration.ofHours(1)),
             amqp.duration("open_within", Duration.ofSeconds(3), Duration.ofMillis(100),
@@ -70,16 +70,16 @@
             amqp.duration("settle_within", Duration.ofMillis(700), Duration.ofMillis(50),
                 Duration.ofMinutes(1)));
         String secrets = amqp.string("secrets", null);
-        Authentication access = new Authentication(secrets == null ? null : Path.of(secrets),
+        Authentication authentication = new Authentication(secrets == null ? null : Path.of(secrets),
             amqp.string("anonymous_tenant", null));
-        if (access.secretsFile() == null && access.anonymousTenant() == null) {
+        if (authentication.secretsFile() == null && authentication.anonymousTenant() == null) {
             throw amqp.blockError("nobody may come in: name 'secrets' or 'anonymous_tenant'");
         }
-        AmqpSettings read = new AmqpSettings(listen, (int) amqp.integer("backend_port", 0, 0, 65_535),
-            (int) amqp.integer("loops", 1, 1, 64), limits, times, access,
+        AmqpSettings settings = new AmqpSettings(listen, (int) amqp.integer("backend_port", 0, 0, 65_535),
+            (int) amqp.integer("loops", 1, 1, 64), limits, timeouts, authentication,
             new LinkProperties(amqp.string("key_property", null), amqp.string("group_property", null),
                 amqp.string("deadline_property", null)));
         amqp.rejectUnknown();
-        return read;
+        return settings;
     }
 }
--- a/relay/src/main/java/saltstage/config/Configuration.java
+++ b/relay/src/main/java/saltstage/config/Configuration.java
@@ -42,7 +42,7 @@
     private String text = "";
 
     private Configuration(Map<String, Object> json) throws MalformedException {
-        name = json.get("name") instanceof String given ? given : "relay";
+        name = json.get("name") instanceof String relayName ? relayName : "relay";
         listenAddress = BackendList.parseAddress(Json.member(json, "listen", String.class));
         discoveryAddress = BackendList.parseAddress(Json.member(json, "discovery", String.class));
         adminAddress =
@@ -57,12 +57,12 @@
             settings =
                     new SettingsReader(
                                     settingValues,
-                                    (key, what) ->
+                                    (key, message) ->
                                             new IllegalArgumentException(
-                                                    "settings: " + key + ": " + what))
+                                                    "settings: " + key + ": " + message))
                             .read();
-        } catch (IllegalArgumentException bad) {
-            throw new MalformedException(bad.getMessage());
+        } catch (IllegalArgumentException e) {
+            throw new MalformedException(e.getMessage());
         }
         knownBackends = BackendList.parse(Json.asObject(json.get("known"), "known"));
         if (maxSockets < MIN_SOCKETS) {
@@ -81,8 +81,8 @@
                 throw new MalformedException("configuration: file too large");
             }
             return parse(Files.readString(file));
-        } catch (MalformedException bad) {
-            throw new MalformedException(bad.getMessage() + " (in " + file + ")");
+        } catch (MalformedException e) {
+            throw new MalformedException(e.getMessage() + " (in " + file + ")");
         } catch (IOException e) {
             throw new MalformedException("configuration: cannot read " + file);
         }
@@ -91,9 +91,9 @@
     /** Parses the text of a configuration. */
     public static Configuration parse(String text) throws MalformedException {
         try {
-            Configuration read = new Configuration(Json.parseObject(text));
-            read.text = text;
-            return read;
+            Configuration configuration = new Configuration(Json.parseObject(text));
+            configuration.text = text;
+            return configuration;
         } catch (MalformedException e) {
             throw new MalformedException("configuration: " + e.getMessage());
         }
@@ -103,38 +103,39 @@
      * Flattens the settings to pairs of path and value, as in the simulator's protocol; lists of
      * plain values are joined by commas.
      */
-    private void flatten(String at, Object value) {
+    private void flatten(String path, Object value) {
         if (value instanceof Map<?, ?> members) {
             members.forEach(
-                    (name, member) -> flatten(at.isEmpty() ? "" + name : at + "." + name, member));
+                    (name, member) ->
+                            flatten(path.isEmpty() ? "" + name : path + "." + name, member));
         } else if (value instanceof List<?> items) {
             if (items.stream().noneMatch(item -> item instanceof Map || item instanceof List)) {
                 settingValues.put(
-                        at, items.stream().map(String::valueOf).collect(Collectors.joining(",")));
+                        path, items.stream().map(String::valueOf).collect(Collectors.joining(",")));
                 return;
             }
-            settingValues.put(at + ".count", Integer.toString(items.size()));
+            settingValues.put(path + ".count", Integer.toString(items.size()));
             for (int i = 0; i < items.size(); i++) {
-                flatten(at + "." + i, items.get(i));
+                flatten(path + "." + i, items.get(i));
             }
         } else if (value != null) {
-            settingValues.put(at, value.toString());
+            settingValues.put(path, value.toString());
         }
     }
 
-    private void readNames(String list, List<String> into) throws MalformedException {
-        for (int i = 0; settingValues.containsKey(list + i + ".Name"); i++) {
-            String name = settingValues.get(list + i + ".Name");
-            if (into.contains(name)) { // requests could not tell the two apart
+    private void readNames(String listPrefix, List<String> names) throws MalformedException {
+        for (int i = 0; settingValues.containsKey(listPrefix + i + ".Name"); i++) {
+            String name = settingValues.get(listPrefix + i + ".Name");
+            if (names.contains(name)) { // requests could not tell the two apart
                 throw new MalformedException(
                         "settings: "
-                                + list
+                                + listPrefix
                                 + i
                                 + ".Name: "
                                 + name
                                 + " is there twice; a name of its own would do");
             }
-            into.add(name);
+            names.add(name);
         }
     }
 
@@ -150,15 +151,15 @@
      * The parts that differ from the current configuration and that only a restart can change, not
      * a reload.
      */
-    public List<String> restartRequiredChanges(Configuration inForce) {
+    public List<String> restartRequiredChanges(Configuration current) {
         List<String> parts = new ArrayList<>();
-        if (!listenAddress.equals(inForce.listenAddress)) {
+        if (!listenAddress.equals(current.listenAddress)) {
             parts.add("listen");
         }
-        if (maxSockets != inForce.maxSockets) {
+        if (maxSockets != current.maxSockets) {
             parts.add("limits");
         }
-        if (!settingValues.equals(inForce.settingValues)) {
+        if (!settingValues.equals(current.settingValues)) {
             parts.add("settings");
         }
         return parts;
@@ -216,20 +217,20 @@
 
     /** The index of a service class in the settings. */
     public int serviceClassIndex(String name) throws MalformedException {
-        int place = serviceClassNames.indexOf(name);
-        if (place < 0) {
+        int index = serviceClassNames.indexOf(name);
+        if (index < 0) {
             throw new MalformedException("unknown class");
         }
-        return place;
+        return index;
     }
 
     /** The index of a tenant in the settings; 0 if the settings define no tenants. */
     public int tenantIndex(String name) throws MalformedException {
-        int place = tenantNames.isEmpty() ? 0 : tenantNames.indexOf(name);
-        if (place < 0) {
+        int index = tenantNames.isEmpty() ? 0 : tenantNames.indexOf(name);
+        if (index < 0) {
             throw new MalformedException("unknown tenant");
         }
-        return place;
+        return index;
     }
 
     /**
@@ -237,8 +238,8 @@
      * zone.
      */
     public int zoneIndex(String name) {
-        int place = zoneNames.indexOf(name);
-        return place < 0 ? zoneNames.size() : place;
+        int index = zoneNames.indexOf(name);
+        return index < 0 ? zoneNames.size() : index;
     }
 
     /** The client timeout of a service class, for clients that give none. */
--- a/relay/src/main/java/saltstage/config/HclBlock.java
+++ b/relay/src/main/java/saltstage/config/HclBlock.java
@@ -39,12 +39,12 @@
         this.line = line;
     }
 
-    void addAttribute(String name, Object value, int at) throws MalformedException {
+    void addAttribute(String name, Object value, int attributeLine) throws MalformedException {
         if (!HclFile.isIdentifier(name)) {
-            throw errorAt(at, "'" + name + "' is no name");
+            throw errorAt(attributeLine, "'" + name + "' is no name");
         }
-        if (attributes.put(name, new Attribute(value, at)) != null) {
-            throw errorAt(at, "'" + name + "' is given twice");
+        if (attributes.put(name, new Attribute(value, attributeLine)) != null) {
+            throw errorAt(attributeLine, "'" + name + "' is given twice");
         }
     }
 
@@ -76,13 +76,13 @@
     }
 
     /** Returns a text attribute, or the default if it is absent. */
-    public String string(String name, String absent) throws MalformedException {
-        Attribute given = lookUp(name);
-        if (given == null) {
-            return absent;
+    public String string(String name, String defaultValue) throws MalformedException {
+        Attribute attribute = lookUp(name);
+        if (attribute == null) {
+            return defaultValue;
         }
-        if (!(given.value() instanceof String text) || text.isBlank()) {
-            throw errorAt(given.line(), "'" + name + "' takes a text");
+        if (!(attribute.value() instanceof String text) || text.isBlank()) {
+            throw errorAt(attribute.line(), "'" + name + "' takes a text");
         }
         return text;
     }
@@ -97,45 +97,47 @@
     }
 
     /** Returns an enum attribute, whose constants are written in lower case. */
-    public <E extends Enum<E>> E enumValue(String name, Class<E> of, E absent)
+    public <E extends Enum<E>> E enumValue(String name, Class<E> enumType, E defaultValue)
             throws MalformedException {
         String text = string(name, null);
         if (text == null) {
-            return absent;
+            return defaultValue;
         }
-        for (E constant : of.getEnumConstants()) {
+        for (E constant : enumType.getEnumConstants()) {
             if (constant.name().toLowerCase(Locale.ROOT).equals(text)) {
                 return constant;
             }
         }
         throw attributeError(
-                name, "one of " + Arrays.toString(of.getEnumConstants()).toLowerCase(Locale.ROOT));
+                name,
+                "one of " + Arrays.toString(enumType.getEnumConstants()).toLowerCase(Locale.ROOT));
     }
 
     /** Returns an integer attribute, which must be within the bounds. */
-    public long integer(String name, long absent, long least, long most) throws MalformedException {
-        Attribute given = lookUp(name);
-        if (given == null) {
-            return absent;
+    public long integer(String name, long defaultValue, long min, long max)
+            throws MalformedException {
+        Attribute attribute = lookUp(name);
+        if (attribute == null) {
+            return defaultValue;
         }
-        if (!(given.value() instanceof Double d) || d != Math.rint(d) || d < least || d > most) {
+        if (!(attribute.value() instanceof Double d) || d != Math.rint(d) || d < min || d > max) {
             throw errorAt(
-                    given.line(),
-                    "'" + name + "' takes a whole number from " + least + " to " + most);
+                    attribute.line(),
+                    "'" + name + "' takes a whole number from " + min + " to " + max);
         }
         return d.longValue();
     }
 
     /** Returns a list of texts, empty if it is absent. */
     public List<String> strings(String name) throws MalformedException {
-        Attribute given = lookUp(name);
+        Attribute attribute = lookUp(name);
         List<String> texts = new ArrayList<>();
         for (Object item :
-                given == null
+                attribute == null
                         ? List.of()
-                        : given.value() instanceof List<?> items ? items : List.of(0.0)) {
+                        : attribute.value() instanceof List<?> items ? items : List.of(0.0)) {
             if (!(item instanceof String text) || text.isBlank()) {
-                throw errorAt(given.line(), "'" + name + "' takes a list of texts");
+                throw errorAt(attribute.line(), "'" + name + "' takes a list of texts");
             }
             texts.add(text);
         }
@@ -143,22 +145,17 @@
     }
 
     /** Returns a list of integers, each within the bounds; empty if it is absent. */
-    public List<Long> integers(String name, long least, long most) throws MalformedException {
-        Attribute given = lookUp(name);
+    public List<Long> integers(String name, long min, long max) throws MalformedException {
+        Attribute attribute = lookUp(name);
         List<Long> numbers = new ArrayList<>();
         for (Object item :
-                given == null
+                attribute == null
                         ? List.of()
-                        : given.value() instanceof List<?> items ? items : List.of("")) {
-            if (!(item instanceof Double d) || d != Math.rint(d) || d < least || d > most) {
+                        : attribute.value() instanceof List<?> items ? items : List.of("")) {
+            if (!(item instanceof Double d) || d != Math.rint(d) || d < min || d > max) {
                 throw errorAt(
-                        given.line(),
-                        "'"
-                                + name
-                                + "' takes a list of whole numbers from "
-                                + least
-                                + " to "
-                                + most);
+                        attribute.line(),
+                        "'" + name + "' takes a list of whole numbers from " + min + " to " + max);
             }
             numbers.add(d.longValue());
         }
@@ -166,13 +163,13 @@
     }
 
     /** Returns a boolean attribute. */
-    public boolean bool(String name, boolean absent) throws MalformedException {
-        Attribute given = lookUp(name);
-        if (given == null) {
-            return absent;
+    public boolean bool(String name, boolean defaultValue) throws MalformedException {
+        Attribute attribute = lookUp(name);
+        if (attribute == null) {
+            return defaultValue;
         }
-        if (!(given.value() instanceof Boolean b)) {
-            throw errorAt(given.line(), "'" + name + "' takes true or false");
+        if (!(attribute.value() instanceof Boolean b)) {
+            throw errorAt(attribute.line(), "'" + name + "' takes true or false");
         }
         return b;
     }
@@ -181,68 +178,70 @@
      * Returns a duration such as "250ms", "10s", "5m", "24h" or "30d", which must be within the
      * bounds.
      */
-    public Duration duration(String name, Duration absent, Duration least, Duration most)
+    public Duration duration(String name, Duration defaultValue, Duration min, Duration max)
             throws MalformedException {
         String text = string(name, null);
         if (text == null) {
-            return absent;
+            return defaultValue;
         }
-        Matcher parts = DURATION.matcher(text);
-        if (parts.matches()) {
-            long n = Long.parseLong(parts.group(1));
-            Duration span =
-                    switch (parts.group(2)) {
-                        case "ms" -> Duration.ofMillis(n);
-                        case "s" -> Duration.ofSeconds(n);
-                        case "m" -> Duration.ofMinutes(n);
-                        case "h" -> Duration.ofHours(n);
-                        default -> Duration.ofDays(n);
+        Matcher matcher = DURATION.matcher(text);
+        if (matcher.matches()) {
+            long amount = Long.parseLong(matcher.group(1));
+            Duration duration =
+                    switch (matcher.group(2)) {
+                        case "ms" -> Duration.ofMillis(amount);
+                        case "s" -> Duration.ofSeconds(amount);
+                        case "m" -> Duration.ofMinutes(amount);
+                        case "h" -> Duration.ofHours(amount);
+                        default -> Duration.ofDays(amount);
                     };
-            if (span.compareTo(least) >= 0 && span.compareTo(most) <= 0) {
-                return span;
+            if (duration.compareTo(min) >= 0 && duration.compareTo(max) <= 0) {
+                return duration;
             }
         }
         throw attributeError(
                 name,
                 "a span such as \"250ms\", \"10s\" or \"24h\", from "
-                        + least.toMillis()
+                        + min.toMillis()
                         + " ms to "
-                        + most.toMillis()
+                        + max.toMillis()
                         + " ms");
     }
 
     /** Returns a size in bytes such as "64KiB" or "8MiB", which must be within the bounds. */
-    public long byteSize(String name, long absent, long least, long most)
+    public long byteSize(String name, long defaultValue, long min, long max)
             throws MalformedException {
         String text = string(name, null);
         if (text == null) {
-            return absent;
+            return defaultValue;
         }
-        Matcher parts = SIZE.matcher(text);
-        if (parts.matches()) {
+        Matcher matcher = SIZE.matcher(text);
+        if (matcher.matches()) {
             int shift =
-                    switch (parts.group(2) == null ? "B" : parts.group(2)) {
+                    switch (matcher.group(2) == null ? "B" : matcher.group(2)) {
                         case "KiB" -> 10;
                         case "MiB" -> 20;
                         case "GiB" -> 30;
                         default -> 0;
                     };
-            long n = Long.parseLong(parts.group(1));
-            if (n <= Long.MAX_VALUE >> shift && n << shift >= least && n << shift <= most) {
-                return n << shift;
+            long amount = Long.parseLong(matcher.group(1));
+            if (amount <= Long.MAX_VALUE >> shift
+                    && amount << shift >= min
+                    && amount << shift <= max) {
+                return amount << shift;
             }
         }
         throw attributeError(
                 name,
-                "a size such as \"64KiB\" or \"8MiB\", from " + least + " to " + most + " bytes");
+                "a size such as \"64KiB\" or \"8MiB\", from " + min + " to " + max + " bytes");
     }
 
     /** Rejects the attributes and inner blocks that were not read. */
     public void rejectUnknown() throws MalformedException {
-        for (Map.Entry<String, Attribute> given : attributes.entrySet()) {
-            if (!requested.contains(given.getKey())) {
+        for (Map.Entry<String, Attribute> entry : attributes.entrySet()) {
+            if (!requested.contains(entry.getKey())) {
                 throw errorAt(
-                        given.getValue().line(), "unknown attribute '" + given.getKey() + "'");
+                        entry.getValue().line(), "unknown attribute '" + entry.getKey() + "'");
             }
         }
         for (HclBlock inner : blocks) {
@@ -253,13 +252,13 @@
     }
 
     /** Creates an error about this block as a whole. */
-    public MalformedException blockError(String what) {
-        return errorAt(line, what);
+    public MalformedException blockError(String message) {
+        return errorAt(line, message);
     }
 
     /** Creates an error about the value of an attribute that is present. */
-    public MalformedException attributeError(String name, String takes) {
-        return errorAt(attributes.get(name).line(), "'" + name + "' takes " + takes);
+    public MalformedException attributeError(String name, String expected) {
+        return errorAt(attributes.get(name).line(), "'" + name + "' takes " + expected);
     }
 
     private Attribute lookUp(String name) {
@@ -267,8 +266,8 @@
         return attributes.get(name);
     }
 
-    private MalformedException errorAt(int where, String what) {
+    private MalformedException errorAt(int lineNumber, String message) {
         return new MalformedException(
-                file + ":" + where + ": " + (type.isEmpty() ? "" : type + ": ") + what);
+                file + ":" + lineNumber + ": " + (type.isEmpty() ? "" : type + ": ") + message);
     }
 }
--- a/relay/src/main/java/saltstage/config/HclFile.java
+++ b/relay/src/main/java/saltstage/config/HclFile.java
@@ -54,12 +54,12 @@
         List<Symbol> symbols;
         try {
             symbols = HclSymbols.read(new StringReader(text));
-        } catch (HCLParserException bad) {
-            Matcher where = LINE_NUMBER.matcher(String.valueOf(bad.getMessage()));
-            throw errorAt(where.find() ? Integer.parseInt(where.group(1)) : 1, "not HCL");
-        } catch (IOException | RuntimeException | Error bad) {
+        } catch (HCLParserException e) {
+            Matcher matcher = LINE_NUMBER.matcher(String.valueOf(e.getMessage()));
+            throw errorAt(matcher.find() ? Integer.parseInt(matcher.group(1)) : 1, "not HCL");
+        } catch (IOException | RuntimeException | Error e) {
             // JFlex throws Error on text that it cannot match.
-            throw new MalformedException(name + ": not HCL: " + bad.getMessage());
+            throw new MalformedException(name + ": not HCL: " + e.getMessage());
         }
         HclBlock top = new HclBlock(name, "", List.of(), 1);
         for (Symbol symbol : symbols) {
@@ -69,15 +69,15 @@
         return top;
     }
 
-    private MalformedException errorAt(int line, String what) {
-        return new MalformedException(name + ":" + line + ": " + what);
+    private MalformedException errorAt(int line, String message) {
+        return new MalformedException(name + ":" + line + ": " + message);
     }
 
     private static int lineNumber(Symbol symbol) {
         return symbol.getLine() + 1; // the library counts from 0
     }
 
-    private void addSymbol(HclBlock into, Symbol symbol) throws MalformedException {
+    private void addSymbol(HclBlock parent, Symbol symbol) throws MalformedException {
         if (symbol instanceof HCLAttribute) {
             parsedTokens.add(symbol.getName());
             parsedTokens.add("=");
@@ -85,7 +85,7 @@
             if (values.size() != 1) {
                 throw errorAt(lineNumber(symbol), "'" + symbol.getName() + "' has no plain value");
             }
-            into.addAttribute(
+            parent.addAttribute(
                     symbol.getName(),
                     parseValue(symbol.getName(), values.get(0)),
                     lineNumber(symbol));
@@ -102,39 +102,43 @@
                 addSymbol(inner, child);
             }
             parsedTokens.add("}");
-            into.addBlock(inner);
+            parent.addBlock(inner);
         } else {
             throw errorAt(lineNumber(symbol), "only blocks and attributes can stand here");
         }
     }
 
-    private Object parseValue(String of, Symbol symbol) throws MalformedException {
+    private Object parseValue(String attributeName, Symbol symbol) throws MalformedException {
         if (symbol instanceof HCLArray) {
             List<Object> items = new ArrayList<>();
             parsedTokens.add("[");
             for (Symbol child : children(symbol)) {
-                items.add(parseValue(of, child));
+                items.add(parseValue(attributeName, child));
             }
             parsedTokens.add("]");
             return items;
         }
-        if (!(symbol instanceof HCLValue plain) || plain.value == null) {
+        if (!(symbol instanceof HCLValue literal) || literal.value == null) {
             throw errorAt(
                     lineNumber(symbol),
-                    "'" + of + "' takes plain values only: texts, numbers, true, false, lists");
+                    "'"
+                            + attributeName
+                            + "' takes plain values only: texts, numbers, true, false, lists");
         }
-        String text = plain.value.toString();
+        String text = literal.value.toString();
         parsedTokens.add(text);
-        return switch (plain.type) {
+        return switch (literal.type) {
             case "string" -> text;
             case "boolean" -> Boolean.valueOf(text);
             case "number" -> {
                 if (!NUMBER.matcher(text).matches()) {
-                    throw errorAt(lineNumber(symbol), "'" + of + "': not a number: " + text);
+                    throw errorAt(
+                            lineNumber(symbol), "'" + attributeName + "': not a number: " + text);
                 }
                 yield Double.valueOf(text);
             }
-            default -> throw errorAt(lineNumber(symbol), "'" + of + "' has no plain value");
+            default ->
+                    throw errorAt(lineNumber(symbol), "'" + attributeName + "' has no plain value");
         };
     }
 
@@ -144,44 +148,50 @@
 
     /** Rejects the first token of the text that is missing in the parsed tokens. */
     private void checkAllTokensParsed(String text) throws MalformedException {
-        Iterator<String> known = parsedTokens.iterator();
-        int last = 1;
+        Iterator<String> parsed = parsedTokens.iterator();
+        int lastLine = 1;
         for (Token token : tokens(text)) {
-            last = token.line();
-            if (!known.hasNext() || !known.next().equals(token.text())) {
+            lastLine = token.line();
+            if (!parsed.hasNext() || !parsed.next().equals(token.text())) {
                 throw errorAt(token.line(), "'" + token.text() + "' cannot stand here");
             }
         }
-        if (known.hasNext()) {
-            throw errorAt(last, "the file ends early");
+        if (parsed.hasNext()) {
+            throw errorAt(lastLine, "the file ends early");
         }
     }
 
     private static List<Token> tokens(String text) {
-        StreamTokenizer in = new StreamTokenizer(new StringReader(text));
-        in.resetSyntax();
-        in.whitespaceChars(0, ' ');
-        in.whitespaceChars(',', ','); // between the items of a list
-        in.wordChars('a', 'z');
-        in.wordChars('A', 'Z');
-        in.wordChars('0', '9');
-        in.wordChars('_', '_');
-        in.wordChars('-', '-');
-        in.wordChars('.', '.');
-        in.quoteChar('"');
-        in.commentChar('#');
-        in.slashSlashComments(true);
-        in.slashStarComments(true);
-        List<Token> all = new ArrayList<>();
+        StreamTokenizer tokenizer = new StreamTokenizer(new StringReader(text));
+        tokenizer.resetSyntax();
+        tokenizer.whitespaceChars(0, ' ');
+        tokenizer.whitespaceChars(',', ','); // between the items of a list
+        tokenizer.wordChars('a', 'z');
+        tokenizer.wordChars('A', 'Z');
+        tokenizer.wordChars('0', '9');
+        tokenizer.wordChars('_', '_');
+        tokenizer.wordChars('-', '-');
+        tokenizer.wordChars('.', '.');
+        tokenizer.quoteChar('"');
+        tokenizer.commentChar('#');
+        tokenizer.slashSlashComments(true);
+        tokenizer.slashStarComments(true);
+        List<Token> tokens = new ArrayList<>();
         try {
-            while (in.nextToken() != StreamTokenizer.TT_EOF) {
-                boolean single = in.ttype != StreamTokenizer.TT_WORD && in.ttype != '"';
-                all.add(new Token(single ? String.valueOf((char) in.ttype) : in.sval, in.lineno()));
+            while (tokenizer.nextToken() != StreamTokenizer.TT_EOF) {
+                boolean singleCharacter =
+                        tokenizer.ttype != StreamTokenizer.TT_WORD && tokenizer.ttype != '"';
+                tokens.add(
+                        new Token(
+                                singleCharacter
+                                        ? String.valueOf((char) tokenizer.ttype)
+                                        : tokenizer.sval,
+                                tokenizer.lineno()));
             }
         } catch (IOException impossible) { // a StringReader does not fail
             throw new IllegalStateException(impossible);
         }
-        return all;
+        return tokens;
     }
 
     /** Whether the text is a valid name of an attribute or a block. */
--- a/relay/src/main/java/saltstage/config/OperatorSettings.java
+++ b/relay/src/main/java/saltstage/config/OperatorSettings.java
@@ -66,14 +66,14 @@
     private OperatorSettings(
             String text,
             Logging logging,
-            PersistenceSettings keeping,
+            PersistenceSettings persistence,
             AmqpSettings amqp,
-            FollowerSettings following) {
+            FollowerSettings follower) {
         this.text = text;
         this.logging = logging;
-        this.persistence = keeping;
+        this.persistence = persistence;
         this.amqp = amqp;
-        this.follower = following;
+        this.follower = follower;
     }
 
     /** The settings that apply if no file is given. */
@@ -100,7 +100,7 @@
         HclBlock store = top.block("store");
         HclBlock amqp = top.block("amqp");
         HclBlock configuration = top.block("configuration");
-        OperatorSettings read =
+        OperatorSettings settings =
                 new OperatorSettings(
                         text,
                         log == null ? defaults().logging : logging(log),
@@ -108,20 +108,20 @@
                         amqp == null ? null : AmqpSettings.parse(amqp),
                         configuration == null ? null : follower(configuration));
         top.rejectUnknown();
-        return read;
+        return settings;
     }
 
     private static Logging logging(HclBlock log) throws MalformedException {
-        Logging read =
+        Logging settings =
                 new Logging(
                         log.enumValue("format", LogSetup.Format.class, LogSetup.Format.TEXT),
                         log.enumValue("level", Level.class, Level.INFO));
         log.rejectUnknown();
-        return read;
+        return settings;
     }
 
     private static PersistenceSettings persistence(HclBlock store) throws MalformedException {
-        PersistenceSettings read =
+        PersistenceSettings settings =
                 new PersistenceSettings(
                         Path.of(store.requiredString("dir")),
                         (int) store.byteSize("segment", MIB, 64 * KIB, 256 * MIB),
@@ -138,7 +138,7 @@
                         (int) store.integer("configurations", 50, 2, 10_000),
                         store.byteSize("compaction_rate", 4 * MIB, 64 * KIB, 1L << 40));
         store.rejectUnknown();
-        return read;
+        return settings;
     }
 
     private static FollowerSettings follower(HclBlock configuration) throws MalformedException {
@@ -149,28 +149,28 @@
         for (String source : sources) {
             checkAddress(configuration, source);
         }
-        FollowerSettings read =
+        FollowerSettings settings =
                 new FollowerSettings(
                         List.copyOf(sources),
                         configuration.string("zone", ""),
                         configuration.string("name", ""),
                         Path.of(configuration.requiredString("dir")));
-        if (!ZONE_NAME.matcher(read.zone()).matches()) {
+        if (!ZONE_NAME.matcher(settings.zone()).matches()) {
             throw configuration.attributeError(
                     "zone", "up to 60 letters, digits, '.', '_' and '-'");
         }
-        if (!FOLLOWER_NAME.matcher(read.name()).matches()) {
+        if (!FOLLOWER_NAME.matcher(settings.name()).matches()) {
             throw configuration.attributeError("name", "up to 160 visible ASCII characters");
         }
         configuration.rejectUnknown();
-        return read;
+        return settings;
     }
 
     private static void checkAddress(HclBlock configuration, String source)
             throws MalformedException {
         try {
             BackendList.parseAddress(source);
-        } catch (MalformedException bad) {
+        } catch (MalformedException e) {
             throw configuration.attributeError(
                     "sources", "addresses in figures with a port, such as \"127.0.0.1:7300\"");
         }
--- a/relay/src/main/java/saltstage/config/SettingsReader.java
+++ b/relay/src/main/java/saltstage/config/SettingsReader.java
@@ -17,13 +17,13 @@
     /** Creates the exception for a malformed setting. */
     public interface ErrorFactory {
         /** Returns the exception to throw, which names the key and the error. */
-        RuntimeException malformed(String key, String what);
+        RuntimeException malformed(String key, String message);
     }
 
     /** Creates a reader of these settings. */
-    public SettingsReader(Map<String, String> pairs, ErrorFactory complaint) {
-        this.values = pairs;
-        this.errors = complaint;
+    public SettingsReader(Map<String, String> values, ErrorFactory errors) {
+        this.values = values;
+        this.errors = errors;
     }
 
     /** Returns the settings in the load balancer's form. */
@@ -32,11 +32,11 @@
         if (classes == 0) {
             throw errors.malformed("Services.count", "no classes; one to 10000 are needed");
         }
-        String[] aims = values.getOrDefault("FamilyInfo.MessageAim", "").split(",");
+        String[] messageTargets = values.getOrDefault("FamilyInfo.MessageAim", "").split(",");
         List<ServiceClass> services = new ArrayList<>();
         for (int i = 0; i < classes; i++) {
-            services.add(readServiceClass(i, i < aims.length && !aims[i].isEmpty() ? (long) parseNumber(
-                "FamilyInfo.MessageAim", aims[i]) : 0));
+            services.add(readServiceClass(i, i < messageTargets.length && !messageTargets[i].isEmpty()
+                ? (long) parseNumber("FamilyInfo.MessageAim", messageTargets[i]) : 0));
         }
         List<Long> quotas = new ArrayList<>();
         for (String quota : values.getOrDefault("FamilyInfo.TenantQuotaConnections", "").split(",")) {
@@ -60,11 +60,11 @@
     }
 
     private boolean isListRequested() {
-        String how = values.getOrDefault("Discovery", "pushed");
-        if (!how.equals("pushed") && !how.equals("on_request")) {
+        String mode = values.getOrDefault("Discovery", "pushed");
+        if (!mode.equals("pushed") && !mode.equals("on_request")) {
             throw errors.malformed("Discovery", unknownWord("Discovery", "pushed or on_request"));
         }
-        return how.equals("on_request");
+        return mode.equals("on_request");
     }
 
     private boolean hasLoadInProbes() {
@@ -73,55 +73,57 @@
             && !"silent".equals(values.get("Report.How"));
     }
 
-    private ServiceClass readServiceClass(int i, long messageAim) {
-        String at = "Services." + i + ".";
-        long aim = integer(at + "Aim", Long.MIN_VALUE, 1, Long.MAX_VALUE);
-        long giveUp = integer(at + "GiveUp", Long.MIN_VALUE, 1, Long.MAX_VALUE);
-        Idempotency effect = switch (values.getOrDefault(at + "Effect", "")) {
+    private ServiceClass readServiceClass(int i, long messageTarget) {
+        String prefix = "Services." + i + ".";
+        long latencyTarget = integer(prefix + "Aim", Long.MIN_VALUE, 1, Long.MAX_VALUE);
+        long clientTimeout = integer(prefix + "GiveUp", Long.MIN_VALUE, 1, Long.MAX_VALUE);
+        Idempotency idempotency = switch (values.getOrDefault(prefix + "Effect", "")) {
             case "retryable" -> Idempotency.IDEMPOTENT;
             case "dedup" -> Idempotency.DEDUPLICATED;
             case "fragile" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw errors.malformed(at + "Effect",
-                unknownWord(at + "Effect", "retryable, dedup or fragile"));
+            default -> throw errors.malformed(prefix + "Effect",
+                unknownWord(prefix + "Effect", "retryable, dedup or fragile"));
         };
-        DeduplicationScope scope = switch (values.getOrDefault(at + "Group", "all")) {
+        DeduplicationScope scope = switch (values.getOrDefault(prefix + "Group", "all")) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw errors.malformed(at + "Group", unknownWord(at + "Group", "all, zone or cell"));
+            default -> throw errors.malformed(prefix + "Group",
+                unknownWord(prefix + "Group", "all, zone or cell"));
         };
-        return new ServiceClass(aim, giveUp, effect, scope, integer(at + "MemorySpan", 0, 0, Long.MAX_VALUE),
-            decimal(at + "Points", 1), messageAim > 0 ? messageAim : aim);
+        return new ServiceClass(latencyTarget, clientTimeout, idempotency, scope,
+            integer(prefix + "MemorySpan", 0, 0, Long.MAX_VALUE),
+            decimal(prefix + "Points", 1), messageTarget > 0 ? messageTarget : latencyTarget);
     }
 
-    private long integer(String key, long absent, long least, long most) {
+    private long integer(String key, long defaultValue, long min, long max) {
         String value = values.get(key);
-        double d = value == null ? absent : parseNumber(key, value);
-        if (d == Long.MIN_VALUE) {
-            throw errors.malformed(key, "missing; a number of " + least + " or more is needed");
+        double number = value == null ? defaultValue : parseNumber(key, value);
+        if (number == Long.MIN_VALUE) {
+            throw errors.malformed(key, "missing; a number of " + min + " or more is needed");
         }
-        if (value != null && (d < least || d > most)) {
-            throw errors.malformed(key, "out of range: " + value + "; " + least
-                + (most >= Integer.MAX_VALUE ? " or more" : " to " + most) + " would do");
+        if (value != null && (number < min || number > max)) {
+            throw errors.malformed(key, "out of range: " + value + "; " + min
+                + (max >= Integer.MAX_VALUE ? " or more" : " to " + max) + " would do");
         }
-        return (long) d;
+        return (long) number;
     }
 
-    private double decimal(String key, double absent) {
+    private double decimal(String key, double defaultValue) {
         String value = values.get(key);
-        double d = value == null ? absent : parseNumber(key, value);
-        if (d < 0) {
+        double number = value == null ? defaultValue : parseNumber(key, value);
+        if (number < 0) {
             throw errors.malformed(key, "out of range: " + value + "; 0 or more would do");
         }
-        return d;
+        return number;
     }
 
-    private double fraction(String key, double absent) {
-        double d = decimal(key, absent);
-        if (d > 1) {
+    private double fraction(String key, double defaultValue) {
+        double number = decimal(key, defaultValue);
+        if (number > 1) {
             throw errors.malformed(key, "out of range: " + values.get(key) + "; 0 to 1 would do");
         }
-        return d;
+        return number;
     }
 
     private String unknownWord(String key, String known) {
@@ -130,11 +132,11 @@
 
     private double parseNumber(String key, String value) {
         try {
-            double d = Double.parseDouble(value);
-            if (!Double.isFinite(d)) {
+            double number = Double.parseDouble(value);
+            if (!Double.isFinite(number)) {
                 throw errors.malformed(key, "out of range: " + value + "; a finite number would do");
             }
-            return d;
+            return number;
         } catch (NumberFormatException e) {
             throw errors.malformed(key, "not a number: " + value + "; a plain number would do");
         }
--- a/relay/src/main/java/saltstage/net/Connection.java
+++ b/relay/src/main/java/saltstage/net/Connection.java
@@ -51,7 +51,7 @@
      * Starts or stops receiving. While receiving is off, the other side's bytes wait in the network
      * buffers.
      */
-    void setReading(boolean wanted);
+    void setReading(boolean reading);
 
     /** Ends the output after the bytes written so far. */
     void shutdownOutput();
--- a/relay/src/main/java/saltstage/net/NettyConnection.java
+++ b/relay/src/main/java/saltstage/net/NettyConnection.java
@@ -39,21 +39,21 @@
     NettyConnection(
             SocketChannel channel,
             Loop loop,
-            WriteLimits bounds,
-            BiConsumer<String, Throwable> faults) {
+            WriteLimits writeLimits,
+            BiConsumer<String, Throwable> faultListener) {
         this.channel = channel;
         this.loop = loop;
-        this.writeLimits = bounds;
-        this.faultListener = faults;
+        this.writeLimits = writeLimits;
+        this.faultListener = faultListener;
     }
 
-    void setHandler(ConnectionHandler to) {
-        handler = to;
+    void setHandler(ConnectionHandler newHandler) {
+        handler = newHandler;
     }
 
     /** Sets the listener that supplies the handler once the outgoing connection is established. */
-    void setConnectListener(Transport.ConnectListener to) {
-        connectListener = to;
+    void setConnectListener(Transport.ConnectListener listener) {
+        connectListener = listener;
     }
 
     void refuse() {
@@ -112,9 +112,9 @@
 
     private void writeBuffered() {
         if (writeBuffer != null) {
-            ByteBuf out = writeBuffer;
+            ByteBuf bytes = writeBuffer;
             writeBuffer = null;
-            channel.write(out, channel.voidPromise());
+            channel.write(bytes, channel.voidPromise());
         }
     }
 
@@ -126,8 +126,8 @@
     }
 
     @Override
-    public void setReading(boolean wanted) {
-        channel.config().setAutoRead(wanted);
+    public void setReading(boolean reading) {
+        channel.config().setAutoRead(reading);
     }
 
     @Override
@@ -162,8 +162,8 @@
         abort(Cause.OURS);
     }
 
-    private void abort(Cause why) {
-        cause = cause == null ? why : cause;
+    private void abort(Cause abortCause) {
+        cause = cause == null ? abortCause : cause;
         if (channel.isOpen()) {
             channel.config().setSoLinger(0);
             channel.close();
@@ -211,11 +211,11 @@
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable why) {
-        if (why instanceof IOException) {
+    public void exceptionCaught(ChannelHandlerContext context, Throwable exception) {
+        if (exception instanceof IOException) {
             abort(Cause.RESET);
         } else {
-            faultListener.accept("connection", why);
+            faultListener.accept("connection", exception);
             abort(Cause.FAULT);
         }
     }
@@ -228,8 +228,8 @@
         }
         if (!closed && handler != null) {
             closed = true;
-            Cause why = cause == null ? Cause.RESET : cause;
-            callHandler(() -> handler.closed(this, why));
+            Cause closeCause = cause == null ? Cause.RESET : cause;
+            callHandler(() -> handler.closed(this, closeCause));
         }
     }
 
--- a/relay/src/main/java/saltstage/net/NettyTransport.java
+++ b/relay/src/main/java/saltstage/net/NettyTransport.java
@@ -46,16 +46,17 @@
      * Creates a transport with this many loops. The listener receives every exception that a
      * handler throws, with the place where it was caught.
      */
-    public NettyTransport(int threads, boolean epollIfThere, BiConsumer<String, Throwable> faults) {
-        boolean epoll = epollIfThere && Epoll.isAvailable();
-        DefaultThreadFactory daemons = new DefaultThreadFactory("loop", true);
+    public NettyTransport(
+            int threads, boolean preferEpoll, BiConsumer<String, Throwable> faultListener) {
+        boolean epoll = preferEpoll && Epoll.isAvailable();
+        DefaultThreadFactory threadFactory = new DefaultThreadFactory("loop", true);
         eventLoopGroup =
                 epoll
-                        ? new EpollEventLoopGroup(threads, daemons)
-                        : new NioEventLoopGroup(threads, daemons);
+                        ? new EpollEventLoopGroup(threads, threadFactory)
+                        : new NioEventLoopGroup(threads, threadFactory);
         serverChannelType = epoll ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
         clientChannelType = epoll ? EpollSocketChannel.class : NioSocketChannel.class;
-        this.faultListener = faults;
+        this.faultListener = faultListener;
         for (EventExecutor executor : eventLoopGroup) {
             loops.add(new NettyLoop((EventLoop) executor));
         }
@@ -75,8 +76,8 @@
 
         @Override
         public Timer schedule(Duration delay, Runnable task) {
-            Future<?> due = eventLoop.schedule(task, delay.toNanos(), TimeUnit.NANOSECONDS);
-            return () -> due.cancel(false);
+            Future<?> scheduled = eventLoop.schedule(task, delay.toNanos(), TimeUnit.NANOSECONDS);
+            return () -> scheduled.cancel(false);
         }
     }
 
@@ -89,7 +90,10 @@
 
     @Override
     public Listener listen(
-            InetSocketAddress at, int backlog, Connection.WriteLimits bounds, Acceptor acceptor)
+            InetSocketAddress address,
+            int backlog,
+            Connection.WriteLimits limits,
+            Acceptor acceptor)
             throws IOException {
         ServerBootstrap server =
                 new ServerBootstrap()
@@ -102,7 +106,7 @@
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
                                         NettyConnection connection =
-                                                initConnection(channel, bounds);
+                                                initConnection(channel, limits);
                                         ConnectionHandler handler = acceptor.accept(connection);
                                         if (handler == null) {
                                             connection.refuse();
@@ -111,10 +115,11 @@
                                         }
                                     }
                                 });
-        ChannelFuture bound = server.bind(at).awaitUninterruptibly();
+        ChannelFuture bound = server.bind(address).awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IOException(
-                    "cannot listen on " + at + ": " + bound.cause().getMessage(), bound.cause());
+                    "cannot listen on " + address + ": " + bound.cause().getMessage(),
+                    bound.cause());
         }
         return new NettyListener(bound.channel());
     }
@@ -126,8 +131,8 @@
         }
 
         @Override
-        public void setAccepting(boolean wanted) {
-            channel.config().setAutoRead(wanted);
+        public void setAccepting(boolean accepting) {
+            channel.config().setAutoRead(accepting);
         }
 
         @Override
@@ -136,49 +141,49 @@
         }
     }
 
-    private NettyConnection initConnection(SocketChannel channel, Connection.WriteLimits bounds) {
+    private NettyConnection initConnection(SocketChannel channel, Connection.WriteLimits limits) {
         channel.config().setTcpNoDelay(true);
         channel.config().setAllowHalfClosure(true);
         channel.config()
                 .setWriteBufferWaterMark(
-                        new WriteBufferWaterMark(bounds.softBytes() / 2, bounds.softBytes()));
+                        new WriteBufferWaterMark(limits.softBytes() / 2, limits.softBytes()));
         NettyConnection connection =
-                new NettyConnection(channel, loopOf(channel), bounds, faultListener);
+                new NettyConnection(channel, loopOf(channel), limits, faultListener);
         channel.pipeline().addLast(connection);
         return connection;
     }
 
     @Override
     public void connect(
-            Loop on,
-            InetSocketAddress to,
-            Duration limit,
-            Connection.WriteLimits bounds,
-            ConnectListener connecting) {
+            Loop loop,
+            InetSocketAddress address,
+            Duration timeout,
+            Connection.WriteLimits limits,
+            ConnectListener listener) {
         Bootstrap client =
                 new Bootstrap()
-                        .group(((NettyLoop) on).eventLoop())
+                        .group(((NettyLoop) loop).eventLoop())
                         .channel(clientChannelType)
                         .option(
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                                (int) Math.max(1, limit.toMillis()))
+                                (int) Math.max(1, timeout.toMillis()))
                         .handler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
-                                        initConnection(channel, bounds)
-                                                .setConnectListener(connecting);
+                                        initConnection(channel, limits)
+                                                .setConnectListener(listener);
                                     }
                                 });
-        client.connect(to)
+        client.connect(address)
                 .addListener(
-                        done -> {
-                            if (!done.isSuccess()) {
-                                Throwable why = done.cause();
-                                connecting.failed(
-                                        why instanceof IOException io
-                                                ? io
-                                                : new IOException(why.getMessage(), why));
+                        result -> {
+                            if (!result.isSuccess()) {
+                                Throwable cause = result.cause();
+                                listener.failed(
+                                        cause instanceof IOException ioException
+                                                ? ioException
+                                                : new IOException(cause.getMessage(), cause));
                             }
                         });
     }
--- a/relay/src/main/java/saltstage/net/Transport.java
+++ b/relay/src/main/java/saltstage/net/Transport.java
@@ -20,7 +20,7 @@
         ConnectionHandler connected(Connection connection);
 
         /** Called when the connect failed. */
-        void failed(IOException why);
+        void failed(IOException cause);
     }
 
     /** A listening socket. */
@@ -32,7 +32,7 @@
          * Starts or stops accepting. Meanwhile new connections wait in the operating system's
          * backlog.
          */
-        void setAccepting(boolean wanted);
+        void setAccepting(boolean accepting);
 
         /** Closes the listening socket. */
         void close();
@@ -40,16 +40,19 @@
 
     /** Opens a listening socket; accepted connections are distributed over the loops. */
     Listener listen(
-            InetSocketAddress at, int backlog, Connection.WriteLimits bounds, Acceptor acceptor)
+            InetSocketAddress address,
+            int backlog,
+            Connection.WriteLimits limits,
+            Acceptor acceptor)
             throws IOException;
 
     /** Connects on this loop within the timeout. */
     void connect(
-            Loop on,
-            InetSocketAddress to,
-            Duration limit,
-            Connection.WriteLimits bounds,
-            ConnectListener connecting);
+            Loop loop,
+            InetSocketAddress address,
+            Duration timeout,
+            Connection.WriteLimits limits,
+            ConnectListener listener);
 
     /** The event loops, at least one. */
     java.util.List<Loop> loops();
--- a/relay/src/main/java/saltstage/wire/ChunkedInputStream.java
+++ b/relay/src/main/java/saltstage/wire/ChunkedInputStream.java
@@ -56,8 +56,8 @@
         endOfBody = remainingBytes == 0;
     }
 
-    private void expect(int wanted) throws IOException {
-        if (readRequired() != wanted) {
+    private void expect(int expected) throws IOException {
+        if (readRequired() != expected) {
             throw new IOException("bad end of a chunk");
         }
     }
--- a/relay/src/main/java/saltstage/wire/DeadlineInputStream.java
+++ b/relay/src/main/java/saltstage/wire/DeadlineInputStream.java
@@ -16,23 +16,23 @@
     private final InputStream in;
     private long deadline;
 
-    DeadlineInputStream(Socket socket, Duration first) throws IOException {
+    DeadlineInputStream(Socket socket, Duration initialTimeout) throws IOException {
         this.socket = socket;
         in = socket.getInputStream();
-        extendDeadline(first);
+        extendDeadline(initialTimeout);
     }
 
     /** Sets the deadline to this long from now. */
-    void extendDeadline(Duration span) {
-        deadline = System.nanoTime() + span.toNanos();
+    void extendDeadline(Duration timeout) {
+        deadline = System.nanoTime() + timeout.toNanos();
     }
 
     private void applyDeadline() throws IOException {
-        long left = (deadline - System.nanoTime()) / 1_000_000;
-        if (left <= 0 && in.available() == 0) {
+        long leftMillis = (deadline - System.nanoTime()) / 1_000_000;
+        if (leftMillis <= 0 && in.available() == 0) {
             throw new SocketTimeoutException("Read timed out");
         }
-        socket.setSoTimeout((int) Math.max(1, left));
+        socket.setSoTimeout((int) Math.max(1, leftMillis));
     }
 
     @Override
@@ -42,9 +42,9 @@
     }
 
     @Override
-    public int read(byte[] into, int from, int most) throws IOException {
+    public int read(byte[] buffer, int offset, int length) throws IOException {
         applyDeadline();
-        return in.read(into, from, most);
+        return in.read(buffer, offset, length);
     }
 
     @Override
--- a/relay/src/main/java/saltstage/wire/DiscoveryClient.java
+++ b/relay/src/main/java/saltstage/wire/DiscoveryClient.java
@@ -44,9 +44,9 @@
     }
 
     /** Creates a client that ends a watch after this much silence. */
-    DiscoveryClient(InetSocketAddress address, Duration silence) {
+    DiscoveryClient(InetSocketAddress address, Duration silenceTimeout) {
         this.address = address;
-        this.silenceTimeout = silence;
+        this.silenceTimeout = silenceTimeout;
     }
 
     /** Receives the messages of a watch. */
@@ -82,25 +82,26 @@
      * Watches the changes after a revision. The method never returns normally: the exception says
      * why the watch ended.
      */
-    public void watch(long after, Listener listener) throws IOException, MalformedException {
+    public void watch(long afterRevision, Listener listener)
+            throws IOException, MalformedException {
         try (Socket socket = openSocket()) {
             socket.setTcpNoDelay(true);
             socket.connect(address, (int) CONNECT_TIMEOUT.toMillis());
             String request =
                     "GET /discovery/hosts?watch=1&after="
-                            + after
+                            + afterRevision
                             + " HTTP/1.1\r\nHost: "
                             + address.getAddress().getHostAddress()
                             + ":"
                             + address.getPort()
                             + "\r\nAccept: application/json\r\n\r\n";
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-            DeadlineInputStream timed =
+            DeadlineInputStream deadlineInput =
                     new DeadlineInputStream(
                             socket, silenceTimeout.multipliedBy(FIRST_RESPONSE_TIMEOUT_FACTOR));
-            InputStream in = new BufferedInputStream(timed, 4096);
+            InputStream in = new BufferedInputStream(deadlineInput, 4096);
             readHead(in);
-            timed.extendDeadline(silenceTimeout);
+            deadlineInput.extendDeadline(silenceTimeout);
             ChunkedInputStream body = new ChunkedInputStream(in);
             JsonObjectSplitter objects = new JsonObjectSplitter(MAX_OBJECT_CHARS);
             for (int c = body.read(); c >= 0; c = body.read()) {
@@ -111,7 +112,7 @@
                 // A partial object, or a line break within one, does not show that the service is
                 // alive.
                 if (objects.isBetweenObjects() && c == '\n') {
-                    timed.extendDeadline(silenceTimeout);
+                    deadlineInput.extendDeadline(silenceTimeout);
                 }
             }
             throw new IOException("discovery ended the watch");
--- a/relay/src/main/java/saltstage/wire/Json.java
+++ b/relay/src/main/java/saltstage/wire/Json.java
@@ -32,10 +32,10 @@
 
     /** Returns the value as an object, or fails with an error that begins with the given name. */
     @SuppressWarnings("unchecked") // the parser creates maps with string keys only
-    public static Map<String, Object> asObject(Object value, String what)
+    public static Map<String, Object> asObject(Object value, String name)
             throws MalformedException {
         if (!(value instanceof Map)) {
-            throw new MalformedException(what + " is not an object");
+            throw new MalformedException(name + " is not an object");
         }
         return (Map<String, Object>) value;
     }
@@ -51,8 +51,8 @@
         return type.cast(value);
     }
 
-    private MalformedException malformed(String what) {
-        return new MalformedException("JSON, character " + position + ": " + what);
+    private MalformedException malformed(String message) {
+        return new MalformedException("JSON, character " + position + ": " + message);
     }
 
     private void skipWhitespace() {
@@ -142,11 +142,11 @@
     }
 
     private Double parseNumber() throws MalformedException {
-        int from = position;
+        int start = position;
         while (position < text.length() && "+-.eE0123456789".indexOf(text.charAt(position)) >= 0) {
             position++;
         }
-        String digits = text.substring(from, position);
+        String digits = text.substring(start, position);
         if (!digits.matches("-?(0|[1-9]\\d*)(\\.\\d+)?([eE][+-]?\\d+)?")) {
             throw malformed("bad number");
         }
@@ -179,9 +179,9 @@
             throw malformed("the text ends in a string");
         }
         char c = text.charAt(position++);
-        int plain = "\"\\/bfnrt".indexOf(c);
-        if (plain >= 0) {
-            return "\"\\/\b\f\n\r\t".charAt(plain);
+        int index = "\"\\/bfnrt".indexOf(c);
+        if (index >= 0) {
+            return "\"\\/\b\f\n\r\t".charAt(index);
         }
         if (c != 'u'
                 || position + 4 > text.length()
--- a/relay/src/main/java/saltstage/wire/JsonObjectSplitter.java
+++ b/relay/src/main/java/saltstage/wire/JsonObjectSplitter.java
@@ -11,8 +11,8 @@
     private boolean inString;
     private boolean escaped;
 
-    JsonObjectSplitter(int most) {
-        this.maxChars = most;
+    JsonObjectSplitter(int maxChars) {
+        this.maxChars = maxChars;
     }
 
     /** Accepts the next character. Returns the text of the object that it completes, or null. */
--- a/relay/src/main/java/saltstage/wire/LineConnection.java
+++ b/relay/src/main/java/saltstage/wire/LineConnection.java
@@ -21,25 +21,26 @@
     }
 
     /** Wraps a connected socket from which these bytes have been read already. */
-    public LineConnection(Socket socket, byte[] read) throws IOException {
+    public LineConnection(Socket socket, byte[] alreadyRead) throws IOException {
         socket.setTcpNoDelay(true);
         this.socket = socket;
-        reader = new LineReader(socket, read);
+        reader = new LineReader(socket, alreadyRead);
     }
 
     /** Connects within the timeout; every failure to connect is an IOException. */
-    public static LineConnection connect(InetSocketAddress to, Duration limit) throws IOException {
-        return connect(new Socket(), to, limit);
+    public static LineConnection connect(InetSocketAddress address, Duration timeout)
+            throws IOException {
+        return connect(new Socket(), address, timeout);
     }
 
     /**
      * Connects this socket within the timeout. Closing the socket meanwhile makes the call fail
      * immediately.
      */
-    public static LineConnection connect(Socket socket, InetSocketAddress to, Duration limit)
+    public static LineConnection connect(Socket socket, InetSocketAddress address, Duration timeout)
             throws IOException {
         try {
-            socket.connect(to, (int) Math.max(1, limit.toMillis()));
+            socket.connect(address, (int) Math.max(1, timeout.toMillis()));
             return new LineConnection(socket);
         } catch (IOException | RuntimeException e) {
             socket.close();
@@ -103,9 +104,9 @@
         void run() throws IOException;
     }
 
-    private static void runQuietly(IoAction step) {
+    private static void runQuietly(IoAction action) {
         try {
-            step.run();
+            action.run();
         } catch (IOException alreadyClosed) {
             // The other side or another thread has closed the socket.
             return;
--- a/relay/src/main/java/saltstage/wire/LineReader.java
+++ b/relay/src/main/java/saltstage/wire/LineReader.java
@@ -30,11 +30,11 @@
     /**
      * Creates a reader of the socket's input that begins with these bytes, which were read before.
      */
-    public LineReader(Socket socket, byte[] read) throws IOException {
+    public LineReader(Socket socket, byte[] alreadyRead) throws IOException {
         this.socket = socket;
         in = socket.getInputStream();
-        buffer = Arrays.copyOf(read, Math.max(INITIAL_BUFFER_BYTES, read.length));
-        end = read.length;
+        buffer = Arrays.copyOf(alreadyRead, Math.max(INITIAL_BUFFER_BYTES, alreadyRead.length));
+        end = alreadyRead.length;
     }
 
     /** Reads the next piece without a timeout; see {@link #readLine(Duration)}. */
@@ -47,13 +47,13 @@
      * line, or the rest before the end of input. Returns null at the end of input. The timeout
      * applies to the whole line, so single bytes do not extend it.
      */
-    public byte[] readLine(Duration limit) throws IOException {
-        long until = limit == null ? 0 : System.nanoTime() + limit.toNanos();
-        int seen = start;
+    public byte[] readLine(Duration timeout) throws IOException {
+        long deadlineNs = timeout == null ? 0 : System.nanoTime() + timeout.toNanos();
+        int scanned = start;
         while (true) {
-            for (; seen < end; seen++) {
-                if (buffer[seen] == '\n') {
-                    return consume(seen + 1);
+            for (; scanned < end; scanned++) {
+                if (buffer[scanned] == '\n') {
+                    return consume(scanned + 1);
                 }
             }
             if (end - start >= MAX_LINE_BYTES_WITH_END) {
@@ -62,9 +62,9 @@
             if (endOfInput) {
                 return end > start ? consume(end) : null;
             }
-            seen -= start;
+            scanned -= start;
             makeRoom();
-            socket.setSoTimeout(limit == null ? 0 : millisUntil(until));
+            socket.setSoTimeout(timeout == null ? 0 : millisUntil(deadlineNs));
             int read = in.read(buffer, end, buffer.length - end);
             endOfInput = read < 0;
             end += Math.max(0, read);
@@ -87,7 +87,7 @@
                 int read = in.read(buffer, 0, buffer.length);
                 endOfInput = read < 0;
                 end = Math.max(0, read);
-            } catch (SocketTimeoutException nothing) {
+            } catch (SocketTimeoutException noInput) {
                 return false;
             }
         }
@@ -99,17 +99,17 @@
         return endOfInput;
     }
 
-    private static int millisUntil(long until) throws SocketTimeoutException {
-        long left = (until - System.nanoTime() + 999_999) / 1_000_000;
-        if (left <= 0) {
+    private static int millisUntil(long deadlineNs) throws SocketTimeoutException {
+        long leftMillis = (deadlineNs - System.nanoTime() + 999_999) / 1_000_000;
+        if (leftMillis <= 0) {
             throw new SocketTimeoutException("no whole line in time");
         }
-        return (int) Math.min(left, Integer.MAX_VALUE);
+        return (int) Math.min(leftMillis, Integer.MAX_VALUE);
     }
 
-    private byte[] consume(int to) {
-        byte[] piece = Arrays.copyOfRange(buffer, start, to);
-        start = to;
+    private byte[] consume(int pieceEnd) {
+        byte[] piece = Arrays.copyOfRange(buffer, start, pieceEnd);
+        start = pieceEnd;
         if (start == end) {
             start = 0;
             end = 0;
--- a/relay/src/main/java/saltstage/wire/LoadReport.java
+++ b/relay/src/main/java/saltstage/wire/LoadReport.java
@@ -8,8 +8,8 @@
 
     private final String fields;
 
-    private LoadReport(String report) {
-        this.fields = report;
+    private LoadReport(String fields) {
+        this.fields = fields;
     }
 
     /**
@@ -22,8 +22,8 @@
             return null;
         }
         if (!line.startsWith(RESPONSE_PREFIX) || !line.endsWith("\r\n")) {
-            String begin = line.substring(0, Math.min(40, line.length())).trim();
-            throw new MalformedException("no load report: " + begin);
+            String excerpt = line.substring(0, Math.min(40, line.length())).trim();
+            throw new MalformedException("no load report: " + excerpt);
         }
         return new LoadReport(line.substring(RESPONSE_PREFIX.length(), line.length() - 2));
     }
--- a/relay/src/main/java/saltstage/wire/OpenRequest.java
+++ b/relay/src/main/java/saltstage/wire/OpenRequest.java
@@ -60,28 +60,29 @@
         }
         Map<String, String> fields = new LinkedHashMap<>();
         for (String field : parts[3].split(",", -1)) {
-            int equals = field.indexOf('=');
-            if (equals < 1
-                    || !TOKEN.matcher(field.substring(0, equals)).matches()
-                    || !VALUE.matcher(field.substring(equals + 1)).matches()) {
+            int equalsIndex = field.indexOf('=');
+            if (equalsIndex < 1
+                    || !TOKEN.matcher(field.substring(0, equalsIndex)).matches()
+                    || !VALUE.matcher(field.substring(equalsIndex + 1)).matches()) {
                 throw new MalformedException("bad field");
             }
-            if (fields.put(field.substring(0, equals), field.substring(equals + 1)) != null) {
+            if (fields.put(field.substring(0, equalsIndex), field.substring(equalsIndex + 1))
+                    != null) {
                 throw new MalformedException("field given twice");
             }
             if (fields.size() > MAX_FIELDS) {
                 throw new MalformedException("too many fields");
             }
         }
-        OpenRequest open = new OpenRequest(parts[1], parts[2], fields);
+        OpenRequest request = new OpenRequest(parts[1], parts[2], fields);
         if (!fields.containsKey("d") && !fields.containsKey("at")) {
             throw new MalformedException("field d is missing");
         }
-        open.numericField("d", 0);
-        if (open.numericField("h", 0) > MAX_LOAD_HINT) {
+        request.numericField("d", 0);
+        if (request.numericField("h", 0) > MAX_LOAD_HINT) {
             throw new MalformedException("field h is out of range");
         }
-        return open;
+        return request;
     }
 
     /** The client's id of the connection. */
@@ -105,10 +106,10 @@
     }
 
     /** The value of a numeric field, rounded down, or the default if it is absent. */
-    public long numericField(String name, long absent) throws MalformedException {
+    public long numericField(String name, long defaultValue) throws MalformedException {
         String value = fields.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (!NUMBER.matcher(value).matches()) {
             throw new MalformedException("field " + name + " is not a number, or out of range");
@@ -117,23 +118,24 @@
     }
 
     /** How long the client waits for UP, capped at the given timeout of its service class. */
-    public Duration clientTimeout(Duration most) throws MalformedException {
-        return Duration.ofMillis(Math.min(most.toMillis(), numericField("d", most.toMillis())));
+    public Duration clientTimeout(Duration maxTimeout) throws MalformedException {
+        return Duration.ofMillis(
+                Math.min(maxTimeout.toMillis(), numericField("d", maxTimeout.toMillis())));
     }
 
     /**
      * The line to forward to a backend; only the field d changes, to the remaining client timeout.
      */
-    public String withClientTimeout(Duration left) {
-        StringJoiner list = new StringJoiner(",", "OPEN " + id + " " + key + " ", "");
+    public String withClientTimeout(Duration remaining) {
+        StringJoiner joiner = new StringJoiner(",", "OPEN " + id + " " + key + " ", "");
         fields.forEach(
                 (name, value) ->
-                        list.add(
+                        joiner.add(
                                 name
                                         + "="
                                         + (name.equals("d")
-                                                ? Long.toString(Math.max(1, left.toMillis()))
+                                                ? Long.toString(Math.max(1, remaining.toMillis()))
                                                 : value)));
-        return list.toString();
+        return joiner.toString();
     }
 }
--- a/relay/src/test/java/saltstage/config/OperatorSettingsTest.java
+++ b/relay/src/test/java/saltstage/config/OperatorSettingsTest.java
@@ -20,7 +20,7 @@
 class OperatorSettingsTest {
     @Test
     void readsGivenSettingsAndDefaultsTheRest() throws MalformedException {
-        OperatorSettings read =
+        OperatorSettings settings =
                 OperatorSettings.parse(
                         "f.hcl",
                         "# note\n"
@@ -32,20 +32,20 @@
                                 + "  segment = \"64KiB\"\n"
                                 + "  learnt_for = \"24h\"\n"
                                 + "}\n");
-        assertEquals(LogSetup.Format.JSON, read.logging().format());
-        assertEquals(OperatorSettings.Level.INFO, read.logging().level());
-        OperatorSettings.PersistenceSettings keeping = read.persistence().orElseThrow();
-        assertEquals(Path.of("/d \" e"), keeping.dir());
-        assertEquals(64 << 10, keeping.segmentBytes());
-        assertEquals(Duration.ofDays(1), keeping.maxLearnedStateAge());
-        assertEquals(50, keeping.maxConfigurations());
+        assertEquals(LogSetup.Format.JSON, settings.logging().format());
+        assertEquals(OperatorSettings.Level.INFO, settings.logging().level());
+        OperatorSettings.PersistenceSettings persistence = settings.persistence().orElseThrow();
+        assertEquals(Path.of("/d \" e"), persistence.dir());
+        assertEquals(64 << 10, persistence.segmentBytes());
+        assertEquals(Duration.ofDays(1), persistence.maxLearnedStateAge());
+        assertEquals(50, persistence.maxConfigurations());
         assertTrue(OperatorSettings.parse("f.hcl", "").persistence().isEmpty());
     }
 
     @Test
     void readsConfigurationSources() throws MalformedException {
         assertTrue(OperatorSettings.defaults().follower().isEmpty());
-        OperatorSettings.FollowerSettings read =
+        OperatorSettings.FollowerSettings follower =
                 OperatorSettings.parse(
                                 "f.hcl",
                                 "configuration {\n"
@@ -60,7 +60,7 @@
                         "",
                         "",
                         Path.of("/d")),
-                read);
+                follower);
     }
 
     @ParameterizedTest
@@ -115,17 +115,17 @@
                 "log {^ level = ^}                    | f.hcl:2: 'level' has no plain value",
                 "log {^ level = \"info^}              | f.hcl:2: not HCL"
             })
-    void reportsFileLineAndName(String text, String complaint) {
-        MalformedException refused =
+    void reportsFileLineAndName(String text, String message) {
+        MalformedException exception =
                 assertThrows(
                         MalformedException.class,
                         () -> OperatorSettings.parse("f.hcl", text.replace('^', '\n')));
-        assertEquals(complaint, refused.getMessage());
+        assertEquals(message, exception.getMessage());
     }
 
     @Test
     void durationsAndSizesHaveBounds() {
-        for (String bad :
+        for (String invalid :
                 new String[] {
                     "every = \"1ms\"",
                     "every = \"2 s\"",
@@ -134,16 +134,17 @@
                     "segment = \"9999999GiB\"",
                     "compaction_rate = \"-1\""
                 }) {
-            MalformedException refused =
+            MalformedException exception =
                     assertThrows(
                             MalformedException.class,
                             () ->
                                     OperatorSettings.parse(
-                                            "f", "store {\n dir = \"d\"\n " + bad + "\n}\n"));
+                                            "f", "store {\n dir = \"d\"\n " + invalid + "\n}\n"));
             assertTrue(
-                    refused.getMessage()
-                            .startsWith("f:3: store: '" + bad.split(" ")[0] + "' takes "),
-                    refused.getMessage());
+                    exception
+                            .getMessage()
+                            .startsWith("f:3: store: '" + invalid.split(" ")[0] + "' takes "),
+                    exception.getMessage());
         }
     }
 
--- a/relay/src/test/java/saltstage/net/NettyTransportTest.java
+++ b/relay/src/test/java/saltstage/net/NettyTransportTest.java
@@ -51,23 +51,23 @@
 
     private class RecordingHandler implements ConnectionHandler {
         @Override
-        public void received(Connection on, ByteBuffer bytes) {
+        public void received(Connection connection, ByteBuffer bytes) {
             events.add("received " + StandardCharsets.US_ASCII.decode(bytes));
         }
 
         @Override
-        public void inputEnded(Connection on) {
+        public void inputEnded(Connection connection) {
             events.add("inputEnded");
         }
 
         @Override
-        public void writabilityChanged(Connection on, boolean now) {
-            events.add("writable " + now);
+        public void writabilityChanged(Connection connection, boolean writable) {
+            events.add("writable " + writable);
         }
 
         @Override
-        public void closed(Connection on, Connection.Cause why) {
-            events.add("closed " + why);
+        public void closed(Connection connection, Connection.Cause cause) {
+            events.add("closed " + cause);
         }
     }
 
@@ -131,7 +131,7 @@
         startTransport(epoll);
         try (Socket socket = connectClient(new RecordingHandler())) {
             Connection connection = nextAccepted();
-            CompletableFuture<Long> most = new CompletableFuture<>();
+            CompletableFuture<Long> highestUnsent = new CompletableFuture<>();
             connection
                     .loop()
                     .execute(
@@ -141,12 +141,12 @@
                                     connection.write(ByteBuffer.allocate(1_024));
                                     highest = Math.max(highest, connection.unsentBytes());
                                 }
-                                most.complete(highest);
+                                highestUnsent.complete(highest);
                             });
             assertEquals("writable false", nextEvent());
             assertTrue(
-                    most.get(30, TimeUnit.SECONDS) <= WRITE_LIMITS.maxBytes(),
-                    "unsent " + most.get());
+                    highestUnsent.get(30, TimeUnit.SECONDS) <= WRITE_LIMITS.maxBytes(),
+                    "unsent " + highestUnsent.get());
             assertEquals("closed OVERFLOW", nextEvent());
         }
     }
@@ -214,22 +214,22 @@
     @ValueSource(booleans = {false, true})
     void throwingHandlerClosesOnlyItsOwnConnection(boolean epoll) throws Exception {
         startTransport(epoll);
-        Socket bad =
+        Socket faulty =
                 connectClient(
                         new RecordingHandler() {
                             @Override
-                            public void received(Connection on, ByteBuffer bytes) {
+                            public void received(Connection connection, ByteBuffer bytes) {
                                 throw new IllegalStateException("broken handler");
                             }
                         });
-        try (Socket good = connectClient(new RecordingHandler())) {
-            bad.getOutputStream().write('x');
+        try (Socket healthy = connectClient(new RecordingHandler())) {
+            faulty.getOutputStream().write('x');
             assertEquals("fault broken handler", nextEvent());
             assertEquals("closed FAULT", nextEvent());
-            good.getOutputStream().write('y');
+            healthy.getOutputStream().write('y');
             assertEquals("received y", nextEvent());
         } finally {
-            bad.close();
+            faulty.close();
         }
     }
 
@@ -243,7 +243,7 @@
             }
 
             @Override
-            public void failed(IOException why) {
+            public void failed(IOException cause) {
                 events.add("failed");
             }
         };
--- a/relay/src/test/java/saltstage/wire/DiscoveryClientTest.java
+++ b/relay/src/test/java/saltstage/wire/DiscoveryClientTest.java
@@ -55,13 +55,13 @@
         serverSocket.close();
     }
 
-    private void serve(CallHandler script) {
+    private void serve(CallHandler handler) {
         Thread service =
                 new Thread(
                         () -> {
                             while (!serverSocket.isClosed()) {
                                 try (Socket call = serverSocket.accept()) {
-                                    script.handle(call);
+                                    handler.handle(call);
                                 } catch (IOException | InterruptedException hungUp) {
                                     // The client closed the connection; accept the next one.
                                     continue;
@@ -81,9 +81,9 @@
     }
 
     /** Asserts that the watch soon ends with this exception; returns how long it ran. */
-    private Duration assertWatchEndsWith(Class<? extends Exception> by) {
+    private Duration assertWatchEndsWith(Class<? extends Exception> exception) {
         long start = System.nanoTime();
-        assertThrows(by, () -> client.watch(0, receivedLists::add));
+        assertThrows(exception, () -> client.watch(0, receivedLists::add));
         Duration took = Duration.ofNanos(System.nanoTime() - start);
         assertTrue(took.compareTo(MAX_WATCH_DURATION) < 0, "took " + took);
         return took;
@@ -153,7 +153,7 @@
                     call.close();
                 });
         assertTrue(assertWatchEndsWith(IOException.class).compareTo(SILENCE_TIMEOUT) > 0);
-        assertEquals(1, receivedLists.size(), "a second of empty lines is no silence");
+        assertEquals(1, receivedLists.size(), "empty lines must keep the watch open");
     }
 
     @Test
@@ -197,7 +197,7 @@
 
     @Test
     void invalidResponseEndsWatchAtOnce() {
-        for (String answer :
+        for (String response :
                 new String[] {
                     "HTTP/1.1 503 Service Unavailable\r\n\r\n",
                     HEAD + "5\r\nnever",
@@ -207,19 +207,19 @@
                     HEAD + "3\r\n{]}\r\n",
                     ""
                 }) {
-            serveOnce(answer);
-            assertThrows(Exception.class, () -> client.watch(0, receivedLists::add), answer);
+            serveOnce(response);
+            assertThrows(Exception.class, () -> client.watch(0, receivedLists::add), response);
         }
         assertTrue(receivedLists.isEmpty());
     }
 
-    private void serveOnce(String answer) {
+    private void serveOnce(String response) {
         Thread service =
                 new Thread(
                         () -> {
                             try (Socket call = serverSocket.accept()) {
                                 call.setSoLinger(true, 1);
-                                send(call, answer);
+                                send(call, response);
                             } catch (IOException closed) {
                                 return;
                             }
--- a/relay/src/test/java/saltstage/wire/ParserTest.java
+++ b/relay/src/test/java/saltstage/wire/ParserTest.java
@@ -35,8 +35,9 @@
         assertEquals("bad id or key", parseError("OPEN a\u0001 b c=chat"));
         assertEquals("bad field", parseError(OPEN + ","));
         assertEquals("field given twice", parseError(OPEN + ",d=3"));
-        for (String bad : new String[] {"soon", "-1", "", "NaN", "1e9", "0x1p3", "9f", "9".repeat(13)}) {
-            assertEquals("field d is not a number, or out of range", parseError(OPEN.replace("2000", bad)));
+        for (String invalid : new String[] {"soon", "-1", "", "NaN", "1e9", "0x1p3", "9f", "9".repeat(13)}) {
+            assertEquals("field d is not a number, or out of range",
+                parseError(OPEN.replace("2000", invalid)));
         }
         assertEquals("field d is missing", parseError(OPEN.replace("d=2000,", "")));
         assertEquals("field h is out of range", parseError(OPEN + ",h=9999999999"));
@@ -46,17 +47,17 @@
     public void jsonIsStrictAndBounded() throws MalformedException {
         assertEquals(List.of(1.5, "a\n\u00e9", true),
             Json.parseObject("{\"a\":[1.5,\"a\\n\\u00e9\",true]}").get("a"));
-        String[] all = {"", "{", "[]", "{\"a\":01}", "{\"a\":tru}", "{\"a\":1,}", "{\"a\":\"\\x\"}", "{} x",
-            "{\"a\":" + "[".repeat(40) + "]".repeat(40) + "}"};
-        for (String bad : all) {
-            assertThrows(bad, MalformedException.class, () -> Json.parseObject(bad));
+        String[] invalidTexts = {"", "{", "[]", "{\"a\":01}", "{\"a\":tru}", "{\"a\":1,}", "{\"a\":\"\\x\"}",
+            "{} x", "{\"a\":" + "[".repeat(40) + "]".repeat(40) + "}"};
+        for (String invalid : invalidTexts) {
+            assertThrows(invalid, MalformedException.class, () -> Json.parseObject(invalid));
         }
     }
 
     @Test
     public void backendListRejectsInvalidAddressAndState() {
-        for (String bad : new String[] {"10.0.0.256:1", "example.org:80", "10.0.0.1", "10.0.0.1:70000"}) {
-            assertThrows(bad, MalformedException.class, () -> BackendList.parseAddress(bad));
+        for (String invalid : new String[] {"10.0.0.256:1", "example.org:80", "10.0.0.1", "10.0.0.1:70000"}) {
+            assertThrows(invalid, MalformedException.class, () -> BackendList.parseAddress(invalid));
         }
         assertThrows(MalformedException.class, () -> BackendList.parse(Json.parseObject(
             "{\"rev\":1,\"all\":true,"
@@ -79,7 +80,7 @@
             near.getOutputStream().write(endless);
             near.shutdownOutput();
             byte[] first = reader.readLine();
-            assertEquals("a piece is bounded", LineReader.MAX_LINE_BYTES + 2, first.length);
+            assertEquals("length of a bounded piece", LineReader.MAX_LINE_BYTES + 2, first.length);
             assertArrayEquals(new byte[] {'x', 'x'}, new byte[] {first[0], first[4097]});
             assertEquals(5_000 - first.length, reader.readLine().length);
             assertNull(reader.readLine());
