--- a/relay/src/main/java/saltstage/wire/BackendList.java
+++ b/relay/src/main/java/saltstage/wire/BackendList.java
@@ -77,19 +77,19 @@
 
     /** Parses a numeric IPv4 address with a port; host names are not resolved. */
     public static InetSocketAddress parseAddress(String text) throws MalformedException {
-        Matcher parts = ENDPOINT.matcher(text);
-        if (!parts.matches()) {
+        Matcher matcher = ENDPOINT.matcher(text);
+        if (!matcher.matches()) {
             throw new MalformedException("bad address");
         }
         byte[] ip = new byte[4];
         for (int i = 0; i < ip.length; i++) {
-            int octet = Integer.parseInt(parts.group(i + 1));
+            int octet = Integer.parseInt(matcher.group(i + 1));
             if (octet > 255) {
                 throw new MalformedException("bad address");
             }
             ip[i] = (byte) octet;
         }
-        int port = Integer.parseInt(parts.group(5));
+        int port = Integer.parseInt(matcher.group(5));
         if (port > 65_535) {
             throw new MalformedException("bad port");
         }
--- a/relay/src/test/java/saltstage/wire/DiscoveryClientTest.java
+++ b/relay/src/test/java/saltstage/wire/DiscoveryClientTest.java
@@ -39,7 +39,7 @@
 
     /** The behavior of the discovery service on one connection. */
     private interface CallHandler {
-        void handle(Socket call) throws IOException, InterruptedException;
+        void handle(Socket socket) throws IOException, InterruptedException;
     }
 
     @BeforeEach
@@ -60,8 +60,8 @@
                 new Thread(
                         () -> {
                             while (!serverSocket.isClosed()) {
-                                try (Socket call = serverSocket.accept()) {
-                                    handler.handle(call);
+                                try (Socket socket = serverSocket.accept()) {
+                                    handler.handle(socket);
                                 } catch (IOException | InterruptedException hungUp) {
                                     // The client closed the connection; accept the next one.
                                     continue;
@@ -72,30 +72,30 @@
         service.start();
     }
 
-    private static void send(Socket call, String text) throws IOException {
-        call.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    private static void send(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static void sendChunk(Socket call, String text) throws IOException {
-        send(call, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+    private static void sendChunk(Socket socket, String text) throws IOException {
+        send(socket, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
     /** Asserts that the watch soon ends with this exception; returns how long it ran. */
     private Duration assertWatchEndsWith(Class<? extends Exception> exception) {
         long start = System.nanoTime();
         assertThrows(exception, () -> client.watch(0, receivedLists::add));
-        Duration took = Duration.ofNanos(System.nanoTime() - start);
-        assertTrue(took.compareTo(MAX_WATCH_DURATION) < 0, "took " + took);
-        return took;
+        Duration elapsed = Duration.ofNanos(System.nanoTime() - start);
+        assertTrue(elapsed.compareTo(MAX_WATCH_DURATION) < 0, "took " + elapsed);
+        return elapsed;
     }
 
     @Test
     void firstCallWaitsForAServiceThatAnswersLate() {
         serve(
-                call -> {
+                socket -> {
                     Thread.sleep(2 * SILENCE_TIMEOUT.toMillis());
-                    send(call, HEAD);
-                    sendChunk(call, EMPTY_LIST + "\n");
+                    send(socket, HEAD);
+                    sendChunk(socket, EMPTY_LIST + "\n");
                     Thread.sleep(2 * SILENCE_TIMEOUT.toMillis());
                 });
         assertWatchEndsWith(SocketTimeoutException.class);
@@ -104,7 +104,10 @@
 
     @Test
     void watchEndsWhenServiceNeverAnswers() {
-        serve(call -> call.getInputStream().transferTo(java.io.OutputStream.nullOutputStream()));
+        serve(
+                socket ->
+                        socket.getInputStream()
+                                .transferTo(java.io.OutputStream.nullOutputStream()));
         assertTrue(
                 assertWatchEndsWith(SocketTimeoutException.class).compareTo(SILENCE_TIMEOUT) > 0);
         assertTrue(receivedLists.isEmpty());
@@ -113,12 +116,12 @@
     @Test
     void watchEndsWhenOnlyPartOfAnObjectTricklesIn() {
         serve(
-                call -> {
-                    send(call, HEAD);
-                    sendChunk(call, EMPTY_LIST + "\n");
-                    for (int i = 0; !call.isClosed(); i++) {
+                socket -> {
+                    send(socket, HEAD);
+                    sendChunk(socket, EMPTY_LIST + "\n");
+                    for (int i = 0; !socket.isClosed(); i++) {
                         // Only spaces and line breaks within a partial object follow.
-                        sendChunk(call, i == 0 ? "{" : i % 3 == 0 ? "\n" : " ");
+                        sendChunk(socket, i == 0 ? "{" : i % 3 == 0 ? "\n" : " ");
                         Thread.sleep(20);
                     }
                 });
@@ -129,10 +132,10 @@
     @Test
     void watchEndsWhenResponseHeadTricklesIn() {
         serve(
-                call -> {
-                    send(call, "HTTP/1.1 200 OK\r\n");
-                    while (!call.isClosed()) {
-                        send(call, "X: y\r\n");
+                socket -> {
+                    send(socket, "HTTP/1.1 200 OK\r\n");
+                    while (!socket.isClosed()) {
+                        send(socket, "X: y\r\n");
                         Thread.sleep(40);
                     }
                 });
@@ -142,15 +145,15 @@
     @Test
     void emptyLinesKeepIdleWatchOpen() {
         serve(
-                call -> {
-                    send(call, HEAD);
+                socket -> {
+                    send(socket, HEAD);
                     for (int i = 0; i < 20; i++) {
-                        sendChunk(call, "\n");
+                        sendChunk(socket, "\n");
                         Thread.sleep(50);
                     }
-                    sendChunk(call, EMPTY_LIST + "\n");
-                    send(call, "0\r\n\r\n");
-                    call.close();
+                    sendChunk(socket, EMPTY_LIST + "\n");
+                    send(socket, "0\r\n\r\n");
+                    socket.close();
                 });
         assertTrue(assertWatchEndsWith(IOException.class).compareTo(SILENCE_TIMEOUT) > 0);
         assertEquals(1, receivedLists.size(), "empty lines must keep the watch open");
@@ -159,13 +162,14 @@
     @Test
     void acceptsIndentedListsAndSeveralOnOneLine() {
         serve(
-                call -> {
-                    send(call, HEAD);
+                socket -> {
+                    send(socket, HEAD);
                     sendChunk(
-                            call,
+                            socket,
                             "  {\n  \"rev\": 3,\r\n\t\"all\": true,\n  \"targets\": [\n  ]\n}\n\n");
-                    sendChunk(call, "{\"rev\":4,\"all\":false,\"targets\":[]}" + EMPTY_LIST + "\n");
-                    call.close();
+                    sendChunk(
+                            socket, "{\"rev\":4,\"all\":false,\"targets\":[]}" + EMPTY_LIST + "\n");
+                    socket.close();
                 });
         assertWatchEndsWith(IOException.class);
         assertEquals(
@@ -217,9 +221,9 @@
         Thread service =
                 new Thread(
                         () -> {
-                            try (Socket call = serverSocket.accept()) {
-                                call.setSoLinger(true, 1);
-                                send(call, response);
+                            try (Socket socket = serverSocket.accept()) {
+                                socket.setSoLinger(true, 1);
+                                send(socket, response);
                             } catch (IOException closed) {
                                 return;
                             }
--- a/relay/src/test/java/saltstage/wire/ParserTest.java
+++ b/relay/src/test/java/saltstage/wire/ParserTest.java
@@ -67,18 +67,18 @@
     @Test
     public void readsWholeLinesAndBoundsOverlongOnes() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                Socket near = new Socket(listener.getInetAddress(), listener.getLocalPort());
-                Socket far = listener.accept()) {
-            LineReader reader = new LineReader(far, new byte[0]);
-            near.getOutputStream().write("one\r\ntwo\r\nth".getBytes(StandardCharsets.US_ASCII));
+                Socket client = new Socket(listener.getInetAddress(), listener.getLocalPort());
+                Socket accepted = listener.accept()) {
+            LineReader reader = new LineReader(accepted, new byte[0]);
+            client.getOutputStream().write("one\r\ntwo\r\nth".getBytes(StandardCharsets.US_ASCII));
             assertEquals("one\r\n", text(reader.readLine()));
             assertEquals("two\r\n", text(reader.readLine()));
             assertThrows(SocketTimeoutException.class, () -> reader.readLine(Duration.ofMillis(30)));
-            near.getOutputStream().write("ree\r\n".getBytes(StandardCharsets.US_ASCII));
+            client.getOutputStream().write("ree\r\n".getBytes(StandardCharsets.US_ASCII));
             assertEquals("three\r\n", text(reader.readLine()));
-            byte[] endless = "x".repeat(5_000).getBytes(StandardCharsets.US_ASCII);
-            near.getOutputStream().write(endless);
-            near.shutdownOutput();
+            byte[] overlong = "x".repeat(5_000).getBytes(StandardCharsets.US_ASCII);
+            client.getOutputStream().write(overlong);
+            client.shutdownOutput();
             byte[] first = reader.readLine();
             assertEquals("length of a bounded piece", LineReader.MAX_LINE_BYTES + 2, first.length);
             assertArrayEquals(new byte[] {'x', 'x'}, new byte[] {first[0], first[4097]});
