--- a/relay/src/main/java/saltstage/net/Connection.java
+++ b/relay/src/main/java/saltstage/net/Connection.java
@@ -27,7 +27,8 @@
         /** Validates the limits. */
         public WriteLimits {
             if (softBytes < 2 || maxBytes < softBytes) {
-                throw new IllegalArgumentException("bounds " + softBytes + ", " + maxBytes);
+                throw new IllegalArgumentException(
+                        "invalid write limits: " + softBytes + ", " + maxBytes);
             }
         }
     }
--- a/relay/src/main/java/saltstage/net/NettyConnection.java
+++ b/relay/src/main/java/saltstage/net/NettyConnection.java
@@ -56,6 +56,7 @@
         connectListener = listener;
     }
 
+    /** Resets a connection that got no handler. */
     void refuse() {
         closed = true;
         reset();
