--- a/relay/src/main/java/saltstage/config/AmqpSettings.java
+++ b/relay/src/main/java/saltstage/config/AmqpSettings.java
@@ -7,31 +7,31 @@
 import saltstage.wire.MalformedException;
 
 /**
- * The AMQP front: where it listens, how a link's address becomes a request, and every limit. Sizes are in
- * bytes; docs/operators/amqp.md tells what each limit protects.
+ * The settings of the AMQP frontend: its listener, its limits, and how links are mapped to requests. Sizes
+ * are in bytes; docs/operators/amqp.md explains what each limit protects.
  */
 public record AmqpSettings(InetSocketAddress listenAddress, int backendPort, int loops,
         Limits limits, Timeouts timeouts, Authentication authentication, LinkProperties linkProperties) {
     /**
-     * How much of each: connections; sessions and links a connection; links in all; deliveries a link that
-     * have no outcome yet; the largest frame; bytes held for a link; bytes of a delivery that are kept so
-     * that it can be sent to another backend; attaches a connection may begin a second.
+     * The limits: connections; sessions and links of one connection; links in total; deliveries of a link
+     * without an outcome; the size of a frame; bytes buffered for a link; bytes of a delivery that are
+     * retained so that it can be sent to another backend; attaches that one connection may begin in a second.
      */
     public record Limits(int maxConnections, int maxSessionsPerConnection, int maxLinksPerConnection,
             int maxLinks, int maxUnsettledPerLink, int maxFrameBytes, int maxLinkBytes,
             int maxRetainedDeliveryBytes, int maxAttachesPerSecond) { }
 
     /**
-     * How long: silence of a client and of a backend; until a newcomer's open has come; until a delivery that
-     * has come whole is given up; what a moved link may take to settle.
+     * The timeouts: silence of a client and of a backend; from a connect until the open frame; from the
+     * complete receipt of a delivery until it fails; until the deliveries of a moved link are settled.
      */
     public record Timeouts(Duration clientIdle, Duration backendIdle, Duration open, Duration delivery,
             Duration settle) { }
 
-    /** Who may come in: the file of users and secrets, or null; the tenant of ANONYMOUS, or null for none. */
+    /** Who may connect: the file of users and secrets, or null; the tenant of ANONYMOUS, or null. */
     public record Authentication(Path secretsFile, String anonymousTenant) { }
 
-    /** Link properties that carry what an address does not; null where none does. */
+    /** The names of the link properties that carry what an address does not contain; null where unused. */
     public record LinkProperties(String keyProperty, String groupProperty, String deadlineProperty) { }
 
     private static final int KIB = 1 << 10;
@@ -41,9 +41,9 @@
         InetSocketAddress listen;
         try {
             listen = BackendList.parseAddress(amqp.requiredString("listen"));
-        } catch (MalformedException bad) {
+        } catch (MalformedException e) {
             if (amqp.string("listen", null) == null) {
-                throw bad;
+                throw e;
             }
             throw amqp.attributeError("listen",
                 "an address in figures with a port, such as \"127.0.0.1:5672\"");
@@ -60,7 +60,7 @@
         if (limits.maxLinkBytes() < 4 * limits.maxFrameBytes()) {
             throw amqp.blockError("'link_bytes' must hold at least four frames of 'frame'");
         }
-        Timeouts times = new Timeouts(
+        Timeouts timeouts = new Timeouts(
             amqp.duration("idle", Duration.ofSeconds(60), Duration.ofSeconds(1), Duration.ofHours(1)),
             amqp.duration("backend_idle", Duration.ofSeconds(4), Duration.ofMillis(500), Duration.ofHours(1)),
             amqp.duration("open_within", Duration.ofSeconds(3), Duration.ofMillis(100),
@@ -70,16 +70,16 @@
             amqp.duration("settle_within", Duration.ofMillis(700), Duration.ofMillis(50),
                 Duration.ofMinutes(1)));
         String secrets = amqp.string("secrets", null);
-        Authentication access = new Authentication(secrets == null ? null : Path.of(secrets),
+        Authentication authentication = new Authentication(secrets == null ? null : Path.of(secrets),
             amqp.string("anonymous_tenant", null));
-        if (access.secretsFile() == null && access.anonymousTenant() == null) {
+        if (authentication.secretsFile() == null && authentication.anonymousTenant() == null) {
             throw amqp.blockError("nobody may come in: name 'secrets' or 'anonymous_tenant'");
         }
-        AmqpSettings read = new AmqpSettings(listen, (int) amqp.integer("backend_port", 0, 0, 65_535),
-            (int) amqp.integer("loops", 1, 1, 64), limits, times, access,
+        AmqpSettings settings = new AmqpSettings(listen, (int) amqp.integer("backend_port", 0, 0, 65_535),
+            (int) amqp.integer("loops", 1, 1, 64), limits, timeouts, authentication,
             new LinkProperties(amqp.string("key_property", null), amqp.string("group_property", null),
                 amqp.string("deadline_property", null)));
         amqp.rejectUnknown();
-        return read;
+        return settings;
     }
 }
--- a/relay/src/main/java/saltstage/config/OperatorSettings.java
+++ b/relay/src/main/java/saltstage/config/OperatorSettings.java
@@ -13,12 +13,12 @@
 import saltstage.wire.MalformedException;
 
 /**
- * The operator's own settings, an HCL file: what this program offers beyond the platform's
- * configuration. Everything in it is off, or as it always was, unless it is named; {@code
- * deploy/saltstage.hcl} shows all.
+ * The operator's settings, an HCL file: features of the relay beyond the platform's configuration.
+ * A feature that the file does not name is off or keeps its default; {@code deploy/saltstage.hcl}
+ * shows all settings.
  */
 public final class OperatorSettings {
-    /** The levels of a log line, the least that is written. */
+    /** The lowest level of the log lines that are written. */
     public enum Level {
         DEBUG,
         INFO,
@@ -30,8 +30,9 @@
     public record Logging(LogSetup.Format format, Level level) {}
 
     /**
-     * Where state is kept and how: segments of this size, learnt state no older than this, so many
-     * accepted configurations, and so many bytes a second that compaction may copy.
+     * The persisted state: its directory, the size of a segment file, the maximum age of learned
+     * state that is restored, the interval between saves, the number of accepted configurations
+     * that are retained, and the rate at which compaction may copy.
      */
     public record PersistenceSettings(
             Path dir,
@@ -42,12 +43,12 @@
             long compactionBytesPerSecond) {}
 
     /**
-     * Where configuration by revision comes from.
+     * The sources of configuration revisions.
      *
      * @param sources addresses with ports, the preferred one first; at least one
      * @param zone the zone that this relay runs in, may be empty
-     * @param name what sources call this relay; empty: the relay's own name
-     * @param dir where what was accepted outlives a restart
+     * @param name the name of this relay at the sources; if empty, the relay's own name
+     * @param dir the directory that keeps accepted revisions across restarts
      */
     public record FollowerSettings(List<String> sources, String zone, String name, Path dir) {}
 
@@ -65,23 +66,23 @@
     private OperatorSettings(
             String text,
             Logging logging,
-            PersistenceSettings keeping,
+            PersistenceSettings persistence,
             AmqpSettings amqp,
-            FollowerSettings following) {
+            FollowerSettings follower) {
         this.text = text;
         this.logging = logging;
-        this.persistence = keeping;
+        this.persistence = persistence;
         this.amqp = amqp;
-        this.follower = following;
+        this.follower = follower;
     }
 
-    /** What holds where no file is named. */
+    /** The settings that apply if no file is given. */
     public static OperatorSettings defaults() {
         return new OperatorSettings(
                 "", new Logging(LogSetup.Format.TEXT, Level.INFO), null, null, null);
     }
 
-    /** Reads the file; what is wrong with it is said in one line, with file, line and name. */
+    /** Reads the file. The message of the exception is a single line with file, line and name. */
     public static OperatorSettings read(Path file) throws MalformedException {
         try {
             return parse(file.toString(), Files.readString(file));
@@ -92,14 +93,14 @@
         }
     }
 
-    /** Takes the text of a file that errors shall call by this name. */
+    /** Parses the text of a file. Errors refer to the file by this name. */
     public static OperatorSettings parse(String name, String text) throws MalformedException {
         HclBlock top = HclFile.parse(name, text);
         HclBlock log = top.block("log");
         HclBlock store = top.block("store");
         HclBlock amqp = top.block("amqp");
         HclBlock configuration = top.block("configuration");
-        OperatorSettings read =
+        OperatorSettings settings =
                 new OperatorSettings(
                         text,
                         log == null ? defaults().logging : logging(log),
@@ -107,20 +108,20 @@
                         amqp == null ? null : AmqpSettings.parse(amqp),
                         configuration == null ? null : follower(configuration));
         top.rejectUnknown();
-        return read;
+        return settings;
     }
 
     private static Logging logging(HclBlock log) throws MalformedException {
-        Logging read =
+        Logging settings =
                 new Logging(
                         log.enumValue("format", LogSetup.Format.class, LogSetup.Format.TEXT),
                         log.enumValue("level", Level.class, Level.INFO));
         log.rejectUnknown();
-        return read;
+        return settings;
     }
 
     private static PersistenceSettings persistence(HclBlock store) throws MalformedException {
-        PersistenceSettings read =
+        PersistenceSettings settings =
                 new PersistenceSettings(
                         Path.of(store.requiredString("dir")),
                         (int) store.byteSize("segment", MIB, 64 * KIB, 256 * MIB),
@@ -137,7 +138,7 @@
                         (int) store.integer("configurations", 50, 2, 10_000),
                         store.byteSize("compaction_rate", 4 * MIB, 64 * KIB, 1L << 40));
         store.rejectUnknown();
-        return read;
+        return settings;
     }
 
     private static FollowerSettings follower(HclBlock configuration) throws MalformedException {
@@ -148,34 +149,34 @@
         for (String source : sources) {
             checkAddress(configuration, source);
         }
-        FollowerSettings read =
+        FollowerSettings settings =
                 new FollowerSettings(
                         List.copyOf(sources),
                         configuration.string("zone", ""),
                         configuration.string("name", ""),
                         Path.of(configuration.requiredString("dir")));
-        if (!ZONE_NAME.matcher(read.zone()).matches()) {
+        if (!ZONE_NAME.matcher(settings.zone()).matches()) {
             throw configuration.attributeError(
                     "zone", "up to 60 letters, digits, '.', '_' and '-'");
         }
-        if (!FOLLOWER_NAME.matcher(read.name()).matches()) {
+        if (!FOLLOWER_NAME.matcher(settings.name()).matches()) {
             throw configuration.attributeError("name", "up to 160 visible ASCII characters");
         }
         configuration.rejectUnknown();
-        return read;
+        return settings;
     }
 
     private static void checkAddress(HclBlock configuration, String source)
             throws MalformedException {
         try {
             BackendList.parseAddress(source);
-        } catch (MalformedException bad) {
+        } catch (MalformedException e) {
             throw configuration.attributeError(
                     "sources", "addresses in figures with a port, such as \"127.0.0.1:7300\"");
         }
     }
 
-    /** The text of the file, for the history of configurations. */
+    /** The text of the file, for the stored configuration versions. */
     public String text() {
         return text;
     }
@@ -185,17 +186,17 @@
         return logging;
     }
 
-    /** The AMQP front, if there is one. */
+    /** The settings of the AMQP frontend, if it is enabled. */
     public Optional<AmqpSettings> amqp() {
         return Optional.ofNullable(amqp);
     }
 
-    /** Where configuration by revision comes from, if it does. */
+    /** The sources of configuration revisions, if there are any. */
     public Optional<FollowerSettings> follower() {
         return Optional.ofNullable(follower);
     }
 
-    /** Where state is kept, if it is. */
+    /** The settings of the persisted state, if persistence is enabled. */
     public Optional<PersistenceSettings> persistence() {
         return Optional.ofNullable(persistence);
     }
--- a/relay/src/main/java/saltstage/net/ConnectionHandler.java
+++ b/relay/src/main/java/saltstage/net/ConnectionHandler.java
@@ -2,17 +2,23 @@
 
 import java.nio.ByteBuffer;
 
-/** What happens on a connection, told on its loop; must not block. */
+/** Receives the events of a connection on its loop. The methods must not block. */
 public interface ConnectionHandler {
-    /** Bytes have come; the buffer is the transport's and holds only during the call. */
-    void received(Connection on, ByteBuffer bytes);
+    /**
+     * Called when bytes arrive. The buffer belongs to the transport and is valid only during the
+     * call.
+     */
+    void received(Connection connection, ByteBuffer bytes);
 
-    /** The other side has ended its sending; it may still receive. Told once at the most. */
-    void inputEnded(Connection on);
+    /** Called at most once, when the other side has ended its output; it may still receive. */
+    void inputEnded(Connection connection);
 
-    /** What is unsent has passed the soft bound, or has come down again. */
-    default void writabilityChanged(Connection on, boolean now) {}
+    /**
+     * Called when the unsent bytes exceed the soft limit, and when they have fallen below half of
+     * it.
+     */
+    default void writabilityChanged(Connection connection, boolean writable) {}
 
-    /** It is over; the last that is told, exactly once. */
-    void closed(Connection on, Connection.Cause why);
+    /** Called exactly once, as the last event, when the connection is closed. */
+    void closed(Connection connection, Connection.Cause cause);
 }
--- a/relay/src/main/java/saltstage/net/NettyConnection.java
+++ b/relay/src/main/java/saltstage/net/NettyConnection.java
@@ -13,14 +13,12 @@
 import java.nio.ByteBuffer;
 import java.util.function.BiConsumer;
 
-/** A connection on a channel of Netty's. */
+/** A connection on a Netty channel. */
 final class NettyConnection extends ChannelInboundHandlerAdapter implements Connection {
-    /**
-     * Room for the first write of a round, which most often is the only one, and for all that
-     * follow it.
-     */
+    /** Buffer size for the first write of a loop iteration, which is usually the only one. */
     private static final int INITIAL_BUFFER_BYTES = 512;
 
+    /** Buffer size for the further writes of the same loop iteration. */
     private static final int WRITE_BUFFER_BYTES = 16 << 10;
 
     private final SocketChannel channel;
@@ -35,32 +33,30 @@
     private boolean closed;
     private boolean flushScheduled;
 
-    /**
-     * What was written in this round of the loop and is not handed to the channel yet; null:
-     * nothing.
-     */
+    /** The bytes written in this loop iteration and not yet passed to the channel; null if none. */
     private ByteBuf writeBuffer;
 
     NettyConnection(
             SocketChannel channel,
             Loop loop,
-            WriteLimits bounds,
-            BiConsumer<String, Throwable> faults) {
+            WriteLimits writeLimits,
+            BiConsumer<String, Throwable> faultListener) {
         this.channel = channel;
         this.loop = loop;
-        this.writeLimits = bounds;
-        this.faultListener = faults;
+        this.writeLimits = writeLimits;
+        this.faultListener = faultListener;
     }
 
-    void setHandler(ConnectionHandler to) {
-        handler = to;
+    void setHandler(ConnectionHandler newHandler) {
+        handler = newHandler;
     }
 
-    /** It is on its way: the handler is asked for when it is up. */
-    void setConnectListener(Transport.ConnectListener to) {
-        connectListener = to;
+    /** Sets the listener that supplies the handler once the outgoing connection is established. */
+    void setConnectListener(Transport.ConnectListener listener) {
+        connectListener = listener;
     }
 
+    /** Resets a connection that got no handler. */
     void refuse() {
         closed = true;
         reset();
@@ -88,9 +84,9 @@
         if (writeBuffer != null && writeBuffer.maxWritableBytes() < bytes.remaining()) {
             writeBuffered();
         }
-        if (writeBuffer
-                == null) { // many small writes cost the channel an entry, a buffer and a promise
-            // each
+        // Small writes share a buffer; each alone would cost the channel an entry, a buffer and a
+        // promise.
+        if (writeBuffer == null) {
             writeBuffer =
                     channel.alloc()
                             .ioBuffer(
@@ -102,8 +98,8 @@
                                     Math.max(bytes.remaining(), WRITE_BUFFER_BYTES));
         }
         writeBuffer.writeBytes(bytes);
-        if (!flushScheduled) { // one call of the system for all that is written in this round of
-            // the loop
+        // One system call sends everything that is written in this loop iteration.
+        if (!flushScheduled) {
             flushScheduled = true;
             channel.eventLoop()
                     .execute(
@@ -117,9 +113,9 @@
 
     private void writeBuffered() {
         if (writeBuffer != null) {
-            ByteBuf out = writeBuffer;
+            ByteBuf bytes = writeBuffer;
             writeBuffer = null;
-            channel.write(out, channel.voidPromise());
+            channel.write(bytes, channel.voidPromise());
         }
     }
 
@@ -131,8 +127,8 @@
     }
 
     @Override
-    public void setReading(boolean wanted) {
-        channel.config().setAutoRead(wanted);
+    public void setReading(boolean reading) {
+        channel.config().setAutoRead(reading);
     }
 
     @Override
@@ -167,8 +163,8 @@
         abort(Cause.OURS);
     }
 
-    private void abort(Cause why) {
-        cause = cause == null ? why : cause;
+    private void abort(Cause abortCause) {
+        cause = cause == null ? abortCause : cause;
         if (channel.isOpen()) {
             channel.config().setSoLinger(0);
             channel.close();
@@ -216,11 +212,11 @@
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable why) {
-        if (why instanceof IOException) {
+    public void exceptionCaught(ChannelHandlerContext context, Throwable exception) {
+        if (exception instanceof IOException) {
             abort(Cause.RESET);
         } else {
-            faultListener.accept("connection", why);
+            faultListener.accept("connection", exception);
             abort(Cause.FAULT);
         }
     }
@@ -233,12 +229,12 @@
         }
         if (!closed && handler != null) {
             closed = true;
-            Cause why = cause == null ? Cause.RESET : cause;
-            callHandler(() -> handler.closed(this, why));
+            Cause closeCause = cause == null ? Cause.RESET : cause;
+            callHandler(() -> handler.closed(this, closeCause));
         }
     }
 
-    /** A handler that throws costs its own connection and nothing else of the loop. */
+    /** Calls the handler. If it throws, only its own connection is closed; the loop goes on. */
     private void callHandler(Runnable call) {
         try {
             call.run();
--- a/relay/src/main/java/saltstage/wire/ChunkedInputStream.java
+++ b/relay/src/main/java/saltstage/wire/ChunkedInputStream.java
@@ -3,7 +3,10 @@
 import java.io.IOException;
 import java.io.InputStream;
 
-/** The body of a chunked answer; a malformed chunk is an IOException, like a broken connection. */
+/**
+ * Decodes the body of a chunked HTTP response. A malformed chunk causes an IOException, as a broken
+ * connection does.
+ */
 final class ChunkedInputStream extends InputStream {
     private static final int MAX_SIZE_LINE_CHARS = 256;
     private static final long MAX_CHUNK_BYTES = 16 << 20;
@@ -53,8 +56,8 @@
         endOfBody = remainingBytes == 0;
     }
 
-    private void expect(int wanted) throws IOException {
-        if (readRequired() != wanted) {
+    private void expect(int expected) throws IOException {
+        if (readRequired() != expected) {
             throw new IOException("bad end of a chunk");
         }
     }
--- a/relay/src/main/java/saltstage/wire/Json.java
+++ b/relay/src/main/java/saltstage/wire/Json.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A strict JSON parser: Map, List, String, Double, Boolean or null; its depth is bounded. */
+/**
+ * A strict JSON parser with bounded nesting depth. Values are Map, List, String, Double, Boolean or
+ * null.
+ */
 public final class Json {
     private static final int MAX_DEPTH = 32;
 
@@ -16,7 +19,7 @@
         this.text = text;
     }
 
-    /** Parses a text that is one object. */
+    /** Parses a text that consists of one object. */
     public static Map<String, Object> parseObject(String text) throws MalformedException {
         Json json = new Json(text);
         Object value = json.parseValue(0);
@@ -27,17 +30,17 @@
         return asObject(value, "the text");
     }
 
-    /** The value as an object. */
-    @SuppressWarnings("unchecked") // every map that the parser makes has such keys and values
-    public static Map<String, Object> asObject(Object value, String what)
+    /** Returns the value as an object, or fails with an error that begins with the given name. */
+    @SuppressWarnings("unchecked") // the parser creates maps with string keys only
+    public static Map<String, Object> asObject(Object value, String name)
             throws MalformedException {
         if (!(value instanceof Map)) {
-            throw new MalformedException(what + " is not an object");
+            throw new MalformedException(name + " is not an object");
         }
         return (Map<String, Object>) value;
     }
 
-    /** The member of an object, which must be of this type. */
+    /** Returns a required member of an object; it must have this type. */
     public static <T> T member(Map<String, Object> object, String name, Class<T> type)
             throws MalformedException {
         Object value = object.get(name);
@@ -48,8 +51,8 @@
         return type.cast(value);
     }
 
-    private MalformedException malformed(String what) {
-        return new MalformedException("JSON, character " + position + ": " + what);
+    private MalformedException malformed(String message) {
+        return new MalformedException("JSON, character " + position + ": " + message);
     }
 
     private void skipWhitespace() {
@@ -139,11 +142,11 @@
     }
 
     private Double parseNumber() throws MalformedException {
-        int from = position;
+        int start = position;
         while (position < text.length() && "+-.eE0123456789".indexOf(text.charAt(position)) >= 0) {
             position++;
         }
-        String digits = text.substring(from, position);
+        String digits = text.substring(start, position);
         if (!digits.matches("-?(0|[1-9]\\d*)(\\.\\d+)?([eE][+-]?\\d+)?")) {
             throw malformed("bad number");
         }
@@ -176,9 +179,9 @@
             throw malformed("the text ends in a string");
         }
         char c = text.charAt(position++);
-        int plain = "\"\\/bfnrt".indexOf(c);
-        if (plain >= 0) {
-            return "\"\\/\b\f\n\r\t".charAt(plain);
+        int index = "\"\\/bfnrt".indexOf(c);
+        if (index >= 0) {
+            return "\"\\/\b\f\n\r\t".charAt(index);
         }
         if (c != 'u'
                 || position + 4 > text.length()
--- a/relay/src/main/java/saltstage/wire/LoadReport.java
+++ b/relay/src/main/java/saltstage/wire/LoadReport.java
@@ -2,19 +2,19 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** What a backend answers to STATS: {@code PONG x0=0.61,queue=2}. */
+/** The response of a backend to a STATS probe: {@code PONG x0=0.61,queue=2}. */
 public final class LoadReport {
     private static final String RESPONSE_PREFIX = "PONG ";
 
     private final String fields;
 
-    private LoadReport(String report) {
-        this.fields = report;
+    private LoadReport(String fields) {
+        this.fields = fields;
     }
 
     /**
-     * Takes a piece that must be a whole answer; null where it is ERR or PONG alone: nothing is
-     * told.
+     * Parses a piece that must be a complete response. Returns null for ERR and for PONG without
+     * fields, which report no load.
      */
     public static LoadReport parse(byte[] piece) throws MalformedException {
         String line = new String(piece, StandardCharsets.ISO_8859_1);
@@ -22,13 +22,13 @@
             return null;
         }
         if (!line.startsWith(RESPONSE_PREFIX) || !line.endsWith("\r\n")) {
-            String begin = line.substring(0, Math.min(40, line.length())).trim();
-            throw new MalformedException("no load report: " + begin);
+            String excerpt = line.substring(0, Math.min(40, line.length())).trim();
+            throw new MalformedException("no load report: " + excerpt);
         }
         return new LoadReport(line.substring(RESPONSE_PREFIX.length(), line.length() - 2));
     }
 
-    /** A field that must be there, a finite number that is not negative. */
+    /** Returns a required field, a finite number that is not negative. */
     public double field(String name) throws MalformedException {
         for (String pair : fields.split(",")) {
             if (pair.startsWith(name + "=")) {
--- a/relay/src/test/java/saltstage/wire/DiscoveryClientTest.java
+++ b/relay/src/test/java/saltstage/wire/DiscoveryClientTest.java
@@ -20,14 +20,14 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A discovery service that is slow must be heard in the end; one that tells nothing must be left in
- * time.
+ * Guards against two faults of a watch: giving up a discovery service that only responds late, and
+ * waiting without end for one that sends nothing useful.
  */
 @Timeout(60)
 class DiscoveryClientTest {
     private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(300);
 
-    /** Far more than silence may take here, and far less than for ever. */
+    /** Well above the silence timeout, so that only a watch that hangs exceeds it. */
     private static final Duration MAX_WATCH_DURATION = Duration.ofSeconds(20);
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -37,9 +37,9 @@
     private DiscoveryClient client;
     private final List<BackendList> receivedLists = new ArrayList<>();
 
-    /** What the service does with a call. */
+    /** The behavior of the discovery service on one connection. */
     private interface CallHandler {
-        void handle(Socket call) throws IOException, InterruptedException;
+        void handle(Socket socket) throws IOException, InterruptedException;
     }
 
     @BeforeEach
@@ -55,15 +55,15 @@
         serverSocket.close();
     }
 
-    private void serve(CallHandler script) {
+    private void serve(CallHandler handler) {
         Thread service =
                 new Thread(
                         () -> {
                             while (!serverSocket.isClosed()) {
-                                try (Socket call = serverSocket.accept()) {
-                                    script.handle(call);
-                                } catch (IOException
-                                        | InterruptedException hungUp) { // the next call comes
+                                try (Socket socket = serverSocket.accept()) {
+                                    handler.handle(socket);
+                                } catch (IOException | InterruptedException hungUp) {
+                                    // The client closed the connection; accept the next one.
                                     continue;
                                 }
                             }
@@ -72,30 +72,30 @@
         service.start();
     }
 
-    private static void send(Socket call, String text) throws IOException {
-        call.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    private static void send(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static void sendChunk(Socket call, String text) throws IOException {
-        send(call, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+    private static void sendChunk(Socket socket, String text) throws IOException {
+        send(socket, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
-    /** The watch ends by what it must, soon; returns how long that took. */
-    private Duration assertWatchEndsWith(Class<? extends Exception> by) {
+    /** Asserts that the watch soon ends with this exception; returns how long it ran. */
+    private Duration assertWatchEndsWith(Class<? extends Exception> exception) {
         long start = System.nanoTime();
-        assertThrows(by, () -> client.watch(0, receivedLists::add));
-        Duration took = Duration.ofNanos(System.nanoTime() - start);
-        assertTrue(took.compareTo(MAX_WATCH_DURATION) < 0, "took " + took);
-        return took;
+        assertThrows(exception, () -> client.watch(0, receivedLists::add));
+        Duration elapsed = Duration.ofNanos(System.nanoTime() - start);
+        assertTrue(elapsed.compareTo(MAX_WATCH_DURATION) < 0, "took " + elapsed);
+        return elapsed;
     }
 
     @Test
     void firstCallWaitsForAServiceThatAnswersLate() {
         serve(
-                call -> {
+                socket -> {
                     Thread.sleep(2 * SILENCE_TIMEOUT.toMillis());
-                    send(call, HEAD);
-                    sendChunk(call, EMPTY_LIST + "\n");
+                    send(socket, HEAD);
+                    sendChunk(socket, EMPTY_LIST + "\n");
                     Thread.sleep(2 * SILENCE_TIMEOUT.toMillis());
                 });
         assertWatchEndsWith(SocketTimeoutException.class);
@@ -104,7 +104,10 @@
 
     @Test
     void watchEndsWhenServiceNeverAnswers() {
-        serve(call -> call.getInputStream().transferTo(java.io.OutputStream.nullOutputStream()));
+        serve(
+                socket ->
+                        socket.getInputStream()
+                                .transferTo(java.io.OutputStream.nullOutputStream()));
         assertTrue(
                 assertWatchEndsWith(SocketTimeoutException.class).compareTo(SILENCE_TIMEOUT) > 0);
         assertTrue(receivedLists.isEmpty());
@@ -113,13 +116,12 @@
     @Test
     void watchEndsWhenOnlyPartOfAnObjectTricklesIn() {
         serve(
-                call -> {
-                    send(call, HEAD);
-                    sendChunk(call, EMPTY_LIST + "\n");
-                    for (int i = 0;
-                            !call.isClosed();
-                            i++) { // half an object, for ever; lines within it are no sign
-                        sendChunk(call, i == 0 ? "{" : i % 3 == 0 ? "\n" : " ");
+                socket -> {
+                    send(socket, HEAD);
+                    sendChunk(socket, EMPTY_LIST + "\n");
+                    for (int i = 0; !socket.isClosed(); i++) {
+                        // Only spaces and line breaks within a partial object follow.
+                        sendChunk(socket, i == 0 ? "{" : i % 3 == 0 ? "\n" : " ");
                         Thread.sleep(20);
                     }
                 });
@@ -130,10 +132,10 @@
     @Test
     void watchEndsWhenResponseHeadTricklesIn() {
         serve(
-                call -> {
-                    send(call, "HTTP/1.1 200 OK\r\n");
-                    while (!call.isClosed()) {
-                        send(call, "X: y\r\n");
+                socket -> {
+                    send(socket, "HTTP/1.1 200 OK\r\n");
+                    while (!socket.isClosed()) {
+                        send(socket, "X: y\r\n");
                         Thread.sleep(40);
                     }
                 });
@@ -143,30 +145,31 @@
     @Test
     void emptyLinesKeepIdleWatchOpen() {
         serve(
-                call -> {
-                    send(call, HEAD);
+                socket -> {
+                    send(socket, HEAD);
                     for (int i = 0; i < 20; i++) {
-                        sendChunk(call, "\n");
+                        sendChunk(socket, "\n");
                         Thread.sleep(50);
                     }
-                    sendChunk(call, EMPTY_LIST + "\n");
-                    send(call, "0\r\n\r\n");
-                    call.close();
+                    sendChunk(socket, EMPTY_LIST + "\n");
+                    send(socket, "0\r\n\r\n");
+                    socket.close();
                 });
         assertTrue(assertWatchEndsWith(IOException.class).compareTo(SILENCE_TIMEOUT) > 0);
-        assertEquals(1, receivedLists.size(), "a second of empty lines is no silence");
+        assertEquals(1, receivedLists.size(), "empty lines must keep the watch open");
     }
 
     @Test
     void acceptsIndentedListsAndSeveralOnOneLine() {
         serve(
-                call -> {
-                    send(call, HEAD);
+                socket -> {
+                    send(socket, HEAD);
                     sendChunk(
-                            call,
+                            socket,
                             "  {\n  \"rev\": 3,\r\n\t\"all\": true,\n  \"targets\": [\n  ]\n}\n\n");
-                    sendChunk(call, "{\"rev\":4,\"all\":false,\"targets\":[]}" + EMPTY_LIST + "\n");
-                    call.close();
+                    sendChunk(
+                            socket, "{\"rev\":4,\"all\":false,\"targets\":[]}" + EMPTY_LIST + "\n");
+                    socket.close();
                 });
         assertWatchEndsWith(IOException.class);
         assertEquals(
@@ -198,7 +201,7 @@
 
     @Test
     void invalidResponseEndsWatchAtOnce() {
-        for (String answer :
+        for (String response :
                 new String[] {
                     "HTTP/1.1 503 Service Unavailable\r\n\r\n",
                     HEAD + "5\r\nnever",
@@ -208,19 +211,19 @@
                     HEAD + "3\r\n{]}\r\n",
                     ""
                 }) {
-            serveOnce(answer);
-            assertThrows(Exception.class, () -> client.watch(0, receivedLists::add), answer);
+            serveOnce(response);
+            assertThrows(Exception.class, () -> client.watch(0, receivedLists::add), response);
         }
         assertTrue(receivedLists.isEmpty());
     }
 
-    private void serveOnce(String answer) {
+    private void serveOnce(String response) {
         Thread service =
                 new Thread(
                         () -> {
-                            try (Socket call = serverSocket.accept()) {
-                                call.setSoLinger(true, 1);
-                                send(call, answer);
+                            try (Socket socket = serverSocket.accept()) {
+                                socket.setSoLinger(true, 1);
+                                send(socket, response);
                             } catch (IOException closed) {
                                 return;
                             }
