--- a/relay/src/main/java/saltstage/configuration/ChangeHistory.java
+++ b/relay/src/main/java/saltstage/configuration/ChangeHistory.java
@@ -5,24 +5,22 @@
 import java.util.TreeMap;
 
 /**
- * The newest changes, without holes, bounded in number and estimated bytes. It begins after a base
- * revision whose digest it knows too, so that each follower from the base on can be answered. Not
- * thread safe.
+ * The newest changes without gaps, bounded in number and in estimated bytes. The history starts after a base revision and also stores the digest of that revision, so that it can serve each follower that is at the base revision or later. Not thread safe.
  */
 public final class ChangeHistory {
-    /** What a follower is answered that has some revision. */
+    /** The result of a follower's query for the changes after its revision. */
     public sealed interface Result {}
 
-    /** What comes after it, oldest first; empty where it has the newest. */
+    /** The changes after the follower's revision, oldest first; empty if that is the newest one. */
     public record Changes(List<Change> changes) implements Result {}
 
-    /** Why a follower gets no changes. */
+    /** The reason why a follower gets no changes. */
     public enum Failure implements Result {
-        /** Changes after its revision are no longer kept: it needs a snapshot. */
+        /** Changes after the follower's revision are no longer stored: it needs a snapshot. */
         TRUNCATED,
-        /** Its revision is newer than the newest here. */
+        /** The follower's revision is newer than the newest revision of this history. */
         BEHIND,
-        /** Its revision has another digest here: it needs a snapshot. */
+        /** The follower's revision has a different digest in this history: it needs a snapshot. */
         DIVERGED
     }
 
@@ -33,7 +31,7 @@
     private long baseDigest;
     private long estimatedBytes;
 
-    /** Empty, after this revision, with the usual bounds. */
+    /** Creates an empty history that starts after the base revision, with the default bounds. */
     public ChangeHistory(long baseRevision, long baseDigest) {
         this(
                 baseRevision,
@@ -42,7 +40,7 @@
                 ConfigurationLimits.MAX_HISTORY_BYTES);
     }
 
-    /** Empty, after this revision, with bounds of its own. */
+    /** Creates an empty history that starts after the base revision, with the given bounds. */
     public ChangeHistory(long baseRevision, long baseDigest, int mostChanges, long mostBytes) {
         this.baseRevision = baseRevision;
         this.baseDigest = baseDigest;
@@ -50,7 +48,7 @@
         this.maxBytes = mostBytes;
     }
 
-    /** Keeps the next change; throws IllegalArgumentException for one that is not the next. */
+    /** Appends the next change; throws IllegalArgumentException if its revision is not the next. */
     public void append(Change change) {
         if (change.revision() != newestRevision() + 1) {
             throw new IllegalArgumentException(
@@ -70,7 +68,7 @@
         baseDigest = oldest.digest();
     }
 
-    /** Forgets all and begins anew after this revision, as when a snapshot was taken over. */
+    /** Drops all changes and restarts after this revision, for example after a snapshot. */
     public void reset(long revision, long digest) {
         changes.clear();
         estimatedBytes = 0;
@@ -79,10 +77,9 @@
     }
 
     /**
-     * What a follower is answered that has this revision with this digest.
+     * Returns the changes for a follower that has this revision with this digest.
      *
-     * @param limit most changes; at least one is given where there is one, and no more are added
-     *     from {@link ConfigurationLimits#RESPONSE_BYTES_THRESHOLD} on
+     * @param limit the maximum number of changes; at least one is returned if there is one, and no further changes are added once {@link ConfigurationLimits#RESPONSE_BYTES_THRESHOLD} is reached
      */
     public Result changesAfter(long revision, long digest, int limit) {
         if (revision > newestRevision()) {
@@ -115,12 +112,12 @@
         return revision == baseRevision ? baseDigest : changes.get(revision).digest();
     }
 
-    /** The oldest revision after which the changes are kept. */
+    /** The oldest revision after which all changes are stored. */
     public long baseRevision() {
         return baseRevision;
     }
 
-    /** The digest at the oldest revision after which the changes are kept. */
+    /** The digest at {@link #baseRevision()}. */
     public long baseDigest() {
         return baseDigest;
     }
@@ -130,12 +127,12 @@
         return changes.isEmpty() ? baseRevision : changes.lastKey();
     }
 
-    /** How many changes are kept. */
+    /** The number of stored changes. */
     public int size() {
         return changes.size();
     }
 
-    /** Estimated bytes of what is kept. */
+    /** The estimated size of the stored changes, in bytes. */
     public long estimatedBytes() {
         return estimatedBytes;
     }
--- a/relay/src/main/java/saltstage/configuration/ConfigurationJson.java
+++ b/relay/src/main/java/saltstage/configuration/ConfigurationJson.java
@@ -6,17 +6,14 @@
 import saltstage.wire.MalformedException;
 
 /**
- * The read API's JSON, read strictly: an unknown member or kind, a wrong type or too much of
- * anything gives one error that names what and where, and nothing of the text is used.
+ * Parses and formats the JSON of the read API. Parsing is strict: an unknown member or kind, a wrong type or an exceeded limit gives one error that names the fault and its place, and nothing of the text is used.
  */
 public final class ConfigurationJson {
     private static final int DIGEST_DIGITS = 16;
 
     private ConfigurationJson() {}
 
-    // ---- reading
-
-    /** Changes as a source answers them. */
+    /** Parses a source's response to a request for changes. */
     public static ChangesResponse parseChanges(String text) throws MalformedException {
         JsonFields top = new JsonFields(Json.parseObject(text), "answer");
         long revision = top.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
@@ -39,7 +36,7 @@
         return new Change(revision, digest, mutations);
     }
 
-    /** A text {@code {"mutations":[…]}}, as operators write it. */
+    /** Parses a text {@code {"mutations":[…]}}, as operators write it. */
     public static List<Mutation> parseMutations(String text) throws MalformedException {
         JsonFields fields = new JsonFields(Json.parseObject(text), "text");
         List<Mutation> mutations = parseMutations(fields);
@@ -69,7 +66,7 @@
         return new Mutation(key, value);
     }
 
-    /** A page of a snapshot. */
+    /** Parses a page of a snapshot. */
     public static SnapshotPage parseSnapshotPage(String text) throws MalformedException {
         JsonFields top = new JsonFields(Json.parseObject(text), "answer");
         long revision = top.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
@@ -93,7 +90,7 @@
         return new Entry(key, value, revision);
     }
 
-    /** An error; members that this build does not know are skipped, as it changes nothing. */
+    /** Parses an error. Unknown members are ignored, because an error changes no entries. */
     public static ErrorResponse parseError(String text) throws MalformedException {
         JsonFields top = new JsonFields(Json.parseObject(text), "error");
         long most = ConfigurationLimits.MAX_SAFE_INTEGER;
@@ -103,7 +100,7 @@
                 top.has("retryMs") ? top.integer("retryMs", most) : 0);
     }
 
-    /** A digest of 16 hexadecimal digits, as in requests. */
+    /** Parses a digest of 16 hexadecimal digits, as used in requests. */
     public static long parseDigest(String text, String where) throws MalformedException {
         if (!text.matches("[0-9a-f]{" + DIGEST_DIGITS + "}")) {
             throw new MalformedException(where + " takes 16 hexadecimal digits");
@@ -154,9 +151,7 @@
                 fields.integer("startedAtMs", ConfigurationLimits.MAX_SAFE_INTEGER));
     }
 
-    // ---- writing
-
-    /** Changes as a source answers them. */
+    /** Formats a source's response to a request for changes. */
     public static String toJson(ChangesResponse response) {
         JsonWriter json = new JsonWriter();
         json.open('{').name("revision").number(response.revision());
@@ -187,7 +182,7 @@
         json.close(']');
     }
 
-    /** Mutations as operators write them. */
+    /** Formats mutations in the form that operators write. */
     public static String toJson(List<Mutation> mutations) {
         JsonWriter json = new JsonWriter();
         json.open('{');
@@ -195,7 +190,7 @@
         return json.close('}').toString();
     }
 
-    /** A page of a snapshot. */
+    /** Formats a page of a snapshot. */
     public static String toJson(SnapshotPage page) {
         JsonWriter json = new JsonWriter();
         json.open('{').name("revision").number(page.revision());
@@ -214,7 +209,7 @@
         return json.close('}').toString();
     }
 
-    /** An error; what it does not say is left out. */
+    /** Formats an error; the revision and the retry time are omitted if they are 0. */
     public static String toJson(ErrorResponse response) {
         JsonWriter json = new JsonWriter();
         json.open('{').name("error").string(response.error());
@@ -227,7 +222,7 @@
         return json.close('}').toString();
     }
 
-    /** A digest as 16 hexadecimal digits. */
+    /** Formats a digest as 16 hexadecimal digits. */
     public static String formatDigest(long digest) {
         return String.format("%016x", digest);
     }
--- a/relay/src/main/java/saltstage/configuration/ConfigurationLimits.java
+++ b/relay/src/main/java/saltstage/configuration/ConfigurationLimits.java
@@ -1,66 +1,64 @@
 package saltstage.configuration;
 
 /**
- * Bounds that writers, the group, distributors and followers agree on. What is beyond them is
- * refused whole, never cut.
+ * Limits that writers, the coordinator group, distributors and followers share. Anything beyond a limit is rejected as a whole and never truncated.
  */
 public final class ConfigurationLimits {
-    /** Most mutations of one change; a move of 15,000 shards takes 30 changes. */
+    /** The maximum number of mutations of one change; a move of 15,000 shards takes 30 changes. */
     public static final int MAX_MUTATIONS_PER_CHANGE = 500;
 
-    /** Most bytes of one change, by {@link #estimatedBytes(Mutation)}. */
+    /** The maximum size of one change in bytes, by {@link #estimatedBytes(Mutation)}. */
     public static final int MAX_BYTES_PER_CHANGE = 192 * 1024;
 
-    /** Most entries in force at one revision. */
+    /** The maximum number of entries at one revision. */
     public static final int MAX_ENTRIES = 200_000;
 
-    /** Most entries of one page of a snapshot. */
+    /** The maximum number of entries on one page of a snapshot. */
     public static final int MAX_ENTRIES_PER_PAGE = 2_000;
 
-    /** Most changes of one answer. */
+    /** The maximum number of changes in one response. */
     public static final int MAX_CHANGES_PER_RESPONSE = 500;
 
-    /** An answer ends with the change that takes it to so many bytes, by the same estimate. */
+    /** A response ends with the change that brings it to this size in bytes, by the same estimate. */
     public static final int RESPONSE_BYTES_THRESHOLD = 1024 * 1024;
 
-    /** Most changes that a history keeps. */
+    /** The maximum number of changes in a history. */
     public static final int MAX_HISTORY_CHANGES = 4_096;
 
     /**
-     * Most bytes of the changes that a history keeps, by the same estimate: a move of 15,000
-     * shards, and under half of what a snapshot of 59,000 entries takes.
+     * The maximum size of the changes in a history in bytes, by the same estimate. It holds a move of 15,000 shards and is less than half of the size of a snapshot of 59,000 entries.
      */
     public static final int MAX_HISTORY_BYTES = 2 * 1024 * 1024;
 
-    /** Longest text of a setting, in characters. */
+    /** The maximum length of a setting's text, in characters. */
     public static final int MAX_SETTING_LENGTH = 2_000;
 
-    /** Longest address of a backend, in characters. */
+    /** The maximum length of a backend's address, in characters. */
     public static final int MAX_ADDRESS_LENGTH = 100;
 
-    /** Longest identifier of a backend, in characters. */
+    /** The maximum length of a backend's identifier, in characters. */
     public static final int MAX_IDENTIFIER_LENGTH = 160;
 
-    /** Longest name of a zone, in characters. */
+    /** The maximum length of a zone's name, in characters. */
     public static final int MAX_ZONE_LENGTH = 60;
 
-    /** Longest reason of a suspension, in characters. */
+    /** The maximum length of a suspension's reason, in characters. */
     public static final int MAX_REASON_LENGTH = 500;
 
-    /** Largest number that JSON carries exactly. */
+    /** The largest integer that a JSON number represents exactly. */
     public static final long MAX_SAFE_INTEGER = (1L << 53) - 1;
 
     private static final int MUTATION_OVERHEAD_BYTES = 64;
 
     private ConfigurationLimits() {}
 
-    /** About how many bytes a mutation takes in JSON and, within a factor of some, in memory. */
+    /** Estimates the size of a mutation in JSON; its size in memory is a small multiple of it. */
     public static int estimatedBytes(Mutation mutation) {
         int value = mutation.isDeletion() ? 0 : mutation.value().canonicalText().length();
         return MUTATION_OVERHEAD_BYTES + mutation.key().text().length() + value;
     }
 
-    /** The sum of the estimates of a change's mutations. */
+    /** Estimates the size of a change as the sum over its mutations. */
     public static int estimatedBytes(Change change) {
         return change.mutations().stream().mapToInt(ConfigurationLimits::estimatedBytes).sum();
     }
--- a/relay/src/main/java/saltstage/configuration/ConfigurationView.java
+++ b/relay/src/main/java/saltstage/configuration/ConfigurationView.java
@@ -6,19 +6,18 @@
 import java.util.TreeMap;
 
 /**
- * The entries in force at one revision. A change is applied whole, in order and once, or not at
- * all. Not thread safe.
+ * The entries at one revision. A change is applied as a whole, in order and exactly once, or not at all. Not thread safe.
  */
 public final class ConfigurationView {
-    /** What became of a change that was offered. */
+    /** The outcome of applying a change. */
     public enum Outcome {
-        /** It is in force. */
+        /** The change is applied. */
         APPLIED,
-        /** It was in force before, or an even newer one is; nothing changed. */
+        /** This change or a newer one was applied before; nothing changed. */
         ALREADY_APPLIED,
-        /** Changes before it are missing; nothing changed. */
+        /** Changes before this one are missing; nothing changed. */
         GAP,
-        /** Applied, it would not give the digest that its writer had; nothing changed. */
+        /** The resulting digest would differ from the writer's digest; nothing changed. */
         DIVERGED
     }
 
@@ -26,16 +25,16 @@
     private long revision;
     private long digest = EntryDigest.EMPTY;
 
-    /** No entries, at revision 0. */
+    /** Creates a view without entries at revision 0. */
     public ConfigurationView() {}
 
-    /** These entries, at this revision. */
+    /** Creates a view of these entries at this revision. */
     public ConfigurationView(long revision, Collection<Entry> entries) {
         this.revision = revision;
         entries.forEach(this::putEntry);
     }
 
-    /** Applies a change that others have accepted. */
+    /** Applies a change that the writer has accepted. */
     public Outcome apply(Change change) {
         if (change.revision() <= revision) {
             return Outcome.ALREADY_APPLIED;
@@ -54,8 +53,7 @@
     }
 
     /**
-     * Makes the next change of these mutations and applies it; of several with one key the last one
-     * counts.
+     * Creates the next change from these mutations and applies it. If several mutations have the same key, the last one is used.
      */
     public Change accept(Collection<Mutation> mutations) {
         TreeMap<EntryKey, Mutation> byKey = new TreeMap<>();
@@ -92,7 +90,7 @@
         digest += EntryDigest.of(entry);
     }
 
-    /** The newest revision in force. */
+    /** The revision of the change that was applied last. */
     public long revision() {
         return revision;
     }
@@ -102,7 +100,7 @@
         return digest;
     }
 
-    /** The entries, by key; a view that changes with this. */
+    /** The entries by key, as an unmodifiable view that reflects later changes. */
     public NavigableMap<EntryKey, Entry> entries() {
         return Collections.unmodifiableNavigableMap(entries);
     }
--- a/relay/src/main/java/saltstage/configuration/Entry.java
+++ b/relay/src/main/java/saltstage/configuration/Entry.java
@@ -1,8 +1,8 @@
 package saltstage.configuration;
 
 /**
- * An entry as it is in force.
+ * An entry of a configuration.
  *
- * @param revision the revision of the change that wrote it last
+ * @param revision the revision of the change that last wrote the entry
  */
 public record Entry(EntryKey key, EntryValue value, long revision) {}
--- a/relay/src/main/java/saltstage/configuration/EntryDigest.java
+++ b/relay/src/main/java/saltstage/configuration/EntryDigest.java
@@ -3,16 +3,15 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * The digest of a set of entries: the sum of their hashes, so that it is kept up to date one entry
- * at a time.
+ * The digest of a set of entries. It is the sum of the entries' hashes, so that it can be updated incrementally, one entry at a time.
  */
 final class EntryDigest {
     private EntryDigest() {}
 
-    /** The digest of no entries. */
+    /** The digest of an empty set. */
     static final long EMPTY = 0;
 
-    /** The hash of one entry: of its key, its value and its revision. */
+    /** The hash of an entry's key, value and revision. */
     static long of(Entry entry) {
         return Hashing.komihash5_0()
                 .hashStream()
--- a/relay/src/main/java/saltstage/configuration/EntryKey.java
+++ b/relay/src/main/java/saltstage/configuration/EntryKey.java
@@ -3,8 +3,7 @@
 import java.util.regex.Pattern;
 
 /**
- * The name of an entry: its kind and a name of its own, as text {@code kind/name}. Keys are ordered
- * by their text.
+ * The key of an entry: its kind and its name, written as {@code kind/name}. Keys are ordered by their text.
  *
  * @param name 1 to 160 visible ASCII characters
  */
@@ -12,7 +11,7 @@
     private static final Pattern NAME_PATTERN = Pattern.compile("[!-~]{1,160}");
     private static final char SEPARATOR = '/';
 
-    /** Checks the name; throws IllegalArgumentException for one that is malformed. */
+    /** Checks the name; throws IllegalArgumentException if it is malformed. */
     public EntryKey {
         if (!NAME_PATTERN.matcher(name).matches()) {
             throw new IllegalArgumentException(
@@ -22,7 +21,7 @@
         }
     }
 
-    /** The key that a text names; throws IllegalArgumentException where it names none. */
+    /** Parses a key; throws IllegalArgumentException if the text is not a key. */
     public static EntryKey parse(String text) {
         int end = text.indexOf(SEPARATOR);
         for (EntryKind kind : EntryKind.values()) {
@@ -33,7 +32,7 @@
         throw new IllegalArgumentException("no kind of entry in the key '" + text + "'");
     }
 
-    /** The key as text. */
+    /** The key as text in the form {@code kind/name}. */
     public String text() {
         return kind.wireName() + SEPARATOR + name;
     }
--- a/relay/src/main/java/saltstage/configuration/EntryKind.java
+++ b/relay/src/main/java/saltstage/configuration/EntryKind.java
@@ -1,14 +1,14 @@
 package saltstage.configuration;
 
-/** What an entry is about; its word is the first part of the entry's key. */
+/** The kind of an entry; its wire name is the first part of the entry's key. */
 public enum EntryKind {
-    /** A setting of the relays, by its name. */
+    /** A setting of the relays, identified by its name. */
     SETTING("setting"),
-    /** A backend, by its identifier. */
+    /** A backend, identified by its identifier. */
     BACKEND("backend"),
-    /** The backend that serves a shard of a topic, by topic and number. */
+    /** The backend that serves a shard of a topic, identified by topic and shard number. */
     SHARD("shard"),
-    /** A backend that operators have suspended, by its identifier. */
+    /** An operator's suspension of a backend, identified by the backend's identifier. */
     SUSPENSION("suspension");
 
     private final String wireName;
@@ -17,7 +17,7 @@
         this.wireName = word;
     }
 
-    /** The word in keys. */
+    /** The name of this kind in keys and in JSON. */
     public String wireName() {
         return wireName;
     }
--- a/relay/src/main/java/saltstage/configuration/EntryValue.java
+++ b/relay/src/main/java/saltstage/configuration/EntryValue.java
@@ -1,14 +1,14 @@
 package saltstage.configuration;
 
-/** What an entry says; each kind of entry has one type of value. */
+/** The value of an entry; each kind of entry has one type of value. */
 public sealed interface EntryValue {
-    /** The kind of entry that takes this value. */
+    /** The kind of entry that has values of this type. */
     EntryKind kind();
 
-    /** All of the value as one line, the same in each process: what digests are made of. */
+    /** The whole value as one line, identical in each process. Digests are computed from it. */
     String canonicalText();
 
-    /** A setting's value, as it would stand in the operator's file. */
+    /** The value of a setting, in the form used in the operator's settings file. */
     record Setting(String text) implements EntryValue {
         @Override
         public EntryKind kind() {
@@ -21,7 +21,7 @@
         }
     }
 
-    /** The states of a backend: takes new work, takes none, or is no more. */
+    /** The state of a backend: it takes new requests, takes none, or no longer exists. */
     enum BackendState {
         READY,
         DRAINING,
@@ -31,11 +31,11 @@
     /**
      * A backend.
      *
-     * @param address host in figures and port
-     * @param zone the zone that it runs in, may be empty
-     * @param cell the group of backends that it belongs to
-     * @param weight its share of traffic relative to others, 0 or more
-     * @param startedAtMs when it started, milliseconds since 1970; 0: long ago
+     * @param address the numeric host address and the port
+     * @param zone the zone that the backend runs in; may be empty
+     * @param cell the group of backends that the backend belongs to
+     * @param weight the backend's share of traffic relative to other backends, 0 or more
+     * @param startedAtMs when the backend started, in milliseconds since 1970; 0 means long ago
      */
     record Backend(
             String address,
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Where a shard is placed: the identifier of the backend that serves it. */
+    /** The placement of a shard: the identifier of the backend that serves it. */
     record Shard(String backend) implements EntryValue {
         @Override
         public EntryKind kind() {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Why a backend is suspended, for operators. */
+    /** The suspension of a backend, with a reason for operators. */
     record Suspension(String reason) implements EntryValue {
         @Override
         public EntryKind kind() {
--- a/relay/src/main/java/saltstage/configuration/JsonFields.java
+++ b/relay/src/main/java/saltstage/configuration/JsonFields.java
@@ -7,7 +7,7 @@
 import saltstage.wire.Json;
 import saltstage.wire.MalformedException;
 
-/** The members of one JSON object, read by type; each error names the member and its place. */
+/** Typed access to the members of one JSON object; each error names the path of the member. */
 final class JsonFields {
     private final Map<String, Object> members;
     private final String path;
@@ -18,7 +18,7 @@
         this.path = place;
     }
 
-    /** The place of a member, for errors. */
+    /** The path of a member, for error messages. */
     String pathOf(String name) {
         return path + "." + name;
     }
@@ -39,7 +39,7 @@
         return requireType(name, Double.class, "a number");
     }
 
-    /** A whole number from 0 on. */
+    /** Reads a whole number from 0 to the maximum. */
     long integer(String name, long most) throws MalformedException {
         double value = number(name);
         if (value != Math.rint(value) || value < 0 || value > most) {
@@ -48,7 +48,7 @@
         return (long) value;
     }
 
-    @SuppressWarnings("unchecked") // each list that the parser makes is one of objects
+    @SuppressWarnings("unchecked") // the parser creates only lists of Object
     List<Object> list(String name, int most) throws MalformedException {
         List<Object> list = (List<Object>) requireType(name, List.class, "a list");
         if (list.size() > most) {
@@ -62,7 +62,7 @@
         return Json.asObject(requireType(name, Map.class, "an object"), pathOf(name));
     }
 
-    /** Refuses members that were not read. */
+    /** Rejects the object if it has members that were not read. */
     void rejectUnknown() throws MalformedException {
         for (String name : members.keySet()) {
             if (!readMembers.contains(name)) {
--- a/relay/src/main/java/saltstage/configuration/JsonWriter.java
+++ b/relay/src/main/java/saltstage/configuration/JsonWriter.java
@@ -1,6 +1,6 @@
 package saltstage.configuration;
 
-/** Writes JSON: the caller opens, names and closes; commas and escapes are put here. */
+/** Writes JSON. The caller writes brackets, names and values; this class adds commas and escapes. */
 final class JsonWriter {
     private static final char FIRST_PRINTABLE = ' ';
 
--- a/relay/src/main/java/saltstage/configuration/Mutation.java
+++ b/relay/src/main/java/saltstage/configuration/Mutation.java
@@ -1,12 +1,12 @@
 package saltstage.configuration;
 
 /**
- * One key's part of a change.
+ * The part of a change that affects one key.
  *
- * @param value what the key says from then on; null: the entry is deleted
+ * @param value the new value of the entry; null deletes the entry
  */
 public record Mutation(EntryKey key, EntryValue value) {
-    /** Checks that the value is of the key's kind; throws IllegalArgumentException otherwise. */
+    /** Checks that the value matches the key's kind; throws IllegalArgumentException otherwise. */
     public Mutation {
         if (value != null && value.kind() != key.kind()) {
             throw new IllegalArgumentException(
@@ -18,7 +18,7 @@
         }
     }
 
-    /** Whether the entry is deleted. */
+    /** Whether this mutation deletes the entry. */
     public boolean isDeletion() {
         return value == null;
     }
--- a/relay/src/main/java/saltstage/configuration/SnapshotPager.java
+++ b/relay/src/main/java/saltstage/configuration/SnapshotPager.java
@@ -6,11 +6,10 @@
 import java.util.List;
 
 /**
- * Serves all entries in pages. A snapshot is made once per revision that is asked for as the newest
- * one and shared by all who page through it; the newest two are held. Not thread safe.
+ * Serves all entries in pages. One snapshot is created per revision that is requested as the newest one; all followers that read its pages share it. The newest two snapshots are retained. Not thread safe.
  */
 public final class SnapshotPager {
-    /** The revision that stands for the newest one. */
+    /** The revision number that denotes the newest revision. */
     public static final long NEWEST = 0;
 
     private static final int MAX_SNAPSHOTS = 2;
@@ -20,13 +19,13 @@
     private final Deque<Snapshot> snapshots = new ArrayDeque<>(MAX_SNAPSHOTS);
 
     /**
-     * A page.
+     * Returns a page of a snapshot.
      *
-     * @param view what is in force now
-     * @param revision of which snapshot; {@link #NEWEST} for the view as it is now
-     * @param from the first key that is wanted; null for the first of all
-     * @param limit most entries; never more than {@link ConfigurationLimits#MAX_ENTRIES_PER_PAGE}
-     * @return null where that snapshot is not held any more
+     * @param view the current entries
+     * @param revision the revision of the snapshot; {@link #NEWEST} for the current view
+     * @param from the lowest key of the page; null for the first page
+     * @param limit the maximum number of entries, capped at {@link ConfigurationLimits#MAX_ENTRIES_PER_PAGE}
+     * @return the page, or null if that snapshot is no longer retained
      */
     public SnapshotPage page(ConfigurationView view, long revision, EntryKey from, int limit) {
         Snapshot snapshot = revision == NEWEST ? newestSnapshot(view) : findSnapshot(revision);
@@ -68,7 +67,7 @@
         return new SnapshotPage(snapshot.revision(), snapshot.digest(), some, next);
     }
 
-    /** The index of the first entry whose key is not before this one. */
+    /** Returns the index of the first entry whose key is not less than the given key. */
     private static int lowerBound(Entry[] entries, EntryKey key) {
         int low = 0;
         int high = entries.length;
--- a/relay/src/main/java/saltstage/configuration/ValueRules.java
+++ b/relay/src/main/java/saltstage/configuration/ValueRules.java
@@ -3,8 +3,7 @@
 import java.util.regex.Pattern;
 
 /**
- * What any value must be to be carried at all: texts of bounded length that survive UTF-8, numbers
- * that survive JSON. What a value must be to make sense is the group's to check.
+ * Rules that each value must meet to be transferred: texts have bounded lengths and can be encoded as UTF-8, and numbers can be represented in JSON. The coordinator group checks whether a value makes sense.
  */
 public final class ValueRules {
     private static final Pattern ZONE_PATTERN =
@@ -17,7 +16,7 @@
 
     private ValueRules() {}
 
-    /** Why the value cannot be carried, as one sentence; null where it can be. */
+    /** Returns why the value violates the rules, as one sentence, or null if it is valid. */
     public static String validationError(EntryValue value) {
         if (value instanceof EntryValue.Setting setting) {
             return textError("text", setting.text(), ConfigurationLimits.MAX_SETTING_LENGTH);
