--- a/relay/src/main/java/saltstage/configuration/follower/BoundedBodySubscriber.java
+++ b/relay/src/main/java/saltstage/configuration/follower/BoundedBodySubscriber.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Flow.Subscription;
 
-/** The body of an answer as bytes; one that is longer than the bound fails before it is held. */
+/** Collects the body of a response; fails before it buffers more than the maximum size. */
 final class BoundedBodySubscriber implements BodySubscriber<byte[]> {
     private final int maxBytes;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationClient.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationClient.java
@@ -20,21 +20,19 @@
 import saltstage.configuration.ConfigurationView;
 
 /**
- * A follower that asks configuration sources over HTTP: does what {@link FollowerState} wants done,
- * and tells it what came of that. It has no thread of its own; events are taken one at a time, by
- * whichever thread brings one. Thread safe.
+ * A follower that requests its configuration from sources over HTTP. It performs the effects of {@link FollowerState} and posts the results to it as events. It has no thread of its own: events are processed one at a time, on one of the threads that post them. Thread safe.
  */
 public final class ConfigurationClient implements AutoCloseable {
-    /** The longest body of an answer to a request for changes, in bytes. */
+    /** The maximum size of the body of a response with changes, in bytes. */
     static final int MAX_CHANGES_BODY_BYTES = 8 * ConfigurationLimits.RESPONSE_BYTES_THRESHOLD;
 
-    /** The longest body of a page of a snapshot, in bytes. */
+    /** The maximum size of the body of a snapshot page, in bytes. */
     static final int MAX_PAGE_BODY_BYTES = 16 << 20;
 
-    /** How much longer than the wait it was asked for a source may take to answer. */
+    /** How long a source may take to respond after the requested wait has ended. */
     static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(2);
 
-    /** How long a source may take to answer with a page of a snapshot. */
+    /** How long a source may take to respond with a snapshot page. */
     static final Duration PAGE_TIMEOUT = Duration.ofSeconds(10);
 
     private final FollowerOptions options;
@@ -53,9 +51,9 @@
     private volatile Instant confirmedAt;
 
     /**
-     * A follower, not yet begun.
+     * Creates a follower without starting it.
      *
-     * @param held what is durable at the persistence and in force; owned by this from now on
+     * @param held the durable, applied view; owned by this follower from now on
      */
     public ConfigurationClient(
             FollowerOptions options,
@@ -79,34 +77,32 @@
                         held);
     }
 
-    /** Begins to ask; to be called once. */
+    /** Starts to send requests; must be called once. */
     public void start() {
         enqueue(() -> perform(state.start()));
     }
 
-    /** Ends; nothing is asked or told any more once the call that is under way has returned. */
+    /** Stops the follower. No request is sent and no listener called after the current call ends. */
     @Override
     public void close() {
         post(new FollowerEvent.Stopped());
     }
 
-    /** The revision that is durable and in force. */
+    /** The newest revision that is durable and applied. */
     public long revision() {
         return revision;
     }
 
-    /** The source that was asked last. */
+    /** The source of the last request. */
     public URI source() {
         return source;
     }
 
-    /** When a source last said that it has nothing newer; null: never since the start. */
+    /** When a source last confirmed that it has nothing newer; null if never since the start. */
     public Instant confirmedAt() {
         return confirmedAt;
     }
 
-    // ---- one event at a time
-
     private void post(FollowerEvent event) {
         enqueue(() -> handleEvent(event));
     }
@@ -124,7 +120,7 @@
         }
     }
 
-    /** A fault of the listener must not end the follower. */
+    /** Runs a task and reports its exception, so that a failing listener does not stop the follower. */
     private void runGuarded(Runnable task) {
         try {
             task.run();
@@ -155,8 +151,6 @@
         }
     }
 
-    // ---- effects
-
     private void perform(List<FollowerEffect> effects) {
         for (FollowerEffect effect : effects) {
             runGuarded(() -> perform(effect));
@@ -218,7 +212,7 @@
     private void persistConfirmation(Instant at) {
         try {
             persistence.recordConfirmation(at);
-        } catch (IOException | RuntimeException lost) { // only the age told after a restart
+        } catch (IOException | RuntimeException lost) { // affects only the age reported after a restart
             enqueue(() -> listener.writePostponed("confirmation: " + lost.getMessage()));
         }
     }
@@ -229,8 +223,6 @@
                 .schedule(() -> post(event), delay.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    // ---- requests
-
     private void request(FollowerEffect.RequestChanges changes) {
         source = options.sources().get(changes.source());
         long begun = System.nanoTime();
@@ -264,7 +256,7 @@
         CompletableFuture<HttpResponse<byte[]>> pending =
                 resources.http().sendAsync(request, head -> new BoundedBodySubscriber(mostBytes));
         pendingRequest = pending;
-        // The whole answer counts, not only its head as with HttpRequest's own time-out.
+        // This timeout covers the whole response; HttpRequest's own timeout covers only its headers.
         Future<?> deadline =
                 resources
                         .scheduler()
@@ -298,9 +290,7 @@
         return new FollowerEvent.RequestFailed(number, reason);
     }
 
-    // ---- writes
-
-    /** Something that blocks until it is durable. */
+    /** A write that blocks until it is durable. */
     private interface WriteOperation {
         void run() throws IOException;
     }
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationDirectory.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationDirectory.java
@@ -15,9 +15,7 @@
 import saltstage.store.StoreException;
 
 /**
- * A directory with a {@link ConfigurationStore}. What is damaged or of something else is set aside,
- * whole, and the follower begins anew. While another process of the same relay writes there, what
- * it wrote is read, and writes fail until it has ended. For one writer.
+ * A directory with a {@link ConfigurationStore}. If the directory is damaged or holds something else, it is renamed as a whole and the follower starts with an empty one. While another process of the same relay has the store locked, its state can be read, but writes fail until that process has ended. Supports one writer.
  */
 public final class ConfigurationDirectory implements ConfigurationPersistence, Closeable {
     private static final String SET_ASIDE_SUFFIX = ".set-aside-";
@@ -28,10 +26,9 @@
     private ConfigurationStore store;
 
     /**
-     * Opens a directory, or makes it.
+     * Opens a directory; creates it if it does not exist.
      *
-     * @param events told of {@code configuration.set_aside}, {@code configuration.shared} and the
-     *     store's own events
+     * @param events receives {@code configuration.set_aside}, {@code configuration.shared} and the store's own events
      */
     public ConfigurationDirectory(Path path, StoreEventListener events) throws IOException {
         this.path = path;
@@ -39,7 +36,7 @@
         persistedConfiguration = open();
     }
 
-    /** What the directory held when it was opened. */
+    /** The configuration that the directory held when it was opened. */
     public PersistedConfiguration persistedConfiguration() {
         return persistedConfiguration;
     }
@@ -64,7 +61,7 @@
         return store.persistedConfiguration();
     }
 
-    /** The store; opened now if another process held it at the start. */
+    /** Returns the store; opens it first if another process had it locked at the start. */
     private synchronized ConfigurationStore store() throws IOException {
         if (store == null) {
             openStore(FileDisk.openOrCreate(path));
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
@@ -25,11 +25,10 @@
 import saltstage.wire.MalformedException;
 
 /**
- * A follower's entries on the embedded store. Revision, digest and entries change in one batch, so
- * that the disk holds exactly one accepted revision whenever it is read. For one writer.
+ * A follower's entries in the embedded store. Revision, digest and entries change in one batch, so that the disk holds exactly one accepted revision whenever it is read. Supports one writer.
  */
 public final class ConfigurationStore implements ConfigurationPersistence, Closeable {
-    /** The store is sound, but what it holds is no follower's state. */
+    /** The store is intact, but its content is not a follower's state. */
     static final class InvalidStateException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -38,7 +37,7 @@
         }
     }
 
-    /** How old the time of the last confirmation on the disk may become. */
+    /** How old the persisted time of the last confirmation may become before it is updated. */
     static final Duration CONFIRMATION_INTERVAL = Duration.ofSeconds(30);
 
     private static final int FORMAT_VERSION = 1;
@@ -89,9 +88,7 @@
     }
 
     /**
-     * Opens a disk to write, with the store's own thread for checkpoints and compaction. Throws
-     * UnsoundStateException where it holds something else, or entries that differ from their
-     * digest.
+     * Opens a disk for writing, with the store's own thread for checkpoints and compaction. Throws InvalidStateException if the disk holds something else, or entries that do not match their digest.
      */
     public static ConfigurationStore open(Disk disk, StoreEventListener events) throws IOException {
         return open(
@@ -113,20 +110,18 @@
         }
     }
 
-    /** What a disk holds that another process writes to. */
+    /** Reads the configuration on a disk that another process may be writing to. */
     public static PersistedConfiguration read(Disk disk) throws IOException {
         try (Store store = Store.openToRead(disk, StoreEventListener.NONE)) {
             return load(store);
         }
     }
 
-    /** What the disk held when it was opened. */
+    /** The configuration that the disk held when it was opened. */
     public PersistedConfiguration persistedConfiguration() {
         return persistedConfiguration;
     }
 
-    // ---- reading
-
     private static PersistedConfiguration load(Store store) throws IOException {
         try (Snapshot now = store.snapshot()) {
             byte[] state = now.get(STATE_KEY);
@@ -175,11 +170,8 @@
         return Instant.ofEpochMilli(ByteBuffer.wrap(value).getLong());
     }
 
-    // ---- writing
-
     /**
-     * Writes all changes in one batch. Those that another process has written meanwhile to the same
-     * disk are skipped.
+     * Writes all changes in one batch. Changes that the disk already holds, because another process has written them, are skipped.
      */
     @Override
     public void write(List<Change> changes) throws IOException {
@@ -222,7 +214,7 @@
         if (after.equals(durableRevision)) {
             return;
         }
-        Instant now = clock.instant(); // what a source has just told counts as confirmed
+        Instant now = clock.instant(); // a state just received from a source counts as confirmed
         store.commit(batch.put(STATE_KEY, after.encode()).put(CONFIRMED_KEY, encodeInstant(now)));
         durableRevision = after;
         persistedConfirmationAt = now;
@@ -237,7 +229,7 @@
         }
     }
 
-    /** Keeps the time where the one on the disk is old; nothing before the first revision. */
+    /** Persists the time only if the persisted one is old and there is a revision to confirm. */
     @Override
     public void recordConfirmation(Instant at) throws IOException {
         boolean recent =
--- a/relay/src/main/java/saltstage/configuration/follower/EntryCodec.java
+++ b/relay/src/main/java/saltstage/configuration/follower/EntryCodec.java
@@ -9,7 +9,7 @@
 import saltstage.configuration.Mutation;
 import saltstage.wire.MalformedException;
 
-/** Entries as the store's values: the revision in 8 bytes, then the mutation that wrote it. */
+/** Encodes entries as values of the store: 8 bytes of revision, then the mutation as JSON. */
 final class EntryCodec {
     private EntryCodec() {}
 
@@ -18,7 +18,7 @@
         return ByteBuffer.allocate(Long.BYTES + text.length).putLong(revision).put(text).array();
     }
 
-    /** The entry of this key; throws MalformedException where the value is not of that key. */
+    /** Decodes the entry of this key; throws MalformedException if the value has another key. */
     static Entry decode(EntryKey key, byte[] value) throws MalformedException {
         if (value.length < Long.BYTES) {
             throw new MalformedException(key.text() + ": cut short");
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerEffect.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerEffect.java
@@ -6,56 +6,56 @@
 import saltstage.configuration.ConfigurationView;
 import saltstage.configuration.EntryKey;
 
-/** What a follower's state machine wants done, in the order given. */
+/** An action that the follower's state machine requests; actions are performed in order. */
 public sealed interface FollowerEffect {
     /**
-     * Ask a source for the changes after a revision.
+     * Request the changes after a revision from a source.
      *
-     * @param source index in the list of sources
-     * @param poll how long the source may hold the request while it has nothing new
+     * @param source the index in the list of sources
+     * @param pollWait how long the source may hold the request while it has nothing new
      */
     record RequestChanges(long request, int source, long after, long digest, Duration pollWait)
             implements FollowerEffect {}
 
     /**
-     * Ask a source for a page of a snapshot.
+     * Request a page of a snapshot from a source.
      *
-     * @param revision the snapshot's revision; 0: the newest
-     * @param from the first key of the page; null: the first of all
+     * @param revision the snapshot's revision; 0 for the newest
+     * @param from the lowest key of the page; null for the first page
      */
     record RequestSnapshotPage(long request, int source, long revision, EntryKey from)
             implements FollowerEffect {}
 
-    /** Give up a request; its answer is no longer awaited. */
+    /** Cancel a request; its response is no longer awaited. */
     record CancelRequest(long request) implements FollowerEffect {}
 
-    /** Make these changes durable, all or none of them, and answer with the write's outcome. */
+    /** Make all of these changes durable or none of them, and report the outcome as an event. */
     record WriteChanges(long write, List<Change> changes) implements FollowerEffect {}
 
-    /** Replace all that is durable by this view, and answer with the write's outcome. */
+    /** Replace the durable state by this view, and report the outcome as an event. */
     record WriteSnapshot(long write, ConfigurationView view) implements FollowerEffect {}
 
-    /** These changes are durable and in force from now on. */
+    /** Report that these changes are durable and applied. */
     record ChangesApplied(List<Change> changes) implements FollowerEffect {}
 
-    /** This view is durable and in force from now on; not to be kept, it changes later. */
+    /** Report that this view is durable and applied. It must not be retained, as it changes later. */
     record SnapshotApplied(ConfigurationView view) implements FollowerEffect {}
 
-    /** By its last answer the source has nothing newer than this revision, which is in force. */
+    /** Report that, by its last response, the source has nothing newer than this applied revision. */
     record Confirmed(long revision) implements FollowerEffect {}
 
-    /** A source answers requests from now on. */
+    /** Report that the source has begun to respond to requests. */
     record SourceConnected(int source) implements FollowerEffect {}
 
-    /** A source is left for another one. */
+    /** Report a failover from one source to the next. */
     record SourceFailover(int source, int next, String reason) implements FollowerEffect {}
 
-    /** A write failed; it is tried again. */
+    /** Report that a write failed and will be retried. */
     record WritePostponed(String reason) implements FollowerEffect {}
 
-    /** Answer with {@link FollowerEvent.RetryDue} after the delay. */
+    /** Post {@link FollowerEvent.RetryDue} after the delay. */
     record ScheduleRetry(long timer, Duration delay) implements FollowerEffect {}
 
-    /** Answer with {@link FollowerEvent.PreferredSourceRetryDue} after the delay. */
+    /** Post {@link FollowerEvent.PreferredSourceRetryDue} after the delay. */
     record SchedulePreferredSourceRetry(long timer, Duration delay) implements FollowerEffect {}
 }
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerListener.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerListener.java
@@ -6,30 +6,29 @@
 import saltstage.configuration.ConfigurationView;
 
 /**
- * What a follower tells. Calls come one at a time and in order, on threads of the HTTP client or of
- * the executors; the next request leaves only after the call has returned, so it must not block.
+ * Receives a follower's notifications. Calls are made one at a time and in order, on threads of the HTTP client or of the executors. The next request is sent only after the call has returned, so an implementation must not block.
  */
 public interface FollowerListener {
-    /** These changes are durable and in force from now on, oldest first. */
+    /** These changes are durable and applied; they are ordered oldest first. */
     void changesApplied(List<Change> changes);
 
     /**
-     * All that was in force is replaced by this view; it is not to be kept, as it changes later.
+     * This view replaces the whole applied configuration. It must not be retained, as it changes later.
      */
     void snapshotApplied(ConfigurationView view);
 
-    /** A source has just said that it has nothing newer than this revision. */
+    /** A source has confirmed that it has nothing newer than this revision. */
     default void revisionConfirmed(long revision) {}
 
-    /** This source answers requests from now on. */
+    /** This source has begun to respond to requests. */
     default void sourceConnected(URI source) {}
 
-    /** This source is left for the next; what is in force stays. */
+    /** The follower switches from this source to the next; the applied configuration stays. */
     default void sourceFailedOver(URI source, URI next, String reason) {}
 
-    /** A write failed and is tried again; what was in force before stays until then. */
+    /** A write failed and will be retried; the configuration applied before stays until then. */
     default void writePostponed(String reason) {}
 
-    /** A call of this listener, or the follower itself, threw. */
+    /** A call of this listener, or the follower itself, threw an exception. */
     default void faultOccurred(RuntimeException fault) {}
 }
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerOptions.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerOptions.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * Whom a follower asks, and as whom.
+ * The sources of a follower, and how the follower identifies itself to them.
  *
  * @param sources base addresses such as {@code http://127.0.0.1:7300}, the preferred one first
- * @param name the follower's name, which confirmations are counted by
- * @param zone the zone that it runs in
+ * @param name the follower's name, by which sources count confirmations
+ * @param zone the zone that the follower runs in
  */
 public record FollowerOptions(
         List<URI> sources, String name, String zone, FollowerTimings timings) {
-    /** Copies the list; throws IllegalArgumentException where it is empty. */
+    /** Copies the list of sources; throws IllegalArgumentException if it is empty. */
     public FollowerOptions {
         sources = List.copyOf(sources);
         if (sources.isEmpty()) {
@@ -20,7 +20,7 @@
         }
     }
 
-    /** The base address of a source that listens at this host and port. */
+    /** Returns the base address of a source that listens at this host and port. */
     public static URI sourceUri(String hostAndPort) {
         return URI.create("http://" + hostAndPort);
     }
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerResources.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerResources.java
@@ -7,12 +7,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What a follower works with; many followers of one process may share it.
+ * The clients, executors and clocks that a follower uses; the followers of one process may share them.
  *
- * @param scheduler runs pauses and time-outs; what it runs is short
- * @param writer runs writes of the persistence, which may block
- * @param clock the time of day of confirmations
- * @param random draws pauses; thread safe where it is shared
+ * @param scheduler runs retry delays and timeouts; its tasks are short
+ * @param writer runs the writes of the persistence, which may block
+ * @param clock gives the time of confirmations
+ * @param random adds jitter to delays; must be thread safe if it is shared
  */
 public record FollowerResources(
         HttpClient http,
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
@@ -10,23 +10,18 @@
 import saltstage.configuration.SnapshotPage;
 
 /**
- * A follower's state machine: takes one event at a time and returns what is to be done. It knows no
- * I/O, threads or clocks. Until it is stopped, exactly one of these is under way: a request, a
- * write, or a pause before the next request or write.
+ * A follower's state machine: it handles one event at a time and returns the effects to perform. It does no I/O and uses no threads or clocks. Until it is stopped, exactly one of these operations is pending: a request, a write, or a delay before the next request or write.
  *
- * <p>The view holds what was accepted. It is ahead of the disk by the write that is under way; the
- * next request, which confirms a revision to the source, leaves only after that write. The view
- * never goes back to an older revision, and to another digest only by a snapshot after a source has
- * told that it diverged. Not thread safe.
+ * <p>The view holds all accepted changes and is ahead of the disk by the pending write. The next request, which confirms a revision to the source, is sent only after that write. The view never returns to an older revision. Its digest at a revision changes only by a snapshot, after a source has reported divergence. Not thread safe.
  */
 public final class FollowerState {
-    /** Answers of "busy", and snapshots that were cut short, before the source is left. */
+    /** The number of "busy" responses and truncated snapshots before failover to the next source. */
     static final int MAX_RETRIES_PER_SOURCE = 3;
 
-    /** The longest time that a source can ask a follower to stay away. */
+    /** The longest delay that a busy source can request. */
     static final Duration MAX_BUSY_DELAY = Duration.ofMinutes(1);
 
-    /** The mean pause after a source that did not wait as long as it was asked to is half of it. */
+    /** The maximum delay after a response before the requested wait; the mean delay is half of it. */
     static final Duration MAX_EARLY_RESPONSE_DELAY = Duration.ofSeconds(2);
 
     private static final int PREFERRED_SOURCE = 0;
@@ -65,10 +60,10 @@
     private List<FollowerEffect> effects = new ArrayList<>();
 
     /**
-     * A follower of so many sources, the preferred one first.
+     * Creates a follower of a number of sources, of which the first is the preferred one.
      *
-     * @param held what is durable and in force at the start; owned by this from now on
-     * @param mostEntries the most entries that a snapshot may have
+     * @param held the durable, applied view at the start; owned by this object from now on
+     * @param mostEntries the maximum number of entries of a snapshot
      */
     public FollowerState(
             int sources,
@@ -86,13 +81,13 @@
         this.view = held;
     }
 
-    /** Begins; to be called once, before any event. */
+    /** Starts the follower; must be called once, before any event. */
     public List<FollowerEffect> start() {
         request();
         return takeEffects();
     }
 
-    /** Takes an event; returns what is to be done, in order. */
+    /** Handles an event; returns the effects to perform, in order. */
     public List<FollowerEffect> handle(FollowerEvent event) {
         if (phase != Phase.STOPPED && isAwaited(event)) {
             dispatch(event);
@@ -100,12 +95,12 @@
         return takeEffects();
     }
 
-    /** What was accepted; belongs to this, and changes with events. */
+    /** The accepted configuration; owned by this object and changed by later events. */
     public ConfigurationView view() {
         return view;
     }
 
-    /** The index of the source that is asked. */
+    /** The index of the current source. */
     public int source() {
         return source;
     }
@@ -171,8 +166,6 @@
         }
     }
 
-    // ---- answers
-
     private void changesReceived(FollowerEvent.ChangesReceived received) {
         ChangesResponse response = received.response();
         if (snapshotAssembler != null) {
@@ -203,7 +196,7 @@
         }
     }
 
-    /** Takes the changes up to the first that is not sound. */
+    /** Accepts the changes up to the first one that is invalid. */
     private void acceptChanges(ChangesResponse response) {
         List<Change> accepted = new ArrayList<>();
         String unsound = null;
@@ -289,8 +282,6 @@
         scheduleRetry(asked.plus(retryDelay()));
     }
 
-    // ---- sources
-
     private void markSourceConnected() {
         failures = 0;
         sourceRetries = 0;
@@ -348,8 +339,6 @@
         }
     }
 
-    // ---- requests, writes and pauses
-
     private void request() {
         phase = Phase.REQUESTING;
         awaitedOperationId = nextOperationId();
@@ -365,7 +354,7 @@
         if (preferredRetryDue) {
             returnToPreferredSource();
         }
-        // A source that has not answered yet is to answer at once: one that is dead costs little.
+        // The first request to a source has no wait, so that a dead source is detected quickly.
         requestedWait = sourceConnected ? timings.pollWait() : Duration.ZERO;
         effects.add(
                 new FollowerEffect.RequestChanges(
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerTimings.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerTimings.java
@@ -3,14 +3,13 @@
 import java.time.Duration;
 
 /**
- * How long a follower waits for what.
+ * The waits and retry delays of a follower.
  *
- * @param poll how long a source may hold a request while it has nothing new
- * @param retryBase the mean of the first pause after a failure is half of this; it doubles
- * @param retryMost the longest pause after a failure
- * @param preferredPause the longest pause before the preferred source is tried again; the shortest
- *     is half of it, and both double while that source goes on failing
- * @param preferredMost the longest of all such pauses
+ * @param pollWait how long a source may hold a request while it has nothing new
+ * @param baseRetryDelay the maximum of the first delay after a failure, twice its mean; it doubles with each further failure
+ * @param maxRetryDelay the longest delay after a failure
+ * @param basePreferredRetryDelay the longest delay before the preferred source is tried again; the shortest delay is half of it, and both double while that source continues to fail
+ * @param maxPreferredRetryDelay the upper bound of the delay before the preferred source is tried again
  */
 public record FollowerTimings(
         Duration pollWait,
@@ -18,7 +17,7 @@
         Duration maxRetryDelay,
         Duration basePreferredRetryDelay,
         Duration maxPreferredRetryDelay) {
-    /** Checks that each is positive; throws IllegalArgumentException otherwise. */
+    /** Checks that each duration is positive; throws IllegalArgumentException otherwise. */
     public FollowerTimings {
         for (Duration each :
                 new Duration[] {
@@ -35,9 +34,7 @@
     }
 
     /**
-     * Requests of 5 s, pauses of 0.2 to 4 s, the preferred source again after 15 to 30 s. A source
-     * that has gone silent is left after the request's wait and 2 s; with 5 s a change is in force
-     * within 9 s of its acceptance even so.
+     * The default timings: a poll wait of 5 s, retry delays bounded by 0.2 s to 4 s, and a retry of the preferred source after 15 to 30 s. A follower fails over from a silent source after the poll wait and 2 s more; with a poll wait of 5 s, a change is applied within 9 s of its acceptance even then.
      */
     public static FollowerTimings defaults() {
         return new FollowerTimings(
--- a/relay/src/main/java/saltstage/configuration/follower/RetryDelay.java
+++ b/relay/src/main/java/saltstage/configuration/follower/RetryDelay.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 import java.util.random.RandomGenerator;
 
-/** Pauses that grow with consecutive failures, up to a bound, and are drawn at random. */
+/** Random retry delays that grow exponentially with consecutive failures, up to a maximum. */
 final class RetryDelay {
     private static final int MAX_DOUBLINGS = 20;
 
     private RetryDelay() {}
 
-    /** A pause with full jitter: from nothing to the base, doubled with each further failure. */
+    /** A delay with full jitter: from 1 ms to the base, which doubles with each further failure. */
     static Duration fullJitter(Duration base, Duration most, int failures, RandomGenerator random) {
         return randomBetween(Duration.ofMillis(1), exponentialBound(base, most, failures), random);
     }
 
-    /** A pause from half of the bound to the bound. */
+    /** A delay with equal jitter: from half of the exponential bound to the bound. */
     static Duration equalJitter(
             Duration base, Duration most, int failures, RandomGenerator random) {
         Duration bound = exponentialBound(base, most, failures);
--- a/relay/src/main/java/saltstage/configuration/follower/SnapshotAssembler.java
+++ b/relay/src/main/java/saltstage/configuration/follower/SnapshotAssembler.java
@@ -8,11 +8,10 @@
 import saltstage.configuration.SnapshotPage;
 
 /**
- * The pages of one snapshot as they come in. Nothing of it is used before all of it is there and
- * its digest agrees. Not thread safe.
+ * Assembles the pages of one snapshot. No part of the snapshot is used before it is complete and its digest matches. Not thread safe.
  */
 final class SnapshotAssembler {
-    /** A page that does not belong to the snapshot, or a snapshot that is not sound. */
+    /** A page does not belong to the snapshot, or the snapshot is invalid. */
     static final class InvalidSnapshotException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -21,7 +20,7 @@
         }
     }
 
-    /** Where a snapshot names no revision yet: the newest. */
+    /** The revision to request before the first page is received: the newest one. */
     static final long NEWEST = 0;
 
     private final long minRevision;
@@ -31,23 +30,23 @@
     private long digest;
     private EntryKey nextKey;
 
-    /** Takes a snapshot of at least this revision and at most so many entries. */
+    /** Creates an assembler for a snapshot with a minimum revision and a maximum size. */
     SnapshotAssembler(long leastRevision, int mostEntries) {
         this.minRevision = leastRevision;
         this.maxEntries = mostEntries;
     }
 
-    /** The revision to ask for. */
+    /** The revision to request. */
     long revision() {
         return revision;
     }
 
-    /** The first key of the page to ask for; null: the first of all. */
+    /** The lowest key of the page to request; null for the first page. */
     EntryKey nextKey() {
         return nextKey;
     }
 
-    /** Takes a page; returns the whole snapshot with the last one, null before that. */
+    /** Adds a page; returns the complete snapshot after the last page and null before. */
     ConfigurationView add(SnapshotPage page) throws InvalidSnapshotException {
         if (revision == NEWEST) {
             start(page);
--- a/relay/src/main/java/saltstage/configuration/follower/SourceRequestBuilder.java
+++ b/relay/src/main/java/saltstage/configuration/follower/SourceRequestBuilder.java
@@ -7,7 +7,7 @@
 import saltstage.configuration.ConfigurationJson;
 import saltstage.configuration.ConfigurationLimits;
 
-/** The read API's requests as one follower makes them. */
+/** Builds one follower's requests to the read API. */
 final class SourceRequestBuilder {
     private static final String CHANGES_PATH = "/v1/configuration/changes";
     private static final String SNAPSHOT_PATH = "/v1/configuration/snapshot";
--- a/relay/src/main/java/saltstage/configuration/follower/SourceResponseParser.java
+++ b/relay/src/main/java/saltstage/configuration/follower/SourceResponseParser.java
@@ -7,7 +7,7 @@
 import saltstage.configuration.ErrorResponse;
 import saltstage.wire.MalformedException;
 
-/** Reads the read API's answers as events of the follower; what is not of that API is a failure. */
+/** Converts responses of the read API to follower events; any other response is a failure. */
 final class SourceResponseParser {
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
