--- a/relay/src/main/java/saltstage/configuration/ChangeHistory.java
+++ b/relay/src/main/java/saltstage/configuration/ChangeHistory.java
@@ -5,7 +5,9 @@
 import java.util.TreeMap;
 
 /**
- * The newest changes without gaps, bounded in number and in estimated bytes. The history starts after a base revision and also stores the digest of that revision, so that it can serve each follower that is at the base revision or later. Not thread safe.
+ * The newest changes without gaps, bounded in number and in estimated bytes. The history starts
+ * after a base revision and also stores the digest of that revision, so that it can serve each
+ * follower that is at the base revision or later. Not thread safe.
  */
 public final class ChangeHistory {
     /** The result of a follower's query for the changes after its revision. */
@@ -79,7 +81,9 @@
     /**
      * Returns the changes for a follower that has this revision with this digest.
      *
-     * @param limit the maximum number of changes; at least one is returned if there is one, and no further changes are added once {@link ConfigurationLimits#RESPONSE_BYTES_THRESHOLD} is reached
+     * @param limit the maximum number of changes; at least one is returned if there is one, and no
+     *     further changes are added once {@link ConfigurationLimits#RESPONSE_BYTES_THRESHOLD} is
+     *     reached
      */
     public Result changesAfter(long revision, long digest, int limit) {
         if (revision > newestRevision()) {
--- a/relay/src/main/java/saltstage/configuration/ChangesResponse.java
+++ b/relay/src/main/java/saltstage/configuration/ChangesResponse.java
@@ -7,7 +7,8 @@
  *
  * @param revision the newest revision of the source
  * @param digest the digest at that revision
- * @param changes the changes, oldest first and without gaps; they may end before the newest revision
+ * @param changes the changes, oldest first and without gaps; they may end before the newest
+ *     revision
  */
 public record ChangesResponse(long revision, long digest, List<Change> changes) {
     /** Copies the list of changes. */
--- a/relay/src/main/java/saltstage/configuration/ConfigurationJson.java
+++ b/relay/src/main/java/saltstage/configuration/ConfigurationJson.java
@@ -6,7 +6,9 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Parses and formats the JSON of the read API. Parsing is strict: an unknown member or kind, a wrong type or an exceeded limit gives one error that names the fault and its place, and nothing of the text is used.
+ * Parses and formats the JSON of the read API. Parsing is strict: an unknown member or kind, a
+ * wrong type or an exceeded limit gives one error that names the fault and its place, and nothing
+ * of the text is used.
  */
 public final class ConfigurationJson {
     private static final int DIGEST_DIGITS = 16;
--- a/relay/src/main/java/saltstage/configuration/ConfigurationLimits.java
+++ b/relay/src/main/java/saltstage/configuration/ConfigurationLimits.java
@@ -1,7 +1,8 @@
 package saltstage.configuration;
 
 /**
- * Limits that writers, the coordinator group, distributors and followers share. Anything beyond a limit is rejected as a whole and never truncated.
+ * Limits that writers, the coordinator group, distributors and followers share. Anything beyond a
+ * limit is rejected as a whole and never truncated.
  */
 public final class ConfigurationLimits {
     /** The maximum number of mutations of one change; a move of 15,000 shards takes 30 changes. */
@@ -19,14 +20,17 @@
     /** The maximum number of changes in one response. */
     public static final int MAX_CHANGES_PER_RESPONSE = 500;
 
-    /** A response ends with the change that brings it to this size in bytes, by the same estimate. */
+    /**
+     * A response ends with the change that brings it to this size in bytes, by the same estimate.
+     */
     public static final int RESPONSE_BYTES_THRESHOLD = 1024 * 1024;
 
     /** The maximum number of changes in a history. */
     public static final int MAX_HISTORY_CHANGES = 4_096;
 
     /**
-     * The maximum size of the changes in a history in bytes, by the same estimate. It holds a move of 15,000 shards and is less than half of the size of a snapshot of 59,000 entries.
+     * The maximum size of the changes in a history in bytes, by the same estimate. It holds a move
+     * of 15,000 shards and is less than half of the size of a snapshot of 59,000 entries.
      */
     public static final int MAX_HISTORY_BYTES = 2 * 1024 * 1024;
 
@@ -52,7 +56,7 @@
 
     private ConfigurationLimits() {}
 
-    /** Estimates the size of a mutation in JSON; its size in memory is a small multiple of it. */
+    /** Estimates the bytes of a mutation in JSON and, within a small factor, in memory. */
     public static int estimatedBytes(Mutation mutation) {
         int value = mutation.isDeletion() ? 0 : mutation.value().canonicalText().length();
         return MUTATION_OVERHEAD_BYTES + mutation.key().text().length() + value;
--- a/relay/src/main/java/saltstage/configuration/ConfigurationView.java
+++ b/relay/src/main/java/saltstage/configuration/ConfigurationView.java
@@ -6,7 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * The entries at one revision. A change is applied as a whole, in order and exactly once, or not at all. Not thread safe.
+ * The entries at one revision. A change is applied as a whole, in order and exactly once, or not at
+ * all. Not thread safe.
  */
 public final class ConfigurationView {
     /** The outcome of applying a change. */
@@ -53,7 +54,8 @@
     }
 
     /**
-     * Creates the next change from these mutations and applies it. If several mutations have the same key, the last one is used.
+     * Creates the next change from these mutations and applies it. If several mutations have the
+     * same key, the last one is used.
      */
     public Change accept(Collection<Mutation> mutations) {
         TreeMap<EntryKey, Mutation> byKey = new TreeMap<>();
@@ -90,7 +92,7 @@
         digest += EntryDigest.of(entry);
     }
 
-    /** The revision of the change that was applied last. */
+    /** The newest applied revision. */
     public long revision() {
         return revision;
     }
--- a/relay/src/main/java/saltstage/configuration/EntryDigest.java
+++ b/relay/src/main/java/saltstage/configuration/EntryDigest.java
@@ -3,7 +3,8 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * The digest of a set of entries. It is the sum of the entries' hashes, so that it can be updated incrementally, one entry at a time.
+ * The digest of a set of entries. It is the sum of the entries' hashes, so that it can be updated
+ * incrementally, one entry at a time.
  */
 final class EntryDigest {
     private EntryDigest() {}
--- a/relay/src/main/java/saltstage/configuration/EntryKey.java
+++ b/relay/src/main/java/saltstage/configuration/EntryKey.java
@@ -3,7 +3,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The key of an entry: its kind and its name, written as {@code kind/name}. Keys are ordered by their text.
+ * The key of an entry: its kind and its name, written as {@code kind/name}. Keys are ordered by
+ * their text.
  *
  * @param name 1 to 160 visible ASCII characters
  */
--- a/relay/src/main/java/saltstage/configuration/EntryKind.java
+++ b/relay/src/main/java/saltstage/configuration/EntryKind.java
@@ -2,13 +2,13 @@
 
 /** The kind of an entry; its wire name is the first part of the entry's key. */
 public enum EntryKind {
-    /** A setting of the relays, identified by its name. */
+    /** A setting of the relays; the entry's name is the name of the setting. */
     SETTING("setting"),
-    /** A backend, identified by its identifier. */
+    /** A backend; the entry's name is the backend's identifier. */
     BACKEND("backend"),
-    /** The backend that serves a shard of a topic, identified by topic and shard number. */
+    /** The backend that serves a shard; the entry's name is the topic and the shard's number. */
     SHARD("shard"),
-    /** An operator's suspension of a backend, identified by the backend's identifier. */
+    /** An operator's suspension of a backend; the entry's name is the backend's identifier. */
     SUSPENSION("suspension");
 
     private final String wireName;
--- a/relay/src/main/java/saltstage/configuration/JsonWriter.java
+++ b/relay/src/main/java/saltstage/configuration/JsonWriter.java
@@ -1,6 +1,8 @@
 package saltstage.configuration;
 
-/** Writes JSON. The caller writes brackets, names and values; this class adds commas and escapes. */
+/**
+ * Writes JSON. The caller writes brackets, names and values; this class adds commas and escapes.
+ */
 final class JsonWriter {
     private static final char FIRST_PRINTABLE = ' ';
 
--- a/relay/src/main/java/saltstage/configuration/SnapshotPager.java
+++ b/relay/src/main/java/saltstage/configuration/SnapshotPager.java
@@ -6,7 +6,9 @@
 import java.util.List;
 
 /**
- * Serves all entries in pages. One snapshot is created per revision that is requested as the newest one; all followers that read its pages share it. The newest two snapshots are retained. Not thread safe.
+ * Serves all entries in pages. One snapshot is created per revision that is requested as the newest
+ * one; all followers that read its pages share it. The newest two snapshots are retained. Not
+ * thread safe.
  */
 public final class SnapshotPager {
     /** The revision number that denotes the newest revision. */
@@ -24,7 +26,8 @@
      * @param view the current entries
      * @param revision the revision of the snapshot; {@link #NEWEST} for the current view
      * @param from the lowest key of the page; null for the first page
-     * @param limit the maximum number of entries, capped at {@link ConfigurationLimits#MAX_ENTRIES_PER_PAGE}
+     * @param limit the maximum number of entries, capped at {@link
+     *     ConfigurationLimits#MAX_ENTRIES_PER_PAGE}
      * @return the page, or null if that snapshot is no longer retained
      */
     public SnapshotPage page(ConfigurationView view, long revision, EntryKey from, int limit) {
--- a/relay/src/main/java/saltstage/configuration/ValueRules.java
+++ b/relay/src/main/java/saltstage/configuration/ValueRules.java
@@ -3,7 +3,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Rules that each value must meet to be transferred: texts have bounded lengths and can be encoded as UTF-8, and numbers can be represented in JSON. The coordinator group checks whether a value makes sense.
+ * Rules that each value must meet to be transferred: texts have bounded lengths and can be encoded
+ * as UTF-8, and numbers can be represented in JSON. The coordinator group checks whether a value
+ * makes sense.
  */
 public final class ValueRules {
     private static final Pattern ZONE_PATTERN =
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationClient.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationClient.java
@@ -20,7 +20,9 @@
 import saltstage.configuration.ConfigurationView;
 
 /**
- * A follower that requests its configuration from sources over HTTP. It performs the effects of {@link FollowerState} and posts the results to it as events. It has no thread of its own: events are processed one at a time, on one of the threads that post them. Thread safe.
+ * A follower that requests its configuration from sources over HTTP. It performs the effects of
+ * {@link FollowerState} and posts the results to it as events. It has no thread of its own: events
+ * are processed one at a time, on one of the threads that post them. Thread safe.
  */
 public final class ConfigurationClient implements AutoCloseable {
     /** The maximum size of the body of a response with changes, in bytes. */
@@ -82,7 +84,9 @@
         enqueue(() -> perform(state.start()));
     }
 
-    /** Stops the follower. No request is sent and no listener called after the current call ends. */
+    /**
+     * Stops the follower. No request is sent and no listener called after the current call ends.
+     */
     @Override
     public void close() {
         post(new FollowerEvent.Stopped());
@@ -120,7 +124,9 @@
         }
     }
 
-    /** Runs a task and reports its exception, so that a failing listener does not stop the follower. */
+    /**
+     * Runs a task and reports its exception, so that a failing listener does not stop the follower.
+     */
     private void runGuarded(Runnable task) {
         try {
             task.run();
@@ -212,7 +218,8 @@
     private void persistConfirmation(Instant at) {
         try {
             persistence.recordConfirmation(at);
-        } catch (IOException | RuntimeException lost) { // affects only the age reported after a restart
+        } catch (IOException
+                | RuntimeException lost) { // affects only the age reported after a restart
             enqueue(() -> listener.writePostponed("confirmation: " + lost.getMessage()));
         }
     }
@@ -256,7 +263,8 @@
         CompletableFuture<HttpResponse<byte[]>> pending =
                 resources.http().sendAsync(request, head -> new BoundedBodySubscriber(mostBytes));
         pendingRequest = pending;
-        // This timeout covers the whole response; HttpRequest's own timeout covers only its headers.
+        // This timeout covers the whole response; HttpRequest's own timeout covers only its
+        // headers.
         Future<?> deadline =
                 resources
                         .scheduler()
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationDirectory.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationDirectory.java
@@ -15,7 +15,10 @@
 import saltstage.store.StoreException;
 
 /**
- * A directory with a {@link ConfigurationStore}. If the directory is damaged or holds something else, it is renamed as a whole and the follower starts with an empty one. While another process of the same relay has the store locked, its state can be read, but writes fail until that process has ended. Supports one writer.
+ * A directory with a {@link ConfigurationStore}. If the directory is damaged or holds something
+ * else, it is renamed as a whole and the follower starts with an empty one. While another process
+ * of the same relay has the store locked, its state can be read, but writes fail until that process
+ * has ended. Supports one writer.
  */
 public final class ConfigurationDirectory implements ConfigurationPersistence, Closeable {
     private static final String SET_ASIDE_SUFFIX = ".set-aside-";
@@ -28,7 +31,8 @@
     /**
      * Opens a directory; creates it if it does not exist.
      *
-     * @param events receives {@code configuration.set_aside}, {@code configuration.shared} and the store's own events
+     * @param events receives {@code configuration.set_aside}, {@code configuration.shared} and the
+     *     store's own events
      */
     public ConfigurationDirectory(Path path, StoreEventListener events) throws IOException {
         this.path = path;
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationPersistence.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationPersistence.java
@@ -11,7 +11,9 @@
     /** Makes all of these changes durable before it returns, or none of them if it throws. */
     void write(List<Change> changes) throws IOException;
 
-    /** Replaces the durable state by this view before it returns, or changes nothing if it throws. */
+    /**
+     * Replaces the durable state by this view before it returns, or changes nothing if it throws.
+     */
     void replace(ConfigurationView view) throws IOException;
 
     /** Records that the durable revision was the newest at this time; may become durable later. */
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
@@ -25,7 +25,8 @@
 import saltstage.wire.MalformedException;
 
 /**
- * A follower's entries in the embedded store. Revision, digest and entries change in one batch, so that the disk holds exactly one accepted revision whenever it is read. Supports one writer.
+ * A follower's entries in the embedded store. Revision, digest and entries change in one batch, so
+ * that the disk holds exactly one accepted revision whenever it is read. Supports one writer.
  */
 public final class ConfigurationStore implements ConfigurationPersistence, Closeable {
     /** The store is intact, but its content is not a follower's state. */
@@ -88,7 +89,9 @@
     }
 
     /**
-     * Opens a disk for writing, with the store's own thread for checkpoints and compaction. Throws InvalidStateException if the disk holds something else, or entries that do not match their digest.
+     * Opens a disk for writing, with the store's own thread for checkpoints and compaction. Throws
+     * InvalidStateException if the disk holds something else, or entries that do not match their
+     * digest.
      */
     public static ConfigurationStore open(Disk disk, StoreEventListener events) throws IOException {
         return open(
@@ -171,7 +174,8 @@
     }
 
     /**
-     * Writes all changes in one batch. Changes that the disk already holds, because another process has written them, are skipped.
+     * Writes all changes in one batch. Changes that the disk already holds, because another process
+     * has written them, are skipped.
      */
     @Override
     public void write(List<Change> changes) throws IOException {
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerEffect.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerEffect.java
@@ -38,10 +38,14 @@
     /** Report that these changes are durable and applied. */
     record ChangesApplied(List<Change> changes) implements FollowerEffect {}
 
-    /** Report that this view is durable and applied. It must not be retained, as it changes later. */
+    /**
+     * Report that this view is durable and applied. It must not be retained, as it changes later.
+     */
     record SnapshotApplied(ConfigurationView view) implements FollowerEffect {}
 
-    /** Report that, by its last response, the source has nothing newer than this applied revision. */
+    /**
+     * Report that, by its last response, the source has nothing newer than this applied revision.
+     */
     record Confirmed(long revision) implements FollowerEffect {}
 
     /** Report that the source has begun to respond to requests. */
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerEvent.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerEvent.java
@@ -5,7 +5,8 @@
 import saltstage.configuration.SnapshotPage;
 
 /**
- * An event of a follower. Events of requests, writes and timers carry the number of their operation; an event of an operation that is no longer awaited changes nothing.
+ * An event of a follower. Events of requests, writes and timers carry the number of their
+ * operation; an event of an operation that is no longer awaited changes nothing.
  */
 public sealed interface FollowerEvent {
     /** A source responded with changes, or with none after the requested wait. */
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerListener.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerListener.java
@@ -6,14 +6,17 @@
 import saltstage.configuration.ConfigurationView;
 
 /**
- * Receives a follower's notifications. Calls are made one at a time and in order, on threads of the HTTP client or of the executors. The next request is sent only after the call has returned, so an implementation must not block.
+ * Receives a follower's notifications. Calls are made one at a time and in order, on threads of the
+ * HTTP client or of the executors. The next request is sent only after the call has returned, so an
+ * implementation must not block.
  */
 public interface FollowerListener {
     /** These changes are durable and applied; they are ordered oldest first. */
     void changesApplied(List<Change> changes);
 
     /**
-     * This view replaces the whole applied configuration. It must not be retained, as it changes later.
+     * This view replaces the whole applied configuration. It must not be retained, as it changes
+     * later.
      */
     void snapshotApplied(ConfigurationView view);
 
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerResources.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerResources.java
@@ -7,7 +7,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The clients, executors and clocks that a follower uses; the followers of one process may share them.
+ * The clients, executors and clocks that a follower uses; the followers of one process may share
+ * them.
  *
  * @param scheduler runs retry delays and timeouts; its tasks are short
  * @param writer runs the writes of the persistence, which may block
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
@@ -10,18 +10,25 @@
 import saltstage.configuration.SnapshotPage;
 
 /**
- * A follower's state machine: it handles one event at a time and returns the effects to perform. It does no I/O and uses no threads or clocks. Until it is stopped, exactly one of these operations is pending: a request, a write, or a delay before the next request or write.
+ * A follower's state machine: it handles one event at a time and returns the effects to perform. It
+ * does no I/O and uses no threads or clocks. Until it is stopped, exactly one of these operations
+ * is pending: a request, a write, or a delay before the next request or write.
  *
- * <p>The view holds all accepted changes and is ahead of the disk by the pending write. The next request, which confirms a revision to the source, is sent only after that write. The view never returns to an older revision. Its digest at a revision changes only by a snapshot, after a source has reported divergence. Not thread safe.
+ * <p>The view holds all accepted changes and is ahead of the disk by the pending write. The next
+ * request, which confirms a revision to the source, is sent only after that write. The view never
+ * returns to an older revision. Its digest at a revision changes only by a snapshot, after a source
+ * has reported divergence. Not thread safe.
  */
 public final class FollowerState {
-    /** The number of "busy" responses and truncated snapshots before failover to the next source. */
+    /** How many "busy" responses and truncated snapshots are tolerated before a failover. */
     static final int MAX_RETRIES_PER_SOURCE = 3;
 
     /** The longest delay that a busy source can request. */
     static final Duration MAX_BUSY_DELAY = Duration.ofMinutes(1);
 
-    /** The maximum delay after a response before the requested wait; the mean delay is half of it. */
+    /**
+     * The maximum delay after a response before the requested wait; the mean delay is half of it.
+     */
     static final Duration MAX_EARLY_RESPONSE_DELAY = Duration.ofSeconds(2);
 
     private static final int PREFERRED_SOURCE = 0;
--- a/relay/src/main/java/saltstage/configuration/follower/SnapshotAssembler.java
+++ b/relay/src/main/java/saltstage/configuration/follower/SnapshotAssembler.java
@@ -8,7 +8,8 @@
 import saltstage.configuration.SnapshotPage;
 
 /**
- * Assembles the pages of one snapshot. No part of the snapshot is used before it is complete and its digest matches. Not thread safe.
+ * Assembles the pages of one snapshot. No part of the snapshot is used before it is complete and
+ * its digest matches. Not thread safe.
  */
 final class SnapshotAssembler {
     /** A page does not belong to the snapshot, or the snapshot is invalid. */
--- a/relay/src/test/java/saltstage/configuration/ChangeHistoryTest.java
+++ b/relay/src/test/java/saltstage/configuration/ChangeHistoryTest.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a follower is answered, by the design's table. */
+/**
+ * Guards against a history that leaves out a change: a follower must get all later changes, or the
+ * reason why it gets none (truncated, diverged, behind).
+ */
 class ChangeHistoryTest {
     private static final int MAX_CHANGES = 4;
 
@@ -40,7 +43,7 @@
             List<Change> changes = assertInstanceOf(ChangeHistory.Changes.class, answer).changes();
             assertEquals(10 - revision, changes.size(), "after " + revision);
             for (int i = 0; i < changes.size(); i++) {
-                assertEquals(revision + 1 + i, changes.get(i).revision(), "no hole");
+                assertEquals(revision + 1 + i, changes.get(i).revision(), "gap in the changes");
             }
         }
     }
@@ -65,7 +68,9 @@
         assertEquals(50 - MAX_CHANGES, few.baseRevision());
         ChangeHistory small = new ChangeHistory(50, view.digest(), 1_000, 500);
         appendChanges(small, 100);
-        assertTrue(small.estimatedBytes() <= 500 && small.size() > 1, small.size() + " kept");
+        assertTrue(
+                small.estimatedBytes() <= 500 && small.size() > 1,
+                small.size() + " changes stored");
         ChangeHistory none = new ChangeHistory(150, view.digest(), 1_000, 1);
         appendChanges(none, 1);
         assertEquals(0, none.size());
--- a/relay/src/test/java/saltstage/configuration/ConfigurationJsonTest.java
+++ b/relay/src/test/java/saltstage/configuration/ConfigurationJsonTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import saltstage.wire.MalformedException;
 
-/** The read API's JSON: what is written is read again, and what is malformed is refused whole. */
+/**
+ * Guards against JSON of the read API that does not round-trip, and against malformed JSON that is
+ * accepted in part.
+ */
 class ConfigurationJsonTest {
     private static final String CHANGES =
             "{\"revision\":1,\"digest\":\"0000000000000001\",\"changes\":[{\"revision\":1,"
--- a/relay/src/test/java/saltstage/configuration/ConfigurationViewTest.java
+++ b/relay/src/test/java/saltstage/configuration/ConfigurationViewTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Changes are applied in order, once and only with their digest. */
+/** Guards against changes that are applied out of order, twice, or with a wrong digest. */
 class ConfigurationViewTest {
     private static final EntryKey SHARD = EntryKey.parse("shard/topic-7/3");
     private static final EntryKey OTHER = EntryKey.parse("shard/topic-7/4");
--- a/relay/src/test/java/saltstage/configuration/FollowerConvergenceTest.java
+++ b/relay/src/test/java/saltstage/configuration/FollowerConvergenceTest.java
@@ -15,16 +15,16 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Any order of writes, answers that are late, lost or doubled, snapshots in pages and reconnects:
- * at each moment a follower has what the writer had at the same revision, and in the end what it
- * has now.
+ * Guards against a follower that differs from the writer at the same revision, or never reaches its
+ * newest one. Writes, paged snapshots, reconnects and late, lost or duplicated responses are
+ * interleaved at random.
  */
 class FollowerConvergenceTest {
     private static final int STEPS = 120;
     private static final int KEYS = 12;
     private static final int MAX_HISTORY_CHANGES = 6;
 
-    /** The writer's side, and all that it ever was. */
+    /** The writer's side, with the entries of each revision. */
     private static final class Source {
         final ConfigurationView view = new ConfigurationView();
         final ChangeHistory history =
@@ -47,7 +47,7 @@
             entriesByRevision.put(view.revision(), new TreeMap<>(view.entries()));
         }
 
-        /** An answer's text, or null where the follower is told to take a snapshot. */
+        /** Returns the text of a response, or null if the follower needs a snapshot. */
         String changesAfter(ConfigurationView follower, int limit) {
             ChangeHistory.Result answer =
                     history.changesAfter(follower.revision(), follower.digest(), limit);
@@ -58,9 +58,7 @@
         }
     }
 
-    /**
-     * The follower's side: answers that are still on their way, and a snapshot that is under way.
-     */
+    /** The follower's side, with responses in flight and a partially received snapshot. */
     private static final class Follower {
         ConfigurationView view = new ConfigurationView();
         final List<String> inFlightResponses = new ArrayList<>();
@@ -91,7 +89,8 @@
 
         private void installSnapshot() {
             ConfigurationView whole = new ConfigurationView(lastPage.revision(), receivedEntries);
-            assertEquals(lastPage.digest(), whole.digest(), "all pages are of one revision");
+            assertEquals(
+                    lastPage.digest(), whole.digest(), "the pages are not all of one revision");
             view = whole.revision() >= view.revision() ? whole : view;
             lastPage = null;
             receivedEntries.clear();
@@ -139,7 +138,7 @@
             }
             case 3 -> {
                 if (!follower.inFlightResponses
-                        .isEmpty()) { // late, out of order, and perhaps once more later
+                        .isEmpty()) { // delivered late, out of order and possibly twice
                     int which = random.nextInt(follower.inFlightResponses.size());
                     follower.applyResponse(follower.inFlightResponses.get(which));
                     if (random.nextBoolean()) {
--- a/relay/src/test/java/saltstage/configuration/follower/ConfigurationClientTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ConfigurationClientTest.java
@@ -19,7 +19,10 @@
 import saltstage.configuration.Change;
 import saltstage.configuration.ConfigurationView;
 
-/** The follower against sources on real sockets that are sound, foreign, broken, slow or silent. */
+/**
+ * Guards against a follower that applies invalid responses or does not fail over. Its sources
+ * listen on real sockets and are healthy, foreign, broken, slow or silent.
+ */
 class ConfigurationClientTest {
     private static final long TIMEOUT_MS = 30_000;
     private static final FollowerTimings FAST_TIMINGS =
@@ -95,7 +98,7 @@
     private static void await(String what, BooleanSupplier condition) throws InterruptedException {
         long until = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, "waited in vain until " + what);
+            assertTrue(System.nanoTime() < until, "timed out waiting for " + what);
             Thread.sleep(5);
         }
     }
@@ -112,10 +115,10 @@
     void changesArriveOnceAndInOrder() throws Exception {
         ServedView view = viewWithRevisions(3);
         ConfigurationClient client = startFollower(startSource(view));
-        await("what there is", () -> client.revision() == 3);
-        await("it is confirmed", () -> client.confirmedAt() != null);
+        await("the existing revisions", () -> client.revision() == 3);
+        await("the confirmation", () -> client.confirmedAt() != null);
         view.accept(ScriptedHistory.shardMutation("topic/1", null));
-        await("the next", () -> client.revision() == 4);
+        await("the next revision", () -> client.revision() == 4);
         assertEquals(List.of(1L, 2L, 3L, 4L), appliedRevisions);
         assertEquals(List.of(), failoverReasons);
     }
@@ -137,7 +140,7 @@
         view.accept(ScriptedHistory.shardMutation("topic-7/3", "gw-2"));
         await("the change after it", () -> client.revision() == 101);
         assertEquals(List.of(100L, 101L), appliedRevisions);
-        assertTrue(source.requestCount() >= 4, "requests: " + source.requestCount());
+        assertTrue(source.requestCount() >= 4, "number of requests: " + source.requestCount());
     }
 
     @Test
@@ -146,10 +149,10 @@
         ScriptedSource first = startSource(newer);
         ScriptedSource second = startSource(viewWithRevisions(2));
         ConfigurationClient client = startFollower(first, second);
-        await("the newer one is followed", () -> client.revision() == 5);
+        await("the revisions of the newer source", () -> client.revision() == 5);
         first.close();
         await(
-                "the older one is asked",
+                "the failover from the older source",
                 () -> failoverReasons.stream().anyMatch(l -> l.startsWith("behind")));
         assertEquals(5, client.revision());
         assertEquals(List.of(1L, 2L, 3L, 4L, 5L), appliedRevisions);
@@ -162,16 +165,22 @@
                 startSource((query, out) -> ScriptedSource.writeResponse(out, 500, "{}"));
         ScriptedSource second = startSource(view);
         startFollower(first, second);
-        await("the second is followed", () -> connectedSources.equals(List.of(second.uri())));
+        await(
+                "the connection to the second source",
+                () -> connectedSources.equals(List.of(second.uri())));
         first.setScript(view);
-        await("the first again", () -> connectedSources.equals(List.of(second.uri(), first.uri())));
+        await(
+                "the return to the first source",
+                () -> connectedSources.equals(List.of(second.uri(), first.uri())));
     }
 
     private void assertFailsOver(String reason, ScriptedSource.Script script) throws Exception {
         ConfigurationClient client = startFollower(startSource(script));
-        await("it is left", () -> !failoverReasons.isEmpty());
+        await("the failover", () -> !failoverReasons.isEmpty());
         assertTrue(failoverReasons.get(0).contains(reason), failoverReasons.get(0));
-        assertTrue(failoverReasons.get(0).indexOf('\n') < 0, "one line: " + failoverReasons.get(0));
+        assertTrue(
+                failoverReasons.get(0).indexOf('\n') < 0,
+                "the reason has more than one line: " + failoverReasons.get(0));
         assertEquals(0, client.revision());
         assertEquals(List.of(), appliedRevisions);
     }
@@ -241,16 +250,18 @@
     void idleFollowerUsesLittleBandwidth() throws Exception {
         ServedView view = viewWithRevisions(1);
         ScriptedSource source = startSource(view);
-        List<Long> bytes = new CopyOnWriteArrayList<>(); // at each request, once its head was read
+        List<Long> bytes =
+                new CopyOnWriteArrayList<>(); // byte count at each request, after its header was
+        // read
         source.setScript(
                 (query, out) -> {
                     bytes.add(source.byteCount());
                     view.respond(query, out);
                 });
         startFollower(source);
-        await("it has asked on", () -> bytes.size() >= 7);
+        await("7 requests", () -> bytes.size() >= 7);
         long perRound = (bytes.get(6) - bytes.get(2)) / 4;
-        System.out.println("a quiet follower's request and answer: " + perRound + " bytes");
-        assertTrue(perRound < 600, "bytes a request and answer: " + perRound);
+        System.out.println("an idle follower's request and response: " + perRound + " bytes");
+        assertTrue(perRound < 600, "bytes per request and response: " + perRound);
     }
 }
--- a/relay/src/test/java/saltstage/configuration/follower/ConfigurationStoreTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ConfigurationStoreTest.java
@@ -27,7 +27,10 @@
 import saltstage.store.StoreException;
 import saltstage.store.StoreOptions;
 
-/** Whatever happens to the disk at whichever step, it holds exactly a state that was accepted. */
+/**
+ * Guards against a disk that holds a mixture of revisions: after a fault at any step of a write, it
+ * must hold exactly one accepted state. Also covers foreign, damaged and locked stores.
+ */
 class ConfigurationStoreTest {
     private static final Instant NOON = Instant.parse("2026-01-01T12:00:00Z");
     private static final Clock CLOCK = Clock.fixed(NOON, ZoneOffset.UTC);
@@ -39,7 +42,7 @@
 
     @TempDir Path folder;
 
-    /** The writes of one run, and which of them have returned. */
+    /** The writes of one run, with the newest attempted and the newest durable revision. */
     private final class WriteRun {
         long durableRevision;
         long attemptedRevision;
@@ -100,7 +103,7 @@
                 WriteRun run = new WriteRun();
                 try {
                     run.writeAll(disk);
-                } catch (IOException | Error faulted) { // as armed
+                } catch (IOException | Error faulted) { // the injected fault
                     assertTrue(run.attemptedRevision >= run.durableRevision);
                 }
                 run.checkRecovered(disk.afterCrash(new Random(crash)));
@@ -117,7 +120,7 @@
             store.write(history.changesResponse(3, 7).changes());
             assertThrows(
                     IOException.class, () -> store.write(history.changesResponse(9, 9).changes()));
-            store.recordConfirmation(NOON.plusSeconds(1)); // not worth a write
+            store.recordConfirmation(NOON.plusSeconds(1)); // too recent to be persisted
         }
         PersistedConfiguration held = ConfigurationStore.read(disk);
         assertEquals(history.viewAt(7).digest(), held.view().digest());
@@ -129,7 +132,7 @@
         FaultInjectingDisk disk = new FaultInjectingDisk();
         try (ConfigurationStore store =
                 ConfigurationStore.open(disk, SMALL_SEGMENTS, CLOCK, StoreEventListener.NONE)) {
-            store.recordConfirmation(NOON); // of nothing: not kept
+            store.recordConfirmation(NOON); // not persisted, as there is no revision yet
             assertNull(ConfigurationStore.read(disk).confirmedAt());
             store.write(history.changesResponse(1, 1).changes());
             store.recordConfirmation(NOON.plusSeconds(31));
--- a/relay/src/test/java/saltstage/configuration/follower/FollowerExplorationTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/FollowerExplorationTest.java
@@ -12,7 +12,9 @@
 import saltstage.configuration.SnapshotPage;
 
 /**
- * All orders of events up to a depth, from good, old and faulty sources; the harness checks each.
+ * Guards against an order of events that breaks the follower's invariants. The test explores all
+ * orders up to a fixed depth, with healthy, old and faulty sources; the harness checks the
+ * invariants after each event.
  */
 class FollowerExplorationTest {
     private static final int DEPTH = 7;
@@ -28,8 +30,7 @@
     void allEventOrdersPreserveTheInvariants() {
         explore(new ArrayList<>());
         assertTrue(pathCount > 60_000, "paths explored: " + pathCount);
-        assertTrue(
-                newestRevision >= 5, "the newest revision that a path came to: " + newestRevision);
+        assertTrue(newestRevision >= 5, "newest revision reached by a path: " + newestRevision);
     }
 
     private void explore(List<Integer> path) {
@@ -56,7 +57,7 @@
                 follower.handleUnawaited(event);
             } else {
                 follower.handle(event);
-                follower.handleUnawaited(event); // each answer comes twice
+                follower.handleUnawaited(event); // each event is delivered twice
             }
         }
         return follower;
@@ -97,7 +98,7 @@
         events.add(new FollowerEvent.RequestFailed(number, "reset"));
     }
 
-    /** Sound answers, a gap, a double, an older one, and one with another digest. */
+    /** Valid responses, a gap, a duplicate, an older response, and one with a wrong digest. */
     private List<ChangesResponse> responses(long after) {
         List<ChangesResponse> answers = new ArrayList<>();
         answers.add(history.emptyResponse(after));
@@ -118,7 +119,7 @@
         return answers;
     }
 
-    /** Pages of a sound snapshot, of an older one, of another history, and of a false digest. */
+    /** Pages of a valid snapshot, of an older one, of a forked history, and with a wrong digest. */
     private List<SnapshotPage> pages(long held, EntryKey from) {
         SnapshotPage sound = history.page(Math.min(held + 1, history.newestRevision()), from, 2);
         List<SnapshotPage> pages = new ArrayList<>(List.of(sound, fork.page(held + 1, from, 9)));
--- a/relay/src/test/java/saltstage/configuration/follower/FollowerHarness.java
+++ b/relay/src/test/java/saltstage/configuration/follower/FollowerHarness.java
@@ -11,18 +11,18 @@
 import saltstage.configuration.ConfigurationView;
 
 /**
- * A follower's state machine with a disk that does what the events say, checked after each event:
- * one request, write or pause is under way, what is confirmed or in force is durable, and what is
- * in force never goes back.
+ * Runs a follower's state machine against a simulated disk that follows the events. After each
+ * event it checks that exactly one request, write or delay is pending, that confirmed and applied
+ * revisions are durable, and that the applied revision never decreases.
  */
 final class FollowerHarness {
     final FollowerState state;
     final FollowerTimings timings = FollowerTimings.defaults();
 
-    /** The request, write or pause that is under way; null once stopped. */
+    /** The pending request, write or delay; null after the stop. */
     FollowerEffect pendingEffect;
 
-    /** The timer of the preferred source, or null. */
+    /** The pending retry of the preferred source, or null. */
     FollowerEffect.SchedulePreferredSourceRetry preferredRetry;
 
     final List<FollowerEffect> lastEffects = new ArrayList<>();
@@ -42,7 +42,7 @@
         assertNotNull(pendingEffect);
     }
 
-    /** Takes an event of what is under way. */
+    /** Handles an event of the pending operation. */
     void handle(FollowerEvent event) {
         FollowerEffect before = pendingEffect;
         if (event instanceof FollowerEvent.WriteCompleted) {
@@ -53,26 +53,26 @@
         }
         pendingEffect = null;
         recordEffects(state.handle(event));
-        assertNotNull(pendingEffect, "nothing is under way after " + event);
+        assertNotNull(pendingEffect, "no operation is pending after " + event);
     }
 
-    /** Takes an event of something that is over, or the preferred source's timer. */
+    /** Handles an event of an operation that has ended, or of the preferred source's timer. */
     void handleUnawaited(FollowerEvent event) {
         if (event instanceof FollowerEvent.PreferredSourceRetryDue) {
             preferredRetry = null;
         }
         recordEffects(state.handle(event));
-        assertTrue(lastEffects.isEmpty(), "an event that is not awaited counted: " + event);
+        assertTrue(lastEffects.isEmpty(), "an event that is not awaited had effects: " + event);
     }
 
-    /** Takes the end; nothing is under way after it. */
+    /** Stops the follower and checks that no operation is pending. */
     void stop() {
         pendingEffect = null;
         recordEffects(state.handle(new FollowerEvent.Stopped()));
-        assertTrue(pendingEffect == null, "something is under way after the end");
+        assertTrue(pendingEffect == null, "an operation is pending after the stop");
     }
 
-    /** The number of a request, write or pause; 0 for all else. */
+    /** The number of a request, write or retry; 0 for other effects. */
     static long operationId(FollowerEffect effect) {
         if (effect instanceof FollowerEffect.RequestChanges request) {
             return request.request();
@@ -108,26 +108,30 @@
         lastEffects.addAll(effects);
         for (FollowerEffect effect : effects) {
             if (operationId(effect) != 0) {
-                assertTrue(pendingEffect == null, "a second thing under way: " + effect);
+                assertTrue(pendingEffect == null, "a second operation is pending: " + effect);
                 pendingEffect = effect;
             }
             check(effect);
         }
         assertTrue(
-                state.view().revision() >= appliedView.revision(), "older than what is in force");
+                state.view().revision() >= appliedView.revision(),
+                "older than the applied revision");
     }
 
     private void check(FollowerEffect effect) {
         if (effect instanceof FollowerEffect.RequestChanges request) {
-            assertEquals(durableView.revision(), request.after(), "confirmed, but not durable");
-            assertEquals(durableView.digest(), request.digest(), "confirmed, but not durable");
             assertEquals(
-                    durableView.revision(), appliedView.revision(), "confirmed, but not in force");
+                    durableView.revision(), request.after(), "confirmed revision is not durable");
+            assertEquals(durableView.digest(), request.digest(), "confirmed digest is not durable");
+            assertEquals(
+                    durableView.revision(),
+                    appliedView.revision(),
+                    "confirmed revision is not applied");
         } else if (effect instanceof FollowerEffect.ChangesApplied changes) {
             for (Change change : changes.changes()) {
                 assertEquals(ConfigurationView.Outcome.APPLIED, appliedView.apply(change));
             }
-            assertEquals(durableView.digest(), appliedView.digest(), "in force, but not durable");
+            assertEquals(durableView.digest(), appliedView.digest(), "applied, but not durable");
         } else if (effect instanceof FollowerEffect.SnapshotApplied snapshot) {
             checkSnapshot(snapshot.view());
         } else if (effect instanceof FollowerEffect.SchedulePreferredSourceRetry due) {
@@ -140,11 +144,13 @@
     }
 
     private void checkSnapshot(ConfigurationView view) {
-        assertTrue(view.revision() >= appliedView.revision(), "a snapshot went back");
+        assertTrue(
+                view.revision() >= appliedView.revision(),
+                "a snapshot is older than the applied view");
         if (view.revision() == appliedView.revision() && view.digest() != appliedView.digest()) {
-            assertTrue(divergenceReported, "another digest without being told to");
+            assertTrue(divergenceReported, "the digest changed without a reported divergence");
         }
-        assertEquals(durableView.digest(), view.digest(), "in force, but not durable");
+        assertEquals(durableView.digest(), view.digest(), "applied, but not durable");
         appliedView = new ConfigurationView(view.revision(), view.entries().values());
         divergenceReported = false;
     }
--- a/relay/src/test/java/saltstage/configuration/follower/FollowerInterleavingTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/FollowerInterleavingTest.java
@@ -14,8 +14,9 @@
 import saltstage.configuration.ChangesResponse;
 
 /**
- * A follower of three sources that are old, truncated, unreachable or faulty at random, over a line
- * that drops, doubles and reorders; once they are sound again, it comes to the newest revision.
+ * Guards against a follower that stays behind after a disturbance. Its three sources are old,
+ * truncated, unreachable or faulty at random, and the network drops, duplicates and reorders
+ * events; once the sources are healthy again, the follower must reach the newest revision.
  */
 class FollowerInterleavingTest {
     private static final int SOURCES = 3;
@@ -39,7 +40,7 @@
         assertEquals(history.viewAt(NEWEST).digest(), follower.appliedView().digest());
     }
 
-    /** What goes wrong, by one number a step. */
+    /** Injects the faults of one step, which are derived from one number. */
     private final class UnreliableNetwork {
         private final int[] sourceRevisions = {0, 0, 0};
         private final List<FollowerEvent> delivered = new ArrayList<>();
@@ -48,7 +49,8 @@
             Random random = new Random(choice);
             int source = follower.state.source();
             sourceRevisions[source] = Math.min(NEWEST, sourceRevisions[source] + random.nextInt(6));
-            if (random.nextInt(4) == 0 && !delivered.isEmpty()) { // late, out of order, doubled
+            if (random.nextInt(4) == 0
+                    && !delivered.isEmpty()) { // late, out of order or duplicated
                 follower.handleUnawaited(delivered.get(random.nextInt(delivered.size())));
             }
             if (random.nextInt(3) == 0 && follower.preferredRetry != null) {
@@ -81,7 +83,7 @@
         }
         if (follower.pendingEffect instanceof FollowerEffect.RequestChanges
                 && random.nextInt(6) == 0) {
-            int from = 1 + random.nextInt(NEWEST); // from anywhere: a gap, doubles, older ones
+            int from = 1 + random.nextInt(NEWEST); // any revision: a gap, duplicates, older changes
             int to = Math.min(NEWEST, from + random.nextInt(5));
             return new FollowerEvent.ChangesReceived(
                     number, history.changesResponse(from, to), Duration.ZERO);
@@ -89,7 +91,7 @@
         return successEvent(follower, revision, 1 + random.nextInt(4));
     }
 
-    /** What a sound source of this revision answers, or how a write or a pause ends well. */
+    /** The response of a healthy source at this revision, or the success of a write or delay. */
     private FollowerEvent successEvent(FollowerHarness follower, int revision, int limit) {
         long number = follower.pendingOperationId();
         if (follower.pendingEffect instanceof FollowerEffect.RequestSnapshotPage request) {
--- a/relay/src/test/java/saltstage/configuration/follower/ScriptedHistory.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ScriptedHistory.java
@@ -12,12 +12,12 @@
 import saltstage.configuration.SnapshotPage;
 import saltstage.configuration.SnapshotPager;
 
-/** A history of accepted changes, and what a source answers that has it up to some revision. */
+/** A history of accepted changes, and the responses of a source at a given revision. */
 final class ScriptedHistory {
     private final List<Change> changes = new ArrayList<>();
     private final List<ConfigurationView> views = new ArrayList<>();
 
-    /** Changes of one shard each; other authors write other values. */
+    /** Creates changes of one shard each; the author is part of the values. */
     ScriptedHistory(int revisions, String author) {
         ConfigurationView view = new ConfigurationView();
         views.add(copy(view));
@@ -50,7 +50,8 @@
     }
 
     /**
-     * The answer with the changes from one revision to another; none where they are the wrong way.
+     * The response with the changes from one revision to another; empty if the first is the higher
+     * one.
      */
     ChangesResponse changesResponse(long from, long to) {
         List<Change> part = new ArrayList<>();
@@ -60,12 +61,12 @@
         return new ChangesResponse(to, viewAt(to).digest(), part);
     }
 
-    /** The answer of a source at this revision that has nothing to tell. */
+    /** The response without changes of a source at this revision. */
     ChangesResponse emptyResponse(long revision) {
         return new ChangesResponse(revision, viewAt(revision).digest(), List.of());
     }
 
-    /** A page of so many entries. */
+    /** A snapshot page with at most this number of entries. */
     SnapshotPage page(long revision, EntryKey from, int limit) {
         return new SnapshotPager().page(viewAt(revision), 0, from, limit);
     }
--- a/relay/src/test/java/saltstage/configuration/follower/ScriptedSource.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ScriptedSource.java
@@ -16,11 +16,11 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** An HTTP source on a real socket that answers each request as its script says. */
+/** An HTTP source on a real socket that responds to each request as its script defines. */
 public final class ScriptedSource implements AutoCloseable {
-    /** What a source does with a request. */
+    /** Defines how a source handles a request. */
     public interface Script {
-        /** Writes the answer, or does not; what it throws resets the connection. */
+        /** Writes a response or none; if it throws an exception, the connection is reset. */
         void respond(Map<String, String> query, OutputStream out) throws Exception;
     }
 
@@ -36,7 +36,7 @@
         startThread(this::acceptConnections);
     }
 
-    /** A whole answer with this body. */
+    /** Writes a complete response with this body. */
     public static void writeResponse(OutputStream out, int status, String body) throws IOException {
         byte[] text = body.getBytes(StandardCharsets.UTF_8);
         String head = "HTTP/1.1 " + status + " -\r\nContent-Length: " + text.length + "\r\n\r\n";
@@ -55,7 +55,7 @@
         return FollowerOptions.sourceUri(address());
     }
 
-    /** All bytes of requests and answers, both ways. */
+    /** The number of bytes of all requests and responses. */
     long byteCount() {
         return byteCount.get();
     }
@@ -98,7 +98,7 @@
                 requestCount.incrementAndGet();
                 script.respond(parseQuery("path=" + path + "&" + query), countingOutput(socket));
             }
-        } catch (Exception failed) { // as scripted
+        } catch (Exception failed) { // the script's failure resets the connection
             reset(socket);
         }
     }
--- a/relay/src/test/java/saltstage/configuration/follower/ServedView.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ServedView.java
@@ -15,7 +15,7 @@
 import saltstage.configuration.SnapshotPage;
 import saltstage.configuration.SnapshotPager;
 
-/** A sound source's state for {@link ScriptedSource}: the read API over a view and its history. */
+/** A healthy source for {@link ScriptedSource}: serves the read API from a view and its history. */
 public final class ServedView implements ScriptedSource.Script {
     private final ConfigurationView view;
     private final ChangeHistory history;
@@ -25,7 +25,7 @@
         this(new ConfigurationView());
     }
 
-    /** Continues from this view; what was before it is not kept. */
+    /** Starts from this view, without a history of earlier changes. */
     public ServedView(ConfigurationView view) {
         this.view = view;
         history = new ChangeHistory(view.revision(), view.digest());
