--- a/relay/src/main/java/saltstage/configuration/ChangeHistory.java
+++ b/relay/src/main/java/saltstage/configuration/ChangeHistory.java
@@ -43,11 +43,11 @@
     }
 
     /** Creates an empty history that starts after the base revision, with the given bounds. */
-    public ChangeHistory(long baseRevision, long baseDigest, int mostChanges, long mostBytes) {
+    public ChangeHistory(long baseRevision, long baseDigest, int maxChanges, long maxBytes) {
         this.baseRevision = baseRevision;
         this.baseDigest = baseDigest;
-        this.maxChanges = mostChanges;
-        this.maxBytes = mostBytes;
+        this.maxChanges = maxChanges;
+        this.maxBytes = maxBytes;
     }
 
     /** Appends the next change; throws IllegalArgumentException if its revision is not the next. */
@@ -95,21 +95,22 @@
         if (digestAt(revision) != digest) {
             return Failure.DIVERGED;
         }
-        int most = Math.min(limit, ConfigurationLimits.MAX_CHANGES_PER_RESPONSE);
-        return new Changes(limitedChangesAfter(revision, Math.max(1, most)));
+        int cappedLimit = Math.min(limit, ConfigurationLimits.MAX_CHANGES_PER_RESPONSE);
+        return new Changes(limitedChangesAfter(revision, Math.max(1, cappedLimit)));
     }
 
-    private List<Change> limitedChangesAfter(long after, int limit) {
-        List<Change> some = new ArrayList<>();
-        long taken = 0;
-        for (Change change : changes.tailMap(after, false).values()) {
-            if (some.size() >= limit || taken >= ConfigurationLimits.RESPONSE_BYTES_THRESHOLD) {
+    private List<Change> limitedChangesAfter(long revision, int limit) {
+        List<Change> selected = new ArrayList<>();
+        long selectedBytes = 0;
+        for (Change change : changes.tailMap(revision, false).values()) {
+            if (selected.size() >= limit
+                    || selectedBytes >= ConfigurationLimits.RESPONSE_BYTES_THRESHOLD) {
                 break;
             }
-            some.add(change);
-            taken += ConfigurationLimits.estimatedBytes(change);
+            selected.add(change);
+            selectedBytes += ConfigurationLimits.estimatedBytes(change);
         }
-        return some;
+        return selected;
     }
 
     private long digestAt(long revision) {
--- a/relay/src/main/java/saltstage/configuration/ConfigurationJson.java
+++ b/relay/src/main/java/saltstage/configuration/ConfigurationJson.java
@@ -17,11 +17,11 @@
 
     /** Parses a source's response to a request for changes. */
     public static ChangesResponse parseChanges(String text) throws MalformedException {
-        JsonFields top = new JsonFields(Json.parseObject(text), "answer");
-        long revision = top.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
-        long digest = parseDigest(top.string("digest"), top.pathOf("digest"));
-        List<Object> items = top.list("changes", ConfigurationLimits.MAX_CHANGES_PER_RESPONSE);
-        top.rejectUnknown();
+        JsonFields root = new JsonFields(Json.parseObject(text), "answer");
+        long revision = root.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
+        long digest = parseDigest(root.string("digest"), root.pathOf("digest"));
+        List<Object> items = root.list("changes", ConfigurationLimits.MAX_CHANGES_PER_RESPONSE);
+        root.rejectUnknown();
         List<Change> changes = new ArrayList<>(items.size());
         for (int i = 0; i < items.size(); i++) {
             changes.add(parseChange(items.get(i), "changes[" + i + "]"));
@@ -29,8 +29,8 @@
         return new ChangesResponse(revision, digest, changes);
     }
 
-    private static Change parseChange(Object item, String where) throws MalformedException {
-        JsonFields fields = new JsonFields(Json.asObject(item, where), where);
+    private static Change parseChange(Object item, String path) throws MalformedException {
+        JsonFields fields = new JsonFields(Json.asObject(item, path), path);
         long revision = fields.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
         long digest = parseDigest(fields.string("digest"), fields.pathOf("digest"));
         List<Mutation> mutations = parseMutations(fields);
@@ -46,17 +46,17 @@
         return mutations;
     }
 
-    private static List<Mutation> parseMutations(JsonFields of) throws MalformedException {
-        List<Object> items = of.list("mutations", ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE);
+    private static List<Mutation> parseMutations(JsonFields fields) throws MalformedException {
+        List<Object> items = fields.list("mutations", ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE);
         List<Mutation> mutations = new ArrayList<>(items.size());
         for (int i = 0; i < items.size(); i++) {
-            mutations.add(parseMutation(items.get(i), of.pathOf("mutations[" + i + "]")));
+            mutations.add(parseMutation(items.get(i), fields.pathOf("mutations[" + i + "]")));
         }
         return mutations;
     }
 
-    private static Mutation parseMutation(Object item, String where) throws MalformedException {
-        JsonFields fields = new JsonFields(Json.asObject(item, where), where);
+    private static Mutation parseMutation(Object item, String path) throws MalformedException {
+        JsonFields fields = new JsonFields(Json.asObject(item, path), path);
         EntryKey key = parseKey(fields.string("key"), fields.pathOf("key"));
         EntryValue value = null;
         if (!fields.has("deleted")) {
@@ -70,12 +70,13 @@
 
     /** Parses a page of a snapshot. */
     public static SnapshotPage parseSnapshotPage(String text) throws MalformedException {
-        JsonFields top = new JsonFields(Json.parseObject(text), "answer");
-        long revision = top.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
-        long digest = parseDigest(top.string("digest"), top.pathOf("digest"));
-        List<Object> items = top.list("entries", ConfigurationLimits.MAX_ENTRIES_PER_PAGE);
-        EntryKey next = top.has("next") ? parseKey(top.string("next"), top.pathOf("next")) : null;
-        top.rejectUnknown();
+        JsonFields root = new JsonFields(Json.parseObject(text), "answer");
+        long revision = root.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
+        long digest = parseDigest(root.string("digest"), root.pathOf("digest"));
+        List<Object> items = root.list("entries", ConfigurationLimits.MAX_ENTRIES_PER_PAGE);
+        EntryKey next =
+                root.has("next") ? parseKey(root.string("next"), root.pathOf("next")) : null;
+        root.rejectUnknown();
         List<Entry> entries = new ArrayList<>(items.size());
         for (int i = 0; i < items.size(); i++) {
             entries.add(parseEntry(items.get(i), "entries[" + i + "]"));
@@ -83,8 +84,8 @@
         return new SnapshotPage(revision, digest, entries, next);
     }
 
-    private static Entry parseEntry(Object item, String where) throws MalformedException {
-        JsonFields fields = new JsonFields(Json.asObject(item, where), where);
+    private static Entry parseEntry(Object item, String path) throws MalformedException {
+        JsonFields fields = new JsonFields(Json.asObject(item, path), path);
         EntryKey key = parseKey(fields.string("key"), fields.pathOf("key"));
         long revision = fields.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
         EntryValue value = parseValue(key, fields);
@@ -94,34 +95,35 @@
 
     /** Parses an error. Unknown members are ignored, because an error changes no entries. */
     public static ErrorResponse parseError(String text) throws MalformedException {
-        JsonFields top = new JsonFields(Json.parseObject(text), "error");
-        long most = ConfigurationLimits.MAX_SAFE_INTEGER;
+        JsonFields root = new JsonFields(Json.parseObject(text), "error");
+        long max = ConfigurationLimits.MAX_SAFE_INTEGER;
         return new ErrorResponse(
-                top.string("error"),
-                top.has("revision") ? top.integer("revision", most) : 0,
-                top.has("retryMs") ? top.integer("retryMs", most) : 0);
+                root.string("error"),
+                root.has("revision") ? root.integer("revision", max) : 0,
+                root.has("retryMs") ? root.integer("retryMs", max) : 0);
     }
 
     /** Parses a digest of 16 hexadecimal digits, as used in requests. */
-    public static long parseDigest(String text, String where) throws MalformedException {
+    public static long parseDigest(String text, String path) throws MalformedException {
         if (!text.matches("[0-9a-f]{" + DIGEST_DIGITS + "}")) {
-            throw new MalformedException(where + " takes 16 hexadecimal digits");
+            throw new MalformedException(path + " takes 16 hexadecimal digits");
         }
         return Long.parseUnsignedLong(text, DIGEST_DIGITS);
     }
 
-    private static EntryKey parseKey(String text, String where) throws MalformedException {
+    private static EntryKey parseKey(String text, String path) throws MalformedException {
         try {
             return EntryKey.parse(text);
-        } catch (IllegalArgumentException bad) {
-            throw new MalformedException(where + ": " + bad.getMessage());
+        } catch (IllegalArgumentException malformed) {
+            throw new MalformedException(path + ": " + malformed.getMessage());
         }
     }
 
-    private static EntryValue parseValue(EntryKey key, JsonFields of) throws MalformedException {
-        String word = key.kind().wireName();
-        String where = of.pathOf(word);
-        JsonFields fields = new JsonFields(of.object(word), where);
+    private static EntryValue parseValue(EntryKey key, JsonFields parent)
+            throws MalformedException {
+        String wireName = key.kind().wireName();
+        String path = parent.pathOf(wireName);
+        JsonFields fields = new JsonFields(parent.object(wireName), path);
         EntryValue value =
                 switch (key.kind()) {
                     case SETTING -> new EntryValue.Setting(fields.string("text"));
@@ -130,9 +132,9 @@
                     case SUSPENSION -> new EntryValue.Suspension(fields.string("reason"));
                 };
         fields.rejectUnknown();
-        String fault = ValueRules.validationError(value);
-        if (fault != null) {
-            throw new MalformedException(where + ": " + fault);
+        String error = ValueRules.validationError(value);
+        if (error != null) {
+            throw new MalformedException(path + ": " + error);
         }
         return value;
     }
--- a/relay/src/main/java/saltstage/configuration/ConfigurationLimits.java
+++ b/relay/src/main/java/saltstage/configuration/ConfigurationLimits.java
@@ -58,8 +58,8 @@
 
     /** Estimates the bytes of a mutation in JSON and, within a small factor, in memory. */
     public static int estimatedBytes(Mutation mutation) {
-        int value = mutation.isDeletion() ? 0 : mutation.value().canonicalText().length();
-        return MUTATION_OVERHEAD_BYTES + mutation.key().text().length() + value;
+        int valueLength = mutation.isDeletion() ? 0 : mutation.value().canonicalText().length();
+        return MUTATION_OVERHEAD_BYTES + mutation.key().text().length() + valueLength;
     }
 
     /** Estimates the size of a change as the sum over its mutations. */
--- a/relay/src/main/java/saltstage/configuration/ConfigurationView.java
+++ b/relay/src/main/java/saltstage/configuration/ConfigurationView.java
@@ -66,24 +66,24 @@
     }
 
     private long digestAfter(Change change) {
-        long after = digest;
+        long newDigest = digest;
         for (Mutation mutation : change.mutations()) {
-            Entry before = entries.get(mutation.key());
-            after -= before == null ? 0 : EntryDigest.of(before);
-            after +=
+            Entry previous = entries.get(mutation.key());
+            newDigest -= previous == null ? 0 : EntryDigest.of(previous);
+            newDigest +=
                     mutation.isDeletion()
                             ? 0
                             : EntryDigest.of(
                                     new Entry(mutation.key(), mutation.value(), change.revision()));
         }
-        return after;
+        return newDigest;
     }
 
-    private void applyMutation(Mutation mutation, long at) {
-        Entry before = entries.remove(mutation.key());
-        digest -= before == null ? 0 : EntryDigest.of(before);
+    private void applyMutation(Mutation mutation, long newRevision) {
+        Entry previous = entries.remove(mutation.key());
+        digest -= previous == null ? 0 : EntryDigest.of(previous);
         if (!mutation.isDeletion()) {
-            putEntry(new Entry(mutation.key(), mutation.value(), at));
+            putEntry(new Entry(mutation.key(), mutation.value(), newRevision));
         }
     }
 
--- a/relay/src/main/java/saltstage/configuration/EntryKey.java
+++ b/relay/src/main/java/saltstage/configuration/EntryKey.java
@@ -24,10 +24,10 @@
 
     /** Parses a key; throws IllegalArgumentException if the text is not a key. */
     public static EntryKey parse(String text) {
-        int end = text.indexOf(SEPARATOR);
+        int separator = text.indexOf(SEPARATOR);
         for (EntryKind kind : EntryKind.values()) {
-            if (end > 0 && kind.wireName().equals(text.substring(0, end))) {
-                return new EntryKey(kind, text.substring(end + 1));
+            if (separator > 0 && kind.wireName().equals(text.substring(0, separator))) {
+                return new EntryKey(kind, text.substring(separator + 1));
             }
         }
         throw new IllegalArgumentException("no kind of entry in the key '" + text + "'");
--- a/relay/src/main/java/saltstage/configuration/EntryKind.java
+++ b/relay/src/main/java/saltstage/configuration/EntryKind.java
@@ -13,8 +13,8 @@
 
     private final String wireName;
 
-    EntryKind(String word) {
-        this.wireName = word;
+    EntryKind(String wireName) {
+        this.wireName = wireName;
     }
 
     /** The name of this kind in keys and in JSON. */
--- a/relay/src/main/java/saltstage/configuration/JsonFields.java
+++ b/relay/src/main/java/saltstage/configuration/JsonFields.java
@@ -13,9 +13,9 @@
     private final String path;
     private final Set<String> readMembers = new HashSet<>();
 
-    JsonFields(Map<String, Object> members, String place) {
+    JsonFields(Map<String, Object> members, String path) {
         this.members = members;
-        this.path = place;
+        this.path = path;
     }
 
     /** The path of a member, for error messages. */
@@ -40,20 +40,20 @@
     }
 
     /** Reads a whole number from 0 to the maximum. */
-    long integer(String name, long most) throws MalformedException {
+    long integer(String name, long max) throws MalformedException {
         double value = number(name);
-        if (value != Math.rint(value) || value < 0 || value > most) {
-            throw new MalformedException(pathOf(name) + " takes a whole number up to " + most);
+        if (value != Math.rint(value) || value < 0 || value > max) {
+            throw new MalformedException(pathOf(name) + " takes a whole number up to " + max);
         }
         return (long) value;
     }
 
     @SuppressWarnings("unchecked") // the parser creates only lists of Object
-    List<Object> list(String name, int most) throws MalformedException {
+    List<Object> list(String name, int max) throws MalformedException {
         List<Object> list = (List<Object>) requireType(name, List.class, "a list");
-        if (list.size() > most) {
+        if (list.size() > max) {
             throw new MalformedException(
-                    pathOf(name) + " has " + list.size() + " items; " + most + " are taken");
+                    pathOf(name) + " has " + list.size() + " items; " + max + " are taken");
         }
         return list;
     }
@@ -71,12 +71,13 @@
         }
     }
 
-    private <T> T requireType(String name, Class<T> type, String takes) throws MalformedException {
+    private <T> T requireType(String name, Class<T> type, String expected)
+            throws MalformedException {
         readMembers.add(name);
         Object value = members.get(name);
         if (!type.isInstance(value)) {
             throw new MalformedException(
-                    pathOf(name) + (value == null ? " is missing" : " takes " + takes));
+                    pathOf(name) + (value == null ? " is missing" : " takes " + expected));
         }
         return type.cast(value);
     }
--- a/relay/src/main/java/saltstage/configuration/SnapshotPager.java
+++ b/relay/src/main/java/saltstage/configuration/SnapshotPager.java
@@ -63,11 +63,11 @@
     private static SnapshotPage page(Snapshot snapshot, EntryKey from, int limit) {
         Entry[] entries = snapshot.entries();
         int begin = from == null ? 0 : lowerBound(entries, from);
-        int most = Math.max(1, Math.min(limit, ConfigurationLimits.MAX_ENTRIES_PER_PAGE));
-        int end = Math.min(entries.length, begin + most);
-        List<Entry> some = Arrays.asList(entries).subList(begin, end);
+        int pageSize = Math.max(1, Math.min(limit, ConfigurationLimits.MAX_ENTRIES_PER_PAGE));
+        int end = Math.min(entries.length, begin + pageSize);
+        List<Entry> pageEntries = Arrays.asList(entries).subList(begin, end);
         EntryKey next = end < entries.length ? entries[end].key() : null;
-        return new SnapshotPage(snapshot.revision(), snapshot.digest(), some, next);
+        return new SnapshotPage(snapshot.revision(), snapshot.digest(), pageEntries, next);
     }
 
     /** Returns the index of the first entry whose key is not less than the given key. */
--- a/relay/src/main/java/saltstage/configuration/ValueRules.java
+++ b/relay/src/main/java/saltstage/configuration/ValueRules.java
@@ -50,22 +50,22 @@
         if (!Double.isFinite(backend.weight()) || backend.weight() < 0) {
             return "'weight' takes a finite number from 0 on";
         }
-        long started = backend.startedAtMs();
-        return started >= 0 && started <= ConfigurationLimits.MAX_SAFE_INTEGER
+        long startedAtMs = backend.startedAtMs();
+        return startedAtMs >= 0 && startedAtMs <= ConfigurationLimits.MAX_SAFE_INTEGER
                 ? null
                 : "'startedAtMs' takes milliseconds since 1970";
     }
 
-    private static String textError(String name, String text, int longest) {
-        if (text.length() > longest) {
-            return "'" + name + "' takes up to " + longest + " characters";
+    private static String textError(String name, String text, int maxLength) {
+        if (text.length() > maxLength) {
+            return "'" + name + "' takes up to " + maxLength + " characters";
         }
-        boolean carried =
+        boolean valid =
                 text.codePoints()
                         .noneMatch(
                                 c ->
                                         Character.isISOControl(c)
                                                 || Character.getType(c) == Character.SURROGATE);
-        return carried ? null : "'" + name + "' takes no control characters or half characters";
+        return valid ? null : "'" + name + "' takes no control characters or half characters";
     }
 }
--- a/relay/src/main/java/saltstage/configuration/follower/BoundedBodySubscriber.java
+++ b/relay/src/main/java/saltstage/configuration/follower/BoundedBodySubscriber.java
@@ -16,8 +16,8 @@
     private final CompletableFuture<byte[]> body = new CompletableFuture<>();
     private Subscription subscription;
 
-    BoundedBodySubscriber(int mostBytes) {
-        this.maxBytes = mostBytes;
+    BoundedBodySubscriber(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     @Override
@@ -26,8 +26,8 @@
     }
 
     @Override
-    public void onSubscribe(Subscription given) {
-        subscription = given;
+    public void onSubscribe(Subscription newSubscription) {
+        subscription = newSubscription;
         subscription.request(1);
     }
 
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationClient.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationClient.java
@@ -55,20 +55,20 @@
     /**
      * Creates a follower without starting it.
      *
-     * @param held the durable, applied view; owned by this follower from now on
+     * @param initialView the durable, applied view; owned by this follower from now on
      */
     public ConfigurationClient(
             FollowerOptions options,
             FollowerResources resources,
             ConfigurationPersistence persistence,
-            ConfigurationView held,
+            ConfigurationView initialView,
             FollowerListener listener) {
         this.options = options;
         this.resources = resources;
         this.persistence = persistence;
         this.listener = listener;
         requestBuilder = new SourceRequestBuilder(options);
-        revision = held.revision();
+        revision = initialView.revision();
         source = options.sources().get(0);
         state =
                 new FollowerState(
@@ -76,7 +76,7 @@
                         ConfigurationLimits.MAX_ENTRIES,
                         options.timings(),
                         resources.random(),
-                        held);
+                        initialView);
     }
 
     /** Starts to send requests; must be called once. */
@@ -187,22 +187,22 @@
     }
 
     private void notifyListener(FollowerEffect effect) {
-        if (effect instanceof FollowerEffect.ChangesApplied inForce) {
-            List<Change> changes = inForce.changes();
+        if (effect instanceof FollowerEffect.ChangesApplied applied) {
+            List<Change> changes = applied.changes();
             listener.changesApplied(changes);
             revision = changes.get(changes.size() - 1).revision();
-        } else if (effect instanceof FollowerEffect.SnapshotApplied inForce) {
-            listener.snapshotApplied(inForce.view());
-            revision = inForce.view().revision();
+        } else if (effect instanceof FollowerEffect.SnapshotApplied applied) {
+            listener.snapshotApplied(applied.view());
+            revision = applied.view().revision();
         } else if (effect instanceof FollowerEffect.Confirmed confirmed) {
             handleConfirmed(confirmed.revision());
-        } else if (effect instanceof FollowerEffect.SourceConnected settled) {
-            listener.sourceConnected(options.sources().get(settled.source()));
-        } else if (effect instanceof FollowerEffect.SourceFailover left) {
+        } else if (effect instanceof FollowerEffect.SourceConnected connected) {
+            listener.sourceConnected(options.sources().get(connected.source()));
+        } else if (effect instanceof FollowerEffect.SourceFailover failover) {
             listener.sourceFailedOver(
-                    options.sources().get(left.source()),
-                    options.sources().get(left.next()),
-                    left.reason());
+                    options.sources().get(failover.source()),
+                    options.sources().get(failover.next()),
+                    failover.reason());
         } else if (effect instanceof FollowerEffect.WritePostponed postponed) {
             listener.writePostponed(postponed.reason());
         }
@@ -215,12 +215,12 @@
         listener.revisionConfirmed(confirmedRevision);
     }
 
-    private void persistConfirmation(Instant at) {
+    private void persistConfirmation(Instant time) {
         try {
-            persistence.recordConfirmation(at);
+            persistence.recordConfirmation(time);
         } catch (IOException
-                | RuntimeException lost) { // affects only the age reported after a restart
-            enqueue(() -> listener.writePostponed("confirmation: " + lost.getMessage()));
+                | RuntimeException failure) { // affects only the age reported after a restart
+            enqueue(() -> listener.writePostponed("confirmation: " + failure.getMessage()));
         }
     }
 
@@ -232,17 +232,17 @@
 
     private void request(FollowerEffect.RequestChanges changes) {
         source = options.sources().get(changes.source());
-        long begun = System.nanoTime();
+        long startNs = System.nanoTime();
         send(
                 changes.request(),
                 requestBuilder.build(changes),
                 MAX_CHANGES_BODY_BYTES,
                 changes.pollWait().plus(RESPONSE_TIMEOUT),
-                answer ->
+                response ->
                         SourceResponseParser.parseChanges(
                                 changes.request(),
-                                answer,
-                                Duration.ofNanos(System.nanoTime() - begun)));
+                                response,
+                                Duration.ofNanos(System.nanoTime() - startNs)));
     }
 
     private void request(FollowerEffect.RequestSnapshotPage page) {
@@ -251,17 +251,20 @@
                 requestBuilder.build(page),
                 MAX_PAGE_BODY_BYTES,
                 PAGE_TIMEOUT,
-                answer -> SourceResponseParser.parseSnapshotPage(page.request(), answer));
+                response -> SourceResponseParser.parseSnapshotPage(page.request(), response));
     }
 
     private void send(
-            long number,
+            long requestId,
             HttpRequest request,
-            int mostBytes,
+            int maxBodyBytes,
             Duration timeout,
             Function<HttpResponse<byte[]>, FollowerEvent> reader) {
         CompletableFuture<HttpResponse<byte[]>> pending =
-                resources.http().sendAsync(request, head -> new BoundedBodySubscriber(mostBytes));
+                resources
+                        .http()
+                        .sendAsync(
+                                request, responseInfo -> new BoundedBodySubscriber(maxBodyBytes));
         pendingRequest = pending;
         // This timeout covers the whole response; HttpRequest's own timeout covers only its
         // headers.
@@ -269,24 +272,27 @@
                 resources
                         .scheduler()
                         .schedule(
-                                () -> timeOut(number, pending, timeout),
+                                () -> timeOut(requestId, pending, timeout),
                                 timeout.toMillis(),
                                 TimeUnit.MILLISECONDS);
         pending.whenComplete(
-                (answer, failure) -> {
+                (response, failure) -> {
                     deadline.cancel(false);
-                    post(failure == null ? reader.apply(answer) : failureEvent(number, failure));
+                    post(
+                            failure == null
+                                    ? reader.apply(response)
+                                    : failureEvent(requestId, failure));
                 });
     }
 
-    private void timeOut(long number, CompletableFuture<?> pending, Duration timeout) {
+    private void timeOut(long requestId, CompletableFuture<?> pending, Duration timeout) {
         post(
                 new FollowerEvent.RequestFailed(
-                        number, "no answer within " + timeout.toMillis() + " ms"));
+                        requestId, "no answer within " + timeout.toMillis() + " ms"));
         pending.cancel(true);
     }
 
-    private static FollowerEvent failureEvent(long number, Throwable failure) {
+    private static FollowerEvent failureEvent(long requestId, Throwable failure) {
         Throwable cause =
                 failure instanceof CompletionException && failure.getCause() != null
                         ? failure.getCause()
@@ -295,7 +301,7 @@
                 cause instanceof CancellationException || cause.getMessage() == null
                         ? cause.getClass().getSimpleName()
                         : cause.getMessage();
-        return new FollowerEvent.RequestFailed(number, reason);
+        return new FollowerEvent.RequestFailed(requestId, reason);
     }
 
     /** A write that blocks until it is durable. */
@@ -303,16 +309,16 @@
         void run() throws IOException;
     }
 
-    private void scheduleWrite(long number, WriteOperation write) {
-        resources.writer().execute(() -> post(executeWrite(number, write)));
+    private void scheduleWrite(long writeId, WriteOperation write) {
+        resources.writer().execute(() -> post(executeWrite(writeId, write)));
     }
 
-    private static FollowerEvent executeWrite(long number, WriteOperation write) {
+    private static FollowerEvent executeWrite(long writeId, WriteOperation write) {
         try {
             write.run();
-            return new FollowerEvent.WriteCompleted(number);
-        } catch (IOException | RuntimeException failed) {
-            return new FollowerEvent.WriteFailed(number, String.valueOf(failed.getMessage()));
+            return new FollowerEvent.WriteCompleted(writeId);
+        } catch (IOException | RuntimeException failure) {
+            return new FollowerEvent.WriteFailed(writeId, String.valueOf(failure.getMessage()));
         }
     }
 }
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationDirectory.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationDirectory.java
@@ -52,10 +52,11 @@
         } catch (StoreException.Locked locked) {
             events.onEvent("configuration.shared", "dir", path);
             return ConfigurationStore.read(disk);
-        } catch (StoreException | ConfigurationStore.InvalidStateException unsound) {
-            Path aside = path.resolveSibling(path.getFileName() + SET_ASIDE_SUFFIX + Instant.now());
-            Files.move(path, aside, StandardCopyOption.ATOMIC_MOVE);
-            events.onEvent("configuration.set_aside", "to", aside, "why", unsound.getMessage());
+        } catch (StoreException | ConfigurationStore.InvalidStateException invalid) {
+            Path target =
+                    path.resolveSibling(path.getFileName() + SET_ASIDE_SUFFIX + Instant.now());
+            Files.move(path, target, StandardCopyOption.ATOMIC_MOVE);
+            events.onEvent("configuration.set_aside", "to", target, "why", invalid.getMessage());
             return openStore(FileDisk.openOrCreate(path));
         }
     }
@@ -84,8 +85,8 @@
     }
 
     @Override
-    public void recordConfirmation(Instant at) throws IOException {
-        store().recordConfirmation(at);
+    public void recordConfirmation(Instant time) throws IOException {
+        store().recordConfirmation(time);
     }
 
     @Override
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationPersistence.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationPersistence.java
@@ -17,7 +17,7 @@
     void replace(ConfigurationView view) throws IOException;
 
     /** Records that the durable revision was the newest at this time; may become durable later. */
-    void recordConfirmation(Instant at) throws IOException;
+    void recordConfirmation(Instant time) throws IOException;
 
     /** Persists nothing, for followers that may start with an empty state. */
     ConfigurationPersistence NONE =
@@ -33,7 +33,7 @@
                 }
 
                 @Override
-                public void recordConfirmation(Instant at) {
+                public void recordConfirmation(Instant time) {
                     // nothing is persisted
                 }
             };
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
@@ -107,9 +107,9 @@
         Store store = Store.open(disk, options, events);
         try {
             return new ConfigurationStore(store, clock);
-        } catch (IOException | RuntimeException unsound) {
+        } catch (IOException | RuntimeException failure) {
             store.close();
-            throw unsound;
+            throw failure;
         }
     }
 
@@ -126,16 +126,17 @@
     }
 
     private static PersistedConfiguration load(Store store) throws IOException {
-        try (Snapshot now = store.snapshot()) {
-            byte[] state = now.get(STATE_KEY);
+        try (Snapshot snapshot = store.snapshot()) {
+            byte[] state = snapshot.get(STATE_KEY);
             if (state == null) {
-                if (now.size() > 0) {
+                if (snapshot.size() > 0) {
                     throw new InvalidStateException("a store of something else");
                 }
                 return PersistedConfiguration.empty();
             }
-            ConfigurationView view = verifiedView(StoredRevision.decode(state), readEntries(now));
-            byte[] confirmed = now.get(CONFIRMED_KEY);
+            ConfigurationView view =
+                    verifiedView(StoredRevision.decode(state), readEntries(snapshot));
+            byte[] confirmed = snapshot.get(CONFIRMED_KEY);
             return new PersistedConfiguration(
                     view, confirmed == null ? null : decodeInstant(confirmed));
         }
@@ -151,9 +152,9 @@
         return view;
     }
 
-    private static List<Entry> readEntries(Snapshot now) throws IOException {
+    private static List<Entry> readEntries(Snapshot snapshot) throws IOException {
         List<Entry> entries = new ArrayList<>();
-        Snapshot.Scan scan = now.scan(ENTRY_RANGE_START, ENTRY_RANGE_END);
+        Snapshot.Scan scan = snapshot.scan(ENTRY_RANGE_START, ENTRY_RANGE_END);
         while (scan.next()) {
             String name = new String(scan.key(), StandardCharsets.UTF_8);
             try {
@@ -180,30 +181,30 @@
     @Override
     public void write(List<Change> changes) throws IOException {
         Batch batch = new Batch();
-        StoredRevision after = durableRevision;
+        StoredRevision newRevision = durableRevision;
         for (Change change : changes) {
-            if (change.revision() <= after.revision()) {
+            if (change.revision() <= newRevision.revision()) {
                 continue;
             }
-            if (change.revision() != after.revision() + 1) {
+            if (change.revision() != newRevision.revision() + 1) {
                 throw new IOException("a gap before revision " + change.revision());
             }
             change.mutations().forEach(mutation -> putOrDelete(batch, mutation, change.revision()));
-            after = new StoredRevision(change.revision(), change.digest());
+            newRevision = new StoredRevision(change.revision(), change.digest());
         }
-        commit(batch, after);
+        commit(batch, newRevision);
     }
 
     @Override
     public void replace(ConfigurationView view) throws IOException {
         Batch batch = new Batch();
-        Set<String> wanted = new HashSet<>();
-        view.entries().keySet().forEach(key -> wanted.add(key.text()));
-        try (Snapshot now = store.snapshot()) {
-            Snapshot.Scan scan = now.scan(ENTRY_RANGE_START, ENTRY_RANGE_END);
+        Set<String> retainedKeys = new HashSet<>();
+        view.entries().keySet().forEach(key -> retainedKeys.add(key.text()));
+        try (Snapshot snapshot = store.snapshot()) {
+            Snapshot.Scan scan = snapshot.scan(ENTRY_RANGE_START, ENTRY_RANGE_END);
             while (scan.next()) {
                 String name = new String(scan.key(), StandardCharsets.UTF_8);
-                if (!wanted.contains(name.substring(ENTRY_PREFIX.length()))) {
+                if (!retainedKeys.contains(name.substring(ENTRY_PREFIX.length()))) {
                     batch.delete(scan.key());
                 }
             }
@@ -214,13 +215,14 @@
         commit(batch, new StoredRevision(view.revision(), view.digest()));
     }
 
-    private void commit(Batch batch, StoredRevision after) throws IOException {
-        if (after.equals(durableRevision)) {
+    private void commit(Batch batch, StoredRevision newRevision) throws IOException {
+        if (newRevision.equals(durableRevision)) {
             return;
         }
         Instant now = clock.instant(); // a state just received from a source counts as confirmed
-        store.commit(batch.put(STATE_KEY, after.encode()).put(CONFIRMED_KEY, encodeInstant(now)));
-        durableRevision = after;
+        store.commit(
+                batch.put(STATE_KEY, newRevision.encode()).put(CONFIRMED_KEY, encodeInstant(now)));
+        durableRevision = newRevision;
         persistedConfirmationAt = now;
     }
 
@@ -235,22 +237,22 @@
 
     /** Persists the time only if the persisted one is old and there is a revision to confirm. */
     @Override
-    public void recordConfirmation(Instant at) throws IOException {
+    public void recordConfirmation(Instant time) throws IOException {
         boolean recent =
                 persistedConfirmationAt != null
-                        && Duration.between(persistedConfirmationAt, at)
+                        && Duration.between(persistedConfirmationAt, time)
                                         .abs()
                                         .compareTo(CONFIRMATION_INTERVAL)
                                 < 0;
         if (recent || durableRevision.equals(StoredRevision.EMPTY)) {
             return;
         }
-        store.put(CONFIRMED_KEY, encodeInstant(at));
-        persistedConfirmationAt = at;
+        store.put(CONFIRMED_KEY, encodeInstant(time));
+        persistedConfirmationAt = time;
     }
 
-    private static byte[] encodeInstant(Instant at) {
-        return ByteBuffer.allocate(Long.BYTES).putLong(at.toEpochMilli()).array();
+    private static byte[] encodeInstant(Instant time) {
+        return ByteBuffer.allocate(Long.BYTES).putLong(time.toEpochMilli()).array();
     }
 
     private static byte[] utf8(String text) {
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
@@ -69,23 +69,23 @@
     /**
      * Creates a follower of a number of sources, of which the first is the preferred one.
      *
-     * @param held the durable, applied view at the start; owned by this object from now on
-     * @param mostEntries the maximum number of entries of a snapshot
+     * @param initialView the durable, applied view at the start; owned by this object from now on
+     * @param maxEntries the maximum number of entries of a snapshot
      */
     public FollowerState(
-            int sources,
-            int mostEntries,
+            int sourceCount,
+            int maxEntries,
             FollowerTimings timings,
             RandomGenerator random,
-            ConfigurationView held) {
-        if (sources < 1) {
+            ConfigurationView initialView) {
+        if (sourceCount < 1) {
             throw new IllegalArgumentException("a follower needs a source");
         }
-        this.sourceCount = sources;
-        this.maxEntries = mostEntries;
+        this.sourceCount = sourceCount;
+        this.maxEntries = maxEntries;
         this.timings = timings;
         this.random = random;
-        this.view = held;
+        this.view = initialView;
     }
 
     /** Starts the follower; must be called once, before any event. */
@@ -206,18 +206,18 @@
     /** Accepts the changes up to the first one that is invalid. */
     private void acceptChanges(ChangesResponse response) {
         List<Change> accepted = new ArrayList<>();
-        String unsound = null;
+        String error = null;
         for (Change change : response.changes()) {
             ConfigurationView.Outcome outcome = view.apply(change);
             if (outcome == ConfigurationView.Outcome.APPLIED) {
                 accepted.add(change);
             } else if (outcome != ConfigurationView.Outcome.ALREADY_APPLIED) {
-                unsound = outcome + " at revision " + change.revision();
+                error = outcome + " at revision " + change.revision();
                 break;
             }
         }
         if (accepted.isEmpty()) {
-            failOver(unsound == null ? "no changes but those that were had" : unsound);
+            failOver(error == null ? "no changes but those that were had" : error);
             return;
         }
         markSourceConnected();
@@ -232,17 +232,17 @@
             return;
         }
         try {
-            ConfigurationView whole = snapshotAssembler.add(page);
-            if (whole == null) {
+            ConfigurationView snapshot = snapshotAssembler.add(page);
+            if (snapshot == null) {
                 request();
                 return;
             }
-            view = whole;
+            view = snapshot;
             pendingChanges = null;
             caughtUp = false;
             write();
-        } catch (SnapshotAssembler.InvalidSnapshotException unsound) {
-            failOver(unsound.getMessage());
+        } catch (SnapshotAssembler.InvalidSnapshotException invalid) {
+            failOver(invalid.getMessage());
         }
     }
 
@@ -285,8 +285,9 @@
             failOver("busy");
             return;
         }
-        Duration asked = retryAfter.compareTo(MAX_BUSY_DELAY) < 0 ? retryAfter : MAX_BUSY_DELAY;
-        scheduleRetry(asked.plus(retryDelay()));
+        Duration requestedDelay =
+                retryAfter.compareTo(MAX_BUSY_DELAY) < 0 ? retryAfter : MAX_BUSY_DELAY;
+        scheduleRetry(requestedDelay.plus(retryDelay()));
     }
 
     private void markSourceConnected() {
@@ -304,15 +305,15 @@
     }
 
     private void failOver(String reason) {
-        int left = source;
+        int failedSource = source;
         failures++;
         sourceRetries = 0;
         snapshotAssembler = null;
         sourceConnected = false;
         snapshotInstalled = false;
-        source = (left + 1) % sourceCount;
-        effects.add(new FollowerEffect.SourceFailover(left, source, reason));
-        if (left == PREFERRED_SOURCE) {
+        source = (failedSource + 1) % sourceCount;
+        effects.add(new FollowerEffect.SourceFailover(failedSource, source, reason));
+        if (failedSource == PREFERRED_SOURCE) {
             preferredSourceFailures++;
         }
         schedulePreferredSourceRetry();
@@ -328,13 +329,13 @@
             return;
         }
         preferredRetryTimer = nextOperationId();
-        Duration pause =
+        Duration delay =
                 RetryDelay.equalJitter(
                         timings.basePreferredRetryDelay(),
                         timings.maxPreferredRetryDelay(),
                         preferredSourceFailures,
                         random);
-        effects.add(new FollowerEffect.SchedulePreferredSourceRetry(preferredRetryTimer, pause));
+        effects.add(new FollowerEffect.SchedulePreferredSourceRetry(preferredRetryTimer, delay));
     }
 
     private void returnToPreferredSource() {
@@ -434,8 +435,8 @@
     }
 
     private List<FollowerEffect> takeEffects() {
-        List<FollowerEffect> taken = effects;
+        List<FollowerEffect> result = effects;
         effects = new ArrayList<>();
-        return taken;
+        return result;
     }
 }
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerTimings.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerTimings.java
@@ -22,7 +22,7 @@
         Duration maxPreferredRetryDelay) {
     /** Checks that each duration is positive; throws IllegalArgumentException otherwise. */
     public FollowerTimings {
-        for (Duration each :
+        for (Duration duration :
                 new Duration[] {
                     pollWait,
                     baseRetryDelay,
@@ -30,7 +30,7 @@
                     basePreferredRetryDelay,
                     maxPreferredRetryDelay
                 }) {
-            if (each.isZero() || each.isNegative()) {
+            if (duration.isZero() || duration.isNegative()) {
                 throw new IllegalArgumentException("a follower's time-outs must be positive");
             }
         }
--- a/relay/src/main/java/saltstage/configuration/follower/SnapshotAssembler.java
+++ b/relay/src/main/java/saltstage/configuration/follower/SnapshotAssembler.java
@@ -32,9 +32,9 @@
     private EntryKey nextKey;
 
     /** Creates an assembler for a snapshot with a minimum revision and a maximum size. */
-    SnapshotAssembler(long leastRevision, int mostEntries) {
-        this.minRevision = leastRevision;
-        this.maxEntries = mostEntries;
+    SnapshotAssembler(long minRevision, int maxEntries) {
+        this.minRevision = minRevision;
+        this.maxEntries = maxEntries;
     }
 
     /** The revision to request. */
@@ -62,11 +62,11 @@
             advanceTo(page.next());
             return null;
         }
-        ConfigurationView whole = new ConfigurationView(revision, entries);
-        if (whole.digest() != digest) {
+        ConfigurationView snapshot = new ConfigurationView(revision, entries);
+        if (snapshot.digest() != digest) {
             throw new InvalidSnapshotException("the snapshot's digest differs from its entries");
         }
-        return whole;
+        return snapshot;
     }
 
     private void start(SnapshotPage page) throws InvalidSnapshotException {
--- a/relay/src/main/java/saltstage/configuration/follower/SourceResponseParser.java
+++ b/relay/src/main/java/saltstage/configuration/follower/SourceResponseParser.java
@@ -18,35 +18,36 @@
 
     private SourceResponseParser() {}
 
-    static FollowerEvent parseChanges(long request, HttpResponse<byte[]> answer, Duration elapsed) {
-        if (answer.statusCode() != OK) {
-            return parseError(request, answer);
+    static FollowerEvent parseChanges(
+            long request, HttpResponse<byte[]> response, Duration elapsed) {
+        if (response.statusCode() != OK) {
+            return parseError(request, response);
         }
         try {
             return new FollowerEvent.ChangesReceived(
-                    request, ConfigurationJson.parseChanges(bodyText(answer)), elapsed);
+                    request, ConfigurationJson.parseChanges(bodyText(response)), elapsed);
         } catch (MalformedException | RuntimeException malformed) {
             return malformedResponse(request, malformed);
         }
     }
 
-    static FollowerEvent parseSnapshotPage(long request, HttpResponse<byte[]> answer) {
-        if (answer.statusCode() != OK) {
-            return parseError(request, answer);
+    static FollowerEvent parseSnapshotPage(long request, HttpResponse<byte[]> response) {
+        if (response.statusCode() != OK) {
+            return parseError(request, response);
         }
         try {
             return new FollowerEvent.SnapshotPageReceived(
-                    request, ConfigurationJson.parseSnapshotPage(bodyText(answer)));
+                    request, ConfigurationJson.parseSnapshotPage(bodyText(response)));
         } catch (MalformedException | RuntimeException malformed) {
             return malformedResponse(request, malformed);
         }
     }
 
-    private static FollowerEvent parseError(long request, HttpResponse<byte[]> answer) {
-        int status = answer.statusCode();
+    private static FollowerEvent parseError(long request, HttpResponse<byte[]> response) {
+        int status = response.statusCode();
         ErrorResponse error;
         try {
-            error = ConfigurationJson.parseError(bodyText(answer));
+            error = ConfigurationJson.parseError(bodyText(response));
         } catch (MalformedException | RuntimeException malformed) {
             return new FollowerEvent.RequestFailed(request, "status " + status);
         }
@@ -67,7 +68,7 @@
         return new FollowerEvent.RequestFailed(request, "malformed: " + malformed.getMessage());
     }
 
-    private static String bodyText(HttpResponse<byte[]> answer) {
-        return new String(answer.body(), StandardCharsets.UTF_8);
+    private static String bodyText(HttpResponse<byte[]> response) {
+        return new String(response.body(), StandardCharsets.UTF_8);
     }
 }
--- a/relay/src/test/java/saltstage/configuration/ChangeHistoryTest.java
+++ b/relay/src/test/java/saltstage/configuration/ChangeHistoryTest.java
@@ -34,13 +34,13 @@
         ChangeHistory history = new ChangeHistory(0, EntryDigest.EMPTY, MAX_CHANGES, 1 << 20);
         appendChanges(history, 10);
         for (long revision = 0; revision <= 10; revision++) {
-            ChangeHistory.Result answer =
+            ChangeHistory.Result result =
                     history.changesAfter(revision, digests.get(revision), 100);
             if (revision < 10 - MAX_CHANGES) {
-                assertEquals(ChangeHistory.Failure.TRUNCATED, answer, "after " + revision);
+                assertEquals(ChangeHistory.Failure.TRUNCATED, result, "after " + revision);
                 continue;
             }
-            List<Change> changes = assertInstanceOf(ChangeHistory.Changes.class, answer).changes();
+            List<Change> changes = assertInstanceOf(ChangeHistory.Changes.class, result).changes();
             assertEquals(10 - revision, changes.size(), "after " + revision);
             for (int i = 0; i < changes.size(); i++) {
                 assertEquals(revision + 1 + i, changes.get(i).revision(), "gap in the changes");
@@ -53,29 +53,30 @@
         ChangeHistory history = new ChangeHistory(0, EntryDigest.EMPTY, MAX_CHANGES, 1 << 20);
         appendChanges(history, 10);
         for (long revision = 10 - MAX_CHANGES; revision <= 10; revision++) {
-            ChangeHistory.Result answer =
+            ChangeHistory.Result result =
                     history.changesAfter(revision, digests.get(revision) + 1, 100);
-            assertEquals(ChangeHistory.Failure.DIVERGED, answer, "at " + revision);
+            assertEquals(ChangeHistory.Failure.DIVERGED, result, "at " + revision);
         }
         assertEquals(ChangeHistory.Failure.BEHIND, history.changesAfter(11, view.digest(), 100));
     }
 
     @Test
     void historyIsBoundedByCountAndByBytes() {
-        ChangeHistory few = new ChangeHistory(0, EntryDigest.EMPTY, MAX_CHANGES, 1 << 20);
-        appendChanges(few, 50);
-        assertEquals(MAX_CHANGES, few.size());
-        assertEquals(50 - MAX_CHANGES, few.baseRevision());
-        ChangeHistory small = new ChangeHistory(50, view.digest(), 1_000, 500);
-        appendChanges(small, 100);
+        ChangeHistory boundedByCount =
+                new ChangeHistory(0, EntryDigest.EMPTY, MAX_CHANGES, 1 << 20);
+        appendChanges(boundedByCount, 50);
+        assertEquals(MAX_CHANGES, boundedByCount.size());
+        assertEquals(50 - MAX_CHANGES, boundedByCount.baseRevision());
+        ChangeHistory boundedByBytes = new ChangeHistory(50, view.digest(), 1_000, 500);
+        appendChanges(boundedByBytes, 100);
         assertTrue(
-                small.estimatedBytes() <= 500 && small.size() > 1,
-                small.size() + " changes stored");
-        ChangeHistory none = new ChangeHistory(150, view.digest(), 1_000, 1);
-        appendChanges(none, 1);
-        assertEquals(0, none.size());
-        assertEquals(151, none.newestRevision());
-        assertInstanceOf(ChangeHistory.Changes.class, none.changesAfter(151, view.digest(), 1));
+                boundedByBytes.estimatedBytes() <= 500 && boundedByBytes.size() > 1,
+                boundedByBytes.size() + " changes stored");
+        ChangeHistory tooSmall = new ChangeHistory(150, view.digest(), 1_000, 1);
+        appendChanges(tooSmall, 1);
+        assertEquals(0, tooSmall.size());
+        assertEquals(151, tooSmall.newestRevision());
+        assertInstanceOf(ChangeHistory.Changes.class, tooSmall.changesAfter(151, view.digest(), 1));
     }
 
     @Test
@@ -83,8 +84,8 @@
         ChangeHistory history = new ChangeHistory(0, EntryDigest.EMPTY);
         appendChanges(history, 5);
         for (int limit : new int[] {-1, 0, 1}) {
-            ChangeHistory.Result answer = history.changesAfter(2, digests.get(2L), limit);
-            List<Change> changes = ((ChangeHistory.Changes) answer).changes();
+            ChangeHistory.Result result = history.changesAfter(2, digests.get(2L), limit);
+            List<Change> changes = ((ChangeHistory.Changes) result).changes();
             assertEquals(1, changes.size());
             assertEquals(3, changes.get(0).revision());
         }
--- a/relay/src/test/java/saltstage/configuration/ConfigurationJsonTest.java
+++ b/relay/src/test/java/saltstage/configuration/ConfigurationJsonTest.java
@@ -72,12 +72,12 @@
                         + " takes",
                 "[] ~ mutations[0] is not an object",
             })
-    void malformedMutationIsRejectedWithItsPath(String mutation, String place) {
+    void malformedMutationIsRejectedWithItsPath(String mutation, String expected) {
         String text = String.format(CHANGES, mutation);
-        String why =
+        String message =
                 assertThrows(MalformedException.class, () -> ConfigurationJson.parseChanges(text))
                         .getMessage();
-        assertTrue(why.contains(place), why);
+        assertTrue(message.contains(expected), message);
     }
 
     @ParameterizedTest
@@ -102,13 +102,13 @@
 
     @Test
     void inputOverTheLimitsIsRejected() {
-        String one = "{\"key\":\"shard/t/1\",\"deleted\":true}";
-        int most = ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE;
-        String many = String.join(",", java.util.Collections.nCopies(most + 1, one));
-        String text = String.format(CHANGES, many);
+        String mutation = "{\"key\":\"shard/t/1\",\"deleted\":true}";
+        int limit = ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE;
+        String mutations = String.join(",", java.util.Collections.nCopies(limit + 1, mutation));
+        String text = String.format(CHANGES, mutations);
         assertThrows(MalformedException.class, () -> ConfigurationJson.parseChanges(text));
-        String name = "x".repeat(161);
-        String longKey = String.format(CHANGES, one.replace("t/1", name));
+        String longName = "x".repeat(161);
+        String longKey = String.format(CHANGES, mutation.replace("t/1", longName));
         assertThrows(MalformedException.class, () -> ConfigurationJson.parseChanges(longKey));
     }
 
@@ -128,24 +128,25 @@
             ConfigurationJson.parseChanges(corrupted(text, new Random(seed), edits))
                     .changes()
                     .forEach(follower::apply);
-        } catch (MalformedException refused) {
+        } catch (MalformedException malformed) {
             assertEquals(0, follower.revision());
         }
-        boolean whole = follower.entries().equals(writer.entries()) && follower.revision() == 1;
-        assertTrue(whole || follower.revision() == 0 && follower.entries().isEmpty());
+        boolean completelyApplied =
+                follower.entries().equals(writer.entries()) && follower.revision() == 1;
+        assertTrue(completelyApplied || follower.revision() == 0 && follower.entries().isEmpty());
     }
 
     private static String corrupted(String text, Random random, int edits) {
         StringBuilder altered = new StringBuilder(text);
-        String drawn = "{}[]\",:0123456789abcdeftrue\\u-+. \u0000\ud800";
+        String alphabet = "{}[]\",:0123456789abcdeftrue\\u-+. \u0000\ud800";
         for (int i = 0; i < edits && !altered.isEmpty(); i++) {
-            int at = random.nextInt(altered.length());
-            char c = drawn.charAt(random.nextInt(drawn.length()));
+            int index = random.nextInt(altered.length());
+            char c = alphabet.charAt(random.nextInt(alphabet.length()));
             switch (random.nextInt(4)) {
-                case 0 -> altered.deleteCharAt(at);
-                case 1 -> altered.insert(at, c);
-                case 2 -> altered.setLength(Math.max(1, at));
-                default -> altered.setCharAt(at, c);
+                case 0 -> altered.deleteCharAt(index);
+                case 1 -> altered.insert(index, c);
+                case 2 -> altered.setLength(Math.max(1, index));
+                default -> altered.setCharAt(index, c);
             }
         }
         return altered.toString();
--- a/relay/src/test/java/saltstage/configuration/FollowerConvergenceTest.java
+++ b/relay/src/test/java/saltstage/configuration/FollowerConvergenceTest.java
@@ -49,9 +49,9 @@
 
         /** Returns the text of a response, or null if the follower needs a snapshot. */
         String changesAfter(ConfigurationView follower, int limit) {
-            ChangeHistory.Result answer =
+            ChangeHistory.Result result =
                     history.changesAfter(follower.revision(), follower.digest(), limit);
-            return answer instanceof ChangeHistory.Changes found
+            return result instanceof ChangeHistory.Changes found
                     ? ConfigurationJson.toJson(
                             new ChangesResponse(view.revision(), view.digest(), found.changes()))
                     : null;
@@ -65,8 +65,8 @@
         final List<Entry> receivedEntries = new ArrayList<>();
         SnapshotPage lastPage;
 
-        void applyResponse(String answer) throws MalformedException {
-            for (Change change : ConfigurationJson.parseChanges(answer).changes()) {
+        void applyResponse(String response) throws MalformedException {
+            for (Change change : ConfigurationJson.parseChanges(response).changes()) {
                 view.apply(change);
             }
         }
@@ -88,10 +88,11 @@
         }
 
         private void installSnapshot() {
-            ConfigurationView whole = new ConfigurationView(lastPage.revision(), receivedEntries);
+            ConfigurationView snapshot =
+                    new ConfigurationView(lastPage.revision(), receivedEntries);
             assertEquals(
-                    lastPage.digest(), whole.digest(), "the pages are not all of one revision");
-            view = whole.revision() >= view.revision() ? whole : view;
+                    lastPage.digest(), snapshot.digest(), "the pages are not all of one revision");
+            view = snapshot.revision() >= view.revision() ? snapshot : view;
             lastPage = null;
             receivedEntries.clear();
         }
@@ -113,11 +114,11 @@
         }
         follower.inFlightResponses.clear();
         for (int i = 0; i < STEPS && follower.view.revision() < source.view.revision(); i++) {
-            String answer = source.changesAfter(follower.view, limit);
-            if (answer == null) {
+            String response = source.changesAfter(follower.view, limit);
+            if (response == null) {
                 follower.fetchNextPage(source, limit);
             } else {
-                follower.applyResponse(answer);
+                follower.applyResponse(response);
             }
         }
         assertEquals(source.view.entries(), follower.view.entries());
@@ -129,25 +130,25 @@
         switch (random.nextInt(6)) {
             case 0, 1 -> source.acceptRandomChange(random);
             case 2 -> {
-                String answer = source.changesAfter(follower.view, limit);
-                if (answer == null) {
+                String response = source.changesAfter(follower.view, limit);
+                if (response == null) {
                     follower.fetchNextPage(source, limit);
                 } else {
-                    follower.inFlightResponses.add(answer);
+                    follower.inFlightResponses.add(response);
                 }
             }
             case 3 -> {
                 if (!follower.inFlightResponses
                         .isEmpty()) { // delivered late, out of order and possibly twice
-                    int which = random.nextInt(follower.inFlightResponses.size());
-                    follower.applyResponse(follower.inFlightResponses.get(which));
+                    int index = random.nextInt(follower.inFlightResponses.size());
+                    follower.applyResponse(follower.inFlightResponses.get(index));
                     if (random.nextBoolean()) {
-                        follower.inFlightResponses.remove(which);
+                        follower.inFlightResponses.remove(index);
                     }
                 }
             }
             case 4 -> follower.fetchNextPage(source, limit);
-            default -> follower.inFlightResponses.removeIf(lost -> random.nextInt(3) == 0);
+            default -> follower.inFlightResponses.removeIf(response -> random.nextInt(3) == 0);
         }
     }
 
@@ -155,18 +156,18 @@
     void snapshotsArePagedAtOneRevisionAndOnlyTheNewestTwoAreRetained(@ForAll long seed) {
         Random random = new Random(seed);
         Source source = new Source();
-        List<Long> asked = new ArrayList<>();
+        List<Long> revisions = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             source.acceptRandomChange(random);
-            asked.add(source.pager.page(source.view, SnapshotPager.NEWEST, null, 1).revision());
+            revisions.add(source.pager.page(source.view, SnapshotPager.NEWEST, null, 1).revision());
         }
-        for (int i = 0; i < asked.size(); i++) {
-            SnapshotPage page = source.pager.page(source.view, asked.get(i), null, 5_000);
-            assertEquals(i < asked.size() - 2, page == null, "snapshot " + asked.get(i));
+        for (int i = 0; i < revisions.size(); i++) {
+            SnapshotPage page = source.pager.page(source.view, revisions.get(i), null, 5_000);
+            assertEquals(i < revisions.size() - 2, page == null, "snapshot " + revisions.get(i));
             assertTrue(
                     page == null
                             || page.entries().size()
-                                    == source.entriesByRevision.get(asked.get(i)).size());
+                                    == source.entriesByRevision.get(revisions.get(i)).size());
         }
     }
 }
--- a/relay/src/test/java/saltstage/configuration/follower/ConfigurationClientTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ConfigurationClientTest.java
@@ -43,8 +43,8 @@
 
     @AfterEach
     void close() throws Exception {
-        for (AutoCloseable each : closeables) {
-            each.close();
+        for (AutoCloseable closeable : closeables) {
+            closeable.close();
         }
         scheduler.shutdownNow();
     }
@@ -95,10 +95,11 @@
         }
     }
 
-    private static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000;
+    private static void await(String description, BooleanSupplier condition)
+            throws InterruptedException {
+        long deadlineNs = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, "timed out waiting for " + what);
+            assertTrue(System.nanoTime() < deadlineNs, "timed out waiting for " + description);
             Thread.sleep(5);
         }
     }
@@ -153,7 +154,7 @@
         first.close();
         await(
                 "the failover from the older source",
-                () -> failoverReasons.stream().anyMatch(l -> l.startsWith("behind")));
+                () -> failoverReasons.stream().anyMatch(reason -> reason.startsWith("behind")));
         assertEquals(5, client.revision());
         assertEquals(List.of(1L, 2L, 3L, 4L, 5L), appliedRevisions);
     }
--- a/relay/src/test/java/saltstage/configuration/follower/ConfigurationStoreTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ConfigurationStoreTest.java
@@ -66,10 +66,9 @@
             durableRevision = to;
         }
 
-        void checkRecovered(FaultInjectingDisk after) throws IOException {
+        void checkRecovered(FaultInjectingDisk disk) throws IOException {
             try (ConfigurationStore store =
-                    ConfigurationStore.open(
-                            after, SMALL_SEGMENTS, CLOCK, StoreEventListener.NONE)) {
+                    ConfigurationStore.open(disk, SMALL_SEGMENTS, CLOCK, StoreEventListener.NONE)) {
                 ConfigurationView view = store.persistedConfiguration().view();
                 assertTrue(
                         view.revision() == durableRevision || view.revision() == attemptedRevision,
@@ -103,7 +102,7 @@
                 WriteRun run = new WriteRun();
                 try {
                     run.writeAll(disk);
-                } catch (IOException | Error faulted) { // the injected fault
+                } catch (IOException | Error injected) { // the injected fault
                     assertTrue(run.attemptedRevision >= run.durableRevision);
                 }
                 run.checkRecovered(disk.afterCrash(new Random(crash)));
@@ -122,9 +121,9 @@
                     IOException.class, () -> store.write(history.changesResponse(9, 9).changes()));
             store.recordConfirmation(NOON.plusSeconds(1)); // too recent to be persisted
         }
-        PersistedConfiguration held = ConfigurationStore.read(disk);
-        assertEquals(history.viewAt(7).digest(), held.view().digest());
-        assertEquals(NOON, held.confirmedAt());
+        PersistedConfiguration persisted = ConfigurationStore.read(disk);
+        assertEquals(history.viewAt(7).digest(), persisted.view().digest());
+        assertEquals(NOON, persisted.confirmedAt());
     }
 
     @Test
@@ -142,23 +141,24 @@
 
     private Path setAsideDirectory() throws IOException {
         try (var files = Files.list(folder)) {
-            return files.filter(f -> f.getFileName().toString().contains(".set-aside-"))
+            return files.filter(file -> file.getFileName().toString().contains(".set-aside-"))
                     .findFirst()
                     .orElseThrow();
         }
     }
 
-    private void assertSetAside(Path dir, String why) throws IOException {
-        List<String> told = new CopyOnWriteArrayList<>();
-        StoreEventListener events = (event, pairs) -> told.add(event + " " + List.of(pairs));
+    private void assertSetAside(Path dir, String reason) throws IOException {
+        List<String> loggedEvents = new CopyOnWriteArrayList<>();
+        StoreEventListener events =
+                (event, pairs) -> loggedEvents.add(event + " " + List.of(pairs));
         try (ConfigurationDirectory opened = new ConfigurationDirectory(dir, events)) {
             assertEquals(0, opened.persistedConfiguration().view().revision());
             assertNull(opened.persistedConfiguration().confirmedAt());
             opened.write(history.changesResponse(1, 2).changes());
         }
-        assertEquals(1, told.size(), told.toString());
-        assertTrue(told.get(0).startsWith("configuration.set_aside"), told.get(0));
-        assertTrue(told.get(0).contains(why), told.get(0));
+        assertEquals(1, loggedEvents.size(), loggedEvents.toString());
+        assertTrue(loggedEvents.get(0).startsWith("configuration.set_aside"), loggedEvents.get(0));
+        assertTrue(loggedEvents.get(0).contains(reason), loggedEvents.get(0));
         assertTrue(Files.isDirectory(setAsideDirectory()));
         assertEquals(2, ConfigurationStore.read(new FileDisk(dir)).view().revision());
     }
@@ -207,13 +207,13 @@
     @Test
     void storeLockedByAnotherProcessIsReadableButNotWritable() throws IOException {
         Path dir = folder.resolve("state");
-        List<String> told = new ArrayList<>();
+        List<String> loggedEvents = new ArrayList<>();
         ConfigurationDirectory first = new ConfigurationDirectory(dir, StoreEventListener.NONE);
         first.write(history.changesResponse(1, 5).changes());
         try (ConfigurationDirectory second =
-                new ConfigurationDirectory(dir, (event, pairs) -> told.add(event))) {
+                new ConfigurationDirectory(dir, (event, pairs) -> loggedEvents.add(event))) {
             assertEquals(5, second.persistedConfiguration().view().revision());
-            assertEquals(List.of("configuration.shared"), told);
+            assertEquals(List.of("configuration.shared"), loggedEvents);
             assertThrows(
                     StoreException.Locked.class,
                     () -> second.write(history.changesResponse(6, 6).changes()));
--- a/relay/src/test/java/saltstage/configuration/follower/FollowerExplorationTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/FollowerExplorationTest.java
@@ -65,20 +65,24 @@
 
     private List<FollowerEvent> events(FollowerHarness follower) {
         List<FollowerEvent> events = new ArrayList<>();
-        long number = follower.pendingOperationId();
+        long operationId = follower.pendingOperationId();
         if (follower.pendingEffect instanceof FollowerEffect.RequestChanges request) {
             responses(request.after())
-                    .forEach(answer -> events.add(changesReceived(number, answer)));
-            addFailures(number, events);
+                    .forEach(response -> events.add(changesReceived(operationId, response)));
+            addFailures(operationId, events);
         } else if (follower.pendingEffect instanceof FollowerEffect.RequestSnapshotPage request) {
             pages(follower.state.view().revision(), request.from())
-                    .forEach(p -> events.add(new FollowerEvent.SnapshotPageReceived(number, p)));
-            addFailures(number, events);
+                    .forEach(
+                            page ->
+                                    events.add(
+                                            new FollowerEvent.SnapshotPageReceived(
+                                                    operationId, page)));
+            addFailures(operationId, events);
         } else if (follower.pendingEffect instanceof FollowerEffect.ScheduleRetry) {
-            events.add(new FollowerEvent.RetryDue(number));
+            events.add(new FollowerEvent.RetryDue(operationId));
         } else {
-            events.add(new FollowerEvent.WriteCompleted(number));
-            events.add(new FollowerEvent.WriteFailed(number, "full"));
+            events.add(new FollowerEvent.WriteCompleted(operationId));
+            events.add(new FollowerEvent.WriteFailed(operationId, "full"));
         }
         if (follower.preferredRetry != null) {
             events.add(new FollowerEvent.PreferredSourceRetryDue(follower.preferredRetry.timer()));
@@ -86,47 +90,49 @@
         return events;
     }
 
-    private static FollowerEvent changesReceived(long number, ChangesResponse answer) {
-        return new FollowerEvent.ChangesReceived(number, answer, ELAPSED);
+    private static FollowerEvent changesReceived(long operationId, ChangesResponse response) {
+        return new FollowerEvent.ChangesReceived(operationId, response, ELAPSED);
     }
 
-    private static void addFailures(long number, List<FollowerEvent> events) {
-        events.add(new FollowerEvent.Diverged(number));
-        events.add(new FollowerEvent.Truncated(number));
-        events.add(new FollowerEvent.Behind(number, 1));
-        events.add(new FollowerEvent.Busy(number, Duration.ofDays(1)));
-        events.add(new FollowerEvent.RequestFailed(number, "reset"));
+    private static void addFailures(long operationId, List<FollowerEvent> events) {
+        events.add(new FollowerEvent.Diverged(operationId));
+        events.add(new FollowerEvent.Truncated(operationId));
+        events.add(new FollowerEvent.Behind(operationId, 1));
+        events.add(new FollowerEvent.Busy(operationId, Duration.ofDays(1)));
+        events.add(new FollowerEvent.RequestFailed(operationId, "reset"));
     }
 
     /** Valid responses, a gap, a duplicate, an older response, and one with a wrong digest. */
     private List<ChangesResponse> responses(long after) {
-        List<ChangesResponse> answers = new ArrayList<>();
-        answers.add(history.emptyResponse(after));
+        List<ChangesResponse> responses = new ArrayList<>();
+        responses.add(history.emptyResponse(after));
         if (after + 2 <= history.newestRevision()) {
             Change next = history.change(after + 1);
-            answers.add(history.changesResponse(after + 1, after + 2));
-            answers.add(history.changesResponse(after + 2, after + 2));
-            answers.add(
+            responses.add(history.changesResponse(after + 1, after + 2));
+            responses.add(history.changesResponse(after + 2, after + 2));
+            responses.add(
                     new ChangesResponse(
                             after + 1,
                             WRONG_DIGEST,
                             List.of(new Change(next.revision(), WRONG_DIGEST, next.mutations()))));
         }
         if (after > 0) {
-            answers.add(history.changesResponse(after, after));
-            answers.add(history.emptyResponse(after - 1));
+            responses.add(history.changesResponse(after, after));
+            responses.add(history.emptyResponse(after - 1));
         }
-        return answers;
+        return responses;
     }
 
     /** Pages of a valid snapshot, of an older one, of a forked history, and with a wrong digest. */
-    private List<SnapshotPage> pages(long held, EntryKey from) {
-        SnapshotPage sound = history.page(Math.min(held + 1, history.newestRevision()), from, 2);
-        List<SnapshotPage> pages = new ArrayList<>(List.of(sound, fork.page(held + 1, from, 9)));
-        if (held > 1) {
-            pages.add(history.page(held - 1, from, 9));
+    private List<SnapshotPage> pages(long revision, EntryKey from) {
+        SnapshotPage valid =
+                history.page(Math.min(revision + 1, history.newestRevision()), from, 2);
+        List<SnapshotPage> pages =
+                new ArrayList<>(List.of(valid, fork.page(revision + 1, from, 9)));
+        if (revision > 1) {
+            pages.add(history.page(revision - 1, from, 9));
         }
-        pages.add(new SnapshotPage(held + 1, WRONG_DIGEST, sound.entries(), null));
+        pages.add(new SnapshotPage(revision + 1, WRONG_DIGEST, valid.entries(), null));
         return pages;
     }
 }
--- a/relay/src/test/java/saltstage/configuration/follower/FollowerHarness.java
+++ b/relay/src/test/java/saltstage/configuration/follower/FollowerHarness.java
@@ -30,11 +30,11 @@
     private ConfigurationView appliedView = new ConfigurationView();
     private boolean divergenceReported;
 
-    FollowerHarness(int sources, int mostEntries) {
+    FollowerHarness(int sourceCount, int maxEntries) {
         state =
                 new FollowerState(
-                        sources,
-                        mostEntries,
+                        sourceCount,
+                        maxEntries,
                         timings,
                         new SplittableRandom(7),
                         new ConfigurationView());
@@ -134,12 +134,12 @@
             assertEquals(durableView.digest(), appliedView.digest(), "applied, but not durable");
         } else if (effect instanceof FollowerEffect.SnapshotApplied snapshot) {
             checkSnapshot(snapshot.view());
-        } else if (effect instanceof FollowerEffect.SchedulePreferredSourceRetry due) {
+        } else if (effect instanceof FollowerEffect.SchedulePreferredSourceRetry preferred) {
             assertTrue(preferredRetry == null, "a second timer of the preferred source");
-            preferredRetry = due;
+            preferredRetry = preferred;
         } else if (effect instanceof FollowerEffect.ScheduleRetry retry) {
-            long most = FollowerState.MAX_BUSY_DELAY.plus(timings.maxRetryDelay()).toMillis();
-            assertTrue(retry.delay().toMillis() >= 0 && retry.delay().toMillis() <= most);
+            long maxDelayMs = FollowerState.MAX_BUSY_DELAY.plus(timings.maxRetryDelay()).toMillis();
+            assertTrue(retry.delay().toMillis() >= 0 && retry.delay().toMillis() <= maxDelayMs);
         }
     }
 
--- a/relay/src/test/java/saltstage/configuration/follower/FollowerInterleavingTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/FollowerInterleavingTest.java
@@ -29,9 +29,9 @@
     void convergesOnceTheSourcesAreHealthy(
             @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 999) Integer> script) {
         FollowerHarness follower = new FollowerHarness(SOURCES, 100);
-        UnreliableNetwork line = new UnreliableNetwork();
+        UnreliableNetwork network = new UnreliableNetwork();
         for (int choice : script) {
-            line.step(follower, choice);
+            network.step(follower, choice);
         }
         for (int i = 0; i < STEPS_TO_CONVERGE; i++) {
             follower.handle(successEvent(follower, NEWEST, NEWEST));
@@ -64,65 +64,67 @@
     }
 
     private FollowerEvent randomEvent(FollowerHarness follower, Random random, int revision) {
-        long number = follower.pendingOperationId();
-        boolean asks =
+        long operationId = follower.pendingOperationId();
+        boolean requesting =
                 follower.pendingEffect instanceof FollowerEffect.RequestChanges
                         || follower.pendingEffect instanceof FollowerEffect.RequestSnapshotPage;
-        if (asks && random.nextInt(5) == 0) {
-            return new FollowerEvent.RequestFailed(number, "dropped");
+        if (requesting && random.nextInt(5) == 0) {
+            return new FollowerEvent.RequestFailed(operationId, "dropped");
         }
-        if (asks && random.nextInt(9) == 0) {
-            return new FollowerEvent.Busy(number, Duration.ofMillis(random.nextInt(5_000)));
+        if (requesting && random.nextInt(9) == 0) {
+            return new FollowerEvent.Busy(operationId, Duration.ofMillis(random.nextInt(5_000)));
         }
-        if (asks && random.nextInt(9) == 0) {
-            return new FollowerEvent.Truncated(number);
+        if (requesting && random.nextInt(9) == 0) {
+            return new FollowerEvent.Truncated(operationId);
         }
-        boolean writes = !asks && !(follower.pendingEffect instanceof FollowerEffect.ScheduleRetry);
-        if (writes && random.nextInt(4) == 0) {
-            return new FollowerEvent.WriteFailed(number, "no room");
+        boolean writing =
+                !requesting && !(follower.pendingEffect instanceof FollowerEffect.ScheduleRetry);
+        if (writing && random.nextInt(4) == 0) {
+            return new FollowerEvent.WriteFailed(operationId, "no room");
         }
         if (follower.pendingEffect instanceof FollowerEffect.RequestChanges
                 && random.nextInt(6) == 0) {
             int from = 1 + random.nextInt(NEWEST); // any revision: a gap, duplicates, older changes
             int to = Math.min(NEWEST, from + random.nextInt(5));
             return new FollowerEvent.ChangesReceived(
-                    number, history.changesResponse(from, to), Duration.ZERO);
+                    operationId, history.changesResponse(from, to), Duration.ZERO);
         }
         return successEvent(follower, revision, 1 + random.nextInt(4));
     }
 
     /** The response of a healthy source at this revision, or the success of a write or delay. */
     private FollowerEvent successEvent(FollowerHarness follower, int revision, int limit) {
-        long number = follower.pendingOperationId();
+        long operationId = follower.pendingOperationId();
         if (follower.pendingEffect instanceof FollowerEffect.RequestSnapshotPage request) {
-            long asked = request.revision() == 0 ? revision : request.revision();
+            long snapshotRevision = request.revision() == 0 ? revision : request.revision();
             return new FollowerEvent.SnapshotPageReceived(
-                    number, history.page(asked, request.from(), 3));
+                    operationId, history.page(snapshotRevision, request.from(), 3));
         }
         if (follower.pendingEffect instanceof FollowerEffect.ScheduleRetry) {
-            return new FollowerEvent.RetryDue(number);
+            return new FollowerEvent.RetryDue(operationId);
         }
         if (follower.pendingEffect instanceof FollowerEffect.RequestChanges request) {
             return responseTo(request, revision, limit);
         }
-        return new FollowerEvent.WriteCompleted(number);
+        return new FollowerEvent.WriteCompleted(operationId);
     }
 
     private FollowerEvent responseTo(
             FollowerEffect.RequestChanges request, int revision, int limit) {
-        ChangeHistory kept = new ChangeHistory(0, 0);
+        ChangeHistory sourceHistory = new ChangeHistory(0, 0);
         for (int i = 1; i <= revision; i++) {
-            kept.append(history.change(i));
+            sourceHistory.append(history.change(i));
         }
-        ChangeHistory.Result answer = kept.changesAfter(request.after(), request.digest(), limit);
-        if (answer instanceof ChangeHistory.Changes changes) {
+        ChangeHistory.Result result =
+                sourceHistory.changesAfter(request.after(), request.digest(), limit);
+        if (result instanceof ChangeHistory.Changes changes) {
             return new FollowerEvent.ChangesReceived(
                     request.request(),
                     new ChangesResponse(
                             revision, history.viewAt(revision).digest(), changes.changes()),
                     Duration.ofSeconds(25));
         }
-        return switch ((ChangeHistory.Failure) answer) {
+        return switch ((ChangeHistory.Failure) result) {
             case DIVERGED -> new FollowerEvent.Diverged(request.request());
             case TRUNCATED -> new FollowerEvent.Truncated(request.request());
             case BEHIND -> new FollowerEvent.Behind(request.request(), revision);
--- a/relay/src/test/java/saltstage/configuration/follower/ScriptedHistory.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ScriptedHistory.java
@@ -54,11 +54,11 @@
      * one.
      */
     ChangesResponse changesResponse(long from, long to) {
-        List<Change> part = new ArrayList<>();
+        List<Change> responseChanges = new ArrayList<>();
         for (long revision = from; revision <= to; revision++) {
-            part.add(change(revision));
+            responseChanges.add(change(revision));
         }
-        return new ChangesResponse(to, viewAt(to).digest(), part);
+        return new ChangesResponse(to, viewAt(to).digest(), responseChanges);
     }
 
     /** The response without changes of a source at this revision. */
--- a/relay/src/test/java/saltstage/configuration/follower/ScriptedSource.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ScriptedSource.java
@@ -38,8 +38,9 @@
 
     /** Writes a complete response with this body. */
     public static void writeResponse(OutputStream out, int status, String body) throws IOException {
-        byte[] text = body.getBytes(StandardCharsets.UTF_8);
-        String head = "HTTP/1.1 " + status + " -\r\nContent-Length: " + text.length + "\r\n\r\n";
+        byte[] bodyBytes = body.getBytes(StandardCharsets.UTF_8);
+        String head =
+                "HTTP/1.1 " + status + " -\r\nContent-Length: " + bodyBytes.length + "\r\n\r\n";
         out.write((head + body).getBytes(StandardCharsets.UTF_8));
     }
 
@@ -107,14 +108,14 @@
         OutputStream out = socket.getOutputStream();
         return new OutputStream() {
             @Override
-            public void write(int one) throws IOException {
-                write(new byte[] {(byte) one}, 0, 1);
+            public void write(int value) throws IOException {
+                write(new byte[] {(byte) value}, 0, 1);
             }
 
             @Override
-            public void write(byte[] from, int offset, int length) throws IOException {
+            public void write(byte[] buffer, int offset, int length) throws IOException {
                 byteCount.addAndGet(length);
-                out.write(from, offset, length);
+                out.write(buffer, offset, length);
             }
         };
     }
@@ -129,7 +130,7 @@
         try {
             socket.setSoLinger(true, 0);
             socket.close();
-        } catch (IOException gone) {
+        } catch (IOException ignored) {
             return;
         }
     }
--- a/relay/src/test/java/saltstage/configuration/follower/ServedView.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ServedView.java
@@ -63,19 +63,19 @@
             throws Exception {
         long after = Long.parseLong(query.get("after"));
         long digest = ConfigurationJson.parseDigest(query.get("digest"), "digest");
-        long until = System.nanoTime() + Long.parseLong(query.get("waitMs")) * 1_000_000;
-        while (view.revision() == after && System.nanoTime() < until) {
-            wait(Math.max(1, (until - System.nanoTime()) / 1_000_000));
+        long deadlineNs = System.nanoTime() + Long.parseLong(query.get("waitMs")) * 1_000_000;
+        while (view.revision() == after && System.nanoTime() < deadlineNs) {
+            wait(Math.max(1, (deadlineNs - System.nanoTime()) / 1_000_000));
         }
-        ChangeHistory.Result answer =
+        ChangeHistory.Result result =
                 history.changesAfter(after, digest, ConfigurationLimits.MAX_CHANGES_PER_RESPONSE);
-        if (answer instanceof ChangeHistory.Changes changes) {
+        if (result instanceof ChangeHistory.Changes changes) {
             ChangesResponse response =
                     new ChangesResponse(view.revision(), view.digest(), changes.changes());
             ScriptedSource.writeResponse(out, 200, ConfigurationJson.toJson(response));
             return;
         }
-        switch ((ChangeHistory.Failure) answer) {
+        switch ((ChangeHistory.Failure) result) {
             case DIVERGED -> writeError(out, 409, ErrorResponse.DIVERGED);
             case TRUNCATED -> writeError(out, 410, ErrorResponse.TRUNCATED);
             default -> writeError(out, 421, ErrorResponse.BEHIND);
