--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
@@ -64,7 +64,7 @@
         static StoredRevision decode(byte[] value) throws InvalidStateException {
             if (value.length != Integer.BYTES + 2 * Long.BYTES
                     || ByteBuffer.wrap(value).getInt() != FORMAT_VERSION) {
-                throw new InvalidStateException("another format than " + FORMAT_VERSION);
+                throw new InvalidStateException("not format version " + FORMAT_VERSION);
             }
             ByteBuffer fields = ByteBuffer.wrap(value, Integer.BYTES, 2 * Long.BYTES);
             return new StoredRevision(fields.getLong(), fields.getLong());
@@ -169,7 +169,7 @@
 
     private static Instant decodeInstant(byte[] value) throws InvalidStateException {
         if (value.length != Long.BYTES) {
-            throw new InvalidStateException("the time of the last confirmation is cut short");
+            throw new InvalidStateException("the time of the last confirmation is truncated");
         }
         return Instant.ofEpochMilli(ByteBuffer.wrap(value).getLong());
     }
--- a/relay/src/main/java/saltstage/configuration/follower/EntryCodec.java
+++ b/relay/src/main/java/saltstage/configuration/follower/EntryCodec.java
@@ -21,7 +21,7 @@
     /** Decodes the entry of this key; throws MalformedException if the value has another key. */
     static Entry decode(EntryKey key, byte[] value) throws MalformedException {
         if (value.length < Long.BYTES) {
-            throw new MalformedException(key.text() + ": cut short");
+            throw new MalformedException(key.text() + ": truncated");
         }
         long revision = ByteBuffer.wrap(value).getLong();
         int length = value.length - Long.BYTES;
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
@@ -188,7 +188,7 @@
 
     private void noChangesReceived(ChangesResponse response, Duration elapsed) {
         if (response.revision() != view.revision() || response.digest() != view.digest()) {
-            failOver("no changes, but another revision or digest than was asked for");
+            failOver("no changes, but a different revision or digest than requested");
             return;
         }
         boolean early = elapsed.compareTo(requestedWait.dividedBy(2)) < 0;
@@ -217,7 +217,7 @@
             }
         }
         if (accepted.isEmpty()) {
-            failOver(error == null ? "no changes but those that were had" : error);
+            failOver(error == null ? "only changes that were already applied" : error);
             return;
         }
         markSourceConnected();
@@ -272,7 +272,7 @@
     private void restartSnapshot() {
         sourceRetries++;
         if (sourceRetries > MAX_RETRIES_PER_SOURCE) {
-            failOver("snapshots gone before they were read");
+            failOver("snapshots were truncated before they were complete");
             return;
         }
         snapshotAssembler = new SnapshotAssembler(view.revision(), maxEntries);
