--- a/relay/src/main/java/saltstage/configuration/EntryKind.java
+++ b/relay/src/main/java/saltstage/configuration/EntryKind.java
@@ -6,7 +6,7 @@
     SETTING("setting"),
     /** A backend; the entry's name is the backend's identifier. */
     BACKEND("backend"),
-    /** The backend that serves a shard; the entry's name is the topic and the shard's number. */
+    /** The backend that serves a shard of a topic; the entry's name is the topic and number. */
     SHARD("shard"),
     /** An operator's suspension of a backend; the entry's name is the backend's identifier. */
     SUSPENSION("suspension");
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationClient.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationClient.java
@@ -218,8 +218,8 @@
     private void persistConfirmation(Instant time) {
         try {
             persistence.recordConfirmation(time);
-        } catch (IOException
-                | RuntimeException failure) { // affects only the age reported after a restart
+        } catch (IOException | RuntimeException failure) {
+            // A lost confirmation affects only the age that is reported after a restart.
             enqueue(() -> listener.writePostponed("confirmation: " + failure.getMessage()));
         }
     }
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
@@ -27,7 +27,8 @@
     static final Duration MAX_BUSY_DELAY = Duration.ofMinutes(1);
 
     /**
-     * The maximum delay after a response before the requested wait; the mean delay is half of it.
+     * The maximum delay after a response that arrived before half of the requested wait; the mean
+     * delay is half of it.
      */
     static final Duration MAX_EARLY_RESPONSE_DELAY = Duration.ofSeconds(2);
 
@@ -362,7 +363,8 @@
         if (preferredRetryDue) {
             returnToPreferredSource();
         }
-        // The first request to a source has no wait, so that a dead source is detected quickly.
+        // A source that has not responded yet gets a request without a wait, so that a dead source
+        // is detected quickly.
         requestedWait = sourceConnected ? timings.pollWait() : Duration.ZERO;
         effects.add(
                 new FollowerEffect.RequestChanges(
--- a/relay/src/test/java/saltstage/configuration/FollowerConvergenceTest.java
+++ b/relay/src/test/java/saltstage/configuration/FollowerConvergenceTest.java
@@ -138,8 +138,8 @@
                 }
             }
             case 3 -> {
-                if (!follower.inFlightResponses
-                        .isEmpty()) { // delivered late, out of order and possibly twice
+                if (!follower.inFlightResponses.isEmpty()) {
+                    // The response is delivered late, out of order and possibly twice.
                     int index = random.nextInt(follower.inFlightResponses.size());
                     follower.applyResponse(follower.inFlightResponses.get(index));
                     if (random.nextBoolean()) {
--- a/relay/src/test/java/saltstage/configuration/follower/ConfigurationClientTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ConfigurationClientTest.java
@@ -251,9 +251,7 @@
     void idleFollowerUsesLittleBandwidth() throws Exception {
         ServedView view = viewWithRevisions(1);
         ScriptedSource source = startSource(view);
-        List<Long> bytes =
-                new CopyOnWriteArrayList<>(); // byte count at each request, after its header was
-        // read
+        List<Long> bytes = new CopyOnWriteArrayList<>(); // after each request header
         source.setScript(
                 (query, out) -> {
                     bytes.add(source.byteCount());
--- a/relay/src/test/java/saltstage/configuration/follower/FollowerInterleavingTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/FollowerInterleavingTest.java
@@ -49,8 +49,8 @@
             Random random = new Random(choice);
             int source = follower.state.source();
             sourceRevisions[source] = Math.min(NEWEST, sourceRevisions[source] + random.nextInt(6));
-            if (random.nextInt(4) == 0
-                    && !delivered.isEmpty()) { // late, out of order or duplicated
+            if (random.nextInt(4) == 0 && !delivered.isEmpty()) {
+                // The event is delivered late, out of order or twice.
                 follower.handleUnawaited(delivered.get(random.nextInt(delivered.size())));
             }
             if (random.nextInt(3) == 0 && follower.preferredRetry != null) {
