--- a/relay/src/test/java/saltstage/configuration/follower/ConfigurationStoreTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/ConfigurationStoreTest.java
@@ -179,9 +179,9 @@
     @Test
     void entriesThatDifferFromTheirDigestAreSetAside() throws IOException {
         Path dir = folder.resolve("state");
-        try (ConfigurationDirectory sound =
+        try (ConfigurationDirectory directory =
                 new ConfigurationDirectory(dir, StoreEventListener.NONE)) {
-            sound.write(history.changesResponse(1, 5).changes());
+            directory.write(history.changesResponse(1, 5).changes());
         }
         try (Store store =
                 Store.open(
@@ -196,9 +196,9 @@
     @Test
     void aDamagedStoreIsSetAside() throws IOException {
         Path dir = folder.resolve("state");
-        try (ConfigurationDirectory sound =
+        try (ConfigurationDirectory directory =
                 new ConfigurationDirectory(dir, StoreEventListener.NONE)) {
-            sound.write(history.changesResponse(1, 5).changes());
+            directory.write(history.changesResponse(1, 5).changes());
         }
         Files.writeString(dir.resolve("manifest"), "rubbish");
         assertSetAside(dir, "damaged");
