--- a/relay/src/main/java/saltstage/configuration/ConfigurationJson.java
+++ b/relay/src/main/java/saltstage/configuration/ConfigurationJson.java
@@ -6,23 +6,22 @@
 import saltstage.wire.MalformedException;
 
 /**
- * The read API's JSON, read strictly: an unknown member or kind, a wrong type or too much of
- * anything gives one error that names what and where, and nothing of the text is used.
+ * Parses and formats the JSON of the read API. Parsing is strict: an unknown member or kind, a
+ * wrong type or an exceeded limit gives one error that names the fault and its place, and nothing
+ * of the text is used.
  */
 public final class ConfigurationJson {
     private static final int DIGEST_DIGITS = 16;
 
     private ConfigurationJson() {}
 
-    // ---- reading
-
-    /** Changes as a source answers them. */
+    /** Parses a source's response to a request for changes. */
     public static ChangesResponse parseChanges(String text) throws MalformedException {
-        JsonFields top = new JsonFields(Json.parseObject(text), "answer");
-        long revision = top.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
-        long digest = parseDigest(top.string("digest"), top.pathOf("digest"));
-        List<Object> items = top.list("changes", ConfigurationLimits.MAX_CHANGES_PER_RESPONSE);
-        top.rejectUnknown();
+        JsonFields root = new JsonFields(Json.parseObject(text), "answer");
+        long revision = root.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
+        long digest = parseDigest(root.string("digest"), root.pathOf("digest"));
+        List<Object> items = root.list("changes", ConfigurationLimits.MAX_CHANGES_PER_RESPONSE);
+        root.rejectUnknown();
         List<Change> changes = new ArrayList<>(items.size());
         for (int i = 0; i < items.size(); i++) {
             changes.add(parseChange(items.get(i), "changes[" + i + "]"));
@@ -30,8 +29,8 @@
         return new ChangesResponse(revision, digest, changes);
     }
 
-    private static Change parseChange(Object item, String where) throws MalformedException {
-        JsonFields fields = new JsonFields(Json.asObject(item, where), where);
+    private static Change parseChange(Object item, String path) throws MalformedException {
+        JsonFields fields = new JsonFields(Json.asObject(item, path), path);
         long revision = fields.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
         long digest = parseDigest(fields.string("digest"), fields.pathOf("digest"));
         List<Mutation> mutations = parseMutations(fields);
@@ -39,7 +38,7 @@
         return new Change(revision, digest, mutations);
     }
 
-    /** A text {@code {"mutations":[…]}}, as operators write it. */
+    /** Parses a text {@code {"mutations":[…]}}, as operators write it. */
     public static List<Mutation> parseMutations(String text) throws MalformedException {
         JsonFields fields = new JsonFields(Json.parseObject(text), "text");
         List<Mutation> mutations = parseMutations(fields);
@@ -47,17 +46,17 @@
         return mutations;
     }
 
-    private static List<Mutation> parseMutations(JsonFields of) throws MalformedException {
-        List<Object> items = of.list("mutations", ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE);
+    private static List<Mutation> parseMutations(JsonFields fields) throws MalformedException {
+        List<Object> items = fields.list("mutations", ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE);
         List<Mutation> mutations = new ArrayList<>(items.size());
         for (int i = 0; i < items.size(); i++) {
-            mutations.add(parseMutation(items.get(i), of.pathOf("mutations[" + i + "]")));
+            mutations.add(parseMutation(items.get(i), fields.pathOf("mutations[" + i + "]")));
         }
         return mutations;
     }
 
-    private static Mutation parseMutation(Object item, String where) throws MalformedException {
-        JsonFields fields = new JsonFields(Json.asObject(item, where), where);
+    private static Mutation parseMutation(Object item, String path) throws MalformedException {
+        JsonFields fields = new JsonFields(Json.asObject(item, path), path);
         EntryKey key = parseKey(fields.string("key"), fields.pathOf("key"));
         EntryValue value = null;
         if (!fields.has("deleted")) {
@@ -69,14 +68,15 @@
         return new Mutation(key, value);
     }
 
-    /** A page of a snapshot. */
+    /** Parses a page of a snapshot. */
     public static SnapshotPage parseSnapshotPage(String text) throws MalformedException {
-        JsonFields top = new JsonFields(Json.parseObject(text), "answer");
-        long revision = top.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
-        long digest = parseDigest(top.string("digest"), top.pathOf("digest"));
-        List<Object> items = top.list("entries", ConfigurationLimits.MAX_ENTRIES_PER_PAGE);
-        EntryKey next = top.has("next") ? parseKey(top.string("next"), top.pathOf("next")) : null;
-        top.rejectUnknown();
+        JsonFields root = new JsonFields(Json.parseObject(text), "answer");
+        long revision = root.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
+        long digest = parseDigest(root.string("digest"), root.pathOf("digest"));
+        List<Object> items = root.list("entries", ConfigurationLimits.MAX_ENTRIES_PER_PAGE);
+        EntryKey next =
+                root.has("next") ? parseKey(root.string("next"), root.pathOf("next")) : null;
+        root.rejectUnknown();
         List<Entry> entries = new ArrayList<>(items.size());
         for (int i = 0; i < items.size(); i++) {
             entries.add(parseEntry(items.get(i), "entries[" + i + "]"));
@@ -84,8 +84,8 @@
         return new SnapshotPage(revision, digest, entries, next);
     }
 
-    private static Entry parseEntry(Object item, String where) throws MalformedException {
-        JsonFields fields = new JsonFields(Json.asObject(item, where), where);
+    private static Entry parseEntry(Object item, String path) throws MalformedException {
+        JsonFields fields = new JsonFields(Json.asObject(item, path), path);
         EntryKey key = parseKey(fields.string("key"), fields.pathOf("key"));
         long revision = fields.integer("revision", ConfigurationLimits.MAX_SAFE_INTEGER);
         EntryValue value = parseValue(key, fields);
@@ -93,36 +93,37 @@
         return new Entry(key, value, revision);
     }
 
-    /** An error; members that this build does not know are skipped, as it changes nothing. */
+    /** Parses an error. Unknown members are ignored, because an error changes no entries. */
     public static ErrorResponse parseError(String text) throws MalformedException {
-        JsonFields top = new JsonFields(Json.parseObject(text), "error");
-        long most = ConfigurationLimits.MAX_SAFE_INTEGER;
+        JsonFields root = new JsonFields(Json.parseObject(text), "error");
+        long max = ConfigurationLimits.MAX_SAFE_INTEGER;
         return new ErrorResponse(
-                top.string("error"),
-                top.has("revision") ? top.integer("revision", most) : 0,
-                top.has("retryMs") ? top.integer("retryMs", most) : 0);
+                root.string("error"),
+                root.has("revision") ? root.integer("revision", max) : 0,
+                root.has("retryMs") ? root.integer("retryMs", max) : 0);
     }
 
-    /** A digest of 16 hexadecimal digits, as in requests. */
-    public static long parseDigest(String text, String where) throws MalformedException {
+    /** Parses a digest of 16 hexadecimal digits, as used in requests. */
+    public static long parseDigest(String text, String path) throws MalformedException {
         if (!text.matches("[0-9a-f]{" + DIGEST_DIGITS + "}")) {
-            throw new MalformedException(where + " takes 16 hexadecimal digits");
+            throw new MalformedException(path + " takes 16 hexadecimal digits");
         }
         return Long.parseUnsignedLong(text, DIGEST_DIGITS);
     }
 
-    private static EntryKey parseKey(String text, String where) throws MalformedException {
+    private static EntryKey parseKey(String text, String path) throws MalformedException {
         try {
             return EntryKey.parse(text);
-        } catch (IllegalArgumentException bad) {
-            throw new MalformedException(where + ": " + bad.getMessage());
+        } catch (IllegalArgumentException malformed) {
+            throw new MalformedException(path + ": " + malformed.getMessage());
         }
     }
 
-    private static EntryValue parseValue(EntryKey key, JsonFields of) throws MalformedException {
-        String word = key.kind().wireName();
-        String where = of.pathOf(word);
-        JsonFields fields = new JsonFields(of.object(word), where);
+    private static EntryValue parseValue(EntryKey key, JsonFields parent)
+            throws MalformedException {
+        String wireName = key.kind().wireName();
+        String path = parent.pathOf(wireName);
+        JsonFields fields = new JsonFields(parent.object(wireName), path);
         EntryValue value =
                 switch (key.kind()) {
                     case SETTING -> new EntryValue.Setting(fields.string("text"));
@@ -131,9 +132,9 @@
                     case SUSPENSION -> new EntryValue.Suspension(fields.string("reason"));
                 };
         fields.rejectUnknown();
-        String fault = ValueRules.validationError(value);
-        if (fault != null) {
-            throw new MalformedException(where + ": " + fault);
+        String error = ValueRules.validationError(value);
+        if (error != null) {
+            throw new MalformedException(path + ": " + error);
         }
         return value;
     }
@@ -154,9 +155,7 @@
                 fields.integer("startedAtMs", ConfigurationLimits.MAX_SAFE_INTEGER));
     }
 
-    // ---- writing
-
-    /** Changes as a source answers them. */
+    /** Formats a source's response to a request for changes. */
     public static String toJson(ChangesResponse response) {
         JsonWriter json = new JsonWriter();
         json.open('{').name("revision").number(response.revision());
@@ -187,7 +186,7 @@
         json.close(']');
     }
 
-    /** Mutations as operators write them. */
+    /** Formats mutations in the form that operators write. */
     public static String toJson(List<Mutation> mutations) {
         JsonWriter json = new JsonWriter();
         json.open('{');
@@ -195,7 +194,7 @@
         return json.close('}').toString();
     }
 
-    /** A page of a snapshot. */
+    /** Formats a page of a snapshot. */
     public static String toJson(SnapshotPage page) {
         JsonWriter json = new JsonWriter();
         json.open('{').name("revision").number(page.revision());
@@ -214,7 +213,7 @@
         return json.close('}').toString();
     }
 
-    /** An error; what it does not say is left out. */
+    /** Formats an error; the revision and the retry time are omitted if they are 0. */
     public static String toJson(ErrorResponse response) {
         JsonWriter json = new JsonWriter();
         json.open('{').name("error").string(response.error());
@@ -227,7 +226,7 @@
         return json.close('}').toString();
     }
 
-    /** A digest as 16 hexadecimal digits. */
+    /** Formats a digest as 16 hexadecimal digits. */
     public static String formatDigest(long digest) {
         return String.format("%016x", digest);
     }
--- a/relay/src/main/java/saltstage/configuration/EntryKind.java
+++ b/relay/src/main/java/saltstage/configuration/EntryKind.java
@@ -1,23 +1,23 @@
 package saltstage.configuration;
 
-/** What an entry is about; its word is the first part of the entry's key. */
+/** The kind of an entry; its wire name is the first part of the entry's key. */
 public enum EntryKind {
-    /** A setting of the relays, by its name. */
+    /** A setting of the relays; the entry's name is the name of the setting. */
     SETTING("setting"),
-    /** A backend, by its identifier. */
+    /** A backend; the entry's name is the backend's identifier. */
     BACKEND("backend"),
-    /** The backend that serves a shard of a topic, by topic and number. */
+    /** The backend that serves a shard of a topic; the entry's name is the topic and number. */
     SHARD("shard"),
-    /** A backend that operators have suspended, by its identifier. */
+    /** An operator's suspension of a backend; the entry's name is the backend's identifier. */
     SUSPENSION("suspension");
 
     private final String wireName;
 
-    EntryKind(String word) {
-        this.wireName = word;
+    EntryKind(String wireName) {
+        this.wireName = wireName;
     }
 
-    /** The word in keys. */
+    /** The name of this kind in keys and in JSON. */
     public String wireName() {
         return wireName;
     }
--- a/relay/src/main/java/saltstage/configuration/JsonFields.java
+++ b/relay/src/main/java/saltstage/configuration/JsonFields.java
@@ -7,18 +7,18 @@
 import saltstage.wire.Json;
 import saltstage.wire.MalformedException;
 
-/** The members of one JSON object, read by type; each error names the member and its place. */
+/** Typed access to the members of one JSON object; each error names the path of the member. */
 final class JsonFields {
     private final Map<String, Object> members;
     private final String path;
     private final Set<String> readMembers = new HashSet<>();
 
-    JsonFields(Map<String, Object> members, String place) {
+    JsonFields(Map<String, Object> members, String path) {
         this.members = members;
-        this.path = place;
+        this.path = path;
     }
 
-    /** The place of a member, for errors. */
+    /** The path of a member, for error messages. */
     String pathOf(String name) {
         return path + "." + name;
     }
@@ -39,21 +39,21 @@
         return requireType(name, Double.class, "a number");
     }
 
-    /** A whole number from 0 on. */
-    long integer(String name, long most) throws MalformedException {
+    /** Reads a whole number from 0 to the maximum. */
+    long integer(String name, long max) throws MalformedException {
         double value = number(name);
-        if (value != Math.rint(value) || value < 0 || value > most) {
-            throw new MalformedException(pathOf(name) + " takes a whole number up to " + most);
+        if (value != Math.rint(value) || value < 0 || value > max) {
+            throw new MalformedException(pathOf(name) + " takes a whole number up to " + max);
         }
         return (long) value;
     }
 
-    @SuppressWarnings("unchecked") // each list that the parser makes is one of objects
-    List<Object> list(String name, int most) throws MalformedException {
+    @SuppressWarnings("unchecked") // the parser creates only lists of Object
+    List<Object> list(String name, int max) throws MalformedException {
         List<Object> list = (List<Object>) requireType(name, List.class, "a list");
-        if (list.size() > most) {
+        if (list.size() > max) {
             throw new MalformedException(
-                    pathOf(name) + " has " + list.size() + " items; " + most + " are taken");
+                    pathOf(name) + " has " + list.size() + " items; " + max + " are taken");
         }
         return list;
     }
@@ -62,7 +62,7 @@
         return Json.asObject(requireType(name, Map.class, "an object"), pathOf(name));
     }
 
-    /** Refuses members that were not read. */
+    /** Rejects the object if it has members that were not read. */
     void rejectUnknown() throws MalformedException {
         for (String name : members.keySet()) {
             if (!readMembers.contains(name)) {
@@ -71,12 +71,13 @@
         }
     }
 
-    private <T> T requireType(String name, Class<T> type, String takes) throws MalformedException {
+    private <T> T requireType(String name, Class<T> type, String expected)
+            throws MalformedException {
         readMembers.add(name);
         Object value = members.get(name);
         if (!type.isInstance(value)) {
             throw new MalformedException(
-                    pathOf(name) + (value == null ? " is missing" : " takes " + takes));
+                    pathOf(name) + (value == null ? " is missing" : " takes " + expected));
         }
         return type.cast(value);
     }
--- a/relay/src/main/java/saltstage/configuration/SnapshotPager.java
+++ b/relay/src/main/java/saltstage/configuration/SnapshotPager.java
@@ -6,11 +6,12 @@
 import java.util.List;
 
 /**
- * Serves all entries in pages. A snapshot is made once per revision that is asked for as the newest
- * one and shared by all who page through it; the newest two are held. Not thread safe.
+ * Serves all entries in pages. One snapshot is created per revision that is requested as the newest
+ * one; all followers that read its pages share it. The newest two snapshots are retained. Not
+ * thread safe.
  */
 public final class SnapshotPager {
-    /** The revision that stands for the newest one. */
+    /** The revision number that denotes the newest revision. */
     public static final long NEWEST = 0;
 
     private static final int MAX_SNAPSHOTS = 2;
@@ -20,13 +21,14 @@
     private final Deque<Snapshot> snapshots = new ArrayDeque<>(MAX_SNAPSHOTS);
 
     /**
-     * A page.
+     * Returns a page of a snapshot.
      *
-     * @param view what is in force now
-     * @param revision of which snapshot; {@link #NEWEST} for the view as it is now
-     * @param from the first key that is wanted; null for the first of all
-     * @param limit most entries; never more than {@link ConfigurationLimits#MAX_ENTRIES_PER_PAGE}
-     * @return null where that snapshot is not held any more
+     * @param view the current entries
+     * @param revision the revision of the snapshot; {@link #NEWEST} for the current view
+     * @param from the lowest key of the page; null for the first page
+     * @param limit the maximum number of entries, capped at {@link
+     *     ConfigurationLimits#MAX_ENTRIES_PER_PAGE}
+     * @return the page, or null if that snapshot is no longer retained
      */
     public SnapshotPage page(ConfigurationView view, long revision, EntryKey from, int limit) {
         Snapshot snapshot = revision == NEWEST ? newestSnapshot(view) : findSnapshot(revision);
@@ -61,14 +63,14 @@
     private static SnapshotPage page(Snapshot snapshot, EntryKey from, int limit) {
         Entry[] entries = snapshot.entries();
         int begin = from == null ? 0 : lowerBound(entries, from);
-        int most = Math.max(1, Math.min(limit, ConfigurationLimits.MAX_ENTRIES_PER_PAGE));
-        int end = Math.min(entries.length, begin + most);
-        List<Entry> some = Arrays.asList(entries).subList(begin, end);
+        int pageSize = Math.max(1, Math.min(limit, ConfigurationLimits.MAX_ENTRIES_PER_PAGE));
+        int end = Math.min(entries.length, begin + pageSize);
+        List<Entry> pageEntries = Arrays.asList(entries).subList(begin, end);
         EntryKey next = end < entries.length ? entries[end].key() : null;
-        return new SnapshotPage(snapshot.revision(), snapshot.digest(), some, next);
+        return new SnapshotPage(snapshot.revision(), snapshot.digest(), pageEntries, next);
     }
 
-    /** The index of the first entry whose key is not before this one. */
+    /** Returns the index of the first entry whose key is not less than the given key. */
     private static int lowerBound(Entry[] entries, EntryKey key) {
         int low = 0;
         int high = entries.length;
--- a/relay/src/main/java/saltstage/configuration/ValueRules.java
+++ b/relay/src/main/java/saltstage/configuration/ValueRules.java
@@ -3,8 +3,9 @@
 import java.util.regex.Pattern;
 
 /**
- * What any value must be to be carried at all: texts of bounded length that survive UTF-8, numbers
- * that survive JSON. What a value must be to make sense is the group's to check.
+ * Rules that each value must meet to be transferred: texts have bounded lengths and can be encoded
+ * as UTF-8, and numbers can be represented in JSON. The coordinator group checks whether a value
+ * makes sense.
  */
 public final class ValueRules {
     private static final Pattern ZONE_PATTERN =
@@ -17,7 +18,7 @@
 
     private ValueRules() {}
 
-    /** Why the value cannot be carried, as one sentence; null where it can be. */
+    /** Returns why the value violates the rules, as one sentence, or null if it is valid. */
     public static String validationError(EntryValue value) {
         if (value instanceof EntryValue.Setting setting) {
             return textError("text", setting.text(), ConfigurationLimits.MAX_SETTING_LENGTH);
@@ -49,22 +50,22 @@
         if (!Double.isFinite(backend.weight()) || backend.weight() < 0) {
             return "'weight' takes a finite number from 0 on";
         }
-        long started = backend.startedAtMs();
-        return started >= 0 && started <= ConfigurationLimits.MAX_SAFE_INTEGER
+        long startedAtMs = backend.startedAtMs();
+        return startedAtMs >= 0 && startedAtMs <= ConfigurationLimits.MAX_SAFE_INTEGER
                 ? null
                 : "'startedAtMs' takes milliseconds since 1970";
     }
 
-    private static String textError(String name, String text, int longest) {
-        if (text.length() > longest) {
-            return "'" + name + "' takes up to " + longest + " characters";
+    private static String textError(String name, String text, int maxLength) {
+        if (text.length() > maxLength) {
+            return "'" + name + "' takes up to " + maxLength + " characters";
         }
-        boolean carried =
+        boolean valid =
                 text.codePoints()
                         .noneMatch(
                                 c ->
                                         Character.isISOControl(c)
                                                 || Character.getType(c) == Character.SURROGATE);
-        return carried ? null : "'" + name + "' takes no control characters or half characters";
+        return valid ? null : "'" + name + "' takes no control characters or half characters";
     }
 }
--- a/relay/src/main/java/saltstage/configuration/follower/BoundedBodySubscriber.java
+++ b/relay/src/main/java/saltstage/configuration/follower/BoundedBodySubscriber.java
@@ -9,15 +9,15 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Flow.Subscription;
 
-/** The body of an answer as bytes; one that is longer than the bound fails before it is held. */
+/** Collects the body of a response; fails before it buffers more than the maximum size. */
 final class BoundedBodySubscriber implements BodySubscriber<byte[]> {
     private final int maxBytes;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private final CompletableFuture<byte[]> body = new CompletableFuture<>();
     private Subscription subscription;
 
-    BoundedBodySubscriber(int mostBytes) {
-        this.maxBytes = mostBytes;
+    BoundedBodySubscriber(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     @Override
@@ -26,8 +26,8 @@
     }
 
     @Override
-    public void onSubscribe(Subscription given) {
-        subscription = given;
+    public void onSubscribe(Subscription newSubscription) {
+        subscription = newSubscription;
         subscription.request(1);
     }
 
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationClient.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationClient.java
@@ -20,21 +20,21 @@
 import saltstage.configuration.ConfigurationView;
 
 /**
- * A follower that asks configuration sources over HTTP: does what {@link FollowerState} wants done,
- * and tells it what came of that. It has no thread of its own; events are taken one at a time, by
- * whichever thread brings one. Thread safe.
+ * A follower that requests its configuration from sources over HTTP. It performs the effects of
+ * {@link FollowerState} and posts the results to it as events. It has no thread of its own: events
+ * are processed one at a time, on one of the threads that post them. Thread safe.
  */
 public final class ConfigurationClient implements AutoCloseable {
-    /** The longest body of an answer to a request for changes, in bytes. */
+    /** The maximum size of the body of a response with changes, in bytes. */
     static final int MAX_CHANGES_BODY_BYTES = 8 * ConfigurationLimits.RESPONSE_BYTES_THRESHOLD;
 
-    /** The longest body of a page of a snapshot, in bytes. */
+    /** The maximum size of the body of a snapshot page, in bytes. */
     static final int MAX_PAGE_BODY_BYTES = 16 << 20;
 
-    /** How much longer than the wait it was asked for a source may take to answer. */
+    /** How long a source may take to respond after the requested wait has ended. */
     static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(2);
 
-    /** How long a source may take to answer with a page of a snapshot. */
+    /** How long a source may take to respond with a snapshot page. */
     static final Duration PAGE_TIMEOUT = Duration.ofSeconds(10);
 
     private final FollowerOptions options;
@@ -53,22 +53,22 @@
     private volatile Instant confirmedAt;
 
     /**
-     * A follower, not yet begun.
+     * Creates a follower without starting it.
      *
-     * @param held what is durable at the persistence and in force; owned by this from now on
+     * @param initialView the durable, applied view; owned by this follower from now on
      */
     public ConfigurationClient(
             FollowerOptions options,
             FollowerResources resources,
             ConfigurationPersistence persistence,
-            ConfigurationView held,
+            ConfigurationView initialView,
             FollowerListener listener) {
         this.options = options;
         this.resources = resources;
         this.persistence = persistence;
         this.listener = listener;
         requestBuilder = new SourceRequestBuilder(options);
-        revision = held.revision();
+        revision = initialView.revision();
         source = options.sources().get(0);
         state =
                 new FollowerState(
@@ -76,37 +76,37 @@
                         ConfigurationLimits.MAX_ENTRIES,
                         options.timings(),
                         resources.random(),
-                        held);
+                        initialView);
     }
 
-    /** Begins to ask; to be called once. */
+    /** Starts to send requests; must be called once. */
     public void start() {
         enqueue(() -> perform(state.start()));
     }
 
-    /** Ends; nothing is asked or told any more once the call that is under way has returned. */
+    /**
+     * Stops the follower. No request is sent and no listener called after the current call ends.
+     */
     @Override
     public void close() {
         post(new FollowerEvent.Stopped());
     }
 
-    /** The revision that is durable and in force. */
+    /** The newest revision that is durable and applied. */
     public long revision() {
         return revision;
     }
 
-    /** The source that was asked last. */
+    /** The source of the last request. */
     public URI source() {
         return source;
     }
 
-    /** When a source last said that it has nothing newer; null: never since the start. */
+    /** When a source last confirmed that it has nothing newer; null if never since the start. */
     public Instant confirmedAt() {
         return confirmedAt;
     }
 
-    // ---- one event at a time
-
     private void post(FollowerEvent event) {
         enqueue(() -> handleEvent(event));
     }
@@ -124,7 +124,9 @@
         }
     }
 
-    /** A fault of the listener must not end the follower. */
+    /**
+     * Runs a task and reports its exception, so that a failing listener does not stop the follower.
+     */
     private void runGuarded(Runnable task) {
         try {
             task.run();
@@ -155,8 +157,6 @@
         }
     }
 
-    // ---- effects
-
     private void perform(List<FollowerEffect> effects) {
         for (FollowerEffect effect : effects) {
             runGuarded(() -> perform(effect));
@@ -187,22 +187,22 @@
     }
 
     private void notifyListener(FollowerEffect effect) {
-        if (effect instanceof FollowerEffect.ChangesApplied inForce) {
-            List<Change> changes = inForce.changes();
+        if (effect instanceof FollowerEffect.ChangesApplied applied) {
+            List<Change> changes = applied.changes();
             listener.changesApplied(changes);
             revision = changes.get(changes.size() - 1).revision();
-        } else if (effect instanceof FollowerEffect.SnapshotApplied inForce) {
-            listener.snapshotApplied(inForce.view());
-            revision = inForce.view().revision();
+        } else if (effect instanceof FollowerEffect.SnapshotApplied applied) {
+            listener.snapshotApplied(applied.view());
+            revision = applied.view().revision();
         } else if (effect instanceof FollowerEffect.Confirmed confirmed) {
             handleConfirmed(confirmed.revision());
-        } else if (effect instanceof FollowerEffect.SourceConnected settled) {
-            listener.sourceConnected(options.sources().get(settled.source()));
-        } else if (effect instanceof FollowerEffect.SourceFailover left) {
+        } else if (effect instanceof FollowerEffect.SourceConnected connected) {
+            listener.sourceConnected(options.sources().get(connected.source()));
+        } else if (effect instanceof FollowerEffect.SourceFailover failover) {
             listener.sourceFailedOver(
-                    options.sources().get(left.source()),
-                    options.sources().get(left.next()),
-                    left.reason());
+                    options.sources().get(failover.source()),
+                    options.sources().get(failover.next()),
+                    failover.reason());
         } else if (effect instanceof FollowerEffect.WritePostponed postponed) {
             listener.writePostponed(postponed.reason());
         }
@@ -215,11 +215,12 @@
         listener.revisionConfirmed(confirmedRevision);
     }
 
-    private void persistConfirmation(Instant at) {
+    private void persistConfirmation(Instant time) {
         try {
-            persistence.recordConfirmation(at);
-        } catch (IOException | RuntimeException lost) { // only the age told after a restart
-            enqueue(() -> listener.writePostponed("confirmation: " + lost.getMessage()));
+            persistence.recordConfirmation(time);
+        } catch (IOException | RuntimeException failure) {
+            // A lost confirmation affects only the age that is reported after a restart.
+            enqueue(() -> listener.writePostponed("confirmation: " + failure.getMessage()));
         }
     }
 
@@ -229,21 +230,19 @@
                 .schedule(() -> post(event), delay.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    // ---- requests
-
     private void request(FollowerEffect.RequestChanges changes) {
         source = options.sources().get(changes.source());
-        long begun = System.nanoTime();
+        long startNs = System.nanoTime();
         send(
                 changes.request(),
                 requestBuilder.build(changes),
                 MAX_CHANGES_BODY_BYTES,
                 changes.pollWait().plus(RESPONSE_TIMEOUT),
-                answer ->
+                response ->
                         SourceResponseParser.parseChanges(
                                 changes.request(),
-                                answer,
-                                Duration.ofNanos(System.nanoTime() - begun)));
+                                response,
+                                Duration.ofNanos(System.nanoTime() - startNs)));
     }
 
     private void request(FollowerEffect.RequestSnapshotPage page) {
@@ -252,41 +251,48 @@
                 requestBuilder.build(page),
                 MAX_PAGE_BODY_BYTES,
                 PAGE_TIMEOUT,
-                answer -> SourceResponseParser.parseSnapshotPage(page.request(), answer));
+                response -> SourceResponseParser.parseSnapshotPage(page.request(), response));
     }
 
     private void send(
-            long number,
+            long requestId,
             HttpRequest request,
-            int mostBytes,
+            int maxBodyBytes,
             Duration timeout,
             Function<HttpResponse<byte[]>, FollowerEvent> reader) {
         CompletableFuture<HttpResponse<byte[]>> pending =
-                resources.http().sendAsync(request, head -> new BoundedBodySubscriber(mostBytes));
+                resources
+                        .http()
+                        .sendAsync(
+                                request, responseInfo -> new BoundedBodySubscriber(maxBodyBytes));
         pendingRequest = pending;
-        // The whole answer counts, not only its head as with HttpRequest's own time-out.
+        // This timeout covers the whole response; HttpRequest's own timeout covers only its
+        // headers.
         Future<?> deadline =
                 resources
                         .scheduler()
                         .schedule(
-                                () -> timeOut(number, pending, timeout),
+                                () -> timeOut(requestId, pending, timeout),
                                 timeout.toMillis(),
                                 TimeUnit.MILLISECONDS);
         pending.whenComplete(
-                (answer, failure) -> {
+                (response, failure) -> {
                     deadline.cancel(false);
-                    post(failure == null ? reader.apply(answer) : failureEvent(number, failure));
+                    post(
+                            failure == null
+                                    ? reader.apply(response)
+                                    : failureEvent(requestId, failure));
                 });
     }
 
-    private void timeOut(long number, CompletableFuture<?> pending, Duration timeout) {
+    private void timeOut(long requestId, CompletableFuture<?> pending, Duration timeout) {
         post(
                 new FollowerEvent.RequestFailed(
-                        number, "no answer within " + timeout.toMillis() + " ms"));
+                        requestId, "no answer within " + timeout.toMillis() + " ms"));
         pending.cancel(true);
     }
 
-    private static FollowerEvent failureEvent(long number, Throwable failure) {
+    private static FollowerEvent failureEvent(long requestId, Throwable failure) {
         Throwable cause =
                 failure instanceof CompletionException && failure.getCause() != null
                         ? failure.getCause()
@@ -295,26 +301,24 @@
                 cause instanceof CancellationException || cause.getMessage() == null
                         ? cause.getClass().getSimpleName()
                         : cause.getMessage();
-        return new FollowerEvent.RequestFailed(number, reason);
+        return new FollowerEvent.RequestFailed(requestId, reason);
     }
 
-    // ---- writes
-
-    /** Something that blocks until it is durable. */
+    /** A write that blocks until it is durable. */
     private interface WriteOperation {
         void run() throws IOException;
     }
 
-    private void scheduleWrite(long number, WriteOperation write) {
-        resources.writer().execute(() -> post(executeWrite(number, write)));
+    private void scheduleWrite(long writeId, WriteOperation write) {
+        resources.writer().execute(() -> post(executeWrite(writeId, write)));
     }
 
-    private static FollowerEvent executeWrite(long number, WriteOperation write) {
+    private static FollowerEvent executeWrite(long writeId, WriteOperation write) {
         try {
             write.run();
-            return new FollowerEvent.WriteCompleted(number);
-        } catch (IOException | RuntimeException failed) {
-            return new FollowerEvent.WriteFailed(number, String.valueOf(failed.getMessage()));
+            return new FollowerEvent.WriteCompleted(writeId);
+        } catch (IOException | RuntimeException failure) {
+            return new FollowerEvent.WriteFailed(writeId, String.valueOf(failure.getMessage()));
         }
     }
 }
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationDirectory.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationDirectory.java
@@ -15,9 +15,10 @@
 import saltstage.store.StoreException;
 
 /**
- * A directory with a {@link ConfigurationStore}. What is damaged or of something else is set aside,
- * whole, and the follower begins anew. While another process of the same relay writes there, what
- * it wrote is read, and writes fail until it has ended. For one writer.
+ * A directory with a {@link ConfigurationStore}. If the directory is damaged or holds something
+ * else, it is renamed as a whole and the follower starts with an empty one. While another process
+ * of the same relay has the store locked, its state can be read, but writes fail until that process
+ * has ended. Supports one writer.
  */
 public final class ConfigurationDirectory implements ConfigurationPersistence, Closeable {
     private static final String SET_ASIDE_SUFFIX = ".set-aside-";
@@ -28,9 +29,9 @@
     private ConfigurationStore store;
 
     /**
-     * Opens a directory, or makes it.
+     * Opens a directory; creates it if it does not exist.
      *
-     * @param events told of {@code configuration.set_aside}, {@code configuration.shared} and the
+     * @param events receives {@code configuration.set_aside}, {@code configuration.shared} and the
      *     store's own events
      */
     public ConfigurationDirectory(Path path, StoreEventListener events) throws IOException {
@@ -39,7 +40,7 @@
         persistedConfiguration = open();
     }
 
-    /** What the directory held when it was opened. */
+    /** The configuration that the directory held when it was opened. */
     public PersistedConfiguration persistedConfiguration() {
         return persistedConfiguration;
     }
@@ -51,10 +52,11 @@
         } catch (StoreException.Locked locked) {
             events.onEvent("configuration.shared", "dir", path);
             return ConfigurationStore.read(disk);
-        } catch (StoreException | ConfigurationStore.InvalidStateException unsound) {
-            Path aside = path.resolveSibling(path.getFileName() + SET_ASIDE_SUFFIX + Instant.now());
-            Files.move(path, aside, StandardCopyOption.ATOMIC_MOVE);
-            events.onEvent("configuration.set_aside", "to", aside, "why", unsound.getMessage());
+        } catch (StoreException | ConfigurationStore.InvalidStateException invalid) {
+            Path target =
+                    path.resolveSibling(path.getFileName() + SET_ASIDE_SUFFIX + Instant.now());
+            Files.move(path, target, StandardCopyOption.ATOMIC_MOVE);
+            events.onEvent("configuration.set_aside", "to", target, "why", invalid.getMessage());
             return openStore(FileDisk.openOrCreate(path));
         }
     }
@@ -64,7 +66,7 @@
         return store.persistedConfiguration();
     }
 
-    /** The store; opened now if another process held it at the start. */
+    /** Returns the store; opens it first if another process had it locked at the start. */
     private synchronized ConfigurationStore store() throws IOException {
         if (store == null) {
             openStore(FileDisk.openOrCreate(path));
@@ -83,8 +85,8 @@
     }
 
     @Override
-    public void recordConfirmation(Instant at) throws IOException {
-        store().recordConfirmation(at);
+    public void recordConfirmation(Instant time) throws IOException {
+        store().recordConfirmation(time);
     }
 
     @Override
--- a/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
+++ b/relay/src/main/java/saltstage/configuration/follower/ConfigurationStore.java
@@ -25,11 +25,11 @@
 import saltstage.wire.MalformedException;
 
 /**
- * A follower's entries on the embedded store. Revision, digest and entries change in one batch, so
- * that the disk holds exactly one accepted revision whenever it is read. For one writer.
+ * A follower's entries in the embedded store. Revision, digest and entries change in one batch, so
+ * that the disk holds exactly one accepted revision whenever it is read. Supports one writer.
  */
 public final class ConfigurationStore implements ConfigurationPersistence, Closeable {
-    /** The store is sound, but what it holds is no follower's state. */
+    /** The store is intact, but its content is not a follower's state. */
     static final class InvalidStateException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /** How old the time of the last confirmation on the disk may become. */
+    /** How old the persisted time of the last confirmation may become before it is updated. */
     static final Duration CONFIRMATION_INTERVAL = Duration.ofSeconds(30);
 
     private static final int FORMAT_VERSION = 1;
@@ -64,7 +64,7 @@
         static StoredRevision decode(byte[] value) throws InvalidStateException {
             if (value.length != Integer.BYTES + 2 * Long.BYTES
                     || ByteBuffer.wrap(value).getInt() != FORMAT_VERSION) {
-                throw new InvalidStateException("another format than " + FORMAT_VERSION);
+                throw new InvalidStateException("not format version " + FORMAT_VERSION);
             }
             ByteBuffer fields = ByteBuffer.wrap(value, Integer.BYTES, 2 * Long.BYTES);
             return new StoredRevision(fields.getLong(), fields.getLong());
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Opens a disk to write, with the store's own thread for checkpoints and compaction. Throws
-     * UnsoundStateException where it holds something else, or entries that differ from their
+     * Opens a disk for writing, with the store's own thread for checkpoints and compaction. Throws
+     * InvalidStateException if the disk holds something else, or entries that do not match their
      * digest.
      */
     public static ConfigurationStore open(Disk disk, StoreEventListener events) throws IOException {
@@ -107,37 +107,36 @@
         Store store = Store.open(disk, options, events);
         try {
             return new ConfigurationStore(store, clock);
-        } catch (IOException | RuntimeException unsound) {
+        } catch (IOException | RuntimeException failure) {
             store.close();
-            throw unsound;
+            throw failure;
         }
     }
 
-    /** What a disk holds that another process writes to. */
+    /** Reads the configuration on a disk that another process may be writing to. */
     public static PersistedConfiguration read(Disk disk) throws IOException {
         try (Store store = Store.openToRead(disk, StoreEventListener.NONE)) {
             return load(store);
         }
     }
 
-    /** What the disk held when it was opened. */
+    /** The configuration that the disk held when it was opened. */
     public PersistedConfiguration persistedConfiguration() {
         return persistedConfiguration;
     }
 
-    // ---- reading
-
     private static PersistedConfiguration load(Store store) throws IOException {
-        try (Snapshot now = store.snapshot()) {
-            byte[] state = now.get(STATE_KEY);
+        try (Snapshot snapshot = store.snapshot()) {
+            byte[] state = snapshot.get(STATE_KEY);
             if (state == null) {
-                if (now.size() > 0) {
+                if (snapshot.size() > 0) {
                     throw new InvalidStateException("a store of something else");
                 }
                 return PersistedConfiguration.empty();
             }
-            ConfigurationView view = verifiedView(StoredRevision.decode(state), readEntries(now));
-            byte[] confirmed = now.get(CONFIRMED_KEY);
+            ConfigurationView view =
+                    verifiedView(StoredRevision.decode(state), readEntries(snapshot));
+            byte[] confirmed = snapshot.get(CONFIRMED_KEY);
             return new PersistedConfiguration(
                     view, confirmed == null ? null : decodeInstant(confirmed));
         }
@@ -153,9 +152,9 @@
         return view;
     }
 
-    private static List<Entry> readEntries(Snapshot now) throws IOException {
+    private static List<Entry> readEntries(Snapshot snapshot) throws IOException {
         List<Entry> entries = new ArrayList<>();
-        Snapshot.Scan scan = now.scan(ENTRY_RANGE_START, ENTRY_RANGE_END);
+        Snapshot.Scan scan = snapshot.scan(ENTRY_RANGE_START, ENTRY_RANGE_END);
         while (scan.next()) {
             String name = new String(scan.key(), StandardCharsets.UTF_8);
             try {
@@ -170,44 +169,42 @@
 
     private static Instant decodeInstant(byte[] value) throws InvalidStateException {
         if (value.length != Long.BYTES) {
-            throw new InvalidStateException("the time of the last confirmation is cut short");
+            throw new InvalidStateException("the time of the last confirmation is truncated");
         }
         return Instant.ofEpochMilli(ByteBuffer.wrap(value).getLong());
     }
 
-    // ---- writing
-
     /**
-     * Writes all changes in one batch. Those that another process has written meanwhile to the same
-     * disk are skipped.
+     * Writes all changes in one batch. Changes that the disk already holds, because another process
+     * has written them, are skipped.
      */
     @Override
     public void write(List<Change> changes) throws IOException {
         Batch batch = new Batch();
-        StoredRevision after = durableRevision;
+        StoredRevision newRevision = durableRevision;
         for (Change change : changes) {
-            if (change.revision() <= after.revision()) {
+            if (change.revision() <= newRevision.revision()) {
                 continue;
             }
-            if (change.revision() != after.revision() + 1) {
+            if (change.revision() != newRevision.revision() + 1) {
                 throw new IOException("a gap before revision " + change.revision());
             }
             change.mutations().forEach(mutation -> putOrDelete(batch, mutation, change.revision()));
-            after = new StoredRevision(change.revision(), change.digest());
+            newRevision = new StoredRevision(change.revision(), change.digest());
         }
-        commit(batch, after);
+        commit(batch, newRevision);
     }
 
     @Override
     public void replace(ConfigurationView view) throws IOException {
         Batch batch = new Batch();
-        Set<String> wanted = new HashSet<>();
-        view.entries().keySet().forEach(key -> wanted.add(key.text()));
-        try (Snapshot now = store.snapshot()) {
-            Snapshot.Scan scan = now.scan(ENTRY_RANGE_START, ENTRY_RANGE_END);
+        Set<String> retainedKeys = new HashSet<>();
+        view.entries().keySet().forEach(key -> retainedKeys.add(key.text()));
+        try (Snapshot snapshot = store.snapshot()) {
+            Snapshot.Scan scan = snapshot.scan(ENTRY_RANGE_START, ENTRY_RANGE_END);
             while (scan.next()) {
                 String name = new String(scan.key(), StandardCharsets.UTF_8);
-                if (!wanted.contains(name.substring(ENTRY_PREFIX.length()))) {
+                if (!retainedKeys.contains(name.substring(ENTRY_PREFIX.length()))) {
                     batch.delete(scan.key());
                 }
             }
@@ -218,13 +215,14 @@
         commit(batch, new StoredRevision(view.revision(), view.digest()));
     }
 
-    private void commit(Batch batch, StoredRevision after) throws IOException {
-        if (after.equals(durableRevision)) {
+    private void commit(Batch batch, StoredRevision newRevision) throws IOException {
+        if (newRevision.equals(durableRevision)) {
             return;
         }
-        Instant now = clock.instant(); // what a source has just told counts as confirmed
-        store.commit(batch.put(STATE_KEY, after.encode()).put(CONFIRMED_KEY, encodeInstant(now)));
-        durableRevision = after;
+        Instant now = clock.instant(); // a state just received from a source counts as confirmed
+        store.commit(
+                batch.put(STATE_KEY, newRevision.encode()).put(CONFIRMED_KEY, encodeInstant(now)));
+        durableRevision = newRevision;
         persistedConfirmationAt = now;
     }
 
@@ -237,24 +235,24 @@
         }
     }
 
-    /** Keeps the time where the one on the disk is old; nothing before the first revision. */
+    /** Persists the time only if the persisted one is old and there is a revision to confirm. */
     @Override
-    public void recordConfirmation(Instant at) throws IOException {
+    public void recordConfirmation(Instant time) throws IOException {
         boolean recent =
                 persistedConfirmationAt != null
-                        && Duration.between(persistedConfirmationAt, at)
+                        && Duration.between(persistedConfirmationAt, time)
                                         .abs()
                                         .compareTo(CONFIRMATION_INTERVAL)
                                 < 0;
         if (recent || durableRevision.equals(StoredRevision.EMPTY)) {
             return;
         }
-        store.put(CONFIRMED_KEY, encodeInstant(at));
-        persistedConfirmationAt = at;
+        store.put(CONFIRMED_KEY, encodeInstant(time));
+        persistedConfirmationAt = time;
     }
 
-    private static byte[] encodeInstant(Instant at) {
-        return ByteBuffer.allocate(Long.BYTES).putLong(at.toEpochMilli()).array();
+    private static byte[] encodeInstant(Instant time) {
+        return ByteBuffer.allocate(Long.BYTES).putLong(time.toEpochMilli()).array();
     }
 
     private static byte[] utf8(String text) {
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerState.java
@@ -10,23 +10,26 @@
 import saltstage.configuration.SnapshotPage;
 
 /**
- * A follower's state machine: takes one event at a time and returns what is to be done. It knows no
- * I/O, threads or clocks. Until it is stopped, exactly one of these is under way: a request, a
- * write, or a pause before the next request or write.
+ * A follower's state machine: it handles one event at a time and returns the effects to perform. It
+ * does no I/O and uses no threads or clocks. Until it is stopped, exactly one of these operations
+ * is pending: a request, a write, or a delay before the next request or write.
  *
- * <p>The view holds what was accepted. It is ahead of the disk by the write that is under way; the
- * next request, which confirms a revision to the source, leaves only after that write. The view
- * never goes back to an older revision, and to another digest only by a snapshot after a source has
- * told that it diverged. Not thread safe.
+ * <p>The view holds all accepted changes and is ahead of the disk by the pending write. The next
+ * request, which confirms a revision to the source, is sent only after that write. The view never
+ * returns to an older revision. Its digest at a revision changes only by a snapshot, after a source
+ * has reported divergence. Not thread safe.
  */
 public final class FollowerState {
-    /** Answers of "busy", and snapshots that were cut short, before the source is left. */
+    /** How many "busy" responses and truncated snapshots are tolerated before a failover. */
     static final int MAX_RETRIES_PER_SOURCE = 3;
 
-    /** The longest time that a source can ask a follower to stay away. */
+    /** The longest delay that a busy source can request. */
     static final Duration MAX_BUSY_DELAY = Duration.ofMinutes(1);
 
-    /** The mean pause after a source that did not wait as long as it was asked to is half of it. */
+    /**
+     * The maximum delay after a response that arrived before half of the requested wait; the mean
+     * delay is half of it.
+     */
     static final Duration MAX_EARLY_RESPONSE_DELAY = Duration.ofSeconds(2);
 
     private static final int PREFERRED_SOURCE = 0;
@@ -65,34 +68,34 @@
     private List<FollowerEffect> effects = new ArrayList<>();
 
     /**
-     * A follower of so many sources, the preferred one first.
+     * Creates a follower of a number of sources, of which the first is the preferred one.
      *
-     * @param held what is durable and in force at the start; owned by this from now on
-     * @param mostEntries the most entries that a snapshot may have
+     * @param initialView the durable, applied view at the start; owned by this object from now on
+     * @param maxEntries the maximum number of entries of a snapshot
      */
     public FollowerState(
-            int sources,
-            int mostEntries,
+            int sourceCount,
+            int maxEntries,
             FollowerTimings timings,
             RandomGenerator random,
-            ConfigurationView held) {
-        if (sources < 1) {
+            ConfigurationView initialView) {
+        if (sourceCount < 1) {
             throw new IllegalArgumentException("a follower needs a source");
         }
-        this.sourceCount = sources;
-        this.maxEntries = mostEntries;
+        this.sourceCount = sourceCount;
+        this.maxEntries = maxEntries;
         this.timings = timings;
         this.random = random;
-        this.view = held;
+        this.view = initialView;
     }
 
-    /** Begins; to be called once, before any event. */
+    /** Starts the follower; must be called once, before any event. */
     public List<FollowerEffect> start() {
         request();
         return takeEffects();
     }
 
-    /** Takes an event; returns what is to be done, in order. */
+    /** Handles an event; returns the effects to perform, in order. */
     public List<FollowerEffect> handle(FollowerEvent event) {
         if (phase != Phase.STOPPED && isAwaited(event)) {
             dispatch(event);
@@ -100,12 +103,12 @@
         return takeEffects();
     }
 
-    /** What was accepted; belongs to this, and changes with events. */
+    /** The accepted configuration; owned by this object and changed by later events. */
     public ConfigurationView view() {
         return view;
     }
 
-    /** The index of the source that is asked. */
+    /** The index of the current source. */
     public int source() {
         return source;
     }
@@ -171,8 +174,6 @@
         }
     }
 
-    // ---- answers
-
     private void changesReceived(FollowerEvent.ChangesReceived received) {
         ChangesResponse response = received.response();
         if (snapshotAssembler != null) {
@@ -188,7 +189,7 @@
 
     private void noChangesReceived(ChangesResponse response, Duration elapsed) {
         if (response.revision() != view.revision() || response.digest() != view.digest()) {
-            failOver("no changes, but another revision or digest than was asked for");
+            failOver("no changes, but a different revision or digest than requested");
             return;
         }
         boolean early = elapsed.compareTo(requestedWait.dividedBy(2)) < 0;
@@ -203,21 +204,21 @@
         }
     }
 
-    /** Takes the changes up to the first that is not sound. */
+    /** Accepts the changes up to the first one that is invalid. */
     private void acceptChanges(ChangesResponse response) {
         List<Change> accepted = new ArrayList<>();
-        String unsound = null;
+        String error = null;
         for (Change change : response.changes()) {
             ConfigurationView.Outcome outcome = view.apply(change);
             if (outcome == ConfigurationView.Outcome.APPLIED) {
                 accepted.add(change);
             } else if (outcome != ConfigurationView.Outcome.ALREADY_APPLIED) {
-                unsound = outcome + " at revision " + change.revision();
+                error = outcome + " at revision " + change.revision();
                 break;
             }
         }
         if (accepted.isEmpty()) {
-            failOver(unsound == null ? "no changes but those that were had" : unsound);
+            failOver(error == null ? "only changes that were already applied" : error);
             return;
         }
         markSourceConnected();
@@ -232,17 +233,17 @@
             return;
         }
         try {
-            ConfigurationView whole = snapshotAssembler.add(page);
-            if (whole == null) {
+            ConfigurationView snapshot = snapshotAssembler.add(page);
+            if (snapshot == null) {
                 request();
                 return;
             }
-            view = whole;
+            view = snapshot;
             pendingChanges = null;
             caughtUp = false;
             write();
-        } catch (SnapshotAssembler.InvalidSnapshotException unsound) {
-            failOver(unsound.getMessage());
+        } catch (SnapshotAssembler.InvalidSnapshotException invalid) {
+            failOver(invalid.getMessage());
         }
     }
 
@@ -272,7 +273,7 @@
     private void restartSnapshot() {
         sourceRetries++;
         if (sourceRetries > MAX_RETRIES_PER_SOURCE) {
-            failOver("snapshots gone before they were read");
+            failOver("snapshots were truncated before they were complete");
             return;
         }
         snapshotAssembler = new SnapshotAssembler(view.revision(), maxEntries);
@@ -285,12 +286,11 @@
             failOver("busy");
             return;
         }
-        Duration asked = retryAfter.compareTo(MAX_BUSY_DELAY) < 0 ? retryAfter : MAX_BUSY_DELAY;
-        scheduleRetry(asked.plus(retryDelay()));
+        Duration requestedDelay =
+                retryAfter.compareTo(MAX_BUSY_DELAY) < 0 ? retryAfter : MAX_BUSY_DELAY;
+        scheduleRetry(requestedDelay.plus(retryDelay()));
     }
 
-    // ---- sources
-
     private void markSourceConnected() {
         failures = 0;
         sourceRetries = 0;
@@ -306,15 +306,15 @@
     }
 
     private void failOver(String reason) {
-        int left = source;
+        int failedSource = source;
         failures++;
         sourceRetries = 0;
         snapshotAssembler = null;
         sourceConnected = false;
         snapshotInstalled = false;
-        source = (left + 1) % sourceCount;
-        effects.add(new FollowerEffect.SourceFailover(left, source, reason));
-        if (left == PREFERRED_SOURCE) {
+        source = (failedSource + 1) % sourceCount;
+        effects.add(new FollowerEffect.SourceFailover(failedSource, source, reason));
+        if (failedSource == PREFERRED_SOURCE) {
             preferredSourceFailures++;
         }
         schedulePreferredSourceRetry();
@@ -330,13 +330,13 @@
             return;
         }
         preferredRetryTimer = nextOperationId();
-        Duration pause =
+        Duration delay =
                 RetryDelay.equalJitter(
                         timings.basePreferredRetryDelay(),
                         timings.maxPreferredRetryDelay(),
                         preferredSourceFailures,
                         random);
-        effects.add(new FollowerEffect.SchedulePreferredSourceRetry(preferredRetryTimer, pause));
+        effects.add(new FollowerEffect.SchedulePreferredSourceRetry(preferredRetryTimer, delay));
     }
 
     private void returnToPreferredSource() {
@@ -348,8 +348,6 @@
         }
     }
 
-    // ---- requests, writes and pauses
-
     private void request() {
         phase = Phase.REQUESTING;
         awaitedOperationId = nextOperationId();
@@ -365,7 +363,8 @@
         if (preferredRetryDue) {
             returnToPreferredSource();
         }
-        // A source that has not answered yet is to answer at once: one that is dead costs little.
+        // A source that has not responded yet gets a request without a wait, so that a dead source
+        // is detected quickly.
         requestedWait = sourceConnected ? timings.pollWait() : Duration.ZERO;
         effects.add(
                 new FollowerEffect.RequestChanges(
@@ -438,8 +437,8 @@
     }
 
     private List<FollowerEffect> takeEffects() {
-        List<FollowerEffect> taken = effects;
+        List<FollowerEffect> result = effects;
         effects = new ArrayList<>();
-        return taken;
+        return result;
     }
 }
--- a/relay/src/main/java/saltstage/configuration/follower/SnapshotAssembler.java
+++ b/relay/src/main/java/saltstage/configuration/follower/SnapshotAssembler.java
@@ -8,11 +8,11 @@
 import saltstage.configuration.SnapshotPage;
 
 /**
- * The pages of one snapshot as they come in. Nothing of it is used before all of it is there and
- * its digest agrees. Not thread safe.
+ * Assembles the pages of one snapshot. No part of the snapshot is used before it is complete and
+ * its digest matches. Not thread safe.
  */
 final class SnapshotAssembler {
-    /** A page that does not belong to the snapshot, or a snapshot that is not sound. */
+    /** A page does not belong to the snapshot, or the snapshot is invalid. */
     static final class InvalidSnapshotException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -21,7 +21,7 @@
         }
     }
 
-    /** Where a snapshot names no revision yet: the newest. */
+    /** The revision to request before the first page is received: the newest one. */
     static final long NEWEST = 0;
 
     private final long minRevision;
@@ -31,23 +31,23 @@
     private long digest;
     private EntryKey nextKey;
 
-    /** Takes a snapshot of at least this revision and at most so many entries. */
-    SnapshotAssembler(long leastRevision, int mostEntries) {
-        this.minRevision = leastRevision;
-        this.maxEntries = mostEntries;
+    /** Creates an assembler for a snapshot with a minimum revision and a maximum size. */
+    SnapshotAssembler(long minRevision, int maxEntries) {
+        this.minRevision = minRevision;
+        this.maxEntries = maxEntries;
     }
 
-    /** The revision to ask for. */
+    /** The revision to request. */
     long revision() {
         return revision;
     }
 
-    /** The first key of the page to ask for; null: the first of all. */
+    /** The lowest key of the page to request; null for the first page. */
     EntryKey nextKey() {
         return nextKey;
     }
 
-    /** Takes a page; returns the whole snapshot with the last one, null before that. */
+    /** Adds a page; returns the complete snapshot after the last page and null before. */
     ConfigurationView add(SnapshotPage page) throws InvalidSnapshotException {
         if (revision == NEWEST) {
             start(page);
@@ -62,11 +62,11 @@
             advanceTo(page.next());
             return null;
         }
-        ConfigurationView whole = new ConfigurationView(revision, entries);
-        if (whole.digest() != digest) {
+        ConfigurationView snapshot = new ConfigurationView(revision, entries);
+        if (snapshot.digest() != digest) {
             throw new InvalidSnapshotException("the snapshot's digest differs from its entries");
         }
-        return whole;
+        return snapshot;
     }
 
     private void start(SnapshotPage page) throws InvalidSnapshotException {
--- a/relay/src/test/java/saltstage/configuration/follower/FollowerInterleavingTest.java
+++ b/relay/src/test/java/saltstage/configuration/follower/FollowerInterleavingTest.java
@@ -14,8 +14,9 @@
 import saltstage.configuration.ChangesResponse;
 
 /**
- * A follower of three sources that are old, truncated, unreachable or faulty at random, over a line
- * that drops, doubles and reorders; once they are sound again, it comes to the newest revision.
+ * Guards against a follower that stays behind after a disturbance. Its three sources are old,
+ * truncated, unreachable or faulty at random, and the network drops, duplicates and reorders
+ * events; once the sources are healthy again, the follower must reach the newest revision.
  */
 class FollowerInterleavingTest {
     private static final int SOURCES = 3;
@@ -28,9 +29,9 @@
     void convergesOnceTheSourcesAreHealthy(
             @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 999) Integer> script) {
         FollowerHarness follower = new FollowerHarness(SOURCES, 100);
-        UnreliableNetwork line = new UnreliableNetwork();
+        UnreliableNetwork network = new UnreliableNetwork();
         for (int choice : script) {
-            line.step(follower, choice);
+            network.step(follower, choice);
         }
         for (int i = 0; i < STEPS_TO_CONVERGE; i++) {
             follower.handle(successEvent(follower, NEWEST, NEWEST));
@@ -39,7 +40,7 @@
         assertEquals(history.viewAt(NEWEST).digest(), follower.appliedView().digest());
     }
 
-    /** What goes wrong, by one number a step. */
+    /** Injects the faults of one step, which are derived from one number. */
     private final class UnreliableNetwork {
         private final int[] sourceRevisions = {0, 0, 0};
         private final List<FollowerEvent> delivered = new ArrayList<>();
@@ -48,7 +49,8 @@
             Random random = new Random(choice);
             int source = follower.state.source();
             sourceRevisions[source] = Math.min(NEWEST, sourceRevisions[source] + random.nextInt(6));
-            if (random.nextInt(4) == 0 && !delivered.isEmpty()) { // late, out of order, doubled
+            if (random.nextInt(4) == 0 && !delivered.isEmpty()) {
+                // The event is delivered late, out of order or twice.
                 follower.handleUnawaited(delivered.get(random.nextInt(delivered.size())));
             }
             if (random.nextInt(3) == 0 && follower.preferredRetry != null) {
@@ -62,65 +64,67 @@
     }
 
     private FollowerEvent randomEvent(FollowerHarness follower, Random random, int revision) {
-        long number = follower.pendingOperationId();
-        boolean asks =
+        long operationId = follower.pendingOperationId();
+        boolean requesting =
                 follower.pendingEffect instanceof FollowerEffect.RequestChanges
                         || follower.pendingEffect instanceof FollowerEffect.RequestSnapshotPage;
-        if (asks && random.nextInt(5) == 0) {
-            return new FollowerEvent.RequestFailed(number, "dropped");
+        if (requesting && random.nextInt(5) == 0) {
+            return new FollowerEvent.RequestFailed(operationId, "dropped");
         }
-        if (asks && random.nextInt(9) == 0) {
-            return new FollowerEvent.Busy(number, Duration.ofMillis(random.nextInt(5_000)));
+        if (requesting && random.nextInt(9) == 0) {
+            return new FollowerEvent.Busy(operationId, Duration.ofMillis(random.nextInt(5_000)));
         }
-        if (asks && random.nextInt(9) == 0) {
-            return new FollowerEvent.Truncated(number);
+        if (requesting && random.nextInt(9) == 0) {
+            return new FollowerEvent.Truncated(operationId);
         }
-        boolean writes = !asks && !(follower.pendingEffect instanceof FollowerEffect.ScheduleRetry);
-        if (writes && random.nextInt(4) == 0) {
-            return new FollowerEvent.WriteFailed(number, "no room");
+        boolean writing =
+                !requesting && !(follower.pendingEffect instanceof FollowerEffect.ScheduleRetry);
+        if (writing && random.nextInt(4) == 0) {
+            return new FollowerEvent.WriteFailed(operationId, "no room");
         }
         if (follower.pendingEffect instanceof FollowerEffect.RequestChanges
                 && random.nextInt(6) == 0) {
-            int from = 1 + random.nextInt(NEWEST); // from anywhere: a gap, doubles, older ones
+            int from = 1 + random.nextInt(NEWEST); // any revision: a gap, duplicates, older changes
             int to = Math.min(NEWEST, from + random.nextInt(5));
             return new FollowerEvent.ChangesReceived(
-                    number, history.changesResponse(from, to), Duration.ZERO);
+                    operationId, history.changesResponse(from, to), Duration.ZERO);
         }
         return successEvent(follower, revision, 1 + random.nextInt(4));
     }
 
-    /** What a sound source of this revision answers, or how a write or a pause ends well. */
+    /** The response of a healthy source at this revision, or the success of a write or delay. */
     private FollowerEvent successEvent(FollowerHarness follower, int revision, int limit) {
-        long number = follower.pendingOperationId();
+        long operationId = follower.pendingOperationId();
         if (follower.pendingEffect instanceof FollowerEffect.RequestSnapshotPage request) {
-            long asked = request.revision() == 0 ? revision : request.revision();
+            long snapshotRevision = request.revision() == 0 ? revision : request.revision();
             return new FollowerEvent.SnapshotPageReceived(
-                    number, history.page(asked, request.from(), 3));
+                    operationId, history.page(snapshotRevision, request.from(), 3));
         }
         if (follower.pendingEffect instanceof FollowerEffect.ScheduleRetry) {
-            return new FollowerEvent.RetryDue(number);
+            return new FollowerEvent.RetryDue(operationId);
         }
         if (follower.pendingEffect instanceof FollowerEffect.RequestChanges request) {
             return responseTo(request, revision, limit);
         }
-        return new FollowerEvent.WriteCompleted(number);
+        return new FollowerEvent.WriteCompleted(operationId);
     }
 
     private FollowerEvent responseTo(
             FollowerEffect.RequestChanges request, int revision, int limit) {
-        ChangeHistory kept = new ChangeHistory(0, 0);
+        ChangeHistory sourceHistory = new ChangeHistory(0, 0);
         for (int i = 1; i <= revision; i++) {
-            kept.append(history.change(i));
+            sourceHistory.append(history.change(i));
         }
-        ChangeHistory.Result answer = kept.changesAfter(request.after(), request.digest(), limit);
-        if (answer instanceof ChangeHistory.Changes changes) {
+        ChangeHistory.Result result =
+                sourceHistory.changesAfter(request.after(), request.digest(), limit);
+        if (result instanceof ChangeHistory.Changes changes) {
             return new FollowerEvent.ChangesReceived(
                     request.request(),
                     new ChangesResponse(
                             revision, history.viewAt(revision).digest(), changes.changes()),
                     Duration.ofSeconds(25));
         }
-        return switch ((ChangeHistory.Failure) answer) {
+        return switch ((ChangeHistory.Failure) result) {
             case DIVERGED -> new FollowerEvent.Diverged(request.request());
             case TRUNCATED -> new FollowerEvent.Truncated(request.request());
             case BEHIND -> new FollowerEvent.Behind(request.request(), revision);
