--- a/coordinator/src/main/java/saltstage/coordinator/configuration/AcceptedChange.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/AcceptedChange.java
@@ -8,12 +8,13 @@
 import saltstage.wire.MalformedException;
 
 /**
- * A change as the history keeps it.
+ * An accepted change as the group's history stores it.
  *
- * @param digest the digest of all entries after it, 16 hexadecimal digits
- * @param author who asked for it
- * @param dayMs the group's time of day when it was accepted, milliseconds since 1970
- * @param undo mutations that bring its keys back to what they said before it
+ * @param revision the revision that the change created
+ * @param digest the digest of all entries after the change, 16 hexadecimal digits
+ * @param author the operator or program that requested the change
+ * @param dayMs the group's wall-clock time of acceptance, in milliseconds since 1970
+ * @param undo mutations that restore the values which the changed keys had before
  */
 public record AcceptedChange(
         long revision,
@@ -28,12 +29,12 @@
                 change.revision(), digest, author, dayMs, change.mutations(), undo);
     }
 
-    /** The change as followers get it. */
+    /** Returns the change in the form that followers receive. */
     public Change toChange() {
         return new Change(revision, parseDigest(digest), mutations);
     }
 
-    /** The number that a digest's text is of; throws IllegalArgumentException where it is none. */
+    /** Parses the text of a digest; throws IllegalArgumentException if it is malformed. */
     static long parseDigest(String digest) {
         try {
             return ConfigurationJson.parseDigest(digest, "digest");
@@ -42,6 +43,7 @@
         }
     }
 
+    /** Returns the estimated size of the mutations and the undo mutations together. */
     int estimatedBytes() {
         return ConfigurationLimits.estimatedBytes(new Change(revision, 0, mutations))
                 + ConfigurationLimits.estimatedBytes(new Change(revision, 0, undo));
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ChangeValidator.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ChangeValidator.java
@@ -16,14 +16,15 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Checks one change against the entries in force: each value by itself, and what entries name as it
- * would be once the change is in force. Takes time by the mutations, not by the entries.
+ * Validates one change against the entries in force: each value by itself, and the references
+ * between entries as they would be after the change. The cost grows with the number of mutations,
+ * not with the number of entries.
  */
 final class ChangeValidator {
-    /** An identifier of a backend, as discovery takes it. */
+    /** The form of a backend identifier that the discovery service accepts. */
     private static final Pattern BACKEND_ID_PATTERN = Pattern.compile("[!-~]{1,128}");
 
-    /** The smallest key of each kind is after this name. */
+    /** A lower bound of all names, for finding the first key of a kind. */
     private static final String SMALLEST_NAME = "!";
 
     private final NavigableMap<EntryKey, Entry> entries;
@@ -31,11 +32,11 @@
     private final Map<EntryKey, Mutation> mutations;
 
     /**
-     * A check of these mutations.
+     * Creates a validator for one change.
      *
-     * @param entries what is in force
-     * @param shards how many shards name each backend now
-     * @param mutations by key, only those that change something
+     * @param entries the entries in force
+     * @param shards the number of shards that refer to each backend now
+     * @param mutations the mutations by key, without those that would change nothing
      */
     ChangeValidator(
             NavigableMap<EntryKey, Entry> entries,
@@ -46,7 +47,7 @@
         this.mutations = mutations;
     }
 
-    /** The first fault by key; null where there is none. */
+    /** Returns the first rejection in the order of keys, or null if the change is valid. */
     Rejected rejection() {
         boolean settings = false;
         for (Mutation mutation : mutations.values()) {
@@ -147,7 +148,7 @@
                 : null;
     }
 
-    /** By how much this change raises the number of shards that name a backend. */
+    /** Returns by how much this change raises the number of shards that refer to a backend. */
     private int shardsAddedTo(String backend) {
         int added = 0;
         for (Mutation mutation : mutations.values()) {
@@ -169,7 +170,7 @@
         return mutation == null ? entries.containsKey(key) : !mutation.isDeletion();
     }
 
-    /** Settings that are sound one by one may not be so together. */
+    /** Checks all settings together: settings that are valid alone may contradict each other. */
     private Rejected settingsRejection() {
         TreeMap<String, String> after = new TreeMap<>();
         EntryKey first = new EntryKey(EntryKind.SETTING, SMALLEST_NAME);
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationCommands.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationCommands.java
@@ -5,20 +5,20 @@
 import saltstage.configuration.Mutation;
 import saltstage.coordinator.model.Command;
 
-/** What changes a group's configuration. */
+/** The commands that change a group's configuration. */
 public final class ConfigurationCommands {
-    /** The feature level from which on a group keeps configuration. */
+    /** The lowest feature level at which a group stores configuration. */
     public static final int MIN_FEATURE_LEVEL = 4;
 
     private ConfigurationCommands() {}
 
     /**
-     * Puts mutations in force together as one revision, or none of them.
+     * Applies all mutations together as one revision, or none of them.
      *
-     * @param author who asks, for the history; 1 to 100 visible characters
-     * @param mutations of several with one key the last one counts
-     * @param expected by key, the revision at which its entry was seen last, 0 where it was absent;
-     *     any other revision refuses the change
+     * @param author the writer's name for the history; 1 to 100 visible characters
+     * @param mutations the mutations; if several have the same key, the last one counts
+     * @param expected by key, the revision at which the writer last read the entry, 0 if it was
+     *     absent; the change is rejected if the entry is at any other revision
      */
     public record ChangeConfiguration(
             String author, List<Mutation> mutations, Map<String, Long> expected)
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationModule.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationModule.java
@@ -15,8 +15,8 @@
 import saltstage.configuration.Mutation;
 
 /**
- * The form of entries and mutations in the log, in snapshots and in JSON: the one that the read API
- * has. Member names are wire format. An unknown member is refused.
+ * Serializers for entries and mutations in the log, in snapshots and in JSON. The format is that of
+ * the read API, and the member names are part of it. An unknown member is rejected.
  */
 public final class ConfigurationModule extends SimpleModule {
     private static final long serialVersionUID = 1L;
@@ -24,7 +24,7 @@
     private static final String DELETED = "deleted";
     private static final String REVISION = "revision";
 
-    /** Registers all forms. */
+    /** Registers the serializers and deserializers of entries and mutations. */
     public ConfigurationModule() {
         super("configuration");
         addSerializer(Mutation.class, new MutationSerializer());
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationRegistry.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationRegistry.java
@@ -20,21 +20,21 @@
 import saltstage.coordinator.model.Reply;
 
 /**
- * The group's configuration as its log makes it: what is in force, the newest changes with author
- * and time, and how many shards name each backend. A change is accepted whole or refused whole. Not
- * thread safe.
+ * The group's configuration as built from its log: the entries in force, the newest changes with
+ * their authors and times, and the number of shards that refer to each backend. A change is
+ * accepted or rejected as a whole. Not thread safe.
  */
 public final class ConfigurationRegistry {
     private static final Pattern AUTHOR_PATTERN = Pattern.compile("[!-~][ -~]{0,99}");
 
     /**
-     * What a snapshot keeps.
+     * The configuration as a snapshot of the group stores it.
      *
-     * @param digest of all entries, 16 hexadecimal digits; a snapshot whose entries have another is
-     *     refused
-     * @param baseRevision the revision before the oldest change that is kept
-     * @param baseDigest the digest at that revision
-     * @param changes oldest first
+     * @param digest the digest of all entries, 16 hexadecimal digits; a snapshot is rejected if its
+     *     entries have another digest
+     * @param baseRevision the revision before the oldest retained change
+     * @param baseDigest the digest at the base revision
+     * @param changes the retained changes, oldest first
      */
     public record Image(
             long revision,
@@ -48,8 +48,8 @@
      * Accepted changes as operators read them.
      *
      * @param revision the newest revision
-     * @param oldest the oldest revision after which changes are kept
-     * @param changes oldest first
+     * @param oldest the oldest revision after which all changes are retained
+     * @param changes the accepted changes, oldest first
      */
     public record History(long revision, long oldest, List<AcceptedChange> changes) {}
 
@@ -58,13 +58,13 @@
     private final TreeMap<Long, AcceptedChange> acceptedChanges = new TreeMap<>();
     private final ShardCounts shardCounts = new ShardCounts();
 
-    /** No entries, at revision 0. */
+    /** Creates a registry without entries, at revision 0. */
     public ConfigurationRegistry() {
         view = new ConfigurationView();
         history = new ChangeHistory(view.revision(), view.digest());
     }
 
-    /** As a snapshot has it; throws IllegalArgumentException for one that contradicts itself. */
+    /** Restores a registry; throws IllegalArgumentException if the image contradicts itself. */
     public ConfigurationRegistry(Image image) {
         view = new ConfigurationView(image.revision(), image.entries());
         if (view.digest() != AcceptedChange.parseDigest(image.digest())) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /** What a snapshot keeps; equal states give equal images. */
+    /** Returns the image for a snapshot; equal states have equal images. */
     public Image image() {
         return new Image(
                 view.revision(),
@@ -94,7 +94,8 @@
     }
 
     /**
-     * Accepts a change, or refuses it; a refused one and one that says nothing new change nothing.
+     * Accepts or rejects a change. A rejected change, and one whose values are all in force
+     * already, leaves the registry as it is.
      */
     public Reply applyChange(ChangeConfiguration ask, long dayMs) {
         Rejected fault = boundsRejection(ask);
@@ -163,7 +164,7 @@
         return null;
     }
 
-    /** By key, what would change something. */
+    /** Returns by key the mutations that differ from the entries in force. */
     private TreeMap<EntryKey, Mutation> effectiveMutations(List<Mutation> mutations) {
         TreeMap<EntryKey, Mutation> byKey = new TreeMap<>();
         mutations.forEach(mutation -> byKey.put(mutation.key(), mutation));
@@ -194,7 +195,8 @@
     }
 
     /**
-     * Accepted changes after a revision, oldest first; those that are no longer kept are left out.
+     * Returns accepted changes after a revision, oldest first; changes that are no longer retained
+     * are left out.
      */
     public History history(long after, int limit) {
         List<AcceptedChange> some = new ArrayList<>();
@@ -209,22 +211,22 @@
         return new History(view.revision(), history.baseRevision(), some);
     }
 
-    /** What a follower is answered that has this revision with this digest. */
+    /** Returns the result for a follower that has this revision with this digest. */
     public ChangeHistory.Result changesAfter(long revision, long digest, int limit) {
         return history.changesAfter(revision, digest, limit);
     }
 
-    /** What is in force; it changes with this. */
+    /** Returns the entries in force as a live view, which later changes update. */
     public ConfigurationView view() {
         return view;
     }
 
-    /** The newest revision. */
+    /** Returns the newest revision. */
     public long revision() {
         return view.revision();
     }
 
-    /** The digest of all entries. */
+    /** Returns the digest of all entries. */
     public long digest() {
         return view.digest();
     }
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReport.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReport.java
@@ -5,14 +5,15 @@
 import saltstage.configuration.ConfigurationLimits;
 
 /**
- * What a distributor tells the leader about the followers of its zone.
+ * A distributor's report to the leader about the followers of one zone.
  *
- * @param distributor its name
- * @param zone the zone whose followers it counts
- * @param revision the revision that it has itself
- * @param confirmedByRevision by revision, how many followers have confirmed just that one
- * @param followers how many there are
- * @param behind those that are behind, at most {@link #MAX_NAMED_FOLLOWERS}, longest first
+ * @param distributor the distributor's name
+ * @param zone the zone whose followers are counted
+ * @param revision the distributor's own revision
+ * @param confirmedByRevision the number of followers by the newest revision that they confirmed
+ * @param followers the number of followers
+ * @param behind the followers that are behind, the longest first, at most {@link
+ *     #MAX_NAMED_FOLLOWERS}
  */
 public record FollowerReport(
         String distributor,
@@ -21,10 +22,10 @@
         Map<Long, Integer> confirmedByRevision,
         int followers,
         List<Behind> behind) {
-    /** Most followers that a report names. */
+    /** The maximum number of followers that a report names. */
     public static final int MAX_NAMED_FOLLOWERS = 100;
 
-    /** Most revisions that a report counts; what is older than that may be left out. */
+    /** The maximum number of revisions that a report counts; older ones may be left out. */
     public static final int MAX_REVISIONS = 1_000;
 
     private static final int MAX_NAME_LENGTH = ConfigurationLimits.MAX_IDENTIFIER_LENGTH;
@@ -32,12 +33,12 @@
     /**
      * A follower that is behind the newest revision of its distributor.
      *
-     * @param revision what it has confirmed last
-     * @param sinceMs for how long it has been behind, milliseconds
+     * @param revision the revision that the follower confirmed last
+     * @param sinceMs how long the follower has been behind, in milliseconds
      */
     public record Behind(String follower, long revision, long sinceMs) {}
 
-    /** Why the report cannot be taken, as one sentence; null where it can. */
+    /** Returns why the report is invalid, as one sentence, or null if it is valid. */
     public String validationError() {
         if (!isValidName(distributor)
                 || !isValidName(zone)
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReports.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReports.java
@@ -7,15 +7,16 @@
 import java.util.TreeMap;
 
 /**
- * The newest report of each distributor for each zone whose followers it serves: at a fail-over
- * that is not only its own. Soft state of whoever leads: a new leader begins with none. Bounded:
- * where there are too many reports, the one that came longest ago is forgotten. Not thread safe.
+ * The newest report of each distributor for each zone whose followers it serves; after a failover a
+ * distributor also serves followers of other zones. The reports are soft state of the leader: a new
+ * leader begins with none. Their number is bounded, and the oldest report is evicted. Not thread
+ * safe.
  */
 public final class FollowerReports {
-    /** Most reports that are kept. */
+    /** The maximum number of reports that are kept. */
     static final int MAX_REPORTS = 100;
 
-    /** A zone as a distributor last told it, against the revision that was asked about. */
+    /** A distributor's last report on a zone, evaluated against the requested revision. */
     public record Zone(
             String zone,
             String distributor,
@@ -26,7 +27,7 @@
 
     private record ReceivedReport(FollowerReport report, long receivedAtMs) {}
 
-    /** Reports in the order of zones, and of distributors within a zone. */
+    /** Identifies a report; sorted by zone, and by distributor within a zone. */
     private record ReportKey(String zone, String distributor) {
         static final Comparator<ReportKey> ORDER =
                 Comparator.comparing(ReportKey::zone).thenComparing(ReportKey::distributor);
@@ -35,8 +36,8 @@
     private final Map<ReportKey, ReceivedReport> reports = new TreeMap<>(ReportKey.ORDER);
 
     /**
-     * Takes a report in place of the distributor's last one for that zone; {@code nowMs} is any
-     * monotonic clock.
+     * Replaces the distributor's last report on that zone; {@code nowMs} is read from any monotonic
+     * clock.
      */
     public void update(FollowerReport report, long nowMs) {
         reports.put(
@@ -52,7 +53,7 @@
         }
     }
 
-    /** All zones against this revision; a report of any age is shown, with its age. */
+    /** Evaluates all reports against a revision; reports of any age are included with their age. */
     public List<Zone> zones(long revision, long nowMs) {
         List<Zone> zones = new ArrayList<>();
         reports.values().forEach(one -> zones.add(toZone(one, revision, nowMs)));
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/RejectionCode.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/RejectionCode.java
@@ -1,19 +1,19 @@
 package saltstage.coordinator.configuration;
 
-/** Why a change of the configuration is refused. */
+/** The reason for which a change of the configuration is rejected. */
 public enum RejectionCode {
-    /** The change names no author, no mutation, or too much. */
+    /** The change has no valid author, no mutation, or exceeds a size limit. */
     MALFORMED,
-    /** A value is not one that its key takes. */
+    /** A value is not valid for its key. */
     INVALID_VALUE,
-    /** A setting that relays do not take while they run, or do not have. */
+    /** The setting is unknown, or relays cannot reload it without a restart. */
     UNKNOWN_SETTING,
-    /** A backend is named that there is not. */
+    /** An entry refers to a backend that does not exist. */
     UNKNOWN_BACKEND,
-    /** A backend is deleted that other entries name. */
+    /** The change deletes a backend to which other entries refer. */
     IN_USE,
     /** An entry is not at the revision that the writer expected. */
     CONFLICT,
-    /** There would be more entries than a group keeps. */
+    /** The change would exceed the maximum number of entries. */
     FULL
 }
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/RollbackPlan.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/RollbackPlan.java
@@ -14,12 +14,12 @@
 import saltstage.coordinator.configuration.ConfigurationCommands.ChangeConfiguration;
 
 /**
- * The changes that bring all entries back to what they said at an earlier revision. One change
- * where it is within the bounds of one; else several, in an order in which each is accepted by
+ * The changes that restore all entries to their values at an earlier revision. A rollback that
+ * exceeds the limits of one change is split into several, in an order in which each is valid by
  * itself: settings and new backends, then shards and suspensions, then deletions of backends.
  */
 public final class RollbackPlan {
-    /** Where a key's mutation stands among several changes. */
+    /** The order of mutations within a rollback. */
     private enum Stage {
         SETTINGS_AND_BACKENDS,
         SHARDS_AND_SUSPENSIONS,
@@ -47,8 +47,9 @@
     }
 
     /**
-     * The changes to ask for, in order; none where all is as it was. Each expects its keys as the
-     * last of the given changes left them, so that what somebody else writes meanwhile refuses it.
+     * Returns the changes of the rollback in order; the list is empty if nothing differs. Each
+     * change expects its keys at the revisions that the given changes left them at, so that it is
+     * rejected if another writer has changed them in the meantime.
      *
      * @param changes all accepted changes after the earlier revision, oldest first
      */
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/SettingRules.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/SettingRules.java
@@ -11,12 +11,13 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Which settings a relay takes while it runs, and how their values are checked: composed to an
- * operator's file and read by the relay's own reader. Replicas must agree on each verdict: another
- * name here, or another rule of a name's value, takes a new feature level.
+ * The settings that a relay can reload, and the validation of their values: the settings are
+ * composed into an operator's settings file, which the relay's own parser reads. Replicas must
+ * agree on each result, so a new name here, or a changed rule for a value, needs a new feature
+ * level.
  */
 final class SettingRules {
-    /** By block, the attributes that a relay puts in force without a restart. */
+    /** By block, the attributes that a relay applies without a restart. */
     private static final Map<String, Set<String>> RELOADABLE_SETTINGS =
             Map.of(
                     "log",
@@ -37,7 +38,7 @@
                             "delivery_within",
                             "settle_within"));
 
-    /** What a block must say besides, for the reader to take it; no relay gets it from here. */
+    /** Lines that the parser requires in a block; they are never sent to a relay. */
     private static final Map<String, List<String>> REQUIRED_SETTINGS =
             Map.of("amqp", List.of("listen = \"127.0.0.1:1\"", "anonymous_tenant = \"any\""));
 
@@ -47,7 +48,7 @@
 
     private SettingRules() {}
 
-    /** Whether relays take a setting of this name, {@code block.attribute}, while they run. */
+    /** Returns whether relays can reload the setting of this name, {@code block.attribute}. */
     static boolean isReloadable(String name) {
         int dot = name.indexOf('.');
         return dot > 0
@@ -56,7 +57,7 @@
                         .contains(name.substring(dot + 1));
     }
 
-    /** The names that are taken, for refusals. */
+    /** Returns the names of all reloadable settings, for rejections. */
     static String reloadableNames() {
         List<String> names = new ArrayList<>();
         RELOADABLE_SETTINGS.forEach(
@@ -65,7 +66,9 @@
         return String.join(", ", names);
     }
 
-    /** Why these settings, text by name, cannot be in force together; null where they can. */
+    /**
+     * Returns why these settings, text by name, are invalid together, or null if they are valid.
+     */
     static String validationError(SortedMap<String, String> settings) {
         for (String text : settings.values()) {
             if (!VALUE_PATTERN.matcher(text).matches()) {
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ShardCounts.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ShardCounts.java
@@ -4,17 +4,18 @@
 import java.util.Map;
 import saltstage.configuration.EntryValue;
 
-/** How many shards name each backend: an index, so that no change has to look at all shards. */
+/** The number of shards by backend: an index that saves each change a scan of all shards. */
 final class ShardCounts {
     private final Map<String, Integer> counts = new HashMap<>();
 
-    /** How many shards name this backend. */
+    /** Returns the number of shards that refer to this backend. */
     int countOf(String backend) {
         return counts.getOrDefault(backend, 0);
     }
 
     /**
-     * An entry's value is replaced; null stands for none. Values of other kinds are passed over.
+     * Records that an entry's value is replaced; null stands for an absent entry. Values of other
+     * kinds than shards are ignored.
      */
     void replace(EntryValue before, EntryValue after) {
         if (before instanceof EntryValue.Shard shard) {
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/ConfirmationReporter.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/ConfirmationReporter.java
@@ -12,9 +12,9 @@
 import saltstage.log.Log;
 
 /**
- * Tells the leader what the followers of this distributor have confirmed: every second what has
- * changed, all of it every ten. What the leader did not take is told again, so that a new leader
- * knows all after a round.
+ * Reports to the leader which revisions the followers of this distributor have confirmed: changed
+ * zones every second, and all zones every ten seconds. After a failed report all zones are reported
+ * again, so that a new leader has all of them after one round.
  */
 final class ConfirmationReporter implements Runnable {
     private static final Duration REPORT_INTERVAL = Duration.ofSeconds(1);
@@ -42,7 +42,7 @@
         this.nowMs = nowMs;
     }
 
-    /** Goes on until its thread is interrupted. */
+    /** Reports until its thread is interrupted. */
     @Override
     public void run() {
         try {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** All zones that followers are of, and this distributor's own even if it has none. */
+    /** Returns all zones with followers, and this distributor's own zone even if it has none. */
     private List<ZoneConfirmations> zones() {
         List<ZoneConfirmations> zones = new ArrayList<>(handler.confirmations());
         if (zones.stream().noneMatch(one -> one.zone().equals(zone))) {
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHandler.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHandler.java
@@ -18,22 +18,22 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Serves the read API from what this distributor has in force itself. An answer is encoded once,
- * however many followers get it; requests that have nothing to get wait in one set. Whatever a
- * follower says it has counts as confirmed once its digest agrees, and nothing else does. Thread
- * safe; without threads and sockets of its own.
+ * Serves the read API from the configuration that this distributor has in force. A response is
+ * encoded once, however many followers receive it. Requests of followers that are up to date wait
+ * in one set. A revision counts as confirmed only when a follower names it in a request and its
+ * digest agrees. Thread safe; uses no threads or sockets of its own.
  */
 public final class DistributorHandler {
-    /** A request may wait for so long at most, in milliseconds. */
+    /** The longest time for which a request may wait, in milliseconds. */
     static final long MAX_WAIT_MS = 30_000;
 
-    /** So many requests may wait at once. */
+    /** The maximum number of requests that wait at once. */
     static final int MAX_WAITING_REQUESTS = 4_000;
 
-    /** A follower that has not been heard for so long, in milliseconds, is not counted. */
+    /** A follower without a request for this time, in milliseconds, is not counted. */
     static final long SILENT_AFTER_MS = MAX_WAIT_MS + 15_000;
 
-    /** So many followers may take a snapshot at once. */
+    /** The maximum number of followers that transfer a snapshot at once. */
     static final int MAX_SNAPSHOT_TRANSFERS = 16;
 
     private static final long EXPECTED_TRANSFER_MS = 400;
@@ -49,12 +49,12 @@
     private static final int MISDIRECTED_REQUEST = 421;
     private static final int SERVICE_UNAVAILABLE = 503;
 
-    /** What the body of a changes answer depends on while the newest revision stays. */
+    /** Identifies the body of a changes response as long as the newest revision is the same. */
     private record ChangesKey(long after, int limit) {}
 
     private record PageKey(long digest, ReadRequest.Snapshot request) {}
 
-    /** A waiting request together with what it is answered. */
+    /** A waiting request together with its response. */
     private record DueResponse(WaitingRequests.WaitingRequest request, EncodedResponse response) {
         void send() {
             request.response().complete(response);
@@ -76,12 +76,12 @@
     private ConfigurationView view;
 
     /**
-     * A handler.
+     * Creates a handler.
      *
-     * @param name the distributor's
-     * @param zone its zone, that followers count in which name none
-     * @param held what the distributor has on its disk; copied
-     * @param nowMs a monotonic clock, milliseconds
+     * @param name the distributor's name
+     * @param zone the distributor's zone, in which followers without a zone are counted
+     * @param held the configuration that the distributor has persisted; copied
+     * @param nowMs a monotonic clock, in milliseconds
      */
     public DistributorHandler(
             String name, String zone, ConfigurationView held, LongSupplier nowMs) {
@@ -97,9 +97,7 @@
         return new ConfigurationView(of.revision(), of.entries().values());
     }
 
-    // ---- what comes into force
-
-    /** Serves these changes from now on and wakes whoever waits for them; oldest first. */
+    /** Applies these changes, oldest first, and answers the requests that wait for them. */
     public void applyChanges(List<Change> changes) {
         updateAndWake(
                 () -> {
@@ -117,7 +115,7 @@
         history.append(change);
     }
 
-    /** Serves these entries in place of all before; the view is copied. */
+    /** Replaces all entries by those of a snapshot; the view is copied. */
     public void applySnapshot(ConfigurationView snapshot) {
         ConfigurationView copy = copy(snapshot);
         updateAndWake(
@@ -140,7 +138,7 @@
         due.forEach(DueResponse::send);
     }
 
-    /** Answers those whose wait is over and drops silent followers; to be called now and then. */
+    /** Answers requests whose wait has expired and drops silent followers; call periodically. */
     public void sweep() {
         List<DueResponse> due = new ArrayList<>();
         synchronized (this) {
@@ -153,13 +151,11 @@
         due.forEach(DueResponse::send);
     }
 
-    // ---- requests
-
     /**
-     * Answers a GET; a cancelled answer is not waited for any more.
+     * Answers a GET request. Cancelling the returned future ends the wait of the request.
      *
      * @param uri path and query
-     * @param client who asks, where the request does not say: its address
+     * @param client the client's address, which identifies a client that names no follower
      */
     public CompletableFuture<EncodedResponse> handle(String uri, String client) {
         ReadRequest request;
@@ -214,7 +210,7 @@
         return history.changesAfter(request.after(), request.digest(), request.limit());
     }
 
-    /** Whether what the follower says it has is known here, or is at least older than all here. */
+    /** Returns whether the follower's revision is known here or older than the whole history. */
     private static boolean isVerified(ChangeHistory.Result answer) {
         return answer instanceof ChangeHistory.Changes || answer == ChangeHistory.Failure.TRUNCATED;
     }
@@ -305,14 +301,12 @@
         }
     }
 
-    // ---- for the leader
-
-    /** What followers have confirmed, by zone. */
+    /** Returns which revisions the followers have confirmed, by zone. */
     public synchronized List<ZoneConfirmations> confirmations() {
         return registry.reports(nowMs.getAsLong());
     }
 
-    /** The newest revision that is served. */
+    /** Returns the newest revision that is served. */
     public synchronized long revision() {
         return view.revision();
     }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHttpServer.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHttpServer.java
@@ -19,14 +19,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The read API on HTTP/1.1 for many followers whose requests are held: one thread, bounded in
- * connections, in bytes that wait for a slow reader, and in silence.
+ * Serves the read API over HTTP/1.1 to many followers whose requests wait for changes. It uses one
+ * thread and bounds the number of connections, the bytes buffered for a slow reader, and the time
+ * for which a connection may be idle.
  */
 public final class DistributorHttpServer implements AutoCloseable {
     private static final int MAX_CONNECTIONS = 4_000;
     private static final int ACCEPT_BACKLOG = 1_024;
 
-    /** The kernel's share of what waits for a reader; left alone it grows to megabytes. */
+    /** The kernel's send buffer; without a limit it grows to megabytes for a slow reader. */
     private static final int SEND_BUFFER_BYTES = 128 << 10;
 
     private static final int MAX_REQUEST_BODY_BYTES = 4 << 10;
@@ -37,10 +38,10 @@
     private final DistributorHandler handler;
     private final Channel serverChannel;
 
-    /** Those that are open; used by the group's one thread only. */
+    /** The open connections; accessed only by the single thread of the event loop group. */
     private final Set<FollowerConnection> connections = new HashSet<>();
 
-    /** Listens; throws IOException where the address cannot be had. */
+    /** Starts to listen; throws IOException if the address cannot be bound. */
     public DistributorHttpServer(InetSocketAddress address, DistributorHandler handler)
             throws IOException {
         this.handler = handler;
@@ -91,7 +92,7 @@
         List.copyOf(connections).forEach(connection -> connection.closeIfTimedOut(nowNanos));
     }
 
-    /** Where it listens. */
+    /** Returns the address on which the server listens. */
     public InetSocketAddress address() {
         return (InetSocketAddress) serverChannel.localAddress();
     }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorProcess.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorProcess.java
@@ -25,14 +25,15 @@
 import saltstage.log.Log;
 
 /**
- * A distributor at work: it follows the group, keeps what is in force on its disk, serves it to its
- * own followers and reports what they have confirmed. Replicas serve accepted changes only, so
- * nothing else ever gets here. It serves what it holds from its start on, whoever can be reached.
+ * A running distributor: it follows the group, persists the configuration in force, serves it to
+ * its own followers and reports the revisions that they have confirmed. Replicas serve accepted
+ * changes only, so a distributor never holds any other. It serves its persisted configuration from
+ * the start, even if no replica can be reached.
  */
 public final class DistributorProcess implements AutoCloseable {
     /**
-     * Shorter than a relay's: a distributor that waits for a dead replica holds back a whole zone,
-     * and there are few distributors.
+     * Timings that are shorter than a relay's: a distributor that waits for a dead replica delays a
+     * whole zone, and there are few distributors.
      */
     private static final FollowerTimings FOLLOWER_TIMINGS =
             new FollowerTimings(
@@ -44,7 +45,7 @@
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(700);
 
-    /** Told when the distributor cannot go on with a sound state. */
+    /** Called when the distributor cannot continue with a consistent state. */
     public interface FailureHandler {
         /** Ends the process. */
         void terminate(RuntimeException cause);
@@ -57,7 +58,7 @@
     private final ScheduledExecutorService writer = newScheduler("distributor-writer");
     private final Thread reporterThread;
 
-    /** Starts it; throws IOException where its folder or its address cannot be had. */
+    /** Starts a distributor; throws IOException if its directory or address is not available. */
     public DistributorProcess(DistributorSettings settings, FailureHandler failure)
             throws IOException {
         Files.createDirectories(settings.dir());
@@ -130,7 +131,7 @@
                 http, scheduler, writer, Clock.systemUTC(), new SharedRandom());
     }
 
-    /** Draws from the random numbers of whichever thread asks. */
+    /** Delegates to the random number generator of the calling thread. */
     private static final class SharedRandom implements java.util.random.RandomGenerator {
         @Override
         public long nextLong() {
@@ -148,7 +149,7 @@
         return thread;
     }
 
-    /** Hands what comes into force to the handler, and tells of sources. */
+    /** Passes applied configuration to the handler, and logs the sources in use. */
     private record ServingListener(DistributorHandler handler, FailureHandler failure)
             implements FollowerListener {
         @Override
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorStatus.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorStatus.java
@@ -4,14 +4,15 @@
 import saltstage.coordinator.configuration.FollowerReport;
 
 /**
- * How a distributor stands, as its {@code status} answers.
+ * The status of a distributor, as its {@code status} request returns it.
  *
- * @param revision the newest revision that it serves
+ * @param revision the newest revision that the distributor serves
  * @param digest the digest at that revision, 16 hexadecimal digits
- * @param asked the revision that the zones are measured by
- * @param waiting requests that wait for something new
- * @param snapshots snapshot transfers under way
- * @param encodings answers encoded since the start; others were sent again as they were
+ * @param asked the requested revision, against which the followers are compared
+ * @param waiting the number of requests that wait for a change
+ * @param snapshots the number of snapshot transfers in progress
+ * @param encodings the number of response bodies encoded since the start; all other responses
+ *     reused one
  */
 public record DistributorStatus(
         String distributor,
@@ -23,9 +24,9 @@
         long encodings,
         List<Zone> zones) {
     /**
-     * The followers of a zone here.
+     * The followers of one zone that this distributor serves.
      *
-     * @param confirmed how many have the revision asked for
+     * @param confirmed the number of followers that have the requested revision
      */
     public record Zone(
             String zone,
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/EncodedBodyCache.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/EncodedBodyCache.java
@@ -6,8 +6,10 @@
 import java.util.function.Supplier;
 
 /**
- * Bodies of answers by what they answer, so that many who ask the same are served by one encoding.
- * Bounded in bytes; the one that was used longest ago goes first. Not thread safe.
+ * Encoded response bodies by request, so that many equal requests share one encoding. Bounded in
+ * bytes; the least recently used body is evicted first. Not thread safe.
+ *
+ * @param <K> the type of keys that identify equal requests
  */
 final class EncodedBodyCache<K> {
     private final long maxBytes;
@@ -19,7 +21,7 @@
         this.maxBytes = mostBytes;
     }
 
-    /** The body for this key; encoded only where it is not kept. */
+    /** Returns the body for this key, and encodes it only if it is not cached. */
     byte[] getOrEncode(K key, Supplier<byte[]> encoder) {
         byte[] kept = bodies.get(key);
         if (kept != null) {
@@ -39,13 +41,13 @@
         return body;
     }
 
-    /** Forgets all, as when something newer is to be served. */
+    /** Removes all bodies, for example when a newer revision is to be served. */
     void clear() {
         bodies.clear();
         cachedBytes = 0;
     }
 
-    /** How many bodies were encoded so far. */
+    /** Returns the number of bodies that were encoded so far. */
     long encodingCount() {
         return encodingCount;
     }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/EncodedResponse.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/EncodedResponse.java
@@ -1,9 +1,9 @@
 package saltstage.coordinator.distribution;
 
 /**
- * An answer as it goes out.
+ * A response as it is sent.
  *
- * @param status the status code of HTTP
- * @param body JSON in UTF-8; shared between followers, so nobody may write to it
+ * @param status the HTTP status code
+ * @param body JSON in UTF-8; the array is shared between followers and must not be modified
  */
 public record EncodedResponse(int status, byte[] body) {}
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerConnection.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerConnection.java
@@ -18,18 +18,19 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A follower's connection: one request at a time. An answer goes out in pieces, the next once the
- * one before is in the socket's buffer, so that a slow reader costs one piece; one that takes
- * nothing for too long is cut off and comes back with what it has. Used by its event loop only.
+ * A follower's connection, which handles one request at a time. A response is written in chunks,
+ * each after the previous one is in the socket's buffer, so that a slow reader occupies the memory
+ * of one chunk. A reader that accepts no chunk for too long is disconnected, and reconnects with
+ * the revision that it has. Used only by the connection's event loop.
  */
 final class FollowerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
-    /** So many bytes of an answer wait for the reader at once. */
+    /** The maximum number of bytes of a response that wait for the reader at once. */
     static final int CHUNK_BYTES = 64 << 10;
 
-    /** A reader that takes no piece for so long is cut off. */
+    /** A reader that accepts no chunk for this time is disconnected. */
     static final Duration WRITE_TIMEOUT = Duration.ofSeconds(5);
 
-    /** A connection without a request for so long is closed. */
+    /** A connection without a request for this time is closed. */
     private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
 
     private final DistributorHandler handler;
@@ -49,7 +50,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext from, FullHttpRequest request) {
-        if (pendingResponse != null || writing) { // it did not wait for its answer
+        if (pendingResponse != null || writing) { // the client did not wait for its response
             from.close();
             return;
         }
@@ -116,7 +117,7 @@
         }
     }
 
-    /** Closes it where its reader takes nothing, or where it has asked for nothing for long. */
+    /** Closes the connection if its reader has stalled, or if it has been idle for too long. */
     void closeIfTimedOut(long nowNanos) {
         long quietNanos = nowNanos - lastProgressNanos;
         boolean stuck = writing && quietNanos > WRITE_TIMEOUT.toNanos();
@@ -129,7 +130,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext gone) {
         if (pendingResponse != null) {
-            pendingResponse.cancel(false); // nobody waits for it any more
+            pendingResponse.cancel(false); // the client has disconnected
             pendingResponse = null;
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerRegistry.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerRegistry.java
@@ -11,15 +11,15 @@
 import saltstage.coordinator.configuration.FollowerReport;
 
 /**
- * What each follower of this distributor has confirmed, and when it was last heard. A request costs
- * O(log revisions), a report O(revisions + followers named). Times are milliseconds of any
- * monotonic clock. Not thread safe.
+ * The revision that each follower of this distributor has confirmed, and the time of its last
+ * request. A request costs O(log revisions), a report O(revisions + followers named). Times are
+ * milliseconds of any monotonic clock. Not thread safe.
  */
 public final class FollowerRegistry {
-    /** So many followers are kept; requests of others are served, but not counted. */
+    /** The maximum number of followers; requests of others are served, but not counted. */
     static final int MAX_FOLLOWERS = 20_000;
 
-    /** After so long a silent follower is not named any more. */
+    /** The time after which a silent follower is no longer named in reports. */
     static final long SILENT_RETENTION_MS = 3_600_000;
 
     private static final int MAX_REVISION_TIMES = 4_096;
@@ -81,18 +81,18 @@
     private final long silentAfterMs;
     private final RevisionTimes revisionTimes = new RevisionTimes(MAX_REVISION_TIMES);
 
-    /** By name; whoever was heard last comes last. */
+    /** The followers by name, in the order of their last requests. */
     private final Map<String, Follower> followers = new LinkedHashMap<>();
 
     private final Map<String, Zone> zones = new TreeMap<>();
     private long newestRevision;
 
-    /** A registry that drops followers which are silent for over so many milliseconds. */
+    /** Creates a registry that drops followers which send no request for over this time. */
     public FollowerRegistry(long silentAfterMs) {
         this.silentAfterMs = silentAfterMs;
     }
 
-    /** Notes that this distributor serves a revision from now on. */
+    /** Records that this distributor serves a revision from now on. */
     public void advance(long revision, long nowMs) {
         if (revision > newestRevision) {
             newestRevision = revision;
@@ -101,8 +101,9 @@
     }
 
     /**
-     * Notes a request by which a follower says that it has this revision, durable and in force.
-     * Nothing but such a request may be noted here: what was sent to a follower is not yet there.
+     * Records a request in which a follower states that it has persisted and applied this revision.
+     * Only such a request confirms a revision: a follower that was sent a revision may not have it
+     * yet.
      */
     public void confirm(String name, String zone, long revision, long nowMs) {
         Follower follower = recordRequest(name, zone, nowMs);
@@ -114,7 +115,7 @@
         }
     }
 
-    /** Notes a request of a follower whose revision could not be verified: it counts as before. */
+    /** Records a request with an unverified revision: the confirmed revision remains the same. */
     public void recordUnverifiedRequest(String name, String zone, long nowMs) {
         recordRequest(name, zone, nowMs);
     }
@@ -147,7 +148,7 @@
         }
     }
 
-    /** Drops whoever has been silent for too long; to be called now and then. */
+    /** Drops followers that have been silent for too long; call periodically. */
     public void sweep(long nowMs) {
         while (!followers.isEmpty() && isSilent(followers.values().iterator().next(), nowMs)) {
             Follower eldest = followers.values().iterator().next();
@@ -164,12 +165,12 @@
         return nowMs - follower.lastRequestMs > silentAfterMs;
     }
 
-    /** How things stand with the newest revision, by zone in alphabetical order. */
+    /** Returns the confirmations of the newest revision, by zone in alphabetical order. */
     public List<ZoneConfirmations> reports(long nowMs) {
         return reports(newestRevision, nowMs);
     }
 
-    /** How things stand with a revision, by zone in alphabetical order. */
+    /** Returns the confirmations of a revision, by zone in alphabetical order. */
     public List<ZoneConfirmations> reports(long revision, long nowMs) {
         List<ZoneConfirmations> reports = new ArrayList<>();
         zones.forEach((name, zone) -> reports.add(report(name, zone, revision, nowMs)));
@@ -198,7 +199,7 @@
                 silentFollowers(zone, nowMs));
     }
 
-    /** Whoever has the oldest revision has been behind for longest. */
+    /** Names the followers with the oldest revisions first: they have been behind for longest. */
     private List<FollowerReport.Behind> followersBehind(Zone zone, long revision, long nowMs) {
         List<FollowerReport.Behind> behind = new ArrayList<>();
         for (Map.Entry<Long, Set<Follower>> lagging :
@@ -215,7 +216,7 @@
         return behind;
     }
 
-    /** How many followers are counted. */
+    /** Returns the number of followers that are counted. */
     public int size() {
         return followers.size();
     }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/ReadRequest.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/ReadRequest.java
@@ -11,30 +11,30 @@
 
 /** A request of the read API; {@code docs/design/configuration.md} describes the parameters. */
 sealed interface ReadRequest {
-    /** Paths of the read API begin like this. */
+    /** The prefix of all paths of the read API. */
     String PATH_PREFIX = "/v1/configuration/";
 
     /**
-     * What comes after a revision.
+     * A request for the changes after a revision.
      *
-     * @param zone the follower's; empty where it does not say
+     * @param zone the follower's zone; empty if the request does not name it
      */
     record Changes(long after, long digest, String follower, String zone, long waitMs, int limit)
             implements ReadRequest {}
 
     /**
-     * A page of a snapshot.
+     * A request for a page of a snapshot.
      *
-     * @param from its first key; null: the first of all
-     * @param follower who pages; empty where the request does not say
+     * @param from the first key of the page; null for the first page
+     * @param follower the follower's name; empty if the request does not name it
      */
     record Snapshot(long revision, EntryKey from, int limit, String follower)
             implements ReadRequest {}
 
-    /** How far followers are with a revision; 0: with the newest. */
+    /** A request for the followers' confirmations of a revision; 0 stands for the newest. */
     record Status(long revision) implements ReadRequest {}
 
-    /** Reads the path and query of a GET; null where the path is not of the read API. */
+    /** Parses the path and query of a GET; returns null if the path is not of the read API. */
     static ReadRequest parse(String uri) throws MalformedException {
         try {
             QueryStringDecoder decoder = new QueryStringDecoder(uri);
@@ -45,7 +45,7 @@
                 case PATH_PREFIX + "status" -> new Status(parameters.revision("revision"));
                 default -> null;
             };
-        } catch (IllegalArgumentException malformed) { // escapes, or a key
+        } catch (IllegalArgumentException malformed) { // bad escapes or entry key
             throw new MalformedException("request: " + malformed.getMessage());
         }
     }
@@ -77,7 +77,7 @@
                 parameters.name("follower"));
     }
 
-    /** The parameters of a query, each checked as it is read. */
+    /** The parameters of a query, each validated when it is read. */
     record Parameters(Map<String, List<String>> valuesByName) {
         private static final Pattern INTEGER_PATTERN = Pattern.compile("\\d{1,16}");
         private static final int MAX_NAME_LENGTH = ConfigurationLimits.MAX_IDENTIFIER_LENGTH;
@@ -89,7 +89,7 @@
             return values.isEmpty() ? absent : values.get(0);
         }
 
-        /** A name; empty where it is absent. */
+        /** Returns a name, or an empty text if the parameter is absent. */
         String name(String name) throws MalformedException {
             String text = string(name, "");
             if (!NAME_PATTERN.matcher(text).matches()) {
@@ -111,7 +111,7 @@
             return revision;
         }
 
-        /** A whole number; a larger one than the bound counts as the bound. */
+        /** Returns a whole number, limited to the upper bound. */
         long boundedInteger(String name, long absent, long most) throws MalformedException {
             return Math.min(most, integer(name, absent));
         }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/ReportSchedule.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/ReportSchedule.java
@@ -6,11 +6,12 @@
 import java.util.SortedMap;
 
 /**
- * Which zones are to be reported: those whose counts have changed since they were last reported,
- * and the others now and then. Times are milliseconds of any monotonic clock. Not thread safe.
+ * Decides which zones are due for a report: zones whose counts have changed since their last
+ * report, and all others at a fixed interval. Times are milliseconds of any monotonic clock. Not
+ * thread safe.
  */
 final class ReportSchedule {
-    /** A zone whose counts do not change is reported after so long, in milliseconds. */
+    /** The interval, in milliseconds, between reports on a zone whose counts do not change. */
     static final long UNCHANGED_REPORT_INTERVAL_MS = 10_000;
 
     private record LastReport(
@@ -18,7 +19,7 @@
 
     private final Map<String, LastReport> lastReportByZone = new HashMap<>();
 
-    /** Those of these that are to be reported now. */
+    /** Returns the zones that are due for a report now. */
     List<ZoneConfirmations> dueZones(List<ZoneConfirmations> all, long nowMs) {
         return all.stream().filter(one -> isDue(one, nowMs)).toList();
     }
@@ -31,13 +32,13 @@
                 || nowMs - last.reportedAtMs() >= UNCHANGED_REPORT_INTERVAL_MS;
     }
 
-    /** The leader has taken this one. */
+    /** Records that the leader has accepted the report on this zone. */
     void markReported(ZoneConfirmations zone, long nowMs) {
         lastReportByZone.put(
                 zone.zone(), new LastReport(zone.revision(), zone.confirmedByRevision(), nowMs));
     }
 
-    /** Another leader may know nothing: all is to be reported anew. */
+    /** Makes all zones due again, because a new leader may have no reports. */
     void reset() {
         lastReportByZone.clear();
     }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/RevisionTimes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/RevisionTimes.java
@@ -4,8 +4,8 @@
 import java.util.TreeMap;
 
 /**
- * When each of the newest revisions became known here. Only so many are kept; of an older one it is
- * known that it came no later than the oldest that is kept.
+ * The times at which the newest revisions became known to this distributor. Their number is
+ * bounded; an older revision became known no later than the oldest one that is kept.
  */
 final class RevisionTimes {
     private final int capacity;
@@ -15,7 +15,7 @@
         this.capacity = capacity;
     }
 
-    /** Notes that a revision is known from now on; only the first time counts. */
+    /** Records that a revision is known from now on; only its first time is kept. */
     void add(long revision, long nowMs) {
         if (knownSinceMs.isEmpty() || knownSinceMs.lastKey() < revision) {
             knownSinceMs.put(revision, nowMs);
@@ -25,7 +25,7 @@
         }
     }
 
-    /** When something newer than this revision was first known; {@code nowMs} where nothing is. */
+    /** Returns when a newer revision first became known, or {@code nowMs} if there is none. */
     long newerKnownSinceMs(long revision, long nowMs) {
         Map.Entry<Long, Long> next = knownSinceMs.higherEntry(revision);
         return next == null ? nowMs : next.getValue();
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/SnapshotAdmission.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/SnapshotAdmission.java
@@ -5,36 +5,36 @@
 import java.util.Map;
 
 /**
- * Bounds how many snapshot transfers are under way at once. Whoever is turned away is told when to
- * ask again: each later than the one before, so that they come back one after the other. Times are
- * milliseconds of any monotonic clock. Not thread safe.
+ * Limits the number of concurrent snapshot transfers. A rejected follower is assigned a retry time,
+ * each later than the one before, so that the rejected followers return one after the other. Times
+ * are milliseconds of any monotonic clock. Not thread safe.
  */
 public final class SnapshotAdmission {
-    /** A transfer that asks for no page for so long is taken for abandoned. */
+    /** A transfer without a page request for this time counts as abandoned. */
     static final long TRANSFER_TIMEOUT_MS = 5_000;
 
-    /** Nobody is told to wait for longer. */
+    /** The longest retry delay that is assigned. */
     static final long MAX_RETRY_MS = 10_000;
 
-    /** So many of those who were turned away are remembered, so that they keep their turn. */
+    /** The maximum number of rejected followers whose retry times are remembered. */
     private static final int MAX_WAITING_FOLLOWERS = 20_000;
 
     private final int maxTransfers;
     private final long expectedTransferMs;
 
-    /** When each transfer last asked for a page, by follower; the one longest ago comes first. */
+    /** The time of each transfer's last page request, by follower; the oldest comes first. */
     private final Map<String, Long> lastPageRequestByFollower = new LinkedHashMap<>();
 
-    /** When each waiting follower shall ask again; whoever was told first comes first. */
+    /** The retry time of each waiting follower, in the order of assignment. */
     private final Map<String, Long> retryTimeByFollower = new LinkedHashMap<>();
 
     private long nextRetryTimeMs;
 
     /**
-     * An admission.
+     * Creates an admission control for snapshot transfers.
      *
-     * @param mostTransfers how many transfers may be under way at once
-     * @param transferMs how long a transfer usually takes, milliseconds
+     * @param mostTransfers the maximum number of concurrent transfers
+     * @param transferMs the usual duration of a transfer, in milliseconds
      */
     public SnapshotAdmission(int mostTransfers, long transferMs) {
         this.maxTransfers = mostTransfers;
@@ -42,9 +42,9 @@
     }
 
     /**
-     * A follower asks for a page of a snapshot.
+     * Admits or rejects a follower's request for a page of a snapshot.
      *
-     * @return 0 if it may have it, else after how many milliseconds it shall ask again
+     * @return 0 if the request is admitted, else the retry delay in milliseconds
      */
     public long admit(String follower, long nowMs) {
         removeAbandoned(nowMs);
@@ -73,7 +73,7 @@
         return told - nowMs;
     }
 
-    /** A follower has got its last page. */
+    /** Records that a follower has received its last page. */
     public void finish(String follower) {
         lastPageRequestByFollower.remove(follower);
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    /** How many transfers are under way. */
+    /** Returns the number of transfers in progress. */
     public int activeTransfers() {
         return lastPageRequestByFollower.size();
     }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/WaitingRequests.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/WaitingRequests.java
@@ -7,12 +7,12 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Requests that wait for something new, in one set: woken all at once by a change, and looked
- * through once a sweep for those whose wait is over. None costs a timer or a thread. Not thread
- * safe.
+ * The requests that wait for a change, in one set. A change completes all of them at once, and a
+ * periodic sweep scans the set for expired requests, so that no request needs a timer or a thread.
+ * Not thread safe.
  */
 final class WaitingRequests {
-    /** A request that waits; each is a thing of its own. */
+    /** A waiting request, compared by identity: equal requests may wait side by side. */
     static final class WaitingRequest {
         private final ReadRequest.Changes request;
         private final long deadlineMs;
@@ -27,7 +27,7 @@
             return request;
         }
 
-        /** Completed by whoever takes it out of the set. */
+        /** Returns the response, which the code that removes the request from the set completes. */
         CompletableFuture<EncodedResponse> response() {
             return response;
         }
@@ -40,7 +40,7 @@
         this.maxRequests = most;
     }
 
-    /** Holds a request; null where too many wait. */
+    /** Adds a request; returns null if the maximum number of requests is waiting. */
     WaitingRequest add(ReadRequest.Changes request, long untilMs) {
         if (waiting.size() >= maxRequests) {
             return null;
@@ -50,19 +50,19 @@
         return added;
     }
 
-    /** Lets go of a request that nobody waits for any more. */
+    /** Removes a request whose client has disconnected. */
     void remove(WaitingRequest gone) {
         waiting.remove(gone);
     }
 
-    /** Takes out all: something new is there. */
+    /** Removes and returns all requests, for example because a change has arrived. */
     List<WaitingRequest> takeAll() {
         List<WaitingRequest> taken = new ArrayList<>(waiting);
         waiting.clear();
         return taken;
     }
 
-    /** Takes out those whose wait is over. */
+    /** Removes and returns the requests whose deadline has passed. */
     List<WaitingRequest> takeDue(long nowMs) {
         List<WaitingRequest> due = new ArrayList<>();
         for (WaitingRequest one : waiting) {
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/ZoneConfirmations.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/ZoneConfirmations.java
@@ -5,15 +5,16 @@
 import saltstage.coordinator.configuration.FollowerReport;
 
 /**
- * What the followers of one zone have confirmed at one distributor.
+ * The revisions that the followers of one zone have confirmed at one distributor.
  *
  * @param zone the followers' zone
- * @param revision the one that followers are measured by
- * @param confirmedByRevision how many followers have each revision, by revision
- * @param followers how many there are, silent ones not counted
- * @param behind those that lack that revision, longest first, {@link FollowerRegistry#MOST_NAMED}
- *     at most
- * @param silent those that have not been heard for over the bound, longest first, as many at most
+ * @param revision the revision against which the followers are compared
+ * @param confirmedByRevision the number of followers by the newest revision that they confirmed
+ * @param followers the number of followers, without silent ones
+ * @param behind the followers that lack the revision, the longest first, at most {@link
+ *     FollowerReport#MAX_NAMED_FOLLOWERS}
+ * @param silent the followers whose last request is too long ago, the longest first, at most as
+ *     many
  */
 public record ZoneConfirmations(
         String zone,
@@ -22,7 +23,7 @@
         int followers,
         List<FollowerReport.Behind> behind,
         List<Silent> silent) {
-    /** How many followers have the revision, or a newer one. */
+    /** Returns the number of followers that have the revision or a newer one. */
     public int confirmed() {
         return confirmedByRevision.tailMap(revision).values().stream()
                 .mapToInt(Integer::intValue)
@@ -30,10 +31,10 @@
     }
 
     /**
-     * A follower that is not counted any more.
+     * A follower that is no longer counted.
      *
-     * @param revision the one that it confirmed last
-     * @param silentMs for how many milliseconds it has not been heard
+     * @param revision the revision that the follower confirmed last
+     * @param silentMs the time since the follower's last request, in milliseconds
      */
     public record Silent(String follower, long revision, long silentMs) {}
 }
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationGroupTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationGroupTest.java
@@ -30,7 +30,11 @@
 import saltstage.coordinator.model.Rejection;
 import saltstage.coordinator.model.Reply;
 
-/** Configuration as a part of a group: levels, sessions, log, snapshots, JSON. */
+/**
+ * Tests the configuration as a part of the group state: feature levels, client sessions, the log,
+ * snapshots and JSON. Replicas below the feature level must be able to read a snapshot, and a
+ * resent change must be applied only once.
+ */
 class ConfigurationGroupTest {
     private static final EntryValue BACKEND =
             new EntryValue.Backend("10.0.0.7:1", "a1", 2, EntryValue.BackendState.DRAINING, 0.5, 9);
@@ -73,7 +77,8 @@
                 GroupCodec.cborMapper()
                         .readTree(GroupCodec.encodeSnapshot(state.image()))
                         .path("image");
-        assertFalse(image.has("configuration"), "replicas of level 3 take no field more");
+        assertFalse(
+                image.has("configuration"), "replicas at feature level 3 reject an unknown field");
         assertTrue(image.has("advice"));
         setFeatureLevel(4);
         assertInstanceOf(Changed.class, apply("c", 2, allKinds()));
@@ -109,10 +114,12 @@
         Reply first = apply("c", 2, placed);
         apply("other", 1, change(mutation("shard/t/1", null)));
         assertEquals(
-                first, apply("c", 2, placed), "the answer was lost and the command sent again");
+                first,
+                apply("c", 2, placed),
+                "a command resent after a lost reply gets the first reply");
         assertFalse(
                 state.configuration().view().entries().containsKey(EntryKey.parse("shard/t/1")),
-                "carried out a second time it would undo the other writer's change");
+                "executing the command again would undo the other writer's change");
         state = new GroupState(GroupCodec.decodeSnapshot(GroupCodec.encodeSnapshot(state.image())));
         assertEquals(first, apply("c", 2, placed));
         assertEquals(3, state.configuration().revision());
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationRegistryTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationRegistryTest.java
@@ -28,7 +28,7 @@
 import saltstage.coordinator.model.Reply;
 import saltstage.wire.MalformedException;
 
-/** What a group accepts as configuration, what it refuses, and what it keeps. */
+/** Tests which changes a group accepts and rejects, and what its history retains. */
 class ConfigurationRegistryTest {
     private static final long ACCEPTED_AT_MS = 1_700_000_000_000L;
     private static final String BACKEND_JSON =
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/FollowerReportsByZoneTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/FollowerReportsByZoneTest.java
@@ -6,7 +6,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Reports of distributors that serve followers of several zones. */
+/**
+ * Tests the reports of a distributor that serves followers of several zones. A distributor that
+ * took over another zone's followers must not replace the report on its own zone by that on the
+ * other.
+ */
 class FollowerReportsByZoneTest {
     private final FollowerReports reports = new FollowerReports();
 
@@ -20,7 +24,7 @@
     @Test
     void reportOnAnotherZoneDoesNotReplaceTheDistributorsOwn() {
         report("d-a2", "a2", 5, 0);
-        report("d-a2", "a1", 3, 0); // the followers of a1 while their distributor is gone
+        report("d-a2", "a1", 3, 0); // followers of a1 whose distributor has failed
         report("d-a1", "a1", 0, 500);
         report("d-a2", "a2", 6, 1_000);
         List<FollowerReports.Zone> zones = reports.zones(7, 2_000);
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/FollowerReportsTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/FollowerReportsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import saltstage.coordinator.configuration.FollowerReport.Behind;
 
-/** What the leader tells of followers. */
+/** Tests how the leader evaluates the distributors' reports on their followers. */
 class FollowerReportsTest {
     private static FollowerReport report(String distributor, List<Behind> behind) {
         return new FollowerReport(distributor, "a1", 8, Map.of(8L, 190, 7L, 5), 195, behind);
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/RollbackPlanTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/RollbackPlanTest.java
@@ -22,7 +22,10 @@
 import saltstage.coordinator.configuration.ConfigurationReplies.Rejected;
 import saltstage.coordinator.model.Reply;
 
-/** Rollbacks are accepted change by change, and lose no other writer's work. */
+/**
+ * Tests that each change of a rollback is accepted by itself, and that a rollback does not
+ * overwrite the concurrent change of another writer.
+ */
 class RollbackPlanTest {
     private static final int BACKEND_COUNT = 3;
 
@@ -65,7 +68,7 @@
     @Property(tries = 200)
     void anyRetainedRevisionCanBeRestored(@ForAll long seed) {
         Random random = new Random(seed);
-        registry = new ConfigurationRegistry(); // the instance is shared by all tries
+        registry = new ConfigurationRegistry(); // jqwik runs all tries on one test instance
         Map<Long, Map<EntryKey, EntryValue>> past = new HashMap<>(Map.of(0L, Map.of()));
         for (int i = 0; i < 25; i++) {
             List<Mutation> mutations = new ArrayList<>();
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHandlerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHandlerTest.java
@@ -25,7 +25,7 @@
 import saltstage.configuration.SnapshotPage;
 import saltstage.coordinator.group.GroupCodec;
 
-/** What followers get from a distributor, and what it tells of them. */
+/** Tests the distributor's responses to followers and its counts of confirmed revisions. */
 class DistributorHandlerTest {
     private static final long WAIT_MS = 20_000;
 
@@ -92,9 +92,9 @@
     @Test
     void distributorOlderThanItsFollowerReportsBehind() throws Exception {
         acceptAndServe("gw-1");
-        Change newer = accept("gw-2"); // accepted, but not yet here
+        Change newer = accept("gw-2"); // accepted by the group, not yet known to the distributor
         EncodedResponse answer = pollChanges("relay-1", 2, newer.digest(), WAIT_MS).getNow(null);
-        assertNotNull(answer, "an older source must not hold a follower");
+        assertNotNull(answer, "a source that is behind must answer its follower at once");
         assertEquals(1, error(answer, 421).revision());
     }
 
@@ -103,7 +103,10 @@
         CompletableFuture<EncodedResponse> held = pollChanges("relay-1", 0, 0, WAIT_MS);
         Change change = acceptAndServe("gw-1");
         assertEquals(200, held.join().status());
-        assertEquals(0, zoneStatus().path("confirmed").asInt(), "sent is not confirmed");
+        assertEquals(
+                0,
+                zoneStatus().path("confirmed").asInt(),
+                "sending a revision does not confirm it");
         assertEquals(1, zoneStatus().path("behind").size());
 
         pollChanges("relay-1", 1, change.digest(), WAIT_MS);
@@ -162,7 +165,7 @@
             pollChanges("relay-1", 0, 0, WAIT_MS);
         }
         EncodedResponse refused = pollChanges("relay-2", 0, 0, WAIT_MS).getNow(null);
-        assertNotNull(refused, "over the bound");
+        assertNotNull(refused, "the maximum number of requests is waiting");
         assertTrue(error(refused, 503).retryMs() > 0);
     }
 
@@ -198,7 +201,10 @@
         }
         EncodedResponse refused = requestSnapshot("relay-99", 0, "");
         assertTrue(error(refused, 503).retryMs() > 0);
-        assertEquals(410, requestSnapshot("relay-1", 3, "").status(), "not held");
+        assertEquals(
+                410,
+                requestSnapshot("relay-1", 3, "").status(),
+                "revision 3 is no longer available");
     }
 
     private EncodedResponse requestSnapshot(String client, long revision, String from) {
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHttpServerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHttpServerTest.java
@@ -23,7 +23,10 @@
 import saltstage.configuration.Mutation;
 import saltstage.coordinator.group.GroupCodec;
 
-/** Many followers on sockets of their own. */
+/**
+ * Tests the HTTP server with many followers on real sockets: a reader that stalls must not delay
+ * the others, and a closed connection must not leave its request waiting.
+ */
 @Timeout(value = 1, unit = TimeUnit.MINUTES)
 class DistributorHttpServerTest {
     private static final int FOLLOWERS = 800;
@@ -143,7 +146,7 @@
         pollChanges(stuck, "stuck");
         pollChanges(reader, "reader");
         awaitWaiting(2);
-        applyChange(500, 2_000); // 1 MB: far over what a socket takes without its reader
+        applyChange(500, 2_000); // 1 MB: far more than the socket buffers hold
         assertEquals(
                 500,
                 ConfigurationJson.parseChanges(readBody(reader))
@@ -152,7 +155,10 @@
                         .mutations()
                         .size());
         Thread.sleep(FollowerConnection.WRITE_TIMEOUT.plusSeconds(1).toMillis());
-        int taken = stuck.getInputStream().readAllBytes().length; // what the socket still held
+        int taken =
+                stuck.getInputStream()
+                        .readAllBytes()
+                        .length; // the bytes left in the socket buffers
         assertTrue(taken < 900_000, taken + " bytes");
     }
 
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/FollowerRegistryTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/FollowerRegistryTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import saltstage.coordinator.configuration.FollowerReport;
 
-/** What a registry tells of its followers. */
+/** Tests the counts of followers by revision, and which followers are behind or silent. */
 class FollowerRegistryTest {
     private static final long SILENT_AFTER_MS = 10_000;
 
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/ReportScheduleTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/ReportScheduleTest.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** When zones are reported to the leader. */
+/** Tests when zones are due for a report to the leader. */
 class ReportScheduleTest {
     private final ReportSchedule schedule = new ReportSchedule();
 
@@ -23,7 +23,9 @@
         assertEquals(List.of(quiet, busy), schedule.dueZones(List.of(quiet, busy), 0));
         schedule.markReported(quiet, 0);
         assertEquals(
-                List.of(busy), schedule.dueZones(List.of(quiet, busy), 1_000), "not yet taken");
+                List.of(busy),
+                schedule.dueZones(List.of(quiet, busy), 1_000),
+                "the leader has not accepted this report yet");
         schedule.markReported(busy, 1_000);
 
         ZoneConfirmations changed = zone("a2", 6);
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/SnapshotAdmissionTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/SnapshotAdmissionTest.java
@@ -7,7 +7,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** How many snapshot transfers are let in, and when the others are told to come back. */
+/**
+ * Tests the limit on concurrent snapshot transfers and the retry times of rejected followers, which
+ * must be spread: followers that retried at the same moment would be rejected together again.
+ */
 class SnapshotAdmissionTest {
     private static final int MAX_TRANSFERS = 4;
     private static final long TRANSFER_MS = 400;
@@ -20,7 +23,7 @@
             assertEquals(0, admission.admit("relay-" + i, 0));
         }
         assertTrue(admission.admit("relay-9", 0) > 0);
-        assertEquals(0, admission.admit("relay-2", 10), "its next page");
+        assertEquals(0, admission.admit("relay-2", 10), "the next page of an active transfer");
         admission.finish("relay-2");
         assertEquals(0, admission.admit("relay-9", 20));
         assertEquals(MAX_TRANSFERS, admission.activeTransfers());
@@ -35,7 +38,7 @@
         for (int i = 0; i < 80; i++) {
             retryTimes.add(admission.admit("waiting-" + i, 0));
         }
-        assertEquals(80, retryTimes.size(), "no two are told the same moment");
+        assertEquals(80, retryTimes.size(), "each follower has its own retry time");
         assertEquals(100, retryTimes.stream().mapToLong(Long::longValue).min().orElseThrow());
         assertEquals(8_000, retryTimes.stream().mapToLong(Long::longValue).max().orElseThrow());
     }
