--- a/coordinator/src/main/java/saltstage/coordinator/configuration/AcceptedChange.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/AcceptedChange.java
@@ -38,8 +38,8 @@
     static long parseDigest(String digest) {
         try {
             return ConfigurationJson.parseDigest(digest, "digest");
-        } catch (MalformedException bad) {
-            throw new IllegalArgumentException(bad.getMessage(), bad);
+        } catch (MalformedException malformed) {
+            throw new IllegalArgumentException(malformed.getMessage(), malformed);
         }
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ChangeValidator.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ChangeValidator.java
@@ -35,21 +35,21 @@
      * Creates a validator for one change.
      *
      * @param entries the entries in force
-     * @param shards the number of shards that refer to each backend now
+     * @param shardCounts the number of shards that refer to each backend now
      * @param mutations the mutations by key, without those that would change nothing
      */
     ChangeValidator(
             NavigableMap<EntryKey, Entry> entries,
-            ShardCounts shards,
+            ShardCounts shardCounts,
             Map<EntryKey, Mutation> mutations) {
         this.entries = entries;
-        this.shardCounts = shards;
+        this.shardCounts = shardCounts;
         this.mutations = mutations;
     }
 
     /** Returns the first rejection in the order of keys, or null if the change is valid. */
     Rejected rejection() {
-        boolean settings = false;
+        boolean hasSettings = false;
         for (Mutation mutation : mutations.values()) {
             Rejected fault =
                     mutation.isDeletion()
@@ -58,18 +58,18 @@
             if (fault != null) {
                 return fault;
             }
-            settings |= mutation.key().kind() == EntryKind.SETTING;
+            hasSettings |= mutation.key().kind() == EntryKind.SETTING;
         }
-        Rejected together = settings ? settingsRejection() : null;
-        return together != null ? together : countRejection();
+        Rejected settingsFault = hasSettings ? settingsRejection() : null;
+        return settingsFault != null ? settingsFault : countRejection();
     }
 
     private Rejected valueRejection(Mutation mutation) {
         EntryKey key = mutation.key();
-        String carried = ValueRules.validationError(mutation.value());
-        if (carried != null) {
+        String valueError = ValueRules.validationError(mutation.value());
+        if (valueError != null) {
             return rejected(
-                    RejectionCode.INVALID_VALUE, key, displayText(mutation.value()), carried);
+                    RejectionCode.INVALID_VALUE, key, displayText(mutation.value()), valueError);
         }
         return switch (key.kind()) {
             case SETTING -> settingRejection(key, (EntryValue.Setting) mutation.value());
@@ -88,8 +88,8 @@
                     setting.text(),
                     "relays take while they run: " + SettingRules.reloadableNames());
         }
-        TreeMap<String, String> alone = new TreeMap<>(Map.of(key.name(), setting.text()));
-        String fault = SettingRules.validationError(alone);
+        TreeMap<String, String> single = new TreeMap<>(Map.of(key.name(), setting.text()));
+        String fault = SettingRules.validationError(single);
         return fault == null
                 ? null
                 : rejected(RejectionCode.INVALID_VALUE, key, setting.text(), fault);
@@ -106,7 +106,7 @@
         try {
             BackendList.parseAddress(backend.address());
             return null;
-        } catch (MalformedException bad) {
+        } catch (MalformedException malformed) {
             return rejected(
                     RejectionCode.INVALID_VALUE,
                     key,
@@ -131,13 +131,15 @@
         if (key.kind() != EntryKind.BACKEND) {
             return null;
         }
-        int left = shardCounts.countOf(key.name()) + shardsAddedTo(key.name());
-        if (left > 0) {
+        int remainingShards = shardCounts.countOf(key.name()) + shardsAddedTo(key.name());
+        if (remainingShards > 0) {
             return rejected(
                     RejectionCode.IN_USE,
                     key,
                     "deleted",
-                    "place its " + left + " shards elsewhere first, or in the same change");
+                    "place its "
+                            + remainingShards
+                            + " shards elsewhere first, or in the same change");
         }
         return isPresentAfterChange(new EntryKey(EntryKind.SUSPENSION, key.name()))
                 ? rejected(
@@ -180,10 +182,10 @@
             }
             after.put(entry.key().name(), ((EntryValue.Setting) entry.value()).text());
         }
-        Mutation named = null;
+        Mutation reported = null;
         for (Mutation mutation : mutations.values()) {
             if (mutation.key().kind() == EntryKind.SETTING) {
-                named = named == null || named.isDeletion() ? mutation : named;
+                reported = reported == null || reported.isDeletion() ? mutation : reported;
                 if (mutation.isDeletion()) {
                     after.remove(mutation.key().name());
                 } else {
@@ -193,12 +195,15 @@
             }
         }
         String fault = SettingRules.validationError(after);
-        String value = named == null || named.isDeletion() ? "deleted" : displayText(named.value());
+        String value =
+                reported == null || reported.isDeletion()
+                        ? "deleted"
+                        : displayText(reported.value());
         return fault == null
                 ? null
                 : rejected(
                         RejectionCode.INVALID_VALUE,
-                        named.key(),
+                        reported.key(),
                         value,
                         "with the other settings in force: " + fault);
     }
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationModule.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationModule.java
@@ -35,14 +35,15 @@
 
     private static final class MutationSerializer extends JsonSerializer<Mutation> {
         @Override
-        public void serialize(Mutation mutation, JsonGenerator out, SerializerProvider with)
+        public void serialize(Mutation mutation, JsonGenerator out, SerializerProvider provider)
                 throws IOException {
             out.writeStartObject();
             out.writeStringField(KEY, mutation.key().text());
             if (mutation.isDeletion()) {
                 out.writeBooleanField(DELETED, true);
             } else {
-                with.defaultSerializeField(mutation.key().kind().wireName(), mutation.value(), out);
+                provider.defaultSerializeField(
+                        mutation.key().kind().wireName(), mutation.value(), out);
             }
             out.writeEndObject();
         }
@@ -50,28 +51,29 @@
 
     private static final class EntrySerializer extends JsonSerializer<Entry> {
         @Override
-        public void serialize(Entry entry, JsonGenerator out, SerializerProvider with)
+        public void serialize(Entry entry, JsonGenerator out, SerializerProvider provider)
                 throws IOException {
             out.writeStartObject();
             out.writeStringField(KEY, entry.key().text());
             out.writeNumberField(REVISION, entry.revision());
-            with.defaultSerializeField(entry.key().kind().wireName(), entry.value(), out);
+            provider.defaultSerializeField(entry.key().kind().wireName(), entry.value(), out);
             out.writeEndObject();
         }
     }
 
     private static final class MutationDeserializer extends JsonDeserializer<Mutation> {
         @Override
-        public Mutation deserialize(JsonParser in, DeserializationContext with) throws IOException {
+        public Mutation deserialize(JsonParser in, DeserializationContext context)
+                throws IOException {
             JsonNode tree = in.readValueAsTree();
-            EntryKey key = readKey(tree, with);
-            String word = tree.has(DELETED) ? DELETED : key.kind().wireName();
-            checkMembers(tree, 2, word, with);
-            if (!word.equals(DELETED)) {
-                return new Mutation(key, readValue(tree, key, with));
+            EntryKey key = readKey(tree, context);
+            String member = tree.has(DELETED) ? DELETED : key.kind().wireName();
+            checkMembers(tree, 2, member, context);
+            if (!member.equals(DELETED)) {
+                return new Mutation(key, readValue(tree, key, context));
             }
             if (!tree.get(DELETED).isBoolean() || !tree.get(DELETED).booleanValue()) {
-                return with.reportInputMismatch(
+                return context.reportInputMismatch(
                         Mutation.class, "%s: 'deleted' takes only true", key.text());
             }
             return new Mutation(key, null);
@@ -80,48 +82,50 @@
 
     private static final class EntryDeserializer extends JsonDeserializer<Entry> {
         @Override
-        public Entry deserialize(JsonParser in, DeserializationContext with) throws IOException {
+        public Entry deserialize(JsonParser in, DeserializationContext context) throws IOException {
             JsonNode tree = in.readValueAsTree();
-            EntryKey key = readKey(tree, with);
-            checkMembers(tree, 3, key.kind().wireName(), with);
+            EntryKey key = readKey(tree, context);
+            checkMembers(tree, 3, key.kind().wireName(), context);
             if (!tree.path(REVISION).isIntegralNumber()) {
-                return with.reportInputMismatch(
+                return context.reportInputMismatch(
                         Entry.class, "%s: 'revision' is no number", key.text());
             }
-            return new Entry(key, readValue(tree, key, with), tree.get(REVISION).longValue());
+            return new Entry(key, readValue(tree, key, context), tree.get(REVISION).longValue());
         }
     }
 
-    private static EntryKey readKey(JsonNode tree, DeserializationContext with) throws IOException {
+    private static EntryKey readKey(JsonNode tree, DeserializationContext context)
+            throws IOException {
         if (!tree.path(KEY).isTextual()) {
-            return with.reportInputMismatch(EntryKey.class, "'key' takes a text");
+            return context.reportInputMismatch(EntryKey.class, "'key' takes a text");
         }
         try {
             return EntryKey.parse(tree.get(KEY).textValue());
-        } catch (IllegalArgumentException bad) {
-            return with.reportInputMismatch(EntryKey.class, "'key': %s", bad.getMessage());
+        } catch (IllegalArgumentException invalid) {
+            return context.reportInputMismatch(EntryKey.class, "'key': %s", invalid.getMessage());
         }
     }
 
     private static void checkMembers(
-            JsonNode tree, int count, String word, DeserializationContext with) throws IOException {
-        if (tree.size() != count || !tree.hasNonNull(word)) {
-            with.reportInputMismatch(
+            JsonNode tree, int count, String member, DeserializationContext context)
+            throws IOException {
+        if (tree.size() != count || !tree.hasNonNull(member)) {
+            context.reportInputMismatch(
                     Mutation.class,
                     "%s: '%s' and nothing more is taken",
                     tree.get(KEY).textValue(),
-                    word);
+                    member);
         }
     }
 
-    private static EntryValue readValue(JsonNode tree, EntryKey key, DeserializationContext with)
+    private static EntryValue readValue(JsonNode tree, EntryKey key, DeserializationContext context)
             throws IOException {
         JsonNode value = tree.get(key.kind().wireName());
         return switch (key.kind()) {
-            case SETTING -> with.readTreeAsValue(value, EntryValue.Setting.class);
-            case BACKEND -> with.readTreeAsValue(value, EntryValue.Backend.class);
-            case SHARD -> with.readTreeAsValue(value, EntryValue.Shard.class);
-            case SUSPENSION -> with.readTreeAsValue(value, EntryValue.Suspension.class);
+            case SETTING -> context.readTreeAsValue(value, EntryValue.Setting.class);
+            case BACKEND -> context.readTreeAsValue(value, EntryValue.Backend.class);
+            case SHARD -> context.readTreeAsValue(value, EntryValue.Shard.class);
+            case SUSPENSION -> context.readTreeAsValue(value, EntryValue.Suspension.class);
         };
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationRegistry.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ConfigurationRegistry.java
@@ -97,41 +97,43 @@
      * Accepts or rejects a change. A rejected change, and one whose values are all in force
      * already, leaves the registry as it is.
      */
-    public Reply applyChange(ChangeConfiguration ask, long dayMs) {
-        Rejected fault = boundsRejection(ask);
-        fault = fault != null ? fault : conflictRejection(ask.expected());
+    public Reply applyChange(ChangeConfiguration request, long dayMs) {
+        Rejected fault = boundsRejection(request);
+        fault = fault != null ? fault : conflictRejection(request.expected());
         if (fault != null) {
             return fault;
         }
-        TreeMap<EntryKey, Mutation> effective = effectiveMutations(ask.mutations());
+        TreeMap<EntryKey, Mutation> effective = effectiveMutations(request.mutations());
         fault = new ChangeValidator(view.entries(), shardCounts, effective).rejection();
         if (fault != null) {
             return fault;
         }
         if (!effective.isEmpty()) {
-            accept(effective.values(), ask.author(), dayMs);
+            accept(effective.values(), request.author(), dayMs);
         }
         return new Changed(
                 view.revision(), ConfigurationJson.formatDigest(view.digest()), effective.size());
     }
 
-    private static Rejected boundsRejection(ChangeConfiguration ask) {
-        if (!AUTHOR_PATTERN.matcher(ask.author()).matches()) {
+    private static Rejected boundsRejection(ChangeConfiguration request) {
+        if (!AUTHOR_PATTERN.matcher(request.author()).matches()) {
             return malformed(
-                    ask.author(), "an author of 1 to 100 visible ASCII characters would do");
+                    request.author(), "an author of 1 to 100 visible ASCII characters would do");
         }
-        int most = ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE;
-        int mutations = ask.mutations().size();
-        if (mutations == 0 || mutations > most || ask.expected().size() > most) {
+        int maxMutations = ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE;
+        int mutations = request.mutations().size();
+        if (mutations == 0
+                || mutations > maxMutations
+                || request.expected().size() > maxMutations) {
             return malformed(
-                    mutations + " mutations, " + ask.expected().size() + " expected",
+                    mutations + " mutations, " + request.expected().size() + " expected",
                     "1 to "
-                            + most
+                            + maxMutations
                             + " mutations and up to "
-                            + most
+                            + maxMutations
                             + " expected revisions would do");
         }
-        int bytes = ConfigurationLimits.estimatedBytes(new Change(0, 0, ask.mutations()));
+        int bytes = ConfigurationLimits.estimatedBytes(new Change(0, 0, request.mutations()));
         return bytes <= ConfigurationLimits.MAX_BYTES_PER_CHANGE
                 ? null
                 : malformed(
@@ -148,8 +150,8 @@
             EntryKey key;
             try {
                 key = EntryKey.parse(condition.getKey());
-            } catch (IllegalArgumentException bad) {
-                return malformed(condition.getKey(), bad.getMessage());
+            } catch (IllegalArgumentException invalid) {
+                return malformed(condition.getKey(), invalid.getMessage());
             }
             Entry entry = view.entries().get(key);
             long revision = entry == null ? 0 : entry.revision();
@@ -199,16 +201,16 @@
      * are left out.
      */
     public History history(long after, int limit) {
-        List<AcceptedChange> some = new ArrayList<>();
+        List<AcceptedChange> selected = new ArrayList<>();
         int bytes = 0;
         for (AcceptedChange change : acceptedChanges.tailMap(after, false).values()) {
-            if (some.size() >= limit || bytes >= ConfigurationLimits.RESPONSE_BYTES_THRESHOLD) {
+            if (selected.size() >= limit || bytes >= ConfigurationLimits.RESPONSE_BYTES_THRESHOLD) {
                 break;
             }
-            some.add(change);
+            selected.add(change);
             bytes += change.estimatedBytes();
         }
-        return new History(view.revision(), history.baseRevision(), some);
+        return new History(view.revision(), history.baseRevision(), selected);
     }
 
     /** Returns the result for a follower that has this revision with this digest. */
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReport.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReport.java
@@ -42,7 +42,7 @@
     public String validationError() {
         if (!isValidName(distributor)
                 || !isValidName(zone)
-                || behind.stream().anyMatch(one -> !isValidName(one.follower()))) {
+                || behind.stream().anyMatch(lagging -> !isValidName(lagging.follower()))) {
             return "'distributor', 'zone' and 'follower' take up to "
                     + MAX_NAME_LENGTH
                     + " visible characters";
@@ -58,7 +58,9 @@
                 followers < 0
                         || revision < 0
                         || confirmedByRevision.values().stream().anyMatch(count -> count < 0)
-                        || behind.stream().anyMatch(one -> one.revision() < 0 || one.sinceMs() < 0);
+                        || behind.stream()
+                                .anyMatch(
+                                        lagging -> lagging.revision() < 0 || lagging.sinceMs() < 0);
         return negative ? "counts, revisions and spans are 0 or more" : null;
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReports.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/FollowerReports.java
@@ -56,26 +56,26 @@
     /** Evaluates all reports against a revision; reports of any age are included with their age. */
     public List<Zone> zones(long revision, long nowMs) {
         List<Zone> zones = new ArrayList<>();
-        reports.values().forEach(one -> zones.add(toZone(one, revision, nowMs)));
+        reports.values().forEach(received -> zones.add(toZone(received, revision, nowMs)));
         return zones;
     }
 
     private static Zone toZone(ReceivedReport received, long revision, long nowMs) {
         FollowerReport report = received.report();
-        long age = nowMs - received.receivedAtMs();
+        long ageMs = nowMs - received.receivedAtMs();
         int confirmed = 0;
         for (Map.Entry<Long, Integer> count : report.confirmedByRevision().entrySet()) {
             confirmed += count.getKey() >= revision ? count.getValue() : 0;
         }
         List<FollowerReport.Behind> behind = new ArrayList<>();
-        for (FollowerReport.Behind one : report.behind()) {
-            if (one.revision() < revision) {
+        for (FollowerReport.Behind lagging : report.behind()) {
+            if (lagging.revision() < revision) {
                 behind.add(
                         new FollowerReport.Behind(
-                                one.follower(), one.revision(), one.sinceMs() + age));
+                                lagging.follower(), lagging.revision(), lagging.sinceMs() + ageMs));
             }
         }
         return new Zone(
-                report.zone(), report.distributor(), age, report.followers(), confirmed, behind);
+                report.zone(), report.distributor(), ageMs, report.followers(), confirmed, behind);
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/RollbackPlan.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/RollbackPlan.java
@@ -42,8 +42,8 @@
     }
 
     private boolean isNoOp(Mutation mutation) {
-        EntryValue now = newestValues.get(mutation.key());
-        return now == null ? mutation.isDeletion() : now.equals(mutation.value());
+        EntryValue newestValue = newestValues.get(mutation.key());
+        return newestValue == null ? mutation.isDeletion() : newestValue.equals(mutation.value());
     }
 
     /**
@@ -60,31 +60,35 @@
     private List<ChangeConfiguration> toChanges(String author) {
         List<Mutation> ordered = new ArrayList<>();
         for (Stage stage : Stage.values()) {
-            undoByKey.values().stream().filter(one -> stageOf(one) == stage).forEach(ordered::add);
+            undoByKey.values().stream()
+                    .filter(mutation -> stageOf(mutation) == stage)
+                    .forEach(ordered::add);
         }
-        List<ChangeConfiguration> asked = new ArrayList<>();
-        List<Mutation> some = new ArrayList<>();
-        int bytes = 0;
+        List<ChangeConfiguration> changes = new ArrayList<>();
+        List<Mutation> batch = new ArrayList<>();
+        int batchBytes = 0;
         for (Mutation mutation : ordered) {
-            int more = ConfigurationLimits.estimatedBytes(mutation);
-            if (some.size() == ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE
-                    || bytes + more > ConfigurationLimits.MAX_BYTES_PER_CHANGE) {
-                asked.add(newChange(some, author));
-                some.clear();
-                bytes = 0;
+            int mutationBytes = ConfigurationLimits.estimatedBytes(mutation);
+            if (batch.size() == ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE
+                    || batchBytes + mutationBytes > ConfigurationLimits.MAX_BYTES_PER_CHANGE) {
+                changes.add(newChange(batch, author));
+                batch.clear();
+                batchBytes = 0;
             }
-            some.add(mutation);
-            bytes += more;
+            batch.add(mutation);
+            batchBytes += mutationBytes;
         }
-        if (!some.isEmpty()) {
-            asked.add(newChange(some, author));
+        if (!batch.isEmpty()) {
+            changes.add(newChange(batch, author));
         }
-        return asked;
+        return changes;
     }
 
     private ChangeConfiguration newChange(List<Mutation> mutations, String author) {
         Map<String, Long> expected = new TreeMap<>();
-        mutations.forEach(one -> expected.put(one.key().text(), newestRevisions.get(one.key())));
+        mutations.forEach(
+                mutation ->
+                        expected.put(mutation.key().text(), newestRevisions.get(mutation.key())));
         return new ChangeConfiguration(author, List.copyOf(mutations), expected);
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/SettingRules.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/SettingRules.java
@@ -78,8 +78,8 @@
         try {
             OperatorSettings.parse(FILE_NAME, compose(settings));
             return null;
-        } catch (MalformedException bad) {
-            return bad.getMessage();
+        } catch (MalformedException malformed) {
+            return malformed.getMessage();
         }
     }
 
@@ -88,7 +88,7 @@
         settings.forEach(
                 (name, text) -> {
                     int dot = name.indexOf('.');
-                    blocks.computeIfAbsent(name.substring(0, dot), any -> new ArrayList<>())
+                    blocks.computeIfAbsent(name.substring(0, dot), key -> new ArrayList<>())
                             .add(name.substring(dot + 1) + " = " + text);
                 });
         StringBuilder file = new StringBuilder();
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/ConfirmationReporter.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/ConfirmationReporter.java
@@ -33,12 +33,12 @@
             String distributor,
             String zone,
             DistributorHandler handler,
-            GroupClient group,
+            GroupClient groupClient,
             LongSupplier nowMs) {
         this.distributor = distributor;
         this.zone = zone;
         this.handler = handler;
-        this.groupClient = group;
+        this.groupClient = groupClient;
         this.nowMs = nowMs;
     }
 
@@ -50,7 +50,7 @@
                 reportDueZones();
                 Thread.sleep(REPORT_INTERVAL.toMillis());
             }
-        } catch (InterruptedException ended) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
@@ -64,25 +64,25 @@
                         CALL_TIMEOUT);
                 schedule.markReported(due, nowMs.getAsLong());
                 failing = false;
-            } catch (IOException | IllegalArgumentException failed) {
+            } catch (IOException | IllegalArgumentException failure) {
                 schedule.reset();
-                logOnce(failed);
+                logOnce(failure);
                 return;
             }
         }
     }
 
-    private void logOnce(Exception failed) {
+    private void logOnce(Exception failure) {
         if (!failing) {
             failing = true;
-            Log.warn("distributor.not-reported", "why", failed.getMessage());
+            Log.warn("distributor.not-reported", "why", failure.getMessage());
         }
     }
 
     /** Returns all zones with followers, and this distributor's own zone even if it has none. */
     private List<ZoneConfirmations> zones() {
         List<ZoneConfirmations> zones = new ArrayList<>(handler.confirmations());
-        if (zones.stream().noneMatch(one -> one.zone().equals(zone))) {
+        if (zones.stream().noneMatch(confirmations -> confirmations.zone().equals(zone))) {
             zones.add(
                     new ZoneConfirmations(
                             zone, handler.revision(), new TreeMap<>(), 0, List.of(), List.of()));
@@ -90,13 +90,13 @@
         return zones;
     }
 
-    private FollowerReport toReport(ZoneConfirmations of) {
+    private FollowerReport toReport(ZoneConfirmations confirmations) {
         return new FollowerReport(
                 distributor,
-                of.zone(),
-                of.revision(),
-                of.confirmedByRevision(),
-                of.followers(),
-                of.behind());
+                confirmations.zone(),
+                confirmations.revision(),
+                confirmations.confirmedByRevision(),
+                confirmations.followers(),
+                confirmations.behind());
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHandler.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHandler.java
@@ -80,21 +80,21 @@
      *
      * @param name the distributor's name
      * @param zone the distributor's zone, in which followers without a zone are counted
-     * @param held the configuration that the distributor has persisted; copied
+     * @param persisted the configuration that the distributor has persisted; copied
      * @param nowMs a monotonic clock, in milliseconds
      */
     public DistributorHandler(
-            String name, String zone, ConfigurationView held, LongSupplier nowMs) {
+            String name, String zone, ConfigurationView persisted, LongSupplier nowMs) {
         this.name = name;
         this.zone = zone;
         this.nowMs = nowMs;
-        view = copy(held);
+        view = copy(persisted);
         history = new ChangeHistory(view.revision(), view.digest());
         registry.advance(view.revision(), nowMs.getAsLong());
     }
 
-    private static ConfigurationView copy(ConfigurationView of) {
-        return new ConfigurationView(of.revision(), of.entries().values());
+    private static ConfigurationView copy(ConfigurationView source) {
+        return new ConfigurationView(source.revision(), source.entries().values());
     }
 
     /** Applies these changes, oldest first, and answers the requests that wait for them. */
@@ -131,8 +131,8 @@
             update.run();
             changesBodies.clear();
             registry.advance(view.revision(), nowMs.getAsLong());
-            for (WaitingRequests.WaitingRequest one : waitingRequests.takeAll()) {
-                due.add(new DueResponse(one, currentResponse(one.request())));
+            for (WaitingRequests.WaitingRequest waitingRequest : waitingRequests.takeAll()) {
+                due.add(new DueResponse(waitingRequest, currentResponse(waitingRequest.request())));
             }
         }
         due.forEach(DueResponse::send);
@@ -144,8 +144,8 @@
         synchronized (this) {
             long now = nowMs.getAsLong();
             registry.sweep(now);
-            for (WaitingRequests.WaitingRequest one : waitingRequests.takeDue(now)) {
-                due.add(new DueResponse(one, currentResponse(one.request())));
+            for (WaitingRequests.WaitingRequest waitingRequest : waitingRequests.takeDue(now)) {
+                due.add(new DueResponse(waitingRequest, currentResponse(waitingRequest.request())));
             }
         }
         due.forEach(DueResponse::send);
@@ -178,8 +178,8 @@
         }
     }
 
-    private static CompletableFuture<EncodedResponse> completed(EncodedResponse answer) {
-        return CompletableFuture.completedFuture(answer);
+    private static CompletableFuture<EncodedResponse> completed(EncodedResponse response) {
+        return CompletableFuture.completedFuture(response);
     }
 
     private static EncodedResponse error(int status, String error, long revision, long retryMs) {
@@ -193,17 +193,18 @@
 
     private CompletableFuture<EncodedResponse> handleChanges(ReadRequest.Changes request) {
         long now = nowMs.getAsLong();
-        ChangeHistory.Result answer = changesAfter(request);
-        String countedIn = request.zone().isEmpty() ? zone : request.zone();
-        if (isVerified(answer)) {
-            registry.confirm(request.follower(), countedIn, request.after(), now);
+        ChangeHistory.Result result = changesAfter(request);
+        String countedZone = request.zone().isEmpty() ? zone : request.zone();
+        if (isVerified(result)) {
+            registry.confirm(request.follower(), countedZone, request.after(), now);
         } else {
-            registry.recordUnverifiedRequest(request.follower(), countedIn, now);
+            registry.recordUnverifiedRequest(request.follower(), countedZone, now);
         }
-        boolean isNewest = answer instanceof ChangeHistory.Changes some && some.changes().isEmpty();
-        return isNewest && request.waitMs() > 0
+        boolean isUpToDate =
+                result instanceof ChangeHistory.Changes found && found.changes().isEmpty();
+        return isUpToDate && request.waitMs() > 0
                 ? holdRequest(request, now + request.waitMs())
-                : completed(encode(request, answer));
+                : completed(encode(request, result));
     }
 
     private ChangeHistory.Result changesAfter(ReadRequest.Changes request) {
@@ -211,41 +212,42 @@
     }
 
     /** Returns whether the follower's revision is known here or older than the whole history. */
-    private static boolean isVerified(ChangeHistory.Result answer) {
-        return answer instanceof ChangeHistory.Changes || answer == ChangeHistory.Failure.TRUNCATED;
+    private static boolean isVerified(ChangeHistory.Result result) {
+        return result instanceof ChangeHistory.Changes || result == ChangeHistory.Failure.TRUNCATED;
     }
 
     private CompletableFuture<EncodedResponse> holdRequest(
-            ReadRequest.Changes request, long untilMs) {
-        WaitingRequests.WaitingRequest held = waitingRequests.add(request, untilMs);
-        if (held == null) {
+            ReadRequest.Changes request, long deadlineMs) {
+        WaitingRequests.WaitingRequest waitingRequest = waitingRequests.add(request, deadlineMs);
+        if (waitingRequest == null) {
             return completed(error(SERVICE_UNAVAILABLE, ErrorResponse.BUSY, 0, BUSY_RETRY_MS));
         }
-        held.response()
+        waitingRequest
+                .response()
                 .whenComplete(
-                        (answer, cancelled) -> {
+                        (response, cancelled) -> {
                             if (cancelled != null) {
-                                removeWaiting(held);
+                                removeWaiting(waitingRequest);
                             }
                         });
-        return held.response();
+        return waitingRequest.response();
     }
 
-    private synchronized void removeWaiting(WaitingRequests.WaitingRequest gone) {
-        waitingRequests.remove(gone);
+    private synchronized void removeWaiting(WaitingRequests.WaitingRequest request) {
+        waitingRequests.remove(request);
     }
 
     private EncodedResponse currentResponse(ReadRequest.Changes request) {
         return encode(request, changesAfter(request));
     }
 
-    private EncodedResponse encode(ReadRequest.Changes request, ChangeHistory.Result answer) {
-        if (answer instanceof ChangeHistory.Changes some) {
+    private EncodedResponse encode(ReadRequest.Changes request, ChangeHistory.Result result) {
+        if (result instanceof ChangeHistory.Changes found) {
             ChangesKey key = new ChangesKey(request.after(), request.limit());
             return new EncodedResponse(
-                    OK, changesBodies.getOrEncode(key, () -> encode(some.changes())));
+                    OK, changesBodies.getOrEncode(key, () -> encode(found.changes())));
         }
-        return switch ((ChangeHistory.Failure) answer) {
+        return switch ((ChangeHistory.Failure) result) {
             case DIVERGED -> error(CONFLICT, ErrorResponse.DIVERGED, view.revision(), 0);
             case TRUNCATED -> error(GONE, ErrorResponse.TRUNCATED, view.revision(), 0);
             case BEHIND -> error(MISDIRECTED_REQUEST, ErrorResponse.BEHIND, view.revision(), 0);
@@ -259,29 +261,29 @@
     }
 
     private EncodedResponse handleSnapshot(ReadRequest.Snapshot request, String client) {
-        String taker = request.follower().isEmpty() ? client : request.follower();
-        long retryMs = admission.admit(taker, nowMs.getAsLong());
+        String recipient = request.follower().isEmpty() ? client : request.follower();
+        long retryMs = admission.admit(recipient, nowMs.getAsLong());
         if (retryMs > 0) {
             return error(SERVICE_UNAVAILABLE, ErrorResponse.BUSY, 0, retryMs);
         }
         SnapshotPage page = pager.page(view, request.revision(), request.from(), request.limit());
         if (page == null || page.next() == null) {
-            admission.finish(taker);
+            admission.finish(recipient);
         }
         if (page == null) {
             return error(GONE, ErrorResponse.TRUNCATED, view.revision(), 0);
         }
-        ReadRequest.Snapshot same =
+        ReadRequest.Snapshot sharedRequest =
                 new ReadRequest.Snapshot(page.revision(), request.from(), request.limit(), "");
-        PageKey key = new PageKey(page.digest(), same);
+        PageKey key = new PageKey(page.digest(), sharedRequest);
         return new EncodedResponse(
                 OK, pageBodies.getOrEncode(key, () -> utf8(ConfigurationJson.toJson(page))));
     }
 
     private EncodedResponse handleStatus(ReadRequest.Status request) {
-        long asked = request.revision() == 0 ? view.revision() : request.revision();
+        long measuredRevision = request.revision() == 0 ? view.revision() : request.revision();
         List<DistributorStatus.Zone> zones =
-                registry.reports(asked, nowMs.getAsLong()).stream()
+                registry.reports(measuredRevision, nowMs.getAsLong()).stream()
                         .map(DistributorStatus.Zone::of)
                         .toList();
         DistributorStatus status =
@@ -289,15 +291,15 @@
                         name,
                         view.revision(),
                         ConfigurationJson.formatDigest(view.digest()),
-                        asked,
+                        measuredRevision,
                         waitingRequests.size(),
                         admission.activeTransfers(),
                         changesBodies.encodingCount() + pageBodies.encodingCount(),
                         zones);
         try {
             return new EncodedResponse(OK, GroupCodec.jsonMapper().writeValueAsBytes(status));
-        } catch (JsonProcessingException impossible) {
-            throw new IllegalStateException(impossible);
+        } catch (JsonProcessingException failure) {
+            throw new IllegalStateException(failure);
         }
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHttpServer.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHttpServer.java
@@ -45,7 +45,7 @@
     public DistributorHttpServer(InetSocketAddress address, DistributorHandler handler)
             throws IOException {
         this.handler = handler;
-        ChannelFuture bound =
+        ChannelFuture bindFuture =
                 new ServerBootstrap()
                         .group(eventLoopGroup)
                         .channel(NioServerSocketChannel.class)
@@ -56,12 +56,12 @@
                         .childHandler(new ConnectionInitializer())
                         .bind(address)
                         .awaitUninterruptibly();
-        if (!bound.isSuccess()) {
+        if (!bindFuture.isSuccess()) {
             eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             throw new IOException(
-                    "cannot listen on " + address + ": " + bound.cause().getMessage());
+                    "cannot listen on " + address + ": " + bindFuture.cause().getMessage());
         }
-        serverChannel = bound.channel();
+        serverChannel = bindFuture.channel();
         eventLoopGroup
                 .next()
                 .scheduleAtFixedRate(
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorProcess.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorProcess.java
@@ -59,7 +59,7 @@
     private final Thread reporterThread;
 
     /** Starts a distributor; throws IOException if its directory or address is not available. */
-    public DistributorProcess(DistributorSettings settings, FailureHandler failure)
+    public DistributorProcess(DistributorSettings settings, FailureHandler failureHandler)
             throws IOException {
         Files.createDirectories(settings.dir());
         directory = new ConfigurationDirectory(settings.dir(), Log::info);
@@ -76,21 +76,21 @@
                         followerResources(),
                         directory,
                         directory.persistedConfiguration().view(),
-                        new ServingListener(handler, failure));
+                        new ServingListener(handler, failureHandler));
         GroupClient group =
                 new GroupClient(
                         settings.sourceAddresses().stream()
                                 .map(DistributorProcess::hostAndPort)
                                 .toList(),
                         Ticker.SYSTEM);
-        ConfirmationReporter reports =
+        ConfirmationReporter reporter =
                 new ConfirmationReporter(
                         settings.name(),
                         settings.zone(),
                         handler,
                         group,
                         DistributorProcess::nowMs);
-        reporterThread = newThread(reports, "distributor-reporter");
+        reporterThread = newThread(reporter, "distributor-reporter");
         Log.info(
                 "distributor.ready",
                 "name",
@@ -140,17 +140,17 @@
     }
 
     private static ScheduledExecutorService newScheduler(String name) {
-        return Executors.newSingleThreadScheduledExecutor(work -> newThread(work, name));
+        return Executors.newSingleThreadScheduledExecutor(task -> newThread(task, name));
     }
 
-    private static Thread newThread(Runnable work, String name) {
-        Thread thread = new Thread(work, name);
+    private static Thread newThread(Runnable task, String name) {
+        Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         return thread;
     }
 
     /** Passes applied configuration to the handler, and logs the sources in use. */
-    private record ServingListener(DistributorHandler handler, FailureHandler failure)
+    private record ServingListener(DistributorHandler handler, FailureHandler failureHandler)
             implements FollowerListener {
         @Override
         public void changesApplied(List<Change> changes) {
@@ -181,7 +181,7 @@
         @Override
         public void faultOccurred(RuntimeException fault) {
             Log.error("distributor.fault", fault);
-            failure.terminate(fault);
+            failureHandler.terminate(fault);
         }
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/EncodedBodyCache.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/EncodedBodyCache.java
@@ -17,15 +17,15 @@
     private long cachedBytes;
     private long encodingCount;
 
-    EncodedBodyCache(long mostBytes) {
-        this.maxBytes = mostBytes;
+    EncodedBodyCache(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     /** Returns the body for this key, and encodes it only if it is not cached. */
     byte[] getOrEncode(K key, Supplier<byte[]> encoder) {
-        byte[] kept = bodies.get(key);
-        if (kept != null) {
-            return kept;
+        byte[] cached = bodies.get(key);
+        if (cached != null) {
+            return cached;
         }
         byte[] body = encoder.get();
         encodingCount++;
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerConnection.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerConnection.java
@@ -44,14 +44,14 @@
     }
 
     @Override
-    public void handlerAdded(ChannelHandlerContext added) {
-        context = added;
+    public void handlerAdded(ChannelHandlerContext newContext) {
+        context = newContext;
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext from, FullHttpRequest request) {
+    protected void channelRead0(ChannelHandlerContext channelContext, FullHttpRequest request) {
         if (pendingResponse != null || writing) { // the client did not wait for its response
-            from.close();
+            channelContext.close();
             return;
         }
         lastProgressNanos = System.nanoTime();
@@ -62,16 +62,17 @@
             return;
         }
         boolean keepAlive = HttpUtil.isKeepAlive(request);
-        pendingResponse = handler.handle(request.uri(), from.channel().remoteAddress().toString());
+        pendingResponse =
+                handler.handle(request.uri(), channelContext.channel().remoteAddress().toString());
         pendingResponse.whenComplete(
-                (answer, cancelled) -> {
-                    if (answer != null) {
-                        from.executor().execute(() -> writeResponse(answer, keepAlive));
+                (response, cancelled) -> {
+                    if (response != null) {
+                        channelContext.executor().execute(() -> writeResponse(response, keepAlive));
                     }
                 });
     }
 
-    private void writeResponse(EncodedResponse answer, boolean keepAlive) {
+    private void writeResponse(EncodedResponse response, boolean keepAlive) {
         pendingResponse = null;
         if (!context.channel().isActive()) {
             return;
@@ -80,32 +81,34 @@
         lastProgressNanos = System.nanoTime();
         HttpResponse head =
                 new DefaultHttpResponse(
-                        HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(answer.status()));
+                        HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(response.status()));
         head.headers()
                 .set(HttpHeaderNames.CONTENT_TYPE, "application/json")
-                .setInt(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
+                .setInt(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
         HttpUtil.setKeepAlive(head, keepAlive);
         context.write(head);
-        writeChunk(answer.body(), 0, keepAlive);
+        writeChunk(response.body(), 0, keepAlive);
     }
 
-    private void writeChunk(byte[] body, int from, boolean keepAlive) {
-        int length = Math.min(CHUNK_BYTES, body.length - from);
-        int next = from + length;
-        ByteBuf piece = Unpooled.wrappedBuffer(body, from, length);
-        if (next < body.length) {
-            context.writeAndFlush(new DefaultHttpContent(piece))
-                    .addListener(done -> chunkWritten(done.isSuccess(), body, next, keepAlive));
+    private void writeChunk(byte[] body, int offset, boolean keepAlive) {
+        int length = Math.min(CHUNK_BYTES, body.length - offset);
+        int nextOffset = offset + length;
+        ByteBuf chunk = Unpooled.wrappedBuffer(body, offset, length);
+        if (nextOffset < body.length) {
+            context.writeAndFlush(new DefaultHttpContent(chunk))
+                    .addListener(
+                            future ->
+                                    chunkWritten(future.isSuccess(), body, nextOffset, keepAlive));
         } else {
-            context.writeAndFlush(new DefaultLastHttpContent(piece))
-                    .addListener(done -> lastChunkWritten(done.isSuccess(), keepAlive));
+            context.writeAndFlush(new DefaultLastHttpContent(chunk))
+                    .addListener(future -> lastChunkWritten(future.isSuccess(), keepAlive));
         }
     }
 
-    private void chunkWritten(boolean success, byte[] body, int next, boolean keepAlive) {
+    private void chunkWritten(boolean success, byte[] body, int nextOffset, boolean keepAlive) {
         if (success) {
             lastProgressNanos = System.nanoTime();
-            writeChunk(body, next, keepAlive);
+            writeChunk(body, nextOffset, keepAlive);
         }
     }
 
@@ -119,16 +122,16 @@
 
     /** Closes the connection if its reader has stalled, or if it has been idle for too long. */
     void closeIfTimedOut(long nowNanos) {
-        long quietNanos = nowNanos - lastProgressNanos;
-        boolean stuck = writing && quietNanos > WRITE_TIMEOUT.toNanos();
-        boolean idle = pendingResponse == null && !writing && quietNanos > IDLE_TIMEOUT.toNanos();
-        if (stuck || idle) {
+        long idleNanos = nowNanos - lastProgressNanos;
+        boolean stalled = writing && idleNanos > WRITE_TIMEOUT.toNanos();
+        boolean idle = pendingResponse == null && !writing && idleNanos > IDLE_TIMEOUT.toNanos();
+        if (stalled || idle) {
             context.close();
         }
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext gone) {
+    public void channelInactive(ChannelHandlerContext channelContext) {
         if (pendingResponse != null) {
             pendingResponse.cancel(false); // the client has disconnected
             pendingResponse = null;
@@ -136,7 +139,7 @@
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext from, Throwable reset) {
-        from.close();
+    public void exceptionCaught(ChannelHandlerContext channelContext, Throwable cause) {
+        channelContext.close();
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerRegistry.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/FollowerRegistry.java
@@ -46,15 +46,15 @@
 
         void add(Follower follower) {
             followersByRevision
-                    .computeIfAbsent(follower.confirmedRevision, any -> new LinkedHashSet<>())
+                    .computeIfAbsent(follower.confirmedRevision, key -> new LinkedHashSet<>())
                     .add(follower);
             followerCount++;
         }
 
         void remove(Follower follower) {
-            Set<Follower> same = followersByRevision.get(follower.confirmedRevision);
-            same.remove(follower);
-            if (same.isEmpty()) {
+            Set<Follower> followersAtRevision = followersByRevision.get(follower.confirmedRevision);
+            followersAtRevision.remove(follower);
+            if (followersAtRevision.isEmpty()) {
                 followersByRevision.remove(follower.confirmedRevision);
             }
             followerCount--;
@@ -70,7 +70,7 @@
         void removeExpiredSilent(long nowMs) {
             silentFollowers
                     .values()
-                    .removeIf(one -> nowMs - one.lastRequestMs > SILENT_RETENTION_MS);
+                    .removeIf(follower -> nowMs - follower.lastRequestMs > SILENT_RETENTION_MS);
         }
 
         boolean isEmpty() {
@@ -108,10 +108,10 @@
     public void confirm(String name, String zone, long revision, long nowMs) {
         Follower follower = recordRequest(name, zone, nowMs);
         if (follower != null) {
-            Zone in = zones.get(zone);
-            in.remove(follower);
+            Zone zoneFollowers = zones.get(zone);
+            zoneFollowers.remove(follower);
             follower.confirmedRevision = revision;
-            in.add(follower);
+            zoneFollowers.add(follower);
         }
     }
 
@@ -131,9 +131,9 @@
                 return null;
             }
             follower = new Follower(name, zone, nowMs);
-            Zone in = zones.computeIfAbsent(zone, any -> new Zone());
-            in.silentFollowers.remove(name);
-            in.add(follower);
+            Zone zoneFollowers = zones.computeIfAbsent(zone, key -> new Zone());
+            zoneFollowers.silentFollowers.remove(name);
+            zoneFollowers.add(follower);
         }
         follower.lastRequestMs = nowMs;
         followers.put(name, follower);
@@ -179,17 +179,21 @@
 
     private static List<ZoneConfirmations.Silent> silentFollowers(Zone zone, long nowMs) {
         List<ZoneConfirmations.Silent> silent = new ArrayList<>();
-        for (Follower one : zone.silentFollowers.values()) {
+        for (Follower follower : zone.silentFollowers.values()) {
             silent.add(
                     new ZoneConfirmations.Silent(
-                            one.name, one.confirmedRevision, nowMs - one.lastRequestMs));
+                            follower.name,
+                            follower.confirmedRevision,
+                            nowMs - follower.lastRequestMs));
         }
         return silent;
     }
 
     private ZoneConfirmations report(String name, Zone zone, long revision, long nowMs) {
         SortedMap<Long, Integer> counts = new TreeMap<>();
-        zone.followersByRevision.forEach((having, those) -> counts.put(having, those.size()));
+        zone.followersByRevision.forEach(
+                (confirmedRevision, followersAtRevision) ->
+                        counts.put(confirmedRevision, followersAtRevision.size()));
         return new ZoneConfirmations(
                 name,
                 revision,
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/ReadRequest.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/ReadRequest.java
@@ -69,11 +69,11 @@
 
     private static Snapshot parseSnapshot(Parameters parameters) throws MalformedException {
         String from = parameters.string("from", "");
-        int most = ConfigurationLimits.MAX_ENTRIES_PER_PAGE;
+        int max = ConfigurationLimits.MAX_ENTRIES_PER_PAGE;
         return new Snapshot(
                 parameters.revision("revision"),
                 from.isEmpty() ? null : EntryKey.parse(from),
-                (int) parameters.boundedInteger("limit", most, most),
+                (int) parameters.boundedInteger("limit", max, max),
                 parameters.name("follower"));
     }
 
@@ -84,9 +84,9 @@
         private static final Pattern NAME_PATTERN =
                 Pattern.compile("[!-~]{0," + MAX_NAME_LENGTH + "}");
 
-        String string(String name, String absent) {
+        String string(String name, String defaultValue) {
             List<String> values = valuesByName.getOrDefault(name, List.of());
-            return values.isEmpty() ? absent : values.get(0);
+            return values.isEmpty() ? defaultValue : values.get(0);
         }
 
         /** Returns a name, or an empty text if the parameter is absent. */
@@ -112,12 +112,12 @@
         }
 
         /** Returns a whole number, limited to the upper bound. */
-        long boundedInteger(String name, long absent, long most) throws MalformedException {
-            return Math.min(most, integer(name, absent));
+        long boundedInteger(String name, long defaultValue, long max) throws MalformedException {
+            return Math.min(max, integer(name, defaultValue));
         }
 
-        private long integer(String name, long absent) throws MalformedException {
-            String text = string(name, Long.toString(absent));
+        private long integer(String name, long defaultValue) throws MalformedException {
+            String text = string(name, Long.toString(defaultValue));
             if (!INTEGER_PATTERN.matcher(text).matches()) {
                 throw new MalformedException("'" + name + "' takes a whole number");
             }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/ReportSchedule.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/ReportSchedule.java
@@ -20,8 +20,8 @@
     private final Map<String, LastReport> lastReportByZone = new HashMap<>();
 
     /** Returns the zones that are due for a report now. */
-    List<ZoneConfirmations> dueZones(List<ZoneConfirmations> all, long nowMs) {
-        return all.stream().filter(one -> isDue(one, nowMs)).toList();
+    List<ZoneConfirmations> dueZones(List<ZoneConfirmations> zones, long nowMs) {
+        return zones.stream().filter(zone -> isDue(zone, nowMs)).toList();
     }
 
     private boolean isDue(ZoneConfirmations zone, long nowMs) {
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/SnapshotAdmission.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/SnapshotAdmission.java
@@ -33,12 +33,12 @@
     /**
      * Creates an admission control for snapshot transfers.
      *
-     * @param mostTransfers the maximum number of concurrent transfers
-     * @param transferMs the usual duration of a transfer, in milliseconds
+     * @param maxTransfers the maximum number of concurrent transfers
+     * @param expectedTransferMs the usual duration of a transfer, in milliseconds
      */
-    public SnapshotAdmission(int mostTransfers, long transferMs) {
-        this.maxTransfers = mostTransfers;
-        this.expectedTransferMs = transferMs;
+    public SnapshotAdmission(int maxTransfers, long expectedTransferMs) {
+        this.maxTransfers = maxTransfers;
+        this.expectedTransferMs = expectedTransferMs;
     }
 
     /**
@@ -58,19 +58,19 @@
     }
 
     private long assignRetryTime(String follower, long nowMs) {
-        Long told = retryTimeByFollower.get(follower);
-        if (told == null || told <= nowMs) {
+        Long retryTimeMs = retryTimeByFollower.get(follower);
+        if (retryTimeMs == null || retryTimeMs <= nowMs) {
             retryTimeByFollower.remove(follower);
             nextRetryTimeMs =
                     Math.max(nextRetryTimeMs, nowMs)
                             + Math.max(1, expectedTransferMs / maxTransfers);
-            told = Math.min(nextRetryTimeMs, nowMs + MAX_RETRY_MS);
-            nextRetryTimeMs = told;
+            retryTimeMs = Math.min(nextRetryTimeMs, nowMs + MAX_RETRY_MS);
+            nextRetryTimeMs = retryTimeMs;
             if (retryTimeByFollower.size() < MAX_WAITING_FOLLOWERS) {
-                retryTimeByFollower.put(follower, told);
+                retryTimeByFollower.put(follower, retryTimeMs);
             }
         }
-        return told - nowMs;
+        return retryTimeMs - nowMs;
     }
 
     /** Records that a follower has received its last page. */
@@ -79,13 +79,14 @@
     }
 
     private void removeAbandoned(long nowMs) {
-        Iterator<Long> lastAskedMs = lastPageRequestByFollower.values().iterator();
-        while (lastAskedMs.hasNext() && nowMs - lastAskedMs.next() > TRANSFER_TIMEOUT_MS) {
-            lastAskedMs.remove();
+        Iterator<Long> lastPageRequests = lastPageRequestByFollower.values().iterator();
+        while (lastPageRequests.hasNext()
+                && nowMs - lastPageRequests.next() > TRANSFER_TIMEOUT_MS) {
+            lastPageRequests.remove();
         }
-        Iterator<Long> turnsMs = retryTimeByFollower.values().iterator();
-        while (turnsMs.hasNext() && nowMs - turnsMs.next() > TRANSFER_TIMEOUT_MS) {
-            turnsMs.remove();
+        Iterator<Long> retryTimes = retryTimeByFollower.values().iterator();
+        while (retryTimes.hasNext() && nowMs - retryTimes.next() > TRANSFER_TIMEOUT_MS) {
+            retryTimes.remove();
         }
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/WaitingRequests.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/WaitingRequests.java
@@ -18,9 +18,9 @@
         private final long deadlineMs;
         private final CompletableFuture<EncodedResponse> response = new CompletableFuture<>();
 
-        WaitingRequest(ReadRequest.Changes request, long untilMs) {
+        WaitingRequest(ReadRequest.Changes request, long deadlineMs) {
             this.request = request;
-            this.deadlineMs = untilMs;
+            this.deadlineMs = deadlineMs;
         }
 
         ReadRequest.Changes request() {
@@ -36,23 +36,23 @@
     private final int maxRequests;
     private final Set<WaitingRequest> waiting = new LinkedHashSet<>();
 
-    WaitingRequests(int most) {
-        this.maxRequests = most;
+    WaitingRequests(int maxRequests) {
+        this.maxRequests = maxRequests;
     }
 
     /** Adds a request; returns null if the maximum number of requests is waiting. */
-    WaitingRequest add(ReadRequest.Changes request, long untilMs) {
+    WaitingRequest add(ReadRequest.Changes request, long deadlineMs) {
         if (waiting.size() >= maxRequests) {
             return null;
         }
-        WaitingRequest added = new WaitingRequest(request, untilMs);
+        WaitingRequest added = new WaitingRequest(request, deadlineMs);
         waiting.add(added);
         return added;
     }
 
     /** Removes a request whose client has disconnected. */
-    void remove(WaitingRequest gone) {
-        waiting.remove(gone);
+    void remove(WaitingRequest request) {
+        waiting.remove(request);
     }
 
     /** Removes and returns all requests, for example because a change has arrived. */
@@ -65,9 +65,9 @@
     /** Removes and returns the requests whose deadline has passed. */
     List<WaitingRequest> takeDue(long nowMs) {
         List<WaitingRequest> due = new ArrayList<>();
-        for (WaitingRequest one : waiting) {
-            if (one.deadlineMs <= nowMs) {
-                due.add(one);
+        for (WaitingRequest request : waiting) {
+            if (request.deadlineMs <= nowMs) {
+                due.add(request);
             }
         }
         due.forEach(waiting::remove);
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationGroupTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationGroupTest.java
@@ -110,39 +110,39 @@
     void resentChangeIsExecutedOnceEvenAfterASnapshot() throws IOException {
         setFeatureLevel(4);
         apply("c", 1, change(mutation("backend/gw-1", BACKEND)));
-        ChangeConfiguration placed = change(mutation("shard/t/1", new EntryValue.Shard("gw-1")));
-        Reply first = apply("c", 2, placed);
+        ChangeConfiguration placement = change(mutation("shard/t/1", new EntryValue.Shard("gw-1")));
+        Reply first = apply("c", 2, placement);
         apply("other", 1, change(mutation("shard/t/1", null)));
         assertEquals(
                 first,
-                apply("c", 2, placed),
+                apply("c", 2, placement),
                 "a command resent after a lost reply gets the first reply");
         assertFalse(
                 state.configuration().view().entries().containsKey(EntryKey.parse("shard/t/1")),
                 "executing the command again would undo the other writer's change");
         state = new GroupState(GroupCodec.decodeSnapshot(GroupCodec.encodeSnapshot(state.image())));
-        assertEquals(first, apply("c", 2, placed));
+        assertEquals(first, apply("c", 2, placement));
         assertEquals(3, state.configuration().revision());
     }
 
     @Test
     void commandAndReadApiEncodeMutationsAlike() throws Exception {
-        ChangeConfiguration all = allKinds();
-        JsonNode json = GroupCodec.jsonMapper().valueToTree(all);
+        ChangeConfiguration change = allKinds();
+        JsonNode json = GroupCodec.jsonMapper().valueToTree(change);
         JsonNode written =
-                GroupCodec.jsonMapper().readTree(ConfigurationJson.toJson(all.mutations()));
+                GroupCodec.jsonMapper().readTree(ConfigurationJson.toJson(change.mutations()));
         assertEquals(written.path("mutations").toString(), json.path("mutations").toString());
-        JsonNode named =
+        JsonNode command =
                 GroupCodec.jsonMapper()
                         .readTree(
                                 GroupCodec.jsonMapper()
                                         .writerFor(Command.class)
-                                        .writeValueAsString(all));
-        assertEquals("change-configuration", named.path("op").asText());
-        assertEquals(all, GroupCodec.decodeCommand(named));
-        Reply no = new Rejected(RejectionCode.IN_USE, "backend/gw-1", "deleted", "x");
-        String reply = GroupCodec.jsonMapper().writerFor(Reply.class).writeValueAsString(no);
-        assertEquals(no, GroupCodec.jsonMapper().readValue(reply, Reply.class));
+                                        .writeValueAsString(change));
+        assertEquals("change-configuration", command.path("op").asText());
+        assertEquals(change, GroupCodec.decodeCommand(command));
+        Reply rejected = new Rejected(RejectionCode.IN_USE, "backend/gw-1", "deleted", "x");
+        String reply = GroupCodec.jsonMapper().writerFor(Reply.class).writeValueAsString(rejected);
+        assertEquals(rejected, GroupCodec.jsonMapper().readValue(reply, Reply.class));
     }
 
     @ParameterizedTest
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationRegistryTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/ConfigurationRegistryTest.java
@@ -43,8 +43,8 @@
             List<Mutation> read = ConfigurationJson.parseMutations(text);
             return registry.applyChange(
                     new ChangeConfiguration("ana", read, expected), ACCEPTED_AT_MS);
-        } catch (MalformedException bad) {
-            throw new IllegalArgumentException(bad);
+        } catch (MalformedException malformed) {
+            throw new IllegalArgumentException(malformed);
         }
     }
 
@@ -85,11 +85,12 @@
                 "amqp.link_bytes ~ \"8KiB\" ~ INVALID_VALUE ~ four frames",
             })
     void invalidSettingIsRejectedWithAHint(String name, String text, String code, String wanted) {
-        Rejected no = assertInstanceOf(Rejected.class, change(Map.of(), settingJson(name, text)));
-        assertEquals(code, no.code().name());
-        assertEquals("setting/" + name, no.key());
-        assertEquals(text, no.value());
-        assertTrue(no.wanted().contains(wanted), no.wanted());
+        Rejected rejected =
+                assertInstanceOf(Rejected.class, change(Map.of(), settingJson(name, text)));
+        assertEquals(code, rejected.code().name());
+        assertEquals("setting/" + name, rejected.key());
+        assertEquals(text, rejected.value());
+        assertTrue(rejected.wanted().contains(wanted), rejected.wanted());
         assertEquals(0, registry.revision());
     }
 
@@ -130,10 +131,11 @@
             EntryValue value =
                     new EntryValue.Backend(
                             "10.0.0.7:1", "", 0, EntryValue.BackendState.READY, weight, 0);
-            Mutation bad = new Mutation(EntryKey.parse("backend/gw-1"), value);
+            Mutation invalid = new Mutation(EntryKey.parse("backend/gw-1"), value);
             Reply reply =
                     registry.applyChange(
-                            new ChangeConfiguration("ana", List.of(bad), Map.of()), ACCEPTED_AT_MS);
+                            new ChangeConfiguration("ana", List.of(invalid), Map.of()),
+                            ACCEPTED_AT_MS);
             assertTrue(((Rejected) reply).wanted().contains("'weight'"));
         }
     }
@@ -141,36 +143,36 @@
     @Test
     void changeSizeAndAuthorAreChecked() {
         assertRejected("MALFORMED", "", "mutations");
-        String[] many = new String[ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE];
-        for (int i = 0; i < many.length; i++) {
-            many[i] = backendJson("b" + i);
+        String[] mutations = new String[ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE];
+        for (int i = 0; i < mutations.length; i++) {
+            mutations[i] = backendJson("b" + i);
         }
-        put(many);
-        for (int i = 0; i < many.length; i++) {
+        put(mutations);
+        for (int i = 0; i < mutations.length; i++) {
             String reason = "r".repeat(ConfigurationLimits.MAX_REASON_LENGTH);
-            many[i] =
+            mutations[i] =
                     "{\"key\":\"suspension/b"
                             + i
                             + "\",\"suspension\":{\"reason\":\""
                             + reason
                             + "\"}}";
         }
-        assertRejected("MALFORMED", "", "bytes would do", many);
-        Reply nameless =
+        assertRejected("MALFORMED", "", "bytes would do", mutations);
+        Reply withoutAuthor =
                 registry.applyChange(
                         new ChangeConfiguration(
                                 "",
                                 List.of(new Mutation(EntryKey.parse("shard/t/1"), null)),
                                 Map.of()),
                         ACCEPTED_AT_MS);
-        assertEquals(RejectionCode.MALFORMED, ((Rejected) nameless).code());
+        assertEquals(RejectionCode.MALFORMED, ((Rejected) withoutAuthor).code());
     }
 
     private void assertRejected(String code, String key, String wanted, String... mutations) {
-        Rejected no = assertInstanceOf(Rejected.class, change(Map.of(), mutations));
-        assertEquals(code + " " + key, no.code() + " " + no.key());
-        assertTrue(no.wanted().contains(wanted), no.wanted());
-        assertTrue(no.message().contains(no.wanted()));
+        Rejected rejected = assertInstanceOf(Rejected.class, change(Map.of(), mutations));
+        assertEquals(code + " " + key, rejected.code() + " " + rejected.key());
+        assertTrue(rejected.wanted().contains(wanted), rejected.wanted());
+        assertTrue(rejected.message().contains(rejected.wanted()));
     }
 
     @Test
@@ -201,10 +203,10 @@
         Changed seen = put(backendJson("gw-1"), backendJson("gw-2"), shardJson("t/1", "gw-1"));
         Map<String, Long> expected = Map.of("shard/t/1", seen.revision());
         assertInstanceOf(Changed.class, change(expected, shardJson("t/1", "gw-2")));
-        Rejected late =
+        Rejected rejected =
                 assertInstanceOf(Rejected.class, change(expected, deletionJson("shard/t/1")));
-        assertEquals(RejectionCode.CONFLICT, late.code());
-        assertTrue(late.wanted().contains("revision 2"), late.wanted());
+        assertEquals(RejectionCode.CONFLICT, rejected.code());
+        assertTrue(rejected.wanted().contains("revision 2"), rejected.wanted());
         assertEquals(2, registry.revision());
         Map<String, Long> absent = Map.of("shard/t/9", 0L);
         assertInstanceOf(Changed.class, change(absent, shardJson("t/9", "gw-1")));
@@ -217,13 +219,13 @@
     void noOpChangeLeavesRevisionHistoryAndEntriesUnchanged() {
         put(backendJson("gw-1"), shardJson("t/1", "gw-1"));
         ConfigurationRegistry.Image before = registry.image();
-        Changed nothing = put(shardJson("t/1", "gw-1"), deletionJson("shard/t/2"));
-        assertEquals(new Changed(1, before.digest(), 0), nothing);
+        Changed unchanged = put(shardJson("t/1", "gw-1"), deletionJson("shard/t/2"));
+        assertEquals(new Changed(1, before.digest(), 0), unchanged);
         assertEquals(before, registry.image());
         EntryKey shard = EntryKey.parse("shard/t/1");
         assertSame(registry.view().entries().get(shard), registry.view().entries().get(shard));
-        Changed some = put(shardJson("t/1", "gw-1"), shardJson("t/2", "gw-1"));
-        assertEquals(1, some.mutations());
+        Changed changed = put(shardJson("t/1", "gw-1"), shardJson("t/2", "gw-1"));
+        assertEquals(1, changed.mutations());
         assertEquals(1, registry.view().entries().get(shard).revision());
     }
 
@@ -244,42 +246,42 @@
     @Property(tries = 100)
     void shardCountsAndUndosMatchTheEntriesAfterRandomChanges(@ForAll long seed) {
         Random random = new Random(seed);
-        ConfigurationRegistry drawn = new ConfigurationRegistry();
-        Map<Long, Map<EntryKey, EntryValue>> past = new HashMap<>(Map.of(0L, Map.of()));
+        ConfigurationRegistry original = new ConfigurationRegistry();
+        Map<Long, Map<EntryKey, EntryValue>> valuesByRevision = new HashMap<>(Map.of(0L, Map.of()));
         for (int i = 0; i < 60; i++) {
-            drawn.applyChange(
+            original.applyChange(
                     new ChangeConfiguration("ana", randomMutations(random), Map.of()),
                     ACCEPTED_AT_MS);
-            past.put(drawn.revision(), values(drawn));
+            valuesByRevision.put(original.revision(), values(original));
         }
-        ConfigurationRegistry restored = new ConfigurationRegistry(drawn.image());
-        assertEquals(drawn.image(), restored.image());
-        for (ConfigurationRegistry one : List.of(drawn, restored)) {
-            Map<EntryKey, EntryValue> back = new HashMap<>(values(one));
-            List<AcceptedChange> changes = one.history(0, Integer.MAX_VALUE).changes();
+        ConfigurationRegistry restored = new ConfigurationRegistry(original.image());
+        assertEquals(original.image(), restored.image());
+        for (ConfigurationRegistry candidate : List.of(original, restored)) {
+            Map<EntryKey, EntryValue> restoredValues = new HashMap<>(values(candidate));
+            List<AcceptedChange> changes = candidate.history(0, Integer.MAX_VALUE).changes();
             for (int i = changes.size() - 1; i >= 0; i--) {
                 for (Mutation undo : changes.get(i).undo()) {
-                    back.remove(undo.key());
+                    restoredValues.remove(undo.key());
                     if (!undo.isDeletion()) {
-                        back.put(undo.key(), undo.value());
+                        restoredValues.put(undo.key(), undo.value());
                     }
                 }
-                assertEquals(past.get(changes.get(i).revision() - 1), back);
+                assertEquals(valuesByRevision.get(changes.get(i).revision() - 1), restoredValues);
             }
-            assertDeletionsAgree(one);
+            assertDeletionsAgree(candidate);
         }
     }
 
-    private static Map<EntryKey, EntryValue> values(ConfigurationRegistry of) {
+    private static Map<EntryKey, EntryValue> values(ConfigurationRegistry source) {
         Map<EntryKey, EntryValue> values = new HashMap<>();
-        of.view().entries().forEach((key, entry) -> values.put(key, entry.value()));
+        source.view().entries().forEach((key, entry) -> values.put(key, entry.value()));
         return values;
     }
 
     private static void assertDeletionsAgree(ConfigurationRegistry registry) {
         for (int i = 0; i < 4; i++) {
             EntryKey key = new EntryKey(EntryKind.BACKEND, "gw-" + i);
-            boolean named =
+            boolean isReferenced =
                     registry.view().entries().values().stream()
                             .anyMatch(
                                     entry ->
@@ -289,7 +291,9 @@
                             new ChangeConfiguration(
                                     "ana", List.of(new Mutation(key, null)), Map.of()),
                             ACCEPTED_AT_MS);
-            assertEquals(named, reply instanceof Rejected no && no.code() == RejectionCode.IN_USE);
+            assertEquals(
+                    isReferenced,
+                    reply instanceof Rejected rejected && rejected.code() == RejectionCode.IN_USE);
         }
     }
 
@@ -297,11 +301,11 @@
         List<Mutation> mutations = new ArrayList<>();
         for (int i = random.nextInt(4); i >= 0; i--) {
             String backend = "gw-" + random.nextInt(4);
-            boolean placed = random.nextInt(3) > 0;
+            boolean isShard = random.nextInt(3) > 0;
             EntryKey key =
-                    EntryKey.parse(placed ? "shard/t/" + random.nextInt(6) : "backend/" + backend);
+                    EntryKey.parse(isShard ? "shard/t/" + random.nextInt(6) : "backend/" + backend);
             EntryValue value =
-                    placed
+                    isShard
                             ? new EntryValue.Shard(backend)
                             : new EntryValue.Backend(
                                     "10.0.0.7:1", "", 0, EntryValue.BackendState.READY, 1, 0);
@@ -313,28 +317,28 @@
     @Test
     void inconsistentImageIsRejected() {
         put(backendJson("gw-1"));
-        ConfigurationRegistry.Image good = registry.image();
+        ConfigurationRegistry.Image valid = registry.image();
         assertThrows(
                 IllegalArgumentException.class,
                 () ->
                         new ConfigurationRegistry(
                                 new ConfigurationRegistry.Image(
                                         1,
-                                        good.digest(),
+                                        valid.digest(),
                                         List.of(),
                                         0,
-                                        good.baseDigest(),
-                                        good.changes())));
+                                        valid.baseDigest(),
+                                        valid.changes())));
         assertThrows(
                 IllegalArgumentException.class,
                 () ->
                         new ConfigurationRegistry(
                                 new ConfigurationRegistry.Image(
                                         1,
-                                        good.digest(),
-                                        good.entries(),
+                                        valid.digest(),
+                                        valid.entries(),
                                         0,
-                                        good.baseDigest(),
+                                        valid.baseDigest(),
                                         List.of())));
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/FollowerReportsByZoneTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/FollowerReportsByZoneTest.java
@@ -31,7 +31,13 @@
         assertEquals(
                 List.of("a1 d-a1 0", "a1 d-a2 3", "a2 d-a2 6"),
                 zones.stream()
-                        .map(one -> one.zone() + " " + one.distributor() + " " + one.confirmed())
+                        .map(
+                                zone ->
+                                        zone.zone()
+                                                + " "
+                                                + zone.distributor()
+                                                + " "
+                                                + zone.confirmed())
                         .toList());
         assertEquals(1_000, zones.get(2).reportAgeMs());
     }
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/FollowerReportsTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/FollowerReportsTest.java
@@ -20,13 +20,13 @@
     void countsFollowersAtTheRevisionOrLaterAndAdvancesAges() {
         FollowerReports reports = new FollowerReports();
         reports.update(report("d1", List.of(new Behind("r7", 7, 400))), 1_000);
-        FollowerReports.Zone at8 = reports.zones(8, 41_000).get(0);
-        assertEquals(190, at8.confirmed());
-        assertEquals(40_000, at8.reportAgeMs());
-        assertEquals(List.of(new Behind("r7", 7, 40_400)), at8.behind());
-        FollowerReports.Zone at7 = reports.zones(7, 41_000).get(0);
-        assertEquals(195, at7.confirmed());
-        assertEquals(List.of(), at7.behind());
+        FollowerReports.Zone atRevision8 = reports.zones(8, 41_000).get(0);
+        assertEquals(190, atRevision8.confirmed());
+        assertEquals(40_000, atRevision8.reportAgeMs());
+        assertEquals(List.of(new Behind("r7", 7, 40_400)), atRevision8.behind());
+        FollowerReports.Zone atRevision7 = reports.zones(7, 41_000).get(0);
+        assertEquals(195, atRevision7.confirmed());
+        assertEquals(List.of(), atRevision7.behind());
     }
 
     @Test
--- a/coordinator/src/test/java/saltstage/coordinator/configuration/RollbackPlanTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/configuration/RollbackPlanTest.java
@@ -55,9 +55,9 @@
         return new Mutation(mutation.key(), null);
     }
 
-    private static Map<EntryKey, EntryValue> values(ConfigurationRegistry of) {
+    private static Map<EntryKey, EntryValue> values(ConfigurationRegistry source) {
         Map<EntryKey, EntryValue> values = new HashMap<>();
-        of.view().entries().forEach((key, entry) -> values.put(key, entry.value()));
+        source.view().entries().forEach((key, entry) -> values.put(key, entry.value()));
         return values;
     }
 
@@ -69,37 +69,37 @@
     void anyRetainedRevisionCanBeRestored(@ForAll long seed) {
         Random random = new Random(seed);
         registry = new ConfigurationRegistry(); // jqwik runs all tries on one test instance
-        Map<Long, Map<EntryKey, EntryValue>> past = new HashMap<>(Map.of(0L, Map.of()));
+        Map<Long, Map<EntryKey, EntryValue>> valuesByRevision = new HashMap<>(Map.of(0L, Map.of()));
         for (int i = 0; i < 25; i++) {
             List<Mutation> mutations = new ArrayList<>();
             for (int j = random.nextInt(4); j >= 0; j--) {
                 int number = random.nextInt(BACKEND_COUNT);
-                Mutation one =
+                Mutation mutation =
                         random.nextBoolean() ? backend(number) : shard(random.nextInt(5), number);
-                mutations.add(random.nextInt(3) == 0 ? deletion(one) : one);
+                mutations.add(random.nextInt(3) == 0 ? deletion(mutation) : mutation);
             }
             put(mutations);
-            past.put(registry.revision(), values(registry));
+            valuesByRevision.put(registry.revision(), values(registry));
         }
-        long back = random.nextInt((int) registry.revision() + 1);
-        rollbackPlan(back).forEach(change -> assertInstanceOf(Changed.class, change(change)));
-        assertEquals(past.get(back), values(registry));
-        assertEquals(List.of(), rollbackPlan(back));
+        long target = random.nextInt((int) registry.revision() + 1);
+        rollbackPlan(target).forEach(change -> assertInstanceOf(Changed.class, change(change)));
+        assertEquals(valuesByRevision.get(target), values(registry));
+        assertEquals(List.of(), rollbackPlan(target));
     }
 
     @Test
     void largeRollbackIsSplitIntoChangesInAnAcceptedOrder() {
-        int many = ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE;
+        int max = ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE;
         put(List.of(backend(0)));
-        putShards(many, 0);
-        putShards(2 * many, 0);
-        long full = registry.revision();
+        putShards(max, 0);
+        putShards(2 * max, 0);
+        long targetRevision = registry.revision();
         Map<EntryKey, EntryValue> before = values(registry);
         put(List.of(backend(1)));
-        putShards(many, 1);
-        putShards(2 * many, 1);
+        putShards(max, 1);
+        putShards(2 * max, 1);
         put(List.of(deletion(backend(0))));
-        List<ChangeConfiguration> plan = rollbackPlan(full);
+        List<ChangeConfiguration> plan = rollbackPlan(targetRevision);
         assertTrue(plan.size() > 2, plan.size() + " changes");
         plan.forEach(change -> assertInstanceOf(Changed.class, change(change)));
         assertEquals(before, values(registry));
@@ -119,9 +119,9 @@
         put(List.of(shard(1, 1), deletion(shard(2, 0))));
         List<ChangeConfiguration> plan = rollbackPlan(1);
         put(List.of(shard(2, 1)));
-        Rejected late = assertInstanceOf(Rejected.class, change(plan.get(0)));
-        assertEquals(RejectionCode.CONFLICT, late.code());
-        assertEquals("shard/t/2", late.key());
+        Rejected rejected = assertInstanceOf(Rejected.class, change(plan.get(0)));
+        assertEquals(RejectionCode.CONFLICT, rejected.code());
+        assertEquals("shard/t/2", rejected.key());
         assertEquals(3, registry.revision());
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHandlerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHandlerTest.java
@@ -59,13 +59,13 @@
                 name);
     }
 
-    private static ErrorResponse error(EncodedResponse answer, int status) throws Exception {
-        assertEquals(status, answer.status());
-        return ConfigurationJson.parseError(text(answer));
+    private static ErrorResponse error(EncodedResponse response, int status) throws Exception {
+        assertEquals(status, response.status());
+        return ConfigurationJson.parseError(text(response));
     }
 
-    private static String text(EncodedResponse answer) {
-        return new String(answer.body(), StandardCharsets.UTF_8);
+    private static String text(EncodedResponse response) {
+        return new String(response.body(), StandardCharsets.UTF_8);
     }
 
     private JsonNode zoneStatus() throws IOException {
@@ -76,33 +76,34 @@
     @Test
     void returnsLaterChangesAndHoldsFollowersThatAreUpToDate() throws Exception {
         Change first = acceptAndServe("gw-1");
-        EncodedResponse answer = pollChanges("relay-1", 0, 0, WAIT_MS).join();
-        assertEquals(200, answer.status());
+        EncodedResponse response = pollChanges("relay-1", 0, 0, WAIT_MS).join();
+        assertEquals(200, response.status());
         assertEquals(
                 new ChangesResponse(1, first.digest(), List.of(first)),
-                ConfigurationJson.parseChanges(text(answer)));
+                ConfigurationJson.parseChanges(text(response)));
 
-        CompletableFuture<EncodedResponse> held =
+        CompletableFuture<EncodedResponse> waiting =
                 pollChanges("relay-1", 1, first.digest(), WAIT_MS);
-        assertFalse(held.isDone());
+        assertFalse(waiting.isDone());
         Change second = acceptAndServe("gw-2");
-        assertEquals(List.of(second), ConfigurationJson.parseChanges(text(held.join())).changes());
+        assertEquals(
+                List.of(second), ConfigurationJson.parseChanges(text(waiting.join())).changes());
     }
 
     @Test
     void distributorOlderThanItsFollowerReportsBehind() throws Exception {
         acceptAndServe("gw-1");
         Change newer = accept("gw-2"); // accepted by the group, not yet known to the distributor
-        EncodedResponse answer = pollChanges("relay-1", 2, newer.digest(), WAIT_MS).getNow(null);
-        assertNotNull(answer, "a source that is behind must answer its follower at once");
-        assertEquals(1, error(answer, 421).revision());
+        EncodedResponse response = pollChanges("relay-1", 2, newer.digest(), WAIT_MS).getNow(null);
+        assertNotNull(response, "a source that is behind must answer its follower at once");
+        assertEquals(1, error(response, 421).revision());
     }
 
     @Test
     void revisionIsConfirmedOnlyByTheFollowersNextRequest() throws Exception {
-        CompletableFuture<EncodedResponse> held = pollChanges("relay-1", 0, 0, WAIT_MS);
+        CompletableFuture<EncodedResponse> waiting = pollChanges("relay-1", 0, 0, WAIT_MS);
         Change change = acceptAndServe("gw-1");
-        assertEquals(200, held.join().status());
+        assertEquals(200, waiting.join().status());
         assertEquals(
                 0,
                 zoneStatus().path("confirmed").asInt(),
@@ -133,26 +134,26 @@
 
     @Test
     void changeIsEncodedOnceForAllWaitingRequests() {
-        List<CompletableFuture<EncodedResponse>> held = new ArrayList<>();
+        List<CompletableFuture<EncodedResponse>> waiting = new ArrayList<>();
         for (int i = 0; i < 800; i++) {
-            held.add(pollChanges("relay-" + i, 0, 0, WAIT_MS));
+            waiting.add(pollChanges("relay-" + i, 0, 0, WAIT_MS));
         }
         acceptAndServe("gw-1");
-        byte[] shared = held.get(0).join().body();
-        held.forEach(answer -> assertSame(shared, answer.join().body()));
+        byte[] shared = waiting.get(0).join().body();
+        waiting.forEach(response -> assertSame(shared, response.join().body()));
     }
 
     @Test
     void expiredWaitReturnsNoChanges() throws Exception {
-        CompletableFuture<EncodedResponse> held = pollChanges("relay-1", 0, 0, WAIT_MS);
+        CompletableFuture<EncodedResponse> waiting = pollChanges("relay-1", 0, 0, WAIT_MS);
         nowMs.set(WAIT_MS - 1);
         handler.sweep();
-        assertFalse(held.isDone());
+        assertFalse(waiting.isDone());
         nowMs.set(WAIT_MS);
         handler.sweep();
         assertEquals(
                 new ChangesResponse(0, 0, List.of()),
-                ConfigurationJson.parseChanges(text(held.join())));
+                ConfigurationJson.parseChanges(text(waiting.join())));
     }
 
     @Test
@@ -164,18 +165,18 @@
         for (int i = 1; i < DistributorHandler.MAX_WAITING_REQUESTS; i++) {
             pollChanges("relay-1", 0, 0, WAIT_MS);
         }
-        EncodedResponse refused = pollChanges("relay-2", 0, 0, WAIT_MS).getNow(null);
-        assertNotNull(refused, "the maximum number of requests is waiting");
-        assertTrue(error(refused, 503).retryMs() > 0);
+        EncodedResponse rejected = pollChanges("relay-2", 0, 0, WAIT_MS).getNow(null);
+        assertNotNull(rejected, "the maximum number of requests is waiting");
+        assertTrue(error(rejected, 503).retryMs() > 0);
     }
 
     @Test
     void appliedSnapshotWakesWaitingRequestsAndTruncatesTheHistory() throws Exception {
-        CompletableFuture<EncodedResponse> held = pollChanges("relay-1", 0, 0, WAIT_MS);
+        CompletableFuture<EncodedResponse> waiting = pollChanges("relay-1", 0, 0, WAIT_MS);
         accept("gw-1");
         accept("gw-2");
         handler.applySnapshot(writer);
-        assertEquals(2, error(held.join(), 410).revision());
+        assertEquals(2, error(waiting.join(), 410).revision());
     }
 
     @Test
@@ -191,16 +192,16 @@
             from = page.next() == null ? null : "&from=" + page.next().text();
         }
         assertEquals(3, pages.size());
-        ConfigurationView whole =
+        ConfigurationView assembled =
                 new ConfigurationView(
                         7, pages.stream().flatMap(page -> page.entries().stream()).toList());
-        assertEquals(writer.digest(), whole.digest());
+        assertEquals(writer.digest(), assembled.digest());
 
         for (int i = 0; i < DistributorHandler.MAX_SNAPSHOT_TRANSFERS; i++) {
             requestPage("relay-" + i, 0, "");
         }
-        EncodedResponse refused = requestSnapshot("relay-99", 0, "");
-        assertTrue(error(refused, 503).retryMs() > 0);
+        EncodedResponse rejected = requestSnapshot("relay-99", 0, "");
+        assertTrue(error(rejected, 503).retryMs() > 0);
         assertEquals(
                 410,
                 requestSnapshot("relay-1", 3, "").status(),
@@ -213,32 +214,32 @@
     }
 
     private SnapshotPage requestPage(String client, long revision, String from) throws Exception {
-        EncodedResponse answer = requestSnapshot(client, revision, from);
-        assertEquals(200, answer.status(), text(answer));
-        return ConfigurationJson.parseSnapshotPage(text(answer));
+        EncodedResponse response = requestSnapshot(client, revision, from);
+        assertEquals(200, response.status(), text(response));
+        return ConfigurationJson.parseSnapshotPage(text(response));
     }
 
     @Test
     void malformedRequestsAreRejectedAndNotCounted() throws Exception {
-        String sound = "changes?after=0&digest=0000000000000000&follower=r&zone=z&waitMs=0";
+        String validUri = "changes?after=0&digest=0000000000000000&follower=r&zone=z&waitMs=0";
         for (String uri :
                 List.of(
-                        sound.replace("after=0", "after=-1"),
-                        sound.replace("after=0", "after=x"),
-                        sound.replace("after=0", "after=9007199254740993"),
-                        sound.replace("digest=0000000000000000", "digest=0"),
-                        sound.replace("&digest=0000000000000000", ""),
-                        sound.replace("follower=r", "follower="),
-                        sound.replace("follower=r", "follower=" + "r".repeat(161)),
-                        sound.replace("zone=z", "zone=%00"),
-                        sound.replace("zone=z", "zone=%zz"),
+                        validUri.replace("after=0", "after=-1"),
+                        validUri.replace("after=0", "after=x"),
+                        validUri.replace("after=0", "after=9007199254740993"),
+                        validUri.replace("digest=0000000000000000", "digest=0"),
+                        validUri.replace("&digest=0000000000000000", ""),
+                        validUri.replace("follower=r", "follower="),
+                        validUri.replace("follower=r", "follower=" + "r".repeat(161)),
+                        validUri.replace("zone=z", "zone=%00"),
+                        validUri.replace("zone=z", "zone=%zz"),
                         "snapshot?revision=0&from=nothing/x",
                         "status?revision=1.5")) {
-            EncodedResponse answer = handler.handle("/v1/configuration/" + uri, "c").join();
-            assertTrue(error(answer, 400).error().length() > 5, uri);
+            EncodedResponse response = handler.handle("/v1/configuration/" + uri, "c").join();
+            assertTrue(error(response, 400).error().length() > 5, uri);
         }
         assertEquals(404, handler.handle("/v1/configuration/never", "c").join().status());
         assertTrue(zoneStatus().isMissingNode());
-        assertEquals(200, handler.handle("/v1/configuration/" + sound, "c").join().status());
+        assertEquals(200, handler.handle("/v1/configuration/" + validUri, "c").join().status());
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHttpServerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/DistributorHttpServerTest.java
@@ -105,12 +105,12 @@
     }
 
     private void applyChange(int mutations, int length) {
-        List<Mutation> some = new ArrayList<>();
+        List<Mutation> settings = new ArrayList<>();
         for (int i = 0; i < mutations; i++) {
             EntryKey key = EntryKey.parse("setting/name-" + i);
-            some.add(new Mutation(key, new EntryValue.Setting("x".repeat(length))));
+            settings.add(new Mutation(key, new EntryValue.Setting("x".repeat(length))));
         }
-        handler.applyChanges(List.of(writer.accept(some)));
+        handler.applyChanges(List.of(writer.accept(settings)));
     }
 
     private int waitingRequests() throws IOException {
@@ -139,11 +139,11 @@
 
     @Test
     void stalledReaderIsDisconnectedWithoutDelayingOthers() throws Exception {
-        Socket stuck = new Socket();
-        stuck.setReceiveBufferSize(4 << 10);
-        connect(stuck);
+        Socket stalled = new Socket();
+        stalled.setReceiveBufferSize(4 << 10);
+        connect(stalled);
         Socket reader = connect();
-        pollChanges(stuck, "stuck");
+        pollChanges(stalled, "stuck");
         pollChanges(reader, "reader");
         awaitWaiting(2);
         applyChange(500, 2_000); // 1 MB: far more than the socket buffers hold
@@ -155,11 +155,9 @@
                         .mutations()
                         .size());
         Thread.sleep(FollowerConnection.WRITE_TIMEOUT.plusSeconds(1).toMillis());
-        int taken =
-                stuck.getInputStream()
-                        .readAllBytes()
-                        .length; // the bytes left in the socket buffers
-        assertTrue(taken < 900_000, taken + " bytes");
+        // Only the bytes in the socket buffers are left to read.
+        int receivedBytes = stalled.getInputStream().readAllBytes().length;
+        assertTrue(receivedBytes < 900_000, receivedBytes + " bytes");
     }
 
     @Test
--- a/coordinator/src/test/java/saltstage/coordinator/distribution/SnapshotAdmissionTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/distribution/SnapshotAdmissionTest.java
@@ -48,8 +48,8 @@
         for (int i = 0; i < MAX_TRANSFERS; i++) {
             admission.admit("relay-" + i, 0);
         }
-        long told = admission.admit("waiting", 0);
-        assertEquals(told - 30, admission.admit("waiting", 30));
+        long assignedMs = admission.admit("waiting", 0);
+        assertEquals(assignedMs - 30, admission.admit("waiting", 30));
         for (int i = 0; i < 10_000; i++) {
             long retryMs = admission.admit("crowd-" + i, 40);
             assertTrue(retryMs > 0 && retryMs <= SnapshotAdmission.MAX_RETRY_MS);
