--- a/coordinator/src/main/java/saltstage/coordinator/configuration/ChangeValidator.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/ChangeValidator.java
@@ -16,14 +16,15 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Checks one change against the entries in force: each value by itself, and what entries name as it
- * would be once the change is in force. Takes time by the mutations, not by the entries.
+ * Validates one change against the entries in force: each value by itself, and the references
+ * between entries as they would be after the change. The cost grows with the number of mutations,
+ * not with the number of entries.
  */
 final class ChangeValidator {
-    /** An identifier of a backend, as discovery takes it. */
+    /** The form of a backend identifier that the discovery service accepts. */
     private static final Pattern BACKEND_ID_PATTERN = Pattern.compile("[!-~]{1,128}");
 
-    /** The smallest key of each kind is after this name. */
+    /** A lower bound of all names, for finding the first key of a kind. */
     private static final String SMALLEST_NAME = "!";
 
     private final NavigableMap<EntryKey, Entry> entries;
@@ -31,24 +32,24 @@
     private final Map<EntryKey, Mutation> mutations;
 
     /**
-     * A check of these mutations.
+     * Creates a validator for one change.
      *
-     * @param entries what is in force
-     * @param shards how many shards name each backend now
-     * @param mutations by key, only those that change something
+     * @param entries the entries in force
+     * @param shardCounts the number of shards that refer to each backend now
+     * @param mutations the mutations by key, without those that would change nothing
      */
     ChangeValidator(
             NavigableMap<EntryKey, Entry> entries,
-            ShardCounts shards,
+            ShardCounts shardCounts,
             Map<EntryKey, Mutation> mutations) {
         this.entries = entries;
-        this.shardCounts = shards;
+        this.shardCounts = shardCounts;
         this.mutations = mutations;
     }
 
-    /** The first fault by key; null where there is none. */
+    /** Returns the first rejection in the order of keys, or null if the change is valid. */
     Rejected rejection() {
-        boolean settings = false;
+        boolean hasSettings = false;
         for (Mutation mutation : mutations.values()) {
             Rejected fault =
                     mutation.isDeletion()
@@ -57,18 +58,18 @@
             if (fault != null) {
                 return fault;
             }
-            settings |= mutation.key().kind() == EntryKind.SETTING;
+            hasSettings |= mutation.key().kind() == EntryKind.SETTING;
         }
-        Rejected together = settings ? settingsRejection() : null;
-        return together != null ? together : countRejection();
+        Rejected settingsFault = hasSettings ? settingsRejection() : null;
+        return settingsFault != null ? settingsFault : countRejection();
     }
 
     private Rejected valueRejection(Mutation mutation) {
         EntryKey key = mutation.key();
-        String carried = ValueRules.validationError(mutation.value());
-        if (carried != null) {
+        String valueError = ValueRules.validationError(mutation.value());
+        if (valueError != null) {
             return rejected(
-                    RejectionCode.INVALID_VALUE, key, displayText(mutation.value()), carried);
+                    RejectionCode.INVALID_VALUE, key, displayText(mutation.value()), valueError);
         }
         return switch (key.kind()) {
             case SETTING -> settingRejection(key, (EntryValue.Setting) mutation.value());
@@ -87,8 +88,8 @@
                     setting.text(),
                     "relays take while they run: " + SettingRules.reloadableNames());
         }
-        TreeMap<String, String> alone = new TreeMap<>(Map.of(key.name(), setting.text()));
-        String fault = SettingRules.validationError(alone);
+        TreeMap<String, String> single = new TreeMap<>(Map.of(key.name(), setting.text()));
+        String fault = SettingRules.validationError(single);
         return fault == null
                 ? null
                 : rejected(RejectionCode.INVALID_VALUE, key, setting.text(), fault);
@@ -105,7 +106,7 @@
         try {
             BackendList.parseAddress(backend.address());
             return null;
-        } catch (MalformedException bad) {
+        } catch (MalformedException malformed) {
             return rejected(
                     RejectionCode.INVALID_VALUE,
                     key,
@@ -130,13 +131,15 @@
         if (key.kind() != EntryKind.BACKEND) {
             return null;
         }
-        int left = shardCounts.countOf(key.name()) + shardsAddedTo(key.name());
-        if (left > 0) {
+        int remainingShards = shardCounts.countOf(key.name()) + shardsAddedTo(key.name());
+        if (remainingShards > 0) {
             return rejected(
                     RejectionCode.IN_USE,
                     key,
                     "deleted",
-                    "place its " + left + " shards elsewhere first, or in the same change");
+                    "place its "
+                            + remainingShards
+                            + " shards elsewhere first, or in the same change");
         }
         return isPresentAfterChange(new EntryKey(EntryKind.SUSPENSION, key.name()))
                 ? rejected(
@@ -147,7 +150,7 @@
                 : null;
     }
 
-    /** By how much this change raises the number of shards that name a backend. */
+    /** Returns by how much this change raises the number of shards that refer to a backend. */
     private int shardsAddedTo(String backend) {
         int added = 0;
         for (Mutation mutation : mutations.values()) {
@@ -169,7 +172,7 @@
         return mutation == null ? entries.containsKey(key) : !mutation.isDeletion();
     }
 
-    /** Settings that are sound one by one may not be so together. */
+    /** Checks all settings together: settings that are valid alone may contradict each other. */
     private Rejected settingsRejection() {
         TreeMap<String, String> after = new TreeMap<>();
         EntryKey first = new EntryKey(EntryKind.SETTING, SMALLEST_NAME);
@@ -179,10 +182,10 @@
             }
             after.put(entry.key().name(), ((EntryValue.Setting) entry.value()).text());
         }
-        Mutation named = null;
+        Mutation reported = null;
         for (Mutation mutation : mutations.values()) {
             if (mutation.key().kind() == EntryKind.SETTING) {
-                named = named == null || named.isDeletion() ? mutation : named;
+                reported = reported == null || reported.isDeletion() ? mutation : reported;
                 if (mutation.isDeletion()) {
                     after.remove(mutation.key().name());
                 } else {
@@ -192,12 +195,15 @@
             }
         }
         String fault = SettingRules.validationError(after);
-        String value = named == null || named.isDeletion() ? "deleted" : displayText(named.value());
+        String value =
+                reported == null || reported.isDeletion()
+                        ? "deleted"
+                        : displayText(reported.value());
         return fault == null
                 ? null
                 : rejected(
                         RejectionCode.INVALID_VALUE,
-                        named.key(),
+                        reported.key(),
                         value,
                         "with the other settings in force: " + fault);
     }
--- a/coordinator/src/main/java/saltstage/coordinator/configuration/RollbackPlan.java
+++ b/coordinator/src/main/java/saltstage/coordinator/configuration/RollbackPlan.java
@@ -14,12 +14,12 @@
 import saltstage.coordinator.configuration.ConfigurationCommands.ChangeConfiguration;
 
 /**
- * The changes that bring all entries back to what they said at an earlier revision. One change
- * where it is within the bounds of one; else several, in an order in which each is accepted by
+ * The changes that restore all entries to their values at an earlier revision. A rollback that
+ * exceeds the limits of one change is split into several, in an order in which each is valid by
  * itself: settings and new backends, then shards and suspensions, then deletions of backends.
  */
 public final class RollbackPlan {
-    /** Where a key's mutation stands among several changes. */
+    /** The order of mutations within a rollback. */
     private enum Stage {
         SETTINGS_AND_BACKENDS,
         SHARDS_AND_SUSPENSIONS,
@@ -42,13 +42,14 @@
     }
 
     private boolean isNoOp(Mutation mutation) {
-        EntryValue now = newestValues.get(mutation.key());
-        return now == null ? mutation.isDeletion() : now.equals(mutation.value());
+        EntryValue newestValue = newestValues.get(mutation.key());
+        return newestValue == null ? mutation.isDeletion() : newestValue.equals(mutation.value());
     }
 
     /**
-     * The changes to ask for, in order; none where all is as it was. Each expects its keys as the
-     * last of the given changes left them, so that what somebody else writes meanwhile refuses it.
+     * Returns the changes of the rollback in order; the list is empty if nothing differs. Each
+     * change expects its keys at the revisions that the given changes left them at, so that it is
+     * rejected if another writer has changed them in the meantime.
      *
      * @param changes all accepted changes after the earlier revision, oldest first
      */
@@ -59,31 +60,35 @@
     private List<ChangeConfiguration> toChanges(String author) {
         List<Mutation> ordered = new ArrayList<>();
         for (Stage stage : Stage.values()) {
-            undoByKey.values().stream().filter(one -> stageOf(one) == stage).forEach(ordered::add);
+            undoByKey.values().stream()
+                    .filter(mutation -> stageOf(mutation) == stage)
+                    .forEach(ordered::add);
         }
-        List<ChangeConfiguration> asked = new ArrayList<>();
-        List<Mutation> some = new ArrayList<>();
-        int bytes = 0;
+        List<ChangeConfiguration> changes = new ArrayList<>();
+        List<Mutation> batch = new ArrayList<>();
+        int batchBytes = 0;
         for (Mutation mutation : ordered) {
-            int more = ConfigurationLimits.estimatedBytes(mutation);
-            if (some.size() == ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE
-                    || bytes + more > ConfigurationLimits.MAX_BYTES_PER_CHANGE) {
-                asked.add(newChange(some, author));
-                some.clear();
-                bytes = 0;
+            int mutationBytes = ConfigurationLimits.estimatedBytes(mutation);
+            if (batch.size() == ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE
+                    || batchBytes + mutationBytes > ConfigurationLimits.MAX_BYTES_PER_CHANGE) {
+                changes.add(newChange(batch, author));
+                batch.clear();
+                batchBytes = 0;
             }
-            some.add(mutation);
-            bytes += more;
+            batch.add(mutation);
+            batchBytes += mutationBytes;
         }
-        if (!some.isEmpty()) {
-            asked.add(newChange(some, author));
+        if (!batch.isEmpty()) {
+            changes.add(newChange(batch, author));
         }
-        return asked;
+        return changes;
     }
 
     private ChangeConfiguration newChange(List<Mutation> mutations, String author) {
         Map<String, Long> expected = new TreeMap<>();
-        mutations.forEach(one -> expected.put(one.key().text(), newestRevisions.get(one.key())));
+        mutations.forEach(
+                mutation ->
+                        expected.put(mutation.key().text(), newestRevisions.get(mutation.key())));
         return new ChangeConfiguration(author, List.copyOf(mutations), expected);
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHandler.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorHandler.java
@@ -18,22 +18,22 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Serves the read API from what this distributor has in force itself. An answer is encoded once,
- * however many followers get it; requests that have nothing to get wait in one set. Whatever a
- * follower says it has counts as confirmed once its digest agrees, and nothing else does. Thread
- * safe; without threads and sockets of its own.
+ * Serves the read API from the configuration that this distributor has in force. A response is
+ * encoded once, however many followers receive it. Requests of followers that are up to date wait
+ * in one set. A revision counts as confirmed only when a follower names it in a request and its
+ * digest agrees. Thread safe; uses no threads or sockets of its own.
  */
 public final class DistributorHandler {
-    /** A request may wait for so long at most, in milliseconds. */
+    /** The longest time for which a request may wait, in milliseconds. */
     static final long MAX_WAIT_MS = 30_000;
 
-    /** So many requests may wait at once. */
+    /** The maximum number of requests that wait at once. */
     static final int MAX_WAITING_REQUESTS = 4_000;
 
-    /** A follower that has not been heard for so long, in milliseconds, is not counted. */
+    /** A follower without a request for this time, in milliseconds, is not counted. */
     static final long SILENT_AFTER_MS = MAX_WAIT_MS + 15_000;
 
-    /** So many followers may take a snapshot at once. */
+    /** The maximum number of followers that transfer a snapshot at once. */
     static final int MAX_SNAPSHOT_TRANSFERS = 16;
 
     private static final long EXPECTED_TRANSFER_MS = 400;
@@ -49,12 +49,12 @@
     private static final int MISDIRECTED_REQUEST = 421;
     private static final int SERVICE_UNAVAILABLE = 503;
 
-    /** What the body of a changes answer depends on while the newest revision stays. */
+    /** Identifies the body of a changes response as long as the newest revision is the same. */
     private record ChangesKey(long after, int limit) {}
 
     private record PageKey(long digest, ReadRequest.Snapshot request) {}
 
-    /** A waiting request together with what it is answered. */
+    /** A waiting request together with its response. */
     private record DueResponse(WaitingRequests.WaitingRequest request, EncodedResponse response) {
         void send() {
             request.response().complete(response);
@@ -76,30 +76,28 @@
     private ConfigurationView view;
 
     /**
-     * A handler.
+     * Creates a handler.
      *
-     * @param name the distributor's
-     * @param zone its zone, that followers count in which name none
-     * @param held what the distributor has on its disk; copied
-     * @param nowMs a monotonic clock, milliseconds
+     * @param name the distributor's name
+     * @param zone the distributor's zone, in which followers without a zone are counted
+     * @param persisted the configuration that the distributor has persisted; copied
+     * @param nowMs a monotonic clock, in milliseconds
      */
     public DistributorHandler(
-            String name, String zone, ConfigurationView held, LongSupplier nowMs) {
+            String name, String zone, ConfigurationView persisted, LongSupplier nowMs) {
         this.name = name;
         this.zone = zone;
         this.nowMs = nowMs;
-        view = copy(held);
+        view = copy(persisted);
         history = new ChangeHistory(view.revision(), view.digest());
         registry.advance(view.revision(), nowMs.getAsLong());
     }
 
-    private static ConfigurationView copy(ConfigurationView of) {
-        return new ConfigurationView(of.revision(), of.entries().values());
+    private static ConfigurationView copy(ConfigurationView source) {
+        return new ConfigurationView(source.revision(), source.entries().values());
     }
 
-    // ---- what comes into force
-
-    /** Serves these changes from now on and wakes whoever waits for them; oldest first. */
+    /** Applies these changes, oldest first, and answers the requests that wait for them. */
     public void applyChanges(List<Change> changes) {
         updateAndWake(
                 () -> {
@@ -117,7 +115,7 @@
         history.append(change);
     }
 
-    /** Serves these entries in place of all before; the view is copied. */
+    /** Replaces all entries by those of a snapshot; the view is copied. */
     public void applySnapshot(ConfigurationView snapshot) {
         ConfigurationView copy = copy(snapshot);
         updateAndWake(
@@ -133,33 +131,31 @@
             update.run();
             changesBodies.clear();
             registry.advance(view.revision(), nowMs.getAsLong());
-            for (WaitingRequests.WaitingRequest one : waitingRequests.takeAll()) {
-                due.add(new DueResponse(one, currentResponse(one.request())));
+            for (WaitingRequests.WaitingRequest waitingRequest : waitingRequests.takeAll()) {
+                due.add(new DueResponse(waitingRequest, currentResponse(waitingRequest.request())));
             }
         }
         due.forEach(DueResponse::send);
     }
 
-    /** Answers those whose wait is over and drops silent followers; to be called now and then. */
+    /** Answers requests whose wait has expired and drops silent followers; call periodically. */
     public void sweep() {
         List<DueResponse> due = new ArrayList<>();
         synchronized (this) {
             long now = nowMs.getAsLong();
             registry.sweep(now);
-            for (WaitingRequests.WaitingRequest one : waitingRequests.takeDue(now)) {
-                due.add(new DueResponse(one, currentResponse(one.request())));
+            for (WaitingRequests.WaitingRequest waitingRequest : waitingRequests.takeDue(now)) {
+                due.add(new DueResponse(waitingRequest, currentResponse(waitingRequest.request())));
             }
         }
         due.forEach(DueResponse::send);
     }
 
-    // ---- requests
-
     /**
-     * Answers a GET; a cancelled answer is not waited for any more.
+     * Answers a GET request. Cancelling the returned future ends the wait of the request.
      *
      * @param uri path and query
-     * @param client who asks, where the request does not say: its address
+     * @param client the client's address, which identifies a client that names no follower
      */
     public CompletableFuture<EncodedResponse> handle(String uri, String client) {
         ReadRequest request;
@@ -182,8 +178,8 @@
         }
     }
 
-    private static CompletableFuture<EncodedResponse> completed(EncodedResponse answer) {
-        return CompletableFuture.completedFuture(answer);
+    private static CompletableFuture<EncodedResponse> completed(EncodedResponse response) {
+        return CompletableFuture.completedFuture(response);
     }
 
     private static EncodedResponse error(int status, String error, long revision, long retryMs) {
@@ -197,59 +193,61 @@
 
     private CompletableFuture<EncodedResponse> handleChanges(ReadRequest.Changes request) {
         long now = nowMs.getAsLong();
-        ChangeHistory.Result answer = changesAfter(request);
-        String countedIn = request.zone().isEmpty() ? zone : request.zone();
-        if (isVerified(answer)) {
-            registry.confirm(request.follower(), countedIn, request.after(), now);
+        ChangeHistory.Result result = changesAfter(request);
+        String countedZone = request.zone().isEmpty() ? zone : request.zone();
+        if (isVerified(result)) {
+            registry.confirm(request.follower(), countedZone, request.after(), now);
         } else {
-            registry.recordUnverifiedRequest(request.follower(), countedIn, now);
+            registry.recordUnverifiedRequest(request.follower(), countedZone, now);
         }
-        boolean isNewest = answer instanceof ChangeHistory.Changes some && some.changes().isEmpty();
-        return isNewest && request.waitMs() > 0
+        boolean isUpToDate =
+                result instanceof ChangeHistory.Changes found && found.changes().isEmpty();
+        return isUpToDate && request.waitMs() > 0
                 ? holdRequest(request, now + request.waitMs())
-                : completed(encode(request, answer));
+                : completed(encode(request, result));
     }
 
     private ChangeHistory.Result changesAfter(ReadRequest.Changes request) {
         return history.changesAfter(request.after(), request.digest(), request.limit());
     }
 
-    /** Whether what the follower says it has is known here, or is at least older than all here. */
-    private static boolean isVerified(ChangeHistory.Result answer) {
-        return answer instanceof ChangeHistory.Changes || answer == ChangeHistory.Failure.TRUNCATED;
+    /** Returns whether the follower's revision is known here or older than the whole history. */
+    private static boolean isVerified(ChangeHistory.Result result) {
+        return result instanceof ChangeHistory.Changes || result == ChangeHistory.Failure.TRUNCATED;
     }
 
     private CompletableFuture<EncodedResponse> holdRequest(
-            ReadRequest.Changes request, long untilMs) {
-        WaitingRequests.WaitingRequest held = waitingRequests.add(request, untilMs);
-        if (held == null) {
+            ReadRequest.Changes request, long deadlineMs) {
+        WaitingRequests.WaitingRequest waitingRequest = waitingRequests.add(request, deadlineMs);
+        if (waitingRequest == null) {
             return completed(error(SERVICE_UNAVAILABLE, ErrorResponse.BUSY, 0, BUSY_RETRY_MS));
         }
-        held.response()
+        waitingRequest
+                .response()
                 .whenComplete(
-                        (answer, cancelled) -> {
+                        (response, cancelled) -> {
                             if (cancelled != null) {
-                                removeWaiting(held);
+                                removeWaiting(waitingRequest);
                             }
                         });
-        return held.response();
+        return waitingRequest.response();
     }
 
-    private synchronized void removeWaiting(WaitingRequests.WaitingRequest gone) {
-        waitingRequests.remove(gone);
+    private synchronized void removeWaiting(WaitingRequests.WaitingRequest request) {
+        waitingRequests.remove(request);
     }
 
     private EncodedResponse currentResponse(ReadRequest.Changes request) {
         return encode(request, changesAfter(request));
     }
 
-    private EncodedResponse encode(ReadRequest.Changes request, ChangeHistory.Result answer) {
-        if (answer instanceof ChangeHistory.Changes some) {
+    private EncodedResponse encode(ReadRequest.Changes request, ChangeHistory.Result result) {
+        if (result instanceof ChangeHistory.Changes found) {
             ChangesKey key = new ChangesKey(request.after(), request.limit());
             return new EncodedResponse(
-                    OK, changesBodies.getOrEncode(key, () -> encode(some.changes())));
+                    OK, changesBodies.getOrEncode(key, () -> encode(found.changes())));
         }
-        return switch ((ChangeHistory.Failure) answer) {
+        return switch ((ChangeHistory.Failure) result) {
             case DIVERGED -> error(CONFLICT, ErrorResponse.DIVERGED, view.revision(), 0);
             case TRUNCATED -> error(GONE, ErrorResponse.TRUNCATED, view.revision(), 0);
             case BEHIND -> error(MISDIRECTED_REQUEST, ErrorResponse.BEHIND, view.revision(), 0);
@@ -263,29 +261,29 @@
     }
 
     private EncodedResponse handleSnapshot(ReadRequest.Snapshot request, String client) {
-        String taker = request.follower().isEmpty() ? client : request.follower();
-        long retryMs = admission.admit(taker, nowMs.getAsLong());
+        String recipient = request.follower().isEmpty() ? client : request.follower();
+        long retryMs = admission.admit(recipient, nowMs.getAsLong());
         if (retryMs > 0) {
             return error(SERVICE_UNAVAILABLE, ErrorResponse.BUSY, 0, retryMs);
         }
         SnapshotPage page = pager.page(view, request.revision(), request.from(), request.limit());
         if (page == null || page.next() == null) {
-            admission.finish(taker);
+            admission.finish(recipient);
         }
         if (page == null) {
             return error(GONE, ErrorResponse.TRUNCATED, view.revision(), 0);
         }
-        ReadRequest.Snapshot same =
+        ReadRequest.Snapshot sharedRequest =
                 new ReadRequest.Snapshot(page.revision(), request.from(), request.limit(), "");
-        PageKey key = new PageKey(page.digest(), same);
+        PageKey key = new PageKey(page.digest(), sharedRequest);
         return new EncodedResponse(
                 OK, pageBodies.getOrEncode(key, () -> utf8(ConfigurationJson.toJson(page))));
     }
 
     private EncodedResponse handleStatus(ReadRequest.Status request) {
-        long asked = request.revision() == 0 ? view.revision() : request.revision();
+        long measuredRevision = request.revision() == 0 ? view.revision() : request.revision();
         List<DistributorStatus.Zone> zones =
-                registry.reports(asked, nowMs.getAsLong()).stream()
+                registry.reports(measuredRevision, nowMs.getAsLong()).stream()
                         .map(DistributorStatus.Zone::of)
                         .toList();
         DistributorStatus status =
@@ -293,26 +291,24 @@
                         name,
                         view.revision(),
                         ConfigurationJson.formatDigest(view.digest()),
-                        asked,
+                        measuredRevision,
                         waitingRequests.size(),
                         admission.activeTransfers(),
                         changesBodies.encodingCount() + pageBodies.encodingCount(),
                         zones);
         try {
             return new EncodedResponse(OK, GroupCodec.jsonMapper().writeValueAsBytes(status));
-        } catch (JsonProcessingException impossible) {
-            throw new IllegalStateException(impossible);
+        } catch (JsonProcessingException failure) {
+            throw new IllegalStateException(failure);
         }
     }
 
-    // ---- for the leader
-
-    /** What followers have confirmed, by zone. */
+    /** Returns which revisions the followers have confirmed, by zone. */
     public synchronized List<ZoneConfirmations> confirmations() {
         return registry.reports(nowMs.getAsLong());
     }
 
-    /** The newest revision that is served. */
+    /** Returns the newest revision that is served. */
     public synchronized long revision() {
         return view.revision();
     }
--- a/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorProcess.java
+++ b/coordinator/src/main/java/saltstage/coordinator/distribution/DistributorProcess.java
@@ -25,14 +25,15 @@
 import saltstage.log.Log;
 
 /**
- * A distributor at work: it follows the group, keeps what is in force on its disk, serves it to its
- * own followers and reports what they have confirmed. Replicas serve accepted changes only, so
- * nothing else ever gets here. It serves what it holds from its start on, whoever can be reached.
+ * A running distributor: it follows the group, persists the configuration in force, serves it to
+ * its own followers and reports the revisions that they have confirmed. Replicas serve accepted
+ * changes only, so a distributor never holds any other. It serves its persisted configuration from
+ * the start, even if no replica can be reached.
  */
 public final class DistributorProcess implements AutoCloseable {
     /**
-     * Shorter than a relay's: a distributor that waits for a dead replica holds back a whole zone,
-     * and there are few distributors.
+     * Timings that are shorter than a relay's: a distributor that waits for a dead replica delays a
+     * whole zone, and there are few distributors.
      */
     private static final FollowerTimings FOLLOWER_TIMINGS =
             new FollowerTimings(
@@ -44,7 +45,7 @@
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(700);
 
-    /** Told when the distributor cannot go on with a sound state. */
+    /** Called when the distributor cannot continue with a consistent state. */
     public interface FailureHandler {
         /** Ends the process. */
         void terminate(RuntimeException cause);
@@ -57,8 +58,8 @@
     private final ScheduledExecutorService writer = newScheduler("distributor-writer");
     private final Thread reporterThread;
 
-    /** Starts it; throws IOException where its folder or its address cannot be had. */
-    public DistributorProcess(DistributorSettings settings, FailureHandler failure)
+    /** Starts a distributor; throws IOException if its directory or address is not available. */
+    public DistributorProcess(DistributorSettings settings, FailureHandler failureHandler)
             throws IOException {
         Files.createDirectories(settings.dir());
         directory = new ConfigurationDirectory(settings.dir(), Log::info);
@@ -75,21 +76,21 @@
                         followerResources(),
                         directory,
                         directory.persistedConfiguration().view(),
-                        new ServingListener(handler, failure));
+                        new ServingListener(handler, failureHandler));
         GroupClient group =
                 new GroupClient(
                         settings.sourceAddresses().stream()
                                 .map(DistributorProcess::hostAndPort)
                                 .toList(),
                         Ticker.SYSTEM);
-        ConfirmationReporter reports =
+        ConfirmationReporter reporter =
                 new ConfirmationReporter(
                         settings.name(),
                         settings.zone(),
                         handler,
                         group,
                         DistributorProcess::nowMs);
-        reporterThread = newThread(reports, "distributor-reporter");
+        reporterThread = newThread(reporter, "distributor-reporter");
         Log.info(
                 "distributor.ready",
                 "name",
@@ -130,7 +131,7 @@
                 http, scheduler, writer, Clock.systemUTC(), new SharedRandom());
     }
 
-    /** Draws from the random numbers of whichever thread asks. */
+    /** Delegates to the random number generator of the calling thread. */
     private static final class SharedRandom implements java.util.random.RandomGenerator {
         @Override
         public long nextLong() {
@@ -139,17 +140,17 @@
     }
 
     private static ScheduledExecutorService newScheduler(String name) {
-        return Executors.newSingleThreadScheduledExecutor(work -> newThread(work, name));
+        return Executors.newSingleThreadScheduledExecutor(task -> newThread(task, name));
     }
 
-    private static Thread newThread(Runnable work, String name) {
-        Thread thread = new Thread(work, name);
+    private static Thread newThread(Runnable task, String name) {
+        Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         return thread;
     }
 
-    /** Hands what comes into force to the handler, and tells of sources. */
-    private record ServingListener(DistributorHandler handler, FailureHandler failure)
+    /** Passes applied configuration to the handler, and logs the sources in use. */
+    private record ServingListener(DistributorHandler handler, FailureHandler failureHandler)
             implements FollowerListener {
         @Override
         public void changesApplied(List<Change> changes) {
@@ -180,7 +181,7 @@
         @Override
         public void faultOccurred(RuntimeException fault) {
             Log.error("distributor.fault", fault);
-            failure.terminate(fault);
+            failureHandler.terminate(fault);
         }
     }
 
