--- a/coordinator/src/main/java/saltstage/coordinator/api/AdviceRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/AdviceRoutes.java
@@ -13,7 +13,7 @@
 import saltstage.coordinator.group.GroupState;
 import saltstage.coordinator.replica.Replica;
 
-/** Snapshots that nodes send, and what an advisor needs to know. */
+/** Receives the snapshots that nodes send, and reports what an advisor bases its advice on. */
 final class AdviceRoutes {
     /** No tenant is moved to a node that goes into maintenance within this time. */
     private static final long MAINTENANCE_LOOKAHEAD_MS = 3_600_000;
@@ -23,7 +23,10 @@
     private final NodeSnapshots snapshots = new NodeSnapshots();
     private final Replica replica;
 
-    /** All that an advisor goes by, and what was said. */
+    /**
+     * What an advisor bases its advice on, and the advice given so far. The component names are
+     * part of the JSON.
+     */
     record AdviceStatus(
             AdviceLog.Image book,
             List<NodeSnapshots.View> views,
--- a/coordinator/src/main/java/saltstage/coordinator/api/ApiError.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ApiError.java
@@ -1,10 +1,11 @@
 package saltstage.coordinator.api;
 
 /**
- * The body of a response that is not a success. The component names are part of the JSON.
+ * The body of an error response. The component names are part of the JSON.
  *
- * @param error what went wrong, in one line
- * @param retryMs after how many milliseconds to try again; 0: trying again does not help
- * @param leader where the leader takes calls as HOST:PORT, or null where that is not the reason
+ * @param error the error in one line
+ * @param retryMs the delay in milliseconds before a retry; 0 if a retry does not help
+ * @param leader the leader's address for clients as HOST:PORT; null if unknown or if the error has
+ *     another reason
  */
 record ApiError(String error, long retryMs, String leader) {}
--- a/coordinator/src/main/java/saltstage/coordinator/api/ApiHandler.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ApiHandler.java
@@ -13,13 +13,14 @@
 
 /**
  * The API of a replica, without the sockets: dispatches each request to the route registered under
- * its method and path, bounds how many are under way, and turns failures into error responses.
+ * its method and path, limits the number of requests in progress, and turns failures into error
+ * responses.
  *
- * <p>A resource has a class of its own with a method {@code routes()}; a new one is added to {@link
- * #ApiHandler(Replica)}.
+ * <p>Each resource has a class of its own with a method {@code routes()}; a new one is added to
+ * {@link #ApiHandler(Replica)}.
  */
 public final class ApiHandler {
-    /** Requests beyond this many that are not answered yet are refused at once. */
+    /** Further requests are rejected at once while this many are unanswered. */
     static final int MAX_CONCURRENT_REQUESTS = 20_000;
 
     private static final long RESPONSE_TIMEOUT_MS = 5_000;
@@ -64,7 +65,7 @@
                     ? route.handle(read)
                     : CompletableFuture.completedFuture(
                             ApiResponse.notFound("no such call: " + read.routeKey()));
-        } catch (RuntimeException failed) { // reported by the future, which ends the call
+        } catch (RuntimeException failed) { // reported by the future, which ends the request
             return CompletableFuture.failedFuture(failed);
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/api/ApiRequest.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ApiRequest.java
@@ -28,7 +28,7 @@
         this.content = content;
     }
 
-    /** Reads the request line; the body is parsed only when it is asked for. */
+    /** Parses the request line; the body is parsed only by {@link #body}. */
     static ApiRequest parse(FullHttpRequest request) {
         if (!request.decoderResult().isSuccess()) {
             throw new BadRequestException("not HTTP");
@@ -45,17 +45,22 @@
                 request.content().toString(StandardCharsets.UTF_8));
     }
 
-    /** Method and path, such as {@code GET /v1/leases}: what routes are registered under. */
+    /**
+     * The key under which a route is registered: method and path, such as {@code GET /v1/leases}.
+     */
     String routeKey() {
         return method + " " + path;
     }
 
-    /** The first value of a query parameter, or this default. */
+    /** The first value of a query parameter, or the default if it is absent. */
     String parameter(String name, String absent) {
         return parameters.getOrDefault(name, List.of(absent)).get(0);
     }
 
-    /** A query parameter that is a whole number from 0 to {@code max}, or this default. */
+    /**
+     * A query parameter that is a whole number from 0 to {@code max}, or the default if it is
+     * absent.
+     */
     long integerParameter(String name, long absent, long max) {
         String text = parameter(name, Long.toString(absent));
         if (!text.matches("\\d{1,15}") || Long.parseLong(text) > max) {
@@ -77,7 +82,7 @@
         }
     }
 
-    /** A field of the body that is a text and not empty. */
+    /** A field of the body that must be a non-empty string. */
     static String requiredString(JsonNode body, String name) {
         JsonNode value = body.get(name);
         if (value == null || !value.isTextual() || value.textValue().isEmpty()) {
@@ -86,7 +91,7 @@
         return value.textValue();
     }
 
-    /** The first line of what a JSON parser complains about, for an error's text. */
+    /** The first line of a JSON parser's error message, for use in an error response. */
     static String firstErrorLine(JsonProcessingException malformed) {
         return malformed.getOriginalMessage().lines().findFirst().orElse("?");
     }
--- a/coordinator/src/main/java/saltstage/coordinator/api/ApiResponse.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ApiResponse.java
@@ -7,7 +7,7 @@
  * @param body a value that becomes JSON, or a byte array that is sent as it is
  */
 record ApiResponse(int status, Object body) {
-    /** How long a client should wait before it repeats a call that another try may answer. */
+    /** The delay before a client should retry a request that may succeed then. */
     private static final int RETRY_DELAY_MS = 200;
 
     private static final int OK = 200;
@@ -28,7 +28,7 @@
         return new ApiResponse(NOT_FOUND, new ApiError(error, 0, null));
     }
 
-    /** This replica does not lead; {@code leader} may be null where none is known. */
+    /** This replica does not lead; {@code leader} is null if none is known. */
     static ApiResponse notLeader(String leader) {
         return new ApiResponse(
                 MISDIRECTED_REQUEST, new ApiError("another replica leads", RETRY_DELAY_MS, leader));
--- a/coordinator/src/main/java/saltstage/coordinator/api/ClusterRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ClusterRoutes.java
@@ -11,7 +11,7 @@
 final class ClusterRoutes {
     private final Replica replica;
 
-    /** How a membership call ended. */
+    /** The state after a membership request. The component name is part of the JSON. */
     record MembershipState(String state) {}
 
     ClusterRoutes(Replica replica) {
--- a/coordinator/src/main/java/saltstage/coordinator/api/CommandRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/CommandRoutes.java
@@ -12,7 +12,7 @@
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.replica.Replica;
 
-/** Commands of clients, each numbered within its client's session. */
+/** Executes commands of clients, each numbered within its client's session. */
 final class CommandRoutes {
     private static final int MAX_CLIENT_ID_LENGTH = 100;
 
@@ -75,7 +75,7 @@
                 : CompletableFuture.completedFuture(first);
     }
 
-    /** Holds the reply back until asking again may bring another one, or the deadline. */
+    /** Delays the reply until a repeated command may get a different one, or until the deadline. */
     private CompletableFuture<Reply> awaitTurn(
             LeaseCommands.Acquire acquire, Reply held, long deadlineNanos) {
         return changes.awaitNext(deadlineNanos)
--- a/coordinator/src/main/java/saltstage/coordinator/api/ConfigurationRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ConfigurationRoutes.java
@@ -22,14 +22,17 @@
 import saltstage.wire.MalformedException;
 
 /**
- * The read API of the configuration. Changes and snapshots are answered by any replica, as it has
- * them: their digests protect followers. Status, reports and history are the leader's.
+ * The read API of the configuration. Any replica answers requests for changes and snapshots from
+ * its own state, because their digests protect followers. Status, reports and history are answered
+ * by the leader.
  */
 final class ConfigurationRoutes {
-    /** Requests are held back no longer; under the time in which each must be answered. */
+    /**
+     * The longest delay of a response; below the time within which each request must be answered.
+     */
     private static final long MAX_WAIT_MS = 3_000;
 
-    /** Pages of snapshots under way beyond this many are refused for now. */
+    /** Further requests for snapshot pages are rejected as busy while this many are in progress. */
     private static final int MAX_CONCURRENT_SNAPSHOT_PAGES = 8;
 
     private static final long BUSY_RETRY_DELAY_MS = 250;
@@ -41,13 +44,13 @@
     private static final int MISDIRECTED_REQUEST = 421;
     private static final int SERVICE_UNAVAILABLE = 503;
 
-    /** What a status is answered with; the component names are part of the JSON. */
+    /** The response to a status request. The component names are part of the JSON. */
     record Status(long revision, String digest, long asked, List<FollowerReports.Zone> zones) {}
 
-    /** What a follower has, and how much it takes. */
+    /** The revision and digest that a follower has, and the limits of its request. */
     private record ChangesQuery(long revision, long digest, int limit, long deadlineNanos) {}
 
-    /** What a follower is answered, and the newest revision and digest at that moment. */
+    /** The changes for a follower, and the newest revision and digest when they were read. */
     private record ChangesResult(ChangeHistory.Result answer, long revision, long digest) {
         boolean isEmpty() {
             return answer instanceof ChangeHistory.Changes found && found.changes().isEmpty();
@@ -56,7 +59,7 @@
 
     private final Replica replica;
     private final RevisionWatch revisionWatch;
-    private final SnapshotPager pager = new SnapshotPager(); // only on the replica's thread
+    private final SnapshotPager pager = new SnapshotPager(); // used only on the replica's thread
     private final AtomicInteger activeSnapshotPages = new AtomicInteger();
     private final FollowerReports reports = new FollowerReports(); // guarded by itself
 
@@ -87,8 +90,6 @@
                 "POST /v1/configuration/reports", this::receiveReport);
     }
 
-    // ---- changes
-
     private CompletableFuture<ApiResponse> changes(ApiRequest request) {
         long revision = request.integerParameter("after", 0, MAX_REVISION);
         long digest = parseDigest(request.parameter("digest", revision == 0 ? emptyDigest() : ""));
@@ -160,8 +161,6 @@
         return new ApiResponse(status, new RawJson(ConfigurationJson.toJson(body)));
     }
 
-    // ---- snapshots
-
     private CompletableFuture<ApiResponse> snapshot(ApiRequest request) {
         long revision = request.integerParameter("revision", SnapshotPager.NEWEST, MAX_REVISION);
         int most = ConfigurationLimits.MAX_ENTRIES_PER_PAGE;
@@ -178,7 +177,7 @@
                 .whenComplete((response, failure) -> activeSnapshotPages.decrementAndGet());
     }
 
-    /** A page or, where the snapshot is gone, none; and the newest revision. */
+    /** A page, or null if the snapshot is gone, and the newest revision. */
     private record SnapshotPageResult(SnapshotPage page, long newestRevision) {
         ApiResponse toResponse() {
             return page == null
@@ -200,8 +199,6 @@
         }
     }
 
-    // ---- what the leader tells
-
     private CompletableFuture<ApiResponse> status(ApiRequest request) {
         long asked = request.integerParameter("revision", 0, MAX_REVISION);
         return replica.read(state -> configurationStatus(state.configuration(), asked), false)
--- a/coordinator/src/main/java/saltstage/coordinator/api/HttpListener.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/HttpListener.java
@@ -32,12 +32,13 @@
 import saltstage.log.Log;
 
 /**
- * The API on HTTP/1.1: Netty's codec, bounded in connections, in bytes a request and in silence.
+ * Serves the API over HTTP/1.1 with Netty's codec; limits the number of connections, the size of
+ * requests and the idle time.
  */
 public final class HttpListener implements AutoCloseable {
     private static final int MAX_CONNECTIONS = 4_000;
 
-    /** A renewal of thousands of leases is the largest call there is. */
+    /** Enough for the largest request, a renewal of thousands of leases. */
     private static final int MAX_BODY_BYTES = 1 << 20;
 
     private static final int READ_TIMEOUT_SECONDS = 60;
@@ -47,7 +48,7 @@
     private final Channel channel;
     private final AtomicInteger connectionCount = new AtomicInteger();
 
-    /** Listens. */
+    /** Starts to listen on an address. */
     public HttpListener(InetSocketAddress at, ApiHandler handler) throws IOException {
         ChannelFuture bound =
                 new ServerBootstrap()
@@ -86,7 +87,10 @@
         channel = bound.channel();
     }
 
-    /** One call after the other: the next of a connection is read once this one is answered. */
+    /**
+     * Handles one request of a connection at a time: the next one is read once the current one is
+     * answered.
+     */
     private static final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final ApiHandler handler;
         private boolean responsePending;
@@ -98,7 +102,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext on, FullHttpRequest request) {
             boolean keep = HttpUtil.isKeepAlive(request);
-            if (responsePending) { // it did not wait for its answer: answers could change places
+            if (responsePending) { // pipelined: responses could be reordered
                 on.close();
                 return;
             }
@@ -144,7 +148,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext on, Throwable why) {
-            on.close(); // silence, a reset, or what is no HTTP: nothing of it reached the handler
+            on.close(); // a timeout, a reset or malformed HTTP; no request reached the handler
         }
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/api/LeaseRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/LeaseRoutes.java
@@ -7,7 +7,7 @@
 import saltstage.coordinator.lease.Leases;
 import saltstage.coordinator.replica.Replica;
 
-/** Reads of leases: a list by prefix, and one lease whose next change can be waited for. */
+/** Reads leases: a list by prefix, and a single lease whose next change a request can wait for. */
 final class LeaseRoutes {
     private static final int DEFAULT_LIMIT = 1_000;
     private static final int MAX_LIMIT = 10_000;
@@ -16,7 +16,10 @@
     private final Replica replica;
     private final StateChanges changes;
 
-    /** Leases, the group time at which they were read, and whether they may be stale. */
+    /**
+     * Leases, the group time at which they were read, and whether they may be stale. The component
+     * names are part of the JSON.
+     */
     record LeaseList(List<Leases.Row> leases, long groupNow, boolean stale) {
         private long revision() {
             return leases.isEmpty() ? 0 : leases.get(0).revision();
@@ -54,7 +57,7 @@
                 .thenApply(ApiResponse::ok);
     }
 
-    /** The lease once its revision is another one than {@code after}, or at the deadline. */
+    /** The lease once its revision differs from {@code after}, or at the deadline. */
     private CompletableFuture<LeaseList> readOnceChanged(
             String name, long after, long deadlineNanos) {
         return replica.read(state -> findLease(state, name), false)
--- a/coordinator/src/main/java/saltstage/coordinator/api/RevisionWatch.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/RevisionWatch.java
@@ -7,14 +7,17 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Lets requests wait until the configuration's revision moves. The group's state changes several
- * times a second for other reasons; each of these costs one look at the revision for all who wait
- * together, and wakes nobody.
+ * Lets requests wait until the configuration's revision advances. The group's state changes several
+ * times a second for other reasons; each such change costs one read of the revision for all waiting
+ * requests together, and completes none of them.
  */
 final class RevisionWatch {
-    /** The state that is watched. */
+    /** The source of the revision that is watched. */
     interface RevisionSource {
-        /** Runs this once at the state's next change; false where too many wait. */
+        /**
+         * Runs a listener once at the next change of the state; returns false if too many are
+         * registered.
+         */
         boolean onNextChange(Runnable told);
 
         /** The newest revision. */
@@ -39,7 +42,8 @@
     }
 
     /**
-     * True once the newest revision is after this one; false at the deadline of System.nanoTime().
+     * Completes with true once the newest revision is after this one, or with false at the
+     * deadline, a time of {@link System#nanoTime}.
      */
     CompletableFuture<Boolean> awaitRevisionAfter(long revision, long deadlineNanos) {
         long left = deadlineNanos - System.nanoTime();
@@ -52,13 +56,13 @@
                 .completeOnTimeout(false, left, TimeUnit.NANOSECONDS)
                 .whenComplete((moved, failure) -> waiters.remove(waiter));
         startListening();
-        checkRevision(); // it may have moved since the caller has read it
+        checkRevision(); // it may have advanced since the caller read it
         return waiter.advanced;
     }
 
     private void startListening() {
         if (listening.compareAndSet(false, true) && !source.onNextChange(this::stateChanged)) {
-            listening.set(false); // requests then wait until their deadlines
+            listening.set(false); // no listener added: requests wait until their deadlines
         }
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/api/Route.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/Route.java
@@ -5,6 +5,6 @@
 /** Answers the requests of one method and path. */
 @FunctionalInterface
 interface Route {
-    /** The response, sooner or later; throws {@link BadRequestException} for a bad request. */
+    /** Returns a future of the response; throws {@link BadRequestException} for a bad request. */
     CompletableFuture<ApiResponse> handle(ApiRequest request);
 }
--- a/coordinator/src/main/java/saltstage/coordinator/api/StateChanges.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/StateChanges.java
@@ -4,9 +4,12 @@
 import java.util.concurrent.TimeUnit;
 import saltstage.coordinator.replica.Replica;
 
-/** Lets requests wait until the group's state changes. Deadlines are of {@link System#nanoTime}. */
+/**
+ * Lets requests wait until the group's state changes. Deadlines are times of {@link
+ * System#nanoTime}.
+ */
 final class StateChanges {
-    /** The longest that a request may be held back. */
+    /** The longest time by which a response may be delayed. */
     static final long MAX_WAIT_MS = 2_000;
 
     private final Replica replica;
@@ -15,12 +18,15 @@
         this.replica = replica;
     }
 
-    /** The deadline of a request that may be held back for so long from now on. */
+    /** The deadline of a request whose response may be delayed by this time from now on. */
     static long deadlineNanos(long waitMs) {
         return System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
     }
 
-    /** True at the next change; false at the deadline, or at once where too many wait. */
+    /**
+     * Completes with true at the next change, or with false at the deadline, or at once if too many
+     * requests wait.
+     */
     CompletableFuture<Boolean> awaitNext(long deadlineNanos) {
         CompletableFuture<Boolean> changed = new CompletableFuture<>();
         long left = deadlineNanos - System.nanoTime();
--- a/coordinator/src/main/java/saltstage/coordinator/api/WindowRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/WindowRoutes.java
@@ -8,17 +8,20 @@
 import saltstage.coordinator.window.FleetPlan;
 import saltstage.coordinator.window.Window;
 
-/** Reads of maintenance windows, and of the capacity that they leave. */
+/** Reads maintenance windows and the capacity that remains during them. */
 final class WindowRoutes {
     private static final int DEFAULT_LIMIT = 200;
     private static final int MAX_LIMIT = 10_000;
 
-    /** In the year 2100; milliseconds since 1970. */
+    /** The largest accepted time, in the year 2100; milliseconds since 1970. */
     private static final long MAX_TIME_MS = 4_102_444_800_000L;
 
     private final Replica replica;
 
-    /** The windows, the plan that they keep, and the group's time of day. */
+    /**
+     * The windows, the plan that they comply with, and the group's time of day. The component names
+     * are part of the JSON.
+     */
     record WindowList(FleetPlan plan, List<Window> windows, long day) {}
 
     WindowRoutes(Replica replica) {
--- a/coordinator/src/main/java/saltstage/coordinator/client/GroupClient.java
+++ b/coordinator/src/main/java/saltstage/coordinator/client/GroupClient.java
@@ -18,19 +18,21 @@
 import saltstage.coordinator.model.Reply;
 
 /**
- * One session with a group: one command at a time, each carried out once however often it is sent.
- * It goes to the replica that answered last, follows to the leader, and tries the others where one
- * is silent.
+ * A client session with a group. It sends one command at a time, and the group executes each
+ * command once however often it is sent. A call goes to the replica that answered last, follows
+ * that replica's hint to the leader, and goes on to the next replica if one does not answer.
  */
 public final class GroupClient {
-    /** A call that brings nothing for so long is given up and sent to another replica. */
+    /**
+     * An attempt without a response within this time is abandoned and repeated on another replica.
+     */
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofMillis(1_500);
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(700);
     private static final long MIN_RETRY_DELAY_MS = 20;
     private static final long MAX_RETRY_DELAY_MS = 200;
 
-    /** No majority could be reached in time; what became of the command is open. */
+    /** No majority could be reached in time; whether the command was executed is unknown. */
     public static final class GroupUnreachableException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -40,8 +42,8 @@
     }
 
     /**
-     * A reply, and the moment on the caller's monotonic clock before which the group cannot have
-     * given it.
+     * A reply, and the time on the caller's monotonic clock at which its command was first sent:
+     * the group cannot have replied earlier.
      */
     public record TimedReply(Reply reply, long sentNanos) {}
 
@@ -57,7 +59,10 @@
     private int nextReplica;
     private String leaderAddress;
 
-    /** A client of the group whose replicas take calls there, each as HOST:PORT. */
+    /**
+     * Creates a client of the group whose replicas serve clients at these addresses, each as
+     * HOST:PORT.
+     */
     public GroupClient(List<String> places, Ticker ticker) {
         if (places.isEmpty()) {
             throw new IllegalArgumentException("no replica is named");
@@ -67,14 +72,15 @@
         nextReplica = ThreadLocalRandom.current().nextInt(places.size());
     }
 
-    /** Sends a command until it is answered, for so long at most. */
+    /** Sends a command and repeats it until it is answered or the time limit has passed. */
     public TimedReply send(Command command, Duration within)
             throws GroupUnreachableException, InterruptedException {
         return send(command, within, Duration.ZERO);
     }
 
     /**
-     * As above; the group may hold its answer back for so long while the caller waits in a queue.
+     * Sends a command as {@link #send(Command, Duration)} does; the group may delay its answer by
+     * up to {@code wait} while the caller waits in a queue.
      */
     public synchronized TimedReply send(Command command, Duration within, Duration wait)
             throws GroupUnreachableException, InterruptedException {
@@ -99,7 +105,7 @@
                         "an answer that this build does not know: " + unknown.getMessage());
             }
             if (reply instanceof Rejection no && no.code().equals("session-lost")) {
-                sessionId = UUID.randomUUID().toString(); // the caller decides whether to ask again
+                sessionId = UUID.randomUUID().toString(); // the caller may send again
                 sequenceNumber = 0;
             }
             return new TimedReply(reply, first);
@@ -107,8 +113,8 @@
     }
 
     /**
-     * Reads; the answer is of the group as it was after the call began, unless the path asks for a
-     * stale one.
+     * Reads a path. The answer reflects the group's state after the call began, unless the path
+     * asks for a stale one.
      */
     public synchronized JsonNode get(String path, Duration within)
             throws GroupUnreachableException, InterruptedException {
@@ -120,7 +126,7 @@
                 ATTEMPT_TIMEOUT.plusSeconds(2));
     }
 
-    /** Posts an operator's call, which may be sent more than once. */
+    /** Posts an operator's request, which may be sent more than once. */
     public synchronized JsonNode post(String path, JsonNode body, Duration within)
             throws GroupUnreachableException, InterruptedException {
         return call(
@@ -158,8 +164,7 @@
                                 + ": "
                                 + answer.path("error").asText("status " + response.statusCode());
                 if (response.statusCode() == 400 || response.statusCode() == 404) {
-                    selectNextReplica(
-                            null, place); // what is at that address may be no replica any more
+                    selectNextReplica(null, place); // the address may belong to no replica any more
                     throw new IllegalArgumentException(last);
                 }
                 selectNextReplica(answer.path("leader").asText(null), place);
@@ -188,8 +193,8 @@
     }
 
     /**
-     * The next call goes to who is said to lead, unless that is who has just not served, else to
-     * the next.
+     * Selects the replica of the next attempt: the leader named in a response, unless it is the
+     * replica that has just failed to serve; otherwise the next one.
      */
     private void selectNextReplica(String toldLeader, String not) {
         leaderAddress =
--- a/coordinator/src/main/java/saltstage/coordinator/client/LeaseClient.java
+++ b/coordinator/src/main/java/saltstage/coordinator/client/LeaseClient.java
@@ -17,23 +17,23 @@
 import saltstage.log.Log;
 
 /**
- * Holds leases. What it holds it counts on its own monotonic clock from the moment at which the
- * question was first sent, less what two clocks may drift apart; it stops before the group may give
- * the lease on. A thread renews what is held. No lease can stop a write that is already under way
- * when its holder is paused: whoever is written to must refuse a fence lower than one that it has
- * seen.
+ * Acquires and holds leases. The validity of a lease is measured on this process's monotonic clock
+ * from the time at which the command was first sent, reduced by the permitted drift between two
+ * clocks, so that it ends before the group may grant the lease to another owner. A thread renews
+ * the leases held. No lease can stop a write that is already under way when its holder is paused:
+ * the target of a write must reject a fencing token lower than one that it has seen.
  */
 public final class LeaseClient implements AutoCloseable {
     /**
-     * Two monotonic clocks may differ in rate by so much, by what is promised: machines keep a
-     * hundredth of it.
+     * The largest permitted difference in rate between two monotonic clocks; the clocks of machines
+     * stay within a hundredth of it.
      */
     public static final double MAX_CLOCK_DRIFT = 0.02;
 
     private static final int RENEWALS_PER_TTL = 4;
     private static final Duration MAX_QUEUE_WAIT = Duration.ofMillis(900);
 
-    /** The lease is not this process's any more. */
+    /** This process does not hold the lease any more. */
     public static final class LeaseLostException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /** It was not had: who has it, or why not. */
+    /** The lease was not granted; the message names its holder or the reason. */
     public static final class LeaseNotGrantedException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -60,7 +60,8 @@
     private volatile boolean closed;
 
     /**
-     * Holds leases of a group under a name that people know; each process is an owner of its own.
+     * Creates a client for the leases of a group. The name is for people; each process is a
+     * separate owner. Renewals use a group client of their own.
      */
     public LeaseClient(GroupClient group, GroupClient renewing, Ticker ticker, String name) {
         this.groupClient = group;
@@ -89,24 +90,24 @@
             validUntilNanos = sent + validityNanos(ttlMs);
         }
 
-        /** Its name. */
+        /** The name of the lease. */
         public String name() {
             return name;
         }
 
-        /** Its fence: to be sent along with whatever is done under it. */
+        /** The fencing token, which must accompany every action done under the lease. */
         public long fencingToken() {
             return fencingToken;
         }
 
-        /** How long it holds at least, by this process's clock. */
+        /** The time for which the lease is valid at least, by this process's clock. */
         public Duration remaining() {
             return closedOrLost
                     ? Duration.ZERO
                     : Duration.ofNanos(Math.max(0, validUntilNanos - ticker.nanos()));
         }
 
-        /** Throws where it is lost, or may be: to be called before each act. */
+        /** Throws if the lease is or may be lost; to be called before each action done under it. */
         public void checkStillHeld() throws LeaseLostException {
             if (closedOrLost || ticker.nanos() - validUntilNanos >= 0) {
                 markLost();
@@ -130,7 +131,7 @@
             validUntilNanos = Math.max(validUntilNanos, sent + validityNanos(ttlMs));
         }
 
-        /** Gives it back. */
+        /** Releases the lease. */
         @Override
         public void close() {
             boolean mine;
@@ -145,7 +146,7 @@
                             new Release(name, owner, fencingToken),
                             Duration.ofMillis(Math.min(ttlMs, 3_000)));
                 } catch (GroupUnreachableException itExpires) {
-                    return;
+                    return; // the lease expires by itself
                 } catch (InterruptedException ended) {
                     Thread.currentThread().interrupt();
                 }
@@ -158,9 +159,9 @@
     }
 
     /**
-     * Gets a lease, waiting for it for so long at the most.
+     * Acquires a lease, waiting for it for at most {@code wait}.
      *
-     * @param onLoss run once, on any thread, if it is lost before it is closed
+     * @param onLoss run once, on any thread, if the lease is lost before it is closed
      */
     public Lease acquire(String name, Duration ttl, Duration wait, int priority, Runnable onLoss)
             throws LeaseNotGrantedException, GroupUnreachableException, InterruptedException {
@@ -183,7 +184,7 @@
                 Lease lease =
                         new Lease(name, granted.fence(), granted.ttlMs(), said.sentNanos(), onLoss);
                 if (lease.remaining().isZero()) {
-                    continue; // the answer came so late that it is worth nothing
+                    continue; // the reply came after the end of the lease's validity
                 }
                 heldLeases.put(name, lease);
                 return lease;
@@ -213,9 +214,7 @@
                 renewHeldLeases();
             } catch (InterruptedException ended) {
                 return;
-            } catch (
-                    RuntimeException
-                            fault) { // of one round: the leases held need the rounds after it
+            } catch (RuntimeException fault) { // the leases held need the next renewal round
                 Log.error("lease.renewal-failed", fault);
             }
         }
@@ -247,17 +246,17 @@
             }
         } catch (
                 GroupUnreachableException
-                        notNow) { // what is not renewed in time is lost by the clock above
+                        notNow) { // a lease not renewed in time is marked lost above
             return;
         }
     }
 
-    /** Under which name the group knows this owner. */
+    /** The name under which the group knows this owner. */
     public String owner() {
         return owner;
     }
 
-    /** Gives back all that is held. */
+    /** Releases all leases held. */
     @Override
     public void close() {
         closed = true;
--- a/coordinator/src/main/java/saltstage/coordinator/client/Ticker.java
+++ b/coordinator/src/main/java/saltstage/coordinator/client/Ticker.java
@@ -1,11 +1,11 @@
 package saltstage.coordinator.client;
 
-/** A monotonic clock in nanoseconds; tests give one that drifts. */
+/** A monotonic clock in nanoseconds; tests substitute one that drifts. */
 @FunctionalInterface
 public interface Ticker {
-    /** The system's. */
+    /** The system's monotonic clock. */
     Ticker SYSTEM = System::nanoTime;
 
-    /** Now. */
+    /** The current time of this clock in nanoseconds. */
     long nanos();
 }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Identity.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Identity.java
@@ -8,17 +8,20 @@
 import saltstage.store.Store;
 
 /**
- * Which group and member a disk belongs to, and a name of the disk's own. A member whose disk was
- * wiped has forgotten its votes: under the old name it could vote twice in one term, so it comes
- * with a new disk name and the group refuses it until its old self was removed.
+ * The group and member that a disk belongs to, and a random id of the disk. A member whose disk was
+ * wiped has lost its votes: under its old name it could vote twice in one term. It therefore has a
+ * new disk id, and the group refuses it until the old member has been removed. The component names
+ * are part of the stored form.
+ *
+ * @param first the names of the group's initial members
  */
 record Identity(String group, String member, String disk, List<String> first) {
-    /** How a refusal for another disk begins. */
+    /** Prefix of the reason given when a member with another disk is refused. */
     static final String OTHER_DISK_PREFIX = "other-disk";
 
     private static final byte[] KEY = "m/identity".getBytes(StandardCharsets.US_ASCII);
 
-    /** What the disk says, or what is written on a new one. */
+    /** Reads the identity from the store; creates it from the settings if the store has none. */
     static Identity loadOrCreate(Store store, ReplicaSettings settings) throws IOException {
         byte[] kept = store.get(KEY);
         if (kept == null) {
--- a/coordinator/src/main/java/saltstage/coordinator/replica/LeaderTasks.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/LeaderTasks.java
@@ -11,17 +11,18 @@
 import saltstage.coordinator.model.Command;
 
 /**
- * What a leader proposes by itself: ticks, which let the group's time pass, and introductions of
- * members. Everything but {@link #heartbeatReceived} is for the engine's thread.
+ * Proposals that a leader makes on its own: ticks, which advance the group's time, and
+ * introductions of members. All methods except {@link #heartbeatReceived} are called on the
+ * engine's thread.
  */
 final class LeaderTasks {
-    /** The period at which {@link #run} is to be called. */
+    /** The period at which {@link #run} must be called. */
     static final Duration CHECK_PERIOD = Duration.ofMillis(200);
 
-    /** Ticks come this seldom while nothing in the state depends on time. */
+    /** The tick period while nothing in the state depends on time. */
     private static final Duration IDLE_TICK_PERIOD = Duration.ofSeconds(2);
 
-    /** A heartbeat that is older says nothing of its peer's clock any more. */
+    /** An older heartbeat is no longer used to estimate its peer's clock. */
     private static final long MAX_HEARTBEAT_AGE_MS = 10_000;
 
     private final ReplicaSettings settings;
@@ -47,12 +48,15 @@
         this.proposer = proposer;
     }
 
-    /** A peer's heartbeat has come; on any thread. */
+    /** Records a peer's heartbeat; may be called on any thread. */
     void heartbeatReceived(String from, PeerLinks.Heartbeat heartbeat) {
         heartbeats.put(from, new ReceivedHeartbeat(heartbeat, System.nanoTime()));
     }
 
-    /** Proposes what is due; called each {@link #CHECK_PERIOD} while this replica leads. */
+    /**
+     * Makes the proposals that are due; called every {@link #CHECK_PERIOD} while this replica
+     * leads.
+     */
     void run(GroupState state) {
         long now = System.nanoTime();
         boolean timed =
@@ -77,7 +81,7 @@
         }
     }
 
-    /** Tells the group all clocks and feature levels that are known here. */
+    /** Proposes a tick with all wall clocks and feature levels known to this replica. */
     private void proposeTick(long nowNanos) {
         Map<String, Long> walls =
                 new TreeMap<>(Map.of(settings.name(), settings.wallClock().getAsLong()));
@@ -101,6 +105,6 @@
 
     private void propose(Command command) {
         proposer.propose(command)
-                .exceptionally(failed -> null); // the next check sees whether it is still due
+                .exceptionally(failed -> null); // the next check proposes again if still due
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/LogStore.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/LogStore.java
@@ -22,10 +22,10 @@
 import saltstage.store.Store;
 
 /**
- * What a replica must not forget, in the embedded store: its name, term and vote, the log and the
- * last snapshot. Changes gather until {@link #flush}, which returns once they are durable, all
- * together; what needs to be durable at once takes the rest with it. Used on the engine's thread
- * only.
+ * Persists a replica's Raft state in the embedded store: its name, term and vote, the log and the
+ * last snapshot. Changes are collected in one batch until {@link #flush}, which returns once all of
+ * them are durable. A change that must be durable at once flushes the collected ones with it. Used
+ * only on the engine's thread.
  */
 final class LogStore implements RaftStore {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
@@ -35,12 +35,15 @@
     private static final byte[] LOG_KEY_PREFIX = asciiBytes("l/");
     private static final byte[] SNAPSHOT_KEY_PREFIX = asciiBytes("s/");
 
-    /** Below what a batch may hold, by a wide margin. */
+    /** Far below the largest batch that the store accepts. */
     private static final int MAX_BATCH_BYTES = 8 << 20;
 
-    /** A write that failed: what the disk has is not known, and the replica must end. */
+    /**
+     * Receives failed writes. After one the content of the disk is unknown, and the replica must
+     * end.
+     */
     interface WriteFailureListener {
-        /** Told before the engine is. */
+        /** Called before the engine learns of the failure. */
         void writeFailed(IOException why);
     }
 
@@ -184,9 +187,7 @@
         }
     }
 
-    // ---- at the start
-
-    /** What was kept, or null where nothing was. */
+    /** Restores the persisted state; returns null if there is none. */
     RestoredRaftState restore() throws IOException {
         byte[] self = store.get(SELF_KEY);
         byte[] first = store.get(INITIAL_MEMBERS_KEY);
@@ -232,7 +233,7 @@
         return entries;
     }
 
-    /** The newest snapshot of which all parts are there. */
+    /** Reads the newest snapshot whose chunks are all stored; returns null if there is none. */
     private SnapshotEntry readSnapshot() throws IOException {
         List<SnapshotChunk> whole = null;
         List<SnapshotChunk> parts = new ArrayList<>();
@@ -262,12 +263,12 @@
                 .build();
     }
 
-    /** Whether a log was ever kept here. */
+    /** Whether the store has never held a replica's state. */
     boolean isEmpty() throws IOException {
         return store.get(SELF_KEY) == null;
     }
 
-    /** The names that the group began with; empty where none were kept. */
+    /** The names of the group's initial members; empty if none are stored. */
     Collection<String> initialMembers() throws IOException {
         byte[] first = store.get(INITIAL_MEMBERS_KEY);
         return first == null
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Member.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Member.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * A replica as the consensus engine names it: by its name alone; where it is reached is known
- * elsewhere.
+ * A replica as the consensus engine identifies it: by its name alone. Its addresses are kept in
+ * {@link PeerDirectory}.
  */
 record Member(String id) implements RaftEndpoint, Serializable {
     @Override
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Membership.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Membership.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.CompletableFuture;
 import saltstage.coordinator.group.GroupCommands;
 
-/** Changes of the group's members, by its leader. */
+/** Changes the members of the group; used on the leader. */
 final class Membership {
-    /** A learner that is this many entries or fewer behind is made a voter. */
+    /** A learner is promoted to a voter if it lags by at most this many log entries. */
     private static final int MAX_PROMOTION_LAG_ENTRIES = 200;
 
     private static final String STATE_LEARNER = "learns";
@@ -26,7 +26,10 @@
         this.proposer = proposer;
     }
 
-    /** Takes a member in, first as one that only learns, later as one that votes. */
+    /**
+     * Adds a member as a learner; a later call promotes it to a voter once it has caught up.
+     * Completes with the member's state.
+     */
     CompletableFuture<String> join(String name, String disk, String peers, String clients) {
         Member member = new Member(name);
         if (directory.isOnOtherDisk(name, disk)) {
@@ -54,7 +57,7 @@
                 .thenApply(done -> STATE_LEARNER);
     }
 
-    /** Makes a learner a voter once it has caught up. */
+    /** Promotes a learner to a voter if it has caught up. */
     private CompletableFuture<String> promoteIfCaughtUp(Member member) {
         return node.getReport()
                 .thenCompose(
@@ -77,7 +80,7 @@
                 .thenApply(done -> STATE_VOTER);
     }
 
-    /** Lets a member go: dead, or leaving. */
+    /** Removes a member that is dead or leaving. Completes with the member's state. */
     CompletableFuture<String> leave(String name) {
         Member member = new Member(name);
         var members = node.getCommittedMembers();
@@ -90,7 +93,7 @@
                 .thenApply(done -> STATE_REMOVED);
     }
 
-    /** Hands leadership to a member. */
+    /** Transfers leadership to a member. */
     CompletableFuture<Object> transferLeadership(String to) {
         return node.transferLeadership(new Member(to)).thenApply(Ordered::getResult);
     }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/NewTermOperation.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/NewTermOperation.java
@@ -1,6 +1,6 @@
 package saltstage.coordinator.replica;
 
-/** The first entry of each leadership; it changes nothing. */
+/** The operation of the first log entry of each leader's term; it changes nothing. */
 enum NewTermOperation {
     INSTANCE
 }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/PeerDirectory.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/PeerDirectory.java
@@ -10,8 +10,8 @@
 import saltstage.coordinator.group.GroupState;
 
 /**
- * What this replica knows of the others: the group's rows of its members, as of the last update,
- * and what peers have said of themselves since. For any thread.
+ * What this replica knows about its peers: the member rows of the group's state as of the last
+ * update, and the hellos received from peers. Thread-safe.
  */
 final class PeerDirectory {
     private final ReplicaSettings settings;
@@ -25,18 +25,24 @@
         this.group = group;
     }
 
-    /** Takes over what the group's state says now; on the engine's thread. */
+    /**
+     * Copies the member rows and the feature level from the group's state; called on the engine's
+     * thread.
+     */
     void update(GroupState state) {
         memberRows = Map.copyOf(state.members());
         featureLevel = state.featureLevel();
     }
 
-    /** The group's row of a member, or null. */
+    /** The row of a member in the group's state, or null if there is none. */
     GroupState.MemberRow memberRow(String name) {
         return memberRows.get(name);
     }
 
-    /** Where a peer is reached: by the settings of this one, else where it says that it is. */
+    /**
+     * The address at which a peer accepts connections of replicas: the one in this replica's
+     * settings, otherwise the one the peer announced; null if neither is known.
+     */
     InetSocketAddress peerAddress(String peer) {
         InetSocketAddress reach = settings.peerAddresses().get(peer);
         if (reach != null) {
@@ -52,13 +58,16 @@
                 Integer.parseInt(row.peers().substring(colon + 1)));
     }
 
-    /** Where a member takes calls as HOST:PORT, or null. */
+    /** The address of a member for clients as HOST:PORT, or null if unknown. */
     String clientAddress(String member) {
         GroupState.MemberRow row = memberRows.get(member);
         return row == null ? settings.clientAddresses().get(member) : row.clients();
     }
 
-    /** Takes a peer that says who it is; null: welcome, else why not. */
+    /**
+     * Admits a peer by its hello; returns null if it is admitted, otherwise the reason for the
+     * refusal.
+     */
     String admit(PeerLinks.Hello who) {
         if (!group.equals(who.group())) {
             return "it is of group " + who.group() + ", this is " + group;
@@ -77,15 +86,15 @@
         return null;
     }
 
-    /** Whether the group knows a member of this name on another disk. */
+    /** Whether the group knows a member of this name with another disk. */
     boolean isOnOtherDisk(String name, String disk) {
         GroupState.MemberRow row = memberRows.get(name);
         return row != null && !row.disk().equals(disk);
     }
 
     /**
-     * What the group does not know yet of these members. They have mostly said who they are before
-     * anybody led, so the leader tells the group when it can.
+     * The introductions of these members that are missing from the group's state. Peers usually
+     * send their hello before a leader is elected, so the leader introduces them later.
      */
     List<GroupCommands.Introduce> pendingIntroductions(Collection<String> names) {
         List<GroupCommands.Introduce> introductions = new ArrayList<>();
--- a/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
@@ -19,10 +19,10 @@
 import saltstage.net.Loop;
 
 /**
- * The links among replicas: each keeps one connection to each other, on which it only sends. A
- * connection begins with who is at its end; whoever belongs to another group, or has come with
- * another disk under a known name, is told so and refused. What cannot be sent is dropped: the
- * engine sends it again.
+ * The connections between replicas. Each replica keeps one connection to each peer and only sends
+ * on it. A connection begins with a hello that identifies the sender; a sender that belongs to
+ * another group, or has a known name but another disk, receives the reason and is refused. A
+ * message that cannot be sent is dropped, because the engine sends it again.
  */
 final class PeerLinks implements Transport {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
@@ -32,8 +32,8 @@
     private static final int MAX_FRAME_BYTES = 16 << 20;
 
     /**
-     * Half of a gathered snapshot part and many entries: beyond that a peer is too slow to be fed
-     * further.
+     * Messages to a peer with more unsent bytes than this are dropped, because the peer is too
+     * slow. The limit leaves room for half of a collected snapshot part and many log entries.
      */
     private static final long MAX_UNSENT_BYTES = 24 << 20;
 
@@ -45,7 +45,15 @@
     private static final byte HEARTBEAT = 3;
     private static final byte REFUSED = 4;
 
-    /** Who is at the end of a link. */
+    /**
+     * The first frame on a connection; identifies the sender. The component names are part of the
+     * wire format.
+     *
+     * @param process identifies the run of the sender's process
+     * @param speaks the highest feature level that the sender supports
+     * @param peers the sender's address for other replicas
+     * @param clients the sender's address for clients
+     */
     record Hello(
             String group,
             String from,
@@ -55,21 +63,24 @@
             String peers,
             String clients) {}
 
-    /** What time of day it is there, and what that build knows. */
+    /**
+     * The sender's wall clock and the highest feature level that it supports. The component names
+     * are part of the wire format.
+     */
     record Heartbeat(long wallMs, int speaks) {}
 
-    /** What comes in. */
+    /** Receives the frames that peers send. */
     interface PeerListener {
-        /** Somebody is there; null: welcome, else why not. */
+        /** A peer has connected; returns null to admit it, otherwise the reason for the refusal. */
         String helloReceived(Hello who);
 
-        /** A message of the engine's. */
+        /** A peer has sent an encoded message of the consensus engine. */
         void messageReceived(String from, byte[] bytes) throws IOException;
 
-        /** A sign of life. */
+        /** A peer has sent a heartbeat. */
         void heartbeatReceived(String from, Heartbeat heartbeat);
 
-        /** A peer refuses this replica. */
+        /** A peer has refused the connection of this replica. */
         void refusedByPeer(String by, String why);
     }
 
@@ -100,11 +111,13 @@
         loop = transport.loops().get(0);
     }
 
+    /** Listens for peers and starts to send heartbeats. */
     void listen(InetSocketAddress at) throws IOException {
         listener = transport.listen(at, 64, WRITE_LIMITS, connection -> new InboundLink());
         loop.schedule(HEARTBEAT_PERIOD, this::sendHeartbeats);
     }
 
+    /** Stops listening and closes all links. */
     void stop() {
         stopped = true;
         if (listener != null) {
@@ -122,7 +135,7 @@
         loop.schedule(HEARTBEAT_PERIOD, this::sendHeartbeats);
     }
 
-    /** Keeps a link to a peer from now on. */
+    /** Starts to keep a link to a peer if there is none. */
     void ensureLink(String peer) {
         if (!stopped && !peer.equals(self.from())) {
             links.computeIfAbsent(
@@ -135,7 +148,7 @@
         }
     }
 
-    /** Keeps no link to those that are not among these. */
+    /** Keeps links to exactly these peers and closes all others. */
     void updateLinks(java.util.Collection<String> peers) {
         for (String name : Map.copyOf(links).keySet()) {
             if (!peers.contains(name)) {
@@ -174,7 +187,7 @@
                 .flip();
     }
 
-    /** Reads frames; what is none ends the connection. */
+    /** Splits the input into frames; a malformed one resets the connection. */
     private abstract static class FrameReader implements ConnectionHandler {
         private ByteBuffer inputBuffer = ByteBuffer.allocate(64 << 10);
 
@@ -193,7 +206,7 @@
                 while (inputBuffer.remaining() >= 5) {
                     int length = inputBuffer.getInt(inputBuffer.position());
                     if (length < 1 || length > MAX_FRAME_BYTES) {
-                        throw new IOException("a frame of " + length + " bytes");
+                        throw new IOException("invalid frame length: " + length + " bytes");
                     }
                     if (inputBuffer.remaining() < 4 + length) {
                         break;
@@ -218,7 +231,7 @@
         }
     }
 
-    /** A connection that a peer keeps to here. */
+    /** A connection that a peer keeps to this replica. */
     private final class InboundLink extends FrameReader {
         private String from;
         private boolean refused;
@@ -226,11 +239,11 @@
         @Override
         void frameReceived(Connection on, byte type, byte[] body) throws IOException {
             if (refused) {
-                return; // it cannot have heard it yet
+                return; // the refusal has not reached the peer yet
             }
             if (from == null) {
                 if (type != HELLO) {
-                    throw new IOException("a peer that does not say who it is");
+                    throw new IOException("the first frame is not a hello");
                 }
                 Hello who = GroupCodec.cborMapper().readValue(body, Hello.class);
                 if (who == null
@@ -238,7 +251,7 @@
                         || who.disk() == null
                         || who.peers() == null
                         || who.clients() == null) {
-                    throw new IOException("a peer that says half of who it is");
+                    throw new IOException("the hello is incomplete");
                 }
                 String why = peerListener.helloReceived(who);
                 if (why != null) {
@@ -256,11 +269,11 @@
                 case HEARTBEAT -> {
                     Heartbeat heartbeat = GroupCodec.cborMapper().readValue(body, Heartbeat.class);
                     if (heartbeat == null) {
-                        throw new IOException("a beat that says nothing");
+                        throw new IOException("the heartbeat is empty");
                     }
                     peerListener.heartbeatReceived(from, heartbeat);
                 }
-                default -> throw new IOException("a frame of type " + type);
+                default -> throw new IOException("unexpected frame type " + type);
             }
         }
 
@@ -270,7 +283,7 @@
         }
     }
 
-    /** The connection kept to a peer. */
+    /** The connection that this replica keeps to a peer. */
     private final class OutboundLink extends FrameReader
             implements saltstage.net.Transport.ConnectListener {
         private final String peer;
@@ -296,8 +309,8 @@
         }
 
         /**
-         * Null where it is not known, or not readable: the group may be told of another at any
-         * time.
+         * The peer's address; null if it is unknown or unreadable, as the group may learn another
+         * address at any time.
          */
         private InetSocketAddress resolveAddress() {
             try {
@@ -345,7 +358,7 @@
         @Override
         void frameReceived(Connection on, byte type, byte[] body) throws IOException {
             if (type != REFUSED) {
-                throw new IOException("a frame of type " + type + " on a link that only sends");
+                throw new IOException("unexpected frame type " + type + " on an outbound link");
             }
             reconnectDelayMs = MAX_RECONNECT_DELAY_MS;
             peerListener.refusedByPeer(peer, new String(body, StandardCharsets.UTF_8));
@@ -368,7 +381,7 @@
         }
     }
 
-    /** How the links stand, by peer. */
+    /** Whether the link to each peer is connected, by the peer's name. */
     Map<String, Boolean> linkStates() {
         Map<String, Boolean> now = new HashMap<>();
         links.forEach((name, link) -> now.put(name, link.connected));
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Proposer.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Proposer.java
@@ -8,7 +8,9 @@
 import saltstage.coordinator.model.Command;
 import saltstage.coordinator.model.Reply;
 
-/** Stamps commands with this replica's monotonic clock and gives them to the engine. */
+/**
+ * Stamps commands with this replica's monotonic clock and proposes them to the consensus engine.
+ */
 final class Proposer {
     private static final long NANOS_PER_MS = 1_000_000;
 
@@ -17,10 +19,10 @@
     private final double clockRate;
 
     /**
-     * A proposer.
+     * Creates a proposer.
      *
-     * @param process names this run of the process: stamps of two runs are not compared
-     * @param clockRate how fast the monotonic clock goes in stamps; 1 in service
+     * @param process identifies this run of the process; time stamps of two runs are not compared
+     * @param clockRate the rate of the monotonic clock in time stamps; 1 in production
      */
     Proposer(RaftNode node, String process, double clockRate) {
         this.node = node;
@@ -28,7 +30,10 @@
         this.clockRate = clockRate;
     }
 
-    /** Proposes a client's command; the reply comes once a majority has it and it is applied. */
+    /**
+     * Proposes a client's command; the reply arrives once a majority has the command and it is
+     * applied.
+     */
     CompletableFuture<Reply> propose(String client, long seq, Command command) {
         String epoch = processId + "/" + node.getTerm().getTerm();
         long stampMs = (long) (System.nanoTime() / NANOS_PER_MS * clockRate);
@@ -36,7 +41,7 @@
         return node.<Reply>replicate(entry).thenApply(Ordered::getResult);
     }
 
-    /** Proposes a command of the group itself, in no session. */
+    /** Proposes a command of the group itself, which belongs to no client session. */
     CompletableFuture<Reply> propose(Command command) {
         return propose("", 0, command);
     }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/RaftCodec.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/RaftCodec.java
@@ -26,13 +26,16 @@
 import saltstage.coordinator.group.GroupCodec;
 
 /**
- * The consensus engine's messages and what its log keeps, as CBOR. One flat form for all messages:
- * which of its figures a kind uses stands where that kind is made and read.
+ * Encodes the consensus engine's messages and log records as CBOR. All messages share one flat
+ * form, {@code Packet}; the methods that create and read a kind of message define which fields it
+ * uses.
  */
 final class RaftCodec {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
-    /** The kinds of messages, by their place: new ones go to the end. */
+    /**
+     * The kinds of messages. The names are part of the wire format; new kinds are added at the end.
+     */
     private enum Kind {
         APPEND,
         APPENDED,
@@ -47,27 +50,32 @@
     }
 
     /**
-     * An operation: a proposal's bytes, a change of the members, or, with neither, the start of a
-     * term.
+     * The operation of a log entry: a proposal's bytes, a membership change, or, with neither, the
+     * start of a term.
      */
     record Op(byte[] proposal, Members members, String endpoint, String mode) {}
 
-    /** An entry of the log. */
+    /** A log entry. */
     record Entry(long index, int term, Op op) {}
 
-    /** Who is in the group since an index; who votes. */
+    /** The members of the group as of a log index, and the voters among them. */
     record Members(long index, List<String> all, List<String> voting) {}
 
-    /** A part of a snapshot. */
+    /**
+     * A chunk of a snapshot.
+     *
+     * @param at the position of the chunk within the snapshot
+     * @param of the number of chunks in the snapshot
+     */
     record Chunk(long index, int term, byte[] bytes, int at, int of, Members members) {}
 
-    /** Term and vote. */
+    /** The current term and the vote given in it. */
     record Term(int term, String votedFor) {}
 
-    /** This replica. */
+    /** The local member of this replica. */
     record Self(String member, boolean voting) {}
 
-    /** A message. */
+    /** The flat form of all messages. */
     private record Packet(
             Kind kind,
             String from,
@@ -90,8 +98,6 @@
         this.groupId = group;
     }
 
-    // ---- parts
-
     private static String nameOf(RaftEndpoint endpoint) {
         return endpoint == null ? null : (String) endpoint.getId();
     }
@@ -194,8 +200,6 @@
                         .build();
     }
 
-    // ---- messages
-
     byte[] encode(RaftMessage message) {
         return GroupCodec.toCbor(toPacket(message));
     }
@@ -243,7 +247,7 @@
         packet = packet != null ? packet : snapshotPacket(message);
         packet = packet != null ? packet : electionPacket(message);
         if (packet == null) {
-            throw new IllegalArgumentException("a message of no known kind: " + message.getClass());
+            throw new IllegalArgumentException("unknown type of message: " + message.getClass());
         }
         return packet;
     }
@@ -345,16 +349,17 @@
         return null;
     }
 
-    /** The message of these bytes; what is none is an IOException. */
+    /** Decodes a message; throws an IOException if the bytes are not a valid one. */
     RaftMessage decode(byte[] bytes) throws IOException {
         Packet p = GroupCodec.cborMapper().readValue(bytes, Packet.class);
         if (p == null || p.kind() == null || p.from() == null) {
-            throw new IOException("a message without kind or sender");
+            throw new IOException("message without kind or sender");
         }
         try {
             return toMessage(p);
-        } catch (RuntimeException parts) { // one is missing, or names what this build does not know
-            throw new IOException("a message of kind " + p.kind() + " without its parts", parts);
+        } catch (RuntimeException parts) { // a field is missing or has an unknown value
+            throw new IOException(
+                    "message of kind " + p.kind() + " has missing or unknown fields", parts);
         }
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/replica/RaftThread.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/RaftThread.java
@@ -10,15 +10,15 @@
 import saltstage.log.Log;
 
 /**
- * The one thread of a replica, and the clock of its engine. The engine counts heartbeats in whole
- * seconds and takes five for the least silence; here its clock goes some times faster than the
- * world's, so that a dead leader is noticed sooner. It is monotonic: steps of the wall clock touch
- * neither elections nor time-outs.
+ * The single thread of a replica's consensus engine, and the engine's clock. The engine counts
+ * heartbeats in whole seconds and accepts no heartbeat time-out below five seconds. Its clock
+ * therefore runs faster than real time, so that a dead leader is detected sooner. The clock is
+ * monotonic: steps of the wall clock affect neither elections nor time-outs.
  */
 final class RaftThread implements RaftNodeExecutor {
     /**
-     * The engine takes the time since 0 for silence of a leader: a start at 0 would wait for one
-     * that never was.
+     * The engine counts the time since 0 as a leader's silence: with a clock that starts at 0 it
+     * would first wait for a leader that never existed.
      */
     private static final long CLOCK_START_MS = 1_000_000_000;
 
@@ -45,7 +45,7 @@
             try {
                 task.run();
             } catch (RuntimeException fault) {
-                // The engine's thread must go on for the tasks after it.
+                // The engine's thread must survive for the tasks that follow.
                 Log.error("replica.fault", fault);
             }
         };
@@ -68,14 +68,14 @@
         scheduleRealTime(task, (long) (unit.toNanos(delay) / clockSpeed));
     }
 
-    /** Once, after so many of the world's nanoseconds. */
+    /** Runs a task once, after a delay in nanoseconds of real time. */
     void scheduleRealTime(Runnable task, long nanos) {
         if (!executor.isShutdown()) {
             executor.schedule(guarded(task), nanos, TimeUnit.NANOSECONDS);
         }
     }
 
-    /** The engine's clock. */
+    /** The engine's clock, which runs faster than real time by the clock speed. */
     Clock clock() {
         return new Clock() {
             @Override
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Replica.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Replica.java
@@ -23,22 +23,22 @@
 import saltstage.store.Store;
 
 /**
- * One replica of a group: the consensus engine, its log in the embedded store, its links and the
- * state. A command is answered once a majority has it durable; a replica that cannot keep what it
- * must ends its process rather than go on with a state that nobody knows.
+ * One replica of a group: the consensus engine, its log in the embedded store, its links to peers
+ * and the group's state. A command is answered once it is durable on a majority. A replica that
+ * cannot persist its log ends its process instead of continuing with an unknown state.
  */
 public final class Replica implements AutoCloseable, PeerLinks.PeerListener {
-    /** Exit code where the store fails: EX_IOERR of sysexits.h. */
+    /** Exit code if the store fails: EX_IOERR of sysexits.h. */
     private static final int EXIT_STORE_FAILED = 74;
 
-    /** Exit code where the group refuses this disk: EX_CONFIG of sysexits.h. */
+    /** Exit code if a peer refuses this replica's disk: EX_CONFIG of sysexits.h. */
     private static final int EXIT_REFUSED_BY_PEER = 78;
 
     private static final int TERMINATION_TIMEOUT_SECONDS = 3;
 
-    /** Ends the process: code and why. */
+    /** Ends the process after a fatal error. */
     public interface FatalErrorHandler {
-        /** Does not return, or ends the replica. */
+        /** Exits with this code and reason; does not return, or ends the replica. */
         void exit(int code, String why);
     }
 
@@ -59,7 +59,9 @@
     private final LeaderTasks leaderTasks;
     private volatile boolean closed;
 
-    /** Starts it; a store that belongs to another group, name or disk is refused. */
+    /**
+     * Starts the replica; throws an IOException if the store belongs to another group or member.
+     */
     public Replica(
             ReplicaSettings settings, Store store, Transport transport, FatalErrorHandler fatal)
             throws IOException {
@@ -108,7 +110,10 @@
                 settings.wallClock().getAsLong(), settings.supportedFeatureLevel());
     }
 
-    /** The consensus engine on what the log holds, or on the group's first members. */
+    /**
+     * Creates the consensus engine from the persisted log, or with the initial members if it is
+     * empty.
+     */
     private RaftNode createEngine() throws IOException {
         LogStore log =
                 new LogStore(
@@ -161,7 +166,11 @@
     public void messageReceived(String from, byte[] bytes) throws IOException {
         RaftMessage message = codec.decode(bytes);
         if (!from.equals(message.getSender().getId())) {
-            throw new IOException(from + " sends what " + message.getSender().getId() + " should");
+            throw new IOException(
+                    from
+                            + " sent a message that names "
+                            + message.getSender().getId()
+                            + " as its sender");
         }
         node.handle(message);
     }
@@ -180,7 +189,8 @@
     }
 
     /**
-     * On the engine's thread: takes over the members that the state names, and leads if it does.
+     * Updates the peer directory and the links, and runs the leader's tasks if this replica leads;
+     * runs on the engine's thread.
      */
     private void periodicCheck() {
         if (closed) {
@@ -195,32 +205,35 @@
         }
     }
 
-    /** Whether this one leads, as far as it knows. */
+    /** Whether this replica leads, as far as it knows. */
     public boolean isLeader() {
         RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
         return leader != null && settings.name().equals(leader.getId());
     }
 
-    /** Where the leader takes calls, or null where none is known. */
+    /** The leader's address for clients, or null if none is known. */
     public String leaderClientAddress() {
         RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
         return leader == null ? null : directory.clientAddress(Member.name(leader));
     }
 
     /**
-     * Tells a listener once, on the engine's thread, when the state next changes by itself or by
-     * somebody; false where too many listen.
+     * Calls a listener once, on the engine's thread, at the next change of the group's state;
+     * returns false if too many listeners are registered.
      */
     public boolean onNextChange(Runnable listener) {
         return changeListeners.add(listener);
     }
 
-    /** Proposes a command; the reply comes once it is carried out by a majority. */
+    /**
+     * Proposes a client's command; the reply arrives once a majority has the command and it is
+     * applied.
+     */
     public CompletableFuture<Reply> propose(String client, long seq, Command command) {
         return proposer.propose(client, seq, command);
     }
 
-    /** Reads the state: as the group has it now, or as it was here some time ago. */
+    /** Reads the group's state: the current one, or this replica's copy, which may be stale. */
     public <T> CompletableFuture<T> read(Function<GroupState, T> query, boolean stale) {
         return node.<T>query(
                         new ReplicaStateMachine.Query(state -> query.apply(state)),
@@ -230,22 +243,22 @@
                 .thenApply(Ordered::getResult);
     }
 
-    /** Hands leadership to a member. */
+    /** Transfers leadership to a member. */
     public CompletableFuture<Object> transferLeadership(String to) {
         return membership.transferLeadership(to);
     }
 
-    /** Takes a member in, first as one that only learns, later as one that votes. */
+    /** Adds a member as a learner; a later call promotes it to a voter once it has caught up. */
     public CompletableFuture<String> join(String name, String disk, String peers, String clients) {
         return membership.join(name, disk, peers, clients);
     }
 
-    /** Lets a member go: dead, or leaving. */
+    /** Removes a member that is dead or leaving. */
     public CompletableFuture<String> leave(String name) {
         return membership.leave(name);
     }
 
-    /** How it stands. */
+    /** Returns the status of this replica. */
     public CompletableFuture<ReplicaStatus> status() {
         return node.getReport()
                 .thenApplyAsync(
@@ -256,10 +269,10 @@
                                         stateMachine.state(),
                                         leaderClientAddress(),
                                         links.linkStates()),
-                        raftThread::execute); // the state belongs to the engine's thread
+                        raftThread::execute); // the state is confined to the engine's thread
     }
 
-    /** This replica's disk. */
+    /** The id of this replica's disk. */
     public String diskId() {
         return identity.disk();
     }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaSettings.java
@@ -7,21 +7,25 @@
 import java.util.function.LongSupplier;
 
 /**
- * How a replica is set up.
+ * The settings of a replica.
  *
- * @param group the group's name; replicas of another one are refused
- * @param first who the group began with
- * @param peers where it hears other replicas
- * @param clients where it hears clients
- * @param reach where others are reached from here, by name
- * @param clientsOf where others take calls, by name, until the group itself knows
- * @param dir the folder of its store
- * @param speed how much faster than the world the engine's clock goes
- * @param snapshotEvery entries of the log between two snapshots
- * @param mostPending entries that may wait for a majority; beyond that calls are refused
- * @param speaks the highest feature level that it admits to
- * @param clockRate for tests: how fast its monotonic clock goes in its stamps; 1 in service
- * @param wall the time of day in milliseconds since 1970
+ * @param group the name of the group; replicas of another group are refused
+ * @param name the name of this replica
+ * @param initialMembers the names of the group's initial members
+ * @param peerListenAddress the address on which this replica listens for its peers
+ * @param clientListenAddress the address on which this replica listens for clients
+ * @param peerAddresses the addresses at which this replica reaches its peers, by name
+ * @param clientAddresses the addresses of other members for clients, by name, until the group's
+ *     state has them
+ * @param dir the directory of the replica's store
+ * @param engineClockSpeed the factor by which the engine's clock runs faster than real time
+ * @param snapshotIntervalEntries the number of log entries between two snapshots
+ * @param maxPendingEntries the number of log entries that may wait for a majority; further commands
+ *     are rejected
+ * @param supportedFeatureLevel the highest feature level that this replica announces
+ * @param clockRate the rate of the monotonic clock in time stamps; 1 in production, other values in
+ *     tests
+ * @param wallClock the time of day in milliseconds since 1970
  */
 public record ReplicaSettings(
         String group,
--- a/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStateMachine.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStateMachine.java
@@ -12,14 +12,14 @@
 import saltstage.coordinator.model.Reply;
 
 /**
- * The state as the engine drives it, on the engine's thread. An entry that this build cannot read
- * or carry out ends the process: the engine would only fail that one call and go on with a state of
- * its own.
+ * Applies committed log entries to the group's state, on the engine's thread. An entry that this
+ * build cannot read or apply ends the process: the engine would only fail that one command, and
+ * this replica would continue with a state that differs from the group's.
  */
 final class ReplicaStateMachine implements StateMachine {
     private static final int SNAPSHOT_CHUNK_BYTES = 256 << 10;
 
-    /** Something to be read from the state; never in the log. */
+    /** A read of the state; never part of the log. */
     record Query(Function<GroupState, Object> function) {}
 
     private final Replica.FatalErrorHandler fatalErrorHandler;
@@ -41,7 +41,7 @@
             return query.function().apply(state);
         }
         if (!(operation instanceof byte[] entry)) {
-            return null; // the start of a term
+            return null; // the operation that starts a term
         }
         Reply reply;
         try {
--- a/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStatus.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStatus.java
@@ -8,14 +8,16 @@
 import saltstage.coordinator.group.GroupState;
 
 /**
- * How a replica stands, by itself. The component names are part of the API's JSON.
+ * The status of a replica as the replica itself sees it. The component names are part of the API's
+ * JSON.
  *
- * @param leaderClients where the leader takes calls as HOST:PORT, or null
- * @param first who the group began with
- * @param speaks the highest feature level that this replica admits to
+ * @param leaderClients the leader's address for clients as HOST:PORT, or null
+ * @param first the names of the group's initial members
+ * @param level the feature level at which the group works
+ * @param speaks the highest feature level that this replica announces
  * @param groupNow group time in milliseconds
  * @param day the group's time of day, in milliseconds since 1970
- * @param links whether the link to each peer is up
+ * @param links whether the link to each peer is connected
  */
 public record ReplicaStatus(
         String name,
@@ -39,7 +41,9 @@
         Map<String, Boolean> links,
         Map<String, GroupState.MemberRow> members) {
 
-    /** The status by the engine's report and the state, both read on the engine's thread. */
+    /**
+     * Creates the status from the engine's report and the state, both read on the engine's thread.
+     */
     static ReplicaStatus of(
             ReplicaSettings settings,
             RaftNodeReport report,
--- a/coordinator/src/main/java/saltstage/coordinator/replica/StalePreVoteRecovery.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/StalePreVoteRecovery.java
@@ -9,22 +9,19 @@
 import saltstage.log.Log;
 
 /**
- * Starts the election that MicroRaft 0.7 leaves out. A follower that begins a pre-vote and then
- * hears its leader again in the same term keeps the state of that pre-vote, as only a change of
- * term or role clears it; while it is there, the engine's heartbeat check ({@code HeartbeatTask})
- * looks past the leader's time-out. Once every follower has been through that, the death of the
- * leader is noticed by nobody.
+ * Starts elections that MicroRaft 0.7 fails to start. A follower that begins a pre-vote and then
+ * receives a message of its leader in the same term keeps the state of that pre-vote, because only
+ * a change of term or role clears it. While that state exists, the engine's heartbeat check ({@code
+ * HeartbeatTask}) ignores the time-out of the leader. Once this has happened on every follower, no
+ * replica detects the death of the leader.
  *
- * <p>A pre-vote that is under way has no leader, so one beside a leader that has timed out is never
- * alive.
+ * <p>A follower with a pre-vote in progress has no leader, so the state of a pre-vote next to a
+ * leader that has timed out is always stale.
  */
 final class StalePreVoteRecovery {
     private StalePreVoteRecovery() {}
 
-    /**
-     * Whether this follower's leader has timed out and a pre-vote of before keeps that from being
-     * noticed.
-     */
+    /** Whether this follower's leader has timed out and a stale pre-vote hides the time-out. */
     private static boolean isTimeoutHidden(RaftNodeImpl node) {
         RaftState state = node.state();
         return state.role() == RaftRole.FOLLOWER
@@ -34,7 +31,8 @@
     }
 
     /**
-     * Does what the engine's own check would do without the stale state; on the engine's thread.
+     * Starts the pre-vote that the engine's own check would start without the stale state; called
+     * on the engine's thread.
      */
     static void recover(RaftNode node) {
         if (!(node instanceof RaftNodeImpl engine) || !isTimeoutHidden(engine)) {
--- a/coordinator/src/main/java/saltstage/coordinator/replica/package-info.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A replica: consensus by MicroRaft, its log in the embedded store, its links on the relay's
- * transport.
+ * A replica of a group: consensus by MicroRaft, the log in the embedded store, and links to peers
+ * on the relay's transport.
  */
 package saltstage.coordinator.replica;
--- a/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
@@ -32,7 +32,10 @@
 import saltstage.store.StoreEventListener;
 import saltstage.store.StoreOptions;
 
-/** Every call of the API against a group of one replica: statuses, and the names in the JSON. */
+/**
+ * Calls every route of the API on a group of one replica, and checks the statuses and the names in
+ * the JSON, on which clients depend.
+ */
 class ApiHandlerTest {
     private static final int ENGINE_CLOCK_SPEED = 7;
     private static final long TEST_TIMEOUT_SECONDS = 20;
@@ -42,7 +45,7 @@
     private static Replica replica;
     private static ApiHandler handler;
 
-    /** A status, and the body as a client reads it. */
+    /** An HTTP status, and the body as a client reads it. */
     private record Response(int status, JsonNode body) {}
 
     @BeforeAll
@@ -79,7 +82,7 @@
         while (get("/v1/leases").status() != 200
                 || get("/v1/status").body().path("level").asInt() < 3
                 || replica.leaderClientAddress()
-                        == null) { // it does not know its own member row yet
+                        == null) { // the replica's member row is not known yet
             assertTrue(System.nanoTime() < deadline, "no leader at level 3 in time");
             Thread.sleep(50);
         }
@@ -142,7 +145,10 @@
         Response unknown = post("/v1/none?x=1", "no JSON");
         assertEquals(404, unknown.status());
         assertEquals("no such call: POST /v1/none", unknown.body().path("error").asText());
-        assertEquals(404, post("/v1/leases", "{}").status(), "a path of another method");
+        assertEquals(
+                404,
+                post("/v1/leases", "{}").status(),
+                "the path has only a route for another method");
         Response put =
                 send(HttpMethod.PUT, "/v1/leases", "").get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertBadRequest("GET and POST are taken", put);
@@ -203,7 +209,10 @@
                 "released",
                 post("/v1/do", commandBody("g1", 2, 0, release)).body().path("what").asText());
         Response held = queued.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        assertEquals("held", held.body().path("result").asText(), "it asks again to be granted");
+        assertEquals(
+                "held",
+                held.body().path("result").asText(),
+                "the client must repeat the command to be granted the lease");
         Response changed = watched.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(changed.body().path("leases").get(0).path("revision").asLong() > revision);
         String again = commandBody("g2", 2, 0, acquireCommand("p/x", "o2", true));
--- a/coordinator/src/test/java/saltstage/coordinator/api/RevisionWatchTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/api/RevisionWatchTest.java
@@ -10,11 +10,15 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Who waits for a revision is woken by it alone, and waiting costs little. */
+/**
+ * Checks that a waiting request is completed only by an advance of the revision or its deadline,
+ * and that an unrelated change of the state costs one read of the revision for all waiting
+ * requests.
+ */
 class RevisionWatchTest {
     private static final int WAITERS = 200;
 
-    /** A state whose changes are told by hand. */
+    /** A source whose changes the test announces. */
     private static final class FakeRevisionSource implements RevisionWatch.RevisionSource {
         private final List<Runnable> listeners = new ArrayList<>();
         private long revision = 5;
@@ -65,7 +69,7 @@
         source.notifyListeners();
         int after = source.revisionReads;
         source.notifyListeners();
-        assertEquals(after, source.revisionReads, "nobody waits, nobody looks");
+        assertEquals(after, source.revisionReads, "no revision is read while no request waits");
     }
 
     @Test
--- a/coordinator/src/test/java/saltstage/coordinator/client/GroupClientTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/client/GroupClientTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Timeout;
 import saltstage.coordinator.client.ScriptedReplica.ScriptedResponse;
 
-/** Which replica a client turns to next. */
+/**
+ * Checks which replica a client calls next: an address that used to be the leader's may belong to
+ * another service later, and the client must go back to the replicas it was given.
+ */
 @Timeout(30)
 class GroupClientTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
--- a/coordinator/src/test/java/saltstage/coordinator/client/LeaseClientTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/client/LeaseClientTest.java
@@ -14,18 +14,24 @@
 import org.junit.jupiter.api.Timeout;
 import saltstage.coordinator.client.ScriptedReplica.ScriptedResponse;
 
-/** What may happen to the thread that renews leases. */
+/**
+ * Checks that an error response and a loss listener that throws do not end the thread that renews
+ * leases.
+ */
 @Timeout(30)
 class LeaseClientTest {
     private static final Duration TTL = Duration.ofMillis(800);
     private static final Duration ACQUIRE_TIMEOUT = Duration.ofSeconds(5);
 
-    /** Three spans: what is not renewed is lost by then. */
+    /** Three times the TTL: a lease that is not renewed is lost by then. */
     private static final long OBSERVATION_MS = 2_400;
 
     private final AtomicInteger renewalCount = new AtomicInteger();
 
-    /** Grants and renews all; what a renewal is answered instead, by what it asks for, or null. */
+    /**
+     * Starts a replica that grants and renews every lease; the function may replace the response to
+     * a renewal command, or return null to renew.
+     */
     private ScriptedReplica startReplica(Function<JsonNode, ScriptedResponse> instead)
             throws Exception {
         return new ScriptedReplica(
@@ -105,10 +111,10 @@
                             });
             LeaseClient.Lease kept = client.acquire("b", TTL, ACQUIRE_TIMEOUT, 0, () -> {});
             Thread.sleep(OBSERVATION_MS);
-            assertTrue(lost.remaining().isZero(), "it was lost");
+            assertTrue(lost.remaining().isZero(), "the first lease is lost");
             assertTrue(
                     !kept.remaining().isZero(),
-                    "the other is renewed after " + renewalCount + " renewals");
+                    "the other lease is renewed after " + renewalCount + " renewals");
         }
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/client/ScriptedReplica.java
+++ b/coordinator/src/test/java/saltstage/coordinator/client/ScriptedReplica.java
@@ -9,15 +9,15 @@
 import java.util.function.Function;
 import saltstage.coordinator.group.GroupCodec;
 
-/** A replica's front whose answers the test decides. */
+/** A replica's HTTP API with responses that the test decides. */
 final class ScriptedReplica implements AutoCloseable {
-    /** A status and the body that goes with it. */
+    /** An HTTP status and the body that goes with it. */
     record ScriptedResponse(int status, Object body) {}
 
     private final HttpServer server;
 
     /**
-     * Answers each call by what the function makes of its body, which is null where there is none.
+     * Answers each request with the function's result for its body, which is null if there is none.
      */
     ScriptedReplica(Function<JsonNode, ScriptedResponse> answers) throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
@@ -36,7 +36,7 @@
         exchange.close();
     }
 
-    /** Where it takes calls, as HOST:PORT. */
+    /** The address of the API as HOST:PORT. */
     String address() {
         return "127.0.0.1:" + server.getAddress().getPort();
     }
--- a/coordinator/src/test/java/saltstage/coordinator/replica/LogStoreTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/replica/LogStoreTest.java
@@ -26,7 +26,10 @@
 import saltstage.store.StoreEventListener;
 import saltstage.store.StoreOptions;
 
-/** What a replica finds again after a start is what the engine was promised, and nothing else. */
+/**
+ * Checks that a restarted replica restores the entries, term, vote and complete snapshots that were
+ * flushed, and nothing else; and that peers' messages survive encoding.
+ */
 class LogStoreTest {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final Member MEMBER_A = new Member("a");
@@ -101,7 +104,7 @@
             log.truncateLogEntriesFrom(2);
             log.persistLogEntries(List.of(entry(2, 3)));
             log.flush();
-            log.persistLogEntries(List.of(entry(3, 3))); // never flushed: it was promised to nobody
+            log.persistLogEntries(List.of(entry(3, 3))); // never flushed, so never promised
         }
         RestoredRaftState state = reopenAndRestore();
         assertEquals(List.of(1L, 2L), indices(state));
@@ -118,7 +121,7 @@
             log.persistLogEntries(LongStream.rangeClosed(1, 9).mapToObj(i -> entry(i, 2)).toList());
             log.persistSnapshotChunk(chunk(5, 0, 2));
             log.persistSnapshotChunk(chunk(5, 1, 2));
-            log.persistSnapshotChunk(chunk(8, 0, 2)); // its second part never came
+            log.persistSnapshotChunk(chunk(8, 0, 2)); // its second chunk is missing
             log.truncateLogEntriesUntil(3);
             log.flush();
         }
@@ -292,7 +295,8 @@
     }
 
     /**
-     * Whatever a peer sends: a message, or an IOException that ends its link; never another fault.
+     * Any bytes that a peer sends must decode to a message or fail with an IOException, which ends
+     * the link; any other exception would escape the handling of malformed input.
      */
     @Property(tries = 2_000)
     void invalidBytesAreRejectedWithAnIoException(@ForAll byte[] noise, @ForAll long seed) {
@@ -314,7 +318,7 @@
         for (byte[] bytes : List.of(noise, sound)) {
             try {
                 codec.decode(bytes);
-            } catch (IOException refused) { // the only way out but a message
+            } catch (IOException refused) { // the only exception that is allowed
                 continue;
             }
         }
--- a/coordinator/src/test/java/saltstage/coordinator/replica/PeerLinksTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/replica/PeerLinksTest.java
@@ -14,14 +14,20 @@
 import saltstage.net.Loop;
 import saltstage.net.Transport;
 
-/** When a link tries to connect; the test runs what is due. */
+/**
+ * Checks that a link whose peer's address is unreadable or not yet known looks it up again later.
+ * The test runs the scheduled tasks itself.
+ */
 class PeerLinksTest {
     private static final InetSocketAddress PEER_ADDRESS = new InetSocketAddress("127.0.0.1", 7_001);
 
     private final Queue<Runnable> scheduledTasks = new ArrayDeque<>();
     private final List<InetSocketAddress> connectAttempts = new ArrayList<>();
 
-    /** Does things at once; what throws ends alone, as on the loops of the transport in use. */
+    /**
+     * Runs tasks at once; an exception ends only its own task, as on the loops of the real
+     * transport.
+     */
     private final class ScriptedLoop implements Loop {
         @Override
         public boolean isCurrentThread() {
@@ -102,7 +108,7 @@
                         });
         links.ensureLink("b");
         assertEquals(1, asked.size());
-        assertEquals(1, scheduledTasks.size(), "another try is due");
+        assertEquals(1, scheduledTasks.size(), "another attempt is scheduled");
         scheduledTasks.remove().run();
         assertEquals(List.of(PEER_ADDRESS), connectAttempts);
     }
