--- a/coordinator/src/main/java/saltstage/coordinator/api/AdviceRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/AdviceRoutes.java
@@ -64,8 +64,8 @@
                     ApiResponse.notLeader(replica.leaderClientAddress()));
         }
         synchronized (snapshots) {
-            boolean taken = snapshots.update(snapshot, nowMs());
-            return CompletableFuture.completedFuture(ApiResponse.ok(Map.of("taken", taken)));
+            boolean accepted = snapshots.update(snapshot, nowMs());
+            return CompletableFuture.completedFuture(ApiResponse.ok(Map.of("taken", accepted)));
         }
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/api/ApiHandler.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ApiHandler.java
@@ -59,14 +59,14 @@
 
     private CompletableFuture<ApiResponse> dispatch(FullHttpRequest request) {
         try {
-            ApiRequest read = ApiRequest.parse(request);
-            Route route = routes.get(read.routeKey());
+            ApiRequest parsed = ApiRequest.parse(request);
+            Route route = routes.get(parsed.routeKey());
             return route != null
-                    ? route.handle(read)
+                    ? route.handle(parsed)
                     : CompletableFuture.completedFuture(
-                            ApiResponse.notFound("no such call: " + read.routeKey()));
-        } catch (RuntimeException failed) { // reported by the future, which ends the request
-            return CompletableFuture.failedFuture(failed);
+                            ApiResponse.notFound("no such call: " + parsed.routeKey()));
+        } catch (RuntimeException failure) { // reported by the future, which ends the request
+            return CompletableFuture.failedFuture(failure);
         }
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/api/ApiRequest.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ApiRequest.java
@@ -53,16 +53,16 @@
     }
 
     /** The first value of a query parameter, or the default if it is absent. */
-    String parameter(String name, String absent) {
-        return parameters.getOrDefault(name, List.of(absent)).get(0);
+    String parameter(String name, String defaultValue) {
+        return parameters.getOrDefault(name, List.of(defaultValue)).get(0);
     }
 
     /**
      * A query parameter that is a whole number from 0 to {@code max}, or the default if it is
      * absent.
      */
-    long integerParameter(String name, long absent, long max) {
-        String text = parameter(name, Long.toString(absent));
+    long integerParameter(String name, long defaultValue, long max) {
+        String text = parameter(name, Long.toString(defaultValue));
         if (!text.matches("\\d{1,15}") || Long.parseLong(text) > max) {
             throw new BadRequestException("'" + name + "' takes a whole number up to " + max);
         }
@@ -72,11 +72,11 @@
     /** The body, which must be a JSON object. */
     JsonNode body() {
         try {
-            JsonNode read = GroupCodec.jsonMapper().readTree(content);
-            if (read == null || !read.isObject()) {
+            JsonNode parsed = GroupCodec.jsonMapper().readTree(content);
+            if (parsed == null || !parsed.isObject()) {
                 throw new BadRequestException("the body is no JSON object");
             }
-            return read;
+            return parsed;
         } catch (JsonProcessingException malformed) {
             throw new BadRequestException("the body is no JSON: " + malformed.getOriginalMessage());
         }
--- a/coordinator/src/main/java/saltstage/coordinator/api/CommandRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/CommandRoutes.java
@@ -81,8 +81,8 @@
         return changes.awaitNext(deadlineNanos)
                 .thenCompose(changed -> changed ? canBeGranted(acquire) : completed(true))
                 .thenCompose(
-                        over ->
-                                over
+                        done ->
+                                done
                                         ? CompletableFuture.completedFuture(held)
                                         : awaitTurn(acquire, held, deadlineNanos));
     }
--- a/coordinator/src/main/java/saltstage/coordinator/api/ConfigurationRoutes.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ConfigurationRoutes.java
@@ -69,8 +69,8 @@
                 new RevisionWatch(
                         new RevisionWatch.RevisionSource() {
                             @Override
-                            public boolean onNextChange(Runnable told) {
-                                return replica.onNextChange(told);
+                            public boolean onNextChange(Runnable listener) {
+                                return replica.onNextChange(listener);
                             }
 
                             @Override
@@ -93,8 +93,8 @@
     private CompletableFuture<ApiResponse> changes(ApiRequest request) {
         long revision = request.integerParameter("after", 0, MAX_REVISION);
         long digest = parseDigest(request.parameter("digest", revision == 0 ? emptyDigest() : ""));
-        int most = ConfigurationLimits.MAX_CHANGES_PER_RESPONSE;
-        int limit = (int) request.integerParameter("limit", most, most);
+        int maximum = ConfigurationLimits.MAX_CHANGES_PER_RESPONSE;
+        int limit = (int) request.integerParameter("limit", maximum, maximum);
         long waitMs = Math.min(MAX_WAIT_MS, request.integerParameter("waitMs", 0, MAX_REVISION));
         return readOrAwaitChanges(
                         new ChangesQuery(
@@ -109,49 +109,49 @@
     private static long parseDigest(String text) {
         try {
             return ConfigurationJson.parseDigest(text, "'digest'");
-        } catch (MalformedException bad) {
-            throw new BadRequestException(bad.getMessage());
+        } catch (MalformedException malformed) {
+            throw new BadRequestException(malformed.getMessage());
         }
     }
 
-    private CompletableFuture<ChangesResult> readOrAwaitChanges(ChangesQuery poll) {
-        return replica.read(state -> readChanges(state.configuration(), poll), true)
+    private CompletableFuture<ChangesResult> readOrAwaitChanges(ChangesQuery query) {
+        return replica.read(state -> readChanges(state.configuration(), query), true)
                 .thenCompose(
-                        read ->
-                                read.isEmpty()
-                                        ? awaitChanges(poll, read)
-                                        : CompletableFuture.completedFuture(read));
+                        result ->
+                                result.isEmpty()
+                                        ? awaitChanges(query, result)
+                                        : CompletableFuture.completedFuture(result));
     }
 
     private static ChangesResult readChanges(
-            ConfigurationRegistry configuration, ChangesQuery poll) {
+            ConfigurationRegistry configuration, ChangesQuery query) {
         return new ChangesResult(
-                configuration.changesAfter(poll.revision(), poll.digest(), poll.limit()),
+                configuration.changesAfter(query.revision(), query.digest(), query.limit()),
                 configuration.revision(),
                 configuration.digest());
     }
 
-    private CompletableFuture<ChangesResult> awaitChanges(ChangesQuery poll, ChangesResult empty) {
+    private CompletableFuture<ChangesResult> awaitChanges(ChangesQuery query, ChangesResult empty) {
         return revisionWatch
-                .awaitRevisionAfter(poll.revision(), poll.deadlineNanos())
+                .awaitRevisionAfter(query.revision(), query.deadlineNanos())
                 .thenCompose(
-                        moved ->
-                                moved
-                                        ? readOrAwaitChanges(poll)
+                        advanced ->
+                                advanced
+                                        ? readOrAwaitChanges(query)
                                         : CompletableFuture.completedFuture(empty));
     }
 
-    private static ApiResponse toResponse(ChangesResult read) {
-        if (read.answer() instanceof ChangeHistory.Changes found) {
+    private static ApiResponse toResponse(ChangesResult result) {
+        if (result.answer() instanceof ChangeHistory.Changes found) {
             ChangesResponse body =
-                    new ChangesResponse(read.revision(), read.digest(), found.changes());
+                    new ChangesResponse(result.revision(), result.digest(), found.changes());
             return ApiResponse.ok(new RawJson(ConfigurationJson.toJson(body)));
         }
-        return switch ((ChangeHistory.Failure) read.answer()) {
-            case DIVERGED -> errorResponse(CONFLICT, ErrorResponse.DIVERGED, read.revision(), 0);
-            case TRUNCATED -> errorResponse(GONE, ErrorResponse.TRUNCATED, read.revision(), 0);
+        return switch ((ChangeHistory.Failure) result.answer()) {
+            case DIVERGED -> errorResponse(CONFLICT, ErrorResponse.DIVERGED, result.revision(), 0);
+            case TRUNCATED -> errorResponse(GONE, ErrorResponse.TRUNCATED, result.revision(), 0);
             case BEHIND ->
-                    errorResponse(MISDIRECTED_REQUEST, ErrorResponse.BEHIND, read.revision(), 0);
+                    errorResponse(MISDIRECTED_REQUEST, ErrorResponse.BEHIND, result.revision(), 0);
         };
     }
 
@@ -163,8 +163,8 @@
 
     private CompletableFuture<ApiResponse> snapshot(ApiRequest request) {
         long revision = request.integerParameter("revision", SnapshotPager.NEWEST, MAX_REVISION);
-        int most = ConfigurationLimits.MAX_ENTRIES_PER_PAGE;
-        int limit = (int) request.integerParameter("limit", most, most);
+        int maximum = ConfigurationLimits.MAX_ENTRIES_PER_PAGE;
+        int limit = (int) request.integerParameter("limit", maximum, maximum);
         EntryKey from = parseKey(request.parameter("from", ""));
         boolean current = request.integerParameter("current", 0, 1) == 1;
         if (activeSnapshotPages.incrementAndGet() > MAX_CONCURRENT_SNAPSHOT_PAGES) {
@@ -194,19 +194,22 @@
     private static EntryKey parseKey(String text) {
         try {
             return text.isEmpty() ? null : EntryKey.parse(text);
-        } catch (IllegalArgumentException bad) {
-            throw new BadRequestException("'from': " + bad.getMessage());
+        } catch (IllegalArgumentException malformed) {
+            throw new BadRequestException("'from': " + malformed.getMessage());
         }
     }
 
     private CompletableFuture<ApiResponse> status(ApiRequest request) {
-        long asked = request.integerParameter("revision", 0, MAX_REVISION);
-        return replica.read(state -> configurationStatus(state.configuration(), asked), false)
+        long requestedRevision = request.integerParameter("revision", 0, MAX_REVISION);
+        return replica.read(
+                        state -> configurationStatus(state.configuration(), requestedRevision),
+                        false)
                 .thenApply(ApiResponse::ok);
     }
 
-    private Status configurationStatus(ConfigurationRegistry configuration, long asked) {
-        long revision = asked == 0 ? configuration.revision() : asked;
+    private Status configurationStatus(
+            ConfigurationRegistry configuration, long requestedRevision) {
+        long revision = requestedRevision == 0 ? configuration.revision() : requestedRevision;
         synchronized (reports) {
             return new Status(
                     configuration.revision(),
@@ -239,8 +242,8 @@
 
     private CompletableFuture<ApiResponse> history(ApiRequest request) {
         long after = request.integerParameter("after", 0, MAX_REVISION);
-        int most = ConfigurationLimits.MAX_CHANGES_PER_RESPONSE;
-        int limit = (int) request.integerParameter("limit", DEFAULT_HISTORY_LIMIT, most);
+        int maximum = ConfigurationLimits.MAX_CHANGES_PER_RESPONSE;
+        int limit = (int) request.integerParameter("limit", DEFAULT_HISTORY_LIMIT, maximum);
         return replica.read(state -> state.configuration().history(after, limit), false)
                 .thenApply(ApiResponse::ok);
     }
--- a/coordinator/src/main/java/saltstage/coordinator/api/HttpListener.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/HttpListener.java
@@ -49,8 +49,8 @@
     private final AtomicInteger connectionCount = new AtomicInteger();
 
     /** Starts to listen on an address. */
-    public HttpListener(InetSocketAddress at, ApiHandler handler) throws IOException {
-        ChannelFuture bound =
+    public HttpListener(InetSocketAddress address, ApiHandler handler) throws IOException {
+        ChannelFuture bindFuture =
                 new ServerBootstrap()
                         .group(eventLoopGroup)
                         .channel(NioServerSocketChannel.class)
@@ -67,7 +67,7 @@
                                         }
                                         child.closeFuture()
                                                 .addListener(
-                                                        over -> connectionCount.decrementAndGet());
+                                                        done -> connectionCount.decrementAndGet());
                                         child.config().setTcpNoDelay(true);
                                         child.pipeline()
                                                 .addLast(
@@ -78,13 +78,14 @@
                                                         new RequestHandler(handler));
                                     }
                                 })
-                        .bind(at)
+                        .bind(address)
                         .awaitUninterruptibly();
-        if (!bound.isSuccess()) {
+        if (!bindFuture.isSuccess()) {
             eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-            throw new IOException("cannot listen on " + at + ": " + bound.cause().getMessage());
+            throw new IOException(
+                    "cannot listen on " + address + ": " + bindFuture.cause().getMessage());
         }
-        channel = bound.channel();
+        channel = bindFuture.channel();
     }
 
     /**
@@ -100,55 +101,60 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext on, FullHttpRequest request) {
-            boolean keep = HttpUtil.isKeepAlive(request);
+        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
+            boolean keepAlive = HttpUtil.isKeepAlive(request);
             if (responsePending) { // pipelined: responses could be reordered
-                on.close();
+                context.close();
                 return;
             }
             responsePending = true;
-            on.channel().config().setAutoRead(false);
+            context.channel().config().setAutoRead(false);
             handler.handle(request)
                     .whenComplete(
-                            (answer, never) ->
-                                    on.executor().execute(() -> writeResponse(on, answer, keep)));
+                            (response, failure) ->
+                                    context.executor()
+                                            .execute(
+                                                    () ->
+                                                            writeResponse(
+                                                                    context, response, keepAlive)));
         }
 
-        private void writeResponse(ChannelHandlerContext on, ApiResponse answer, boolean keep) {
+        private void writeResponse(
+                ChannelHandlerContext context, ApiResponse apiResponse, boolean keepAlive) {
             responsePending = false;
             byte[] body;
-            boolean raw = answer.body() instanceof byte[];
+            boolean raw = apiResponse.body() instanceof byte[];
             try {
                 body =
                         raw
-                                ? (byte[]) answer.body()
-                                : GroupCodec.jsonMapper().writeValueAsBytes(answer.body());
-            } catch (JsonProcessingException impossible) {
-                Log.error("front.fault", impossible);
-                on.close();
+                                ? (byte[]) apiResponse.body()
+                                : GroupCodec.jsonMapper().writeValueAsBytes(apiResponse.body());
+            } catch (JsonProcessingException failure) {
+                Log.error("front.fault", failure);
+                context.close();
                 return;
             }
             FullHttpResponse response =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
-                            HttpResponseStatus.valueOf(answer.status()),
+                            HttpResponseStatus.valueOf(apiResponse.status()),
                             Unpooled.wrappedBuffer(body));
             response.headers()
                     .set(
                             HttpHeaderNames.CONTENT_TYPE,
                             raw ? "application/cbor" : "application/json")
                     .setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
-            HttpUtil.setKeepAlive(response, keep);
-            ChannelFuture written = on.writeAndFlush(response);
-            if (!keep) {
-                written.addListener(ChannelFutureListener.CLOSE);
+            HttpUtil.setKeepAlive(response, keepAlive);
+            ChannelFuture writeFuture = context.writeAndFlush(response);
+            if (!keepAlive) {
+                writeFuture.addListener(ChannelFutureListener.CLOSE);
             }
-            on.channel().config().setAutoRead(true);
+            context.channel().config().setAutoRead(true);
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext on, Throwable why) {
-            on.close(); // a timeout, a reset or malformed HTTP; no request reached the handler
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            context.close(); // a timeout, a reset or malformed HTTP; no request reached the handler
         }
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/api/RevisionWatch.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/RevisionWatch.java
@@ -18,7 +18,7 @@
          * Runs a listener once at the next change of the state; returns false if too many are
          * registered.
          */
-        boolean onNextChange(Runnable told);
+        boolean onNextChange(Runnable listener);
 
         /** The newest revision. */
         CompletableFuture<Long> revision();
@@ -46,15 +46,15 @@
      * deadline, a time of {@link System#nanoTime}.
      */
     CompletableFuture<Boolean> awaitRevisionAfter(long revision, long deadlineNanos) {
-        long left = deadlineNanos - System.nanoTime();
-        if (left <= 0) {
+        long leftNanos = deadlineNanos - System.nanoTime();
+        if (leftNanos <= 0) {
             return CompletableFuture.completedFuture(false);
         }
         Waiter waiter = new Waiter(revision);
         waiters.add(waiter);
         waiter.advanced
-                .completeOnTimeout(false, left, TimeUnit.NANOSECONDS)
-                .whenComplete((moved, failure) -> waiters.remove(waiter));
+                .completeOnTimeout(false, leftNanos, TimeUnit.NANOSECONDS)
+                .whenComplete((result, failure) -> waiters.remove(waiter));
         startListening();
         checkRevision(); // it may have advanced since the caller read it
         return waiter.advanced;
@@ -78,9 +78,9 @@
         source.revision().thenAccept(this::completeWaiters);
     }
 
-    private void completeWaiters(long newest) {
+    private void completeWaiters(long newestRevision) {
         for (Waiter waiter : waiters) {
-            if (newest > waiter.revision) {
+            if (newestRevision > waiter.revision) {
                 waiter.advanced.complete(true);
             }
         }
--- a/coordinator/src/main/java/saltstage/coordinator/api/StateChanges.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/StateChanges.java
@@ -29,10 +29,10 @@
      */
     CompletableFuture<Boolean> awaitNext(long deadlineNanos) {
         CompletableFuture<Boolean> changed = new CompletableFuture<>();
-        long left = deadlineNanos - System.nanoTime();
-        if (left <= 0 || !replica.onNextChange(() -> changed.complete(true))) {
+        long leftNanos = deadlineNanos - System.nanoTime();
+        if (leftNanos <= 0 || !replica.onNextChange(() -> changed.complete(true))) {
             return CompletableFuture.completedFuture(false);
         }
-        return changed.completeOnTimeout(false, left, TimeUnit.NANOSECONDS);
+        return changed.completeOnTimeout(false, leftNanos, TimeUnit.NANOSECONDS);
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/client/GroupClient.java
+++ b/coordinator/src/main/java/saltstage/coordinator/client/GroupClient.java
@@ -36,8 +36,8 @@
     public static final class GroupUnreachableException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        GroupUnreachableException(String why) {
-            super(why);
+        GroupUnreachableException(String message) {
+            super(message);
         }
     }
 
@@ -63,29 +63,29 @@
      * Creates a client of the group whose replicas serve clients at these addresses, each as
      * HOST:PORT.
      */
-    public GroupClient(List<String> places, Ticker ticker) {
-        if (places.isEmpty()) {
+    public GroupClient(List<String> replicaAddresses, Ticker ticker) {
+        if (replicaAddresses.isEmpty()) {
             throw new IllegalArgumentException("no replica is named");
         }
-        this.replicaAddresses = new ArrayList<>(places);
+        this.replicaAddresses = new ArrayList<>(replicaAddresses);
         this.ticker = ticker;
-        nextReplica = ThreadLocalRandom.current().nextInt(places.size());
+        nextReplica = ThreadLocalRandom.current().nextInt(replicaAddresses.size());
     }
 
     /** Sends a command and repeats it until it is answered or the time limit has passed. */
-    public TimedReply send(Command command, Duration within)
+    public TimedReply send(Command command, Duration timeout)
             throws GroupUnreachableException, InterruptedException {
-        return send(command, within, Duration.ZERO);
+        return send(command, timeout, Duration.ZERO);
     }
 
     /**
      * Sends a command as {@link #send(Command, Duration)} does; the group may delay its answer by
      * up to {@code wait} while the caller waits in a queue.
      */
-    public synchronized TimedReply send(Command command, Duration within, Duration wait)
+    public synchronized TimedReply send(Command command, Duration timeout, Duration wait)
             throws GroupUnreachableException, InterruptedException {
-        long first = ticker.nanos();
-        long until = first + within.toNanos();
+        long sentNanos = ticker.nanos();
+        long deadlineNanos = sentNanos + timeout.toNanos();
         sequenceNumber++;
         while (true) {
             ObjectNode body =
@@ -96,19 +96,24 @@
                             .put("waitMs", wait.toMillis());
             body.set("command", GroupCodec.jsonMapper().valueToTree(command));
             JsonNode answer =
-                    call("POST", "/v1/do", body.toString(), until, ATTEMPT_TIMEOUT.plus(wait));
+                    call(
+                            "POST",
+                            "/v1/do",
+                            body.toString(),
+                            deadlineNanos,
+                            ATTEMPT_TIMEOUT.plus(wait));
             Reply reply;
             try {
                 reply = GroupCodec.jsonMapper().treeToValue(answer, Reply.class);
-            } catch (IOException unknown) {
+            } catch (IOException unreadable) {
                 throw new GroupUnreachableException(
-                        "an answer that this build does not know: " + unknown.getMessage());
+                        "an answer that this build does not know: " + unreadable.getMessage());
             }
-            if (reply instanceof Rejection no && no.code().equals("session-lost")) {
+            if (reply instanceof Rejection rejection && rejection.code().equals("session-lost")) {
                 sessionId = UUID.randomUUID().toString(); // the caller may send again
                 sequenceNumber = 0;
             }
-            return new TimedReply(reply, first);
+            return new TimedReply(reply, sentNanos);
         }
     }
 
@@ -116,76 +121,78 @@
      * Reads a path. The answer reflects the group's state after the call began, unless the path
      * asks for a stale one.
      */
-    public synchronized JsonNode get(String path, Duration within)
+    public synchronized JsonNode get(String path, Duration timeout)
             throws GroupUnreachableException, InterruptedException {
         return call(
                 "GET",
                 path,
                 null,
-                ticker.nanos() + within.toNanos(),
+                ticker.nanos() + timeout.toNanos(),
                 ATTEMPT_TIMEOUT.plusSeconds(2));
     }
 
     /** Posts an operator's request, which may be sent more than once. */
-    public synchronized JsonNode post(String path, JsonNode body, Duration within)
+    public synchronized JsonNode post(String path, JsonNode body, Duration timeout)
             throws GroupUnreachableException, InterruptedException {
         return call(
                 "POST",
                 path,
                 body.toString(),
-                ticker.nanos() + within.toNanos(),
+                ticker.nanos() + timeout.toNanos(),
                 ATTEMPT_TIMEOUT.multipliedBy(3));
     }
 
-    private JsonNode call(String method, String path, String body, long until, Duration patience)
+    private JsonNode call(
+            String method, String path, String body, long deadlineNanos, Duration attemptTimeout)
             throws GroupUnreachableException, InterruptedException {
-        String last = "no replica answers";
-        for (long pause = MIN_RETRY_DELAY_MS; ; pause = Math.min(MAX_RETRY_DELAY_MS, pause * 2)) {
-            long left = until - ticker.nanos();
-            if (left <= 0) {
-                throw new GroupUnreachableException(last);
+        String lastError = "no replica answers";
+        for (long delay = MIN_RETRY_DELAY_MS; ; delay = Math.min(MAX_RETRY_DELAY_MS, delay * 2)) {
+            long leftNanos = deadlineNanos - ticker.nanos();
+            if (leftNanos <= 0) {
+                throw new GroupUnreachableException(lastError);
             }
-            String place =
+            String address =
                     leaderAddress != null ? leaderAddress : replicaAddresses.get(nextReplica);
             try {
                 Duration timeout =
-                        Duration.ofNanos(Math.max(1_000_000, Math.min(left, patience.toNanos())));
+                        Duration.ofNanos(
+                                Math.max(1_000_000, Math.min(leftNanos, attemptTimeout.toNanos())));
                 HttpResponse<String> response =
                         httpClient.send(
-                                request(method, place, path, body, timeout),
+                                request(method, address, path, body, timeout),
                                 HttpResponse.BodyHandlers.ofString());
                 JsonNode answer = GroupCodec.jsonMapper().readTree(response.body());
                 if (response.statusCode() == 200) {
-                    leaderAddress = place;
+                    leaderAddress = address;
                     return answer;
                 }
-                last =
-                        place
+                lastError =
+                        address
                                 + ": "
                                 + answer.path("error").asText("status " + response.statusCode());
                 if (response.statusCode() == 400 || response.statusCode() == 404) {
-                    selectNextReplica(null, place); // the address may belong to no replica any more
-                    throw new IllegalArgumentException(last);
+                    selectNextReplica(null, address); // this may be no replica any more
+                    throw new IllegalArgumentException(lastError);
                 }
-                selectNextReplica(answer.path("leader").asText(null), place);
-            } catch (IOException silent) {
-                last =
-                        place
+                selectNextReplica(answer.path("leader").asText(null), address);
+            } catch (IOException error) {
+                lastError =
+                        address
                                 + ": "
-                                + (silent.getMessage() == null ? "no answer" : silent.getMessage());
-                selectNextReplica(null, place);
+                                + (error.getMessage() == null ? "no answer" : error.getMessage());
+                selectNextReplica(null, address);
             }
             Thread.sleep(
                     Math.min(
-                            Math.max(1, left / 1_000_000),
-                            pause / 2 + ThreadLocalRandom.current().nextLong(pause / 2 + 1)));
+                            Math.max(1, leftNanos / 1_000_000),
+                            delay / 2 + ThreadLocalRandom.current().nextLong(delay / 2 + 1)));
         }
     }
 
     private static HttpRequest request(
-            String method, String place, String path, String body, Duration timeout) {
+            String method, String address, String path, String body, Duration timeout) {
         HttpRequest.Builder request =
-                HttpRequest.newBuilder(URI.create("http://" + place + path)).timeout(timeout);
+                HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(timeout);
         return (body == null
                         ? request.GET()
                         : request.method(method, HttpRequest.BodyPublishers.ofString(body)))
@@ -196,14 +203,14 @@
      * Selects the replica of the next attempt: the leader named in a response, unless it is the
      * replica that has just failed to serve; otherwise the next one.
      */
-    private void selectNextReplica(String toldLeader, String not) {
+    private void selectNextReplica(String leaderHint, String failedAddress) {
         leaderAddress =
-                toldLeader == null
-                                || toldLeader.equals(not)
-                                || !replicaAddresses.contains(toldLeader)
-                                        && !toldLeader.matches("[0-9.]+:\\d+")
+                leaderHint == null
+                                || leaderHint.equals(failedAddress)
+                                || !replicaAddresses.contains(leaderHint)
+                                        && !leaderHint.matches("[0-9.]+:\\d+")
                         ? null
-                        : toldLeader;
+                        : leaderHint;
         if (leaderAddress == null) {
             nextReplica = (nextReplica + 1) % replicaAddresses.size();
         }
--- a/coordinator/src/main/java/saltstage/coordinator/client/LeaseClient.java
+++ b/coordinator/src/main/java/saltstage/coordinator/client/LeaseClient.java
@@ -37,8 +37,8 @@
     public static final class LeaseLostException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        LeaseLostException(String name, long fence) {
-            super("lease " + name + " (fence " + fence + ") is lost");
+        LeaseLostException(String name, long fencingToken) {
+            super("lease " + name + " (fence " + fencingToken + ") is lost");
         }
     }
 
@@ -46,8 +46,8 @@
     public static final class LeaseNotGrantedException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        LeaseNotGrantedException(String why) {
-            super(why);
+        LeaseNotGrantedException(String message) {
+            super(message);
         }
     }
 
@@ -63,9 +63,10 @@
      * Creates a client for the leases of a group. The name is for people; each process is a
      * separate owner. Renewals use a group client of their own.
      */
-    public LeaseClient(GroupClient group, GroupClient renewing, Ticker ticker, String name) {
-        this.groupClient = group;
-        this.renewalClient = renewing;
+    public LeaseClient(
+            GroupClient groupClient, GroupClient renewalClient, Ticker ticker, String name) {
+        this.groupClient = groupClient;
+        this.renewalClient = renewalClient;
         this.ticker = ticker;
         owner = name + "/" + UUID.randomUUID();
         renewalThread = new Thread(this::renewalLoop, "renewer");
@@ -82,12 +83,12 @@
         private volatile long validUntilNanos;
         private volatile boolean closedOrLost;
 
-        private Lease(String name, long fence, long ttlMs, long sent, Runnable onLoss) {
+        private Lease(String name, long fencingToken, long ttlMs, long sentNanos, Runnable onLoss) {
             this.name = name;
-            this.fencingToken = fence;
+            this.fencingToken = fencingToken;
             this.ttlMs = ttlMs;
             this.onLoss = onLoss;
-            validUntilNanos = sent + validityNanos(ttlMs);
+            validUntilNanos = sentNanos + validityNanos(ttlMs);
         }
 
         /** The name of the lease. */
@@ -116,38 +117,38 @@
         }
 
         private void markLost() {
-            boolean told;
+            boolean alreadyEnded;
             synchronized (this) {
-                told = closedOrLost;
+                alreadyEnded = closedOrLost;
                 closedOrLost = true;
             }
             heldLeases.remove(name, this);
-            if (!told) {
+            if (!alreadyEnded) {
                 onLoss.run();
             }
         }
 
-        private void extend(long sent) {
-            validUntilNanos = Math.max(validUntilNanos, sent + validityNanos(ttlMs));
+        private void extend(long sentNanos) {
+            validUntilNanos = Math.max(validUntilNanos, sentNanos + validityNanos(ttlMs));
         }
 
         /** Releases the lease. */
         @Override
         public void close() {
-            boolean mine;
+            boolean wasHeld;
             synchronized (this) {
-                mine = !closedOrLost;
+                wasHeld = !closedOrLost;
                 closedOrLost = true;
             }
             heldLeases.remove(name, this);
-            if (mine) {
+            if (wasHeld) {
                 try {
                     groupClient.send(
                             new Release(name, owner, fencingToken),
                             Duration.ofMillis(Math.min(ttlMs, 3_000)));
-                } catch (GroupUnreachableException itExpires) {
+                } catch (GroupUnreachableException unreachable) {
                     return; // the lease expires by itself
-                } catch (InterruptedException ended) {
+                } catch (InterruptedException interrupted) {
                     Thread.currentThread().interrupt();
                 }
             }
@@ -165,41 +166,43 @@
      */
     public Lease acquire(String name, Duration ttl, Duration wait, int priority, Runnable onLoss)
             throws LeaseNotGrantedException, GroupUnreachableException, InterruptedException {
-        long until = ticker.nanos() + wait.toNanos();
+        long deadlineNanos = ticker.nanos() + wait.toNanos();
         while (true) {
-            long left = until - ticker.nanos();
-            boolean queue = left > 0;
-            Duration hold =
+            long leftNanos = deadlineNanos - ticker.nanos();
+            boolean queue = leftNanos > 0;
+            Duration queueWait =
                     queue
-                            ? MAX_QUEUE_WAIT.toNanos() < left
+                            ? MAX_QUEUE_WAIT.toNanos() < leftNanos
                                     ? MAX_QUEUE_WAIT
-                                    : Duration.ofNanos(left)
+                                    : Duration.ofNanos(leftNanos)
                             : Duration.ZERO;
-            TimedReply said =
+            TimedReply answer =
                     groupClient.send(
                             new Acquire(name, owner, ttl.toMillis(), priority, queue),
-                            Duration.ofNanos(Math.max(left, 3_000_000_000L)),
-                            hold);
-            if (said.reply() instanceof Granted granted) {
+                            Duration.ofNanos(Math.max(leftNanos, 3_000_000_000L)),
+                            queueWait);
+            if (answer.reply() instanceof Granted granted) {
                 Lease lease =
-                        new Lease(name, granted.fence(), granted.ttlMs(), said.sentNanos(), onLoss);
+                        new Lease(
+                                name, granted.fence(), granted.ttlMs(), answer.sentNanos(), onLoss);
                 if (lease.remaining().isZero()) {
                     continue; // the reply came after the end of the lease's validity
                 }
                 heldLeases.put(name, lease);
                 return lease;
             }
-            if (said.reply() instanceof Rejection no && !no.code().equals("session-lost")) {
-                throw new LeaseNotGrantedException(no.why());
+            if (answer.reply() instanceof Rejection rejection
+                    && !rejection.code().equals("session-lost")) {
+                throw new LeaseNotGrantedException(rejection.why());
             }
             if (!queue) {
                 throw new LeaseNotGrantedException(
-                        said.reply() instanceof Held by
+                        answer.reply() instanceof Held held
                                 ? name
                                         + " is held by "
-                                        + by.holder()
+                                        + held.holder()
                                         + " for "
-                                        + by.remainingMs()
+                                        + held.remainingMs()
                                         + " ms more"
                                 : "the session was lost");
             }
@@ -209,10 +212,11 @@
     private void renewalLoop() {
         while (!closed) {
             try {
-                long least = heldLeases.values().stream().mapToLong(l -> l.ttlMs).min().orElse(400);
-                Thread.sleep(Math.max(50, least / RENEWALS_PER_TTL));
+                long shortestTtlMs =
+                        heldLeases.values().stream().mapToLong(l -> l.ttlMs).min().orElse(400);
+                Thread.sleep(Math.max(50, shortestTtlMs / RENEWALS_PER_TTL));
                 renewHeldLeases();
-            } catch (InterruptedException ended) {
+            } catch (InterruptedException interrupted) {
                 return;
             } catch (RuntimeException fault) { // the leases held need the next renewal round
                 Log.error("lease.renewal-failed", fault);
@@ -221,32 +225,35 @@
     }
 
     private void renewHeldLeases() throws InterruptedException {
-        Map<String, Long> fences = new TreeMap<>();
-        Map<String, Lease> asked = new TreeMap<>();
-        long now = ticker.nanos();
-        long soonest = Long.MAX_VALUE;
+        Map<String, Long> fencingTokens = new TreeMap<>();
+        Map<String, Lease> renewing = new TreeMap<>();
+        long nowNanos = ticker.nanos();
+        long leftNanos = Long.MAX_VALUE;
         for (Lease lease : Map.copyOf(heldLeases).values()) {
-            if (now - lease.validUntilNanos >= 0) {
+            if (nowNanos - lease.validUntilNanos >= 0) {
                 lease.markLost();
             } else {
-                fences.put(lease.name, lease.fencingToken);
-                asked.put(lease.name, lease);
-                soonest = Math.min(soonest, lease.validUntilNanos - now);
+                fencingTokens.put(lease.name, lease.fencingToken);
+                renewing.put(lease.name, lease);
+                leftNanos = Math.min(leftNanos, lease.validUntilNanos - nowNanos);
             }
         }
-        if (fences.isEmpty()) {
+        if (fencingTokens.isEmpty()) {
             return;
         }
         try {
-            TimedReply said =
-                    renewalClient.send(new Renew(owner, fences), Duration.ofNanos(soonest));
-            if (said.reply() instanceof Renewed renewed) {
-                renewed.ttlMs().keySet().forEach(name -> asked.get(name).extend(said.sentNanos()));
-                renewed.lost().forEach(name -> asked.get(name).markLost());
+            TimedReply answer =
+                    renewalClient.send(
+                            new Renew(owner, fencingTokens), Duration.ofNanos(leftNanos));
+            if (answer.reply() instanceof Renewed renewed) {
+                renewed.ttlMs()
+                        .keySet()
+                        .forEach(name -> renewing.get(name).extend(answer.sentNanos()));
+                renewed.lost().forEach(name -> renewing.get(name).markLost());
             }
         } catch (
                 GroupUnreachableException
-                        notNow) { // a lease not renewed in time is marked lost above
+                        unreachable) { // a lease not renewed in time is lost above
             return;
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/ChangeListeners.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/ChangeListeners.java
@@ -19,8 +19,8 @@
         if (listeners.isEmpty()) {
             return;
         }
-        List<Runnable> told = List.copyOf(listeners);
+        List<Runnable> current = List.copyOf(listeners);
         listeners.clear();
-        told.forEach(Runnable::run);
+        current.forEach(Runnable::run);
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Identity.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Identity.java
@@ -23,29 +23,29 @@
 
     /** Reads the identity from the store; creates it from the settings if the store has none. */
     static Identity loadOrCreate(Store store, ReplicaSettings settings) throws IOException {
-        byte[] kept = store.get(KEY);
-        if (kept == null) {
-            Identity made =
+        byte[] stored = store.get(KEY);
+        if (stored == null) {
+            Identity created =
                     new Identity(
                             settings.group(),
                             settings.name(),
                             UUID.randomUUID().toString(),
                             List.copyOf(settings.initialMembers()));
-            store.put(KEY, GroupCodec.toCbor(made));
-            return made;
+            store.put(KEY, GroupCodec.toCbor(created));
+            return created;
         }
-        Identity read = GroupCodec.cborMapper().readValue(kept, Identity.class);
-        if (!read.group().equals(settings.group()) || !read.member().equals(settings.name())) {
+        Identity loaded = GroupCodec.cborMapper().readValue(stored, Identity.class);
+        if (!loaded.group().equals(settings.group()) || !loaded.member().equals(settings.name())) {
             throw new IOException(
                     "the disk belongs to "
-                            + read.member()
+                            + loaded.member()
                             + " of group "
-                            + read.group()
+                            + loaded.group()
                             + ", not to "
                             + settings.name()
                             + " of "
                             + settings.group());
         }
-        return read;
+        return loaded;
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/LeaderTasks.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/LeaderTasks.java
@@ -58,18 +58,18 @@
      * leads.
      */
     void run(GroupState state) {
-        long now = System.nanoTime();
-        boolean timed =
+        long nowNanos = System.nanoTime();
+        boolean timeDependent =
                 state.leases().nextDeadline() != Long.MAX_VALUE || state.windows().hasOpenWindows();
-        long period = (timed ? CHECK_PERIOD : IDLE_TICK_PERIOD).toNanos();
-        if (now - lastTickNanos >= period - CHECK_PERIOD.toNanos() / 2) {
-            lastTickNanos = now;
+        long periodNanos = (timeDependent ? CHECK_PERIOD : IDLE_TICK_PERIOD).toNanos();
+        if (nowNanos - lastTickNanos >= periodNanos - CHECK_PERIOD.toNanos() / 2) {
+            lastTickNanos = nowNanos;
             directory
                     .pendingIntroductions(
                             Member.sortedNames(node.getEffectiveMembers().getMembers()))
                     .forEach(this::propose);
             introduceSelf();
-            proposeTick(now);
+            proposeTick(nowNanos);
         }
     }
 
@@ -83,23 +83,23 @@
 
     /** Proposes a tick with all wall clocks and feature levels known to this replica. */
     private void proposeTick(long nowNanos) {
-        Map<String, Long> walls =
+        Map<String, Long> wallClocks =
                 new TreeMap<>(Map.of(settings.name(), settings.wallClock().getAsLong()));
-        Map<String, Integer> speaks =
+        Map<String, Integer> featureLevels =
                 new TreeMap<>(Map.of(settings.name(), settings.supportedFeatureLevel()));
         heartbeats.forEach(
                 (name, received) -> {
                     long ageMs =
                             TimeUnit.NANOSECONDS.toMillis(nowNanos - received.receivedAtNanos());
                     if (ageMs < MAX_HEARTBEAT_AGE_MS) {
-                        walls.put(name, received.heartbeat().wallMs() + ageMs);
-                        speaks.put(name, received.heartbeat().speaks());
+                        wallClocks.put(name, received.heartbeat().wallMs() + ageMs);
+                        featureLevels.put(name, received.heartbeat().speaks());
                     }
                 });
         propose(
                 new GroupCommands.Tick(
-                        walls,
-                        speaks,
+                        wallClocks,
+                        featureLevels,
                         Member.sortedNames(node.getCommittedMembers().getVotingMembers())));
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/replica/LogStore.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/LogStore.java
@@ -44,7 +44,7 @@
      */
     interface WriteFailureListener {
         /** Called before the engine learns of the failure. */
-        void writeFailed(IOException why);
+        void writeFailed(IOException failure);
     }
 
     private final Store store;
@@ -54,11 +54,11 @@
     private long firstIndex;
     private long lastIndex;
 
-    LogStore(Store store, WriteFailureListener failed) throws IOException {
+    LogStore(Store store, WriteFailureListener writeFailureListener) throws IOException {
         this.store = store;
-        this.writeFailureListener = failed;
-        try (Snapshot now = store.snapshot()) {
-            Snapshot.Scan scan = now.scan(LOG_KEY_PREFIX, prefixEnd(LOG_KEY_PREFIX));
+        this.writeFailureListener = writeFailureListener;
+        try (Snapshot snapshot = store.snapshot()) {
+            Snapshot.Scan scan = snapshot.scan(LOG_KEY_PREFIX, prefixEnd(LOG_KEY_PREFIX));
             while (scan.next()) {
                 long index = logIndex(scan.key());
                 firstIndex = firstIndex == 0 ? index : firstIndex;
@@ -81,11 +81,11 @@
         return ByteBuffer.allocate(prefix.length + 8).put(prefix).putLong(index).array();
     }
 
-    private static byte[] snapshotChunkKey(long snapshot, int chunk) {
+    private static byte[] snapshotChunkKey(long snapshotIndex, int chunkIndex) {
         return ByteBuffer.allocate(SNAPSHOT_KEY_PREFIX.length + 12)
                 .put(SNAPSHOT_KEY_PREFIX)
-                .putLong(snapshot)
-                .putInt(chunk)
+                .putLong(snapshotIndex)
+                .putInt(chunkIndex)
                 .array();
     }
 
@@ -112,8 +112,9 @@
     }
 
     @Override
-    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView first) throws IOException {
-        put(INITIAL_MEMBERS_KEY, GroupCodec.toCbor(RaftCodec.toMembers(first)));
+    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView initialMembers)
+            throws IOException {
+        put(INITIAL_MEMBERS_KEY, GroupCodec.toCbor(RaftCodec.toMembers(initialMembers)));
         flush();
     }
 
@@ -176,56 +177,58 @@
         if (pendingBatch.size() == 0) {
             return;
         }
-        Batch now = pendingBatch;
+        Batch batch = pendingBatch;
         pendingBatch = new Batch();
         pendingBytes = 0;
         try {
-            store.commit(now);
-        } catch (IOException why) {
-            writeFailureListener.writeFailed(why);
-            throw why;
+            store.commit(batch);
+        } catch (IOException failure) {
+            writeFailureListener.writeFailed(failure);
+            throw failure;
         }
     }
 
     /** Restores the persisted state; returns null if there is none. */
     RestoredRaftState restore() throws IOException {
-        byte[] self = store.get(SELF_KEY);
-        byte[] first = store.get(INITIAL_MEMBERS_KEY);
-        if (self == null || first == null) {
+        byte[] selfBytes = store.get(SELF_KEY);
+        byte[] memberBytes = store.get(INITIAL_MEMBERS_KEY);
+        if (selfBytes == null || memberBytes == null) {
             return null;
         }
-        RaftCodec.Self me = GroupCodec.cborMapper().readValue(self, RaftCodec.Self.class);
-        byte[] kept = store.get(TERM_KEY);
+        RaftCodec.Self self = GroupCodec.cborMapper().readValue(selfBytes, RaftCodec.Self.class);
+        byte[] termBytes = store.get(TERM_KEY);
         RaftCodec.Term term =
-                kept == null
+                termBytes == null
                         ? new RaftCodec.Term(0, null)
-                        : GroupCodec.cborMapper().readValue(kept, RaftCodec.Term.class);
+                        : GroupCodec.cborMapper().readValue(termBytes, RaftCodec.Term.class);
         SnapshotEntry snapshot = readSnapshot();
-        long from = snapshot == null ? 1 : snapshot.getIndex() + 1;
+        long nextIndex = snapshot == null ? 1 : snapshot.getIndex() + 1;
         return new RestoredRaftState(
                 MODEL.createRaftEndpointPersistentStateBuilder()
-                        .setLocalEndpoint(new Member(me.member()))
-                        .setVoting(me.voting())
+                        .setLocalEndpoint(new Member(self.member()))
+                        .setVoting(self.voting())
                         .build(),
                 RaftCodec.toMembersView(
-                        GroupCodec.cborMapper().readValue(first, RaftCodec.Members.class)),
+                        GroupCodec.cborMapper().readValue(memberBytes, RaftCodec.Members.class)),
                 MODEL.createRaftTermPersistentStateBuilder()
                         .setTerm(term.term())
                         .setVotedFor(term.votedFor() == null ? null : new Member(term.votedFor()))
                         .build(),
                 snapshot,
-                readEntries(from));
+                readEntries(nextIndex));
     }
 
-    private List<LogEntry> readEntries(long from) throws IOException {
+    private List<LogEntry> readEntries(long startIndex) throws IOException {
         List<LogEntry> entries = new ArrayList<>();
-        try (Snapshot now = store.snapshot()) {
-            Snapshot.Scan scan = now.scan(logKey(LOG_KEY_PREFIX, from), prefixEnd(LOG_KEY_PREFIX));
+        try (Snapshot snapshot = store.snapshot()) {
+            Snapshot.Scan scan =
+                    snapshot.scan(logKey(LOG_KEY_PREFIX, startIndex), prefixEnd(LOG_KEY_PREFIX));
             while (scan.next()) {
                 RaftCodec.Entry entry =
                         GroupCodec.cborMapper().readValue(scan.value(), RaftCodec.Entry.class);
-                if (entry.index() != from + entries.size()) {
-                    throw new IOException("log: entry " + (from + entries.size()) + " is missing");
+                if (entry.index() != startIndex + entries.size()) {
+                    throw new IOException(
+                            "log: entry " + (startIndex + entries.size()) + " is missing");
                 }
                 entries.add(RaftCodec.toLogEntry(entry));
             }
@@ -235,31 +238,31 @@
 
     /** Reads the newest snapshot whose chunks are all stored; returns null if there is none. */
     private SnapshotEntry readSnapshot() throws IOException {
-        List<SnapshotChunk> whole = null;
-        List<SnapshotChunk> parts = new ArrayList<>();
-        try (Snapshot now = store.snapshot()) {
-            Snapshot.Scan scan = now.scan(SNAPSHOT_KEY_PREFIX, prefixEnd(SNAPSHOT_KEY_PREFIX));
+        List<SnapshotChunk> complete = null;
+        List<SnapshotChunk> chunks = new ArrayList<>();
+        try (Snapshot snapshot = store.snapshot()) {
+            Snapshot.Scan scan = snapshot.scan(SNAPSHOT_KEY_PREFIX, prefixEnd(SNAPSHOT_KEY_PREFIX));
             while (scan.next()) {
                 RaftCodec.Chunk chunk =
                         GroupCodec.cborMapper().readValue(scan.value(), RaftCodec.Chunk.class);
-                if (!parts.isEmpty() && parts.get(0).getIndex() != chunk.index()) {
-                    parts.clear();
+                if (!chunks.isEmpty() && chunks.get(0).getIndex() != chunk.index()) {
+                    chunks.clear();
                 }
-                parts.add(RaftCodec.toSnapshotChunk(chunk));
-                if (parts.size() == chunk.of()) {
-                    whole = List.copyOf(parts);
+                chunks.add(RaftCodec.toSnapshotChunk(chunk));
+                if (chunks.size() == chunk.of()) {
+                    complete = List.copyOf(chunks);
                 }
             }
         }
-        if (whole == null) {
+        if (complete == null) {
             return null;
         }
-        SnapshotChunk any = whole.get(0);
+        SnapshotChunk firstChunk = complete.get(0);
         return MODEL.createSnapshotEntryBuilder()
-                .setIndex(any.getIndex())
-                .setTerm(any.getTerm())
-                .setSnapshotChunks(whole)
-                .setGroupMembersView(any.getGroupMembersView())
+                .setIndex(firstChunk.getIndex())
+                .setTerm(firstChunk.getTerm())
+                .setSnapshotChunks(complete)
+                .setGroupMembersView(firstChunk.getGroupMembersView())
                 .build();
     }
 
@@ -270,9 +273,9 @@
 
     /** The names of the group's initial members; empty if none are stored. */
     Collection<String> initialMembers() throws IOException {
-        byte[] first = store.get(INITIAL_MEMBERS_KEY);
-        return first == null
+        byte[] memberBytes = store.get(INITIAL_MEMBERS_KEY);
+        return memberBytes == null
                 ? List.of()
-                : GroupCodec.cborMapper().readValue(first, RaftCodec.Members.class).all();
+                : GroupCodec.cborMapper().readValue(memberBytes, RaftCodec.Members.class).all();
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Membership.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Membership.java
@@ -33,12 +33,12 @@
     CompletableFuture<String> join(String name, String disk, String peers, String clients) {
         Member member = new Member(name);
         if (directory.isOnOtherDisk(name, disk)) {
-            String why =
+            String reason =
                     Identity.OTHER_DISK_PREFIX
                             + ": the name "
                             + name
                             + " is taken, or was: join under one of its own";
-            return CompletableFuture.failedFuture(new IllegalArgumentException(why));
+            return CompletableFuture.failedFuture(new IllegalArgumentException(reason));
         }
         var members = node.getCommittedMembers();
         if (members.getVotingMembers().contains(member)) {
--- a/coordinator/src/main/java/saltstage/coordinator/replica/PeerDirectory.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/PeerDirectory.java
@@ -44,9 +44,9 @@
      * settings, otherwise the one the peer announced; null if neither is known.
      */
     InetSocketAddress peerAddress(String peer) {
-        InetSocketAddress reach = settings.peerAddresses().get(peer);
-        if (reach != null) {
-            return reach;
+        InetSocketAddress configured = settings.peerAddresses().get(peer);
+        if (configured != null) {
+            return configured;
         }
         GroupState.MemberRow row = memberRows.get(peer);
         if (row == null || row.peers() == null) {
@@ -68,21 +68,24 @@
      * Admits a peer by its hello; returns null if it is admitted, otherwise the reason for the
      * refusal.
      */
-    String admit(PeerLinks.Hello who) {
-        if (!group.equals(who.group())) {
-            return "it is of group " + who.group() + ", this is " + group;
+    String admit(PeerLinks.Hello hello) {
+        if (!group.equals(hello.group())) {
+            return "it is of group " + hello.group() + ", this is " + group;
         }
-        if (isOnOtherDisk(who.from(), who.disk())) {
+        if (isOnOtherDisk(hello.from(), hello.disk())) {
             return Identity.OTHER_DISK_PREFIX
                     + ": "
-                    + who.from()
+                    + hello.from()
                     + " was on another disk; remove it, and let the new one join under a name of"
                     + " its own";
         }
-        if (who.speaks() < featureLevel) {
-            return "its build knows level " + who.speaks() + ", the group works at " + featureLevel;
+        if (hello.speaks() < featureLevel) {
+            return "its build knows level "
+                    + hello.speaks()
+                    + ", the group works at "
+                    + featureLevel;
         }
-        hellos.put(who.from(), who);
+        hellos.put(hello.from(), hello);
         return null;
     }
 
@@ -98,22 +101,23 @@
      */
     List<GroupCommands.Introduce> pendingIntroductions(Collection<String> names) {
         List<GroupCommands.Introduce> introductions = new ArrayList<>();
-        for (PeerLinks.Hello who : hellos.values()) {
-            if (names.contains(who.from()) && isIntroductionNeeded(who)) {
+        for (PeerLinks.Hello hello : hellos.values()) {
+            if (names.contains(hello.from()) && isIntroductionNeeded(hello)) {
                 introductions.add(
                         new GroupCommands.Introduce(
-                                who.from(), who.disk(), who.peers(), who.clients()));
+                                hello.from(), hello.disk(), hello.peers(), hello.clients()));
             }
         }
         return introductions;
     }
 
-    private boolean isIntroductionNeeded(PeerLinks.Hello who) {
-        GroupState.MemberRow row = memberRows.get(who.from());
+    private boolean isIntroductionNeeded(PeerLinks.Hello hello) {
+        GroupState.MemberRow row = memberRows.get(hello.from());
         if (row == null) {
             return true;
         }
-        boolean same = who.peers().equals(row.peers()) && who.clients().equals(row.clients());
-        return row.disk().equals(who.disk()) && !same;
+        boolean sameAddresses =
+                hello.peers().equals(row.peers()) && hello.clients().equals(row.clients());
+        return row.disk().equals(hello.disk()) && !sameAddresses;
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
@@ -72,7 +72,7 @@
     /** Receives the frames that peers send. */
     interface PeerListener {
         /** A peer has connected; returns null to admit it, otherwise the reason for the refusal. */
-        String helloReceived(Hello who);
+        String helloReceived(Hello hello);
 
         /** A peer has sent an encoded message of the consensus engine. */
         void messageReceived(String from, byte[] bytes) throws IOException;
@@ -81,7 +81,7 @@
         void heartbeatReceived(String from, Heartbeat heartbeat);
 
         /** A peer has refused the connection of this replica. */
-        void refusedByPeer(String by, String why);
+        void refusedByPeer(String peer, String reason);
     }
 
     private final saltstage.net.Transport transport;
@@ -99,21 +99,21 @@
             saltstage.net.Transport transport,
             RaftCodec codec,
             Hello self,
-            PeerListener events,
-            java.util.function.Function<String, InetSocketAddress> addresses,
-            java.util.function.Supplier<Heartbeat> heartbeat) {
+            PeerListener peerListener,
+            java.util.function.Function<String, InetSocketAddress> addressResolver,
+            java.util.function.Supplier<Heartbeat> heartbeatSupplier) {
         this.transport = transport;
         this.codec = codec;
         this.self = self;
-        this.peerListener = events;
-        this.addressResolver = addresses;
-        this.heartbeatSupplier = heartbeat;
+        this.peerListener = peerListener;
+        this.addressResolver = addressResolver;
+        this.heartbeatSupplier = heartbeatSupplier;
         loop = transport.loops().get(0);
     }
 
     /** Listens for peers and starts to send heartbeats. */
-    void listen(InetSocketAddress at) throws IOException {
-        listener = transport.listen(at, 64, WRITE_LIMITS, connection -> new InboundLink());
+    void listen(InetSocketAddress address) throws IOException {
+        listener = transport.listen(address, 64, WRITE_LIMITS, connection -> new InboundLink());
         loop.schedule(HEARTBEAT_PERIOD, this::sendHeartbeats);
     }
 
@@ -130,8 +130,8 @@
         if (stopped) {
             return;
         }
-        byte[] now = GroupCodec.toCbor(heartbeatSupplier.get());
-        links.values().forEach(link -> link.send(HEARTBEAT, now));
+        byte[] heartbeat = GroupCodec.toCbor(heartbeatSupplier.get());
+        links.values().forEach(link -> link.send(HEARTBEAT, heartbeat));
         loop.schedule(HEARTBEAT_PERIOD, this::sendHeartbeats);
     }
 
@@ -152,8 +152,8 @@
     void updateLinks(java.util.Collection<String> peers) {
         for (String name : Map.copyOf(links).keySet()) {
             if (!peers.contains(name)) {
-                OutboundLink gone = links.remove(name);
-                loop.execute(gone::close);
+                OutboundLink link = links.remove(name);
+                loop.execute(link::close);
             }
         }
         peers.forEach(this::ensureLink);
@@ -191,14 +191,15 @@
     private abstract static class FrameReader implements ConnectionHandler {
         private ByteBuffer inputBuffer = ByteBuffer.allocate(64 << 10);
 
-        abstract void frameReceived(Connection on, byte type, byte[] body) throws IOException;
+        abstract void frameReceived(Connection connection, byte type, byte[] body)
+                throws IOException;
 
         @Override
-        public void received(Connection on, ByteBuffer bytes) {
+        public void received(Connection connection, ByteBuffer bytes) {
             if (inputBuffer.remaining() < bytes.remaining()) {
-                int need = inputBuffer.position() + bytes.remaining();
+                int required = inputBuffer.position() + bytes.remaining();
                 inputBuffer =
-                        ByteBuffer.allocate(Math.max(need, 2 * inputBuffer.capacity()))
+                        ByteBuffer.allocate(Math.max(required, 2 * inputBuffer.capacity()))
                                 .put(inputBuffer.flip());
             }
             inputBuffer.put(bytes).flip();
@@ -215,19 +216,19 @@
                     byte type = inputBuffer.get();
                     byte[] body = new byte[length - 1];
                     inputBuffer.get(body);
-                    frameReceived(on, type, body);
+                    frameReceived(connection, type, body);
                 }
                 inputBuffer.compact();
-            } catch (IOException bad) {
-                Log.warn("peer.malformed", "why", bad.getMessage());
+            } catch (IOException malformed) {
+                Log.warn("peer.malformed", "why", malformed.getMessage());
                 inputBuffer.clear();
-                on.reset();
+                connection.reset();
             }
         }
 
         @Override
-        public void inputEnded(Connection on) {
-            on.close();
+        public void inputEnded(Connection connection) {
+            connection.close();
         }
     }
 
@@ -237,7 +238,7 @@
         private boolean refused;
 
         @Override
-        void frameReceived(Connection on, byte type, byte[] body) throws IOException {
+        void frameReceived(Connection connection, byte type, byte[] body) throws IOException {
             if (refused) {
                 return; // the refusal has not reached the peer yet
             }
@@ -245,23 +246,25 @@
                 if (type != HELLO) {
                     throw new IOException("the first frame is not a hello");
                 }
-                Hello who = GroupCodec.cborMapper().readValue(body, Hello.class);
-                if (who == null
-                        || who.from() == null
-                        || who.disk() == null
-                        || who.peers() == null
-                        || who.clients() == null) {
+                Hello hello = GroupCodec.cborMapper().readValue(body, Hello.class);
+                if (hello == null
+                        || hello.from() == null
+                        || hello.disk() == null
+                        || hello.peers() == null
+                        || hello.clients() == null) {
                     throw new IOException("the hello is incomplete");
                 }
-                String why = peerListener.helloReceived(who);
-                if (why != null) {
+                String refusal = peerListener.helloReceived(hello);
+                if (refusal != null) {
                     refused = true;
-                    Log.warn("peer.refused", "peer", who.from(), "why", why);
-                    on.write(PeerLinks.encodeFrame(REFUSED, why.getBytes(StandardCharsets.UTF_8)));
-                    on.close();
+                    Log.warn("peer.refused", "peer", hello.from(), "why", refusal);
+                    connection.write(
+                            PeerLinks.encodeFrame(
+                                    REFUSED, refusal.getBytes(StandardCharsets.UTF_8)));
+                    connection.close();
                     return;
                 }
-                from = who.from();
+                from = hello.from();
                 return;
             }
             switch (type) {
@@ -278,8 +281,8 @@
         }
 
         @Override
-        public void closed(Connection on, Connection.Cause why) {
-            Log.info("peer.gone", "peer", from == null ? "nobody" : from, "why", why);
+        public void closed(Connection connection, Connection.Cause cause) {
+            Log.info("peer.gone", "peer", from == null ? "nobody" : from, "why", cause);
         }
     }
 
@@ -300,11 +303,11 @@
             if (closed || stopped) {
                 return;
             }
-            InetSocketAddress at = resolveAddress();
-            if (at == null) {
+            InetSocketAddress address = resolveAddress();
+            if (address == null) {
                 scheduleReconnect();
             } else {
-                transport.connect(loop, at, CONNECT_TIMEOUT, WRITE_LIMITS, this);
+                transport.connect(loop, address, CONNECT_TIMEOUT, WRITE_LIMITS, this);
             }
         }
 
@@ -322,30 +325,30 @@
         }
 
         private void scheduleReconnect() {
-            long drawn =
+            long delayMs =
                     reconnectDelayMs / 2
                             + ThreadLocalRandom.current().nextLong(reconnectDelayMs / 2 + 1);
             reconnectDelayMs = Math.min(MAX_RECONNECT_DELAY_MS, reconnectDelayMs * 2);
-            loop.schedule(Duration.ofMillis(drawn), this::connect);
+            loop.schedule(Duration.ofMillis(delayMs), this::connect);
         }
 
         @Override
-        public ConnectionHandler connected(Connection made) {
+        public ConnectionHandler connected(Connection newConnection) {
             if (closed) {
-                made.reset();
+                newConnection.reset();
                 return this;
             }
-            connection = made;
+            connection = newConnection;
             reconnectDelayMs = MIN_RECONNECT_DELAY_MS;
-            made.write(PeerLinks.encodeFrame(HELLO, GroupCodec.toCbor(self)));
-            made.write(
+            newConnection.write(PeerLinks.encodeFrame(HELLO, GroupCodec.toCbor(self)));
+            newConnection.write(
                     PeerLinks.encodeFrame(HEARTBEAT, GroupCodec.toCbor(heartbeatSupplier.get())));
             connected = true;
             return this;
         }
 
         @Override
-        public void failed(IOException why) {
+        public void failed(IOException cause) {
             scheduleReconnect();
         }
 
@@ -356,7 +359,7 @@
         }
 
         @Override
-        void frameReceived(Connection on, byte type, byte[] body) throws IOException {
+        void frameReceived(Connection source, byte type, byte[] body) throws IOException {
             if (type != REFUSED) {
                 throw new IOException("unexpected frame type " + type + " on an outbound link");
             }
@@ -365,7 +368,7 @@
         }
 
         @Override
-        public void closed(Connection on, Connection.Cause why) {
+        public void closed(Connection source, Connection.Cause cause) {
             connected = false;
             connection = null;
             if (!closed && !stopped) {
@@ -383,8 +386,8 @@
 
     /** Whether the link to each peer is connected, by the peer's name. */
     Map<String, Boolean> linkStates() {
-        Map<String, Boolean> now = new HashMap<>();
-        links.forEach((name, link) -> now.put(name, link.connected));
-        return now;
+        Map<String, Boolean> states = new HashMap<>();
+        links.forEach((name, link) -> states.put(name, link.connected));
+        return states;
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Proposer.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Proposer.java
@@ -21,12 +21,12 @@
     /**
      * Creates a proposer.
      *
-     * @param process identifies this run of the process; time stamps of two runs are not compared
+     * @param processId identifies this run of the process; time stamps of two runs are not compared
      * @param clockRate the rate of the monotonic clock in time stamps; 1 in production
      */
-    Proposer(RaftNode node, String process, double clockRate) {
+    Proposer(RaftNode node, String processId, double clockRate) {
         this.node = node;
-        this.processId = process;
+        this.processId = processId;
         this.clockRate = clockRate;
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/replica/RaftCodec.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/RaftCodec.java
@@ -94,8 +94,8 @@
 
     private final Object groupId;
 
-    RaftCodec(Object group) {
-        this.groupId = group;
+    RaftCodec(Object groupId) {
+        this.groupId = groupId;
     }
 
     private static String nameOf(RaftEndpoint endpoint) {
@@ -252,223 +252,238 @@
         return packet;
     }
 
-    private static Packet appendRequestPacket(AppendEntriesRequest m) {
+    private static Packet appendRequestPacket(AppendEntriesRequest request) {
         return new Packet(
                 Kind.APPEND,
-                nameOf(m.getSender()),
-                m.getTerm(),
-                m.getPreviousLogTerm(),
-                m.getPreviousLogIndex(),
-                m.getCommitIndex(),
-                m.getQuerySequenceNumber(),
-                m.getFlowControlSequenceNumber(),
+                nameOf(request.getSender()),
+                request.getTerm(),
+                request.getPreviousLogTerm(),
+                request.getPreviousLogIndex(),
+                request.getCommitIndex(),
+                request.getQuerySequenceNumber(),
+                request.getFlowControlSequenceNumber(),
                 false,
                 0,
-                m.getLogEntries().stream().map(RaftCodec::toEntry).toList(),
+                request.getLogEntries().stream().map(RaftCodec::toEntry).toList(),
                 null,
                 null,
                 null);
     }
 
-    private static Packet snapshotRequestPacket(InstallSnapshotRequest m) {
+    private static Packet snapshotRequestPacket(InstallSnapshotRequest request) {
         return new Packet(
                 Kind.SNAPSHOT,
-                nameOf(m.getSender()),
-                m.getTerm(),
-                m.getSnapshotTerm(),
-                m.getSnapshotIndex(),
+                nameOf(request.getSender()),
+                request.getTerm(),
+                request.getSnapshotTerm(),
+                request.getSnapshotIndex(),
                 0,
-                m.getQuerySequenceNumber(),
-                m.getFlowControlSequenceNumber(),
-                m.isSenderLeader(),
-                m.getTotalSnapshotChunkCount(),
+                request.getQuerySequenceNumber(),
+                request.getFlowControlSequenceNumber(),
+                request.isSenderLeader(),
+                request.getTotalSnapshotChunkCount(),
                 null,
-                toChunk(m.getSnapshotChunk()),
-                toMembers(m.getGroupMembersView()),
-                namesOf(m.getSnapshottedMembers()));
+                toChunk(request.getSnapshotChunk()),
+                toMembers(request.getGroupMembersView()),
+                namesOf(request.getSnapshottedMembers()));
     }
 
     private static Packet appendPacket(RaftMessage message) {
-        if (message instanceof AppendEntriesRequest m) {
-            return appendRequestPacket(m);
+        if (message instanceof AppendEntriesRequest request) {
+            return appendRequestPacket(request);
         }
-        if (message instanceof AppendEntriesSuccessResponse m) {
+        if (message instanceof AppendEntriesSuccessResponse response) {
             return responsePacket(
                     Kind.APPENDED,
-                    m,
-                    m.getLastLogIndex(),
+                    response,
+                    response.getLastLogIndex(),
                     0,
-                    m.getQuerySequenceNumber(),
-                    m.getFlowControlSequenceNumber());
+                    response.getQuerySequenceNumber(),
+                    response.getFlowControlSequenceNumber());
         }
-        if (message instanceof AppendEntriesFailureResponse m) {
+        if (message instanceof AppendEntriesFailureResponse response) {
             return responsePacket(
                     Kind.NOT_APPENDED,
-                    m,
-                    m.getExpectedNextIndex(),
+                    response,
+                    response.getExpectedNextIndex(),
                     0,
-                    m.getQuerySequenceNumber(),
-                    m.getFlowControlSequenceNumber());
+                    response.getQuerySequenceNumber(),
+                    response.getFlowControlSequenceNumber());
         }
         return null;
     }
 
     private static Packet snapshotPacket(RaftMessage message) {
-        if (message instanceof InstallSnapshotRequest m) {
-            return snapshotRequestPacket(m);
+        if (message instanceof InstallSnapshotRequest request) {
+            return snapshotRequestPacket(request);
         }
-        if (message instanceof InstallSnapshotResponse m) {
+        if (message instanceof InstallSnapshotResponse response) {
             return responsePacket(
                     Kind.SNAPSHOT_TAKEN,
-                    m,
-                    m.getSnapshotIndex(),
-                    m.getRequestedSnapshotChunkIndex(),
-                    m.getQuerySequenceNumber(),
-                    m.getFlowControlSequenceNumber());
+                    response,
+                    response.getSnapshotIndex(),
+                    response.getRequestedSnapshotChunkIndex(),
+                    response.getQuerySequenceNumber(),
+                    response.getFlowControlSequenceNumber());
         }
         return null;
     }
 
     private static Packet electionPacket(RaftMessage message) {
-        if (message instanceof PreVoteRequest m) {
-            return simplePacket(Kind.PRE_VOTE, m, m.getLastLogTerm(), m.getLastLogIndex(), false);
+        if (message instanceof PreVoteRequest request) {
+            return simplePacket(
+                    Kind.PRE_VOTE,
+                    request,
+                    request.getLastLogTerm(),
+                    request.getLastLogIndex(),
+                    false);
         }
-        if (message instanceof PreVoteResponse m) {
-            return simplePacket(Kind.PRE_VOTED, m, 0, 0, m.isGranted());
+        if (message instanceof PreVoteResponse response) {
+            return simplePacket(Kind.PRE_VOTED, response, 0, 0, response.isGranted());
         }
-        if (message instanceof VoteRequest m) {
+        if (message instanceof VoteRequest request) {
             return simplePacket(
-                    Kind.VOTE, m, m.getLastLogTerm(), m.getLastLogIndex(), m.isSticky());
+                    Kind.VOTE,
+                    request,
+                    request.getLastLogTerm(),
+                    request.getLastLogIndex(),
+                    request.isSticky());
         }
-        if (message instanceof VoteResponse m) {
-            return simplePacket(Kind.VOTED, m, 0, 0, m.isGranted());
+        if (message instanceof VoteResponse response) {
+            return simplePacket(Kind.VOTED, response, 0, 0, response.isGranted());
         }
-        if (message instanceof TriggerLeaderElectionRequest m) {
-            return simplePacket(Kind.TAKE_OVER, m, m.getLastLogTerm(), m.getLastLogIndex(), false);
+        if (message instanceof TriggerLeaderElectionRequest request) {
+            return simplePacket(
+                    Kind.TAKE_OVER,
+                    request,
+                    request.getLastLogTerm(),
+                    request.getLastLogIndex(),
+                    false);
         }
         return null;
     }
 
     /** Decodes a message; throws an IOException if the bytes are not a valid one. */
     RaftMessage decode(byte[] bytes) throws IOException {
-        Packet p = GroupCodec.cborMapper().readValue(bytes, Packet.class);
-        if (p == null || p.kind() == null || p.from() == null) {
+        Packet packet = GroupCodec.cborMapper().readValue(bytes, Packet.class);
+        if (packet == null || packet.kind() == null || packet.from() == null) {
             throw new IOException("message without kind or sender");
         }
         try {
-            return toMessage(p);
-        } catch (RuntimeException parts) { // a field is missing or has an unknown value
+            return toMessage(packet);
+        } catch (RuntimeException invalid) { // a field is missing or has an unknown value
             throw new IOException(
-                    "message of kind " + p.kind() + " has missing or unknown fields", parts);
+                    "message of kind " + packet.kind() + " has missing or unknown fields", invalid);
         }
     }
 
-    private RaftMessage toMessage(Packet p) {
-        return switch (p.kind()) {
+    private RaftMessage toMessage(Packet packet) {
+        return switch (packet.kind()) {
             case APPEND ->
                     MODEL.createAppendEntriesRequestBuilder()
                             .setGroupId(groupId)
-                            .setSender(toEndpoint(p.from()))
-                            .setTerm(p.term())
-                            .setPreviousLogTerm(p.otherTerm())
-                            .setPreviousLogIndex(p.index())
-                            .setCommitIndex(p.commit())
-                            .setLogEntries(p.entries().stream().map(RaftCodec::toLogEntry).toList())
-                            .setQuerySequenceNumber(p.query())
-                            .setFlowControlSequenceNumber(p.flow())
+                            .setSender(toEndpoint(packet.from()))
+                            .setTerm(packet.term())
+                            .setPreviousLogTerm(packet.otherTerm())
+                            .setPreviousLogIndex(packet.index())
+                            .setCommitIndex(packet.commit())
+                            .setLogEntries(
+                                    packet.entries().stream().map(RaftCodec::toLogEntry).toList())
+                            .setQuerySequenceNumber(packet.query())
+                            .setFlowControlSequenceNumber(packet.flow())
                             .build();
             case APPENDED ->
                     MODEL.createAppendEntriesSuccessResponseBuilder()
                             .setGroupId(groupId)
-                            .setSender(toEndpoint(p.from()))
-                            .setTerm(p.term())
-                            .setLastLogIndex(p.index())
-                            .setQuerySequenceNumber(p.query())
-                            .setFlowControlSequenceNumber(p.flow())
+                            .setSender(toEndpoint(packet.from()))
+                            .setTerm(packet.term())
+                            .setLastLogIndex(packet.index())
+                            .setQuerySequenceNumber(packet.query())
+                            .setFlowControlSequenceNumber(packet.flow())
                             .build();
             case NOT_APPENDED ->
                     MODEL.createAppendEntriesFailureResponseBuilder()
                             .setGroupId(groupId)
-                            .setSender(toEndpoint(p.from()))
-                            .setTerm(p.term())
-                            .setExpectedNextIndex(p.index())
-                            .setQuerySequenceNumber(p.query())
-                            .setFlowControlSequenceNumber(p.flow())
+                            .setSender(toEndpoint(packet.from()))
+                            .setTerm(packet.term())
+                            .setExpectedNextIndex(packet.index())
+                            .setQuerySequenceNumber(packet.query())
+                            .setFlowControlSequenceNumber(packet.flow())
                             .build();
-            case SNAPSHOT, SNAPSHOT_TAKEN -> toSnapshotMessage(p);
-            case PRE_VOTE, PRE_VOTED, VOTE, VOTED, TAKE_OVER -> toElectionMessage(p);
+            case SNAPSHOT, SNAPSHOT_TAKEN -> toSnapshotMessage(packet);
+            case PRE_VOTE, PRE_VOTED, VOTE, VOTED, TAKE_OVER -> toElectionMessage(packet);
         };
     }
 
-    private RaftMessage toSnapshotMessage(Packet p) {
-        if (p.kind() == Kind.SNAPSHOT_TAKEN) {
+    private RaftMessage toSnapshotMessage(Packet packet) {
+        if (packet.kind() == Kind.SNAPSHOT_TAKEN) {
             return MODEL.createInstallSnapshotResponseBuilder()
                     .setGroupId(groupId)
-                    .setSender(toEndpoint(p.from()))
-                    .setTerm(p.term())
-                    .setSnapshotIndex(p.index())
-                    .setRequestedSnapshotChunkIndex(p.count())
-                    .setQuerySequenceNumber(p.query())
-                    .setFlowControlSequenceNumber(p.flow())
+                    .setSender(toEndpoint(packet.from()))
+                    .setTerm(packet.term())
+                    .setSnapshotIndex(packet.index())
+                    .setRequestedSnapshotChunkIndex(packet.count())
+                    .setQuerySequenceNumber(packet.query())
+                    .setFlowControlSequenceNumber(packet.flow())
                     .build();
         }
         return MODEL.createInstallSnapshotRequestBuilder()
                 .setGroupId(groupId)
-                .setSender(toEndpoint(p.from()))
-                .setTerm(p.term())
-                .setSenderLeader(p.flag())
-                .setSnapshotTerm(p.otherTerm())
-                .setSnapshotIndex(p.index())
-                .setTotalSnapshotChunkCount(p.count())
-                .setSnapshotChunk(toSnapshotChunk(p.chunk()))
-                .setSnapshottedMembers(toEndpoints(p.holders()))
-                .setGroupMembersView(toMembersView(p.members()))
-                .setQuerySequenceNumber(p.query())
-                .setFlowControlSequenceNumber(p.flow())
+                .setSender(toEndpoint(packet.from()))
+                .setTerm(packet.term())
+                .setSenderLeader(packet.flag())
+                .setSnapshotTerm(packet.otherTerm())
+                .setSnapshotIndex(packet.index())
+                .setTotalSnapshotChunkCount(packet.count())
+                .setSnapshotChunk(toSnapshotChunk(packet.chunk()))
+                .setSnapshottedMembers(toEndpoints(packet.holders()))
+                .setGroupMembersView(toMembersView(packet.members()))
+                .setQuerySequenceNumber(packet.query())
+                .setFlowControlSequenceNumber(packet.flow())
                 .build();
     }
 
-    private RaftMessage toElectionMessage(Packet p) {
-        RaftEndpoint from = toEndpoint(p.from());
-        return switch (p.kind()) {
+    private RaftMessage toElectionMessage(Packet packet) {
+        RaftEndpoint from = toEndpoint(packet.from());
+        return switch (packet.kind()) {
             case PRE_VOTE ->
                     MODEL.createPreVoteRequestBuilder()
                             .setGroupId(groupId)
                             .setSender(from)
-                            .setTerm(p.term())
-                            .setLastLogTerm(p.otherTerm())
-                            .setLastLogIndex(p.index())
+                            .setTerm(packet.term())
+                            .setLastLogTerm(packet.otherTerm())
+                            .setLastLogIndex(packet.index())
                             .build();
             case PRE_VOTED ->
                     MODEL.createPreVoteResponseBuilder()
                             .setGroupId(groupId)
                             .setSender(from)
-                            .setTerm(p.term())
-                            .setGranted(p.flag())
+                            .setTerm(packet.term())
+                            .setGranted(packet.flag())
                             .build();
             case VOTE ->
                     MODEL.createVoteRequestBuilder()
                             .setGroupId(groupId)
                             .setSender(from)
-                            .setTerm(p.term())
-                            .setLastLogTerm(p.otherTerm())
-                            .setLastLogIndex(p.index())
-                            .setSticky(p.flag())
+                            .setTerm(packet.term())
+                            .setLastLogTerm(packet.otherTerm())
+                            .setLastLogIndex(packet.index())
+                            .setSticky(packet.flag())
                             .build();
             case VOTED ->
                     MODEL.createVoteResponseBuilder()
                             .setGroupId(groupId)
                             .setSender(from)
-                            .setTerm(p.term())
-                            .setGranted(p.flag())
+                            .setTerm(packet.term())
+                            .setGranted(packet.flag())
                             .build();
             default ->
                     MODEL.createTriggerLeaderElectionRequestBuilder()
                             .setGroupId(groupId)
                             .setSender(from)
-                            .setTerm(p.term())
-                            .setLastLogTerm(p.otherTerm())
-                            .setLastLogIndex(p.index())
+                            .setTerm(packet.term())
+                            .setLastLogTerm(packet.otherTerm())
+                            .setLastLogIndex(packet.index())
                             .build();
         };
     }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/RaftThread.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/RaftThread.java
@@ -26,15 +26,15 @@
     private final double clockSpeed;
     private final long startNanos = System.nanoTime();
 
-    RaftThread(String name, double speed) {
-        this.clockSpeed = speed;
+    RaftThread(String name, double clockSpeed) {
+        this.clockSpeed = clockSpeed;
         executor =
                 new ScheduledThreadPoolExecutor(
                         1,
                         task -> {
-                            Thread made = new Thread(task, name);
-                            made.setDaemon(true);
-                            return made;
+                            Thread thread = new Thread(task, name);
+                            thread.setDaemon(true);
+                            return thread;
                         });
         executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
         executor.setRemoveOnCancelPolicy(true);
@@ -69,9 +69,9 @@
     }
 
     /** Runs a task once, after a delay in nanoseconds of real time. */
-    void scheduleRealTime(Runnable task, long nanos) {
+    void scheduleRealTime(Runnable task, long delayNanos) {
         if (!executor.isShutdown()) {
-            executor.schedule(guarded(task), nanos, TimeUnit.NANOSECONDS);
+            executor.schedule(guarded(task), delayNanos, TimeUnit.NANOSECONDS);
         }
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/replica/Replica.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/Replica.java
@@ -39,7 +39,7 @@
     /** Ends the process after a fatal error. */
     public interface FatalErrorHandler {
         /** Exits with this code and reason; does not return, or ends the replica. */
-        void exit(int code, String why);
+        void exit(int code, String reason);
     }
 
     private final ReplicaSettings settings;
@@ -63,19 +63,23 @@
      * Starts the replica; throws an IOException if the store belongs to another group or member.
      */
     public Replica(
-            ReplicaSettings settings, Store store, Transport transport, FatalErrorHandler fatal)
+            ReplicaSettings settings,
+            Store store,
+            Transport transport,
+            FatalErrorHandler fatalErrorHandler)
             throws IOException {
         this.settings = settings;
-        this.fatalErrorHandler = fatal;
+        this.fatalErrorHandler = fatalErrorHandler;
         this.transport = transport;
         this.store = store;
         identity = Identity.loadOrCreate(store, settings);
         codec = new RaftCodec(identity.group());
         raftThread = new RaftThread("replica", settings.engineClockSpeed());
-        stateMachine = new ReplicaStateMachine(fatal, changeListeners::notifyListeners);
+        stateMachine = new ReplicaStateMachine(fatalErrorHandler, changeListeners::notifyListeners);
         directory = new PeerDirectory(settings, identity.group());
-        String process = Long.toHexString(System.nanoTime()) + "-" + ProcessHandle.current().pid();
-        PeerLinks.Hello self = createHello(process);
+        String processId =
+                Long.toHexString(System.nanoTime()) + "-" + ProcessHandle.current().pid();
+        PeerLinks.Hello self = createHello(processId);
         links =
                 new PeerLinks(
                         transport,
@@ -85,7 +89,7 @@
                         directory::peerAddress,
                         this::currentHeartbeat);
         node = createEngine();
-        proposer = new Proposer(node, process, settings.clockRate());
+        proposer = new Proposer(node, processId, settings.clockRate());
         membership = new Membership(node, directory, proposer);
         leaderTasks = new LeaderTasks(settings, self, node, directory, proposer);
         links.listen(settings.peerListenAddress());
@@ -94,12 +98,12 @@
         raftThread.scheduleRealTime(this::periodicCheck, LeaderTasks.CHECK_PERIOD.toNanos());
     }
 
-    private PeerLinks.Hello createHello(String process) {
+    private PeerLinks.Hello createHello(String processId) {
         return new PeerLinks.Hello(
                 identity.group(),
                 settings.name(),
                 identity.disk(),
-                process,
+                processId,
                 settings.supportedFeatureLevel(),
                 HostPort.format(settings.peerListenAddress()),
                 HostPort.format(settings.clientListenAddress()));
@@ -118,9 +122,9 @@
         LogStore log =
                 new LogStore(
                         store,
-                        why ->
+                        failure ->
                                 fatalErrorHandler.exit(
-                                        EXIT_STORE_FAILED, "store: " + why.getMessage()));
+                                        EXIT_STORE_FAILED, "store: " + failure.getMessage()));
         RestoredRaftState restored = log.restore();
         RaftNode.RaftNodeBuilder builder =
                 RaftNode.newBuilder()
@@ -134,9 +138,10 @@
         if (restored != null) {
             builder.setRestoredState(restored);
         } else {
-            Collection<RaftEndpoint> first = new ArrayList<>();
-            identity.first().forEach(name -> first.add(new Member(name)));
-            builder.setLocalEndpoint(new Member(settings.name())).setInitialGroupMembers(first);
+            Collection<RaftEndpoint> initialMembers = new ArrayList<>();
+            identity.first().forEach(name -> initialMembers.add(new Member(name)));
+            builder.setLocalEndpoint(new Member(settings.name()))
+                    .setInitialGroupMembers(initialMembers);
         }
         return builder.build();
     }
@@ -158,8 +163,8 @@
     }
 
     @Override
-    public String helloReceived(PeerLinks.Hello who) {
-        return directory.admit(who);
+    public String helloReceived(PeerLinks.Hello hello) {
+        return directory.admit(hello);
     }
 
     @Override
@@ -181,10 +186,10 @@
     }
 
     @Override
-    public void refusedByPeer(String by, String why) {
-        Log.warn("peer.refuses", "peer", by, "why", why);
-        if (why.startsWith(Identity.OTHER_DISK_PREFIX)) {
-            fatalErrorHandler.exit(EXIT_REFUSED_BY_PEER, "refused by " + by + ": " + why);
+    public void refusedByPeer(String peer, String reason) {
+        Log.warn("peer.refuses", "peer", peer, "why", reason);
+        if (reason.startsWith(Identity.OTHER_DISK_PREFIX)) {
+            fatalErrorHandler.exit(EXIT_REFUSED_BY_PEER, "refused by " + peer + ": " + reason);
         }
     }
 
@@ -282,7 +287,7 @@
         closed = true;
         node.terminate()
                 .completeOnTimeout(null, TERMINATION_TIMEOUT_SECONDS, TimeUnit.SECONDS)
-                .exceptionally(any -> null)
+                .exceptionally(failure -> null)
                 .join();
         links.stop();
         raftThread.shutdown();
--- a/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStateMachine.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/ReplicaStateMachine.java
@@ -26,9 +26,9 @@
     private final Runnable changeListener;
     private volatile GroupState state = new GroupState();
 
-    ReplicaStateMachine(Replica.FatalErrorHandler fatal, Runnable changed) {
-        this.fatalErrorHandler = fatal;
-        this.changeListener = changed;
+    ReplicaStateMachine(Replica.FatalErrorHandler fatalErrorHandler, Runnable changeListener) {
+        this.fatalErrorHandler = fatalErrorHandler;
+        this.changeListener = changeListener;
     }
 
     GroupState state() {
@@ -46,14 +46,14 @@
         Reply reply;
         try {
             reply = state.apply(GroupCodec.decodeProposal(entry));
-        } catch (IOException | RuntimeException unknown) {
+        } catch (IOException | RuntimeException failure) {
             fatalErrorHandler.exit(
                     78,
                     "entry "
                             + index
                             + " of the log cannot be carried out by this build: "
-                            + unknown.getMessage());
-            throw new IllegalStateException(unknown);
+                            + failure.getMessage());
+            throw new IllegalStateException(failure);
         }
         changeListener.run();
         return reply;
@@ -61,27 +61,28 @@
 
     @Override
     public void takeSnapshot(long index, Consumer<Object> chunks) {
-        byte[] all = GroupCodec.encodeSnapshot(state.image());
-        for (int at = 0; at < all.length; at += SNAPSHOT_CHUNK_BYTES) {
+        byte[] bytes = GroupCodec.encodeSnapshot(state.image());
+        for (int offset = 0; offset < bytes.length; offset += SNAPSHOT_CHUNK_BYTES) {
             chunks.accept(
-                    Arrays.copyOfRange(all, at, Math.min(all.length, at + SNAPSHOT_CHUNK_BYTES)));
+                    Arrays.copyOfRange(
+                            bytes, offset, Math.min(bytes.length, offset + SNAPSHOT_CHUNK_BYTES)));
         }
     }
 
     @Override
     public void installSnapshot(long index, List<Object> chunks) {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        chunks.forEach(chunk -> all.writeBytes((byte[]) chunk));
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        chunks.forEach(chunk -> bytes.writeBytes((byte[]) chunk));
         try {
-            state = new GroupState(GroupCodec.decodeSnapshot(all.toByteArray()));
-        } catch (IOException | RuntimeException bad) {
+            state = new GroupState(GroupCodec.decodeSnapshot(bytes.toByteArray()));
+        } catch (IOException | RuntimeException failure) {
             fatalErrorHandler.exit(
                     78,
                     "the snapshot at "
                             + index
                             + " cannot be read by this build: "
-                            + bad.getMessage());
-            throw new IllegalStateException(bad);
+                            + failure.getMessage());
+            throw new IllegalStateException(failure);
         }
         changeListener.run();
     }
--- a/coordinator/src/main/java/saltstage/coordinator/replica/StalePreVoteRecovery.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/StalePreVoteRecovery.java
@@ -38,8 +38,9 @@
         if (!(node instanceof RaftNodeImpl engine) || !isTimeoutHidden(engine)) {
             return;
         }
-        RaftEndpoint lost = engine.state().leader();
-        Log.warn("replica.leader-lost", "leader", lost.getId(), "term", engine.state().term());
+        RaftEndpoint lostLeader = engine.state().leader();
+        Log.warn(
+                "replica.leader-lost", "leader", lostLeader.getId(), "term", engine.state().term());
         engine.leader(null);
         new PreVoteTask(engine, engine.state().term()).run();
     }
--- a/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
@@ -50,13 +50,13 @@
 
     @BeforeAll
     static void startReplica() throws Exception {
-        InetSocketAddress peers = freeAddress();
+        InetSocketAddress peerAddress = freeAddress();
         ReplicaSettings settings =
                 new ReplicaSettings(
                         "g",
                         "a",
                         List.of("a"),
-                        peers,
+                        peerAddress,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 1),
                         Map.of(),
                         Map.of(),
@@ -76,7 +76,8 @@
                         settings,
                         store,
                         transport,
-                        (code, why) -> System.err.println("replica ended: " + code + " " + why));
+                        (code, reason) ->
+                                System.err.println("replica ended: " + code + " " + reason));
         handler = new ApiHandler(replica);
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TEST_TIMEOUT_SECONDS);
         while (get("/v1/leases").status() != 200
@@ -108,10 +109,10 @@
                         Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
         return handler.handle(request)
                 .thenApply(
-                        answer ->
+                        response ->
                                 new Response(
-                                        answer.status(),
-                                        GroupCodec.jsonMapper().valueToTree(answer.body())));
+                                        response.status(),
+                                        GroupCodec.jsonMapper().valueToTree(response.body())));
     }
 
     private static Response get(String uri) throws Exception {
@@ -172,13 +173,14 @@
 
     @Test
     void commandsAreCheckedBeforeTheyAreProposed() throws Exception {
-        String numbers = "'client' takes a text of up to 100 characters, 'seq' a number from 1 on";
+        String numberError =
+                "'client' takes a text of up to 100 characters, 'seq' a number from 1 on";
         String acquire = acquireCommand("checked", "o", false);
-        assertBadRequest(numbers, post("/v1/do", commandBody("c".repeat(101), 1, 0, acquire)));
-        assertBadRequest(numbers, post("/v1/do", commandBody("c", 0, 0, acquire)));
-        String notForClients = "'command' takes a command for clients";
+        assertBadRequest(numberError, post("/v1/do", commandBody("c".repeat(101), 1, 0, acquire)));
+        assertBadRequest(numberError, post("/v1/do", commandBody("c", 0, 0, acquire)));
+        String commandError = "'command' takes a command for clients";
         assertBadRequest(
-                notForClients,
+                commandError,
                 post("/v1/do", commandBody("c", 1, 0, "{\"op\":\"forget\",\"member\":\"a\"}")));
         Response unknown = post("/v1/do", commandBody("c", 1, 0, "{\"op\":\"none\"}"));
         assertEquals(400, unknown.status());
@@ -198,8 +200,8 @@
         JsonNode lease = get("/v1/lease?name=p/x").body();
         assertTrue(lease.path("groupNow").isIntegralNumber());
         long revision = lease.path("leases").get(0).path("revision").asLong();
-        String waiting = commandBody("g2", 1, 2_000, acquireCommand("p/x", "o2", true));
-        CompletableFuture<Response> queued = send(HttpMethod.POST, "/v1/do", waiting);
+        String queuedAcquire = commandBody("g2", 1, 2_000, acquireCommand("p/x", "o2", true));
+        CompletableFuture<Response> queued = send(HttpMethod.POST, "/v1/do", queuedAcquire);
         CompletableFuture<Response> watched =
                 send(HttpMethod.GET, "/v1/lease?name=p/x&waitMs=2000&after=" + revision, "");
         String release =
@@ -215,8 +217,8 @@
                 "the client must repeat the command to be granted the lease");
         Response changed = watched.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(changed.body().path("leases").get(0).path("revision").asLong() > revision);
-        String again = commandBody("g2", 2, 0, acquireCommand("p/x", "o2", true));
-        assertEquals("granted", post("/v1/do", again).body().path("result").asText());
+        String repeatedAcquire = commandBody("g2", 2, 0, acquireCommand("p/x", "o2", true));
+        assertEquals("granted", post("/v1/do", repeatedAcquire).body().path("result").asText());
     }
 
     @Test
@@ -256,9 +258,9 @@
         assertEquals("no advisor has spoken", advice.body().path("book").path("why").asText());
         assertTrue(advice.body().path("made").isArray());
         assertTrue(advice.body().path("avoid").isArray());
-        Response fault = post("/v1/snapshot", snapshot.replace("100", "0"));
-        assertEquals(400, fault.status());
-        assertTrue(fault.body().path("error").asText().startsWith("a snapshot names its node"));
+        Response invalid = post("/v1/snapshot", snapshot.replace("100", "0"));
+        assertEquals(400, invalid.status());
+        assertTrue(invalid.body().path("error").asText().startsWith("a snapshot names its node"));
         Response unknown = post("/v1/snapshot", "{\"none\":1}");
         assertEquals(400, unknown.status());
         assertTrue(unknown.body().path("error").asText().startsWith("no snapshot: "));
--- a/coordinator/src/test/java/saltstage/coordinator/api/RevisionWatchTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/api/RevisionWatchTest.java
@@ -26,8 +26,8 @@
         private boolean listenersFull;
 
         @Override
-        public boolean onNextChange(Runnable runnable) {
-            return !listenersFull && listeners.add(runnable);
+        public boolean onNextChange(Runnable listener) {
+            return !listenersFull && listeners.add(listener);
         }
 
         @Override
@@ -37,9 +37,9 @@
         }
 
         void notifyListeners() {
-            List<Runnable> now = List.copyOf(listeners);
+            List<Runnable> current = List.copyOf(listeners);
             listeners.clear();
-            now.forEach(Runnable::run);
+            current.forEach(Runnable::run);
         }
     }
 
@@ -57,19 +57,20 @@
         for (int i = 0; i < WAITERS; i++) {
             waiters.add(awaitRevisionAfter5(60_000));
         }
-        int before = source.revisionReads;
+        int readsBefore = source.revisionReads;
         for (int tick = 0; tick < 10; tick++) {
             source.notifyListeners();
         }
-        assertEquals(10, source.revisionReads - before);
+        assertEquals(10, source.revisionReads - readsBefore);
         assertTrue(waiters.stream().noneMatch(CompletableFuture::isDone));
         source.revision = 6;
         source.notifyListeners();
-        assertTrue(waiters.stream().allMatch(one -> one.getNow(false)));
+        assertTrue(waiters.stream().allMatch(waiter -> waiter.getNow(false)));
         source.notifyListeners();
-        int after = source.revisionReads;
+        int readsAfter = source.revisionReads;
         source.notifyListeners();
-        assertEquals(after, source.revisionReads, "no revision is read while no request waits");
+        assertEquals(
+                readsAfter, source.revisionReads, "no revision is read while no request waits");
     }
 
     @Test
--- a/coordinator/src/test/java/saltstage/coordinator/client/GroupClientTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/client/GroupClientTest.java
@@ -26,10 +26,10 @@
         ScriptedResponse byLeader = new ScriptedResponse(200, Map.of("by", "leader"));
         ScriptedResponse byNamed = new ScriptedResponse(200, Map.of("by", "named"));
         try (ScriptedReplica leader =
-                        new ScriptedReplica(asked -> replaced.get() ? notHere : byLeader);
+                        new ScriptedReplica(body -> replaced.get() ? notHere : byLeader);
                 ScriptedReplica named =
                         new ScriptedReplica(
-                                asked ->
+                                body ->
                                         replaced.get()
                                                 ? byNamed
                                                 : new ScriptedResponse(
--- a/coordinator/src/test/java/saltstage/coordinator/client/LeaseClientTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/client/LeaseClientTest.java
@@ -32,15 +32,15 @@
      * Starts a replica that grants and renews every lease; the function may replace the response to
      * a renewal command, or return null to renew.
      */
-    private ScriptedReplica startReplica(Function<JsonNode, ScriptedResponse> instead)
+    private ScriptedReplica startReplica(Function<JsonNode, ScriptedResponse> replacement)
             throws Exception {
         return new ScriptedReplica(
-                asked -> {
-                    JsonNode command = asked.path("command");
+                body -> {
+                    JsonNode command = body.path("command");
                     if (command.path("op").asText().equals("renew")) {
                         renewalCount.incrementAndGet();
-                        ScriptedResponse answer = instead.apply(command);
-                        return answer != null ? answer : renewedResponse(command, List.of());
+                        ScriptedResponse response = replacement.apply(command);
+                        return response != null ? response : renewedResponse(command, List.of());
                     }
                     return command.path("op").asText().equals("acquire")
                             ? new ScriptedResponse(
--- a/coordinator/src/test/java/saltstage/coordinator/client/ScriptedReplica.java
+++ b/coordinator/src/test/java/saltstage/coordinator/client/ScriptedReplica.java
@@ -19,19 +19,20 @@
     /**
      * Answers each request with the function's result for its body, which is null if there is none.
      */
-    ScriptedReplica(Function<JsonNode, ScriptedResponse> answers) throws IOException {
+    ScriptedReplica(Function<JsonNode, ScriptedResponse> responder) throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-        server.createContext("/", exchange -> respond(exchange, answers));
+        server.createContext("/", exchange -> respond(exchange, responder));
         server.start();
     }
 
-    private static void respond(HttpExchange exchange, Function<JsonNode, ScriptedResponse> answers)
+    private static void respond(
+            HttpExchange exchange, Function<JsonNode, ScriptedResponse> responder)
             throws IOException {
         byte[] body = exchange.getRequestBody().readAllBytes();
-        ScriptedResponse answer =
-                answers.apply(body.length == 0 ? null : GroupCodec.jsonMapper().readTree(body));
-        byte[] bytes = GroupCodec.jsonMapper().writeValueAsBytes(answer.body());
-        exchange.sendResponseHeaders(answer.status(), bytes.length);
+        ScriptedResponse response =
+                responder.apply(body.length == 0 ? null : GroupCodec.jsonMapper().readTree(body));
+        byte[] bytes = GroupCodec.jsonMapper().writeValueAsBytes(response.body());
+        exchange.sendResponseHeaders(response.status(), bytes.length);
         exchange.getResponseBody().write(bytes);
         exchange.close();
     }
--- a/coordinator/src/test/java/saltstage/coordinator/replica/LogStoreTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/replica/LogStoreTest.java
@@ -49,13 +49,13 @@
                 new RaftCodec.Members(0, List.of("a", "b"), List.of("a", "b")));
     }
 
-    private static SnapshotChunk chunk(long index, int at, int of) {
+    private static SnapshotChunk chunk(long index, int chunkIndex, int chunkCount) {
         return MODEL.createSnapshotChunkBuilder()
                 .setIndex(index)
                 .setTerm(2)
-                .setOperation(new byte[] {(byte) at})
-                .setSnapshotChunkIndex(at)
-                .setSnapshotChunkCount(of)
+                .setOperation(new byte[] {(byte) chunkIndex})
+                .setSnapshotChunkIndex(chunkIndex)
+                .setSnapshotChunkCount(chunkCount)
                 .setGroupMembersView(members())
                 .build();
     }
@@ -278,19 +278,19 @@
     @Test
     void everyMessageIsUnchangedAfterEncodingAndDecoding() throws IOException {
         RaftCodec codec = new RaftCodec("g");
-        List<RaftMessage> all = new ArrayList<>();
-        all.addAll(appendMessages());
-        all.addAll(snapshotMessages());
-        all.addAll(preVoteMessages());
-        all.addAll(voteMessages());
-        assertEquals(10, all.size());
-        for (RaftMessage message : all) {
-            RaftMessage back = codec.decode(codec.encode(message));
-            assertEquals(message.getClass(), back.getClass());
-            assertArrayEquals(codec.encode(message), codec.encode(back));
+        List<RaftMessage> messages = new ArrayList<>();
+        messages.addAll(appendMessages());
+        messages.addAll(snapshotMessages());
+        messages.addAll(preVoteMessages());
+        messages.addAll(voteMessages());
+        assertEquals(10, messages.size());
+        for (RaftMessage message : messages) {
+            RaftMessage decoded = codec.decode(codec.encode(message));
+            assertEquals(message.getClass(), decoded.getClass());
+            assertArrayEquals(codec.encode(message), codec.encode(decoded));
             assertEquals(
                     message.toString().replaceAll("\\[B@\\w+", ""),
-                    back.toString().replaceAll("\\[B@\\w+", ""));
+                    decoded.toString().replaceAll("\\[B@\\w+", ""));
         }
     }
 
@@ -301,7 +301,7 @@
     @Property(tries = 2_000)
     void invalidBytesAreRejectedWithAnIoException(@ForAll byte[] noise, @ForAll long seed) {
         RaftCodec codec = new RaftCodec("g");
-        byte[] sound =
+        byte[] corrupted =
                 codec.encode(
                         MODEL.createVoteRequestBuilder()
                                 .setGroupId("g")
@@ -311,14 +311,14 @@
                                 .setLastLogIndex(5)
                                 .setSticky(true)
                                 .build());
-        java.util.Random drawn = new java.util.Random(seed);
+        java.util.Random random = new java.util.Random(seed);
         for (int i = 0; i < 3; i++) {
-            sound[drawn.nextInt(sound.length)] = (byte) drawn.nextInt();
+            corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
         }
-        for (byte[] bytes : List.of(noise, sound)) {
+        for (byte[] bytes : List.of(noise, corrupted)) {
             try {
                 codec.decode(bytes);
-            } catch (IOException refused) { // the only exception that is allowed
+            } catch (IOException malformed) { // the only exception that is allowed
                 continue;
             }
         }
--- a/coordinator/src/test/java/saltstage/coordinator/replica/PeerLinksTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/replica/PeerLinksTest.java
@@ -55,21 +55,21 @@
 
         @Override
         public Listener listen(
-                InetSocketAddress at,
+                InetSocketAddress address,
                 int backlog,
-                Connection.WriteLimits bounds,
+                Connection.WriteLimits limits,
                 Acceptor acceptor) {
             throw new UnsupportedOperationException();
         }
 
         @Override
         public void connect(
-                Loop on,
-                InetSocketAddress to,
-                Duration limit,
-                Connection.WriteLimits bounds,
-                ConnectListener connecting) {
-            connectAttempts.add(to);
+                Loop loop,
+                InetSocketAddress address,
+                Duration timeout,
+                Connection.WriteLimits limits,
+                ConnectListener listener) {
+            connectAttempts.add(address);
         }
 
         @Override
@@ -96,18 +96,18 @@
 
     @Test
     void peerWhoseAddressCannotBeReadIsLookedUpAgain() {
-        List<String> asked = new ArrayList<>();
+        List<String> lookups = new ArrayList<>();
         PeerLinks links =
                 createLinks(
                         peer -> {
-                            asked.add(peer);
-                            if (asked.size() == 1) {
+                            lookups.add(peer);
+                            if (lookups.size() == 1) {
                                 throw new IllegalArgumentException("an address without a port");
                             }
                             return PEER_ADDRESS;
                         });
         links.ensureLink("b");
-        assertEquals(1, asked.size());
+        assertEquals(1, lookups.size());
         assertEquals(1, scheduledTasks.size(), "another attempt is scheduled");
         scheduledTasks.remove().run();
         assertEquals(List.of(PEER_ADDRESS), connectAttempts);
@@ -115,12 +115,12 @@
 
     @Test
     void peerWhoseAddressIsNotKnownYetIsLookedUpAgain() {
-        List<String> asked = new ArrayList<>();
+        List<String> lookups = new ArrayList<>();
         PeerLinks links =
                 createLinks(
                         peer -> {
-                            asked.add(peer);
-                            return asked.size() == 1 ? null : PEER_ADDRESS;
+                            lookups.add(peer);
+                            return lookups.size() == 1 ? null : PEER_ADDRESS;
                         });
         links.ensureLink("b");
         scheduledTasks.remove().run();
