--- a/coordinator/src/main/java/saltstage/coordinator/api/ApiRequest.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ApiRequest.java
@@ -28,7 +28,7 @@
         this.content = content;
     }
 
-    /** Reads the request line; the body is parsed only when it is asked for. */
+    /** Parses the request line; the body is parsed only by {@link #body}. */
     static ApiRequest parse(FullHttpRequest request) {
         if (!request.decoderResult().isSuccess()) {
             throw new BadRequestException("not HTTP");
@@ -45,19 +45,24 @@
                 request.content().toString(StandardCharsets.UTF_8));
     }
 
-    /** Method and path, such as {@code GET /v1/leases}: what routes are registered under. */
+    /**
+     * The key under which a route is registered: method and path, such as {@code GET /v1/leases}.
+     */
     String routeKey() {
         return method + " " + path;
     }
 
-    /** The first value of a query parameter, or this default. */
-    String parameter(String name, String absent) {
-        return parameters.getOrDefault(name, List.of(absent)).get(0);
+    /** The first value of a query parameter, or the default if it is absent. */
+    String parameter(String name, String defaultValue) {
+        return parameters.getOrDefault(name, List.of(defaultValue)).get(0);
     }
 
-    /** A query parameter that is a whole number from 0 to {@code max}, or this default. */
-    long integerParameter(String name, long absent, long max) {
-        String text = parameter(name, Long.toString(absent));
+    /**
+     * A query parameter that is a whole number from 0 to {@code max}, or the default if it is
+     * absent.
+     */
+    long integerParameter(String name, long defaultValue, long max) {
+        String text = parameter(name, Long.toString(defaultValue));
         if (!text.matches("\\d{1,15}") || Long.parseLong(text) > max) {
             throw new BadRequestException("'" + name + "' takes a whole number up to " + max);
         }
@@ -67,17 +72,17 @@
     /** The body, which must be a JSON object. */
     JsonNode body() {
         try {
-            JsonNode read = GroupCodec.jsonMapper().readTree(content);
-            if (read == null || !read.isObject()) {
+            JsonNode parsed = GroupCodec.jsonMapper().readTree(content);
+            if (parsed == null || !parsed.isObject()) {
                 throw new BadRequestException("the body is no JSON object");
             }
-            return read;
+            return parsed;
         } catch (JsonProcessingException malformed) {
             throw new BadRequestException("the body is no JSON: " + malformed.getOriginalMessage());
         }
     }
 
-    /** A field of the body that is a text and not empty. */
+    /** A field of the body that must be a non-empty string. */
     static String requiredString(JsonNode body, String name) {
         JsonNode value = body.get(name);
         if (value == null || !value.isTextual() || value.textValue().isEmpty()) {
@@ -86,7 +91,7 @@
         return value.textValue();
     }
 
-    /** The first line of what a JSON parser complains about, for an error's text. */
+    /** The first line of a JSON parser's error message, for use in an error response. */
     static String firstErrorLine(JsonProcessingException malformed) {
         return malformed.getOriginalMessage().lines().findFirst().orElse("?");
     }
--- a/coordinator/src/main/java/saltstage/coordinator/api/HttpListener.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/HttpListener.java
@@ -32,12 +32,13 @@
 import saltstage.log.Log;
 
 /**
- * The API on HTTP/1.1: Netty's codec, bounded in connections, in bytes a request and in silence.
+ * Serves the API over HTTP/1.1 with Netty's codec; limits the number of connections, the size of
+ * requests and the idle time.
  */
 public final class HttpListener implements AutoCloseable {
     private static final int MAX_CONNECTIONS = 4_000;
 
-    /** A renewal of thousands of leases is the largest call there is. */
+    /** Enough for the largest request, a renewal of thousands of leases. */
     private static final int MAX_BODY_BYTES = 1 << 20;
 
     private static final int READ_TIMEOUT_SECONDS = 60;
@@ -47,9 +48,9 @@
     private final Channel channel;
     private final AtomicInteger connectionCount = new AtomicInteger();
 
-    /** Listens. */
-    public HttpListener(InetSocketAddress at, ApiHandler handler) throws IOException {
-        ChannelFuture bound =
+    /** Starts to listen on an address. */
+    public HttpListener(InetSocketAddress address, ApiHandler handler) throws IOException {
+        ChannelFuture bindFuture =
                 new ServerBootstrap()
                         .group(eventLoopGroup)
                         .channel(NioServerSocketChannel.class)
@@ -66,7 +67,7 @@
                                         }
                                         child.closeFuture()
                                                 .addListener(
-                                                        over -> connectionCount.decrementAndGet());
+                                                        done -> connectionCount.decrementAndGet());
                                         child.config().setTcpNoDelay(true);
                                         child.pipeline()
                                                 .addLast(
@@ -77,16 +78,20 @@
                                                         new RequestHandler(handler));
                                     }
                                 })
-                        .bind(at)
+                        .bind(address)
                         .awaitUninterruptibly();
-        if (!bound.isSuccess()) {
+        if (!bindFuture.isSuccess()) {
             eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-            throw new IOException("cannot listen on " + at + ": " + bound.cause().getMessage());
+            throw new IOException(
+                    "cannot listen on " + address + ": " + bindFuture.cause().getMessage());
         }
-        channel = bound.channel();
+        channel = bindFuture.channel();
     }
 
-    /** One call after the other: the next of a connection is read once this one is answered. */
+    /**
+     * Handles one request of a connection at a time: the next one is read once the current one is
+     * answered.
+     */
     private static final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final ApiHandler handler;
         private boolean responsePending;
@@ -96,55 +101,60 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext on, FullHttpRequest request) {
-            boolean keep = HttpUtil.isKeepAlive(request);
-            if (responsePending) { // it did not wait for its answer: answers could change places
-                on.close();
+        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
+            boolean keepAlive = HttpUtil.isKeepAlive(request);
+            if (responsePending) { // pipelined: responses could be reordered
+                context.close();
                 return;
             }
             responsePending = true;
-            on.channel().config().setAutoRead(false);
+            context.channel().config().setAutoRead(false);
             handler.handle(request)
                     .whenComplete(
-                            (answer, never) ->
-                                    on.executor().execute(() -> writeResponse(on, answer, keep)));
+                            (response, failure) ->
+                                    context.executor()
+                                            .execute(
+                                                    () ->
+                                                            writeResponse(
+                                                                    context, response, keepAlive)));
         }
 
-        private void writeResponse(ChannelHandlerContext on, ApiResponse answer, boolean keep) {
+        private void writeResponse(
+                ChannelHandlerContext context, ApiResponse apiResponse, boolean keepAlive) {
             responsePending = false;
             byte[] body;
-            boolean raw = answer.body() instanceof byte[];
+            boolean raw = apiResponse.body() instanceof byte[];
             try {
                 body =
                         raw
-                                ? (byte[]) answer.body()
-                                : GroupCodec.jsonMapper().writeValueAsBytes(answer.body());
-            } catch (JsonProcessingException impossible) {
-                Log.error("front.fault", impossible);
-                on.close();
+                                ? (byte[]) apiResponse.body()
+                                : GroupCodec.jsonMapper().writeValueAsBytes(apiResponse.body());
+            } catch (JsonProcessingException failure) {
+                Log.error("front.fault", failure);
+                context.close();
                 return;
             }
             FullHttpResponse response =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
-                            HttpResponseStatus.valueOf(answer.status()),
+                            HttpResponseStatus.valueOf(apiResponse.status()),
                             Unpooled.wrappedBuffer(body));
             response.headers()
                     .set(
                             HttpHeaderNames.CONTENT_TYPE,
                             raw ? "application/cbor" : "application/json")
                     .setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
-            HttpUtil.setKeepAlive(response, keep);
-            ChannelFuture written = on.writeAndFlush(response);
-            if (!keep) {
-                written.addListener(ChannelFutureListener.CLOSE);
+            HttpUtil.setKeepAlive(response, keepAlive);
+            ChannelFuture writeFuture = context.writeAndFlush(response);
+            if (!keepAlive) {
+                writeFuture.addListener(ChannelFutureListener.CLOSE);
             }
-            on.channel().config().setAutoRead(true);
+            context.channel().config().setAutoRead(true);
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext on, Throwable why) {
-            on.close(); // silence, a reset, or what is no HTTP: nothing of it reached the handler
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            context.close(); // a timeout, a reset or malformed HTTP; no request reached the handler
         }
     }
 
--- a/coordinator/src/main/java/saltstage/coordinator/api/RevisionWatch.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/RevisionWatch.java
@@ -7,15 +7,18 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Lets requests wait until the configuration's revision moves. The group's state changes several
- * times a second for other reasons; each of these costs one look at the revision for all who wait
- * together, and wakes nobody.
+ * Lets requests wait until the configuration's revision advances. The group's state changes several
+ * times a second for other reasons; each such change costs one read of the revision for all waiting
+ * requests together, and completes none of them.
  */
 final class RevisionWatch {
-    /** The state that is watched. */
+    /** The source of the revision that is watched. */
     interface RevisionSource {
-        /** Runs this once at the state's next change; false where too many wait. */
-        boolean onNextChange(Runnable told);
+        /**
+         * Runs a listener once at the next change of the state; returns false if too many are
+         * registered.
+         */
+        boolean onNextChange(Runnable listener);
 
         /** The newest revision. */
         CompletableFuture<Long> revision();
@@ -39,26 +42,27 @@
     }
 
     /**
-     * True once the newest revision is after this one; false at the deadline of System.nanoTime().
+     * Completes with true once the newest revision is after this one, or with false at the
+     * deadline, a time of {@link System#nanoTime}.
      */
     CompletableFuture<Boolean> awaitRevisionAfter(long revision, long deadlineNanos) {
-        long left = deadlineNanos - System.nanoTime();
-        if (left <= 0) {
+        long leftNanos = deadlineNanos - System.nanoTime();
+        if (leftNanos <= 0) {
             return CompletableFuture.completedFuture(false);
         }
         Waiter waiter = new Waiter(revision);
         waiters.add(waiter);
         waiter.advanced
-                .completeOnTimeout(false, left, TimeUnit.NANOSECONDS)
-                .whenComplete((moved, failure) -> waiters.remove(waiter));
+                .completeOnTimeout(false, leftNanos, TimeUnit.NANOSECONDS)
+                .whenComplete((result, failure) -> waiters.remove(waiter));
         startListening();
-        checkRevision(); // it may have moved since the caller has read it
+        checkRevision(); // it may have advanced since the caller read it
         return waiter.advanced;
     }
 
     private void startListening() {
         if (listening.compareAndSet(false, true) && !source.onNextChange(this::stateChanged)) {
-            listening.set(false); // requests then wait until their deadlines
+            listening.set(false); // no listener added: requests wait until their deadlines
         }
     }
 
@@ -74,9 +78,9 @@
         source.revision().thenAccept(this::completeWaiters);
     }
 
-    private void completeWaiters(long newest) {
+    private void completeWaiters(long newestRevision) {
         for (Waiter waiter : waiters) {
-            if (newest > waiter.revision) {
+            if (newestRevision > waiter.revision) {
                 waiter.advanced.complete(true);
             }
         }
--- a/coordinator/src/main/java/saltstage/coordinator/client/GroupClient.java
+++ b/coordinator/src/main/java/saltstage/coordinator/client/GroupClient.java
@@ -18,30 +18,32 @@
 import saltstage.coordinator.model.Reply;
 
 /**
- * One session with a group: one command at a time, each carried out once however often it is sent.
- * It goes to the replica that answered last, follows to the leader, and tries the others where one
- * is silent.
+ * A client session with a group. It sends one command at a time, and the group executes each
+ * command once however often it is sent. A call goes to the replica that answered last, follows
+ * that replica's hint to the leader, and goes on to the next replica if one does not answer.
  */
 public final class GroupClient {
-    /** A call that brings nothing for so long is given up and sent to another replica. */
+    /**
+     * An attempt without a response within this time is abandoned and repeated on another replica.
+     */
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofMillis(1_500);
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(700);
     private static final long MIN_RETRY_DELAY_MS = 20;
     private static final long MAX_RETRY_DELAY_MS = 200;
 
-    /** No majority could be reached in time; what became of the command is open. */
+    /** No majority could be reached in time; whether the command was executed is unknown. */
     public static final class GroupUnreachableException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        GroupUnreachableException(String why) {
-            super(why);
+        GroupUnreachableException(String message) {
+            super(message);
         }
     }
 
     /**
-     * A reply, and the moment on the caller's monotonic clock before which the group cannot have
-     * given it.
+     * A reply, and the time on the caller's monotonic clock at which its command was first sent:
+     * the group cannot have replied earlier.
      */
     public record TimedReply(Reply reply, long sentNanos) {}
 
@@ -57,29 +59,33 @@
     private int nextReplica;
     private String leaderAddress;
 
-    /** A client of the group whose replicas take calls there, each as HOST:PORT. */
-    public GroupClient(List<String> places, Ticker ticker) {
-        if (places.isEmpty()) {
+    /**
+     * Creates a client of the group whose replicas serve clients at these addresses, each as
+     * HOST:PORT.
+     */
+    public GroupClient(List<String> replicaAddresses, Ticker ticker) {
+        if (replicaAddresses.isEmpty()) {
             throw new IllegalArgumentException("no replica is named");
         }
-        this.replicaAddresses = new ArrayList<>(places);
+        this.replicaAddresses = new ArrayList<>(replicaAddresses);
         this.ticker = ticker;
-        nextReplica = ThreadLocalRandom.current().nextInt(places.size());
+        nextReplica = ThreadLocalRandom.current().nextInt(replicaAddresses.size());
     }
 
-    /** Sends a command until it is answered, for so long at most. */
-    public TimedReply send(Command command, Duration within)
+    /** Sends a command and repeats it until it is answered or the time limit has passed. */
+    public TimedReply send(Command command, Duration timeout)
             throws GroupUnreachableException, InterruptedException {
-        return send(command, within, Duration.ZERO);
+        return send(command, timeout, Duration.ZERO);
     }
 
     /**
-     * As above; the group may hold its answer back for so long while the caller waits in a queue.
+     * Sends a command as {@link #send(Command, Duration)} does; the group may delay its answer by
+     * up to {@code wait} while the caller waits in a queue.
      */
-    public synchronized TimedReply send(Command command, Duration within, Duration wait)
+    public synchronized TimedReply send(Command command, Duration timeout, Duration wait)
             throws GroupUnreachableException, InterruptedException {
-        long first = ticker.nanos();
-        long until = first + within.toNanos();
+        long sentNanos = ticker.nanos();
+        long deadlineNanos = sentNanos + timeout.toNanos();
         sequenceNumber++;
         while (true) {
             ObjectNode body =
@@ -90,97 +96,103 @@
                             .put("waitMs", wait.toMillis());
             body.set("command", GroupCodec.jsonMapper().valueToTree(command));
             JsonNode answer =
-                    call("POST", "/v1/do", body.toString(), until, ATTEMPT_TIMEOUT.plus(wait));
+                    call(
+                            "POST",
+                            "/v1/do",
+                            body.toString(),
+                            deadlineNanos,
+                            ATTEMPT_TIMEOUT.plus(wait));
             Reply reply;
             try {
                 reply = GroupCodec.jsonMapper().treeToValue(answer, Reply.class);
-            } catch (IOException unknown) {
+            } catch (IOException unreadable) {
                 throw new GroupUnreachableException(
-                        "an answer that this build does not know: " + unknown.getMessage());
+                        "an answer that this build does not know: " + unreadable.getMessage());
             }
-            if (reply instanceof Rejection no && no.code().equals("session-lost")) {
-                sessionId = UUID.randomUUID().toString(); // the caller decides whether to ask again
+            if (reply instanceof Rejection rejection && rejection.code().equals("session-lost")) {
+                sessionId = UUID.randomUUID().toString(); // the caller may send again
                 sequenceNumber = 0;
             }
-            return new TimedReply(reply, first);
+            return new TimedReply(reply, sentNanos);
         }
     }
 
     /**
-     * Reads; the answer is of the group as it was after the call began, unless the path asks for a
-     * stale one.
+     * Reads a path. The answer reflects the group's state after the call began, unless the path
+     * asks for a stale one.
      */
-    public synchronized JsonNode get(String path, Duration within)
+    public synchronized JsonNode get(String path, Duration timeout)
             throws GroupUnreachableException, InterruptedException {
         return call(
                 "GET",
                 path,
                 null,
-                ticker.nanos() + within.toNanos(),
+                ticker.nanos() + timeout.toNanos(),
                 ATTEMPT_TIMEOUT.plusSeconds(2));
     }
 
-    /** Posts an operator's call, which may be sent more than once. */
-    public synchronized JsonNode post(String path, JsonNode body, Duration within)
+    /** Posts an operator's request, which may be sent more than once. */
+    public synchronized JsonNode post(String path, JsonNode body, Duration timeout)
             throws GroupUnreachableException, InterruptedException {
         return call(
                 "POST",
                 path,
                 body.toString(),
-                ticker.nanos() + within.toNanos(),
+                ticker.nanos() + timeout.toNanos(),
                 ATTEMPT_TIMEOUT.multipliedBy(3));
     }
 
-    private JsonNode call(String method, String path, String body, long until, Duration patience)
+    private JsonNode call(
+            String method, String path, String body, long deadlineNanos, Duration attemptTimeout)
             throws GroupUnreachableException, InterruptedException {
-        String last = "no replica answers";
-        for (long pause = MIN_RETRY_DELAY_MS; ; pause = Math.min(MAX_RETRY_DELAY_MS, pause * 2)) {
-            long left = until - ticker.nanos();
-            if (left <= 0) {
-                throw new GroupUnreachableException(last);
+        String lastError = "no replica answers";
+        for (long delay = MIN_RETRY_DELAY_MS; ; delay = Math.min(MAX_RETRY_DELAY_MS, delay * 2)) {
+            long leftNanos = deadlineNanos - ticker.nanos();
+            if (leftNanos <= 0) {
+                throw new GroupUnreachableException(lastError);
             }
-            String place =
+            String address =
                     leaderAddress != null ? leaderAddress : replicaAddresses.get(nextReplica);
             try {
                 Duration timeout =
-                        Duration.ofNanos(Math.max(1_000_000, Math.min(left, patience.toNanos())));
+                        Duration.ofNanos(
+                                Math.max(1_000_000, Math.min(leftNanos, attemptTimeout.toNanos())));
                 HttpResponse<String> response =
                         httpClient.send(
-                                request(method, place, path, body, timeout),
+                                request(method, address, path, body, timeout),
                                 HttpResponse.BodyHandlers.ofString());
                 JsonNode answer = GroupCodec.jsonMapper().readTree(response.body());
                 if (response.statusCode() == 200) {
-                    leaderAddress = place;
+                    leaderAddress = address;
                     return answer;
                 }
-                last =
-                        place
+                lastError =
+                        address
                                 + ": "
                                 + answer.path("error").asText("status " + response.statusCode());
                 if (response.statusCode() == 400 || response.statusCode() == 404) {
-                    selectNextReplica(
-                            null, place); // what is at that address may be no replica any more
-                    throw new IllegalArgumentException(last);
+                    selectNextReplica(null, address); // this may be no replica any more
+                    throw new IllegalArgumentException(lastError);
                 }
-                selectNextReplica(answer.path("leader").asText(null), place);
-            } catch (IOException silent) {
-                last =
-                        place
+                selectNextReplica(answer.path("leader").asText(null), address);
+            } catch (IOException error) {
+                lastError =
+                        address
                                 + ": "
-                                + (silent.getMessage() == null ? "no answer" : silent.getMessage());
-                selectNextReplica(null, place);
+                                + (error.getMessage() == null ? "no answer" : error.getMessage());
+                selectNextReplica(null, address);
             }
             Thread.sleep(
                     Math.min(
-                            Math.max(1, left / 1_000_000),
-                            pause / 2 + ThreadLocalRandom.current().nextLong(pause / 2 + 1)));
+                            Math.max(1, leftNanos / 1_000_000),
+                            delay / 2 + ThreadLocalRandom.current().nextLong(delay / 2 + 1)));
         }
     }
 
     private static HttpRequest request(
-            String method, String place, String path, String body, Duration timeout) {
+            String method, String address, String path, String body, Duration timeout) {
         HttpRequest.Builder request =
-                HttpRequest.newBuilder(URI.create("http://" + place + path)).timeout(timeout);
+                HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(timeout);
         return (body == null
                         ? request.GET()
                         : request.method(method, HttpRequest.BodyPublishers.ofString(body)))
@@ -188,17 +200,17 @@
     }
 
     /**
-     * The next call goes to who is said to lead, unless that is who has just not served, else to
-     * the next.
+     * Selects the replica of the next attempt: the leader named in a response, unless it is the
+     * replica that has just failed to serve; otherwise the next one.
      */
-    private void selectNextReplica(String toldLeader, String not) {
+    private void selectNextReplica(String leaderHint, String failedAddress) {
         leaderAddress =
-                toldLeader == null
-                                || toldLeader.equals(not)
-                                || !replicaAddresses.contains(toldLeader)
-                                        && !toldLeader.matches("[0-9.]+:\\d+")
+                leaderHint == null
+                                || leaderHint.equals(failedAddress)
+                                || !replicaAddresses.contains(leaderHint)
+                                        && !leaderHint.matches("[0-9.]+:\\d+")
                         ? null
-                        : toldLeader;
+                        : leaderHint;
         if (leaderAddress == null) {
             nextReplica = (nextReplica + 1) % replicaAddresses.size();
         }
--- a/coordinator/src/main/java/saltstage/coordinator/client/LeaseClient.java
+++ b/coordinator/src/main/java/saltstage/coordinator/client/LeaseClient.java
@@ -17,37 +17,37 @@
 import saltstage.log.Log;
 
 /**
- * Holds leases. What it holds it counts on its own monotonic clock from the moment at which the
- * question was first sent, less what two clocks may drift apart; it stops before the group may give
- * the lease on. A thread renews what is held. No lease can stop a write that is already under way
- * when its holder is paused: whoever is written to must refuse a fence lower than one that it has
- * seen.
+ * Acquires and holds leases. The validity of a lease is measured on this process's monotonic clock
+ * from the time at which the command was first sent, reduced by the permitted drift between two
+ * clocks, so that it ends before the group may grant the lease to another owner. A thread renews
+ * the leases held. No lease can stop a write that is already under way when its holder is paused:
+ * the target of a write must reject a fencing token lower than one that it has seen.
  */
 public final class LeaseClient implements AutoCloseable {
     /**
-     * Two monotonic clocks may differ in rate by so much, by what is promised: machines keep a
-     * hundredth of it.
+     * The largest permitted difference in rate between two monotonic clocks; the clocks of machines
+     * stay within a hundredth of it.
      */
     public static final double MAX_CLOCK_DRIFT = 0.02;
 
     private static final int RENEWALS_PER_TTL = 4;
     private static final Duration MAX_QUEUE_WAIT = Duration.ofMillis(900);
 
-    /** The lease is not this process's any more. */
+    /** This process does not hold the lease any more. */
     public static final class LeaseLostException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        LeaseLostException(String name, long fence) {
-            super("lease " + name + " (fence " + fence + ") is lost");
+        LeaseLostException(String name, long fencingToken) {
+            super("lease " + name + " (fence " + fencingToken + ") is lost");
         }
     }
 
-    /** It was not had: who has it, or why not. */
+    /** The lease was not granted; the message names its holder or the reason. */
     public static final class LeaseNotGrantedException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        LeaseNotGrantedException(String why) {
-            super(why);
+        LeaseNotGrantedException(String message) {
+            super(message);
         }
     }
 
@@ -60,11 +60,13 @@
     private volatile boolean closed;
 
     /**
-     * Holds leases of a group under a name that people know; each process is an owner of its own.
+     * Creates a client for the leases of a group. The name is for people; each process is a
+     * separate owner. Renewals use a group client of their own.
      */
-    public LeaseClient(GroupClient group, GroupClient renewing, Ticker ticker, String name) {
-        this.groupClient = group;
-        this.renewalClient = renewing;
+    public LeaseClient(
+            GroupClient groupClient, GroupClient renewalClient, Ticker ticker, String name) {
+        this.groupClient = groupClient;
+        this.renewalClient = renewalClient;
         this.ticker = ticker;
         owner = name + "/" + UUID.randomUUID();
         renewalThread = new Thread(this::renewalLoop, "renewer");
@@ -81,32 +83,32 @@
         private volatile long validUntilNanos;
         private volatile boolean closedOrLost;
 
-        private Lease(String name, long fence, long ttlMs, long sent, Runnable onLoss) {
+        private Lease(String name, long fencingToken, long ttlMs, long sentNanos, Runnable onLoss) {
             this.name = name;
-            this.fencingToken = fence;
+            this.fencingToken = fencingToken;
             this.ttlMs = ttlMs;
             this.onLoss = onLoss;
-            validUntilNanos = sent + validityNanos(ttlMs);
+            validUntilNanos = sentNanos + validityNanos(ttlMs);
         }
 
-        /** Its name. */
+        /** The name of the lease. */
         public String name() {
             return name;
         }
 
-        /** Its fence: to be sent along with whatever is done under it. */
+        /** The fencing token, which must accompany every action done under the lease. */
         public long fencingToken() {
             return fencingToken;
         }
 
-        /** How long it holds at least, by this process's clock. */
+        /** The time for which the lease is valid at least, by this process's clock. */
         public Duration remaining() {
             return closedOrLost
                     ? Duration.ZERO
                     : Duration.ofNanos(Math.max(0, validUntilNanos - ticker.nanos()));
         }
 
-        /** Throws where it is lost, or may be: to be called before each act. */
+        /** Throws if the lease is or may be lost; to be called before each action done under it. */
         public void checkStillHeld() throws LeaseLostException {
             if (closedOrLost || ticker.nanos() - validUntilNanos >= 0) {
                 markLost();
@@ -115,38 +117,38 @@
         }
 
         private void markLost() {
-            boolean told;
+            boolean alreadyEnded;
             synchronized (this) {
-                told = closedOrLost;
+                alreadyEnded = closedOrLost;
                 closedOrLost = true;
             }
             heldLeases.remove(name, this);
-            if (!told) {
+            if (!alreadyEnded) {
                 onLoss.run();
             }
         }
 
-        private void extend(long sent) {
-            validUntilNanos = Math.max(validUntilNanos, sent + validityNanos(ttlMs));
+        private void extend(long sentNanos) {
+            validUntilNanos = Math.max(validUntilNanos, sentNanos + validityNanos(ttlMs));
         }
 
-        /** Gives it back. */
+        /** Releases the lease. */
         @Override
         public void close() {
-            boolean mine;
+            boolean wasHeld;
             synchronized (this) {
-                mine = !closedOrLost;
+                wasHeld = !closedOrLost;
                 closedOrLost = true;
             }
             heldLeases.remove(name, this);
-            if (mine) {
+            if (wasHeld) {
                 try {
                     groupClient.send(
                             new Release(name, owner, fencingToken),
                             Duration.ofMillis(Math.min(ttlMs, 3_000)));
-                } catch (GroupUnreachableException itExpires) {
-                    return;
-                } catch (InterruptedException ended) {
+                } catch (GroupUnreachableException unreachable) {
+                    return; // the lease expires by itself
+                } catch (InterruptedException interrupted) {
                     Thread.currentThread().interrupt();
                 }
             }
@@ -158,47 +160,49 @@
     }
 
     /**
-     * Gets a lease, waiting for it for so long at the most.
+     * Acquires a lease, waiting for it for at most {@code wait}.
      *
-     * @param onLoss run once, on any thread, if it is lost before it is closed
+     * @param onLoss run once, on any thread, if the lease is lost before it is closed
      */
     public Lease acquire(String name, Duration ttl, Duration wait, int priority, Runnable onLoss)
             throws LeaseNotGrantedException, GroupUnreachableException, InterruptedException {
-        long until = ticker.nanos() + wait.toNanos();
+        long deadlineNanos = ticker.nanos() + wait.toNanos();
         while (true) {
-            long left = until - ticker.nanos();
-            boolean queue = left > 0;
-            Duration hold =
+            long leftNanos = deadlineNanos - ticker.nanos();
+            boolean queue = leftNanos > 0;
+            Duration queueWait =
                     queue
-                            ? MAX_QUEUE_WAIT.toNanos() < left
+                            ? MAX_QUEUE_WAIT.toNanos() < leftNanos
                                     ? MAX_QUEUE_WAIT
-                                    : Duration.ofNanos(left)
+                                    : Duration.ofNanos(leftNanos)
                             : Duration.ZERO;
-            TimedReply said =
+            TimedReply answer =
                     groupClient.send(
                             new Acquire(name, owner, ttl.toMillis(), priority, queue),
-                            Duration.ofNanos(Math.max(left, 3_000_000_000L)),
-                            hold);
-            if (said.reply() instanceof Granted granted) {
+                            Duration.ofNanos(Math.max(leftNanos, 3_000_000_000L)),
+                            queueWait);
+            if (answer.reply() instanceof Granted granted) {
                 Lease lease =
-                        new Lease(name, granted.fence(), granted.ttlMs(), said.sentNanos(), onLoss);
+                        new Lease(
+                                name, granted.fence(), granted.ttlMs(), answer.sentNanos(), onLoss);
                 if (lease.remaining().isZero()) {
-                    continue; // the answer came so late that it is worth nothing
+                    continue; // the reply came after the end of the lease's validity
                 }
                 heldLeases.put(name, lease);
                 return lease;
             }
-            if (said.reply() instanceof Rejection no && !no.code().equals("session-lost")) {
-                throw new LeaseNotGrantedException(no.why());
+            if (answer.reply() instanceof Rejection rejection
+                    && !rejection.code().equals("session-lost")) {
+                throw new LeaseNotGrantedException(rejection.why());
             }
             if (!queue) {
                 throw new LeaseNotGrantedException(
-                        said.reply() instanceof Held by
+                        answer.reply() instanceof Held held
                                 ? name
                                         + " is held by "
-                                        + by.holder()
+                                        + held.holder()
                                         + " for "
-                                        + by.remainingMs()
+                                        + held.remainingMs()
                                         + " ms more"
                                 : "the session was lost");
             }
@@ -208,56 +212,58 @@
     private void renewalLoop() {
         while (!closed) {
             try {
-                long least = heldLeases.values().stream().mapToLong(l -> l.ttlMs).min().orElse(400);
-                Thread.sleep(Math.max(50, least / RENEWALS_PER_TTL));
+                long shortestTtlMs =
+                        heldLeases.values().stream().mapToLong(l -> l.ttlMs).min().orElse(400);
+                Thread.sleep(Math.max(50, shortestTtlMs / RENEWALS_PER_TTL));
                 renewHeldLeases();
-            } catch (InterruptedException ended) {
+            } catch (InterruptedException interrupted) {
                 return;
-            } catch (
-                    RuntimeException
-                            fault) { // of one round: the leases held need the rounds after it
+            } catch (RuntimeException fault) { // the leases held need the next renewal round
                 Log.error("lease.renewal-failed", fault);
             }
         }
     }
 
     private void renewHeldLeases() throws InterruptedException {
-        Map<String, Long> fences = new TreeMap<>();
-        Map<String, Lease> asked = new TreeMap<>();
-        long now = ticker.nanos();
-        long soonest = Long.MAX_VALUE;
+        Map<String, Long> fencingTokens = new TreeMap<>();
+        Map<String, Lease> renewing = new TreeMap<>();
+        long nowNanos = ticker.nanos();
+        long leftNanos = Long.MAX_VALUE;
         for (Lease lease : Map.copyOf(heldLeases).values()) {
-            if (now - lease.validUntilNanos >= 0) {
+            if (nowNanos - lease.validUntilNanos >= 0) {
                 lease.markLost();
             } else {
-                fences.put(lease.name, lease.fencingToken);
-                asked.put(lease.name, lease);
-                soonest = Math.min(soonest, lease.validUntilNanos - now);
+                fencingTokens.put(lease.name, lease.fencingToken);
+                renewing.put(lease.name, lease);
+                leftNanos = Math.min(leftNanos, lease.validUntilNanos - nowNanos);
             }
         }
-        if (fences.isEmpty()) {
+        if (fencingTokens.isEmpty()) {
             return;
         }
         try {
-            TimedReply said =
-                    renewalClient.send(new Renew(owner, fences), Duration.ofNanos(soonest));
-            if (said.reply() instanceof Renewed renewed) {
-                renewed.ttlMs().keySet().forEach(name -> asked.get(name).extend(said.sentNanos()));
-                renewed.lost().forEach(name -> asked.get(name).markLost());
+            TimedReply answer =
+                    renewalClient.send(
+                            new Renew(owner, fencingTokens), Duration.ofNanos(leftNanos));
+            if (answer.reply() instanceof Renewed renewed) {
+                renewed.ttlMs()
+                        .keySet()
+                        .forEach(name -> renewing.get(name).extend(answer.sentNanos()));
+                renewed.lost().forEach(name -> renewing.get(name).markLost());
             }
         } catch (
                 GroupUnreachableException
-                        notNow) { // what is not renewed in time is lost by the clock above
+                        unreachable) { // a lease not renewed in time is lost above
             return;
         }
     }
 
-    /** Under which name the group knows this owner. */
+    /** The name under which the group knows this owner. */
     public String owner() {
         return owner;
     }
 
-    /** Gives back all that is held. */
+    /** Releases all leases held. */
     @Override
     public void close() {
         closed = true;
--- a/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/PeerLinks.java
@@ -19,10 +19,10 @@
 import saltstage.net.Loop;
 
 /**
- * The links among replicas: each keeps one connection to each other, on which it only sends. A
- * connection begins with who is at its end; whoever belongs to another group, or has come with
- * another disk under a known name, is told so and refused. What cannot be sent is dropped: the
- * engine sends it again.
+ * The connections between replicas. Each replica keeps one connection to each peer and only sends
+ * on it. A connection begins with a hello that identifies the sender; a sender that belongs to
+ * another group, or has a known name but another disk, receives the reason and is refused. A
+ * message that cannot be sent is dropped, because the engine sends it again.
  */
 final class PeerLinks implements Transport {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
@@ -32,8 +32,8 @@
     private static final int MAX_FRAME_BYTES = 16 << 20;
 
     /**
-     * Half of a gathered snapshot part and many entries: beyond that a peer is too slow to be fed
-     * further.
+     * Messages to a peer with more unsent bytes than this are dropped, because the peer is too
+     * slow. The limit leaves room for half of a collected snapshot part and many log entries.
      */
     private static final long MAX_UNSENT_BYTES = 24 << 20;
 
@@ -45,7 +45,15 @@
     private static final byte HEARTBEAT = 3;
     private static final byte REFUSED = 4;
 
-    /** Who is at the end of a link. */
+    /**
+     * The first frame on a connection; identifies the sender. The component names are part of the
+     * wire format.
+     *
+     * @param process identifies the run of the sender's process
+     * @param speaks the highest feature level that the sender supports
+     * @param peers the sender's address for other replicas
+     * @param clients the sender's address for clients
+     */
     record Hello(
             String group,
             String from,
@@ -55,22 +63,25 @@
             String peers,
             String clients) {}
 
-    /** What time of day it is there, and what that build knows. */
+    /**
+     * The sender's wall clock and the highest feature level that it supports. The component names
+     * are part of the wire format.
+     */
     record Heartbeat(long wallMs, int speaks) {}
 
-    /** What comes in. */
+    /** Receives the frames that peers send. */
     interface PeerListener {
-        /** Somebody is there; null: welcome, else why not. */
-        String helloReceived(Hello who);
+        /** A peer has connected; returns null to admit it, otherwise the reason for the refusal. */
+        String helloReceived(Hello hello);
 
-        /** A message of the engine's. */
+        /** A peer has sent an encoded message of the consensus engine. */
         void messageReceived(String from, byte[] bytes) throws IOException;
 
-        /** A sign of life. */
+        /** A peer has sent a heartbeat. */
         void heartbeatReceived(String from, Heartbeat heartbeat);
 
-        /** A peer refuses this replica. */
-        void refusedByPeer(String by, String why);
+        /** A peer has refused the connection of this replica. */
+        void refusedByPeer(String peer, String reason);
     }
 
     private final saltstage.net.Transport transport;
@@ -88,23 +99,25 @@
             saltstage.net.Transport transport,
             RaftCodec codec,
             Hello self,
-            PeerListener events,
-            java.util.function.Function<String, InetSocketAddress> addresses,
-            java.util.function.Supplier<Heartbeat> heartbeat) {
+            PeerListener peerListener,
+            java.util.function.Function<String, InetSocketAddress> addressResolver,
+            java.util.function.Supplier<Heartbeat> heartbeatSupplier) {
         this.transport = transport;
         this.codec = codec;
         this.self = self;
-        this.peerListener = events;
-        this.addressResolver = addresses;
-        this.heartbeatSupplier = heartbeat;
+        this.peerListener = peerListener;
+        this.addressResolver = addressResolver;
+        this.heartbeatSupplier = heartbeatSupplier;
         loop = transport.loops().get(0);
     }
 
-    void listen(InetSocketAddress at) throws IOException {
-        listener = transport.listen(at, 64, WRITE_LIMITS, connection -> new InboundLink());
+    /** Listens for peers and starts to send heartbeats. */
+    void listen(InetSocketAddress address) throws IOException {
+        listener = transport.listen(address, 64, WRITE_LIMITS, connection -> new InboundLink());
         loop.schedule(HEARTBEAT_PERIOD, this::sendHeartbeats);
     }
 
+    /** Stops listening and closes all links. */
     void stop() {
         stopped = true;
         if (listener != null) {
@@ -117,12 +130,12 @@
         if (stopped) {
             return;
         }
-        byte[] now = GroupCodec.toCbor(heartbeatSupplier.get());
-        links.values().forEach(link -> link.send(HEARTBEAT, now));
+        byte[] heartbeat = GroupCodec.toCbor(heartbeatSupplier.get());
+        links.values().forEach(link -> link.send(HEARTBEAT, heartbeat));
         loop.schedule(HEARTBEAT_PERIOD, this::sendHeartbeats);
     }
 
-    /** Keeps a link to a peer from now on. */
+    /** Starts to keep a link to a peer if there is none. */
     void ensureLink(String peer) {
         if (!stopped && !peer.equals(self.from())) {
             links.computeIfAbsent(
@@ -135,12 +148,12 @@
         }
     }
 
-    /** Keeps no link to those that are not among these. */
+    /** Keeps links to exactly these peers and closes all others. */
     void updateLinks(java.util.Collection<String> peers) {
         for (String name : Map.copyOf(links).keySet()) {
             if (!peers.contains(name)) {
-                OutboundLink gone = links.remove(name);
-                loop.execute(gone::close);
+                OutboundLink link = links.remove(name);
+                loop.execute(link::close);
             }
         }
         peers.forEach(this::ensureLink);
@@ -174,18 +187,19 @@
                 .flip();
     }
 
-    /** Reads frames; what is none ends the connection. */
+    /** Splits the input into frames; a malformed one resets the connection. */
     private abstract static class FrameReader implements ConnectionHandler {
         private ByteBuffer inputBuffer = ByteBuffer.allocate(64 << 10);
 
-        abstract void frameReceived(Connection on, byte type, byte[] body) throws IOException;
+        abstract void frameReceived(Connection connection, byte type, byte[] body)
+                throws IOException;
 
         @Override
-        public void received(Connection on, ByteBuffer bytes) {
+        public void received(Connection connection, ByteBuffer bytes) {
             if (inputBuffer.remaining() < bytes.remaining()) {
-                int need = inputBuffer.position() + bytes.remaining();
+                int required = inputBuffer.position() + bytes.remaining();
                 inputBuffer =
-                        ByteBuffer.allocate(Math.max(need, 2 * inputBuffer.capacity()))
+                        ByteBuffer.allocate(Math.max(required, 2 * inputBuffer.capacity()))
                                 .put(inputBuffer.flip());
             }
             inputBuffer.put(bytes).flip();
@@ -193,7 +207,7 @@
                 while (inputBuffer.remaining() >= 5) {
                     int length = inputBuffer.getInt(inputBuffer.position());
                     if (length < 1 || length > MAX_FRAME_BYTES) {
-                        throw new IOException("a frame of " + length + " bytes");
+                        throw new IOException("invalid frame length: " + length + " bytes");
                     }
                     if (inputBuffer.remaining() < 4 + length) {
                         break;
@@ -202,53 +216,55 @@
                     byte type = inputBuffer.get();
                     byte[] body = new byte[length - 1];
                     inputBuffer.get(body);
-                    frameReceived(on, type, body);
+                    frameReceived(connection, type, body);
                 }
                 inputBuffer.compact();
-            } catch (IOException bad) {
-                Log.warn("peer.malformed", "why", bad.getMessage());
+            } catch (IOException malformed) {
+                Log.warn("peer.malformed", "why", malformed.getMessage());
                 inputBuffer.clear();
-                on.reset();
+                connection.reset();
             }
         }
 
         @Override
-        public void inputEnded(Connection on) {
-            on.close();
+        public void inputEnded(Connection connection) {
+            connection.close();
         }
     }
 
-    /** A connection that a peer keeps to here. */
+    /** A connection that a peer keeps to this replica. */
     private final class InboundLink extends FrameReader {
         private String from;
         private boolean refused;
 
         @Override
-        void frameReceived(Connection on, byte type, byte[] body) throws IOException {
+        void frameReceived(Connection connection, byte type, byte[] body) throws IOException {
             if (refused) {
-                return; // it cannot have heard it yet
+                return; // the refusal has not reached the peer yet
             }
             if (from == null) {
                 if (type != HELLO) {
-                    throw new IOException("a peer that does not say who it is");
+                    throw new IOException("the first frame is not a hello");
                 }
-                Hello who = GroupCodec.cborMapper().readValue(body, Hello.class);
-                if (who == null
-                        || who.from() == null
-                        || who.disk() == null
-                        || who.peers() == null
-                        || who.clients() == null) {
-                    throw new IOException("a peer that says half of who it is");
+                Hello hello = GroupCodec.cborMapper().readValue(body, Hello.class);
+                if (hello == null
+                        || hello.from() == null
+                        || hello.disk() == null
+                        || hello.peers() == null
+                        || hello.clients() == null) {
+                    throw new IOException("the hello is incomplete");
                 }
-                String why = peerListener.helloReceived(who);
-                if (why != null) {
+                String refusal = peerListener.helloReceived(hello);
+                if (refusal != null) {
                     refused = true;
-                    Log.warn("peer.refused", "peer", who.from(), "why", why);
-                    on.write(PeerLinks.encodeFrame(REFUSED, why.getBytes(StandardCharsets.UTF_8)));
-                    on.close();
+                    Log.warn("peer.refused", "peer", hello.from(), "why", refusal);
+                    connection.write(
+                            PeerLinks.encodeFrame(
+                                    REFUSED, refusal.getBytes(StandardCharsets.UTF_8)));
+                    connection.close();
                     return;
                 }
-                from = who.from();
+                from = hello.from();
                 return;
             }
             switch (type) {
@@ -256,21 +272,21 @@
                 case HEARTBEAT -> {
                     Heartbeat heartbeat = GroupCodec.cborMapper().readValue(body, Heartbeat.class);
                     if (heartbeat == null) {
-                        throw new IOException("a beat that says nothing");
+                        throw new IOException("the heartbeat is empty");
                     }
                     peerListener.heartbeatReceived(from, heartbeat);
                 }
-                default -> throw new IOException("a frame of type " + type);
+                default -> throw new IOException("unexpected frame type " + type);
             }
         }
 
         @Override
-        public void closed(Connection on, Connection.Cause why) {
-            Log.info("peer.gone", "peer", from == null ? "nobody" : from, "why", why);
+        public void closed(Connection connection, Connection.Cause cause) {
+            Log.info("peer.gone", "peer", from == null ? "nobody" : from, "why", cause);
         }
     }
 
-    /** The connection kept to a peer. */
+    /** The connection that this replica keeps to a peer. */
     private final class OutboundLink extends FrameReader
             implements saltstage.net.Transport.ConnectListener {
         private final String peer;
@@ -287,17 +303,17 @@
             if (closed || stopped) {
                 return;
             }
-            InetSocketAddress at = resolveAddress();
-            if (at == null) {
+            InetSocketAddress address = resolveAddress();
+            if (address == null) {
                 scheduleReconnect();
             } else {
-                transport.connect(loop, at, CONNECT_TIMEOUT, WRITE_LIMITS, this);
+                transport.connect(loop, address, CONNECT_TIMEOUT, WRITE_LIMITS, this);
             }
         }
 
         /**
-         * Null where it is not known, or not readable: the group may be told of another at any
-         * time.
+         * The peer's address; null if it is unknown or unreadable, as the group may learn another
+         * address at any time.
          */
         private InetSocketAddress resolveAddress() {
             try {
@@ -309,30 +325,30 @@
         }
 
         private void scheduleReconnect() {
-            long drawn =
+            long delayMs =
                     reconnectDelayMs / 2
                             + ThreadLocalRandom.current().nextLong(reconnectDelayMs / 2 + 1);
             reconnectDelayMs = Math.min(MAX_RECONNECT_DELAY_MS, reconnectDelayMs * 2);
-            loop.schedule(Duration.ofMillis(drawn), this::connect);
+            loop.schedule(Duration.ofMillis(delayMs), this::connect);
         }
 
         @Override
-        public ConnectionHandler connected(Connection made) {
+        public ConnectionHandler connected(Connection newConnection) {
             if (closed) {
-                made.reset();
+                newConnection.reset();
                 return this;
             }
-            connection = made;
+            connection = newConnection;
             reconnectDelayMs = MIN_RECONNECT_DELAY_MS;
-            made.write(PeerLinks.encodeFrame(HELLO, GroupCodec.toCbor(self)));
-            made.write(
+            newConnection.write(PeerLinks.encodeFrame(HELLO, GroupCodec.toCbor(self)));
+            newConnection.write(
                     PeerLinks.encodeFrame(HEARTBEAT, GroupCodec.toCbor(heartbeatSupplier.get())));
             connected = true;
             return this;
         }
 
         @Override
-        public void failed(IOException why) {
+        public void failed(IOException cause) {
             scheduleReconnect();
         }
 
@@ -343,16 +359,16 @@
         }
 
         @Override
-        void frameReceived(Connection on, byte type, byte[] body) throws IOException {
+        void frameReceived(Connection source, byte type, byte[] body) throws IOException {
             if (type != REFUSED) {
-                throw new IOException("a frame of type " + type + " on a link that only sends");
+                throw new IOException("unexpected frame type " + type + " on an outbound link");
             }
             reconnectDelayMs = MAX_RECONNECT_DELAY_MS;
             peerListener.refusedByPeer(peer, new String(body, StandardCharsets.UTF_8));
         }
 
         @Override
-        public void closed(Connection on, Connection.Cause why) {
+        public void closed(Connection source, Connection.Cause cause) {
             connected = false;
             connection = null;
             if (!closed && !stopped) {
@@ -368,10 +384,10 @@
         }
     }
 
-    /** How the links stand, by peer. */
+    /** Whether the link to each peer is connected, by the peer's name. */
     Map<String, Boolean> linkStates() {
-        Map<String, Boolean> now = new HashMap<>();
-        links.forEach((name, link) -> now.put(name, link.connected));
-        return now;
+        Map<String, Boolean> states = new HashMap<>();
+        links.forEach((name, link) -> states.put(name, link.connected));
+        return states;
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/api/ApiHandlerTest.java
@@ -32,7 +32,10 @@
 import saltstage.store.StoreEventListener;
 import saltstage.store.StoreOptions;
 
-/** Every call of the API against a group of one replica: statuses, and the names in the JSON. */
+/**
+ * Calls every route of the API on a group of one replica, and checks the statuses and the names in
+ * the JSON, on which clients depend.
+ */
 class ApiHandlerTest {
     private static final int ENGINE_CLOCK_SPEED = 7;
     private static final long TEST_TIMEOUT_SECONDS = 20;
@@ -42,18 +45,18 @@
     private static Replica replica;
     private static ApiHandler handler;
 
-    /** A status, and the body as a client reads it. */
+    /** An HTTP status, and the body as a client reads it. */
     private record Response(int status, JsonNode body) {}
 
     @BeforeAll
     static void startReplica() throws Exception {
-        InetSocketAddress peers = freeAddress();
+        InetSocketAddress peerAddress = freeAddress();
         ReplicaSettings settings =
                 new ReplicaSettings(
                         "g",
                         "a",
                         List.of("a"),
-                        peers,
+                        peerAddress,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 1),
                         Map.of(),
                         Map.of(),
@@ -73,13 +76,14 @@
                         settings,
                         store,
                         transport,
-                        (code, why) -> System.err.println("replica ended: " + code + " " + why));
+                        (code, reason) ->
+                                System.err.println("replica ended: " + code + " " + reason));
         handler = new ApiHandler(replica);
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TEST_TIMEOUT_SECONDS);
         while (get("/v1/leases").status() != 200
                 || get("/v1/status").body().path("level").asInt() < 3
                 || replica.leaderClientAddress()
-                        == null) { // it does not know its own member row yet
+                        == null) { // the replica's member row is not known yet
             assertTrue(System.nanoTime() < deadline, "no leader at level 3 in time");
             Thread.sleep(50);
         }
@@ -105,10 +109,10 @@
                         Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
         return handler.handle(request)
                 .thenApply(
-                        answer ->
+                        response ->
                                 new Response(
-                                        answer.status(),
-                                        GroupCodec.jsonMapper().valueToTree(answer.body())));
+                                        response.status(),
+                                        GroupCodec.jsonMapper().valueToTree(response.body())));
     }
 
     private static Response get(String uri) throws Exception {
@@ -142,7 +146,10 @@
         Response unknown = post("/v1/none?x=1", "no JSON");
         assertEquals(404, unknown.status());
         assertEquals("no such call: POST /v1/none", unknown.body().path("error").asText());
-        assertEquals(404, post("/v1/leases", "{}").status(), "a path of another method");
+        assertEquals(
+                404,
+                post("/v1/leases", "{}").status(),
+                "the path has only a route for another method");
         Response put =
                 send(HttpMethod.PUT, "/v1/leases", "").get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertBadRequest("GET and POST are taken", put);
@@ -166,13 +173,14 @@
 
     @Test
     void commandsAreCheckedBeforeTheyAreProposed() throws Exception {
-        String numbers = "'client' takes a text of up to 100 characters, 'seq' a number from 1 on";
+        String numberError =
+                "'client' takes a text of up to 100 characters, 'seq' a number from 1 on";
         String acquire = acquireCommand("checked", "o", false);
-        assertBadRequest(numbers, post("/v1/do", commandBody("c".repeat(101), 1, 0, acquire)));
-        assertBadRequest(numbers, post("/v1/do", commandBody("c", 0, 0, acquire)));
-        String notForClients = "'command' takes a command for clients";
+        assertBadRequest(numberError, post("/v1/do", commandBody("c".repeat(101), 1, 0, acquire)));
+        assertBadRequest(numberError, post("/v1/do", commandBody("c", 0, 0, acquire)));
+        String commandError = "'command' takes a command for clients";
         assertBadRequest(
-                notForClients,
+                commandError,
                 post("/v1/do", commandBody("c", 1, 0, "{\"op\":\"forget\",\"member\":\"a\"}")));
         Response unknown = post("/v1/do", commandBody("c", 1, 0, "{\"op\":\"none\"}"));
         assertEquals(400, unknown.status());
@@ -192,8 +200,8 @@
         JsonNode lease = get("/v1/lease?name=p/x").body();
         assertTrue(lease.path("groupNow").isIntegralNumber());
         long revision = lease.path("leases").get(0).path("revision").asLong();
-        String waiting = commandBody("g2", 1, 2_000, acquireCommand("p/x", "o2", true));
-        CompletableFuture<Response> queued = send(HttpMethod.POST, "/v1/do", waiting);
+        String queuedAcquire = commandBody("g2", 1, 2_000, acquireCommand("p/x", "o2", true));
+        CompletableFuture<Response> queued = send(HttpMethod.POST, "/v1/do", queuedAcquire);
         CompletableFuture<Response> watched =
                 send(HttpMethod.GET, "/v1/lease?name=p/x&waitMs=2000&after=" + revision, "");
         String release =
@@ -203,11 +211,14 @@
                 "released",
                 post("/v1/do", commandBody("g1", 2, 0, release)).body().path("what").asText());
         Response held = queued.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        assertEquals("held", held.body().path("result").asText(), "it asks again to be granted");
+        assertEquals(
+                "held",
+                held.body().path("result").asText(),
+                "the client must repeat the command to be granted the lease");
         Response changed = watched.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(changed.body().path("leases").get(0).path("revision").asLong() > revision);
-        String again = commandBody("g2", 2, 0, acquireCommand("p/x", "o2", true));
-        assertEquals("granted", post("/v1/do", again).body().path("result").asText());
+        String repeatedAcquire = commandBody("g2", 2, 0, acquireCommand("p/x", "o2", true));
+        assertEquals("granted", post("/v1/do", repeatedAcquire).body().path("result").asText());
     }
 
     @Test
@@ -247,9 +258,9 @@
         assertEquals("no advisor has spoken", advice.body().path("book").path("why").asText());
         assertTrue(advice.body().path("made").isArray());
         assertTrue(advice.body().path("avoid").isArray());
-        Response fault = post("/v1/snapshot", snapshot.replace("100", "0"));
-        assertEquals(400, fault.status());
-        assertTrue(fault.body().path("error").asText().startsWith("a snapshot names its node"));
+        Response invalid = post("/v1/snapshot", snapshot.replace("100", "0"));
+        assertEquals(400, invalid.status());
+        assertTrue(invalid.body().path("error").asText().startsWith("a snapshot names its node"));
         Response unknown = post("/v1/snapshot", "{\"none\":1}");
         assertEquals(400, unknown.status());
         assertTrue(unknown.body().path("error").asText().startsWith("no snapshot: "));
--- a/coordinator/src/test/java/saltstage/coordinator/api/RevisionWatchTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/api/RevisionWatchTest.java
@@ -10,11 +10,15 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Who waits for a revision is woken by it alone, and waiting costs little. */
+/**
+ * Checks that a waiting request is completed only by an advance of the revision or its deadline,
+ * and that an unrelated change of the state costs one read of the revision for all waiting
+ * requests.
+ */
 class RevisionWatchTest {
     private static final int WAITERS = 200;
 
-    /** A state whose changes are told by hand. */
+    /** A source whose changes the test announces. */
     private static final class FakeRevisionSource implements RevisionWatch.RevisionSource {
         private final List<Runnable> listeners = new ArrayList<>();
         private long revision = 5;
@@ -22,8 +26,8 @@
         private boolean listenersFull;
 
         @Override
-        public boolean onNextChange(Runnable runnable) {
-            return !listenersFull && listeners.add(runnable);
+        public boolean onNextChange(Runnable listener) {
+            return !listenersFull && listeners.add(listener);
         }
 
         @Override
@@ -33,9 +37,9 @@
         }
 
         void notifyListeners() {
-            List<Runnable> now = List.copyOf(listeners);
+            List<Runnable> current = List.copyOf(listeners);
             listeners.clear();
-            now.forEach(Runnable::run);
+            current.forEach(Runnable::run);
         }
     }
 
@@ -53,19 +57,20 @@
         for (int i = 0; i < WAITERS; i++) {
             waiters.add(awaitRevisionAfter5(60_000));
         }
-        int before = source.revisionReads;
+        int readsBefore = source.revisionReads;
         for (int tick = 0; tick < 10; tick++) {
             source.notifyListeners();
         }
-        assertEquals(10, source.revisionReads - before);
+        assertEquals(10, source.revisionReads - readsBefore);
         assertTrue(waiters.stream().noneMatch(CompletableFuture::isDone));
         source.revision = 6;
         source.notifyListeners();
-        assertTrue(waiters.stream().allMatch(one -> one.getNow(false)));
+        assertTrue(waiters.stream().allMatch(waiter -> waiter.getNow(false)));
         source.notifyListeners();
-        int after = source.revisionReads;
+        int readsAfter = source.revisionReads;
         source.notifyListeners();
-        assertEquals(after, source.revisionReads, "nobody waits, nobody looks");
+        assertEquals(
+                readsAfter, source.revisionReads, "no revision is read while no request waits");
     }
 
     @Test
--- a/coordinator/src/test/java/saltstage/coordinator/replica/LogStoreTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/replica/LogStoreTest.java
@@ -26,7 +26,10 @@
 import saltstage.store.StoreEventListener;
 import saltstage.store.StoreOptions;
 
-/** What a replica finds again after a start is what the engine was promised, and nothing else. */
+/**
+ * Checks that a restarted replica restores the entries, term, vote and complete snapshots that were
+ * flushed, and nothing else; and that peers' messages survive encoding.
+ */
 class LogStoreTest {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final Member MEMBER_A = new Member("a");
@@ -46,13 +49,13 @@
                 new RaftCodec.Members(0, List.of("a", "b"), List.of("a", "b")));
     }
 
-    private static SnapshotChunk chunk(long index, int at, int of) {
+    private static SnapshotChunk chunk(long index, int chunkIndex, int chunkCount) {
         return MODEL.createSnapshotChunkBuilder()
                 .setIndex(index)
                 .setTerm(2)
-                .setOperation(new byte[] {(byte) at})
-                .setSnapshotChunkIndex(at)
-                .setSnapshotChunkCount(of)
+                .setOperation(new byte[] {(byte) chunkIndex})
+                .setSnapshotChunkIndex(chunkIndex)
+                .setSnapshotChunkCount(chunkCount)
                 .setGroupMembersView(members())
                 .build();
     }
@@ -101,7 +104,7 @@
             log.truncateLogEntriesFrom(2);
             log.persistLogEntries(List.of(entry(2, 3)));
             log.flush();
-            log.persistLogEntries(List.of(entry(3, 3))); // never flushed: it was promised to nobody
+            log.persistLogEntries(List.of(entry(3, 3))); // never flushed, so never promised
         }
         RestoredRaftState state = reopenAndRestore();
         assertEquals(List.of(1L, 2L), indices(state));
@@ -118,7 +121,7 @@
             log.persistLogEntries(LongStream.rangeClosed(1, 9).mapToObj(i -> entry(i, 2)).toList());
             log.persistSnapshotChunk(chunk(5, 0, 2));
             log.persistSnapshotChunk(chunk(5, 1, 2));
-            log.persistSnapshotChunk(chunk(8, 0, 2)); // its second part never came
+            log.persistSnapshotChunk(chunk(8, 0, 2)); // its second chunk is missing
             log.truncateLogEntriesUntil(3);
             log.flush();
         }
@@ -275,29 +278,30 @@
     @Test
     void everyMessageIsUnchangedAfterEncodingAndDecoding() throws IOException {
         RaftCodec codec = new RaftCodec("g");
-        List<RaftMessage> all = new ArrayList<>();
-        all.addAll(appendMessages());
-        all.addAll(snapshotMessages());
-        all.addAll(preVoteMessages());
-        all.addAll(voteMessages());
-        assertEquals(10, all.size());
-        for (RaftMessage message : all) {
-            RaftMessage back = codec.decode(codec.encode(message));
-            assertEquals(message.getClass(), back.getClass());
-            assertArrayEquals(codec.encode(message), codec.encode(back));
+        List<RaftMessage> messages = new ArrayList<>();
+        messages.addAll(appendMessages());
+        messages.addAll(snapshotMessages());
+        messages.addAll(preVoteMessages());
+        messages.addAll(voteMessages());
+        assertEquals(10, messages.size());
+        for (RaftMessage message : messages) {
+            RaftMessage decoded = codec.decode(codec.encode(message));
+            assertEquals(message.getClass(), decoded.getClass());
+            assertArrayEquals(codec.encode(message), codec.encode(decoded));
             assertEquals(
                     message.toString().replaceAll("\\[B@\\w+", ""),
-                    back.toString().replaceAll("\\[B@\\w+", ""));
+                    decoded.toString().replaceAll("\\[B@\\w+", ""));
         }
     }
 
     /**
-     * Whatever a peer sends: a message, or an IOException that ends its link; never another fault.
+     * Any bytes that a peer sends must decode to a message or fail with an IOException, which ends
+     * the link; any other exception would escape the handling of malformed input.
      */
     @Property(tries = 2_000)
     void invalidBytesAreRejectedWithAnIoException(@ForAll byte[] noise, @ForAll long seed) {
         RaftCodec codec = new RaftCodec("g");
-        byte[] sound =
+        byte[] corrupted =
                 codec.encode(
                         MODEL.createVoteRequestBuilder()
                                 .setGroupId("g")
@@ -307,14 +311,14 @@
                                 .setLastLogIndex(5)
                                 .setSticky(true)
                                 .build());
-        java.util.Random drawn = new java.util.Random(seed);
+        java.util.Random random = new java.util.Random(seed);
         for (int i = 0; i < 3; i++) {
-            sound[drawn.nextInt(sound.length)] = (byte) drawn.nextInt();
+            corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
         }
-        for (byte[] bytes : List.of(noise, sound)) {
+        for (byte[] bytes : List.of(noise, corrupted)) {
             try {
                 codec.decode(bytes);
-            } catch (IOException refused) { // the only way out but a message
+            } catch (IOException malformed) { // the only exception that is allowed
                 continue;
             }
         }
--- a/coordinator/src/test/java/saltstage/coordinator/replica/PeerLinksTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/replica/PeerLinksTest.java
@@ -14,14 +14,20 @@
 import saltstage.net.Loop;
 import saltstage.net.Transport;
 
-/** When a link tries to connect; the test runs what is due. */
+/**
+ * Checks that a link whose peer's address is unreadable or not yet known looks it up again later.
+ * The test runs the scheduled tasks itself.
+ */
 class PeerLinksTest {
     private static final InetSocketAddress PEER_ADDRESS = new InetSocketAddress("127.0.0.1", 7_001);
 
     private final Queue<Runnable> scheduledTasks = new ArrayDeque<>();
     private final List<InetSocketAddress> connectAttempts = new ArrayList<>();
 
-    /** Does things at once; what throws ends alone, as on the loops of the transport in use. */
+    /**
+     * Runs tasks at once; an exception ends only its own task, as on the loops of the real
+     * transport.
+     */
     private final class ScriptedLoop implements Loop {
         @Override
         public boolean isCurrentThread() {
@@ -49,21 +55,21 @@
 
         @Override
         public Listener listen(
-                InetSocketAddress at,
+                InetSocketAddress address,
                 int backlog,
-                Connection.WriteLimits bounds,
+                Connection.WriteLimits limits,
                 Acceptor acceptor) {
             throw new UnsupportedOperationException();
         }
 
         @Override
         public void connect(
-                Loop on,
-                InetSocketAddress to,
-                Duration limit,
-                Connection.WriteLimits bounds,
-                ConnectListener connecting) {
-            connectAttempts.add(to);
+                Loop loop,
+                InetSocketAddress address,
+                Duration timeout,
+                Connection.WriteLimits limits,
+                ConnectListener listener) {
+            connectAttempts.add(address);
         }
 
         @Override
@@ -90,31 +96,31 @@
 
     @Test
     void peerWhoseAddressCannotBeReadIsLookedUpAgain() {
-        List<String> asked = new ArrayList<>();
+        List<String> lookups = new ArrayList<>();
         PeerLinks links =
                 createLinks(
                         peer -> {
-                            asked.add(peer);
-                            if (asked.size() == 1) {
+                            lookups.add(peer);
+                            if (lookups.size() == 1) {
                                 throw new IllegalArgumentException("an address without a port");
                             }
                             return PEER_ADDRESS;
                         });
         links.ensureLink("b");
-        assertEquals(1, asked.size());
-        assertEquals(1, scheduledTasks.size(), "another try is due");
+        assertEquals(1, lookups.size());
+        assertEquals(1, scheduledTasks.size(), "another attempt is scheduled");
         scheduledTasks.remove().run();
         assertEquals(List.of(PEER_ADDRESS), connectAttempts);
     }
 
     @Test
     void peerWhoseAddressIsNotKnownYetIsLookedUpAgain() {
-        List<String> asked = new ArrayList<>();
+        List<String> lookups = new ArrayList<>();
         PeerLinks links =
                 createLinks(
                         peer -> {
-                            asked.add(peer);
-                            return asked.size() == 1 ? null : PEER_ADDRESS;
+                            lookups.add(peer);
+                            return lookups.size() == 1 ? null : PEER_ADDRESS;
                         });
         links.ensureLink("b");
         scheduledTasks.remove().run();
