--- a/coordinator/src/main/java/saltstage/coordinator/command/AgentCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/AgentCommand.java
@@ -23,11 +23,11 @@
             required = true,
             paramLabel = "FILE",
             description = "the agent's settings")
-    private Path file;
+    private Path settingsFile;
 
     @Override
     public Integer call() throws Exception {
-        AgentSettings settings = AgentSettings.read(file);
+        AgentSettings settings = AgentSettings.read(settingsFile);
         try (LeaseClient leases =
                 new LeaseClient(
                         group.createClient(),
--- a/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
@@ -65,7 +65,7 @@
         private static final Duration JOIN_RETRY_DELAY = Duration.ofMillis(300);
 
         @Option(names = "--settings", required = true, paramLabel = "FILE")
-        private Path settings;
+        private Path settingsFile;
 
         @Option(
                 names = "--name",
@@ -82,7 +82,7 @@
         @Override
         @SuppressWarnings("try") // the listener only has to be closed
         public Integer call() throws Exception {
-            CoordinatorSettings read = CoordinatorSettings.read(settings);
+            CoordinatorSettings read = CoordinatorSettings.read(settingsFile);
             CoordinatorSettings.MemberAddresses place = joiningAddresses();
             ReplicaSettings mine = read.replicaSettings(name, dir, place);
             CountDownLatch stop = new CountDownLatch(1);
--- a/coordinator/src/main/java/saltstage/coordinator/command/DistributorCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/DistributorCommand.java
@@ -32,7 +32,7 @@
             mixinStandardHelpOptions = true)
     static final class Serve implements Callable<Integer> {
         @Option(names = "--settings", required = true, paramLabel = "FILE")
-        private Path settings;
+        private Path settingsFile;
 
         @Option(
                 names = "--name",
@@ -42,7 +42,7 @@
 
         @Override
         public Integer call() throws Exception {
-            DistributorSettings mine = CoordinatorSettings.read(settings).distributorSettings(name);
+            DistributorSettings mine = CoordinatorSettings.read(settingsFile).distributorSettings(name);
             DistributorProcess process;
             try {
                 process = new DistributorProcess(mine, Serve::haltAfterFault);
--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
@@ -49,7 +49,7 @@
         })
 final class GroupConfigCommand {
     private static final String API_PATH = "/v1/configuration/";
-    private static final int HISTORY_PAGE = 100;
+    private static final int HISTORY_PAGE_SIZE = 100;
 
     private GroupConfigCommand() {}
 
@@ -274,7 +274,7 @@
             mixinStandardHelpOptions = true)
     static final class History implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
-        @CommandLine.Mixin private GroupHistoryOption ofGroup;
+        @CommandLine.Mixin private GroupHistoryOption historyOption;
 
         @Option(
                 names = "--after",
@@ -316,7 +316,7 @@
         @Option(
                 names = "--group",
                 description = "the group's history, with --settings; --at says so by itself")
-        private boolean ofGroup;
+        private boolean groupHistory;
     }
 
     /** Back to an earlier revision. */
@@ -332,7 +332,7 @@
             mixinStandardHelpOptions = true)
     static final class Rollback implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
-        @CommandLine.Mixin private GroupHistoryOption ofGroup;
+        @CommandLine.Mixin private GroupHistoryOption historyOption;
 
         @Parameters(paramLabel = "REVISION")
         private long revision;
@@ -362,7 +362,7 @@
             long reached = revision;
             while (true) {
                 ConfigurationRegistry.History read =
-                        readHistory(group, client, reached, HISTORY_PAGE);
+                        readHistory(group, client, reached, HISTORY_PAGE_SIZE);
                 if (revision > read.revision()) {
                     throw new MalformedException("the newest revision is " + read.revision());
                 }
--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupOptions.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupOptions.java
@@ -31,7 +31,7 @@
             split = ",",
             paramLabel = "HOST:PORT",
             description = "where replicas take calls, in place of the settings")
-    private List<String> at;
+    private List<String> addresses;
 
     @Option(names = "--json", description = "print JSON")
     private boolean json;
@@ -42,7 +42,7 @@
             converter = DurationConverter.class,
             defaultValue = "5s",
             description = "how long to try (default: ${DEFAULT-VALUE})")
-    private Duration within;
+    private Duration timeout;
 
     /** A span such as 250ms, 10s or 5m. */
     static final class DurationConverter implements ITypeConverter<Duration> {
@@ -66,8 +66,8 @@
     }
 
     List<String> replicaAddresses() throws MalformedException {
-        if (at != null) {
-            return at;
+        if (addresses != null) {
+            return addresses;
         }
         if (settings == null) {
             throw new MalformedException("name the group by --settings FILE or --at HOST:PORT");
@@ -84,7 +84,7 @@
     /** Sends a command in a session of its own, and returns what came of it. */
     Reply send(Command command)
             throws IOException, InterruptedException, MalformedException, CommandRejectedException {
-        Reply reply = createClient().send(command, within).reply();
+        Reply reply = createClient().send(command, timeout).reply();
         if (reply instanceof Rejection refusal) {
             throw new CommandRejectedException(refusal);
         }
@@ -93,18 +93,18 @@
 
     /** Reads from the API, in JSON. */
     JsonNode get(String path) throws IOException, InterruptedException, MalformedException {
-        return createClient().get(path, within);
+        return createClient().get(path, timeout);
     }
 
     /** Posts a call with one field to the API, in JSON. */
     JsonNode post(String path, String field, String value)
             throws IOException, InterruptedException, MalformedException {
         return createClient()
-                .post(path, GroupCodec.jsonMapper().createObjectNode().put(field, value), within);
+                .post(path, GroupCodec.jsonMapper().createObjectNode().put(field, value), timeout);
     }
 
     Duration timeout() {
-        return within;
+        return timeout;
     }
 
     boolean isJson() {
--- a/coordinator/src/main/java/saltstage/coordinator/command/LeaseCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/LeaseCommand.java
@@ -80,14 +80,14 @@
     static final class Renew implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
 
-        @CommandLine.Mixin private LeaseHolderOptions held;
+        @CommandLine.Mixin private LeaseHolderOptions holder;
 
         @Override
         public Integer call() throws Exception {
             Reply reply =
                     group.send(
                             new LeaseCommands.Renew(
-                                    held.owner(), Map.of(held.name(), held.fencingToken())));
+                                    holder.owner(), Map.of(holder.name(), holder.fencingToken())));
             boolean kept = ((LeaseReplies.Renewed) reply).lost().isEmpty();
             group.print(reply, kept ? "renewed" : "lost");
             return kept ? ExitCode.OK : ExitCode.LEASE_LOST;
@@ -99,14 +99,14 @@
     static final class Release implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
 
-        @CommandLine.Mixin private LeaseHolderOptions held;
+        @CommandLine.Mixin private LeaseHolderOptions holder;
 
         @Override
         public Integer call() throws Exception {
             Reply reply =
                     group.send(
                             new LeaseCommands.Release(
-                                    held.name(), held.owner(), held.fencingToken()));
+                                    holder.name(), holder.owner(), holder.fencingToken()));
             group.print(reply, ((Acknowledgement) reply).what());
             return ExitCode.OK;
         }
