--- a/coordinator/src/main/java/saltstage/coordinator/agent/Agent.java
+++ b/coordinator/src/main/java/saltstage/coordinator/agent/Agent.java
@@ -66,8 +66,8 @@
                 carryOutWindows(lease);
             } catch (LeaseClient.LeaseLostException lost) {
                 Log.warn("agent.lost", "region", settings.region(), "why", lost.getMessage());
-            } catch (LeaseClient.LeaseNotGrantedException | IOException notNow) {
-                Log.info("agent.waits", "region", settings.region(), "why", notNow.getMessage());
+            } catch (LeaseClient.LeaseNotGrantedException | IOException e) {
+                Log.info("agent.waits", "region", settings.region(), "why", e.getMessage());
                 Thread.sleep(POLL_INTERVAL.toMillis());
             } finally {
                 stopWork();
@@ -86,21 +86,21 @@
         while (true) {
             lease.checkStillHeld();
             try {
-                JsonNode read = groupClient.get("/v1/windows", REQUEST_TIMEOUT);
-                Plans plans = GroupCodec.jsonMapper().treeToValue(read, Plans.class);
-                List<String> out = new ArrayList<>();
+                JsonNode response = groupClient.get("/v1/windows", REQUEST_TIMEOUT);
+                Plans plans = GroupCodec.jsonMapper().treeToValue(response, Plans.class);
+                List<String> nodesInProgress = new ArrayList<>();
                 for (Window window : plans.windows()) {
                     if (!window.wish().region().equals(settings.region())) {
                         continue;
                     }
                     if (window.state().isInProgress()) {
-                        out.addAll(window.wish().nodes());
+                        nodesInProgress.addAll(window.wish().nodes());
                     }
                     advanceWindow(window, plans, lease);
                 }
-                reportMissingNodes(plans, out, lease);
-            } catch (GroupUnreachableException | JsonProcessingException notNow) {
-                Log.warn("agent.alone", "why", notNow.getMessage());
+                reportMissingNodes(plans, nodesInProgress, lease);
+            } catch (GroupUnreachableException | JsonProcessingException e) {
+                Log.warn("agent.alone", "why", e.getMessage());
             }
             Thread.sleep(POLL_INTERVAL.toMillis());
         }
@@ -110,8 +110,8 @@
             throws LeaseClient.LeaseLostException, GroupUnreachableException, InterruptedException {
         lease.checkStillHeld();
         Reply reply = groupClient.send(command, REQUEST_TIMEOUT).reply();
-        if (reply instanceof Rejection no) {
-            Log.info("agent.refused", "command", command, "why", no.why());
+        if (reply instanceof Rejection rejection) {
+            Log.info("agent.refused", "command", command, "why", rejection.why());
         }
         return reply;
     }
@@ -119,7 +119,7 @@
     private void advanceWindow(Window window, Plans plans, LeaseClient.Lease lease)
             throws LeaseClient.LeaseLostException, GroupUnreachableException, InterruptedException {
         long id = window.id();
-        long inState = plans.day() - window.since();
+        long inStateMs = plans.day() - window.since();
         switch (window.state()) {
             case PLANNED -> {
                 if (window.start() <= plans.day()) {
@@ -130,19 +130,19 @@
             }
             case DRAINING -> {
                 if (setSuspendedOnAllRelays(window, true, lease)
-                        && inState >= window.wish().drainMs()) {
+                        && inStateMs >= window.wish().drainMs()) {
                     reportStep(id, Step.OUT, 0, lease);
                 }
             }
             case OUT -> {
                 // Said again each time: a relay that was started anew may have forgotten it.
                 if (setSuspendedOnAllRelays(window, true, lease)
-                        && startOrCheckWork(window, inState, lease)
+                        && startOrCheckWork(window, inStateMs, lease)
                         && setSuspendedOnAllRelays(window, false, lease)) {
                     reportStep(id, Step.WARMING, 0, lease);
                 }
             }
-            case WARMING -> advanceWarmUp(window, plans, inState, lease);
+            case WARMING -> advanceWarmUp(window, plans, inStateMs, lease);
             case RETURNING -> { // its nodes were never touched: they are warm once each relay uses
                 // them again
                 if (setSuspendedOnAllRelays(window, false, lease)
@@ -168,21 +168,21 @@
     /** Each relay has said so of each node, now. */
     private boolean setSuspendedOnAllRelays(Window window, boolean suspend, LeaseClient.Lease lease)
             throws LeaseClient.LeaseLostException {
-        boolean all = true;
+        boolean allConfirmed = true;
         for (InetSocketAddress relay : settings.relayAdminAddresses().values()) {
             for (String node : window.wish().nodes()) {
                 lease.checkStillHeld();
-                all &= RelayClient.setSuspended(relay, suspend, node);
+                allConfirmed &= RelayClient.setSuspended(relay, suspend, node);
             }
         }
-        return all;
+        return allConfirmed;
     }
 
     private int countAnsweringNodes(Window window) {
         int answering = 0;
         for (String node : window.wish().nodes()) {
-            InetSocketAddress at = settings.nodeAddresses().get(node);
-            answering += at != null && RelayClient.isAnswering(at) ? 1 : 0;
+            InetSocketAddress address = settings.nodeAddresses().get(node);
+            answering += address != null && RelayClient.isAnswering(address) ? 1 : 0;
         }
         return answering;
     }
@@ -192,28 +192,28 @@
      * over.
      */
     private synchronized boolean startOrCheckWork(
-            Window window, long inState, LeaseClient.Lease lease) {
+            Window window, long inStateMs, LeaseClient.Lease lease) {
         if (settings.workCommand().isEmpty()) {
-            return inState >= window.wish().workMs();
+            return inStateMs >= window.wish().workMs();
         }
-        Process running = workByWindow.get(window.id());
-        if (running == null) {
+        Process process = workByWindow.get(window.id());
+        if (process == null) {
             startWork(window, lease);
             return false;
         }
-        if (running.isAlive()) {
+        if (process.isAlive()) {
             return false;
         }
-        if (running.exitValue() != 0) {
-            int tries = workFailuresByWindow.merge(window.id(), 1, Integer::sum);
+        if (process.exitValue() != 0) {
+            int failures = workFailuresByWindow.merge(window.id(), 1, Integer::sum);
             Log.warn(
                     "agent.work-failed",
                     "window",
                     window.id(),
                     "exit",
-                    running.exitValue(),
+                    process.exitValue(),
                     "tries",
-                    tries);
+                    failures);
             workByWindow.remove(window.id()); // again at the next round: it must bear that
             return false;
         }
@@ -227,8 +227,8 @@
             builder.environment().put("SALTSTAGE_NODES", String.join(" ", window.wish().nodes()));
             builder.environment().put("SALTSTAGE_FENCE", Long.toString(lease.fencingToken()));
             workByWindow.put(window.id(), builder.start());
-        } catch (IOException notStarted) {
-            Log.warn("agent.work-failed", "window", window.id(), "why", notStarted.getMessage());
+        } catch (IOException e) {
+            Log.warn("agent.work-failed", "window", window.id(), "why", e.getMessage());
         }
     }
 
@@ -236,22 +236,22 @@
      * What is proven grows with the time that the nodes have been back, as long as all of them
      * answer.
      */
-    private void advanceWarmUp(Window window, Plans plans, long inState, LeaseClient.Lease lease)
+    private void advanceWarmUp(Window window, Plans plans, long inStateMs, LeaseClient.Lease lease)
             throws LeaseClient.LeaseLostException, GroupUnreachableException, InterruptedException {
         if (!setSuspendedOnAllRelays(window, false, lease)
                 || countAnsweringNodes(window) < window.wish().nodes().size()) {
             return;
         }
         long warmMs = window.wish().warmMs();
-        long cold = window.capacity() * plans.plan().coldPermille() / 1_000;
-        if (warmMs == 0 || inState >= warmMs) {
+        long coldCapacity = window.capacity() * plans.plan().coldPermille() / 1_000;
+        if (warmMs == 0 || inStateMs >= warmMs) {
             reportStep(window.id(), Step.PROVEN, window.capacity(), lease);
             reportStep(window.id(), Step.DONE, 0, lease);
             return;
         }
-        long back = cold + (window.capacity() - cold) * inState / warmMs;
-        if (back - window.proven() >= window.capacity() / 8) {
-            reportStep(window.id(), Step.PROVEN, back, lease);
+        long proven = coldCapacity + (window.capacity() - coldCapacity) * inStateMs / warmMs;
+        if (proven - window.proven() >= window.capacity() / 8) {
+            reportStep(window.id(), Step.PROVEN, proven, lease);
         }
     }
 
@@ -259,39 +259,40 @@
      * Nodes that do not answer and are in no window are missing; the group must know before it
      * plans on.
      */
-    private void reportMissingNodes(Plans plans, List<String> out, LeaseClient.Lease lease)
+    private void reportMissingNodes(
+            Plans plans, List<String> nodesInProgress, LeaseClient.Lease lease)
             throws LeaseClient.LeaseLostException, GroupUnreachableException, InterruptedException {
         if (plans.plan() == null) {
             return;
         }
-        long lost = 0;
+        long lostCapacity = 0;
         for (FleetPlan.Region region : plans.plan().regions()) {
             for (FleetPlan.Node node : region.nodes()) {
-                InetSocketAddress at = settings.nodeAddresses().get(node.id());
+                InetSocketAddress address = settings.nodeAddresses().get(node.id());
                 if (!region.name().equals(settings.region())
-                        || out.contains(node.id())
-                        || at == null) {
+                        || nodesInProgress.contains(node.id())
+                        || address == null) {
                     continue;
                 }
-                int looks =
-                        RelayClient.isAnswering(at)
+                int failedPings =
+                        RelayClient.isAnswering(address)
                                 ? 0
                                 : failedPingsByNode.getOrDefault(node.id(), 0) + 1;
-                failedPingsByNode.put(node.id(), looks);
-                lost += looks >= FAILED_PINGS_UNTIL_MISSING ? node.capacity() : 0;
+                failedPingsByNode.put(node.id(), failedPings);
+                lostCapacity += failedPings >= FAILED_PINGS_UNTIL_MISSING ? node.capacity() : 0;
             }
         }
-        if (lost != reportedLoss
+        if (lostCapacity != reportedLoss
                 && sendCommand(
                                 new WindowCommands.Outage(
                                         settings.region(),
-                                        lost,
+                                        lostCapacity,
                                         leaseClient.owner(),
                                         lease.fencingToken()),
                                 lease)
                         instanceof saltstage.coordinator.model.Acknowledgement) {
-            Log.info("agent.missing", "region", settings.region(), "lost", lost);
-            reportedLoss = lost;
+            Log.info("agent.missing", "region", settings.region(), "lost", lostCapacity);
+            reportedLoss = lostCapacity;
         }
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/agent/RelayClient.java
+++ b/coordinator/src/main/java/saltstage/coordinator/agent/RelayClient.java
@@ -15,16 +15,16 @@
     private RelayClient() {}
 
     /** One line there, one line back; null where none came in time. */
-    private static String exchange(InetSocketAddress at, String line) {
+    private static String exchange(InetSocketAddress address, String line) {
         try (Socket socket = new Socket()) {
-            socket.connect(at, (int) TIMEOUT.toMillis());
+            socket.connect(address, (int) TIMEOUT.toMillis());
             socket.setSoTimeout((int) TIMEOUT.toMillis());
             socket.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.US_ASCII));
             return new BufferedReader(
                             new InputStreamReader(
                                     socket.getInputStream(), StandardCharsets.US_ASCII))
                     .readLine();
-        } catch (IOException silent) {
+        } catch (IOException e) {
             return null;
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/command/AdviceCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/AdviceCommand.java
@@ -53,13 +53,13 @@
 
         @Override
         public Integer call() throws Exception {
-            JsonNode read = group.get("/v1/advice");
+            JsonNode response = group.get("/v1/advice");
             if (group.isJson()) {
-                System.out.println(read);
+                System.out.println(response);
                 return ExitCode.OK;
             }
-            System.out.println(read.path("book").path("why").asText());
-            for (JsonNode row : read.path("book").path("rows")) {
+            System.out.println(response.path("book").path("why").asText());
+            for (JsonNode row : response.path("book").path("rows")) {
                 JsonNode move = row.path("move");
                 System.out.printf(
                         "%d %s: %d connections of %s from %s to %s, gain %.0f for %.0f,"
@@ -146,8 +146,8 @@
                     }
                 } catch (LeaseClient.LeaseLostException
                         | LeaseClient.LeaseNotGrantedException
-                        | java.io.IOException notNow) {
-                    Log.info("advisor.waits", "why", notNow.getMessage());
+                        | java.io.IOException e) {
+                    Log.info("advisor.waits", "why", e.getMessage());
                     Thread.sleep(200);
                 }
             }
@@ -155,19 +155,20 @@
 
         private void advise(GroupClient client, LeaseClient.Lease lease, String owner)
                 throws java.io.IOException, InterruptedException, LeaseClient.LeaseLostException {
-            JsonNode read = client.get("/v1/advice", group.timeout());
+            JsonNode response = client.get("/v1/advice", group.timeout());
             List<NodeSnapshots.View> views = new ArrayList<>();
-            for (JsonNode view : read.path("views")) {
+            for (JsonNode view : response.path("views")) {
                 views.add(GroupCodec.jsonMapper().treeToValue(view, NodeSnapshots.View.class));
             }
-            List<Advisor.RecentMove> made = new ArrayList<>();
-            for (JsonNode one : read.path("made")) {
-                made.add(GroupCodec.jsonMapper().treeToValue(one, Advisor.RecentMove.class));
+            List<Advisor.RecentMove> recentMoves = new ArrayList<>();
+            for (JsonNode move : response.path("made")) {
+                recentMoves.add(
+                        GroupCodec.jsonMapper().treeToValue(move, Advisor.RecentMove.class));
             }
             Set<String> avoid = new HashSet<>();
-            read.path("avoid").forEach(name -> avoid.add(name.asText()));
+            response.path("avoid").forEach(name -> avoid.add(name.asText()));
             Advisor.Advice advice =
-                    new Advisor(Advisor.Rules.defaults()).advise(views, avoid, made, 0);
+                    new Advisor(Advisor.Rules.defaults()).advise(views, avoid, recentMoves, 0);
             lease.checkStillHeld();
             Reply reply =
                     client.send(
@@ -178,8 +179,8 @@
                                             advice.why()),
                                     group.timeout())
                             .reply();
-            if (reply instanceof Rejection no) {
-                Log.warn("advisor.refused", "why", no.why());
+            if (reply instanceof Rejection rejection) {
+                Log.warn("advisor.refused", "why", rejection.why());
             }
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
@@ -82,16 +82,17 @@
         @Override
         @SuppressWarnings("try") // the listener only has to be closed
         public Integer call() throws Exception {
-            CoordinatorSettings read = CoordinatorSettings.read(settingsFile);
-            CoordinatorSettings.MemberAddresses place = joiningAddresses();
-            ReplicaSettings mine = read.replicaSettings(name, dir, place);
+            CoordinatorSettings groupSettings = CoordinatorSettings.read(settingsFile);
+            CoordinatorSettings.MemberAddresses joiningAddresses = joiningAddresses();
+            ReplicaSettings settings = groupSettings.replicaSettings(name, dir, joiningAddresses);
             CountDownLatch stop = new CountDownLatch(1);
             CountDownLatch stopped = new CountDownLatch(1);
-            Files.createDirectories(mine.dir());
-            Store store = Store.open(new FileDisk(mine.dir()), StoreOptions.defaults(), Log::info);
+            Files.createDirectories(settings.dir());
+            Store store =
+                    Store.open(new FileDisk(settings.dir()), StoreOptions.defaults(), Log::info);
             try (Replica replica =
                             new Replica(
-                                    mine,
+                                    settings,
                                     store,
                                     new NettyTransport(
                                             1,
@@ -100,20 +101,21 @@
                                                     Log.error("loop.fault." + where, fault)),
                                     Serve::halt);
                     HttpListener listener =
-                            new HttpListener(mine.clientListenAddress(), new ApiHandler(replica))) {
+                            new HttpListener(
+                                    settings.clientListenAddress(), new ApiHandler(replica))) {
                 Runtime.getRuntime().addShutdownHook(new Thread(() -> stopAndAwait(stop, stopped)));
                 Log.info(
                         "replica.ready",
                         "name",
                         name,
                         "group",
-                        mine.group(),
+                        settings.group(),
                         "clients",
-                        mine.clientListenAddress(),
+                        settings.clientListenAddress(),
                         "disk",
                         replica.diskId());
-                if (place != null) {
-                    joinGroup(read, mine, replica.diskId());
+                if (joiningAddresses != null) {
+                    joinGroup(groupSettings, settings, replica.diskId());
                 }
                 stop.await();
                 transferLeadership(replica);
@@ -140,7 +142,7 @@
             stop.countDown();
             try {
                 stopped.await();
-            } catch (InterruptedException again) {
+            } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
@@ -156,45 +158,48 @@
         /** A leader that leaves hands its place over first: nobody need notice that it is gone. */
         private static void transferLeadership(Replica replica) {
             try {
-                ReplicaStatus now = replica.status().get(1, TimeUnit.SECONDS);
-                String to =
-                        now.voters().stream()
-                                .filter(v -> now.links().getOrDefault(v, false))
+                ReplicaStatus status = replica.status().get(1, TimeUnit.SECONDS);
+                String successor =
+                        status.voters().stream()
+                                .filter(voter -> status.links().getOrDefault(voter, false))
                                 .findFirst()
                                 .orElse(null);
-                if (now.name().equals(now.leader()) && to != null) {
-                    replica.transferLeadership(to).get(2, TimeUnit.SECONDS);
-                    Log.info("replica.handed-over", "to", to);
+                if (status.name().equals(status.leader()) && successor != null) {
+                    replica.transferLeadership(successor).get(2, TimeUnit.SECONDS);
+                    Log.info("replica.handed-over", "to", successor);
                 }
-            } catch (InterruptedException | ExecutionException | TimeoutException notNow) {
-                Log.warn("replica.kept-lead", "why", notNow.toString());
+            } catch (InterruptedException | ExecutionException | TimeoutException e) {
+                Log.warn("replica.kept-lead", "why", e.toString());
             }
         }
 
-        private void joinGroup(CoordinatorSettings read, ReplicaSettings mine, String disk)
+        private void joinGroup(
+                CoordinatorSettings groupSettings, ReplicaSettings settings, String diskId)
                 throws InterruptedException, MalformedException, IOException {
-            GroupClient group =
+            GroupClient client =
                     new GroupClient(
-                            read.members().values().stream()
-                                    .map(at -> HostPort.format(at.clientAddress()))
+                            groupSettings.members().values().stream()
+                                    .map(member -> HostPort.format(member.clientAddress()))
                                     .toList(),
                             Ticker.SYSTEM);
             JsonNode body =
                     GroupCodec.jsonMapper()
                             .createObjectNode()
                             .put("name", name)
-                            .put("disk", disk)
-                            .put("peers", HostPort.format(mine.peerListenAddress()))
-                            .put("clients", HostPort.format(mine.clientListenAddress()));
+                            .put("disk", diskId)
+                            .put("peers", HostPort.format(settings.peerListenAddress()))
+                            .put("clients", HostPort.format(settings.clientListenAddress()));
             for (String state = "";
                     !state.equals("votes");
                     Thread.sleep(JOIN_RETRY_DELAY.toMillis())) {
-                String now =
-                        group.post("/v1/join", body, Duration.ofSeconds(30)).path("state").asText();
-                if (!now.equals(state)) {
-                    Log.info("replica.joins", "state", now);
+                String newState =
+                        client.post("/v1/join", body, Duration.ofSeconds(30))
+                                .path("state")
+                                .asText();
+                if (!newState.equals(state)) {
+                    Log.info("replica.joins", "state", newState);
                 }
-                state = now;
+                state = newState;
             }
         }
     }
@@ -211,30 +216,30 @@
 
         @Override
         public Integer call() throws Exception {
-            Map<String, Object> all = new LinkedHashMap<>();
+            Map<String, Object> statusByAddress = new LinkedHashMap<>();
             int answers = 0;
-            boolean led = false;
-            for (String place : group.replicaAddresses()) {
+            boolean hasLeader = false;
+            for (String address : group.replicaAddresses()) {
                 try {
                     JsonNode status =
-                            new GroupClient(List.of(place), Ticker.SYSTEM)
+                            new GroupClient(List.of(address), Ticker.SYSTEM)
                                     .get("/v1/status", STATUS_TIMEOUT);
-                    all.put(place, status);
+                    statusByAddress.put(address, status);
                     answers++;
-                    led |= status.path("role").asText().equals("leader");
+                    hasLeader |= status.path("role").asText().equals("leader");
                     printLine(group, formatStatus(status));
-                } catch (GroupClient.GroupUnreachableException silent) {
-                    all.put(place, Map.of("error", silent.getMessage()));
-                    printLine(group, place + ": " + silent.getMessage());
+                } catch (GroupClient.GroupUnreachableException e) {
+                    statusByAddress.put(address, Map.of("error", e.getMessage()));
+                    printLine(group, address + ": " + e.getMessage());
                 }
             }
             if (group.isJson()) {
-                System.out.println(GroupCodec.jsonMapper().writeValueAsString(all));
+                System.out.println(GroupCodec.jsonMapper().writeValueAsString(statusByAddress));
             }
             if (answers == 0) {
                 return ExitCode.UNREACHABLE;
             }
-            return led ? ExitCode.OK : ExitCode.REJECTED;
+            return hasLeader ? ExitCode.OK : ExitCode.REJECTED;
         }
 
         private static void printLine(GroupOptions group, String line) {
--- a/coordinator/src/main/java/saltstage/coordinator/command/CommandRejectedException.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/CommandRejectedException.java
@@ -8,9 +8,9 @@
 
     private final transient Rejection rejection;
 
-    CommandRejectedException(Rejection refusal) {
-        super(refusal.why());
-        this.rejection = refusal;
+    CommandRejectedException(Rejection rejection) {
+        super(rejection.why());
+        this.rejection = rejection;
     }
 
     /** The group's reply. */
--- a/coordinator/src/main/java/saltstage/coordinator/command/Coordinator.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/Coordinator.java
@@ -42,8 +42,8 @@
     }
 
     private static int fail(Exception failure) {
-        Object why = failure.getMessage() == null ? failure : failure.getMessage();
-        System.err.println("saltstage: " + why);
+        Object message = failure.getMessage() == null ? failure : failure.getMessage();
+        System.err.println("saltstage: " + message);
         if (failure instanceof GroupClient.GroupUnreachableException) {
             return ExitCode.UNREACHABLE;
         }
--- a/coordinator/src/main/java/saltstage/coordinator/command/DistributorCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/DistributorCommand.java
@@ -42,12 +42,13 @@
 
         @Override
         public Integer call() throws Exception {
-            DistributorSettings mine = CoordinatorSettings.read(settingsFile).distributorSettings(name);
+            DistributorSettings settings =
+                    CoordinatorSettings.read(settingsFile).distributorSettings(name);
             DistributorProcess process;
             try {
-                process = new DistributorProcess(mine, Serve::haltAfterFault);
-            } catch (IOException cannot) {
-                System.err.println("saltstage: " + cannot.getMessage());
+                process = new DistributorProcess(settings, Serve::haltAfterFault);
+            } catch (IOException e) {
+                System.err.println("saltstage: " + e.getMessage());
                 return EXIT_CANNOT_START;
             }
             Runtime.getRuntime().addShutdownHook(new Thread(() -> close(process)));
@@ -58,8 +59,8 @@
         private static void close(DistributorProcess process) {
             try {
                 process.close();
-            } catch (IOException failed) {
-                System.err.println("saltstage: " + failed.getMessage());
+            } catch (IOException e) {
+                System.err.println("saltstage: " + e.getMessage());
             }
         }
 
--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
@@ -77,10 +77,10 @@
     /** Accepted changes after a revision, up to this many, as the group has them now. */
     private static ConfigurationRegistry.History readHistory(
             GroupOptions group, GroupClient client, long after, int limit) throws Exception {
-        JsonNode read =
+        JsonNode response =
                 client.get(
                         API_PATH + "history?after=" + after + "&limit=" + limit, group.timeout());
-        return GroupCodec.jsonMapper().treeToValue(read, ConfigurationRegistry.History.class);
+        return GroupCodec.jsonMapper().treeToValue(response, ConfigurationRegistry.History.class);
     }
 
     /** Puts or deletes entries. */
@@ -227,17 +227,18 @@
         @Override
         public Integer call() throws Exception {
             GroupClient client = group.createClient();
-            JsonNode now = client.get(API_PATH + "status", group.timeout());
-            long revision = now.path("revision").asLong();
-            String digest = now.path("digest").asText();
+            JsonNode status = client.get(API_PATH + "status", group.timeout());
+            long revision = status.path("revision").asLong();
+            String digest = status.path("digest").asText();
             for (int seen = 0; seen < changes; ) {
                 String path =
                         String.format(
                                 "%schanges?after=%d&digest=%s&waitMs=%d",
                                 API_PATH, revision, digest, WAIT_MS);
-                String answer = client.get(path, group.timeout()).toString();
-                ChangesResponse read = ConfigurationJson.parseChanges(answer);
-                for (Change change : read.changes().subList(0, shownCount(read, changes - seen))) {
+                String responseJson = client.get(path, group.timeout()).toString();
+                ChangesResponse response = ConfigurationJson.parseChanges(responseJson);
+                for (Change change :
+                        response.changes().subList(0, shownCount(response, changes - seen))) {
                     print(change);
                     seen++;
                     revision = change.revision();
@@ -247,8 +248,8 @@
             return 0;
         }
 
-        private static int shownCount(ChangesResponse read, int most) {
-            return Math.min(read.changes().size(), most);
+        private static int shownCount(ChangesResponse response, int limit) {
+            return Math.min(response.changes().size(), limit);
         }
 
         private void print(Change change) {
@@ -287,17 +288,17 @@
 
         @Override
         public Integer call() throws Exception {
-            ConfigurationRegistry.History read =
+            ConfigurationRegistry.History history =
                     readHistory(group, group.createClient(), after, limit);
             if (group.isJson()) {
-                System.out.println(GroupCodec.jsonMapper().writeValueAsString(read));
+                System.out.println(GroupCodec.jsonMapper().writeValueAsString(history));
                 return 0;
             }
-            if (after < read.oldest()) {
+            if (after < history.oldest()) {
                 System.out.println(
-                        "changes up to revision " + read.oldest() + " are no longer kept");
+                        "changes up to revision " + history.oldest() + " are no longer kept");
             }
-            for (AcceptedChange change : read.changes()) {
+            for (AcceptedChange change : history.changes()) {
                 System.out.printf(
                         "%d %s %s, %d changed%n",
                         change.revision(),
@@ -305,7 +306,10 @@
                         change.author(),
                         change.mutations().size());
                 change.mutations()
-                        .forEach(one -> System.out.println("  " + MutationText.formatLine(one)));
+                        .forEach(
+                                mutation ->
+                                        System.out.println(
+                                                "  " + MutationText.formatLine(mutation)));
             }
             return 0;
         }
@@ -348,9 +352,9 @@
                 group.print(Map.of("changes", 0), "all is as it was at revision " + revision);
             }
             for (ChangeConfiguration change : changes) {
-                int code = sendChange(group, client, change);
-                if (code != 0) {
-                    return code;
+                int exitCode = sendChange(group, client, change);
+                if (exitCode != 0) {
+                    return exitCode;
                 }
             }
             return 0;
@@ -359,24 +363,24 @@
         /** All changes after the revision; refused where some are no longer kept. */
         private List<AcceptedChange> readChanges(GroupClient client) throws Exception {
             List<AcceptedChange> changes = new ArrayList<>();
-            long reached = revision;
+            long afterRevision = revision;
             while (true) {
-                ConfigurationRegistry.History read =
-                        readHistory(group, client, reached, HISTORY_PAGE_SIZE);
-                if (revision > read.revision()) {
-                    throw new MalformedException("the newest revision is " + read.revision());
+                ConfigurationRegistry.History history =
+                        readHistory(group, client, afterRevision, HISTORY_PAGE_SIZE);
+                if (revision > history.revision()) {
+                    throw new MalformedException("the newest revision is " + history.revision());
                 }
-                if (reached < read.oldest()) {
+                if (afterRevision < history.oldest()) {
                     throw new MalformedException(
                             "the history begins after revision "
-                                    + read.oldest()
+                                    + history.oldest()
                                     + "; nothing was changed");
                 }
-                changes.addAll(read.changes());
-                if (reached >= read.revision() || read.changes().isEmpty()) {
+                changes.addAll(history.changes());
+                if (afterRevision >= history.revision() || history.changes().isEmpty()) {
                     return changes;
                 }
-                reached = read.changes().get(read.changes().size() - 1).revision();
+                afterRevision = history.changes().get(history.changes().size() - 1).revision();
             }
         }
     }
@@ -399,19 +403,19 @@
             if (revision < 0 || revision > ConfigurationLimits.MAX_SAFE_INTEGER) {
                 throw new MalformedException("--revision takes a whole number from 0 on");
             }
-            JsonNode read =
+            JsonNode response =
                     group.createClient()
                             .get(API_PATH + "status?revision=" + revision, group.timeout());
             if (group.isJson()) {
-                System.out.println(read);
+                System.out.println(response);
                 return 0;
             }
             System.out.printf(
                     "revision %d, digest %s; asked about %d%n",
-                    read.path("revision").asLong(),
-                    read.path("digest").asText(),
-                    read.path("asked").asLong());
-            read.path("zones").forEach(Status::print);
+                    response.path("revision").asLong(),
+                    response.path("digest").asText(),
+                    response.path("asked").asLong());
+            response.path("zones").forEach(Status::print);
             return 0;
         }
 
@@ -423,12 +427,12 @@
                     zone.path("confirmed").asInt(),
                     zone.path("followers").asInt(),
                     zone.path("reportAgeMs").asLong());
-            for (JsonNode behind : zone.path("behind")) {
+            for (JsonNode follower : zone.path("behind")) {
                 System.out.printf(
                         "  %s is at %d, behind for %d ms%n",
-                        behind.path("follower").asText(),
-                        behind.path("revision").asLong(),
-                        behind.path("sinceMs").asLong());
+                        follower.path("follower").asText(),
+                        follower.path("revision").asLong(),
+                        follower.path("sinceMs").asLong());
             }
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupOptions.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupOptions.java
@@ -50,17 +50,17 @@
 
         @Override
         public Duration convert(String text) {
-            Matcher parts = PATTERN.matcher(text);
-            if (!parts.matches()) {
+            Matcher matcher = PATTERN.matcher(text);
+            if (!matcher.matches()) {
                 throw new TypeConversionException(
                         "'" + text + "' is no span such as 250ms, 10s or 5m");
             }
-            long n = Long.parseLong(parts.group(1));
-            return switch (parts.group(2)) {
-                case "ms" -> Duration.ofMillis(n);
-                case "s" -> Duration.ofSeconds(n);
-                case "m" -> Duration.ofMinutes(n);
-                default -> Duration.ofHours(n);
+            long amount = Long.parseLong(matcher.group(1));
+            return switch (matcher.group(2)) {
+                case "ms" -> Duration.ofMillis(amount);
+                case "s" -> Duration.ofSeconds(amount);
+                case "m" -> Duration.ofMinutes(amount);
+                default -> Duration.ofHours(amount);
             };
         }
     }
@@ -73,7 +73,7 @@
             throw new MalformedException("name the group by --settings FILE or --at HOST:PORT");
         }
         return CoordinatorSettings.read(settings).members().values().stream()
-                .map(place -> HostPort.format(place.clientAddress()))
+                .map(member -> HostPort.format(member.clientAddress()))
                 .toList();
     }
 
@@ -85,8 +85,8 @@
     Reply send(Command command)
             throws IOException, InterruptedException, MalformedException, CommandRejectedException {
         Reply reply = createClient().send(command, timeout).reply();
-        if (reply instanceof Rejection refusal) {
-            throw new CommandRejectedException(refusal);
+        if (reply instanceof Rejection rejection) {
+            throw new CommandRejectedException(rejection);
         }
         return reply;
     }
--- a/coordinator/src/main/java/saltstage/coordinator/command/LeaseCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/LeaseCommand.java
@@ -88,9 +88,9 @@
                     group.send(
                             new LeaseCommands.Renew(
                                     holder.owner(), Map.of(holder.name(), holder.fencingToken())));
-            boolean kept = ((LeaseReplies.Renewed) reply).lost().isEmpty();
-            group.print(reply, kept ? "renewed" : "lost");
-            return kept ? ExitCode.OK : ExitCode.LEASE_LOST;
+            boolean renewed = ((LeaseReplies.Renewed) reply).lost().isEmpty();
+            group.print(reply, renewed ? "renewed" : "lost");
+            return renewed ? ExitCode.OK : ExitCode.LEASE_LOST;
         }
     }
 
@@ -125,22 +125,24 @@
 
         @Override
         public Integer call() throws Exception {
-            JsonNode read =
+            JsonNode response =
                     group.get(
                             "/v1/leases?prefix="
                                     + URLEncoder.encode(prefix, StandardCharsets.UTF_8)
                                     + (stale ? "&stale=1" : ""));
             if (group.isJson()) {
-                System.out.println(read);
+                System.out.println(response);
                 return ExitCode.OK;
             }
-            for (JsonNode row : read.path("leases")) {
+            for (JsonNode row : response.path("leases")) {
                 System.out.printf(
                         "%-30s %-40s fence %d, %d ms left, %d waiting%n",
                         row.path("name").asText(),
                         row.path("owner").asText("(free)"),
                         row.path("fence").asLong(),
-                        Math.max(0, row.path("expires").asLong() - read.path("groupNow").asLong()),
+                        Math.max(
+                                0,
+                                row.path("expires").asLong() - response.path("groupNow").asLong()),
                         row.path("waiters").size());
             }
             return ExitCode.OK;
@@ -166,20 +168,20 @@
             GroupClient client = group.createClient();
             long after = -1;
             for (int seen = 0; seen < changes; ) {
-                JsonNode read =
+                JsonNode response =
                         client.get(
                                 "/v1/lease?waitMs=1500&after="
                                         + Math.max(0, after)
                                         + "&name="
                                         + URLEncoder.encode(name, StandardCharsets.UTF_8),
                                 group.timeout());
-                JsonNode row = read.path("leases").path(0);
+                JsonNode row = response.path("leases").path(0);
                 long revision = row.path("revision").asLong(0);
                 if (revision != after) {
                     after = revision;
                     seen++;
                     group.print(
-                            read,
+                            response,
                             row.path("owner").isTextual()
                                     ? row.path("owner").asText()
                                             + " fence "
@@ -245,16 +247,16 @@
                 builder.environment().put("SALTSTAGE_LEASE", name);
                 builder.environment().put("SALTSTAGE_FENCE", Long.toString(lease.fencingToken()));
                 return supervise(builder.start(), lease, lost);
-            } catch (LeaseClient.LeaseNotGrantedException no) {
-                System.err.println("saltstage: " + no.getMessage());
+            } catch (LeaseClient.LeaseNotGrantedException e) {
+                System.err.println("saltstage: " + e.getMessage());
                 return ExitCode.LEASE_LOST;
             }
         }
 
         private int supervise(Process child, LeaseClient.Lease lease, AtomicBoolean lost)
                 throws InterruptedException {
-            Thread ended = new Thread(child::destroyForcibly);
-            Runtime.getRuntime().addShutdownHook(ended);
+            Thread killHook = new Thread(child::destroyForcibly);
+            Runtime.getRuntime().addShutdownHook(killHook);
             try {
                 while (!child.waitFor(20, TimeUnit.MILLISECONDS)) {
                     if (lost.get()
--- a/coordinator/src/main/java/saltstage/coordinator/command/MutationText.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/MutationText.java
@@ -26,8 +26,8 @@
     static EntryKey parseKey(String text) throws MalformedException {
         try {
             return EntryKey.parse(text);
-        } catch (IllegalArgumentException bad) {
-            throw new MalformedException(text + ": " + bad.getMessage());
+        } catch (IllegalArgumentException e) {
+            throw new MalformedException(text + ": " + e.getMessage());
         }
     }
 
@@ -37,51 +37,52 @@
      */
     static Mutation parsePut(String keyText, String value) throws MalformedException {
         EntryKey key = parseKey(keyText);
-        EntryValue read =
+        EntryValue parsedValue =
                 switch (key.kind()) {
                     case SETTING -> new EntryValue.Setting(value);
                     case BACKEND -> parseBackend(keyText, value);
                     case SHARD -> new EntryValue.Shard(value);
                     case SUSPENSION -> new EntryValue.Suspension(value);
                 };
-        String fault = ValueRules.validationError(read);
-        if (fault != null) {
-            throw new MalformedException(keyText + ": '" + value + "' is not accepted; " + fault);
+        String error = ValueRules.validationError(parsedValue);
+        if (error != null) {
+            throw new MalformedException(keyText + ": '" + value + "' is not accepted; " + error);
         }
-        return new Mutation(key, read);
+        return new Mutation(key, parsedValue);
     }
 
     private static Backend parseBackend(String key, String value) throws MalformedException {
-        Map<String, String> parts = new LinkedHashMap<>();
-        for (String part : value.split(",")) {
-            int equals = part.indexOf('=');
+        Map<String, String> attributes = new LinkedHashMap<>();
+        for (String attribute : value.split(",")) {
+            int equals = attribute.indexOf('=');
             if (equals < 1) {
-                throw new MalformedException(key + ": '" + part + "' is no NAME=VALUE");
+                throw new MalformedException(key + ": '" + attribute + "' is no NAME=VALUE");
             }
-            parts.put(part.substring(0, equals), part.substring(equals + 1));
+            attributes.put(attribute.substring(0, equals), attribute.substring(equals + 1));
         }
         try {
             Backend backend =
                     new Backend(
-                            removeOrDefault(parts, ADDRESS, ""),
-                            removeOrDefault(parts, ZONE, ""),
-                            Integer.parseInt(removeOrDefault(parts, CELL, "0")),
+                            removeOrDefault(attributes, ADDRESS, ""),
+                            removeOrDefault(attributes, ZONE, ""),
+                            Integer.parseInt(removeOrDefault(attributes, CELL, "0")),
                             BackendState.valueOf(
-                                    removeOrDefault(parts, STATE, BackendState.READY.name())),
-                            Double.parseDouble(removeOrDefault(parts, WEIGHT, "1")),
-                            Long.parseLong(removeOrDefault(parts, STARTED_AT, "0")));
-            if (parts.isEmpty()) {
+                                    removeOrDefault(attributes, STATE, BackendState.READY.name())),
+                            Double.parseDouble(removeOrDefault(attributes, WEIGHT, "1")),
+                            Long.parseLong(removeOrDefault(attributes, STARTED_AT, "0")));
+            if (attributes.isEmpty()) {
                 return backend;
             }
-        } catch (IllegalArgumentException bad) {
-            throw new MalformedException(key + ": '" + value + "': " + bad.getMessage());
+        } catch (IllegalArgumentException e) {
+            throw new MalformedException(key + ": '" + value + "': " + e.getMessage());
         }
-        throw new MalformedException(key + ": a backend has no " + parts.keySet());
+        throw new MalformedException(key + ": a backend has no " + attributes.keySet());
     }
 
-    private static String removeOrDefault(Map<String, String> parts, String name, String absent) {
-        String value = parts.remove(name);
-        return value == null ? absent : value;
+    private static String removeOrDefault(
+            Map<String, String> attributes, String name, String defaultValue) {
+        String value = attributes.remove(name);
+        return value == null ? defaultValue : value;
     }
 
     /** A value as {@link #parsePut} takes it. */
--- a/coordinator/src/main/java/saltstage/coordinator/command/WindowCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/WindowCommand.java
@@ -52,11 +52,12 @@
             throws Exception {
         try {
             return group.send(command);
-        } catch (CommandRejectedException refused) {
+        } catch (CommandRejectedException rejected) {
             if (group.isJson()) {
-                System.out.println(GroupCodec.jsonMapper().writeValueAsString(refused.rejection()));
+                System.out.println(
+                        GroupCodec.jsonMapper().writeValueAsString(rejected.rejection()));
             }
-            throw refused;
+            throw rejected;
         }
     }
 
@@ -209,9 +210,9 @@
 
         @Override
         public Integer call() throws Exception {
-            JsonNode read = group.get("/v1/windows");
+            JsonNode response = group.get("/v1/windows");
             boolean found = id == null;
-            for (JsonNode row : read.path("windows")) {
+            for (JsonNode row : response.path("windows")) {
                 Window window = GroupCodec.jsonMapper().treeToValue(row, Window.class);
                 if (id == null || window.id() == id) {
                     group.print(window, formatWindow(window));
@@ -283,26 +284,27 @@
         @Override
         public Integer call() throws Exception {
             long now = System.currentTimeMillis();
-            JsonNode read =
+            JsonNode response =
                     group.get("/v1/levels?most=48&from=" + now + "&to=" + (now + span.toMillis()));
             if (group.isJson()) {
-                System.out.println(read);
+                System.out.println(response);
                 return ExitCode.OK;
             }
-            for (JsonNode level : read) {
-                long there = level.path("capacity").asLong() + level.path("missing").asLong();
+            for (JsonNode level : response) {
+                long totalCapacity =
+                        level.path("capacity").asLong() + level.path("missing").asLong();
                 int filled =
                         (int)
                                 (BAR_WIDTH_CHARS
                                         * level.path("capacity").asLong()
-                                        / Math.max(1, there));
+                                        / Math.max(1, totalCapacity));
                 int floor =
                         (int)
                                 Math.min(
                                         BAR_WIDTH_CHARS,
                                         BAR_WIDTH_CHARS
                                                 * level.path("need").asLong()
-                                                / Math.max(1, there));
+                                                / Math.max(1, totalCapacity));
                 StringBuilder bar =
                         new StringBuilder(
                                 "#".repeat(filled) + ".".repeat(BAR_WIDTH_CHARS - filled));
@@ -313,7 +315,7 @@
                         Instant.ofEpochMilli(level.path("at").asLong()),
                         bar,
                         level.path("capacity").asLong() / 1000,
-                        there / 1000,
+                        totalCapacity / 1000,
                         level.path("need").asLong() / 1000);
             }
             return ExitCode.OK;
--- a/coordinator/src/main/java/saltstage/coordinator/settings/AgentSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/AgentSettings.java
@@ -39,7 +39,7 @@
                     name + ": takes one block 'agent' with one label, its region");
         }
         HclBlock agent = agents.get(0);
-        AgentSettings read =
+        AgentSettings settings =
                 new AgentSettings(
                         agent.labels().get(0),
                         readAddresses(agent, "relay", "admin"),
@@ -47,30 +47,30 @@
                         agent.strings("work"));
         agent.rejectUnknown();
         top.rejectUnknown();
-        if (read.relayAdminAddresses().isEmpty() || read.nodeAddresses().isEmpty()) {
+        if (settings.relayAdminAddresses().isEmpty() || settings.nodeAddresses().isEmpty()) {
             throw agent.blockError("names no 'relay' or no 'node'");
         }
-        return read;
+        return settings;
     }
 
     private static Map<String, InetSocketAddress> readAddresses(
-            HclBlock in, String type, String attribute) throws MalformedException {
-        Map<String, InetSocketAddress> places = new LinkedHashMap<>();
-        for (HclBlock block : in.blocks(type)) {
+            HclBlock agent, String type, String attribute) throws MalformedException {
+        Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
+        for (HclBlock block : agent.blocks(type)) {
             String text = block.requiredString(attribute);
             try {
                 if (block.labels().size() != 1
-                        || places.put(block.labels().get(0), BackendList.parseAddress(text))
+                        || addresses.put(block.labels().get(0), BackendList.parseAddress(text))
                                 != null) {
                     throw block.blockError("takes one label, a name of its own");
                 }
-            } catch (MalformedException bad) {
-                throw bad.getMessage().equals("bad address")
+            } catch (MalformedException malformed) {
+                throw malformed.getMessage().equals("bad address")
                         ? block.attributeError(attribute, "an address in figures with a port")
-                        : bad;
+                        : malformed;
             }
             block.rejectUnknown();
         }
-        return places;
+        return addresses;
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
@@ -54,10 +54,10 @@
             if (member.labels().size() != 1) {
                 throw member.blockError("takes one label, the replica's name");
             }
-            MemberAddresses place =
+            MemberAddresses addresses =
                     new MemberAddresses(
                             requiredAddress(member, "peers"), requiredAddress(member, "clients"));
-            if (members.put(member.labels().get(0), place) != null) {
+            if (members.put(member.labels().get(0), addresses) != null) {
                 throw member.blockError("'" + member.labels().get(0) + "' is given twice");
             }
             member.rejectUnknown();
@@ -65,12 +65,12 @@
         if (members.isEmpty()) {
             throw block.blockError("no 'member' is given; one is enough");
         }
-        for (HclBlock other : block.blocks("reach")) {
-            if (other.labels().size() != 1) {
-                throw other.blockError("takes one label, the replica's name");
+        for (HclBlock reach : block.blocks("reach")) {
+            if (reach.labels().size() != 1) {
+                throw reach.blockError("takes one label, the replica's name");
             }
-            peerAddressOverrides.put(other.labels().get(0), requiredAddress(other, "at"));
-            other.rejectUnknown();
+            peerAddressOverrides.put(reach.labels().get(0), requiredAddress(reach, "at"));
+            reach.rejectUnknown();
         }
         HclBlock trial = block.block("trial");
         clockRate = trial == null ? 1 : trial.integer("clock_percent", 100, 50, 200) / 100.0;
@@ -87,7 +87,7 @@
         String text = block.requiredString(name);
         try {
             return BackendList.parseAddress(text);
-        } catch (MalformedException bad) {
+        } catch (MalformedException malformed) {
             throw block.attributeError(
                     name, "an address in figures with a port, such as \"127.0.0.1:7101\"");
         }
@@ -111,10 +111,10 @@
         if (block == null) {
             throw new MalformedException(name + ": no block 'coordinator'");
         }
-        CoordinatorSettings read = new CoordinatorSettings(block);
-        read.distributors.putAll(DistributorSettings.readAll(top));
+        CoordinatorSettings settings = new CoordinatorSettings(block);
+        settings.distributors.putAll(DistributorSettings.readAll(top));
         top.rejectUnknown();
-        return read;
+        return settings;
     }
 
     /** The replicas that the file names. */
@@ -141,34 +141,36 @@
     }
 
     /** How this replica of it is set up; one that joins is heard where it says. */
-    public ReplicaSettings replicaSettings(String name, Path otherDir, MemberAddresses joining)
+    public ReplicaSettings replicaSettings(
+            String name, Path dirOverride, MemberAddresses joiningAddresses)
             throws MalformedException {
-        MemberAddresses place = joining == null ? members.get(name) : joining;
-        if (place == null) {
+        MemberAddresses ownAddresses =
+                joiningAddresses == null ? members.get(name) : joiningAddresses;
+        if (ownAddresses == null) {
             throw new MalformedException(
                     "no member '" + name + "' in the settings; there are " + members.keySet());
         }
-        Map<String, InetSocketAddress> reached = new LinkedHashMap<>();
-        Map<String, String> clients = new LinkedHashMap<>();
+        Map<String, InetSocketAddress> peerAddresses = new LinkedHashMap<>();
+        Map<String, String> clientAddresses = new LinkedHashMap<>();
         members.forEach(
-                (other, at) -> {
-                    reached.put(other, at.peerAddress());
-                    clients.put(other, HostPort.format(at.clientAddress()));
+                (member, addresses) -> {
+                    peerAddresses.put(member, addresses.peerAddress());
+                    clientAddresses.put(member, HostPort.format(addresses.clientAddress()));
                 });
-        reached.putAll(peerAddressOverrides);
-        List<String> first = new ArrayList<>(members.keySet());
-        if (joining != null) { // it belongs to the group only once it was taken in
-            first.remove(name);
+        peerAddresses.putAll(peerAddressOverrides);
+        List<String> initialMembers = new ArrayList<>(members.keySet());
+        if (joiningAddresses != null) { // it belongs to the group only once it was taken in
+            initialMembers.remove(name);
         }
         return new ReplicaSettings(
                 group,
                 name,
-                first,
-                place.peerAddress(),
-                place.clientAddress(),
-                reached,
-                clients,
-                otherDir == null ? dir.resolve(name) : otherDir,
+                initialMembers,
+                ownAddresses.peerAddress(),
+                ownAddresses.clientAddress(),
+                peerAddresses,
+                clientAddresses,
+                dirOverride == null ? dir.resolve(name) : dirOverride,
                 engineClockSpeed,
                 snapshotIntervalEntries,
                 maxPendingEntries,
--- a/coordinator/src/main/java/saltstage/coordinator/settings/DistributorSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/DistributorSettings.java
@@ -33,10 +33,10 @@
             if (block.labels().size() != 1 || !block.labels().get(0).matches(NAME_PATTERN)) {
                 throw block.blockError("takes one label, the distributor's name");
             }
-            DistributorSettings read = readBlock(block);
+            DistributorSettings settings = readBlock(block);
             block.rejectUnknown();
-            if (distributors.put(read.name(), read) != null) {
-                throw block.blockError("'" + read.name() + "' is given twice");
+            if (distributors.put(settings.name(), settings) != null) {
+                throw block.blockError("'" + settings.name() + "' is given twice");
             }
         }
         return distributors;
@@ -55,9 +55,10 @@
         if (sources.isEmpty()) {
             throw block.blockError("'sources' is missing: the replicas' client addresses");
         }
-        InetSocketAddress clients = parseAddress(block, "clients", block.requiredString("clients"));
+        InetSocketAddress listenAddress =
+                parseAddress(block, "clients", block.requiredString("clients"));
         Path dir = Path.of(block.string("dir", "distributor-data")).resolve(name);
-        return new DistributorSettings(name, zone, clients, sources, dir);
+        return new DistributorSettings(name, zone, listenAddress, sources, dir);
     }
 
     private static InetSocketAddress parseAddress(HclBlock block, String attribute, String text)
--- a/coordinator/src/main/java/saltstage/coordinator/settings/FleetSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/FleetSettings.java
@@ -102,20 +102,20 @@
             throw block.blockError("each 'node' takes a 'capacity' in mean connection loads");
         }
         List<FleetPlan.BlackOut> blackOuts = new ArrayList<>();
-        for (HclBlock out : block.blocks("black_out")) {
+        for (HclBlock blackOut : block.blocks("black_out")) {
             List<Integer> days = new ArrayList<>();
-            for (String day : out.strings("days")) {
+            for (String day : blackOut.strings("days")) {
                 if (!DAY_NAMES.contains(day)) {
-                    throw out.attributeError("days", "a list of " + DAY_NAMES);
+                    throw blackOut.attributeError("days", "a list of " + DAY_NAMES);
                 }
                 days.add(1 + DAY_NAMES.indexOf(day));
             }
             blackOuts.add(
                     new FleetPlan.BlackOut(
                             days.isEmpty() ? List.of(1, 2, 3, 4, 5, 6, 7) : days,
-                            readMinuteOfDay(out, "from"),
-                            readMinuteOfDay(out, "to")));
-            out.rejectUnknown();
+                            readMinuteOfDay(blackOut, "from"),
+                            readMinuteOfDay(blackOut, "to")));
+            blackOut.rejectUnknown();
         }
         String zone = readZone(block, zones, now);
         FleetPlan.Region region =
@@ -138,7 +138,7 @@
             throws MalformedException {
         List<Long> demand =
                 block.integers("demand", 0, MAX_LOADS).stream()
-                        .map(d -> d * CAPACITY_UNITS_PER_LOAD)
+                        .map(loads -> loads * CAPACITY_UNITS_PER_LOAD)
                         .toList();
         FleetPlan.Floor floor =
                 new FleetPlan.Floor(
@@ -164,22 +164,22 @@
         }
         zones.computeIfAbsent(
                 name,
-                any -> {
+                key -> {
                     ZoneRules rules = ZoneId.of(name).getRules();
-                    List<FleetPlan.UtcOffsetChange> shifts = new ArrayList<>();
-                    shifts.add(
+                    List<FleetPlan.UtcOffsetChange> offsetChanges = new ArrayList<>();
+                    offsetChanges.add(
                             new FleetPlan.UtcOffsetChange(
                                     0, rules.getOffset(now).getTotalSeconds() * 1_000L));
                     ZoneOffsetTransition next = rules.nextTransition(now);
                     while (next != null
                             && next.getInstant().isBefore(now.plus(ZONE_TRANSITION_HORIZON))) {
-                        shifts.add(
+                        offsetChanges.add(
                                 new FleetPlan.UtcOffsetChange(
                                         next.getInstant().toEpochMilli(),
                                         next.getOffsetAfter().getTotalSeconds() * 1_000L));
                         next = rules.nextTransition(next.getInstant());
                     }
-                    return shifts;
+                    return offsetChanges;
                 });
         return name;
     }
--- a/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
@@ -58,8 +58,8 @@
     private static InetSocketAddress freeAddress() {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort());
-        } catch (java.io.IOException failed) {
-            throw new java.io.UncheckedIOException(failed);
+        } catch (java.io.IOException e) {
+            throw new java.io.UncheckedIOException(e);
         }
     }
 
@@ -127,25 +127,25 @@
         return GroupCodec.jsonMapper().readTree(response.body());
     }
 
-    private int runCommand(String... words) {
-        String[] all = new String[words.length + 3];
-        all[0] = "config";
-        System.arraycopy(words, 0, all, 1, words.length);
-        all[words.length + 1] = "--at";
-        all[words.length + 2] = "127.0.0.1:" + clientAddress.getPort();
-        PrintStream usualOut = System.out;
-        PrintStream usualErr = System.err;
-        ByteArrayOutputStream newOut = new ByteArrayOutputStream();
-        ByteArrayOutputStream newErr = new ByteArrayOutputStream();
-        System.setOut(new PrintStream(newOut, true, StandardCharsets.UTF_8));
-        System.setErr(new PrintStream(newErr, true, StandardCharsets.UTF_8));
+    private int runCommand(String... arguments) {
+        String[] commandLine = new String[arguments.length + 3];
+        commandLine[0] = "config";
+        System.arraycopy(arguments, 0, commandLine, 1, arguments.length);
+        commandLine[arguments.length + 1] = "--at";
+        commandLine[arguments.length + 2] = "127.0.0.1:" + clientAddress.getPort();
+        PrintStream originalOut = System.out;
+        PrintStream originalErr = System.err;
+        ByteArrayOutputStream outBuffer = new ByteArrayOutputStream();
+        ByteArrayOutputStream errBuffer = new ByteArrayOutputStream();
+        System.setOut(new PrintStream(outBuffer, true, StandardCharsets.UTF_8));
+        System.setErr(new PrintStream(errBuffer, true, StandardCharsets.UTF_8));
         try {
-            return Coordinator.run(all);
+            return Coordinator.run(commandLine);
         } finally {
-            System.setOut(usualOut);
-            System.setErr(usualErr);
-            capturedOut = newOut.toString(StandardCharsets.UTF_8);
-            capturedErr = newErr.toString(StandardCharsets.UTF_8);
+            System.setOut(originalOut);
+            System.setErr(originalErr);
+            capturedOut = outBuffer.toString(StandardCharsets.UTF_8);
+            capturedErr = errBuffer.toString(StandardCharsets.UTF_8);
         }
     }
 
@@ -199,13 +199,14 @@
     @Test
     void followerRequestsGetTheDocumentedStatuses() throws Exception {
         runCommand("put", "backend/gw-1", BACKEND_VALUE);
-        String zero = "0000000000000000";
-        HttpResponse<String> first = get("/v1/configuration/changes?after=0&digest=" + zero);
-        assertEquals(200, first.statusCode());
+        String zeroDigest = "0000000000000000";
+        HttpResponse<String> changes =
+                get("/v1/configuration/changes?after=0&digest=" + zeroDigest);
+        assertEquals(200, changes.statusCode());
         String digest =
                 ConfigurationJson.formatDigest(
-                        ConfigurationJson.parseChanges(first.body()).digest());
-        assertError(409, "diverged", "changes?after=1&digest=" + zero);
+                        ConfigurationJson.parseChanges(changes.body()).digest());
+        assertError(409, "diverged", "changes?after=1&digest=" + zeroDigest);
         assertError(421, "behind", "changes?after=2&digest=" + digest);
         assertError(410, "truncated", "snapshot?revision=77");
         assertEquals(400, get("/v1/configuration/changes?after=1").statusCode());
@@ -215,12 +216,12 @@
                 digest,
                 ConfigurationJson.formatDigest(
                         ConfigurationJson.parseSnapshotPage(snapshot.body()).digest()));
-        long began = System.nanoTime();
-        HttpResponse<String> none =
+        long startNanos = System.nanoTime();
+        HttpResponse<String> unchanged =
                 get("/v1/configuration/changes?after=1&waitMs=300&digest=" + digest);
-        assertTrue(System.nanoTime() - began >= TimeUnit.MILLISECONDS.toNanos(300));
-        assertEquals(0, ConfigurationJson.parseChanges(none.body()).changes().size());
-        CompletableFuture<HttpResponse<String>> waiting =
+        assertTrue(System.nanoTime() - startNanos >= TimeUnit.MILLISECONDS.toNanos(300));
+        assertEquals(0, ConfigurationJson.parseChanges(unchanged.body()).changes().size());
+        CompletableFuture<HttpResponse<String>> pending =
                 http.sendAsync(
                         HttpRequest.newBuilder(
                                         uri(
@@ -229,8 +230,8 @@
                                 .build(),
                         HttpResponse.BodyHandlers.ofString());
         runCommand("put", "shard/t/1", "gw-1");
-        String woken = waiting.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS).body();
-        assertEquals(2, ConfigurationJson.parseChanges(woken).changes().get(0).revision());
+        String pendingBody = pending.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS).body();
+        assertEquals(2, ConfigurationJson.parseChanges(pendingBody).changes().get(0).revision());
     }
 
     private void assertError(int status, String error, String path) throws Exception {
@@ -247,8 +248,8 @@
                         + "{\"1\":190,\"0\":5},\"followers\":195,\"behind\":[{\"follower\":\"r7\","
                         + "\"revision\":0,\"sinceMs\":400}]}";
         assertEquals(200, post("/v1/configuration/reports", report).statusCode());
-        String none = report.replace("\"zone\":\"a1\",", "");
-        assertEquals(400, post("/v1/configuration/reports", none).statusCode());
+        String reportWithoutZone = report.replace("\"zone\":\"a1\",", "");
+        assertEquals(400, post("/v1/configuration/reports", reportWithoutZone).statusCode());
         JsonNode status = body(get("/v1/configuration/status"));
         assertEquals(1, status.path("asked").asLong());
         assertEquals(190, status.path("zones").path(0).path("confirmed").asInt());
@@ -260,22 +261,22 @@
     @Test
     void watchPrintsEachChangeAndNoGroupIsExitCode69() throws Exception {
         runCommand("put", "backend/gw-1", BACKEND_VALUE);
-        CompletableFuture<Integer> watched =
+        CompletableFuture<Integer> watch =
                 CompletableFuture.supplyAsync(() -> runCommand("watch", "--changes", "1"));
         Thread.sleep(500);
         String change =
                 "{\"client\":\"w\",\"seq\":%d,\"command\":{\"op\":\"change-configuration\",\"author\":"
                     + "\"ana\",\"expected\":{},\"mutations\":[{\"key\":\"shard/t/%d\",\"shard\":"
                     + "{\"backend\":\"gw-1\"}}]}}";
-        for (int seq = 1; !watched.isDone() && seq < 100; seq++) {
+        for (int seq = 1; !watch.isDone() && seq < 100; seq++) {
             post("/v1/do", String.format(change, seq, seq));
             Thread.sleep(100);
         }
-        assertEquals(0, watched.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        assertEquals(0, watch.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertTrue(capturedOut.matches("revision \\d+\n  shard/t/\\d+ gw-1\n"), capturedOut);
-        String nowhere = "127.0.0.1:" + freeAddress().getPort();
+        String unusedAddress = "127.0.0.1:" + freeAddress().getPort();
         assertEquals(
                 ExitCode.UNREACHABLE,
-                Coordinator.run("config", "get", "--within", "200ms", "--at", nowhere));
+                Coordinator.run("config", "get", "--within", "200ms", "--at", unusedAddress));
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/command/LauncherTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/command/LauncherTest.java
@@ -34,27 +34,28 @@
         "serve --settings f, saltstage",
         "check put --at, saltstage",
     })
-    void commandIsRoutedToItsProgramWithAllArguments(String words, String jar) throws Exception {
+    void commandIsRoutedToItsProgramWithAllArguments(String arguments, String jar)
+            throws Exception {
         Path script = home.resolve("bin/saltstage");
         Files.createDirectories(script.getParent());
         Files.copy(Path.of("..", "bin", "saltstage"), script);
-        for (String built :
+        for (String jarFile :
                 List.of("relay/target/saltstage.jar", "coordinator/target/coordinator.jar")) {
-            Files.createDirectories(home.resolve(built).getParent());
-            Files.createFile(home.resolve(built));
+            Files.createDirectories(home.resolve(jarFile).getParent());
+            Files.createFile(home.resolve(jarFile));
         }
         Path java = home.resolve("java/java");
         Files.createDirectories(java.getParent());
         Files.writeString(java, "#!/bin/sh\necho \"$@\"\n");
         assertTrue(java.toFile().setExecutable(true));
         List<String> command = new ArrayList<>(List.of("sh", script.toString()));
-        command.addAll(List.of(words.split(" ")));
+        command.addAll(List.of(arguments.split(" ")));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("PATH", java.getParent() + ":" + System.getenv("PATH"));
         builder.environment().remove("JAVA_OPTS");
         Process process = builder.start();
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(0, process.waitFor(), said);
-        assertTrue(said.trim().endsWith(jar + ".jar " + words), said);
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(0, process.waitFor(), output);
+        assertTrue(output.trim().endsWith(jar + ".jar " + arguments), output);
     }
 }
--- a/coordinator/src/test/java/saltstage/coordinator/settings/DistributorSettingsTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/settings/DistributorSettingsTest.java
@@ -25,12 +25,12 @@
 
     @Test
     void distributorIsReadFromTheGroupsFile() throws Exception {
-        DistributorSettings read =
+        DistributorSettings settings =
                 parse(GROUP_BLOCK + DISTRIBUTOR_BLOCK).distributorSettings("d-a1");
-        assertEquals("a1", read.zone());
-        assertEquals(7301, read.listenAddress().getPort());
-        assertEquals(1, read.sourceAddresses().size());
-        assertEquals(Path.of("distributor-data", "d-a1"), read.dir());
+        assertEquals("a1", settings.zone());
+        assertEquals(7301, settings.listenAddress().getPort());
+        assertEquals(1, settings.sourceAddresses().size());
+        assertEquals(Path.of("distributor-data", "d-a1"), settings.dir());
         assertThrows(
                 MalformedException.class, () -> parse(GROUP_BLOCK).distributorSettings("d-a1"));
     }
@@ -57,10 +57,10 @@
                 "zone = \"a1\"                   | zones = \"a1\"           | zone",
                 "distributor \"d-a1\"            | distributor              | name",
             })
-    void errorNamesFileAndSetting(String sound, String wrong, String named) {
-        String text = GROUP_BLOCK + DISTRIBUTOR_BLOCK.replace(sound.trim(), wrong.trim());
-        MalformedException refused = assertThrows(MalformedException.class, () -> parse(text));
-        assertTrue(refused.getMessage().contains(named.trim()), refused.getMessage());
-        assertTrue(refused.getMessage().startsWith("f.hcl:"), refused.getMessage());
+    void errorNamesFileAndSetting(String original, String replacement, String expected) {
+        String text = GROUP_BLOCK + DISTRIBUTOR_BLOCK.replace(original.trim(), replacement.trim());
+        MalformedException exception = assertThrows(MalformedException.class, () -> parse(text));
+        assertTrue(exception.getMessage().contains(expected.trim()), exception.getMessage());
+        assertTrue(exception.getMessage().startsWith("f.hcl:"), exception.getMessage());
     }
 }
