--- a/coordinator/src/main/java/saltstage/coordinator/agent/Agent.java
+++ b/coordinator/src/main/java/saltstage/coordinator/agent/Agent.java
@@ -24,10 +24,10 @@
 import saltstage.log.Log;
 
 /**
- * Carries its region's windows out, step by step, each recorded by the group before the next:
- * whoever holds the region's lease after it goes on from there, and may do the step before again.
- * Before each act it makes sure that the lease is still its own. It also tells what of the region
- * is missing outside any window.
+ * Carries out the maintenance windows of one region. The group records each step of a window before
+ * the agent takes the next one, so that the next holder of the region's lease continues there; it
+ * may repeat the step that was not recorded yet. The agent checks before each action that it still
+ * holds the lease. It also reports the capacity that the region lacks outside its windows.
  */
 public final class Agent {
     private static final Duration LEASE_TTL = Duration.ofSeconds(4);
@@ -35,7 +35,7 @@
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(3);
     private static final Duration POLL_INTERVAL = Duration.ofMillis(150);
 
-    /** So many looks without an answer, one after the other, and a node counts as missing. */
+    /** Consecutive unanswered pings after which a node counts as missing. */
     private static final int FAILED_PINGS_UNTIL_MISSING = 3;
 
     private final AgentSettings settings;
@@ -46,16 +46,17 @@
     private final Map<Long, Integer> workFailuresByWindow = new HashMap<>();
     private long reportedLoss = -1;
 
-    /** An agent of a region. */
+    /** Creates the agent of the region that the settings name. */
     public Agent(AgentSettings settings, GroupClient group, LeaseClient leases) {
         this.settings = settings;
         this.groupClient = group;
         this.leaseClient = leases;
     }
 
+    /** The part of the response of {@code /v1/windows} that the agent needs. */
     private record Plans(FleetPlan plan, List<Window> windows, long day) {}
 
-    /** Serves for ever: waits for the lease, acts while it holds it. */
+    /** Runs until the thread is interrupted: acquires the lease and acts while it holds it. */
     public void run() throws InterruptedException {
         while (true) {
             String name = WindowCommands.leaseName(settings.region());
@@ -135,7 +136,7 @@
                 }
             }
             case OUT -> {
-                // Said again each time: a relay that was started anew may have forgotten it.
+                // Repeated in each round: a restarted relay may have lost the suspension.
                 if (setSuspendedOnAllRelays(window, true, lease)
                         && startOrCheckWork(window, inStateMs, lease)
                         && setSuspendedOnAllRelays(window, false, lease)) {
@@ -143,15 +144,15 @@
                 }
             }
             case WARMING -> advanceWarmUp(window, plans, inStateMs, lease);
-            case RETURNING -> { // its nodes were never touched: they are warm once each relay uses
-                // them again
+            case RETURNING -> {
+                // The nodes were not worked on, so they are warm once all relays use them again.
                 if (setSuspendedOnAllRelays(window, false, lease)
                         && countAnsweringNodes(window) == window.wish().nodes().size()) {
                     reportStep(id, Step.PROVEN, window.capacity(), lease);
                     reportStep(id, Step.DONE, 0, lease);
                 }
             }
-            default -> { // nothing to do
+            default -> { // the other states need no action
             }
         }
     }
@@ -165,7 +166,7 @@
                 lease);
     }
 
-    /** Each relay has said so of each node, now. */
+    /** Suspends or restores the nodes on all relays; true once all relays have confirmed it. */
     private boolean setSuspendedOnAllRelays(Window window, boolean suspend, LeaseClient.Lease lease)
             throws LeaseClient.LeaseLostException {
         boolean allConfirmed = true;
@@ -188,8 +189,8 @@
     }
 
     /**
-     * Whether what is to be done at the nodes is done: the command has ended well, or the time is
-     * over.
+     * Whether the work on the nodes is done: the work command has exited with 0 or, without a
+     * command, the time for the work has passed. Starts the command if it is not running.
      */
     private synchronized boolean startOrCheckWork(
             Window window, long inStateMs, LeaseClient.Lease lease) {
@@ -214,7 +215,7 @@
                     process.exitValue(),
                     "tries",
                     failures);
-            workByWindow.remove(window.id()); // again at the next round: it must bear that
+            workByWindow.remove(window.id()); // started again, so it must be repeatable
             return false;
         }
         return true;
@@ -233,8 +234,8 @@
     }
 
     /**
-     * What is proven grows with the time that the nodes have been back, as long as all of them
-     * answer.
+     * Reports proven capacity, which grows with the time since the nodes returned, as long as all
+     * of them answer. Reports in steps of an eighth of the capacity.
      */
     private void advanceWarmUp(Window window, Plans plans, long inStateMs, LeaseClient.Lease lease)
             throws LeaseClient.LeaseLostException, GroupUnreachableException, InterruptedException {
@@ -256,8 +257,8 @@
     }
 
     /**
-     * Nodes that do not answer and are in no window are missing; the group must know before it
-     * plans on.
+     * Reports the capacity of the nodes that do not answer and are in no window in progress. The
+     * group must know it before it plans further windows.
      */
     private void reportMissingNodes(
             Plans plans, List<String> nodesInProgress, LeaseClient.Lease lease)
--- a/coordinator/src/main/java/saltstage/coordinator/agent/RelayClient.java
+++ b/coordinator/src/main/java/saltstage/coordinator/agent/RelayClient.java
@@ -8,13 +8,13 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 
-/** RelayClient to relays, as operators make them, and looks at nodes, as relays take them. */
+/** Makes operator calls to relays, and pings nodes the way that relays do. */
 final class RelayClient {
     private static final Duration TIMEOUT = Duration.ofMillis(1_500);
 
     private RelayClient() {}
 
-    /** One line there, one line back; null where none came in time. */
+    /** Sends one line and returns the first line of the response, or null if it fails. */
     private static String exchange(InetSocketAddress address, String line) {
         try (Socket socket = new Socket()) {
             socket.connect(address, (int) TIMEOUT.toMillis());
@@ -29,13 +29,13 @@
         }
     }
 
-    /** Whether a relay has said that nothing more goes to a node, or that it is used again. */
+    /** Suspends or restores a node on a relay; true if the relay has confirmed it. */
     static boolean setSuspended(InetSocketAddress relay, boolean suspend, String node) {
         String answer = exchange(relay, (suspend ? "SUSPEND " : "RESTORE ") + node);
         return answer != null && answer.startsWith("done");
     }
 
-    /** Whether a node answers. */
+    /** Whether the node answers a ping. */
     static boolean isAnswering(InetSocketAddress node) {
         return "PONG".equals(exchange(node, "PING"));
     }
--- a/coordinator/src/main/java/saltstage/coordinator/agent/package-info.java
+++ b/coordinator/src/main/java/saltstage/coordinator/agent/package-info.java
@@ -1,2 +1,2 @@
-/** A region's agent: carries windows out, under the region's lease. */
+/** The agent of a region, which carries out maintenance windows under the region's lease. */
 package saltstage.coordinator.agent;
--- a/coordinator/src/main/java/saltstage/coordinator/command/AdviceCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/AdviceCommand.java
@@ -21,10 +21,10 @@
 import saltstage.coordinator.model.Reply;
 import saltstage.log.Log;
 
-/** Which tenants to move between nodes. */
+/** Commands for the advice on which tenants to move between nodes. */
 @Command(
         name = "advice",
-        description = "Which tenants to move between nodes.",
+        description = "Advice on which tenants to move between nodes.",
         mixinStandardHelpOptions = true,
         subcommands = {
             AdviceCommand.ListAdvice.class,
@@ -42,11 +42,11 @@
         return ExitCode.OK;
     }
 
-    /** What was said. */
+    /** Lists the recommendations with their states. */
     @Command(
             name = "list",
             aliases = "history",
-            description = "Shows recommendations and what became of them.",
+            description = "Shows recommendations and their states.",
             mixinStandardHelpOptions = true)
     static final class ListAdvice implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -79,8 +79,11 @@
         }
     }
 
-    /** Taken up. */
-    @Command(name = "accept", description = "Takes one up.", mixinStandardHelpOptions = true)
+    /** Accepts a recommendation. */
+    @Command(
+            name = "accept",
+            description = "Accepts a recommendation.",
+            mixinStandardHelpOptions = true)
     static final class Accept implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
 
@@ -93,8 +96,11 @@
         }
     }
 
-    /** Turned down. */
-    @Command(name = "refuse", description = "Turns one down.", mixinStandardHelpOptions = true)
+    /** Refuses a recommendation. */
+    @Command(
+            name = "refuse",
+            description = "Refuses a recommendation.",
+            mixinStandardHelpOptions = true)
     static final class Refuse implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
 
@@ -107,10 +113,10 @@
         }
     }
 
-    /** The advisor: one of any number speaks, the one that holds the lease. */
+    /** Runs an advisor. Of several advisors only the holder of the lease gives advice. */
     @Command(
             name = "serve",
-            description = "Runs an advisor; one of several speaks, under a lease.",
+            description = "Runs an advisor; of several, only the holder of a lease gives advice.",
             mixinStandardHelpOptions = true)
     static final class Serve implements Callable<Integer> {
         private static final java.time.Duration LEASE_TTL = java.time.Duration.ofSeconds(5);
--- a/coordinator/src/main/java/saltstage/coordinator/command/AgentCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/AgentCommand.java
@@ -10,10 +10,10 @@
 import saltstage.coordinator.client.Ticker;
 import saltstage.coordinator.settings.AgentSettings;
 
-/** A region's agent. */
+/** Runs the agent of a region. */
 @Command(
         name = "agent",
-        description = "Carries a region's maintenance windows out, until it is ended.",
+        description = "Carries out the maintenance windows of a region until SIGTERM.",
         mixinStandardHelpOptions = true)
 final class AgentCommand implements Callable<Integer> {
     @CommandLine.Mixin private GroupOptions group;
@@ -22,7 +22,7 @@
             names = "--agent",
             required = true,
             paramLabel = "FILE",
-            description = "the agent's settings")
+            description = "settings file of the agent (HCL)")
     private Path settingsFile;
 
     @Override
@@ -35,7 +35,7 @@
                         Ticker.SYSTEM,
                         "agent-" + settings.region() + "-" + ProcessHandle.current().pid())) {
             Runtime.getRuntime()
-                    .addShutdownHook(new Thread(leases::close)); // a successor need not wait
+                    .addShutdownHook(new Thread(leases::close)); // so a successor need not wait
             new Agent(settings, group.createClient(), leases).run();
         }
         return ExitCode.OK;
--- a/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
@@ -35,7 +35,7 @@
 import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
-/** Replicas: running them, and who belongs to the group. */
+/** Commands that run replicas and change the members of the group. */
 @Command(
         name = "cluster",
         description = "The replicas of a group.",
@@ -56,7 +56,7 @@
         return ExitCode.OK;
     }
 
-    /** One replica. */
+    /** Runs one replica. */
     @Command(
             name = "serve",
             description = "Runs a replica until SIGTERM.",
@@ -70,17 +70,19 @@
         @Option(
                 names = "--name",
                 required = true,
-                description = "which member of the settings this is")
+                description = "name of the replica, as in the settings unless it joins")
         private String name;
 
-        @Option(names = "--dir", description = "its folder, in place of the settings'")
+        @Option(names = "--dir", description = "data directory, instead of the one in the settings")
         private Path dir;
 
-        @Option(names = "--join", description = "a new member: where it is heard, as PEERS,CLIENTS")
+        @Option(
+                names = "--join",
+                description = "joins as a new member that listens at PEERS,CLIENTS")
         private String join;
 
         @Override
-        @SuppressWarnings("try") // the listener only has to be closed
+        @SuppressWarnings("try") // the listener is only closed, not used
         public Integer call() throws Exception {
             CoordinatorSettings groupSettings = CoordinatorSettings.read(settingsFile);
             CoordinatorSettings.MemberAddresses joiningAddresses = joiningAddresses();
@@ -125,7 +127,7 @@
             return ExitCode.OK;
         }
 
-        /** Where a new member is heard, or null for one that the settings name. */
+        /** The listen addresses of a new member, or null for a member that the settings name. */
         private CoordinatorSettings.MemberAddresses joiningAddresses() throws MalformedException {
             if (join == null) {
                 return null;
@@ -147,15 +149,13 @@
             }
         }
 
-        /**
-         * What is known is not enough to go on: the process ends at once, without another write.
-         */
+        /** Ends the process at once, without another write, because its state is not reliable. */
         private static void halt(int code, String why) {
             System.err.println("saltstage: " + why);
             Runtime.getRuntime().halt(code);
         }
 
-        /** A leader that leaves hands its place over first: nobody need notice that it is gone. */
+        /** Transfers the leadership before a shutdown, so that clients see no gap. */
         private static void transferLeadership(Replica replica) {
             try {
                 ReplicaStatus status = replica.status().get(1, TimeUnit.SECONDS);
@@ -173,6 +173,7 @@
             }
         }
 
+        /** Asks the group to accept this replica until it is a voter. */
         private void joinGroup(
                 CoordinatorSettings groupSettings, ReplicaSettings settings, String diskId)
                 throws InterruptedException, MalformedException, IOException {
@@ -204,10 +205,10 @@
         }
     }
 
-    /** How each stands. */
+    /** Shows the status of each replica. */
     @Command(
             name = "status",
-            description = "How each replica stands; exit 1 where no majority does.",
+            description = "Shows the status of each replica; exit code 1 if there is no leader.",
             mixinStandardHelpOptions = true)
     static final class Status implements Callable<Integer> {
         private static final Duration STATUS_TIMEOUT = Duration.ofSeconds(2);
@@ -263,10 +264,10 @@
         }
     }
 
-    /** Takes a member out. */
+    /** Removes a member from the group. */
     @Command(
             name = "leave",
-            description = "Takes a member out of the group: leaving, dead or wiped.",
+            description = "Removes a member that leaves, is dead or has lost its data.",
             mixinStandardHelpOptions = true)
     static final class Leave implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -280,10 +281,10 @@
         }
     }
 
-    /** Another leader. */
+    /** Transfers the leadership. */
     @Command(
             name = "transfer",
-            description = "Hands the lead to a member.",
+            description = "Transfers the leadership to a member.",
             mixinStandardHelpOptions = true)
     static final class Transfer implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
--- a/coordinator/src/main/java/saltstage/coordinator/command/CommandRejectedException.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/CommandRejectedException.java
@@ -2,7 +2,7 @@
 
 import saltstage.coordinator.model.Rejection;
 
-/** The group refused a command; the command line prints why and ends with {@link ExitCode}. */
+/** The group rejected a command; the process exits with {@link ExitCode#REJECTED}. */
 final class CommandRejectedException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -13,7 +13,7 @@
         this.rejection = rejection;
     }
 
-    /** The group's reply. */
+    /** The reply of the group. */
     Rejection rejection() {
         return rejection;
     }
--- a/coordinator/src/main/java/saltstage/coordinator/command/Coordinator.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/Coordinator.java
@@ -8,10 +8,10 @@
 import saltstage.coordinator.client.GroupClient;
 import saltstage.wire.MalformedException;
 
-/** The command line of the coordinator: replicas, and whoever asks them. */
+/** The main class of the coordinator: runs its replicas and the commands for their clients. */
 @Command(
         name = "saltstage",
-        description = "Leases and maintenance for a fleet of relays.",
+        description = "Coordinates a fleet of relays: leases, configuration and maintenance.",
         mixinStandardHelpOptions = true,
         subcommands = {
             ClusterCommand.class,
@@ -26,8 +26,9 @@
     private Coordinator() {}
 
     /**
-     * Runs a command; exit 0 done, 1 bad settings or refused, 2 usage, 69 no group, 75 no lease, 78
-     * too old.
+     * Runs a command and exits the process. The exit codes are 0 (success), 1 (malformed settings,
+     * or rejected by the group), 2 (usage error), 69 (the group is unreachable), 75 (the lease was
+     * lost or not granted) and 78 (a replica whose build is too old or that the group refuses).
      */
     public static void main(String... args) {
         System.exit(run(args));
@@ -35,7 +36,7 @@
 
     static int run(String... args) {
         ((Logger) LoggerFactory.getLogger("io.microraft"))
-                .setLevel(Level.WARN); // it tells of each vote
+                .setLevel(Level.WARN); // the engine logs each vote
         return new CommandLine(new Coordinator())
                 .setExecutionExceptionHandler((failure, line, parsed) -> fail(failure))
                 .execute(args);
--- a/coordinator/src/main/java/saltstage/coordinator/command/DistributorCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/DistributorCommand.java
@@ -10,22 +10,22 @@
 import saltstage.coordinator.settings.CoordinatorSettings;
 import saltstage.coordinator.settings.DistributorSettings;
 
-/** Distributors of the group's configuration. */
+/** Commands for the distributors of the group's configuration. */
 @Command(
         name = "distributor",
-        description = "Serves the group's configuration to a zone's relays.",
+        description = "Distributes the group's configuration to the relays of a zone.",
         mixinStandardHelpOptions = true,
         subcommands = {DistributorCommand.Serve.class})
 final class DistributorCommand {
-    /** Its folder or address cannot be had. */
+    /** The directory or the address cannot be used: EX_IOERR of sysexits.h. */
     private static final int EXIT_CANNOT_START = 74;
 
-    /** What it holds and what it serves have come apart. */
+    /** The stored and the served configuration differ: EX_SOFTWARE of sysexits.h. */
     private static final int EXIT_FAULT = 70;
 
     private DistributorCommand() {}
 
-    /** One distributor. */
+    /** Runs one distributor. */
     @Command(
             name = "serve",
             description = "Runs a distributor until SIGTERM.",
@@ -37,7 +37,7 @@
         @Option(
                 names = "--name",
                 required = true,
-                description = "which distributor of the settings")
+                description = "name of the distributor in the settings")
         private String name;
 
         @Override
--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
@@ -34,10 +34,10 @@
 import saltstage.coordinator.model.Reply;
 import saltstage.wire.MalformedException;
 
-/** The configuration that a group keeps for its relays. */
+/** Commands for the configuration that a group stores for its relays. */
 @Command(
         name = "config",
-        description = "The configuration that a group keeps for its relays.",
+        description = "The configuration that a group stores for its relays.",
         mixinStandardHelpOptions = true,
         subcommands = {
             GroupConfigCommand.Put.class,
@@ -53,7 +53,7 @@
 
     private GroupConfigCommand() {}
 
-    /** Sends a change and prints what came of it; 1 where it was refused. */
+    /** Sends a change and prints the reply; returns the exit code, 1 if it was rejected. */
     private static int sendChange(
             GroupOptions group, GroupClient client, ChangeConfiguration change) throws Exception {
         Reply reply = client.send(change, group.timeout()).reply();
@@ -69,12 +69,14 @@
         String why =
                 reply instanceof Rejected no
                         ? no.message()
-                        : reply instanceof Rejection no ? no.why() : "an answer of another kind";
+                        : reply instanceof Rejection no
+                                ? no.why()
+                                : "the group sent an unexpected reply";
         System.err.println("saltstage: " + why);
         return 1;
     }
 
-    /** Accepted changes after a revision, up to this many, as the group has them now. */
+    /** Reads the accepted changes after a revision from the group, at most {@code limit}. */
     private static ConfigurationRegistry.History readHistory(
             GroupOptions group, GroupClient client, long after, int limit) throws Exception {
         JsonNode response =
@@ -83,10 +85,10 @@
         return GroupCodec.jsonMapper().treeToValue(response, ConfigurationRegistry.History.class);
     }
 
-    /** Puts or deletes entries. */
+    /** Sets or deletes entries. */
     @Command(
             name = "put",
-            description = "Puts entries in force, all or none of them, as one revision.",
+            description = "Sets or deletes entries atomically, as one revision.",
             mixinStandardHelpOptions = true)
     static final class Put implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -114,10 +116,10 @@
                 names = "--expect",
                 paramLabel = "KEY=REVISION",
                 description =
-                        "refuse unless the entry is at this revision; 0: absent; may be repeated")
+                        "reject unless the entry is at this revision; 0: absent; may be repeated")
         private Map<String, Long> expected = Map.of();
 
-        @Option(names = "--by", description = "who asks (default: the user's name)")
+        @Option(names = "--by", description = "author of the change (default: the user's name)")
         private String by = System.getProperty("user.name");
 
         @Override
@@ -142,7 +144,8 @@
                 mutations.add(new Mutation(MutationText.parseKey(key), null));
             }
             if (mutations.isEmpty()) {
-                throw new MalformedException("name entries: KEY VALUE, --file or --delete");
+                throw new MalformedException(
+                        "no entries are given: use KEY VALUE, --file or --delete");
             }
             return mutations;
         }
@@ -152,11 +155,11 @@
     @Command(
             name = "get",
             description =
-                    "Shows the entries in force whose keys begin so; exit code 1 where there is"
+                    "Shows the entries whose keys begin with PREFIX; exit code 1 if there are"
                             + " none.",
             mixinStandardHelpOptions = true)
     static final class Get implements Callable<Integer> {
-        /** The first name of any kind, in the order of keys. */
+        /** Sorts before the names of all entries of a kind. */
         private static final String FIRST_NAME = "!";
 
         @CommandLine.Mixin private GroupOptions group;
@@ -186,7 +189,7 @@
             return prefix.endsWith("/") ? prefix + FIRST_NAME : prefix.contains("/") ? prefix : "";
         }
 
-        /** Adds what begins so; false once the keys are beyond it. */
+        /** Adds the entries that match the prefix; false once the keys have passed it. */
         private boolean addMatching(SnapshotPage page, List<Entry> found) {
             for (Entry entry : page.entries()) {
                 String key = entry.key().text();
@@ -211,17 +214,20 @@
         }
     }
 
-    /** Each change from now on. */
+    /** Prints each change from now on. */
     @Command(
             name = "watch",
-            description = "Prints each change from now on, until it is ended.",
+            description = "Prints each change from now on, until it is stopped.",
             mixinStandardHelpOptions = true)
     static final class Watch implements Callable<Integer> {
         private static final int WAIT_MS = 1_500;
 
         @CommandLine.Mixin private GroupOptions group;
 
-        @Option(names = "--changes", description = "end after so many", defaultValue = "2147483647")
+        @Option(
+                names = "--changes",
+                description = "exit after this many changes",
+                defaultValue = "2147483647")
         private int changes;
 
         @Override
@@ -268,7 +274,7 @@
         }
     }
 
-    /** What was accepted. */
+    /** Shows the accepted changes. */
     @Command(
             name = "history",
             description = "Shows accepted changes with author and time, oldest first.",
@@ -279,11 +285,11 @@
 
         @Option(
                 names = "--after",
-                description = "only what came after this revision",
+                description = "only changes after this revision",
                 defaultValue = "0")
         private long after;
 
-        @Option(names = "--limit", description = "at most so many", defaultValue = "100")
+        @Option(names = "--limit", description = "maximum number of changes", defaultValue = "100")
         private int limit;
 
         @Override
@@ -315,23 +321,25 @@
         }
     }
 
-    /** Marks a call for a group where a relay has one of the same name. */
+    /**
+     * The option by which {@code bin/saltstage} tells a command for a group from the command of the
+     * same name for a relay.
+     */
     static final class GroupHistoryOption {
         @Option(
                 names = "--group",
-                description = "the group's history, with --settings; --at says so by itself")
+                description = "use the group's history with --settings; --at implies it")
         private boolean groupHistory;
     }
 
-    /** Back to an earlier revision. */
+    /** Restores the entries of an earlier revision. */
     @Command(
             name = "rollback",
             description = {
-                "Writes what brings all entries back to what they were at a revision, as new"
+                "Restores all entries to their values at a revision by means of new"
                         + " revisions:",
-                "one where that is small enough, else several. Refused where the history does not"
-                        + " reach",
-                "back so far, or somebody else changes one of the entries meanwhile."
+                "one if it is small enough, else several. Fails if the history does not" + " reach",
+                "back that far, or if one of the entries is changed by others meanwhile."
             },
             mixinStandardHelpOptions = true)
     static final class Rollback implements Callable<Integer> {
@@ -341,7 +349,7 @@
         @Parameters(paramLabel = "REVISION")
         private long revision;
 
-        @Option(names = "--by", description = "who asks (default: the user's name)")
+        @Option(names = "--by", description = "author of the change (default: the user's name)")
         private String by = System.getProperty("user.name");
 
         @Override
@@ -360,7 +368,7 @@
             return 0;
         }
 
-        /** All changes after the revision; refused where some are no longer kept. */
+        /** Reads all changes after the revision; fails if some are no longer in the history. */
         private List<AcceptedChange> readChanges(GroupClient client) throws Exception {
             List<AcceptedChange> changes = new ArrayList<>();
             long afterRevision = revision;
@@ -385,7 +393,7 @@
         }
     }
 
-    /** Who has it. */
+    /** Shows which relays have confirmed a revision. */
     @Command(
             name = "status",
             description =
--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupOptions.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupOptions.java
@@ -21,16 +21,19 @@
 import saltstage.coordinator.settings.CoordinatorSettings;
 import saltstage.wire.MalformedException;
 
-/** Which group a command is for, and how it shows what it got. */
+/** Options of all client commands: how to reach the group, and the form of the output. */
 final class GroupOptions {
-    @Option(names = "--settings", paramLabel = "FILE", description = "the group's settings (HCL)")
+    @Option(
+            names = "--settings",
+            paramLabel = "FILE",
+            description = "settings file of the group (HCL)")
     private Path settings;
 
     @Option(
             names = "--at",
             split = ",",
             paramLabel = "HOST:PORT",
-            description = "where replicas take calls, in place of the settings")
+            description = "client addresses of replicas, instead of the settings")
     private List<String> addresses;
 
     @Option(names = "--json", description = "print JSON")
@@ -41,10 +44,10 @@
             paramLabel = "SPAN",
             converter = DurationConverter.class,
             defaultValue = "5s",
-            description = "how long to try (default: ${DEFAULT-VALUE})")
+            description = "time limit for each request (default: ${DEFAULT-VALUE})")
     private Duration timeout;
 
-    /** A span such as 250ms, 10s or 5m. */
+    /** Converts a duration such as 250ms, 10s or 5m. */
     static final class DurationConverter implements ITypeConverter<Duration> {
         private static final Pattern PATTERN = Pattern.compile("(\\d{1,9})(ms|s|m|h)");
 
@@ -53,7 +56,7 @@
             Matcher matcher = PATTERN.matcher(text);
             if (!matcher.matches()) {
                 throw new TypeConversionException(
-                        "'" + text + "' is no span such as 250ms, 10s or 5m");
+                        "'" + text + "' is not a duration such as 250ms, 10s or 5m");
             }
             long amount = Long.parseLong(matcher.group(1));
             return switch (matcher.group(2)) {
@@ -65,6 +68,7 @@
         }
     }
 
+    /** The client addresses of the replicas, as HOST:PORT. */
     List<String> replicaAddresses() throws MalformedException {
         if (addresses != null) {
             return addresses;
@@ -81,7 +85,7 @@
         return new GroupClient(replicaAddresses(), Ticker.SYSTEM);
     }
 
-    /** Sends a command in a session of its own, and returns what came of it. */
+    /** Sends a command in a new session and returns the reply, unless the group rejects it. */
     Reply send(Command command)
             throws IOException, InterruptedException, MalformedException, CommandRejectedException {
         Reply reply = createClient().send(command, timeout).reply();
@@ -91,12 +95,12 @@
         return reply;
     }
 
-    /** Reads from the API, in JSON. */
+    /** Sends a GET request to the API and returns the JSON response. */
     JsonNode get(String path) throws IOException, InterruptedException, MalformedException {
         return createClient().get(path, timeout);
     }
 
-    /** Posts a call with one field to the API, in JSON. */
+    /** Posts a JSON object with one field to the API and returns the JSON response. */
     JsonNode post(String path, String field, String value)
             throws IOException, InterruptedException, MalformedException {
         return createClient()
@@ -111,7 +115,7 @@
         return json;
     }
 
-    /** Prints a value: as JSON, or as a line of text. */
+    /** Prints the value as JSON if {@code --json} is given, else the text. */
     void print(Object value, String text) throws JsonProcessingException {
         System.out.println(json ? GroupCodec.jsonMapper().writeValueAsString(value) : text);
         System.out.flush();
--- a/coordinator/src/main/java/saltstage/coordinator/command/LeaseCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/LeaseCommand.java
@@ -21,10 +21,10 @@
 import saltstage.coordinator.model.Acknowledgement;
 import saltstage.coordinator.model.Reply;
 
-/** Leases by hand, and programs that run only while they hold one. */
+/** Commands that manage leases, and one that runs a program under a lease. */
 @Command(
         name = "lease",
-        description = "Leases: for tasks of which the fleet wants one doer.",
+        description = "Leases for tasks that only one process of the fleet may do.",
         mixinStandardHelpOptions = true,
         subcommands = {
             LeaseCommand.Acquire.class,
@@ -37,10 +37,10 @@
 final class LeaseCommand {
     private LeaseCommand() {}
 
-    /** Takes one for a span; nobody renews it but who calls again. */
+    /** Acquires a lease for a duration. It is renewed only by further commands. */
     @Command(
             name = "acquire",
-            description = "Takes a lease under an owner's name; prints its fence.",
+            description = "Acquires a lease for an owner and prints its fencing token.",
             mixinStandardHelpOptions = true)
     static final class Acquire implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -72,10 +72,10 @@
         }
     }
 
-    /** Holds one longer. */
+    /** Renews a lease. */
     @Command(
             name = "renew",
-            description = "Holds a lease for its span again.",
+            description = "Renews a lease for its duration.",
             mixinStandardHelpOptions = true)
     static final class Renew implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -94,8 +94,8 @@
         }
     }
 
-    /** Gives one back. */
-    @Command(name = "release", description = "Gives a lease back.", mixinStandardHelpOptions = true)
+    /** Releases a lease. */
+    @Command(name = "release", description = "Releases a lease.", mixinStandardHelpOptions = true)
     static final class Release implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
 
@@ -112,7 +112,7 @@
         }
     }
 
-    /** All of them. */
+    /** Lists the leases. */
     @Command(name = "list", description = "Shows leases.", mixinStandardHelpOptions = true)
     static final class ListLeases implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -120,7 +120,7 @@
         @Option(names = "--prefix", defaultValue = "")
         private String prefix;
 
-        @Option(names = "--stale", description = "from any replica, which may be behind")
+        @Option(names = "--stale", description = "read from any replica, even if it is behind")
         private boolean stale;
 
         @Override
@@ -149,10 +149,10 @@
         }
     }
 
-    /** Each change of one. */
+    /** Prints each change of a lease. */
     @Command(
             name = "watch",
-            description = "Prints a line at each change of a lease, until it is ended.",
+            description = "Prints a line at each change of a lease, until it is stopped.",
             mixinStandardHelpOptions = true)
     static final class Watch implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -160,7 +160,10 @@
         @Parameters(paramLabel = "NAME")
         private String name;
 
-        @Option(names = "--changes", description = "end after so many", defaultValue = "2147483647")
+        @Option(
+                names = "--changes",
+                description = "exit after this many changes",
+                defaultValue = "2147483647")
         private int changes;
 
         @Override
@@ -193,17 +196,18 @@
         }
     }
 
-    /** A program under a lease. */
+    /** Runs a program under a lease. */
     @Command(
             name = "exec",
             description =
-                    "Runs a command while a lease is held, which is renewed meanwhile;"
-                            + " the command finds SALTSTAGE_LEASE and SALTSTAGE_FENCE."
-                            + " It is ended before the lease can pass on.",
+                    "Runs a command while a lease is held and renewed;"
+                            + " the environment has SALTSTAGE_LEASE and SALTSTAGE_FENCE."
+                            + " The command is terminated before the lease can expire.",
             mixinStandardHelpOptions = true)
     static final class Exec implements Callable<Integer> {
         /**
-         * Of a span, what is kept for the command's end: TERM, then KILL, must be over before it.
+         * The part of the TTL that is reserved for the termination of the command. Both SIGTERM and
+         * SIGKILL must have taken effect before the lease expires.
          */
         private static final double TERMINATION_TTL_FRACTION = 0.4;
 
@@ -272,7 +276,8 @@
         }
 
         /**
-         * TERM, and KILL at half of what remains: the child's last act lies before the lease's end.
+         * Sends SIGTERM, and SIGKILL after half of the remaining time, so that the child has ended
+         * before the lease expires.
          */
         private int terminate(Process child, LeaseClient.Lease lease) throws InterruptedException {
             System.err.println(
--- a/coordinator/src/main/java/saltstage/coordinator/command/LeaseHolderOptions.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/LeaseHolderOptions.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Options that name a lease together with who holds it, and under which fence. */
+/** Options that name a lease, its holder and its fencing token. */
 final class LeaseHolderOptions {
     @Parameters(paramLabel = "NAME")
     private String name;
--- a/coordinator/src/main/java/saltstage/coordinator/command/MutationText.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/MutationText.java
@@ -11,7 +11,7 @@
 import saltstage.configuration.ValueRules;
 import saltstage.wire.MalformedException;
 
-/** Keys and values as operators type and read them on the command line. */
+/** Parses and formats keys and values in the form that operators use on the command line. */
 final class MutationText {
     private static final String ADDRESS = "address";
     private static final String ZONE = "zone";
@@ -22,7 +22,7 @@
 
     private MutationText() {}
 
-    /** The key that a text names. */
+    /** Parses a key such as {@code setting/log.level}. */
     static EntryKey parseKey(String text) throws MalformedException {
         try {
             return EntryKey.parse(text);
@@ -32,8 +32,8 @@
     }
 
     /**
-     * The mutation that puts a value; a backend's is {@code
-     * address=…,zone=…,cell=…,state=…,weight=…}.
+     * Parses a key and a value into the mutation that sets the entry. The value of a backend has
+     * the form {@code address=…,zone=…,cell=…,state=…,weight=…}.
      */
     static Mutation parsePut(String keyText, String value) throws MalformedException {
         EntryKey key = parseKey(keyText);
@@ -56,7 +56,8 @@
         for (String attribute : value.split(",")) {
             int equals = attribute.indexOf('=');
             if (equals < 1) {
-                throw new MalformedException(key + ": '" + attribute + "' is no NAME=VALUE");
+                throw new MalformedException(
+                        key + ": '" + attribute + "' is not of the form NAME=VALUE");
             }
             attributes.put(attribute.substring(0, equals), attribute.substring(equals + 1));
         }
@@ -85,7 +86,7 @@
         return value == null ? defaultValue : value;
     }
 
-    /** A value as {@link #parsePut} takes it. */
+    /** Formats a value in the form that {@link #parsePut} reads. */
     static String formatValue(EntryValue value) {
         if (value instanceof Backend backend) {
             return String.join(
@@ -100,7 +101,7 @@
         return value.canonicalText();
     }
 
-    /** A line of text for an entry. */
+    /** Formats an entry as a line of text. */
     static String formatLine(Entry entry) {
         return entry.key().text()
                 + " "
@@ -110,7 +111,7 @@
                 + ")";
     }
 
-    /** A line of text for a mutation. */
+    /** Formats a mutation as a line of text. */
     static String formatLine(Mutation mutation) {
         return mutation.key().text()
                 + (mutation.isDeletion() ? " deleted" : " " + formatValue(mutation.value()));
--- a/coordinator/src/main/java/saltstage/coordinator/command/WindowCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/WindowCommand.java
@@ -18,7 +18,7 @@
 import saltstage.coordinator.window.WindowReplies;
 import saltstage.coordinator.window.WindowRequest;
 
-/** Maintenance windows. */
+/** Commands for maintenance windows. */
 @CommandLine.Command(
         name = "window",
         description = "Maintenance windows across regions.",
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Sends a command and prints what came of it. */
+    /** Sends a command and prints the reply. */
     private static int sendAndPrint(GroupOptions group, Command command) throws Exception {
         Reply reply = sendOrPrintRejection(group, command);
         if (reply instanceof WindowReplies.Planned planned) {
@@ -81,12 +81,12 @@
         return ExitCode.OK;
     }
 
-    /** The agreement. */
+    /** Replaces the plan of the fleet. */
     @CommandLine.Command(
             name = "agree",
             mixinStandardHelpOptions = true,
             description =
-                    "Puts the block 'fleet' of a file in force: regions, nodes, floors,"
+                    "Applies the block 'fleet' of a file: regions, nodes, floors and"
                             + " black-outs.")
     static final class Agree implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -104,10 +104,10 @@
         }
     }
 
-    /** A request for a window. */
+    /** Requests a window. */
     @CommandLine.Command(
             name = "propose",
-            description = "Asks for a window.",
+            description = "Requests a window.",
             mixinStandardHelpOptions = true)
     static final class Propose implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -118,10 +118,10 @@
         @Parameters(index = "1..*", arity = "1..*", paramLabel = "NODE")
         private List<String> nodes;
 
-        @Option(names = "--purpose", required = true, description = "what for")
+        @Option(names = "--purpose", required = true, description = "reason for the window")
         private String purpose;
 
-        @Option(names = "--by", description = "who asks (default: the user's name)")
+        @Option(names = "--by", description = "author of the request (default: the user's name)")
         private String by = System.getProperty("user.name");
 
         @Option(
@@ -142,10 +142,12 @@
                 defaultValue = "1m")
         private Duration warm;
 
-        @Option(names = "--earliest", description = "as 2026-12-02T22:00:00Z (default: now)")
+        @Option(
+                names = "--earliest",
+                description = "earliest begin, such as 2026-12-02T22:00:00Z (default: now)")
         private Instant earliest;
 
-        @Option(names = "--latest", description = "over by then (default: a week from now)")
+        @Option(names = "--latest", description = "latest end (default: a week after --earliest)")
         private Instant latest;
 
         @Option(names = "--priority", defaultValue = "0")
@@ -153,22 +155,22 @@
 
         @Option(
                 names = "--emergency",
-                description = "goes before planned ones; never under a floor")
+                description = "takes precedence over planned windows; floors still hold")
         private boolean emergency;
 
-        @Option(names = "--split", description = "the nodes may go in several windows")
+        @Option(names = "--split", description = "the nodes may be spread over several windows")
         private boolean split;
 
         @Option(
                 names = "--after",
                 split = ",",
-                description = "numbers of windows that must be over before")
+                description = "numbers of windows that must end first")
         private List<Long> after = List.of();
 
         @Option(
                 names = "--apart",
                 split = ",",
-                description = "words: never together with one that has them")
+                description = "labels; windows that share a label never overlap")
         private List<String> apart = List.of();
 
         @Override
@@ -196,12 +198,12 @@
         }
     }
 
-    /** All, or one. */
+    /** Shows all windows, or one. */
     @CommandLine.Command(
             name = "list",
             aliases = {"show", "explain"},
             mixinStandardHelpOptions = true,
-            description = "Shows windows, each with why it is where it is.")
+            description = "Shows windows with their states and the reasons.")
     static final class ListWindows implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
 
@@ -226,10 +228,10 @@
         }
     }
 
-    /** Not wanted any more. */
+    /** Withdraws a window. */
     @CommandLine.Command(
             name = "withdraw",
-            description = "Withdraws a window; turns a drain back.",
+            description = "Withdraws a window; aborts its drain.",
             mixinStandardHelpOptions = true)
     static final class Withdraw implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -244,10 +246,10 @@
         }
     }
 
-    /** Held back. */
+    /** Pauses a window. */
     @CommandLine.Command(
             name = "pause",
-            description = "Holds a window back that has not begun.",
+            description = "Pauses a window that has not begun.",
             mixinStandardHelpOptions = true)
     static final class Pause implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -255,7 +257,7 @@
         @Parameters(paramLabel = "NUMBER")
         private long id;
 
-        @Option(names = "--off", description = "lets it go on")
+        @Option(names = "--off", description = "resumes the window")
         private boolean off;
 
         @Override
@@ -265,10 +267,10 @@
         }
     }
 
-    /** Capacity over time. */
+    /** Shows the capacity over time. */
     @CommandLine.Command(
             name = "timeline",
-            description = "Capacity against each floor, from now on.",
+            description = "Shows the planned capacity and each floor, from now on.",
             mixinStandardHelpOptions = true)
     static final class Timeline implements Callable<Integer> {
         private static final int BAR_WIDTH_CHARS = 40;
--- a/coordinator/src/main/java/saltstage/coordinator/command/package-info.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/package-info.java
@@ -1,2 +1,2 @@
-/** The command line. */
+/** The command line of the coordinator. */
 package saltstage.coordinator.command;
--- a/coordinator/src/main/java/saltstage/coordinator/settings/AgentSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/AgentSettings.java
@@ -13,8 +13,12 @@
 import saltstage.wire.MalformedException;
 
 /**
- * A region's agent: the relays that it calls, where its nodes are looked at, and what is run while
- * nodes are out (nothing: they are only kept out for the time).
+ * The settings of a region's agent.
+ *
+ * @param relayAdminAddresses addresses for operator calls to relays, by the relay's name
+ * @param nodeAddresses addresses at which the nodes are pinged, by the node's name
+ * @param workCommand the command to run while nodes are out; if empty, the nodes are only kept out
+ *     for the time that the window reserves
  */
 public record AgentSettings(
         String region,
@@ -30,7 +34,7 @@
         }
     }
 
-    /** Takes the text of a file that errors shall call by this name. */
+    /** Parses the text of a settings file; error messages begin with the given file name. */
     public static AgentSettings parse(String name, String text) throws MalformedException {
         HclBlock top = HclFile.parse(name, text);
         List<HclBlock> agents = top.blocks("agent");
--- a/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
@@ -18,11 +18,11 @@
 import saltstage.wire.MalformedException;
 
 /**
- * What an operator's file says of a group: one file for all of its replicas and clients. The block
- * {@code coordinator} of {@code deploy/coordinator.hcl} shows all of it.
+ * The settings of a group, from one file for all of its replicas and clients. The block {@code
+ * coordinator} of {@code deploy/coordinator.hcl} shows all settings.
  */
 public final class CoordinatorSettings {
-    /** Where a replica is heard: by its peers and by clients. */
+    /** The addresses at which a replica listens for its peers and for clients. */
     public record MemberAddresses(InetSocketAddress peerAddress, InetSocketAddress clientAddress) {}
 
     private final String group;
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Reads a file; what is wrong with it is said in one line, with file, line and name. */
+    /** Reads a file; an error message is one line with the file, the line and the setting. */
     public static CoordinatorSettings read(Path file) throws MalformedException {
         try {
             return parse(file.toString(), Files.readString(file));
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Takes the text of a file that errors shall call by this name. */
+    /** Parses the text of a settings file; error messages begin with the given file name. */
     public static CoordinatorSettings parse(String name, String text) throws MalformedException {
         HclBlock top = HclFile.parse(name, text);
         HclBlock block = top.block("coordinator");
@@ -117,12 +117,12 @@
         return settings;
     }
 
-    /** The replicas that the file names. */
+    /** The addresses of the replicas in the file, by the replica's name. */
     public Map<String, MemberAddresses> members() {
         return members;
     }
 
-    /** A distributor that the file names. */
+    /** The settings of the distributor with this name. */
     public DistributorSettings distributorSettings(String name) throws MalformedException {
         DistributorSettings distributor = distributors.get(name);
         if (distributor == null) {
@@ -140,7 +140,13 @@
         return group;
     }
 
-    /** How this replica of it is set up; one that joins is heard where it says. */
+    /**
+     * The settings of one replica of the group.
+     *
+     * @param dirOverride the directory of the replica, or null for the one from the file
+     * @param joiningAddresses the addresses of a replica that joins the group, or null for one that
+     *     the file names
+     */
     public ReplicaSettings replicaSettings(
             String name, Path dirOverride, MemberAddresses joiningAddresses)
             throws MalformedException {
@@ -159,7 +165,7 @@
                 });
         peerAddresses.putAll(peerAddressOverrides);
         List<String> initialMembers = new ArrayList<>(members.keySet());
-        if (joiningAddresses != null) { // it belongs to the group only once it was taken in
+        if (joiningAddresses != null) { // becomes a member only when the group accepts it
             initialMembers.remove(name);
         }
         return new ReplicaSettings(
--- a/coordinator/src/main/java/saltstage/coordinator/settings/DistributorSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/DistributorSettings.java
@@ -12,11 +12,11 @@
 import saltstage.wire.MalformedException;
 
 /**
- * A distributor, from a block {@code distributor} of a group's settings file.
+ * The settings of a distributor, from a block {@code distributor} of a group's settings file.
  *
- * @param clients where it takes calls
- * @param sources where it asks: replicas' client addresses, the preferred one first
- * @param dir the folder that it keeps its configuration in
+ * @param listenAddress the address at which it serves relays
+ * @param sourceAddresses client addresses of the replicas that it follows, in order of preference
+ * @param dir the directory in which it stores its configuration
  */
 public record DistributorSettings(
         String name,
@@ -26,7 +26,7 @@
         Path dir) {
     private static final String NAME_PATTERN = "[!-~]{1,100}";
 
-    /** Reads all such blocks, by name. */
+    /** Reads all blocks {@code distributor} of a file, by the distributor's name. */
     static Map<String, DistributorSettings> readAll(HclBlock top) throws MalformedException {
         Map<String, DistributorSettings> distributors = new LinkedHashMap<>();
         for (HclBlock block : top.blocks("distributor")) {
--- a/coordinator/src/main/java/saltstage/coordinator/settings/FleetSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/FleetSettings.java
@@ -19,23 +19,28 @@
 import saltstage.coordinator.window.FleetPlan;
 import saltstage.wire.MalformedException;
 
-/** What operators have agreed about the fleet, from the block {@code fleet} of a settings file. */
+/** Reads the agreed plan of the fleet from the block {@code fleet} of a settings file. */
 public final class FleetSettings {
     private static final List<String> DAY_NAMES =
             List.of("mon", "tue", "wed", "thu", "fri", "sat", "sun");
     private static final Pattern TIME_PATTERN = Pattern.compile("([01]?\\d|2[0-4]):([0-5]\\d)");
-    private static final long CAPACITY_UNITS_PER_LOAD =
-            1_000; // a mean connection load, in thousandths
+
+    /** The file gives capacities in mean connection loads, the plan in thousandths of one. */
+    private static final long CAPACITY_UNITS_PER_LOAD = 1_000;
+
     private static final long MAX_LOADS = 10_000_000;
 
-    /** So far ahead changes of the clocks are written into the plan; it is set anew long before. */
+    /**
+     * How far ahead changes of the UTC offsets are written into the plan. The plan is expected to
+     * be replaced long before this time has passed.
+     */
     private static final Duration ZONE_TRANSITION_HORIZON = Duration.ofDays(800);
 
     private FleetSettings() {}
 
     /**
-     * Reads the plan; the changes of clocks from this moment on are taken from this machine's
-     * tables.
+     * Reads the plan from a file. The changes of the UTC offsets from {@code now} on are taken from
+     * the time zone tables of this machine.
      */
     public static FleetPlan read(Path file, Instant now) throws MalformedException {
         try {
@@ -45,7 +50,7 @@
         }
     }
 
-    /** Takes the text of a file that errors shall call by this name. */
+    /** Parses the text of a settings file; error messages begin with the given file name. */
     public static FleetPlan parse(String name, String text, Instant now) throws MalformedException {
         HclBlock top = HclFile.parse(name, text);
         HclBlock fleet = top.block("fleet");
--- a/coordinator/src/main/java/saltstage/coordinator/settings/package-info.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' settings of a group, in HCL. */
+/** The settings files of the coordinator, its distributors and its agents, in HCL. */
 package saltstage.coordinator.settings;
--- a/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/command/GroupConfigCommandTest.java
@@ -40,7 +40,7 @@
 import saltstage.store.StoreEventListener;
 import saltstage.store.StoreOptions;
 
-/** The configuration's commands and read API over HTTP, against a group of one replica. */
+/** Tests the configuration commands and the HTTP read API against a group of one replica. */
 class GroupConfigCommandTest {
     private static final int ENGINE_CLOCK_SPEED = 7;
     private static final long TEST_TIMEOUT_SECONDS = 20;
@@ -95,7 +95,9 @@
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TEST_TIMEOUT_SECONDS);
         while (body(get("/v1/status")).path("level").asInt()
                 < ConfigurationCommands.MIN_FEATURE_LEVEL) {
-            assertTrue(System.nanoTime() < deadline, "the group's level has not risen in time");
+            assertTrue(
+                    System.nanoTime() < deadline,
+                    "the feature level of the group has not risen in time");
             Thread.sleep(50);
         }
     }
--- a/coordinator/src/test/java/saltstage/coordinator/command/LauncherTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/command/LauncherTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which of the two programs {@code bin/saltstage} starts, told by a stand-in for Java. */
+/**
+ * Guards against {@code bin/saltstage} starting the wrong one of its two programs. A fake {@code
+ * java} on the path prints its arguments.
+ */
 class LauncherTest {
     @TempDir Path home;
 
--- a/coordinator/src/test/java/saltstage/coordinator/settings/DistributorSettingsTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/settings/DistributorSettingsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import saltstage.wire.MalformedException;
 
-/** Blocks {@code distributor} of the settings file. */
+/** Tests the blocks {@code distributor} of the settings file. */
 class DistributorSettingsTest {
     private static final String GROUP_BLOCK =
             "coordinator {\n  group = \"g\"\n  member \"r1\" {\n    peers = \"127.0.0.1:7101\"\n"
