--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
@@ -338,7 +338,7 @@
             description = {
                 "Restores all entries to their values at a revision by means of new"
                         + " revisions:",
-                "one if it is small enough, else several. Fails if the history does not" + " reach",
+                "one if it is small enough, else several." + " Fails if the history does not reach",
                 "back that far, or if one of the entries is changed by others meanwhile."
             },
             mixinStandardHelpOptions = true)
