--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
@@ -67,10 +67,10 @@
             System.out.println(GroupCodec.jsonMapper().writeValueAsString(reply));
         }
         String why =
-                reply instanceof Rejected no
-                        ? no.message()
-                        : reply instanceof Rejection no
-                                ? no.why()
+                reply instanceof Rejected rejected
+                        ? rejected.message()
+                        : reply instanceof Rejection rejection
+                                ? rejection.why()
                                 : "the group sent an unexpected reply";
         System.err.println("saltstage: " + why);
         return 1;
