--- a/coordinator/src/main/java/saltstage/coordinator/agent/Agent.java
+++ b/coordinator/src/main/java/saltstage/coordinator/agent/Agent.java
@@ -24,10 +24,10 @@
 import saltstage.log.Log;
 
 /**
- * Carries its region's windows out, step by step, each recorded by the group before the next:
- * whoever holds the region's lease after it goes on from there, and may do the step before again.
- * Before each act it makes sure that the lease is still its own. It also tells what of the region
- * is missing outside any window.
+ * Carries out the maintenance windows of one region. The group records each step of a window before
+ * the agent takes the next one, so that the next holder of the region's lease continues there; it
+ * may repeat the step that was not recorded yet. The agent checks before each action that it still
+ * holds the lease. It also reports the capacity that the region lacks outside its windows.
  */
 public final class Agent {
     private static final Duration LEASE_TTL = Duration.ofSeconds(4);
@@ -35,7 +35,7 @@
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(3);
     private static final Duration POLL_INTERVAL = Duration.ofMillis(150);
 
-    /** So many looks without an answer, one after the other, and a node counts as missing. */
+    /** Consecutive unanswered pings after which a node counts as missing. */
     private static final int FAILED_PINGS_UNTIL_MISSING = 3;
 
     private final AgentSettings settings;
@@ -46,16 +46,17 @@
     private final Map<Long, Integer> workFailuresByWindow = new HashMap<>();
     private long reportedLoss = -1;
 
-    /** An agent of a region. */
+    /** Creates the agent of the region that the settings name. */
     public Agent(AgentSettings settings, GroupClient group, LeaseClient leases) {
         this.settings = settings;
         this.groupClient = group;
         this.leaseClient = leases;
     }
 
+    /** The part of the response of {@code /v1/windows} that the agent needs. */
     private record Plans(FleetPlan plan, List<Window> windows, long day) {}
 
-    /** Serves for ever: waits for the lease, acts while it holds it. */
+    /** Runs until the thread is interrupted: acquires the lease and acts while it holds it. */
     public void run() throws InterruptedException {
         while (true) {
             String name = WindowCommands.leaseName(settings.region());
@@ -66,8 +67,8 @@
                 carryOutWindows(lease);
             } catch (LeaseClient.LeaseLostException lost) {
                 Log.warn("agent.lost", "region", settings.region(), "why", lost.getMessage());
-            } catch (LeaseClient.LeaseNotGrantedException | IOException notNow) {
-                Log.info("agent.waits", "region", settings.region(), "why", notNow.getMessage());
+            } catch (LeaseClient.LeaseNotGrantedException | IOException e) {
+                Log.info("agent.waits", "region", settings.region(), "why", e.getMessage());
                 Thread.sleep(POLL_INTERVAL.toMillis());
             } finally {
                 stopWork();
@@ -86,21 +87,21 @@
         while (true) {
             lease.checkStillHeld();
             try {
-                JsonNode read = groupClient.get("/v1/windows", REQUEST_TIMEOUT);
-                Plans plans = GroupCodec.jsonMapper().treeToValue(read, Plans.class);
-                List<String> out = new ArrayList<>();
+                JsonNode response = groupClient.get("/v1/windows", REQUEST_TIMEOUT);
+                Plans plans = GroupCodec.jsonMapper().treeToValue(response, Plans.class);
+                List<String> nodesInProgress = new ArrayList<>();
                 for (Window window : plans.windows()) {
                     if (!window.wish().region().equals(settings.region())) {
                         continue;
                     }
                     if (window.state().isInProgress()) {
-                        out.addAll(window.wish().nodes());
+                        nodesInProgress.addAll(window.wish().nodes());
                     }
                     advanceWindow(window, plans, lease);
                 }
-                reportMissingNodes(plans, out, lease);
-            } catch (GroupUnreachableException | JsonProcessingException notNow) {
-                Log.warn("agent.alone", "why", notNow.getMessage());
+                reportMissingNodes(plans, nodesInProgress, lease);
+            } catch (GroupUnreachableException | JsonProcessingException e) {
+                Log.warn("agent.alone", "why", e.getMessage());
             }
             Thread.sleep(POLL_INTERVAL.toMillis());
         }
@@ -110,8 +111,8 @@
             throws LeaseClient.LeaseLostException, GroupUnreachableException, InterruptedException {
         lease.checkStillHeld();
         Reply reply = groupClient.send(command, REQUEST_TIMEOUT).reply();
-        if (reply instanceof Rejection no) {
-            Log.info("agent.refused", "command", command, "why", no.why());
+        if (reply instanceof Rejection rejection) {
+            Log.info("agent.refused", "command", command, "why", rejection.why());
         }
         return reply;
     }
@@ -119,7 +120,7 @@
     private void advanceWindow(Window window, Plans plans, LeaseClient.Lease lease)
             throws LeaseClient.LeaseLostException, GroupUnreachableException, InterruptedException {
         long id = window.id();
-        long inState = plans.day() - window.since();
+        long inStateMs = plans.day() - window.since();
         switch (window.state()) {
             case PLANNED -> {
                 if (window.start() <= plans.day()) {
@@ -130,28 +131,28 @@
             }
             case DRAINING -> {
                 if (setSuspendedOnAllRelays(window, true, lease)
-                        && inState >= window.wish().drainMs()) {
+                        && inStateMs >= window.wish().drainMs()) {
                     reportStep(id, Step.OUT, 0, lease);
                 }
             }
             case OUT -> {
-                // Said again each time: a relay that was started anew may have forgotten it.
+                // Repeated in each round: a restarted relay may have lost the suspension.
                 if (setSuspendedOnAllRelays(window, true, lease)
-                        && startOrCheckWork(window, inState, lease)
+                        && startOrCheckWork(window, inStateMs, lease)
                         && setSuspendedOnAllRelays(window, false, lease)) {
                     reportStep(id, Step.WARMING, 0, lease);
                 }
             }
-            case WARMING -> advanceWarmUp(window, plans, inState, lease);
-            case RETURNING -> { // its nodes were never touched: they are warm once each relay uses
-                // them again
+            case WARMING -> advanceWarmUp(window, plans, inStateMs, lease);
+            case RETURNING -> {
+                // The nodes were not worked on, so they are warm once all relays use them again.
                 if (setSuspendedOnAllRelays(window, false, lease)
                         && countAnsweringNodes(window) == window.wish().nodes().size()) {
                     reportStep(id, Step.PROVEN, window.capacity(), lease);
                     reportStep(id, Step.DONE, 0, lease);
                 }
             }
-            default -> { // nothing to do
+            default -> { // the other states need no action
             }
         }
     }
@@ -165,56 +166,56 @@
                 lease);
     }
 
-    /** Each relay has said so of each node, now. */
+    /** Suspends or restores the nodes on all relays; true once all relays have confirmed it. */
     private boolean setSuspendedOnAllRelays(Window window, boolean suspend, LeaseClient.Lease lease)
             throws LeaseClient.LeaseLostException {
-        boolean all = true;
+        boolean allConfirmed = true;
         for (InetSocketAddress relay : settings.relayAdminAddresses().values()) {
             for (String node : window.wish().nodes()) {
                 lease.checkStillHeld();
-                all &= RelayClient.setSuspended(relay, suspend, node);
+                allConfirmed &= RelayClient.setSuspended(relay, suspend, node);
             }
         }
-        return all;
+        return allConfirmed;
     }
 
     private int countAnsweringNodes(Window window) {
         int answering = 0;
         for (String node : window.wish().nodes()) {
-            InetSocketAddress at = settings.nodeAddresses().get(node);
-            answering += at != null && RelayClient.isAnswering(at) ? 1 : 0;
+            InetSocketAddress address = settings.nodeAddresses().get(node);
+            answering += address != null && RelayClient.isAnswering(address) ? 1 : 0;
         }
         return answering;
     }
 
     /**
-     * Whether what is to be done at the nodes is done: the command has ended well, or the time is
-     * over.
+     * Whether the work on the nodes is done: the work command has exited with 0 or, without a
+     * command, the time for the work has passed. Starts the command if it is not running.
      */
     private synchronized boolean startOrCheckWork(
-            Window window, long inState, LeaseClient.Lease lease) {
+            Window window, long inStateMs, LeaseClient.Lease lease) {
         if (settings.workCommand().isEmpty()) {
-            return inState >= window.wish().workMs();
+            return inStateMs >= window.wish().workMs();
         }
-        Process running = workByWindow.get(window.id());
-        if (running == null) {
+        Process process = workByWindow.get(window.id());
+        if (process == null) {
             startWork(window, lease);
             return false;
         }
-        if (running.isAlive()) {
+        if (process.isAlive()) {
             return false;
         }
-        if (running.exitValue() != 0) {
-            int tries = workFailuresByWindow.merge(window.id(), 1, Integer::sum);
+        if (process.exitValue() != 0) {
+            int failures = workFailuresByWindow.merge(window.id(), 1, Integer::sum);
             Log.warn(
                     "agent.work-failed",
                     "window",
                     window.id(),
                     "exit",
-                    running.exitValue(),
+                    process.exitValue(),
                     "tries",
-                    tries);
-            workByWindow.remove(window.id()); // again at the next round: it must bear that
+                    failures);
+            workByWindow.remove(window.id()); // started again, so it must be repeatable
             return false;
         }
         return true;
@@ -227,71 +228,72 @@
             builder.environment().put("SALTSTAGE_NODES", String.join(" ", window.wish().nodes()));
             builder.environment().put("SALTSTAGE_FENCE", Long.toString(lease.fencingToken()));
             workByWindow.put(window.id(), builder.start());
-        } catch (IOException notStarted) {
-            Log.warn("agent.work-failed", "window", window.id(), "why", notStarted.getMessage());
+        } catch (IOException e) {
+            Log.warn("agent.work-failed", "window", window.id(), "why", e.getMessage());
         }
     }
 
     /**
-     * What is proven grows with the time that the nodes have been back, as long as all of them
-     * answer.
+     * Reports proven capacity, which grows with the time since the nodes returned, as long as all
+     * of them answer. Reports in steps of an eighth of the capacity.
      */
-    private void advanceWarmUp(Window window, Plans plans, long inState, LeaseClient.Lease lease)
+    private void advanceWarmUp(Window window, Plans plans, long inStateMs, LeaseClient.Lease lease)
             throws LeaseClient.LeaseLostException, GroupUnreachableException, InterruptedException {
         if (!setSuspendedOnAllRelays(window, false, lease)
                 || countAnsweringNodes(window) < window.wish().nodes().size()) {
             return;
         }
         long warmMs = window.wish().warmMs();
-        long cold = window.capacity() * plans.plan().coldPermille() / 1_000;
-        if (warmMs == 0 || inState >= warmMs) {
+        long coldCapacity = window.capacity() * plans.plan().coldPermille() / 1_000;
+        if (warmMs == 0 || inStateMs >= warmMs) {
             reportStep(window.id(), Step.PROVEN, window.capacity(), lease);
             reportStep(window.id(), Step.DONE, 0, lease);
             return;
         }
-        long back = cold + (window.capacity() - cold) * inState / warmMs;
-        if (back - window.proven() >= window.capacity() / 8) {
-            reportStep(window.id(), Step.PROVEN, back, lease);
+        long proven = coldCapacity + (window.capacity() - coldCapacity) * inStateMs / warmMs;
+        if (proven - window.proven() >= window.capacity() / 8) {
+            reportStep(window.id(), Step.PROVEN, proven, lease);
         }
     }
 
     /**
-     * Nodes that do not answer and are in no window are missing; the group must know before it
-     * plans on.
+     * Reports the capacity of the nodes that do not answer and are in no window in progress. The
+     * group must know it before it plans further windows.
      */
-    private void reportMissingNodes(Plans plans, List<String> out, LeaseClient.Lease lease)
+    private void reportMissingNodes(
+            Plans plans, List<String> nodesInProgress, LeaseClient.Lease lease)
             throws LeaseClient.LeaseLostException, GroupUnreachableException, InterruptedException {
         if (plans.plan() == null) {
             return;
         }
-        long lost = 0;
+        long lostCapacity = 0;
         for (FleetPlan.Region region : plans.plan().regions()) {
             for (FleetPlan.Node node : region.nodes()) {
-                InetSocketAddress at = settings.nodeAddresses().get(node.id());
+                InetSocketAddress address = settings.nodeAddresses().get(node.id());
                 if (!region.name().equals(settings.region())
-                        || out.contains(node.id())
-                        || at == null) {
+                        || nodesInProgress.contains(node.id())
+                        || address == null) {
                     continue;
                 }
-                int looks =
-                        RelayClient.isAnswering(at)
+                int failedPings =
+                        RelayClient.isAnswering(address)
                                 ? 0
                                 : failedPingsByNode.getOrDefault(node.id(), 0) + 1;
-                failedPingsByNode.put(node.id(), looks);
-                lost += looks >= FAILED_PINGS_UNTIL_MISSING ? node.capacity() : 0;
+                failedPingsByNode.put(node.id(), failedPings);
+                lostCapacity += failedPings >= FAILED_PINGS_UNTIL_MISSING ? node.capacity() : 0;
             }
         }
-        if (lost != reportedLoss
+        if (lostCapacity != reportedLoss
                 && sendCommand(
                                 new WindowCommands.Outage(
                                         settings.region(),
-                                        lost,
+                                        lostCapacity,
                                         leaseClient.owner(),
                                         lease.fencingToken()),
                                 lease)
                         instanceof saltstage.coordinator.model.Acknowledgement) {
-            Log.info("agent.missing", "region", settings.region(), "lost", lost);
-            reportedLoss = lost;
+            Log.info("agent.missing", "region", settings.region(), "lost", lostCapacity);
+            reportedLoss = lostCapacity;
         }
     }
 }
--- a/coordinator/src/main/java/saltstage/coordinator/command/AdviceCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/AdviceCommand.java
@@ -21,10 +21,10 @@
 import saltstage.coordinator.model.Reply;
 import saltstage.log.Log;
 
-/** Which tenants to move between nodes. */
+/** Commands for the advice on which tenants to move between nodes. */
 @Command(
         name = "advice",
-        description = "Which tenants to move between nodes.",
+        description = "Advice on which tenants to move between nodes.",
         mixinStandardHelpOptions = true,
         subcommands = {
             AdviceCommand.ListAdvice.class,
@@ -42,24 +42,24 @@
         return ExitCode.OK;
     }
 
-    /** What was said. */
+    /** Lists the recommendations with their states. */
     @Command(
             name = "list",
             aliases = "history",
-            description = "Shows recommendations and what became of them.",
+            description = "Shows recommendations and their states.",
             mixinStandardHelpOptions = true)
     static final class ListAdvice implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
 
         @Override
         public Integer call() throws Exception {
-            JsonNode read = group.get("/v1/advice");
+            JsonNode response = group.get("/v1/advice");
             if (group.isJson()) {
-                System.out.println(read);
+                System.out.println(response);
                 return ExitCode.OK;
             }
-            System.out.println(read.path("book").path("why").asText());
-            for (JsonNode row : read.path("book").path("rows")) {
+            System.out.println(response.path("book").path("why").asText());
+            for (JsonNode row : response.path("book").path("rows")) {
                 JsonNode move = row.path("move");
                 System.out.printf(
                         "%d %s: %d connections of %s from %s to %s, gain %.0f for %.0f,"
@@ -79,8 +79,11 @@
         }
     }
 
-    /** Taken up. */
-    @Command(name = "accept", description = "Takes one up.", mixinStandardHelpOptions = true)
+    /** Accepts a recommendation. */
+    @Command(
+            name = "accept",
+            description = "Accepts a recommendation.",
+            mixinStandardHelpOptions = true)
     static final class Accept implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
 
@@ -93,8 +96,11 @@
         }
     }
 
-    /** Turned down. */
-    @Command(name = "refuse", description = "Turns one down.", mixinStandardHelpOptions = true)
+    /** Refuses a recommendation. */
+    @Command(
+            name = "refuse",
+            description = "Refuses a recommendation.",
+            mixinStandardHelpOptions = true)
     static final class Refuse implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
 
@@ -107,10 +113,10 @@
         }
     }
 
-    /** The advisor: one of any number speaks, the one that holds the lease. */
+    /** Runs an advisor. Of several advisors only the holder of the lease gives advice. */
     @Command(
             name = "serve",
-            description = "Runs an advisor; one of several speaks, under a lease.",
+            description = "Runs an advisor; of several, only the holder of a lease gives advice.",
             mixinStandardHelpOptions = true)
     static final class Serve implements Callable<Integer> {
         private static final java.time.Duration LEASE_TTL = java.time.Duration.ofSeconds(5);
@@ -146,8 +152,8 @@
                     }
                 } catch (LeaseClient.LeaseLostException
                         | LeaseClient.LeaseNotGrantedException
-                        | java.io.IOException notNow) {
-                    Log.info("advisor.waits", "why", notNow.getMessage());
+                        | java.io.IOException e) {
+                    Log.info("advisor.waits", "why", e.getMessage());
                     Thread.sleep(200);
                 }
             }
@@ -155,19 +161,20 @@
 
         private void advise(GroupClient client, LeaseClient.Lease lease, String owner)
                 throws java.io.IOException, InterruptedException, LeaseClient.LeaseLostException {
-            JsonNode read = client.get("/v1/advice", group.timeout());
+            JsonNode response = client.get("/v1/advice", group.timeout());
             List<NodeSnapshots.View> views = new ArrayList<>();
-            for (JsonNode view : read.path("views")) {
+            for (JsonNode view : response.path("views")) {
                 views.add(GroupCodec.jsonMapper().treeToValue(view, NodeSnapshots.View.class));
             }
-            List<Advisor.RecentMove> made = new ArrayList<>();
-            for (JsonNode one : read.path("made")) {
-                made.add(GroupCodec.jsonMapper().treeToValue(one, Advisor.RecentMove.class));
+            List<Advisor.RecentMove> recentMoves = new ArrayList<>();
+            for (JsonNode move : response.path("made")) {
+                recentMoves.add(
+                        GroupCodec.jsonMapper().treeToValue(move, Advisor.RecentMove.class));
             }
             Set<String> avoid = new HashSet<>();
-            read.path("avoid").forEach(name -> avoid.add(name.asText()));
+            response.path("avoid").forEach(name -> avoid.add(name.asText()));
             Advisor.Advice advice =
-                    new Advisor(Advisor.Rules.defaults()).advise(views, avoid, made, 0);
+                    new Advisor(Advisor.Rules.defaults()).advise(views, avoid, recentMoves, 0);
             lease.checkStillHeld();
             Reply reply =
                     client.send(
@@ -178,8 +185,8 @@
                                             advice.why()),
                                     group.timeout())
                             .reply();
-            if (reply instanceof Rejection no) {
-                Log.warn("advisor.refused", "why", no.why());
+            if (reply instanceof Rejection rejection) {
+                Log.warn("advisor.refused", "why", rejection.why());
             }
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/command/AgentCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/AgentCommand.java
@@ -10,10 +10,10 @@
 import saltstage.coordinator.client.Ticker;
 import saltstage.coordinator.settings.AgentSettings;
 
-/** A region's agent. */
+/** Runs the agent of a region. */
 @Command(
         name = "agent",
-        description = "Carries a region's maintenance windows out, until it is ended.",
+        description = "Carries out the maintenance windows of a region until SIGTERM.",
         mixinStandardHelpOptions = true)
 final class AgentCommand implements Callable<Integer> {
     @CommandLine.Mixin private GroupOptions group;
@@ -22,12 +22,12 @@
             names = "--agent",
             required = true,
             paramLabel = "FILE",
-            description = "the agent's settings")
-    private Path file;
+            description = "settings file of the agent (HCL)")
+    private Path settingsFile;
 
     @Override
     public Integer call() throws Exception {
-        AgentSettings settings = AgentSettings.read(file);
+        AgentSettings settings = AgentSettings.read(settingsFile);
         try (LeaseClient leases =
                 new LeaseClient(
                         group.createClient(),
@@ -35,7 +35,7 @@
                         Ticker.SYSTEM,
                         "agent-" + settings.region() + "-" + ProcessHandle.current().pid())) {
             Runtime.getRuntime()
-                    .addShutdownHook(new Thread(leases::close)); // a successor need not wait
+                    .addShutdownHook(new Thread(leases::close)); // so a successor need not wait
             new Agent(settings, group.createClient(), leases).run();
         }
         return ExitCode.OK;
--- a/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/ClusterCommand.java
@@ -35,7 +35,7 @@
 import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
-/** Replicas: running them, and who belongs to the group. */
+/** Commands that run replicas and change the members of the group. */
 @Command(
         name = "cluster",
         description = "The replicas of a group.",
@@ -56,7 +56,7 @@
         return ExitCode.OK;
     }
 
-    /** One replica. */
+    /** Runs one replica. */
     @Command(
             name = "serve",
             description = "Runs a replica until SIGTERM.",
@@ -65,33 +65,36 @@
         private static final Duration JOIN_RETRY_DELAY = Duration.ofMillis(300);
 
         @Option(names = "--settings", required = true, paramLabel = "FILE")
-        private Path settings;
+        private Path settingsFile;
 
         @Option(
                 names = "--name",
                 required = true,
-                description = "which member of the settings this is")
+                description = "name of the replica, as in the settings unless it joins")
         private String name;
 
-        @Option(names = "--dir", description = "its folder, in place of the settings'")
+        @Option(names = "--dir", description = "data directory, instead of the one in the settings")
         private Path dir;
 
-        @Option(names = "--join", description = "a new member: where it is heard, as PEERS,CLIENTS")
+        @Option(
+                names = "--join",
+                description = "joins as a new member that listens at PEERS,CLIENTS")
         private String join;
 
         @Override
-        @SuppressWarnings("try") // the listener only has to be closed
+        @SuppressWarnings("try") // the listener is only closed, not used
         public Integer call() throws Exception {
-            CoordinatorSettings read = CoordinatorSettings.read(settings);
-            CoordinatorSettings.MemberAddresses place = joiningAddresses();
-            ReplicaSettings mine = read.replicaSettings(name, dir, place);
+            CoordinatorSettings groupSettings = CoordinatorSettings.read(settingsFile);
+            CoordinatorSettings.MemberAddresses joiningAddresses = joiningAddresses();
+            ReplicaSettings settings = groupSettings.replicaSettings(name, dir, joiningAddresses);
             CountDownLatch stop = new CountDownLatch(1);
             CountDownLatch stopped = new CountDownLatch(1);
-            Files.createDirectories(mine.dir());
-            Store store = Store.open(new FileDisk(mine.dir()), StoreOptions.defaults(), Log::info);
+            Files.createDirectories(settings.dir());
+            Store store =
+                    Store.open(new FileDisk(settings.dir()), StoreOptions.defaults(), Log::info);
             try (Replica replica =
                             new Replica(
-                                    mine,
+                                    settings,
                                     store,
                                     new NettyTransport(
                                             1,
@@ -100,20 +103,21 @@
                                                     Log.error("loop.fault." + where, fault)),
                                     Serve::halt);
                     HttpListener listener =
-                            new HttpListener(mine.clientListenAddress(), new ApiHandler(replica))) {
+                            new HttpListener(
+                                    settings.clientListenAddress(), new ApiHandler(replica))) {
                 Runtime.getRuntime().addShutdownHook(new Thread(() -> stopAndAwait(stop, stopped)));
                 Log.info(
                         "replica.ready",
                         "name",
                         name,
                         "group",
-                        mine.group(),
+                        settings.group(),
                         "clients",
-                        mine.clientListenAddress(),
+                        settings.clientListenAddress(),
                         "disk",
                         replica.diskId());
-                if (place != null) {
-                    joinGroup(read, mine, replica.diskId());
+                if (joiningAddresses != null) {
+                    joinGroup(groupSettings, settings, replica.diskId());
                 }
                 stop.await();
                 transferLeadership(replica);
@@ -123,7 +127,7 @@
             return ExitCode.OK;
         }
 
-        /** Where a new member is heard, or null for one that the settings name. */
+        /** The listen addresses of a new member, or null for a member that the settings name. */
         private CoordinatorSettings.MemberAddresses joiningAddresses() throws MalformedException {
             if (join == null) {
                 return null;
@@ -140,69 +144,71 @@
             stop.countDown();
             try {
                 stopped.await();
-            } catch (InterruptedException again) {
+            } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
 
-        /**
-         * What is known is not enough to go on: the process ends at once, without another write.
-         */
+        /** Ends the process at once, without another write, because its state is not reliable. */
         private static void halt(int code, String why) {
             System.err.println("saltstage: " + why);
             Runtime.getRuntime().halt(code);
         }
 
-        /** A leader that leaves hands its place over first: nobody need notice that it is gone. */
+        /** Transfers the leadership before a shutdown, so that clients see no gap. */
         private static void transferLeadership(Replica replica) {
             try {
-                ReplicaStatus now = replica.status().get(1, TimeUnit.SECONDS);
-                String to =
-                        now.voters().stream()
-                                .filter(v -> now.links().getOrDefault(v, false))
+                ReplicaStatus status = replica.status().get(1, TimeUnit.SECONDS);
+                String successor =
+                        status.voters().stream()
+                                .filter(voter -> status.links().getOrDefault(voter, false))
                                 .findFirst()
                                 .orElse(null);
-                if (now.name().equals(now.leader()) && to != null) {
-                    replica.transferLeadership(to).get(2, TimeUnit.SECONDS);
-                    Log.info("replica.handed-over", "to", to);
+                if (status.name().equals(status.leader()) && successor != null) {
+                    replica.transferLeadership(successor).get(2, TimeUnit.SECONDS);
+                    Log.info("replica.handed-over", "to", successor);
                 }
-            } catch (InterruptedException | ExecutionException | TimeoutException notNow) {
-                Log.warn("replica.kept-lead", "why", notNow.toString());
+            } catch (InterruptedException | ExecutionException | TimeoutException e) {
+                Log.warn("replica.kept-lead", "why", e.toString());
             }
         }
 
-        private void joinGroup(CoordinatorSettings read, ReplicaSettings mine, String disk)
+        /** Asks the group to accept this replica until it is a voter. */
+        private void joinGroup(
+                CoordinatorSettings groupSettings, ReplicaSettings settings, String diskId)
                 throws InterruptedException, MalformedException, IOException {
-            GroupClient group =
+            GroupClient client =
                     new GroupClient(
-                            read.members().values().stream()
-                                    .map(at -> HostPort.format(at.clientAddress()))
+                            groupSettings.members().values().stream()
+                                    .map(member -> HostPort.format(member.clientAddress()))
                                     .toList(),
                             Ticker.SYSTEM);
             JsonNode body =
                     GroupCodec.jsonMapper()
                             .createObjectNode()
                             .put("name", name)
-                            .put("disk", disk)
-                            .put("peers", HostPort.format(mine.peerListenAddress()))
-                            .put("clients", HostPort.format(mine.clientListenAddress()));
+                            .put("disk", diskId)
+                            .put("peers", HostPort.format(settings.peerListenAddress()))
+                            .put("clients", HostPort.format(settings.clientListenAddress()));
             for (String state = "";
                     !state.equals("votes");
                     Thread.sleep(JOIN_RETRY_DELAY.toMillis())) {
-                String now =
-                        group.post("/v1/join", body, Duration.ofSeconds(30)).path("state").asText();
-                if (!now.equals(state)) {
-                    Log.info("replica.joins", "state", now);
+                String newState =
+                        client.post("/v1/join", body, Duration.ofSeconds(30))
+                                .path("state")
+                                .asText();
+                if (!newState.equals(state)) {
+                    Log.info("replica.joins", "state", newState);
                 }
-                state = now;
+                state = newState;
             }
         }
     }
 
-    /** How each stands. */
+    /** Shows the status of each replica. */
     @Command(
             name = "status",
-            description = "How each replica stands; exit 1 where no majority does.",
+            description = "Shows the status of each replica; exit code 1 if there is no leader.",
             mixinStandardHelpOptions = true)
     static final class Status implements Callable<Integer> {
         private static final Duration STATUS_TIMEOUT = Duration.ofSeconds(2);
@@ -211,30 +217,30 @@
 
         @Override
         public Integer call() throws Exception {
-            Map<String, Object> all = new LinkedHashMap<>();
+            Map<String, Object> statusByAddress = new LinkedHashMap<>();
             int answers = 0;
-            boolean led = false;
-            for (String place : group.replicaAddresses()) {
+            boolean hasLeader = false;
+            for (String address : group.replicaAddresses()) {
                 try {
                     JsonNode status =
-                            new GroupClient(List.of(place), Ticker.SYSTEM)
+                            new GroupClient(List.of(address), Ticker.SYSTEM)
                                     .get("/v1/status", STATUS_TIMEOUT);
-                    all.put(place, status);
+                    statusByAddress.put(address, status);
                     answers++;
-                    led |= status.path("role").asText().equals("leader");
+                    hasLeader |= status.path("role").asText().equals("leader");
                     printLine(group, formatStatus(status));
-                } catch (GroupClient.GroupUnreachableException silent) {
-                    all.put(place, Map.of("error", silent.getMessage()));
-                    printLine(group, place + ": " + silent.getMessage());
+                } catch (GroupClient.GroupUnreachableException e) {
+                    statusByAddress.put(address, Map.of("error", e.getMessage()));
+                    printLine(group, address + ": " + e.getMessage());
                 }
             }
             if (group.isJson()) {
-                System.out.println(GroupCodec.jsonMapper().writeValueAsString(all));
+                System.out.println(GroupCodec.jsonMapper().writeValueAsString(statusByAddress));
             }
             if (answers == 0) {
                 return ExitCode.UNREACHABLE;
             }
-            return led ? ExitCode.OK : ExitCode.REJECTED;
+            return hasLeader ? ExitCode.OK : ExitCode.REJECTED;
         }
 
         private static void printLine(GroupOptions group, String line) {
@@ -258,10 +264,10 @@
         }
     }
 
-    /** Takes a member out. */
+    /** Removes a member from the group. */
     @Command(
             name = "leave",
-            description = "Takes a member out of the group: leaving, dead or wiped.",
+            description = "Removes a member that leaves, is dead or has lost its data.",
             mixinStandardHelpOptions = true)
     static final class Leave implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -275,10 +281,10 @@
         }
     }
 
-    /** Another leader. */
+    /** Transfers the leadership. */
     @Command(
             name = "transfer",
-            description = "Hands the lead to a member.",
+            description = "Transfers the leadership to a member.",
             mixinStandardHelpOptions = true)
     static final class Transfer implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
--- a/coordinator/src/main/java/saltstage/coordinator/command/CommandRejectedException.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/CommandRejectedException.java
@@ -2,18 +2,18 @@
 
 import saltstage.coordinator.model.Rejection;
 
-/** The group refused a command; the command line prints why and ends with {@link ExitCode}. */
+/** The group rejected a command; the process exits with {@link ExitCode#REJECTED}. */
 final class CommandRejectedException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final transient Rejection rejection;
 
-    CommandRejectedException(Rejection refusal) {
-        super(refusal.why());
-        this.rejection = refusal;
+    CommandRejectedException(Rejection rejection) {
+        super(rejection.why());
+        this.rejection = rejection;
     }
 
-    /** The group's reply. */
+    /** The reply of the group. */
     Rejection rejection() {
         return rejection;
     }
--- a/coordinator/src/main/java/saltstage/coordinator/command/DistributorCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/DistributorCommand.java
@@ -10,44 +10,45 @@
 import saltstage.coordinator.settings.CoordinatorSettings;
 import saltstage.coordinator.settings.DistributorSettings;
 
-/** Distributors of the group's configuration. */
+/** Commands for the distributors of the group's configuration. */
 @Command(
         name = "distributor",
-        description = "Serves the group's configuration to a zone's relays.",
+        description = "Distributes the group's configuration to the relays of a zone.",
         mixinStandardHelpOptions = true,
         subcommands = {DistributorCommand.Serve.class})
 final class DistributorCommand {
-    /** Its folder or address cannot be had. */
+    /** The directory or the address cannot be used: EX_IOERR of sysexits.h. */
     private static final int EXIT_CANNOT_START = 74;
 
-    /** What it holds and what it serves have come apart. */
+    /** The stored and the served configuration differ: EX_SOFTWARE of sysexits.h. */
     private static final int EXIT_FAULT = 70;
 
     private DistributorCommand() {}
 
-    /** One distributor. */
+    /** Runs one distributor. */
     @Command(
             name = "serve",
             description = "Runs a distributor until SIGTERM.",
             mixinStandardHelpOptions = true)
     static final class Serve implements Callable<Integer> {
         @Option(names = "--settings", required = true, paramLabel = "FILE")
-        private Path settings;
+        private Path settingsFile;
 
         @Option(
                 names = "--name",
                 required = true,
-                description = "which distributor of the settings")
+                description = "name of the distributor in the settings")
         private String name;
 
         @Override
         public Integer call() throws Exception {
-            DistributorSettings mine = CoordinatorSettings.read(settings).distributorSettings(name);
+            DistributorSettings settings =
+                    CoordinatorSettings.read(settingsFile).distributorSettings(name);
             DistributorProcess process;
             try {
-                process = new DistributorProcess(mine, Serve::haltAfterFault);
-            } catch (IOException cannot) {
-                System.err.println("saltstage: " + cannot.getMessage());
+                process = new DistributorProcess(settings, Serve::haltAfterFault);
+            } catch (IOException e) {
+                System.err.println("saltstage: " + e.getMessage());
                 return EXIT_CANNOT_START;
             }
             Runtime.getRuntime().addShutdownHook(new Thread(() -> close(process)));
@@ -58,8 +59,8 @@
         private static void close(DistributorProcess process) {
             try {
                 process.close();
-            } catch (IOException failed) {
-                System.err.println("saltstage: " + failed.getMessage());
+            } catch (IOException e) {
+                System.err.println("saltstage: " + e.getMessage());
             }
         }
 
--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupConfigCommand.java
@@ -34,10 +34,10 @@
 import saltstage.coordinator.model.Reply;
 import saltstage.wire.MalformedException;
 
-/** The configuration that a group keeps for its relays. */
+/** Commands for the configuration that a group stores for its relays. */
 @Command(
         name = "config",
-        description = "The configuration that a group keeps for its relays.",
+        description = "The configuration that a group stores for its relays.",
         mixinStandardHelpOptions = true,
         subcommands = {
             GroupConfigCommand.Put.class,
@@ -49,11 +49,11 @@
         })
 final class GroupConfigCommand {
     private static final String API_PATH = "/v1/configuration/";
-    private static final int HISTORY_PAGE = 100;
+    private static final int HISTORY_PAGE_SIZE = 100;
 
     private GroupConfigCommand() {}
 
-    /** Sends a change and prints what came of it; 1 where it was refused. */
+    /** Sends a change and prints the reply; returns the exit code, 1 if it was rejected. */
     private static int sendChange(
             GroupOptions group, GroupClient client, ChangeConfiguration change) throws Exception {
         Reply reply = client.send(change, group.timeout()).reply();
@@ -67,26 +67,28 @@
             System.out.println(GroupCodec.jsonMapper().writeValueAsString(reply));
         }
         String why =
-                reply instanceof Rejected no
-                        ? no.message()
-                        : reply instanceof Rejection no ? no.why() : "an answer of another kind";
+                reply instanceof Rejected rejected
+                        ? rejected.message()
+                        : reply instanceof Rejection rejection
+                                ? rejection.why()
+                                : "the group sent an unexpected reply";
         System.err.println("saltstage: " + why);
         return 1;
     }
 
-    /** Accepted changes after a revision, up to this many, as the group has them now. */
+    /** Reads the accepted changes after a revision from the group, at most {@code limit}. */
     private static ConfigurationRegistry.History readHistory(
             GroupOptions group, GroupClient client, long after, int limit) throws Exception {
-        JsonNode read =
+        JsonNode response =
                 client.get(
                         API_PATH + "history?after=" + after + "&limit=" + limit, group.timeout());
-        return GroupCodec.jsonMapper().treeToValue(read, ConfigurationRegistry.History.class);
+        return GroupCodec.jsonMapper().treeToValue(response, ConfigurationRegistry.History.class);
     }
 
-    /** Puts or deletes entries. */
+    /** Sets or deletes entries. */
     @Command(
             name = "put",
-            description = "Puts entries in force, all or none of them, as one revision.",
+            description = "Sets or deletes entries atomically, as one revision.",
             mixinStandardHelpOptions = true)
     static final class Put implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -114,10 +116,10 @@
                 names = "--expect",
                 paramLabel = "KEY=REVISION",
                 description =
-                        "refuse unless the entry is at this revision; 0: absent; may be repeated")
+                        "reject unless the entry is at this revision; 0: absent; may be repeated")
         private Map<String, Long> expected = Map.of();
 
-        @Option(names = "--by", description = "who asks (default: the user's name)")
+        @Option(names = "--by", description = "author of the change (default: the user's name)")
         private String by = System.getProperty("user.name");
 
         @Override
@@ -142,7 +144,8 @@
                 mutations.add(new Mutation(MutationText.parseKey(key), null));
             }
             if (mutations.isEmpty()) {
-                throw new MalformedException("name entries: KEY VALUE, --file or --delete");
+                throw new MalformedException(
+                        "no entries are given: use KEY VALUE, --file or --delete");
             }
             return mutations;
         }
@@ -152,11 +155,11 @@
     @Command(
             name = "get",
             description =
-                    "Shows the entries in force whose keys begin so; exit code 1 where there is"
+                    "Shows the entries whose keys begin with PREFIX; exit code 1 if there are"
                             + " none.",
             mixinStandardHelpOptions = true)
     static final class Get implements Callable<Integer> {
-        /** The first name of any kind, in the order of keys. */
+        /** Sorts before the names of all entries of a kind. */
         private static final String FIRST_NAME = "!";
 
         @CommandLine.Mixin private GroupOptions group;
@@ -186,7 +189,7 @@
             return prefix.endsWith("/") ? prefix + FIRST_NAME : prefix.contains("/") ? prefix : "";
         }
 
-        /** Adds what begins so; false once the keys are beyond it. */
+        /** Adds the entries that match the prefix; false once the keys have passed it. */
         private boolean addMatching(SnapshotPage page, List<Entry> found) {
             for (Entry entry : page.entries()) {
                 String key = entry.key().text();
@@ -211,33 +214,37 @@
         }
     }
 
-    /** Each change from now on. */
+    /** Prints each change from now on. */
     @Command(
             name = "watch",
-            description = "Prints each change from now on, until it is ended.",
+            description = "Prints each change from now on, until it is stopped.",
             mixinStandardHelpOptions = true)
     static final class Watch implements Callable<Integer> {
         private static final int WAIT_MS = 1_500;
 
         @CommandLine.Mixin private GroupOptions group;
 
-        @Option(names = "--changes", description = "end after so many", defaultValue = "2147483647")
+        @Option(
+                names = "--changes",
+                description = "exit after this many changes",
+                defaultValue = "2147483647")
         private int changes;
 
         @Override
         public Integer call() throws Exception {
             GroupClient client = group.createClient();
-            JsonNode now = client.get(API_PATH + "status", group.timeout());
-            long revision = now.path("revision").asLong();
-            String digest = now.path("digest").asText();
+            JsonNode status = client.get(API_PATH + "status", group.timeout());
+            long revision = status.path("revision").asLong();
+            String digest = status.path("digest").asText();
             for (int seen = 0; seen < changes; ) {
                 String path =
                         String.format(
                                 "%schanges?after=%d&digest=%s&waitMs=%d",
                                 API_PATH, revision, digest, WAIT_MS);
-                String answer = client.get(path, group.timeout()).toString();
-                ChangesResponse read = ConfigurationJson.parseChanges(answer);
-                for (Change change : read.changes().subList(0, shownCount(read, changes - seen))) {
+                String responseJson = client.get(path, group.timeout()).toString();
+                ChangesResponse response = ConfigurationJson.parseChanges(responseJson);
+                for (Change change :
+                        response.changes().subList(0, shownCount(response, changes - seen))) {
                     print(change);
                     seen++;
                     revision = change.revision();
@@ -247,8 +254,8 @@
             return 0;
         }
 
-        private static int shownCount(ChangesResponse read, int most) {
-            return Math.min(read.changes().size(), most);
+        private static int shownCount(ChangesResponse response, int limit) {
+            return Math.min(response.changes().size(), limit);
         }
 
         private void print(Change change) {
@@ -267,37 +274,37 @@
         }
     }
 
-    /** What was accepted. */
+    /** Shows the accepted changes. */
     @Command(
             name = "history",
             description = "Shows accepted changes with author and time, oldest first.",
             mixinStandardHelpOptions = true)
     static final class History implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
-        @CommandLine.Mixin private GroupHistoryOption ofGroup;
+        @CommandLine.Mixin private GroupHistoryOption historyOption;
 
         @Option(
                 names = "--after",
-                description = "only what came after this revision",
+                description = "only changes after this revision",
                 defaultValue = "0")
         private long after;
 
-        @Option(names = "--limit", description = "at most so many", defaultValue = "100")
+        @Option(names = "--limit", description = "maximum number of changes", defaultValue = "100")
         private int limit;
 
         @Override
         public Integer call() throws Exception {
-            ConfigurationRegistry.History read =
+            ConfigurationRegistry.History history =
                     readHistory(group, group.createClient(), after, limit);
             if (group.isJson()) {
-                System.out.println(GroupCodec.jsonMapper().writeValueAsString(read));
+                System.out.println(GroupCodec.jsonMapper().writeValueAsString(history));
                 return 0;
             }
-            if (after < read.oldest()) {
+            if (after < history.oldest()) {
                 System.out.println(
-                        "changes up to revision " + read.oldest() + " are no longer kept");
+                        "changes up to revision " + history.oldest() + " are no longer kept");
             }
-            for (AcceptedChange change : read.changes()) {
+            for (AcceptedChange change : history.changes()) {
                 System.out.printf(
                         "%d %s %s, %d changed%n",
                         change.revision(),
@@ -305,39 +312,44 @@
                         change.author(),
                         change.mutations().size());
                 change.mutations()
-                        .forEach(one -> System.out.println("  " + MutationText.formatLine(one)));
+                        .forEach(
+                                mutation ->
+                                        System.out.println(
+                                                "  " + MutationText.formatLine(mutation)));
             }
             return 0;
         }
     }
 
-    /** Marks a call for a group where a relay has one of the same name. */
+    /**
+     * The option by which {@code bin/saltstage} tells a command for a group from the command of the
+     * same name for a relay.
+     */
     static final class GroupHistoryOption {
         @Option(
                 names = "--group",
-                description = "the group's history, with --settings; --at says so by itself")
-        private boolean ofGroup;
+                description = "use the group's history with --settings; --at implies it")
+        private boolean groupHistory;
     }
 
-    /** Back to an earlier revision. */
+    /** Restores the entries of an earlier revision. */
     @Command(
             name = "rollback",
             description = {
-                "Writes what brings all entries back to what they were at a revision, as new"
+                "Restores all entries to their values at a revision by means of new"
                         + " revisions:",
-                "one where that is small enough, else several. Refused where the history does not"
-                        + " reach",
-                "back so far, or somebody else changes one of the entries meanwhile."
+                "one if it is small enough, else several." + " Fails if the history does not reach",
+                "back that far, or if one of the entries is changed by others meanwhile."
             },
             mixinStandardHelpOptions = true)
     static final class Rollback implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
-        @CommandLine.Mixin private GroupHistoryOption ofGroup;
+        @CommandLine.Mixin private GroupHistoryOption historyOption;
 
         @Parameters(paramLabel = "REVISION")
         private long revision;
 
-        @Option(names = "--by", description = "who asks (default: the user's name)")
+        @Option(names = "--by", description = "author of the change (default: the user's name)")
         private String by = System.getProperty("user.name");
 
         @Override
@@ -348,40 +360,40 @@
                 group.print(Map.of("changes", 0), "all is as it was at revision " + revision);
             }
             for (ChangeConfiguration change : changes) {
-                int code = sendChange(group, client, change);
-                if (code != 0) {
-                    return code;
+                int exitCode = sendChange(group, client, change);
+                if (exitCode != 0) {
+                    return exitCode;
                 }
             }
             return 0;
         }
 
-        /** All changes after the revision; refused where some are no longer kept. */
+        /** Reads all changes after the revision; fails if some are no longer in the history. */
         private List<AcceptedChange> readChanges(GroupClient client) throws Exception {
             List<AcceptedChange> changes = new ArrayList<>();
-            long reached = revision;
+            long afterRevision = revision;
             while (true) {
-                ConfigurationRegistry.History read =
-                        readHistory(group, client, reached, HISTORY_PAGE);
-                if (revision > read.revision()) {
-                    throw new MalformedException("the newest revision is " + read.revision());
+                ConfigurationRegistry.History history =
+                        readHistory(group, client, afterRevision, HISTORY_PAGE_SIZE);
+                if (revision > history.revision()) {
+                    throw new MalformedException("the newest revision is " + history.revision());
                 }
-                if (reached < read.oldest()) {
+                if (afterRevision < history.oldest()) {
                     throw new MalformedException(
                             "the history begins after revision "
-                                    + read.oldest()
+                                    + history.oldest()
                                     + "; nothing was changed");
                 }
-                changes.addAll(read.changes());
-                if (reached >= read.revision() || read.changes().isEmpty()) {
+                changes.addAll(history.changes());
+                if (afterRevision >= history.revision() || history.changes().isEmpty()) {
                     return changes;
                 }
-                reached = read.changes().get(read.changes().size() - 1).revision();
+                afterRevision = history.changes().get(history.changes().size() - 1).revision();
             }
         }
     }
 
-    /** Who has it. */
+    /** Shows which relays have confirmed a revision. */
     @Command(
             name = "status",
             description =
@@ -399,19 +411,19 @@
             if (revision < 0 || revision > ConfigurationLimits.MAX_SAFE_INTEGER) {
                 throw new MalformedException("--revision takes a whole number from 0 on");
             }
-            JsonNode read =
+            JsonNode response =
                     group.createClient()
                             .get(API_PATH + "status?revision=" + revision, group.timeout());
             if (group.isJson()) {
-                System.out.println(read);
+                System.out.println(response);
                 return 0;
             }
             System.out.printf(
                     "revision %d, digest %s; asked about %d%n",
-                    read.path("revision").asLong(),
-                    read.path("digest").asText(),
-                    read.path("asked").asLong());
-            read.path("zones").forEach(Status::print);
+                    response.path("revision").asLong(),
+                    response.path("digest").asText(),
+                    response.path("asked").asLong());
+            response.path("zones").forEach(Status::print);
             return 0;
         }
 
@@ -423,12 +435,12 @@
                     zone.path("confirmed").asInt(),
                     zone.path("followers").asInt(),
                     zone.path("reportAgeMs").asLong());
-            for (JsonNode behind : zone.path("behind")) {
+            for (JsonNode follower : zone.path("behind")) {
                 System.out.printf(
                         "  %s is at %d, behind for %d ms%n",
-                        behind.path("follower").asText(),
-                        behind.path("revision").asLong(),
-                        behind.path("sinceMs").asLong());
+                        follower.path("follower").asText(),
+                        follower.path("revision").asLong(),
+                        follower.path("sinceMs").asLong());
             }
         }
     }
--- a/coordinator/src/main/java/saltstage/coordinator/command/GroupOptions.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/GroupOptions.java
@@ -21,17 +21,20 @@
 import saltstage.coordinator.settings.CoordinatorSettings;
 import saltstage.wire.MalformedException;
 
-/** Which group a command is for, and how it shows what it got. */
+/** Options of all client commands: how to reach the group, and the form of the output. */
 final class GroupOptions {
-    @Option(names = "--settings", paramLabel = "FILE", description = "the group's settings (HCL)")
+    @Option(
+            names = "--settings",
+            paramLabel = "FILE",
+            description = "settings file of the group (HCL)")
     private Path settings;
 
     @Option(
             names = "--at",
             split = ",",
             paramLabel = "HOST:PORT",
-            description = "where replicas take calls, in place of the settings")
-    private List<String> at;
+            description = "client addresses of replicas, instead of the settings")
+    private List<String> addresses;
 
     @Option(names = "--json", description = "print JSON")
     private boolean json;
@@ -41,39 +44,40 @@
             paramLabel = "SPAN",
             converter = DurationConverter.class,
             defaultValue = "5s",
-            description = "how long to try (default: ${DEFAULT-VALUE})")
-    private Duration within;
+            description = "time limit for each request (default: ${DEFAULT-VALUE})")
+    private Duration timeout;
 
-    /** A span such as 250ms, 10s or 5m. */
+    /** Converts a duration such as 250ms, 10s or 5m. */
     static final class DurationConverter implements ITypeConverter<Duration> {
         private static final Pattern PATTERN = Pattern.compile("(\\d{1,9})(ms|s|m|h)");
 
         @Override
         public Duration convert(String text) {
-            Matcher parts = PATTERN.matcher(text);
-            if (!parts.matches()) {
+            Matcher matcher = PATTERN.matcher(text);
+            if (!matcher.matches()) {
                 throw new TypeConversionException(
-                        "'" + text + "' is no span such as 250ms, 10s or 5m");
+                        "'" + text + "' is not a duration such as 250ms, 10s or 5m");
             }
-            long n = Long.parseLong(parts.group(1));
-            return switch (parts.group(2)) {
-                case "ms" -> Duration.ofMillis(n);
-                case "s" -> Duration.ofSeconds(n);
-                case "m" -> Duration.ofMinutes(n);
-                default -> Duration.ofHours(n);
+            long amount = Long.parseLong(matcher.group(1));
+            return switch (matcher.group(2)) {
+                case "ms" -> Duration.ofMillis(amount);
+                case "s" -> Duration.ofSeconds(amount);
+                case "m" -> Duration.ofMinutes(amount);
+                default -> Duration.ofHours(amount);
             };
         }
     }
 
+    /** The client addresses of the replicas, as HOST:PORT. */
     List<String> replicaAddresses() throws MalformedException {
-        if (at != null) {
-            return at;
+        if (addresses != null) {
+            return addresses;
         }
         if (settings == null) {
             throw new MalformedException("name the group by --settings FILE or --at HOST:PORT");
         }
         return CoordinatorSettings.read(settings).members().values().stream()
-                .map(place -> HostPort.format(place.clientAddress()))
+                .map(member -> HostPort.format(member.clientAddress()))
                 .toList();
     }
 
@@ -81,37 +85,37 @@
         return new GroupClient(replicaAddresses(), Ticker.SYSTEM);
     }
 
-    /** Sends a command in a session of its own, and returns what came of it. */
+    /** Sends a command in a new session and returns the reply, unless the group rejects it. */
     Reply send(Command command)
             throws IOException, InterruptedException, MalformedException, CommandRejectedException {
-        Reply reply = createClient().send(command, within).reply();
-        if (reply instanceof Rejection refusal) {
-            throw new CommandRejectedException(refusal);
+        Reply reply = createClient().send(command, timeout).reply();
+        if (reply instanceof Rejection rejection) {
+            throw new CommandRejectedException(rejection);
         }
         return reply;
     }
 
-    /** Reads from the API, in JSON. */
+    /** Sends a GET request to the API and returns the JSON response. */
     JsonNode get(String path) throws IOException, InterruptedException, MalformedException {
-        return createClient().get(path, within);
+        return createClient().get(path, timeout);
     }
 
-    /** Posts a call with one field to the API, in JSON. */
+    /** Posts a JSON object with one field to the API and returns the JSON response. */
     JsonNode post(String path, String field, String value)
             throws IOException, InterruptedException, MalformedException {
         return createClient()
-                .post(path, GroupCodec.jsonMapper().createObjectNode().put(field, value), within);
+                .post(path, GroupCodec.jsonMapper().createObjectNode().put(field, value), timeout);
     }
 
     Duration timeout() {
-        return within;
+        return timeout;
     }
 
     boolean isJson() {
         return json;
     }
 
-    /** Prints a value: as JSON, or as a line of text. */
+    /** Prints the value as JSON if {@code --json} is given, else the text. */
     void print(Object value, String text) throws JsonProcessingException {
         System.out.println(json ? GroupCodec.jsonMapper().writeValueAsString(value) : text);
         System.out.flush();
--- a/coordinator/src/main/java/saltstage/coordinator/command/LeaseCommand.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/LeaseCommand.java
@@ -21,10 +21,10 @@
 import saltstage.coordinator.model.Acknowledgement;
 import saltstage.coordinator.model.Reply;
 
-/** Leases by hand, and programs that run only while they hold one. */
+/** Commands that manage leases, and one that runs a program under a lease. */
 @Command(
         name = "lease",
-        description = "Leases: for tasks of which the fleet wants one doer.",
+        description = "Leases for tasks that only one process of the fleet may do.",
         mixinStandardHelpOptions = true,
         subcommands = {
             LeaseCommand.Acquire.class,
@@ -37,10 +37,10 @@
 final class LeaseCommand {
     private LeaseCommand() {}
 
-    /** Takes one for a span; nobody renews it but who calls again. */
+    /** Acquires a lease for a duration. It is renewed only by further commands. */
     @Command(
             name = "acquire",
-            description = "Takes a lease under an owner's name; prints its fence.",
+            description = "Acquires a lease for an owner and prints its fencing token.",
             mixinStandardHelpOptions = true)
     static final class Acquire implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -72,47 +72,47 @@
         }
     }
 
-    /** Holds one longer. */
+    /** Renews a lease. */
     @Command(
             name = "renew",
-            description = "Holds a lease for its span again.",
+            description = "Renews a lease for its duration.",
             mixinStandardHelpOptions = true)
     static final class Renew implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
 
-        @CommandLine.Mixin private LeaseHolderOptions held;
+        @CommandLine.Mixin private LeaseHolderOptions holder;
 
         @Override
         public Integer call() throws Exception {
             Reply reply =
                     group.send(
                             new LeaseCommands.Renew(
-                                    held.owner(), Map.of(held.name(), held.fencingToken())));
-            boolean kept = ((LeaseReplies.Renewed) reply).lost().isEmpty();
-            group.print(reply, kept ? "renewed" : "lost");
-            return kept ? ExitCode.OK : ExitCode.LEASE_LOST;
+                                    holder.owner(), Map.of(holder.name(), holder.fencingToken())));
+            boolean renewed = ((LeaseReplies.Renewed) reply).lost().isEmpty();
+            group.print(reply, renewed ? "renewed" : "lost");
+            return renewed ? ExitCode.OK : ExitCode.LEASE_LOST;
         }
     }
 
-    /** Gives one back. */
-    @Command(name = "release", description = "Gives a lease back.", mixinStandardHelpOptions = true)
+    /** Releases a lease. */
+    @Command(name = "release", description = "Releases a lease.", mixinStandardHelpOptions = true)
     static final class Release implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
 
-        @CommandLine.Mixin private LeaseHolderOptions held;
+        @CommandLine.Mixin private LeaseHolderOptions holder;
 
         @Override
         public Integer call() throws Exception {
             Reply reply =
                     group.send(
                             new LeaseCommands.Release(
-                                    held.name(), held.owner(), held.fencingToken()));
+                                    holder.name(), holder.owner(), holder.fencingToken()));
             group.print(reply, ((Acknowledgement) reply).what());
             return ExitCode.OK;
         }
     }
 
-    /** All of them. */
+    /** Lists the leases. */
     @Command(name = "list", description = "Shows leases.", mixinStandardHelpOptions = true)
     static final class ListLeases implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -120,37 +120,39 @@
         @Option(names = "--prefix", defaultValue = "")
         private String prefix;
 
-        @Option(names = "--stale", description = "from any replica, which may be behind")
+        @Option(names = "--stale", description = "read from any replica, even if it is behind")
         private boolean stale;
 
         @Override
         public Integer call() throws Exception {
-            JsonNode read =
+            JsonNode response =
                     group.get(
                             "/v1/leases?prefix="
                                     + URLEncoder.encode(prefix, StandardCharsets.UTF_8)
                                     + (stale ? "&stale=1" : ""));
             if (group.isJson()) {
-                System.out.println(read);
+                System.out.println(response);
                 return ExitCode.OK;
             }
-            for (JsonNode row : read.path("leases")) {
+            for (JsonNode row : response.path("leases")) {
                 System.out.printf(
                         "%-30s %-40s fence %d, %d ms left, %d waiting%n",
                         row.path("name").asText(),
                         row.path("owner").asText("(free)"),
                         row.path("fence").asLong(),
-                        Math.max(0, row.path("expires").asLong() - read.path("groupNow").asLong()),
+                        Math.max(
+                                0,
+                                row.path("expires").asLong() - response.path("groupNow").asLong()),
                         row.path("waiters").size());
             }
             return ExitCode.OK;
         }
     }
 
-    /** Each change of one. */
+    /** Prints each change of a lease. */
     @Command(
             name = "watch",
-            description = "Prints a line at each change of a lease, until it is ended.",
+            description = "Prints a line at each change of a lease, until it is stopped.",
             mixinStandardHelpOptions = true)
     static final class Watch implements Callable<Integer> {
         @CommandLine.Mixin private GroupOptions group;
@@ -158,7 +160,10 @@
         @Parameters(paramLabel = "NAME")
         private String name;
 
-        @Option(names = "--changes", description = "end after so many", defaultValue = "2147483647")
+        @Option(
+                names = "--changes",
+                description = "exit after this many changes",
+                defaultValue = "2147483647")
         private int changes;
 
         @Override
@@ -166,20 +171,20 @@
             GroupClient client = group.createClient();
             long after = -1;
             for (int seen = 0; seen < changes; ) {
-                JsonNode read =
+                JsonNode response =
                         client.get(
                                 "/v1/lease?waitMs=1500&after="
                                         + Math.max(0, after)
                                         + "&name="
                                         + URLEncoder.encode(name, StandardCharsets.UTF_8),
                                 group.timeout());
-                JsonNode row = read.path("leases").path(0);
+                JsonNode row = response.path("leases").path(0);
                 long revision = row.path("revision").asLong(0);
                 if (revision != after) {
                     after = revision;
                     seen++;
                     group.print(
-                            read,
+                            response,
                             row.path("owner").isTextual()
                                     ? row.path("owner").asText()
                                             + " fence "
@@ -191,17 +196,18 @@
         }
     }
 
-    /** A program under a lease. */
+    /** Runs a program under a lease. */
     @Command(
             name = "exec",
             description =
-                    "Runs a command while a lease is held, which is renewed meanwhile;"
-                            + " the command finds SALTSTAGE_LEASE and SALTSTAGE_FENCE."
-                            + " It is ended before the lease can pass on.",
+                    "Runs a command while a lease is held and renewed;"
+                            + " the environment has SALTSTAGE_LEASE and SALTSTAGE_FENCE."
+                            + " The command is terminated before the lease can expire.",
             mixinStandardHelpOptions = true)
     static final class Exec implements Callable<Integer> {
         /**
-         * Of a span, what is kept for the command's end: TERM, then KILL, must be over before it.
+         * The part of the TTL that is reserved for the termination of the command. Both SIGTERM and
+         * SIGKILL must have taken effect before the lease expires.
          */
         private static final double TERMINATION_TTL_FRACTION = 0.4;
 
@@ -245,16 +251,16 @@
                 builder.environment().put("SALTSTAGE_LEASE", name);
                 builder.environment().put("SALTSTAGE_FENCE", Long.toString(lease.fencingToken()));
                 return supervise(builder.start(), lease, lost);
-            } catch (LeaseClient.LeaseNotGrantedException no) {
-                System.err.println("saltstage: " + no.getMessage());
+            } catch (LeaseClient.LeaseNotGrantedException e) {
+                System.err.println("saltstage: " + e.getMessage());
                 return ExitCode.LEASE_LOST;
             }
         }
 
         private int supervise(Process child, LeaseClient.Lease lease, AtomicBoolean lost)
                 throws InterruptedException {
-            Thread ended = new Thread(child::destroyForcibly);
-            Runtime.getRuntime().addShutdownHook(ended);
+            Thread killHook = new Thread(child::destroyForcibly);
+            Runtime.getRuntime().addShutdownHook(killHook);
             try {
                 while (!child.waitFor(20, TimeUnit.MILLISECONDS)) {
                     if (lost.get()
@@ -270,7 +276,8 @@
         }
 
         /**
-         * TERM, and KILL at half of what remains: the child's last act lies before the lease's end.
+         * Sends SIGTERM, and SIGKILL after half of the remaining time, so that the child has ended
+         * before the lease expires.
          */
         private int terminate(Process child, LeaseClient.Lease lease) throws InterruptedException {
             System.err.println(
--- a/coordinator/src/main/java/saltstage/coordinator/command/MutationText.java
+++ b/coordinator/src/main/java/saltstage/coordinator/command/MutationText.java
@@ -11,7 +11,7 @@
 import saltstage.configuration.ValueRules;
 import saltstage.wire.MalformedException;
 
-/** Keys and values as operators type and read them on the command line. */
+/** Parses and formats keys and values in the form that operators use on the command line. */
 final class MutationText {
     private static final String ADDRESS = "address";
     private static final String ZONE = "zone";
@@ -22,69 +22,71 @@
 
     private MutationText() {}
 
-    /** The key that a text names. */
+    /** Parses a key such as {@code setting/log.level}. */
     static EntryKey parseKey(String text) throws MalformedException {
         try {
             return EntryKey.parse(text);
-        } catch (IllegalArgumentException bad) {
-            throw new MalformedException(text + ": " + bad.getMessage());
+        } catch (IllegalArgumentException e) {
+            throw new MalformedException(text + ": " + e.getMessage());
         }
     }
 
     /**
-     * The mutation that puts a value; a backend's is {@code
-     * address=…,zone=…,cell=…,state=…,weight=…}.
+     * Parses a key and a value into the mutation that sets the entry. The value of a backend has
+     * the form {@code address=…,zone=…,cell=…,state=…,weight=…}.
      */
     static Mutation parsePut(String keyText, String value) throws MalformedException {
         EntryKey key = parseKey(keyText);
-        EntryValue read =
+        EntryValue parsedValue =
                 switch (key.kind()) {
                     case SETTING -> new EntryValue.Setting(value);
                     case BACKEND -> parseBackend(keyText, value);
                     case SHARD -> new EntryValue.Shard(value);
                     case SUSPENSION -> new EntryValue.Suspension(value);
                 };
-        String fault = ValueRules.validationError(read);
-        if (fault != null) {
-            throw new MalformedException(keyText + ": '" + value + "' is not accepted; " + fault);
+        String error = ValueRules.validationError(parsedValue);
+        if (error != null) {
+            throw new MalformedException(keyText + ": '" + value + "' is not accepted; " + error);
         }
-        return new Mutation(key, read);
+        return new Mutation(key, parsedValue);
     }
 
     private static Backend parseBackend(String key, String value) throws MalformedException {
-        Map<String, String> parts = new LinkedHashMap<>();
-        for (String part : value.split(",")) {
-            int equals = part.indexOf('=');
+        Map<String, String> attributes = new LinkedHashMap<>();
+        for (String attribute : value.split(",")) {
+            int equals = attribute.indexOf('=');
             if (equals < 1) {
-                throw new MalformedException(key + ": '" + part + "' is no NAME=VALUE");
+                throw new MalformedException(
+                        key + ": '" + attribute + "' is not of the form NAME=VALUE");
             }
-            parts.put(part.substring(0, equals), part.substring(equals + 1));
+            attributes.put(attribute.substring(0, equals), attribute.substring(equals + 1));
         }
         try {
             Backend backend =
                     new Backend(
-                            removeOrDefault(parts, ADDRESS, ""),
-                            removeOrDefault(parts, ZONE, ""),
-                            Integer.parseInt(removeOrDefault(parts, CELL, "0")),
+                            removeOrDefault(attributes, ADDRESS, ""),
+                            removeOrDefault(attributes, ZONE, ""),
+                            Integer.parseInt(removeOrDefault(attributes, CELL, "0")),
                             BackendState.valueOf(
-                                    removeOrDefault(parts, STATE, BackendState.READY.name())),
-                            Double.parseDouble(removeOrDefault(parts, WEIGHT, "1")),
-                            Long.parseLong(removeOrDefault(parts, STARTED_AT, "0")));
-            if (parts.isEmpty()) {
+                                    removeOrDefault(attributes, STATE, BackendState.READY.name())),
+                            Double.parseDouble(removeOrDefault(attributes, WEIGHT, "1")),
+                            Long.parseLong(removeOrDefault(attributes, STARTED_AT, "0")));
+            if (attributes.isEmpty()) {
                 return backend;
             }
-        } catch (IllegalArgumentException bad) {
-            throw new MalformedException(key + ": '" + value + "': " + bad.getMessage());
+        } catch (IllegalArgumentException e) {
+            throw new MalformedException(key + ": '" + value + "': " + e.getMessage());
         }
-        throw new MalformedException(key + ": a backend has no " + parts.keySet());
+        throw new MalformedException(key + ": a backend has no " + attributes.keySet());
     }
 
-    private static String removeOrDefault(Map<String, String> parts, String name, String absent) {
-        String value = parts.remove(name);
-        return value == null ? absent : value;
+    private static String removeOrDefault(
+            Map<String, String> attributes, String name, String defaultValue) {
+        String value = attributes.remove(name);
+        return value == null ? defaultValue : value;
     }
 
-    /** A value as {@link #parsePut} takes it. */
+    /** Formats a value in the form that {@link #parsePut} reads. */
     static String formatValue(EntryValue value) {
         if (value instanceof Backend backend) {
             return String.join(
@@ -99,7 +101,7 @@
         return value.canonicalText();
     }
 
-    /** A line of text for an entry. */
+    /** Formats an entry as a line of text. */
     static String formatLine(Entry entry) {
         return entry.key().text()
                 + " "
@@ -109,7 +111,7 @@
                 + ")";
     }
 
-    /** A line of text for a mutation. */
+    /** Formats a mutation as a line of text. */
     static String formatLine(Mutation mutation) {
         return mutation.key().text()
                 + (mutation.isDeletion() ? " deleted" : " " + formatValue(mutation.value()));
--- a/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/CoordinatorSettings.java
@@ -18,11 +18,11 @@
 import saltstage.wire.MalformedException;
 
 /**
- * What an operator's file says of a group: one file for all of its replicas and clients. The block
- * {@code coordinator} of {@code deploy/coordinator.hcl} shows all of it.
+ * The settings of a group, from one file for all of its replicas and clients. The block {@code
+ * coordinator} of {@code deploy/coordinator.hcl} shows all settings.
  */
 public final class CoordinatorSettings {
-    /** Where a replica is heard: by its peers and by clients. */
+    /** The addresses at which a replica listens for its peers and for clients. */
     public record MemberAddresses(InetSocketAddress peerAddress, InetSocketAddress clientAddress) {}
 
     private final String group;
@@ -54,10 +54,10 @@
             if (member.labels().size() != 1) {
                 throw member.blockError("takes one label, the replica's name");
             }
-            MemberAddresses place =
+            MemberAddresses addresses =
                     new MemberAddresses(
                             requiredAddress(member, "peers"), requiredAddress(member, "clients"));
-            if (members.put(member.labels().get(0), place) != null) {
+            if (members.put(member.labels().get(0), addresses) != null) {
                 throw member.blockError("'" + member.labels().get(0) + "' is given twice");
             }
             member.rejectUnknown();
@@ -65,12 +65,12 @@
         if (members.isEmpty()) {
             throw block.blockError("no 'member' is given; one is enough");
         }
-        for (HclBlock other : block.blocks("reach")) {
-            if (other.labels().size() != 1) {
-                throw other.blockError("takes one label, the replica's name");
+        for (HclBlock reach : block.blocks("reach")) {
+            if (reach.labels().size() != 1) {
+                throw reach.blockError("takes one label, the replica's name");
             }
-            peerAddressOverrides.put(other.labels().get(0), requiredAddress(other, "at"));
-            other.rejectUnknown();
+            peerAddressOverrides.put(reach.labels().get(0), requiredAddress(reach, "at"));
+            reach.rejectUnknown();
         }
         HclBlock trial = block.block("trial");
         clockRate = trial == null ? 1 : trial.integer("clock_percent", 100, 50, 200) / 100.0;
@@ -87,13 +87,13 @@
         String text = block.requiredString(name);
         try {
             return BackendList.parseAddress(text);
-        } catch (MalformedException bad) {
+        } catch (MalformedException malformed) {
             throw block.attributeError(
                     name, "an address in figures with a port, such as \"127.0.0.1:7101\"");
         }
     }
 
-    /** Reads a file; what is wrong with it is said in one line, with file, line and name. */
+    /** Reads a file; an error message is one line with the file, the line and the setting. */
     public static CoordinatorSettings read(Path file) throws MalformedException {
         try {
             return parse(file.toString(), Files.readString(file));
@@ -104,25 +104,25 @@
         }
     }
 
-    /** Takes the text of a file that errors shall call by this name. */
+    /** Parses the text of a settings file; error messages begin with the given file name. */
     public static CoordinatorSettings parse(String name, String text) throws MalformedException {
         HclBlock top = HclFile.parse(name, text);
         HclBlock block = top.block("coordinator");
         if (block == null) {
             throw new MalformedException(name + ": no block 'coordinator'");
         }
-        CoordinatorSettings read = new CoordinatorSettings(block);
-        read.distributors.putAll(DistributorSettings.readAll(top));
+        CoordinatorSettings settings = new CoordinatorSettings(block);
+        settings.distributors.putAll(DistributorSettings.readAll(top));
         top.rejectUnknown();
-        return read;
+        return settings;
     }
 
-    /** The replicas that the file names. */
+    /** The addresses of the replicas in the file, by the replica's name. */
     public Map<String, MemberAddresses> members() {
         return members;
     }
 
-    /** A distributor that the file names. */
+    /** The settings of the distributor with this name. */
     public DistributorSettings distributorSettings(String name) throws MalformedException {
         DistributorSettings distributor = distributors.get(name);
         if (distributor == null) {
@@ -140,35 +140,43 @@
         return group;
     }
 
-    /** How this replica of it is set up; one that joins is heard where it says. */
-    public ReplicaSettings replicaSettings(String name, Path otherDir, MemberAddresses joining)
+    /**
+     * The settings of one replica of the group.
+     *
+     * @param dirOverride the directory of the replica, or null for the one from the file
+     * @param joiningAddresses the addresses of a replica that joins the group, or null for one that
+     *     the file names
+     */
+    public ReplicaSettings replicaSettings(
+            String name, Path dirOverride, MemberAddresses joiningAddresses)
             throws MalformedException {
-        MemberAddresses place = joining == null ? members.get(name) : joining;
-        if (place == null) {
+        MemberAddresses ownAddresses =
+                joiningAddresses == null ? members.get(name) : joiningAddresses;
+        if (ownAddresses == null) {
             throw new MalformedException(
                     "no member '" + name + "' in the settings; there are " + members.keySet());
         }
-        Map<String, InetSocketAddress> reached = new LinkedHashMap<>();
-        Map<String, String> clients = new LinkedHashMap<>();
+        Map<String, InetSocketAddress> peerAddresses = new LinkedHashMap<>();
+        Map<String, String> clientAddresses = new LinkedHashMap<>();
         members.forEach(
-                (other, at) -> {
-                    reached.put(other, at.peerAddress());
-                    clients.put(other, HostPort.format(at.clientAddress()));
+                (member, addresses) -> {
+                    peerAddresses.put(member, addresses.peerAddress());
+                    clientAddresses.put(member, HostPort.format(addresses.clientAddress()));
                 });
-        reached.putAll(peerAddressOverrides);
-        List<String> first = new ArrayList<>(members.keySet());
-        if (joining != null) { // it belongs to the group only once it was taken in
-            first.remove(name);
+        peerAddresses.putAll(peerAddressOverrides);
+        List<String> initialMembers = new ArrayList<>(members.keySet());
+        if (joiningAddresses != null) { // becomes a member only when the group accepts it
+            initialMembers.remove(name);
         }
         return new ReplicaSettings(
                 group,
                 name,
-                first,
-                place.peerAddress(),
-                place.clientAddress(),
-                reached,
-                clients,
-                otherDir == null ? dir.resolve(name) : otherDir,
+                initialMembers,
+                ownAddresses.peerAddress(),
+                ownAddresses.clientAddress(),
+                peerAddresses,
+                clientAddresses,
+                dirOverride == null ? dir.resolve(name) : dirOverride,
                 engineClockSpeed,
                 snapshotIntervalEntries,
                 maxPendingEntries,
--- a/coordinator/src/main/java/saltstage/coordinator/settings/DistributorSettings.java
+++ b/coordinator/src/main/java/saltstage/coordinator/settings/DistributorSettings.java
@@ -12,11 +12,11 @@
 import saltstage.wire.MalformedException;
 
 /**
- * A distributor, from a block {@code distributor} of a group's settings file.
+ * The settings of a distributor, from a block {@code distributor} of a group's settings file.
  *
- * @param clients where it takes calls
- * @param sources where it asks: replicas' client addresses, the preferred one first
- * @param dir the folder that it keeps its configuration in
+ * @param listenAddress the address at which it serves relays
+ * @param sourceAddresses client addresses of the replicas that it follows, in order of preference
+ * @param dir the directory in which it stores its configuration
  */
 public record DistributorSettings(
         String name,
@@ -26,17 +26,17 @@
         Path dir) {
     private static final String NAME_PATTERN = "[!-~]{1,100}";
 
-    /** Reads all such blocks, by name. */
+    /** Reads all blocks {@code distributor} of a file, by the distributor's name. */
     static Map<String, DistributorSettings> readAll(HclBlock top) throws MalformedException {
         Map<String, DistributorSettings> distributors = new LinkedHashMap<>();
         for (HclBlock block : top.blocks("distributor")) {
             if (block.labels().size() != 1 || !block.labels().get(0).matches(NAME_PATTERN)) {
                 throw block.blockError("takes one label, the distributor's name");
             }
-            DistributorSettings read = readBlock(block);
+            DistributorSettings settings = readBlock(block);
             block.rejectUnknown();
-            if (distributors.put(read.name(), read) != null) {
-                throw block.blockError("'" + read.name() + "' is given twice");
+            if (distributors.put(settings.name(), settings) != null) {
+                throw block.blockError("'" + settings.name() + "' is given twice");
             }
         }
         return distributors;
@@ -55,9 +55,10 @@
         if (sources.isEmpty()) {
             throw block.blockError("'sources' is missing: the replicas' client addresses");
         }
-        InetSocketAddress clients = parseAddress(block, "clients", block.requiredString("clients"));
+        InetSocketAddress listenAddress =
+                parseAddress(block, "clients", block.requiredString("clients"));
         Path dir = Path.of(block.string("dir", "distributor-data")).resolve(name);
-        return new DistributorSettings(name, zone, clients, sources, dir);
+        return new DistributorSettings(name, zone, listenAddress, sources, dir);
     }
 
     private static InetSocketAddress parseAddress(HclBlock block, String attribute, String text)
