--- a/relay/src/main/java/saltstage/store/AcknowledgedSeqFile.java
+++ b/relay/src/main/java/saltstage/store/AcknowledgedSeqFile.java
@@ -4,18 +4,20 @@
 import java.nio.ByteBuffer;
 
 /**
- * The file that says up to which number the store has acknowledged: a witness apart from the log,
- * so that a log whose end was damaged, or whose files were put back from an older day, is not taken
- * for a shorter one. It is written after a group is durable and before it is acknowledged, so it
- * never says too much; it is forced only when writing rests, so it may say too little after a loss
- * of power. Of its two slots one is always durable and left alone: a write that is cut off spoils
- * the other only.
+ * The file that records the last acknowledged sequence number separately from the log. It prevents
+ * a log with a damaged end, or one restored from an older backup, from being accepted as a shorter
+ * log.
+ *
+ * <p>The file is written after a group is durable and before it is acknowledged, so its number is
+ * never too high. It is forced only when writing is idle, so the number may be too low after a
+ * power loss. One of its two slots is always durable and left unchanged, so that an interrupted
+ * write can only damage the other one.
  */
 final class AcknowledgedSeqFile {
     static final String NAME = "acked";
     static final String TEMPORARY_NAME = "acked.tmp";
 
-    /** Slots lie a sector apart: a sector is what a disk writes whole. */
+    /** The distance between the slots: one sector, which a disk writes atomically. */
     static final int SLOT_BYTES = 512;
 
     static final int FILE_BYTES = 2 * SLOT_BYTES;
@@ -39,7 +41,10 @@
         forcedSeq = seq;
     }
 
-    /** Makes the file, durable but for its name, and opens it to write. */
+    /**
+     * Creates the file and opens it for writing. Its content is durable, its name is not until the
+     * directory is synced.
+     */
     static AcknowledgedSeqFile create(Disk disk, SegmentFormat.StoreId store, long seq)
             throws IOException {
         disk.delete(TEMPORARY_NAME);
@@ -57,7 +62,8 @@
     }
 
     /**
-     * The last number acknowledged as far as the file says; a damaged or foreign file is refused.
+     * Returns the last acknowledged sequence number in the file. Throws if the file is damaged or
+     * belongs to another store.
      */
     static long read(Disk disk, SegmentFormat.StoreId store) throws IOException {
         try (Disk.File file = disk.open(NAME, false)) {
@@ -66,15 +72,15 @@
         }
     }
 
-    /** Opens it to write, with the number that the log came to. */
+    /** Opens the file for writing and records the last sequence number of the recovered log. */
     static AcknowledgedSeqFile open(Disk disk, SegmentFormat.StoreId store, long seq)
             throws IOException {
         Disk.File file = disk.open(NAME, true);
         boolean opened = false;
         try {
             long[] slots = readSlots(file, store);
-            // What the last run wrote may never have been forced: the slot that says more is not
-            // left alone.
+            // The slot with the higher number may never have been forced by the last process, so it
+            // is the one that is overwritten.
             AcknowledgedSeqFile made =
                     new AcknowledgedSeqFile(file, store, slots[0] >= slots[1] ? 0 : 1, seq);
             made.writeSlot();
@@ -88,7 +94,10 @@
         }
     }
 
-    /** What a file of whichever store says; -1 where it says nothing. */
+    /**
+     * Returns the last acknowledged sequence number in the file of any store, or -1 if no slot is
+     * valid.
+     */
     static long readOfAnyStore(Disk.File file) throws IOException {
         ByteBuffer first = readSlot(file, 0);
         ByteBuffer second = readSlot(file, 1);
@@ -97,15 +106,18 @@
                 second == null ? -1 : second.getLong(SEQ_OFFSET));
     }
 
-    /** Says that this number is durable; under the write lock, before anybody is told. */
+    /**
+     * Records that this sequence number is durable. Called under the write lock, before the commit
+     * is acknowledged.
+     */
     void update(long now) throws IOException {
         seq = now;
         writeSlot();
     }
 
     /**
-     * Makes what was said durable where writing has rested since the last call; under the write
-     * lock.
+     * Forces the file if the number has changed since the last force. Called under the write lock
+     * when writing is idle.
      */
     void forceIfChanged() throws IOException {
         if (forcedSeq != seq) {
@@ -156,7 +168,10 @@
         return sound ? in : null;
     }
 
-    /** What each slot says; -1 for one that a write was cut off in, which never happens to both. */
+    /**
+     * Returns the number in each slot, or -1 for a slot that an interrupted write has damaged. An
+     * interrupted write never damages both.
+     */
     private static long[] readSlots(Disk.File file, SegmentFormat.StoreId store)
             throws IOException {
         if (file.size() != FILE_BYTES) {
--- a/relay/src/main/java/saltstage/store/Batch.java
+++ b/relay/src/main/java/saltstage/store/Batch.java
@@ -4,19 +4,20 @@
 import java.util.List;
 
 /**
- * Puts and deletes that happen together or not at all, on conditions; for one use by one thread.
+ * Puts and deletes that are applied atomically, optionally subject to expected versions. A batch is
+ * committed once and is not thread-safe.
  */
 public final class Batch {
-    /** The longest key, in bytes; the shortest has one. */
+    /** The maximum length of a key in bytes; the minimum is 1. */
     public static final int MAX_KEY_BYTES = 4 << 10;
 
-    /** The longest value, in bytes. */
+    /** The maximum length of a value in bytes. */
     public static final int MAX_VALUE_BYTES = 16 << 20;
 
-    /** The most that a batch may hold, in bytes as the log has it. */
+    /** The maximum size of a batch in bytes, as encoded in the log. */
     public static final int MAX_BATCH_BYTES = 32 << 20;
 
-    /** One change; a null value deletes. */
+    /** A single change; a null value deletes the key. */
     record Change(byte[] key, byte[] value) {
         int encodedBytes() {
             return SegmentFormat.ENTRY_HEADER_BYTES
@@ -25,14 +26,14 @@
         }
     }
 
-    /** The version that a key must have; 0: it must not be there. */
+    /** The version that a key must have; 0 means that the key must not exist. */
     record ExpectedVersion(byte[] key, long version) {}
 
     private final List<Change> changes = new ArrayList<>();
     private final List<ExpectedVersion> expectedVersions = new ArrayList<>();
     private int encodedBytes = SegmentFormat.BATCH_HEADER_BYTES;
 
-    /** Sets a key's value. */
+    /** Adds a put of a key. */
     public Batch put(byte[] key, byte[] value) {
         if (value.length > MAX_VALUE_BYTES) {
             throw new IllegalArgumentException(
@@ -41,12 +42,15 @@
         return add(new Change(checkedKey(key), value.clone()));
     }
 
-    /** Removes a key, which need not be there. */
+    /** Adds a delete of a key, which need not exist. */
     public Batch delete(byte[] key) {
         return add(new Change(checkedKey(key), null));
     }
 
-    /** The batch happens only if the key is at this version then; 0: only if it is not there. */
+    /**
+     * Commits the batch only if the key has this version at that time; 0 means that the key must
+     * not exist.
+     */
     public Batch expectVersion(byte[] key, long version) {
         expectedVersions.add(new ExpectedVersion(checkedKey(key), version));
         return this;
@@ -69,7 +73,7 @@
         return key.clone();
     }
 
-    /** How many changes it holds. */
+    /** Returns the number of changes. */
     public int size() {
         return changes.size();
     }
--- a/relay/src/main/java/saltstage/store/Checkpoint.java
+++ b/relay/src/main/java/saltstage/store/Checkpoint.java
@@ -5,9 +5,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * The index of one moment in a file, so that a start reads the log from there only. Written beside
- * everything else from a tree that no longer changes; what the manifest says of it must match to
- * the byte.
+ * A file with the index at one moment, so that an open replays only the log written after it. It is
+ * written concurrently with commits, from an immutable tree. Its size, checksum and key count must
+ * match the manifest exactly.
  */
 final class Checkpoint {
     private static final long MAGIC = 0x53414c54434b5001L; // SALTCKP, 1
@@ -25,15 +25,18 @@
         return String.format("%016x.index", id);
     }
 
-    /** What a checkpoint came to. */
+    /** The size and checksum of a written checkpoint. */
     record WriteResult(long bytes, int crc) {}
 
-    /** Told as a checkpoint is written, so that its rate can be bounded. */
+    /** Called while a checkpoint is written; may throw to abort it. */
     interface ProgressListener {
         void onBlockWritten(long bytes) throws IOException;
     }
 
-    /** Writes the index as of this number; the file is durable, its name is not. */
+    /**
+     * Writes the index as of this sequence number. The content of the file is durable afterwards,
+     * its name is not.
+     */
     static WriteResult write(
             Disk.File file,
             SegmentFormat.StoreId store,
@@ -101,7 +104,7 @@
         return at + whole;
     }
 
-    /** Reads the checkpoint that the manifest names. */
+    /** Reads the checkpoint that the manifest refers to. */
     static Index read(Disk disk, SegmentFormat.StoreId store, Manifest.CheckpointRef ref)
             throws IOException {
         String name = ref.fileName();
--- a/relay/src/main/java/saltstage/store/Disk.java
+++ b/relay/src/main/java/saltstage/store/Disk.java
@@ -6,16 +6,17 @@
 import java.util.List;
 
 /**
- * One directory of files, as the store uses it: the seam at which tests crash, tear, fail and fill.
- * What is written is durable only after {@link File#force}; a created, renamed or deleted name only
- * after {@link #syncDirectory}. Until then any part of it may survive a crash, in any order.
+ * A directory of files as the store uses it; tests replace it to inject crashes, torn writes,
+ * failures and a full disk. Written data is durable only after {@link File#force}; a created,
+ * renamed or deleted name is durable only after {@link #syncDirectory}. Until then any part of the
+ * changes may survive a crash, in any order.
  */
 public interface Disk {
-    /** No room is left; everything that was there still is. */
+    /** The disk is full; existing data is unaffected. */
     final class FullException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        /** Names the file that did not fit. */
+        /** Creates an exception that names the file that did not fit. */
         public FullException(String message) {
             super(message);
         }
@@ -24,47 +25,49 @@
     /** An open file. */
     interface File extends Closeable {
         /**
-         * Reads at this position until the buffer is full or the file ends; returns the bytes read.
+         * Reads from this position until the buffer is full or the file ends. Returns the number of
+         * bytes read.
          */
         int read(ByteBuffer into, long position) throws IOException;
 
         /**
-         * Writes at this position; returns the bytes written, fewer than were there if it fell
-         * short.
+         * Writes at this position. Returns the number of bytes written, which is less than the
+         * buffer held after a short write.
          */
         int write(ByteBuffer from, long position) throws IOException;
 
         /**
-         * Makes what was written durable. After a failure nothing may be assumed of any unforced
-         * write.
+         * Makes written data durable. After a failure the state of every unforced write is unknown.
          */
         void force() throws IOException;
 
-        /** The length in bytes. */
+        /** Returns the length of the file in bytes. */
         long size() throws IOException;
 
         @Override
         void close() throws IOException;
     }
 
-    /** The names that are there. */
+    /** Returns the names of the files in the directory. */
     List<String> list() throws IOException;
 
-    /** Makes a new empty file to read and write; one of that name must not be there. */
+    /** Creates an empty file for reading and writing. Fails if the name exists. */
     File create(String name) throws IOException;
 
-    /** Opens a file that is there. */
+    /** Opens an existing file. */
     File open(String name, boolean toWrite) throws IOException;
 
-    /** Renames a file; one of the new name is replaced, at once and whole. */
+    /** Renames a file and atomically replaces an existing file of the new name. */
     void rename(String from, String to) throws IOException;
 
-    /** Deletes a file. */
+    /** Deletes a file if it exists. */
     void delete(String name) throws IOException;
 
-    /** Makes names durable. */
+    /** Makes created, renamed and deleted names durable. */
     void syncDirectory() throws IOException;
 
-    /** Takes the lock for the one writer; null where another process or opener holds it. */
+    /**
+     * Acquires the lock for the single writer. Returns null if another process or opener holds it.
+     */
     Closeable lock(String name) throws IOException;
 }
--- a/relay/src/main/java/saltstage/store/FileDisk.java
+++ b/relay/src/main/java/saltstage/store/FileDisk.java
@@ -17,16 +17,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A directory of the operating system's. */
+/** A disk in a directory of the file system. */
 public final class FileDisk implements Disk {
     private final Path directory;
 
-    /** This directory; it must be there. */
+    /** Creates a disk for an existing directory. */
     public FileDisk(Path dir) {
         this.directory = dir;
     }
 
-    /** Makes the directory if it is not there, durably, and gives the disk in it. */
+    /** Creates the directory durably if it does not exist, and returns a disk for it. */
     public static FileDisk openOrCreate(Path dir) throws IOException {
         if (!Files.isDirectory(dir)) {
             Files.createDirectories(dir);
@@ -116,7 +116,10 @@
         T run() throws IOException;
     }
 
-    /** Tells a full disk from other failures; the JDK has no exception of its own for it. */
+    /**
+     * Maps the I/O errors of a full disk to {@link FullException}, because the JDK has no exception
+     * type for them.
+     */
     private static <T> T mapDiskFull(DiskOperation<T> step) throws IOException {
         try {
             return step.run();
@@ -132,9 +135,9 @@
     }
 
     /**
-     * An open file. The JDK closes a channel under a thread that is interrupted while it uses it;
-     * the store's files must not end with some caller's thread, so the channel is opened anew and
-     * the step done again.
+     * An open file. The JDK closes a channel when a thread that uses it is interrupted. An
+     * interrupt of a calling thread must not close the files of the store, so the channel is
+     * reopened and the operation repeated.
      */
     private static final class FileHandle implements File {
         private final Path path;
@@ -165,9 +168,8 @@
                         return mapDiskFull(() -> use.apply(open));
                     } catch (ClosedByInterruptException e) {
                         interrupted = true;
-                    } catch (
-                            ClosedChannelException
-                                    e) { // another thread that uses it was interrupted
+                    } catch (ClosedChannelException e) {
+                        // Another thread was interrupted while it used the channel.
                         if (isClosed()) {
                             throw e;
                         }
--- a/relay/src/main/java/saltstage/store/GroupCommit.java
+++ b/relay/src/main/java/saltstage/store/GroupCommit.java
@@ -6,15 +6,19 @@
 import java.util.Queue;
 
 /**
- * Lets writers share the price of a force. Whoever comes while nobody writes leads: it writes for
- * all that wait by then. Who comes meanwhile waits, and the first of them leads next. A lone writer
- * pays no hand-over.
+ * Group commit: concurrent writers share the cost of a force. A thread that commits while no group
+ * is being written becomes the leader and writes all waiting batches. Threads that commit in the
+ * meantime wait, and the first of them leads the next group. A single writer needs no hand-over
+ * between threads.
  */
 final class GroupCommit {
-    /** The most bytes of one group: what waits behind it should not wait long. */
+    /** The maximum size of a group in bytes, which bounds the wait of the batches behind it. */
     private static final int MAX_GROUP_BYTES = 4 << 20;
 
-    /** Writes a group; what it cannot do at all it throws, what it refuses it sets. */
+    /**
+     * Writes a group. Throws if the group cannot be written; the failure of a single batch is set
+     * on that batch.
+     */
     interface GroupWriter {
         void write(List<PendingBatch> group) throws StoreException;
     }
@@ -27,7 +31,7 @@
         this.writer = sink;
     }
 
-    /** Commits; returns the batch's number once it is durable. */
+    /** Commits a batch and returns its sequence number once it is durable. */
     long commit(Batch batch) throws StoreException {
         PendingBatch mine = new PendingBatch(batch);
         boolean lead;
@@ -57,8 +61,8 @@
             writer.write(group);
         } catch (StoreException e) {
             group.forEach(pending -> pending.fail(e));
-        } catch (RuntimeException
-                | Error e) { // the others must not wait for ever for a leader that is gone
+        } catch (RuntimeException | Error e) {
+            // The other threads must not wait forever for a leader that has failed.
             StoreException fault = new StoreException("fault: " + e, e);
             group.forEach(pending -> pending.fail(fault));
             throw e;
--- a/relay/src/main/java/saltstage/store/Index.java
+++ b/relay/src/main/java/saltstage/store/Index.java
@@ -7,18 +7,21 @@
 import java.util.List;
 
 /**
- * Ordered keys to where their values stand: a tree that is never changed. A change gives a new tree
- * that shares all but the path to it, so a reader of an old one is never in a writer's way. Leaves
- * pack their keys into one array: an object a key would cost more than the key.
+ * An ordered map from keys to the locations of their values, as an immutable tree. A change returns
+ * a new tree that shares all nodes except the path to the changed key, so readers of an older tree
+ * never block a writer. A leaf packs its keys into one array, because an object per key would take
+ * more memory than the key itself.
  */
 final class Index {
     static final Index EMPTY = new Index(null, 0);
 
     private static final int MAX_NODE_ENTRIES = 64;
     private static final int MIN_NODE_ENTRIES = 16;
-    private static final int FILL_NODE_ENTRIES = 56; // of MOST where entries come in order
 
-    /** Where a key's entry stands, its version, and the length of its value. */
+    /** The entries per node when keys are added in order; below the maximum to leave free space. */
+    private static final int FILL_NODE_ENTRIES = 56;
+
+    /** The address of a key's entry in the log, its version and the length of its value. */
     record Location(long address, long version, int valueLength) {
         static long addressOf(long segment, long offset) {
             return segment << 32 | offset;
@@ -86,19 +89,22 @@
         return lows;
     }
 
-    /** A node; its low key is no greater than any below it. */
+    /** A node of the tree. Its low key is less than or equal to every key below it. */
     private abstract static class Node {
         abstract byte[] lowKey();
 
         abstract int count();
 
-        /** The node with the key in it, or its two halves. */
+        /**
+         * Returns the node with the key added or replaced, or its two halves if it had to be split.
+         */
         abstract Node[] put(byte[] key, Location place);
 
-        /** The node without a key that is in it; null where it was the last. */
+        /** Returns the node without the key, which must exist, or null if it was the last one. */
         abstract Node delete(byte[] key);
     }
 
+    /** A node with entries, stored as parallel arrays. The keys are packed one after the other. */
     private static final class Leaf extends Node {
         private final byte[] keys;
         private final int[] keyEnds;
@@ -135,7 +141,7 @@
             return new Location(addresses[i], versions[i], valueLengths[i]);
         }
 
-        /** The place of the key, or where it would go as a negative number. */
+        /** Returns the position of the key, or {@code -(insertion point) - 1} if it is missing. */
         int search(byte[] key) {
             int low = 0;
             int high = keyEnds.length - 1;
@@ -183,7 +189,7 @@
             if (whole.count() <= MAX_NODE_ENTRIES) {
                 return new Node[] {whole};
             }
-            // keys in order leave full leaves behind
+            // Keys that are added in ascending order leave nearly full leaves behind.
             int split = to == keyEnds.length ? FILL_NODE_ENTRIES : whole.count() / 2;
             return new Node[] {whole.slice(0, split), whole.slice(split, whole.count())};
         }
@@ -282,6 +288,7 @@
         }
     }
 
+    /** An inner node: its children and the low key of each. */
     private static final class Branch extends Node {
         private final Node[] children;
         private final byte[][] lowKeys;
@@ -372,7 +379,7 @@
             return new Branch(fewer, fewerLows);
         }
 
-        /** This node with two neighbours in one, where they fit well. */
+        /** Merges two neighbouring children if they fit into one node with room to grow. */
         private Branch withMergedChildren(int first) {
             Node a = children[first];
             Node b = children[first + 1];
@@ -384,7 +391,7 @@
                             ? left.join((Leaf) b)
                             : join((Branch) a, (Branch) b, first);
             Branch fewer = withoutChild(first + 1);
-            fewer.children[first] = one; // its own copy, seen by nobody yet
+            fewer.children[first] = one; // the array is a copy that is not shared yet
             return fewer;
         }
 
@@ -394,12 +401,12 @@
             byte[][] allLows = Arrays.copyOf(a.lowKeys, n + b.children.length);
             System.arraycopy(b.children, 0, all, n, b.children.length);
             System.arraycopy(b.lowKeys, 0, allLows, n, b.children.length);
-            allLows[n] = lowKeys[first + 1]; // the low of b that this node has searched by
+            allLows[n] = lowKeys[first + 1]; // the low key of b by which this node searches
             return new Branch(all, allLows);
         }
     }
 
-    /** Walks the keys from one on, in order. */
+    /** Iterates over the keys in order, from a given key on. */
     static final class Cursor {
         private final Deque<Branch> branches = new ArrayDeque<>();
         private final Deque<Integer> nextChildren = new ArrayDeque<>();
@@ -419,7 +426,7 @@
             entryIndex = (found < 0 ? -found - 1 : found) - 1;
         }
 
-        /** Goes to the next key; false at the end. */
+        /** Moves to the next key. Returns false at the end. */
         boolean advance() {
             if (leaf == null) {
                 return false;
@@ -462,12 +469,15 @@
         }
     }
 
-    /** A walk from this key on; null: from the first. */
+    /**
+     * Returns a cursor before the first key that is not less than the given one; null starts at the
+     * first key.
+     */
     Cursor cursor(byte[] from) {
         return new Cursor(this, from);
     }
 
-    /** Builds an index from entries that come in order of their keys. */
+    /** Builds an index from entries that are added in key order. */
     static final class Builder {
         private final List<Node> leaves = new ArrayList<>();
         private final List<byte[]> keys = new ArrayList<>();
@@ -475,7 +485,7 @@
         private byte[] lastKey;
         private long size;
 
-        /** Takes the next; false where it does not come after the one before. */
+        /** Adds an entry. Returns false if its key is not greater than the previous one. */
         boolean add(byte[] key, Location place) {
             if (lastKey != null && Arrays.compareUnsigned(lastKey, key) >= 0) {
                 return false;
--- a/relay/src/main/java/saltstage/store/LogWriter.java
+++ b/relay/src/main/java/saltstage/store/LogWriter.java
@@ -5,15 +5,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Writes groups of batches to the log, makes them durable and shows them: one group at a time. */
+/**
+ * Appends groups of batches to the log, makes them durable and then publishes them to readers, one
+ * group at a time.
+ */
 final class LogWriter {
     private static final int MAX_REUSED_BUFFER_BYTES = 1 << 20;
     private static final byte[] ZEROS = new byte[64 << 10];
 
     /**
-     * A segment made ready beforehand: filled, durable, and without a number. It gets that when it
-     * is begun: the log is read in the order of its segments' numbers, and others may have begun
-     * meanwhile.
+     * A segment prepared in advance: filled with zeros and durable, but without a segment id. The
+     * id is assigned when the segment becomes active, because the log is replayed in the order of
+     * segment ids and other segments may have become active in the meantime.
      */
     record SpareSegment(String fileName, Disk.File file, long size) {}
 
@@ -25,7 +28,7 @@
         this.state = core;
     }
 
-    /** What a group changes, gathered before it is durable and done after. */
+    /** The changes of a group, collected while it is encoded and published once it is durable. */
     private static final class GroupChanges {
         private Index index;
         private long addedBytes;
@@ -46,7 +49,8 @@
     }
 
     /**
-     * Commits these, each whole or refused; what they wait for is set, and done or failed for each.
+     * Commits a group of batches, each one entirely or not at all. Sets the sequence number or the
+     * failure of each batch. Throws if the group as a whole cannot be written.
      */
     void write(List<PendingBatch> taken) throws StoreException {
         state.writeLock.lock();
@@ -62,7 +66,7 @@
                 roll(SegmentFormat.alignUp(most));
             }
             appendGroup(taken, SegmentFormat.alignUp(most));
-        } catch (RuntimeException | Error fault) { // how far the write came is not known
+        } catch (RuntimeException | Error fault) { // it is unknown how much was written
             state.stopWrites("a fault while writing", fault);
             throw fault;
         } finally {
@@ -142,8 +146,8 @@
     }
 
     /**
-     * A small group goes out with its mirror; behind a large one comes its mark, once it is
-     * durable.
+     * Writes a group and forces it. A small group is written together with its mirror. A large
+     * group is followed by a commit marker in a second write once the group is durable.
      */
     private static void makeDurable(
             Segment segment, ByteBuffer out, SegmentFormat.FrameHeader head, long offset)
@@ -194,8 +198,8 @@
     }
 
     /**
-     * Goes on in a new segment with room for such a group; a full disk refuses, and may have room
-     * later.
+     * Makes a new segment with room for a group of this size the active one. If the disk is full
+     * the commit is rejected, and a later one may succeed.
      */
     void roll(int groupTotal) throws StoreException {
         try {
@@ -235,13 +239,12 @@
             throw new IOException("short write of a header");
         }
         ready.file().force();
-        ready.file()
-                .close(); // it is opened anew by the name that it keeps: an open file knows where
-        // it is
+        // The file is reopened under its final name, because a file handle keeps its path.
+        ready.file().close();
         String name = Segment.fileName(id, SegmentFormat.LOG_SEGMENT);
         state.disk.rename(ready.fileName(), name);
-        state.disk
-                .syncDirectory(); // a manifest must not be durable before the names that are in it
+        // The manifest must not become durable before the file names that it lists.
+        state.disk.syncDirectory();
         Segment next = new Segment(state.disk, name, state.disk.open(name, true), header);
         Segment before = state.activeSegment;
         SegmentSet set = state.view().segments().with(next);
@@ -249,7 +252,7 @@
         try {
             state.publishManifest(state.segmentRefs(set, s -> false), state.manifest.checkpoint());
         } catch (IOException e) {
-            // the new one is a leftover without records, and deleted at the next opening
+            // The new segment holds no records; the next open deletes it as a leftover.
             state.activeSegment = before;
             set.release();
             throw e;
@@ -257,7 +260,9 @@
         state.installView(new StoreState.View(state.view().index(), set, state.view().seq()));
     }
 
-    /** Makes a spare, if there is none; the filling is done without the write lock. */
+    /**
+     * Prepares a spare segment if there is none. The file is filled without holding the write lock.
+     */
     void prepareSpare() throws IOException {
         state.writeLock.lock();
         boolean wanted = spare == null && state.stopReason() == null;
@@ -279,8 +284,9 @@
     }
 
     /**
-     * A file of this size, filled with zeros: all its room is taken now, so that no commit in it
-     * can meet a full disk, its length no longer changes, and a file that is shorter has been cut.
+     * Creates a file of this size filled with zeros. This allocates all of its space in advance, so
+     * that a commit into the segment cannot run out of disk space and its length never changes; a
+     * shorter file has been truncated.
      */
     private SpareSegment createSpare(long wanted) throws IOException {
         long size = (wanted + SegmentFormat.ALIGNMENT_BYTES - 1) & -SegmentFormat.ALIGNMENT_BYTES;
@@ -312,7 +318,7 @@
         try {
             unused.file().close();
             state.disk.delete(unused.fileName());
-        } catch (IOException left) { // a .tmp is deleted at the next opening
+        } catch (IOException left) { // the next open deletes .tmp files
             return;
         }
     }
--- a/relay/src/main/java/saltstage/store/Maintenance.java
+++ b/relay/src/main/java/saltstage/store/Maintenance.java
@@ -10,15 +10,18 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Checkpoints and compaction: one at a time, beside the writers. What lives in a segment worth
- * emptying is copied into new ones, the index is pointed there a few entries at a time, and a
- * checkpoint with a manifest of the new segments puts it in force; only then do the old files go. A
- * crash anywhere finds the old manifest with all that it names, or the new one.
+ * Checkpoints and compaction; one runs at a time, concurrently with commits. Compaction copies the
+ * live entries of the selected segments into new ones, moves the index to the copies a few entries
+ * at a time, and writes a checkpoint with a manifest of the new segments. Only then are the old
+ * files deleted. After a crash at any point, the manifest on disk is either the old one with all of
+ * its files or the new one.
  */
 final class Maintenance {
     private static final int MAX_COPY_FRAME_BYTES = 128 << 10;
-    private static final int INDEX_UPDATES_PER_LOCK =
-            64; // entries pointed elsewhere at a time, while writers wait
+
+    /** The number of index entries moved per acquisition of the write lock, while writers wait. */
+    private static final int INDEX_UPDATES_PER_LOCK = 64;
+
     private static final long MAX_PAUSE_NS = 50_000_000;
 
     private final StoreState state;
@@ -32,10 +35,13 @@
         policy = new MaintenancePolicy(core.options.segmentBytes());
     }
 
-    /** One entry that was copied. */
+    /** An entry that was copied, with its old address and new location. */
     private record MovedEntry(byte[] key, long oldAddress, Index.Location newLocation) {}
 
-    /** What is due by the policy; a full disk or a file that cannot be written puts it off. */
+    /**
+     * Runs the compaction or checkpoint that the policy finds due. A full disk or an I/O failure
+     * postpones it.
+     */
     void runIfDue() {
         maintenanceLock.lock();
         try {
@@ -75,19 +81,19 @@
         }
     }
 
-    /** Bytes that compaction has copied since the store was opened. */
+    /** Returns the number of bytes that compaction has copied since the store was opened. */
     long copiedBytes() {
         return copiedBytes;
     }
 
-    /** Whether what runs is to end at its next step. */
+    /** Sets whether a running checkpoint or compaction is to stop at its next step. */
     void setClosing(boolean now) {
         closing = now;
     }
 
     /**
-     * Rewrites every segment with anything dead in it, as fast as it goes; returns the bytes
-     * copied.
+     * Rewrites every sealed segment with dead data, without a rate limit. Returns the number of
+     * bytes copied.
      */
     long compactAll(LogWriter writer) throws IOException {
         maintenanceLock.lock();
@@ -110,7 +116,10 @@
         }
     }
 
-    /** Writes the index as it is now and puts it in force; segments in which nothing lives go. */
+    /**
+     * Writes a checkpoint of the current index and makes it the current one. Segments without live
+     * entries are removed.
+     */
     void checkpoint() throws IOException {
         maintenanceLock.lock();
         try {
@@ -186,7 +195,7 @@
     private void deleteQuietly(String name) {
         try {
             state.disk.delete(name);
-        } catch (IOException left) { // in no manifest: deleted at the next opening
+        } catch (IOException left) { // the next open deletes files that are not in the manifest
             return;
         }
     }
@@ -201,8 +210,8 @@
             }
             SegmentSet set = state.view().segments();
             state.publishManifest(state.segmentRefs(set, dead::contains), ref);
-            dead.forEach(Segment::markForDeletion); // before their last reader, who may be the one
-            // below, lets go
+            // Marked before the last reference is released, which installView may do below.
+            dead.forEach(Segment::markForDeletion);
             state.logBytesSinceCheckpoint -= log;
             if (!dead.isEmpty()) {
                 state.installView(
@@ -239,7 +248,7 @@
         checkpoint();
     }
 
-    /** Copies what lives into new segments. */
+    /** Copies live entries into new segments. */
     private final class Copier {
         private final RateLimiter rateLimiter;
         private final ByteBuffer frameBuffer =
@@ -328,7 +337,7 @@
             frameBuffer.clear();
         }
 
-        /** Writes a frame of entries; where each of them now stands is known from here on. */
+        /** Writes a frame of entries and records their new locations. */
         private void writeFrame(ByteBuffer frame, List<MovedEntry> of) throws IOException {
             if (output != null
                     && endOffset + frame.position() + SegmentFormat.ALIGNMENT_BYTES
@@ -388,7 +397,7 @@
             }
         }
 
-        /** Completes a segment of copies, and points the index into it. */
+        /** Completes a segment of copies and moves the index to it. */
         private void finishSegment() throws IOException {
             SegmentFormat.SegmentHeader header =
                     new SegmentFormat.SegmentHeader(
@@ -401,8 +410,8 @@
                     < SegmentFormat.SEGMENT_HEADER_BYTES) {
                 throw new IOException("short write of " + segmentFileName());
             }
-            output.force(); // its name becomes durable with that of the checkpoint which points
-            // into it
+            // The name becomes durable together with that of the checkpoint that refers to it.
+            output.force();
             Segment segment = new Segment(state.disk, segmentFileName(), output, header);
             segment.setUsedBytes(endOffset);
             output = null;
@@ -423,7 +432,10 @@
             movedEntries.clear();
         }
 
-        /** Points the index to the copies of what has not been written anew meanwhile. */
+        /**
+         * Moves the index to the copies of those entries that were not overwritten or deleted in
+         * the meantime.
+         */
         private void updateIndex(Segment to, List<MovedEntry> entries) {
             state.writeLock.lock();
             try {
@@ -447,7 +459,7 @@
             }
         }
 
-        /** Nothing points into a segment that was not completed. */
+        /** Closes and deletes a segment that was not completed; the index does not refer to it. */
         void abandon() {
             if (output == null) {
                 return;
--- a/relay/src/main/java/saltstage/store/MaintenancePolicy.java
+++ b/relay/src/main/java/saltstage/store/MaintenancePolicy.java
@@ -4,26 +4,29 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** When a checkpoint is due and which segments are worth compacting; free of I/O and time. */
+/**
+ * Decides when a checkpoint is due and which segments are worth compacting. It uses neither I/O nor
+ * time.
+ */
 public final class MaintenancePolicy {
-    /** A sealed segment with this much of it dead is worth the copying of the rest. */
+    /**
+     * The minimum share of dead bytes at which copying the rest of a sealed segment is worthwhile.
+     */
     private static final double MIN_DEAD_SHARE = 0.5;
 
-    /** The least dead bytes, in segments, before anything is compacted by itself. */
+    /** The minimum amount of dead data, in segments, before automatic compaction starts. */
     private static final int MIN_DEAD_SEGMENTS = 2;
 
     /**
-     * The most that one round copies, in segments, so that a round ends and space comes back soon.
+     * The maximum amount that one round copies, in segments, so that a round ends and frees space
+     * soon.
      */
     private static final int MAX_COPIED_SEGMENTS = 8;
 
-    /** Log written since the last checkpoint, in segments, before the next. */
+    /** The amount of log, in segments, after which the next checkpoint is due. */
     private static final int CHECKPOINT_LOG_SEGMENTS = 4;
 
-    /**
-     * One sealed segment: its number, the bytes that frames take in it, and those that are still
-     * live.
-     */
+    /** A sealed segment: its id, the bytes that its frames use, and those of them that are live. */
     public record SealedSegment(long id, long usedBytes, long liveBytes) {
         long deadBytes() {
             return Math.max(0, usedBytes - liveBytes);
@@ -32,22 +35,24 @@
 
     private final long segmentBytes;
 
-    /** A policy for segments of this size. */
+    /** Creates a policy for segments of this size. */
     public MaintenancePolicy(long segmentBytes) {
         this.segmentBytes = segmentBytes;
     }
 
     /**
-     * Whether the log behind the last checkpoint is long enough for a new one. A checkpoint holds
-     * the whole index; at most as much of it is written as of the log, whatever the number of keys.
+     * Returns whether enough log has been written since the last checkpoint for a new one. A
+     * checkpoint holds the whole index. Requiring at least as much log as the last checkpoint had
+     * bytes limits checkpoint writes to the volume of log writes, whatever the number of keys.
      */
     public boolean isCheckpointDue(long logSince, long lastCheckpointBytes) {
         return logSince >= Math.max(CHECKPOINT_LOG_SEGMENTS * segmentBytes, lastCheckpointBytes);
     }
 
     /**
-     * The segments to compact now, deadest first; none while little is dead. As a round ends with a
-     * checkpoint of that size, the dead bytes must be worth it too.
+     * Returns the segments to compact now, those with the lowest live share first, or none while
+     * little data is dead. A round ends with a checkpoint of the given size, so there must be at
+     * least as many dead bytes.
      */
     public List<Long> selectForCompaction(List<SealedSegment> sealed, long checkpointBytes) {
         long dead = sealed.stream().mapToLong(SealedSegment::deadBytes).sum();
@@ -73,7 +78,9 @@
         return chosen;
     }
 
-    /** All that a compaction by hand rewrites: every sealed segment with anything dead in it. */
+    /**
+     * Returns the segments that a manual compaction rewrites: every sealed segment with dead data.
+     */
     public static List<Long> selectAllWithDeadData(List<SealedSegment> sealed) {
         return sealed.stream().filter(s -> s.deadBytes() > 0).map(SealedSegment::id).toList();
     }
--- a/relay/src/main/java/saltstage/store/Manifest.java
+++ b/relay/src/main/java/saltstage/store/Manifest.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * What a store consists of: the format it was written in (1: from before there was a file of what was
- * acknowledged; 2), its id, the next free file number, the checkpoint in force and all segments in
- * order. Small, and replaced whole by a rename.
+ * The list of the files that make up a store: the format version (1 has no file with the acknowledged
+ * sequence number, 2 has one), the store id, the next free file id, the current checkpoint, and all segments
+ * in order. It is small and is replaced atomically by a rename.
  */
 record Manifest(short formatVersion, SegmentFormat.StoreId storeId, long generation, long nextFileId,
         CheckpointRef checkpoint, List<SegmentRef> segments) {
@@ -21,7 +21,10 @@
     private static final int CRC_OFFSET = 12;
     private static final int MAX_SEGMENTS = 1 << 20;
 
-    /** The checkpoint in force; id 0: none. Replay begins at this offset of that segment. */
+    /**
+     * The current checkpoint; id 0 means that there is none. Replay begins at the given offset of the given
+     * segment.
+     */
     record CheckpointRef(long id, long seq, long replaySegmentId, long replayOffset, long bytes, int crc,
             long keyCount) {
         static final CheckpointRef NONE = new CheckpointRef(0, 0, 0, 0, 0, 0, 0);
@@ -31,7 +34,7 @@
         }
     }
 
-    /** A segment; used and lastSeq hold for sealed ones. */
+    /** A segment. The used bytes and the last sequence number are valid only for sealed segments. */
     record SegmentRef(long id, byte kind, boolean sealed, long size, long usedBytes, long baseSeq,
             long lastSeq) {
         String fileName() {
@@ -101,7 +104,7 @@
         }
     }
 
-    /** Writes it beside the one in force; {@link #publish} puts it in its place. */
+    /** Writes the manifest to a temporary file; {@link #publish} replaces the current manifest by it. */
     void writeTemporary(Disk disk) throws IOException {
         disk.delete(TEMPORARY_NAME);
         try (Disk.File file = disk.create(TEMPORARY_NAME)) {
--- a/relay/src/main/java/saltstage/store/PendingBatch.java
+++ b/relay/src/main/java/saltstage/store/PendingBatch.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.locks.LockSupport;
 
-/** A batch that waits to be durable, and the thread that waits with it. */
+/** A batch that waits to be committed, and the thread that waits for it. */
 final class PendingBatch {
     private static final int WAITING = 0;
     private static final int LEADER = 1;
@@ -41,8 +41,9 @@
     }
 
     /**
-     * Waits to be done, or to lead: true. An interrupt is kept for later: the batch is out of our
-     * hands.
+     * Waits until the batch is complete or its thread becomes the leader of the next group; returns
+     * true in the second case. An interrupt does not end the wait, because the batch may already be
+     * written; the interrupt flag is set again afterwards.
      */
     boolean awaitCompletionOrLeadership() {
         boolean interrupted = false;
@@ -56,7 +57,10 @@
         return state == LEADER;
     }
 
-    /** The number it was given, or why it was refused. */
+    /**
+     * Returns the assigned sequence number, or throws the reason for which the batch was not
+     * committed.
+     */
     long result() throws StoreException {
         if (failure != null) {
             throw failure;
--- a/relay/src/main/java/saltstage/store/RateLimiter.java
+++ b/relay/src/main/java/saltstage/store/RateLimiter.java
@@ -1,7 +1,8 @@
 package saltstage.store;
 
 /**
- * A budget of bytes a second with a burst of a tenth of that; pure, its time comes with the calls.
+ * Limits a rate in bytes per second, with a burst of a tenth of a second's bytes. The caller passes
+ * in the current time.
  */
 final class RateLimiter {
     private static final double NANOS_PER_SECOND = 1e9;
@@ -16,7 +17,10 @@
         maxBytesPerSecond = bytesPerSecond;
     }
 
-    /** Takes so many bytes at this time; returns how many nanoseconds to wait before the next. */
+    /**
+     * Records that this many bytes were used at this time. Returns the nanoseconds to wait before
+     * the next use.
+     */
     long take(long bytes, long nanos) {
         if (started) {
             debtBytes =
--- a/relay/src/main/java/saltstage/store/Recovery.java
+++ b/relay/src/main/java/saltstage/store/Recovery.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** Brings a store's state back from its files, or refuses: never a guess. */
+/**
+ * Restores the state of a store from its files. Fails with {@link StoreException.Damaged} if any
+ * acknowledged data cannot be read.
+ */
 final class Recovery {
     private static final String LOCK_FILE_NAME = "lock";
 
@@ -19,7 +22,10 @@
     private Index index = Index.EMPTY;
     private long nextSeq;
 
-    /** The last number that is known to have been acknowledged; -1 where nothing says so. */
+    /**
+     * The last sequence number that is known to be acknowledged, or -1 if the store has no such
+     * record.
+     */
     private long acknowledgedSeq = -1;
 
     Recovery(StoreState core, boolean toWrite) {
@@ -27,7 +33,7 @@
         this.writable = toWrite;
     }
 
-    /** Sets the core up: its view, manifest, active segment and numbers. */
+    /** Recovers the view, manifest, active segment and sequence numbers of the store state. */
     void run() throws IOException {
         List<String> names = state.disk.list();
         if (!names.contains(Manifest.NAME)) {
@@ -39,8 +45,8 @@
             names = state.disk.list();
         }
         try {
-            // A writer goes on beside a reader: what was acknowledged is read before what must hold
-            // it.
+            // A writer may be active while a reader opens the store, so the acknowledged sequence
+            // number is read before the manifest and log that must contain it.
             manifest = Manifest.read(state.disk);
             readAcknowledgedSeq(names);
             manifest = Manifest.read(state.disk);
@@ -53,7 +59,7 @@
                                     state.disk, manifest.storeId(), manifest.checkpoint());
             nextSeq = manifest.checkpoint().seq() + 1;
             replay();
-            for (String name : leftovers) { // only once all else has turned out sound
+            for (String name : leftovers) { // only after everything else was found intact
                 state.disk.delete(name);
             }
             installState();
@@ -68,7 +74,10 @@
         }
     }
 
-    /** A store of format 1 has no such file until it is opened to write for the first time. */
+    /**
+     * Reads the acknowledged sequence number. A store of format 1 has no file for it until it is
+     * opened for writing for the first time.
+     */
     private void readAcknowledgedSeq(List<String> names) throws IOException {
         if (names.contains(AcknowledgedSeqFile.NAME)) {
             acknowledgedSeq = AcknowledgedSeqFile.read(state.disk, manifest.storeId());
@@ -77,7 +86,10 @@
         }
     }
 
-    /** Without a manifest only what the making of a new store may have left behind is no store. */
+    /**
+     * Checks that a directory without a manifest holds at most the files of an interrupted
+     * creation, and deletes them. Any other store file means that the manifest was lost.
+     */
     private void checkNoExistingStore(List<String> names) throws IOException {
         if (names.contains(AcknowledgedSeqFile.NAME)) {
             checkNothingAcknowledged();
@@ -109,7 +121,10 @@
         }
     }
 
-    /** A making that was cut off has acknowledged nothing. */
+    /**
+     * Checks that the sequence number file records nothing: an interrupted creation has
+     * acknowledged nothing.
+     */
     private void checkNothingAcknowledged() throws IOException {
         try (Disk.File file = state.disk.open(AcknowledgedSeqFile.NAME, false)) {
             long said = AcknowledgedSeqFile.readOfAnyStore(file);
@@ -128,7 +143,7 @@
     }
 
     private void createStore() throws IOException {
-        // two stores must never take each other's files for their own
+        // Random ids prevent a store from accepting the files of another store as its own.
         SecureRandom random = new SecureRandom();
         SegmentFormat.StoreId id = new SegmentFormat.StoreId(random.nextLong(), random.nextLong());
         AcknowledgedSeqFile.create(state.disk, id, 0).close();
@@ -207,7 +222,8 @@
     }
 
     /**
-     * What an unfinished or finished step left; what could hold acknowledged records is refused.
+     * Returns the files that a completed or interrupted step left behind. Throws if one of them
+     * could hold acknowledged records.
      */
     private List<String> findLeftovers(List<String> names) throws IOException {
         Set<String> known =
@@ -232,8 +248,9 @@
     }
 
     /**
-     * A log segment that the manifest does not know yet is empty; else the manifest is older than
-     * the log.
+     * Checks that a segment file outside the manifest can be deleted. A log segment with an id that
+     * the manifest has not assigned yet must be empty; otherwise the manifest is older than the
+     * log.
      */
     private void checkIsLeftover(String name) throws IOException {
         boolean newer =
@@ -248,7 +265,7 @@
                 if (newer) {
                     throw unreadable;
                 }
-                return; // a file that nothing points to
+                return; // nothing refers to the file
             }
             if (!header.storeId().equals(manifest.storeId())) {
                 throw new StoreException.Damaged(name, 16, "the segment belongs to another store");
@@ -310,7 +327,7 @@
         }
     }
 
-    /** Reads and applies the group that must come next; null where there is no sound one. */
+    /** Applies the expected next group. Returns null if there is no valid one at this offset. */
     private SegmentReader.Frame applyNextGroup(SegmentReader reader, long at) throws IOException {
         SegmentReader.Frame found = reader.frameAt(at);
         if (found == null
@@ -387,7 +404,7 @@
             }
             state.events.onEvent(
                     "store.restored", "file", segment.fileName(), "offset", at, "record", nextSeq);
-            restored = at; // a disk that does not take it is not asked for ever
+            restored = at; // prevents an endless loop on a disk that does not keep the write
             at = restoreFromMirror(segment, reader, tail.mirror(), at);
             reader = new SegmentReader(segment);
             if (!writable) {
@@ -398,8 +415,8 @@
     }
 
     /**
-     * Puts a damaged group back from its mirror; where nothing may be written it is read from
-     * there.
+     * Restores a damaged group from its mirror. In read-only mode nothing is written, and the
+     * entries are applied from the mirror.
      */
     private long restoreFromMirror(
             Segment segment, SegmentReader reader, SegmentReader.Frame mirror, long at)
@@ -437,8 +454,8 @@
     }
 
     /**
-     * Clears what a cut-off write left, and puts the mirror or mark of the last group back behind
-     * it.
+     * Zeroes the remains of an interrupted write and restores the mirror or commit marker of the
+     * last group.
      */
     private void repairTail(
             Segment segment,
--- a/relay/src/main/java/saltstage/store/Segment.java
+++ b/relay/src/main/java/saltstage/store/Segment.java
@@ -4,7 +4,10 @@
 import java.nio.ByteBuffer;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** One segment file that is open, with how much of it is used and how much of that is live. */
+/**
+ * An open segment file with its counts of used and live bytes. The file is closed when the last
+ * segment set that contains it is released.
+ */
 final class Segment {
     static final long MAX_SEGMENT_BYTES = 1L << 31;
 
@@ -16,12 +19,10 @@
     private final AtomicInteger references = new AtomicInteger();
     private volatile boolean deleteOnRelease;
 
-    /**
-     * The end of the last frame, and the bytes of entries that the index points to; under the write
-     * lock.
-     */
+    /** The end of the last frame. Like {@code liveBytes}, guarded by the write lock. */
     private long usedBytes = SegmentFormat.SEGMENT_HEADER_BYTES;
 
+    /** The bytes of the entries that the index points to. */
     private long liveBytes;
 
     Segment(Disk disk, String name, Disk.File file, SegmentFormat.SegmentHeader header) {
@@ -76,7 +77,10 @@
         return usedBytes + SegmentFormat.reservedBytes(groupTotal) <= header.size();
     }
 
-    /** Reads the value of an entry that must stand here; whatever else stands here is damage. */
+    /**
+     * Reads the value of the entry that the index locates at this offset. Anything else at the
+     * offset is reported as damage.
+     */
     byte[] readValue(long offset, byte[] key, Index.Location place) throws IOException {
         int bytes = SegmentFormat.ENTRY_HEADER_BYTES + key.length + place.valueLength();
         ByteBuffer in = ByteBuffer.allocate(bytes);
@@ -98,7 +102,10 @@
         references.incrementAndGet();
     }
 
-    /** The last who lets go closes the file, and deletes it where it is doomed. */
+    /**
+     * Releases a reference. The last release closes the file, and deletes it if it was marked for
+     * deletion.
+     */
     void release() {
         if (references.decrementAndGet() > 0) {
             return;
@@ -108,12 +115,15 @@
             if (deleteOnRelease) {
                 disk.delete(fileName);
             }
-        } catch (IOException left) { // a file that is in no manifest is deleted at the next opening
+        } catch (IOException left) { // the next open deletes files that are not in the manifest
             return;
         }
     }
 
-    /** It is in no manifest any more: its file goes when the last reader does. */
+    /**
+     * Marks a segment that is no longer in the manifest: its file is deleted when the last reader
+     * releases it.
+     */
     void markForDeletion() {
         deleteOnRelease = true;
     }
--- a/relay/src/main/java/saltstage/store/SegmentFormat.java
+++ b/relay/src/main/java/saltstage/store/SegmentFormat.java
@@ -5,12 +5,12 @@
 import java.util.zip.CRC32C;
 
 /**
- * The bytes of a segment: its header, frames, and the entries in them. Pure: from buffers and to
- * buffers. All numbers are big-endian; {@code docs/design/store.md} has the tables.
+ * The binary format of a segment: its header, its frames, and the entries in them. All methods work
+ * on buffers without I/O. All numbers are big-endian; {@code docs/design/store.md} has the tables.
  *
- * <p>A frame's checksum is seeded with the store's id, the segment's id and the frame's offset, so
- * that no frame is taken for one where it does not belong: neither a copy nor a value that looks
- * like a frame.
+ * <p>The checksum of a frame is seeded with the store id, the segment id and the offset of the
+ * frame. A frame is therefore never accepted at a place where it does not belong, whether it was
+ * copied there or is a value that looks like a frame.
  */
 final class SegmentFormat {
     static final int SEGMENT_HEADER_BYTES = 64;
@@ -19,14 +19,14 @@
     static final int ENTRY_HEADER_BYTES = 19;
     static final int ALIGNMENT_BYTES = 8;
 
-    /** What a mirror says before the copy: the offset of the group. */
+    /** The length of the group's offset, which precedes the copy of the group in a mirror. */
     static final int MIRROR_HEADER_BYTES = 8;
 
     static final int COMMIT_MARKER_BYTES = FRAME_HEADER_BYTES + 8;
 
     /**
-     * Groups up to this size are mirrored in the same write; behind a larger one comes a forced
-     * mark.
+     * The maximum size of a group that is mirrored in the same write. A larger group is followed by
+     * a commit marker that is forced separately.
      */
     static final int MAX_MIRRORED_BYTES = 64 << 10;
 
@@ -49,20 +49,20 @@
 
     private SegmentFormat() {}
 
-    /** The 16 bytes that name a store, as two numbers. */
+    /** The 16-byte id of a store, as two numbers. */
     record StoreId(long high, long low) {}
 
-    /** What a segment's header says. */
+    /** The fields of a segment header. */
     record SegmentHeader(byte kind, StoreId storeId, long id, long size, long baseSeq) {}
 
-    /** A frame's head; length is that of the payload without padding. */
+    /** The header of a frame. The payload length excludes padding. */
     record FrameHeader(byte kind, int payloadLength, int batchCount, long firstSeq, int crc) {
         int totalBytes() {
             return alignUp(FRAME_HEADER_BYTES + payloadLength);
         }
     }
 
-    /** One entry; its place is the offset of its first byte. */
+    /** A decoded entry; {@code bytes} is its encoded length. */
     record Entry(byte op, byte[] key, int valueLength, long version, int bytes) {}
 
     static int alignUp(int bytes) {
@@ -70,16 +70,16 @@
     }
 
     /**
-     * Room that a group of at most this size takes with what comes behind it. A group that turns
-     * out smaller than it might have been may be mirrored where the largest would only have been
-     * marked.
+     * Returns the space to reserve for a group of at most this size and its trailer. A group can
+     * turn out smaller than its maximum, and may then be followed by a mirror where the maximum
+     * would only need a commit marker, so both cases are covered.
      */
     static int reservedBytes(int mostTotal) {
         int mirrored = Math.min(mostTotal, MAX_MIRRORED_BYTES);
         return Math.max(mirrored + trailerBytes(mirrored), mostTotal + trailerBytes(mostTotal));
     }
 
-    /** Room that a group needs behind it for its mirror or mark. */
+    /** Returns the space that the mirror or commit marker behind a group needs. */
     static int trailerBytes(int groupTotal) {
         return groupTotal <= MAX_MIRRORED_BYTES
                 ? alignUp(FRAME_HEADER_BYTES + MIRROR_HEADER_BYTES + groupTotal)
@@ -132,7 +132,9 @@
                 in.getLong(48));
     }
 
-    /** CRC32C over a buffer's bytes with the four at this place taken as zero. */
+    /**
+     * Returns the CRC32C of a buffer, with the four checksum bytes at this position taken as zero.
+     */
     static int crcExcluding(ByteBuffer of, int at) {
         CRC32C crc = new CRC32C();
         crc.update(of.duplicate().position(0).limit(at));
@@ -141,7 +143,7 @@
         return (int) crc.getValue();
     }
 
-    /** Where a segment's frames get their seed from. */
+    /** The part of the checksum seed that all frames of a segment share. */
     record ChecksumSeed(StoreId storeId, long segmentId) {
         int crc(ByteBuffer frame, long offset) {
             ByteBuffer seed = ByteBuffer.allocate(32);
@@ -158,7 +160,10 @@
         }
     }
 
-    /** Begins a frame at the buffer's position; {@link #endFrame} completes it. */
+    /**
+     * Begins a frame at the buffer's position and returns its start; {@link #endFrame} completes
+     * it.
+     */
     static int beginFrame(ByteBuffer out, byte kind, int count, long firstSeq) {
         int start = out.position();
         out.putInt(FRAME_MAGIC)
@@ -173,7 +178,7 @@
         return start;
     }
 
-    /** Sets the length and checksum of the frame that began there, and pads it. */
+    /** Sets the length and checksum of the frame that begins at {@code start}, and pads it. */
     static FrameHeader endFrame(ByteBuffer out, int start, ChecksumSeed seed, long offset) {
         int length = out.position() - start - FRAME_HEADER_BYTES;
         out.putInt(start + 8, length);
@@ -187,8 +192,8 @@
     }
 
     /**
-     * The frame at the buffer's position, which is this offset of the segment; null where there is
-     * no whole and sound one.
+     * Decodes the frame at the buffer's position, which corresponds to this offset of the segment.
+     * Returns null if there is no complete and valid frame.
      */
     static FrameHeader decodeFrame(ByteBuffer in, ChecksumSeed seed, long offset) {
         int at = in.position();
@@ -236,7 +241,8 @@
     }
 
     /**
-     * The entry at the buffer's position, which moves behind it; null where there is no sound one.
+     * Decodes the entry at the buffer's position and advances the position past it. Returns null if
+     * there is no valid entry.
      */
     static Entry decodeEntry(ByteBuffer in) {
         int at = in.position();
@@ -271,9 +277,7 @@
         }
     }
 
-    /**
-     * A copy of the group that stands whole in the buffer up to its position, written behind it.
-     */
+    /** Appends a mirror: a copy of the complete group that the buffer holds up to its position. */
     static void encodeMirror(
             ByteBuffer out,
             int groupStart,
@@ -286,7 +290,7 @@
         endFrame(out, start, seed, groupOffset + group.totalBytes());
     }
 
-    /** The mark that the group before it is durable. */
+    /** Appends the commit marker, which states that the group before it is durable. */
     static void encodeCommitMarker(
             ByteBuffer out, FrameHeader group, ChecksumSeed seed, long groupOffset) {
         int start = beginFrame(out, COMMIT_MARKER_FRAME, group.batchCount(), group.firstSeq());
--- a/relay/src/main/java/saltstage/store/SegmentReader.java
+++ b/relay/src/main/java/saltstage/store/SegmentReader.java
@@ -4,22 +4,25 @@
 import java.nio.ByteBuffer;
 
 /**
- * Reads a segment's frames through a window of memory; what is not a sound frame is null, never a
- * guess.
+ * Reads the frames of a segment through a buffer. Anything that is not a valid frame is returned as
+ * null.
  */
 final class SegmentReader {
     private static final int READ_BUFFER_BYTES = 1 << 20;
 
-    /** A frame with the buffer positioned at its payload and limited to it. */
+    /** A frame, with a payload buffer that covers exactly the payload. */
     record Frame(SegmentFormat.FrameHeader header, long offset, ByteBuffer payload) {
         long endOffset() {
             return offset + header.totalBytes();
         }
     }
 
-    /** Is given each entry of a frame. */
+    /** Receives each entry of a frame. */
     interface EntryVisitor {
-        /** An entry, the number of the batch within its group, its offset, and its bytes. */
+        /**
+         * Receives an entry, the position of its batch within the group, its offset in the segment,
+         * and its encoded bytes.
+         */
         void visit(SegmentFormat.Entry entry, int batch, long offset, ByteBuffer raw)
                 throws IOException;
     }
@@ -42,7 +45,7 @@
         return segment.fileName();
     }
 
-    /** The sound frame at this offset, or null. */
+    /** Returns the valid frame at this offset, or null. */
     Frame frameAt(long offset) throws IOException {
         if (offset + SegmentFormat.FRAME_HEADER_BYTES > size
                 || !ensureBuffered(offset, SegmentFormat.FRAME_HEADER_BYTES)) {
@@ -80,7 +83,7 @@
         return buffer.limit() >= bytes;
     }
 
-    /** Visits the entries of a group or copy in order. */
+    /** Visits the entries of a group or copy frame in order. */
     void visitEntries(Frame found, EntryVisitor visitor) throws IOException {
         visitEntries(
                 found.payload().duplicate(),
@@ -89,7 +92,7 @@
                 visitor);
     }
 
-    /** Visits the entries of a payload whose first byte has this offset. */
+    /** Visits the entries of a payload that begins at this offset of the segment. */
     void visitEntries(
             ByteBuffer payload, SegmentFormat.FrameHeader head, long offset, EntryVisitor visitor)
             throws IOException {
@@ -120,8 +123,8 @@
     }
 
     /**
-     * What stands from the first unreadable offset on, where the group of this number was to come
-     * next.
+     * Scans the rest of the segment from the first unreadable offset on; {@code expected} is the
+     * sequence number of the group that should begin there.
      */
     TailScan scanTail(long from, long expected) throws IOException {
         boolean later = false;
@@ -167,8 +170,8 @@
     }
 
     /**
-     * What {@link #scanTail} found; mirror is that of the unreadable group, and nonZero the end of
-     * what stands.
+     * The result of {@link #scanTail}: the findings, the mirror of the unreadable group or null,
+     * and the end of the last non-zero bytes.
      */
     record TailScan(TailClassifier.Findings findings, Frame mirror, long nonZeroEnd) {}
 }
--- a/relay/src/main/java/saltstage/store/SegmentSet.java
+++ b/relay/src/main/java/saltstage/store/SegmentSet.java
@@ -6,7 +6,10 @@
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The segments that a state of the index points into, held open as long as anybody reads by it. */
+/**
+ * The segments that a state of the index points into. The set is reference-counted: its segments
+ * stay open until the last reader has released it.
+ */
 final class SegmentSet {
     private final TreeMap<Long, Segment> segmentsById = new TreeMap<>();
     private final AtomicInteger references = new AtomicInteger(1);
@@ -38,7 +41,7 @@
         return new SegmentSet(all);
     }
 
-    /** Takes part in reading; false where the set is already over. */
+    /** Acquires a reference for a reader. Returns false if the set has already been released. */
     boolean tryAcquire() {
         int now = references.get();
         while (now > 0) {
@@ -50,7 +53,7 @@
         return false;
     }
 
-    /** Ends reading, or for the store itself: ends the set. */
+    /** Releases the reference of a reader or the initial one, which the store holds. */
     void release() {
         if (references.decrementAndGet() == 0) {
             segmentsById.values().forEach(Segment::release);
--- a/relay/src/main/java/saltstage/store/Snapshot.java
+++ b/relay/src/main/java/saltstage/store/Snapshot.java
@@ -5,8 +5,8 @@
 import java.util.Arrays;
 
 /**
- * The store as it was at one moment, for as long as it is open; writers go on meanwhile. What it
- * points to stays on the disk until it is closed. For one thread at a time.
+ * A consistent view of the store at one moment; writers are not blocked by it. The segments that it
+ * refers to stay on the disk until it is closed. Not thread-safe.
  */
 public final class Snapshot implements Closeable {
     private final StoreState.View view;
@@ -16,17 +16,17 @@
         view = held;
     }
 
-    /** The number of the last batch in it; 0 where there was none. */
+    /** Returns the sequence number of the last batch in the snapshot, or 0 if there is none. */
     public long seq() {
         return view.seq();
     }
 
-    /** How many keys it has. */
+    /** Returns the number of keys. */
     public long size() {
         return view.index().size();
     }
 
-    /** A key's value, or null. */
+    /** Returns the value of a key, or null if the key does not exist. */
     public byte[] get(byte[] key) throws IOException {
         Index.Location place = find(key);
         return place == null
@@ -34,7 +34,10 @@
                 : view.segments().get(place.segmentId()).readValue(place.offset(), key, place);
     }
 
-    /** A key's version, the number of the batch that put it; 0 where it is not there. */
+    /**
+     * Returns the version of a key, which is the sequence number of the batch that put it, or 0 if
+     * the key does not exist.
+     */
     public long version(byte[] key) throws StoreException {
         Index.Location place = find(key);
         return place == null ? 0 : place.version();
@@ -52,15 +55,15 @@
     }
 
     /**
-     * The keys from one on, up to but without another, in order of their bytes; null: from or to
-     * the end.
+     * Returns the keys from {@code from} (inclusive) to {@code to} (exclusive) in unsigned byte
+     * order; null leaves that side unbounded.
      */
     public Scan scan(byte[] from, byte[] to) throws StoreException {
         checkOpen();
         return new Scan(view.index().cursor(from), to);
     }
 
-    /** A walk over keys in order. */
+    /** An iteration over keys in order. */
     public final class Scan {
         private final Index.Cursor cursor;
         private final byte[] to;
@@ -70,22 +73,22 @@
             this.to = to;
         }
 
-        /** Goes to the next key; false at the end. */
+        /** Moves to the next key. Returns false at the end. */
         public boolean next() {
             return cursor.advance() && (to == null || Arrays.compareUnsigned(cursor.key(), to) < 0);
         }
 
-        /** The key. */
+        /** Returns the current key. */
         public byte[] key() {
             return cursor.key();
         }
 
-        /** Its version. */
+        /** Returns the version of the current key. */
         public long version() {
             return cursor.location().version();
         }
 
-        /** Its value, read now. */
+        /** Reads and returns the value of the current key. */
         public byte[] value() throws IOException {
             checkOpen();
             Index.Location place = cursor.location();
--- a/relay/src/main/java/saltstage/store/Store.java
+++ b/relay/src/main/java/saltstage/store/Store.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * An open store. What {@link #commit} returned from is durable; reads see what is durable and
- * nothing else. Safe for any number of threads; one opener may write, any number of others may read
- * a state of their own.
+ * An open store. A batch is durable when {@link #commit} returns its sequence number, and reads see
+ * only durable data. The class is thread-safe. Only one process may have a store open for writing;
+ * any number of others may open it read-only, each with its own view of the state.
  */
 public final class Store implements Closeable {
     private static final String LOCK_FILE_NAME = "lock";
@@ -16,7 +16,7 @@
     private static final long OPEN_RETRY_PAUSE_NS = 20_000_000;
     private static final long CLOSING_CHECKPOINT_LOG_BYTES = 64 << 10;
 
-    /** What a store holds: keys, numbers, bytes of files, and how writing is. */
+    /** Size figures of a store, and whether it still accepts writes. */
     public record Statistics(
             long liveKeys,
             long lastSeq,
@@ -30,7 +30,10 @@
             boolean diskFull,
             String stopReason) {}
 
-    /** What {@link #verify} read: entries in the log, live keys, the last number. */
+    /**
+     * The result of {@link #verify}: the number of entries in the log, the number of live keys and
+     * the last sequence number.
+     */
     public record VerificationResult(long entryCount, long liveKeys, long lastSeq) {}
 
     private final StoreState state;
@@ -50,7 +53,10 @@
         maintenance = new Maintenance(core);
     }
 
-    /** Opens to write, making a new store where there is none. A second opener is refused. */
+    /**
+     * Opens a store for writing and creates it if none exists. Fails with {@link
+     * StoreException.Locked} while another opener holds the lock.
+     */
     public static Store open(Disk disk, StoreOptions options, StoreEventListener events)
             throws IOException {
         Closeable lock = disk.lock(LOCK_FILE_NAME);
@@ -73,8 +79,8 @@
     }
 
     /**
-     * Opens the state that is there now to read it, also while another process writes; writes
-     * nothing.
+     * Opens the current state read-only, even while another process writes to the store. Writes
+     * nothing to the disk.
      */
     public static Store openToRead(Disk disk, StoreEventListener events) throws IOException {
         for (int i = 1; ; i++) {
@@ -87,8 +93,8 @@
                         || e instanceof StoreException && !(e instanceof StoreException.Damaged)) {
                     throw e;
                 }
-                LockSupport.parkNanos(
-                        OPEN_RETRY_PAUSE_NS); // a file may have gone since the manifest was read
+                // A file may have been deleted by the writer since the manifest was read.
+                LockSupport.parkNanos(OPEN_RETRY_PAUSE_NS);
             }
         }
     }
@@ -101,14 +107,17 @@
         }
     }
 
-    /** Where nothing was written for a while, how far was acknowledged becomes durable too. */
+    /**
+     * Makes the acknowledged sequence number durable if nothing was written since {@code seqBefore}
+     * was the next sequence number.
+     */
     private void forceAcknowledgedSeqIfIdle(long seqBefore) {
         state.writeLock.lock();
         try {
             if (state.view() != null && state.stopReason() == null && state.nextSeq == seqBefore) {
                 state.acknowledgedSeqFile.forceIfChanged();
             }
-        } catch (IOException e) { // a force that failed: what is on the disk is not known any more
+        } catch (IOException e) { // after a failed force the content of the disk is unknown
             state.stopWrites("a write of " + AcknowledgedSeqFile.NAME + " failed", e);
         } finally {
             state.writeLock.unlock();
@@ -124,17 +133,20 @@
         }
     }
 
-    /** The store's own thread: a spare segment, checkpoints, compaction; woken by who commits. */
+    /**
+     * The loop of the maintenance thread: prepares a spare segment, writes checkpoints and
+     * compacts. A commit wakes the thread when enough log has been written.
+     */
     private void runMaintenance() {
         while (!closed.get()) {
             try {
                 writer.prepareSpare();
-            } catch (IOException e) { // a writer that needs it will meet the same, and say so
+            } catch (IOException e) { // a commit that needs the segment reports the failure
                 state.events.onEvent("store.spare.failed", "why", e.getMessage());
             }
             try {
                 maintenance.runIfDue();
-            } catch (RuntimeException fault) { // the store serves on, only larger than it need be
+            } catch (RuntimeException fault) { // the store keeps working, but takes more space
                 state.events.onEvent("store.compaction.failed", "why", fault);
             }
             maintenanceRequested = false;
@@ -144,7 +156,7 @@
         }
     }
 
-    /** Commits a batch; returns its number once it is durable. All of it happens, or nothing. */
+    /** Commits a batch atomically and returns its sequence number once the batch is durable. */
     public long commit(Batch batch) throws StoreException {
         if (lock == null) {
             throw new StoreException("the store is open to read only");
@@ -165,53 +177,58 @@
         return seq;
     }
 
-    /** Commits one put. */
+    /** Commits a batch with a single put. */
     public long put(byte[] key, byte[] value) throws StoreException {
         return commit(new Batch().put(key, value));
     }
 
-    /** Commits one delete. */
+    /** Commits a batch with a single delete. */
     public long delete(byte[] key) throws StoreException {
         return commit(new Batch().delete(key));
     }
 
-    /** A key's value, or null. */
+    /** Returns the value of a key, or null if the key does not exist. */
     public byte[] get(byte[] key) throws IOException {
         try (Snapshot now = snapshot()) {
             return now.get(key);
         }
     }
 
-    /** The state now, to be closed. */
+    /** Returns a snapshot of the current state; the caller must close it. */
     public Snapshot snapshot() throws StoreException {
         return new Snapshot(state.acquireView());
     }
 
     /**
-     * Whether batches can still be committed, as far as is known: neither stopped nor out of room.
+     * Returns whether commits are expected to succeed: writing has not been stopped, the disk is
+     * not known to be full, and the store is open.
      */
     public boolean isWritable() {
         return state.stopReason() == null && !state.isDiskFull() && !closed.get();
     }
 
-    /** Writes the index down, so that the next start reads the log from here only. */
+    /**
+     * Writes a checkpoint of the index, so that the next open replays only the log written after
+     * it.
+     */
     public void checkpoint() throws IOException {
         maintenance.checkpoint();
     }
 
     /**
-     * Gives back what deleted and overwritten data takes; returns the bytes that had to be copied.
+     * Reclaims the space of deleted and overwritten data. Returns the number of bytes that were
+     * copied for it.
      */
     public long compact() throws IOException {
         return maintenance.compactAll(writer);
     }
 
-    /** Bytes that compaction has copied since the opening. */
+    /** Returns the number of bytes that compaction has copied since the store was opened. */
     public long copiedBytes() {
         return maintenance.copiedBytes();
     }
 
-    /** How it stands. */
+    /** Returns the current size figures of the store. */
     public Statistics statistics() throws IOException {
         state.writeLock.lock();
         try {
@@ -243,8 +260,8 @@
     }
 
     /**
-     * Reads every record of every segment and every live value; throws at the first that is
-     * damaged.
+     * Reads every frame of every segment and every live value. Throws {@link
+     * StoreException.Damaged} for the first damaged one.
      */
     public VerificationResult verify() throws IOException {
         long[] records = new long[1];
@@ -275,7 +292,10 @@
         }
     }
 
-    /** The store's own thread ends at its next step; nothing is taken from under it. */
+    /**
+     * Stops the maintenance thread at its next step and waits for it. The thread is not
+     * interrupted, and its files stay open until it has ended.
+     */
     private void stopMaintenanceThread() {
         if (maintenanceThread == null) {
             return;
@@ -296,7 +316,7 @@
         }
     }
 
-    /** Ends writing and lets go of the files; snapshots that are open stay readable. */
+    /** Closes the store. Snapshots that are still open stay readable. */
     @Override
     public void close() throws IOException {
         if (!closed.compareAndSet(false, true)) {
@@ -313,7 +333,7 @@
                                     CLOSING_CHECKPOINT_LOG_BYTES)) {
                 maintenance.checkpoint();
             }
-        } catch (IOException notNow) { // the log has it all: the next start only takes longer
+        } catch (IOException notNow) { // the log is complete: only the next open takes longer
             state.events.onEvent("store.compaction.failed", "why", notNow.getMessage());
         } finally {
             if (lock != null) {
--- a/relay/src/main/java/saltstage/store/StoreEventListener.java
+++ b/relay/src/main/java/saltstage/store/StoreEventListener.java
@@ -1,10 +1,13 @@
 package saltstage.store;
 
-/** What the store has to tell beside its answers; must not block or throw. */
+/**
+ * Receives events of the store, such as repairs and failures. Implementations must not block or
+ * throw.
+ */
 public interface StoreEventListener {
-    /** Tells nobody. */
+    /** A listener that ignores all events. */
     StoreEventListener NONE = (event, pairs) -> {};
 
-    /** An event, with names and values in turn. */
+    /** Receives an event with alternating field names and values. */
     void onEvent(String event, Object... pairs);
 }
--- a/relay/src/main/java/saltstage/store/StoreException.java
+++ b/relay/src/main/java/saltstage/store/StoreException.java
@@ -2,79 +2,79 @@
 
 import java.io.IOException;
 
-/** Why the store did not do what it was asked; the message is one plain line. */
+/** Signals that the store could not complete an operation. The message is a single line. */
 public class StoreException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** Says why. */
+    /** Creates an exception with a message. */
     public StoreException(String message) {
         super(message);
     }
 
-    /** Says why, and what it came from. */
+    /** Creates an exception with a message and a cause. */
     public StoreException(String message, Throwable cause) {
         super(message, cause);
     }
 
-    /** A file does not hold what was acknowledged: nothing is served from it. */
+    /** A file does not contain the data that was acknowledged. The store cannot be used. */
     public static final class Damaged extends StoreException {
         private static final long serialVersionUID = 1L;
 
-        /** Names the file and the offset in it. */
+        /** Creates an exception for damage at this offset of a file. */
         public Damaged(String file, long offset, String what) {
             super("damaged: " + file + " at " + offset + ": " + what);
         }
     }
 
-    /** Another process has the store open. */
+    /** The store is open for writing in another process, or was opened already in this one. */
     public static final class Locked extends StoreException {
         private static final long serialVersionUID = 1L;
 
-        /** Names it. */
+        /** Creates an exception with the fixed message. */
         public Locked() {
             super("the store is open in another process");
         }
     }
 
     /**
-     * The disk is full: nothing was written, reading goes on, and writing may go on once there is
-     * room.
+     * The disk is full. Nothing was written and reads continue to work; commits may succeed again
+     * once there is free space.
      */
     public static final class DiskFull extends StoreException {
         private static final long serialVersionUID = 1L;
 
-        /** Says what did not fit. */
+        /** Creates an exception for the failed allocation. */
         public DiskFull(Throwable cause) {
             super("the disk is full: " + cause.getMessage(), cause);
         }
     }
 
     /**
-     * A write or a force failed: what is on the disk is not known any more, and nothing is
+     * A write or force failed, so the content of the disk is unknown. No further batch is
      * acknowledged.
      */
     public static final class WritesStopped extends StoreException {
         private static final long serialVersionUID = 1L;
 
-        /** Says what failed. */
+        /** Creates an exception that names the failed step. */
         public WritesStopped(String what, Throwable cause) {
             super("writing has stopped for good: " + what, cause);
         }
     }
 
-    /** A key was not at the version that the batch expected; nothing of the batch was done. */
+    /** A key did not have the expected version; no change of the batch was applied. */
     public static final class VersionConflict extends StoreException {
         private static final long serialVersionUID = 1L;
 
         private final long actualVersion;
 
-        /** The version that was expected and the one found; 0 is a key that is not there. */
+        /** Creates an exception with both versions; 0 means that the key does not exist. */
         public VersionConflict(long expected, long found) {
             super("version conflict: expected " + expected + ", found " + found);
             this.actualVersion = found;
         }
 
-        /** The version found; 0 where the key is not there. */
+        /** Returns the version found, or 0 if the key does not exist. */
         public long actualVersion() {
             return actualVersion;
         }
--- a/relay/src/main/java/saltstage/store/StoreOptions.java
+++ b/relay/src/main/java/saltstage/store/StoreOptions.java
@@ -1,15 +1,16 @@
 package saltstage.store;
 
 /**
- * How a store works: the size of a log segment in bytes, whether a thread of its own checkpoints
- * and compacts (else only by hand), and how many bytes a second compaction may copy.
+ * Options of a store: the size of a log segment in bytes, whether a background thread writes
+ * checkpoints and compacts (otherwise only explicit calls do), and how many bytes per second
+ * compaction may copy.
  */
 public record StoreOptions(
         int segmentBytes, boolean backgroundMaintenance, long compactionBytesPerSecond) {
-    /** The smallest segment that the store makes. */
+    /** The minimum size of a segment in bytes. */
     public static final int MIN_SEGMENT_BYTES = 1 << 10;
 
-    /** Checks. */
+    /** Validates the options. */
     public StoreOptions {
         if (segmentBytes < MIN_SEGMENT_BYTES
                 || segmentBytes % SegmentFormat.ALIGNMENT_BYTES != 0
@@ -19,7 +20,10 @@
         }
     }
 
-    /** Segments of 8 MiB, a thread of its own, and 32 MiB a second for compaction. */
+    /**
+     * Returns the default options: segments of 8 MiB, background maintenance, and 32 MiB per second
+     * for compaction.
+     */
     public static StoreOptions defaults() {
         return new StoreOptions(8 << 20, true, 32L << 20);
     }
--- a/relay/src/main/java/saltstage/store/StoreState.java
+++ b/relay/src/main/java/saltstage/store/StoreState.java
@@ -7,11 +7,11 @@
 import java.util.function.Predicate;
 
 /**
- * What the parts of an open store share. All but the view and the reason to have stopped is under a
- * lock.
+ * The state that the parts of an open store share. Except for the view, the stop reason and the
+ * disk-full flag it is guarded by the write lock.
  */
 final class StoreState {
-    /** One state of the store that readers may hold: nothing in it changes. */
+    /** An immutable state of the store that readers may hold. */
     record View(Index index, SegmentSet segments, long seq) {}
 
     final Disk disk;
@@ -19,8 +19,8 @@
     final StoreEventListener events;
 
     /**
-     * Held by whoever writes the log, changes the set of segments or publishes a manifest. Fair: a
-     * compaction that comes again at once must not keep the writers out.
+     * Guards the log, the set of segments and the manifest. The lock is fair, because a compaction
+     * that repeatedly reacquires it must not starve the writers.
      */
     final ReentrantLock writeLock = new ReentrantLock(true);
 
@@ -30,13 +30,13 @@
     Manifest manifest;
     Segment activeSegment;
 
-    /** What says how far was acknowledged; null where the store is read only. */
+    /** The file with the acknowledged sequence number; null if the store is open read-only. */
     AcknowledgedSeqFile acknowledgedSeqFile;
 
     long nextSeq;
     long nextFileId;
 
-    /** Bytes of log since the checkpoint in force. */
+    /** The bytes of log written since the current checkpoint. */
     long logBytesSinceCheckpoint;
 
     StoreState(Disk disk, StoreOptions options, StoreEventListener events) {
@@ -49,7 +49,10 @@
         return view;
     }
 
-    /** The state now, held until {@link SegmentSet#release}. */
+    /**
+     * Returns the current view with a reference on its segments; the caller must call {@link
+     * SegmentSet#release}.
+     */
     View acquireView() throws StoreException {
         while (true) {
             View now = view;
@@ -62,14 +65,14 @@
         }
     }
 
-    /** Refuses where the store was closed; under the write lock. */
+    /** Throws if the store is closed. The caller holds the write lock. */
     void checkOpen() throws StoreException {
         if (view == null) {
             throw new StoreException("the store is closed");
         }
     }
 
-    /** Shows another state from now on; under the write lock. */
+    /** Replaces the view that readers see. The caller holds the write lock. */
     void installView(View next) {
         View before = view;
         view = next;
@@ -82,7 +85,10 @@
         return stopReason;
     }
 
-    /** Stops all writing for good: what a failed write or force left on the disk is not known. */
+    /**
+     * Stops all writes permanently, because the content of the disk is unknown after a failed write
+     * or force.
+     */
     StoreException.WritesStopped stopWrites(String what, Throwable cause) {
         if (stopReason == null) {
             stopReason = new StoreException.WritesStopped(what + ": " + cause.getMessage(), cause);
@@ -91,7 +97,7 @@
         return stopReason;
     }
 
-    /** Marks whether the disk is full, and tells when that changes. */
+    /** Records whether the disk is full, and reports a change. */
     void setDiskFull(boolean now, String what) {
         if (diskFull != now) {
             diskFull = now;
@@ -104,9 +110,9 @@
     }
 
     /**
-     * Puts a manifest with these segments and checkpoint in force; under the write lock. What fails
-     * before the rename leaves the old one in force and is passed on; from the rename on it stops
-     * the store.
+     * Replaces the manifest by one with these segments and this checkpoint. The caller holds the
+     * write lock. A failure before the rename leaves the old manifest in force and is thrown; a
+     * failure from the rename on stops all writes.
      */
     void publishManifest(List<Manifest.SegmentRef> parts, Manifest.CheckpointRef checkpoint)
             throws IOException {
@@ -127,7 +133,7 @@
         manifest = next;
     }
 
-    /** The segments of a set as the manifest has them, but those that are to be left out. */
+    /** Returns the manifest records of the segments of a set, except those to leave out. */
     List<Manifest.SegmentRef> segmentRefs(SegmentSet set, Predicate<Segment> leaveOut) {
         List<Manifest.SegmentRef> parts = new ArrayList<>();
         for (Segment segment : set.all()) {
--- a/relay/src/main/java/saltstage/store/TailClassifier.java
+++ b/relay/src/main/java/saltstage/store/TailClassifier.java
@@ -1,27 +1,30 @@
 package saltstage.store;
 
 /**
- * Says what the end of the log is where the next group cannot be read. At most one group is ever
- * unforced, and it is written in one piece: first the group, behind it its mirror (small groups),
- * or, only once the group is durable, its mark (large ones). So a later group proves that this one
- * was acknowledged; a mirror of it brings it back, whether it was acknowledged or not; a mark
- * proves that it was, and so does the file that says how far the store has acknowledged. With none
- * of these it was not, as far as the disk kept it.
+ * Classifies the end of the log from the first group that cannot be read. At most one group is
+ * unforced at any time, and the parts are written in this order: the group, then behind it either
+ * its mirror (small groups, in the same write) or its commit marker (large groups, only once the
+ * group is durable).
+ *
+ * <p>A later group therefore proves that the unreadable group was acknowledged. A mirror allows the
+ * group to be restored, whether it was acknowledged or not. A commit marker proves that it was
+ * acknowledged, and so does the file with the acknowledged sequence number. Without any of these
+ * the group was not acknowledged, as far as the disk has kept what was written.
  */
 public final class TailClassifier {
-    /** What follows. */
+    /** The state of the end of the log. */
     public enum TailState {
-        /** The log ends here, as it should. */
+        /** The log ends here as expected. */
         CLEAN,
-        /** An unacknowledged write was cut off: what it left is dropped, and told. */
+        /** An unacknowledged write was cut off. Its remains are dropped and reported. */
         TORN,
-        /** The group is damaged and its mirror is whole: it is put back. */
+        /** The group is damaged but its mirror is intact. The group is restored from it. */
         RESTORABLE,
-        /** Something acknowledged is damaged: nothing is served. */
+        /** Acknowledged data is damaged. The store must not be opened. */
         DAMAGED
     }
 
-    /** What was found from the first unreadable byte on. */
+    /** What a scan found from the first unreadable byte on. */
     public record Findings(
             boolean hasLaterGroup,
             boolean hasMirror,
@@ -31,7 +34,10 @@
 
     private TailClassifier() {}
 
-    /** Judges; acknowledged: the file beside the log says that this group was. */
+    /**
+     * Classifies the findings; {@code acknowledged} says whether the sequence number file lists the
+     * unreadable group as acknowledged.
+     */
     public static TailState classify(Findings found, boolean acknowledged) {
         if (found.hasLaterGroup()) {
             return TailState.DAMAGED;
--- a/relay/src/main/java/saltstage/store/package-info.java
+++ b/relay/src/main/java/saltstage/store/package-info.java
@@ -1,10 +1,12 @@
 /**
- * An embedded store: ordered byte keys to byte values on an append-only log with an index in
- * memory, checkpoints, compaction and recovery. It knows nothing of the relay. {@code
- * docs/design/store.md} has the reasons and the format of every file, byte by byte.
+ * An embedded key-value store: ordered byte keys and byte values in an append-only log, with an
+ * in-memory index, checkpoints, compaction and recovery. The package does not depend on the rest of
+ * the relay. {@code docs/design/store.md} explains the design and specifies the format of every
+ * file byte by byte.
  *
- * <p>What decides stands free of I/O: {@link saltstage.store.TailClassifier} says what an
- * unreadable end of the log is, {@link saltstage.store.MaintenancePolicy} when to checkpoint and
- * what to compact. Everything that touches a file does so through {@link saltstage.store.Disk}.
+ * <p>The decisions are kept free of I/O: {@link saltstage.store.TailClassifier} classifies an
+ * unreadable end of the log, and {@link saltstage.store.MaintenancePolicy} decides when to write a
+ * checkpoint and which segments to compact. All file access goes through {@link
+ * saltstage.store.Disk}.
  */
 package saltstage.store;
