--- a/relay/src/test/java/saltstage/store/CrashTest.java
+++ b/relay/src/test/java/saltstage/store/CrashTest.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Crashes, failures and a full disk at every single operation of a night. */
+/** Tests crashes, I/O failures and a full disk at every single operation of a workload. */
 class CrashTest {
     private static final int SUBSETS_PER_CRASH = 6;
 
@@ -41,7 +41,7 @@
                         + ", asked "
                         + night.requested);
         next.acknowledged = found;
-        next.commit("later=1"); // it serves on, and what was dropped does not come back
+        next.commit("later=1"); // the store works on, and dropped changes stay dropped
         next.commit("later=2", "all");
         TreeMap<String, String> more = next.acknowledged;
         next.store.close();
@@ -77,7 +77,10 @@
         assertTrue(operations > 300);
     }
 
-    /** Nothing kept, all kept, then by chance. */
+    /**
+     * Returns a choice of surviving writes: none for subset 0, all for subset 1, and random ones
+     * for the others.
+     */
     private static Random survivingWrites(int subset, int at) {
         return subset > 1
                 ? new Random(31L * at + subset)
@@ -148,7 +151,9 @@
     }
 
     /**
-     * Seen when a loader was killed: the log was read in an order in which it had not been written.
+     * Guards against replaying segments in an order in which they were not written, which occurred
+     * when a bulk load was killed. If a spare segment got its id at its creation, a segment that
+     * became active before it could be replayed after it.
      */
     @Test
     void spareSegmentCreatedBeforeAnotherSegmentIsReplayedAfterIt() throws IOException {
@@ -174,8 +179,8 @@
     }
 
     /**
-     * The page cache forgets what a force could not write: a second one that succeeds means
-     * nothing.
+     * Guards against retrying a failed force. The page cache drops the data that could not be
+     * written, so a second force succeeds without having written it.
      */
     @Test
     void aFailedForceStopsWritesPermanently() throws IOException {
@@ -265,7 +270,7 @@
         int end =
                 SegmentFormat.SEGMENT_HEADER_BYTES
                         + 2 * 72
-                        + 200; // the first group, its mirror, and more than that
+                        + 200; // behind the first group and its mirror
         for (int i = end; i < content.length; i++) {
             assertEquals(0, content[i], "left over at " + i);
         }
--- a/relay/src/test/java/saltstage/store/DamageTest.java
+++ b/relay/src/test/java/saltstage/store/DamageTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Files that were changed behind the store's back: the exact state or one clean refusal, every
- * time.
+ * Damages the files of a store. Every open must either return the exact acknowledged state or fail
+ * cleanly.
  */
 class DamageTest {
     private final FaultInjectingDisk disk = new FaultInjectingDisk();
@@ -32,7 +32,10 @@
         return on.list().stream().filter(name -> name.endsWith(ending)).findFirst().orElseThrow();
     }
 
-    /** 1: refused cleanly; 0: the exact state. Anything else fails. */
+    /**
+     * Opens the store. Returns 0 if the state is exact and 1 if the open failed cleanly; anything
+     * else fails the test.
+     */
     private int openOutcome(FaultInjectingDisk changed, String what) {
         try (Store store =
                 Store.open(changed, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE)) {
@@ -177,8 +180,9 @@
     }
 
     /**
-     * The log's end in every state that damage to the last record and to its mirror can leave it
-     * in.
+     * Guards against losing an acknowledged group that is damaged together with its mirror. The
+     * test flips every pair of one byte in the last group and one in its mirror, and zeroes the log
+     * from every offset of the two on.
      */
     @Test
     void lastGroupDamagedWithItsMirrorIsRefusedAndLeftUnchanged() throws IOException {
@@ -208,7 +212,9 @@
                                 + mirror
                                 - group),
                 refused);
-        for (int from = group; from < end; from++) { // as if the tail had never been written
+        for (int from = group;
+                from < end;
+                from++) { // the tail reads as if it had never been written
             byte[] zeroed = whole.clone();
             Arrays.fill(zeroed, from, zeroed.length, (byte) 0);
             FaultInjectingDisk changed = young.durableCopy();
@@ -219,7 +225,10 @@
         System.out.println("the last record and its mirror both damaged: refused " + refused);
     }
 
-    /** Returns {@link #openOutcome}; a refused log must be left as it was. */
+    /**
+     * Returns {@link #openOutcome} with two bytes flipped, and checks that a failed open leaves the
+     * log unchanged.
+     */
     private int outcomeWithTwoBytesFlipped(
             FaultInjectingDisk young, String log, byte[] whole, int first, int second) {
         byte[] damaged = whole.clone();
@@ -233,7 +242,8 @@
     }
 
     /**
-     * Files of an older day under a newer word of what was acknowledged: nothing says so but that.
+     * Guards against opening a log that was restored from an older backup. Such a log is valid in
+     * itself; only the acknowledged sequence number file shows that records are missing.
      */
     @Test
     void olderLogOrForeignAcknowledgedSeqFileIsRefused() throws IOException {
@@ -259,7 +269,7 @@
         assertEquals(1, openOutcome(bare, "nothing but the word"));
     }
 
-    /** Loses all that was not forced. */
+    /** Returns the disk after a crash that loses everything unforced. */
     private static FaultInjectingDisk afterPowerLoss(FaultInjectingDisk running) {
         return running.afterCrash(
                 new Random() {
@@ -272,7 +282,10 @@
                 });
     }
 
-    /** The log as it was before: what was written since is lost, and its mirror with it. */
+    /**
+     * Replaces the log by an earlier version of it, which loses all later groups together with
+     * their mirrors.
+     */
     private static FaultInjectingDisk withLogOf(FaultInjectingDisk before, FaultInjectingDisk now) {
         String log = fileNameWithSuffix(now, ".log");
         now.putFile(log, before.content(log));
@@ -280,8 +293,8 @@
     }
 
     /**
-     * Once writing rests, or the store is closed, a loss of power does not forget what was
-     * acknowledged.
+     * Guards against a power loss that takes back the acknowledged sequence number although writing
+     * was idle or the store was closed. A log that lost records would then be accepted.
      */
     @Test
     void acknowledgedSeqIsDurableOnceWritingIsIdleOrTheStoreIsClosed() throws Exception {
@@ -290,7 +303,7 @@
         for (int i = 0; i < 9; i++) {
             night.commit("before" + i + "=1");
         }
-        night.store.checkpoint(); // larger than what comes after it: the end writes none
+        night.store.checkpoint(); // larger than the later log: close() writes no checkpoint
         FaultInjectingDisk before = ended.durableCopy();
         night.commit("a=1");
         acknowledged = night.acknowledged;
@@ -313,7 +326,7 @@
         }
     }
 
-    /** A write that is cut off spoils a slot: never the one that the last force made sure of. */
+    /** Guards against an interrupted write to the slot that the last force made durable. */
     @Test
     void oneSlotIsAlwaysDurableAndUnchanged() throws IOException {
         FaultInjectingDisk young = new FaultInjectingDisk();
@@ -347,7 +360,7 @@
                     "what the last force made sure of");
             assertEquals(0, openOutcome(spoilt, "cut off in its slot"));
             if (i == 1) {
-                young = young.durableCopy(); // killed: what was written stays, but nobody forced it
+                young = young.durableCopy(); // killed: the written data remains, but was not forced
             } else {
                 night.store.close();
             }
@@ -361,7 +374,10 @@
         return Arrays.equals(one, from, to, other, from, to);
     }
 
-    /** After a kill the higher slot may be unforced: that is the one to be written over. */
+    /**
+     * Guards against overwriting the only durable slot. After a kill the slot with the higher
+     * number may be unforced, so that slot must be overwritten.
+     */
     @Test
     void openOverwritesTheSlotThatMayNotBeDurable() throws IOException {
         for (int commits = 1; commits <= 2; commits++) {
@@ -392,7 +408,8 @@
     }
 
     /**
-     * A group that a crash left whole is shown after it: from then on it must not vanish either.
+     * Guards against losing a recovered group. A group that was complete at a crash is visible
+     * after the next open, so it counts as acknowledged from then on.
      */
     @Test
     void recoveredGroupCountsAsAcknowledged() throws IOException {
@@ -417,7 +434,10 @@
         assertEquals(1, openOutcome(withLogOf(before, afterPowerLoss(left)), "shown, then lost"));
     }
 
-    /** A store from before there was such a file gets one, and misses it from then on. */
+    /**
+     * A store of format 1 has no acknowledged sequence number file. It gets one when it is opened
+     * for writing; from then on a missing file is damage.
+     */
     @Test
     void formatOneStoreIsUpgraded() throws IOException {
         Manifest now = Manifest.decode(ByteBuffer.wrap(disk.content(Manifest.NAME)));
@@ -446,7 +466,7 @@
         assertEquals(1, openOutcome(without, "the file is gone"));
     }
 
-    /** What is wrong in a large checkpoint is told by its place, not only that something is. */
+    /** A damaged checkpoint must be reported with the offset of the damaged block. */
     @Test
     void damagedCheckpointBlockIsReportedWithItsOffset() throws IOException {
         FaultInjectingDisk large = new FaultInjectingDisk();
@@ -465,8 +485,8 @@
         String index = fileNameWithSuffix(large, ".index");
         byte[] content = large.content(index);
         int second = 64 + 8 + ByteBuffer.wrap(content).getInt(64);
-        content[second + 8 + 14 + 7] ^=
-                1; // the last byte of a version: nothing else would miss it in place
+        // The last byte of a version: only the block's checksum detects the change.
+        content[second + 8 + 14 + 7] ^= 1;
         large.putFile(index, content);
         StoreException refused =
                 assertThrows(
@@ -485,9 +505,8 @@
         String log = fileNameWithSuffix(young, ".log");
         Manifest manifest = Manifest.decode(ByteBuffer.wrap(young.content(Manifest.NAME)));
         ByteBuffer made = ByteBuffer.allocate(400);
-        for (int i = 0;
-                i < 8;
-                i++) { // of a later record, at each alignment that it could come to stand at
+        // Frames of a later record, one for each possible alignment.
+        for (int i = 0; i < 8; i++) {
             made.position(made.position() + 1);
             int start = SegmentFormat.beginFrame(made, SegmentFormat.GROUP_FRAME, 1, 1000);
             SegmentFormat.endFrame(
--- a/relay/src/test/java/saltstage/store/FaultInjectingDisk.java
+++ b/relay/src/test/java/saltstage/store/FaultInjectingDisk.java
@@ -13,13 +13,13 @@
 import java.util.concurrent.Callable;
 
 /**
- * A disk in memory that crashes, fails, falls short and fills at any single operation. What is not
- * forced survives a crash in any part, sector by sector, and unsynced names one by one.
+ * An in-memory disk that can crash, fail, write short or become full at any single operation. After
+ * a crash any subset of the unforced sectors and any subset of the unsynced name changes survives.
  */
 public final class FaultInjectingDisk implements Disk {
     static final int SECTOR_BYTES = 512;
 
-    /** What happens at the chosen operation. */
+    /** The fault at the selected operation. */
     public enum Fault {
         CRASH,
         IO_ERROR,
@@ -27,7 +27,10 @@
         DISK_FULL
     }
 
-    /** Thrown at a crash: no code of the store's may go on. */
+    /**
+     * Thrown by the operation that crashes and by all later ones. It is an {@link Error}, so that
+     * the store does not handle it as an I/O failure.
+     */
     static final class SimulatedCrash extends Error {
         private static final long serialVersionUID = 1L;
     }
@@ -40,8 +43,9 @@
         private byte[] content = {};
         private byte[] durableContent = {};
         private final List<PendingWrite> unforcedWrites = new ArrayList<>();
-        private final BitSet allocatedSectors =
-                new BitSet(); // sectors that were ever written: a hole takes none
+
+        /** The sectors that were ever written; holes take no space. */
+        private final BitSet allocatedSectors = new BitSet();
 
         boolean needsNewSectors(long position, int bytes) {
             int last = (int) (position + bytes - 1) / SECTOR_BYTES;
@@ -68,26 +72,31 @@
     private Fault fault = Fault.CRASH;
     private boolean diskFull;
 
-    /** Done once, before the next file is made: what another thread does meanwhile. */
+    /**
+     * Called once before the next file is created, to run another thread's action at that point.
+     */
     private Callable<Void> nextCreateHook;
 
     void beforeNextCreate(Callable<Void> what) {
         nextCreateHook = what;
     }
 
-    /** From the next operation on they count from 0; at this one the fault happens. */
+    /** Injects the fault at this operation, counting from 0 with the next one. */
     public void injectFaultAt(int at, Fault what) {
         operationCount = 0;
         faultAtOperation = at;
         fault = what;
     }
 
-    /** How many operations that change something there were since the disk was armed. */
+    /** Returns the number of modifying operations since the last call of {@link #injectFaultAt}. */
     public int operationCount() {
         return operationCount;
     }
 
-    /** There is room again, nothing is armed, and the process that held the lock is dead. */
+    /**
+     * Removes the fault, frees disk space and releases the lock, as if the process that held it had
+     * died.
+     */
     public void clearFaults() {
         diskFull = false;
         locked = false;
@@ -95,8 +104,8 @@
     }
 
     /**
-     * The disk as the next start finds it: all that was forced, and of the rest what the chance
-     * keeps.
+     * Returns the disk as it is after a crash: everything that was forced, and a random subset of
+     * the other changes.
      */
     public FaultInjectingDisk afterCrash(Random keep) {
         FaultInjectingDisk next = new FaultInjectingDisk();
@@ -139,7 +148,7 @@
         return next;
     }
 
-    /** A copy with all that is there durable. */
+    /** Returns a copy in which all current content is durable. */
     FaultInjectingDisk durableCopy() {
         FaultInjectingDisk next = new FaultInjectingDisk();
         files.forEach((name, node) -> next.putFile(name, node.content));
@@ -310,8 +319,8 @@
                 } catch (IOException failed) {
                     failed.addSuppressed(
                             new IOException("the cache forgets that these were not written"));
-                    inode.unforcedWrites
-                            .clear(); // as Linux does: a later force has nothing left and succeeds
+                    // Linux also drops the dirty pages, so that a later force succeeds.
+                    inode.unforcedWrites.clear();
                     throw failed;
                 }
                 inode.unforcedWrites.clear();
@@ -327,7 +336,7 @@
 
         @Override
         public void close() {
-            // nothing is held
+            // There is nothing to release.
         }
     }
 }
--- a/relay/src/test/java/saltstage/store/MaintenancePolicyTest.java
+++ b/relay/src/test/java/saltstage/store/MaintenancePolicyTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Test;
 import saltstage.store.MaintenancePolicy.SealedSegment;
 
-/** When to checkpoint and what to compact, without a file in sight; and the rate that bounds it. */
+/**
+ * Tests when a checkpoint is due, which segments are selected for compaction, and the rate limit of
+ * compaction. No files are used.
+ */
 class MaintenancePolicyTest {
     private final MaintenancePolicy policy = new MaintenancePolicy(1_000);
 
@@ -70,7 +73,7 @@
         RateLimiter limit = new RateLimiter(1_000_000);
         long now = 0;
         for (int i = 0; i < 10_000; i++) {
-            now += limit.take(1_000, now); // ten seconds' worth, as fast as it is allowed
+            now += limit.take(1_000, now); // 10 s worth of bytes, as fast as the limiter allows
         }
         assertTrue(now > 9_800_000_000L && now <= 10_000_000_000L, "took " + now);
         assertEquals(
--- a/relay/src/test/java/saltstage/store/StoreFuzzTest.java
+++ b/relay/src/test/java/saltstage/store/StoreFuzzTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Any bytes in place of any part of any file: refused, or a state of which every pair was once
- * asked for. {@code JAZZER_FUZZ=1 mvn test -pl relay -Dtest=StoreFuzzTest} searches; CI plays what
- * is known.
+ * Overwrites any part of any store file with arbitrary bytes. The open must either fail cleanly or
+ * return only key-value pairs that were written at some time. {@code JAZZER_FUZZ=1 mvn test -pl
+ * relay -Dtest=StoreFuzzTest} searches for new inputs; CI only runs the known ones.
  */
 class StoreFuzzTest {
     private static final FaultInjectingDisk WORKLOAD_DISK = new FaultInjectingDisk();
@@ -48,7 +48,7 @@
         }
     }
 
-    /** The file, the place in it, and what stands there instead. */
+    /** The input encodes the file, the offset in it, and the bytes written at the offset. */
     @FuzzTest(maxDuration = "60s")
     void openNeverReturnsUnrequestedValues(byte[] data) throws IOException {
         if (data.length < 4) {
@@ -81,8 +81,8 @@
             byte[] data = new byte[4 + random.nextInt(i % 3 == 0 ? 600 : 12)];
             random.nextBytes(data);
             if (i % 4 == 0) {
-                Arrays.fill(
-                        data, 3, data.length, (byte) 0); // what a disk leaves that lost a sector
+                // A disk that has lost a sector returns zeros.
+                Arrays.fill(data, 3, data.length, (byte) 0);
             }
             openNeverReturnsUnrequestedValues(data);
         }
--- a/relay/src/test/java/saltstage/store/StoreTest.java
+++ b/relay/src/test/java/saltstage/store/StoreTest.java
@@ -23,7 +23,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the store promises while nothing goes wrong, against a model and under many threads. */
+/**
+ * Tests the guarantees of the store without faults, against a sorted map as a model and with
+ * concurrent threads.
+ */
 class StoreTest {
     @TempDir Path dir;
 
@@ -38,7 +41,10 @@
                 StoreEventListener.NONE);
     }
 
-    /** Ops: 0 put, 1 delete, 2 batch, 3 checkpoint, 4 compact, 5 reopen. */
+    /**
+     * The last digit of an operation selects it: 0 to 3 put, 4 and 5 delete, 6 batch, 7 checkpoint,
+     * 8 compact, 9 close and reopen.
+     */
     @Property(tries = 120, seed = "20261201")
     void behavesAsASortedMap(
             @ForAll @Size(min = 1, max = 120) List<@IntRange(min = 0, max = 99_999) Integer> ops)
@@ -161,7 +167,7 @@
             }
             threads.forEach(Thread::start);
             while (threads.stream().anyMatch(Thread::isAlive)) {
-                store.compact(); // moves what the writers are writing anew
+                store.compact(); // moves entries while the writers overwrite them
             }
             assertTrue(failures.isEmpty(), failures.toString());
         }
@@ -187,7 +193,10 @@
         }
     }
 
-    /** Pairs are written together: a reader that sees half of one, or loses a file, fails. */
+    /**
+     * Both keys of a pair are always written in one batch. The test fails if a reader sees only one
+     * of the two changes, or if compaction deletes a segment that a snapshot still reads.
+     */
     @Test
     void snapshotsStayConsistentDuringCompactions() throws Exception {
         AtomicBoolean over = new AtomicBoolean();
@@ -310,8 +319,9 @@
     }
 
     /**
-     * The large one's room was taken, but the small one's mirror is longer than the large one's
-     * mark.
+     * Guards against a group that outgrows the space reserved for it. The space is reserved for
+     * both batches, but the large one is rejected by its expected version, and the mirror of the
+     * small one is longer than the commit marker of the large one would have been.
      */
     @Test
     void groupWithRejectedLargeBatchStaysWithinItsReservedSpace() throws IOException {
--- a/relay/src/test/java/saltstage/store/StoreWorkload.java
+++ b/relay/src/test/java/saltstage/store/StoreWorkload.java
@@ -8,17 +8,20 @@
 import java.util.TreeMap;
 
 /**
- * A fixed run of batches, deletes, checkpoints and compactions, with what was acknowledged of it.
+ * A fixed sequence of batches, deletes, checkpoints and compactions that records the acknowledged
+ * state.
  */
 class StoreWorkload {
     static final StoreOptions SMALL_SEGMENTS = new StoreOptions(2048, false, 1 << 30);
 
     final List<String> events = new ArrayList<>();
 
-    /** The state after what was acknowledged last, and after what was asked for last. */
+    /** The state after the last acknowledged batch. */
     TreeMap<String, String> acknowledged = new TreeMap<>();
 
+    /** The state after the last batch that was passed to the store. */
     TreeMap<String, String> requested = new TreeMap<>();
+
     Store store;
 
     static byte[] bytes(String text) {
@@ -53,18 +56,14 @@
     }
 
     /**
-     * All that the store can meet: several segments, a checkpoint, two compactions, a log behind
-     * them.
+     * Runs the workload. It produces several segments, a checkpoint, two compactions, and log
+     * written after them.
      */
     void run() throws IOException {
         Random random = new Random(7);
         for (int i = 0; i < 6; i++) {
-            commit(
-                    "old"
-                            + i
-                            + "="
-                            + "o".repeat(30)
-                            + i); // lives in copies from the first compaction on
+            // These entries are in copy segments from the first compaction on.
+            commit("old" + i + "=" + "o".repeat(30) + i);
         }
         for (int i = 0; i < 110; i++) {
             if (i % 7 == 3) {
--- a/relay/src/test/java/saltstage/store/TailClassifierTest.java
+++ b/relay/src/test/java/saltstage/store/TailClassifierTest.java
@@ -6,7 +6,7 @@
 import saltstage.store.TailClassifier.Findings;
 import saltstage.store.TailClassifier.TailState;
 
-/** The whole table of what an unreadable end can be. */
+/** Tests the classification of every combination of findings. */
 class TailClassifierTest {
     @Test
     void classifiesEveryCombination() {
