--- a/relay/src/test/java/saltstage/store/DamageTest.java
+++ b/relay/src/test/java/saltstage/store/DamageTest.java
@@ -212,9 +212,8 @@
                                 + mirror
                                 - group),
                 refused);
-        for (int from = group;
-                from < end;
-                from++) { // the tail reads as if it had never been written
+        // The zeroed tail reads as if it had never been written.
+        for (int from = group; from < end; from++) {
             byte[] zeroed = whole.clone();
             Arrays.fill(zeroed, from, zeroed.length, (byte) 0);
             FaultInjectingDisk changed = young.durableCopy();
