--- a/relay/src/main/java/saltstage/store/AcknowledgedSeqFile.java
+++ b/relay/src/main/java/saltstage/store/AcknowledgedSeqFile.java
@@ -33,10 +33,11 @@
     private long seq;
     private long forcedSeq;
 
-    private AcknowledgedSeqFile(Disk.File file, SegmentFormat.StoreId store, int slot, long seq) {
+    private AcknowledgedSeqFile(
+            Disk.File file, SegmentFormat.StoreId storeId, int activeSlot, long seq) {
         this.file = file;
-        this.storeId = store;
-        this.activeSlot = slot;
+        this.storeId = storeId;
+        this.activeSlot = activeSlot;
         this.seq = seq;
         forcedSeq = seq;
     }
@@ -45,48 +46,48 @@
      * Creates the file and opens it for writing. Its content is durable, its name is not until the
      * directory is synced.
      */
-    static AcknowledgedSeqFile create(Disk disk, SegmentFormat.StoreId store, long seq)
+    static AcknowledgedSeqFile create(Disk disk, SegmentFormat.StoreId storeId, long seq)
             throws IOException {
         disk.delete(TEMPORARY_NAME);
         try (Disk.File file = disk.create(TEMPORARY_NAME)) {
-            ByteBuffer all = ByteBuffer.allocate(FILE_BYTES);
-            all.put(0, encodeSlot(store, seq), 0, SLOT_CONTENT_BYTES)
-                    .put(SLOT_BYTES, encodeSlot(store, seq), 0, SLOT_CONTENT_BYTES);
-            if (file.write(all, 0) < FILE_BYTES) {
+            ByteBuffer content = ByteBuffer.allocate(FILE_BYTES);
+            content.put(0, encodeSlot(storeId, seq), 0, SLOT_CONTENT_BYTES)
+                    .put(SLOT_BYTES, encodeSlot(storeId, seq), 0, SLOT_CONTENT_BYTES);
+            if (file.write(content, 0) < FILE_BYTES) {
                 throw new IOException("short write of " + TEMPORARY_NAME);
             }
             file.force();
         }
         disk.rename(TEMPORARY_NAME, NAME);
-        return new AcknowledgedSeqFile(disk.open(NAME, true), store, 0, seq);
+        return new AcknowledgedSeqFile(disk.open(NAME, true), storeId, 0, seq);
     }
 
     /**
      * Returns the last acknowledged sequence number in the file. Throws if the file is damaged or
      * belongs to another store.
      */
-    static long read(Disk disk, SegmentFormat.StoreId store) throws IOException {
+    static long read(Disk disk, SegmentFormat.StoreId storeId) throws IOException {
         try (Disk.File file = disk.open(NAME, false)) {
-            long[] slots = readSlots(file, store);
-            return Math.max(slots[0], slots[1]);
+            long[] seqs = readSlots(file, storeId);
+            return Math.max(seqs[0], seqs[1]);
         }
     }
 
     /** Opens the file for writing and records the last sequence number of the recovered log. */
-    static AcknowledgedSeqFile open(Disk disk, SegmentFormat.StoreId store, long seq)
+    static AcknowledgedSeqFile open(Disk disk, SegmentFormat.StoreId storeId, long seq)
             throws IOException {
         Disk.File file = disk.open(NAME, true);
         boolean opened = false;
         try {
-            long[] slots = readSlots(file, store);
+            long[] seqs = readSlots(file, storeId);
             // The slot with the higher number may never have been forced by the last process, so it
             // is the one that is overwritten.
-            AcknowledgedSeqFile made =
-                    new AcknowledgedSeqFile(file, store, slots[0] >= slots[1] ? 0 : 1, seq);
-            made.writeSlot();
-            made.forceAndSwitchSlot();
+            AcknowledgedSeqFile result =
+                    new AcknowledgedSeqFile(file, storeId, seqs[0] >= seqs[1] ? 0 : 1, seq);
+            result.writeSlot();
+            result.forceAndSwitchSlot();
             opened = true;
-            return made;
+            return result;
         } finally {
             if (!opened) {
                 file.close();
@@ -110,8 +111,8 @@
      * Records that this sequence number is durable. Called under the write lock, before the commit
      * is acknowledged.
      */
-    void update(long now) throws IOException {
-        seq = now;
+    void update(long acknowledged) throws IOException {
+        seq = acknowledged;
         writeSlot();
     }
 
@@ -142,14 +143,14 @@
         }
     }
 
-    private static byte[] encodeSlot(SegmentFormat.StoreId store, long seq) {
+    private static byte[] encodeSlot(SegmentFormat.StoreId storeId, long seq) {
         ByteBuffer slot = ByteBuffer.allocate(SLOT_CONTENT_BYTES);
         slot.putLong(MAGIC)
                 .putShort(SegmentFormat.FORMAT_VERSION)
                 .putShort((short) 0)
                 .putInt(0)
-                .putLong(store.high())
-                .putLong(store.low())
+                .putLong(storeId.high())
+                .putLong(storeId.low())
                 .putLong(seq)
                 .flip();
         slot.putInt(CRC_OFFSET, SegmentFormat.crcExcluding(slot, CRC_OFFSET));
@@ -162,17 +163,17 @@
             return null;
         }
         in.flip();
-        boolean sound =
+        boolean valid =
                 in.getLong(0) == MAGIC
                         && in.getInt(CRC_OFFSET) == SegmentFormat.crcExcluding(in, CRC_OFFSET);
-        return sound ? in : null;
+        return valid ? in : null;
     }
 
     /**
      * Returns the number in each slot, or -1 for a slot that an interrupted write has damaged. An
      * interrupted write never damages both.
      */
-    private static long[] readSlots(Disk.File file, SegmentFormat.StoreId store)
+    private static long[] readSlots(Disk.File file, SegmentFormat.StoreId storeId)
             throws IOException {
         if (file.size() != FILE_BYTES) {
             throw new StoreException.Damaged(
@@ -184,7 +185,7 @@
                             + FILE_BYTES
                             + " were taken for it");
         }
-        long[] said = {-1, -1};
+        long[] seqs = {-1, -1};
         for (int i = 0; i < 2; i++) {
             ByteBuffer in = readSlot(file, i);
             if (in == null) {
@@ -199,15 +200,15 @@
                                 + SegmentFormat.FORMAT_VERSION
                                 + " is");
             }
-            if (in.getLong(16) != store.high() || in.getLong(24) != store.low()) {
+            if (in.getLong(16) != storeId.high() || in.getLong(24) != storeId.low()) {
                 throw new StoreException.Damaged(
                         NAME, (long) i * SLOT_BYTES + 16, "it belongs to another store");
             }
-            said[i] = in.getLong(SEQ_OFFSET);
+            seqs[i] = in.getLong(SEQ_OFFSET);
         }
-        if (said[0] < 0 && said[1] < 0) {
+        if (seqs[0] < 0 && seqs[1] < 0) {
             throw new StoreException.Damaged(NAME, 0, "neither of its two slots is sound");
         }
-        return said;
+        return seqs;
     }
 }
--- a/relay/src/main/java/saltstage/store/Checkpoint.java
+++ b/relay/src/main/java/saltstage/store/Checkpoint.java
@@ -39,52 +39,52 @@
      */
     static WriteResult write(
             Disk.File file,
-            SegmentFormat.StoreId store,
+            SegmentFormat.StoreId storeId,
             long id,
             long seq,
             Index index,
             ProgressListener progress)
             throws IOException {
-        CRC32C all = new CRC32C();
+        CRC32C crc = new CRC32C();
         ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
         header.putLong(MAGIC)
                 .putShort(SegmentFormat.FORMAT_VERSION)
                 .putShort((short) 0)
                 .putInt(0)
-                .putLong(store.high())
-                .putLong(store.low())
+                .putLong(storeId.high())
+                .putLong(storeId.low())
                 .putLong(id)
                 .putLong(seq)
                 .putLong(index.size())
                 .putLong(0)
                 .flip();
         header.putInt(CRC_OFFSET, SegmentFormat.crcExcluding(header, CRC_OFFSET));
-        long end = writeAt(file, header, 0, all);
+        long end = writeAt(file, header, 0, crc);
         ByteBuffer block = ByteBuffer.allocate(MAX_BLOCK_BYTES);
         block.position(BLOCK_HEADER_BYTES);
         Index.Cursor cursor = index.cursor(null);
         boolean more = cursor.advance();
         while (more) {
             byte[] key = cursor.key();
-            Index.Location place = cursor.location();
+            Index.Location location = cursor.location();
             block.putShort((short) key.length)
-                    .putInt(place.valueLength())
-                    .putLong(place.address())
-                    .putLong(place.version())
+                    .putInt(location.valueLength())
+                    .putLong(location.address())
+                    .putLong(location.version())
                     .put(key);
             more = cursor.advance();
             if (!more || block.position() >= BLOCK_BYTES) {
                 int length = block.position() - BLOCK_HEADER_BYTES;
                 block.flip();
                 block.putInt(0, length).putInt(4, blockCrc(block, end));
-                long from = end;
-                end = writeAt(file, block, end, all);
-                progress.onBlockWritten(end - from);
+                long start = end;
+                end = writeAt(file, block, end, crc);
+                progress.onBlockWritten(end - start);
                 block.clear().position(BLOCK_HEADER_BYTES);
             }
         }
         file.force();
-        return new WriteResult(end, (int) all.getValue());
+        return new WriteResult(end, (int) crc.getValue());
     }
 
     private static int blockCrc(ByteBuffer block, long offset) {
@@ -94,18 +94,18 @@
         return (int) crc.getValue();
     }
 
-    private static long writeAt(Disk.File file, ByteBuffer out, long at, CRC32C all)
+    private static long writeAt(Disk.File file, ByteBuffer out, long offset, CRC32C crc)
             throws IOException {
-        all.update(out.duplicate());
-        int whole = out.remaining();
-        if (file.write(out, at) < whole) {
+        crc.update(out.duplicate());
+        int length = out.remaining();
+        if (file.write(out, offset) < length) {
             throw new IOException("short write of a checkpoint");
         }
-        return at + whole;
+        return offset + length;
     }
 
     /** Reads the checkpoint that the manifest refers to. */
-    static Index read(Disk disk, SegmentFormat.StoreId store, Manifest.CheckpointRef ref)
+    static Index read(Disk disk, SegmentFormat.StoreId storeId, Manifest.CheckpointRef ref)
             throws IOException {
         String name = ref.fileName();
         try (Disk.File file = disk.open(name, false)) {
@@ -119,25 +119,25 @@
                                 + ref.bytes()
                                 + " were written");
             }
-            CRC32C all = new CRC32C();
+            CRC32C crc = new CRC32C();
             ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
             file.read(header, 0);
-            all.update(header.flip().duplicate());
+            crc.update(header.flip().duplicate());
             if (header.getLong(0) != MAGIC
                     || header.getInt(CRC_OFFSET) != SegmentFormat.crcExcluding(header, CRC_OFFSET)
-                    || header.getLong(16) != store.high()
-                    || header.getLong(24) != store.low()
+                    || header.getLong(16) != storeId.high()
+                    || header.getLong(24) != storeId.low()
                     || header.getLong(32) != ref.id()
                     || header.getLong(40) != ref.seq()) {
                 throw new StoreException.Damaged(
                         name, 0, "the header is not the one that was written");
             }
             Index.Builder builder = new Index.Builder();
-            for (long at = HEADER_BYTES; at < ref.bytes(); ) {
-                at += readBlock(file, name, at, ref.bytes(), all, builder);
+            for (long offset = HEADER_BYTES; offset < ref.bytes(); ) {
+                offset += readBlock(file, name, offset, ref.bytes(), crc, builder);
             }
             Index index = builder.build();
-            if ((int) all.getValue() != ref.crc() || index.size() != ref.keyCount()) {
+            if ((int) crc.getValue() != ref.crc() || index.size() != ref.keyCount()) {
                 throw new StoreException.Damaged(
                         name, ref.bytes(), "not the checkpoint of the manifest");
             }
@@ -146,35 +146,35 @@
     }
 
     private static long readBlock(
-            Disk.File file, String name, long at, long end, CRC32C all, Index.Builder into)
+            Disk.File file, String name, long offset, long end, CRC32C crc, Index.Builder builder)
             throws IOException {
-        ByteBuffer head = ByteBuffer.allocate(BLOCK_HEADER_BYTES);
-        int length = file.read(head, at) < BLOCK_HEADER_BYTES ? -1 : head.getInt(0);
+        ByteBuffer header = ByteBuffer.allocate(BLOCK_HEADER_BYTES);
+        int length = file.read(header, offset) < BLOCK_HEADER_BYTES ? -1 : header.getInt(0);
         if (length < ENTRY_HEADER_BYTES
                 || length > MAX_BLOCK_BYTES
-                || at + BLOCK_HEADER_BYTES + length > end) {
-            throw new StoreException.Damaged(name, at, "no sound block");
+                || offset + BLOCK_HEADER_BYTES + length > end) {
+            throw new StoreException.Damaged(name, offset, "no sound block");
         }
         ByteBuffer block = ByteBuffer.allocate(BLOCK_HEADER_BYTES + length);
-        file.read(block, at);
+        file.read(block, offset);
         block.flip();
-        if (blockCrc(block, at) != block.getInt(4)) {
-            throw new StoreException.Damaged(name, at, "the block's checksum does not match");
+        if (blockCrc(block, offset) != block.getInt(4)) {
+            throw new StoreException.Damaged(name, offset, "the block's checksum does not match");
         }
-        all.update(block.duplicate());
+        crc.update(block.duplicate());
         block.position(BLOCK_HEADER_BYTES);
         while (block.hasRemaining()) {
             int keyLength = block.remaining() < ENTRY_HEADER_BYTES ? -1 : block.getShort();
             if (keyLength < 1 || keyLength > block.remaining() - ENTRY_HEADER_BYTES + 2) {
-                throw new StoreException.Damaged(name, at, "an entry does not fit its block");
+                throw new StoreException.Damaged(name, offset, "an entry does not fit its block");
             }
             int valueLength = block.getInt();
-            Index.Location place =
+            Index.Location location =
                     new Index.Location(block.getLong(), block.getLong(), valueLength);
             byte[] key = new byte[keyLength];
             block.get(key);
-            if (!into.add(key, place)) {
-                throw new StoreException.Damaged(name, at, "keys are out of order");
+            if (!builder.add(key, location)) {
+                throw new StoreException.Damaged(name, offset, "keys are out of order");
             }
         }
         return BLOCK_HEADER_BYTES + length;
--- a/relay/src/main/java/saltstage/store/FileDisk.java
+++ b/relay/src/main/java/saltstage/store/FileDisk.java
@@ -22,8 +22,8 @@
     private final Path directory;
 
     /** Creates a disk for an existing directory. */
-    public FileDisk(Path dir) {
-        this.directory = dir;
+    public FileDisk(Path directory) {
+        this.directory = directory;
     }
 
     /** Creates the directory durably if it does not exist, and returns a disk for it. */
@@ -85,8 +85,8 @@
     public void syncDirectory() throws IOException {
         try (FileHandle handle = new FileHandle(directory, StandardOpenOption.READ)) {
             handle.withChannel(
-                    open -> {
-                        open.force(true);
+                    channel -> {
+                        channel.force(true);
                         return null;
                     });
         }
@@ -120,13 +120,13 @@
      * Maps the I/O errors of a full disk to {@link FullException}, because the JDK has no exception
      * type for them.
      */
-    private static <T> T mapDiskFull(DiskOperation<T> step) throws IOException {
+    private static <T> T mapDiskFull(DiskOperation<T> operation) throws IOException {
         try {
-            return step.run();
+            return operation.run();
         } catch (IOException e) {
-            String why = String.valueOf(e.getMessage());
-            if (why.contains("No space left") || why.contains("Disk quota exceeded")) {
-                FullException full = new FullException(why);
+            String message = String.valueOf(e.getMessage());
+            if (message.contains("No space left") || message.contains("Disk quota exceeded")) {
+                FullException full = new FullException(message);
                 full.initCause(e);
                 throw full;
             }
@@ -158,14 +158,14 @@
             T apply(FileChannel channel) throws IOException;
         }
 
-        private <T> T withChannel(ChannelOperation<T> use) throws IOException {
+        private <T> T withChannel(ChannelOperation<T> operation) throws IOException {
             boolean interrupted = false;
             try {
                 while (true) {
                     interrupted |= Thread.interrupted();
-                    FileChannel open = currentChannel();
+                    FileChannel current = currentChannel();
                     try {
-                        return mapDiskFull(() -> use.apply(open));
+                        return mapDiskFull(() -> operation.apply(current));
                     } catch (ClosedByInterruptException e) {
                         interrupted = true;
                     } catch (ClosedChannelException e) {
@@ -197,10 +197,10 @@
         public int read(ByteBuffer into, long position) throws IOException {
             int start = into.position();
             return withChannel(
-                    open -> {
+                    channel -> {
                         into.position(start);
                         while (into.hasRemaining()) {
-                            if (open.read(into, position + into.position() - start) < 0) {
+                            if (channel.read(into, position + into.position() - start) < 0) {
                                 break;
                             }
                         }
@@ -212,10 +212,10 @@
         public int write(ByteBuffer from, long position) throws IOException {
             int start = from.position();
             return withChannel(
-                    open -> {
+                    channel -> {
                         from.position(start);
                         while (from.hasRemaining()) {
-                            if (open.write(from, position + from.position() - start) <= 0) {
+                            if (channel.write(from, position + from.position() - start) <= 0) {
                                 break;
                             }
                         }
@@ -226,8 +226,8 @@
         @Override
         public void force() throws IOException {
             withChannel(
-                    open -> {
-                        open.force(false);
+                    channel -> {
+                        channel.force(false);
                         return null;
                     });
         }
--- a/relay/src/main/java/saltstage/store/GroupCommit.java
+++ b/relay/src/main/java/saltstage/store/GroupCommit.java
@@ -27,26 +27,26 @@
     private final Queue<PendingBatch> waiting = new ArrayDeque<>();
     private boolean hasLeader;
 
-    GroupCommit(GroupWriter sink) {
-        this.writer = sink;
+    GroupCommit(GroupWriter writer) {
+        this.writer = writer;
     }
 
     /** Commits a batch and returns its sequence number once it is durable. */
     long commit(Batch batch) throws StoreException {
-        PendingBatch mine = new PendingBatch(batch);
+        PendingBatch own = new PendingBatch(batch);
         boolean lead;
         synchronized (waiting) {
-            waiting.add(mine);
+            waiting.add(own);
             lead = !hasLeader;
             hasLeader = true;
         }
-        if (lead || mine.awaitCompletionOrLeadership()) {
-            leadGroup(mine);
+        if (lead || own.awaitCompletionOrLeadership()) {
+            leadGroup(own);
         }
-        return mine.result();
+        return own.result();
     }
 
-    private void leadGroup(PendingBatch mine) {
+    private void leadGroup(PendingBatch own) {
         List<PendingBatch> group = new ArrayList<>();
         synchronized (waiting) {
             int bytes = 0;
@@ -76,7 +76,7 @@
                 next.promoteToLeader();
             }
             for (PendingBatch pending : group) {
-                if (pending != mine) {
+                if (pending != own) {
                     pending.complete();
                 }
             }
--- a/relay/src/main/java/saltstage/store/Index.java
+++ b/relay/src/main/java/saltstage/store/Index.java
@@ -60,33 +60,33 @@
         return i < 0 ? null : leaf.location(i);
     }
 
-    Index put(byte[] key, Location place) {
+    Index put(byte[] key, Location location) {
         if (root == null) {
-            return new Index(Leaf.of(key, place), 1);
+            return new Index(Leaf.of(key, location), 1);
         }
-        boolean there = find(key) != null;
-        Node[] halves = root.put(key, place);
-        Node top = halves.length == 1 ? halves[0] : new Branch(halves, lowKeys(halves));
-        return new Index(top, there ? size : size + 1);
+        boolean exists = find(key) != null;
+        Node[] halves = root.put(key, location);
+        Node newRoot = halves.length == 1 ? halves[0] : new Branch(halves, lowKeys(halves));
+        return new Index(newRoot, exists ? size : size + 1);
     }
 
     Index delete(byte[] key) {
         if (find(key) == null) {
             return this;
         }
-        Node left = root.delete(key);
-        while (left instanceof Branch branch && branch.children.length == 1) {
-            left = branch.children[0];
+        Node newRoot = root.delete(key);
+        while (newRoot instanceof Branch branch && branch.children.length == 1) {
+            newRoot = branch.children[0];
         }
-        return new Index(left, size - 1);
+        return new Index(newRoot, size - 1);
     }
 
     private static byte[][] lowKeys(Node[] children) {
-        byte[][] lows = new byte[children.length][];
-        for (int i = 0; i < lows.length; i++) {
-            lows[i] = children[i].lowKey();
+        byte[][] lowKeys = new byte[children.length][];
+        for (int i = 0; i < lowKeys.length; i++) {
+            lowKeys[i] = children[i].lowKey();
         }
-        return lows;
+        return lowKeys;
     }
 
     /** A node of the tree. Its low key is less than or equal to every key below it. */
@@ -98,7 +98,7 @@
         /**
          * Returns the node with the key added or replaced, or its two halves if it had to be split.
          */
-        abstract Node[] put(byte[] key, Location place);
+        abstract Node[] put(byte[] key, Location location);
 
         /** Returns the node without the key, which must exist, or null if it was the last one. */
         abstract Node delete(byte[] key);
@@ -112,21 +112,21 @@
         private final long[] versions;
         private final int[] valueLengths;
 
-        Leaf(byte[] keys, int[] ends, long[] at, long[] version, int[] length) {
+        Leaf(byte[] keys, int[] keyEnds, long[] addresses, long[] versions, int[] valueLengths) {
             this.keys = keys;
-            this.keyEnds = ends;
-            this.addresses = at;
-            this.versions = version;
-            this.valueLengths = length;
+            this.keyEnds = keyEnds;
+            this.addresses = addresses;
+            this.versions = versions;
+            this.valueLengths = valueLengths;
         }
 
-        static Leaf of(byte[] key, Location place) {
+        static Leaf of(byte[] key, Location location) {
             return new Leaf(
                     key.clone(),
                     new int[] {key.length},
-                    new long[] {place.address()},
-                    new long[] {place.version()},
-                    new int[] {place.valueLength()});
+                    new long[] {location.address()},
+                    new long[] {location.version()},
+                    new int[] {location.valueLength()});
         }
 
         private int keyStart(int i) {
@@ -173,73 +173,75 @@
         }
 
         @Override
-        Node[] put(byte[] key, Location place) {
+        Node[] put(byte[] key, Location location) {
             int i = search(key);
             if (i >= 0) {
-                long[] newAt = addresses.clone();
-                long[] newVersion = versions.clone();
-                int[] newLength = valueLengths.clone();
-                newAt[i] = place.address();
-                newVersion[i] = place.version();
-                newLength[i] = place.valueLength();
-                return new Node[] {new Leaf(keys, keyEnds, newAt, newVersion, newLength)};
+                long[] newAddresses = addresses.clone();
+                long[] newVersions = versions.clone();
+                int[] newValueLengths = valueLengths.clone();
+                newAddresses[i] = location.address();
+                newVersions[i] = location.version();
+                newValueLengths[i] = location.valueLength();
+                return new Node[] {
+                    new Leaf(keys, keyEnds, newAddresses, newVersions, newValueLengths)
+                };
             }
-            int to = -i - 1;
-            Leaf whole = insert(to, key, place);
-            if (whole.count() <= MAX_NODE_ENTRIES) {
-                return new Node[] {whole};
+            int position = -i - 1;
+            Leaf enlarged = insert(position, key, location);
+            if (enlarged.count() <= MAX_NODE_ENTRIES) {
+                return new Node[] {enlarged};
             }
             // Keys that are added in ascending order leave nearly full leaves behind.
-            int split = to == keyEnds.length ? FILL_NODE_ENTRIES : whole.count() / 2;
-            return new Node[] {whole.slice(0, split), whole.slice(split, whole.count())};
+            int split = position == keyEnds.length ? FILL_NODE_ENTRIES : enlarged.count() / 2;
+            return new Node[] {enlarged.slice(0, split), enlarged.slice(split, enlarged.count())};
         }
 
-        private Leaf insert(int to, byte[] key, Location place) {
+        private Leaf insert(int position, byte[] key, Location location) {
             int n = keyEnds.length;
-            int from = keyStart(to);
+            int from = keyStart(position);
             byte[] newKeys = new byte[keys.length + key.length];
             System.arraycopy(keys, 0, newKeys, 0, from);
             System.arraycopy(key, 0, newKeys, from, key.length);
             System.arraycopy(keys, from, newKeys, from + key.length, keys.length - from);
-            int[] newEnds = new int[n + 1];
-            System.arraycopy(keyEnds, 0, newEnds, 0, to);
-            newEnds[to] = from + key.length;
-            for (int j = to; j < n; j++) {
-                newEnds[j + 1] = keyEnds[j] + key.length;
+            int[] newKeyEnds = new int[n + 1];
+            System.arraycopy(keyEnds, 0, newKeyEnds, 0, position);
+            newKeyEnds[position] = from + key.length;
+            for (int j = position; j < n; j++) {
+                newKeyEnds[j + 1] = keyEnds[j] + key.length;
             }
             return new Leaf(
                     newKeys,
-                    newEnds,
-                    insertAt(addresses, to, place.address()),
-                    insertAt(versions, to, place.version()),
-                    insertAt(valueLengths, to, place.valueLength()));
+                    newKeyEnds,
+                    insertAt(addresses, position, location.address()),
+                    insertAt(versions, position, location.version()),
+                    insertAt(valueLengths, position, location.valueLength()));
         }
 
-        private static long[] insertAt(long[] all, int to, long value) {
-            long[] more = new long[all.length + 1];
-            System.arraycopy(all, 0, more, 0, to);
-            more[to] = value;
-            System.arraycopy(all, to, more, to + 1, all.length - to);
-            return more;
+        private static long[] insertAt(long[] all, int position, long value) {
+            long[] enlarged = new long[all.length + 1];
+            System.arraycopy(all, 0, enlarged, 0, position);
+            enlarged[position] = value;
+            System.arraycopy(all, position, enlarged, position + 1, all.length - position);
+            return enlarged;
         }
 
-        private static int[] insertAt(int[] all, int to, int value) {
-            int[] more = new int[all.length + 1];
-            System.arraycopy(all, 0, more, 0, to);
-            more[to] = value;
-            System.arraycopy(all, to, more, to + 1, all.length - to);
-            return more;
+        private static int[] insertAt(int[] all, int position, int value) {
+            int[] enlarged = new int[all.length + 1];
+            System.arraycopy(all, 0, enlarged, 0, position);
+            enlarged[position] = value;
+            System.arraycopy(all, position, enlarged, position + 1, all.length - position);
+            return enlarged;
         }
 
         private Leaf slice(int from, int to) {
             int shift = keyStart(from);
-            int[] newEnds = new int[to - from];
+            int[] newKeyEnds = new int[to - from];
             for (int i = from; i < to; i++) {
-                newEnds[i - from] = keyEnds[i] - shift;
+                newKeyEnds[i - from] = keyEnds[i] - shift;
             }
             return new Leaf(
                     Arrays.copyOfRange(keys, shift, keyEnds[to - 1]),
-                    newEnds,
+                    newKeyEnds,
                     Arrays.copyOfRange(addresses, from, to),
                     Arrays.copyOfRange(versions, from, to),
                     Arrays.copyOfRange(valueLengths, from, to));
@@ -247,15 +249,15 @@
 
         Leaf join(Leaf right) {
             int n = keyEnds.length;
-            int[] newEnds = Arrays.copyOf(keyEnds, n + right.keyEnds.length);
+            int[] newKeyEnds = Arrays.copyOf(keyEnds, n + right.keyEnds.length);
             for (int i = 0; i < right.keyEnds.length; i++) {
-                newEnds[n + i] = keys.length + right.keyEnds[i];
+                newKeyEnds[n + i] = keys.length + right.keyEnds[i];
             }
             byte[] newKeys = Arrays.copyOf(keys, keys.length + right.keys.length);
             System.arraycopy(right.keys, 0, newKeys, keys.length, right.keys.length);
             return new Leaf(
                     newKeys,
-                    newEnds,
+                    newKeyEnds,
                     concat(addresses, right.addresses),
                     concat(versions, right.versions),
                     concat(valueLengths, right.valueLengths));
@@ -293,9 +295,9 @@
         private final Node[] children;
         private final byte[][] lowKeys;
 
-        Branch(Node[] children, byte[][] lows) {
+        Branch(Node[] children, byte[][] lowKeys) {
             this.children = children;
-            this.lowKeys = lows;
+            this.lowKeys = lowKeys;
         }
 
         int childIndex(byte[] key) {
@@ -323,60 +325,61 @@
         }
 
         @Override
-        Node[] put(byte[] key, Location place) {
+        Node[] put(byte[] key, Location location) {
             int i = childIndex(key);
-            Node[] halves = children[i].put(key, place);
+            Node[] halves = children[i].put(key, location);
             if (halves.length == 1) {
                 Node[] changed = children.clone();
                 changed[i] = halves[0];
                 return new Node[] {new Branch(changed, lowKeys)};
             }
             int n = children.length;
-            Node[] more = Arrays.copyOf(children, n + 1);
-            byte[][] moreLows = Arrays.copyOf(lowKeys, n + 1);
-            System.arraycopy(children, i + 1, more, i + 2, n - i - 1);
-            System.arraycopy(lowKeys, i + 1, moreLows, i + 2, n - i - 1);
-            more[i] = halves[0];
-            more[i + 1] = halves[1];
-            moreLows[i + 1] = halves[1].lowKey();
+            Node[] newChildren = Arrays.copyOf(children, n + 1);
+            byte[][] newLowKeys = Arrays.copyOf(lowKeys, n + 1);
+            System.arraycopy(children, i + 1, newChildren, i + 2, n - i - 1);
+            System.arraycopy(lowKeys, i + 1, newLowKeys, i + 2, n - i - 1);
+            newChildren[i] = halves[0];
+            newChildren[i + 1] = halves[1];
+            newLowKeys[i + 1] = halves[1].lowKey();
             if (n + 1 <= MAX_NODE_ENTRIES) {
-                return new Node[] {new Branch(more, moreLows)};
+                return new Node[] {new Branch(newChildren, newLowKeys)};
             }
             int split = i == n - 1 ? FILL_NODE_ENTRIES : (n + 1) / 2;
             return new Node[] {
-                slice(more, moreLows, 0, split), slice(more, moreLows, split, n + 1)
+                slice(newChildren, newLowKeys, 0, split),
+                slice(newChildren, newLowKeys, split, n + 1)
             };
         }
 
-        private static Branch slice(Node[] children, byte[][] lows, int from, int to) {
+        private static Branch slice(Node[] children, byte[][] lowKeys, int from, int to) {
             return new Branch(
-                    Arrays.copyOfRange(children, from, to), Arrays.copyOfRange(lows, from, to));
+                    Arrays.copyOfRange(children, from, to), Arrays.copyOfRange(lowKeys, from, to));
         }
 
         @Override
         Node delete(byte[] key) {
             int i = childIndex(key);
-            Node left = children[i].delete(key);
-            if (left == null) {
+            Node changedChild = children[i].delete(key);
+            if (changedChild == null) {
                 return children.length == 1 ? null : withoutChild(i);
             }
-            Node[] changed = children.clone();
-            changed[i] = left;
-            Branch same = new Branch(changed, lowKeys);
-            if (left.count() >= MIN_NODE_ENTRIES || changed.length == 1) {
-                return same;
+            Node[] newChildren = children.clone();
+            newChildren[i] = changedChild;
+            Branch changed = new Branch(newChildren, lowKeys);
+            if (changedChild.count() >= MIN_NODE_ENTRIES || newChildren.length == 1) {
+                return changed;
             }
             int first = i == 0 ? 0 : i - 1;
-            return same.withMergedChildren(first);
+            return changed.withMergedChildren(first);
         }
 
         private Branch withoutChild(int i) {
             int n = children.length;
-            Node[] fewer = Arrays.copyOf(children, n - 1);
-            byte[][] fewerLows = Arrays.copyOf(lowKeys, n - 1);
-            System.arraycopy(children, i + 1, fewer, i, n - i - 1);
-            System.arraycopy(lowKeys, i + 1, fewerLows, i, n - i - 1);
-            return new Branch(fewer, fewerLows);
+            Node[] newChildren = Arrays.copyOf(children, n - 1);
+            byte[][] newLowKeys = Arrays.copyOf(lowKeys, n - 1);
+            System.arraycopy(children, i + 1, newChildren, i, n - i - 1);
+            System.arraycopy(lowKeys, i + 1, newLowKeys, i, n - i - 1);
+            return new Branch(newChildren, newLowKeys);
         }
 
         /** Merges two neighbouring children if they fit into one node with room to grow. */
@@ -386,23 +389,23 @@
             if (a.count() + b.count() > FILL_NODE_ENTRIES) {
                 return this;
             }
-            Node one =
+            Node joined =
                     a instanceof Leaf left
                             ? left.join((Leaf) b)
                             : join((Branch) a, (Branch) b, first);
-            Branch fewer = withoutChild(first + 1);
-            fewer.children[first] = one; // the array is a copy that is not shared yet
-            return fewer;
+            Branch merged = withoutChild(first + 1);
+            merged.children[first] = joined; // the array is a copy that is not shared yet
+            return merged;
         }
 
         private Branch join(Branch a, Branch b, int first) {
             int n = a.children.length;
             Node[] all = Arrays.copyOf(a.children, n + b.children.length);
-            byte[][] allLows = Arrays.copyOf(a.lowKeys, n + b.children.length);
+            byte[][] allLowKeys = Arrays.copyOf(a.lowKeys, n + b.children.length);
             System.arraycopy(b.children, 0, all, n, b.children.length);
-            System.arraycopy(b.lowKeys, 0, allLows, n, b.children.length);
-            allLows[n] = lowKeys[first + 1]; // the low key of b by which this node searches
-            return new Branch(all, allLows);
+            System.arraycopy(b.lowKeys, 0, allLowKeys, n, b.children.length);
+            allLowKeys[n] = lowKeys[first + 1]; // the low key of b by which this node searches
+            return new Branch(all, allLowKeys);
         }
     }
 
@@ -486,13 +489,13 @@
         private long size;
 
         /** Adds an entry. Returns false if its key is not greater than the previous one. */
-        boolean add(byte[] key, Location place) {
+        boolean add(byte[] key, Location location) {
             if (lastKey != null && Arrays.compareUnsigned(lastKey, key) >= 0) {
                 return false;
             }
             lastKey = key;
             keys.add(key);
-            locations.add(place);
+            locations.add(location);
             size++;
             if (keys.size() == FILL_NODE_ENTRIES) {
                 flushLeaf();
@@ -504,20 +507,20 @@
             int n = keys.size();
             int bytes = keys.stream().mapToInt(k -> k.length).sum();
             byte[] packed = new byte[bytes];
-            int[] ends = new int[n];
-            long[] at = new long[n];
-            long[] version = new long[n];
-            int[] length = new int[n];
+            int[] keyEnds = new int[n];
+            long[] addresses = new long[n];
+            long[] versions = new long[n];
+            int[] valueLengths = new int[n];
             int end = 0;
             for (int i = 0; i < n; i++) {
                 System.arraycopy(keys.get(i), 0, packed, end, keys.get(i).length);
                 end += keys.get(i).length;
-                ends[i] = end;
-                at[i] = locations.get(i).address();
-                version[i] = locations.get(i).version();
-                length[i] = locations.get(i).valueLength();
+                keyEnds[i] = end;
+                addresses[i] = locations.get(i).address();
+                versions[i] = locations.get(i).version();
+                valueLengths[i] = locations.get(i).valueLength();
             }
-            leaves.add(new Leaf(packed, ends, at, version, length));
+            leaves.add(new Leaf(packed, keyEnds, addresses, versions, valueLengths));
             keys.clear();
             locations.clear();
         }
@@ -531,14 +534,14 @@
             }
             List<Node> level = leaves;
             while (level.size() > 1) {
-                List<Node> above = new ArrayList<>();
+                List<Node> parents = new ArrayList<>();
                 for (int i = 0; i < level.size(); i += FILL_NODE_ENTRIES) {
                     Node[] children =
                             level.subList(i, Math.min(level.size(), i + FILL_NODE_ENTRIES))
                                     .toArray(Node[]::new);
-                    above.add(new Branch(children, lowKeys(children)));
+                    parents.add(new Branch(children, lowKeys(children)));
                 }
-                level = above;
+                level = parents;
             }
             return new Index(level.get(0), size);
         }
--- a/relay/src/main/java/saltstage/store/LogWriter.java
+++ b/relay/src/main/java/saltstage/store/LogWriter.java
@@ -24,8 +24,8 @@
     private ByteBuffer buffer = ByteBuffer.allocateDirect(64 << 10);
     private SpareSegment spare;
 
-    LogWriter(StoreState core) {
-        this.state = core;
+    LogWriter(StoreState state) {
+        this.state = state;
     }
 
     /** The changes of a group, collected while it is encoded and published once it is durable. */
@@ -36,15 +36,15 @@
         private final List<Integer> replacedBytes = new ArrayList<>();
 
         void recordReplaced(byte[] key) {
-            Index.Location old = index.find(key);
-            if (old != null) {
-                replacedLocations.add(old);
-                replacedBytes.add(entryBytes(key.length, old.valueLength()));
+            Index.Location location = index.find(key);
+            if (location != null) {
+                replacedLocations.add(location);
+                replacedBytes.add(entryBytes(key.length, location.valueLength()));
             }
         }
 
-        static int entryBytes(int key, int value) {
-            return SegmentFormat.ENTRY_HEADER_BYTES + key + value;
+        static int entryBytes(int keyLength, int valueLength) {
+            return SegmentFormat.ENTRY_HEADER_BYTES + keyLength + valueLength;
         }
     }
 
@@ -52,20 +52,22 @@
      * Commits a group of batches, each one entirely or not at all. Sets the sequence number or the
      * failure of each batch. Throws if the group as a whole cannot be written.
      */
-    void write(List<PendingBatch> taken) throws StoreException {
+    void write(List<PendingBatch> group) throws StoreException {
         state.writeLock.lock();
         try {
             state.checkOpen();
             if (state.stopReason() != null) {
                 throw state.stopReason();
             }
-            int most =
+            int maxBytes =
                     SegmentFormat.FRAME_HEADER_BYTES
-                            + taken.stream().mapToInt(p -> p.batch().encodedBytes()).sum();
-            if (!state.activeSegment.hasRoomFor(SegmentFormat.alignUp(most))) {
-                roll(SegmentFormat.alignUp(most));
+                            + group.stream()
+                                    .mapToInt(pending -> pending.batch().encodedBytes())
+                                    .sum();
+            if (!state.activeSegment.hasRoomFor(SegmentFormat.alignUp(maxBytes))) {
+                roll(SegmentFormat.alignUp(maxBytes));
             }
-            appendGroup(taken, SegmentFormat.alignUp(most));
+            appendGroup(group, SegmentFormat.alignUp(maxBytes));
         } catch (RuntimeException | Error fault) { // it is unknown how much was written
             state.stopWrites("a fault while writing", fault);
             throw fault;
@@ -74,21 +76,21 @@
         }
     }
 
-    private void appendGroup(List<PendingBatch> taken, int most) throws StoreException {
+    private void appendGroup(List<PendingBatch> group, int maxBytes) throws StoreException {
         Segment segment = state.activeSegment;
         long offset = segment.usedBytes();
-        ByteBuffer out = clearedBuffer(SegmentFormat.reservedBytes(most));
+        ByteBuffer out = clearedBuffer(SegmentFormat.reservedBytes(maxBytes));
         int start = SegmentFormat.beginFrame(out, SegmentFormat.GROUP_FRAME, 0, state.nextSeq);
-        GroupChanges effects = new GroupChanges();
-        effects.index = state.view().index();
+        GroupChanges changes = new GroupChanges();
+        changes.index = state.view().index();
         long seq = state.nextSeq;
-        for (PendingBatch pending : taken) {
-            StoreException.VersionConflict conflict = findConflict(effects.index, pending.batch());
+        for (PendingBatch pending : group) {
+            StoreException.VersionConflict conflict = findConflict(changes.index, pending.batch());
             if (conflict != null) {
                 pending.fail(conflict);
             } else {
                 pending.setSeq(seq);
-                appendBatch(out, pending.batch(), seq++, segment.id(), offset, effects);
+                appendBatch(out, pending.batch(), seq++, segment.id(), offset, changes);
             }
         }
         int count = (int) (seq - state.nextSeq);
@@ -96,25 +98,25 @@
             return;
         }
         out.putInt(start + 12, count);
-        SegmentFormat.FrameHeader head =
+        SegmentFormat.FrameHeader header =
                 SegmentFormat.endFrame(out, start, segment.checksumSeed(), offset);
         try {
-            makeDurable(segment, out, head, offset);
+            makeDurable(segment, out, header, offset);
             state.acknowledgedSeqFile.update(seq - 1);
         } catch (IOException e) {
             throw state.stopWrites("a write for " + segment.fileName() + " failed", e);
         }
         state.nextSeq = seq;
-        state.logBytesSinceCheckpoint += head.totalBytes();
-        publishGroup(segment, head, offset, effects);
+        state.logBytesSinceCheckpoint += header.totalBytes();
+        publishGroup(segment, header, offset, changes);
     }
 
     private static StoreException.VersionConflict findConflict(Index index, Batch batch) {
-        for (Batch.ExpectedVersion expected : batch.expectedVersions()) {
-            Index.Location place = index.find(expected.key());
-            long found = place == null ? 0 : place.version();
-            if (found != expected.version()) {
-                return new StoreException.VersionConflict(expected.version(), found);
+        for (Batch.ExpectedVersion expectation : batch.expectedVersions()) {
+            Index.Location location = index.find(expectation.key());
+            long version = location == null ? 0 : location.version();
+            if (version != expectation.version()) {
+                return new StoreException.VersionConflict(expectation.version(), version);
             }
         }
         return null;
@@ -124,23 +126,24 @@
             ByteBuffer out,
             Batch batch,
             long seq,
-            long segment,
+            long segmentId,
             long offset,
-            GroupChanges effects) {
+            GroupChanges changes) {
         out.putInt(batch.changes().size());
         for (Batch.Change change : batch.changes()) {
-            long at = Index.Location.addressOf(segment, offset + out.position());
-            effects.recordReplaced(change.key());
+            long address = Index.Location.addressOf(segmentId, offset + out.position());
+            changes.recordReplaced(change.key());
             if (change.value() == null) {
                 SegmentFormat.encodeEntry(out, SegmentFormat.DELETE, change.key(), null, seq);
-                effects.index = effects.index.delete(change.key());
+                changes.index = changes.index.delete(change.key());
             } else {
                 SegmentFormat.encodeEntry(
                         out, SegmentFormat.PUT, change.key(), change.value(), seq);
-                effects.index =
-                        effects.index.put(
-                                change.key(), new Index.Location(at, seq, change.value().length));
-                effects.addedBytes += change.encodedBytes();
+                changes.index =
+                        changes.index.put(
+                                change.key(),
+                                new Index.Location(address, seq, change.value().length));
+                changes.addedBytes += change.encodedBytes();
             }
         }
     }
@@ -150,41 +153,41 @@
      * group is followed by a commit marker in a second write once the group is durable.
      */
     private static void makeDurable(
-            Segment segment, ByteBuffer out, SegmentFormat.FrameHeader head, long offset)
+            Segment segment, ByteBuffer out, SegmentFormat.FrameHeader header, long offset)
             throws IOException {
-        boolean mirrored = head.totalBytes() <= SegmentFormat.MAX_MIRRORED_BYTES;
+        boolean mirrored = header.totalBytes() <= SegmentFormat.MAX_MIRRORED_BYTES;
         if (mirrored) {
-            SegmentFormat.encodeMirror(out, 0, head, segment.checksumSeed(), offset);
+            SegmentFormat.encodeMirror(out, 0, header, segment.checksumSeed(), offset);
         }
         writeFully(segment, out.flip(), offset);
         segment.file().force();
         if (!mirrored) {
-            ByteBuffer mark = ByteBuffer.allocate(SegmentFormat.COMMIT_MARKER_BYTES);
-            SegmentFormat.encodeCommitMarker(mark, head, segment.checksumSeed(), offset);
-            writeFully(segment, mark.flip(), offset + head.totalBytes());
+            ByteBuffer marker = ByteBuffer.allocate(SegmentFormat.COMMIT_MARKER_BYTES);
+            SegmentFormat.encodeCommitMarker(marker, header, segment.checksumSeed(), offset);
+            writeFully(segment, marker.flip(), offset + header.totalBytes());
             segment.file().force();
         }
     }
 
     private static void writeFully(Segment segment, ByteBuffer out, long offset)
             throws IOException {
-        int whole = out.remaining();
+        int length = out.remaining();
         int written = segment.file().write(out, offset);
-        if (written < whole) {
-            throw new IOException("short write: " + written + " of " + whole + " bytes");
+        if (written < length) {
+            throw new IOException("short write: " + written + " of " + length + " bytes");
         }
     }
 
     private void publishGroup(
-            Segment segment, SegmentFormat.FrameHeader head, long offset, GroupChanges effects) {
-        segment.setUsedBytes(offset + head.totalBytes());
-        segment.addLiveBytes(effects.addedBytes);
+            Segment segment, SegmentFormat.FrameHeader header, long offset, GroupChanges changes) {
+        segment.setUsedBytes(offset + header.totalBytes());
+        segment.addLiveBytes(changes.addedBytes);
         SegmentSet set = state.view().segments();
-        for (int i = 0; i < effects.replacedLocations.size(); i++) {
-            set.get(effects.replacedLocations.get(i).segmentId())
-                    .addLiveBytes(-effects.replacedBytes.get(i));
+        for (int i = 0; i < changes.replacedLocations.size(); i++) {
+            set.get(changes.replacedLocations.get(i).segmentId())
+                    .addLiveBytes(-changes.replacedBytes.get(i));
         }
-        state.installView(new StoreState.View(effects.index, set, state.nextSeq - 1));
+        state.installView(new StoreState.View(changes.index, set, state.nextSeq - 1));
     }
 
     private ByteBuffer clearedBuffer(int bytes) {
@@ -201,20 +204,20 @@
      * Makes a new segment with room for a group of this size the active one. If the disk is full
      * the commit is rejected, and a later one may succeed.
      */
-    void roll(int groupTotal) throws StoreException {
+    void roll(int groupBytes) throws StoreException {
         try {
-            long need =
+            long requiredBytes =
                     SegmentFormat.SEGMENT_HEADER_BYTES
-                            + (long) SegmentFormat.reservedBytes(groupTotal);
-            SpareSegment ready =
-                    spare != null && spare.size() >= need
+                            + (long) SegmentFormat.reservedBytes(groupBytes);
+            SpareSegment segment =
+                    spare != null && spare.size() >= requiredBytes
                             ? spare
-                            : createSpare(Math.max(state.options.segmentBytes(), need));
-            if (ready == spare) {
+                            : createSpare(Math.max(state.options.segmentBytes(), requiredBytes));
+            if (segment == spare) {
                 spare = null;
             }
-            activate(ready);
-            state.setDiskFull(false, ready.fileName());
+            activate(segment);
+            state.setDiskFull(false, segment.fileName());
         } catch (Disk.FullException e) {
             state.setDiskFull(true, "a new segment");
             throw new StoreException.DiskFull(e);
@@ -225,35 +228,35 @@
         }
     }
 
-    private void activate(SpareSegment ready) throws IOException {
+    private void activate(SpareSegment spareSegment) throws IOException {
         long id = state.nextFileId++;
         SegmentFormat.SegmentHeader header =
                 new SegmentFormat.SegmentHeader(
                         SegmentFormat.LOG_SEGMENT,
                         state.manifest.storeId(),
                         id,
-                        ready.size(),
+                        spareSegment.size(),
                         state.nextSeq);
         ByteBuffer out = SegmentFormat.encodeHeader(header);
-        if (ready.file().write(out, 0) < SegmentFormat.SEGMENT_HEADER_BYTES) {
+        if (spareSegment.file().write(out, 0) < SegmentFormat.SEGMENT_HEADER_BYTES) {
             throw new IOException("short write of a header");
         }
-        ready.file().force();
+        spareSegment.file().force();
         // The file is reopened under its final name, because a file handle keeps its path.
-        ready.file().close();
+        spareSegment.file().close();
         String name = Segment.fileName(id, SegmentFormat.LOG_SEGMENT);
-        state.disk.rename(ready.fileName(), name);
+        state.disk.rename(spareSegment.fileName(), name);
         // The manifest must not become durable before the file names that it lists.
         state.disk.syncDirectory();
         Segment next = new Segment(state.disk, name, state.disk.open(name, true), header);
-        Segment before = state.activeSegment;
+        Segment previous = state.activeSegment;
         SegmentSet set = state.view().segments().with(next);
         state.activeSegment = next;
         try {
             state.publishManifest(state.segmentRefs(set, s -> false), state.manifest.checkpoint());
         } catch (IOException e) {
             // The new segment holds no records; the next open deletes it as a leftover.
-            state.activeSegment = before;
+            state.activeSegment = previous;
             set.release();
             throw e;
         }
@@ -265,22 +268,22 @@
      */
     void prepareSpare() throws IOException {
         state.writeLock.lock();
-        boolean wanted = spare == null && state.stopReason() == null;
+        boolean needed = spare == null && state.stopReason() == null;
         state.writeLock.unlock();
-        if (!wanted) {
+        if (!needed) {
             return;
         }
-        SpareSegment made = createSpare(state.options.segmentBytes());
+        SpareSegment created = createSpare(state.options.segmentBytes());
         state.writeLock.lock();
         try {
             if (spare == null) {
-                spare = made;
+                spare = created;
                 return;
             }
         } finally {
             state.writeLock.unlock();
         }
-        deleteSpare(made);
+        deleteSpare(created);
     }
 
     /**
@@ -288,8 +291,8 @@
      * that a commit into the segment cannot run out of disk space and its length never changes; a
      * shorter file has been truncated.
      */
-    private SpareSegment createSpare(long wanted) throws IOException {
-        long size = (wanted + SegmentFormat.ALIGNMENT_BYTES - 1) & -SegmentFormat.ALIGNMENT_BYTES;
+    private SpareSegment createSpare(long minBytes) throws IOException {
+        long size = (minBytes + SegmentFormat.ALIGNMENT_BYTES - 1) & -SegmentFormat.ALIGNMENT_BYTES;
         if (size >= Segment.MAX_SEGMENT_BYTES) {
             throw new IOException("a segment of " + size + " bytes is too large");
         }
@@ -299,12 +302,12 @@
         String name = String.format("%016x.tmp", id);
         Disk.File file = state.disk.create(name);
         try {
-            for (long at = 0; at < size; ) {
-                int bytes = (int) Math.min(ZEROS.length, size - at);
-                if (file.write(ByteBuffer.wrap(ZEROS, 0, bytes), at) < bytes) {
+            for (long offset = 0; offset < size; ) {
+                int bytes = (int) Math.min(ZEROS.length, size - offset);
+                if (file.write(ByteBuffer.wrap(ZEROS, 0, bytes), offset) < bytes) {
                     throw new IOException("short write of " + name);
                 }
-                at += bytes;
+                offset += bytes;
             }
             file.force();
             return new SpareSegment(name, file, size);
@@ -318,7 +321,7 @@
         try {
             unused.file().close();
             state.disk.delete(unused.fileName());
-        } catch (IOException left) { // the next open deletes .tmp files
+        } catch (IOException e) { // the next open deletes .tmp files
             return;
         }
     }
--- a/relay/src/main/java/saltstage/store/Maintenance.java
+++ b/relay/src/main/java/saltstage/store/Maintenance.java
@@ -30,9 +30,9 @@
     private volatile boolean closing;
     private long copiedBytes;
 
-    Maintenance(StoreState core) {
-        this.state = core;
-        policy = new MaintenancePolicy(core.options.segmentBytes());
+    Maintenance(StoreState state) {
+        this.state = state;
+        policy = new MaintenancePolicy(state.options.segmentBytes());
     }
 
     /** An entry that was copied, with its old address and new location. */
@@ -68,13 +68,14 @@
         try {
             state.checkOpen();
             return state.view().segments().all().stream()
-                    .filter(s -> s != state.activeSegment)
+                    .filter(segment -> segment != state.activeSegment)
                     .map(
-                            s ->
+                            segment ->
                                     new MaintenancePolicy.SealedSegment(
-                                            s.id(),
-                                            s.usedBytes() - SegmentFormat.SEGMENT_HEADER_BYTES,
-                                            s.liveBytes()))
+                                            segment.id(),
+                                            segment.usedBytes()
+                                                    - SegmentFormat.SEGMENT_HEADER_BYTES,
+                                            segment.liveBytes()))
                     .toList();
         } finally {
             state.writeLock.unlock();
@@ -87,8 +88,8 @@
     }
 
     /** Sets whether a running checkpoint or compaction is to stop at its next step. */
-    void setClosing(boolean now) {
-        closing = now;
+    void setClosing(boolean value) {
+        closing = value;
     }
 
     /**
@@ -98,7 +99,7 @@
     long compactAll(LogWriter writer) throws IOException {
         maintenanceLock.lock();
         try {
-            long before = copiedBytes;
+            long copiedBefore = copiedBytes;
             state.writeLock.lock();
             try {
                 state.checkOpen();
@@ -110,7 +111,7 @@
                 state.writeLock.unlock();
             }
             compact(MaintenancePolicy.selectAllWithDeadData(sealedSegments()), null);
-            return copiedBytes - before;
+            return copiedBytes - copiedBefore;
         } finally {
             maintenanceLock.unlock();
         }
@@ -123,62 +124,64 @@
     void checkpoint() throws IOException {
         maintenanceLock.lock();
         try {
-            StoreState.View seen;
+            StoreState.View view;
             long id;
-            long from;
-            long offset;
-            long log;
+            long replaySegmentId;
+            long replayOffset;
+            long logBytes;
             Set<Segment> dead = new HashSet<>();
             state.writeLock.lock();
             try {
-                seen = state.acquireView();
+                view = state.acquireView();
                 id = state.nextFileId++;
-                from = state.activeSegment.id();
-                offset = state.activeSegment.usedBytes();
-                log = state.logBytesSinceCheckpoint;
-                seen.segments().all().stream()
-                        .filter(s -> s != state.activeSegment && s.liveBytes() == 0)
+                replaySegmentId = state.activeSegment.id();
+                replayOffset = state.activeSegment.usedBytes();
+                logBytes = state.logBytesSinceCheckpoint;
+                view.segments().all().stream()
+                        .filter(
+                                segment ->
+                                        segment != state.activeSegment && segment.liveBytes() == 0)
                         .forEach(dead::add);
             } finally {
                 state.writeLock.unlock();
             }
             try {
-                Checkpoint.WriteResult written = writeCheckpoint(id, seen);
+                Checkpoint.WriteResult result = writeCheckpoint(id, view);
                 publishCheckpoint(
                         new Manifest.CheckpointRef(
                                 id,
-                                seen.seq(),
-                                from,
-                                offset,
-                                written.bytes(),
-                                written.crc(),
-                                seen.index().size()),
+                                view.seq(),
+                                replaySegmentId,
+                                replayOffset,
+                                result.bytes(),
+                                result.crc(),
+                                view.index().size()),
                         dead,
-                        log);
+                        logBytes);
             } finally {
-                seen.segments().release();
+                view.segments().release();
             }
         } finally {
             maintenanceLock.unlock();
         }
     }
 
-    private Checkpoint.WriteResult writeCheckpoint(long id, StoreState.View seen)
+    private Checkpoint.WriteResult writeCheckpoint(long id, StoreState.View view)
             throws IOException {
         String name = Checkpoint.fileName(id);
         boolean done = false;
         try (Disk.File file = state.disk.create(name)) {
-            Checkpoint.WriteResult written =
+            Checkpoint.WriteResult result =
                     Checkpoint.write(
                             file,
                             state.manifest.storeId(),
                             id,
-                            seen.seq(),
-                            seen.index(),
+                            view.seq(),
+                            view.index(),
                             bytes -> checkNotClosing());
             state.disk.syncDirectory();
             done = true;
-            return written;
+            return result;
         } finally {
             if (!done) {
                 deleteQuietly(name);
@@ -195,14 +198,14 @@
     private void deleteQuietly(String name) {
         try {
             state.disk.delete(name);
-        } catch (IOException left) { // the next open deletes files that are not in the manifest
+        } catch (IOException e) { // the next open deletes files that are not in the manifest
             return;
         }
     }
 
-    private void publishCheckpoint(Manifest.CheckpointRef ref, Set<Segment> dead, long log)
+    private void publishCheckpoint(Manifest.CheckpointRef ref, Set<Segment> dead, long logBytes)
             throws IOException {
-        Manifest.CheckpointRef before = state.manifest.checkpoint();
+        Manifest.CheckpointRef previous = state.manifest.checkpoint();
         state.writeLock.lock();
         try {
             if (state.stopReason() != null) {
@@ -212,7 +215,7 @@
             state.publishManifest(state.segmentRefs(set, dead::contains), ref);
             // Marked before the last reference is released, which installView may do below.
             dead.forEach(Segment::markForDeletion);
-            state.logBytesSinceCheckpoint -= log;
+            state.logBytesSinceCheckpoint -= logBytes;
             if (!dead.isEmpty()) {
                 state.installView(
                         new StoreState.View(
@@ -221,20 +224,20 @@
         } finally {
             state.writeLock.unlock();
         }
-        if (before.id() != 0) {
-            deleteQuietly(before.fileName());
+        if (previous.id() != 0) {
+            deleteQuietly(previous.fileName());
         }
         state.setDiskFull(false, "a checkpoint");
     }
 
-    private void compact(List<Long> victims, RateLimiter limit) throws IOException {
-        Set<Long> wanted = new HashSet<>(victims);
-        StoreState.View seen = state.acquireView();
+    private void compact(List<Long> victims, RateLimiter rateLimiter) throws IOException {
+        Set<Long> victimIds = new HashSet<>(victims);
+        StoreState.View view = state.acquireView();
         try {
-            Copier copier = new Copier(limit);
+            Copier copier = new Copier(rateLimiter);
             try {
-                for (Segment victim : seen.segments().all()) {
-                    if (wanted.contains(victim.id())) {
+                for (Segment victim : view.segments().all()) {
+                    if (victimIds.contains(victim.id())) {
                         copier.copyLiveEntries(victim);
                     }
                 }
@@ -243,7 +246,7 @@
                 copier.abandon();
             }
         } finally {
-            seen.segments().release();
+            view.segments().release();
         }
         checkpoint();
     }
@@ -263,34 +266,38 @@
         private long segmentId;
         private long endOffset;
 
-        Copier(RateLimiter limit) {
-            this.rateLimiter = limit;
+        Copier(RateLimiter rateLimiter) {
+            this.rateLimiter = rateLimiter;
         }
 
         void copyLiveEntries(Segment victim) throws IOException {
             SegmentReader reader = new SegmentReader(victim);
-            for (long at = SegmentFormat.SEGMENT_HEADER_BYTES; at < victim.usedBytes(); ) {
-                SegmentReader.Frame found = reader.frameAt(at);
-                if (found == null) {
-                    throw new StoreException.Damaged(victim.fileName(), at, "no sound record");
+            for (long frameOffset = SegmentFormat.SEGMENT_HEADER_BYTES;
+                    frameOffset < victim.usedBytes(); ) {
+                SegmentReader.Frame frame = reader.frameAt(frameOffset);
+                if (frame == null) {
+                    throw new StoreException.Damaged(
+                            victim.fileName(), frameOffset, "no sound record");
                 }
-                if (found.header().kind() == SegmentFormat.GROUP_FRAME
-                        || found.header().kind() == SegmentFormat.COPY_FRAME) {
+                if (frame.header().kind() == SegmentFormat.GROUP_FRAME
+                        || frame.header().kind() == SegmentFormat.COPY_FRAME) {
                     reader.visitEntries(
-                            found,
+                            frame,
                             (entry, batch, offset, raw) -> copyIfLive(victim, entry, offset, raw));
                 }
-                throttle(found.header().totalBytes());
-                at = found.endOffset();
+                throttle(frame.header().totalBytes());
+                frameOffset = frame.endOffset();
             }
         }
 
         private void copyIfLive(
                 Segment victim, SegmentFormat.Entry entry, long offset, ByteBuffer raw)
                 throws IOException {
-            long from = Index.Location.addressOf(victim.id(), offset);
-            Index.Location place = state.view().index().find(entry.key());
-            if (entry.op() != SegmentFormat.PUT || place == null || place.address() != from) {
+            long address = Index.Location.addressOf(victim.id(), offset);
+            Index.Location location = state.view().index().find(entry.key());
+            if (entry.op() != SegmentFormat.PUT
+                    || location == null
+                    || location.address() != address) {
                 return;
             }
             if (raw.remaining() > MAX_COPY_FRAME_BYTES) {
@@ -302,7 +309,7 @@
                                         + SegmentFormat.BATCH_HEADER_BYTES
                                         + SegmentFormat.ALIGNMENT_BYTES),
                         List.of(raw),
-                        List.of(new MovedEntry(entry.key(), from, place)));
+                        List.of(new MovedEntry(entry.key(), address, location)));
                 return;
             }
             if (frameBuffer.position() == 0) {
@@ -312,21 +319,22 @@
                 flushFrame();
                 beginFrame(frameBuffer);
             }
-            bufferedEntries.add(new MovedEntry(entry.key(), from, place));
+            bufferedEntries.add(new MovedEntry(entry.key(), address, location));
             frameBuffer.put(raw);
         }
 
-        private void beginFrame(ByteBuffer into) {
-            into.clear();
-            SegmentFormat.beginFrame(into, SegmentFormat.COPY_FRAME, 1, 0);
-            into.putInt(0);
+        private void beginFrame(ByteBuffer frame) {
+            frame.clear();
+            SegmentFormat.beginFrame(frame, SegmentFormat.COPY_FRAME, 1, 0);
+            frame.putInt(0);
         }
 
-        private void writeEntries(ByteBuffer into, List<ByteBuffer> entries, List<MovedEntry> of)
+        private void writeEntries(
+                ByteBuffer frame, List<ByteBuffer> entries, List<MovedEntry> moved)
                 throws IOException {
-            beginFrame(into);
-            entries.forEach(into::put);
-            writeFrame(into, of);
+            beginFrame(frame);
+            entries.forEach(frame::put);
+            writeFrame(frame, moved);
         }
 
         private void flushFrame() throws IOException {
@@ -338,7 +346,7 @@
         }
 
         /** Writes a frame of entries and records their new locations. */
-        private void writeFrame(ByteBuffer frame, List<MovedEntry> of) throws IOException {
+        private void writeFrame(ByteBuffer frame, List<MovedEntry> moved) throws IOException {
             if (output != null
                     && endOffset + frame.position() + SegmentFormat.ALIGNMENT_BYTES
                             > state.options.segmentBytes()) {
@@ -347,7 +355,7 @@
             if (output == null) {
                 openSegment();
             }
-            frame.putInt(SegmentFormat.FRAME_HEADER_BYTES, of.size());
+            frame.putInt(SegmentFormat.FRAME_HEADER_BYTES, moved.size());
             SegmentFormat.endFrame(
                     frame,
                     0,
@@ -357,18 +365,18 @@
             if (output.write(frame, endOffset) < bytes) {
                 throw new IOException("short write of " + segmentFileName());
             }
-            long at =
+            long entryOffset =
                     endOffset + SegmentFormat.FRAME_HEADER_BYTES + SegmentFormat.BATCH_HEADER_BYTES;
-            for (MovedEntry entry : of) {
+            for (MovedEntry entry : moved) {
                 movedEntries.add(
                         new MovedEntry(
                                 entry.key(),
                                 entry.oldAddress(),
                                 new Index.Location(
-                                        Index.Location.addressOf(segmentId, at),
+                                        Index.Location.addressOf(segmentId, entryOffset),
                                         entry.newLocation().version(),
                                         entry.newLocation().valueLength())));
-                at +=
+                entryOffset +=
                         SegmentFormat.ENTRY_HEADER_BYTES
                                 + entry.key().length
                                 + entry.newLocation().valueLength();
@@ -417,9 +425,10 @@
             output = null;
             state.writeLock.lock();
             try {
-                StoreState.View now = state.view();
+                StoreState.View view = state.view();
                 state.installView(
-                        new StoreState.View(now.index(), now.segments().with(segment), now.seq()));
+                        new StoreState.View(
+                                view.index(), view.segments().with(segment), view.seq()));
             } finally {
                 state.writeLock.unlock();
             }
@@ -436,24 +445,24 @@
          * Moves the index to the copies of those entries that were not overwritten or deleted in
          * the meantime.
          */
-        private void updateIndex(Segment to, List<MovedEntry> entries) {
+        private void updateIndex(Segment target, List<MovedEntry> entries) {
             state.writeLock.lock();
             try {
-                StoreState.View now = state.view();
-                Index index = now.index();
+                StoreState.View view = state.view();
+                Index index = view.index();
                 for (MovedEntry entry : entries) {
-                    Index.Location place = index.find(entry.key());
-                    if (place != null && place.address() == entry.oldAddress()) {
+                    Index.Location location = index.find(entry.key());
+                    if (location != null && location.address() == entry.oldAddress()) {
                         int bytes =
                                 SegmentFormat.ENTRY_HEADER_BYTES
                                         + entry.key().length
-                                        + place.valueLength();
-                        now.segments().get(place.segmentId()).addLiveBytes(-bytes);
-                        to.addLiveBytes(bytes);
+                                        + location.valueLength();
+                        view.segments().get(location.segmentId()).addLiveBytes(-bytes);
+                        target.addLiveBytes(bytes);
                         index = index.put(entry.key(), entry.newLocation());
                     }
                 }
-                state.installView(new StoreState.View(index, now.segments(), now.seq()));
+                state.installView(new StoreState.View(index, view.segments(), view.seq()));
             } finally {
                 state.writeLock.unlock();
             }
@@ -477,12 +486,12 @@
             if (rateLimiter == null) {
                 return;
             }
-            long until = System.nanoTime() + rateLimiter.take(bytes, System.nanoTime());
-            for (long left = until - System.nanoTime();
-                    left > 0;
-                    left = until - System.nanoTime()) {
+            long deadlineNs = System.nanoTime() + rateLimiter.take(bytes, System.nanoTime());
+            for (long remainingNs = deadlineNs - System.nanoTime();
+                    remainingNs > 0;
+                    remainingNs = deadlineNs - System.nanoTime()) {
                 checkNotClosing();
-                LockSupport.parkNanos(Math.min(left, MAX_PAUSE_NS));
+                LockSupport.parkNanos(Math.min(remainingNs, MAX_PAUSE_NS));
             }
         }
     }
--- a/relay/src/main/java/saltstage/store/MaintenancePolicy.java
+++ b/relay/src/main/java/saltstage/store/MaintenancePolicy.java
@@ -45,8 +45,8 @@
      * checkpoint holds the whole index. Requiring at least as much log as the last checkpoint had
      * bytes limits checkpoint writes to the volume of log writes, whatever the number of keys.
      */
-    public boolean isCheckpointDue(long logSince, long lastCheckpointBytes) {
-        return logSince >= Math.max(CHECKPOINT_LOG_SEGMENTS * segmentBytes, lastCheckpointBytes);
+    public boolean isCheckpointDue(long logBytes, long lastCheckpointBytes) {
+        return logBytes >= Math.max(CHECKPOINT_LOG_SEGMENTS * segmentBytes, lastCheckpointBytes);
     }
 
     /**
@@ -55,33 +55,37 @@
      * least as many dead bytes.
      */
     public List<Long> selectForCompaction(List<SealedSegment> sealed, long checkpointBytes) {
-        long dead = sealed.stream().mapToLong(SealedSegment::deadBytes).sum();
-        if (dead < Math.max(MIN_DEAD_SEGMENTS * segmentBytes, checkpointBytes)) {
+        long deadBytes = sealed.stream().mapToLong(SealedSegment::deadBytes).sum();
+        if (deadBytes < Math.max(MIN_DEAD_SEGMENTS * segmentBytes, checkpointBytes)) {
             return List.of();
         }
-        List<SealedSegment> order = new ArrayList<>(sealed);
-        order.removeIf(s -> s.deadBytes() < MIN_DEAD_SHARE * s.usedBytes());
-        order.sort(
+        List<SealedSegment> candidates = new ArrayList<>(sealed);
+        candidates.removeIf(segment -> segment.deadBytes() < MIN_DEAD_SHARE * segment.usedBytes());
+        candidates.sort(
                 Comparator.comparingDouble(
-                                (SealedSegment s) ->
-                                        (double) s.liveBytes() / Math.max(1, s.usedBytes()))
+                                (SealedSegment segment) ->
+                                        (double) segment.liveBytes()
+                                                / Math.max(1, segment.usedBytes()))
                         .thenComparingLong(SealedSegment::id));
-        List<Long> chosen = new ArrayList<>();
-        long copied = 0;
-        for (SealedSegment s : order) {
-            copied += s.liveBytes();
-            if (!chosen.isEmpty() && copied > MAX_COPIED_SEGMENTS * segmentBytes) {
+        List<Long> selected = new ArrayList<>();
+        long copiedBytes = 0;
+        for (SealedSegment segment : candidates) {
+            copiedBytes += segment.liveBytes();
+            if (!selected.isEmpty() && copiedBytes > MAX_COPIED_SEGMENTS * segmentBytes) {
                 break;
             }
-            chosen.add(s.id());
+            selected.add(segment.id());
         }
-        return chosen;
+        return selected;
     }
 
     /**
      * Returns the segments that a manual compaction rewrites: every sealed segment with dead data.
      */
     public static List<Long> selectAllWithDeadData(List<SealedSegment> sealed) {
-        return sealed.stream().filter(s -> s.deadBytes() > 0).map(SealedSegment::id).toList();
+        return sealed.stream()
+                .filter(segment -> segment.deadBytes() > 0)
+                .map(SealedSegment::id)
+                .toList();
     }
 }
--- a/relay/src/main/java/saltstage/store/Manifest.java
+++ b/relay/src/main/java/saltstage/store/Manifest.java
@@ -49,9 +49,10 @@
             .putLong(checkpoint.id()).putLong(checkpoint.seq()).putLong(checkpoint.replaySegmentId())
             .putLong(checkpoint.replayOffset()).putLong(checkpoint.bytes()).putInt(checkpoint.crc())
             .putLong(checkpoint.keyCount()).putInt(0).putInt(segments.size());
-        for (SegmentRef part : segments) {
-            out.putLong(part.id()).put(part.kind()).put((byte) (part.sealed() ? 1 : 0)).putLong(part.size())
-                .putLong(part.usedBytes()).putLong(part.baseSeq()).putLong(part.lastSeq());
+        for (SegmentRef segment : segments) {
+            out.putLong(segment.id()).put(segment.kind()).put((byte) (segment.sealed() ? 1 : 0))
+                .putLong(segment.size()).putLong(segment.usedBytes()).putLong(segment.baseSeq())
+                .putLong(segment.lastSeq());
         }
         out.flip();
         out.putInt(CRC_OFFSET, SegmentFormat.crcExcluding(out, CRC_OFFSET));
@@ -74,9 +75,9 @@
                 + " are");
         }
         in.position(16);
-        SegmentFormat.StoreId store = new SegmentFormat.StoreId(in.getLong(), in.getLong());
+        SegmentFormat.StoreId storeId = new SegmentFormat.StoreId(in.getLong(), in.getLong());
         long generation = in.getLong();
-        long nextId = in.getLong();
+        long nextFileId = in.getLong();
         CheckpointRef checkpoint = new CheckpointRef(in.getLong(), in.getLong(), in.getLong(), in.getLong(),
             in.getLong(), in.getInt(), in.getLong());
         in.getInt();
@@ -84,12 +85,12 @@
         if (count < 1 || count > MAX_SEGMENTS || in.remaining() != (long) count * SEGMENT_REF_BYTES) {
             throw new StoreException.Damaged(NAME, in.position(), "the list of segments is cut");
         }
-        List<SegmentRef> parts = new ArrayList<>();
+        List<SegmentRef> segments = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            parts.add(new SegmentRef(in.getLong(), in.get(), in.get() == 1, in.getLong(), in.getLong(),
+            segments.add(new SegmentRef(in.getLong(), in.get(), in.get() == 1, in.getLong(), in.getLong(),
                 in.getLong(), in.getLong()));
         }
-        return new Manifest(format, store, generation, nextId, checkpoint, List.copyOf(parts));
+        return new Manifest(format, storeId, generation, nextFileId, checkpoint, List.copyOf(segments));
     }
 
     static Manifest read(Disk disk) throws IOException {
@@ -109,8 +110,8 @@
         disk.delete(TEMPORARY_NAME);
         try (Disk.File file = disk.create(TEMPORARY_NAME)) {
             ByteBuffer out = encode();
-            int whole = out.remaining();
-            if (file.write(out, 0) < whole) {
+            int length = out.remaining();
+            if (file.write(out, 0) < length) {
                 throw new IOException("short write of " + TEMPORARY_NAME);
             }
             file.force();
--- a/relay/src/main/java/saltstage/store/PendingBatch.java
+++ b/relay/src/main/java/saltstage/store/PendingBatch.java
@@ -22,12 +22,12 @@
         return batch;
     }
 
-    void setSeq(long given) {
-        seq = given;
+    void setSeq(long assignedSeq) {
+        seq = assignedSeq;
     }
 
-    void fail(StoreException why) {
-        failure = why;
+    void fail(StoreException cause) {
+        failure = cause;
     }
 
     void promoteToLeader() {
--- a/relay/src/main/java/saltstage/store/RateLimiter.java
+++ b/relay/src/main/java/saltstage/store/RateLimiter.java
@@ -21,16 +21,16 @@
      * Records that this many bytes were used at this time. Returns the nanoseconds to wait before
      * the next use.
      */
-    long take(long bytes, long nanos) {
+    long take(long bytes, long nowNs) {
         if (started) {
             debtBytes =
                     Math.max(
                             0,
                             debtBytes
-                                    - (nanos - lastTakeNs) / NANOS_PER_SECOND * maxBytesPerSecond);
+                                    - (nowNs - lastTakeNs) / NANOS_PER_SECOND * maxBytesPerSecond);
         }
         started = true;
-        lastTakeNs = nanos;
+        lastTakeNs = nowNs;
         debtBytes += bytes;
         return (long)
                 (Math.max(0, debtBytes - maxBytesPerSecond / BURSTS_PER_SECOND)
--- a/relay/src/main/java/saltstage/store/Recovery.java
+++ b/relay/src/main/java/saltstage/store/Recovery.java
@@ -28,9 +28,9 @@
      */
     private long acknowledgedSeq = -1;
 
-    Recovery(StoreState core, boolean toWrite) {
-        this.state = core;
-        this.writable = toWrite;
+    Recovery(StoreState state, boolean writable) {
+        this.state = state;
+        this.writable = writable;
     }
 
     /** Recovers the view, manifest, active segment and sequence numbers of the store state. */
@@ -127,15 +127,15 @@
      */
     private void checkNothingAcknowledged() throws IOException {
         try (Disk.File file = state.disk.open(AcknowledgedSeqFile.NAME, false)) {
-            long said = AcknowledgedSeqFile.readOfAnyStore(file);
-            if (said > 0) {
+            long seq = AcknowledgedSeqFile.readOfAnyStore(file);
+            if (seq > 0) {
                 throw new StoreException.Damaged(
                         Manifest.NAME,
                         0,
                         "the file is missing, but "
                                 + AcknowledgedSeqFile.NAME
                                 + " says that record "
-                                + said
+                                + seq
                                 + " was acknowledged");
             }
         }
@@ -164,18 +164,18 @@
     }
 
     private void openSegments(List<String> names) throws IOException {
-        for (Manifest.SegmentRef part : manifest.segments()) {
-            if (!names.contains(part.fileName())) {
-                throw new StoreException.Damaged(part.fileName(), 0, "the file is missing");
+        for (Manifest.SegmentRef ref : manifest.segments()) {
+            if (!names.contains(ref.fileName())) {
+                throw new StoreException.Damaged(ref.fileName(), 0, "the file is missing");
             }
-            Disk.File file = state.disk.open(part.fileName(), writable);
+            Disk.File file = state.disk.open(ref.fileName(), writable);
             Segment segment = null;
             try {
-                SegmentFormat.SegmentHeader header = readHeader(part.fileName(), file);
-                checkMatchesManifest(part, header, file.size());
-                segment = new Segment(state.disk, part.fileName(), file, header);
+                SegmentFormat.SegmentHeader header = readHeader(ref.fileName(), file);
+                checkMatchesManifest(ref, header, file.size());
+                segment = new Segment(state.disk, ref.fileName(), file, header);
                 segment.setUsedBytes(
-                        part.sealed() ? part.usedBytes() : SegmentFormat.SEGMENT_HEADER_BYTES);
+                        ref.sealed() ? ref.usedBytes() : SegmentFormat.SEGMENT_HEADER_BYTES);
                 segments.add(segment);
             } finally {
                 if (segment == null) {
@@ -187,7 +187,7 @@
             throw new StoreException.Damaged(
                     manifest.checkpoint().fileName(), 0, "the file is missing");
         }
-        if (manifest.segments().stream().filter(part -> !part.sealed()).count() != 1) {
+        if (manifest.segments().stream().filter(ref -> !ref.sealed()).count() != 1) {
             throw new StoreException.Damaged(Manifest.NAME, 0, "not one segment is open");
         }
     }
@@ -200,24 +200,23 @@
     }
 
     private void checkMatchesManifest(
-            Manifest.SegmentRef part, SegmentFormat.SegmentHeader header, long size)
+            Manifest.SegmentRef ref, SegmentFormat.SegmentHeader header, long size)
             throws StoreException {
         if (!header.storeId().equals(manifest.storeId())) {
             throw new StoreException.Damaged(
-                    part.fileName(), 16, "the segment belongs to another store");
+                    ref.fileName(), 16, "the segment belongs to another store");
         }
-        if (header.id() != part.id()
-                || header.kind() != part.kind()
-                || header.size() != part.size()
-                || header.baseSeq() != part.baseSeq()) {
-            throw new StoreException.Damaged(
-                    part.fileName(), 32, "not the segment of the manifest");
+        if (header.id() != ref.id()
+                || header.kind() != ref.kind()
+                || header.size() != ref.size()
+                || header.baseSeq() != ref.baseSeq()) {
+            throw new StoreException.Damaged(ref.fileName(), 32, "not the segment of the manifest");
         }
-        if (size != part.size()) {
+        if (size != ref.size()) {
             throw new StoreException.Damaged(
-                    part.fileName(),
-                    Math.min(size, part.size()),
-                    "the file is " + size + " bytes long; " + part.size() + " were taken for it");
+                    ref.fileName(),
+                    Math.min(size, ref.size()),
+                    "the file is " + size + " bytes long; " + ref.size() + " were taken for it");
         }
     }
 
@@ -226,13 +225,13 @@
      * could hold acknowledged records.
      */
     private List<String> findLeftovers(List<String> names) throws IOException {
-        Set<String> known =
+        Set<String> knownNames =
                 new HashSet<>(List.of(Manifest.NAME, AcknowledgedSeqFile.NAME, LOCK_FILE_NAME));
-        List<String> left = new ArrayList<>();
-        manifest.segments().forEach(part -> known.add(part.fileName()));
-        known.add(manifest.checkpoint().fileName());
+        List<String> leftovers = new ArrayList<>();
+        manifest.segments().forEach(ref -> knownNames.add(ref.fileName()));
+        knownNames.add(manifest.checkpoint().fileName());
         for (String name : names) {
-            if (known.contains(name)) {
+            if (knownNames.contains(name)) {
                 continue;
             }
             if (name.matches("[0-9a-f]{16}\\.(log|copy)")) {
@@ -241,10 +240,10 @@
             if (name.matches("[0-9a-f]{16}\\.(log|copy|index|tmp)")
                     || name.equals(Manifest.TEMPORARY_NAME)
                     || name.equals(AcknowledgedSeqFile.TEMPORARY_NAME)) {
-                left.add(name);
+                leftovers.add(name);
             }
         }
-        return left;
+        return leftovers;
     }
 
     /**
@@ -261,9 +260,9 @@
             SegmentFormat.SegmentHeader header;
             try {
                 header = readHeader(name, file);
-            } catch (StoreException.Damaged unreadable) {
+            } catch (StoreException.Damaged e) {
                 if (newer) {
-                    throw unreadable;
+                    throw e;
                 }
                 return; // nothing refers to the file
             }
@@ -283,81 +282,82 @@
     }
 
     private void replay() throws IOException {
-        long from = manifest.checkpoint().replaySegmentId();
+        long replaySegmentId = manifest.checkpoint().replaySegmentId();
         for (int i = 0; i < segments.size(); i++) {
             Segment segment = segments.get(i);
-            Manifest.SegmentRef part = manifest.segments().get(i);
-            if (part.kind() != SegmentFormat.LOG_SEGMENT || part.id() < from) {
+            Manifest.SegmentRef ref = manifest.segments().get(i);
+            if (ref.kind() != SegmentFormat.LOG_SEGMENT || ref.id() < replaySegmentId) {
                 continue;
             }
             long start =
-                    part.id() == from
+                    ref.id() == replaySegmentId
                             ? manifest.checkpoint().replayOffset()
                             : SegmentFormat.SEGMENT_HEADER_BYTES;
-            if (part.id() != from && part.baseSeq() != nextSeq) {
+            if (ref.id() != replaySegmentId && ref.baseSeq() != nextSeq) {
                 throw new StoreException.Damaged(
-                        part.fileName(),
+                        ref.fileName(),
                         48,
-                        "begins with record " + part.baseSeq() + "; " + nextSeq + " was to come");
+                        "begins with record " + ref.baseSeq() + "; " + nextSeq + " was to come");
             }
-            if (part.sealed()) {
-                replaySealed(segment, part, start);
+            if (ref.sealed()) {
+                replaySealed(segment, ref, start);
             } else {
                 replayActive(segment, start);
             }
         }
     }
 
-    private void replaySealed(Segment segment, Manifest.SegmentRef part, long start)
+    private void replaySealed(Segment segment, Manifest.SegmentRef ref, long start)
             throws IOException {
         SegmentReader reader = new SegmentReader(segment);
-        long at = start;
-        while (at < part.usedBytes()) {
-            SegmentReader.Frame found = applyNextGroup(reader, at);
-            if (found == null) {
-                throw new StoreException.Damaged(part.fileName(), at, "no sound record");
+        long offset = start;
+        while (offset < ref.usedBytes()) {
+            SegmentReader.Frame frame = applyNextGroup(reader, offset);
+            if (frame == null) {
+                throw new StoreException.Damaged(ref.fileName(), offset, "no sound record");
             }
-            at = found.endOffset();
+            offset = frame.endOffset();
         }
-        if (at != part.usedBytes() || nextSeq != part.lastSeq() + 1) {
+        if (offset != ref.usedBytes() || nextSeq != ref.lastSeq() + 1) {
             throw new StoreException.Damaged(
-                    part.fileName(),
-                    at,
-                    "ends with record " + (nextSeq - 1) + "; " + part.lastSeq() + " was sealed");
+                    ref.fileName(),
+                    offset,
+                    "ends with record " + (nextSeq - 1) + "; " + ref.lastSeq() + " was sealed");
         }
     }
 
     /** Applies the expected next group. Returns null if there is no valid one at this offset. */
-    private SegmentReader.Frame applyNextGroup(SegmentReader reader, long at) throws IOException {
-        SegmentReader.Frame found = reader.frameAt(at);
-        if (found == null
-                || found.header().kind() != SegmentFormat.GROUP_FRAME
-                || found.header().firstSeq() != nextSeq
-                || found.header().batchCount() < 1) {
+    private SegmentReader.Frame applyNextGroup(SegmentReader reader, long offset)
+            throws IOException {
+        SegmentReader.Frame frame = reader.frameAt(offset);
+        if (frame == null
+                || frame.header().kind() != SegmentFormat.GROUP_FRAME
+                || frame.header().firstSeq() != nextSeq
+                || frame.header().batchCount() < 1) {
             return null;
         }
         applyEntries(
                 reader,
-                found.payload().duplicate(),
-                found.header(),
-                at + SegmentFormat.FRAME_HEADER_BYTES);
-        return found;
+                frame.payload().duplicate(),
+                frame.header(),
+                offset + SegmentFormat.FRAME_HEADER_BYTES);
+        return frame;
     }
 
     private void applyEntries(
-            SegmentReader reader, ByteBuffer payload, SegmentFormat.FrameHeader head, long offset)
+            SegmentReader reader, ByteBuffer payload, SegmentFormat.FrameHeader header, long offset)
             throws IOException {
-        long segment = reader.segmentId();
+        long segmentId = reader.segmentId();
         reader.visitEntries(
                 payload,
-                head,
+                header,
                 offset,
-                (entry, batch, at, raw) -> {
-                    long seq = head.firstSeq() + batch;
+                (entry, batch, entryOffset, raw) -> {
+                    long seq = header.firstSeq() + batch;
                     if (entry.version() != seq) {
                         throw new StoreException.Damaged(
                                 reader.fileName(),
-                                at,
+                                entryOffset,
                                 "the entry is of record "
                                         + entry.version()
                                         + ", its group of "
@@ -369,49 +369,58 @@
                                     : index.put(
                                             entry.key(),
                                             new Index.Location(
-                                                    Index.Location.addressOf(segment, at),
+                                                    Index.Location.addressOf(
+                                                            segmentId, entryOffset),
                                                     seq,
                                                     entry.valueLength()));
                 });
-        nextSeq += head.batchCount();
+        nextSeq += header.batchCount();
     }
 
     private void replayActive(Segment segment, long start) throws IOException {
-        long at = start;
+        long offset = start;
         SegmentReader reader = new SegmentReader(segment);
         SegmentReader.Frame last = null;
-        long restored = -1;
+        long restoredOffset = -1;
         while (true) {
-            SegmentReader.Frame found = applyNextGroup(reader, at);
-            if (found != null) {
-                last = found;
-                at = found.endOffset();
+            SegmentReader.Frame frame = applyNextGroup(reader, offset);
+            if (frame != null) {
+                last = frame;
+                offset = frame.endOffset();
                 continue;
             }
-            SegmentReader.TailScan tail = reader.scanTail(at, nextSeq);
-            TailClassifier.TailState verdict =
+            SegmentReader.TailScan tail = reader.scanTail(offset, nextSeq);
+            TailClassifier.TailState tailState =
                     TailClassifier.classify(tail.findings(), acknowledgedSeq >= nextSeq);
-            if (verdict == TailClassifier.TailState.DAMAGED
-                    || verdict == TailClassifier.TailState.RESTORABLE && restored == at) {
+            if (tailState == TailClassifier.TailState.DAMAGED
+                    || tailState == TailClassifier.TailState.RESTORABLE
+                            && restoredOffset == offset) {
                 throw new StoreException.Damaged(
                         segment.fileName(),
-                        at,
+                        offset,
                         "record " + nextSeq + " was acknowledged and cannot be read");
             }
-            if (verdict != TailClassifier.TailState.RESTORABLE) {
-                repairTail(segment, last, at, tail, verdict);
+            if (tailState != TailClassifier.TailState.RESTORABLE) {
+                repairTail(segment, last, offset, tail, tailState);
                 break;
             }
             state.events.onEvent(
-                    "store.restored", "file", segment.fileName(), "offset", at, "record", nextSeq);
-            restored = at; // prevents an endless loop on a disk that does not keep the write
-            at = restoreFromMirror(segment, reader, tail.mirror(), at);
+                    "store.restored",
+                    "file",
+                    segment.fileName(),
+                    "offset",
+                    offset,
+                    "record",
+                    nextSeq);
+            // Prevents an endless loop on a disk that does not keep the write.
+            restoredOffset = offset;
+            offset = restoreFromMirror(segment, reader, tail.mirror(), offset);
             reader = new SegmentReader(segment);
             if (!writable) {
                 break;
             }
         }
-        segment.setUsedBytes(at);
+        segment.setUsedBytes(offset);
     }
 
     /**
@@ -419,38 +428,38 @@
      * entries are applied from the mirror.
      */
     private long restoreFromMirror(
-            Segment segment, SegmentReader reader, SegmentReader.Frame mirror, long at)
+            Segment segment, SegmentReader reader, SegmentReader.Frame mirror, long offset)
             throws IOException {
         ByteBuffer copy =
                 mirror.payload().duplicate().position(SegmentFormat.MIRROR_HEADER_BYTES).slice();
-        SegmentFormat.FrameHeader head =
-                SegmentFormat.decodeFrame(copy.duplicate(), segment.checksumSeed(), at);
-        if (head == null
-                || head.kind() != SegmentFormat.GROUP_FRAME
-                || head.firstSeq() != nextSeq) {
+        SegmentFormat.FrameHeader header =
+                SegmentFormat.decodeFrame(copy.duplicate(), segment.checksumSeed(), offset);
+        if (header == null
+                || header.kind() != SegmentFormat.GROUP_FRAME
+                || header.firstSeq() != nextSeq) {
             throw new StoreException.Damaged(
                     segment.fileName(), mirror.offset(), "the mirror holds another record");
         }
         if (writable) {
             ByteBuffer out = copy.duplicate();
-            int whole = out.remaining();
-            if (segment.file().write(out, at) < whole) {
+            int length = out.remaining();
+            if (segment.file().write(out, offset) < length) {
                 throw new IOException("short write to " + segment.fileName());
             }
             segment.file().force();
-            return at;
+            return offset;
         }
         applyEntries(
                 reader,
                 copy.position(SegmentFormat.FRAME_HEADER_BYTES)
-                        .limit(SegmentFormat.FRAME_HEADER_BYTES + head.payloadLength())
+                        .limit(SegmentFormat.FRAME_HEADER_BYTES + header.payloadLength())
                         .slice(),
-                head,
+                header,
                 mirror.offset()
                         + SegmentFormat.FRAME_HEADER_BYTES
                         + SegmentFormat.MIRROR_HEADER_BYTES
                         + SegmentFormat.FRAME_HEADER_BYTES);
-        return at + head.totalBytes();
+        return offset + header.totalBytes();
     }
 
     /**
@@ -460,27 +469,27 @@
     private void repairTail(
             Segment segment,
             SegmentReader.Frame last,
-            long at,
+            long offset,
             SegmentReader.TailScan tail,
-            TailClassifier.TailState verdict)
+            TailClassifier.TailState tailState)
             throws IOException {
-        if (verdict == TailClassifier.TailState.TORN) {
+        if (tailState == TailClassifier.TailState.TORN) {
             state.events.onEvent(
                     "store.torn",
                     "file",
                     segment.fileName(),
                     "offset",
-                    at,
+                    offset,
                     "length",
-                    tail.nonZeroEnd() - at);
+                    tail.nonZeroEnd() - offset);
         }
         if (!writable || tail.findings().hasTrailerOfPrevious() || last == null) {
-            if (writable && verdict == TailClassifier.TailState.TORN) {
-                zeroRange(segment, at, tail.nonZeroEnd());
+            if (writable && tailState == TailClassifier.TailState.TORN) {
+                zeroRange(segment, offset, tail.nonZeroEnd());
             }
             return;
         }
-        zeroRange(segment, at, tail.nonZeroEnd());
+        zeroRange(segment, offset, tail.nonZeroEnd());
         ByteBuffer out =
                 ByteBuffer.allocate(
                         last.header().totalBytes()
@@ -495,7 +504,7 @@
             SegmentFormat.encodeCommitMarker(
                     out, last.header(), segment.checksumSeed(), last.offset());
         }
-        writeFully(segment, out.flip().position(last.header().totalBytes()), at);
+        writeFully(segment, out.flip().position(last.header().totalBytes()), offset);
         segment.file().force();
     }
 
@@ -504,9 +513,10 @@
         segment.file().force();
     }
 
-    private static void writeFully(Segment segment, ByteBuffer out, long at) throws IOException {
-        int whole = out.remaining();
-        if (segment.file().write(out, at) < whole) {
+    private static void writeFully(Segment segment, ByteBuffer out, long offset)
+            throws IOException {
+        int length = out.remaining();
+        if (segment.file().write(out, offset) < length) {
             throw new IOException("short write to " + segment.fileName());
         }
     }
@@ -514,8 +524,8 @@
     private void installState() throws IOException {
         SegmentSet set = new SegmentSet(segments);
         for (Index.Cursor cursor = index.cursor(null); cursor.advance(); ) {
-            Index.Location place = cursor.location();
-            Segment segment = set.get(place.segmentId());
+            Index.Location location = cursor.location();
+            Segment segment = set.get(location.segmentId());
             if (segment == null) {
                 throw new StoreException.Damaged(
                         manifest.checkpoint().fileName(),
@@ -523,7 +533,9 @@
                         "an entry points to a segment that is not there");
             }
             segment.addLiveBytes(
-                    SegmentFormat.ENTRY_HEADER_BYTES + cursor.key().length + place.valueLength());
+                    SegmentFormat.ENTRY_HEADER_BYTES
+                            + cursor.key().length
+                            + location.valueLength());
         }
         if (writable && acknowledgedSeq < 0) {
             state.acknowledgedSeqFile =
--- a/relay/src/main/java/saltstage/store/Segment.java
+++ b/relay/src/main/java/saltstage/store/Segment.java
@@ -25,9 +25,9 @@
     /** The bytes of the entries that the index points to. */
     private long liveBytes;
 
-    Segment(Disk disk, String name, Disk.File file, SegmentFormat.SegmentHeader header) {
+    Segment(Disk disk, String fileName, Disk.File file, SegmentFormat.SegmentHeader header) {
         this.disk = disk;
-        this.fileName = name;
+        this.fileName = fileName;
         this.file = file;
         this.header = header;
         checksumSeed = new SegmentFormat.ChecksumSeed(header.storeId(), header.id());
@@ -61,16 +61,16 @@
         return usedBytes;
     }
 
-    void setUsedBytes(long to) {
-        usedBytes = to;
+    void setUsedBytes(long bytes) {
+        usedBytes = bytes;
     }
 
     long liveBytes() {
         return liveBytes;
     }
 
-    void addLiveBytes(long by) {
-        liveBytes += by;
+    void addLiveBytes(long bytes) {
+        liveBytes += bytes;
     }
 
     boolean hasRoomFor(int groupTotal) {
@@ -81,8 +81,8 @@
      * Reads the value of the entry that the index locates at this offset. Anything else at the
      * offset is reported as damage.
      */
-    byte[] readValue(long offset, byte[] key, Index.Location place) throws IOException {
-        int bytes = SegmentFormat.ENTRY_HEADER_BYTES + key.length + place.valueLength();
+    byte[] readValue(long offset, byte[] key, Index.Location location) throws IOException {
+        int bytes = SegmentFormat.ENTRY_HEADER_BYTES + key.length + location.valueLength();
         ByteBuffer in = ByteBuffer.allocate(bytes);
         if (file.read(in, offset) < bytes) {
             throw new StoreException.Damaged(fileName, offset, "the file ends in an entry");
@@ -90,7 +90,7 @@
         SegmentFormat.Entry entry = SegmentFormat.decodeEntry(in.flip());
         if (entry == null
                 || entry.op() != SegmentFormat.PUT
-                || entry.version() != place.version()
+                || entry.version() != location.version()
                 || !java.util.Arrays.equals(entry.key(), key)) {
             throw new StoreException.Damaged(
                     fileName, offset, "no sound entry where the index has one");
@@ -115,7 +115,7 @@
             if (deleteOnRelease) {
                 disk.delete(fileName);
             }
-        } catch (IOException left) { // the next open deletes files that are not in the manifest
+        } catch (IOException e) { // the next open deletes files that are not in the manifest
             return;
         }
     }
--- a/relay/src/main/java/saltstage/store/SegmentFormat.java
+++ b/relay/src/main/java/saltstage/store/SegmentFormat.java
@@ -74,15 +74,16 @@
      * turn out smaller than its maximum, and may then be followed by a mirror where the maximum
      * would only need a commit marker, so both cases are covered.
      */
-    static int reservedBytes(int mostTotal) {
-        int mirrored = Math.min(mostTotal, MAX_MIRRORED_BYTES);
-        return Math.max(mirrored + trailerBytes(mirrored), mostTotal + trailerBytes(mostTotal));
+    static int reservedBytes(int maxGroupBytes) {
+        int mirrored = Math.min(maxGroupBytes, MAX_MIRRORED_BYTES);
+        return Math.max(
+                mirrored + trailerBytes(mirrored), maxGroupBytes + trailerBytes(maxGroupBytes));
     }
 
     /** Returns the space that the mirror or commit marker behind a group needs. */
-    static int trailerBytes(int groupTotal) {
-        return groupTotal <= MAX_MIRRORED_BYTES
-                ? alignUp(FRAME_HEADER_BYTES + MIRROR_HEADER_BYTES + groupTotal)
+    static int trailerBytes(int groupBytes) {
+        return groupBytes <= MAX_MIRRORED_BYTES
+                ? alignUp(FRAME_HEADER_BYTES + MIRROR_HEADER_BYTES + groupBytes)
                 : COMMIT_MARKER_BYTES;
     }
 
@@ -135,11 +136,11 @@
     /**
      * Returns the CRC32C of a buffer, with the four checksum bytes at this position taken as zero.
      */
-    static int crcExcluding(ByteBuffer of, int at) {
+    static int crcExcluding(ByteBuffer buffer, int position) {
         CRC32C crc = new CRC32C();
-        crc.update(of.duplicate().position(0).limit(at));
+        crc.update(buffer.duplicate().position(0).limit(position));
         crc.update(new byte[4], 0, 4);
-        crc.update(of.duplicate().position(at + 4));
+        crc.update(buffer.duplicate().position(position + 4));
         return (int) crc.getValue();
     }
 
@@ -196,25 +197,25 @@
      * Returns null if there is no complete and valid frame.
      */
     static FrameHeader decodeFrame(ByteBuffer in, ChecksumSeed seed, long offset) {
-        int at = in.position();
-        if (in.remaining() < FRAME_HEADER_BYTES || in.getInt(at) != FRAME_MAGIC) {
+        int start = in.position();
+        if (in.remaining() < FRAME_HEADER_BYTES || in.getInt(start) != FRAME_MAGIC) {
             return null;
         }
-        byte kind = in.get(at + 4);
-        int length = in.getInt(at + 8);
+        byte kind = in.get(start + 4);
+        int length = in.getInt(start + 8);
         if (kind < GROUP_FRAME
                 || kind > COPY_FRAME
                 || length < 0
                 || length > in.remaining() - FRAME_HEADER_BYTES
-                || in.get(at + 5) != 0
-                || in.getShort(at + 6) != 0
-                || in.getInt(at + 28) != 0) {
+                || in.get(start + 5) != 0
+                || in.getShort(start + 6) != 0
+                || in.getInt(start + 28) != 0) {
             return null;
         }
-        int crc = seed.crc(in.duplicate().limit(at + FRAME_HEADER_BYTES + length), offset);
-        return crc != in.getInt(at + FRAME_CRC_OFFSET)
+        int crc = seed.crc(in.duplicate().limit(start + FRAME_HEADER_BYTES + length), offset);
+        return crc != in.getInt(start + FRAME_CRC_OFFSET)
                 ? null
-                : new FrameHeader(kind, length, in.getInt(at + 12), in.getLong(at + 16), crc);
+                : new FrameHeader(kind, length, in.getInt(start + 12), in.getLong(start + 16), crc);
     }
 
     static void encodeEntry(ByteBuffer out, byte op, byte[] key, byte[] value, long version) {
@@ -245,13 +246,13 @@
      * there is no valid entry.
      */
     static Entry decodeEntry(ByteBuffer in) {
-        int at = in.position();
+        int start = in.position();
         if (in.remaining() < ENTRY_HEADER_BYTES) {
             return null;
         }
-        byte op = in.get(at);
-        int keyLength = in.getShort(at + 1);
-        int valueLength = in.getInt(at + 3);
+        byte op = in.get(start);
+        int keyLength = in.getShort(start + 1);
+        int valueLength = in.getInt(start + 3);
         long bytes = (long) ENTRY_HEADER_BYTES + keyLength + valueLength;
         if (op != PUT && op != DELETE
                 || keyLength < 1
@@ -259,14 +260,14 @@
                 || bytes > in.remaining()) {
             return null;
         }
-        ByteBuffer whole = in.duplicate().limit(at + (int) bytes);
-        if (entryCrc(whole) != in.getInt(at + ENTRY_HEADER_BYTES - 4)) {
+        ByteBuffer entry = in.duplicate().limit(start + (int) bytes);
+        if (entryCrc(entry) != in.getInt(start + ENTRY_HEADER_BYTES - 4)) {
             return null;
         }
         byte[] key = new byte[keyLength];
-        whole.position(at + ENTRY_HEADER_BYTES).get(key);
-        in.position(at + (int) bytes);
-        return new Entry(op, key, valueLength, in.getLong(at + 7), (int) bytes);
+        entry.position(start + ENTRY_HEADER_BYTES).get(key);
+        in.position(start + (int) bytes);
+        return new Entry(op, key, valueLength, in.getLong(start + 7), (int) bytes);
     }
 
     static void encodeBatch(ByteBuffer out, List<Batch.Change> changes, long seq) {
--- a/relay/src/main/java/saltstage/store/SegmentReader.java
+++ b/relay/src/main/java/saltstage/store/SegmentReader.java
@@ -59,24 +59,24 @@
         }
         ByteBuffer frame = buffer.duplicate();
         frame.position((int) (offset - bufferStart));
-        SegmentFormat.FrameHeader head =
+        SegmentFormat.FrameHeader header =
                 SegmentFormat.decodeFrame(frame, segment.checksumSeed(), offset);
-        if (head == null) {
+        if (header == null) {
             return null;
         }
         int payload = frame.position() + SegmentFormat.FRAME_HEADER_BYTES;
         return new Frame(
-                head,
+                header,
                 offset,
-                frame.limit(payload + head.payloadLength()).position(payload).slice());
+                frame.limit(payload + header.payloadLength()).position(payload).slice());
     }
 
     private boolean ensureBuffered(long offset, int bytes) throws IOException {
         if (offset >= bufferStart && offset + bytes <= bufferStart + buffer.limit()) {
             return true;
         }
-        int want = (int) Math.min(size - offset, Math.max(bytes, READ_BUFFER_BYTES));
-        buffer = ByteBuffer.allocate(want);
+        int length = (int) Math.min(size - offset, Math.max(bytes, READ_BUFFER_BYTES));
+        buffer = ByteBuffer.allocate(length);
         bufferStart = offset;
         segment.file().read(buffer, offset);
         buffer.flip();
@@ -84,19 +84,19 @@
     }
 
     /** Visits the entries of a group or copy frame in order. */
-    void visitEntries(Frame found, EntryVisitor visitor) throws IOException {
+    void visitEntries(Frame frame, EntryVisitor visitor) throws IOException {
         visitEntries(
-                found.payload().duplicate(),
-                found.header(),
-                found.offset() + SegmentFormat.FRAME_HEADER_BYTES,
+                frame.payload().duplicate(),
+                frame.header(),
+                frame.offset() + SegmentFormat.FRAME_HEADER_BYTES,
                 visitor);
     }
 
     /** Visits the entries of a payload that begins at this offset of the segment. */
     void visitEntries(
-            ByteBuffer payload, SegmentFormat.FrameHeader head, long offset, EntryVisitor visitor)
+            ByteBuffer payload, SegmentFormat.FrameHeader header, long offset, EntryVisitor visitor)
             throws IOException {
-        for (int batch = 0; batch < head.batchCount(); batch++) {
+        for (int batch = 0; batch < header.batchCount(); batch++) {
             int changes =
                     payload.remaining() < SegmentFormat.BATCH_HEADER_BYTES ? -1 : payload.getInt();
             for (int i = 0; i < changes; i++) {
@@ -126,47 +126,56 @@
      * Scans the rest of the segment from the first unreadable offset on; {@code expected} is the
      * sequence number of the group that should begin there.
      */
-    TailScan scanTail(long from, long expected) throws IOException {
-        boolean later = false;
+    TailScan scanTail(long from, long expectedSeq) throws IOException {
+        boolean hasLaterGroup = false;
         Frame mirror = null;
-        boolean mark = false;
-        boolean last = false;
-        long nonZero = from;
-        for (long at = from;
-                at + SegmentFormat.ALIGNMENT_BYTES <= size;
-                at += SegmentFormat.ALIGNMENT_BYTES) {
-            if (!ensureBuffered(at, SegmentFormat.ALIGNMENT_BYTES)) {
+        boolean hasMarker = false;
+        boolean hasTrailerOfPrevious = false;
+        long nonZeroEnd = from;
+        for (long offset = from;
+                offset + SegmentFormat.ALIGNMENT_BYTES <= size;
+                offset += SegmentFormat.ALIGNMENT_BYTES) {
+            if (!ensureBuffered(offset, SegmentFormat.ALIGNMENT_BYTES)) {
                 break;
             }
-            if (buffer.getLong((int) (at - bufferStart)) == 0) {
+            if (buffer.getLong((int) (offset - bufferStart)) == 0) {
                 continue;
             }
-            nonZero = at + SegmentFormat.ALIGNMENT_BYTES;
-            Frame found =
-                    buffer.getInt((int) (at - bufferStart)) == SegmentFormat.FRAME_MAGIC
-                            ? frameAt(at)
+            nonZeroEnd = offset + SegmentFormat.ALIGNMENT_BYTES;
+            Frame frame =
+                    buffer.getInt((int) (offset - bufferStart)) == SegmentFormat.FRAME_MAGIC
+                            ? frameAt(offset)
                             : null;
-            if (found == null) {
+            if (frame == null) {
                 continue;
             }
-            SegmentFormat.FrameHeader head = found.header();
-            boolean ofIt =
-                    head.firstSeq() == expected
-                            && found.payload().remaining() >= SegmentFormat.MIRROR_HEADER_BYTES
-                            && found.payload().getLong(0) == from;
-            later |= head.kind() == SegmentFormat.GROUP_FRAME && head.firstSeq() >= expected;
-            mark |= head.kind() == SegmentFormat.COMMIT_MARKER_FRAME && ofIt;
-            mirror = head.kind() == SegmentFormat.MIRROR_FRAME && ofIt ? found : mirror;
-            last |=
-                    at == from
-                            && (head.kind() == SegmentFormat.MIRROR_FRAME
-                                    || head.kind() == SegmentFormat.COMMIT_MARKER_FRAME)
-                            && head.firstSeq() + head.batchCount() == expected;
+            SegmentFormat.FrameHeader header = frame.header();
+            boolean isTrailerOfGroup =
+                    header.firstSeq() == expectedSeq
+                            && frame.payload().remaining() >= SegmentFormat.MIRROR_HEADER_BYTES
+                            && frame.payload().getLong(0) == from;
+            hasLaterGroup |=
+                    header.kind() == SegmentFormat.GROUP_FRAME && header.firstSeq() >= expectedSeq;
+            hasMarker |= header.kind() == SegmentFormat.COMMIT_MARKER_FRAME && isTrailerOfGroup;
+            mirror =
+                    header.kind() == SegmentFormat.MIRROR_FRAME && isTrailerOfGroup
+                            ? frame
+                            : mirror;
+            hasTrailerOfPrevious |=
+                    offset == from
+                            && (header.kind() == SegmentFormat.MIRROR_FRAME
+                                    || header.kind() == SegmentFormat.COMMIT_MARKER_FRAME)
+                            && header.firstSeq() + header.batchCount() == expectedSeq;
         }
         return new TailScan(
-                new TailClassifier.Findings(later, mirror != null, mark, nonZero == from, last),
+                new TailClassifier.Findings(
+                        hasLaterGroup,
+                        mirror != null,
+                        hasMarker,
+                        nonZeroEnd == from,
+                        hasTrailerOfPrevious),
                 mirror,
-                nonZero);
+                nonZeroEnd);
     }
 
     /**
--- a/relay/src/main/java/saltstage/store/SegmentSet.java
+++ b/relay/src/main/java/saltstage/store/SegmentSet.java
@@ -29,26 +29,26 @@
         return List.copyOf(segmentsById.values());
     }
 
-    SegmentSet with(Segment more) {
+    SegmentSet with(Segment added) {
         List<Segment> all = new ArrayList<>(segmentsById.values());
-        all.add(more);
+        all.add(added);
         return new SegmentSet(all);
     }
 
-    SegmentSet without(Collection<Segment> gone) {
+    SegmentSet without(Collection<Segment> removed) {
         List<Segment> all = new ArrayList<>(segmentsById.values());
-        all.removeAll(gone);
+        all.removeAll(removed);
         return new SegmentSet(all);
     }
 
     /** Acquires a reference for a reader. Returns false if the set has already been released. */
     boolean tryAcquire() {
-        int now = references.get();
-        while (now > 0) {
-            if (references.compareAndSet(now, now + 1)) {
+        int count = references.get();
+        while (count > 0) {
+            if (references.compareAndSet(count, count + 1)) {
                 return true;
             }
-            now = references.get();
+            count = references.get();
         }
         return false;
     }
--- a/relay/src/main/java/saltstage/store/Snapshot.java
+++ b/relay/src/main/java/saltstage/store/Snapshot.java
@@ -12,8 +12,8 @@
     private final StoreState.View view;
     private boolean closed;
 
-    Snapshot(StoreState.View held) {
-        view = held;
+    Snapshot(StoreState.View acquiredView) {
+        view = acquiredView;
     }
 
     /** Returns the sequence number of the last batch in the snapshot, or 0 if there is none. */
@@ -28,10 +28,12 @@
 
     /** Returns the value of a key, or null if the key does not exist. */
     public byte[] get(byte[] key) throws IOException {
-        Index.Location place = find(key);
-        return place == null
+        Index.Location location = find(key);
+        return location == null
                 ? null
-                : view.segments().get(place.segmentId()).readValue(place.offset(), key, place);
+                : view.segments()
+                        .get(location.segmentId())
+                        .readValue(location.offset(), key, location);
     }
 
     /**
@@ -39,8 +41,8 @@
      * the key does not exist.
      */
     public long version(byte[] key) throws StoreException {
-        Index.Location place = find(key);
-        return place == null ? 0 : place.version();
+        Index.Location location = find(key);
+        return location == null ? 0 : location.version();
     }
 
     private Index.Location find(byte[] key) throws StoreException {
@@ -91,10 +93,10 @@
         /** Reads and returns the value of the current key. */
         public byte[] value() throws IOException {
             checkOpen();
-            Index.Location place = cursor.location();
+            Index.Location location = cursor.location();
             return view.segments()
-                    .get(place.segmentId())
-                    .readValue(place.offset(), cursor.key(), place);
+                    .get(location.segmentId())
+                    .readValue(location.offset(), cursor.key(), location);
         }
     }
 
--- a/relay/src/main/java/saltstage/store/Store.java
+++ b/relay/src/main/java/saltstage/store/Store.java
@@ -45,12 +45,12 @@
     private Thread maintenanceThread;
     private volatile boolean maintenanceRequested;
 
-    private Store(StoreState core, Closeable lock) {
-        this.state = core;
+    private Store(StoreState state, Closeable lock) {
+        this.state = state;
         this.lock = lock;
-        writer = new LogWriter(core);
+        writer = new LogWriter(state);
         groupCommit = new GroupCommit(writer::write);
-        maintenance = new Maintenance(core);
+        maintenance = new Maintenance(state);
     }
 
     /**
@@ -65,9 +65,9 @@
         }
         boolean opened = false;
         try {
-            StoreState core = new StoreState(disk, options, events);
-            new Recovery(core, true).run();
-            Store store = new Store(core, lock);
+            StoreState state = new StoreState(disk, options, events);
+            new Recovery(state, true).run();
+            Store store = new Store(state, lock);
             store.startMaintenanceThread();
             opened = true;
             return store;
@@ -83,13 +83,13 @@
      * nothing to the disk.
      */
     public static Store openToRead(Disk disk, StoreEventListener events) throws IOException {
-        for (int i = 1; ; i++) {
+        for (int attempt = 1; ; attempt++) {
             try {
-                StoreState core = new StoreState(disk, StoreOptions.defaults(), events);
-                new Recovery(core, false).run();
-                return new Store(core, null);
+                StoreState state = new StoreState(disk, StoreOptions.defaults(), events);
+                new Recovery(state, false).run();
+                return new Store(state, null);
             } catch (IOException e) {
-                if (i == MAX_OPEN_ATTEMPTS
+                if (attempt == MAX_OPEN_ATTEMPTS
                         || e instanceof StoreException && !(e instanceof StoreException.Damaged)) {
                     throw e;
                 }
@@ -189,8 +189,8 @@
 
     /** Returns the value of a key, or null if the key does not exist. */
     public byte[] get(byte[] key) throws IOException {
-        try (Snapshot now = snapshot()) {
-            return now.get(key);
+        try (Snapshot snapshot = snapshot()) {
+            return snapshot.get(key);
         }
     }
 
@@ -233,22 +233,22 @@
         state.writeLock.lock();
         try {
             state.checkOpen();
-            StoreState.View now = state.view();
-            long files = state.manifest.checkpoint().bytes();
-            long live = 0;
-            long used = 0;
-            for (Segment segment : now.segments().all()) {
-                files += segment.header().size();
-                live += segment.liveBytes();
-                used += segment.usedBytes() - SegmentFormat.SEGMENT_HEADER_BYTES;
+            StoreState.View view = state.view();
+            long fileBytes = state.manifest.checkpoint().bytes();
+            long liveBytes = 0;
+            long usedBytes = 0;
+            for (Segment segment : view.segments().all()) {
+                fileBytes += segment.header().size();
+                liveBytes += segment.liveBytes();
+                usedBytes += segment.usedBytes() - SegmentFormat.SEGMENT_HEADER_BYTES;
             }
             return new Statistics(
-                    now.index().size(),
-                    now.seq(),
-                    now.segments().all().size(),
-                    files,
-                    live,
-                    Math.max(0, used - live),
+                    view.index().size(),
+                    view.seq(),
+                    view.segments().all().size(),
+                    fileBytes,
+                    liveBytes,
+                    Math.max(0, usedBytes - liveBytes),
                     state.manifest.checkpoint().seq(),
                     state.manifest.checkpoint().bytes(),
                     state.logBytesSinceCheckpoint,
@@ -264,31 +264,31 @@
      * StoreException.Damaged} for the first damaged one.
      */
     public VerificationResult verify() throws IOException {
-        long[] records = new long[1];
-        StoreState.View now = state.acquireView();
+        long[] entryCount = new long[1];
+        StoreState.View view = state.acquireView();
         try {
-            for (Segment segment : now.segments().all()) {
+            for (Segment segment : view.segments().all()) {
                 long end = segment.usedBytes();
                 SegmentReader reader = new SegmentReader(segment);
                 for (long at = SegmentFormat.SEGMENT_HEADER_BYTES; at < end; ) {
-                    SegmentReader.Frame found = reader.frameAt(at);
-                    if (found == null) {
+                    SegmentReader.Frame frame = reader.frameAt(at);
+                    if (frame == null) {
                         throw new StoreException.Damaged(segment.fileName(), at, "no sound record");
                     }
-                    reader.visitEntries(found, (entry, batch, offset, raw) -> records[0]++);
-                    at = found.endOffset();
+                    reader.visitEntries(frame, (entry, batch, offset, raw) -> entryCount[0]++);
+                    at = frame.endOffset();
                 }
             }
-            long live = 0;
-            for (Index.Cursor cursor = now.index().cursor(null); cursor.advance(); live++) {
-                Index.Location place = cursor.location();
-                now.segments()
-                        .get(place.segmentId())
-                        .readValue(place.offset(), cursor.key(), place);
+            long liveKeys = 0;
+            for (Index.Cursor cursor = view.index().cursor(null); cursor.advance(); liveKeys++) {
+                Index.Location location = cursor.location();
+                view.segments()
+                        .get(location.segmentId())
+                        .readValue(location.offset(), cursor.key(), location);
             }
-            return new VerificationResult(records[0], live, now.seq());
+            return new VerificationResult(entryCount[0], liveKeys, view.seq());
         } finally {
-            now.segments().release();
+            view.segments().release();
         }
     }
 
@@ -333,8 +333,8 @@
                                     CLOSING_CHECKPOINT_LOG_BYTES)) {
                 maintenance.checkpoint();
             }
-        } catch (IOException notNow) { // the log is complete: only the next open takes longer
-            state.events.onEvent("store.compaction.failed", "why", notNow.getMessage());
+        } catch (IOException e) { // the log is complete: only the next open takes longer
+            state.events.onEvent("store.compaction.failed", "why", e.getMessage());
         } finally {
             if (lock != null) {
                 forceAcknowledgedSeqIfIdle(nextSeq());
--- a/relay/src/main/java/saltstage/store/StoreState.java
+++ b/relay/src/main/java/saltstage/store/StoreState.java
@@ -55,12 +55,12 @@
      */
     View acquireView() throws StoreException {
         while (true) {
-            View now = view;
-            if (now == null) {
+            View current = view;
+            if (current == null) {
                 throw new StoreException("the store is closed");
             }
-            if (now.segments().tryAcquire()) {
-                return now;
+            if (current.segments().tryAcquire()) {
+                return current;
             }
         }
     }
@@ -74,10 +74,10 @@
 
     /** Replaces the view that readers see. The caller holds the write lock. */
     void installView(View next) {
-        View before = view;
+        View previous = view;
         view = next;
-        if (before != null && (next == null || before.segments() != next.segments())) {
-            before.segments().release();
+        if (previous != null && (next == null || previous.segments() != next.segments())) {
+            previous.segments().release();
         }
     }
 
@@ -98,10 +98,10 @@
     }
 
     /** Records whether the disk is full, and reports a change. */
-    void setDiskFull(boolean now, String what) {
-        if (diskFull != now) {
-            diskFull = now;
-            events.onEvent(now ? "store.full" : "store.room", "what", what);
+    void setDiskFull(boolean full, String what) {
+        if (diskFull != full) {
+            diskFull = full;
+            events.onEvent(full ? "store.full" : "store.room", "what", what);
         }
     }
 
@@ -114,7 +114,7 @@
      * write lock. A failure before the rename leaves the old manifest in force and is thrown; a
      * failure from the rename on stops all writes.
      */
-    void publishManifest(List<Manifest.SegmentRef> parts, Manifest.CheckpointRef checkpoint)
+    void publishManifest(List<Manifest.SegmentRef> segments, Manifest.CheckpointRef checkpoint)
             throws IOException {
         Manifest next =
                 new Manifest(
@@ -123,7 +123,7 @@
                         manifest.generation() + 1,
                         nextFileId,
                         checkpoint,
-                        parts);
+                        segments);
         next.writeTemporary(disk);
         try {
             Manifest.publish(disk);
@@ -134,12 +134,12 @@
     }
 
     /** Returns the manifest records of the segments of a set, except those to leave out. */
-    List<Manifest.SegmentRef> segmentRefs(SegmentSet set, Predicate<Segment> leaveOut) {
-        List<Manifest.SegmentRef> parts = new ArrayList<>();
+    List<Manifest.SegmentRef> segmentRefs(SegmentSet set, Predicate<Segment> excluded) {
+        List<Manifest.SegmentRef> refs = new ArrayList<>();
         for (Segment segment : set.all()) {
-            if (!leaveOut.test(segment)) {
+            if (!excluded.test(segment)) {
                 boolean sealed = segment != activeSegment;
-                parts.add(
+                refs.add(
                         new Manifest.SegmentRef(
                                 segment.id(),
                                 segment.header().kind(),
@@ -150,13 +150,13 @@
                                 sealed ? lastSeq(segment) : 0));
             }
         }
-        return parts;
+        return refs;
     }
 
     private long lastSeq(Segment segment) {
-        for (Manifest.SegmentRef part : manifest.segments()) {
-            if (part.id() == segment.id() && part.sealed()) {
-                return part.lastSeq();
+        for (Manifest.SegmentRef ref : manifest.segments()) {
+            if (ref.id() == segment.id() && ref.sealed()) {
+                return ref.lastSeq();
             }
         }
         return segment.header().kind() == SegmentFormat.COPY_SEGMENT ? 0 : nextSeq - 1;
--- a/relay/src/main/java/saltstage/store/TailClassifier.java
+++ b/relay/src/main/java/saltstage/store/TailClassifier.java
@@ -38,17 +38,17 @@
      * Classifies the findings; {@code acknowledged} says whether the sequence number file lists the
      * unreadable group as acknowledged.
      */
-    public static TailState classify(Findings found, boolean acknowledged) {
-        if (found.hasLaterGroup()) {
+    public static TailState classify(Findings findings, boolean acknowledged) {
+        if (findings.hasLaterGroup()) {
             return TailState.DAMAGED;
         }
-        if (found.hasMirror()) {
+        if (findings.hasMirror()) {
             return TailState.RESTORABLE;
         }
-        if (found.hasCommitMarker() || acknowledged) {
+        if (findings.hasCommitMarker() || acknowledged) {
             return TailState.DAMAGED;
         }
-        return found.isRestZero() || found.hasTrailerOfPrevious()
+        return findings.isRestZero() || findings.hasTrailerOfPrevious()
                 ? TailState.CLEAN
                 : TailState.TORN;
     }
