--- a/relay/src/main/java/saltstage/store/SegmentReader.java
+++ b/relay/src/main/java/saltstage/store/SegmentReader.java
@@ -123,14 +123,14 @@
     }
 
     /**
-     * Scans the rest of the segment from the first unreadable offset on; {@code expected} is the
-     * sequence number of the group that should begin there.
+     * Scans the rest of the segment from the first unreadable offset on; {@code expectedSeq} is
+     * the sequence number of the group that should begin there.
      */
     TailScan scanTail(long from, long expectedSeq) throws IOException {
-        boolean hasLaterGroup = false;
+        boolean laterGroup = false;
         Frame mirror = null;
-        boolean hasMarker = false;
-        boolean hasTrailerOfPrevious = false;
+        boolean marker = false;
+        boolean previousTrailer = false;
         long nonZeroEnd = from;
         for (long offset = from;
                 offset + SegmentFormat.ALIGNMENT_BYTES <= size;
@@ -150,18 +150,15 @@
                 continue;
             }
             SegmentFormat.FrameHeader header = frame.header();
-            boolean isTrailerOfGroup =
+            boolean groupTrailer =
                     header.firstSeq() == expectedSeq
                             && frame.payload().remaining() >= SegmentFormat.MIRROR_HEADER_BYTES
                             && frame.payload().getLong(0) == from;
-            hasLaterGroup |=
+            laterGroup |=
                     header.kind() == SegmentFormat.GROUP_FRAME && header.firstSeq() >= expectedSeq;
-            hasMarker |= header.kind() == SegmentFormat.COMMIT_MARKER_FRAME && isTrailerOfGroup;
-            mirror =
-                    header.kind() == SegmentFormat.MIRROR_FRAME && isTrailerOfGroup
-                            ? frame
-                            : mirror;
-            hasTrailerOfPrevious |=
+            marker |= header.kind() == SegmentFormat.COMMIT_MARKER_FRAME && groupTrailer;
+            mirror = header.kind() == SegmentFormat.MIRROR_FRAME && groupTrailer ? frame : mirror;
+            previousTrailer |=
                     offset == from
                             && (header.kind() == SegmentFormat.MIRROR_FRAME
                                     || header.kind() == SegmentFormat.COMMIT_MARKER_FRAME)
@@ -169,11 +166,7 @@
         }
         return new TailScan(
                 new TailClassifier.Findings(
-                        hasLaterGroup,
-                        mirror != null,
-                        hasMarker,
-                        nonZeroEnd == from,
-                        hasTrailerOfPrevious),
+                        laterGroup, mirror != null, marker, nonZeroEnd == from, previousTrailer),
                 mirror,
                 nonZeroEnd);
     }
