--- a/relay/src/test/java/saltstage/store/CrashTest.java
+++ b/relay/src/test/java/saltstage/store/CrashTest.java
@@ -21,54 +21,55 @@
         return disk.operationCount();
     }
 
-    private static void assertRecovers(StoreWorkload night, FaultInjectingDisk left, String what)
+    private static void assertRecovers(
+            StoreWorkload workload, FaultInjectingDisk remains, String description)
             throws IOException {
         StoreWorkload next = new StoreWorkload();
         try {
-            next.open(left);
-        } catch (StoreException refused) {
+            next.open(remains);
+        } catch (StoreException e) {
             throw new AssertionError(
-                    what + ": refused after a mere crash: " + refused.getMessage(), refused);
+                    description + ": open failed after a crash: " + e.getMessage(), e);
         }
         TreeMap<String, String> found = StoreWorkload.dump(next.store);
         assertTrue(
-                found.equals(night.acknowledged) || found.equals(night.requested),
-                what
+                found.equals(workload.acknowledged) || found.equals(workload.requested),
+                description
                         + ": found "
                         + found
                         + ", acknowledged "
-                        + night.acknowledged
-                        + ", asked "
-                        + night.requested);
+                        + workload.acknowledged
+                        + ", requested "
+                        + workload.requested);
         next.acknowledged = found;
         next.commit("later=1"); // the store works on, and dropped changes stay dropped
         next.commit("later=2", "all");
-        TreeMap<String, String> more = next.acknowledged;
+        TreeMap<String, String> expected = next.acknowledged;
         next.store.close();
         assertEquals(
-                more,
-                StoreWorkload.dump(new StoreWorkload().open(left.durableCopy()).store),
-                what + ", reopened");
+                expected,
+                StoreWorkload.dump(new StoreWorkload().open(remains.durableCopy()).store),
+                description + ", reopened");
     }
 
     @Test
     void crashAtEveryOperationRecoversTheAcknowledgedState() throws IOException {
         int operations = countOperations();
         int cases = 0;
-        for (int at = 0; at < operations; at++) {
+        for (int operation = 0; operation < operations; operation++) {
             FaultInjectingDisk disk = new FaultInjectingDisk();
-            disk.injectFaultAt(at, FaultInjectingDisk.Fault.CRASH);
-            StoreWorkload night = new StoreWorkload();
-            int crash = at;
+            disk.injectFaultAt(operation, FaultInjectingDisk.Fault.CRASH);
+            StoreWorkload workload = new StoreWorkload();
+            int crash = operation;
             assertThrows(
                     FaultInjectingDisk.SimulatedCrash.class,
-                    () -> night.open(disk).run(),
+                    () -> workload.open(disk).run(),
                     () -> "no crash at " + crash);
             for (int subset = 0; subset < SUBSETS_PER_CRASH; subset++) {
                 assertRecovers(
-                        night,
-                        disk.afterCrash(survivingWrites(subset, at)),
-                        "crash at " + at + ", subset " + subset);
+                        workload,
+                        disk.afterCrash(survivingWrites(subset, operation)),
+                        "crash at " + operation + ", subset " + subset);
                 cases++;
             }
         }
@@ -81,9 +82,9 @@
      * Returns a choice of surviving writes: none for subset 0, all for subset 1, and random ones
      * for the others.
      */
-    private static Random survivingWrites(int subset, int at) {
+    private static Random survivingWrites(int subset, int operation) {
         return subset > 1
-                ? new Random(31L * at + subset)
+                ? new Random(31L * operation + subset)
                 : new Random() {
                     private static final long serialVersionUID = 1L;
 
@@ -101,17 +102,17 @@
         for (int i = 0; i < 150; i++) {
             FaultInjectingDisk disk = new FaultInjectingDisk();
             disk.injectFaultAt(random.nextInt(operations), FaultInjectingDisk.Fault.CRASH);
-            StoreWorkload night = new StoreWorkload();
-            assertThrows(FaultInjectingDisk.SimulatedCrash.class, () -> night.open(disk).run());
-            FaultInjectingDisk left = disk.afterCrash(random);
-            left.injectFaultAt(random.nextInt(6), FaultInjectingDisk.Fault.CRASH);
+            StoreWorkload workload = new StoreWorkload();
+            assertThrows(FaultInjectingDisk.SimulatedCrash.class, () -> workload.open(disk).run());
+            FaultInjectingDisk remains = disk.afterCrash(random);
+            remains.injectFaultAt(random.nextInt(6), FaultInjectingDisk.Fault.CRASH);
             try {
-                new StoreWorkload().open(left);
-            } catch (FaultInjectingDisk.SimulatedCrash again) {
-                left = left.afterCrash(random);
+                new StoreWorkload().open(remains);
+            } catch (FaultInjectingDisk.SimulatedCrash e) {
+                remains = remains.afterCrash(random);
             }
-            left.clearFaults();
-            assertRecovers(night, left, "second crash, round " + i);
+            remains.clearFaults();
+            assertRecovers(workload, remains, "second crash, round " + i);
         }
     }
 
@@ -123,28 +124,33 @@
                 new FaultInjectingDisk.Fault[] {
                     FaultInjectingDisk.Fault.IO_ERROR, FaultInjectingDisk.Fault.SHORT_WRITE
                 }) {
-            for (int at = 0; at < operations; at++) {
+            for (int operation = 0; operation < operations; operation++) {
                 FaultInjectingDisk disk = new FaultInjectingDisk();
-                disk.injectFaultAt(at, fault);
-                StoreWorkload night = new StoreWorkload();
+                disk.injectFaultAt(operation, fault);
+                StoreWorkload workload = new StoreWorkload();
                 try {
-                    night.open(disk).run();
-                } catch (IOException failed) {
+                    workload.open(disk).run();
+                } catch (IOException e) {
                     stopped++;
                 }
-                if (night.store != null && !night.store.isWritable()) {
+                if (workload.store != null && !workload.store.isWritable()) {
                     assertThrows(
                             StoreException.WritesStopped.class,
                             () ->
-                                    night.store.put(
+                                    workload.store.put(
                                             StoreWorkload.bytes("more"), StoreWorkload.bytes("1")));
                     assertEquals(
-                            night.acknowledged, StoreWorkload.dump(night.store), "reads go on");
+                            workload.acknowledged,
+                            StoreWorkload.dump(workload.store),
+                            "reads must continue");
                     assertTrue(
-                            night.events.stream()
+                            workload.events.stream()
                                     .anyMatch(line -> line.startsWith("store.stopped")));
                 }
-                assertRecovers(night, disk.afterCrash(new Random(at)), fault + " at " + at);
+                assertRecovers(
+                        workload,
+                        disk.afterCrash(new Random(operation)),
+                        fault + " at " + operation);
             }
         }
         assertTrue(stopped > operations / 2, "stopped in " + stopped);
@@ -158,10 +164,10 @@
     @Test
     void spareSegmentCreatedBeforeAnotherSegmentIsReplayedAfterIt() throws IOException {
         FaultInjectingDisk disk = new FaultInjectingDisk();
-        StoreState core =
+        StoreState state =
                 new StoreState(disk, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE);
-        new Recovery(core, true).run();
-        LogWriter writer = new LogWriter(core);
+        new Recovery(state, true).run();
+        LogWriter writer = new LogWriter(state);
         GroupCommit commits = new GroupCommit(writer::write);
         disk.beforeNextCreate(
                 () -> {
@@ -172,10 +178,10 @@
         commits.commit(new Batch().put(StoreWorkload.bytes("a"), StoreWorkload.bytes("1")));
         writer.roll(SegmentFormat.FRAME_HEADER_BYTES);
         commits.commit(new Batch().put(StoreWorkload.bytes("a"), StoreWorkload.bytes("2")));
-        TreeMap<String, String> wanted = new TreeMap<>();
-        wanted.put("a", "2");
+        TreeMap<String, String> expected = new TreeMap<>();
+        expected.put("a", "2");
         assertEquals(
-                wanted, StoreWorkload.dump(new StoreWorkload().open(disk.durableCopy()).store));
+                expected, StoreWorkload.dump(new StoreWorkload().open(disk.durableCopy()).store));
     }
 
     /**
@@ -189,57 +195,58 @@
                     FaultInjectingDisk.Fault.IO_ERROR, FaultInjectingDisk.Fault.SHORT_WRITE
                 }) {
             FaultInjectingDisk disk = new FaultInjectingDisk();
-            StoreWorkload night = new StoreWorkload().open(disk);
-            night.commit("a=1");
+            StoreWorkload workload = new StoreWorkload().open(disk);
+            workload.commit("a=1");
             disk.injectFaultAt(fault == FaultInjectingDisk.Fault.IO_ERROR ? 1 : 0, fault);
-            assertThrows(StoreException.WritesStopped.class, () -> night.commit("a=2"));
+            assertThrows(StoreException.WritesStopped.class, () -> workload.commit("a=2"));
             for (int i = 0; i < 3; i++) {
-                assertThrows(StoreException.WritesStopped.class, () -> night.commit("a=3"));
+                assertThrows(StoreException.WritesStopped.class, () -> workload.commit("a=3"));
             }
-            assertThrows(StoreException.class, night.store::checkpoint);
-            assertEquals(night.acknowledged, StoreWorkload.dump(night.store));
-            assertEquals(false, night.store.isWritable());
-            assertEquals(1, night.events.size(), "said once: " + night.events);
-            night.store.close();
+            assertThrows(StoreException.class, workload.store::checkpoint);
+            assertEquals(workload.acknowledged, StoreWorkload.dump(workload.store));
+            assertEquals(false, workload.store.isWritable());
+            assertEquals(1, workload.events.size(), "must be reported once: " + workload.events);
+            workload.store.close();
         }
     }
 
     @Test
     void fullDiskRejectsWritesServesReadsAndRecovers() throws IOException {
         int operations = countOperations();
-        int refused = 0;
-        for (int at = 0; at < operations; at++) {
+        int rejected = 0;
+        for (int operation = 0; operation < operations; operation++) {
             FaultInjectingDisk disk = new FaultInjectingDisk();
-            StoreWorkload night = new StoreWorkload().open(disk);
-            disk.injectFaultAt(at, FaultInjectingDisk.Fault.DISK_FULL);
+            StoreWorkload workload = new StoreWorkload().open(disk);
+            disk.injectFaultAt(operation, FaultInjectingDisk.Fault.DISK_FULL);
             try {
-                night.run();
-            } catch (StoreException.DiskFull | Disk.FullException full) {
-                refused++;
+                workload.run();
+            } catch (StoreException.DiskFull | Disk.FullException e) {
+                rejected++;
                 assertEquals(
-                        night.acknowledged,
-                        StoreWorkload.dump(night.store),
-                        "reads go on at " + at);
+                        workload.acknowledged,
+                        StoreWorkload.dump(workload.store),
+                        "reads must continue, fault at " + operation);
             }
             disk.clearFaults();
-            night.commit("room=again");
-            assertEquals(night.acknowledged, StoreWorkload.dump(night.store));
-            assertRecovers(night, disk.afterCrash(new Random(at)), "full at " + at);
+            workload.commit("room=again");
+            assertEquals(workload.acknowledged, StoreWorkload.dump(workload.store));
+            assertRecovers(
+                    workload, disk.afterCrash(new Random(operation)), "full at " + operation);
         }
-        assertTrue(refused > operations / 2, "refused in " + refused);
+        assertTrue(rejected > operations / 2, "rejected in " + rejected);
     }
 
     @Test
     void tornTailIsDroppedAndReportedWithFileOffsetAndLength() throws IOException {
         FaultInjectingDisk disk = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(disk);
-        night.commit("a=1");
+        StoreWorkload workload = new StoreWorkload().open(disk);
+        workload.commit("a=1");
         disk.injectFaultAt(1, FaultInjectingDisk.Fault.CRASH); // the force of the next commit
         assertThrows(
                 FaultInjectingDisk.SimulatedCrash.class,
-                () -> night.commit("b=" + "x".repeat(700)));
+                () -> workload.commit("b=" + "x".repeat(700)));
         int[] sector = new int[1];
-        FaultInjectingDisk left =
+        FaultInjectingDisk remains =
                 disk.afterCrash(
                         new Random() {
                             private static final long serialVersionUID = 1L;
@@ -249,8 +256,8 @@
                                 return sector[0]++ % 2 == 0;
                             }
                         });
-        StoreWorkload next = new StoreWorkload().open(left);
-        assertEquals(night.acknowledged, StoreWorkload.dump(next.store));
+        StoreWorkload next = new StoreWorkload().open(remains);
+        assertEquals(workload.acknowledged, StoreWorkload.dump(next.store));
         assertTrue(
                 next.events
                         .get(0)
@@ -259,14 +266,14 @@
                                         + " \\d+\\]"),
                 next.events.toString());
         next.store.close();
-        StoreWorkload third = new StoreWorkload().open(left.durableCopy());
-        assertEquals(List.of(), third.events, "it is told once");
+        StoreWorkload reopened = new StoreWorkload().open(remains.durableCopy());
+        assertEquals(List.of(), reopened.events, "must be reported only once");
         String log =
-                left.list().stream()
+                remains.list().stream()
                         .filter(name -> name.endsWith(".log"))
                         .findFirst()
                         .orElseThrow();
-        byte[] content = left.content(log);
+        byte[] content = remains.content(log);
         int end =
                 SegmentFormat.SEGMENT_HEADER_BYTES
                         + 2 * 72
--- a/relay/src/test/java/saltstage/store/DamageTest.java
+++ b/relay/src/test/java/saltstage/store/DamageTest.java
@@ -23,69 +23,67 @@
 
     @BeforeEach
     void runWorkload() throws IOException {
-        StoreWorkload night = new StoreWorkload().open(disk);
-        night.run();
-        acknowledged = night.acknowledged;
+        StoreWorkload workload = new StoreWorkload().open(disk);
+        workload.run();
+        acknowledged = workload.acknowledged;
     }
 
-    private static String fileNameWithSuffix(FaultInjectingDisk on, String ending) {
-        return on.list().stream().filter(name -> name.endsWith(ending)).findFirst().orElseThrow();
+    private static String fileNameWithSuffix(FaultInjectingDisk disk, String suffix) {
+        return disk.list().stream().filter(name -> name.endsWith(suffix)).findFirst().orElseThrow();
     }
 
     /**
      * Opens the store. Returns 0 if the state is exact and 1 if the open failed cleanly; anything
      * else fails the test.
      */
-    private int openOutcome(FaultInjectingDisk changed, String what) {
+    private int openOutcome(FaultInjectingDisk changed, String description) {
         try (Store store =
                 Store.open(changed, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE)) {
-            assertEquals(acknowledged, StoreWorkload.dump(store), what);
+            assertEquals(acknowledged, StoreWorkload.dump(store), description);
             store.put(StoreWorkload.bytes("after"), StoreWorkload.bytes("all"));
             return 0;
-        } catch (StoreException refused) {
-            assertTrue(
-                    refused.getMessage().matches("damaged: \\S+ at \\d+: .*"),
-                    what + ": " + refused);
+        } catch (StoreException e) {
+            assertTrue(e.getMessage().matches("damaged: \\S+ at \\d+: .*"), description + ": " + e);
             return 1;
         } catch (IOException | RuntimeException other) {
-            return fail(what + ": " + other, other);
+            return fail(description + ": " + other, other);
         }
     }
 
     @Test
     void everyFileTruncatedAtEveryByteIsRefused() {
-        int[] counts = new int[2];
+        int[] outcomes = new int[2];
         for (String name : disk.list()) {
             byte[] whole = disk.content(name);
             for (int length = 0; length < whole.length; length++) {
-                FaultInjectingDisk cut = disk.durableCopy();
-                cut.putFile(name, Arrays.copyOf(whole, length));
-                int outcome = openOutcome(cut, name + " cut to " + length);
+                FaultInjectingDisk truncated = disk.durableCopy();
+                truncated.putFile(name, Arrays.copyOf(whole, length));
+                int outcome = openOutcome(truncated, name + " cut to " + length);
                 assertEquals(1, outcome, name + " cut to " + length + " looks like a shorter log");
-                counts[outcome]++;
+                outcomes[outcome]++;
             }
         }
         System.out.println(
                 "cut at every byte of "
                         + disk.list().size()
                         + " files: exact "
-                        + counts[0]
+                        + outcomes[0]
                         + ", refused "
-                        + counts[1]);
+                        + outcomes[1]);
     }
 
     @Test
     void everyByteOfEveryFileFlipped() {
-        int[] counts = new int[2];
+        int[] outcomes = new int[2];
         for (String name : disk.list()) {
             byte[] whole = disk.content(name);
-            for (int at = 0; at < whole.length; at++) {
+            for (int offset = 0; offset < whole.length; offset++) {
                 for (int mask : new int[] {0x01, 0xff}) {
                     byte[] flipped = whole.clone();
-                    flipped[at] ^= (byte) mask;
+                    flipped[offset] ^= (byte) mask;
                     FaultInjectingDisk changed = disk.durableCopy();
                     changed.putFile(name, flipped);
-                    counts[openOutcome(changed, name + " flipped at " + at)]++;
+                    outcomes[openOutcome(changed, name + " flipped at " + offset)]++;
                 }
             }
         }
@@ -93,10 +91,10 @@
                 "every byte of "
                         + disk.list().size()
                         + " files flipped: exact "
-                        + counts[0]
+                        + outcomes[0]
                         + ", refused "
-                        + counts[1]);
-        assertTrue(counts[0] > 0 && counts[1] > 0);
+                        + outcomes[1]);
+        assertTrue(outcomes[0] > 0 && outcomes[1] > 0);
     }
 
     @Test
@@ -122,13 +120,13 @@
     @Test
     void anOlderManifestIsRefused() throws IOException {
         FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(young);
-        night.commit("a=1");
+        StoreWorkload workload = new StoreWorkload().open(young);
+        workload.commit("a=1");
         byte[] older = young.content(Manifest.NAME);
         for (int i = 0; i < 30; i++) {
-            night.commit("a=" + "x".repeat(100) + i);
+            workload.commit("a=" + "x".repeat(100) + i);
         }
-        acknowledged = night.acknowledged;
+        acknowledged = workload.acknowledged;
         FaultInjectingDisk mixed = young.durableCopy();
         mixed.putFile(Manifest.NAME, older);
         assertEquals(1, openOutcome(mixed, "an older manifest over a newer log"));
@@ -137,9 +135,9 @@
     @Test
     void damagedLastGroupIsRestoredFromItsMirrorAndReported() throws IOException {
         FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(young);
-        night.commit("a=1");
-        night.commit("b=2");
+        StoreWorkload workload = new StoreWorkload().open(young);
+        workload.commit("a=1");
+        workload.commit("b=2");
         String log = fileNameWithSuffix(young, ".log");
         byte[] whole = young.content(log);
         int last =
@@ -150,20 +148,20 @@
         whole[last + SegmentFormat.FRAME_HEADER_BYTES + 10] ^= 1;
         young.putFile(log, whole);
         StoreWorkload after = new StoreWorkload().open(young.durableCopy());
-        assertEquals(night.acknowledged, StoreWorkload.dump(after.store));
+        assertEquals(workload.acknowledged, StoreWorkload.dump(after.store));
         assertTrue(after.events.get(0).startsWith("store.restored"), after.events.toString());
-        try (Store reading = Store.openToRead(young.durableCopy(), StoreEventListener.NONE)) {
-            assertEquals(night.acknowledged, StoreWorkload.dump(reading));
+        try (Store reader = Store.openToRead(young.durableCopy(), StoreEventListener.NONE)) {
+            assertEquals(workload.acknowledged, StoreWorkload.dump(reader));
         }
     }
 
     @Test
     void damagedLargeLastGroupIsRefusedByItsCommitMarker() throws IOException {
         FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(young);
-        night.commit("a=" + "x".repeat(SegmentFormat.MAX_MIRRORED_BYTES + 1));
-        acknowledged = night.acknowledged;
-        assertEquals(0, openOutcome(young.durableCopy(), "unharmed"));
+        StoreWorkload workload = new StoreWorkload().open(young);
+        workload.commit("a=" + "x".repeat(SegmentFormat.MAX_MIRRORED_BYTES + 1));
+        acknowledged = workload.acknowledged;
+        assertEquals(0, openOutcome(young.durableCopy(), "undamaged"));
         String log =
                 young.list().stream()
                         .filter(
@@ -187,10 +185,10 @@
     @Test
     void lastGroupDamagedWithItsMirrorIsRefusedAndLeftUnchanged() throws IOException {
         FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(young);
-        night.commit("a=1");
-        night.commit("b=2");
-        acknowledged = night.acknowledged;
+        StoreWorkload workload = new StoreWorkload().open(young);
+        workload.commit("a=1");
+        workload.commit("b=2");
+        acknowledged = workload.acknowledged;
         String log = fileNameWithSuffix(young, ".log");
         byte[] whole = young.content(log);
         int payload = SegmentFormat.BATCH_HEADER_BYTES + SegmentFormat.ENTRY_HEADER_BYTES + 2;
@@ -218,8 +216,9 @@
             Arrays.fill(zeroed, from, zeroed.length, (byte) 0);
             FaultInjectingDisk changed = young.durableCopy();
             changed.putFile(log, zeroed);
-            int wanted = from < group + SegmentFormat.FRAME_HEADER_BYTES + payload ? 1 : 0;
-            assertEquals(wanted, openOutcome(changed, "zeros from " + from), "zeros from " + from);
+            int expected = from < group + SegmentFormat.FRAME_HEADER_BYTES + payload ? 1 : 0;
+            assertEquals(
+                    expected, openOutcome(changed, "zeros from " + from), "zeros from " + from);
         }
         System.out.println("the last record and its mirror both damaged: refused " + refused);
     }
@@ -236,7 +235,9 @@
         FaultInjectingDisk changed = young.durableCopy();
         changed.putFile(log, damaged);
         int outcome = openOutcome(changed, "flipped at " + first + " and " + second);
-        assertTrue(outcome == 0 || Arrays.equals(damaged, changed.content(log)), "left as it was");
+        assertTrue(
+                outcome == 0 || Arrays.equals(damaged, changed.content(log)),
+                "a refused log must stay unchanged");
         return outcome;
     }
 
@@ -247,30 +248,30 @@
     @Test
     void olderLogOrForeignAcknowledgedSeqFileIsRefused() throws IOException {
         FaultInjectingDisk old = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(old);
-        night.commit("a=1");
+        StoreWorkload workload = new StoreWorkload().open(old);
+        workload.commit("a=1");
         FaultInjectingDisk mixed = old.durableCopy();
-        night.commit("a=2");
+        workload.commit("a=2");
         mixed.putFile(AcknowledgedSeqFile.NAME, old.content(AcknowledgedSeqFile.NAME));
-        acknowledged = night.acknowledged;
+        acknowledged = workload.acknowledged;
         assertEquals(1, openOutcome(mixed, "an older log"));
         FaultInjectingDisk foreign = old.durableCopy();
         foreign.putFile(AcknowledgedSeqFile.NAME, disk.content(AcknowledgedSeqFile.NAME));
-        assertEquals(1, openOutcome(foreign, "another store's word"));
-        FaultInjectingDisk spoilt = old.durableCopy();
-        byte[] word = old.content(AcknowledgedSeqFile.NAME);
-        word[8] ^= 1;
-        word[AcknowledgedSeqFile.SLOT_BYTES + 8] ^= 1;
-        spoilt.putFile(AcknowledgedSeqFile.NAME, word);
-        assertEquals(1, openOutcome(spoilt, "neither slot sound"));
-        FaultInjectingDisk bare = new FaultInjectingDisk();
-        bare.putFile(AcknowledgedSeqFile.NAME, old.content(AcknowledgedSeqFile.NAME));
-        assertEquals(1, openOutcome(bare, "nothing but the word"));
+        assertEquals(1, openOutcome(foreign, "the sequence number file of another store"));
+        FaultInjectingDisk damaged = old.durableCopy();
+        byte[] content = old.content(AcknowledgedSeqFile.NAME);
+        content[8] ^= 1;
+        content[AcknowledgedSeqFile.SLOT_BYTES + 8] ^= 1;
+        damaged.putFile(AcknowledgedSeqFile.NAME, content);
+        assertEquals(1, openOutcome(damaged, "neither slot is valid"));
+        FaultInjectingDisk onlyFile = new FaultInjectingDisk();
+        onlyFile.putFile(AcknowledgedSeqFile.NAME, old.content(AcknowledgedSeqFile.NAME));
+        assertEquals(1, openOutcome(onlyFile, "only the sequence number file"));
     }
 
     /** Returns the disk after a crash that loses everything unforced. */
-    private static FaultInjectingDisk afterPowerLoss(FaultInjectingDisk running) {
-        return running.afterCrash(
+    private static FaultInjectingDisk afterPowerLoss(FaultInjectingDisk disk) {
+        return disk.afterCrash(
                 new Random() {
                     private static final long serialVersionUID = 1L;
 
@@ -297,31 +298,31 @@
      */
     @Test
     void acknowledgedSeqIsDurableOnceWritingIsIdleOrTheStoreIsClosed() throws Exception {
-        FaultInjectingDisk ended = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(ended);
+        FaultInjectingDisk closing = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(closing);
         for (int i = 0; i < 9; i++) {
-            night.commit("before" + i + "=1");
+            workload.commit("before" + i + "=1");
         }
-        night.store.checkpoint(); // larger than the later log: close() writes no checkpoint
-        FaultInjectingDisk before = ended.durableCopy();
-        night.commit("a=1");
-        acknowledged = night.acknowledged;
-        assertEquals(0, openOutcome(afterPowerLoss(ended).durableCopy(), "unharmed"));
-        night.store.close();
-        assertEquals(1, openOutcome(withLogOf(before, afterPowerLoss(ended)), "closed"));
+        workload.store.checkpoint(); // larger than the later log: close() writes no checkpoint
+        FaultInjectingDisk before = closing.durableCopy();
+        workload.commit("a=1");
+        acknowledged = workload.acknowledged;
+        assertEquals(0, openOutcome(afterPowerLoss(closing).durableCopy(), "undamaged"));
+        workload.store.close();
+        assertEquals(1, openOutcome(withLogOf(before, afterPowerLoss(closing)), "closed"));
 
-        FaultInjectingDisk rests = new FaultInjectingDisk();
-        StoreOptions tended = new StoreOptions(2048, true, 1 << 30);
-        try (Store store = Store.open(rests, tended, StoreEventListener.NONE)) {
-            FaultInjectingDisk young = rests.durableCopy();
+        FaultInjectingDisk idle = new FaultInjectingDisk();
+        StoreOptions options = new StoreOptions(2048, true, 1 << 30);
+        try (Store store = Store.open(idle, options, StoreEventListener.NONE)) {
+            FaultInjectingDisk young = idle.durableCopy();
             store.put(StoreWorkload.bytes("a"), StoreWorkload.bytes("1"));
-            SegmentFormat.StoreId id = Manifest.read(rests).storeId();
+            SegmentFormat.StoreId id = Manifest.read(idle).storeId();
             for (int i = 0;
-                    i < 2000 && AcknowledgedSeqFile.read(afterPowerLoss(rests), id) < 1;
+                    i < 2000 && AcknowledgedSeqFile.read(afterPowerLoss(idle), id) < 1;
                     i++) {
                 Thread.sleep(10);
             }
-            assertEquals(1, openOutcome(withLogOf(young, afterPowerLoss(rests)), "at rest"));
+            assertEquals(1, openOutcome(withLogOf(young, afterPowerLoss(idle)), "idle"));
         }
     }
 
@@ -329,48 +330,48 @@
     @Test
     void oneSlotIsAlwaysDurableAndUnchanged() throws IOException {
         FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(young);
+        StoreWorkload workload = new StoreWorkload().open(young);
         for (int i = 0; i < 4; i++) {
-            night.commit("a=" + i);
-            night.commit("b=" + i);
-            byte[] sure = afterPowerLoss(young).content(AcknowledgedSeqFile.NAME);
+            workload.commit("a=" + i);
+            workload.commit("b=" + i);
+            byte[] durable = afterPowerLoss(young).content(AcknowledgedSeqFile.NAME);
             byte[] now = young.content(AcknowledgedSeqFile.NAME);
-            boolean first = isRangeEqual(sure, now, 0, AcknowledgedSeqFile.SLOT_BYTES);
+            boolean first = isRangeEqual(durable, now, 0, AcknowledgedSeqFile.SLOT_BYTES);
             boolean second =
                     isRangeEqual(
-                            sure,
+                            durable,
                             now,
                             AcknowledgedSeqFile.SLOT_BYTES,
                             AcknowledgedSeqFile.FILE_BYTES);
             assertTrue(first ^ second, "round " + i);
-            acknowledged = night.acknowledged;
-            FaultInjectingDisk spoilt = young.durableCopy();
-            byte[] cut = now.clone();
+            acknowledged = workload.acknowledged;
+            FaultInjectingDisk damaged = young.durableCopy();
+            byte[] interrupted = now.clone();
             Arrays.fill(
-                    cut,
+                    interrupted,
                     first ? AcknowledgedSeqFile.SLOT_BYTES : 0,
                     (first ? AcknowledgedSeqFile.SLOT_BYTES : 0) + 20,
                     (byte) 0);
-            spoilt.putFile(AcknowledgedSeqFile.NAME, cut);
+            damaged.putFile(AcknowledgedSeqFile.NAME, interrupted);
             SegmentFormat.StoreId id = Manifest.read(young).storeId();
             assertEquals(
                     AcknowledgedSeqFile.read(afterPowerLoss(young), id),
-                    AcknowledgedSeqFile.read(spoilt, id),
-                    "what the last force made sure of");
-            assertEquals(0, openOutcome(spoilt, "cut off in its slot"));
+                    AcknowledgedSeqFile.read(damaged, id),
+                    "the number that the last force made durable");
+            assertEquals(0, openOutcome(damaged, "write interrupted in a slot"));
             if (i == 1) {
                 young = young.durableCopy(); // killed: the written data remains, but was not forced
             } else {
-                night.store.close();
+                workload.store.close();
             }
-            night = new StoreWorkload();
-            night.acknowledged = acknowledged;
-            night.open(young);
+            workload = new StoreWorkload();
+            workload.acknowledged = acknowledged;
+            workload.open(young);
         }
     }
 
-    private static boolean isRangeEqual(byte[] one, byte[] other, int from, int to) {
-        return Arrays.equals(one, from, to, other, from, to);
+    private static boolean isRangeEqual(byte[] first, byte[] second, int from, int to) {
+        return Arrays.equals(first, from, to, second, from, to);
     }
 
     /**
@@ -381,12 +382,12 @@
     void openOverwritesTheSlotThatMayNotBeDurable() throws IOException {
         for (int commits = 1; commits <= 2; commits++) {
             FaultInjectingDisk young = new FaultInjectingDisk();
-            StoreWorkload night = new StoreWorkload().open(young);
-            night.commit("a=1");
+            StoreWorkload workload = new StoreWorkload().open(young);
+            workload.commit("a=1");
             if (commits == 2) {
-                night.store.close();
-                night = new StoreWorkload().open(young);
-                night.commit("a=2");
+                workload.store.close();
+                workload = new StoreWorkload().open(young);
+                workload.commit("a=2");
             }
             SegmentFormat.StoreId id = Manifest.read(young).storeId();
             byte[] before = young.content(AcknowledgedSeqFile.NAME);
@@ -413,12 +414,12 @@
     @Test
     void recoveredGroupCountsAsAcknowledged() throws IOException {
         FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(young);
-        night.commit("a=1");
+        StoreWorkload workload = new StoreWorkload().open(young);
+        workload.commit("a=1");
         FaultInjectingDisk before = young.durableCopy();
         young.injectFaultAt(1, FaultInjectingDisk.Fault.CRASH); // the force of the next commit
-        assertThrows(FaultInjectingDisk.SimulatedCrash.class, () -> night.commit("b=2"));
-        FaultInjectingDisk left =
+        assertThrows(FaultInjectingDisk.SimulatedCrash.class, () -> workload.commit("b=2"));
+        FaultInjectingDisk recovered =
                 young.afterCrash(
                         new Random() {
                             private static final long serialVersionUID = 1L;
@@ -428,9 +429,13 @@
                                 return true;
                             }
                         });
-        acknowledged = night.requested;
-        assertEquals(acknowledged, StoreWorkload.dump(new StoreWorkload().open(left).store));
-        assertEquals(1, openOutcome(withLogOf(before, afterPowerLoss(left)), "shown, then lost"));
+        acknowledged = workload.requested;
+        assertEquals(acknowledged, StoreWorkload.dump(new StoreWorkload().open(recovered).store));
+        assertEquals(
+                1,
+                openOutcome(
+                        withLogOf(before, afterPowerLoss(recovered)),
+                        "visible after recovery, then lost"));
     }
 
     /**
@@ -440,7 +445,7 @@
     @Test
     void formatOneStoreIsUpgraded() throws IOException {
         Manifest now = Manifest.decode(ByteBuffer.wrap(disk.content(Manifest.NAME)));
-        byte[] former =
+        byte[] formatOne =
                 new Manifest(
                                 (short) 1,
                                 now.storeId(),
@@ -451,10 +456,10 @@
                         .encode()
                         .array();
         FaultInjectingDisk first = disk.durableCopy();
-        first.putFile(Manifest.NAME, former);
+        first.putFile(Manifest.NAME, formatOne);
         first.delete(AcknowledgedSeqFile.NAME);
-        try (Store reading = Store.openToRead(first.durableCopy(), StoreEventListener.NONE)) {
-            assertEquals(acknowledged, StoreWorkload.dump(reading));
+        try (Store reader = Store.openToRead(first.durableCopy(), StoreEventListener.NONE)) {
+            assertEquals(acknowledged, StoreWorkload.dump(reader));
         }
         StoreWorkload next = new StoreWorkload().open(first);
         assertEquals(acknowledged, StoreWorkload.dump(next.store));
@@ -487,39 +492,39 @@
         // The last byte of a version: only the block's checksum detects the change.
         content[second + 8 + 14 + 7] ^= 1;
         large.putFile(index, content);
-        StoreException refused =
+        StoreException thrown =
                 assertThrows(
                         StoreException.Damaged.class,
                         () -> Store.openToRead(large, StoreEventListener.NONE));
         assertEquals(
                 "damaged: " + index + " at " + second + ": the block's checksum does not match",
-                refused.getMessage());
+                thrown.getMessage());
     }
 
     @Test
     void valueThatLooksLikeAFrameIsNotReadAsOne() throws IOException {
         FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(young);
-        night.commit("a=1");
+        StoreWorkload workload = new StoreWorkload().open(young);
+        workload.commit("a=1");
         String log = fileNameWithSuffix(young, ".log");
         Manifest manifest = Manifest.decode(ByteBuffer.wrap(young.content(Manifest.NAME)));
-        ByteBuffer made = ByteBuffer.allocate(400);
+        ByteBuffer frames = ByteBuffer.allocate(400);
         // Frames of a later record, one for each possible alignment.
         for (int i = 0; i < 8; i++) {
-            made.position(made.position() + 1);
-            int start = SegmentFormat.beginFrame(made, SegmentFormat.GROUP_FRAME, 1, 1000);
+            frames.position(frames.position() + 1);
+            int start = SegmentFormat.beginFrame(frames, SegmentFormat.GROUP_FRAME, 1, 1000);
             SegmentFormat.endFrame(
-                    made, start, new SegmentFormat.ChecksumSeed(manifest.storeId(), 1), 64);
+                    frames, start, new SegmentFormat.ChecksumSeed(manifest.storeId(), 1), 64);
         }
-        byte[] frame = made.array();
-        night.store.put(StoreWorkload.bytes("b"), frame);
-        night.store.put(StoreWorkload.bytes("c"), frame);
-        try (Store again =
+        byte[] value = frames.array();
+        workload.store.put(StoreWorkload.bytes("b"), value);
+        workload.store.put(StoreWorkload.bytes("c"), value);
+        try (Store reopened =
                 Store.open(
                         young.durableCopy(),
                         StoreWorkload.SMALL_SEGMENTS,
                         StoreEventListener.NONE)) {
-            assertTrue(Arrays.equals(frame, again.get(StoreWorkload.bytes("c"))));
+            assertTrue(Arrays.equals(value, reopened.get(StoreWorkload.bytes("c"))));
         }
     }
 
@@ -535,10 +540,10 @@
         content[content.length - 20] ^= 1;
         disk.putFile(copy, content);
         try (Store store = Store.openToRead(disk, StoreEventListener.NONE)) {
-            StoreException refused = assertThrows(StoreException.Damaged.class, store::verify);
+            StoreException thrown = assertThrows(StoreException.Damaged.class, store::verify);
             assertTrue(
-                    refused.getMessage().startsWith("damaged: " + copy + " at "),
-                    refused.getMessage());
+                    thrown.getMessage().startsWith("damaged: " + copy + " at "),
+                    thrown.getMessage());
         }
     }
 }
--- a/relay/src/test/java/saltstage/store/FaultInjectingDisk.java
+++ b/relay/src/test/java/saltstage/store/FaultInjectingDisk.java
@@ -77,15 +77,15 @@
      */
     private Callable<Void> nextCreateHook;
 
-    void beforeNextCreate(Callable<Void> what) {
-        nextCreateHook = what;
+    void beforeNextCreate(Callable<Void> hook) {
+        nextCreateHook = hook;
     }
 
     /** Injects the fault at this operation, counting from 0 with the next one. */
-    public void injectFaultAt(int at, Fault what) {
+    public void injectFaultAt(int operation, Fault injected) {
         operationCount = 0;
-        faultAtOperation = at;
-        fault = what;
+        faultAtOperation = operation;
+        fault = injected;
     }
 
     /** Returns the number of modifying operations since the last call of {@link #injectFaultAt}. */
@@ -107,40 +107,40 @@
      * Returns the disk as it is after a crash: everything that was forced, and a random subset of
      * the other changes.
      */
-    public FaultInjectingDisk afterCrash(Random keep) {
+    public FaultInjectingDisk afterCrash(Random choice) {
         FaultInjectingDisk next = new FaultInjectingDisk();
-        TreeMap<String, Inode> kept = new TreeMap<>(durableFiles);
+        TreeMap<String, Inode> survivors = new TreeMap<>(durableFiles);
         for (NameChange change : unsyncedNameChanges) {
-            if (keep.nextBoolean()) {
+            if (choice.nextBoolean()) {
                 if (change.from() != null) {
-                    kept.remove(change.from(), change.inode());
+                    survivors.remove(change.from(), change.inode());
                 }
                 if (change.to() != null) {
-                    kept.put(change.to(), change.inode());
+                    survivors.put(change.to(), change.inode());
                 }
             }
         }
-        kept.forEach(
+        survivors.forEach(
                 (name, node) -> {
                     byte[] content = node.durableContent;
                     for (PendingWrite write : node.unforcedWrites) {
-                        for (int at = 0; at < write.bytes().length; ) {
-                            int until =
+                        for (int start = 0; start < write.bytes().length; ) {
+                            int end =
                                     Math.min(
                                             write.bytes().length,
-                                            at
+                                            start
                                                     + SECTOR_BYTES
-                                                    - (write.position() + at) % SECTOR_BYTES);
-                            if (keep.nextBoolean()) {
+                                                    - (write.position() + start) % SECTOR_BYTES);
+                            if (choice.nextBoolean()) {
                                 content =
                                         Inode.withWrite(
                                                 content,
                                                 new PendingWrite(
-                                                        write.position() + at,
+                                                        write.position() + start,
                                                         Arrays.copyOfRange(
-                                                                write.bytes(), at, until)));
+                                                                write.bytes(), start, end)));
                             }
-                            at = until;
+                            start = end;
                         }
                     }
                     next.putFile(name, content);
@@ -187,7 +187,7 @@
                 crashed = true;
                 throw new SimulatedCrash();
             case IO_ERROR:
-                throw new IOException("made to fail");
+                throw new IOException("injected I/O error");
             case DISK_FULL:
                 diskFull = true;
                 return false;
@@ -204,10 +204,10 @@
     @Override
     public synchronized File create(String name) throws IOException {
         if (nextCreateHook != null) {
-            Callable<Void> meanwhile = nextCreateHook;
+            Callable<Void> hook = nextCreateHook;
             nextCreateHook = null;
             try {
-                meanwhile.call();
+                hook.call();
             } catch (Exception e) {
                 throw new IOException(e);
             }
@@ -218,7 +218,7 @@
         }
         Inode node = new Inode();
         if (files.putIfAbsent(name, node) != null) {
-            throw new IOException("there already: " + name);
+            throw new IOException("the file exists: " + name);
         }
         unsyncedNameChanges.add(new NameChange(null, name, node));
         return new FileHandle(node);
@@ -270,8 +270,8 @@
     private final class FileHandle implements File {
         private final Inode inode;
 
-        FileHandle(Inode node) {
-            this.inode = node;
+        FileHandle(Inode inode) {
+            this.inode = inode;
         }
 
         @Override
@@ -316,12 +316,11 @@
                     for (PendingWrite write : inode.unforcedWrites) {
                         inode.durableContent = Inode.withWrite(inode.durableContent, write);
                     }
-                } catch (IOException failed) {
-                    failed.addSuppressed(
-                            new IOException("the cache forgets that these were not written"));
+                } catch (IOException e) {
+                    e.addSuppressed(new IOException("the cache dropped the unwritten data"));
                     // Linux also drops the dirty pages, so that a later force succeeds.
                     inode.unforcedWrites.clear();
-                    throw failed;
+                    throw e;
                 }
                 inode.unforcedWrites.clear();
             }
--- a/relay/src/test/java/saltstage/store/MaintenancePolicyTest.java
+++ b/relay/src/test/java/saltstage/store/MaintenancePolicyTest.java
@@ -38,7 +38,7 @@
         assertEquals(
                 List.of(1L, 2L),
                 policy.selectForCompaction(more, 0),
-                "the deadest first, and not what mostly lives");
+                "segments with the least live data first, and none that is mostly live");
         assertEquals(
                 List.of(),
                 policy.selectForCompaction(more, 3_000),
@@ -70,14 +70,15 @@
 
     @Test
     void rateLimitHoldsOverTimeForAnyRequestSize() {
-        RateLimiter limit = new RateLimiter(1_000_000);
-        long now = 0;
+        RateLimiter limiter = new RateLimiter(1_000_000);
+        long nowNs = 0;
+        // Takes 10 s worth of bytes, as fast as the limiter allows.
         for (int i = 0; i < 10_000; i++) {
-            now += limit.take(1_000, now); // 10 s worth of bytes, as fast as the limiter allows
+            nowNs += limiter.take(1_000, nowNs);
         }
-        assertTrue(now > 9_800_000_000L && now <= 10_000_000_000L, "took " + now);
+        assertTrue(nowNs > 9_800_000_000L && nowNs <= 10_000_000_000L, "took " + nowNs);
         assertEquals(
-                0, limit.take(1_000, now + 1_000_000_000L), "what was not used is a burst, once");
-        assertTrue(limit.take(1_000_000, now + 1_000_000_000L) > 800_000_000L);
+                0, limiter.take(1_000, nowNs + 1_000_000_000L), "unused budget allows one burst");
+        assertTrue(limiter.take(1_000_000, nowNs + 1_000_000_000L) > 800_000_000L);
     }
 }
--- a/relay/src/test/java/saltstage/store/StoreFuzzTest.java
+++ b/relay/src/test/java/saltstage/store/StoreFuzzTest.java
@@ -56,11 +56,12 @@
         }
         String name = FILE_NAMES.get((data[0] & 0xff) % FILE_NAMES.size());
         byte[] content = WORKLOAD_DISK.content(name);
-        int at = ((data[1] & 0xff) << 8 | data[2] & 0xff) % content.length;
-        int bytes = Math.min(data.length - 3, content.length - at);
-        System.arraycopy(data, 3, content, at, bytes);
+        int offset = ((data[1] & 0xff) << 8 | data[2] & 0xff) % content.length;
+        int bytes = Math.min(data.length - 3, content.length - offset);
+        System.arraycopy(data, 3, content, offset, bytes);
         FaultInjectingDisk changed = WORKLOAD_DISK.durableCopy();
-        changed.putFile(name, (data[0] & 0x80) != 0 ? Arrays.copyOf(content, at + bytes) : content);
+        changed.putFile(
+                name, (data[0] & 0x80) != 0 ? Arrays.copyOf(content, offset + bytes) : content);
         try (Store store =
                 Store.open(changed, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE)) {
             TreeMap<String, String> found = StoreWorkload.dump(store);
@@ -69,8 +70,8 @@
                             assertTrue(
                                     REQUESTED_VALUES.getOrDefault(key, Set.of()).contains(value),
                                     key + "=" + value));
-        } catch (StoreException refused) {
-            assertTrue(refused.getMessage() != null);
+        } catch (StoreException e) {
+            assertTrue(e.getMessage() != null);
         }
     }
 
--- a/relay/src/test/java/saltstage/store/StoreTest.java
+++ b/relay/src/test/java/saltstage/store/StoreTest.java
@@ -47,35 +47,36 @@
      */
     @Property(tries = 120, seed = "20261201")
     void behavesAsASortedMap(
-            @ForAll @Size(min = 1, max = 120) List<@IntRange(min = 0, max = 99_999) Integer> ops)
+            @ForAll @Size(min = 1, max = 120)
+                    List<@IntRange(min = 0, max = 99_999) Integer> operations)
             throws IOException {
         FaultInjectingDisk disk = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(disk);
-        for (int op : ops) {
-            String key = "k" + op / 10 % 40;
-            switch (op % 10) {
-                case 0, 1, 2, 3 -> night.commit(key + "=" + "v".repeat(op / 500));
-                case 4, 5 -> night.commit(key);
+        StoreWorkload workload = new StoreWorkload().open(disk);
+        for (int operation : operations) {
+            String key = "k" + operation / 10 % 40;
+            switch (operation % 10) {
+                case 0, 1, 2, 3 -> workload.commit(key + "=" + "v".repeat(operation / 500));
+                case 4, 5 -> workload.commit(key);
                 case 6 ->
-                        night.commit(
+                        workload.commit(
                                 key + "=1",
-                                "k" + op / 400 % 40,
+                                "k" + operation / 400 % 40,
                                 key + "=2",
-                                "m" + op % 7 + "=" + op);
-                case 7 -> night.store.checkpoint();
-                case 8 -> night.store.compact();
+                                "m" + operation % 7 + "=" + operation);
+                case 7 -> workload.store.checkpoint();
+                case 8 -> workload.store.compact();
                 default -> {
-                    night.store.close();
-                    night.open(disk);
+                    workload.store.close();
+                    workload.open(disk);
                 }
             }
-            assertEquals(night.acknowledged, StoreWorkload.dump(night.store));
+            assertEquals(workload.acknowledged, StoreWorkload.dump(workload.store));
         }
-        Store.VerificationResult all = night.store.verify();
-        assertEquals(night.acknowledged.size(), all.liveKeys());
+        Store.VerificationResult result = workload.store.verify();
+        assertEquals(workload.acknowledged.size(), result.liveKeys());
         TreeMap<String, String> reread =
                 StoreWorkload.dump(new StoreWorkload().open(disk.afterCrash(new Random(1))).store);
-        assertEquals(night.acknowledged, reread);
+        assertEquals(workload.acknowledged, reread);
     }
 
     @Test
@@ -86,8 +87,8 @@
                 keys.add(new byte[] {(byte) i, 1});
                 store.put(new byte[] {(byte) (i * 37), 1}, new byte[] {(byte) (i * 37)});
             }
-            try (Snapshot now = store.snapshot()) {
-                Snapshot.Scan scan = now.scan(new byte[] {100}, new byte[] {(byte) 200, 1});
+            try (Snapshot snapshot = store.snapshot()) {
+                Snapshot.Scan scan = snapshot.scan(new byte[] {100}, new byte[] {(byte) 200, 1});
                 for (int i = 100; i < 200; i++) {
                     assertTrue(scan.next());
                     assertArrayEquals(keys.get(i), scan.key());
@@ -143,7 +144,7 @@
     @Test
     void concurrentWritersShareGroupCommitsAndEachGetsItsOwnResult() throws Exception {
         int writers = 16;
-        int each = 60;
+        int incrementsPerWriter = 60;
         ConcurrentLinkedQueue<Throwable> failures = new ConcurrentLinkedQueue<>();
         try (Store store = openStore(32 << 10, true)) {
             store.put(bytes("shared"), ByteBuffer.allocate(8).array());
@@ -154,7 +155,7 @@
                         new Thread(
                                 () -> {
                                     try {
-                                        for (int i = 0; i < each; i++) {
+                                        for (int i = 0; i < incrementsPerWriter; i++) {
                                             increment(store);
                                             store.put(
                                                     bytes("w" + writer + "-" + i),
@@ -172,22 +173,24 @@
             assertTrue(failures.isEmpty(), failures.toString());
         }
         try (Store store = openStore(32 << 10, false)) {
-            assertEquals(writers * each, ByteBuffer.wrap(store.get(bytes("shared"))).getLong());
-            assertEquals(writers * each + 1, store.verify().liveKeys());
+            assertEquals(
+                    writers * incrementsPerWriter,
+                    ByteBuffer.wrap(store.get(bytes("shared"))).getLong());
+            assertEquals(writers * incrementsPerWriter + 1, store.verify().liveKeys());
         }
     }
 
     private static void increment(Store store) throws IOException {
         byte[] key = bytes("shared");
         while (true) {
-            try (Snapshot now = store.snapshot()) {
-                long next = ByteBuffer.wrap(now.get(key)).getLong() + 1;
+            try (Snapshot snapshot = store.snapshot()) {
+                long next = ByteBuffer.wrap(snapshot.get(key)).getLong() + 1;
                 store.commit(
                         new Batch()
-                                .expectVersion(key, now.version(key))
+                                .expectVersion(key, snapshot.version(key))
                                 .put(key, ByteBuffer.allocate(8).putLong(next).array()));
                 return;
-            } catch (StoreException.VersionConflict again) {
+            } catch (StoreException.VersionConflict e) {
                 continue;
             }
         }
@@ -199,7 +202,7 @@
      */
     @Test
     void snapshotsStayConsistentDuringCompactions() throws Exception {
-        AtomicBoolean over = new AtomicBoolean();
+        AtomicBoolean done = new AtomicBoolean();
         ConcurrentLinkedQueue<Throwable> failures = new ConcurrentLinkedQueue<>();
         try (Store store = openStore(8 << 10, false)) {
             store.commit(new Batch().put(bytes("a"), bytes("0")).put(bytes("z"), bytes("0")));
@@ -209,13 +212,13 @@
                         new Thread(
                                 () -> {
                                     try {
-                                        while (!over.get()) {
-                                            try (Snapshot now = store.snapshot()) {
+                                        while (!done.get()) {
+                                            try (Snapshot view = store.snapshot()) {
                                                 assertArrayEquals(
-                                                        now.get(bytes("a")), now.get(bytes("z")));
+                                                        view.get(bytes("a")), view.get(bytes("z")));
                                                 Thread.onSpinWait();
                                                 assertArrayEquals(
-                                                        now.get(bytes("a")), now.get(bytes("z")));
+                                                        view.get(bytes("a")), view.get(bytes("z")));
                                             }
                                         }
                                     } catch (IOException | AssertionError | RuntimeException e) {
@@ -235,7 +238,7 @@
                     store.compact();
                 }
             }
-            over.set(true);
+            done.set(true);
             for (Thread reader : readers) {
                 reader.join();
             }
@@ -253,11 +256,13 @@
             store.compact();
             long after = store.statistics().fileBytes();
             assertTrue(after < before / 5, before + " then " + after);
-            long there = 0;
+            long bytesOnDisk = 0;
             for (java.io.File file : dir.resolve("s").toFile().listFiles()) {
-                there += file.length();
+                bytesOnDisk += file.length();
             }
-            assertTrue(there <= after + 4096, "on the disk " + there + ", counted " + after);
+            assertTrue(
+                    bytesOnDisk <= after + 4096,
+                    "bytes on the disk: " + bytesOnDisk + ", counted: " + after);
             assertEquals(10, store.verify().liveKeys());
         }
     }
@@ -265,21 +270,21 @@
     @Test
     void snapshotStaysReadableAfterCompactionRemovesItsSegments() throws IOException {
         FaultInjectingDisk disk = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(disk);
-        night.run();
-        TreeMap<String, String> then = night.acknowledged;
-        TreeMap<String, String> seen = new TreeMap<>();
-        try (Snapshot old = night.store.snapshot()) {
-            for (String key : then.keySet()) {
-                night.commit(key + "=new");
+        StoreWorkload workload = new StoreWorkload().open(disk);
+        workload.run();
+        TreeMap<String, String> expected = workload.acknowledged;
+        TreeMap<String, String> found = new TreeMap<>();
+        try (Snapshot snapshot = workload.store.snapshot()) {
+            for (String key : expected.keySet()) {
+                workload.commit(key + "=new");
             }
-            night.store.compact();
-            Snapshot.Scan scan = old.scan(null, null);
+            workload.store.compact();
+            Snapshot.Scan scan = snapshot.scan(null, null);
             while (scan.next()) {
-                seen.put(new String(scan.key()), new String(scan.value()));
+                found.put(new String(scan.key()), new String(scan.value()));
             }
         }
-        assertEquals(then, seen);
+        assertEquals(expected, found);
     }
 
     @Test
@@ -289,14 +294,14 @@
             Thread.currentThread().interrupt();
             store.put(bytes("b"), bytes("2"));
             assertArrayEquals(bytes("1"), store.get(bytes("a")));
-            assertTrue(Thread.interrupted(), "the interrupt is kept");
+            assertTrue(Thread.interrupted(), "the interrupt flag is still set");
             store.put(bytes("c"), bytes("3"));
             Thread writer = Thread.currentThread();
-            AtomicBoolean over = new AtomicBoolean();
+            AtomicBoolean done = new AtomicBoolean();
             Thread interrupter =
                     new Thread(
                             () -> {
-                                while (!over.get()) {
+                                while (!done.get()) {
                                     writer.interrupt();
                                     LockSupport.parkNanos(300_000);
                                 }
@@ -308,7 +313,7 @@
                     assertArrayEquals(bytes("v" + i), store.get(bytes("k" + i)));
                 }
             } finally {
-                over.set(true);
+                done.set(true);
                 while (interrupter.isAlive()) {
                     Thread.interrupted();
                     Thread.onSpinWait();
@@ -326,10 +331,10 @@
     @Test
     void groupWithRejectedLargeBatchStaysWithinItsReservedSpace() throws IOException {
         FaultInjectingDisk disk = new FaultInjectingDisk();
-        StoreState core =
+        StoreState state =
                 new StoreState(disk, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE);
-        new Recovery(core, true).run();
-        LogWriter writer = new LogWriter(core);
+        new Recovery(state, true).run();
+        LogWriter writer = new LogWriter(state);
         PendingBatch small =
                 new PendingBatch(
                         new Batch()
--- a/relay/src/test/java/saltstage/store/StoreWorkload.java
+++ b/relay/src/test/java/saltstage/store/StoreWorkload.java
@@ -84,8 +84,8 @@
 
     static TreeMap<String, String> dump(Store store) throws IOException {
         TreeMap<String, String> all = new TreeMap<>();
-        try (Snapshot now = store.snapshot()) {
-            Snapshot.Scan scan = now.scan(null, null);
+        try (Snapshot snapshot = store.snapshot()) {
+            Snapshot.Scan scan = snapshot.scan(null, null);
             while (scan.next()) {
                 all.put(
                         new String(scan.key(), StandardCharsets.UTF_8),
--- a/relay/src/test/java/saltstage/store/TailClassifierTest.java
+++ b/relay/src/test/java/saltstage/store/TailClassifierTest.java
@@ -11,23 +11,28 @@
     @Test
     void classifiesEveryCombination() {
         for (int bits = 0; bits < 64; bits++) {
-            boolean later = (bits & 1) != 0;
+            boolean laterGroup = (bits & 1) != 0;
             boolean mirror = (bits & 2) != 0;
-            boolean mark = (bits & 4) != 0;
-            boolean zero = (bits & 8) != 0;
-            boolean last = (bits & 16) != 0;
-            boolean said = (bits & 32) != 0;
-            TailState wanted =
-                    later
+            boolean commitMarker = (bits & 4) != 0;
+            boolean restZero = (bits & 8) != 0;
+            boolean trailerOfPrevious = (bits & 16) != 0;
+            boolean acknowledged = (bits & 32) != 0;
+            TailState expected =
+                    laterGroup
                             ? TailState.DAMAGED
                             : mirror
                                     ? TailState.RESTORABLE
-                                    : mark || said
+                                    : commitMarker || acknowledged
                                             ? TailState.DAMAGED
-                                            : zero || last ? TailState.CLEAN : TailState.TORN;
+                                            : restZero || trailerOfPrevious
+                                                    ? TailState.CLEAN
+                                                    : TailState.TORN;
             assertEquals(
-                    wanted,
-                    TailClassifier.classify(new Findings(later, mirror, mark, zero, last), said));
+                    expected,
+                    TailClassifier.classify(
+                            new Findings(
+                                    laterGroup, mirror, commitMarker, restZero, trailerOfPrevious),
+                            acknowledged));
         }
     }
 }
