--- a/relay/src/main/java/saltstage/store/SegmentReader.java
+++ b/relay/src/main/java/saltstage/store/SegmentReader.java
@@ -123,8 +123,8 @@
     }
 
     /**
-     * Scans the rest of the segment from the first unreadable offset on; {@code expectedSeq} is
-     * the sequence number of the group that should begin there.
+     * Scans the rest of the segment from the first unreadable offset on; {@code expectedSeq} is the
+     * sequence number of the group that should begin there.
      */
     TailScan scanTail(long from, long expectedSeq) throws IOException {
         boolean laterGroup = false;
