--- a/relay/src/main/java/saltstage/store/SegmentReader.java
+++ b/relay/src/main/java/saltstage/store/SegmentReader.java
@@ -100,17 +100,17 @@
             int changes =
                     payload.remaining() < SegmentFormat.BATCH_HEADER_BYTES ? -1 : payload.getInt();
             for (int i = 0; i < changes; i++) {
-                int at = payload.position();
+                int entryStart = payload.position();
                 SegmentFormat.Entry entry = SegmentFormat.decodeEntry(payload);
                 if (entry == null) {
                     throw new StoreException.Damaged(
-                            segment.fileName(), offset + at, "no sound entry");
+                            segment.fileName(), offset + entryStart, "no sound entry");
                 }
                 visitor.visit(
                         entry,
                         batch,
-                        offset + at,
-                        payload.duplicate().position(at).limit(payload.position()));
+                        offset + entryStart,
+                        payload.duplicate().position(entryStart).limit(payload.position()));
             }
             if (changes < 0) {
                 throw new StoreException.Damaged(segment.fileName(), offset, "a batch is cut");
--- a/relay/src/main/java/saltstage/store/Store.java
+++ b/relay/src/main/java/saltstage/store/Store.java
@@ -270,13 +270,14 @@
             for (Segment segment : view.segments().all()) {
                 long end = segment.usedBytes();
                 SegmentReader reader = new SegmentReader(segment);
-                for (long at = SegmentFormat.SEGMENT_HEADER_BYTES; at < end; ) {
-                    SegmentReader.Frame frame = reader.frameAt(at);
+                for (long frameOffset = SegmentFormat.SEGMENT_HEADER_BYTES; frameOffset < end; ) {
+                    SegmentReader.Frame frame = reader.frameAt(frameOffset);
                     if (frame == null) {
-                        throw new StoreException.Damaged(segment.fileName(), at, "no sound record");
+                        throw new StoreException.Damaged(
+                                segment.fileName(), frameOffset, "no sound record");
                     }
                     reader.visitEntries(frame, (entry, batch, offset, raw) -> entryCount[0]++);
-                    at = frame.endOffset();
+                    frameOffset = frame.endOffset();
                 }
             }
             long liveKeys = 0;
--- a/relay/src/test/java/saltstage/store/DamageTest.java
+++ b/relay/src/test/java/saltstage/store/DamageTest.java
@@ -45,8 +45,8 @@
         } catch (StoreException e) {
             assertTrue(e.getMessage().matches("damaged: \\S+ at \\d+: .*"), description + ": " + e);
             return 1;
-        } catch (IOException | RuntimeException other) {
-            return fail(description + ": " + other, other);
+        } catch (IOException | RuntimeException e) {
+            return fail(description + ": " + e, e);
         }
     }
 
@@ -54,10 +54,10 @@
     void everyFileTruncatedAtEveryByteIsRefused() {
         int[] outcomes = new int[2];
         for (String name : disk.list()) {
-            byte[] whole = disk.content(name);
-            for (int length = 0; length < whole.length; length++) {
+            byte[] original = disk.content(name);
+            for (int length = 0; length < original.length; length++) {
                 FaultInjectingDisk truncated = disk.durableCopy();
-                truncated.putFile(name, Arrays.copyOf(whole, length));
+                truncated.putFile(name, Arrays.copyOf(original, length));
                 int outcome = openOutcome(truncated, name + " cut to " + length);
                 assertEquals(1, outcome, name + " cut to " + length + " looks like a shorter log");
                 outcomes[outcome]++;
@@ -76,10 +76,10 @@
     void everyByteOfEveryFileFlipped() {
         int[] outcomes = new int[2];
         for (String name : disk.list()) {
-            byte[] whole = disk.content(name);
-            for (int offset = 0; offset < whole.length; offset++) {
+            byte[] original = disk.content(name);
+            for (int offset = 0; offset < original.length; offset++) {
                 for (int mask : new int[] {0x01, 0xff}) {
-                    byte[] flipped = whole.clone();
+                    byte[] flipped = original.clone();
                     flipped[offset] ^= (byte) mask;
                     FaultInjectingDisk changed = disk.durableCopy();
                     changed.putFile(name, flipped);
@@ -119,61 +119,61 @@
 
     @Test
     void anOlderManifestIsRefused() throws IOException {
-        FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload workload = new StoreWorkload().open(young);
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
         workload.commit("a=1");
-        byte[] older = young.content(Manifest.NAME);
+        byte[] older = fresh.content(Manifest.NAME);
         for (int i = 0; i < 30; i++) {
             workload.commit("a=" + "x".repeat(100) + i);
         }
         acknowledged = workload.acknowledged;
-        FaultInjectingDisk mixed = young.durableCopy();
+        FaultInjectingDisk mixed = fresh.durableCopy();
         mixed.putFile(Manifest.NAME, older);
         assertEquals(1, openOutcome(mixed, "an older manifest over a newer log"));
     }
 
     @Test
     void damagedLastGroupIsRestoredFromItsMirrorAndReported() throws IOException {
-        FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload workload = new StoreWorkload().open(young);
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
         workload.commit("a=1");
         workload.commit("b=2");
-        String log = fileNameWithSuffix(young, ".log");
-        byte[] whole = young.content(log);
+        String log = fileNameWithSuffix(fresh, ".log");
+        byte[] original = fresh.content(log);
         int last =
                 SegmentFormat.SEGMENT_HEADER_BYTES
                         + SegmentFormat.alignUp(
                                 SegmentFormat.FRAME_HEADER_BYTES
-                                        + whole[SegmentFormat.SEGMENT_HEADER_BYTES + 11]);
-        whole[last + SegmentFormat.FRAME_HEADER_BYTES + 10] ^= 1;
-        young.putFile(log, whole);
-        StoreWorkload after = new StoreWorkload().open(young.durableCopy());
+                                        + original[SegmentFormat.SEGMENT_HEADER_BYTES + 11]);
+        original[last + SegmentFormat.FRAME_HEADER_BYTES + 10] ^= 1;
+        fresh.putFile(log, original);
+        StoreWorkload after = new StoreWorkload().open(fresh.durableCopy());
         assertEquals(workload.acknowledged, StoreWorkload.dump(after.store));
         assertTrue(after.events.get(0).startsWith("store.restored"), after.events.toString());
-        try (Store reader = Store.openToRead(young.durableCopy(), StoreEventListener.NONE)) {
+        try (Store reader = Store.openToRead(fresh.durableCopy(), StoreEventListener.NONE)) {
             assertEquals(workload.acknowledged, StoreWorkload.dump(reader));
         }
     }
 
     @Test
     void damagedLargeLastGroupIsRefusedByItsCommitMarker() throws IOException {
-        FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload workload = new StoreWorkload().open(young);
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
         workload.commit("a=" + "x".repeat(SegmentFormat.MAX_MIRRORED_BYTES + 1));
         acknowledged = workload.acknowledged;
-        assertEquals(0, openOutcome(young.durableCopy(), "undamaged"));
+        assertEquals(0, openOutcome(fresh.durableCopy(), "undamaged"));
         String log =
-                young.list().stream()
+                fresh.list().stream()
                         .filter(
                                 name ->
-                                        young.content(name).length
+                                        fresh.content(name).length
                                                 > SegmentFormat.MAX_MIRRORED_BYTES)
                         .findFirst()
                         .orElseThrow();
-        byte[] whole = young.content(log);
-        whole[SegmentFormat.MAX_MIRRORED_BYTES / 2] ^= 1;
-        FaultInjectingDisk changed = young.durableCopy();
-        changed.putFile(log, whole);
+        byte[] original = fresh.content(log);
+        original[SegmentFormat.MAX_MIRRORED_BYTES / 2] ^= 1;
+        FaultInjectingDisk changed = fresh.durableCopy();
+        changed.putFile(log, original);
         assertEquals(1, openOutcome(changed, "a large record flipped"));
     }
 
@@ -184,13 +184,13 @@
      */
     @Test
     void lastGroupDamagedWithItsMirrorIsRefusedAndLeftUnchanged() throws IOException {
-        FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload workload = new StoreWorkload().open(young);
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
         workload.commit("a=1");
         workload.commit("b=2");
         acknowledged = workload.acknowledged;
-        String log = fileNameWithSuffix(young, ".log");
-        byte[] whole = young.content(log);
+        String log = fileNameWithSuffix(fresh, ".log");
+        byte[] original = fresh.content(log);
         int payload = SegmentFormat.BATCH_HEADER_BYTES + SegmentFormat.ENTRY_HEADER_BYTES + 2;
         int group =
                 SegmentFormat.SEGMENT_HEADER_BYTES
@@ -200,7 +200,7 @@
         int refused = 0;
         for (int first = group; first < mirror; first++) {
             for (int second = mirror; second < end; second++) {
-                refused += outcomeWithTwoBytesFlipped(young, log, whole, first, second);
+                refused += outcomeWithTwoBytesFlipped(fresh, log, original, first, second);
             }
         }
         assertEquals(
@@ -212,9 +212,9 @@
                 refused);
         // The zeroed tail reads as if it had never been written.
         for (int from = group; from < end; from++) {
-            byte[] zeroed = whole.clone();
+            byte[] zeroed = original.clone();
             Arrays.fill(zeroed, from, zeroed.length, (byte) 0);
-            FaultInjectingDisk changed = young.durableCopy();
+            FaultInjectingDisk changed = fresh.durableCopy();
             changed.putFile(log, zeroed);
             int expected = from < group + SegmentFormat.FRAME_HEADER_BYTES + payload ? 1 : 0;
             assertEquals(
@@ -228,11 +228,11 @@
      * log unchanged.
      */
     private int outcomeWithTwoBytesFlipped(
-            FaultInjectingDisk young, String log, byte[] whole, int first, int second) {
-        byte[] damaged = whole.clone();
+            FaultInjectingDisk fresh, String log, byte[] original, int first, int second) {
+        byte[] damaged = original.clone();
         damaged[first] ^= 0x10;
         damaged[second] ^= 0x10;
-        FaultInjectingDisk changed = young.durableCopy();
+        FaultInjectingDisk changed = fresh.durableCopy();
         changed.putFile(log, damaged);
         int outcome = openOutcome(changed, "flipped at " + first + " and " + second);
         assertTrue(
@@ -247,25 +247,25 @@
      */
     @Test
     void olderLogOrForeignAcknowledgedSeqFileIsRefused() throws IOException {
-        FaultInjectingDisk old = new FaultInjectingDisk();
-        StoreWorkload workload = new StoreWorkload().open(old);
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
         workload.commit("a=1");
-        FaultInjectingDisk mixed = old.durableCopy();
+        FaultInjectingDisk mixed = fresh.durableCopy();
         workload.commit("a=2");
-        mixed.putFile(AcknowledgedSeqFile.NAME, old.content(AcknowledgedSeqFile.NAME));
+        mixed.putFile(AcknowledgedSeqFile.NAME, fresh.content(AcknowledgedSeqFile.NAME));
         acknowledged = workload.acknowledged;
         assertEquals(1, openOutcome(mixed, "an older log"));
-        FaultInjectingDisk foreign = old.durableCopy();
+        FaultInjectingDisk foreign = fresh.durableCopy();
         foreign.putFile(AcknowledgedSeqFile.NAME, disk.content(AcknowledgedSeqFile.NAME));
         assertEquals(1, openOutcome(foreign, "the sequence number file of another store"));
-        FaultInjectingDisk damaged = old.durableCopy();
-        byte[] content = old.content(AcknowledgedSeqFile.NAME);
+        FaultInjectingDisk damaged = fresh.durableCopy();
+        byte[] content = fresh.content(AcknowledgedSeqFile.NAME);
         content[8] ^= 1;
         content[AcknowledgedSeqFile.SLOT_BYTES + 8] ^= 1;
         damaged.putFile(AcknowledgedSeqFile.NAME, content);
         assertEquals(1, openOutcome(damaged, "neither slot is valid"));
         FaultInjectingDisk onlyFile = new FaultInjectingDisk();
-        onlyFile.putFile(AcknowledgedSeqFile.NAME, old.content(AcknowledgedSeqFile.NAME));
+        onlyFile.putFile(AcknowledgedSeqFile.NAME, fresh.content(AcknowledgedSeqFile.NAME));
         assertEquals(1, openOutcome(onlyFile, "only the sequence number file"));
     }
 
@@ -286,10 +286,11 @@
      * Replaces the log by an earlier version of it, which loses all later groups together with
      * their mirrors.
      */
-    private static FaultInjectingDisk withLogOf(FaultInjectingDisk before, FaultInjectingDisk now) {
-        String log = fileNameWithSuffix(now, ".log");
-        now.putFile(log, before.content(log));
-        return now;
+    private static FaultInjectingDisk withLogOf(
+            FaultInjectingDisk before, FaultInjectingDisk current) {
+        String log = fileNameWithSuffix(current, ".log");
+        current.putFile(log, before.content(log));
+        return current;
     }
 
     /**
@@ -314,7 +315,7 @@
         FaultInjectingDisk idle = new FaultInjectingDisk();
         StoreOptions options = new StoreOptions(2048, true, 1 << 30);
         try (Store store = Store.open(idle, options, StoreEventListener.NONE)) {
-            FaultInjectingDisk young = idle.durableCopy();
+            FaultInjectingDisk fresh = idle.durableCopy();
             store.put(StoreWorkload.bytes("a"), StoreWorkload.bytes("1"));
             SegmentFormat.StoreId id = Manifest.read(idle).storeId();
             for (int i = 0;
@@ -322,51 +323,51 @@
                     i++) {
                 Thread.sleep(10);
             }
-            assertEquals(1, openOutcome(withLogOf(young, afterPowerLoss(idle)), "idle"));
+            assertEquals(1, openOutcome(withLogOf(fresh, afterPowerLoss(idle)), "idle"));
         }
     }
 
     /** Guards against an interrupted write to the slot that the last force made durable. */
     @Test
     void oneSlotIsAlwaysDurableAndUnchanged() throws IOException {
-        FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload workload = new StoreWorkload().open(young);
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
         for (int i = 0; i < 4; i++) {
             workload.commit("a=" + i);
             workload.commit("b=" + i);
-            byte[] durable = afterPowerLoss(young).content(AcknowledgedSeqFile.NAME);
-            byte[] now = young.content(AcknowledgedSeqFile.NAME);
-            boolean first = isRangeEqual(durable, now, 0, AcknowledgedSeqFile.SLOT_BYTES);
+            byte[] durable = afterPowerLoss(fresh).content(AcknowledgedSeqFile.NAME);
+            byte[] current = fresh.content(AcknowledgedSeqFile.NAME);
+            boolean first = isRangeEqual(durable, current, 0, AcknowledgedSeqFile.SLOT_BYTES);
             boolean second =
                     isRangeEqual(
                             durable,
-                            now,
+                            current,
                             AcknowledgedSeqFile.SLOT_BYTES,
                             AcknowledgedSeqFile.FILE_BYTES);
             assertTrue(first ^ second, "round " + i);
             acknowledged = workload.acknowledged;
-            FaultInjectingDisk damaged = young.durableCopy();
-            byte[] interrupted = now.clone();
+            FaultInjectingDisk damaged = fresh.durableCopy();
+            byte[] interrupted = current.clone();
             Arrays.fill(
                     interrupted,
                     first ? AcknowledgedSeqFile.SLOT_BYTES : 0,
                     (first ? AcknowledgedSeqFile.SLOT_BYTES : 0) + 20,
                     (byte) 0);
             damaged.putFile(AcknowledgedSeqFile.NAME, interrupted);
-            SegmentFormat.StoreId id = Manifest.read(young).storeId();
+            SegmentFormat.StoreId id = Manifest.read(fresh).storeId();
             assertEquals(
-                    AcknowledgedSeqFile.read(afterPowerLoss(young), id),
+                    AcknowledgedSeqFile.read(afterPowerLoss(fresh), id),
                     AcknowledgedSeqFile.read(damaged, id),
                     "the number that the last force made durable");
             assertEquals(0, openOutcome(damaged, "write interrupted in a slot"));
             if (i == 1) {
-                young = young.durableCopy(); // killed: the written data remains, but was not forced
+                fresh = fresh.durableCopy(); // killed: the written data remains, but was not forced
             } else {
                 workload.store.close();
             }
             workload = new StoreWorkload();
             workload.acknowledged = acknowledged;
-            workload.open(young);
+            workload.open(fresh);
         }
     }
 
@@ -381,18 +382,18 @@
     @Test
     void openOverwritesTheSlotThatMayNotBeDurable() throws IOException {
         for (int commits = 1; commits <= 2; commits++) {
-            FaultInjectingDisk young = new FaultInjectingDisk();
-            StoreWorkload workload = new StoreWorkload().open(young);
+            FaultInjectingDisk fresh = new FaultInjectingDisk();
+            StoreWorkload workload = new StoreWorkload().open(fresh);
             workload.commit("a=1");
             if (commits == 2) {
                 workload.store.close();
-                workload = new StoreWorkload().open(young);
+                workload = new StoreWorkload().open(fresh);
                 workload.commit("a=2");
             }
-            SegmentFormat.StoreId id = Manifest.read(young).storeId();
-            byte[] before = young.content(AcknowledgedSeqFile.NAME);
+            SegmentFormat.StoreId id = Manifest.read(fresh).storeId();
+            byte[] before = fresh.content(AcknowledgedSeqFile.NAME);
             int higher = slotSeq(before, 0) > slotSeq(before, 1) ? 0 : 1;
-            FaultInjectingDisk killed = young.durableCopy();
+            FaultInjectingDisk killed = fresh.durableCopy();
             killed.injectFaultAt(1, FaultInjectingDisk.Fault.CRASH); // the force
             assertThrows(
                     FaultInjectingDisk.SimulatedCrash.class,
@@ -413,14 +414,14 @@
      */
     @Test
     void recoveredGroupCountsAsAcknowledged() throws IOException {
-        FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload workload = new StoreWorkload().open(young);
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
         workload.commit("a=1");
-        FaultInjectingDisk before = young.durableCopy();
-        young.injectFaultAt(1, FaultInjectingDisk.Fault.CRASH); // the force of the next commit
+        FaultInjectingDisk before = fresh.durableCopy();
+        fresh.injectFaultAt(1, FaultInjectingDisk.Fault.CRASH); // the force of the next commit
         assertThrows(FaultInjectingDisk.SimulatedCrash.class, () -> workload.commit("b=2"));
         FaultInjectingDisk recovered =
-                young.afterCrash(
+                fresh.afterCrash(
                         new Random() {
                             private static final long serialVersionUID = 1L;
 
@@ -444,15 +445,15 @@
      */
     @Test
     void formatOneStoreIsUpgraded() throws IOException {
-        Manifest now = Manifest.decode(ByteBuffer.wrap(disk.content(Manifest.NAME)));
+        Manifest manifest = Manifest.decode(ByteBuffer.wrap(disk.content(Manifest.NAME)));
         byte[] formatOne =
                 new Manifest(
                                 (short) 1,
-                                now.storeId(),
-                                now.generation(),
-                                now.nextFileId(),
-                                now.checkpoint(),
-                                now.segments())
+                                manifest.storeId(),
+                                manifest.generation(),
+                                manifest.nextFileId(),
+                                manifest.checkpoint(),
+                                manifest.segments())
                         .encode()
                         .array();
         FaultInjectingDisk first = disk.durableCopy();
@@ -503,11 +504,11 @@
 
     @Test
     void valueThatLooksLikeAFrameIsNotReadAsOne() throws IOException {
-        FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload workload = new StoreWorkload().open(young);
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
         workload.commit("a=1");
-        String log = fileNameWithSuffix(young, ".log");
-        Manifest manifest = Manifest.decode(ByteBuffer.wrap(young.content(Manifest.NAME)));
+        String log = fileNameWithSuffix(fresh, ".log");
+        Manifest manifest = Manifest.decode(ByteBuffer.wrap(fresh.content(Manifest.NAME)));
         ByteBuffer frames = ByteBuffer.allocate(400);
         // Frames of a later record, one for each possible alignment.
         for (int i = 0; i < 8; i++) {
@@ -521,7 +522,7 @@
         workload.store.put(StoreWorkload.bytes("c"), value);
         try (Store reopened =
                 Store.open(
-                        young.durableCopy(),
+                        fresh.durableCopy(),
                         StoreWorkload.SMALL_SEGMENTS,
                         StoreEventListener.NONE)) {
             assertTrue(Arrays.equals(value, reopened.get(StoreWorkload.bytes("c"))));
