--- a/relay/src/main/java/saltstage/store/AcknowledgedSeqFile.java
+++ b/relay/src/main/java/saltstage/store/AcknowledgedSeqFile.java
@@ -4,18 +4,20 @@
 import java.nio.ByteBuffer;
 
 /**
- * The file that says up to which number the store has acknowledged: a witness apart from the log,
- * so that a log whose end was damaged, or whose files were put back from an older day, is not taken
- * for a shorter one. It is written after a group is durable and before it is acknowledged, so it
- * never says too much; it is forced only when writing rests, so it may say too little after a loss
- * of power. Of its two slots one is always durable and left alone: a write that is cut off spoils
- * the other only.
+ * The file that records the last acknowledged sequence number separately from the log. It prevents
+ * a log with a damaged end, or one restored from an older backup, from being accepted as a shorter
+ * log.
+ *
+ * <p>The file is written after a group is durable and before it is acknowledged, so its number is
+ * never too high. It is forced only when writing is idle, so the number may be too low after a
+ * power loss. One of its two slots is always durable and left unchanged, so that an interrupted
+ * write can only damage the other one.
  */
 final class AcknowledgedSeqFile {
     static final String NAME = "acked";
     static final String TEMPORARY_NAME = "acked.tmp";
 
-    /** Slots lie a sector apart: a sector is what a disk writes whole. */
+    /** The distance between the slots: one sector, which a disk writes atomically. */
     static final int SLOT_BYTES = 512;
 
     static final int FILE_BYTES = 2 * SLOT_BYTES;
@@ -31,56 +33,61 @@
     private long seq;
     private long forcedSeq;
 
-    private AcknowledgedSeqFile(Disk.File file, SegmentFormat.StoreId store, int slot, long seq) {
+    private AcknowledgedSeqFile(
+            Disk.File file, SegmentFormat.StoreId storeId, int activeSlot, long seq) {
         this.file = file;
-        this.storeId = store;
-        this.activeSlot = slot;
+        this.storeId = storeId;
+        this.activeSlot = activeSlot;
         this.seq = seq;
         forcedSeq = seq;
     }
 
-    /** Makes the file, durable but for its name, and opens it to write. */
-    static AcknowledgedSeqFile create(Disk disk, SegmentFormat.StoreId store, long seq)
+    /**
+     * Creates the file and opens it for writing. Its content is durable, its name is not until the
+     * directory is synced.
+     */
+    static AcknowledgedSeqFile create(Disk disk, SegmentFormat.StoreId storeId, long seq)
             throws IOException {
         disk.delete(TEMPORARY_NAME);
         try (Disk.File file = disk.create(TEMPORARY_NAME)) {
-            ByteBuffer all = ByteBuffer.allocate(FILE_BYTES);
-            all.put(0, encodeSlot(store, seq), 0, SLOT_CONTENT_BYTES)
-                    .put(SLOT_BYTES, encodeSlot(store, seq), 0, SLOT_CONTENT_BYTES);
-            if (file.write(all, 0) < FILE_BYTES) {
+            ByteBuffer content = ByteBuffer.allocate(FILE_BYTES);
+            content.put(0, encodeSlot(storeId, seq), 0, SLOT_CONTENT_BYTES)
+                    .put(SLOT_BYTES, encodeSlot(storeId, seq), 0, SLOT_CONTENT_BYTES);
+            if (file.write(content, 0) < FILE_BYTES) {
                 throw new IOException("short write of " + TEMPORARY_NAME);
             }
             file.force();
         }
         disk.rename(TEMPORARY_NAME, NAME);
-        return new AcknowledgedSeqFile(disk.open(NAME, true), store, 0, seq);
+        return new AcknowledgedSeqFile(disk.open(NAME, true), storeId, 0, seq);
     }
 
     /**
-     * The last number acknowledged as far as the file says; a damaged or foreign file is refused.
+     * Returns the last acknowledged sequence number in the file. Throws if the file is damaged or
+     * belongs to another store.
      */
-    static long read(Disk disk, SegmentFormat.StoreId store) throws IOException {
+    static long read(Disk disk, SegmentFormat.StoreId storeId) throws IOException {
         try (Disk.File file = disk.open(NAME, false)) {
-            long[] slots = readSlots(file, store);
-            return Math.max(slots[0], slots[1]);
+            long[] seqs = readSlots(file, storeId);
+            return Math.max(seqs[0], seqs[1]);
         }
     }
 
-    /** Opens it to write, with the number that the log came to. */
-    static AcknowledgedSeqFile open(Disk disk, SegmentFormat.StoreId store, long seq)
+    /** Opens the file for writing and records the last sequence number of the recovered log. */
+    static AcknowledgedSeqFile open(Disk disk, SegmentFormat.StoreId storeId, long seq)
             throws IOException {
         Disk.File file = disk.open(NAME, true);
         boolean opened = false;
         try {
-            long[] slots = readSlots(file, store);
-            // What the last run wrote may never have been forced: the slot that says more is not
-            // left alone.
-            AcknowledgedSeqFile made =
-                    new AcknowledgedSeqFile(file, store, slots[0] >= slots[1] ? 0 : 1, seq);
-            made.writeSlot();
-            made.forceAndSwitchSlot();
+            long[] seqs = readSlots(file, storeId);
+            // The slot with the higher number may never have been forced by the last process, so it
+            // is the one that is overwritten.
+            AcknowledgedSeqFile result =
+                    new AcknowledgedSeqFile(file, storeId, seqs[0] >= seqs[1] ? 0 : 1, seq);
+            result.writeSlot();
+            result.forceAndSwitchSlot();
             opened = true;
-            return made;
+            return result;
         } finally {
             if (!opened) {
                 file.close();
@@ -88,7 +95,10 @@
         }
     }
 
-    /** What a file of whichever store says; -1 where it says nothing. */
+    /**
+     * Returns the last acknowledged sequence number in the file of any store, or -1 if no slot is
+     * valid.
+     */
     static long readOfAnyStore(Disk.File file) throws IOException {
         ByteBuffer first = readSlot(file, 0);
         ByteBuffer second = readSlot(file, 1);
@@ -97,15 +107,18 @@
                 second == null ? -1 : second.getLong(SEQ_OFFSET));
     }
 
-    /** Says that this number is durable; under the write lock, before anybody is told. */
-    void update(long now) throws IOException {
-        seq = now;
+    /**
+     * Records that this sequence number is durable. Called under the write lock, before the commit
+     * is acknowledged.
+     */
+    void update(long acknowledged) throws IOException {
+        seq = acknowledged;
         writeSlot();
     }
 
     /**
-     * Makes what was said durable where writing has rested since the last call; under the write
-     * lock.
+     * Forces the file if the number has changed since the last force. Called under the write lock
+     * when writing is idle.
      */
     void forceIfChanged() throws IOException {
         if (forcedSeq != seq) {
@@ -130,14 +143,14 @@
         }
     }
 
-    private static byte[] encodeSlot(SegmentFormat.StoreId store, long seq) {
+    private static byte[] encodeSlot(SegmentFormat.StoreId storeId, long seq) {
         ByteBuffer slot = ByteBuffer.allocate(SLOT_CONTENT_BYTES);
         slot.putLong(MAGIC)
                 .putShort(SegmentFormat.FORMAT_VERSION)
                 .putShort((short) 0)
                 .putInt(0)
-                .putLong(store.high())
-                .putLong(store.low())
+                .putLong(storeId.high())
+                .putLong(storeId.low())
                 .putLong(seq)
                 .flip();
         slot.putInt(CRC_OFFSET, SegmentFormat.crcExcluding(slot, CRC_OFFSET));
@@ -150,14 +163,17 @@
             return null;
         }
         in.flip();
-        boolean sound =
+        boolean valid =
                 in.getLong(0) == MAGIC
                         && in.getInt(CRC_OFFSET) == SegmentFormat.crcExcluding(in, CRC_OFFSET);
-        return sound ? in : null;
+        return valid ? in : null;
     }
 
-    /** What each slot says; -1 for one that a write was cut off in, which never happens to both. */
-    private static long[] readSlots(Disk.File file, SegmentFormat.StoreId store)
+    /**
+     * Returns the number in each slot, or -1 for a slot that an interrupted write has damaged. An
+     * interrupted write never damages both.
+     */
+    private static long[] readSlots(Disk.File file, SegmentFormat.StoreId storeId)
             throws IOException {
         if (file.size() != FILE_BYTES) {
             throw new StoreException.Damaged(
@@ -169,7 +185,7 @@
                             + FILE_BYTES
                             + " were taken for it");
         }
-        long[] said = {-1, -1};
+        long[] seqs = {-1, -1};
         for (int i = 0; i < 2; i++) {
             ByteBuffer in = readSlot(file, i);
             if (in == null) {
@@ -184,15 +200,15 @@
                                 + SegmentFormat.FORMAT_VERSION
                                 + " is");
             }
-            if (in.getLong(16) != store.high() || in.getLong(24) != store.low()) {
+            if (in.getLong(16) != storeId.high() || in.getLong(24) != storeId.low()) {
                 throw new StoreException.Damaged(
                         NAME, (long) i * SLOT_BYTES + 16, "it belongs to another store");
             }
-            said[i] = in.getLong(SEQ_OFFSET);
+            seqs[i] = in.getLong(SEQ_OFFSET);
         }
-        if (said[0] < 0 && said[1] < 0) {
+        if (seqs[0] < 0 && seqs[1] < 0) {
             throw new StoreException.Damaged(NAME, 0, "neither of its two slots is sound");
         }
-        return said;
+        return seqs;
     }
 }
--- a/relay/src/main/java/saltstage/store/FileDisk.java
+++ b/relay/src/main/java/saltstage/store/FileDisk.java
@@ -17,16 +17,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A directory of the operating system's. */
+/** A disk in a directory of the file system. */
 public final class FileDisk implements Disk {
     private final Path directory;
 
-    /** This directory; it must be there. */
-    public FileDisk(Path dir) {
-        this.directory = dir;
+    /** Creates a disk for an existing directory. */
+    public FileDisk(Path directory) {
+        this.directory = directory;
     }
 
-    /** Makes the directory if it is not there, durably, and gives the disk in it. */
+    /** Creates the directory durably if it does not exist, and returns a disk for it. */
     public static FileDisk openOrCreate(Path dir) throws IOException {
         if (!Files.isDirectory(dir)) {
             Files.createDirectories(dir);
@@ -85,8 +85,8 @@
     public void syncDirectory() throws IOException {
         try (FileHandle handle = new FileHandle(directory, StandardOpenOption.READ)) {
             handle.withChannel(
-                    open -> {
-                        open.force(true);
+                    channel -> {
+                        channel.force(true);
                         return null;
                     });
         }
@@ -116,14 +116,17 @@
         T run() throws IOException;
     }
 
-    /** Tells a full disk from other failures; the JDK has no exception of its own for it. */
-    private static <T> T mapDiskFull(DiskOperation<T> step) throws IOException {
+    /**
+     * Maps the I/O errors of a full disk to {@link FullException}, because the JDK has no exception
+     * type for them.
+     */
+    private static <T> T mapDiskFull(DiskOperation<T> operation) throws IOException {
         try {
-            return step.run();
+            return operation.run();
         } catch (IOException e) {
-            String why = String.valueOf(e.getMessage());
-            if (why.contains("No space left") || why.contains("Disk quota exceeded")) {
-                FullException full = new FullException(why);
+            String message = String.valueOf(e.getMessage());
+            if (message.contains("No space left") || message.contains("Disk quota exceeded")) {
+                FullException full = new FullException(message);
                 full.initCause(e);
                 throw full;
             }
@@ -132,9 +135,9 @@
     }
 
     /**
-     * An open file. The JDK closes a channel under a thread that is interrupted while it uses it;
-     * the store's files must not end with some caller's thread, so the channel is opened anew and
-     * the step done again.
+     * An open file. The JDK closes a channel when a thread that uses it is interrupted. An
+     * interrupt of a calling thread must not close the files of the store, so the channel is
+     * reopened and the operation repeated.
      */
     private static final class FileHandle implements File {
         private final Path path;
@@ -155,19 +158,18 @@
             T apply(FileChannel channel) throws IOException;
         }
 
-        private <T> T withChannel(ChannelOperation<T> use) throws IOException {
+        private <T> T withChannel(ChannelOperation<T> operation) throws IOException {
             boolean interrupted = false;
             try {
                 while (true) {
                     interrupted |= Thread.interrupted();
-                    FileChannel open = currentChannel();
+                    FileChannel current = currentChannel();
                     try {
-                        return mapDiskFull(() -> use.apply(open));
+                        return mapDiskFull(() -> operation.apply(current));
                     } catch (ClosedByInterruptException e) {
                         interrupted = true;
-                    } catch (
-                            ClosedChannelException
-                                    e) { // another thread that uses it was interrupted
+                    } catch (ClosedChannelException e) {
+                        // Another thread was interrupted while it used the channel.
                         if (isClosed()) {
                             throw e;
                         }
@@ -195,10 +197,10 @@
         public int read(ByteBuffer into, long position) throws IOException {
             int start = into.position();
             return withChannel(
-                    open -> {
+                    channel -> {
                         into.position(start);
                         while (into.hasRemaining()) {
-                            if (open.read(into, position + into.position() - start) < 0) {
+                            if (channel.read(into, position + into.position() - start) < 0) {
                                 break;
                             }
                         }
@@ -210,10 +212,10 @@
         public int write(ByteBuffer from, long position) throws IOException {
             int start = from.position();
             return withChannel(
-                    open -> {
+                    channel -> {
                         from.position(start);
                         while (from.hasRemaining()) {
-                            if (open.write(from, position + from.position() - start) <= 0) {
+                            if (channel.write(from, position + from.position() - start) <= 0) {
                                 break;
                             }
                         }
@@ -224,8 +226,8 @@
         @Override
         public void force() throws IOException {
             withChannel(
-                    open -> {
-                        open.force(false);
+                    channel -> {
+                        channel.force(false);
                         return null;
                     });
         }
--- a/relay/src/main/java/saltstage/store/Index.java
+++ b/relay/src/main/java/saltstage/store/Index.java
@@ -7,18 +7,21 @@
 import java.util.List;
 
 /**
- * Ordered keys to where their values stand: a tree that is never changed. A change gives a new tree
- * that shares all but the path to it, so a reader of an old one is never in a writer's way. Leaves
- * pack their keys into one array: an object a key would cost more than the key.
+ * An ordered map from keys to the locations of their values, as an immutable tree. A change returns
+ * a new tree that shares all nodes except the path to the changed key, so readers of an older tree
+ * never block a writer. A leaf packs its keys into one array, because an object per key would take
+ * more memory than the key itself.
  */
 final class Index {
     static final Index EMPTY = new Index(null, 0);
 
     private static final int MAX_NODE_ENTRIES = 64;
     private static final int MIN_NODE_ENTRIES = 16;
-    private static final int FILL_NODE_ENTRIES = 56; // of MOST where entries come in order
 
-    /** Where a key's entry stands, its version, and the length of its value. */
+    /** The entries per node when keys are added in order; below the maximum to leave free space. */
+    private static final int FILL_NODE_ENTRIES = 56;
+
+    /** The address of a key's entry in the log, its version and the length of its value. */
     record Location(long address, long version, int valueLength) {
         static long addressOf(long segment, long offset) {
             return segment << 32 | offset;
@@ -57,48 +60,51 @@
         return i < 0 ? null : leaf.location(i);
     }
 
-    Index put(byte[] key, Location place) {
+    Index put(byte[] key, Location location) {
         if (root == null) {
-            return new Index(Leaf.of(key, place), 1);
+            return new Index(Leaf.of(key, location), 1);
         }
-        boolean there = find(key) != null;
-        Node[] halves = root.put(key, place);
-        Node top = halves.length == 1 ? halves[0] : new Branch(halves, lowKeys(halves));
-        return new Index(top, there ? size : size + 1);
+        boolean exists = find(key) != null;
+        Node[] halves = root.put(key, location);
+        Node newRoot = halves.length == 1 ? halves[0] : new Branch(halves, lowKeys(halves));
+        return new Index(newRoot, exists ? size : size + 1);
     }
 
     Index delete(byte[] key) {
         if (find(key) == null) {
             return this;
         }
-        Node left = root.delete(key);
-        while (left instanceof Branch branch && branch.children.length == 1) {
-            left = branch.children[0];
+        Node newRoot = root.delete(key);
+        while (newRoot instanceof Branch branch && branch.children.length == 1) {
+            newRoot = branch.children[0];
         }
-        return new Index(left, size - 1);
+        return new Index(newRoot, size - 1);
     }
 
     private static byte[][] lowKeys(Node[] children) {
-        byte[][] lows = new byte[children.length][];
-        for (int i = 0; i < lows.length; i++) {
-            lows[i] = children[i].lowKey();
+        byte[][] lowKeys = new byte[children.length][];
+        for (int i = 0; i < lowKeys.length; i++) {
+            lowKeys[i] = children[i].lowKey();
         }
-        return lows;
+        return lowKeys;
     }
 
-    /** A node; its low key is no greater than any below it. */
+    /** A node of the tree. Its low key is less than or equal to every key below it. */
     private abstract static class Node {
         abstract byte[] lowKey();
 
         abstract int count();
 
-        /** The node with the key in it, or its two halves. */
-        abstract Node[] put(byte[] key, Location place);
+        /**
+         * Returns the node with the key added or replaced, or its two halves if it had to be split.
+         */
+        abstract Node[] put(byte[] key, Location location);
 
-        /** The node without a key that is in it; null where it was the last. */
+        /** Returns the node without the key, which must exist, or null if it was the last one. */
         abstract Node delete(byte[] key);
     }
 
+    /** A node with entries, stored as parallel arrays. The keys are packed one after the other. */
     private static final class Leaf extends Node {
         private final byte[] keys;
         private final int[] keyEnds;
@@ -106,21 +112,21 @@
         private final long[] versions;
         private final int[] valueLengths;
 
-        Leaf(byte[] keys, int[] ends, long[] at, long[] version, int[] length) {
+        Leaf(byte[] keys, int[] keyEnds, long[] addresses, long[] versions, int[] valueLengths) {
             this.keys = keys;
-            this.keyEnds = ends;
-            this.addresses = at;
-            this.versions = version;
-            this.valueLengths = length;
+            this.keyEnds = keyEnds;
+            this.addresses = addresses;
+            this.versions = versions;
+            this.valueLengths = valueLengths;
         }
 
-        static Leaf of(byte[] key, Location place) {
+        static Leaf of(byte[] key, Location location) {
             return new Leaf(
                     key.clone(),
                     new int[] {key.length},
-                    new long[] {place.address()},
-                    new long[] {place.version()},
-                    new int[] {place.valueLength()});
+                    new long[] {location.address()},
+                    new long[] {location.version()},
+                    new int[] {location.valueLength()});
         }
 
         private int keyStart(int i) {
@@ -135,7 +141,7 @@
             return new Location(addresses[i], versions[i], valueLengths[i]);
         }
 
-        /** The place of the key, or where it would go as a negative number. */
+        /** Returns the position of the key, or {@code -(insertion point) - 1} if it is missing. */
         int search(byte[] key) {
             int low = 0;
             int high = keyEnds.length - 1;
@@ -167,73 +173,75 @@
         }
 
         @Override
-        Node[] put(byte[] key, Location place) {
+        Node[] put(byte[] key, Location location) {
             int i = search(key);
             if (i >= 0) {
-                long[] newAt = addresses.clone();
-                long[] newVersion = versions.clone();
-                int[] newLength = valueLengths.clone();
-                newAt[i] = place.address();
-                newVersion[i] = place.version();
-                newLength[i] = place.valueLength();
-                return new Node[] {new Leaf(keys, keyEnds, newAt, newVersion, newLength)};
+                long[] newAddresses = addresses.clone();
+                long[] newVersions = versions.clone();
+                int[] newValueLengths = valueLengths.clone();
+                newAddresses[i] = location.address();
+                newVersions[i] = location.version();
+                newValueLengths[i] = location.valueLength();
+                return new Node[] {
+                    new Leaf(keys, keyEnds, newAddresses, newVersions, newValueLengths)
+                };
             }
-            int to = -i - 1;
-            Leaf whole = insert(to, key, place);
-            if (whole.count() <= MAX_NODE_ENTRIES) {
-                return new Node[] {whole};
+            int position = -i - 1;
+            Leaf enlarged = insert(position, key, location);
+            if (enlarged.count() <= MAX_NODE_ENTRIES) {
+                return new Node[] {enlarged};
             }
-            // keys in order leave full leaves behind
-            int split = to == keyEnds.length ? FILL_NODE_ENTRIES : whole.count() / 2;
-            return new Node[] {whole.slice(0, split), whole.slice(split, whole.count())};
+            // Keys that are added in ascending order leave nearly full leaves behind.
+            int split = position == keyEnds.length ? FILL_NODE_ENTRIES : enlarged.count() / 2;
+            return new Node[] {enlarged.slice(0, split), enlarged.slice(split, enlarged.count())};
         }
 
-        private Leaf insert(int to, byte[] key, Location place) {
+        private Leaf insert(int position, byte[] key, Location location) {
             int n = keyEnds.length;
-            int from = keyStart(to);
+            int from = keyStart(position);
             byte[] newKeys = new byte[keys.length + key.length];
             System.arraycopy(keys, 0, newKeys, 0, from);
             System.arraycopy(key, 0, newKeys, from, key.length);
             System.arraycopy(keys, from, newKeys, from + key.length, keys.length - from);
-            int[] newEnds = new int[n + 1];
-            System.arraycopy(keyEnds, 0, newEnds, 0, to);
-            newEnds[to] = from + key.length;
-            for (int j = to; j < n; j++) {
-                newEnds[j + 1] = keyEnds[j] + key.length;
+            int[] newKeyEnds = new int[n + 1];
+            System.arraycopy(keyEnds, 0, newKeyEnds, 0, position);
+            newKeyEnds[position] = from + key.length;
+            for (int j = position; j < n; j++) {
+                newKeyEnds[j + 1] = keyEnds[j] + key.length;
             }
             return new Leaf(
                     newKeys,
-                    newEnds,
-                    insertAt(addresses, to, place.address()),
-                    insertAt(versions, to, place.version()),
-                    insertAt(valueLengths, to, place.valueLength()));
+                    newKeyEnds,
+                    insertAt(addresses, position, location.address()),
+                    insertAt(versions, position, location.version()),
+                    insertAt(valueLengths, position, location.valueLength()));
         }
 
-        private static long[] insertAt(long[] all, int to, long value) {
-            long[] more = new long[all.length + 1];
-            System.arraycopy(all, 0, more, 0, to);
-            more[to] = value;
-            System.arraycopy(all, to, more, to + 1, all.length - to);
-            return more;
+        private static long[] insertAt(long[] all, int position, long value) {
+            long[] enlarged = new long[all.length + 1];
+            System.arraycopy(all, 0, enlarged, 0, position);
+            enlarged[position] = value;
+            System.arraycopy(all, position, enlarged, position + 1, all.length - position);
+            return enlarged;
         }
 
-        private static int[] insertAt(int[] all, int to, int value) {
-            int[] more = new int[all.length + 1];
-            System.arraycopy(all, 0, more, 0, to);
-            more[to] = value;
-            System.arraycopy(all, to, more, to + 1, all.length - to);
-            return more;
+        private static int[] insertAt(int[] all, int position, int value) {
+            int[] enlarged = new int[all.length + 1];
+            System.arraycopy(all, 0, enlarged, 0, position);
+            enlarged[position] = value;
+            System.arraycopy(all, position, enlarged, position + 1, all.length - position);
+            return enlarged;
         }
 
         private Leaf slice(int from, int to) {
             int shift = keyStart(from);
-            int[] newEnds = new int[to - from];
+            int[] newKeyEnds = new int[to - from];
             for (int i = from; i < to; i++) {
-                newEnds[i - from] = keyEnds[i] - shift;
+                newKeyEnds[i - from] = keyEnds[i] - shift;
             }
             return new Leaf(
                     Arrays.copyOfRange(keys, shift, keyEnds[to - 1]),
-                    newEnds,
+                    newKeyEnds,
                     Arrays.copyOfRange(addresses, from, to),
                     Arrays.copyOfRange(versions, from, to),
                     Arrays.copyOfRange(valueLengths, from, to));
@@ -241,15 +249,15 @@
 
         Leaf join(Leaf right) {
             int n = keyEnds.length;
-            int[] newEnds = Arrays.copyOf(keyEnds, n + right.keyEnds.length);
+            int[] newKeyEnds = Arrays.copyOf(keyEnds, n + right.keyEnds.length);
             for (int i = 0; i < right.keyEnds.length; i++) {
-                newEnds[n + i] = keys.length + right.keyEnds[i];
+                newKeyEnds[n + i] = keys.length + right.keyEnds[i];
             }
             byte[] newKeys = Arrays.copyOf(keys, keys.length + right.keys.length);
             System.arraycopy(right.keys, 0, newKeys, keys.length, right.keys.length);
             return new Leaf(
                     newKeys,
-                    newEnds,
+                    newKeyEnds,
                     concat(addresses, right.addresses),
                     concat(versions, right.versions),
                     concat(valueLengths, right.valueLengths));
@@ -282,13 +290,14 @@
         }
     }
 
+    /** An inner node: its children and the low key of each. */
     private static final class Branch extends Node {
         private final Node[] children;
         private final byte[][] lowKeys;
 
-        Branch(Node[] children, byte[][] lows) {
+        Branch(Node[] children, byte[][] lowKeys) {
             this.children = children;
-            this.lowKeys = lows;
+            this.lowKeys = lowKeys;
         }
 
         int childIndex(byte[] key) {
@@ -316,90 +325,91 @@
         }
 
         @Override
-        Node[] put(byte[] key, Location place) {
+        Node[] put(byte[] key, Location location) {
             int i = childIndex(key);
-            Node[] halves = children[i].put(key, place);
+            Node[] halves = children[i].put(key, location);
             if (halves.length == 1) {
                 Node[] changed = children.clone();
                 changed[i] = halves[0];
                 return new Node[] {new Branch(changed, lowKeys)};
             }
             int n = children.length;
-            Node[] more = Arrays.copyOf(children, n + 1);
-            byte[][] moreLows = Arrays.copyOf(lowKeys, n + 1);
-            System.arraycopy(children, i + 1, more, i + 2, n - i - 1);
-            System.arraycopy(lowKeys, i + 1, moreLows, i + 2, n - i - 1);
-            more[i] = halves[0];
-            more[i + 1] = halves[1];
-            moreLows[i + 1] = halves[1].lowKey();
+            Node[] newChildren = Arrays.copyOf(children, n + 1);
+            byte[][] newLowKeys = Arrays.copyOf(lowKeys, n + 1);
+            System.arraycopy(children, i + 1, newChildren, i + 2, n - i - 1);
+            System.arraycopy(lowKeys, i + 1, newLowKeys, i + 2, n - i - 1);
+            newChildren[i] = halves[0];
+            newChildren[i + 1] = halves[1];
+            newLowKeys[i + 1] = halves[1].lowKey();
             if (n + 1 <= MAX_NODE_ENTRIES) {
-                return new Node[] {new Branch(more, moreLows)};
+                return new Node[] {new Branch(newChildren, newLowKeys)};
             }
             int split = i == n - 1 ? FILL_NODE_ENTRIES : (n + 1) / 2;
             return new Node[] {
-                slice(more, moreLows, 0, split), slice(more, moreLows, split, n + 1)
+                slice(newChildren, newLowKeys, 0, split),
+                slice(newChildren, newLowKeys, split, n + 1)
             };
         }
 
-        private static Branch slice(Node[] children, byte[][] lows, int from, int to) {
+        private static Branch slice(Node[] children, byte[][] lowKeys, int from, int to) {
             return new Branch(
-                    Arrays.copyOfRange(children, from, to), Arrays.copyOfRange(lows, from, to));
+                    Arrays.copyOfRange(children, from, to), Arrays.copyOfRange(lowKeys, from, to));
         }
 
         @Override
         Node delete(byte[] key) {
             int i = childIndex(key);
-            Node left = children[i].delete(key);
-            if (left == null) {
+            Node changedChild = children[i].delete(key);
+            if (changedChild == null) {
                 return children.length == 1 ? null : withoutChild(i);
             }
-            Node[] changed = children.clone();
-            changed[i] = left;
-            Branch same = new Branch(changed, lowKeys);
-            if (left.count() >= MIN_NODE_ENTRIES || changed.length == 1) {
-                return same;
+            Node[] newChildren = children.clone();
+            newChildren[i] = changedChild;
+            Branch changed = new Branch(newChildren, lowKeys);
+            if (changedChild.count() >= MIN_NODE_ENTRIES || newChildren.length == 1) {
+                return changed;
             }
             int first = i == 0 ? 0 : i - 1;
-            return same.withMergedChildren(first);
+            return changed.withMergedChildren(first);
         }
 
         private Branch withoutChild(int i) {
             int n = children.length;
-            Node[] fewer = Arrays.copyOf(children, n - 1);
-            byte[][] fewerLows = Arrays.copyOf(lowKeys, n - 1);
-            System.arraycopy(children, i + 1, fewer, i, n - i - 1);
-            System.arraycopy(lowKeys, i + 1, fewerLows, i, n - i - 1);
-            return new Branch(fewer, fewerLows);
+            Node[] newChildren = Arrays.copyOf(children, n - 1);
+            byte[][] newLowKeys = Arrays.copyOf(lowKeys, n - 1);
+            System.arraycopy(children, i + 1, newChildren, i, n - i - 1);
+            System.arraycopy(lowKeys, i + 1, newLowKeys, i, n - i - 1);
+            return new Branch(newChildren, newLowKeys);
         }
 
-        /** This node with two neighbours in one, where they fit well. */
+        /** Merges two neighbouring children if they fit into one node with room to grow. */
         private Branch withMergedChildren(int first) {
             Node a = children[first];
             Node b = children[first + 1];
             if (a.count() + b.count() > FILL_NODE_ENTRIES) {
                 return this;
             }
-            Node one =
+            Node joined =
                     a instanceof Leaf left
                             ? left.join((Leaf) b)
                             : join((Branch) a, (Branch) b, first);
-            Branch fewer = withoutChild(first + 1);
-            fewer.children[first] = one; // its own copy, seen by nobody yet
-            return fewer;
+            Branch merged = withoutChild(first + 1);
+            merged.children[first] = joined; // the array is a copy that is not shared yet
+            return merged;
         }
 
         private Branch join(Branch a, Branch b, int first) {
             int n = a.children.length;
             Node[] all = Arrays.copyOf(a.children, n + b.children.length);
-            byte[][] allLows = Arrays.copyOf(a.lowKeys, n + b.children.length);
+            byte[][] allLowKeys = Arrays.copyOf(a.lowKeys, n + b.children.length);
             System.arraycopy(b.children, 0, all, n, b.children.length);
-            System.arraycopy(b.lowKeys, 0, allLows, n, b.children.length);
-            allLows[n] = lowKeys[first + 1]; // the low of b that this node has searched by
-            return new Branch(all, allLows);
+            System.arraycopy(b.lowKeys, 0, allLowKeys, n, b.children.length);
+            allLowKeys[n] = lowKeys[first + 1]; // the low key of b by which this node searches
+            return new Branch(all, allLowKeys);
         }
     }
 
-    /** Walks the keys from one on, in order. */
+    /** Iterates over the keys in order, from a given key on. */
     static final class Cursor {
         private final Deque<Branch> branches = new ArrayDeque<>();
         private final Deque<Integer> nextChildren = new ArrayDeque<>();
@@ -419,7 +429,7 @@
             entryIndex = (found < 0 ? -found - 1 : found) - 1;
         }
 
-        /** Goes to the next key; false at the end. */
+        /** Moves to the next key. Returns false at the end. */
         boolean advance() {
             if (leaf == null) {
                 return false;
@@ -462,12 +472,15 @@
         }
     }
 
-    /** A walk from this key on; null: from the first. */
+    /**
+     * Returns a cursor before the first key that is not less than the given one; null starts at the
+     * first key.
+     */
     Cursor cursor(byte[] from) {
         return new Cursor(this, from);
     }
 
-    /** Builds an index from entries that come in order of their keys. */
+    /** Builds an index from entries that are added in key order. */
     static final class Builder {
         private final List<Node> leaves = new ArrayList<>();
         private final List<byte[]> keys = new ArrayList<>();
@@ -475,14 +488,14 @@
         private byte[] lastKey;
         private long size;
 
-        /** Takes the next; false where it does not come after the one before. */
-        boolean add(byte[] key, Location place) {
+        /** Adds an entry. Returns false if its key is not greater than the previous one. */
+        boolean add(byte[] key, Location location) {
             if (lastKey != null && Arrays.compareUnsigned(lastKey, key) >= 0) {
                 return false;
             }
             lastKey = key;
             keys.add(key);
-            locations.add(place);
+            locations.add(location);
             size++;
             if (keys.size() == FILL_NODE_ENTRIES) {
                 flushLeaf();
@@ -494,20 +507,20 @@
             int n = keys.size();
             int bytes = keys.stream().mapToInt(k -> k.length).sum();
             byte[] packed = new byte[bytes];
-            int[] ends = new int[n];
-            long[] at = new long[n];
-            long[] version = new long[n];
-            int[] length = new int[n];
+            int[] keyEnds = new int[n];
+            long[] addresses = new long[n];
+            long[] versions = new long[n];
+            int[] valueLengths = new int[n];
             int end = 0;
             for (int i = 0; i < n; i++) {
                 System.arraycopy(keys.get(i), 0, packed, end, keys.get(i).length);
                 end += keys.get(i).length;
-                ends[i] = end;
-                at[i] = locations.get(i).address();
-                version[i] = locations.get(i).version();
-                length[i] = locations.get(i).valueLength();
+                keyEnds[i] = end;
+                addresses[i] = locations.get(i).address();
+                versions[i] = locations.get(i).version();
+                valueLengths[i] = locations.get(i).valueLength();
             }
-            leaves.add(new Leaf(packed, ends, at, version, length));
+            leaves.add(new Leaf(packed, keyEnds, addresses, versions, valueLengths));
             keys.clear();
             locations.clear();
         }
@@ -521,14 +534,14 @@
             }
             List<Node> level = leaves;
             while (level.size() > 1) {
-                List<Node> above = new ArrayList<>();
+                List<Node> parents = new ArrayList<>();
                 for (int i = 0; i < level.size(); i += FILL_NODE_ENTRIES) {
                     Node[] children =
                             level.subList(i, Math.min(level.size(), i + FILL_NODE_ENTRIES))
                                     .toArray(Node[]::new);
-                    above.add(new Branch(children, lowKeys(children)));
+                    parents.add(new Branch(children, lowKeys(children)));
                 }
-                level = above;
+                level = parents;
             }
             return new Index(level.get(0), size);
         }
--- a/relay/src/main/java/saltstage/store/Maintenance.java
+++ b/relay/src/main/java/saltstage/store/Maintenance.java
@@ -10,15 +10,18 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Checkpoints and compaction: one at a time, beside the writers. What lives in a segment worth
- * emptying is copied into new ones, the index is pointed there a few entries at a time, and a
- * checkpoint with a manifest of the new segments puts it in force; only then do the old files go. A
- * crash anywhere finds the old manifest with all that it names, or the new one.
+ * Checkpoints and compaction; one runs at a time, concurrently with commits. Compaction copies the
+ * live entries of the selected segments into new ones, moves the index to the copies a few entries
+ * at a time, and writes a checkpoint with a manifest of the new segments. Only then are the old
+ * files deleted. After a crash at any point, the manifest on disk is either the old one with all of
+ * its files or the new one.
  */
 final class Maintenance {
     private static final int MAX_COPY_FRAME_BYTES = 128 << 10;
-    private static final int INDEX_UPDATES_PER_LOCK =
-            64; // entries pointed elsewhere at a time, while writers wait
+
+    /** The number of index entries moved per acquisition of the write lock, while writers wait. */
+    private static final int INDEX_UPDATES_PER_LOCK = 64;
+
     private static final long MAX_PAUSE_NS = 50_000_000;
 
     private final StoreState state;
@@ -27,15 +30,18 @@
     private volatile boolean closing;
     private long copiedBytes;
 
-    Maintenance(StoreState core) {
-        this.state = core;
-        policy = new MaintenancePolicy(core.options.segmentBytes());
+    Maintenance(StoreState state) {
+        this.state = state;
+        policy = new MaintenancePolicy(state.options.segmentBytes());
     }
 
-    /** One entry that was copied. */
+    /** An entry that was copied, with its old address and new location. */
     private record MovedEntry(byte[] key, long oldAddress, Index.Location newLocation) {}
 
-    /** What is due by the policy; a full disk or a file that cannot be written puts it off. */
+    /**
+     * Runs the compaction or checkpoint that the policy finds due. A full disk or an I/O failure
+     * postpones it.
+     */
     void runIfDue() {
         maintenanceLock.lock();
         try {
@@ -62,37 +68,38 @@
         try {
             state.checkOpen();
             return state.view().segments().all().stream()
-                    .filter(s -> s != state.activeSegment)
+                    .filter(segment -> segment != state.activeSegment)
                     .map(
-                            s ->
+                            segment ->
                                     new MaintenancePolicy.SealedSegment(
-                                            s.id(),
-                                            s.usedBytes() - SegmentFormat.SEGMENT_HEADER_BYTES,
-                                            s.liveBytes()))
+                                            segment.id(),
+                                            segment.usedBytes()
+                                                    - SegmentFormat.SEGMENT_HEADER_BYTES,
+                                            segment.liveBytes()))
                     .toList();
         } finally {
             state.writeLock.unlock();
         }
     }
 
-    /** Bytes that compaction has copied since the store was opened. */
+    /** Returns the number of bytes that compaction has copied since the store was opened. */
     long copiedBytes() {
         return copiedBytes;
     }
 
-    /** Whether what runs is to end at its next step. */
-    void setClosing(boolean now) {
-        closing = now;
+    /** Sets whether a running checkpoint or compaction is to stop at its next step. */
+    void setClosing(boolean value) {
+        closing = value;
     }
 
     /**
-     * Rewrites every segment with anything dead in it, as fast as it goes; returns the bytes
-     * copied.
+     * Rewrites every sealed segment with dead data, without a rate limit. Returns the number of
+     * bytes copied.
      */
     long compactAll(LogWriter writer) throws IOException {
         maintenanceLock.lock();
         try {
-            long before = copiedBytes;
+            long copiedBefore = copiedBytes;
             state.writeLock.lock();
             try {
                 state.checkOpen();
@@ -104,72 +111,77 @@
                 state.writeLock.unlock();
             }
             compact(MaintenancePolicy.selectAllWithDeadData(sealedSegments()), null);
-            return copiedBytes - before;
+            return copiedBytes - copiedBefore;
         } finally {
             maintenanceLock.unlock();
         }
     }
 
-    /** Writes the index as it is now and puts it in force; segments in which nothing lives go. */
+    /**
+     * Writes a checkpoint of the current index and makes it the current one. Segments without live
+     * entries are removed.
+     */
     void checkpoint() throws IOException {
         maintenanceLock.lock();
         try {
-            StoreState.View seen;
+            StoreState.View view;
             long id;
-            long from;
-            long offset;
-            long log;
+            long replaySegmentId;
+            long replayOffset;
+            long logBytes;
             Set<Segment> dead = new HashSet<>();
             state.writeLock.lock();
             try {
-                seen = state.acquireView();
+                view = state.acquireView();
                 id = state.nextFileId++;
-                from = state.activeSegment.id();
-                offset = state.activeSegment.usedBytes();
-                log = state.logBytesSinceCheckpoint;
-                seen.segments().all().stream()
-                        .filter(s -> s != state.activeSegment && s.liveBytes() == 0)
+                replaySegmentId = state.activeSegment.id();
+                replayOffset = state.activeSegment.usedBytes();
+                logBytes = state.logBytesSinceCheckpoint;
+                view.segments().all().stream()
+                        .filter(
+                                segment ->
+                                        segment != state.activeSegment && segment.liveBytes() == 0)
                         .forEach(dead::add);
             } finally {
                 state.writeLock.unlock();
             }
             try {
-                Checkpoint.WriteResult written = writeCheckpoint(id, seen);
+                Checkpoint.WriteResult result = writeCheckpoint(id, view);
                 publishCheckpoint(
                         new Manifest.CheckpointRef(
                                 id,
-                                seen.seq(),
-                                from,
-                                offset,
-                                written.bytes(),
-                                written.crc(),
-                                seen.index().size()),
+                                view.seq(),
+                                replaySegmentId,
+                                replayOffset,
+                                result.bytes(),
+                                result.crc(),
+                                view.index().size()),
                         dead,
-                        log);
+                        logBytes);
             } finally {
-                seen.segments().release();
+                view.segments().release();
             }
         } finally {
             maintenanceLock.unlock();
         }
     }
 
-    private Checkpoint.WriteResult writeCheckpoint(long id, StoreState.View seen)
+    private Checkpoint.WriteResult writeCheckpoint(long id, StoreState.View view)
             throws IOException {
         String name = Checkpoint.fileName(id);
         boolean done = false;
         try (Disk.File file = state.disk.create(name)) {
-            Checkpoint.WriteResult written =
+            Checkpoint.WriteResult result =
                     Checkpoint.write(
                             file,
                             state.manifest.storeId(),
                             id,
-                            seen.seq(),
-                            seen.index(),
+                            view.seq(),
+                            view.index(),
                             bytes -> checkNotClosing());
             state.disk.syncDirectory();
             done = true;
-            return written;
+            return result;
         } finally {
             if (!done) {
                 deleteQuietly(name);
@@ -186,14 +198,14 @@
     private void deleteQuietly(String name) {
         try {
             state.disk.delete(name);
-        } catch (IOException left) { // in no manifest: deleted at the next opening
+        } catch (IOException e) { // the next open deletes files that are not in the manifest
             return;
         }
     }
 
-    private void publishCheckpoint(Manifest.CheckpointRef ref, Set<Segment> dead, long log)
+    private void publishCheckpoint(Manifest.CheckpointRef ref, Set<Segment> dead, long logBytes)
             throws IOException {
-        Manifest.CheckpointRef before = state.manifest.checkpoint();
+        Manifest.CheckpointRef previous = state.manifest.checkpoint();
         state.writeLock.lock();
         try {
             if (state.stopReason() != null) {
@@ -201,9 +213,9 @@
             }
             SegmentSet set = state.view().segments();
             state.publishManifest(state.segmentRefs(set, dead::contains), ref);
-            dead.forEach(Segment::markForDeletion); // before their last reader, who may be the one
-            // below, lets go
-            state.logBytesSinceCheckpoint -= log;
+            // Marked before the last reference is released, which installView may do below.
+            dead.forEach(Segment::markForDeletion);
+            state.logBytesSinceCheckpoint -= logBytes;
             if (!dead.isEmpty()) {
                 state.installView(
                         new StoreState.View(
@@ -212,20 +224,20 @@
         } finally {
             state.writeLock.unlock();
         }
-        if (before.id() != 0) {
-            deleteQuietly(before.fileName());
+        if (previous.id() != 0) {
+            deleteQuietly(previous.fileName());
         }
         state.setDiskFull(false, "a checkpoint");
     }
 
-    private void compact(List<Long> victims, RateLimiter limit) throws IOException {
-        Set<Long> wanted = new HashSet<>(victims);
-        StoreState.View seen = state.acquireView();
+    private void compact(List<Long> victims, RateLimiter rateLimiter) throws IOException {
+        Set<Long> victimIds = new HashSet<>(victims);
+        StoreState.View view = state.acquireView();
         try {
-            Copier copier = new Copier(limit);
+            Copier copier = new Copier(rateLimiter);
             try {
-                for (Segment victim : seen.segments().all()) {
-                    if (wanted.contains(victim.id())) {
+                for (Segment victim : view.segments().all()) {
+                    if (victimIds.contains(victim.id())) {
                         copier.copyLiveEntries(victim);
                     }
                 }
@@ -234,12 +246,12 @@
                 copier.abandon();
             }
         } finally {
-            seen.segments().release();
+            view.segments().release();
         }
         checkpoint();
     }
 
-    /** Copies what lives into new segments. */
+    /** Copies live entries into new segments. */
     private final class Copier {
         private final RateLimiter rateLimiter;
         private final ByteBuffer frameBuffer =
@@ -254,34 +266,38 @@
         private long segmentId;
         private long endOffset;
 
-        Copier(RateLimiter limit) {
-            this.rateLimiter = limit;
+        Copier(RateLimiter rateLimiter) {
+            this.rateLimiter = rateLimiter;
         }
 
         void copyLiveEntries(Segment victim) throws IOException {
             SegmentReader reader = new SegmentReader(victim);
-            for (long at = SegmentFormat.SEGMENT_HEADER_BYTES; at < victim.usedBytes(); ) {
-                SegmentReader.Frame found = reader.frameAt(at);
-                if (found == null) {
-                    throw new StoreException.Damaged(victim.fileName(), at, "no sound record");
+            for (long frameOffset = SegmentFormat.SEGMENT_HEADER_BYTES;
+                    frameOffset < victim.usedBytes(); ) {
+                SegmentReader.Frame frame = reader.frameAt(frameOffset);
+                if (frame == null) {
+                    throw new StoreException.Damaged(
+                            victim.fileName(), frameOffset, "no sound record");
                 }
-                if (found.header().kind() == SegmentFormat.GROUP_FRAME
-                        || found.header().kind() == SegmentFormat.COPY_FRAME) {
+                if (frame.header().kind() == SegmentFormat.GROUP_FRAME
+                        || frame.header().kind() == SegmentFormat.COPY_FRAME) {
                     reader.visitEntries(
-                            found,
+                            frame,
                             (entry, batch, offset, raw) -> copyIfLive(victim, entry, offset, raw));
                 }
-                throttle(found.header().totalBytes());
-                at = found.endOffset();
+                throttle(frame.header().totalBytes());
+                frameOffset = frame.endOffset();
             }
         }
 
         private void copyIfLive(
                 Segment victim, SegmentFormat.Entry entry, long offset, ByteBuffer raw)
                 throws IOException {
-            long from = Index.Location.addressOf(victim.id(), offset);
-            Index.Location place = state.view().index().find(entry.key());
-            if (entry.op() != SegmentFormat.PUT || place == null || place.address() != from) {
+            long address = Index.Location.addressOf(victim.id(), offset);
+            Index.Location location = state.view().index().find(entry.key());
+            if (entry.op() != SegmentFormat.PUT
+                    || location == null
+                    || location.address() != address) {
                 return;
             }
             if (raw.remaining() > MAX_COPY_FRAME_BYTES) {
@@ -293,7 +309,7 @@
                                         + SegmentFormat.BATCH_HEADER_BYTES
                                         + SegmentFormat.ALIGNMENT_BYTES),
                         List.of(raw),
-                        List.of(new MovedEntry(entry.key(), from, place)));
+                        List.of(new MovedEntry(entry.key(), address, location)));
                 return;
             }
             if (frameBuffer.position() == 0) {
@@ -303,21 +319,22 @@
                 flushFrame();
                 beginFrame(frameBuffer);
             }
-            bufferedEntries.add(new MovedEntry(entry.key(), from, place));
+            bufferedEntries.add(new MovedEntry(entry.key(), address, location));
             frameBuffer.put(raw);
         }
 
-        private void beginFrame(ByteBuffer into) {
-            into.clear();
-            SegmentFormat.beginFrame(into, SegmentFormat.COPY_FRAME, 1, 0);
-            into.putInt(0);
+        private void beginFrame(ByteBuffer frame) {
+            frame.clear();
+            SegmentFormat.beginFrame(frame, SegmentFormat.COPY_FRAME, 1, 0);
+            frame.putInt(0);
         }
 
-        private void writeEntries(ByteBuffer into, List<ByteBuffer> entries, List<MovedEntry> of)
+        private void writeEntries(
+                ByteBuffer frame, List<ByteBuffer> entries, List<MovedEntry> moved)
                 throws IOException {
-            beginFrame(into);
-            entries.forEach(into::put);
-            writeFrame(into, of);
+            beginFrame(frame);
+            entries.forEach(frame::put);
+            writeFrame(frame, moved);
         }
 
         private void flushFrame() throws IOException {
@@ -328,8 +345,8 @@
             frameBuffer.clear();
         }
 
-        /** Writes a frame of entries; where each of them now stands is known from here on. */
-        private void writeFrame(ByteBuffer frame, List<MovedEntry> of) throws IOException {
+        /** Writes a frame of entries and records their new locations. */
+        private void writeFrame(ByteBuffer frame, List<MovedEntry> moved) throws IOException {
             if (output != null
                     && endOffset + frame.position() + SegmentFormat.ALIGNMENT_BYTES
                             > state.options.segmentBytes()) {
@@ -338,7 +355,7 @@
             if (output == null) {
                 openSegment();
             }
-            frame.putInt(SegmentFormat.FRAME_HEADER_BYTES, of.size());
+            frame.putInt(SegmentFormat.FRAME_HEADER_BYTES, moved.size());
             SegmentFormat.endFrame(
                     frame,
                     0,
@@ -348,18 +365,18 @@
             if (output.write(frame, endOffset) < bytes) {
                 throw new IOException("short write of " + segmentFileName());
             }
-            long at =
+            long entryOffset =
                     endOffset + SegmentFormat.FRAME_HEADER_BYTES + SegmentFormat.BATCH_HEADER_BYTES;
-            for (MovedEntry entry : of) {
+            for (MovedEntry entry : moved) {
                 movedEntries.add(
                         new MovedEntry(
                                 entry.key(),
                                 entry.oldAddress(),
                                 new Index.Location(
-                                        Index.Location.addressOf(segmentId, at),
+                                        Index.Location.addressOf(segmentId, entryOffset),
                                         entry.newLocation().version(),
                                         entry.newLocation().valueLength())));
-                at +=
+                entryOffset +=
                         SegmentFormat.ENTRY_HEADER_BYTES
                                 + entry.key().length
                                 + entry.newLocation().valueLength();
@@ -388,7 +405,7 @@
             }
         }
 
-        /** Completes a segment of copies, and points the index into it. */
+        /** Completes a segment of copies and moves the index to it. */
         private void finishSegment() throws IOException {
             SegmentFormat.SegmentHeader header =
                     new SegmentFormat.SegmentHeader(
@@ -401,16 +418,17 @@
                     < SegmentFormat.SEGMENT_HEADER_BYTES) {
                 throw new IOException("short write of " + segmentFileName());
             }
-            output.force(); // its name becomes durable with that of the checkpoint which points
-            // into it
+            // The name becomes durable together with that of the checkpoint that refers to it.
+            output.force();
             Segment segment = new Segment(state.disk, segmentFileName(), output, header);
             segment.setUsedBytes(endOffset);
             output = null;
             state.writeLock.lock();
             try {
-                StoreState.View now = state.view();
+                StoreState.View view = state.view();
                 state.installView(
-                        new StoreState.View(now.index(), now.segments().with(segment), now.seq()));
+                        new StoreState.View(
+                                view.index(), view.segments().with(segment), view.seq()));
             } finally {
                 state.writeLock.unlock();
             }
@@ -423,31 +441,34 @@
             movedEntries.clear();
         }
 
-        /** Points the index to the copies of what has not been written anew meanwhile. */
-        private void updateIndex(Segment to, List<MovedEntry> entries) {
+        /**
+         * Moves the index to the copies of those entries that were not overwritten or deleted in
+         * the meantime.
+         */
+        private void updateIndex(Segment target, List<MovedEntry> entries) {
             state.writeLock.lock();
             try {
-                StoreState.View now = state.view();
-                Index index = now.index();
+                StoreState.View view = state.view();
+                Index index = view.index();
                 for (MovedEntry entry : entries) {
-                    Index.Location place = index.find(entry.key());
-                    if (place != null && place.address() == entry.oldAddress()) {
+                    Index.Location location = index.find(entry.key());
+                    if (location != null && location.address() == entry.oldAddress()) {
                         int bytes =
                                 SegmentFormat.ENTRY_HEADER_BYTES
                                         + entry.key().length
-                                        + place.valueLength();
-                        now.segments().get(place.segmentId()).addLiveBytes(-bytes);
-                        to.addLiveBytes(bytes);
+                                        + location.valueLength();
+                        view.segments().get(location.segmentId()).addLiveBytes(-bytes);
+                        target.addLiveBytes(bytes);
                         index = index.put(entry.key(), entry.newLocation());
                     }
                 }
-                state.installView(new StoreState.View(index, now.segments(), now.seq()));
+                state.installView(new StoreState.View(index, view.segments(), view.seq()));
             } finally {
                 state.writeLock.unlock();
             }
         }
 
-        /** Nothing points into a segment that was not completed. */
+        /** Closes and deletes a segment that was not completed; the index does not refer to it. */
         void abandon() {
             if (output == null) {
                 return;
@@ -465,12 +486,12 @@
             if (rateLimiter == null) {
                 return;
             }
-            long until = System.nanoTime() + rateLimiter.take(bytes, System.nanoTime());
-            for (long left = until - System.nanoTime();
-                    left > 0;
-                    left = until - System.nanoTime()) {
+            long deadlineNs = System.nanoTime() + rateLimiter.take(bytes, System.nanoTime());
+            for (long remainingNs = deadlineNs - System.nanoTime();
+                    remainingNs > 0;
+                    remainingNs = deadlineNs - System.nanoTime()) {
                 checkNotClosing();
-                LockSupport.parkNanos(Math.min(left, MAX_PAUSE_NS));
+                LockSupport.parkNanos(Math.min(remainingNs, MAX_PAUSE_NS));
             }
         }
     }
--- a/relay/src/main/java/saltstage/store/Manifest.java
+++ b/relay/src/main/java/saltstage/store/Manifest.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * What a store consists of: the format it was written in (1: from before there was a file of what was
- * acknowledged; 2), its id, the next free file number, the checkpoint in force and all segments in
- * order. Small, and replaced whole by a rename.
+ * The list of the files that make up a store: the format version (1 has no file with the acknowledged
+ * sequence number, 2 has one), the store id, the next free file id, the current checkpoint, and all segments
+ * in order. It is small and is replaced atomically by a rename.
  */
 record Manifest(short formatVersion, SegmentFormat.StoreId storeId, long generation, long nextFileId,
         CheckpointRef checkpoint, List<SegmentRef> segments) {
@@ -21,7 +21,10 @@
     private static final int CRC_OFFSET = 12;
     private static final int MAX_SEGMENTS = 1 << 20;
 
-    /** The checkpoint in force; id 0: none. Replay begins at this offset of that segment. */
+    /**
+     * The current checkpoint; id 0 means that there is none. Replay begins at the given offset of the given
+     * segment.
+     */
     record CheckpointRef(long id, long seq, long replaySegmentId, long replayOffset, long bytes, int crc,
             long keyCount) {
         static final CheckpointRef NONE = new CheckpointRef(0, 0, 0, 0, 0, 0, 0);
@@ -31,7 +34,7 @@
         }
     }
 
-    /** A segment; used and lastSeq hold for sealed ones. */
+    /** A segment. The used bytes and the last sequence number are valid only for sealed segments. */
     record SegmentRef(long id, byte kind, boolean sealed, long size, long usedBytes, long baseSeq,
             long lastSeq) {
         String fileName() {
@@ -46,9 +49,10 @@
             .putLong(checkpoint.id()).putLong(checkpoint.seq()).putLong(checkpoint.replaySegmentId())
             .putLong(checkpoint.replayOffset()).putLong(checkpoint.bytes()).putInt(checkpoint.crc())
             .putLong(checkpoint.keyCount()).putInt(0).putInt(segments.size());
-        for (SegmentRef part : segments) {
-            out.putLong(part.id()).put(part.kind()).put((byte) (part.sealed() ? 1 : 0)).putLong(part.size())
-                .putLong(part.usedBytes()).putLong(part.baseSeq()).putLong(part.lastSeq());
+        for (SegmentRef segment : segments) {
+            out.putLong(segment.id()).put(segment.kind()).put((byte) (segment.sealed() ? 1 : 0))
+                .putLong(segment.size()).putLong(segment.usedBytes()).putLong(segment.baseSeq())
+                .putLong(segment.lastSeq());
         }
         out.flip();
         out.putInt(CRC_OFFSET, SegmentFormat.crcExcluding(out, CRC_OFFSET));
@@ -71,9 +75,9 @@
                 + " are");
         }
         in.position(16);
-        SegmentFormat.StoreId store = new SegmentFormat.StoreId(in.getLong(), in.getLong());
+        SegmentFormat.StoreId storeId = new SegmentFormat.StoreId(in.getLong(), in.getLong());
         long generation = in.getLong();
-        long nextId = in.getLong();
+        long nextFileId = in.getLong();
         CheckpointRef checkpoint = new CheckpointRef(in.getLong(), in.getLong(), in.getLong(), in.getLong(),
             in.getLong(), in.getInt(), in.getLong());
         in.getInt();
@@ -81,12 +85,12 @@
         if (count < 1 || count > MAX_SEGMENTS || in.remaining() != (long) count * SEGMENT_REF_BYTES) {
             throw new StoreException.Damaged(NAME, in.position(), "the list of segments is cut");
         }
-        List<SegmentRef> parts = new ArrayList<>();
+        List<SegmentRef> segments = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            parts.add(new SegmentRef(in.getLong(), in.get(), in.get() == 1, in.getLong(), in.getLong(),
+            segments.add(new SegmentRef(in.getLong(), in.get(), in.get() == 1, in.getLong(), in.getLong(),
                 in.getLong(), in.getLong()));
         }
-        return new Manifest(format, store, generation, nextId, checkpoint, List.copyOf(parts));
+        return new Manifest(format, storeId, generation, nextFileId, checkpoint, List.copyOf(segments));
     }
 
     static Manifest read(Disk disk) throws IOException {
@@ -101,13 +105,13 @@
         }
     }
 
-    /** Writes it beside the one in force; {@link #publish} puts it in its place. */
+    /** Writes the manifest to a temporary file; {@link #publish} replaces the current manifest by it. */
     void writeTemporary(Disk disk) throws IOException {
         disk.delete(TEMPORARY_NAME);
         try (Disk.File file = disk.create(TEMPORARY_NAME)) {
             ByteBuffer out = encode();
-            int whole = out.remaining();
-            if (file.write(out, 0) < whole) {
+            int length = out.remaining();
+            if (file.write(out, 0) < length) {
                 throw new IOException("short write of " + TEMPORARY_NAME);
             }
             file.force();
--- a/relay/src/main/java/saltstage/store/RateLimiter.java
+++ b/relay/src/main/java/saltstage/store/RateLimiter.java
@@ -1,7 +1,8 @@
 package saltstage.store;
 
 /**
- * A budget of bytes a second with a burst of a tenth of that; pure, its time comes with the calls.
+ * Limits a rate in bytes per second, with a burst of a tenth of a second's bytes. The caller passes
+ * in the current time.
  */
 final class RateLimiter {
     private static final double NANOS_PER_SECOND = 1e9;
@@ -16,17 +17,20 @@
         maxBytesPerSecond = bytesPerSecond;
     }
 
-    /** Takes so many bytes at this time; returns how many nanoseconds to wait before the next. */
-    long take(long bytes, long nanos) {
+    /**
+     * Records that this many bytes were used at this time. Returns the nanoseconds to wait before
+     * the next use.
+     */
+    long take(long bytes, long nowNs) {
         if (started) {
             debtBytes =
                     Math.max(
                             0,
                             debtBytes
-                                    - (nanos - lastTakeNs) / NANOS_PER_SECOND * maxBytesPerSecond);
+                                    - (nowNs - lastTakeNs) / NANOS_PER_SECOND * maxBytesPerSecond);
         }
         started = true;
-        lastTakeNs = nanos;
+        lastTakeNs = nowNs;
         debtBytes += bytes;
         return (long)
                 (Math.max(0, debtBytes - maxBytesPerSecond / BURSTS_PER_SECOND)
--- a/relay/src/main/java/saltstage/store/SegmentReader.java
+++ b/relay/src/main/java/saltstage/store/SegmentReader.java
@@ -4,22 +4,25 @@
 import java.nio.ByteBuffer;
 
 /**
- * Reads a segment's frames through a window of memory; what is not a sound frame is null, never a
- * guess.
+ * Reads the frames of a segment through a buffer. Anything that is not a valid frame is returned as
+ * null.
  */
 final class SegmentReader {
     private static final int READ_BUFFER_BYTES = 1 << 20;
 
-    /** A frame with the buffer positioned at its payload and limited to it. */
+    /** A frame, with a payload buffer that covers exactly the payload. */
     record Frame(SegmentFormat.FrameHeader header, long offset, ByteBuffer payload) {
         long endOffset() {
             return offset + header.totalBytes();
         }
     }
 
-    /** Is given each entry of a frame. */
+    /** Receives each entry of a frame. */
     interface EntryVisitor {
-        /** An entry, the number of the batch within its group, its offset, and its bytes. */
+        /**
+         * Receives an entry, the position of its batch within the group, its offset in the segment,
+         * and its encoded bytes.
+         */
         void visit(SegmentFormat.Entry entry, int batch, long offset, ByteBuffer raw)
                 throws IOException;
     }
@@ -42,7 +45,7 @@
         return segment.fileName();
     }
 
-    /** The sound frame at this offset, or null. */
+    /** Returns the valid frame at this offset, or null. */
     Frame frameAt(long offset) throws IOException {
         if (offset + SegmentFormat.FRAME_HEADER_BYTES > size
                 || !ensureBuffered(offset, SegmentFormat.FRAME_HEADER_BYTES)) {
@@ -56,58 +59,58 @@
         }
         ByteBuffer frame = buffer.duplicate();
         frame.position((int) (offset - bufferStart));
-        SegmentFormat.FrameHeader head =
+        SegmentFormat.FrameHeader header =
                 SegmentFormat.decodeFrame(frame, segment.checksumSeed(), offset);
-        if (head == null) {
+        if (header == null) {
             return null;
         }
         int payload = frame.position() + SegmentFormat.FRAME_HEADER_BYTES;
         return new Frame(
-                head,
+                header,
                 offset,
-                frame.limit(payload + head.payloadLength()).position(payload).slice());
+                frame.limit(payload + header.payloadLength()).position(payload).slice());
     }
 
     private boolean ensureBuffered(long offset, int bytes) throws IOException {
         if (offset >= bufferStart && offset + bytes <= bufferStart + buffer.limit()) {
             return true;
         }
-        int want = (int) Math.min(size - offset, Math.max(bytes, READ_BUFFER_BYTES));
-        buffer = ByteBuffer.allocate(want);
+        int length = (int) Math.min(size - offset, Math.max(bytes, READ_BUFFER_BYTES));
+        buffer = ByteBuffer.allocate(length);
         bufferStart = offset;
         segment.file().read(buffer, offset);
         buffer.flip();
         return buffer.limit() >= bytes;
     }
 
-    /** Visits the entries of a group or copy in order. */
-    void visitEntries(Frame found, EntryVisitor visitor) throws IOException {
+    /** Visits the entries of a group or copy frame in order. */
+    void visitEntries(Frame frame, EntryVisitor visitor) throws IOException {
         visitEntries(
-                found.payload().duplicate(),
-                found.header(),
-                found.offset() + SegmentFormat.FRAME_HEADER_BYTES,
+                frame.payload().duplicate(),
+                frame.header(),
+                frame.offset() + SegmentFormat.FRAME_HEADER_BYTES,
                 visitor);
     }
 
-    /** Visits the entries of a payload whose first byte has this offset. */
+    /** Visits the entries of a payload that begins at this offset of the segment. */
     void visitEntries(
-            ByteBuffer payload, SegmentFormat.FrameHeader head, long offset, EntryVisitor visitor)
+            ByteBuffer payload, SegmentFormat.FrameHeader header, long offset, EntryVisitor visitor)
             throws IOException {
-        for (int batch = 0; batch < head.batchCount(); batch++) {
+        for (int batch = 0; batch < header.batchCount(); batch++) {
             int changes =
                     payload.remaining() < SegmentFormat.BATCH_HEADER_BYTES ? -1 : payload.getInt();
             for (int i = 0; i < changes; i++) {
-                int at = payload.position();
+                int entryStart = payload.position();
                 SegmentFormat.Entry entry = SegmentFormat.decodeEntry(payload);
                 if (entry == null) {
                     throw new StoreException.Damaged(
-                            segment.fileName(), offset + at, "no sound entry");
+                            segment.fileName(), offset + entryStart, "no sound entry");
                 }
                 visitor.visit(
                         entry,
                         batch,
-                        offset + at,
-                        payload.duplicate().position(at).limit(payload.position()));
+                        offset + entryStart,
+                        payload.duplicate().position(entryStart).limit(payload.position()));
             }
             if (changes < 0) {
                 throw new StoreException.Damaged(segment.fileName(), offset, "a batch is cut");
@@ -120,55 +123,57 @@
     }
 
     /**
-     * What stands from the first unreadable offset on, where the group of this number was to come
-     * next.
+     * Scans the rest of the segment from the first unreadable offset on; {@code expectedSeq} is the
+     * sequence number of the group that should begin there.
      */
-    TailScan scanTail(long from, long expected) throws IOException {
-        boolean later = false;
+    TailScan scanTail(long from, long expectedSeq) throws IOException {
+        boolean laterGroup = false;
         Frame mirror = null;
-        boolean mark = false;
-        boolean last = false;
-        long nonZero = from;
-        for (long at = from;
-                at + SegmentFormat.ALIGNMENT_BYTES <= size;
-                at += SegmentFormat.ALIGNMENT_BYTES) {
-            if (!ensureBuffered(at, SegmentFormat.ALIGNMENT_BYTES)) {
+        boolean marker = false;
+        boolean previousTrailer = false;
+        long nonZeroEnd = from;
+        for (long offset = from;
+                offset + SegmentFormat.ALIGNMENT_BYTES <= size;
+                offset += SegmentFormat.ALIGNMENT_BYTES) {
+            if (!ensureBuffered(offset, SegmentFormat.ALIGNMENT_BYTES)) {
                 break;
             }
-            if (buffer.getLong((int) (at - bufferStart)) == 0) {
+            if (buffer.getLong((int) (offset - bufferStart)) == 0) {
                 continue;
             }
-            nonZero = at + SegmentFormat.ALIGNMENT_BYTES;
-            Frame found =
-                    buffer.getInt((int) (at - bufferStart)) == SegmentFormat.FRAME_MAGIC
-                            ? frameAt(at)
+            nonZeroEnd = offset + SegmentFormat.ALIGNMENT_BYTES;
+            Frame frame =
+                    buffer.getInt((int) (offset - bufferStart)) == SegmentFormat.FRAME_MAGIC
+                            ? frameAt(offset)
                             : null;
-            if (found == null) {
+            if (frame == null) {
                 continue;
             }
-            SegmentFormat.FrameHeader head = found.header();
-            boolean ofIt =
-                    head.firstSeq() == expected
-                            && found.payload().remaining() >= SegmentFormat.MIRROR_HEADER_BYTES
-                            && found.payload().getLong(0) == from;
-            later |= head.kind() == SegmentFormat.GROUP_FRAME && head.firstSeq() >= expected;
-            mark |= head.kind() == SegmentFormat.COMMIT_MARKER_FRAME && ofIt;
-            mirror = head.kind() == SegmentFormat.MIRROR_FRAME && ofIt ? found : mirror;
-            last |=
-                    at == from
-                            && (head.kind() == SegmentFormat.MIRROR_FRAME
-                                    || head.kind() == SegmentFormat.COMMIT_MARKER_FRAME)
-                            && head.firstSeq() + head.batchCount() == expected;
+            SegmentFormat.FrameHeader header = frame.header();
+            boolean groupTrailer =
+                    header.firstSeq() == expectedSeq
+                            && frame.payload().remaining() >= SegmentFormat.MIRROR_HEADER_BYTES
+                            && frame.payload().getLong(0) == from;
+            laterGroup |=
+                    header.kind() == SegmentFormat.GROUP_FRAME && header.firstSeq() >= expectedSeq;
+            marker |= header.kind() == SegmentFormat.COMMIT_MARKER_FRAME && groupTrailer;
+            mirror = header.kind() == SegmentFormat.MIRROR_FRAME && groupTrailer ? frame : mirror;
+            previousTrailer |=
+                    offset == from
+                            && (header.kind() == SegmentFormat.MIRROR_FRAME
+                                    || header.kind() == SegmentFormat.COMMIT_MARKER_FRAME)
+                            && header.firstSeq() + header.batchCount() == expectedSeq;
         }
         return new TailScan(
-                new TailClassifier.Findings(later, mirror != null, mark, nonZero == from, last),
+                new TailClassifier.Findings(
+                        laterGroup, mirror != null, marker, nonZeroEnd == from, previousTrailer),
                 mirror,
-                nonZero);
+                nonZeroEnd);
     }
 
     /**
-     * What {@link #scanTail} found; mirror is that of the unreadable group, and nonZero the end of
-     * what stands.
+     * The result of {@link #scanTail}: the findings, the mirror of the unreadable group or null,
+     * and the end of the last non-zero bytes.
      */
     record TailScan(TailClassifier.Findings findings, Frame mirror, long nonZeroEnd) {}
 }
--- a/relay/src/main/java/saltstage/store/SegmentSet.java
+++ b/relay/src/main/java/saltstage/store/SegmentSet.java
@@ -6,7 +6,10 @@
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The segments that a state of the index points into, held open as long as anybody reads by it. */
+/**
+ * The segments that a state of the index points into. The set is reference-counted: its segments
+ * stay open until the last reader has released it.
+ */
 final class SegmentSet {
     private final TreeMap<Long, Segment> segmentsById = new TreeMap<>();
     private final AtomicInteger references = new AtomicInteger(1);
@@ -26,31 +29,31 @@
         return List.copyOf(segmentsById.values());
     }
 
-    SegmentSet with(Segment more) {
+    SegmentSet with(Segment added) {
         List<Segment> all = new ArrayList<>(segmentsById.values());
-        all.add(more);
+        all.add(added);
         return new SegmentSet(all);
     }
 
-    SegmentSet without(Collection<Segment> gone) {
+    SegmentSet without(Collection<Segment> removed) {
         List<Segment> all = new ArrayList<>(segmentsById.values());
-        all.removeAll(gone);
+        all.removeAll(removed);
         return new SegmentSet(all);
     }
 
-    /** Takes part in reading; false where the set is already over. */
+    /** Acquires a reference for a reader. Returns false if the set has already been released. */
     boolean tryAcquire() {
-        int now = references.get();
-        while (now > 0) {
-            if (references.compareAndSet(now, now + 1)) {
+        int count = references.get();
+        while (count > 0) {
+            if (references.compareAndSet(count, count + 1)) {
                 return true;
             }
-            now = references.get();
+            count = references.get();
         }
         return false;
     }
 
-    /** Ends reading, or for the store itself: ends the set. */
+    /** Releases the reference of a reader or the initial one, which the store holds. */
     void release() {
         if (references.decrementAndGet() == 0) {
             segmentsById.values().forEach(Segment::release);
--- a/relay/src/test/java/saltstage/store/DamageTest.java
+++ b/relay/src/test/java/saltstage/store/DamageTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Files that were changed behind the store's back: the exact state or one clean refusal, every
- * time.
+ * Damages the files of a store. Every open must either return the exact acknowledged state or fail
+ * cleanly.
  */
 class DamageTest {
     private final FaultInjectingDisk disk = new FaultInjectingDisk();
@@ -23,66 +23,67 @@
 
     @BeforeEach
     void runWorkload() throws IOException {
-        StoreWorkload night = new StoreWorkload().open(disk);
-        night.run();
-        acknowledged = night.acknowledged;
+        StoreWorkload workload = new StoreWorkload().open(disk);
+        workload.run();
+        acknowledged = workload.acknowledged;
     }
 
-    private static String fileNameWithSuffix(FaultInjectingDisk on, String ending) {
-        return on.list().stream().filter(name -> name.endsWith(ending)).findFirst().orElseThrow();
+    private static String fileNameWithSuffix(FaultInjectingDisk disk, String suffix) {
+        return disk.list().stream().filter(name -> name.endsWith(suffix)).findFirst().orElseThrow();
     }
 
-    /** 1: refused cleanly; 0: the exact state. Anything else fails. */
-    private int openOutcome(FaultInjectingDisk changed, String what) {
+    /**
+     * Opens the store. Returns 0 if the state is exact and 1 if the open failed cleanly; anything
+     * else fails the test.
+     */
+    private int openOutcome(FaultInjectingDisk changed, String description) {
         try (Store store =
                 Store.open(changed, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE)) {
-            assertEquals(acknowledged, StoreWorkload.dump(store), what);
+            assertEquals(acknowledged, StoreWorkload.dump(store), description);
             store.put(StoreWorkload.bytes("after"), StoreWorkload.bytes("all"));
             return 0;
-        } catch (StoreException refused) {
-            assertTrue(
-                    refused.getMessage().matches("damaged: \\S+ at \\d+: .*"),
-                    what + ": " + refused);
+        } catch (StoreException e) {
+            assertTrue(e.getMessage().matches("damaged: \\S+ at \\d+: .*"), description + ": " + e);
             return 1;
-        } catch (IOException | RuntimeException other) {
-            return fail(what + ": " + other, other);
+        } catch (IOException | RuntimeException e) {
+            return fail(description + ": " + e, e);
         }
     }
 
     @Test
     void everyFileTruncatedAtEveryByteIsRefused() {
-        int[] counts = new int[2];
+        int[] outcomes = new int[2];
         for (String name : disk.list()) {
-            byte[] whole = disk.content(name);
-            for (int length = 0; length < whole.length; length++) {
-                FaultInjectingDisk cut = disk.durableCopy();
-                cut.putFile(name, Arrays.copyOf(whole, length));
-                int outcome = openOutcome(cut, name + " cut to " + length);
+            byte[] original = disk.content(name);
+            for (int length = 0; length < original.length; length++) {
+                FaultInjectingDisk truncated = disk.durableCopy();
+                truncated.putFile(name, Arrays.copyOf(original, length));
+                int outcome = openOutcome(truncated, name + " cut to " + length);
                 assertEquals(1, outcome, name + " cut to " + length + " looks like a shorter log");
-                counts[outcome]++;
+                outcomes[outcome]++;
             }
         }
         System.out.println(
                 "cut at every byte of "
                         + disk.list().size()
                         + " files: exact "
-                        + counts[0]
+                        + outcomes[0]
                         + ", refused "
-                        + counts[1]);
+                        + outcomes[1]);
     }
 
     @Test
     void everyByteOfEveryFileFlipped() {
-        int[] counts = new int[2];
+        int[] outcomes = new int[2];
         for (String name : disk.list()) {
-            byte[] whole = disk.content(name);
-            for (int at = 0; at < whole.length; at++) {
+            byte[] original = disk.content(name);
+            for (int offset = 0; offset < original.length; offset++) {
                 for (int mask : new int[] {0x01, 0xff}) {
-                    byte[] flipped = whole.clone();
-                    flipped[at] ^= (byte) mask;
+                    byte[] flipped = original.clone();
+                    flipped[offset] ^= (byte) mask;
                     FaultInjectingDisk changed = disk.durableCopy();
                     changed.putFile(name, flipped);
-                    counts[openOutcome(changed, name + " flipped at " + at)]++;
+                    outcomes[openOutcome(changed, name + " flipped at " + offset)]++;
                 }
             }
         }
@@ -90,10 +91,10 @@
                 "every byte of "
                         + disk.list().size()
                         + " files flipped: exact "
-                        + counts[0]
+                        + outcomes[0]
                         + ", refused "
-                        + counts[1]);
-        assertTrue(counts[0] > 0 && counts[1] > 0);
+                        + outcomes[1]);
+        assertTrue(outcomes[0] > 0 && outcomes[1] > 0);
     }
 
     @Test
@@ -118,77 +119,78 @@
 
     @Test
     void anOlderManifestIsRefused() throws IOException {
-        FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(young);
-        night.commit("a=1");
-        byte[] older = young.content(Manifest.NAME);
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
+        workload.commit("a=1");
+        byte[] older = fresh.content(Manifest.NAME);
         for (int i = 0; i < 30; i++) {
-            night.commit("a=" + "x".repeat(100) + i);
+            workload.commit("a=" + "x".repeat(100) + i);
         }
-        acknowledged = night.acknowledged;
-        FaultInjectingDisk mixed = young.durableCopy();
+        acknowledged = workload.acknowledged;
+        FaultInjectingDisk mixed = fresh.durableCopy();
         mixed.putFile(Manifest.NAME, older);
         assertEquals(1, openOutcome(mixed, "an older manifest over a newer log"));
     }
 
     @Test
     void damagedLastGroupIsRestoredFromItsMirrorAndReported() throws IOException {
-        FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(young);
-        night.commit("a=1");
-        night.commit("b=2");
-        String log = fileNameWithSuffix(young, ".log");
-        byte[] whole = young.content(log);
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
+        workload.commit("a=1");
+        workload.commit("b=2");
+        String log = fileNameWithSuffix(fresh, ".log");
+        byte[] original = fresh.content(log);
         int last =
                 SegmentFormat.SEGMENT_HEADER_BYTES
                         + SegmentFormat.alignUp(
                                 SegmentFormat.FRAME_HEADER_BYTES
-                                        + whole[SegmentFormat.SEGMENT_HEADER_BYTES + 11]);
-        whole[last + SegmentFormat.FRAME_HEADER_BYTES + 10] ^= 1;
-        young.putFile(log, whole);
-        StoreWorkload after = new StoreWorkload().open(young.durableCopy());
-        assertEquals(night.acknowledged, StoreWorkload.dump(after.store));
+                                        + original[SegmentFormat.SEGMENT_HEADER_BYTES + 11]);
+        original[last + SegmentFormat.FRAME_HEADER_BYTES + 10] ^= 1;
+        fresh.putFile(log, original);
+        StoreWorkload after = new StoreWorkload().open(fresh.durableCopy());
+        assertEquals(workload.acknowledged, StoreWorkload.dump(after.store));
         assertTrue(after.events.get(0).startsWith("store.restored"), after.events.toString());
-        try (Store reading = Store.openToRead(young.durableCopy(), StoreEventListener.NONE)) {
-            assertEquals(night.acknowledged, StoreWorkload.dump(reading));
+        try (Store reader = Store.openToRead(fresh.durableCopy(), StoreEventListener.NONE)) {
+            assertEquals(workload.acknowledged, StoreWorkload.dump(reader));
         }
     }
 
     @Test
     void damagedLargeLastGroupIsRefusedByItsCommitMarker() throws IOException {
-        FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(young);
-        night.commit("a=" + "x".repeat(SegmentFormat.MAX_MIRRORED_BYTES + 1));
-        acknowledged = night.acknowledged;
-        assertEquals(0, openOutcome(young.durableCopy(), "unharmed"));
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
+        workload.commit("a=" + "x".repeat(SegmentFormat.MAX_MIRRORED_BYTES + 1));
+        acknowledged = workload.acknowledged;
+        assertEquals(0, openOutcome(fresh.durableCopy(), "undamaged"));
         String log =
-                young.list().stream()
+                fresh.list().stream()
                         .filter(
                                 name ->
-                                        young.content(name).length
+                                        fresh.content(name).length
                                                 > SegmentFormat.MAX_MIRRORED_BYTES)
                         .findFirst()
                         .orElseThrow();
-        byte[] whole = young.content(log);
-        whole[SegmentFormat.MAX_MIRRORED_BYTES / 2] ^= 1;
-        FaultInjectingDisk changed = young.durableCopy();
-        changed.putFile(log, whole);
+        byte[] original = fresh.content(log);
+        original[SegmentFormat.MAX_MIRRORED_BYTES / 2] ^= 1;
+        FaultInjectingDisk changed = fresh.durableCopy();
+        changed.putFile(log, original);
         assertEquals(1, openOutcome(changed, "a large record flipped"));
     }
 
     /**
-     * The log's end in every state that damage to the last record and to its mirror can leave it
-     * in.
+     * Guards against losing an acknowledged group that is damaged together with its mirror. The
+     * test flips every pair of one byte in the last group and one in its mirror, and zeroes the log
+     * from every offset of the two on.
      */
     @Test
     void lastGroupDamagedWithItsMirrorIsRefusedAndLeftUnchanged() throws IOException {
-        FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(young);
-        night.commit("a=1");
-        night.commit("b=2");
-        acknowledged = night.acknowledged;
-        String log = fileNameWithSuffix(young, ".log");
-        byte[] whole = young.content(log);
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
+        workload.commit("a=1");
+        workload.commit("b=2");
+        acknowledged = workload.acknowledged;
+        String log = fileNameWithSuffix(fresh, ".log");
+        byte[] original = fresh.content(log);
         int payload = SegmentFormat.BATCH_HEADER_BYTES + SegmentFormat.ENTRY_HEADER_BYTES + 2;
         int group =
                 SegmentFormat.SEGMENT_HEADER_BYTES
@@ -198,7 +200,7 @@
         int refused = 0;
         for (int first = group; first < mirror; first++) {
             for (int second = mirror; second < end; second++) {
-                refused += outcomeWithTwoBytesFlipped(young, log, whole, first, second);
+                refused += outcomeWithTwoBytesFlipped(fresh, log, original, first, second);
             }
         }
         assertEquals(
@@ -208,60 +210,68 @@
                                 + mirror
                                 - group),
                 refused);
-        for (int from = group; from < end; from++) { // as if the tail had never been written
-            byte[] zeroed = whole.clone();
+        // The zeroed tail reads as if it had never been written.
+        for (int from = group; from < end; from++) {
+            byte[] zeroed = original.clone();
             Arrays.fill(zeroed, from, zeroed.length, (byte) 0);
-            FaultInjectingDisk changed = young.durableCopy();
+            FaultInjectingDisk changed = fresh.durableCopy();
             changed.putFile(log, zeroed);
-            int wanted = from < group + SegmentFormat.FRAME_HEADER_BYTES + payload ? 1 : 0;
-            assertEquals(wanted, openOutcome(changed, "zeros from " + from), "zeros from " + from);
+            int expected = from < group + SegmentFormat.FRAME_HEADER_BYTES + payload ? 1 : 0;
+            assertEquals(
+                    expected, openOutcome(changed, "zeros from " + from), "zeros from " + from);
         }
         System.out.println("the last record and its mirror both damaged: refused " + refused);
     }
 
-    /** Returns {@link #openOutcome}; a refused log must be left as it was. */
+    /**
+     * Returns {@link #openOutcome} with two bytes flipped, and checks that a failed open leaves the
+     * log unchanged.
+     */
     private int outcomeWithTwoBytesFlipped(
-            FaultInjectingDisk young, String log, byte[] whole, int first, int second) {
-        byte[] damaged = whole.clone();
+            FaultInjectingDisk fresh, String log, byte[] original, int first, int second) {
+        byte[] damaged = original.clone();
         damaged[first] ^= 0x10;
         damaged[second] ^= 0x10;
-        FaultInjectingDisk changed = young.durableCopy();
+        FaultInjectingDisk changed = fresh.durableCopy();
         changed.putFile(log, damaged);
         int outcome = openOutcome(changed, "flipped at " + first + " and " + second);
-        assertTrue(outcome == 0 || Arrays.equals(damaged, changed.content(log)), "left as it was");
+        assertTrue(
+                outcome == 0 || Arrays.equals(damaged, changed.content(log)),
+                "a refused log must stay unchanged");
         return outcome;
     }
 
     /**
-     * Files of an older day under a newer word of what was acknowledged: nothing says so but that.
+     * Guards against opening a log that was restored from an older backup. Such a log is valid in
+     * itself; only the acknowledged sequence number file shows that records are missing.
      */
     @Test
     void olderLogOrForeignAcknowledgedSeqFileIsRefused() throws IOException {
-        FaultInjectingDisk old = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(old);
-        night.commit("a=1");
-        FaultInjectingDisk mixed = old.durableCopy();
-        night.commit("a=2");
-        mixed.putFile(AcknowledgedSeqFile.NAME, old.content(AcknowledgedSeqFile.NAME));
-        acknowledged = night.acknowledged;
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
+        workload.commit("a=1");
+        FaultInjectingDisk mixed = fresh.durableCopy();
+        workload.commit("a=2");
+        mixed.putFile(AcknowledgedSeqFile.NAME, fresh.content(AcknowledgedSeqFile.NAME));
+        acknowledged = workload.acknowledged;
         assertEquals(1, openOutcome(mixed, "an older log"));
-        FaultInjectingDisk foreign = old.durableCopy();
+        FaultInjectingDisk foreign = fresh.durableCopy();
         foreign.putFile(AcknowledgedSeqFile.NAME, disk.content(AcknowledgedSeqFile.NAME));
-        assertEquals(1, openOutcome(foreign, "another store's word"));
-        FaultInjectingDisk spoilt = old.durableCopy();
-        byte[] word = old.content(AcknowledgedSeqFile.NAME);
-        word[8] ^= 1;
-        word[AcknowledgedSeqFile.SLOT_BYTES + 8] ^= 1;
-        spoilt.putFile(AcknowledgedSeqFile.NAME, word);
-        assertEquals(1, openOutcome(spoilt, "neither slot sound"));
-        FaultInjectingDisk bare = new FaultInjectingDisk();
-        bare.putFile(AcknowledgedSeqFile.NAME, old.content(AcknowledgedSeqFile.NAME));
-        assertEquals(1, openOutcome(bare, "nothing but the word"));
+        assertEquals(1, openOutcome(foreign, "the sequence number file of another store"));
+        FaultInjectingDisk damaged = fresh.durableCopy();
+        byte[] content = fresh.content(AcknowledgedSeqFile.NAME);
+        content[8] ^= 1;
+        content[AcknowledgedSeqFile.SLOT_BYTES + 8] ^= 1;
+        damaged.putFile(AcknowledgedSeqFile.NAME, content);
+        assertEquals(1, openOutcome(damaged, "neither slot is valid"));
+        FaultInjectingDisk onlyFile = new FaultInjectingDisk();
+        onlyFile.putFile(AcknowledgedSeqFile.NAME, fresh.content(AcknowledgedSeqFile.NAME));
+        assertEquals(1, openOutcome(onlyFile, "only the sequence number file"));
     }
 
-    /** Loses all that was not forced. */
-    private static FaultInjectingDisk afterPowerLoss(FaultInjectingDisk running) {
-        return running.afterCrash(
+    /** Returns the disk after a crash that loses everything unforced. */
+    private static FaultInjectingDisk afterPowerLoss(FaultInjectingDisk disk) {
+        return disk.afterCrash(
                 new Random() {
                     private static final long serialVersionUID = 1L;
 
@@ -272,111 +282,118 @@
                 });
     }
 
-    /** The log as it was before: what was written since is lost, and its mirror with it. */
-    private static FaultInjectingDisk withLogOf(FaultInjectingDisk before, FaultInjectingDisk now) {
-        String log = fileNameWithSuffix(now, ".log");
-        now.putFile(log, before.content(log));
-        return now;
+    /**
+     * Replaces the log by an earlier version of it, which loses all later groups together with
+     * their mirrors.
+     */
+    private static FaultInjectingDisk withLogOf(
+            FaultInjectingDisk before, FaultInjectingDisk current) {
+        String log = fileNameWithSuffix(current, ".log");
+        current.putFile(log, before.content(log));
+        return current;
     }
 
     /**
-     * Once writing rests, or the store is closed, a loss of power does not forget what was
-     * acknowledged.
+     * Guards against a power loss that takes back the acknowledged sequence number although writing
+     * was idle or the store was closed. A log that lost records would then be accepted.
      */
     @Test
     void acknowledgedSeqIsDurableOnceWritingIsIdleOrTheStoreIsClosed() throws Exception {
-        FaultInjectingDisk ended = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(ended);
+        FaultInjectingDisk closing = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(closing);
         for (int i = 0; i < 9; i++) {
-            night.commit("before" + i + "=1");
+            workload.commit("before" + i + "=1");
         }
-        night.store.checkpoint(); // larger than what comes after it: the end writes none
-        FaultInjectingDisk before = ended.durableCopy();
-        night.commit("a=1");
-        acknowledged = night.acknowledged;
-        assertEquals(0, openOutcome(afterPowerLoss(ended).durableCopy(), "unharmed"));
-        night.store.close();
-        assertEquals(1, openOutcome(withLogOf(before, afterPowerLoss(ended)), "closed"));
+        workload.store.checkpoint(); // larger than the later log: close() writes no checkpoint
+        FaultInjectingDisk before = closing.durableCopy();
+        workload.commit("a=1");
+        acknowledged = workload.acknowledged;
+        assertEquals(0, openOutcome(afterPowerLoss(closing).durableCopy(), "undamaged"));
+        workload.store.close();
+        assertEquals(1, openOutcome(withLogOf(before, afterPowerLoss(closing)), "closed"));
 
-        FaultInjectingDisk rests = new FaultInjectingDisk();
-        StoreOptions tended = new StoreOptions(2048, true, 1 << 30);
-        try (Store store = Store.open(rests, tended, StoreEventListener.NONE)) {
-            FaultInjectingDisk young = rests.durableCopy();
+        FaultInjectingDisk idle = new FaultInjectingDisk();
+        StoreOptions options = new StoreOptions(2048, true, 1 << 30);
+        try (Store store = Store.open(idle, options, StoreEventListener.NONE)) {
+            FaultInjectingDisk fresh = idle.durableCopy();
             store.put(StoreWorkload.bytes("a"), StoreWorkload.bytes("1"));
-            SegmentFormat.StoreId id = Manifest.read(rests).storeId();
+            SegmentFormat.StoreId id = Manifest.read(idle).storeId();
             for (int i = 0;
-                    i < 2000 && AcknowledgedSeqFile.read(afterPowerLoss(rests), id) < 1;
+                    i < 2000 && AcknowledgedSeqFile.read(afterPowerLoss(idle), id) < 1;
                     i++) {
                 Thread.sleep(10);
             }
-            assertEquals(1, openOutcome(withLogOf(young, afterPowerLoss(rests)), "at rest"));
+            assertEquals(1, openOutcome(withLogOf(fresh, afterPowerLoss(idle)), "idle"));
         }
     }
 
-    /** A write that is cut off spoils a slot: never the one that the last force made sure of. */
+    /** Guards against an interrupted write to the slot that the last force made durable. */
     @Test
     void oneSlotIsAlwaysDurableAndUnchanged() throws IOException {
-        FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(young);
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
         for (int i = 0; i < 4; i++) {
-            night.commit("a=" + i);
-            night.commit("b=" + i);
-            byte[] sure = afterPowerLoss(young).content(AcknowledgedSeqFile.NAME);
-            byte[] now = young.content(AcknowledgedSeqFile.NAME);
-            boolean first = isRangeEqual(sure, now, 0, AcknowledgedSeqFile.SLOT_BYTES);
+            workload.commit("a=" + i);
+            workload.commit("b=" + i);
+            byte[] durable = afterPowerLoss(fresh).content(AcknowledgedSeqFile.NAME);
+            byte[] current = fresh.content(AcknowledgedSeqFile.NAME);
+            boolean first = isRangeEqual(durable, current, 0, AcknowledgedSeqFile.SLOT_BYTES);
             boolean second =
                     isRangeEqual(
-                            sure,
-                            now,
+                            durable,
+                            current,
                             AcknowledgedSeqFile.SLOT_BYTES,
                             AcknowledgedSeqFile.FILE_BYTES);
             assertTrue(first ^ second, "round " + i);
-            acknowledged = night.acknowledged;
-            FaultInjectingDisk spoilt = young.durableCopy();
-            byte[] cut = now.clone();
+            acknowledged = workload.acknowledged;
+            FaultInjectingDisk damaged = fresh.durableCopy();
+            byte[] interrupted = current.clone();
             Arrays.fill(
-                    cut,
+                    interrupted,
                     first ? AcknowledgedSeqFile.SLOT_BYTES : 0,
                     (first ? AcknowledgedSeqFile.SLOT_BYTES : 0) + 20,
                     (byte) 0);
-            spoilt.putFile(AcknowledgedSeqFile.NAME, cut);
-            SegmentFormat.StoreId id = Manifest.read(young).storeId();
+            damaged.putFile(AcknowledgedSeqFile.NAME, interrupted);
+            SegmentFormat.StoreId id = Manifest.read(fresh).storeId();
             assertEquals(
-                    AcknowledgedSeqFile.read(afterPowerLoss(young), id),
-                    AcknowledgedSeqFile.read(spoilt, id),
-                    "what the last force made sure of");
-            assertEquals(0, openOutcome(spoilt, "cut off in its slot"));
+                    AcknowledgedSeqFile.read(afterPowerLoss(fresh), id),
+                    AcknowledgedSeqFile.read(damaged, id),
+                    "the number that the last force made durable");
+            assertEquals(0, openOutcome(damaged, "write interrupted in a slot"));
             if (i == 1) {
-                young = young.durableCopy(); // killed: what was written stays, but nobody forced it
+                fresh = fresh.durableCopy(); // killed: the written data remains, but was not forced
             } else {
-                night.store.close();
+                workload.store.close();
             }
-            night = new StoreWorkload();
-            night.acknowledged = acknowledged;
-            night.open(young);
+            workload = new StoreWorkload();
+            workload.acknowledged = acknowledged;
+            workload.open(fresh);
         }
     }
 
-    private static boolean isRangeEqual(byte[] one, byte[] other, int from, int to) {
-        return Arrays.equals(one, from, to, other, from, to);
+    private static boolean isRangeEqual(byte[] first, byte[] second, int from, int to) {
+        return Arrays.equals(first, from, to, second, from, to);
     }
 
-    /** After a kill the higher slot may be unforced: that is the one to be written over. */
+    /**
+     * Guards against overwriting the only durable slot. After a kill the slot with the higher
+     * number may be unforced, so that slot must be overwritten.
+     */
     @Test
     void openOverwritesTheSlotThatMayNotBeDurable() throws IOException {
         for (int commits = 1; commits <= 2; commits++) {
-            FaultInjectingDisk young = new FaultInjectingDisk();
-            StoreWorkload night = new StoreWorkload().open(young);
-            night.commit("a=1");
+            FaultInjectingDisk fresh = new FaultInjectingDisk();
+            StoreWorkload workload = new StoreWorkload().open(fresh);
+            workload.commit("a=1");
             if (commits == 2) {
-                night.store.close();
-                night = new StoreWorkload().open(young);
-                night.commit("a=2");
+                workload.store.close();
+                workload = new StoreWorkload().open(fresh);
+                workload.commit("a=2");
             }
-            SegmentFormat.StoreId id = Manifest.read(young).storeId();
-            byte[] before = young.content(AcknowledgedSeqFile.NAME);
+            SegmentFormat.StoreId id = Manifest.read(fresh).storeId();
+            byte[] before = fresh.content(AcknowledgedSeqFile.NAME);
             int higher = slotSeq(before, 0) > slotSeq(before, 1) ? 0 : 1;
-            FaultInjectingDisk killed = young.durableCopy();
+            FaultInjectingDisk killed = fresh.durableCopy();
             killed.injectFaultAt(1, FaultInjectingDisk.Fault.CRASH); // the force
             assertThrows(
                     FaultInjectingDisk.SimulatedCrash.class,
@@ -392,18 +409,19 @@
     }
 
     /**
-     * A group that a crash left whole is shown after it: from then on it must not vanish either.
+     * Guards against losing a recovered group. A group that was complete at a crash is visible
+     * after the next open, so it counts as acknowledged from then on.
      */
     @Test
     void recoveredGroupCountsAsAcknowledged() throws IOException {
-        FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(young);
-        night.commit("a=1");
-        FaultInjectingDisk before = young.durableCopy();
-        young.injectFaultAt(1, FaultInjectingDisk.Fault.CRASH); // the force of the next commit
-        assertThrows(FaultInjectingDisk.SimulatedCrash.class, () -> night.commit("b=2"));
-        FaultInjectingDisk left =
-                young.afterCrash(
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
+        workload.commit("a=1");
+        FaultInjectingDisk before = fresh.durableCopy();
+        fresh.injectFaultAt(1, FaultInjectingDisk.Fault.CRASH); // the force of the next commit
+        assertThrows(FaultInjectingDisk.SimulatedCrash.class, () -> workload.commit("b=2"));
+        FaultInjectingDisk recovered =
+                fresh.afterCrash(
                         new Random() {
                             private static final long serialVersionUID = 1L;
 
@@ -412,30 +430,37 @@
                                 return true;
                             }
                         });
-        acknowledged = night.requested;
-        assertEquals(acknowledged, StoreWorkload.dump(new StoreWorkload().open(left).store));
-        assertEquals(1, openOutcome(withLogOf(before, afterPowerLoss(left)), "shown, then lost"));
+        acknowledged = workload.requested;
+        assertEquals(acknowledged, StoreWorkload.dump(new StoreWorkload().open(recovered).store));
+        assertEquals(
+                1,
+                openOutcome(
+                        withLogOf(before, afterPowerLoss(recovered)),
+                        "visible after recovery, then lost"));
     }
 
-    /** A store from before there was such a file gets one, and misses it from then on. */
+    /**
+     * A store of format 1 has no acknowledged sequence number file. It gets one when it is opened
+     * for writing; from then on a missing file is damage.
+     */
     @Test
     void formatOneStoreIsUpgraded() throws IOException {
-        Manifest now = Manifest.decode(ByteBuffer.wrap(disk.content(Manifest.NAME)));
-        byte[] former =
+        Manifest manifest = Manifest.decode(ByteBuffer.wrap(disk.content(Manifest.NAME)));
+        byte[] formatOne =
                 new Manifest(
                                 (short) 1,
-                                now.storeId(),
-                                now.generation(),
-                                now.nextFileId(),
-                                now.checkpoint(),
-                                now.segments())
+                                manifest.storeId(),
+                                manifest.generation(),
+                                manifest.nextFileId(),
+                                manifest.checkpoint(),
+                                manifest.segments())
                         .encode()
                         .array();
         FaultInjectingDisk first = disk.durableCopy();
-        first.putFile(Manifest.NAME, former);
+        first.putFile(Manifest.NAME, formatOne);
         first.delete(AcknowledgedSeqFile.NAME);
-        try (Store reading = Store.openToRead(first.durableCopy(), StoreEventListener.NONE)) {
-            assertEquals(acknowledged, StoreWorkload.dump(reading));
+        try (Store reader = Store.openToRead(first.durableCopy(), StoreEventListener.NONE)) {
+            assertEquals(acknowledged, StoreWorkload.dump(reader));
         }
         StoreWorkload next = new StoreWorkload().open(first);
         assertEquals(acknowledged, StoreWorkload.dump(next.store));
@@ -446,7 +471,7 @@
         assertEquals(1, openOutcome(without, "the file is gone"));
     }
 
-    /** What is wrong in a large checkpoint is told by its place, not only that something is. */
+    /** A damaged checkpoint must be reported with the offset of the damaged block. */
     @Test
     void damagedCheckpointBlockIsReportedWithItsOffset() throws IOException {
         FaultInjectingDisk large = new FaultInjectingDisk();
@@ -465,43 +490,42 @@
         String index = fileNameWithSuffix(large, ".index");
         byte[] content = large.content(index);
         int second = 64 + 8 + ByteBuffer.wrap(content).getInt(64);
-        content[second + 8 + 14 + 7] ^=
-                1; // the last byte of a version: nothing else would miss it in place
+        // The last byte of a version: only the block's checksum detects the change.
+        content[second + 8 + 14 + 7] ^= 1;
         large.putFile(index, content);
-        StoreException refused =
+        StoreException thrown =
                 assertThrows(
                         StoreException.Damaged.class,
                         () -> Store.openToRead(large, StoreEventListener.NONE));
         assertEquals(
                 "damaged: " + index + " at " + second + ": the block's checksum does not match",
-                refused.getMessage());
+                thrown.getMessage());
     }
 
     @Test
     void valueThatLooksLikeAFrameIsNotReadAsOne() throws IOException {
-        FaultInjectingDisk young = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(young);
-        night.commit("a=1");
-        String log = fileNameWithSuffix(young, ".log");
-        Manifest manifest = Manifest.decode(ByteBuffer.wrap(young.content(Manifest.NAME)));
-        ByteBuffer made = ByteBuffer.allocate(400);
-        for (int i = 0;
-                i < 8;
-                i++) { // of a later record, at each alignment that it could come to stand at
-            made.position(made.position() + 1);
-            int start = SegmentFormat.beginFrame(made, SegmentFormat.GROUP_FRAME, 1, 1000);
+        FaultInjectingDisk fresh = new FaultInjectingDisk();
+        StoreWorkload workload = new StoreWorkload().open(fresh);
+        workload.commit("a=1");
+        String log = fileNameWithSuffix(fresh, ".log");
+        Manifest manifest = Manifest.decode(ByteBuffer.wrap(fresh.content(Manifest.NAME)));
+        ByteBuffer frames = ByteBuffer.allocate(400);
+        // Frames of a later record, one for each possible alignment.
+        for (int i = 0; i < 8; i++) {
+            frames.position(frames.position() + 1);
+            int start = SegmentFormat.beginFrame(frames, SegmentFormat.GROUP_FRAME, 1, 1000);
             SegmentFormat.endFrame(
-                    made, start, new SegmentFormat.ChecksumSeed(manifest.storeId(), 1), 64);
+                    frames, start, new SegmentFormat.ChecksumSeed(manifest.storeId(), 1), 64);
         }
-        byte[] frame = made.array();
-        night.store.put(StoreWorkload.bytes("b"), frame);
-        night.store.put(StoreWorkload.bytes("c"), frame);
-        try (Store again =
+        byte[] value = frames.array();
+        workload.store.put(StoreWorkload.bytes("b"), value);
+        workload.store.put(StoreWorkload.bytes("c"), value);
+        try (Store reopened =
                 Store.open(
-                        young.durableCopy(),
+                        fresh.durableCopy(),
                         StoreWorkload.SMALL_SEGMENTS,
                         StoreEventListener.NONE)) {
-            assertTrue(Arrays.equals(frame, again.get(StoreWorkload.bytes("c"))));
+            assertTrue(Arrays.equals(value, reopened.get(StoreWorkload.bytes("c"))));
         }
     }
 
@@ -517,10 +541,10 @@
         content[content.length - 20] ^= 1;
         disk.putFile(copy, content);
         try (Store store = Store.openToRead(disk, StoreEventListener.NONE)) {
-            StoreException refused = assertThrows(StoreException.Damaged.class, store::verify);
+            StoreException thrown = assertThrows(StoreException.Damaged.class, store::verify);
             assertTrue(
-                    refused.getMessage().startsWith("damaged: " + copy + " at "),
-                    refused.getMessage());
+                    thrown.getMessage().startsWith("damaged: " + copy + " at "),
+                    thrown.getMessage());
         }
     }
 }
--- a/relay/src/test/java/saltstage/store/StoreTest.java
+++ b/relay/src/test/java/saltstage/store/StoreTest.java
@@ -23,7 +23,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the store promises while nothing goes wrong, against a model and under many threads. */
+/**
+ * Tests the guarantees of the store without faults, against a sorted map as a model and with
+ * concurrent threads.
+ */
 class StoreTest {
     @TempDir Path dir;
 
@@ -38,38 +41,42 @@
                 StoreEventListener.NONE);
     }
 
-    /** Ops: 0 put, 1 delete, 2 batch, 3 checkpoint, 4 compact, 5 reopen. */
+    /**
+     * The last digit of an operation selects it: 0 to 3 put, 4 and 5 delete, 6 batch, 7 checkpoint,
+     * 8 compact, 9 close and reopen.
+     */
     @Property(tries = 120, seed = "20261201")
     void behavesAsASortedMap(
-            @ForAll @Size(min = 1, max = 120) List<@IntRange(min = 0, max = 99_999) Integer> ops)
+            @ForAll @Size(min = 1, max = 120)
+                    List<@IntRange(min = 0, max = 99_999) Integer> operations)
             throws IOException {
         FaultInjectingDisk disk = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(disk);
-        for (int op : ops) {
-            String key = "k" + op / 10 % 40;
-            switch (op % 10) {
-                case 0, 1, 2, 3 -> night.commit(key + "=" + "v".repeat(op / 500));
-                case 4, 5 -> night.commit(key);
+        StoreWorkload workload = new StoreWorkload().open(disk);
+        for (int operation : operations) {
+            String key = "k" + operation / 10 % 40;
+            switch (operation % 10) {
+                case 0, 1, 2, 3 -> workload.commit(key + "=" + "v".repeat(operation / 500));
+                case 4, 5 -> workload.commit(key);
                 case 6 ->
-                        night.commit(
+                        workload.commit(
                                 key + "=1",
-                                "k" + op / 400 % 40,
+                                "k" + operation / 400 % 40,
                                 key + "=2",
-                                "m" + op % 7 + "=" + op);
-                case 7 -> night.store.checkpoint();
-                case 8 -> night.store.compact();
+                                "m" + operation % 7 + "=" + operation);
+                case 7 -> workload.store.checkpoint();
+                case 8 -> workload.store.compact();
                 default -> {
-                    night.store.close();
-                    night.open(disk);
+                    workload.store.close();
+                    workload.open(disk);
                 }
             }
-            assertEquals(night.acknowledged, StoreWorkload.dump(night.store));
+            assertEquals(workload.acknowledged, StoreWorkload.dump(workload.store));
         }
-        Store.VerificationResult all = night.store.verify();
-        assertEquals(night.acknowledged.size(), all.liveKeys());
+        Store.VerificationResult result = workload.store.verify();
+        assertEquals(workload.acknowledged.size(), result.liveKeys());
         TreeMap<String, String> reread =
                 StoreWorkload.dump(new StoreWorkload().open(disk.afterCrash(new Random(1))).store);
-        assertEquals(night.acknowledged, reread);
+        assertEquals(workload.acknowledged, reread);
     }
 
     @Test
@@ -80,8 +87,8 @@
                 keys.add(new byte[] {(byte) i, 1});
                 store.put(new byte[] {(byte) (i * 37), 1}, new byte[] {(byte) (i * 37)});
             }
-            try (Snapshot now = store.snapshot()) {
-                Snapshot.Scan scan = now.scan(new byte[] {100}, new byte[] {(byte) 200, 1});
+            try (Snapshot snapshot = store.snapshot()) {
+                Snapshot.Scan scan = snapshot.scan(new byte[] {100}, new byte[] {(byte) 200, 1});
                 for (int i = 100; i < 200; i++) {
                     assertTrue(scan.next());
                     assertArrayEquals(keys.get(i), scan.key());
@@ -137,7 +144,7 @@
     @Test
     void concurrentWritersShareGroupCommitsAndEachGetsItsOwnResult() throws Exception {
         int writers = 16;
-        int each = 60;
+        int incrementsPerWriter = 60;
         ConcurrentLinkedQueue<Throwable> failures = new ConcurrentLinkedQueue<>();
         try (Store store = openStore(32 << 10, true)) {
             store.put(bytes("shared"), ByteBuffer.allocate(8).array());
@@ -148,7 +155,7 @@
                         new Thread(
                                 () -> {
                                     try {
-                                        for (int i = 0; i < each; i++) {
+                                        for (int i = 0; i < incrementsPerWriter; i++) {
                                             increment(store);
                                             store.put(
                                                     bytes("w" + writer + "-" + i),
@@ -161,36 +168,41 @@
             }
             threads.forEach(Thread::start);
             while (threads.stream().anyMatch(Thread::isAlive)) {
-                store.compact(); // moves what the writers are writing anew
+                store.compact(); // moves entries while the writers overwrite them
             }
             assertTrue(failures.isEmpty(), failures.toString());
         }
         try (Store store = openStore(32 << 10, false)) {
-            assertEquals(writers * each, ByteBuffer.wrap(store.get(bytes("shared"))).getLong());
-            assertEquals(writers * each + 1, store.verify().liveKeys());
+            assertEquals(
+                    writers * incrementsPerWriter,
+                    ByteBuffer.wrap(store.get(bytes("shared"))).getLong());
+            assertEquals(writers * incrementsPerWriter + 1, store.verify().liveKeys());
         }
     }
 
     private static void increment(Store store) throws IOException {
         byte[] key = bytes("shared");
         while (true) {
-            try (Snapshot now = store.snapshot()) {
-                long next = ByteBuffer.wrap(now.get(key)).getLong() + 1;
+            try (Snapshot snapshot = store.snapshot()) {
+                long next = ByteBuffer.wrap(snapshot.get(key)).getLong() + 1;
                 store.commit(
                         new Batch()
-                                .expectVersion(key, now.version(key))
+                                .expectVersion(key, snapshot.version(key))
                                 .put(key, ByteBuffer.allocate(8).putLong(next).array()));
                 return;
-            } catch (StoreException.VersionConflict again) {
+            } catch (StoreException.VersionConflict e) {
                 continue;
             }
         }
     }
 
-    /** Pairs are written together: a reader that sees half of one, or loses a file, fails. */
+    /**
+     * Both keys of a pair are always written in one batch. The test fails if a reader sees only one
+     * of the two changes, or if compaction deletes a segment that a snapshot still reads.
+     */
     @Test
     void snapshotsStayConsistentDuringCompactions() throws Exception {
-        AtomicBoolean over = new AtomicBoolean();
+        AtomicBoolean done = new AtomicBoolean();
         ConcurrentLinkedQueue<Throwable> failures = new ConcurrentLinkedQueue<>();
         try (Store store = openStore(8 << 10, false)) {
             store.commit(new Batch().put(bytes("a"), bytes("0")).put(bytes("z"), bytes("0")));
@@ -200,13 +212,13 @@
                         new Thread(
                                 () -> {
                                     try {
-                                        while (!over.get()) {
-                                            try (Snapshot now = store.snapshot()) {
+                                        while (!done.get()) {
+                                            try (Snapshot view = store.snapshot()) {
                                                 assertArrayEquals(
-                                                        now.get(bytes("a")), now.get(bytes("z")));
+                                                        view.get(bytes("a")), view.get(bytes("z")));
                                                 Thread.onSpinWait();
                                                 assertArrayEquals(
-                                                        now.get(bytes("a")), now.get(bytes("z")));
+                                                        view.get(bytes("a")), view.get(bytes("z")));
                                             }
                                         }
                                     } catch (IOException | AssertionError | RuntimeException e) {
@@ -226,7 +238,7 @@
                     store.compact();
                 }
             }
-            over.set(true);
+            done.set(true);
             for (Thread reader : readers) {
                 reader.join();
             }
@@ -244,11 +256,13 @@
             store.compact();
             long after = store.statistics().fileBytes();
             assertTrue(after < before / 5, before + " then " + after);
-            long there = 0;
+            long bytesOnDisk = 0;
             for (java.io.File file : dir.resolve("s").toFile().listFiles()) {
-                there += file.length();
+                bytesOnDisk += file.length();
             }
-            assertTrue(there <= after + 4096, "on the disk " + there + ", counted " + after);
+            assertTrue(
+                    bytesOnDisk <= after + 4096,
+                    "bytes on the disk: " + bytesOnDisk + ", counted: " + after);
             assertEquals(10, store.verify().liveKeys());
         }
     }
@@ -256,21 +270,21 @@
     @Test
     void snapshotStaysReadableAfterCompactionRemovesItsSegments() throws IOException {
         FaultInjectingDisk disk = new FaultInjectingDisk();
-        StoreWorkload night = new StoreWorkload().open(disk);
-        night.run();
-        TreeMap<String, String> then = night.acknowledged;
-        TreeMap<String, String> seen = new TreeMap<>();
-        try (Snapshot old = night.store.snapshot()) {
-            for (String key : then.keySet()) {
-                night.commit(key + "=new");
+        StoreWorkload workload = new StoreWorkload().open(disk);
+        workload.run();
+        TreeMap<String, String> expected = workload.acknowledged;
+        TreeMap<String, String> found = new TreeMap<>();
+        try (Snapshot snapshot = workload.store.snapshot()) {
+            for (String key : expected.keySet()) {
+                workload.commit(key + "=new");
             }
-            night.store.compact();
-            Snapshot.Scan scan = old.scan(null, null);
+            workload.store.compact();
+            Snapshot.Scan scan = snapshot.scan(null, null);
             while (scan.next()) {
-                seen.put(new String(scan.key()), new String(scan.value()));
+                found.put(new String(scan.key()), new String(scan.value()));
             }
         }
-        assertEquals(then, seen);
+        assertEquals(expected, found);
     }
 
     @Test
@@ -280,14 +294,14 @@
             Thread.currentThread().interrupt();
             store.put(bytes("b"), bytes("2"));
             assertArrayEquals(bytes("1"), store.get(bytes("a")));
-            assertTrue(Thread.interrupted(), "the interrupt is kept");
+            assertTrue(Thread.interrupted(), "the interrupt flag is still set");
             store.put(bytes("c"), bytes("3"));
             Thread writer = Thread.currentThread();
-            AtomicBoolean over = new AtomicBoolean();
+            AtomicBoolean done = new AtomicBoolean();
             Thread interrupter =
                     new Thread(
                             () -> {
-                                while (!over.get()) {
+                                while (!done.get()) {
                                     writer.interrupt();
                                     LockSupport.parkNanos(300_000);
                                 }
@@ -299,7 +313,7 @@
                     assertArrayEquals(bytes("v" + i), store.get(bytes("k" + i)));
                 }
             } finally {
-                over.set(true);
+                done.set(true);
                 while (interrupter.isAlive()) {
                     Thread.interrupted();
                     Thread.onSpinWait();
@@ -310,16 +324,17 @@
     }
 
     /**
-     * The large one's room was taken, but the small one's mirror is longer than the large one's
-     * mark.
+     * Guards against a group that outgrows the space reserved for it. The space is reserved for
+     * both batches, but the large one is rejected by its expected version, and the mirror of the
+     * small one is longer than the commit marker of the large one would have been.
      */
     @Test
     void groupWithRejectedLargeBatchStaysWithinItsReservedSpace() throws IOException {
         FaultInjectingDisk disk = new FaultInjectingDisk();
-        StoreState core =
+        StoreState state =
                 new StoreState(disk, StoreWorkload.SMALL_SEGMENTS, StoreEventListener.NONE);
-        new Recovery(core, true).run();
-        LogWriter writer = new LogWriter(core);
+        new Recovery(state, true).run();
+        LogWriter writer = new LogWriter(state);
         PendingBatch small =
                 new PendingBatch(
                         new Batch()
