--- a/relay/src/main/java/com/bertramlabs/plugins/hcl4j/HclSymbols.java
+++ b/relay/src/main/java/com/bertramlabs/plugins/hcl4j/HclSymbols.java
@@ -6,16 +6,17 @@
 import java.util.List;
 
 /**
- * The symbols that hcl4j's lexer reads, with their positions. The lexer is visible to its own
- * package only, and the library's public parser evaluates what it reads and forgets where it stood.
+ * Reads an HCL file's symbols with their positions, using the lexer of hcl4j. This class is in the
+ * package of hcl4j because the lexer is package-private, and the public parser evaluates the file
+ * without keeping positions.
  */
 public final class HclSymbols {
     private HclSymbols() {}
 
-    /** The attributes and blocks of the file's top level. */
+    /** Returns the attributes and blocks at the top level of the file. */
     public static List<Symbol> read(Reader text) throws IOException, HCLParserException {
         HCLLexer lexer = new HCLLexer(text);
-        while (lexer.yylex() != null) { // the lexer itself gathers what it reads
+        while (lexer.yylex() != null) { // the lexer collects the symbols itself
             continue;
         }
         return List.copyOf(lexer.elementStack);
--- a/relay/src/main/java/saltstage/amqp/AmqpClientConnection.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpClientConnection.java
@@ -37,7 +37,7 @@
 import saltstage.log.Log;
 import saltstage.net.Connection;
 
-/** A client's connection: who it is, its sessions and links, and the limits on all of it. */
+/** A client's connection: its authentication, its sessions and links, and the limits on them. */
 final class AmqpClientConnection extends AmqpConnection {
     private static final Symbol ANONYMOUS = Symbol.valueOf("ANONYMOUS");
     private static final Symbol PLAIN = Symbol.valueOf("PLAIN");
@@ -45,8 +45,8 @@
     private static final int PROTOCOL_ID_INDEX = 4;
 
     /**
-     * Empty frames only keep a connection alive; who sends more than this a second does something
-     * else.
+     * Limit of empty frames, which serve only as heartbeats; a client that sends more is flooding
+     * the relay.
      */
     private static final int MAX_EMPTY_FRAMES_PER_SECOND = 100;
 
@@ -99,8 +99,6 @@
         return backendPool;
     }
 
-    // ---- before the open
-
     @Override
     public void received(Connection on, ByteBuffer bytes) {
         byte[] came = new byte[bytes.remaining()];
@@ -120,8 +118,8 @@
     }
 
     /**
-     * A client that offers no SASL is ANONYMOUS, where that may come in; else it is told to
-     * (5.3.2).
+     * A client that starts without SASL is ANONYMOUS if anonymous clients are allowed; otherwise
+     * the engine answers with the SASL header to request SASL (5.3.2).
      */
     private void createEngine(boolean bare) {
         boolean anonymous = settings.authentication().anonymousTenant() != null;
@@ -132,8 +130,8 @@
         if (!bare || !anonymous) {
             made.saslDriver().server().setListener(new Login());
         }
-        // Frames come in from the last handler on: the counter must stand behind the one that takes
-        // them.
+        // Incoming frames pass the handlers from last to first, so the counter must come after the
+        // performative handler, which consumes them.
         EngineHandler performatives =
                 made.pipeline().find(ProtonConstants.AMQP_PERFORMATIVE_HANDLER);
         made.pipeline()
@@ -157,7 +155,10 @@
         startEngine(made);
     }
 
-    /** Who it is: ANONYMOUS, or a user with a secret; one attempt a connection. */
+    /**
+     * Authenticates the client as ANONYMOUS or by user and secret; a connection has one login
+     * attempt.
+     */
     private final class Login implements SaslServerListener {
         @Override
         public void handleSaslHeader(SaslServerContext context, AMQPHeader header) {
@@ -186,7 +187,7 @@
             }
         }
 
-        /** RFC 4616: [authzid] NUL authcid NUL passwd. */
+        /** Checks a PLAIN response, which is [authzid] NUL authcid NUL passwd (RFC 4616). */
         private boolean authenticatePlain(ProtonBuffer response) {
             if (response == null || response.getReadableBytes() > MAX_PLAIN_RESPONSE_BYTES) {
                 return false;
@@ -225,7 +226,7 @@
         }
     }
 
-    /** Counts what costs the relay work and asks for nothing. */
+    /** Counts empty frames, which cost the relay work without requesting anything. */
     private final class EmptyFrameCounter implements EngineHandler {
         @Override
         public void handleRead(EngineHandlerContext context, IncomingAMQPEnvelope frame) {
@@ -238,7 +239,10 @@
         }
     }
 
-    /** Whether this count of the running second is over its bound. */
+    /**
+     * Whether the count exceeds the limit per second; starts a new second with all counts at 0 when
+     * one has passed.
+     */
     private boolean exceedsRate(int count, int most) {
         Instant now = now();
         if (Duration.between(rateWindowStart, now).compareTo(Duration.ofSeconds(1)) >= 0) {
@@ -293,8 +297,6 @@
         session.open();
     }
 
-    // ---- links
-
     private void onAttach(Receiver link) {
         Target target = link.getRemoteTarget() instanceof Target plain ? plain : null;
         boolean dynamic = target != null && target.isDynamic();
@@ -328,7 +330,7 @@
             return;
         }
         if (link.getLinkedResource()
-                != null) { // the same name a second time while it is attached (2.6.1)
+                != null) { // a second attach with the name of an attached link (2.6.1)
             close(
                     new ErrorCondition(
                             LinkError.STOLEN, "link " + link.getName() + " is attached already"));
@@ -364,7 +366,7 @@
         }
     }
 
-    /** The link is over here. */
+    /** Removes a link that has ended. */
     void removeLink(ClientLink link) {
         if (links.remove(link)) {
             frontend.removeLink(link);
@@ -372,20 +374,26 @@
         }
     }
 
-    /** While the relay leaves, a connection with no link left is told so. */
+    /** Closes an open connection without links if the relay is draining. */
     void closeIfDraining() {
         if (frontend.isDraining() && links.isEmpty() && opened && !isClosed()) {
             loop().execute(() -> close(ErrorConditions.relayDraining()));
         }
     }
 
-    /** A transfer has come: from time to time the session's window has to be opened again. */
+    /**
+     * Counts a transfer, so that {@link #replenishWindow} knows when to extend the session's
+     * window.
+     */
     void countTransfer(Link<?> link) {
         TransferCounter window = link.getSession().getLinkedResource();
         window.transfers++;
     }
 
-    /** So many bytes are about to be read of what came on a link. */
+    /**
+     * Extends the session's window before received bytes of a link are read, once the transfers
+     * since the last extension have used up half of the window.
+     */
     void replenishWindow(Link<?> link, int bytes) {
         TransferCounter window = link.getSession().getLinkedResource();
         int frames = settings.limits().maxLinkBytes() / settings.limits().maxFrameBytes();
@@ -397,12 +405,12 @@
         }
     }
 
-    /** Transfers of a session since its window was told last. */
+    /** Number of a session's transfers since its window was last extended. */
     private static final class TransferCounter {
         private int transfers;
     }
 
-    /** Bytes of a session's window that a link which is no more has used. */
+    /** Returns to the session's window the bytes of transfers that are not read any more. */
     void restoreWindow(Link<?> link, int bytes) {
         if (canSendFrames()
                 && link.getSession().isLocallyOpen()
@@ -411,7 +419,7 @@
         }
     }
 
-    /** Has all links pass on what may go now. */
+    /** Lets all receiving links forward the deliveries that they can send now. */
     void forwardPending() {
         for (ClientLink link : List.copyOf(links)) {
             if (link instanceof ClientReceiverLink receiving) {
@@ -420,7 +428,7 @@
         }
     }
 
-    /** Time has passed. */
+    /** Lets all links check their timeouts. */
     void checkTimeouts(Instant now) {
         for (ClientLink link : List.copyOf(links)) {
             link.checkTimeouts(now);
--- a/relay/src/main/java/saltstage/amqp/AmqpConnection.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpConnection.java
@@ -19,12 +19,14 @@
 import saltstage.net.Loop;
 
 /**
- * An AMQP connection: joins an engine to a connection of the transport, on its loop only. Bytes go
- * in, frames go out, time goes by. An engine that fails has said so in a close frame of its own
- * before the end.
+ * An AMQP connection, which joins a protocol engine to a connection of the transport. It passes
+ * received bytes to the engine, writes the engine's frames and drives the engine's timers, all on
+ * the loop of the connection. An engine that fails sends a close frame before the connection ends.
  */
 public abstract class AmqpConnection implements ConnectionHandler {
-    /** A close must reach the other side before the end of the connection does. */
+    /**
+     * Delay before the connection is closed, so that the close frame reaches the remote side first.
+     */
     private static final Duration CLOSE_LINGER = Duration.ofMillis(500);
 
     private static final Duration MAX_TICK_INTERVAL = Duration.ofSeconds(1);
@@ -37,17 +39,21 @@
     private boolean writable = true;
     private boolean closed;
 
-    /** On this connection, with frames of at most so many bytes; spans are told by the clock. */
+    /**
+     * Creates a connection that accepts frames of at most the given size and takes the time from
+     * the clock.
+     */
     protected AmqpConnection(Connection net, Supplier<Instant> clock, int mostFrame) {
         this.netConnection = net;
         frameSplitter = new FrameSplitter(mostFrame);
         this.clock = clock;
     }
 
-    /** Starts the engine; what it says goes out from here on. */
+    /** Starts the engine, whose frames are written from now on. */
     protected final void startEngine(Engine with) {
         engine = with;
-        // Frames go out from the first handler on: what makes them stays before what joins them.
+        // Outgoing frames pass the handlers from first to last, so the performative handler, which
+        // creates them, must stay before the batcher, which merges dispositions.
         EngineHandler performatives =
                 engine.pipeline().find(ProtonConstants.AMQP_PERFORMATIVE_HANDLER);
         engine.pipeline()
@@ -61,13 +67,13 @@
                                 part != null;
                                 part = parts.nextReadable()) {
                             ByteBuffer bytes = part.getReadableBuffer();
-                            // protonj2 1.0.0 shows all of the array here, also what was not written
-                            // to it
+                            // protonj2 1.0.0 exposes the whole array here, including the part not
+                            // written
                             netConnection.write(
                                     bytes.limit(bytes.position() + part.getReadableBytes()));
                         }
                     }
-                    if (done != null) { // the buffer is not closed: headers are shared ones
+                    if (done != null) { // the buffer is not closed because headers are shared
                         done.run();
                     }
                 });
@@ -76,7 +82,7 @@
         tickEngine();
     }
 
-    /** The engine; null before it was started. */
+    /** The engine, or null before it was started. */
     protected final Engine engine() {
         return engine;
     }
@@ -86,17 +92,17 @@
         return netConnection;
     }
 
-    /** The loop of it. */
+    /** The loop on which the connection runs. */
     public final Loop loop() {
         return netConnection.loop();
     }
 
-    /** What the clock says. */
+    /** The current time of this connection's clock. */
     protected final Instant now() {
         return clock.get();
     }
 
-    /** Whether more may be written without piling up here. */
+    /** Whether more may be written without growing the write buffer beyond its limit. */
     public final boolean isWritable() {
         return writable && !closed;
     }
@@ -110,12 +116,12 @@
                 && !engine.connection().isRemotelyClosed();
     }
 
-    /** Whether it has ended. */
+    /** Whether the connection has ended. */
     public final boolean isClosed() {
         return closed;
     }
 
-    /** Feeds the engine. */
+    /** Passes the whole frames received so far to the engine. */
     protected final void ingest(byte[] came) {
         byte[] bytes = frameSplitter.takeWholeFrames(came);
         if (bytes.length > 0 && !closed && engine.isWritable()) {
@@ -161,8 +167,8 @@
     }
 
     /**
-     * protonj2 1.0.0 drops what a handler of transfers throws: here it ends the connection, and is
-     * told.
+     * Wraps a handler so that an exception is logged and ends the connection, because protonj2
+     * 1.0.0 silently drops exceptions of transfer handlers.
      */
     final <T> EventHandler<T> guarded(EventHandler<T> handler) {
         return event -> {
@@ -186,7 +192,7 @@
         closeAfterLinger();
     }
 
-    /** Ends the connection politely with this error, or with none. */
+    /** Closes the connection with a close frame that carries the error, which may be null. */
     public final void close(ErrorCondition why) {
         if (closed || engine == null || !engine.isRunning()) {
             netConnection.close();
@@ -215,7 +221,8 @@
                     next = Duration.ofMillis(due - now);
                 }
             } catch (
-                    RuntimeException told) { // an idle time-out fails the engine, which has told so
+                    RuntimeException
+                            told) { // an idle time-out: the failed engine has reported it already
                 return;
             }
         }
@@ -226,9 +233,9 @@
         loop().schedule(wait, this::tickEngine);
     }
 
-    /** There is room for writing again. */
+    /** Called when the connection becomes writable again. */
     protected abstract void onWritable();
 
-    /** It is over; told once. */
+    /** Called once when the connection has ended. */
     protected abstract void connectionEnded(String why);
 }
--- a/relay/src/main/java/saltstage/amqp/AmqpFrontend.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpFrontend.java
@@ -34,22 +34,25 @@
 import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
-/** Where AMQP clients come in, and what all their connections share. */
+/** Accepts AMQP clients and holds the state that all their connections share. */
 public final class AmqpFrontend implements Frontend {
     private static final Connection.WriteLimits WRITE_LIMITS =
             new Connection.WriteLimits(256 << 10, 16 << 20);
     private static final int ACCEPT_BACKLOG = 1_024;
     private static final Duration MAINTENANCE_INTERVAL = Duration.ofMillis(100);
 
-    /** Links of one backend that leaves are moved within about so many beats, not all at once. */
+    /**
+     * Maintenance intervals over which the links of a draining backend are moved, so that not all
+     * of them attach elsewhere at once.
+     */
     private static final int MOVE_SPREAD_INTERVALS = 5;
 
     private static final int MIN_LINKS_MOVED_PER_INTERVAL = 20;
 
-    /** Connections beyond the limit that are told so; more than that are reset. */
+    /** Connections beyond the limit that are closed with an error; any further ones are reset. */
     private static final int MAX_CONNECTIONS_OVER_LIMIT = 64;
 
-    /** Connections to backends, beside those of clients. */
+    /** Descriptors reserved for connections to backends, in addition to those for clients. */
     private static final int RESERVED_BACKEND_SOCKETS = 64;
 
     private final Configuration config;
@@ -80,7 +83,7 @@
     private Transport.Listener listener;
     private volatile boolean draining;
 
-    /** A front of these settings before the stages of the chain; the transport ends with it. */
+    /** Creates a frontend with these settings for the pipeline. */
     public AmqpFrontend(
             AmqpSettings settings,
             Configuration config,
@@ -93,9 +96,9 @@
         this.clock = clock;
         this.transport = transport;
         validatedSettings = ValidatedSettings.validate(settings, config);
-        // Links' names are unique for a container: neither a relay of the same name nor its own
-        // former life,
-        // which a backend may still think alive, may be taken for this one.
+        // Link names are unique within a container. The random suffix keeps a backend from taking
+        // this process for another relay of the same name or for an earlier process that it
+        // believes is still connected.
         containerId =
                 "saltstage-"
                         + config.name()
@@ -106,7 +109,7 @@
         }
     }
 
-    /** Listens; returns where. */
+    /** Starts to listen and returns the local address. */
     public InetSocketAddress start() throws IOException {
         listener =
                 transport.listen(
@@ -127,15 +130,18 @@
         reservedDescriptors = wanted;
     }
 
-    /** A change that was checked and is not yet in force. */
+    /** A validated settings change that has not been applied yet. */
     public interface SettingsChange {
-        /** Puts it in force for all that comes from now on; returns what waits for a restart. */
+        /**
+         * Applies the change to new connections, links and logins; returns the settings that
+         * require a restart.
+         */
         List<String> apply();
     }
 
     /**
-     * Checks other settings, with the file of secrets as it is now. What stands keeps the limits
-     * that it came under; new connections, links and logins get the new ones.
+     * Validates new settings, reading the current secrets file. Existing connections and links keep
+     * the limits they were created with; new connections, links and logins get the new ones.
      */
     public SettingsChange prepareChange(AmqpSettings next) throws MalformedException {
         ValidatedSettings checked = ValidatedSettings.validate(next, config);
@@ -147,7 +153,7 @@
         };
     }
 
-    /** Takes a connection, or null where it is one too many. */
+    /** Accepts a connection; returns null, which resets it, if it is too far beyond the limit. */
     ConnectionHandler accept(Connection connection) {
         int now = connectionCount.incrementAndGet();
         if (now > settings().limits().maxConnections() + MAX_CONNECTIONS_OVER_LIMIT) {
@@ -181,7 +187,10 @@
                 });
     }
 
-    /** A backend that drains keeps its links until they are moved; a few at each beat. */
+    /**
+     * Moves some of the links of draining backends in each maintenance interval. A draining backend
+     * keeps its links until they are moved.
+     */
     private void moveLinksOffDrainingBackends() {
         Map<Object, Integer> found = new HashMap<>();
         for (ClientLink link : links) {
@@ -221,10 +230,10 @@
 
     @Override
     public void rejectPendingClients() {
-        startDraining(); // a connection without links was told by that
+        startDraining(); // this also closes all connections without links
     }
 
-    /** Whether the relay leaves. */
+    /** Whether the relay is draining. */
     boolean isDraining() {
         return draining;
     }
@@ -239,7 +248,7 @@
         return links.size();
     }
 
-    /** Writes what became of deliveries to the log. */
+    /** Logs the totals of connections, links and delivery outcomes. */
     public void logTotals() {
         Log.info(
                 "amqp.totals",
@@ -309,12 +318,12 @@
         return pipeline.outcomeRecorder();
     }
 
-    /** A name for a request that no other has. */
+    /** Returns a unique request id. */
     String newRequestId() {
         return containerId + "/" + lastRequestNumber.incrementAndGet();
     }
 
-    /** Whether deliveries to this address may be repeated. */
+    /** Whether deliveries on this link may be repeated. */
     boolean isIdempotent(AttachMapper.AttachRequest asked) {
         try {
             return attachMapper().map(asked, "", false).idempotent();
@@ -363,7 +372,9 @@
         kind.increment();
     }
 
-    /** An outcome came back from a backend: how long that took tells how late its messages are. */
+    /**
+     * Records how long a backend took to return an outcome, as a measure of its message latency.
+     */
     void recordResponseDelay(Attempt at, DeliveryForwarder.Delivery delivery) {
         if (at != null && delivery.sentAt() != null) {
             at.backend().recordResponseDelay(Duration.between(delivery.sentAt(), now()));
--- a/relay/src/main/java/saltstage/amqp/AttachMapper.java
+++ b/relay/src/main/java/saltstage/amqp/AttachMapper.java
@@ -12,15 +12,15 @@
 import saltstage.wire.MalformedException;
 
 /**
- * How a link becomes a request: its address is {@code CLASS} or {@code CLASS/GROUP}, its tenant is
- * the SASL user, its key the container id with the link's name. Properties that the operator names
- * go before those. Free of I/O.
+ * Maps a link to a request. The address is {@code CLASS} or {@code CLASS/GROUP}, the tenant is the
+ * SASL user, and the key is the container id followed by the link name. Link properties that the
+ * operator has configured take precedence. This class does no I/O.
  */
 final class AttachMapper {
     private static final Pattern GROUP_PATTERN = Pattern.compile("[!-~]{1,128}");
     private static final int MAX_KEY_CHARS = 512;
 
-    /** A link that is not to be; the condition says why. */
+    /** Thrown for an attach that must be rejected with the given condition. */
     static final class AttachRejectedException extends Exception {
         private static final long serialVersionUID = 1;
         private final transient ErrorCondition condition;
@@ -35,7 +35,7 @@
         }
     }
 
-    /** A link as its client asks for it; user is null for ANONYMOUS. */
+    /** The attach of a client; the user is null for ANONYMOUS. */
     record AttachRequest(
             String address,
             String containerId,
@@ -43,7 +43,10 @@
             String user,
             Map<Symbol, Object> properties) {}
 
-    /** What it asks for, and how long its client waits for the attach to be answered. */
+    /**
+     * The attributes of a request, how long the client waits for the answer to its attach, and
+     * whether its deliveries may be repeated.
+     */
     record MappedRequest(
             RequestAttributes attributes, Duration clientTimeout, boolean idempotent) {}
 
@@ -58,7 +61,8 @@
     }
 
     /**
-     * Maps a link; again: it stood before and its backend was lost. The name is the relay's own.
+     * Maps an attach to a request with the id that the relay has given it; {@code again} is true if
+     * the link was established before and its backend was lost.
      */
     MappedRequest map(AttachRequest asked, String name, boolean again)
             throws AttachRejectedException {
--- a/relay/src/main/java/saltstage/amqp/ClientLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientLink.java
@@ -18,30 +18,32 @@
 import saltstage.session.RequestContext.Phase;
 
 /**
- * A client's link, which is a request until it stands and a connection at a backend from then on.
- * It is placed, answered, moved and, where its backend is lost, placed anew through the same stages
- * as a line's. All state is the loop's of its connection; calls from elsewhere are handed over to
- * it.
+ * A client's link, which is a request until it is attached to a backend and an established
+ * connection to that backend from then on. The pipeline that handles requests of the line protocol
+ * also admits, rejects and moves links, and finds another backend for a link whose backend was
+ * lost. All state belongs to the loop of the client's connection; calls from other threads are
+ * passed to that loop.
  */
 abstract class ClientLink implements ClientConnection, BackendLink.Owner {
     /**
-     * Backends lost one after the other without one outcome between: the fault may lie in what it
-     * sends.
+     * Limit of backends lost in a row without an outcome in between. Beyond it, the link is
+     * detached, as the messages of its client may be what makes the backends fail.
      */
     private static final int MAX_CONSECUTIVE_BACKEND_LOSSES = 6;
 
     private enum State {
-        /** Its attach is not answered yet. */
+        /** The client's attach has not been answered yet. */
         ATTACHING,
-        /** It stands at a backend. */
+        /** The link is attached to a backend. */
         ESTABLISHED,
-        /** Its backend was lost and it asks for another; its client notices nothing. */
+        /** The link's backend was lost and it waits for another; the client does not notice. */
         REATTACHING,
         /**
-         * It is to be detached, once what is under way from its client has come and was answered.
+         * The link will be detached when all deliveries in flight from its client have arrived and
+         * have an outcome.
          */
         DETACHING,
-        /** Nothing is owed any more. */
+        /** The link has ended and nothing more is sent for it. */
         ENDED
     }
 
@@ -67,7 +69,7 @@
         this.attachRequest = asked;
     }
 
-    /** Begins: asks for a place, or is turned away at once. */
+    /** Requests admission, or rejects the attach if it cannot be mapped to a request. */
     final void start() {
         try {
             mappedRequest =
@@ -89,7 +91,7 @@
     }
 
     /**
-     * An attach that is not to be: answered without source or target, and detached with why
+     * Rejects the attach: answers it without source or target and detaches the link with the error
      * (2.6.3).
      */
     final void rejectAttach(ErrorCondition why) {
@@ -117,8 +119,6 @@
         }
     }
 
-    // ---- the client's side of the stages; from any thread
-
     @Override
     public final void reject(Duration retryAfter) {
         connection.loop().execute(() -> requestEnded(ErrorConditions.rejected(retryAfter)));
@@ -159,9 +159,7 @@
         return connection.remoteAddress();
     }
 
-    // ---- on the loop
-
-    /** The one final answer that is no place. */
+    /** Ends a request that was rejected or has failed. */
     private void requestEnded(ErrorCondition why) {
         if (state == State.ATTACHING) {
             rejectAttach(why);
@@ -171,8 +169,8 @@
     }
 
     /**
-     * No place is left for a link that stood: what it holds is answered, and it is detached with
-     * why.
+     * Detaches a link that was established and has no backend left, after giving its deliveries
+     * their outcomes.
      */
     private void detachWithoutBackend(ErrorCondition why) {
         completeDeliveries();
@@ -180,9 +178,9 @@
     }
 
     /**
-     * Takes its credit back before it is detached: what its client has sent until then would else
-     * cross with the detach and get no outcome. A client that does not answer that is detached
-     * after a while.
+     * Withdraws the client's credit before the detach. Otherwise deliveries that the client has
+     * just sent would cross with the detach and get no outcome. A client that does not answer the
+     * drain is detached after the settle timeout.
      */
     private void startDetach(ErrorCondition why) {
         state = State.DETACHING;
@@ -231,10 +229,7 @@
         return true;
     }
 
-    /**
-     * The attach is answered as the backend has answered it: its terminus, its capabilities, its
-     * bounds.
-     */
+    /** Answers the client's attach with the backend's terminus, capabilities and limits. */
     private void answerAttach() {
         Link<?> far = backendEngineLink();
         copyClientSettings();
@@ -260,7 +255,7 @@
         link.open();
     }
 
-    /** What the client asks for, said to the backend. */
+    /** Copies the client's attach to the given link to the backend. */
     protected final void copyAttachTo(Link<?> to) {
         Target target = link.getRemoteTarget() instanceof Target plain ? plain : null;
         to.setSource(link.getRemoteSource());
@@ -307,13 +302,16 @@
         }
     }
 
-    /** The backend has given an outcome: it works, whatever was lost before. */
+    /**
+     * Called when the backend has returned an outcome, which shows that it works and ends a series
+     * of losses.
+     */
     protected final void outcomeReceived() {
         consecutiveBackendLosses = 0;
         detachIfSettled();
     }
 
-    /** Something has ended: perhaps that was the last before a detach. */
+    /** Finishes a pending detach if nothing is outstanding any more. */
     protected final void detachIfSettled() {
         if (state == State.DETACHING && isSettled()) {
             finishDetach();
@@ -333,16 +331,13 @@
                 "id",
                 up.context().attributes().clientRequestId());
         if (reason.startsWith("peer")) {
-            backendLink.connectionLost(
-                    true); // nothing more will come from there: what waits goes elsewhere
+            backendLink.connectionLost(true); // the backend will not answer any more: reattach now
             return;
         }
         startDetach(ErrorConditions.moved(reason));
     }
 
-    /**
-     * The client has detached, ended its session or lost its connection: nothing is owed any more.
-     */
+    /** Ends the link after the client has detached, ended its session or lost its connection. */
     final void clientLeft() {
         if (state == State.ENDED) {
             return;
@@ -360,14 +355,14 @@
             frontend.outcomeRecorder().clientLeft(context);
         }
         if (connection.canSendFrames()) {
-            if (!link.getSession().isRemotelyClosed()) { // else its end has ended its links, too
+            if (!link.getSession().isRemotelyClosed()) { // the end of a session ends its links, too
                 link.close();
             }
             onEnded();
         }
     }
 
-    /** A rule of the protocol is broken on this link alone: it is detached with why. */
+    /** Detaches the link with an error after a protocol violation that concerns this link alone. */
     protected final void detachForViolation(ErrorCondition why) {
         Log.warn("amqp.link.broken", "from", remoteAddress(), "why", why.getDescription());
         if (connection.canSendFrames()) {
@@ -376,7 +371,7 @@
         clientLeft();
     }
 
-    /** Time has passed. */
+    /** Checks the timeouts of the link's deliveries. */
     void checkTimeouts(Instant now) {}
 
     protected final AmqpFrontend frontend() {
@@ -399,40 +394,40 @@
         return state == State.ENDED;
     }
 
-    /** The client's session that it is on. */
+    /** The client's session that contains the link. */
     final Session session() {
         return link.getSession();
     }
 
-    /** The try that stands, or null. */
+    /** The established attempt, or null. */
     final Attempt establishedAttempt() {
         return backendLink == null ? null : backendLink.attempt();
     }
 
-    /** The backend's half, once made. */
+    /** The link to the backend, or null before it was created. */
     protected abstract Link<?> backendEngineLink();
 
-    /** It stands at a backend. */
+    /** Called when the link has been attached to a backend. */
     protected abstract void onEstablished();
 
-    /** The backend that it stood at is lost. */
+    /** Called when the backend of the established link was lost. */
     protected abstract void onBackendLost();
 
-    /** Whether it may go on at another backend without its client's doing. */
+    /** Whether the link can continue at another backend without the client attaching again. */
     protected abstract boolean canReattach();
 
-    /** Takes nothing new from now on; it is to be moved. */
+    /** Withdraws the sending side's credit, so that no new deliveries come before the detach. */
     protected abstract void drainCredit();
 
-    /** The link is over; told once. */
+    /** Called once when the link has ended. */
     protected void onEnded() {}
 
-    /** Whether nothing is under way, so that it can be moved. */
+    /** Whether no delivery and no credit is outstanding, so that the link can be detached. */
     protected abstract boolean isSettled();
 
-    /** There will be no backend any more: all that is owed is answered now. */
+    /** Gives the remaining deliveries their outcomes, as no backend will follow. */
     protected abstract void completeDeliveries();
 
-    /** The client is gone; the backend's half still stands for this call. */
+    /** Called when the client has left, before the link to the backend is detached. */
     protected abstract void onClientLeft();
 }
--- a/relay/src/main/java/saltstage/amqp/ClientReceiverLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientReceiverLink.java
@@ -13,19 +13,20 @@
 import org.apache.qpid.protonj2.types.transport.DeliveryState;
 
 /**
- * The link of a client that receives: what the backend sends goes to the client, in order, as its credit and
- * its session's window allow; what the client says of it goes back. Bytes that the client does not take stay
- * in the engine and hold up the backend's session, which is this link's alone.
+ * The link of a client that receives messages. Deliveries of the backend are forwarded to the client in order, as
+ * far as the client's credit and the window of its session allow; dispositions of the client go back to the
+ * backend. Bytes that the client does not accept yet stay in the engine and hold back the backend's session,
+ * which serves this link alone.
  */
 final class ClientReceiverLink extends ClientLink {
     private final Sender clientSender;
-    /** What has come from the backend and is not wholly with the client. */
+    /** Deliveries of the backend that were not completely sent to the client yet. */
     private final Deque<IncomingDelivery> pendingDeliveries = new ArrayDeque<>();
     private Receiver backendReceiver;
     private OutgoingDelivery currentDelivery;
     private ProtonBuffer unsentBytes;
     private boolean refreshing;
-    /** The backend was asked to drain for its client. */
+    /** Whether the backend was asked to drain because the client drains. */
     private boolean backendDrainRequested;
 
     ClientReceiverLink(AmqpFrontend front, AmqpClientConnection owner, Sender client,
@@ -33,14 +34,12 @@
         super(front, owner, client, asked);
         this.clientSender = client;
         client.creditStateUpdateHandler(any -> {
-            owner.forwardPending(); // a flow may have opened the window of its session for other links too
+            owner.forwardPending(); // the flow may have opened the session's window for other links, too
             forwardCredit();
             ProtonFlowControl.answerEcho(client);
         }).deliveryStateUpdatedHandler(this::clientDispositionReceived);
     }
 
-    // ---- credit, from the client to the backend
-
     private boolean isEstablished() {
         return !isEnded() && backendLink() != null && backendLink().isAttached()
             && connection().canSendFrames();
@@ -59,21 +58,21 @@
         if (more > 0 && !backendReceiver.isDraining()) {
             backendReceiver.addCredit(more);
         } else if (more < 0 && backendReceiver.getCredit() > 0 && !backendReceiver.isDraining()) {
-            // its client wants fewer: the backend must not send for nobody
+            // the client reduced its credit: the backend must not send more than it accepts
             ProtonFlowControl.reduceCredit(backendReceiver, -more);
         }
     }
 
-    /** How much more credit its client has given than the backend has; below 0 where that has too much. */
+    /** Credit that the client has granted and the backend lacks; negative if the backend has too much. */
     private int missingCredit() {
-        // What is only partly here has taken no credit yet, on neither side.
+        // A delivery that has arrived only in part has used no credit yet, on either side.
         int here = pendingDeliveries.isEmpty() || !pendingDeliveries.peekLast().isPartial()
             ? pendingDeliveries.size()
             : pendingDeliveries.size() - 1;
         return clientSender.getCredit() - backendReceiver.getCredit() - here;
     }
 
-    /** The client drains its credit: the backend is asked the same once, and its answer is passed on. */
+    /** Passes a drain of the client on to the backend once, and the backend's answer back to the client. */
     private void forwardDrain() {
         if (!backendDrainRequested) {
             backendDrainRequested = true;
@@ -90,8 +89,6 @@
         }
     }
 
-    // ---- deliveries, from the backend to the client
-
     private void transferReceived(IncomingDelivery in) {
         if (!isEstablished()) {
             in.readAll();
@@ -116,7 +113,7 @@
         forwardPending();
     }
 
-    /** Passes on what the client takes now. */
+    /** Forwards the deliveries that the client accepts now. */
     void forwardPending() {
         if (isEstablished() && !pendingDeliveries.isEmpty() && !refreshing) {
             refreshing = true;
@@ -131,7 +128,7 @@
             }
             boolean whole = !in.isPartial() && in.available() == 0;
             if ((unsentBytes == null || !unsentBytes.isReadable()) && !whole) {
-                return; // more of it has to come first
+                return; // wait for more bytes of this delivery
             }
             if (currentDelivery == null) {
                 currentDelivery = clientSender.next().setTag(in.getTag().tagBytes().clone())
@@ -144,7 +141,7 @@
             }
             currentDelivery.streamBytes(unsentBytes, whole);
             if (unsentBytes != null && unsentBytes.isReadable()) {
-                return; // the window is full
+                return; // the session's window is full
             }
             unsentBytes = null;
             if (whole) {
@@ -156,11 +153,11 @@
             }
         }
         if (backendDrainRequested && isEstablished() && pendingDeliveries.isEmpty()) {
-            forwardCredit(); // the last that the backend had sent before it answered is through
+            forwardCredit(); // all deliveries sent before the backend answered the drain are forwarded
         }
     }
 
-    /** The client has said what became of it: the backend is told the same. */
+    /** Passes the client's disposition on to the backend. */
     private void clientDispositionReceived(OutgoingDelivery out) {
         if (!(out.getLinkedResource() instanceof IncomingDelivery in) || !isEstablished()) {
             return;
@@ -176,7 +173,7 @@
         outcomeReceived();
     }
 
-    /** The backend has settled by itself, as in the mode 'second' (2.6.12). */
+    /** Passes a settlement by the backend on to the client, as happens in the mode 'second' (2.6.12). */
     private void backendDispositionReceived(IncomingDelivery in) {
         if (in.isRemotelySettled() && in.getLinkedResource() instanceof OutgoingDelivery out
             && isEstablished() && !out.isPartial()) {
@@ -190,11 +187,9 @@
         }
     }
 
-    // ---- its life
-
     @Override
     public Object sessionKey() {
-        return null; // bytes that its client does not take fill its session's window
+        return null; // not shared: bytes that the client does not accept fill the session's window
     }
 
     @Override
@@ -235,7 +230,7 @@
         pendingDeliveries.clear();
     }
 
-    /** What the client holds unsettled is the lost backend's: only a new link can begin anew. */
+    /** Unsettled deliveries at the client belong to the lost backend, so only a new link can start over. */
     @Override
     protected boolean canReattach() {
         return false;
--- a/relay/src/main/java/saltstage/amqp/ClientSenderLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientSenderLink.java
@@ -21,8 +21,8 @@
 import saltstage.amqp.DeliveryForwarder.Delivery;
 
 /**
- * The link of a client that sends. {@link DeliveryForwarder} decides; this joins it to the two
- * engines.
+ * The link of a client that sends messages. {@link DeliveryForwarder} makes the decisions; this
+ * class connects it to the engines of the client and of the backend.
  */
 final class ClientSenderLink extends ClientLink
         implements DeliveryForwarder.ClientEndpoint, DeliveryForwarder.BackendEndpoint {
@@ -31,7 +31,10 @@
     private final Receiver clientReceiver;
     private final DeliveryForwarder forwarder;
 
-    /** Deliveries with bytes that were not read yet: the client's session is held up by them. */
+    /**
+     * Deliveries with bytes that have not been read yet; they keep the window of the client's
+     * session closed.
+     */
     private final Deque<IncomingDelivery> unreadDeliveries = new ArrayDeque<>();
 
     private Sender backendSender;
@@ -60,11 +63,9 @@
                         });
     }
 
-    // ---- from the client
-
     private void transferReceived(IncomingDelivery in) {
         connection().countTransfer(clientReceiver);
-        if (isEnded()) { // sent before its client had heard of the detach
+        if (isEnded()) { // sent before the client received the detach
             connection().restoreWindow(clientReceiver, discard(in));
             return;
         }
@@ -91,7 +92,10 @@
         readDeliveries();
     }
 
-    /** Reads what may be held; the rest waits in the engine and with it the client's session. */
+    /**
+     * Reads as many bytes as may be buffered. The rest stays in the engine and holds back the
+     * client's session.
+     */
     private void readDeliveries() {
         while (!unreadDeliveries.isEmpty()
                 && (forwarder.canBufferMore() || isCompleted(unreadDeliveries.peek()))) {
@@ -113,7 +117,7 @@
             if (whole
                     && (delivery.isPresettled() || delivery.isCompleted() && !in.isSettled())
                     && !isEnded()) {
-                in.settle(); // told already, while its bytes still came; or nothing is owed
+                in.settle(); // its outcome was sent while its bytes were arriving, or it needs none
             }
         }
     }
@@ -124,7 +128,10 @@
         return bytes;
     }
 
-    /** What was not read when the link ended holds up the session no more. */
+    /**
+     * Discards unread deliveries of the ended link, so that they do not keep the session's window
+     * closed.
+     */
     @Override
     protected void onEnded() {
         int bytes = 0;
@@ -152,11 +159,13 @@
         in.settle();
         readDeliveries();
         connection()
-                .restoreWindow(
-                        clientReceiver, 0); // a transfer without bytes uses the window up as well
+                .restoreWindow(clientReceiver, 0); // a transfer without bytes uses the window, too
     }
 
-    /** The client has settled: in the mode 'second' the backend waits for that (2.6.12). */
+    /**
+     * Passes the client's settlement on to the backend, which waits for it in the mode 'second'
+     * (2.6.12).
+     */
     private void clientDispositionReceived(IncomingDelivery in) {
         if (!in.isRemotelySettled() || in.isPartial()) {
             return;
@@ -178,14 +187,13 @@
                 && !out.isSettled();
     }
 
-    // ---- to the client
-
     @Override
     public void grantCredit(int more) {
         if (!isEnded() && connection().canSendFrames()) {
             connection()
                     .restoreWindow(
-                            clientReceiver, 0); // the session's window first, for all its links
+                            clientReceiver,
+                            0); // open the window of the session, for all its links, first
             clientReceiver.addCredit(more);
         }
     }
@@ -197,17 +205,15 @@
         if (connection().canSendFrames()
                 && clientReceiver.isRemotelyOpen()
                 && clientReceiver.isLocallyOpen()) {
-            // One that still comes is settled when it has ended: until then the engine must know
-            // it.
+            // A delivery that is still arriving is settled when it is complete: the engine must
+            // know it until then.
             in.disposition(state, settled && !in.isPartial());
         }
     }
 
-    // ---- to the backend
-
     @Override
     public boolean canSend() {
-        // protonj2 1.0.0 goes on calling a sender sendable whose credit it has just let go
+        // protonj2 1.0.0 still reports a sender as sendable after it has given up its credit
         if (backendLink() == null
                 || !backendLink().isWritable()
                 || backendSender.getCredit() == 0) {
@@ -267,12 +273,10 @@
         }
     }
 
-    // ---- from the backend
-
     private void backendDispositionReceived(OutgoingDelivery out) {
         Delivery delivery = out.getLinkedResource();
         if (out.getLink() != backendSender || isEnded()) {
-            return; // of a link that is over, on a session that is not
+            return; // belongs to an earlier link on a session that is still open
         }
         DeliveryState state = out.getRemoteState();
         boolean settled = out.isRemotelySettled();
@@ -303,7 +307,7 @@
         ProtonFlowControl.answerEcho(from);
     }
 
-    /** A backend that drains its credit is told so once what the client may still send has come. */
+    /** Answers a drain of the backend once everything the client may still send has arrived. */
     private void answerBackendDrain() {
         if (isEnded()
                 || backendSender == null
@@ -328,8 +332,6 @@
         }
     }
 
-    // ---- its life
-
     @Override
     public Object sessionKey() {
         return clientReceiver.getSession();
--- a/relay/src/main/java/saltstage/amqp/ErrorConditions.java
+++ b/relay/src/main/java/saltstage/amqp/ErrorConditions.java
@@ -10,19 +10,22 @@
 import org.apache.qpid.protonj2.types.transport.LinkError;
 
 /**
- * The error conditions that the relay says, each with the section of the specification that names
- * it.
+ * The error conditions that the relay sends, each with the section of the AMQP specification that
+ * defines it.
  */
 final class ErrorConditions {
-    /** Milliseconds until a refused client should come again, in the info map of the error. */
+    /** Key in the error's info map: milliseconds after which a rejected client should retry. */
     static final Symbol RETRY_AFTER = Symbol.valueOf("saltstage:retry-after-ms");
 
-    /** Set in the info map where a link was moved: attaching again at once is what is asked for. */
+    /**
+     * Key in the error's info map that asks the client to come back at once: {@link ClientLink}
+     * means "attach again" by it when it moves a link, and a draining relay means "connect again".
+     */
     static final Symbol RECONNECT = Symbol.valueOf("saltstage:come-again");
 
     private ErrorConditions() {}
 
-    /** Refused for now (2.8.15). */
+    /** The request was rejected and may be retried later (2.8.15). */
     static ErrorCondition rejected(Duration retryAfter) {
         return retryAfter.isZero()
                 ? new ErrorCondition(AmqpError.RESOURCE_LIMIT_EXCEEDED, "refused, come again")
@@ -32,33 +35,33 @@
                         Map.of(RETRY_AFTER, UnsignedInteger.valueOf(retryAfter.toMillis())));
     }
 
-    /** Failed; nothing is promised (2.8.15). */
+    /** The request has failed and its effect is unknown (2.8.15). */
     static ErrorCondition failed(String why) {
         return new ErrorCondition(AmqpError.INTERNAL_ERROR, why);
     }
 
-    /** A class or tenant that the settings do not know (2.8.15). */
+    /** The service class or tenant is not in the settings, or a property is invalid (2.8.15). */
     static ErrorCondition notFound(String what) {
         return new ErrorCondition(AmqpError.NOT_FOUND, what);
     }
 
-    /** Something of the specification that the relay does not do (2.8.15). */
+    /** The relay does not implement this part of the specification (2.8.15). */
     static ErrorCondition notImplemented(String what) {
         return new ErrorCondition(AmqpError.NOT_IMPLEMENTED, what);
     }
 
-    /** A limit of the operator's was passed (2.8.15). */
+    /** A limit that the operator has set was exceeded (2.8.15). */
     static ErrorCondition limitExceeded(String what) {
         return new ErrorCondition(AmqpError.RESOURCE_LIMIT_EXCEEDED, what);
     }
 
-    /** The link is moved: its client is to attach again (2.8.17). */
+    /** The link is moved and the client should attach again (2.8.17). */
     static ErrorCondition moved(String why) {
         return new ErrorCondition(
                 LinkError.DETACH_FORCED, "moved, attach again: " + why, Map.of(RECONNECT, true));
     }
 
-    /** The relay leaves (2.8.16). */
+    /** The relay is draining and the client should connect again (2.8.16). */
     static ErrorCondition relayDraining() {
         return new ErrorCondition(
                 ConnectionError.CONNECTION_FORCED,
@@ -66,7 +69,7 @@
                 Map.of(RECONNECT, true));
     }
 
-    /** What came is no AMQP, or breaks its rules (2.8.16). */
+    /** The received bytes are not valid AMQP (2.8.16). */
     static ErrorCondition framingError(String what) {
         return new ErrorCondition(ConnectionError.FRAMING_ERROR, what);
     }
--- a/relay/src/main/java/saltstage/amqp/UserSecrets.java
+++ b/relay/src/main/java/saltstage/amqp/UserSecrets.java
@@ -11,7 +11,8 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Users and their secrets, from a file of lines {@code USER:SECRET}; {@code #} begins a comment.
+ * Users and their secrets, read from a file of lines {@code USER:SECRET}. A line that starts with
+ * {@code #} is a comment.
  */
 final class UserSecrets {
     private static final byte[] UNKNOWN_USER_SECRET =
@@ -21,12 +22,12 @@
 
     private UserSecrets() {}
 
-    /** Nobody is known. */
+    /** Creates an instance without users. */
     static UserSecrets empty() {
         return new UserSecrets();
     }
 
-    /** Reads the file; what is wrong is said in one line that shows no secret. */
+    /** Reads the file; an error is reported in one line that contains no secret. */
     static UserSecrets read(Path file) throws MalformedException {
         UserSecrets read = new UserSecrets();
         List<String> lines;
@@ -53,14 +54,17 @@
         return read;
     }
 
-    /** Whether the secret is the user's; takes as long where it is wrong or the user unknown. */
+    /**
+     * Whether the secret is the user's. The comparison takes as long for an unknown user as for a
+     * wrong secret, so that its duration does not reveal which users exist.
+     */
     boolean matches(String user, byte[] secret) {
         byte[] right = secretsByUser.get(user);
         boolean same = MessageDigest.isEqual(right == null ? UNKNOWN_USER_SECRET : right, secret);
         return same && right != null;
     }
 
-    /** How many users there are. */
+    /** The number of users. */
     int size() {
         return secretsByUser.size();
     }
--- a/relay/src/main/java/saltstage/amqp/ValidatedSettings.java
+++ b/relay/src/main/java/saltstage/amqp/ValidatedSettings.java
@@ -6,16 +6,15 @@
 import saltstage.config.Configuration;
 import saltstage.wire.MalformedException;
 
-/**
- * All that the operator's settings say of the front, read and checked as a whole; replaced as a
- * whole.
- */
+/** The operator's settings of the AMQP frontend, which are validated and replaced as a whole. */
 record ValidatedSettings(
         AmqpSettings settings,
         AttachMapper attachMapper,
         UserSecrets userSecrets,
         DeliveryForwarder.Limits forwardingLimits) {
-    /** Checks what the settings alone cannot know: the tenant of ANONYMOUS, the file of secrets. */
+    /**
+     * Validates the settings that depend on other data: the anonymous tenant and the secrets file.
+     */
     static ValidatedSettings validate(AmqpSettings settings, Configuration config)
             throws MalformedException {
         UserSecrets secrets =
@@ -45,7 +44,7 @@
                         settings.timeouts().delivery()));
     }
 
-    /** What of the next rules cannot take effect before a restart; none of it is taken over. */
+    /** Returns the names of changed settings that take effect only after a restart. */
     List<String> restartRequiredChanges(ValidatedSettings next) {
         List<String> parts = new ArrayList<>();
         if (!settings.listenAddress().equals(next.settings.listenAddress())) {
--- a/relay/src/test/java/saltstage/amqp/AmqpComponentsTest.java
+++ b/relay/src/test/java/saltstage/amqp/AmqpComponentsTest.java
@@ -25,7 +25,7 @@
 import saltstage.session.RequestAttributes;
 import saltstage.wire.MalformedException;
 
-/** The parts of the front that decide without I/O: frames, addresses, users. */
+/** Tests the parts of the AMQP frontend without I/O: splitting frames, mapping attaches, checking secrets. */
 class AmqpComponentsTest {
     private static final byte[] PROTOCOL_HEADER = {'A', 'M', 'Q', 'P', 0, 1, 0, 0};
 
--- a/relay/src/test/java/saltstage/amqp/AmqpFrontendFuzzTest.java
+++ b/relay/src/test/java/saltstage/amqp/AmqpFrontendFuzzTest.java
@@ -26,9 +26,10 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Any bytes in place of any part of a client's conversation, in pieces of any size: nothing is thrown, and
- * nothing of the client is left when its connection is over.
- * {@code JAZZER_FUZZ=1 mvn test -pl relay -Dtest=AmqpFrontendFuzzTest} searches; CI plays some chances.
+ * Guards against malformed input that makes a handler throw or leaves state of the client behind when its
+ * connection ends. A part of a valid conversation is overwritten with arbitrary bytes, and the conversation
+ * arrives in pieces of any size. {@code JAZZER_FUZZ=1 mvn test -pl relay -Dtest=AmqpFrontendFuzzTest} fuzzes;
+ * without JAZZER_FUZZ, some random mutations run.
  */
 class AmqpFrontendFuzzTest {
     /** Header, open, begin, attach of a sender, a transfer, a flow, detach and close (2.7). */
@@ -42,7 +43,7 @@
         + "0000001002000000" + "005316c003024341"
         + "0000000c02000000" + "00531845");
 
-    /** A loop that the test turns. */
+    /** A loop whose tasks the test runs. */
     private static final class ManualLoop implements Loop {
         private final Deque<Runnable> tasks = new ArrayDeque<>();
 
@@ -58,18 +59,18 @@
 
         @Override
         public Timer schedule(Duration delay, Runnable task) {
-            return () -> true; // time stands still
+            return () -> true; // timers never fire
         }
 
         void runTasks() {
             for (int i = 0; i < 10_000 && !tasks.isEmpty(); i++) {
                 tasks.poll().run();
             }
-            assertTrue(tasks.isEmpty(), "it never comes to rest");
+            assertTrue(tasks.isEmpty(), "tasks are still queued after 10,000 tasks were run");
         }
     }
 
-    /** A connection to nowhere. */
+    /** A connection without a remote side, which counts the bytes written. */
     private static final class FakeConnection implements Connection {
         private final Loop loop;
         private long writtenBytes;
@@ -119,20 +120,20 @@
         }
     }
 
-    /** Nobody can be reached through it. */
+    /** A transport whose connections are never established. */
     private static final class FakeTransport implements Transport {
         private final ManualLoop loop = new ManualLoop();
 
         @Override
         public Listener listen(InetSocketAddress at, int backlog, Connection.WriteLimits bounds,
                 Acceptor acceptor) {
-            throw new IllegalStateException("not here");
+            throw new IllegalStateException("the fake transport does not listen");
         }
 
         @Override
         public void connect(Loop on, InetSocketAddress to, Duration limit, Connection.WriteLimits bounds,
                 ConnectListener connecting) {
-            return; // it never comes up: links wait for their place until their client is gone
+            return; // never connects: links wait for a backend until their client has left
         }
 
         @Override
@@ -168,7 +169,7 @@
         }
     }
 
-    /** Where, how long the pieces are, and what stands there instead. */
+    /** The first byte is an offset, the second a piece size, and the others overwrite the conversation there. */
     @FuzzTest(maxDuration = "60s")
     void neverThrowsNorLeavesAnythingBehind(byte[] data) {
         if (data.length < 3) {
