--- a/relay/src/main/java/saltstage/amqp/AmqpClientConnection.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpClientConnection.java
@@ -69,14 +69,18 @@
     private boolean linksEnded;
 
     AmqpClientConnection(
-            AmqpFrontend front, BackendConnectionPool pool, Connection net, boolean overfull) {
-        super(net, front::now, front.settings().limits().maxFrameBytes());
-        this.frontend = front;
-        this.backendPool = pool;
-        this.overLimit = overfull;
-        settings = front.settings();
-        remoteAddress = String.valueOf(net.remoteAddress());
-        net.loop()
+            AmqpFrontend frontend,
+            BackendConnectionPool backendPool,
+            Connection connection,
+            boolean overLimit) {
+        super(connection, frontend::now, frontend.settings().limits().maxFrameBytes());
+        this.frontend = frontend;
+        this.backendPool = backendPool;
+        this.overLimit = overLimit;
+        settings = frontend.settings();
+        remoteAddress = String.valueOf(connection.remoteAddress());
+        connection
+                .loop()
                 .schedule(
                         settings.timeouts().open(),
                         () -> {
@@ -100,45 +104,47 @@
     }
 
     @Override
-    public void received(Connection on, ByteBuffer bytes) {
-        byte[] came = new byte[bytes.remaining()];
-        bytes.get(came);
+    public void received(Connection connection, ByteBuffer bytes) {
+        byte[] input = new byte[bytes.remaining()];
+        bytes.get(input);
         if (engine() == null) {
-            byte[] all = Arrays.copyOf(protocolHeader, protocolHeader.length + came.length);
-            System.arraycopy(came, 0, all, protocolHeader.length, came.length);
-            protocolHeader = all;
+            byte[] header = Arrays.copyOf(protocolHeader, protocolHeader.length + input.length);
+            System.arraycopy(input, 0, header, protocolHeader.length, input.length);
+            protocolHeader = header;
             if (protocolHeader.length < HEADER_BYTES) {
                 return;
             }
-            came = protocolHeader;
+            input = protocolHeader;
             protocolHeader = new byte[0];
-            createEngine(came[PROTOCOL_ID_INDEX] == 0);
+            createEngine(input[PROTOCOL_ID_INDEX] == 0);
         }
-        ingest(came);
+        ingest(input);
     }
 
     /**
      * A client that starts without SASL is ANONYMOUS if anonymous clients are allowed; otherwise
      * the engine answers with the SASL header to request SASL (5.3.2).
      */
-    private void createEngine(boolean bare) {
-        boolean anonymous = settings.authentication().anonymousTenant() != null;
-        Engine made =
-                bare && anonymous
+    private void createEngine(boolean withoutSasl) {
+        boolean anonymousAllowed = settings.authentication().anonymousTenant() != null;
+        Engine newEngine =
+                withoutSasl && anonymousAllowed
                         ? EngineFactory.PROTON.createNonSaslEngine()
                         : EngineFactory.PROTON.createEngine();
-        if (!bare || !anonymous) {
-            made.saslDriver().server().setListener(new Login());
+        if (!withoutSasl || !anonymousAllowed) {
+            newEngine.saslDriver().server().setListener(new Login());
         }
         // Incoming frames pass the handlers from last to first, so the counter must come after the
         // performative handler, which consumes them.
         EngineHandler performatives =
-                made.pipeline().find(ProtonConstants.AMQP_PERFORMATIVE_HANDLER);
-        made.pipeline()
+                newEngine.pipeline().find(ProtonConstants.AMQP_PERFORMATIVE_HANDLER);
+        newEngine
+                .pipeline()
                 .remove(performatives)
                 .addFirst("count", new EmptyFrameCounter())
                 .addFirst(ProtonConstants.AMQP_PERFORMATIVE_HANDLER, performatives);
-        made.connection()
+        newEngine
+                .connection()
                 .setContainerId(frontend.containerId())
                 .setMaxFrameSize(settings.limits().maxFrameBytes())
                 .setChannelMax(settings.limits().maxSessionsPerConnection() - 1)
@@ -152,7 +158,7 @@
                 .sessionOpenHandler(this::onBegin)
                 .senderOpenHandler(this::onAttach)
                 .receiverOpenHandler(this::onAttach);
-        startEngine(made);
+        startEngine(newEngine);
     }
 
     /**
@@ -162,22 +168,22 @@
     private final class Login implements SaslServerListener {
         @Override
         public void handleSaslHeader(SaslServerContext context, AMQPHeader header) {
-            boolean anonymous = settings.authentication().anonymousTenant() != null;
-            boolean plain = frontend.userSecrets().size() > 0;
+            boolean anonymousAllowed = settings.authentication().anonymousTenant() != null;
+            boolean plainAllowed = frontend.userSecrets().size() > 0;
             context.sendMechanisms(
-                    anonymous && plain
+                    anonymousAllowed && plainAllowed
                             ? new Symbol[] {PLAIN, ANONYMOUS}
-                            : new Symbol[] {plain ? PLAIN : ANONYMOUS});
+                            : new Symbol[] {plainAllowed ? PLAIN : ANONYMOUS});
         }
 
         @Override
         public void handleSaslInit(
                 SaslServerContext context, Symbol mechanism, ProtonBuffer response) {
-            boolean fits =
+            boolean authenticated =
                     ANONYMOUS.equals(mechanism)
                                     && settings.authentication().anonymousTenant() != null
                             || PLAIN.equals(mechanism) && authenticatePlain(response);
-            if (fits) {
+            if (authenticated) {
                 context.sendOutcome(SaslOutcome.SASL_OK, null);
             } else {
                 Log.warn("amqp.login.failed", "from", remoteAddress, "mechanism", mechanism);
@@ -194,20 +200,24 @@
             }
             byte[] bytes = new byte[response.getReadableBytes()];
             response.readBytes(bytes, 0, bytes.length);
-            int first = indexOfNul(bytes, 0);
-            int next = first < 0 ? -1 : indexOfNul(bytes, first + 1);
-            if (next < 0) {
+            int firstNul = indexOfNul(bytes, 0);
+            int secondNul = firstNul < 0 ? -1 : indexOfNul(bytes, firstNul + 1);
+            if (secondNul < 0) {
                 return false;
             }
-            String name = new String(bytes, first + 1, next - first - 1, StandardCharsets.UTF_8);
-            String acts = new String(bytes, 0, first, StandardCharsets.UTF_8);
-            boolean fits =
+            String userName =
+                    new String(
+                            bytes, firstNul + 1, secondNul - firstNul - 1, StandardCharsets.UTF_8);
+            String authorizationId = new String(bytes, 0, firstNul, StandardCharsets.UTF_8);
+            boolean authenticated =
                     frontend.userSecrets()
-                            .matches(name, Arrays.copyOfRange(bytes, next + 1, bytes.length));
-            if (!fits || !acts.isEmpty() && !acts.equals(name)) {
+                            .matches(
+                                    userName,
+                                    Arrays.copyOfRange(bytes, secondNul + 1, bytes.length));
+            if (!authenticated || !authorizationId.isEmpty() && !authorizationId.equals(userName)) {
                 return false;
             }
-            user = name;
+            user = userName;
             return true;
         }
 
@@ -243,7 +253,7 @@
      * Whether the count exceeds the limit per second; starts a new second with all counts at 0 when
      * one has passed.
      */
-    private boolean exceedsRate(int count, int most) {
+    private boolean exceedsRate(int count, int limit) {
         Instant now = now();
         if (Duration.between(rateWindowStart, now).compareTo(Duration.ofSeconds(1)) >= 0) {
             rateWindowStart = now;
@@ -251,20 +261,20 @@
             attachCount = 0;
             beginCount = 0;
         }
-        return count > most;
+        return count > limit;
     }
 
-    private void closeForFlooding(String of) {
+    private void closeForFlooding(String flood) {
         if (!linksEnded) {
-            Log.warn("amqp.flood", "from", remoteAddress, "of", of);
-            close(ErrorConditions.limitExceeded("too many " + of + " a second"));
+            Log.warn("amqp.flood", "from", remoteAddress, "of", flood);
+            close(ErrorConditions.limitExceeded("too many " + flood + " a second"));
             endLinks();
         }
     }
 
-    private void onOpen(org.apache.qpid.protonj2.engine.Connection remotely) {
+    private void onOpen(org.apache.qpid.protonj2.engine.Connection connection) {
         opened = true;
-        remotely.open();
+        connection.open();
         if (overLimit) {
             Log.warn(
                     "amqp.full",
@@ -298,15 +308,20 @@
     }
 
     private void onAttach(Receiver link) {
-        Target target = link.getRemoteTarget() instanceof Target plain ? plain : null;
+        Target target =
+                link.getRemoteTarget() instanceof Target messageTarget ? messageTarget : null;
         boolean dynamic = target != null && target.isDynamic();
         acceptOrRejectAttach(
                 link,
                 target == null ? null : target.getAddress(),
                 dynamic,
-                asked ->
+                attachRequest ->
                         new ClientSenderLink(
-                                frontend, this, link, asked, frontend.isIdempotent(asked)));
+                                frontend,
+                                this,
+                                link,
+                                attachRequest,
+                                frontend.isIdempotent(attachRequest)));
     }
 
     private void onAttach(Sender link) {
@@ -316,21 +331,21 @@
                 link,
                 source == null ? null : source.getAddress(),
                 dynamic,
-                asked -> new ClientReceiverLink(frontend, this, link, asked));
+                attachRequest -> new ClientReceiverLink(frontend, this, link, attachRequest));
     }
 
     private interface ClientLinkFactory {
-        ClientLink create(AttachMapper.AttachRequest asked);
+        ClientLink create(AttachMapper.AttachRequest attachRequest);
     }
 
     private void acceptOrRejectAttach(
-            Link<?> link, String address, boolean dynamic, ClientLinkFactory making) {
+            Link<?> link, String address, boolean dynamic, ClientLinkFactory factory) {
         if (exceedsRate(++attachCount, settings.limits().maxAttachesPerSecond())) {
             closeForFlooding("attaches");
             return;
         }
-        if (link.getLinkedResource()
-                != null) { // a second attach with the name of an attached link (2.6.1)
+        if (link.getLinkedResource() != null) {
+            // A second attach with the name of an attached link (2.6.1).
             close(
                     new ErrorCondition(
                             LinkError.STOLEN, "link " + link.getName() + " is attached already"));
@@ -338,31 +353,31 @@
             return;
         }
         Map<Symbol, Object> properties = link.getRemoteProperties();
-        ClientLink made =
-                making.create(
+        ClientLink clientLink =
+                factory.create(
                         new AttachMapper.AttachRequest(
                                 address,
                                 engine().connection().getRemoteContainerId(),
                                 link.getName(),
                                 user,
                                 properties));
-        link.setLinkedResource(made);
-        link.closeHandler(ended -> made.clientLeft());
-        link.detachHandler(ended -> made.clientLeft());
+        link.setLinkedResource(clientLink);
+        link.closeHandler(ended -> clientLink.clientLeft());
+        link.detachHandler(ended -> clientLink.clientLeft());
         if (link.isReceiver() && link.getRemoteTarget() instanceof Coordinator) {
-            made.rejectAttach(ErrorConditions.notImplemented("transactions"));
+            clientLink.rejectAttach(ErrorConditions.notImplemented("transactions"));
         } else if (dynamic) {
-            made.rejectAttach(ErrorConditions.notImplemented("dynamic addresses"));
+            clientLink.rejectAttach(ErrorConditions.notImplemented("dynamic addresses"));
         } else if (frontend.isDraining()) {
-            made.rejectAttach(ErrorConditions.relayDraining());
+            clientLink.rejectAttach(ErrorConditions.relayDraining());
         } else if (links.size() >= settings.limits().maxLinksPerConnection()
                 || !frontend.hasRoomForLink()) {
             Log.warn("amqp.links.full", "from", remoteAddress, "links", links.size());
-            made.rejectAttach(ErrorConditions.rejected(frontend.config().maxRetryAfter()));
+            clientLink.rejectAttach(ErrorConditions.rejected(frontend.config().maxRetryAfter()));
         } else {
-            links.add(made);
-            frontend.addLink(made);
-            made.start();
+            links.add(clientLink);
+            frontend.addLink(clientLink);
+            clientLink.start();
         }
     }
 
@@ -386,8 +401,8 @@
      * window.
      */
     void countTransfer(Link<?> link) {
-        TransferCounter window = link.getSession().getLinkedResource();
-        window.transfers++;
+        TransferCounter counter = link.getSession().getLinkedResource();
+        counter.transfers++;
     }
 
     /**
@@ -395,12 +410,12 @@
      * since the last extension have used up half of the window.
      */
     void replenishWindow(Link<?> link, int bytes) {
-        TransferCounter window = link.getSession().getLinkedResource();
-        int frames = settings.limits().maxLinkBytes() / settings.limits().maxFrameBytes();
-        if (window.transfers >= frames / 2
+        TransferCounter counter = link.getSession().getLinkedResource();
+        int framesPerWindow = settings.limits().maxLinkBytes() / settings.limits().maxFrameBytes();
+        if (counter.transfers >= framesPerWindow / 2
                 && canSendFrames()
                 && !link.getSession().isRemotelyClosed()) {
-            window.transfers = 0;
+            counter.transfers = 0;
             ProtonFlowControl.extendIncomingWindow(link.getSession(), bytes);
         }
     }
@@ -441,9 +456,16 @@
     }
 
     @Override
-    protected void connectionEnded(String why) {
-        if (!opened || !why.equals("ended") && !why.equals("ours")) {
-            Log.info("amqp.client.ended", "from", remoteAddress, "why", why, "links", links.size());
+    protected void connectionEnded(String reason) {
+        if (!opened || !reason.equals("ended") && !reason.equals("ours")) {
+            Log.info(
+                    "amqp.client.ended",
+                    "from",
+                    remoteAddress,
+                    "why",
+                    reason,
+                    "links",
+                    links.size());
         }
         endLinks();
     }
--- a/relay/src/main/java/saltstage/amqp/AmqpConnection.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpConnection.java
@@ -43,15 +43,15 @@
      * Creates a connection that accepts frames of at most the given size and takes the time from
      * the clock.
      */
-    protected AmqpConnection(Connection net, Supplier<Instant> clock, int mostFrame) {
-        this.netConnection = net;
-        frameSplitter = new FrameSplitter(mostFrame);
+    protected AmqpConnection(Connection connection, Supplier<Instant> clock, int maxFrameBytes) {
+        this.netConnection = connection;
+        frameSplitter = new FrameSplitter(maxFrameBytes);
         this.clock = clock;
     }
 
     /** Starts the engine, whose frames are written from now on. */
-    protected final void startEngine(Engine with) {
-        engine = with;
+    protected final void startEngine(Engine newEngine) {
+        engine = newEngine;
         // Outgoing frames pass the handlers from first to last, so the performative handler, which
         // creates them, must stay before the batcher, which merges dispositions.
         EngineHandler performatives =
@@ -62,15 +62,15 @@
                 .addFirst(ProtonConstants.AMQP_PERFORMATIVE_HANDLER, performatives);
         engine.outputHandler(
                 (buffer, done) -> {
-                    try (ProtonBufferComponentAccessor parts = buffer.componentAccessor()) {
-                        for (ProtonBufferComponent part = parts.firstReadable();
-                                part != null;
-                                part = parts.nextReadable()) {
-                            ByteBuffer bytes = part.getReadableBuffer();
+                    try (ProtonBufferComponentAccessor components = buffer.componentAccessor()) {
+                        for (ProtonBufferComponent component = components.firstReadable();
+                                component != null;
+                                component = components.nextReadable()) {
+                            ByteBuffer bytes = component.getReadableBuffer();
                             // protonj2 1.0.0 exposes the whole array here, including the part not
                             // written
                             netConnection.write(
-                                    bytes.limit(bytes.position() + part.getReadableBytes()));
+                                    bytes.limit(bytes.position() + component.getReadableBytes()));
                         }
                     }
                     if (done != null) { // the buffer is not closed because headers are shared
@@ -122,47 +122,48 @@
     }
 
     /** Passes the whole frames received so far to the engine. */
-    protected final void ingest(byte[] came) {
-        byte[] bytes = frameSplitter.takeWholeFrames(came);
-        if (bytes.length > 0 && !closed && engine.isWritable()) {
+    protected final void ingest(byte[] input) {
+        byte[] frames = frameSplitter.takeWholeFrames(input);
+        if (frames.length > 0 && !closed && engine.isWritable()) {
             try {
-                engine.ingest(ProtonByteArrayBufferAllocator.wrapped(bytes));
-            } catch (RuntimeException seenByErrorHandler) { // the handler has ended the connection
+                engine.ingest(ProtonByteArrayBufferAllocator.wrapped(frames));
+            } catch (RuntimeException handledByErrorHandler) {
+                // The error handler has ended the connection.
                 if (!engine.isFailed()) {
-                    throw seenByErrorHandler;
+                    throw handledByErrorHandler;
                 }
             }
         }
     }
 
     @Override
-    public void received(Connection on, ByteBuffer bytes) {
+    public void received(Connection connection, ByteBuffer bytes) {
         byte[] copy = new byte[bytes.remaining()];
         bytes.get(copy);
         ingest(copy);
     }
 
     @Override
-    public void inputEnded(Connection on) {
+    public void inputEnded(Connection connection) {
         netConnection.close(); // AMQP has no half-open connections
     }
 
     @Override
-    public final void writabilityChanged(Connection on, boolean now) {
-        writable = now;
-        if (now && !closed) {
+    public final void writabilityChanged(Connection connection, boolean canWrite) {
+        writable = canWrite;
+        if (canWrite && !closed) {
             onWritable();
         }
     }
 
     @Override
-    public final void closed(Connection on, Connection.Cause why) {
+    public final void closed(Connection connection, Connection.Cause cause) {
         if (!closed) {
             closed = true;
             if (engine != null && !engine.isShutdown()) {
                 engine.shutdown();
             }
-            connectionEnded(why.name().toLowerCase(Locale.ROOT));
+            connectionEnded(cause.name().toLowerCase(Locale.ROOT));
         }
     }
 
@@ -186,20 +187,20 @@
         if (closed) {
             return;
         }
-        String what = cause == null ? "fault" : String.valueOf(cause.getMessage());
+        String reason = cause == null ? "fault" : String.valueOf(cause.getMessage());
         closed = true;
-        connectionEnded(what);
+        connectionEnded(reason);
         closeAfterLinger();
     }
 
     /** Closes the connection with a close frame that carries the error, which may be null. */
-    public final void close(ErrorCondition why) {
+    public final void close(ErrorCondition condition) {
         if (closed || engine == null || !engine.isRunning()) {
             netConnection.close();
             return;
         }
         engine.connection().open();
-        engine.connection().setCondition(why).close();
+        engine.connection().setCondition(condition).close();
         closeAfterLinger();
     }
 
@@ -220,9 +221,8 @@
                 if (due > 0) {
                     next = Duration.ofMillis(due - now);
                 }
-            } catch (
-                    RuntimeException
-                            told) { // an idle time-out: the failed engine has reported it already
+            } catch (RuntimeException handledByErrorHandler) {
+                // An idle time-out fails the engine, which has reported it already.
                 return;
             }
         }
@@ -237,5 +237,5 @@
     protected abstract void onWritable();
 
     /** Called once when the connection has ended. */
-    protected abstract void connectionEnded(String why);
+    protected abstract void connectionEnded(String reason);
 }
--- a/relay/src/main/java/saltstage/amqp/AmqpFrontend.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpFrontend.java
@@ -87,12 +87,12 @@
     public AmqpFrontend(
             AmqpSettings settings,
             Configuration config,
-            RelayPipeline chain,
+            RelayPipeline pipeline,
             MonotonicClock clock,
             Transport transport)
             throws MalformedException {
         this.config = config;
-        this.pipeline = chain;
+        this.pipeline = pipeline;
         this.clock = clock;
         this.transport = transport;
         validatedSettings = ValidatedSettings.validate(settings, config);
@@ -122,12 +122,12 @@
     }
 
     private void reserveDescriptors() {
-        int wanted =
+        int descriptors =
                 Math.min(
                         config.maxSockets() / 2,
                         settings().limits().maxConnections() + RESERVED_BACKEND_SOCKETS);
-        pipeline.admissionControl().reserveDescriptors(wanted - reservedDescriptors);
-        reservedDescriptors = wanted;
+        pipeline.admissionControl().reserveDescriptors(descriptors - reservedDescriptors);
+        reservedDescriptors = descriptors;
     }
 
     /** A validated settings change that has not been applied yet. */
@@ -143,32 +143,32 @@
      * Validates new settings, reading the current secrets file. Existing connections and links keep
      * the limits they were created with; new connections, links and logins get the new ones.
      */
-    public SettingsChange prepareChange(AmqpSettings next) throws MalformedException {
-        ValidatedSettings checked = ValidatedSettings.validate(next, config);
+    public SettingsChange prepareChange(AmqpSettings newSettings) throws MalformedException {
+        ValidatedSettings validated = ValidatedSettings.validate(newSettings, config);
         return () -> {
-            List<String> later = validatedSettings.restartRequiredChanges(checked);
-            validatedSettings = checked;
+            List<String> restartRequired = validatedSettings.restartRequiredChanges(validated);
+            validatedSettings = validated;
             reserveDescriptors();
-            return later;
+            return restartRequired;
         };
     }
 
     /** Accepts a connection; returns null, which resets it, if it is too far beyond the limit. */
     ConnectionHandler accept(Connection connection) {
-        int now = connectionCount.incrementAndGet();
-        if (now > settings().limits().maxConnections() + MAX_CONNECTIONS_OVER_LIMIT) {
+        int count = connectionCount.incrementAndGet();
+        if (count > settings().limits().maxConnections() + MAX_CONNECTIONS_OVER_LIMIT) {
             connectionCount.decrementAndGet();
-            Log.warn("amqp.full", "from", connection.remoteAddress(), "connections", now);
+            Log.warn("amqp.full", "from", connection.remoteAddress(), "connections", count);
             return null;
         }
-        AmqpClientConnection made =
+        AmqpClientConnection client =
                 new AmqpClientConnection(
                         this,
                         backendPools.get(connection.loop()),
                         connection,
-                        now > settings().limits().maxConnections());
-        clients.add(made);
-        return made;
+                        count > settings().limits().maxConnections());
+        clients.add(client);
+        return client;
     }
 
     private void scheduleMaintenance(Loop loop) {
@@ -192,29 +192,29 @@
      * keeps its links until they are moved.
      */
     private void moveLinksOffDrainingBackends() {
-        Map<Object, Integer> found = new HashMap<>();
+        Map<Object, Integer> remainingMoves = new HashMap<>();
         for (ClientLink link : links) {
-            Attempt up = link.establishedAttempt();
-            if (up != null
-                    && up.backend().entry().state() == BackendList.State.DRAINING
-                    && up.moveReason() == null) {
-                found.merge(up.backend(), 1, Integer::sum);
+            Attempt attempt = link.establishedAttempt();
+            if (attempt != null
+                    && attempt.backend().entry().state() == BackendList.State.DRAINING
+                    && attempt.moveReason() == null) {
+                remainingMoves.merge(attempt.backend(), 1, Integer::sum);
             }
         }
-        if (found.isEmpty()) {
+        if (remainingMoves.isEmpty()) {
             return;
         }
-        found.replaceAll(
-                (peer, count) ->
+        remainingMoves.replaceAll(
+                (backend, count) ->
                         Math.max(
                                 MIN_LINKS_MOVED_PER_INTERVAL,
                                 (count + MOVE_SPREAD_INTERVALS - 1) / MOVE_SPREAD_INTERVALS));
         for (ClientLink link : links) {
-            Attempt up = link.establishedAttempt();
-            if (up != null
-                    && found.getOrDefault(up.backend(), 0) > 0
-                    && pipeline.move(up, "drain")) {
-                found.merge(up.backend(), -1, Integer::sum);
+            Attempt attempt = link.establishedAttempt();
+            if (attempt != null
+                    && remainingMoves.getOrDefault(attempt.backend(), 0) > 0
+                    && pipeline.move(attempt, "drain")) {
+                remainingMoves.merge(attempt.backend(), -1, Integer::sum);
             }
         }
     }
@@ -324,10 +324,10 @@
     }
 
     /** Whether deliveries on this link may be repeated. */
-    boolean isIdempotent(AttachMapper.AttachRequest asked) {
+    boolean isIdempotent(AttachMapper.AttachRequest attachRequest) {
         try {
-            return attachMapper().map(asked, "", false).idempotent();
-        } catch (AttachMapper.AttachRejectedException turnedAwayLater) {
+            return attachMapper().map(attachRequest, "", false).idempotent();
+        } catch (AttachMapper.AttachRejectedException rejectedOnAttach) {
             return false;
         }
     }
@@ -361,7 +361,7 @@
     }
 
     void countOutcome(DeliveryState state) {
-        LongAdder kind =
+        LongAdder counter =
                 state instanceof Accepted
                         ? accepted
                         : state instanceof Rejected
@@ -369,15 +369,15 @@
                                 : state instanceof Released
                                         ? released
                                         : state instanceof Modified ? modified : otherOutcomes;
-        kind.increment();
+        counter.increment();
     }
 
     /**
      * Records how long a backend took to return an outcome, as a measure of its message latency.
      */
-    void recordResponseDelay(Attempt at, DeliveryForwarder.Delivery delivery) {
-        if (at != null && delivery.sentAt() != null) {
-            at.backend().recordResponseDelay(Duration.between(delivery.sentAt(), now()));
+    void recordResponseDelay(Attempt attempt, DeliveryForwarder.Delivery delivery) {
+        if (attempt != null && delivery.sentAt() != null) {
+            attempt.backend().recordResponseDelay(Duration.between(delivery.sentAt(), now()));
         }
     }
 
--- a/relay/src/main/java/saltstage/amqp/AttachMapper.java
+++ b/relay/src/main/java/saltstage/amqp/AttachMapper.java
@@ -61,73 +61,77 @@
     }
 
     /**
-     * Maps an attach to a request with the id that the relay has given it; {@code again} is true if
-     * the link was established before and its backend was lost.
+     * Maps an attach to a request with the id that the relay has given it; {@code reattaching} is
+     * true if the link was established before and its backend was lost.
      */
-    MappedRequest map(AttachRequest asked, String name, boolean again)
+    MappedRequest map(AttachRequest attachRequest, String requestId, boolean reattaching)
             throws AttachRejectedException {
-        if (asked.address() == null || asked.address().isEmpty()) {
+        if (attachRequest.address() == null || attachRequest.address().isEmpty()) {
             throw new AttachRejectedException(
                     ErrorConditions.notImplemented(
                             "a link needs an address, CLASS or CLASS/GROUP"));
         }
-        int slash = asked.address().indexOf('/');
-        String word = slash < 0 ? asked.address() : asked.address().substring(0, slash);
-        String group = slash < 0 ? null : asked.address().substring(slash + 1);
-        String told = textProperty(asked, linkProperties.groupProperty());
-        group = told == null ? group : told;
+        int slash = attachRequest.address().indexOf('/');
+        String className =
+                slash < 0 ? attachRequest.address() : attachRequest.address().substring(0, slash);
+        String group = slash < 0 ? null : attachRequest.address().substring(slash + 1);
+        String groupProperty = textProperty(attachRequest, linkProperties.groupProperty());
+        group = groupProperty == null ? group : groupProperty;
         if (group != null && !GROUP_PATTERN.matcher(group).matches()) {
             throw new AttachRejectedException(
                     ErrorConditions.notFound("a group takes 1 to 128 printable characters"));
         }
-        String key = textProperty(asked, linkProperties.keyProperty());
-        key = key == null ? asked.containerId() + '\n' + asked.linkName() : key;
+        String key = textProperty(attachRequest, linkProperties.keyProperty());
+        key = key == null ? attachRequest.containerId() + '\n' + attachRequest.linkName() : key;
         if (key.length() > MAX_KEY_CHARS) {
             key = key.substring(0, MAX_KEY_CHARS);
         }
-        int place;
-        int tenant;
+        int classIndex;
+        int tenantIndex;
         try {
-            place = config.serviceClassIndex(word);
+            classIndex = config.serviceClassIndex(className);
         } catch (MalformedException unknown) {
             throw new AttachRejectedException(
                     ErrorConditions.notFound("unknown class in the address"));
         }
         try {
-            tenant = config.tenantIndex(asked.user() == null ? anonymousTenant : asked.user());
+            tenantIndex =
+                    config.tenantIndex(
+                            attachRequest.user() == null ? anonymousTenant : attachRequest.user());
         } catch (MalformedException unknown) {
             throw new AttachRejectedException(ErrorConditions.notFound("the user is no tenant"));
         }
-        boolean repeatable =
-                config.settings().serviceClasses().get(place).idempotency()
+        boolean idempotent =
+                config.settings().serviceClasses().get(classIndex).idempotency()
                         == Api.Idempotency.IDEMPOTENT;
         return new MappedRequest(
-                new RequestAttributes(name, place, tenant, key, group, Api.NONE, again),
-                clientTimeout(asked, config.clientTimeout(place)),
-                repeatable);
+                new RequestAttributes(
+                        requestId, classIndex, tenantIndex, key, group, Api.NONE, reattaching),
+                clientTimeout(attachRequest, config.clientTimeout(classIndex)),
+                idempotent);
     }
 
-    private Duration clientTimeout(AttachRequest asked, Duration most)
+    private Duration clientTimeout(AttachRequest attachRequest, Duration maxTimeout)
             throws AttachRejectedException {
-        Object told = property(asked, linkProperties.deadlineProperty());
-        if (told == null) {
-            return most;
+        Object deadline = property(attachRequest, linkProperties.deadlineProperty());
+        if (deadline == null) {
+            return maxTimeout;
         }
-        if (!(told instanceof Number n) || n.longValue() < 1) {
+        if (!(deadline instanceof Number millis) || millis.longValue() < 1) {
             throw new AttachRejectedException(
                     ErrorConditions.notFound("the deadline property takes milliseconds"));
         }
-        return Duration.ofMillis(Math.min(most.toMillis(), n.longValue()));
+        return Duration.ofMillis(Math.min(maxTimeout.toMillis(), millis.longValue()));
     }
 
-    private static String textProperty(AttachRequest asked, String name) {
-        Object told = property(asked, name);
-        return told == null ? null : told.toString();
+    private static String textProperty(AttachRequest attachRequest, String name) {
+        Object value = property(attachRequest, name);
+        return value == null ? null : value.toString();
     }
 
-    private static Object property(AttachRequest asked, String name) {
-        return name == null || asked.properties() == null
+    private static Object property(AttachRequest attachRequest, String name) {
+        return name == null || attachRequest.properties() == null
                 ? null
-                : asked.properties().get(Symbol.valueOf(name));
+                : attachRequest.properties().get(Symbol.valueOf(name));
     }
 }
--- a/relay/src/main/java/saltstage/amqp/ClientLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientLink.java
@@ -59,14 +59,14 @@
     private int consecutiveBackendLosses;
 
     ClientLink(
-            AmqpFrontend front,
-            AmqpClientConnection owner,
+            AmqpFrontend frontend,
+            AmqpClientConnection connection,
             Link<?> link,
-            AttachMapper.AttachRequest asked) {
-        this.frontend = front;
-        this.connection = owner;
+            AttachMapper.AttachRequest attachRequest) {
+        this.frontend = frontend;
+        this.connection = connection;
         this.link = link;
-        this.attachRequest = asked;
+        this.attachRequest = attachRequest;
     }
 
     /** Requests admission, or rejects the attach if it cannot be mapped to a request. */
@@ -74,8 +74,8 @@
         try {
             mappedRequest =
                     frontend.attachMapper().map(attachRequest, frontend.newRequestId(), false);
-        } catch (AttachMapper.AttachRejectedException bad) {
-            rejectAttach(bad.condition());
+        } catch (AttachMapper.AttachRejectedException rejection) {
+            rejectAttach(rejection.condition());
             return;
         }
         requestAdmission();
@@ -87,14 +87,14 @@
                         this,
                         mappedRequest.attributes(),
                         mappedRequest.clientTimeout(),
-                        taken -> context = taken);
+                        admitted -> context = admitted);
     }
 
     /**
      * Rejects the attach: answers it without source or target and detaches the link with the error
      * (2.6.3).
      */
-    final void rejectAttach(ErrorCondition why) {
+    final void rejectAttach(ErrorCondition condition) {
         state = State.ENDED;
         connection.removeLink(this);
         if (connection.canSendFrames()) {
@@ -105,14 +105,15 @@
                 link.setSource(null);
             }
             link.open();
-            link.setCondition(why).close();
+            link.setCondition(condition).close();
         }
     }
 
     private void copyClientSettings() {
         if (link.getState() == LinkState.IDLE) {
             link.setSource(link.getRemoteSource());
-            Target target = link.getRemoteTarget() instanceof Target plain ? plain : null;
+            Target target =
+                    link.getRemoteTarget() instanceof Target messageTarget ? messageTarget : null;
             link.setTarget(target);
             link.setSenderSettleMode(link.getRemoteSenderSettleMode());
             link.setReceiverSettleMode(link.getRemoteReceiverSettleMode());
@@ -125,32 +126,37 @@
     }
 
     @Override
-    public final void fail(String why) {
-        connection.loop().execute(() -> requestEnded(ErrorConditions.failed(why)));
+    public final void fail(String reason) {
+        connection.loop().execute(() -> requestEnded(ErrorConditions.failed(reason)));
     }
 
     @Override
-    public final void startAttempt(Attempt begun, Instant until) {
+    public final void startAttempt(Attempt attempt, Instant deadline) {
         connection
                 .loop()
                 .execute(
                         () -> {
-                            if (state == State.ENDED || begun.context() != context) {
-                                begun.cancel();
-                                frontend.outcomeRecorder().attemptEnded(begun, Outcome.CANCELLED);
+                            if (state == State.ENDED || attempt.context() != context) {
+                                attempt.cancel();
+                                frontend.outcomeRecorder().attemptEnded(attempt, Outcome.CANCELLED);
                             } else {
-                                new BackendLink(frontend, connection.loop(), begun, until, this)
+                                new BackendLink(
+                                                frontend,
+                                                connection.loop(),
+                                                attempt,
+                                                deadline,
+                                                this)
                                         .start(connection.backendPool());
                             }
                         });
     }
 
     @Override
-    public final boolean move(Attempt up, String reason) {
-        if (up.context().phase() != Phase.ESTABLISHED || !up.requestMove(reason)) {
+    public final boolean move(Attempt attempt, String reason) {
+        if (attempt.context().phase() != Phase.ESTABLISHED || !attempt.requestMove(reason)) {
             return false;
         }
-        connection.loop().execute(() -> moveToOtherBackend(up, reason));
+        connection.loop().execute(() -> moveToOtherBackend(attempt, reason));
         return true;
     }
 
@@ -160,11 +166,11 @@
     }
 
     /** Ends a request that was rejected or has failed. */
-    private void requestEnded(ErrorCondition why) {
+    private void requestEnded(ErrorCondition condition) {
         if (state == State.ATTACHING) {
-            rejectAttach(why);
+            rejectAttach(condition);
         } else if (state == State.REATTACHING) {
-            detachWithoutBackend(why);
+            detachWithoutBackend(condition);
         }
     }
 
@@ -172,9 +178,9 @@
      * Detaches a link that was established and has no backend left, after giving its deliveries
      * their outcomes.
      */
-    private void detachWithoutBackend(ErrorCondition why) {
+    private void detachWithoutBackend(ErrorCondition condition) {
         completeDeliveries();
-        startDetach(why);
+        startDetach(condition);
     }
 
     /**
@@ -182,9 +188,9 @@
      * just sent would cross with the detach and get no outcome. A client that does not answer the
      * drain is detached after the settle timeout.
      */
-    private void startDetach(ErrorCondition why) {
+    private void startDetach(ErrorCondition condition) {
         state = State.DETACHING;
-        detachCondition = why;
+        detachCondition = condition;
         drainCredit();
         connection.loop().schedule(frontend.settings().timeouts().settle(), this::finishDetach);
         detachIfSettled();
@@ -194,33 +200,33 @@
         if (state != State.DETACHING) {
             return;
         }
-        BackendLink from = backendLink;
+        BackendLink previousLink = backendLink;
         backendLink = null;
         completeDeliveries();
         state = State.ENDED;
-        if (from != null) {
-            from.detach();
+        if (previousLink != null) {
+            previousLink.detach();
         }
         connection.removeLink(this);
         if (connection.canSendFrames()) {
             link.setCondition(detachCondition).close();
             onEnded();
         }
-        if (from != null) {
+        if (previousLink != null) {
             context.end(Phase.ESTABLISHED);
             frontend.countMoved();
-            frontend.outcomeRecorder().connectionEnded(from.attempt(), Outcome.CANCELLED);
+            frontend.outcomeRecorder().connectionEnded(previousLink.attempt(), Outcome.CANCELLED);
         }
     }
 
     @Override
-    public final boolean linkAttached(BackendLink at) {
+    public final boolean linkAttached(BackendLink attachedLink) {
         if (state != State.ATTACHING && state != State.REATTACHING
-                || at.attempt().context() != context
-                || !frontend.outcomeRecorder().establish(at.attempt(), false)) {
+                || attachedLink.attempt().context() != context
+                || !frontend.outcomeRecorder().establish(attachedLink.attempt(), false)) {
             return false;
         }
-        backendLink = at;
+        backendLink = attachedLink;
         if (state == State.ATTACHING) {
             answerAttach();
         }
@@ -231,24 +237,24 @@
 
     /** Answers the client's attach with the backend's terminus, capabilities and limits. */
     private void answerAttach() {
-        Link<?> far = backendEngineLink();
+        Link<?> backendSide = backendEngineLink();
         copyClientSettings();
-        Source source = far.getRemoteSource();
-        Target target = far.getRemoteTarget();
+        Source source = backendSide.getRemoteSource();
+        Target target = backendSide.getRemoteTarget();
         if (source != null) {
             link.setSource(source);
         }
         if (target != null) {
             link.setTarget(target);
         }
-        link.setSenderSettleMode(far.getRemoteSenderSettleMode())
-                .setReceiverSettleMode(far.getRemoteReceiverSettleMode())
-                .setMaxMessageSize(far.getRemoteMaxMessageSize());
-        Symbol[] offered = far.getRemoteOfferedCapabilities();
-        if (offered != null) {
-            link.setOfferedCapabilities(offered);
+        link.setSenderSettleMode(backendSide.getRemoteSenderSettleMode())
+                .setReceiverSettleMode(backendSide.getRemoteReceiverSettleMode())
+                .setMaxMessageSize(backendSide.getRemoteMaxMessageSize());
+        Symbol[] offeredCapabilities = backendSide.getRemoteOfferedCapabilities();
+        if (offeredCapabilities != null) {
+            link.setOfferedCapabilities(offeredCapabilities);
         }
-        Map<Symbol, Object> properties = far.getRemoteProperties();
+        Map<Symbol, Object> properties = backendSide.getRemoteProperties();
         if (properties != null) {
             link.setProperties(properties);
         }
@@ -256,11 +262,13 @@
     }
 
     /** Copies the client's attach to the given link to the backend. */
-    protected final void copyAttachTo(Link<?> to) {
-        Target target = link.getRemoteTarget() instanceof Target plain ? plain : null;
-        to.setSource(link.getRemoteSource());
-        to.setTarget(target);
-        to.setSenderSettleMode(link.getRemoteSenderSettleMode())
+    protected final void copyAttachTo(Link<?> backendSide) {
+        Target target =
+                link.getRemoteTarget() instanceof Target messageTarget ? messageTarget : null;
+        backendSide.setSource(link.getRemoteSource());
+        backendSide.setTarget(target);
+        backendSide
+                .setSenderSettleMode(link.getRemoteSenderSettleMode())
                 .setReceiverSettleMode(link.getRemoteReceiverSettleMode())
                 .setMaxMessageSize(link.getRemoteMaxMessageSize())
                 .setDesiredCapabilities(link.getRemoteDesiredCapabilities())
@@ -269,13 +277,13 @@
     }
 
     @Override
-    public final void linkEnded(BackendLink at, Outcome outcome) {
-        if (at != backendLink) {
+    public final void linkEnded(BackendLink endedLink, Outcome outcome) {
+        if (endedLink != backendLink) {
             return;
         }
         backendLink = null;
         context.end(Phase.ESTABLISHED);
-        frontend.outcomeRecorder().connectionEnded(at.attempt(), outcome);
+        frontend.outcomeRecorder().connectionEnded(endedLink.attempt(), outcome);
         if (state == State.ENDED) {
             return;
         }
@@ -297,8 +305,8 @@
             mappedRequest =
                     frontend.attachMapper().map(attachRequest, frontend.newRequestId(), true);
             requestAdmission();
-        } catch (AttachMapper.AttachRejectedException changed) {
-            detachWithoutBackend(changed.condition());
+        } catch (AttachMapper.AttachRejectedException rejection) {
+            detachWithoutBackend(rejection.condition());
         }
     }
 
@@ -318,8 +326,8 @@
         }
     }
 
-    private void moveToOtherBackend(Attempt up, String reason) {
-        if (state != State.ESTABLISHED || backendLink == null || backendLink.attempt() != up) {
+    private void moveToOtherBackend(Attempt attempt, String reason) {
+        if (state != State.ESTABLISHED || backendLink == null || backendLink.attempt() != attempt) {
             return;
         }
         Log.info(
@@ -327,9 +335,9 @@
                 "why",
                 reason,
                 "peer",
-                up.backend().entry().uid(),
+                attempt.backend().entry().uid(),
                 "id",
-                up.context().attributes().clientRequestId());
+                attempt.context().attributes().clientRequestId());
         if (reason.startsWith("peer")) {
             backendLink.connectionLost(true); // the backend will not answer any more: reattach now
             return;
@@ -344,13 +352,13 @@
         }
         state = State.ENDED;
         connection.removeLink(this);
-        BackendLink from = backendLink;
+        BackendLink previousLink = backendLink;
         backendLink = null;
-        if (from != null) {
+        if (previousLink != null) {
             onClientLeft();
-            from.detach();
+            previousLink.detach();
             context.end(Phase.ESTABLISHED);
-            frontend.outcomeRecorder().connectionEnded(from.attempt(), Outcome.SERVED);
+            frontend.outcomeRecorder().connectionEnded(previousLink.attempt(), Outcome.SERVED);
         } else if (context != null && context.end(Phase.WAITING)) {
             frontend.outcomeRecorder().clientLeft(context);
         }
@@ -363,10 +371,10 @@
     }
 
     /** Detaches the link with an error after a protocol violation that concerns this link alone. */
-    protected final void detachForViolation(ErrorCondition why) {
-        Log.warn("amqp.link.broken", "from", remoteAddress(), "why", why.getDescription());
+    protected final void detachForViolation(ErrorCondition condition) {
+        Log.warn("amqp.link.broken", "from", remoteAddress(), "why", condition.getDescription());
         if (connection.canSendFrames()) {
-            link.setCondition(why).close();
+            link.setCondition(condition).close();
         }
         clientLeft();
     }
--- a/relay/src/main/java/saltstage/amqp/ClientReceiverLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientReceiverLink.java
@@ -13,10 +13,10 @@
 import org.apache.qpid.protonj2.types.transport.DeliveryState;
 
 /**
- * The link of a client that receives messages. Deliveries of the backend are forwarded to the client in order, as
- * far as the client's credit and the window of its session allow; dispositions of the client go back to the
- * backend. Bytes that the client does not accept yet stay in the engine and hold back the backend's session,
- * which serves this link alone.
+ * The link of a client that receives messages. Deliveries of the backend are forwarded to the client in
+ * order, as far as the client's credit and the window of its session allow; dispositions of the client go
+ * back to the backend. Bytes that the client does not accept yet stay in the engine and hold back the
+ * backend's session, which serves this link alone.
  */
 final class ClientReceiverLink extends ClientLink {
     private final Sender clientSender;
@@ -29,14 +29,14 @@
     /** Whether the backend was asked to drain because the client drains. */
     private boolean backendDrainRequested;
 
-    ClientReceiverLink(AmqpFrontend front, AmqpClientConnection owner, Sender client,
-            AttachMapper.AttachRequest asked) {
-        super(front, owner, client, asked);
-        this.clientSender = client;
-        client.creditStateUpdateHandler(any -> {
-            owner.forwardPending(); // the flow may have opened the session's window for other links, too
+    ClientReceiverLink(AmqpFrontend frontend, AmqpClientConnection connection, Sender clientSender,
+            AttachMapper.AttachRequest attachRequest) {
+        super(frontend, connection, clientSender, attachRequest);
+        this.clientSender = clientSender;
+        clientSender.creditStateUpdateHandler(sender -> {
+            connection.forwardPending(); // the flow may have opened the session's window for other links, too
             forwardCredit();
-            ProtonFlowControl.answerEcho(client);
+            ProtonFlowControl.answerEcho(clientSender);
         }).deliveryStateUpdatedHandler(this::clientDispositionReceived);
     }
 
@@ -54,22 +54,22 @@
             return;
         }
         backendDrainRequested = false;
-        int more = missingCredit();
-        if (more > 0 && !backendReceiver.isDraining()) {
-            backendReceiver.addCredit(more);
-        } else if (more < 0 && backendReceiver.getCredit() > 0 && !backendReceiver.isDraining()) {
+        int missing = missingCredit();
+        if (missing > 0 && !backendReceiver.isDraining()) {
+            backendReceiver.addCredit(missing);
+        } else if (missing < 0 && backendReceiver.getCredit() > 0 && !backendReceiver.isDraining()) {
             // the client reduced its credit: the backend must not send more than it accepts
-            ProtonFlowControl.reduceCredit(backendReceiver, -more);
+            ProtonFlowControl.reduceCredit(backendReceiver, -missing);
         }
     }
 
     /** Credit that the client has granted and the backend lacks; negative if the backend has too much. */
     private int missingCredit() {
         // A delivery that has arrived only in part has used no credit yet, on either side.
-        int here = pendingDeliveries.isEmpty() || !pendingDeliveries.peekLast().isPartial()
+        int completePending = pendingDeliveries.isEmpty() || !pendingDeliveries.peekLast().isPartial()
             ? pendingDeliveries.size()
             : pendingDeliveries.size() - 1;
-        return clientSender.getCredit() - backendReceiver.getCredit() - here;
+        return clientSender.getCredit() - backendReceiver.getCredit() - completePending;
     }
 
     /** Passes a drain of the client on to the backend once, and the backend's answer back to the client. */
@@ -126,8 +126,8 @@
             if (unsentBytes == null && in.available() > 0) {
                 unsentBytes = in.readAll();
             }
-            boolean whole = !in.isPartial() && in.available() == 0;
-            if ((unsentBytes == null || !unsentBytes.isReadable()) && !whole) {
+            boolean complete = !in.isPartial() && in.available() == 0;
+            if ((unsentBytes == null || !unsentBytes.isReadable()) && !complete) {
                 return; // wait for more bytes of this delivery
             }
             if (currentDelivery == null) {
@@ -139,12 +139,12 @@
                     currentDelivery.settle();
                 }
             }
-            currentDelivery.streamBytes(unsentBytes, whole);
+            currentDelivery.streamBytes(unsentBytes, complete);
             if (unsentBytes != null && unsentBytes.isReadable()) {
                 return; // the session's window is full
             }
             unsentBytes = null;
-            if (whole) {
+            if (complete) {
                 pendingDeliveries.poll();
                 currentDelivery = null;
                 if (in.isRemotelySettled()) {
@@ -193,12 +193,13 @@
     }
 
     @Override
-    public Link<?> createLink(Session session, AmqpConnection on, String name) {
+    public Link<?> createLink(Session session, AmqpConnection connection, String name) {
         backendReceiver = session.receiver(name);
         copyAttachTo(backendReceiver);
-        return backendReceiver.deliveryReadHandler(on.guarded(this::transferReceived))
-            .deliveryAbortedHandler(on.guarded(this::deliveryAborted))
-            .deliveryStateUpdatedHandler(this::backendDispositionReceived).creditStateUpdateHandler(any -> {
+        return backendReceiver.deliveryReadHandler(connection.guarded(this::transferReceived))
+            .deliveryAbortedHandler(connection.guarded(this::deliveryAborted))
+            .deliveryStateUpdatedHandler(this::backendDispositionReceived)
+            .creditStateUpdateHandler(receiver -> {
                 forwardCredit();
                 detachIfSettled();
                 ProtonFlowControl.answerEcho(backendReceiver);
--- a/relay/src/main/java/saltstage/amqp/ClientSenderLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientSenderLink.java
@@ -41,25 +41,26 @@
     private boolean clientDrainRequested;
 
     ClientSenderLink(
-            AmqpFrontend front,
-            AmqpClientConnection owner,
-            Receiver client,
-            AttachMapper.AttachRequest asked,
-            boolean repeatable) {
-        super(front, owner, client, asked);
-        this.clientReceiver = client;
-        forwarder = new DeliveryForwarder(front.forwardingLimits(), repeatable, this);
-        client.deliveryReadHandler(owner.guarded(this::transferReceived))
-                .deliveryAbortedHandler(owner.guarded(this::deliveryAborted))
+            AmqpFrontend frontend,
+            AmqpClientConnection connection,
+            Receiver clientReceiver,
+            AttachMapper.AttachRequest attachRequest,
+            boolean idempotent) {
+        super(frontend, connection, clientReceiver, attachRequest);
+        this.clientReceiver = clientReceiver;
+        forwarder = new DeliveryForwarder(frontend.forwardingLimits(), idempotent, this);
+        clientReceiver
+                .deliveryReadHandler(connection.guarded(this::transferReceived))
+                .deliveryAbortedHandler(connection.guarded(this::deliveryAborted))
                 .deliveryStateUpdatedHandler(this::clientDispositionReceived)
                 .creditStateUpdateHandler(
-                        any -> {
-                            if (client.getCredit() == 0 && !client.isDraining()) {
+                        receiver -> {
+                            if (clientReceiver.getCredit() == 0 && !clientReceiver.isDraining()) {
                                 forwarder.clearGrantedCredit();
                             }
                             answerBackendDrain();
                             detachIfSettled();
-                            ProtonFlowControl.answerEcho(client);
+                            ProtonFlowControl.answerEcho(clientReceiver);
                         });
     }
 
@@ -70,10 +71,10 @@
             return;
         }
         if (in.getLinkedResource() == null) {
-            Delivery begins = new Delivery(in, in.isRemotelySettled());
-            in.setLinkedResource(begins);
-            frontend().countReceived(begins.isPresettled());
-            if (!forwarder.startDelivery(begins)) {
+            Delivery delivery = new Delivery(in, in.isRemotelySettled());
+            in.setLinkedResource(delivery);
+            frontend().countReceived(delivery.isPresettled());
+            if (!forwarder.startDelivery(delivery)) {
                 detachForViolation(
                         new ErrorCondition(
                                 LinkError.TRANSFER_LIMIT_EXCEEDED, "no credit for this delivery"));
@@ -104,17 +105,17 @@
             byte[] bytes = NO_BYTES;
             connection().replenishWindow(clientReceiver, in.available());
             if (in.available() > 0) {
-                ProtonBuffer got = in.readAll();
-                bytes = new byte[got.getReadableBytes()];
-                got.readBytes(bytes, 0, bytes.length);
-                got.close();
+                ProtonBuffer buffer = in.readAll();
+                bytes = new byte[buffer.getReadableBytes()];
+                buffer.readBytes(bytes, 0, bytes.length);
+                buffer.close();
             }
-            boolean whole = !in.isPartial();
-            forwarder.bytesReceived(delivery, bytes, whole, frontend().now());
-            if (whole) {
+            boolean complete = !in.isPartial();
+            forwarder.bytesReceived(delivery, bytes, complete, frontend().now());
+            if (complete) {
                 detachIfSettled();
             }
-            if (whole
+            if (complete
                     && (delivery.isPresettled() || delivery.isCompleted() && !in.isSettled())
                     && !isEnded()) {
                 in.settle(); // its outcome was sent while its bytes were arriving, or it needs none
@@ -148,9 +149,9 @@
     }
 
     private void deliveryAborted(IncomingDelivery in) {
-        if (in.getLinkedResource() instanceof Delivery begun && !isEnded()) {
+        if (in.getLinkedResource() instanceof Delivery delivery && !isEnded()) {
             unreadDeliveries.remove(in);
-            forwarder.deliveryAborted(begun);
+            forwarder.deliveryAborted(delivery);
         }
         if (isEnded()) {
             connection().restoreWindow(clientReceiver, discard(in));
@@ -188,13 +189,13 @@
     }
 
     @Override
-    public void grantCredit(int more) {
+    public void grantCredit(int credit) {
         if (!isEnded() && connection().canSendFrames()) {
             connection()
                     .restoreWindow(
                             clientReceiver,
                             0); // open the window of the session, for all its links, first
-            clientReceiver.addCredit(more);
+            clientReceiver.addCredit(credit);
         }
     }
 
@@ -227,7 +228,7 @@
     }
 
     @Override
-    public int send(Delivery delivery, byte[] piece, int from, boolean last) {
+    public int send(Delivery delivery, byte[] chunk, int offset, boolean last) {
         OutgoingDelivery out = (OutgoingDelivery) delivery.backendDelivery();
         if (out == null) {
             IncomingDelivery in = (IncomingDelivery) delivery.clientDelivery();
@@ -243,8 +244,8 @@
             }
         }
         ProtonBuffer bytes =
-                ProtonByteArrayBufferAllocator.wrapped(piece, from, piece.length - from);
-        int before = bytes.getReadableBytes();
+                ProtonByteArrayBufferAllocator.wrapped(chunk, offset, chunk.length - offset);
+        int bytesBefore = bytes.getReadableBytes();
         out.streamBytes(bytes, last);
         if (last && !bytes.isReadable()) {
             delivery.setSentAt(frontend().now());
@@ -252,7 +253,7 @@
         if (bytes.isReadable()) {
             backendLink().awaitSessionWindow();
         }
-        return before - bytes.getReadableBytes();
+        return bytesBefore - bytes.getReadableBytes();
     }
 
     private static byte[] copyTag(DeliveryTag tag) {
@@ -294,17 +295,17 @@
         outcomeReceived();
     }
 
-    private void creditReceived(Sender from) {
-        if (from != backendSender || isEnded()) {
+    private void creditReceived(Sender sender) {
+        if (sender != backendSender || isEnded()) {
             return;
         }
-        forwarder.creditReceived(from.getCredit());
+        forwarder.creditReceived(sender.getCredit());
         readDeliveries();
         answerBackendDrain();
         if (backendLink() != null) {
             backendLink().flowReceived();
         }
-        ProtonFlowControl.answerEcho(from);
+        ProtonFlowControl.answerEcho(sender);
     }
 
     /** Answers a drain of the backend once everything the client may still send has arrived. */
@@ -338,7 +339,7 @@
     }
 
     @Override
-    public Link<?> createLink(Session session, AmqpConnection on, String name) {
+    public Link<?> createLink(Session session, AmqpConnection connection, String name) {
         backendSender = session.sender(name);
         copyAttachTo(backendSender);
         return backendSender
--- a/relay/src/main/java/saltstage/amqp/ErrorConditions.java
+++ b/relay/src/main/java/saltstage/amqp/ErrorConditions.java
@@ -36,29 +36,29 @@
     }
 
     /** The request has failed and its effect is unknown (2.8.15). */
-    static ErrorCondition failed(String why) {
-        return new ErrorCondition(AmqpError.INTERNAL_ERROR, why);
+    static ErrorCondition failed(String reason) {
+        return new ErrorCondition(AmqpError.INTERNAL_ERROR, reason);
     }
 
     /** The service class or tenant is not in the settings, or a property is invalid (2.8.15). */
-    static ErrorCondition notFound(String what) {
-        return new ErrorCondition(AmqpError.NOT_FOUND, what);
+    static ErrorCondition notFound(String description) {
+        return new ErrorCondition(AmqpError.NOT_FOUND, description);
     }
 
     /** The relay does not implement this part of the specification (2.8.15). */
-    static ErrorCondition notImplemented(String what) {
-        return new ErrorCondition(AmqpError.NOT_IMPLEMENTED, what);
+    static ErrorCondition notImplemented(String description) {
+        return new ErrorCondition(AmqpError.NOT_IMPLEMENTED, description);
     }
 
     /** A limit that the operator has set was exceeded (2.8.15). */
-    static ErrorCondition limitExceeded(String what) {
-        return new ErrorCondition(AmqpError.RESOURCE_LIMIT_EXCEEDED, what);
+    static ErrorCondition limitExceeded(String description) {
+        return new ErrorCondition(AmqpError.RESOURCE_LIMIT_EXCEEDED, description);
     }
 
     /** The link is moved and the client should attach again (2.8.17). */
-    static ErrorCondition moved(String why) {
+    static ErrorCondition moved(String reason) {
         return new ErrorCondition(
-                LinkError.DETACH_FORCED, "moved, attach again: " + why, Map.of(RECONNECT, true));
+                LinkError.DETACH_FORCED, "moved, attach again: " + reason, Map.of(RECONNECT, true));
     }
 
     /** The relay is draining and the client should connect again (2.8.16). */
@@ -70,7 +70,7 @@
     }
 
     /** The received bytes are not valid AMQP (2.8.16). */
-    static ErrorCondition framingError(String what) {
-        return new ErrorCondition(ConnectionError.FRAMING_ERROR, what);
+    static ErrorCondition framingError(String description) {
+        return new ErrorCondition(ConnectionError.FRAMING_ERROR, description);
     }
 }
--- a/relay/src/main/java/saltstage/amqp/UserSecrets.java
+++ b/relay/src/main/java/saltstage/amqp/UserSecrets.java
@@ -29,7 +29,7 @@
 
     /** Reads the file; an error is reported in one line that contains no secret. */
     static UserSecrets read(Path file) throws MalformedException {
-        UserSecrets read = new UserSecrets();
+        UserSecrets secrets = new UserSecrets();
         List<String> lines;
         try {
             lines = Files.readAllLines(file);
@@ -46,12 +46,12 @@
                 throw new MalformedException(file + ":" + (i + 1) + ": a line is USER:SECRET");
             }
             byte[] secret = line.substring(colon + 1).getBytes(StandardCharsets.UTF_8);
-            if (read.secretsByUser.put(line.substring(0, colon), secret) != null) {
+            if (secrets.secretsByUser.put(line.substring(0, colon), secret) != null) {
                 throw new MalformedException(
                         file + ":" + (i + 1) + ": this user stands there twice");
             }
         }
-        return read;
+        return secrets;
     }
 
     /**
@@ -59,9 +59,10 @@
      * wrong secret, so that its duration does not reveal which users exist.
      */
     boolean matches(String user, byte[] secret) {
-        byte[] right = secretsByUser.get(user);
-        boolean same = MessageDigest.isEqual(right == null ? UNKNOWN_USER_SECRET : right, secret);
-        return same && right != null;
+        byte[] expected = secretsByUser.get(user);
+        boolean equal =
+                MessageDigest.isEqual(expected == null ? UNKNOWN_USER_SECRET : expected, secret);
+        return equal && expected != null;
     }
 
     /** The number of users. */
--- a/relay/src/main/java/saltstage/amqp/ValidatedSettings.java
+++ b/relay/src/main/java/saltstage/amqp/ValidatedSettings.java
@@ -46,13 +46,13 @@
 
     /** Returns the names of changed settings that take effect only after a restart. */
     List<String> restartRequiredChanges(ValidatedSettings next) {
-        List<String> parts = new ArrayList<>();
+        List<String> changes = new ArrayList<>();
         if (!settings.listenAddress().equals(next.settings.listenAddress())) {
-            parts.add("amqp.listen");
+            changes.add("amqp.listen");
         }
         if (settings.loops() != next.settings.loops()) {
-            parts.add("amqp.loops");
+            changes.add("amqp.loops");
         }
-        return parts;
+        return changes;
     }
 }
--- a/relay/src/test/java/saltstage/amqp/AmqpComponentsTest.java
+++ b/relay/src/test/java/saltstage/amqp/AmqpComponentsTest.java
@@ -32,8 +32,8 @@
     @Property(tries = 500)
     void framesComeOutWholeHoweverTheyAreSplit(@ForAll long seed) {
         Random random = new Random(seed);
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.writeBytes(PROTOCOL_HEADER);
+        ByteArrayOutputStream stream = new ByteArrayOutputStream();
+        stream.writeBytes(PROTOCOL_HEADER);
         for (int i = 0; i < 5; i++) {
             byte[] frame = new byte[8 + random.nextInt(100)];
             random.nextBytes(frame);
@@ -41,17 +41,17 @@
             frame[1] = 0;
             frame[2] = 0;
             frame[3] = (byte) frame.length;
-            all.writeBytes(frame);
+            stream.writeBytes(frame);
         }
-        byte[] bytes = all.toByteArray();
+        byte[] bytes = stream.toByteArray();
         FrameSplitter frames = new FrameSplitter(200);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (int at = 0; at < bytes.length;) {
-            int piece = Math.min(bytes.length - at, 1 + random.nextInt(60));
-            byte[] came = Arrays.copyOfRange(bytes, at, at + piece);
-            at += piece;
-            out.writeBytes(frames.takeWholeFrames(came));
-            assertEquals(at, out.size() + frames.partialFrameBytes());
+        for (int offset = 0; offset < bytes.length;) {
+            int length = Math.min(bytes.length - offset, 1 + random.nextInt(60));
+            byte[] piece = Arrays.copyOfRange(bytes, offset, offset + length);
+            offset += length;
+            out.writeBytes(frames.takeWholeFrames(piece));
+            assertEquals(offset, out.size() + frames.partialFrameBytes());
         }
         assertArrayEquals(bytes, out.toByteArray());
         assertEquals(0, frames.partialFrameBytes());
@@ -59,22 +59,22 @@
 
     @Test
     void invalidFrameIsNotBuffered() {
-        for (byte[] bad : new byte[][] {{0, 0, 0, 7, 2, 0, 0, 0}, {0x7f, 0, 0, 0, 2, 0, 0, 0},
+        for (byte[] invalid : new byte[][] {{0, 0, 0, 7, 2, 0, 0, 0}, {0x7f, 0, 0, 0, 2, 0, 0, 0},
             "GET / HTTP".getBytes(StandardCharsets.ISO_8859_1)}) {
             FrameSplitter frames = new FrameSplitter(200);
-            assertEquals(bad.length, frames.takeWholeFrames(bad).length);
+            assertEquals(invalid.length, frames.takeWholeFrames(invalid).length);
             assertEquals(0, frames.partialFrameBytes());
         }
     }
 
-    private static AttachMapper attachMapper(String more) throws MalformedException {
+    private static AttachMapper attachMapper(String amqpSettings) throws MalformedException {
         Configuration config = Configuration.parse(("{'listen':'127.0.0.1:1','discovery':'127.0.0.1:1',"
             + "'seed':'1','limits':{'sockets':256},'known':{'rev':0,'all':true,'targets':[]},'settings':{"
             + "'Realms':[{'Name':'one'},{'Name':'two'}],'Services':["
             + "{'Name':'a','Aim':500000,'GiveUp':2000000,'Effect':'retryable'},"
             + "{'Name':'b','Aim':800000,'GiveUp':3200000,'Effect':'fragile'}]}}").replace('\'', '"'));
         return new AttachMapper(config, OperatorSettings.parse("f", "amqp {\n listen = \"127.0.0.1:1\"\n"
-            + " anonymous_tenant = \"two\"\n" + more + "}\n").amqp().orElseThrow());
+            + " anonymous_tenant = \"two\"\n" + amqpSettings + "}\n").amqp().orElseThrow());
     }
 
     private static AttachMapper.AttachRequest attachRequest(String address, String user,
@@ -98,22 +98,23 @@
 
     @Test
     void configuredLinkPropertiesTakePrecedence() throws Exception {
-        AttachMapper named =
+        AttachMapper mapper =
             attachMapper(" key_property = \"k\"\n group_property = \"g\"\n deadline_property = \"d\"\n");
-        AttachMapper.MappedRequest mapped = named.map(attachRequest("b/x", null,
+        AttachMapper.MappedRequest mapped = mapper.map(attachRequest("b/x", null,
             Map.of(Symbol.valueOf("k"), "key", Symbol.valueOf("g"), "group", Symbol.valueOf("d"), 700)),
             "n", false);
         assertEquals(new RequestAttributes("n", 1, 1, "key", "group", Api.NONE, false), mapped.attributes());
         assertEquals(Duration.ofMillis(700), mapped.clientTimeout());
         assertEquals("amqp:not-found",
-            rejectionCondition(named, attachRequest("b", null, Map.of(Symbol.valueOf("d"), "soon"))));
+            rejectionCondition(mapper, attachRequest("b", null, Map.of(Symbol.valueOf("d"), "soon"))));
         assertEquals(Duration.ofMillis(3_200),
-            named.map(attachRequest("b", null, Map.of(Symbol.valueOf("d"), 99_999)), "n", false)
+            mapper.map(attachRequest("b", null, Map.of(Symbol.valueOf("d"), 99_999)), "n", false)
                 .clientTimeout());
     }
 
-    private static String rejectionCondition(AttachMapper mapping, AttachMapper.AttachRequest asked) {
-        return assertThrows(AttachMapper.AttachRejectedException.class, () -> mapping.map(asked, "n", false))
+    private static String rejectionCondition(AttachMapper mapper, AttachMapper.AttachRequest attachRequest) {
+        return assertThrows(AttachMapper.AttachRejectedException.class,
+                () -> mapper.map(attachRequest, "n", false))
             .condition().getCondition().toString();
     }
 
@@ -137,10 +138,11 @@
         assertTrue(secrets.matches("one", "with:colon".getBytes(StandardCharsets.UTF_8)));
         assertFalse(secrets.matches("one", "with".getBytes(StandardCharsets.UTF_8)));
         assertFalse(secrets.matches("two", "nobody has this one".getBytes(StandardCharsets.UTF_8)));
-        for (String bad : new String[] {"one:a\none:b\n", "x\n", "one:a\n:b\n", "one:a\nb:\n"}) {
-            Files.writeString(file, bad);
-            String said = assertThrows(MalformedException.class, () -> UserSecrets.read(file)).getMessage();
-            assertTrue(said.startsWith(file + ":"), said);
+        for (String invalid : new String[] {"one:a\none:b\n", "x\n", "one:a\n:b\n", "one:a\nb:\n"}) {
+            Files.writeString(file, invalid);
+            String message =
+                assertThrows(MalformedException.class, () -> UserSecrets.read(file)).getMessage();
+            assertTrue(message.startsWith(file + ":"), message);
         }
         assertThrows(MalformedException.class, () -> UserSecrets.read(dir.resolve("missing")));
     }
--- a/relay/src/test/java/saltstage/amqp/AmqpFrontendFuzzTest.java
+++ b/relay/src/test/java/saltstage/amqp/AmqpFrontendFuzzTest.java
@@ -125,14 +125,14 @@
         private final ManualLoop loop = new ManualLoop();
 
         @Override
-        public Listener listen(InetSocketAddress at, int backlog, Connection.WriteLimits bounds,
+        public Listener listen(InetSocketAddress address, int backlog, Connection.WriteLimits limits,
                 Acceptor acceptor) {
             throw new IllegalStateException("the fake transport does not listen");
         }
 
         @Override
-        public void connect(Loop on, InetSocketAddress to, Duration limit, Connection.WriteLimits bounds,
-                ConnectListener connecting) {
+        public void connect(Loop loop, InetSocketAddress address, Duration timeout,
+                Connection.WriteLimits limits, ConnectListener listener) {
             return; // never connects: links wait for a backend until their client has left
         }
 
@@ -157,35 +157,38 @@
                 + "'status-report','Aim':500000,'GiveUp':2000000,'Effect':'retryable'}]}}")
                 .replace('\'', '"'));
             MonotonicClock clock = new MonotonicClock();
-            BackendRegistry peers = new BackendRegistry();
-            peers.update(config.knownBackends());
-            RelayPipeline chain = new RelayPipeline(config, clock, new Timers(clock), peers,
+            BackendRegistry backends = new BackendRegistry();
+            backends.update(config.knownBackends());
+            RelayPipeline pipeline = new RelayPipeline(config, clock, new Timers(clock), backends,
                 new saltstage.metrics.RequestCounters(config.serviceClassNames()), () -> { });
-            chain.router().start(config.knownBackends());
+            pipeline.router().start(config.knownBackends());
             return new AmqpFrontend(OperatorSettings.parse("f", "amqp {\n listen = \"127.0.0.1:1\"\n"
-                + " anonymous_tenant = \"any\"\n}\n").amqp().orElseThrow(), config, chain, clock, transport);
+                + " anonymous_tenant = \"any\"\n}\n").amqp().orElseThrow(), config, pipeline, clock,
+                transport);
         } catch (MalformedException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** The first byte is an offset, the second a piece size, and the others overwrite the conversation there. */
+    /** The first byte is an offset, the second a piece size; the others overwrite the conversation there. */
     @FuzzTest(maxDuration = "60s")
     void neverThrowsNorLeavesAnythingBehind(byte[] data) {
         if (data.length < 3) {
             return;
         }
-        byte[] talk = CONVERSATION.clone();
-        int at = (data[0] & 0xff) % talk.length;
-        System.arraycopy(data, 2, talk, at, Math.min(data.length - 2, talk.length - at));
-        replay(talk, 1 + (data[1] & 0xff));
+        byte[] conversation = CONVERSATION.clone();
+        int offset = (data[0] & 0xff) % conversation.length;
+        System.arraycopy(data, 2, conversation, offset,
+            Math.min(data.length - 2, conversation.length - offset));
+        replay(conversation, 1 + (data[1] & 0xff));
     }
 
-    private long replay(byte[] talk, int piece) {
+    private long replay(byte[] conversation, int pieceBytes) {
         FakeConnection connection = new FakeConnection(transport.loop);
         ConnectionHandler handler = frontend.accept(connection);
-        for (int i = 0; i < talk.length && !connection.ended; i += piece) {
-            handler.received(connection, ByteBuffer.wrap(talk, i, Math.min(piece, talk.length - i)));
+        for (int i = 0; i < conversation.length && !connection.ended; i += pieceBytes) {
+            handler.received(connection,
+                ByteBuffer.wrap(conversation, i, Math.min(pieceBytes, conversation.length - i)));
             transport.loop.runTasks();
         }
         handler.closed(connection, Connection.Cause.RESET);
