--- a/relay/src/main/java/saltstage/amqp/AmqpFrontend.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpFrontend.java
@@ -42,8 +42,8 @@
     private static final Duration MAINTENANCE_INTERVAL = Duration.ofMillis(100);
 
     /**
-     * Maintenance intervals over which the links of a draining backend are moved, so that not all
-     * of them attach elsewhere at once.
+     * Approximate number of maintenance intervals over which the links of a draining backend are
+     * moved, so that not all of them attach elsewhere at once.
      */
     private static final int MOVE_SPREAD_INTERVALS = 5;
 
