--- a/relay/src/main/java/saltstage/amqp/AmqpFrontend.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpFrontend.java
@@ -34,22 +34,25 @@
 import saltstage.wire.BackendList;
 import saltstage.wire.MalformedException;
 
-/** Where AMQP clients come in, and what all their connections share. */
+/** Accepts AMQP clients and holds the state that all their connections share. */
 public final class AmqpFrontend implements Frontend {
     private static final Connection.WriteLimits WRITE_LIMITS =
             new Connection.WriteLimits(256 << 10, 16 << 20);
     private static final int ACCEPT_BACKLOG = 1_024;
     private static final Duration MAINTENANCE_INTERVAL = Duration.ofMillis(100);
 
-    /** Links of one backend that leaves are moved within about so many beats, not all at once. */
+    /**
+     * Approximate number of maintenance intervals over which the links of a draining backend are
+     * moved, so that not all of them attach elsewhere at once.
+     */
     private static final int MOVE_SPREAD_INTERVALS = 5;
 
     private static final int MIN_LINKS_MOVED_PER_INTERVAL = 20;
 
-    /** Connections beyond the limit that are told so; more than that are reset. */
+    /** Connections beyond the limit that are closed with an error; any further ones are reset. */
     private static final int MAX_CONNECTIONS_OVER_LIMIT = 64;
 
-    /** Connections to backends, beside those of clients. */
+    /** Descriptors reserved for connections to backends, in addition to those for clients. */
     private static final int RESERVED_BACKEND_SOCKETS = 64;
 
     private final Configuration config;
@@ -80,22 +83,22 @@
     private Transport.Listener listener;
     private volatile boolean draining;
 
-    /** A front of these settings before the stages of the chain; the transport ends with it. */
+    /** Creates a frontend with these settings for the pipeline. */
     public AmqpFrontend(
             AmqpSettings settings,
             Configuration config,
-            RelayPipeline chain,
+            RelayPipeline pipeline,
             MonotonicClock clock,
             Transport transport)
             throws MalformedException {
         this.config = config;
-        this.pipeline = chain;
+        this.pipeline = pipeline;
         this.clock = clock;
         this.transport = transport;
         validatedSettings = ValidatedSettings.validate(settings, config);
-        // Links' names are unique for a container: neither a relay of the same name nor its own
-        // former life,
-        // which a backend may still think alive, may be taken for this one.
+        // Link names are unique within a container. The random suffix keeps a backend from taking
+        // this process for another relay of the same name or for an earlier process that it
+        // believes is still connected.
         containerId =
                 "saltstage-"
                         + config.name()
@@ -106,7 +109,7 @@
         }
     }
 
-    /** Listens; returns where. */
+    /** Starts to listen and returns the local address. */
     public InetSocketAddress start() throws IOException {
         listener =
                 transport.listen(
@@ -119,50 +122,53 @@
     }
 
     private void reserveDescriptors() {
-        int wanted =
+        int descriptors =
                 Math.min(
                         config.maxSockets() / 2,
                         settings().limits().maxConnections() + RESERVED_BACKEND_SOCKETS);
-        pipeline.admissionControl().reserveDescriptors(wanted - reservedDescriptors);
-        reservedDescriptors = wanted;
+        pipeline.admissionControl().reserveDescriptors(descriptors - reservedDescriptors);
+        reservedDescriptors = descriptors;
     }
 
-    /** A change that was checked and is not yet in force. */
+    /** A validated settings change that has not been applied yet. */
     public interface SettingsChange {
-        /** Puts it in force for all that comes from now on; returns what waits for a restart. */
+        /**
+         * Applies the change to new connections, links and logins; returns the settings that
+         * require a restart.
+         */
         List<String> apply();
     }
 
     /**
-     * Checks other settings, with the file of secrets as it is now. What stands keeps the limits
-     * that it came under; new connections, links and logins get the new ones.
+     * Validates new settings, reading the current secrets file. Existing connections and links keep
+     * the limits they were created with; new connections, links and logins get the new ones.
      */
-    public SettingsChange prepareChange(AmqpSettings next) throws MalformedException {
-        ValidatedSettings checked = ValidatedSettings.validate(next, config);
+    public SettingsChange prepareChange(AmqpSettings newSettings) throws MalformedException {
+        ValidatedSettings validated = ValidatedSettings.validate(newSettings, config);
         return () -> {
-            List<String> later = validatedSettings.restartRequiredChanges(checked);
-            validatedSettings = checked;
+            List<String> restartRequired = validatedSettings.restartRequiredChanges(validated);
+            validatedSettings = validated;
             reserveDescriptors();
-            return later;
+            return restartRequired;
         };
     }
 
-    /** Takes a connection, or null where it is one too many. */
+    /** Accepts a connection; returns null, which resets it, if it is too far beyond the limit. */
     ConnectionHandler accept(Connection connection) {
-        int now = connectionCount.incrementAndGet();
-        if (now > settings().limits().maxConnections() + MAX_CONNECTIONS_OVER_LIMIT) {
+        int count = connectionCount.incrementAndGet();
+        if (count > settings().limits().maxConnections() + MAX_CONNECTIONS_OVER_LIMIT) {
             connectionCount.decrementAndGet();
-            Log.warn("amqp.full", "from", connection.remoteAddress(), "connections", now);
+            Log.warn("amqp.full", "from", connection.remoteAddress(), "connections", count);
             return null;
         }
-        AmqpClientConnection made =
+        AmqpClientConnection client =
                 new AmqpClientConnection(
                         this,
                         backendPools.get(connection.loop()),
                         connection,
-                        now > settings().limits().maxConnections());
-        clients.add(made);
-        return made;
+                        count > settings().limits().maxConnections());
+        clients.add(client);
+        return client;
     }
 
     private void scheduleMaintenance(Loop loop) {
@@ -181,31 +187,34 @@
                 });
     }
 
-    /** A backend that drains keeps its links until they are moved; a few at each beat. */
+    /**
+     * Moves some of the links of draining backends in each maintenance interval. A draining backend
+     * keeps its links until they are moved.
+     */
     private void moveLinksOffDrainingBackends() {
-        Map<Object, Integer> found = new HashMap<>();
+        Map<Object, Integer> remainingMoves = new HashMap<>();
         for (ClientLink link : links) {
-            Attempt up = link.establishedAttempt();
-            if (up != null
-                    && up.backend().entry().state() == BackendList.State.DRAINING
-                    && up.moveReason() == null) {
-                found.merge(up.backend(), 1, Integer::sum);
+            Attempt attempt = link.establishedAttempt();
+            if (attempt != null
+                    && attempt.backend().entry().state() == BackendList.State.DRAINING
+                    && attempt.moveReason() == null) {
+                remainingMoves.merge(attempt.backend(), 1, Integer::sum);
             }
         }
-        if (found.isEmpty()) {
+        if (remainingMoves.isEmpty()) {
             return;
         }
-        found.replaceAll(
-                (peer, count) ->
+        remainingMoves.replaceAll(
+                (backend, count) ->
                         Math.max(
                                 MIN_LINKS_MOVED_PER_INTERVAL,
                                 (count + MOVE_SPREAD_INTERVALS - 1) / MOVE_SPREAD_INTERVALS));
         for (ClientLink link : links) {
-            Attempt up = link.establishedAttempt();
-            if (up != null
-                    && found.getOrDefault(up.backend(), 0) > 0
-                    && pipeline.move(up, "drain")) {
-                found.merge(up.backend(), -1, Integer::sum);
+            Attempt attempt = link.establishedAttempt();
+            if (attempt != null
+                    && remainingMoves.getOrDefault(attempt.backend(), 0) > 0
+                    && pipeline.move(attempt, "drain")) {
+                remainingMoves.merge(attempt.backend(), -1, Integer::sum);
             }
         }
     }
@@ -221,10 +230,10 @@
 
     @Override
     public void rejectPendingClients() {
-        startDraining(); // a connection without links was told by that
+        startDraining(); // this also closes all connections without links
     }
 
-    /** Whether the relay leaves. */
+    /** Whether the relay is draining. */
     boolean isDraining() {
         return draining;
     }
@@ -239,7 +248,7 @@
         return links.size();
     }
 
-    /** Writes what became of deliveries to the log. */
+    /** Logs the totals of connections, links and delivery outcomes. */
     public void logTotals() {
         Log.info(
                 "amqp.totals",
@@ -309,16 +318,16 @@
         return pipeline.outcomeRecorder();
     }
 
-    /** A name for a request that no other has. */
+    /** Returns a unique request id. */
     String newRequestId() {
         return containerId + "/" + lastRequestNumber.incrementAndGet();
     }
 
-    /** Whether deliveries to this address may be repeated. */
-    boolean isIdempotent(AttachMapper.AttachRequest asked) {
+    /** Whether deliveries on this link may be repeated. */
+    boolean isIdempotent(AttachMapper.AttachRequest attachRequest) {
         try {
-            return attachMapper().map(asked, "", false).idempotent();
-        } catch (AttachMapper.AttachRejectedException turnedAwayLater) {
+            return attachMapper().map(attachRequest, "", false).idempotent();
+        } catch (AttachMapper.AttachRejectedException rejectedOnAttach) {
             return false;
         }
     }
@@ -352,7 +361,7 @@
     }
 
     void countOutcome(DeliveryState state) {
-        LongAdder kind =
+        LongAdder counter =
                 state instanceof Accepted
                         ? accepted
                         : state instanceof Rejected
@@ -360,13 +369,15 @@
                                 : state instanceof Released
                                         ? released
                                         : state instanceof Modified ? modified : otherOutcomes;
-        kind.increment();
+        counter.increment();
     }
 
-    /** An outcome came back from a backend: how long that took tells how late its messages are. */
-    void recordResponseDelay(Attempt at, DeliveryForwarder.Delivery delivery) {
-        if (at != null && delivery.sentAt() != null) {
-            at.backend().recordResponseDelay(Duration.between(delivery.sentAt(), now()));
+    /**
+     * Records how long a backend took to return an outcome, as a measure of its message latency.
+     */
+    void recordResponseDelay(Attempt attempt, DeliveryForwarder.Delivery delivery) {
+        if (attempt != null && delivery.sentAt() != null) {
+            attempt.backend().recordResponseDelay(Duration.between(delivery.sentAt(), now()));
         }
     }
 
--- a/relay/src/main/java/saltstage/amqp/AttachMapper.java
+++ b/relay/src/main/java/saltstage/amqp/AttachMapper.java
@@ -12,15 +12,15 @@
 import saltstage.wire.MalformedException;
 
 /**
- * How a link becomes a request: its address is {@code CLASS} or {@code CLASS/GROUP}, its tenant is
- * the SASL user, its key the container id with the link's name. Properties that the operator names
- * go before those. Free of I/O.
+ * Maps a link to a request. The address is {@code CLASS} or {@code CLASS/GROUP}, the tenant is the
+ * SASL user, and the key is the container id followed by the link name. Link properties that the
+ * operator has configured take precedence. This class does no I/O.
  */
 final class AttachMapper {
     private static final Pattern GROUP_PATTERN = Pattern.compile("[!-~]{1,128}");
     private static final int MAX_KEY_CHARS = 512;
 
-    /** A link that is not to be; the condition says why. */
+    /** Thrown for an attach that must be rejected with the given condition. */
     static final class AttachRejectedException extends Exception {
         private static final long serialVersionUID = 1;
         private final transient ErrorCondition condition;
@@ -35,7 +35,7 @@
         }
     }
 
-    /** A link as its client asks for it; user is null for ANONYMOUS. */
+    /** The attach of a client; the user is null for ANONYMOUS. */
     record AttachRequest(
             String address,
             String containerId,
@@ -43,7 +43,10 @@
             String user,
             Map<Symbol, Object> properties) {}
 
-    /** What it asks for, and how long its client waits for the attach to be answered. */
+    /**
+     * The attributes of a request, how long the client waits for the answer to its attach, and
+     * whether its deliveries may be repeated.
+     */
     record MappedRequest(
             RequestAttributes attributes, Duration clientTimeout, boolean idempotent) {}
 
@@ -58,72 +61,77 @@
     }
 
     /**
-     * Maps a link; again: it stood before and its backend was lost. The name is the relay's own.
+     * Maps an attach to a request with the id that the relay has given it; {@code reattaching} is
+     * true if the link was established before and its backend was lost.
      */
-    MappedRequest map(AttachRequest asked, String name, boolean again)
+    MappedRequest map(AttachRequest attachRequest, String requestId, boolean reattaching)
             throws AttachRejectedException {
-        if (asked.address() == null || asked.address().isEmpty()) {
+        if (attachRequest.address() == null || attachRequest.address().isEmpty()) {
             throw new AttachRejectedException(
                     ErrorConditions.notImplemented(
                             "a link needs an address, CLASS or CLASS/GROUP"));
         }
-        int slash = asked.address().indexOf('/');
-        String word = slash < 0 ? asked.address() : asked.address().substring(0, slash);
-        String group = slash < 0 ? null : asked.address().substring(slash + 1);
-        String told = textProperty(asked, linkProperties.groupProperty());
-        group = told == null ? group : told;
+        int slash = attachRequest.address().indexOf('/');
+        String className =
+                slash < 0 ? attachRequest.address() : attachRequest.address().substring(0, slash);
+        String group = slash < 0 ? null : attachRequest.address().substring(slash + 1);
+        String groupProperty = textProperty(attachRequest, linkProperties.groupProperty());
+        group = groupProperty == null ? group : groupProperty;
         if (group != null && !GROUP_PATTERN.matcher(group).matches()) {
             throw new AttachRejectedException(
                     ErrorConditions.notFound("a group takes 1 to 128 printable characters"));
         }
-        String key = textProperty(asked, linkProperties.keyProperty());
-        key = key == null ? asked.containerId() + '\n' + asked.linkName() : key;
+        String key = textProperty(attachRequest, linkProperties.keyProperty());
+        key = key == null ? attachRequest.containerId() + '\n' + attachRequest.linkName() : key;
         if (key.length() > MAX_KEY_CHARS) {
             key = key.substring(0, MAX_KEY_CHARS);
         }
-        int place;
-        int tenant;
+        int classIndex;
+        int tenantIndex;
         try {
-            place = config.serviceClassIndex(word);
+            classIndex = config.serviceClassIndex(className);
         } catch (MalformedException unknown) {
             throw new AttachRejectedException(
                     ErrorConditions.notFound("unknown class in the address"));
         }
         try {
-            tenant = config.tenantIndex(asked.user() == null ? anonymousTenant : asked.user());
+            tenantIndex =
+                    config.tenantIndex(
+                            attachRequest.user() == null ? anonymousTenant : attachRequest.user());
         } catch (MalformedException unknown) {
             throw new AttachRejectedException(ErrorConditions.notFound("the user is no tenant"));
         }
-        boolean repeatable =
-                config.settings().serviceClasses().get(place).idempotency()
+        boolean idempotent =
+                config.settings().serviceClasses().get(classIndex).idempotency()
                         == Api.Idempotency.IDEMPOTENT;
         return new MappedRequest(
-                new RequestAttributes(name, place, tenant, key, group, Api.NONE, again),
-                clientTimeout(asked, config.clientTimeout(place)),
-                repeatable);
+                new RequestAttributes(
+                        requestId, classIndex, tenantIndex, key, group, Api.NONE, reattaching),
+                clientTimeout(attachRequest, config.clientTimeout(classIndex)),
+                idempotent);
     }
 
-    private Duration clientTimeout(AttachRequest asked, Duration most)
+    private Duration clientTimeout(AttachRequest attachRequest, Duration maxTimeout)
             throws AttachRejectedException {
-        Object told = property(asked, linkProperties.deadlineProperty());
-        if (told == null) {
-            return most;
+        Object deadline = property(attachRequest, linkProperties.deadlineProperty());
+        if (deadline == null) {
+            return maxTimeout;
         }
-        if (!(told instanceof Number n) || n.longValue() < 1) {
+        if (!(deadline instanceof Number millis) || millis.longValue() < 1) {
             throw new AttachRejectedException(
                     ErrorConditions.notFound("the deadline property takes milliseconds"));
         }
-        return Duration.ofMillis(Math.min(most.toMillis(), n.longValue()));
+        return Duration.ofMillis(Math.min(maxTimeout.toMillis(), millis.longValue()));
     }
 
-    private static String textProperty(AttachRequest asked, String name) {
-        Object told = property(asked, name);
-        return told == null ? null : told.toString();
+    private static String textProperty(AttachRequest attachRequest, String name) {
+        Object value = property(attachRequest, name);
+        return value == null ? null : value.toString();
     }
 
-    private static Object property(AttachRequest asked, String name) {
-        return name == null || asked.properties() == null
+    private static Object property(AttachRequest attachRequest, String name) {
+        return name == null || attachRequest.properties() == null
                 ? null
-                : asked.properties().get(Symbol.valueOf(name));
+                : attachRequest.properties().get(Symbol.valueOf(name));
     }
 }
--- a/relay/src/main/java/saltstage/amqp/ClientLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientLink.java
@@ -18,30 +18,32 @@
 import saltstage.session.RequestContext.Phase;
 
 /**
- * A client's link, which is a request until it stands and a connection at a backend from then on.
- * It is placed, answered, moved and, where its backend is lost, placed anew through the same stages
- * as a line's. All state is the loop's of its connection; calls from elsewhere are handed over to
- * it.
+ * A client's link, which is a request until it is attached to a backend and an established
+ * connection to that backend from then on. The pipeline that handles requests of the line protocol
+ * also admits, rejects and moves links, and finds another backend for a link whose backend was
+ * lost. All state belongs to the loop of the client's connection; calls from other threads are
+ * passed to that loop.
  */
 abstract class ClientLink implements ClientConnection, BackendLink.Owner {
     /**
-     * Backends lost one after the other without one outcome between: the fault may lie in what it
-     * sends.
+     * Limit of backends lost in a row without an outcome in between. Beyond it, the link is
+     * detached, as the messages of its client may be what makes the backends fail.
      */
     private static final int MAX_CONSECUTIVE_BACKEND_LOSSES = 6;
 
     private enum State {
-        /** Its attach is not answered yet. */
+        /** The client's attach has not been answered yet. */
         ATTACHING,
-        /** It stands at a backend. */
+        /** The link is attached to a backend. */
         ESTABLISHED,
-        /** Its backend was lost and it asks for another; its client notices nothing. */
+        /** The link's backend was lost and it waits for another; the client does not notice. */
         REATTACHING,
         /**
-         * It is to be detached, once what is under way from its client has come and was answered.
+         * The link will be detached when all deliveries in flight from its client have arrived and
+         * have an outcome.
          */
         DETACHING,
-        /** Nothing is owed any more. */
+        /** The link has ended and nothing more is sent for it. */
         ENDED
     }
 
@@ -57,23 +59,23 @@
     private int consecutiveBackendLosses;
 
     ClientLink(
-            AmqpFrontend front,
-            AmqpClientConnection owner,
+            AmqpFrontend frontend,
+            AmqpClientConnection connection,
             Link<?> link,
-            AttachMapper.AttachRequest asked) {
-        this.frontend = front;
-        this.connection = owner;
+            AttachMapper.AttachRequest attachRequest) {
+        this.frontend = frontend;
+        this.connection = connection;
         this.link = link;
-        this.attachRequest = asked;
+        this.attachRequest = attachRequest;
     }
 
-    /** Begins: asks for a place, or is turned away at once. */
+    /** Requests admission, or rejects the attach if it cannot be mapped to a request. */
     final void start() {
         try {
             mappedRequest =
                     frontend.attachMapper().map(attachRequest, frontend.newRequestId(), false);
-        } catch (AttachMapper.AttachRejectedException bad) {
-            rejectAttach(bad.condition());
+        } catch (AttachMapper.AttachRejectedException rejection) {
+            rejectAttach(rejection.condition());
             return;
         }
         requestAdmission();
@@ -85,14 +87,14 @@
                         this,
                         mappedRequest.attributes(),
                         mappedRequest.clientTimeout(),
-                        taken -> context = taken);
+                        admitted -> context = admitted);
     }
 
     /**
-     * An attach that is not to be: answered without source or target, and detached with why
+     * Rejects the attach: answers it without source or target and detaches the link with the error
      * (2.6.3).
      */
-    final void rejectAttach(ErrorCondition why) {
+    final void rejectAttach(ErrorCondition condition) {
         state = State.ENDED;
         connection.removeLink(this);
         if (connection.canSendFrames()) {
@@ -103,54 +105,58 @@
                 link.setSource(null);
             }
             link.open();
-            link.setCondition(why).close();
+            link.setCondition(condition).close();
         }
     }
 
     private void copyClientSettings() {
         if (link.getState() == LinkState.IDLE) {
             link.setSource(link.getRemoteSource());
-            Target target = link.getRemoteTarget() instanceof Target plain ? plain : null;
+            Target target =
+                    link.getRemoteTarget() instanceof Target messageTarget ? messageTarget : null;
             link.setTarget(target);
             link.setSenderSettleMode(link.getRemoteSenderSettleMode());
             link.setReceiverSettleMode(link.getRemoteReceiverSettleMode());
         }
     }
 
-    // ---- the client's side of the stages; from any thread
-
     @Override
     public final void reject(Duration retryAfter) {
         connection.loop().execute(() -> requestEnded(ErrorConditions.rejected(retryAfter)));
     }
 
     @Override
-    public final void fail(String why) {
-        connection.loop().execute(() -> requestEnded(ErrorConditions.failed(why)));
+    public final void fail(String reason) {
+        connection.loop().execute(() -> requestEnded(ErrorConditions.failed(reason)));
     }
 
     @Override
-    public final void startAttempt(Attempt begun, Instant until) {
+    public final void startAttempt(Attempt attempt, Instant deadline) {
         connection
                 .loop()
                 .execute(
                         () -> {
-                            if (state == State.ENDED || begun.context() != context) {
-                                begun.cancel();
-                                frontend.outcomeRecorder().attemptEnded(begun, Outcome.CANCELLED);
+                            if (state == State.ENDED || attempt.context() != context) {
+                                attempt.cancel();
+                                frontend.outcomeRecorder().attemptEnded(attempt, Outcome.CANCELLED);
                             } else {
-                                new BackendLink(frontend, connection.loop(), begun, until, this)
+                                new BackendLink(
+                                                frontend,
+                                                connection.loop(),
+                                                attempt,
+                                                deadline,
+                                                this)
                                         .start(connection.backendPool());
                             }
                         });
     }
 
     @Override
-    public final boolean move(Attempt up, String reason) {
-        if (up.context().phase() != Phase.ESTABLISHED || !up.requestMove(reason)) {
+    public final boolean move(Attempt attempt, String reason) {
+        if (attempt.context().phase() != Phase.ESTABLISHED || !attempt.requestMove(reason)) {
             return false;
         }
-        connection.loop().execute(() -> moveToOtherBackend(up, reason));
+        connection.loop().execute(() -> moveToOtherBackend(attempt, reason));
         return true;
     }
 
@@ -159,34 +165,32 @@
         return connection.remoteAddress();
     }
 
-    // ---- on the loop
-
-    /** The one final answer that is no place. */
-    private void requestEnded(ErrorCondition why) {
+    /** Ends a request that was rejected or has failed. */
+    private void requestEnded(ErrorCondition condition) {
         if (state == State.ATTACHING) {
-            rejectAttach(why);
+            rejectAttach(condition);
         } else if (state == State.REATTACHING) {
-            detachWithoutBackend(why);
+            detachWithoutBackend(condition);
         }
     }
 
     /**
-     * No place is left for a link that stood: what it holds is answered, and it is detached with
-     * why.
+     * Detaches a link that was established and has no backend left, after giving its deliveries
+     * their outcomes.
      */
-    private void detachWithoutBackend(ErrorCondition why) {
+    private void detachWithoutBackend(ErrorCondition condition) {
         completeDeliveries();
-        startDetach(why);
+        startDetach(condition);
     }
 
     /**
-     * Takes its credit back before it is detached: what its client has sent until then would else
-     * cross with the detach and get no outcome. A client that does not answer that is detached
-     * after a while.
+     * Withdraws the client's credit before the detach. Otherwise deliveries that the client has
+     * just sent would cross with the detach and get no outcome. A client that does not answer the
+     * drain is detached after the settle timeout.
      */
-    private void startDetach(ErrorCondition why) {
+    private void startDetach(ErrorCondition condition) {
         state = State.DETACHING;
-        detachCondition = why;
+        detachCondition = condition;
         drainCredit();
         connection.loop().schedule(frontend.settings().timeouts().settle(), this::finishDetach);
         detachIfSettled();
@@ -196,33 +200,33 @@
         if (state != State.DETACHING) {
             return;
         }
-        BackendLink from = backendLink;
+        BackendLink previousLink = backendLink;
         backendLink = null;
         completeDeliveries();
         state = State.ENDED;
-        if (from != null) {
-            from.detach();
+        if (previousLink != null) {
+            previousLink.detach();
         }
         connection.removeLink(this);
         if (connection.canSendFrames()) {
             link.setCondition(detachCondition).close();
             onEnded();
         }
-        if (from != null) {
+        if (previousLink != null) {
             context.end(Phase.ESTABLISHED);
             frontend.countMoved();
-            frontend.outcomeRecorder().connectionEnded(from.attempt(), Outcome.CANCELLED);
+            frontend.outcomeRecorder().connectionEnded(previousLink.attempt(), Outcome.CANCELLED);
         }
     }
 
     @Override
-    public final boolean linkAttached(BackendLink at) {
+    public final boolean linkAttached(BackendLink attachedLink) {
         if (state != State.ATTACHING && state != State.REATTACHING
-                || at.attempt().context() != context
-                || !frontend.outcomeRecorder().establish(at.attempt(), false)) {
+                || attachedLink.attempt().context() != context
+                || !frontend.outcomeRecorder().establish(attachedLink.attempt(), false)) {
             return false;
         }
-        backendLink = at;
+        backendLink = attachedLink;
         if (state == State.ATTACHING) {
             answerAttach();
         }
@@ -231,41 +235,40 @@
         return true;
     }
 
-    /**
-     * The attach is answered as the backend has answered it: its terminus, its capabilities, its
-     * bounds.
-     */
+    /** Answers the client's attach with the backend's terminus, capabilities and limits. */
     private void answerAttach() {
-        Link<?> far = backendEngineLink();
+        Link<?> backendSide = backendEngineLink();
         copyClientSettings();
-        Source source = far.getRemoteSource();
-        Target target = far.getRemoteTarget();
+        Source source = backendSide.getRemoteSource();
+        Target target = backendSide.getRemoteTarget();
         if (source != null) {
             link.setSource(source);
         }
         if (target != null) {
             link.setTarget(target);
         }
-        link.setSenderSettleMode(far.getRemoteSenderSettleMode())
-                .setReceiverSettleMode(far.getRemoteReceiverSettleMode())
-                .setMaxMessageSize(far.getRemoteMaxMessageSize());
-        Symbol[] offered = far.getRemoteOfferedCapabilities();
-        if (offered != null) {
-            link.setOfferedCapabilities(offered);
+        link.setSenderSettleMode(backendSide.getRemoteSenderSettleMode())
+                .setReceiverSettleMode(backendSide.getRemoteReceiverSettleMode())
+                .setMaxMessageSize(backendSide.getRemoteMaxMessageSize());
+        Symbol[] offeredCapabilities = backendSide.getRemoteOfferedCapabilities();
+        if (offeredCapabilities != null) {
+            link.setOfferedCapabilities(offeredCapabilities);
         }
-        Map<Symbol, Object> properties = far.getRemoteProperties();
+        Map<Symbol, Object> properties = backendSide.getRemoteProperties();
         if (properties != null) {
             link.setProperties(properties);
         }
         link.open();
     }
 
-    /** What the client asks for, said to the backend. */
-    protected final void copyAttachTo(Link<?> to) {
-        Target target = link.getRemoteTarget() instanceof Target plain ? plain : null;
-        to.setSource(link.getRemoteSource());
-        to.setTarget(target);
-        to.setSenderSettleMode(link.getRemoteSenderSettleMode())
+    /** Copies the client's attach to the given link to the backend. */
+    protected final void copyAttachTo(Link<?> backendSide) {
+        Target target =
+                link.getRemoteTarget() instanceof Target messageTarget ? messageTarget : null;
+        backendSide.setSource(link.getRemoteSource());
+        backendSide.setTarget(target);
+        backendSide
+                .setSenderSettleMode(link.getRemoteSenderSettleMode())
                 .setReceiverSettleMode(link.getRemoteReceiverSettleMode())
                 .setMaxMessageSize(link.getRemoteMaxMessageSize())
                 .setDesiredCapabilities(link.getRemoteDesiredCapabilities())
@@ -274,13 +277,13 @@
     }
 
     @Override
-    public final void linkEnded(BackendLink at, Outcome outcome) {
-        if (at != backendLink) {
+    public final void linkEnded(BackendLink endedLink, Outcome outcome) {
+        if (endedLink != backendLink) {
             return;
         }
         backendLink = null;
         context.end(Phase.ESTABLISHED);
-        frontend.outcomeRecorder().connectionEnded(at.attempt(), outcome);
+        frontend.outcomeRecorder().connectionEnded(endedLink.attempt(), outcome);
         if (state == State.ENDED) {
             return;
         }
@@ -302,26 +305,29 @@
             mappedRequest =
                     frontend.attachMapper().map(attachRequest, frontend.newRequestId(), true);
             requestAdmission();
-        } catch (AttachMapper.AttachRejectedException changed) {
-            detachWithoutBackend(changed.condition());
+        } catch (AttachMapper.AttachRejectedException rejection) {
+            detachWithoutBackend(rejection.condition());
         }
     }
 
-    /** The backend has given an outcome: it works, whatever was lost before. */
+    /**
+     * Called when the backend has returned an outcome, which shows that it works and ends a series
+     * of losses.
+     */
     protected final void outcomeReceived() {
         consecutiveBackendLosses = 0;
         detachIfSettled();
     }
 
-    /** Something has ended: perhaps that was the last before a detach. */
+    /** Finishes a pending detach if nothing is outstanding any more. */
     protected final void detachIfSettled() {
         if (state == State.DETACHING && isSettled()) {
             finishDetach();
         }
     }
 
-    private void moveToOtherBackend(Attempt up, String reason) {
-        if (state != State.ESTABLISHED || backendLink == null || backendLink.attempt() != up) {
+    private void moveToOtherBackend(Attempt attempt, String reason) {
+        if (state != State.ESTABLISHED || backendLink == null || backendLink.attempt() != attempt) {
             return;
         }
         Log.info(
@@ -329,54 +335,51 @@
                 "why",
                 reason,
                 "peer",
-                up.backend().entry().uid(),
+                attempt.backend().entry().uid(),
                 "id",
-                up.context().attributes().clientRequestId());
+                attempt.context().attributes().clientRequestId());
         if (reason.startsWith("peer")) {
-            backendLink.connectionLost(
-                    true); // nothing more will come from there: what waits goes elsewhere
+            backendLink.connectionLost(true); // the backend will not answer any more: reattach now
             return;
         }
         startDetach(ErrorConditions.moved(reason));
     }
 
-    /**
-     * The client has detached, ended its session or lost its connection: nothing is owed any more.
-     */
+    /** Ends the link after the client has detached, ended its session or lost its connection. */
     final void clientLeft() {
         if (state == State.ENDED) {
             return;
         }
         state = State.ENDED;
         connection.removeLink(this);
-        BackendLink from = backendLink;
+        BackendLink previousLink = backendLink;
         backendLink = null;
-        if (from != null) {
+        if (previousLink != null) {
             onClientLeft();
-            from.detach();
+            previousLink.detach();
             context.end(Phase.ESTABLISHED);
-            frontend.outcomeRecorder().connectionEnded(from.attempt(), Outcome.SERVED);
+            frontend.outcomeRecorder().connectionEnded(previousLink.attempt(), Outcome.SERVED);
         } else if (context != null && context.end(Phase.WAITING)) {
             frontend.outcomeRecorder().clientLeft(context);
         }
         if (connection.canSendFrames()) {
-            if (!link.getSession().isRemotelyClosed()) { // else its end has ended its links, too
+            if (!link.getSession().isRemotelyClosed()) { // the end of a session ends its links, too
                 link.close();
             }
             onEnded();
         }
     }
 
-    /** A rule of the protocol is broken on this link alone: it is detached with why. */
-    protected final void detachForViolation(ErrorCondition why) {
-        Log.warn("amqp.link.broken", "from", remoteAddress(), "why", why.getDescription());
+    /** Detaches the link with an error after a protocol violation that concerns this link alone. */
+    protected final void detachForViolation(ErrorCondition condition) {
+        Log.warn("amqp.link.broken", "from", remoteAddress(), "why", condition.getDescription());
         if (connection.canSendFrames()) {
-            link.setCondition(why).close();
+            link.setCondition(condition).close();
         }
         clientLeft();
     }
 
-    /** Time has passed. */
+    /** Checks the timeouts of the link's deliveries. */
     void checkTimeouts(Instant now) {}
 
     protected final AmqpFrontend frontend() {
@@ -399,40 +402,40 @@
         return state == State.ENDED;
     }
 
-    /** The client's session that it is on. */
+    /** The client's session that contains the link. */
     final Session session() {
         return link.getSession();
     }
 
-    /** The try that stands, or null. */
+    /** The established attempt, or null. */
     final Attempt establishedAttempt() {
         return backendLink == null ? null : backendLink.attempt();
     }
 
-    /** The backend's half, once made. */
+    /** The link to the backend, or null before it was created. */
     protected abstract Link<?> backendEngineLink();
 
-    /** It stands at a backend. */
+    /** Called when the link has been attached to a backend. */
     protected abstract void onEstablished();
 
-    /** The backend that it stood at is lost. */
+    /** Called when the backend of the established link was lost. */
     protected abstract void onBackendLost();
 
-    /** Whether it may go on at another backend without its client's doing. */
+    /** Whether the link can continue at another backend without the client attaching again. */
     protected abstract boolean canReattach();
 
-    /** Takes nothing new from now on; it is to be moved. */
+    /** Withdraws the sending side's credit, so that no new deliveries come before the detach. */
     protected abstract void drainCredit();
 
-    /** The link is over; told once. */
+    /** Called once when the link has ended. */
     protected void onEnded() {}
 
-    /** Whether nothing is under way, so that it can be moved. */
+    /** Whether no delivery and no credit is outstanding, so that the link can be detached. */
     protected abstract boolean isSettled();
 
-    /** There will be no backend any more: all that is owed is answered now. */
+    /** Gives the remaining deliveries their outcomes, as no backend will follow. */
     protected abstract void completeDeliveries();
 
-    /** The client is gone; the backend's half still stands for this call. */
+    /** Called when the client has left, before the link to the backend is detached. */
     protected abstract void onClientLeft();
 }
--- a/relay/src/main/java/saltstage/amqp/ClientSenderLink.java
+++ b/relay/src/main/java/saltstage/amqp/ClientSenderLink.java
@@ -21,8 +21,8 @@
 import saltstage.amqp.DeliveryForwarder.Delivery;
 
 /**
- * The link of a client that sends. {@link DeliveryForwarder} decides; this joins it to the two
- * engines.
+ * The link of a client that sends messages. {@link DeliveryForwarder} makes the decisions; this
+ * class connects it to the engines of the client and of the backend.
  */
 final class ClientSenderLink extends ClientLink
         implements DeliveryForwarder.ClientEndpoint, DeliveryForwarder.BackendEndpoint {
@@ -31,48 +31,50 @@
     private final Receiver clientReceiver;
     private final DeliveryForwarder forwarder;
 
-    /** Deliveries with bytes that were not read yet: the client's session is held up by them. */
+    /**
+     * Deliveries with bytes that have not been read yet; they keep the window of the client's
+     * session closed.
+     */
     private final Deque<IncomingDelivery> unreadDeliveries = new ArrayDeque<>();
 
     private Sender backendSender;
     private boolean clientDrainRequested;
 
     ClientSenderLink(
-            AmqpFrontend front,
-            AmqpClientConnection owner,
-            Receiver client,
-            AttachMapper.AttachRequest asked,
-            boolean repeatable) {
-        super(front, owner, client, asked);
-        this.clientReceiver = client;
-        forwarder = new DeliveryForwarder(front.forwardingLimits(), repeatable, this);
-        client.deliveryReadHandler(owner.guarded(this::transferReceived))
-                .deliveryAbortedHandler(owner.guarded(this::deliveryAborted))
+            AmqpFrontend frontend,
+            AmqpClientConnection connection,
+            Receiver clientReceiver,
+            AttachMapper.AttachRequest attachRequest,
+            boolean idempotent) {
+        super(frontend, connection, clientReceiver, attachRequest);
+        this.clientReceiver = clientReceiver;
+        forwarder = new DeliveryForwarder(frontend.forwardingLimits(), idempotent, this);
+        clientReceiver
+                .deliveryReadHandler(connection.guarded(this::transferReceived))
+                .deliveryAbortedHandler(connection.guarded(this::deliveryAborted))
                 .deliveryStateUpdatedHandler(this::clientDispositionReceived)
                 .creditStateUpdateHandler(
-                        any -> {
-                            if (client.getCredit() == 0 && !client.isDraining()) {
+                        receiver -> {
+                            if (clientReceiver.getCredit() == 0 && !clientReceiver.isDraining()) {
                                 forwarder.clearGrantedCredit();
                             }
                             answerBackendDrain();
                             detachIfSettled();
-                            ProtonFlowControl.answerEcho(client);
+                            ProtonFlowControl.answerEcho(clientReceiver);
                         });
     }
 
-    // ---- from the client
-
     private void transferReceived(IncomingDelivery in) {
         connection().countTransfer(clientReceiver);
-        if (isEnded()) { // sent before its client had heard of the detach
+        if (isEnded()) { // sent before the client received the detach
             connection().restoreWindow(clientReceiver, discard(in));
             return;
         }
         if (in.getLinkedResource() == null) {
-            Delivery begins = new Delivery(in, in.isRemotelySettled());
-            in.setLinkedResource(begins);
-            frontend().countReceived(begins.isPresettled());
-            if (!forwarder.startDelivery(begins)) {
+            Delivery delivery = new Delivery(in, in.isRemotelySettled());
+            in.setLinkedResource(delivery);
+            frontend().countReceived(delivery.isPresettled());
+            if (!forwarder.startDelivery(delivery)) {
                 detachForViolation(
                         new ErrorCondition(
                                 LinkError.TRANSFER_LIMIT_EXCEEDED, "no credit for this delivery"));
@@ -91,7 +93,10 @@
         readDeliveries();
     }
 
-    /** Reads what may be held; the rest waits in the engine and with it the client's session. */
+    /**
+     * Reads as many bytes as may be buffered. The rest stays in the engine and holds back the
+     * client's session.
+     */
     private void readDeliveries() {
         while (!unreadDeliveries.isEmpty()
                 && (forwarder.canBufferMore() || isCompleted(unreadDeliveries.peek()))) {
@@ -100,20 +105,20 @@
             byte[] bytes = NO_BYTES;
             connection().replenishWindow(clientReceiver, in.available());
             if (in.available() > 0) {
-                ProtonBuffer got = in.readAll();
-                bytes = new byte[got.getReadableBytes()];
-                got.readBytes(bytes, 0, bytes.length);
-                got.close();
+                ProtonBuffer buffer = in.readAll();
+                bytes = new byte[buffer.getReadableBytes()];
+                buffer.readBytes(bytes, 0, bytes.length);
+                buffer.close();
             }
-            boolean whole = !in.isPartial();
-            forwarder.bytesReceived(delivery, bytes, whole, frontend().now());
-            if (whole) {
+            boolean complete = !in.isPartial();
+            forwarder.bytesReceived(delivery, bytes, complete, frontend().now());
+            if (complete) {
                 detachIfSettled();
             }
-            if (whole
+            if (complete
                     && (delivery.isPresettled() || delivery.isCompleted() && !in.isSettled())
                     && !isEnded()) {
-                in.settle(); // told already, while its bytes still came; or nothing is owed
+                in.settle(); // its outcome was sent while its bytes were arriving, or it needs none
             }
         }
     }
@@ -124,7 +129,10 @@
         return bytes;
     }
 
-    /** What was not read when the link ended holds up the session no more. */
+    /**
+     * Discards unread deliveries of the ended link, so that they do not keep the session's window
+     * closed.
+     */
     @Override
     protected void onEnded() {
         int bytes = 0;
@@ -141,9 +149,9 @@
     }
 
     private void deliveryAborted(IncomingDelivery in) {
-        if (in.getLinkedResource() instanceof Delivery begun && !isEnded()) {
+        if (in.getLinkedResource() instanceof Delivery delivery && !isEnded()) {
             unreadDeliveries.remove(in);
-            forwarder.deliveryAborted(begun);
+            forwarder.deliveryAborted(delivery);
         }
         if (isEnded()) {
             connection().restoreWindow(clientReceiver, discard(in));
@@ -152,11 +160,13 @@
         in.settle();
         readDeliveries();
         connection()
-                .restoreWindow(
-                        clientReceiver, 0); // a transfer without bytes uses the window up as well
+                .restoreWindow(clientReceiver, 0); // a transfer without bytes uses the window, too
     }
 
-    /** The client has settled: in the mode 'second' the backend waits for that (2.6.12). */
+    /**
+     * Passes the client's settlement on to the backend, which waits for it in the mode 'second'
+     * (2.6.12).
+     */
     private void clientDispositionReceived(IncomingDelivery in) {
         if (!in.isRemotelySettled() || in.isPartial()) {
             return;
@@ -178,15 +188,14 @@
                 && !out.isSettled();
     }
 
-    // ---- to the client
-
     @Override
-    public void grantCredit(int more) {
+    public void grantCredit(int credit) {
         if (!isEnded() && connection().canSendFrames()) {
             connection()
                     .restoreWindow(
-                            clientReceiver, 0); // the session's window first, for all its links
-            clientReceiver.addCredit(more);
+                            clientReceiver,
+                            0); // open the window of the session, for all its links, first
+            clientReceiver.addCredit(credit);
         }
     }
 
@@ -197,17 +206,15 @@
         if (connection().canSendFrames()
                 && clientReceiver.isRemotelyOpen()
                 && clientReceiver.isLocallyOpen()) {
-            // One that still comes is settled when it has ended: until then the engine must know
-            // it.
+            // A delivery that is still arriving is settled when it is complete: the engine must
+            // know it until then.
             in.disposition(state, settled && !in.isPartial());
         }
     }
 
-    // ---- to the backend
-
     @Override
     public boolean canSend() {
-        // protonj2 1.0.0 goes on calling a sender sendable whose credit it has just let go
+        // protonj2 1.0.0 still reports a sender as sendable after it has given up its credit
         if (backendLink() == null
                 || !backendLink().isWritable()
                 || backendSender.getCredit() == 0) {
@@ -221,7 +228,7 @@
     }
 
     @Override
-    public int send(Delivery delivery, byte[] piece, int from, boolean last) {
+    public int send(Delivery delivery, byte[] chunk, int offset, boolean last) {
         OutgoingDelivery out = (OutgoingDelivery) delivery.backendDelivery();
         if (out == null) {
             IncomingDelivery in = (IncomingDelivery) delivery.clientDelivery();
@@ -237,8 +244,8 @@
             }
         }
         ProtonBuffer bytes =
-                ProtonByteArrayBufferAllocator.wrapped(piece, from, piece.length - from);
-        int before = bytes.getReadableBytes();
+                ProtonByteArrayBufferAllocator.wrapped(chunk, offset, chunk.length - offset);
+        int bytesBefore = bytes.getReadableBytes();
         out.streamBytes(bytes, last);
         if (last && !bytes.isReadable()) {
             delivery.setSentAt(frontend().now());
@@ -246,7 +253,7 @@
         if (bytes.isReadable()) {
             backendLink().awaitSessionWindow();
         }
-        return before - bytes.getReadableBytes();
+        return bytesBefore - bytes.getReadableBytes();
     }
 
     private static byte[] copyTag(DeliveryTag tag) {
@@ -267,12 +274,10 @@
         }
     }
 
-    // ---- from the backend
-
     private void backendDispositionReceived(OutgoingDelivery out) {
         Delivery delivery = out.getLinkedResource();
         if (out.getLink() != backendSender || isEnded()) {
-            return; // of a link that is over, on a session that is not
+            return; // belongs to an earlier link on a session that is still open
         }
         DeliveryState state = out.getRemoteState();
         boolean settled = out.isRemotelySettled();
@@ -290,20 +295,20 @@
         outcomeReceived();
     }
 
-    private void creditReceived(Sender from) {
-        if (from != backendSender || isEnded()) {
+    private void creditReceived(Sender sender) {
+        if (sender != backendSender || isEnded()) {
             return;
         }
-        forwarder.creditReceived(from.getCredit());
+        forwarder.creditReceived(sender.getCredit());
         readDeliveries();
         answerBackendDrain();
         if (backendLink() != null) {
             backendLink().flowReceived();
         }
-        ProtonFlowControl.answerEcho(from);
+        ProtonFlowControl.answerEcho(sender);
     }
 
-    /** A backend that drains its credit is told so once what the client may still send has come. */
+    /** Answers a drain of the backend once everything the client may still send has arrived. */
     private void answerBackendDrain() {
         if (isEnded()
                 || backendSender == null
@@ -328,15 +333,13 @@
         }
     }
 
-    // ---- its life
-
     @Override
     public Object sessionKey() {
         return clientReceiver.getSession();
     }
 
     @Override
-    public Link<?> createLink(Session session, AmqpConnection on, String name) {
+    public Link<?> createLink(Session session, AmqpConnection connection, String name) {
         backendSender = session.sender(name);
         copyAttachTo(backendSender);
         return backendSender
--- a/relay/src/test/java/saltstage/amqp/AmqpFrontendFuzzTest.java
+++ b/relay/src/test/java/saltstage/amqp/AmqpFrontendFuzzTest.java
@@ -26,9 +26,10 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Any bytes in place of any part of a client's conversation, in pieces of any size: nothing is thrown, and
- * nothing of the client is left when its connection is over.
- * {@code JAZZER_FUZZ=1 mvn test -pl relay -Dtest=AmqpFrontendFuzzTest} searches; CI plays some chances.
+ * Guards against malformed input that makes a handler throw or leaves state of the client behind when its
+ * connection ends. A part of a valid conversation is overwritten with arbitrary bytes, and the conversation
+ * arrives in pieces of any size. {@code JAZZER_FUZZ=1 mvn test -pl relay -Dtest=AmqpFrontendFuzzTest} fuzzes;
+ * without JAZZER_FUZZ, some random mutations run.
  */
 class AmqpFrontendFuzzTest {
     /** Header, open, begin, attach of a sender, a transfer, a flow, detach and close (2.7). */
@@ -42,7 +43,7 @@
         + "0000001002000000" + "005316c003024341"
         + "0000000c02000000" + "00531845");
 
-    /** A loop that the test turns. */
+    /** A loop whose tasks the test runs. */
     private static final class ManualLoop implements Loop {
         private final Deque<Runnable> tasks = new ArrayDeque<>();
 
@@ -58,18 +59,18 @@
 
         @Override
         public Timer schedule(Duration delay, Runnable task) {
-            return () -> true; // time stands still
+            return () -> true; // timers never fire
         }
 
         void runTasks() {
             for (int i = 0; i < 10_000 && !tasks.isEmpty(); i++) {
                 tasks.poll().run();
             }
-            assertTrue(tasks.isEmpty(), "it never comes to rest");
+            assertTrue(tasks.isEmpty(), "tasks are still queued after 10,000 tasks were run");
         }
     }
 
-    /** A connection to nowhere. */
+    /** A connection without a remote side, which counts the bytes written. */
     private static final class FakeConnection implements Connection {
         private final Loop loop;
         private long writtenBytes;
@@ -119,20 +120,20 @@
         }
     }
 
-    /** Nobody can be reached through it. */
+    /** A transport whose connections are never established. */
     private static final class FakeTransport implements Transport {
         private final ManualLoop loop = new ManualLoop();
 
         @Override
-        public Listener listen(InetSocketAddress at, int backlog, Connection.WriteLimits bounds,
+        public Listener listen(InetSocketAddress address, int backlog, Connection.WriteLimits limits,
                 Acceptor acceptor) {
-            throw new IllegalStateException("not here");
+            throw new IllegalStateException("the fake transport does not listen");
         }
 
         @Override
-        public void connect(Loop on, InetSocketAddress to, Duration limit, Connection.WriteLimits bounds,
-                ConnectListener connecting) {
-            return; // it never comes up: links wait for their place until their client is gone
+        public void connect(Loop loop, InetSocketAddress address, Duration timeout,
+                Connection.WriteLimits limits, ConnectListener listener) {
+            return; // never connects: links wait for a backend until their client has left
         }
 
         @Override
@@ -156,35 +157,38 @@
                 + "'status-report','Aim':500000,'GiveUp':2000000,'Effect':'retryable'}]}}")
                 .replace('\'', '"'));
             MonotonicClock clock = new MonotonicClock();
-            BackendRegistry peers = new BackendRegistry();
-            peers.update(config.knownBackends());
-            RelayPipeline chain = new RelayPipeline(config, clock, new Timers(clock), peers,
+            BackendRegistry backends = new BackendRegistry();
+            backends.update(config.knownBackends());
+            RelayPipeline pipeline = new RelayPipeline(config, clock, new Timers(clock), backends,
                 new saltstage.metrics.RequestCounters(config.serviceClassNames()), () -> { });
-            chain.router().start(config.knownBackends());
+            pipeline.router().start(config.knownBackends());
             return new AmqpFrontend(OperatorSettings.parse("f", "amqp {\n listen = \"127.0.0.1:1\"\n"
-                + " anonymous_tenant = \"any\"\n}\n").amqp().orElseThrow(), config, chain, clock, transport);
+                + " anonymous_tenant = \"any\"\n}\n").amqp().orElseThrow(), config, pipeline, clock,
+                transport);
         } catch (MalformedException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** Where, how long the pieces are, and what stands there instead. */
+    /** The first byte is an offset, the second a piece size; the others overwrite the conversation there. */
     @FuzzTest(maxDuration = "60s")
     void neverThrowsNorLeavesAnythingBehind(byte[] data) {
         if (data.length < 3) {
             return;
         }
-        byte[] talk = CONVERSATION.clone();
-        int at = (data[0] & 0xff) % talk.length;
-        System.arraycopy(data, 2, talk, at, Math.min(data.length - 2, talk.length - at));
-        replay(talk, 1 + (data[1] & 0xff));
+        byte[] conversation = CONVERSATION.clone();
+        int offset = (data[0] & 0xff) % conversation.length;
+        System.arraycopy(data, 2, conversation, offset,
+            Math.min(data.length - 2, conversation.length - offset));
+        replay(conversation, 1 + (data[1] & 0xff));
     }
 
-    private long replay(byte[] talk, int piece) {
+    private long replay(byte[] conversation, int pieceBytes) {
         FakeConnection connection = new FakeConnection(transport.loop);
         ConnectionHandler handler = frontend.accept(connection);
-        for (int i = 0; i < talk.length && !connection.ended; i += piece) {
-            handler.received(connection, ByteBuffer.wrap(talk, i, Math.min(piece, talk.length - i)));
+        for (int i = 0; i < conversation.length && !connection.ended; i += pieceBytes) {
+            handler.received(connection,
+                ByteBuffer.wrap(conversation, i, Math.min(pieceBytes, conversation.length - i)));
             transport.loop.runTasks();
         }
         handler.closed(connection, Connection.Cause.RESET);
