--- a/relay/src/main/java/org/apache/qpid/protonj2/engine/impl/ProtonFlowControl.java
+++ b/relay/src/main/java/org/apache/qpid/protonj2/engine/impl/ProtonFlowControl.java
@@ -6,17 +6,19 @@
 import org.apache.qpid.protonj2.engine.Session;
 
 /**
- * What protonj2 1.0.0 does with session windows, put right from within its package. Bytes that come
- * for a link which this side has detached are never given back to the window. A flow for one link
- * opens the window for all links of a session, but the library tells only that one link's sender; a
- * flow for the session tells all, if the window was shut until then. Either way the others would
- * stand still for good. And it answers no link that asks for its state, and takes no credit back.
+ * Works around the flow control of protonj2 1.0.0, for which it must be in the library's package.
+ * The library never returns the bytes received for a locally detached link to the session window. A
+ * flow for one link opens the window for all links of the session, but the library notifies only
+ * the sender of that link; a flow for the session notifies all, but only if the window was closed
+ * until then. In both cases the other links would stall forever. The library also does not answer a
+ * link that requests the flow state, and cannot reduce credit.
  */
 public final class ProtonFlowControl {
     private ProtonFlowControl() {}
 
     /**
-     * Gives back bytes of a session's window that came for links which are no more, and says so.
+     * Returns bytes that were received for ended links to the session window and sends a flow
+     * frame.
      */
     public static void restoreIncomingWindow(Session session, int bytes) {
         if (bytes > 0 && session.getIncomingCapacity() > 0) {
@@ -26,7 +28,8 @@
     }
 
     /**
-     * Opens the window by bytes that are about to be read, before a flow for one link alone can.
+     * Opens the window by the bytes that are about to be read with a flow for the session, before
+     * the library does so with a flow for one link only.
      */
     public static void extendIncomingWindow(Session session, int bytes) {
         int capacity = session.getIncomingCapacity();
@@ -35,15 +38,15 @@
         session.setIncomingCapacity(capacity);
     }
 
-    /** Has a sender look at its session's window anew. */
+    /** Makes a sender evaluate the window of its session again. */
     public static void refreshSender(Sender sender) {
         ProtonSession session = (ProtonSession) sender.getSession();
         ((ProtonSender) sender).handleSessionCreditStateUpdate(session.getOutgoingWindow());
     }
 
     /**
-     * Tells the state of a link where its other side has asked for that (2.6.8, echo); once an
-     * asking.
+     * Sends the flow state of a link if the remote side has requested it (2.6.8, echo), once per
+     * request.
      */
     public static void answerEcho(Link<?> link) {
         ProtonLinkCreditState state = ((ProtonLink<?>) link).getCreditState();
@@ -54,8 +57,8 @@
     }
 
     /**
-     * Takes credit back that was given (2.6.7); the library only adds. What is on its way may still
-     * come.
+     * Reduces the granted credit (2.6.7), which the library can only increase. Deliveries in flight
+     * may still arrive.
      */
     public static void reduceCredit(Receiver receiver, int credit) {
         ((ProtonLink<?>) receiver)
--- a/relay/src/main/java/saltstage/amqp/AmqpBackendConnection.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpBackendConnection.java
@@ -23,7 +23,7 @@
 import saltstage.net.Connection;
 import saltstage.session.Backend;
 
-/** One connection to a backend and the links on it. */
+/** An AMQP connection to a backend and the links that are attached over it. */
 final class AmqpBackendConnection extends AmqpConnection {
     private static final Symbol ANONYMOUS = Symbol.valueOf("ANONYMOUS");
     private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(5);
@@ -33,7 +33,7 @@
     private final Backend backend;
     private final Set<BackendLink> links = new LinkedHashSet<>();
 
-    /** By the client's session, which is its own key. */
+    /** The sessions that links share, keyed by the client session that the links belong to. */
     private final Map<Object, BackendSession> sharedSessions = new HashMap<>();
 
     private boolean opened;
@@ -48,7 +48,7 @@
         idleSince = front.now();
     }
 
-    /** Says who the relay is; links wait for the answer. */
+    /** Sends the open frame. Links attach only after the backend has answered it. */
     void open() {
         Engine made = EngineFactory.PROTON.createEngine();
         made.saslDriver().client().setListener(new AnonymousLogin());
@@ -72,7 +72,7 @@
         made.connection().open();
     }
 
-    /** Offers the mechanism that needs no secret. */
+    /** Logs in with SASL ANONYMOUS, which needs no credentials. */
     private static final class AnonymousLogin implements SaslClientListener {
         @Override
         public void handleSaslMechanisms(SaslClientContext context, Symbol[] mechanisms) {
@@ -100,12 +100,12 @@
         return backend;
     }
 
-    /** How many links are on it. */
+    /** Returns the number of links on this connection. */
     int linkCount() {
         return links.size();
     }
 
-    /** Takes a link on; it attaches as soon as the connection is open. */
+    /** Adds a link, which attaches as soon as the connection is open. */
     void attach(BackendLink link) {
         links.add(link);
         link.setConnection(this);
@@ -114,7 +114,7 @@
         }
     }
 
-    /** The link is no longer on it. */
+    /** Removes a link that has ended. The idle time starts when the last link is removed. */
     void removeLink(BackendLink link) {
         if (links.remove(link) && links.isEmpty()) {
             idleSince = now();
@@ -122,8 +122,8 @@
     }
 
     /**
-     * A session for a link: one that it shares with others of this key, or its own where there is
-     * none.
+     * Returns the session for a new link: with a key, one that it shares with other links of the
+     * same key; with a null key, a session of its own.
      */
     BackendSession sessionFor(Object key) {
         BackendSession held = key == null ? null : sharedSessions.get(key);
@@ -137,11 +137,15 @@
         BackendSession[] it = new BackendSession[1];
         it[0] = new BackendSession(made, () -> sharedSessions.remove(key, it[0]));
         if (key != null) {
-            sharedSessions.put(key, it[0]); // one that is full goes on without newcomers
+            sharedSessions.put(key, it[0]); // replaces a full session, which keeps its links
         }
         return it[0];
     }
 
+    /**
+     * Closes the connection if it has no links and either has been idle for too long or its backend
+     * has ended or accepts no requests.
+     */
     void closeIfIdle() {
         boolean left = backend.hasEnded() || !backend.canAcceptRequests();
         if (links.isEmpty()
--- a/relay/src/main/java/saltstage/amqp/BackendConnectionPool.java
+++ b/relay/src/main/java/saltstage/amqp/BackendConnectionPool.java
@@ -14,10 +14,11 @@
 import saltstage.session.Backend;
 
 /**
- * The connections of one loop to the backends: links share them, a session each; on that loop only.
+ * The AMQP connections of one loop to the backends. Many links share a connection, each on its own
+ * session or on one shared with links of the same client session. Used on that loop only.
  */
 final class BackendConnectionPool {
-    /** What is unsent to a backend holds its links up from the first figure on. */
+    /** From the first limit of unsent bytes on, the links of a connection stop sending. */
     private static final Connection.WriteLimits WRITE_LIMITS =
             new Connection.WriteLimits(256 << 10, 64 << 20);
 
@@ -35,7 +36,7 @@
         this.loop = loop;
     }
 
-    /** Begins to connect, or takes a connection that has room, and hands it the link. */
+    /** Attaches the link over a connection that has room, or starts a new connection for it. */
     void attach(BackendLink link, Duration connectWithin) {
         Backend peer = link.backend();
         for (AmqpBackendConnection held : connections.getOrDefault(peer, List.of())) {
@@ -46,7 +47,7 @@
         }
         PendingConnect waiting = pendingConnects.get(peer);
         if (waiting != null && waiting.links.size() < MAX_LINKS_PER_CONNECTION) {
-            waiting.links.add(link); // a crowd that comes while one connects does not open one each
+            waiting.links.add(link); // a burst of links shares one pending connection
             return;
         }
         waiting = new PendingConnect(peer);
@@ -61,7 +62,7 @@
         return port == 0 ? told : new InetSocketAddress(told.getAddress(), port);
     }
 
-    /** It has ended. */
+    /** Removes a connection that has ended. */
     void removeConnection(AmqpBackendConnection peering) {
         List<AmqpBackendConnection> all = connections.get(peering.backend());
         if (all != null) {
@@ -72,19 +73,19 @@
         }
     }
 
-    /** Ends what is idle: no link for a while, or a backend that has left. */
+    /** Closes the connections that are idle or whose backend takes no requests any more. */
     void closeIdleConnections() {
         for (List<AmqpBackendConnection> all : List.copyOf(connections.values())) {
             List.copyOf(all).forEach(AmqpBackendConnection::closeIfIdle);
         }
     }
 
-    /** How many connections there are. */
+    /** Returns the number of established connections. */
     int connectionCount() {
         return connections.values().stream().mapToInt(List::size).sum();
     }
 
-    /** A connect that is on its way. */
+    /** A connection that is being established, and the links that wait for it. */
     private final class PendingConnect implements Transport.ConnectListener {
         private final Backend backend;
         private final List<BackendLink> links = new ArrayList<>();
--- a/relay/src/main/java/saltstage/amqp/BackendLink.java
+++ b/relay/src/main/java/saltstage/amqp/BackendLink.java
@@ -16,26 +16,27 @@
 import saltstage.wire.BackendConnection;
 
 /**
- * One try: a link to a backend, on a session that it shares at most with links of the same client's
- * session, so that a backend that takes nothing holds up this client and no other. It ends once:
- * unreachable, refused, timed out, reset, or up and then over.
+ * One attempt: a link to a backend. It shares its session only with links of the same client
+ * session, so that a backend that reads nothing blocks this client and no other. It ends exactly
+ * once: the backend is unreachable, rejects the attach or times out, or the connection is reset, or
+ * the attached link ends.
  */
 final class BackendLink implements BackendConnection {
-    /** The link's other half. */
+    /** The client's side of the link. */
     interface Owner {
-        /** Makes the link on the session, not yet open, with its handlers. */
+        /** Creates the link on the session with its handlers, without opening it. */
         Link<?> createLink(Session session, AmqpConnection on, String name);
 
-        /** The key of the session that it may share with others, or null. */
+        /** Returns the key of the sessions that the link may share, or null if it needs its own. */
         Object sessionKey();
 
-        /** The backend has attached it; false where nobody wants it any more. */
+        /** The backend has attached the link. Returns false if the client no longer wants it. */
         boolean linkAttached(BackendLink link);
 
-        /** It stood and is over. */
+        /** The link was attached and has ended. */
         void linkEnded(BackendLink link, Outcome outcome);
 
-        /** There is room on its connection again. */
+        /** The connection or the session window may have room again. */
         void resume();
     }
 
@@ -56,9 +57,13 @@
     private Link<?> link;
     private State state = State.CONNECTING;
 
-    /** What ends it where it takes too long; a link that stands or is over keeps none. */
+    /**
+     * Ends an attempt that cannot connect in time. Both timers are null once the link is attached
+     * or ended.
+     */
     private Loop.Timer connectTimer;
 
+    /** Ends an attempt whose attach is not answered in time. */
     private Loop.Timer attachTimer;
 
     BackendLink(AmqpFrontend front, Loop loop, Attempt begun, Instant until, Owner owner) {
@@ -69,7 +74,7 @@
         this.owner = owner;
     }
 
-    /** Begins; on its loop. */
+    /** Starts the attempt. Called on the loop of the link. */
     void start(BackendConnectionPool pool) {
         try {
             attempt.connectionOpened(this);
@@ -111,12 +116,12 @@
         return attempt;
     }
 
-    /** Whether it stands and its connection is there. */
+    /** Returns whether the link is attached. */
     boolean isAttached() {
         return state == State.ATTACHED;
     }
 
-    /** Whether its connection takes more bytes. */
+    /** Returns whether the link is attached and its connection accepts more bytes. */
     boolean isWritable() {
         return state == State.ATTACHED && connection.isWritable();
     }
@@ -129,30 +134,29 @@
         endAttempt(Outcome.UNREACHABLE);
     }
 
-    /** Its connection is open: it attaches, unless that is too late by now. */
+    /**
+     * The connection is open: attaches, unless the deadline has passed or the backend is draining.
+     */
     void connectionOpened() {
         if (state != State.CONNECTING) {
             return;
         }
-        // Connecting takes time: the backend may have been told to drain, or the request's time be
-        // up.
+        // While the connection was being established, the backend may have begun to drain or the
+        // deadline may have passed.
         if (!attempt.backend().canAcceptRequests() || !frontend.now().isBefore(deadline)) {
             endAttempt(Outcome.UNREACHABLE);
             return;
         }
         try {
             session = connection.sessionFor(owner.sessionKey());
-        } catch (
-                IllegalStateException
-                        full) { // the backend allows no more sessions on this connection
+        } catch (IllegalStateException full) { // the backend's session limit is reached
             endAttempt(Outcome.UNREACHABLE);
             return;
         }
         state = State.ATTACHING;
         session.addLink(this);
-        // Names are unique for a pair of containers (2.6.1), and the relay is one container to the
-        // backend:
-        // two clients that chose the same name must not take each other's link.
+        // Link names are unique for a pair of containers (2.6.1), and the relay is one container to
+        // the backend. Two clients that chose the same name must not take over each other's link.
         link =
                 owner.createLink(
                         session.session(),
@@ -168,7 +172,7 @@
         boolean refused =
                 link.isSender() ? link.getRemoteTarget() == null : link.getRemoteSource() == null;
         if (state != State.ATTACHING || refused) {
-            return; // a detach that says why is on its way (2.6.3)
+            return; // a detach that gives the reason follows (2.6.3)
         }
         state = State.ATTACHED;
         cancelTimers();
@@ -194,7 +198,8 @@
     }
 
     /**
-     * A backend that is full says so in the condition of the specification; all else is an error.
+     * Maps the condition of a detach to an outcome: the two resource conditions of the
+     * specification mean that the backend is overloaded, any other is an error.
      */
     static Outcome outcomeOf(ErrorCondition why) {
         Symbol condition = why == null ? null : why.getCondition();
@@ -204,7 +209,12 @@
         return full ? Outcome.FULL : Outcome.ERROR;
     }
 
-    /** Its connection or session is gone; opened: it may have had the attach. */
+    /**
+     * The connection or the session has ended.
+     *
+     * @param opened whether the connection was open, so that the backend may have received the
+     *     attach
+     */
     void connectionLost(boolean opened) {
         if (state == State.ATTACHED) {
             endAttached(Outcome.RESET);
@@ -213,14 +223,17 @@
         }
     }
 
-    /** It has something to send that its session's window has no room for. */
+    /** Registers the link to be resumed when the session window, which is full, opens again. */
     void awaitSessionWindow() {
         if (state == State.ATTACHED) {
             session.addBlockedLink(this);
         }
     }
 
-    /** A flow has come for it: its session's window may be open for others too. */
+    /**
+     * A flow frame was received for this link. It may have opened the window for the session's
+     * other links.
+     */
     void flowReceived() {
         if (state == State.ATTACHED) {
             session.resumeBlockedLinks();
@@ -243,9 +256,7 @@
                 });
     }
 
-    /**
-     * Its client has ended or was moved: the backend's half ends too, and nothing is told of it.
-     */
+    /** Ends the link without notifying its owner, because the client has left or was moved. */
     void detach() {
         closeLink();
     }
@@ -259,7 +270,7 @@
         if (state == State.ENDED) {
             return;
         }
-        closeLink(); // before the module may send the next one
+        closeLink(); // before the load balancer may start the next attempt
         attempt.cancel();
         frontend.outcomeRecorder().attemptEnded(attempt, outcome);
     }
--- a/relay/src/main/java/saltstage/amqp/BackendSession.java
+++ b/relay/src/main/java/saltstage/amqp/BackendSession.java
@@ -6,25 +6,26 @@
 import org.apache.qpid.protonj2.engine.Session;
 
 /**
- * A session to a backend. The sending links of one session of a client share one, since they share
- * a window at their client too: who is held up by it was so already. A receiving link has one of
- * its own. On the loop of its connection only.
+ * A session to a backend. The sending links of one client session share a session, since they also
+ * share a window on the client's side: they can block each other there already. A receiving link
+ * has a session of its own. Used on the loop of its connection only.
  */
 final class BackendSession {
-    /** Each peer allows that many handles (2.7.2 lets it say fewer than the usual 2^32). */
+    /** Every backend allows this many handles; 2.7.2 lets it announce fewer than the usual 2^32. */
     static final int MAX_LINKS = 64;
 
     private final Session session;
     private final Runnable emptyListener;
     private final Set<BackendLink> links = new LinkedHashSet<>();
 
-    /** Links with something to send that the window had no room for. */
+    /** Links with bytes to send for which the session window had no room. */
     private final Set<BackendLink> blockedLinks = new LinkedHashSet<>();
 
     private boolean closed;
 
     /**
-     * Over this session of the library's, not open yet; empty is told once no link is left on it.
+     * Opens the engine's session. The listener runs when the session has no links left or has
+     * ended.
      */
     BackendSession(Session session, Runnable empty) {
         this.session = session;
@@ -36,6 +37,7 @@
         return session;
     }
 
+    /** Returns whether the session is open and can take another link. */
     boolean hasRoom() {
         return !closed && links.size() < MAX_LINKS;
     }
@@ -44,7 +46,9 @@
         links.add(link);
     }
 
-    /** The link is over; its end has been said. The last one closes the session. */
+    /**
+     * Removes a link that has ended and sent its detach. Removing the last one closes the session.
+     */
     void removeLink(BackendLink link, boolean canSpeak) {
         blockedLinks.remove(link);
         if (links.remove(link) && links.isEmpty()) {
@@ -56,12 +60,12 @@
         }
     }
 
-    /** The link could send on if the window were open. */
+    /** Registers a link that waits for the session window. */
     void addBlockedLink(BackendLink link) {
         blockedLinks.add(link);
     }
 
-    /** Something has come that may have opened the window: those that wait for it look again. */
+    /** Resumes the links that wait for the session window, which may have opened. */
     void resumeBlockedLinks() {
         if (!blockedLinks.isEmpty()) {
             List<BackendLink> now = List.copyOf(blockedLinks);
@@ -70,7 +74,7 @@
         }
     }
 
-    /** The backend has ended it: so are all its links. */
+    /** The backend has ended the session, which ends all its links. */
     private void endedByBackend() {
         closed = true;
         emptyListener.run();
--- a/relay/src/main/java/saltstage/amqp/DeliveryForwarder.java
+++ b/relay/src/main/java/saltstage/amqp/DeliveryForwarder.java
@@ -13,41 +13,43 @@
 import org.apache.qpid.protonj2.types.transport.DeliveryState;
 
 /**
- * The deliveries of one sending client, on their way to the backend where its link stands: in
- * order, each unsettled one owed exactly one outcome. Where the backend is lost, those that may be
- * repeated wait for the next one. Free of I/O, threads and clocks: times come with the calls, what
- * is to be done goes to the two sides. All bounds hold here: deliveries without an outcome, bytes
- * held, tries, time.
+ * Forwards the deliveries of one sending client link to the backend that its link is attached to.
+ * Deliveries keep their order, and each unsettled one gets exactly one outcome. When the backend is
+ * lost, deliveries that may be repeated wait for the next backend. This class does no I/O and uses
+ * no threads or clocks: callers pass the time, and actions go to the two endpoints. It enforces all
+ * limits: deliveries without an outcome, buffered bytes, attempts and time.
  */
 final class DeliveryForwarder {
-    /** The client's side. */
+    /** The client's side of the link. */
     interface ClientEndpoint {
-        /** So many more deliveries are welcome. */
+        /** Allows the client to send this many more deliveries. */
         void grantCredit(int more);
 
-        /** The one outcome of a delivery. */
+        /** Sends the only outcome of a delivery. */
         void sendOutcome(Delivery delivery, DeliveryState state, boolean settled);
     }
 
-    /** The backend's side, while there is one. */
+    /** The backend's side of the link, while it is attached to a backend. */
     interface BackendEndpoint {
-        /** Whether a piece would be taken now: credit, window, room on the connection. */
+        /** Returns whether credit, session window and connection have room to send now. */
         boolean canSend();
 
         /**
-         * Sends a piece from an offset on, with which the delivery may end; returns the bytes
-         * taken.
+         * Sends a chunk from an offset on, which is the last of the delivery if {@code last} is
+         * set. Returns the number of bytes sent.
          */
         int send(Delivery delivery, byte[] piece, int from, boolean last);
 
-        /** Takes back a delivery that was begun and not ended. */
+        /** Aborts a delivery that was started and not completed. */
         void abort(Delivery delivery);
 
-        /** The client's side has settled, or has given up; state may be null. */
+        /**
+         * Settles a delivery that was settled or given up on the client's side; state may be null.
+         */
         void settle(Delivery delivery, DeliveryState state);
     }
 
-    /** The bounds; see {@link saltstage.config.AmqpSettings}. */
+    /** The limits; see {@link saltstage.config.AmqpSettings}. */
     record Limits(
             int maxUnsettled,
             int maxBufferedBytes,
@@ -55,7 +57,7 @@
             int maxAttempts,
             Duration deliveryTimeout) {}
 
-    /** One delivery. */
+    /** A delivery and how much of it has been received and forwarded. */
     static final class Delivery {
         private final Object clientDelivery;
         private final boolean presettled;
@@ -79,37 +81,40 @@
             this.presettled = settled;
         }
 
-        /** What the client's side knows it by. */
+        /** Returns the object that identifies the delivery on the client's side. */
         Object clientDelivery() {
             return clientDelivery;
         }
 
-        /** What the backend's side knows it by, once begun there. */
+        /**
+         * Returns the object that identifies the delivery on the backend's side, or null before it
+         * is started there.
+         */
         Object backendDelivery() {
             return backendDelivery;
         }
 
-        /** When its last byte went to the present backend, or null. */
+        /** Returns when its last byte was sent to the current backend, or null. */
         Instant sentAt() {
             return sentAt;
         }
 
-        /** Its last byte has gone. */
+        /** Records that the last byte of the delivery was sent. */
         void setSentAt(Instant at) {
             sentAt = at;
         }
 
-        /** The backend's side names it. */
+        /** Sets the object that identifies the delivery on the backend's side. */
         void setBackendDelivery(Object name) {
             backendDelivery = name;
         }
 
-        /** Whether its sender wants no outcome. */
+        /** Returns whether the delivery was sent settled, so that it gets no outcome. */
         boolean isPresettled() {
             return presettled;
         }
 
-        /** Whether its one outcome was given, or none is owed any more. */
+        /** Returns whether its outcome was sent, or none is to be sent any more. */
         boolean isCompleted() {
             return completed;
         }
@@ -119,10 +124,10 @@
     private final boolean idempotent;
     private final ClientEndpoint client;
 
-    /** Not wholly sent to the present backend, in order. */
+    /** Deliveries that are not completely sent to the current backend, in order. */
     private final Deque<Delivery> unsent = new ArrayDeque<>();
 
-    /** Sent and without an outcome, in order. */
+    /** Deliveries that were sent and have no outcome yet, in order. */
     private final Set<Delivery> awaitingOutcome = new LinkedHashSet<>();
 
     private BackendEndpoint backend;
@@ -132,29 +137,29 @@
     private boolean creditStopped;
     private boolean ended;
 
-    /** Deliveries of a class that may, or may not, be repeated. */
+    /** Creates a forwarder; only idempotent deliveries may be sent again to another backend. */
     DeliveryForwarder(Limits bounds, boolean repeatable, ClientEndpoint client) {
         this.limits = bounds;
         this.idempotent = repeatable;
         this.client = client;
     }
 
-    /** The link stands at a backend. */
+    /** The link was attached to a backend. */
     void backendAttached(BackendEndpoint at) {
         backend = at;
         backendCredit = 0;
     }
 
     /**
-     * The backend has room for so many deliveries in all; called also where it has room for bytes
-     * again.
+     * Sets the total number of deliveries that the backend accepts now. Also called when the
+     * backend has room for bytes again.
      */
     void creditReceived(int credit) {
         backendCredit = credit;
         forwardPending();
     }
 
-    /** A delivery begins. False where its sender had no credit for it. */
+    /** Starts a delivery. Returns false if the client had no credit for it. */
     boolean startDelivery(Delivery delivery) {
         if (grantedCredit == 0) {
             return false;
@@ -164,7 +169,7 @@
         return true;
     }
 
-    /** Bytes of it have come; whole: it ends with them. */
+    /** Bytes of a delivery were received, which may be its last. */
     void bytesReceived(Delivery delivery, byte[] bytes, boolean whole, Instant now) {
         if (delivery.completed) {
             return;
@@ -185,7 +190,7 @@
         }
     }
 
-    /** Its sender has taken it back before its end: it is owed nothing. */
+    /** The client has aborted the delivery before its end, so that it gets no outcome. */
     void deliveryAborted(Delivery delivery) {
         if (delivery.completed) {
             return;
@@ -196,7 +201,7 @@
         forwardPending();
     }
 
-    /** The backend has given an outcome, or settled. */
+    /** The backend has sent an outcome or has settled the delivery. */
     void outcomeReceived(Delivery delivery, DeliveryState state, boolean settled) {
         if (delivery.completed || backend == null) {
             return;
@@ -204,15 +209,16 @@
         delivery.completed = true;
         client.sendOutcome(delivery, state, settled);
         if (!delivery.fullySent) {
-            abandonAtBackend(delivery); // refused while its bytes still came: the rest goes nowhere
+            abandonAtBackend(delivery); // it got its outcome early, so the rest is not sent
         }
         remove(delivery);
         forwardPending();
     }
 
     /**
-     * The backend is lost. What may run once more waits for the next backend, in its old order;
-     * what may not, was too large to keep or has been tried often enough is answered now.
+     * The backend is lost. Deliveries that may be repeated wait for the next backend in their
+     * order. Those that may not, that were too large to retain or that have no attempts left get
+     * their outcome now.
      */
     void backendLost() {
         backend = null;
@@ -224,7 +230,7 @@
                                     && !delivery.discardingSent
                                     && delivery.attempts < limits.maxAttempts();
             if (delivery.presettled && delivery.everStarted) {
-                again = false; // owed nothing, and perhaps there already
+                again = false; // it needs no outcome, and the backend may have received it
             }
             if (again) {
                 delivery.started = false;
@@ -242,21 +248,26 @@
         unsent.addAll(left);
     }
 
-    /** What was sent goes before what waits: the order in which they came. */
+    /** Returns all deliveries in the order of their arrival: sent ones come before unsent ones. */
     private List<Delivery> deliveriesInOrder() {
         List<Delivery> all = new ArrayList<>(awaitingOutcome);
         all.addAll(unsent);
         return all;
     }
 
-    /** No backend will be had any more: each is answered by what is known of it. */
+    /**
+     * No further backend will be attached: each delivery gets the outcome that fits its progress.
+     */
     void endWithoutBackend() {
         creditStopped = true;
         ended = true;
         deliveriesInOrder().forEach(this::failOrRelease);
     }
 
-    /** The client has left: it is owed nothing, and what was only begun is taken back. */
+    /**
+     * The client has left: no outcomes are sent, and incomplete deliveries are aborted at the
+     * backend.
+     */
     void clientLeft() {
         creditStopped = true;
         for (Delivery delivery : deliveriesInOrder()) {
@@ -268,27 +279,27 @@
         }
     }
 
-    /** Its sender has let go of what it was still welcome to send. */
+    /** The client has given up its remaining credit. */
     void clearGrantedCredit() {
         grantedCredit = 0;
     }
 
-    /** How many are not wholly sent on. */
+    /** Returns the number of deliveries that are not completely sent. */
     int unsentCount() {
         return unsent.size();
     }
 
-    /** From now on no more are welcome; those that are here go on. */
+    /** Grants no more credit; deliveries that have arrived are still forwarded. */
     void stopGrantingCredit() {
         creditStopped = true;
     }
 
-    /** Gives up what has waited for too long; returns how many. */
+    /** Ends the deliveries whose deadline has passed and returns their number. */
     int expireDeliveries(Instant now) {
         int expired = 0;
         for (Delivery delivery : deliveriesInOrder()) {
             if (delivery.deadline == null || now.isBefore(delivery.deadline)) {
-                break; // later ones came whole later
+                break; // deliveries complete in order, so later ones have later deadlines
             }
             failOrRelease(delivery);
             expired++;
@@ -297,7 +308,8 @@
     }
 
     /**
-     * Failed where it may have run; where no byte has left the relay it is handed back as it was.
+     * Ends a delivery as failed if the backend may have processed it, or as released if no byte of
+     * it has left the relay.
      */
     private void failOrRelease(Delivery delivery) {
         if (delivery.completed) {
@@ -334,7 +346,7 @@
         }
     }
 
-    /** Sends on what may go, in order, and welcomes as many more as the backend has room for. */
+    /** Sends what can be sent, in order, and grants as much credit as the backend has room for. */
     void forwardPending() {
         while (backend != null && !unsent.isEmpty() && sendChunks(unsent.peek())) {
             Delivery through = unsent.poll();
@@ -346,7 +358,8 @@
     }
 
     /**
-     * Sends what has come of it; false where it is not through yet, so that no later one may go.
+     * Sends the received chunks of a delivery. Returns false if it is not completely sent, so that
+     * no later delivery may be sent.
      */
     private boolean sendChunks(Delivery delivery) {
         while (true) {
@@ -368,7 +381,7 @@
                 return false;
             }
             delivery.nextChunkOffset = 0;
-            if (more) { // else its end came without bytes
+            if (more) { // otherwise the end of the delivery came without bytes
                 delivery.nextChunk++;
                 discardSentChunks(delivery);
             }
@@ -376,7 +389,7 @@
                 delivery.fullySent = true;
                 backendCredit--;
                 if (delivery.presettled) {
-                    delivery.completed = true; // nothing is owed
+                    delivery.completed = true; // a presettled delivery gets no outcome
                     bufferedBytes -= delivery.bufferedBytes;
                 }
                 return true;
@@ -384,7 +397,7 @@
         }
     }
 
-    /** What is too large to be kept is only passed through: what has gone on is let go. */
+    /** Discards the sent chunks of a delivery that cannot be repeated or is too large to retain. */
     private void discardSentChunks(Delivery delivery) {
         if (!idempotent
                 || delivery.discardingSent
@@ -401,6 +414,10 @@
         }
     }
 
+    /**
+     * Grants credit up to the limit of unsettled deliveries and the credit of the backend, once the
+     * client has at most half of that left.
+     */
     private void grantCredit() {
         if (creditStopped || backend == null) {
             return;
@@ -413,27 +430,30 @@
         }
     }
 
-    /** Whether more bytes should be read from the client; what is not read holds its session up. */
+    /**
+     * Returns whether more bytes may be read from the client. Unread bytes fill the client's
+     * session window.
+     */
     boolean canBufferMore() {
         return bufferedBytes < limits.maxBufferedBytes();
     }
 
-    /** How many are owed an outcome. */
+    /** Returns the number of deliveries that still get an outcome. */
     int awaitedOutcomeCount() {
         return awaitingOutcome.size() + (int) unsent.stream().filter(d -> !d.presettled).count();
     }
 
-    /** How many are here, in whatever state. */
+    /** Returns the number of deliveries that are not completed. */
     int size() {
         return awaitingOutcome.size() + unsent.size();
     }
 
-    /** Bytes held for this link. */
+    /** Returns the number of bytes buffered for this link. */
     int bufferedBytes() {
         return bufferedBytes;
     }
 
-    /** How many more its sender may send by what it was told. */
+    /** Returns the credit that the client was granted and has not used. */
     int grantedCredit() {
         return grantedCredit;
     }
--- a/relay/src/main/java/saltstage/amqp/DeliveryIdRanges.java
+++ b/relay/src/main/java/saltstage/amqp/DeliveryIdRanges.java
@@ -3,25 +3,25 @@
 import java.util.Arrays;
 
 /**
- * Delivery ids gathered in any order and given out as ranges of ids that follow one another. Ids
- * are serial numbers (RFC 1982) that wrap; all that are gathered at a time lie within half of their
- * circle. Free of I/O.
+ * Collects delivery ids in any order and returns them as ranges of consecutive ids. Ids are serial
+ * numbers (RFC 1982) that wrap; the ids collected at a time must lie within half of the number
+ * space. This class does no I/O.
  */
 final class DeliveryIdRanges {
     private static final int INITIAL_CAPACITY = 16;
 
-    /** Takes a range; first and last are in it. */
+    /** Receives a range, whose bounds are inclusive. */
     interface RangeConsumer {
         void accept(int first, int last);
     }
 
-    /** Distances from the first id that was gathered: these do not wrap. */
+    /** Offsets from the first id that was added. Unlike the ids they do not wrap. */
     private int[] offsets = new int[INITIAL_CAPACITY];
 
     private int base;
     private int count;
 
-    /** Gathers one; the same one twice is one. */
+    /** Adds an id. An id that is added twice is returned once. */
     void add(int id) {
         if (count == 0) {
             base = id;
@@ -31,11 +31,12 @@
         offsets[count++] = id - base;
     }
 
+    /** Returns the number of added ids, duplicates included. */
     int size() {
         return count;
     }
 
-    /** Gives all that was gathered out, lowest first, and forgets it. */
+    /** Passes all ranges to the consumer, lowest first, and removes them. */
     void drain(RangeConsumer to) {
         int held = count;
         count = 0;
@@ -48,7 +49,7 @@
             to.accept(base + offsets[i], base + offsets[last]);
             i = last + 1;
         }
-        if (offsets.length > 64 * INITIAL_CAPACITY) { // a burst leaves no room behind
+        if (offsets.length > 64 * INITIAL_CAPACITY) { // frees the memory that a burst has used
             offsets = new int[INITIAL_CAPACITY];
         }
     }
--- a/relay/src/main/java/saltstage/amqp/DispositionBatcher.java
+++ b/relay/src/main/java/saltstage/amqp/DispositionBatcher.java
@@ -13,11 +13,11 @@
 import org.apache.qpid.protonj2.types.transport.Role;
 
 /**
- * Says in one frame what became of many deliveries (2.7.6: a disposition covers first to last).
- * Outcomes come from several backends in one round of the loop, one by one; those that are the
- * usual one, accepted and settled, wait for the end of the round and go out as ranges. All others
- * go out at once. Nothing is held over the end of its link, session or connection, and nothing
- * longer than the round.
+ * Sends the outcomes of many deliveries in one disposition frame, which covers a range of ids
+ * (2.7.6). In one iteration of the loop, outcomes arrive one by one from several backends. The
+ * usual outcome, accepted and settled, is held until the end of the iteration and sent as ranges;
+ * all others are sent at once. No outcome is held beyond the iteration or beyond the end of its
+ * link, session or connection.
  */
 final class DispositionBatcher implements EngineHandler {
     private final Consumer<Runnable> afterIteration;
@@ -25,13 +25,15 @@
             AMQPPerformativeEnvelopePool.outgoingEnvelopePool();
     private final Disposition disposition = new Disposition();
 
-    /** By session, and by which side of the deliveries this is. */
+    /** Pending ids by channel of the session, for deliveries that this side sent. */
     private final Map<Integer, DeliveryIdRanges> senderRanges = new LinkedHashMap<>();
 
+    /** Pending ids by channel of the session, for deliveries that this side received. */
     private final Map<Integer, DeliveryIdRanges> receiverRanges = new LinkedHashMap<>();
+
     private boolean flushScheduled;
 
-    /** Is given what has to run once the present round of the loop is through. */
+    /** Creates a batcher; the argument runs a task after the current iteration of the loop. */
     DispositionBatcher(Consumer<Runnable> afterRound) {
         this.afterIteration = afterRound;
     }
@@ -58,7 +60,7 @@
             return;
         }
         switch (said.getPerformativeType()) {
-            case DETACH, END, CLOSE -> flush(context); // an outcome after these is none
+            case DETACH, END, CLOSE -> flush(context); // outcomes are invalid after these frames
             default -> {}
         }
         context.fireWrite(envelope);
--- a/relay/src/main/java/saltstage/amqp/FrameSplitter.java
+++ b/relay/src/main/java/saltstage/amqp/FrameSplitter.java
@@ -4,10 +4,10 @@
 import java.util.Arrays;
 
 /**
- * Cuts what comes into whole frames (2.3.1) and protocol headers (2.2). protonj2 1.0.0 joins the
- * pieces of a frame that came in parts in a composite buffer, in which an array of symbols is read
- * at a wrong offset; so it is shown whole frames only. What can be no frame is passed on as it is:
- * the engine refuses it.
+ * Splits the received bytes into whole frames (2.3.1) and protocol headers (2.2). protonj2 1.0.0
+ * joins a frame that arrives in parts in a composite buffer, in which it reads arrays of symbols at
+ * a wrong offset. Therefore the engine is given whole frames only. Bytes that cannot be a frame are
+ * passed on unchanged, and the engine rejects them.
  */
 final class FrameSplitter {
     private static final int HEADER_BYTES = 8;
@@ -16,12 +16,12 @@
     private final int maxFrameBytes;
     private byte[] partialFrame = {};
 
-    /** Frames of at most so many bytes; more than that is never gathered. */
+    /** Creates a splitter that never buffers more than one frame of the maximum size. */
     FrameSplitter(int most) {
         this.maxFrameBytes = most;
     }
 
-    /** Takes what has come; returns what is whole now, perhaps nothing. */
+    /** Adds the received bytes and returns all whole frames, or an empty array. */
     byte[] takeWholeFrames(byte[] came) {
         byte[] all = came;
         if (partialFrame.length > 0) {
@@ -47,7 +47,7 @@
         return end == all.length ? all : Arrays.copyOf(all, end);
     }
 
-    /** How many bytes wait for the rest of their frame. */
+    /** Returns the number of buffered bytes of an incomplete frame. */
     int partialFrameBytes() {
         return partialFrame.length;
     }
--- a/relay/src/test/java/saltstage/amqp/DeliveryForwarderTest.java
+++ b/relay/src/test/java/saltstage/amqp/DeliveryForwarderTest.java
@@ -21,13 +21,16 @@
 import org.junit.jupiter.api.Test;
 import saltstage.amqp.DeliveryForwarder.Delivery;
 
-/** Deliveries against backends that are lost, slow, short of credit and gone, in every order. */
+/**
+ * Guards against lost, duplicated and reordered deliveries and outcomes, and against exceeded
+ * limits, when backends are slow, short of credit or lost, in random order.
+ */
 class DeliveryForwarderTest {
     private static final DeliveryForwarder.Limits LIMITS =
             new DeliveryForwarder.Limits(20, 2_000, 300, 3, Duration.ofSeconds(10));
     private static final Instant START = Instant.parse("2026-12-01T00:00:00Z");
 
-    /** Both sides, which note what they are told and check it. */
+    /** A client that records its credit and outcomes and checks that no delivery gets two. */
     private static final class RecordingClient implements DeliveryForwarder.ClientEndpoint {
         private final Map<Object, DeliveryState> outcomes = new LinkedHashMap<>();
         private int credit;
@@ -40,12 +43,15 @@
 
         @Override
         public void sendOutcome(Delivery delivery, DeliveryState state, boolean settled) {
-            assertFalse(delivery.isPresettled(), "an outcome that nobody is owed");
-            assertEquals(null, outcomes.put(delivery.clientDelivery(), state), "a second outcome");
+            assertFalse(delivery.isPresettled(), "outcome for a presettled delivery");
+            assertEquals(
+                    null,
+                    outcomes.put(delivery.clientDelivery(), state),
+                    "second outcome for a delivery");
         }
     }
 
-    /** A backend with room for so many bytes and deliveries. */
+    /** A backend with a limited capacity of bytes and deliveries, which checks their order. */
     private static final class FakeBackend implements DeliveryForwarder.BackendEndpoint {
         private final Map<Delivery, Integer> receivedBytes = new LinkedHashMap<>();
         private final List<Delivery> completeDeliveries = new ArrayList<>();
@@ -67,7 +73,9 @@
                 credit--;
                 completeDeliveries.add(delivery);
                 int number = (Integer) delivery.clientDelivery();
-                assertTrue(completeNumbers.isEmpty() || completeNumbers.last() < number, "order");
+                assertTrue(
+                        completeNumbers.isEmpty() || completeNumbers.last() < number,
+                        "deliveries out of order");
                 completeNumbers.add(number);
             }
             return taken;
@@ -75,13 +83,15 @@
 
         @Override
         public void abort(Delivery delivery) {
-            assertFalse(completeDeliveries.contains(delivery), "abort after the end");
+            assertFalse(completeDeliveries.contains(delivery), "abort of a complete delivery");
             receivedBytes.remove(delivery);
         }
 
         @Override
         public void settle(Delivery delivery, DeliveryState state) {
-            assertTrue(completeDeliveries.remove(delivery), "settled what is not out");
+            assertTrue(
+                    completeDeliveries.remove(delivery),
+                    "settled a delivery that is not complete or was settled before");
         }
     }
 
@@ -95,7 +105,7 @@
         play.finish();
     }
 
-    /** A link's life from a seed. */
+    /** A sequence of random events of one link, derived from a seed. */
     private static final class RandomScenario {
         private final Random random;
         private final RecordingClient client = new RecordingClient();
@@ -121,14 +131,14 @@
                 case 6 -> backendIsLostOrClientAborts();
                 default -> forwarder.expireDeliveries(now);
             }
-            assertTrue(forwarder.size() <= LIMITS.maxUnsettled(), "too many are held");
+            assertTrue(forwarder.size() <= LIMITS.maxUnsettled(), "too many unsettled deliveries");
             assertTrue(
                     forwarder.bufferedBytes() >= 0
                             && forwarder.bufferedBytes() <= LIMITS.maxBufferedBytes() + 200,
-                    "bytes held");
+                    "buffered bytes out of bounds");
             assertTrue(
                     attempts.values().stream().allMatch(count -> count <= LIMITS.maxAttempts()),
-                    "tries");
+                    "too many attempts");
         }
 
         private void backendGrantsCapacity() {
@@ -167,7 +177,7 @@
                     assertEquals(
                             deliveryBytes.get(answered),
                             backend.receivedBytes.get(answered),
-                            "bytes of the delivery");
+                            "bytes received by the backend");
                     forwarder.outcomeReceived(answered, Accepted.getInstance(), true);
                 }
             }
@@ -195,7 +205,7 @@
             for (Delivery one : deliveries.values()) {
                 assertTrue(
                         one.isPresettled() || client.outcomes.containsKey(one.clientDelivery()),
-                        "no outcome");
+                        "delivery without an outcome");
             }
         }
     }
@@ -222,7 +232,7 @@
 
     @Test
     void creditFollowsTheBackendUpToTheLimit() {
-        assertEquals(0, client.credit); // before there is a backend nothing is welcome
+        assertEquals(0, client.credit); // no credit is granted before a backend is attached
         attachBackend(forwarder, 5, 1_000);
         assertEquals(5, client.credit);
         forwarder.creditReceived(1_000);
@@ -263,7 +273,7 @@
         sendDelivery(once, 10);
         sendDelivery(once, 10);
         once.backendLost();
-        assertEquals(2, client.outcomes.size()); // the third had not begun: it may still go
+        assertEquals(2, client.outcomes.size()); // the third was not started and may still be sent
         once.endWithoutBackend();
         assertEquals(Released.getInstance(), client.outcomes.get(2));
     }
@@ -285,11 +295,8 @@
                 0, forwarder.expireDeliveries(START.plus(LIMITS.deliveryTimeout()).minusMillis(1)));
         assertEquals(1, forwarder.expireDeliveries(START.plus(LIMITS.deliveryTimeout())));
         assertTrue(client.outcomes.get(0) instanceof Modified);
-        assertEquals(
-                List.of(),
-                far.completeDeliveries); // and the backend's copy is settled, not left open
-        forwarder.outcomeReceived(
-                late, Accepted.getInstance(), true); // its late word changes nothing
+        assertEquals(List.of(), far.completeDeliveries); // it is settled at the backend as well
+        forwarder.outcomeReceived(late, Accepted.getInstance(), true); // a late outcome is ignored
         assertTrue(client.outcomes.get(0) instanceof Modified);
     }
 
--- a/relay/src/test/java/saltstage/amqp/DeliveryIdRangesTest.java
+++ b/relay/src/test/java/saltstage/amqp/DeliveryIdRangesTest.java
@@ -12,14 +12,17 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Ranges hold just the ids that were gathered, in as few as can be. */
+/**
+ * Guards against outcomes for deliveries that have none, and lost ones: the ranges must hold
+ * exactly the added ids, also across the wrap of the id, and adjacent ranges must be merged.
+ */
 class DeliveryIdRangesTest {
     @Property(tries = 2000)
     void rangesCoverExactlyTheAddedIds(
             @ForAll int base,
             @ForAll @Size(max = 300) List<@IntRange(min = 0, max = 500) Integer> distances) {
         DeliveryIdRanges ranges = new DeliveryIdRanges();
-        for (int round = 0; round < 2; round++) { // nothing is left from the round before
+        for (int round = 0; round < 2; round++) { // draining must remove all ids
             Set<Integer> wanted = new TreeSet<>();
             for (int distance : distances) {
                 ranges.add(base + distance);
@@ -33,7 +36,7 @@
                         if (!found.isEmpty()) {
                             assertTrue(
                                     first - base > found.get(found.size() - 1) + 1,
-                                    "ranges that touch are one");
+                                    "adjacent ranges are not merged");
                         }
                         gaps[0]++;
                         for (int id = first; id != last + 1; id++) {
--- a/relay/src/test/java/saltstage/amqp/DispositionBatcherTest.java
+++ b/relay/src/test/java/saltstage/amqp/DispositionBatcherTest.java
@@ -20,7 +20,10 @@
 import org.apache.qpid.protonj2.types.transport.Role;
 import org.junit.jupiter.api.Test;
 
-/** Which outcomes wait for one another, and what none of them waits for. */
+/**
+ * Guards against outcomes that are held too long, sent twice or sent after a detach: only accepted
+ * and settled outcomes are batched, and only until the end of the iteration.
+ */
 class DispositionBatcherTest {
     private final List<String> written = new ArrayList<>();
     private final List<Runnable> scheduledTasks = new ArrayList<>();
@@ -92,7 +95,7 @@
         assertEquals(
                 List.of("1:FLOW"),
                 written,
-                "nothing of it before the end of the round, and no flow waits");
+                "outcomes must wait for the end of the iteration, flows must not");
         assertEquals(1, scheduledTasks.size());
         runScheduledTasks();
         assertEquals(
@@ -137,7 +140,7 @@
         write(1, new Detach());
         assertEquals(List.of("1:RECEIVER 5-6 Accepted", "1:DETACH"), written);
         runScheduledTasks();
-        assertEquals(2, written.size(), "nor said twice");
+        assertEquals(2, written.size(), "outcomes were sent twice");
     }
 
     @Test
