--- a/relay/src/main/java/saltstage/amqp/AmqpBackendConnection.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpBackendConnection.java
@@ -40,36 +40,42 @@
     private Instant idleSince;
 
     AmqpBackendConnection(
-            AmqpFrontend front, BackendConnectionPool pool, Backend peer, Connection net) {
-        super(net, front::now, front.settings().limits().maxFrameBytes());
-        this.frontend = front;
+            AmqpFrontend frontend,
+            BackendConnectionPool pool,
+            Backend backend,
+            Connection netConnection) {
+        super(netConnection, frontend::now, frontend.settings().limits().maxFrameBytes());
+        this.frontend = frontend;
         this.pool = pool;
-        this.backend = peer;
-        idleSince = front.now();
+        this.backend = backend;
+        idleSince = frontend.now();
     }
 
     /** Sends the open frame. Links attach only after the backend has answered it. */
     void open() {
-        Engine made = EngineFactory.PROTON.createEngine();
-        made.saslDriver().client().setListener(new AnonymousLogin());
-        made.connection()
+        Engine newEngine = EngineFactory.PROTON.createEngine();
+        newEngine.saslDriver().client().setListener(new AnonymousLogin());
+        newEngine
+                .connection()
                 .setContainerId(frontend.containerId())
                 .setMaxFrameSize(frontend.settings().limits().maxFrameBytes())
                 .setIdleTimeout(frontend.settings().timeouts().backendIdle().toMillis())
                 .openHandler(
-                        up -> {
+                        connection -> {
                             opened = true;
                             List.copyOf(links).forEach(BackendLink::connectionOpened);
                         })
                 .closeHandler(
-                        up -> {
-                            ErrorCondition why = up.getRemoteCondition();
+                        connection -> {
+                            ErrorCondition error = connection.getRemoteCondition();
                             connectionLost(
-                                    why == null ? "closed" : String.valueOf(why.getCondition()));
+                                    error == null
+                                            ? "closed"
+                                            : String.valueOf(error.getCondition()));
                             close(null);
                         });
-        startEngine(made);
-        made.connection().open();
+        startEngine(newEngine);
+        newEngine.connection().open();
     }
 
     /** Logs in with SASL ANONYMOUS, which needs no credentials. */
@@ -89,7 +95,7 @@
 
         @Override
         public void handleSaslOutcome(
-                SaslClientContext context, SaslOutcome outcome, ProtonBuffer more) {
+                SaslClientContext context, SaslOutcome outcome, ProtonBuffer additionalData) {
             if (outcome != SaslOutcome.SASL_OK) {
                 context.saslFailure(new SaslException("the backend takes no ANONYMOUS"));
             }
@@ -126,20 +132,22 @@
      * same key; with a null key, a session of its own.
      */
     BackendSession sessionFor(Object key) {
-        BackendSession held = key == null ? null : sharedSessions.get(key);
-        if (held != null && held.hasRoom()) {
-            return held;
+        BackendSession shared = key == null ? null : sharedSessions.get(key);
+        if (shared != null && shared.hasRoom()) {
+            return shared;
         }
-        Session made =
+        Session session =
                 engine().connection()
                         .session()
                         .setIncomingCapacity(frontend.settings().limits().maxLinkBytes());
-        BackendSession[] it = new BackendSession[1];
-        it[0] = new BackendSession(made, () -> sharedSessions.remove(key, it[0]));
+        BackendSession[] newSession = new BackendSession[1];
+        newSession[0] =
+                new BackendSession(session, () -> sharedSessions.remove(key, newSession[0]));
         if (key != null) {
-            sharedSessions.put(key, it[0]); // replaces a full session, which keeps its links
+            sharedSessions.put(
+                    key, newSession[0]); // replaces a full session, which keeps its links
         }
-        return it[0];
+        return newSession[0];
     }
 
     /**
@@ -147,9 +155,9 @@
      * has ended or accepts no requests.
      */
     void closeIfIdle() {
-        boolean left = backend.hasEnded() || !backend.canAcceptRequests();
+        boolean unusable = backend.hasEnded() || !backend.canAcceptRequests();
         if (links.isEmpty()
-                && (left || Duration.between(idleSince, now()).compareTo(IDLE_TIMEOUT) > 0)) {
+                && (unusable || Duration.between(idleSince, now()).compareTo(IDLE_TIMEOUT) > 0)) {
             pool.removeConnection(this);
             close(null);
         }
@@ -161,11 +169,11 @@
     }
 
     @Override
-    protected void connectionEnded(String why) {
-        connectionLost(why);
+    protected void connectionEnded(String reason) {
+        connectionLost(reason);
     }
 
-    private void connectionLost(String why) {
+    private void connectionLost(String reason) {
         pool.removeConnection(this);
         if (!links.isEmpty()) {
             Log.warn(
@@ -175,10 +183,10 @@
                     "links",
                     links.size(),
                     "why",
-                    why);
+                    reason);
         }
-        List<BackendLink> all = List.copyOf(links);
+        List<BackendLink> lostLinks = List.copyOf(links);
         links.clear();
-        all.forEach(link -> link.connectionLost(opened));
+        lostLinks.forEach(link -> link.connectionLost(opened));
     }
 }
--- a/relay/src/main/java/saltstage/amqp/BackendConnectionPool.java
+++ b/relay/src/main/java/saltstage/amqp/BackendConnectionPool.java
@@ -30,53 +30,53 @@
     private final Map<Backend, List<AmqpBackendConnection>> connections = new HashMap<>();
     private final Map<Backend, PendingConnect> pendingConnects = new HashMap<>();
 
-    BackendConnectionPool(AmqpFrontend front, Transport transport, Loop loop) {
-        this.frontend = front;
+    BackendConnectionPool(AmqpFrontend frontend, Transport transport, Loop loop) {
+        this.frontend = frontend;
         this.transport = transport;
         this.loop = loop;
     }
 
     /** Attaches the link over a connection that has room, or starts a new connection for it. */
     void attach(BackendLink link, Duration connectWithin) {
-        Backend peer = link.backend();
-        for (AmqpBackendConnection held : connections.getOrDefault(peer, List.of())) {
-            if (!held.isClosed() && held.linkCount() < MAX_LINKS_PER_CONNECTION) {
-                held.attach(link);
+        Backend backend = link.backend();
+        for (AmqpBackendConnection established : connections.getOrDefault(backend, List.of())) {
+            if (!established.isClosed() && established.linkCount() < MAX_LINKS_PER_CONNECTION) {
+                established.attach(link);
                 return;
             }
         }
-        PendingConnect waiting = pendingConnects.get(peer);
-        if (waiting != null && waiting.links.size() < MAX_LINKS_PER_CONNECTION) {
-            waiting.links.add(link); // a burst of links shares one pending connection
+        PendingConnect pending = pendingConnects.get(backend);
+        if (pending != null && pending.links.size() < MAX_LINKS_PER_CONNECTION) {
+            pending.links.add(link); // a burst of links shares one pending connection
             return;
         }
-        waiting = new PendingConnect(peer);
-        waiting.links.add(link);
-        pendingConnects.put(peer, waiting);
-        transport.connect(loop, addressOf(peer), connectWithin, WRITE_LIMITS, waiting);
+        pending = new PendingConnect(backend);
+        pending.links.add(link);
+        pendingConnects.put(backend, pending);
+        transport.connect(loop, addressOf(backend), connectWithin, WRITE_LIMITS, pending);
     }
 
-    private InetSocketAddress addressOf(Backend peer) {
-        InetSocketAddress told = peer.entry().endpoint();
+    private InetSocketAddress addressOf(Backend backend) {
+        InetSocketAddress endpoint = backend.entry().endpoint();
         int port = frontend.settings().backendPort();
-        return port == 0 ? told : new InetSocketAddress(told.getAddress(), port);
+        return port == 0 ? endpoint : new InetSocketAddress(endpoint.getAddress(), port);
     }
 
     /** Removes a connection that has ended. */
-    void removeConnection(AmqpBackendConnection peering) {
-        List<AmqpBackendConnection> all = connections.get(peering.backend());
-        if (all != null) {
-            all.remove(peering);
-            if (all.isEmpty()) {
-                connections.remove(peering.backend());
+    void removeConnection(AmqpBackendConnection connection) {
+        List<AmqpBackendConnection> backendConnections = connections.get(connection.backend());
+        if (backendConnections != null) {
+            backendConnections.remove(connection);
+            if (backendConnections.isEmpty()) {
+                connections.remove(connection.backend());
             }
         }
     }
 
     /** Closes the connections that are idle or whose backend takes no requests any more. */
     void closeIdleConnections() {
-        for (List<AmqpBackendConnection> all : List.copyOf(connections.values())) {
-            List.copyOf(all).forEach(AmqpBackendConnection::closeIfIdle);
+        for (List<AmqpBackendConnection> backendConnections : List.copyOf(connections.values())) {
+            List.copyOf(backendConnections).forEach(AmqpBackendConnection::closeIfIdle);
         }
     }
 
@@ -90,24 +90,24 @@
         private final Backend backend;
         private final List<BackendLink> links = new ArrayList<>();
 
-        PendingConnect(Backend peer) {
-            this.backend = peer;
+        PendingConnect(Backend backend) {
+            this.backend = backend;
         }
 
         @Override
         public ConnectionHandler connected(Connection connection) {
-            AmqpBackendConnection up =
+            AmqpBackendConnection amqpConnection =
                     new AmqpBackendConnection(
                             frontend, BackendConnectionPool.this, backend, connection);
             pendingConnects.remove(backend, this);
-            connections.computeIfAbsent(backend, any -> new ArrayList<>()).add(up);
-            up.open();
-            links.forEach(up::attach);
-            return up;
+            connections.computeIfAbsent(backend, key -> new ArrayList<>()).add(amqpConnection);
+            amqpConnection.open();
+            links.forEach(amqpConnection::attach);
+            return amqpConnection;
         }
 
         @Override
-        public void failed(IOException why) {
+        public void failed(IOException cause) {
             pendingConnects.remove(backend, this);
             links.forEach(BackendLink::connectFailed);
         }
--- a/relay/src/main/java/saltstage/amqp/BackendLink.java
+++ b/relay/src/main/java/saltstage/amqp/BackendLink.java
@@ -25,7 +25,7 @@
     /** The client's side of the link. */
     interface Owner {
         /** Creates the link on the session with its handlers, without opening it. */
-        Link<?> createLink(Session session, AmqpConnection on, String name);
+        Link<?> createLink(Session session, AmqpConnection connection, String name);
 
         /** Returns the key of the sessions that the link may share, or null if it needs its own. */
         Object sessionKey();
@@ -66,11 +66,11 @@
     /** Ends an attempt whose attach is not answered in time. */
     private Loop.Timer attachTimer;
 
-    BackendLink(AmqpFrontend front, Loop loop, Attempt begun, Instant until, Owner owner) {
-        this.frontend = front;
+    BackendLink(AmqpFrontend frontend, Loop loop, Attempt attempt, Instant deadline, Owner owner) {
+        this.frontend = frontend;
         this.loop = loop;
-        this.attempt = begun;
-        this.deadline = until;
+        this.attempt = attempt;
+        this.deadline = deadline;
         this.owner = owner;
     }
 
@@ -78,20 +78,22 @@
     void start(BackendConnectionPool pool) {
         try {
             attempt.connectionOpened(this);
-        } catch (IOException givenUp) {
+        } catch (IOException cancelled) {
             endAttempt(Outcome.CANCELLED);
             return;
         }
-        Duration left = Duration.between(frontend.now(), deadline);
-        Duration connect = frontend.config().connectTimeout();
-        if (left.isNegative() || left.isZero() || !attempt.backend().canAcceptRequests()) {
+        Duration remaining = Duration.between(frontend.now(), deadline);
+        Duration connectTimeout = frontend.config().connectTimeout();
+        if (remaining.isNegative()
+                || remaining.isZero()
+                || !attempt.backend().canAcceptRequests()) {
             endAttempt(Outcome.UNREACHABLE);
             return;
         }
-        Duration within = connect.compareTo(left) < 0 ? connect : left;
+        Duration timeout = connectTimeout.compareTo(remaining) < 0 ? connectTimeout : remaining;
         connectTimer =
                 loop.schedule(
-                        within,
+                        timeout,
                         () -> {
                             if (state == State.CONNECTING) {
                                 endAttempt(Outcome.UNREACHABLE);
@@ -99,13 +101,13 @@
                         });
         attachTimer =
                 loop.schedule(
-                        left,
+                        remaining,
                         () -> {
                             if (state == State.ATTACHING) {
                                 endAttempt(Outcome.TIMEOUT);
                             }
                         });
-        pool.attach(this, within);
+        pool.attach(this, timeout);
     }
 
     Backend backend() {
@@ -126,8 +128,8 @@
         return state == State.ATTACHED && connection.isWritable();
     }
 
-    void setConnection(AmqpBackendConnection on) {
-        connection = on;
+    void setConnection(AmqpBackendConnection newConnection) {
+        connection = newConnection;
     }
 
     void connectFailed() {
@@ -149,7 +151,7 @@
         }
         try {
             session = connection.sessionFor(owner.sessionKey());
-        } catch (IllegalStateException full) { // the backend's session limit is reached
+        } catch (IllegalStateException tooManySessions) { // the backend's session limit is reached
             endAttempt(Outcome.UNREACHABLE);
             return;
         }
@@ -169,9 +171,9 @@
     }
 
     private void attachReceived() {
-        boolean refused =
+        boolean rejected =
                 link.isSender() ? link.getRemoteTarget() == null : link.getRemoteSource() == null;
-        if (state != State.ATTACHING || refused) {
+        if (state != State.ATTACHING || rejected) {
             return; // a detach that gives the reason follows (2.6.3)
         }
         state = State.ATTACHED;
@@ -181,9 +183,9 @@
         }
     }
 
-    private void detachReceived(ErrorCondition why) {
+    private void detachReceived(ErrorCondition error) {
         if (state == State.ATTACHING) {
-            endAttempt(outcomeOf(why));
+            endAttempt(outcomeOf(error));
         } else if (state == State.ATTACHED) {
             Log.info(
                     "amqp.link.detached",
@@ -192,8 +194,8 @@
                     "name",
                     attempt.context().attributes().clientRequestId(),
                     "why",
-                    why == null ? "none" : why.getCondition());
-            endAttached(why == null ? Outcome.SERVED : Outcome.RESET);
+                    error == null ? "none" : error.getCondition());
+            endAttached(error == null ? Outcome.SERVED : Outcome.RESET);
         }
     }
 
@@ -201,12 +203,12 @@
      * Maps the condition of a detach to an outcome: the two resource conditions of the
      * specification mean that the backend is overloaded, any other is an error.
      */
-    static Outcome outcomeOf(ErrorCondition why) {
-        Symbol condition = why == null ? null : why.getCondition();
-        boolean full =
+    static Outcome outcomeOf(ErrorCondition error) {
+        Symbol condition = error == null ? null : error.getCondition();
+        boolean overloaded =
                 AmqpError.RESOURCE_LIMIT_EXCEEDED.equals(condition)
                         || AmqpError.RESOURCE_LOCKED.equals(condition);
-        return full ? Outcome.FULL : Outcome.ERROR;
+        return overloaded ? Outcome.FULL : Outcome.ERROR;
     }
 
     /**
@@ -291,12 +293,12 @@
             return;
         }
         connection.removeLink(this);
-        boolean canSpeak = !connection.isClosed() && connection.canSendFrames();
-        if (link != null && canSpeak) {
+        boolean canSendFrames = !connection.isClosed() && connection.canSendFrames();
+        if (link != null && canSendFrames) {
             link.close();
         }
         if (session != null) {
-            session.removeLink(this, canSpeak);
+            session.removeLink(this, canSendFrames);
         }
     }
 }
--- a/relay/src/main/java/saltstage/amqp/BackendSession.java
+++ b/relay/src/main/java/saltstage/amqp/BackendSession.java
@@ -27,9 +27,9 @@
      * Opens the engine's session. The listener runs when the session has no links left or has
      * ended.
      */
-    BackendSession(Session session, Runnable empty) {
+    BackendSession(Session session, Runnable emptyListener) {
         this.session = session;
-        this.emptyListener = empty;
+        this.emptyListener = emptyListener;
         session.closeHandler(ended -> endedByBackend()).open();
     }
 
@@ -49,12 +49,12 @@
     /**
      * Removes a link that has ended and sent its detach. Removing the last one closes the session.
      */
-    void removeLink(BackendLink link, boolean canSpeak) {
+    void removeLink(BackendLink link, boolean canSendFrames) {
         blockedLinks.remove(link);
         if (links.remove(link) && links.isEmpty()) {
             closed = true;
             emptyListener.run();
-            if (canSpeak) {
+            if (canSendFrames) {
                 session.close();
             }
         }
@@ -68,9 +68,9 @@
     /** Resumes the links that wait for the session window, which may have opened. */
     void resumeBlockedLinks() {
         if (!blockedLinks.isEmpty()) {
-            List<BackendLink> now = List.copyOf(blockedLinks);
+            List<BackendLink> unblocked = List.copyOf(blockedLinks);
             blockedLinks.clear();
-            now.forEach(BackendLink::resume);
+            unblocked.forEach(BackendLink::resume);
         }
     }
 
@@ -78,10 +78,10 @@
     private void endedByBackend() {
         closed = true;
         emptyListener.run();
-        List<BackendLink> all = List.copyOf(links);
+        List<BackendLink> lostLinks = List.copyOf(links);
         links.clear();
         blockedLinks.clear();
-        all.forEach(link -> link.connectionLost(true));
+        lostLinks.forEach(link -> link.connectionLost(true));
         session.close();
     }
 }
--- a/relay/src/main/java/saltstage/amqp/DeliveryForwarder.java
+++ b/relay/src/main/java/saltstage/amqp/DeliveryForwarder.java
@@ -23,7 +23,7 @@
     /** The client's side of the link. */
     interface ClientEndpoint {
         /** Allows the client to send this many more deliveries. */
-        void grantCredit(int more);
+        void grantCredit(int increment);
 
         /** Sends the only outcome of a delivery. */
         void sendOutcome(Delivery delivery, DeliveryState state, boolean settled);
@@ -38,7 +38,7 @@
          * Sends a chunk from an offset on, which is the last of the delivery if {@code last} is
          * set. Returns the number of bytes sent.
          */
-        int send(Delivery delivery, byte[] piece, int from, boolean last);
+        int send(Delivery delivery, byte[] chunk, int offset, boolean last);
 
         /** Aborts a delivery that was started and not completed. */
         void abort(Delivery delivery);
@@ -76,9 +76,9 @@
         private Instant deadline;
         private Instant sentAt;
 
-        Delivery(Object clients, boolean settled) {
-            this.clientDelivery = clients;
-            this.presettled = settled;
+        Delivery(Object clientDelivery, boolean presettled) {
+            this.clientDelivery = clientDelivery;
+            this.presettled = presettled;
         }
 
         /** Returns the object that identifies the delivery on the client's side. */
@@ -100,13 +100,13 @@
         }
 
         /** Records that the last byte of the delivery was sent. */
-        void setSentAt(Instant at) {
-            sentAt = at;
+        void setSentAt(Instant time) {
+            sentAt = time;
         }
 
         /** Sets the object that identifies the delivery on the backend's side. */
-        void setBackendDelivery(Object name) {
-            backendDelivery = name;
+        void setBackendDelivery(Object newBackendDelivery) {
+            backendDelivery = newBackendDelivery;
         }
 
         /** Returns whether the delivery was sent settled, so that it gets no outcome. */
@@ -138,15 +138,15 @@
     private boolean ended;
 
     /** Creates a forwarder; only idempotent deliveries may be sent again to another backend. */
-    DeliveryForwarder(Limits bounds, boolean repeatable, ClientEndpoint client) {
-        this.limits = bounds;
-        this.idempotent = repeatable;
+    DeliveryForwarder(Limits limits, boolean idempotent, ClientEndpoint client) {
+        this.limits = limits;
+        this.idempotent = idempotent;
         this.client = client;
     }
 
     /** The link was attached to a backend. */
-    void backendAttached(BackendEndpoint at) {
-        backend = at;
+    void backendAttached(BackendEndpoint newBackend) {
+        backend = newBackend;
         backendCredit = 0;
     }
 
@@ -170,7 +170,7 @@
     }
 
     /** Bytes of a delivery were received, which may be its last. */
-    void bytesReceived(Delivery delivery, byte[] bytes, boolean whole, Instant now) {
+    void bytesReceived(Delivery delivery, byte[] bytes, boolean last, Instant now) {
         if (delivery.completed) {
             return;
         }
@@ -179,7 +179,7 @@
             delivery.bufferedBytes += bytes.length;
             bufferedBytes += bytes.length;
         }
-        if (whole) {
+        if (last) {
             delivery.fullyReceived = true;
             delivery.deadline = now.plus(limits.deliveryTimeout());
         }
@@ -224,15 +224,15 @@
         backend = null;
         backendCredit = 0;
         for (Delivery delivery : deliveriesInOrder()) {
-            boolean again =
+            boolean retry =
                     !delivery.everStarted
                             || idempotent
                                     && !delivery.discardingSent
                                     && delivery.attempts < limits.maxAttempts();
             if (delivery.presettled && delivery.everStarted) {
-                again = false; // it needs no outcome, and the backend may have received it
+                retry = false; // it needs no outcome, and the backend may have received it
             }
-            if (again) {
+            if (retry) {
                 delivery.started = false;
                 delivery.fullySent = false;
                 delivery.backendDelivery = null;
@@ -242,17 +242,17 @@
                 failOrRelease(delivery);
             }
         }
-        List<Delivery> left = deliveriesInOrder();
+        List<Delivery> remaining = deliveriesInOrder();
         awaitingOutcome.clear();
         unsent.clear();
-        unsent.addAll(left);
+        unsent.addAll(remaining);
     }
 
     /** Returns all deliveries in the order of their arrival: sent ones come before unsent ones. */
     private List<Delivery> deliveriesInOrder() {
-        List<Delivery> all = new ArrayList<>(awaitingOutcome);
-        all.addAll(unsent);
-        return all;
+        List<Delivery> deliveries = new ArrayList<>(awaitingOutcome);
+        deliveries.addAll(unsent);
+        return deliveries;
     }
 
     /**
@@ -349,9 +349,9 @@
     /** Sends what can be sent, in order, and grants as much credit as the backend has room for. */
     void forwardPending() {
         while (backend != null && !unsent.isEmpty() && sendChunks(unsent.peek())) {
-            Delivery through = unsent.poll();
-            if (through != null && !through.completed) {
-                awaitingOutcome.add(through);
+            Delivery sent = unsent.poll();
+            if (sent != null && !sent.completed) {
+                awaitingOutcome.add(sent);
             }
         }
         grantCredit();
@@ -363,8 +363,9 @@
      */
     private boolean sendChunks(Delivery delivery) {
         while (true) {
-            boolean more = delivery.nextChunk < delivery.chunks.size();
-            if (!more && !(delivery.fullyReceived && !delivery.fullySent) || !backend.canSend()) {
+            boolean hasChunk = delivery.nextChunk < delivery.chunks.size();
+            if (!hasChunk && !(delivery.fullyReceived && !delivery.fullySent)
+                    || !backend.canSend()) {
                 return false;
             }
             if (!delivery.started) {
@@ -374,14 +375,14 @@
             }
             boolean last =
                     delivery.fullyReceived && delivery.nextChunk >= delivery.chunks.size() - 1;
-            byte[] piece = more ? delivery.chunks.get(delivery.nextChunk) : new byte[0];
+            byte[] chunk = hasChunk ? delivery.chunks.get(delivery.nextChunk) : new byte[0];
             delivery.nextChunkOffset +=
-                    backend.send(delivery, piece, delivery.nextChunkOffset, last);
-            if (delivery.nextChunkOffset < piece.length) {
+                    backend.send(delivery, chunk, delivery.nextChunkOffset, last);
+            if (delivery.nextChunkOffset < chunk.length) {
                 return false;
             }
             delivery.nextChunkOffset = 0;
-            if (more) { // otherwise the end of the delivery came without bytes
+            if (hasChunk) { // otherwise the end of the delivery came without bytes
                 delivery.nextChunk++;
                 discardSentChunks(delivery);
             }
@@ -423,10 +424,10 @@
             return;
         }
         int target = Math.min(limits.maxUnsettled() - size(), backendCredit - unsent.size());
-        int more = target - grantedCredit;
-        if (more > 0 && grantedCredit <= target / 2) {
-            grantedCredit += more;
-            client.grantCredit(more);
+        int increment = target - grantedCredit;
+        if (increment > 0 && grantedCredit <= target / 2) {
+            grantedCredit += increment;
+            client.grantCredit(increment);
         }
     }
 
--- a/relay/src/main/java/saltstage/amqp/DeliveryIdRanges.java
+++ b/relay/src/main/java/saltstage/amqp/DeliveryIdRanges.java
@@ -37,16 +37,16 @@
     }
 
     /** Passes all ranges to the consumer, lowest first, and removes them. */
-    void drain(RangeConsumer to) {
-        int held = count;
+    void drain(RangeConsumer consumer) {
+        int total = count;
         count = 0;
-        Arrays.sort(offsets, 0, held);
-        for (int i = 0; i < held; ) {
+        Arrays.sort(offsets, 0, total);
+        for (int i = 0; i < total; ) {
             int last = i;
-            while (last + 1 < held && offsets[last + 1] - offsets[last] <= 1) {
+            while (last + 1 < total && offsets[last + 1] - offsets[last] <= 1) {
                 last++;
             }
-            to.accept(base + offsets[i], base + offsets[last]);
+            consumer.accept(base + offsets[i], base + offsets[last]);
             i = last + 1;
         }
         if (offsets.length > 64 * INITIAL_CAPACITY) { // frees the memory that a burst has used
--- a/relay/src/main/java/saltstage/amqp/DispositionBatcher.java
+++ b/relay/src/main/java/saltstage/amqp/DispositionBatcher.java
@@ -34,20 +34,20 @@
     private boolean flushScheduled;
 
     /** Creates a batcher; the argument runs a task after the current iteration of the loop. */
-    DispositionBatcher(Consumer<Runnable> afterRound) {
-        this.afterIteration = afterRound;
+    DispositionBatcher(Consumer<Runnable> afterIteration) {
+        this.afterIteration = afterIteration;
     }
 
     @Override
     public void handleWrite(EngineHandlerContext context, OutgoingAMQPEnvelope envelope) {
-        Performative said = envelope.getBody();
-        if (said instanceof Disposition one
-                && one.getSettled()
-                && one.getState() instanceof Accepted
-                && !one.hasLast()) {
-            rangesFor(one.getRole())
-                    .computeIfAbsent(envelope.getChannel(), any -> new DeliveryIdRanges())
-                    .add((int) one.getFirst());
+        Performative performative = envelope.getBody();
+        if (performative instanceof Disposition outcome
+                && outcome.getSettled()
+                && outcome.getState() instanceof Accepted
+                && !outcome.hasLast()) {
+            rangesFor(outcome.getRole())
+                    .computeIfAbsent(envelope.getChannel(), channel -> new DeliveryIdRanges())
+                    .add((int) outcome.getFirst());
             envelope.release();
             if (!flushScheduled) {
                 flushScheduled = true;
@@ -59,7 +59,7 @@
             }
             return;
         }
-        switch (said.getPerformativeType()) {
+        switch (performative.getPerformativeType()) {
             case DETACH, END, CLOSE -> flush(context); // outcomes are invalid after these frames
             default -> {}
         }
@@ -76,14 +76,14 @@
     }
 
     private void flush(EngineHandlerContext context, Role role) {
-        Map<Integer, DeliveryIdRanges> all = rangesFor(role);
-        if (all.isEmpty() || !context.engine().isWritable()) {
-            all.clear();
+        Map<Integer, DeliveryIdRanges> pending = rangesFor(role);
+        if (pending.isEmpty() || !context.engine().isWritable()) {
+            pending.clear();
             return;
         }
-        Map<Integer, DeliveryIdRanges> now = new LinkedHashMap<>(all);
-        all.clear();
-        now.forEach(
+        Map<Integer, DeliveryIdRanges> flushed = new LinkedHashMap<>(pending);
+        pending.clear();
+        flushed.forEach(
                 (channel, ranges) ->
                         ranges.drain(
                                 (first, last) -> {
--- a/relay/src/main/java/saltstage/amqp/FrameSplitter.java
+++ b/relay/src/main/java/saltstage/amqp/FrameSplitter.java
@@ -17,34 +17,35 @@
     private byte[] partialFrame = {};
 
     /** Creates a splitter that never buffers more than one frame of the maximum size. */
-    FrameSplitter(int most) {
-        this.maxFrameBytes = most;
+    FrameSplitter(int maxFrameBytes) {
+        this.maxFrameBytes = maxFrameBytes;
     }
 
     /** Adds the received bytes and returns all whole frames, or an empty array. */
-    byte[] takeWholeFrames(byte[] came) {
-        byte[] all = came;
+    byte[] takeWholeFrames(byte[] received) {
+        byte[] bytes = received;
         if (partialFrame.length > 0) {
-            all = Arrays.copyOf(partialFrame, partialFrame.length + came.length);
-            System.arraycopy(came, 0, all, partialFrame.length, came.length);
+            bytes = Arrays.copyOf(partialFrame, partialFrame.length + received.length);
+            System.arraycopy(received, 0, bytes, partialFrame.length, received.length);
         }
-        ByteBuffer view = ByteBuffer.wrap(all);
+        ByteBuffer view = ByteBuffer.wrap(bytes);
         int end = 0;
-        while (all.length - end >= HEADER_BYTES) {
+        while (bytes.length - end >= HEADER_BYTES) {
             int size = view.getInt(end);
             if (size == AMQP_MAGIC) {
                 size = HEADER_BYTES;
             } else if (size < HEADER_BYTES || size > maxFrameBytes) {
-                end = all.length;
+                end = bytes.length;
                 break;
             }
-            if (size > all.length - end) {
+            if (size > bytes.length - end) {
                 break;
             }
             end += size;
         }
-        partialFrame = end == all.length ? new byte[0] : Arrays.copyOfRange(all, end, all.length);
-        return end == all.length ? all : Arrays.copyOf(all, end);
+        partialFrame =
+                end == bytes.length ? new byte[0] : Arrays.copyOfRange(bytes, end, bytes.length);
+        return end == bytes.length ? bytes : Arrays.copyOf(bytes, end);
     }
 
     /** Returns the number of buffered bytes of an incomplete frame. */
--- a/relay/src/test/java/saltstage/amqp/DeliveryForwarderTest.java
+++ b/relay/src/test/java/saltstage/amqp/DeliveryForwarderTest.java
@@ -36,9 +36,9 @@
         private int credit;
 
         @Override
-        public void grantCredit(int more) {
-            assertTrue(more > 0);
-            credit += more;
+        public void grantCredit(int increment) {
+            assertTrue(increment > 0);
+            credit += increment;
         }
 
         @Override
@@ -65,11 +65,11 @@
         }
 
         @Override
-        public int send(Delivery delivery, byte[] piece, int from, boolean last) {
-            int taken = Math.min(byteCapacity, piece.length - from);
-            byteCapacity -= Math.max(1, taken);
-            receivedBytes.merge(delivery, taken, Integer::sum);
-            if (last && from + taken == piece.length) {
+        public int send(Delivery delivery, byte[] chunk, int offset, boolean last) {
+            int sent = Math.min(byteCapacity, chunk.length - offset);
+            byteCapacity -= Math.max(1, sent);
+            receivedBytes.merge(delivery, sent, Integer::sum);
+            if (last && offset + sent == chunk.length) {
                 credit--;
                 completeDeliveries.add(delivery);
                 int number = (Integer) delivery.clientDelivery();
@@ -78,7 +78,7 @@
                         "deliveries out of order");
                 completeNumbers.add(number);
             }
-            return taken;
+            return sent;
         }
 
         @Override
@@ -97,12 +97,12 @@
 
     @Property(tries = 2_000)
     void everyDeliveryHasOneOutcomeWithinMaxAttempts(
-            @ForAll long seed, @ForAll boolean repeatable) {
-        RandomScenario play = new RandomScenario(new Random(seed), repeatable);
+            @ForAll long seed, @ForAll boolean idempotent) {
+        RandomScenario scenario = new RandomScenario(new Random(seed), idempotent);
         for (int step = 0; step < 200; step++) {
-            play.step();
+            scenario.step();
         }
-        play.finish();
+        scenario.finish();
     }
 
     /** A sequence of random events of one link, derived from a seed. */
@@ -117,9 +117,9 @@
         private FakeBackend backend;
         private Instant now = START;
 
-        RandomScenario(Random random, boolean repeatable) {
+        RandomScenario(Random random, boolean idempotent) {
             this.random = random;
-            forwarder = new DeliveryForwarder(LIMITS, repeatable, client);
+            forwarder = new DeliveryForwarder(LIMITS, idempotent, client);
         }
 
         void step() {
@@ -160,32 +160,34 @@
                 assertTrue(forwarder.startDelivery(currentDelivery));
             }
             if (currentDelivery != null && forwarder.canBufferMore()) {
-                boolean whole = random.nextBoolean();
-                byte[] piece = new byte[random.nextInt(200)];
-                deliveryBytes.merge(currentDelivery, piece.length, Integer::sum);
-                forwarder.bytesReceived(currentDelivery, piece, whole, now);
-                currentDelivery = whole ? null : currentDelivery;
+                boolean last = random.nextBoolean();
+                byte[] chunk = new byte[random.nextInt(200)];
+                deliveryBytes.merge(currentDelivery, chunk.length, Integer::sum);
+                forwarder.bytesReceived(currentDelivery, chunk, last, now);
+                currentDelivery = last ? null : currentDelivery;
             }
         }
 
         private void backendAccepts() {
             if (backend != null && !backend.completeDeliveries.isEmpty()) {
-                Delivery answered =
+                Delivery accepted =
                         backend.completeDeliveries.remove(
                                 random.nextInt(backend.completeDeliveries.size()));
-                if (!answered.isPresettled()) {
+                if (!accepted.isPresettled()) {
                     assertEquals(
-                            deliveryBytes.get(answered),
-                            backend.receivedBytes.get(answered),
+                            deliveryBytes.get(accepted),
+                            backend.receivedBytes.get(accepted),
                             "bytes received by the backend");
-                    forwarder.outcomeReceived(answered, Accepted.getInstance(), true);
+                    forwarder.outcomeReceived(accepted, Accepted.getInstance(), true);
                 }
             }
         }
 
         private void backendIsLostOrClientAborts() {
             if (backend != null && random.nextInt(3) == 0) {
-                backend.receivedBytes.keySet().forEach(one -> attempts.merge(one, 1, Integer::sum));
+                backend.receivedBytes
+                        .keySet()
+                        .forEach(delivery -> attempts.merge(delivery, 1, Integer::sum));
                 backend = null;
                 forwarder.backendLost();
             } else if (currentDelivery != null && random.nextInt(4) == 0) {
@@ -202,9 +204,10 @@
             forwarder.endWithoutBackend();
             assertEquals(0, forwarder.size());
             assertEquals(0, forwarder.bufferedBytes());
-            for (Delivery one : deliveries.values()) {
+            for (Delivery delivery : deliveries.values()) {
                 assertTrue(
-                        one.isPresettled() || client.outcomes.containsKey(one.clientDelivery()),
+                        delivery.isPresettled()
+                                || client.outcomes.containsKey(delivery.clientDelivery()),
                         "delivery without an outcome");
             }
         }
@@ -214,20 +217,20 @@
     private final DeliveryForwarder forwarder = new DeliveryForwarder(LIMITS, true, client);
     private int nextDeliveryNumber;
 
-    private Delivery sendDelivery(DeliveryForwarder to, int bytes) {
-        Delivery made = new Delivery(nextDeliveryNumber++, false);
-        assertTrue(to.startDelivery(made));
-        to.bytesReceived(made, new byte[bytes], true, START);
-        return made;
+    private Delivery sendDelivery(DeliveryForwarder target, int bytes) {
+        Delivery delivery = new Delivery(nextDeliveryNumber++, false);
+        assertTrue(target.startDelivery(delivery));
+        target.bytesReceived(delivery, new byte[bytes], true, START);
+        return delivery;
     }
 
-    private FakeBackend attachBackend(DeliveryForwarder at, int credit, int bytes) {
-        FakeBackend far = new FakeBackend();
-        far.credit = credit;
-        far.byteCapacity = bytes;
-        at.backendAttached(far);
-        at.creditReceived(credit);
-        return far;
+    private FakeBackend attachBackend(DeliveryForwarder target, int credit, int bytes) {
+        FakeBackend backend = new FakeBackend();
+        backend.credit = credit;
+        backend.byteCapacity = bytes;
+        target.backendAttached(backend);
+        target.creditReceived(credit);
+        return backend;
     }
 
     @Test
@@ -248,15 +251,15 @@
 
     @Test
     void deliveriesOfALostBackendGoToTheNextInOrderAndThenFail() {
-        for (int tries = 1; tries <= LIMITS.maxAttempts(); tries++) {
-            FakeBackend far = attachBackend(forwarder, 10, 1_000);
-            if (tries == 1) {
+        for (int attempt = 1; attempt <= LIMITS.maxAttempts(); attempt++) {
+            FakeBackend backend = attachBackend(forwarder, 10, 1_000);
+            if (attempt == 1) {
                 sendDelivery(forwarder, 10);
                 sendDelivery(forwarder, 20);
             }
             assertEquals(
                     List.of(0, 1),
-                    far.completeDeliveries.stream().map(Delivery::clientDelivery).toList());
+                    backend.completeDeliveries.stream().map(Delivery::clientDelivery).toList());
             assertEquals(Map.of(), client.outcomes);
             forwarder.backendLost();
         }
@@ -267,14 +270,14 @@
 
     @Test
     void nonIdempotentDeliveryFailsAtTheFirstLoss() {
-        DeliveryForwarder once = new DeliveryForwarder(LIMITS, false, client);
-        attachBackend(once, 10, 15);
-        sendDelivery(once, 10);
-        sendDelivery(once, 10);
-        sendDelivery(once, 10);
-        once.backendLost();
+        DeliveryForwarder nonIdempotent = new DeliveryForwarder(LIMITS, false, client);
+        attachBackend(nonIdempotent, 10, 15);
+        sendDelivery(nonIdempotent, 10);
+        sendDelivery(nonIdempotent, 10);
+        sendDelivery(nonIdempotent, 10);
+        nonIdempotent.backendLost();
         assertEquals(2, client.outcomes.size()); // the third was not started and may still be sent
-        once.endWithoutBackend();
+        nonIdempotent.endWithoutBackend();
         assertEquals(Released.getInstance(), client.outcomes.get(2));
     }
 
@@ -289,14 +292,15 @@
 
     @Test
     void expiredDeliveryFailsAtItsDeadline() {
-        FakeBackend far = attachBackend(forwarder, 10, 1_000);
-        Delivery late = sendDelivery(forwarder, 10);
+        FakeBackend backend = attachBackend(forwarder, 10, 1_000);
+        Delivery expired = sendDelivery(forwarder, 10);
         assertEquals(
                 0, forwarder.expireDeliveries(START.plus(LIMITS.deliveryTimeout()).minusMillis(1)));
         assertEquals(1, forwarder.expireDeliveries(START.plus(LIMITS.deliveryTimeout())));
         assertTrue(client.outcomes.get(0) instanceof Modified);
-        assertEquals(List.of(), far.completeDeliveries); // it is settled at the backend as well
-        forwarder.outcomeReceived(late, Accepted.getInstance(), true); // a late outcome is ignored
+        assertEquals(List.of(), backend.completeDeliveries); // it is settled at the backend as well
+        forwarder.outcomeReceived(
+                expired, Accepted.getInstance(), true); // a late outcome is ignored
         assertTrue(client.outcomes.get(0) instanceof Modified);
     }
 
@@ -311,13 +315,13 @@
 
     @Test
     void abortedDeliveryIsAbortedAtTheBackendWithoutOutcome() {
-        FakeBackend far = attachBackend(forwarder, 10, 1_000);
-        Delivery half = new Delivery(nextDeliveryNumber++, false);
-        forwarder.startDelivery(half);
-        forwarder.bytesReceived(half, new byte[50], false, START);
-        assertEquals(50, far.receivedBytes.get(half));
-        forwarder.deliveryAborted(half);
-        assertEquals(Map.of(), far.receivedBytes);
+        FakeBackend backend = attachBackend(forwarder, 10, 1_000);
+        Delivery aborted = new Delivery(nextDeliveryNumber++, false);
+        forwarder.startDelivery(aborted);
+        forwarder.bytesReceived(aborted, new byte[50], false, START);
+        assertEquals(50, backend.receivedBytes.get(aborted));
+        forwarder.deliveryAborted(aborted);
+        assertEquals(Map.of(), backend.receivedBytes);
         assertEquals(Map.of(), client.outcomes);
         assertEquals(0, forwarder.size());
     }
--- a/relay/src/test/java/saltstage/amqp/DeliveryIdRangesTest.java
+++ b/relay/src/test/java/saltstage/amqp/DeliveryIdRangesTest.java
@@ -20,31 +20,31 @@
     @Property(tries = 2000)
     void rangesCoverExactlyTheAddedIds(
             @ForAll int base,
-            @ForAll @Size(max = 300) List<@IntRange(min = 0, max = 500) Integer> distances) {
+            @ForAll @Size(max = 300) List<@IntRange(min = 0, max = 500) Integer> offsets) {
         DeliveryIdRanges ranges = new DeliveryIdRanges();
         for (int round = 0; round < 2; round++) { // draining must remove all ids
-            Set<Integer> wanted = new TreeSet<>();
-            for (int distance : distances) {
-                ranges.add(base + distance);
-                wanted.add(distance);
+            Set<Integer> expected = new TreeSet<>();
+            for (int offset : offsets) {
+                ranges.add(base + offset);
+                expected.add(offset);
             }
-            List<Integer> found = new ArrayList<>();
-            int[] gaps = new int[1];
+            List<Integer> drained = new ArrayList<>();
+            int[] rangeCount = new int[1];
             ranges.drain(
                     (first, last) -> {
                         assertTrue(last - first >= 0);
-                        if (!found.isEmpty()) {
+                        if (!drained.isEmpty()) {
                             assertTrue(
-                                    first - base > found.get(found.size() - 1) + 1,
+                                    first - base > drained.get(drained.size() - 1) + 1,
                                     "adjacent ranges are not merged");
                         }
-                        gaps[0]++;
+                        rangeCount[0]++;
                         for (int id = first; id != last + 1; id++) {
-                            found.add(id - base);
+                            drained.add(id - base);
                         }
                     });
-            assertEquals(new ArrayList<>(wanted), found);
-            assertTrue(gaps[0] <= wanted.size());
+            assertEquals(new ArrayList<>(expected), drained);
+            assertTrue(rangeCount[0] <= expected.size());
             assertEquals(0, ranges.size());
         }
     }
--- a/relay/src/test/java/saltstage/amqp/DispositionBatcherTest.java
+++ b/relay/src/test/java/saltstage/amqp/DispositionBatcherTest.java
@@ -36,28 +36,29 @@
                     Proxy.newProxyInstance(
                             getClass().getClassLoader(),
                             new Class<?>[] {EngineHandlerContext.class},
-                            (self, method, with) -> {
+                            (proxy, method, arguments) -> {
                                 if (method.getName().equals("fireWrite")) {
-                                    OutgoingAMQPEnvelope envelope = (OutgoingAMQPEnvelope) with[0];
+                                    OutgoingAMQPEnvelope envelope =
+                                            (OutgoingAMQPEnvelope) arguments[0];
                                     written.add(
                                             describe(envelope.getBody(), envelope.getChannel()));
                                 }
                                 return method.getName().equals("engine") ? engine : null;
                             });
 
-    private static String describe(Performative said, int channel) {
-        if (said instanceof Disposition one) {
+    private static String describe(Performative performative, int channel) {
+        if (performative instanceof Disposition disposition) {
             return channel
                     + ":"
-                    + one.getRole()
+                    + disposition.getRole()
                     + " "
-                    + one.getFirst()
-                    + (one.hasLast() ? "-" + one.getLast() : "")
+                    + disposition.getFirst()
+                    + (disposition.hasLast() ? "-" + disposition.getLast() : "")
                     + " "
-                    + one.getState().getType()
-                    + (one.getSettled() ? "" : " unsettled");
+                    + disposition.getState().getType()
+                    + (disposition.getSettled() ? "" : " unsettled");
         }
-        return channel + ":" + said.getPerformativeType();
+        return channel + ":" + performative.getPerformativeType();
     }
 
     private void writeDisposition(
@@ -73,14 +74,14 @@
         }
     }
 
-    private void write(int channel, Performative said) {
-        batcher.handleWrite(context, pool.take(said, channel, null));
+    private void write(int channel, Performative performative) {
+        batcher.handleWrite(context, pool.take(performative, channel, null));
     }
 
     private void runScheduledTasks() {
-        List<Runnable> now = List.copyOf(scheduledTasks);
+        List<Runnable> tasks = List.copyOf(scheduledTasks);
         scheduledTasks.clear();
-        now.forEach(Runnable::run);
+        tasks.forEach(Runnable::run);
     }
 
     @Test
