--- a/relay/src/main/java/saltstage/amqp/AmqpBackendConnection.java
+++ b/relay/src/main/java/saltstage/amqp/AmqpBackendConnection.java
@@ -23,7 +23,7 @@
 import saltstage.net.Connection;
 import saltstage.session.Backend;
 
-/** One connection to a backend and the links on it. */
+/** An AMQP connection to a backend and the links that are attached over it. */
 final class AmqpBackendConnection extends AmqpConnection {
     private static final Symbol ANONYMOUS = Symbol.valueOf("ANONYMOUS");
     private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(5);
@@ -33,46 +33,52 @@
     private final Backend backend;
     private final Set<BackendLink> links = new LinkedHashSet<>();
 
-    /** By the client's session, which is its own key. */
+    /** The sessions that links share, keyed by the client session that the links belong to. */
     private final Map<Object, BackendSession> sharedSessions = new HashMap<>();
 
     private boolean opened;
     private Instant idleSince;
 
     AmqpBackendConnection(
-            AmqpFrontend front, BackendConnectionPool pool, Backend peer, Connection net) {
-        super(net, front::now, front.settings().limits().maxFrameBytes());
-        this.frontend = front;
+            AmqpFrontend frontend,
+            BackendConnectionPool pool,
+            Backend backend,
+            Connection netConnection) {
+        super(netConnection, frontend::now, frontend.settings().limits().maxFrameBytes());
+        this.frontend = frontend;
         this.pool = pool;
-        this.backend = peer;
-        idleSince = front.now();
+        this.backend = backend;
+        idleSince = frontend.now();
     }
 
-    /** Says who the relay is; links wait for the answer. */
+    /** Sends the open frame. Links attach only after the backend has answered it. */
     void open() {
-        Engine made = EngineFactory.PROTON.createEngine();
-        made.saslDriver().client().setListener(new AnonymousLogin());
-        made.connection()
+        Engine newEngine = EngineFactory.PROTON.createEngine();
+        newEngine.saslDriver().client().setListener(new AnonymousLogin());
+        newEngine
+                .connection()
                 .setContainerId(frontend.containerId())
                 .setMaxFrameSize(frontend.settings().limits().maxFrameBytes())
                 .setIdleTimeout(frontend.settings().timeouts().backendIdle().toMillis())
                 .openHandler(
-                        up -> {
+                        connection -> {
                             opened = true;
                             List.copyOf(links).forEach(BackendLink::connectionOpened);
                         })
                 .closeHandler(
-                        up -> {
-                            ErrorCondition why = up.getRemoteCondition();
+                        connection -> {
+                            ErrorCondition error = connection.getRemoteCondition();
                             connectionLost(
-                                    why == null ? "closed" : String.valueOf(why.getCondition()));
+                                    error == null
+                                            ? "closed"
+                                            : String.valueOf(error.getCondition()));
                             close(null);
                         });
-        startEngine(made);
-        made.connection().open();
+        startEngine(newEngine);
+        newEngine.connection().open();
     }
 
-    /** Offers the mechanism that needs no secret. */
+    /** Logs in with SASL ANONYMOUS, which needs no credentials. */
     private static final class AnonymousLogin implements SaslClientListener {
         @Override
         public void handleSaslMechanisms(SaslClientContext context, Symbol[] mechanisms) {
@@ -89,7 +95,7 @@
 
         @Override
         public void handleSaslOutcome(
-                SaslClientContext context, SaslOutcome outcome, ProtonBuffer more) {
+                SaslClientContext context, SaslOutcome outcome, ProtonBuffer additionalData) {
             if (outcome != SaslOutcome.SASL_OK) {
                 context.saslFailure(new SaslException("the backend takes no ANONYMOUS"));
             }
@@ -100,12 +106,12 @@
         return backend;
     }
 
-    /** How many links are on it. */
+    /** Returns the number of links on this connection. */
     int linkCount() {
         return links.size();
     }
 
-    /** Takes a link on; it attaches as soon as the connection is open. */
+    /** Adds a link, which attaches as soon as the connection is open. */
     void attach(BackendLink link) {
         links.add(link);
         link.setConnection(this);
@@ -114,7 +120,7 @@
         }
     }
 
-    /** The link is no longer on it. */
+    /** Removes a link that has ended. The idle time starts when the last link is removed. */
     void removeLink(BackendLink link) {
         if (links.remove(link) && links.isEmpty()) {
             idleSince = now();
@@ -122,30 +128,36 @@
     }
 
     /**
-     * A session for a link: one that it shares with others of this key, or its own where there is
-     * none.
+     * Returns the session for a new link: with a key, one that it shares with other links of the
+     * same key; with a null key, a session of its own.
      */
     BackendSession sessionFor(Object key) {
-        BackendSession held = key == null ? null : sharedSessions.get(key);
-        if (held != null && held.hasRoom()) {
-            return held;
+        BackendSession shared = key == null ? null : sharedSessions.get(key);
+        if (shared != null && shared.hasRoom()) {
+            return shared;
         }
-        Session made =
+        Session session =
                 engine().connection()
                         .session()
                         .setIncomingCapacity(frontend.settings().limits().maxLinkBytes());
-        BackendSession[] it = new BackendSession[1];
-        it[0] = new BackendSession(made, () -> sharedSessions.remove(key, it[0]));
+        BackendSession[] newSession = new BackendSession[1];
+        newSession[0] =
+                new BackendSession(session, () -> sharedSessions.remove(key, newSession[0]));
         if (key != null) {
-            sharedSessions.put(key, it[0]); // one that is full goes on without newcomers
+            sharedSessions.put(
+                    key, newSession[0]); // replaces a full session, which keeps its links
         }
-        return it[0];
+        return newSession[0];
     }
 
+    /**
+     * Closes the connection if it has no links and either has been idle for too long or its backend
+     * has ended or accepts no requests.
+     */
     void closeIfIdle() {
-        boolean left = backend.hasEnded() || !backend.canAcceptRequests();
+        boolean unusable = backend.hasEnded() || !backend.canAcceptRequests();
         if (links.isEmpty()
-                && (left || Duration.between(idleSince, now()).compareTo(IDLE_TIMEOUT) > 0)) {
+                && (unusable || Duration.between(idleSince, now()).compareTo(IDLE_TIMEOUT) > 0)) {
             pool.removeConnection(this);
             close(null);
         }
@@ -157,11 +169,11 @@
     }
 
     @Override
-    protected void connectionEnded(String why) {
-        connectionLost(why);
+    protected void connectionEnded(String reason) {
+        connectionLost(reason);
     }
 
-    private void connectionLost(String why) {
+    private void connectionLost(String reason) {
         pool.removeConnection(this);
         if (!links.isEmpty()) {
             Log.warn(
@@ -171,10 +183,10 @@
                     "links",
                     links.size(),
                     "why",
-                    why);
+                    reason);
         }
-        List<BackendLink> all = List.copyOf(links);
+        List<BackendLink> lostLinks = List.copyOf(links);
         links.clear();
-        all.forEach(link -> link.connectionLost(opened));
+        lostLinks.forEach(link -> link.connectionLost(opened));
     }
 }
--- a/relay/src/test/java/saltstage/amqp/DeliveryForwarderTest.java
+++ b/relay/src/test/java/saltstage/amqp/DeliveryForwarderTest.java
@@ -21,31 +21,37 @@
 import org.junit.jupiter.api.Test;
 import saltstage.amqp.DeliveryForwarder.Delivery;
 
-/** Deliveries against backends that are lost, slow, short of credit and gone, in every order. */
+/**
+ * Guards against lost, duplicated and reordered deliveries and outcomes, and against exceeded
+ * limits, when backends are slow, short of credit or lost, in random order.
+ */
 class DeliveryForwarderTest {
     private static final DeliveryForwarder.Limits LIMITS =
             new DeliveryForwarder.Limits(20, 2_000, 300, 3, Duration.ofSeconds(10));
     private static final Instant START = Instant.parse("2026-12-01T00:00:00Z");
 
-    /** Both sides, which note what they are told and check it. */
+    /** A client that records its credit and outcomes and checks that no delivery gets two. */
     private static final class RecordingClient implements DeliveryForwarder.ClientEndpoint {
         private final Map<Object, DeliveryState> outcomes = new LinkedHashMap<>();
         private int credit;
 
         @Override
-        public void grantCredit(int more) {
-            assertTrue(more > 0);
-            credit += more;
+        public void grantCredit(int increment) {
+            assertTrue(increment > 0);
+            credit += increment;
         }
 
         @Override
         public void sendOutcome(Delivery delivery, DeliveryState state, boolean settled) {
-            assertFalse(delivery.isPresettled(), "an outcome that nobody is owed");
-            assertEquals(null, outcomes.put(delivery.clientDelivery(), state), "a second outcome");
+            assertFalse(delivery.isPresettled(), "outcome for a presettled delivery");
+            assertEquals(
+                    null,
+                    outcomes.put(delivery.clientDelivery(), state),
+                    "second outcome for a delivery");
         }
     }
 
-    /** A backend with room for so many bytes and deliveries. */
+    /** A backend with a limited capacity of bytes and deliveries, which checks their order. */
     private static final class FakeBackend implements DeliveryForwarder.BackendEndpoint {
         private final Map<Delivery, Integer> receivedBytes = new LinkedHashMap<>();
         private final List<Delivery> completeDeliveries = new ArrayList<>();
@@ -59,43 +65,47 @@
         }
 
         @Override
-        public int send(Delivery delivery, byte[] piece, int from, boolean last) {
-            int taken = Math.min(byteCapacity, piece.length - from);
-            byteCapacity -= Math.max(1, taken);
-            receivedBytes.merge(delivery, taken, Integer::sum);
-            if (last && from + taken == piece.length) {
+        public int send(Delivery delivery, byte[] chunk, int offset, boolean last) {
+            int sent = Math.min(byteCapacity, chunk.length - offset);
+            byteCapacity -= Math.max(1, sent);
+            receivedBytes.merge(delivery, sent, Integer::sum);
+            if (last && offset + sent == chunk.length) {
                 credit--;
                 completeDeliveries.add(delivery);
                 int number = (Integer) delivery.clientDelivery();
-                assertTrue(completeNumbers.isEmpty() || completeNumbers.last() < number, "order");
+                assertTrue(
+                        completeNumbers.isEmpty() || completeNumbers.last() < number,
+                        "deliveries out of order");
                 completeNumbers.add(number);
             }
-            return taken;
+            return sent;
         }
 
         @Override
         public void abort(Delivery delivery) {
-            assertFalse(completeDeliveries.contains(delivery), "abort after the end");
+            assertFalse(completeDeliveries.contains(delivery), "abort of a complete delivery");
             receivedBytes.remove(delivery);
         }
 
         @Override
         public void settle(Delivery delivery, DeliveryState state) {
-            assertTrue(completeDeliveries.remove(delivery), "settled what is not out");
+            assertTrue(
+                    completeDeliveries.remove(delivery),
+                    "settled a delivery that is not complete or was settled before");
         }
     }
 
     @Property(tries = 2_000)
     void everyDeliveryHasOneOutcomeWithinMaxAttempts(
-            @ForAll long seed, @ForAll boolean repeatable) {
-        RandomScenario play = new RandomScenario(new Random(seed), repeatable);
+            @ForAll long seed, @ForAll boolean idempotent) {
+        RandomScenario scenario = new RandomScenario(new Random(seed), idempotent);
         for (int step = 0; step < 200; step++) {
-            play.step();
+            scenario.step();
         }
-        play.finish();
+        scenario.finish();
     }
 
-    /** A link's life from a seed. */
+    /** A sequence of random events of one link, derived from a seed. */
     private static final class RandomScenario {
         private final Random random;
         private final RecordingClient client = new RecordingClient();
@@ -107,9 +117,9 @@
         private FakeBackend backend;
         private Instant now = START;
 
-        RandomScenario(Random random, boolean repeatable) {
+        RandomScenario(Random random, boolean idempotent) {
             this.random = random;
-            forwarder = new DeliveryForwarder(LIMITS, repeatable, client);
+            forwarder = new DeliveryForwarder(LIMITS, idempotent, client);
         }
 
         void step() {
@@ -121,14 +131,14 @@
                 case 6 -> backendIsLostOrClientAborts();
                 default -> forwarder.expireDeliveries(now);
             }
-            assertTrue(forwarder.size() <= LIMITS.maxUnsettled(), "too many are held");
+            assertTrue(forwarder.size() <= LIMITS.maxUnsettled(), "too many unsettled deliveries");
             assertTrue(
                     forwarder.bufferedBytes() >= 0
                             && forwarder.bufferedBytes() <= LIMITS.maxBufferedBytes() + 200,
-                    "bytes held");
+                    "buffered bytes out of bounds");
             assertTrue(
                     attempts.values().stream().allMatch(count -> count <= LIMITS.maxAttempts()),
-                    "tries");
+                    "too many attempts");
         }
 
         private void backendGrantsCapacity() {
@@ -150,32 +160,34 @@
                 assertTrue(forwarder.startDelivery(currentDelivery));
             }
             if (currentDelivery != null && forwarder.canBufferMore()) {
-                boolean whole = random.nextBoolean();
-                byte[] piece = new byte[random.nextInt(200)];
-                deliveryBytes.merge(currentDelivery, piece.length, Integer::sum);
-                forwarder.bytesReceived(currentDelivery, piece, whole, now);
-                currentDelivery = whole ? null : currentDelivery;
+                boolean last = random.nextBoolean();
+                byte[] chunk = new byte[random.nextInt(200)];
+                deliveryBytes.merge(currentDelivery, chunk.length, Integer::sum);
+                forwarder.bytesReceived(currentDelivery, chunk, last, now);
+                currentDelivery = last ? null : currentDelivery;
             }
         }
 
         private void backendAccepts() {
             if (backend != null && !backend.completeDeliveries.isEmpty()) {
-                Delivery answered =
+                Delivery accepted =
                         backend.completeDeliveries.remove(
                                 random.nextInt(backend.completeDeliveries.size()));
-                if (!answered.isPresettled()) {
+                if (!accepted.isPresettled()) {
                     assertEquals(
-                            deliveryBytes.get(answered),
-                            backend.receivedBytes.get(answered),
-                            "bytes of the delivery");
-                    forwarder.outcomeReceived(answered, Accepted.getInstance(), true);
+                            deliveryBytes.get(accepted),
+                            backend.receivedBytes.get(accepted),
+                            "bytes received by the backend");
+                    forwarder.outcomeReceived(accepted, Accepted.getInstance(), true);
                 }
             }
         }
 
         private void backendIsLostOrClientAborts() {
             if (backend != null && random.nextInt(3) == 0) {
-                backend.receivedBytes.keySet().forEach(one -> attempts.merge(one, 1, Integer::sum));
+                backend.receivedBytes
+                        .keySet()
+                        .forEach(delivery -> attempts.merge(delivery, 1, Integer::sum));
                 backend = null;
                 forwarder.backendLost();
             } else if (currentDelivery != null && random.nextInt(4) == 0) {
@@ -192,10 +204,11 @@
             forwarder.endWithoutBackend();
             assertEquals(0, forwarder.size());
             assertEquals(0, forwarder.bufferedBytes());
-            for (Delivery one : deliveries.values()) {
+            for (Delivery delivery : deliveries.values()) {
                 assertTrue(
-                        one.isPresettled() || client.outcomes.containsKey(one.clientDelivery()),
-                        "no outcome");
+                        delivery.isPresettled()
+                                || client.outcomes.containsKey(delivery.clientDelivery()),
+                        "delivery without an outcome");
             }
         }
     }
@@ -204,25 +217,25 @@
     private final DeliveryForwarder forwarder = new DeliveryForwarder(LIMITS, true, client);
     private int nextDeliveryNumber;
 
-    private Delivery sendDelivery(DeliveryForwarder to, int bytes) {
-        Delivery made = new Delivery(nextDeliveryNumber++, false);
-        assertTrue(to.startDelivery(made));
-        to.bytesReceived(made, new byte[bytes], true, START);
-        return made;
+    private Delivery sendDelivery(DeliveryForwarder target, int bytes) {
+        Delivery delivery = new Delivery(nextDeliveryNumber++, false);
+        assertTrue(target.startDelivery(delivery));
+        target.bytesReceived(delivery, new byte[bytes], true, START);
+        return delivery;
     }
 
-    private FakeBackend attachBackend(DeliveryForwarder at, int credit, int bytes) {
-        FakeBackend far = new FakeBackend();
-        far.credit = credit;
-        far.byteCapacity = bytes;
-        at.backendAttached(far);
-        at.creditReceived(credit);
-        return far;
+    private FakeBackend attachBackend(DeliveryForwarder target, int credit, int bytes) {
+        FakeBackend backend = new FakeBackend();
+        backend.credit = credit;
+        backend.byteCapacity = bytes;
+        target.backendAttached(backend);
+        target.creditReceived(credit);
+        return backend;
     }
 
     @Test
     void creditFollowsTheBackendUpToTheLimit() {
-        assertEquals(0, client.credit); // before there is a backend nothing is welcome
+        assertEquals(0, client.credit); // no credit is granted before a backend is attached
         attachBackend(forwarder, 5, 1_000);
         assertEquals(5, client.credit);
         forwarder.creditReceived(1_000);
@@ -238,15 +251,15 @@
 
     @Test
     void deliveriesOfALostBackendGoToTheNextInOrderAndThenFail() {
-        for (int tries = 1; tries <= LIMITS.maxAttempts(); tries++) {
-            FakeBackend far = attachBackend(forwarder, 10, 1_000);
-            if (tries == 1) {
+        for (int attempt = 1; attempt <= LIMITS.maxAttempts(); attempt++) {
+            FakeBackend backend = attachBackend(forwarder, 10, 1_000);
+            if (attempt == 1) {
                 sendDelivery(forwarder, 10);
                 sendDelivery(forwarder, 20);
             }
             assertEquals(
                     List.of(0, 1),
-                    far.completeDeliveries.stream().map(Delivery::clientDelivery).toList());
+                    backend.completeDeliveries.stream().map(Delivery::clientDelivery).toList());
             assertEquals(Map.of(), client.outcomes);
             forwarder.backendLost();
         }
@@ -257,14 +270,14 @@
 
     @Test
     void nonIdempotentDeliveryFailsAtTheFirstLoss() {
-        DeliveryForwarder once = new DeliveryForwarder(LIMITS, false, client);
-        attachBackend(once, 10, 15);
-        sendDelivery(once, 10);
-        sendDelivery(once, 10);
-        sendDelivery(once, 10);
-        once.backendLost();
-        assertEquals(2, client.outcomes.size()); // the third had not begun: it may still go
-        once.endWithoutBackend();
+        DeliveryForwarder nonIdempotent = new DeliveryForwarder(LIMITS, false, client);
+        attachBackend(nonIdempotent, 10, 15);
+        sendDelivery(nonIdempotent, 10);
+        sendDelivery(nonIdempotent, 10);
+        sendDelivery(nonIdempotent, 10);
+        nonIdempotent.backendLost();
+        assertEquals(2, client.outcomes.size()); // the third was not started and may still be sent
+        nonIdempotent.endWithoutBackend();
         assertEquals(Released.getInstance(), client.outcomes.get(2));
     }
 
@@ -279,17 +292,15 @@
 
     @Test
     void expiredDeliveryFailsAtItsDeadline() {
-        FakeBackend far = attachBackend(forwarder, 10, 1_000);
-        Delivery late = sendDelivery(forwarder, 10);
+        FakeBackend backend = attachBackend(forwarder, 10, 1_000);
+        Delivery expired = sendDelivery(forwarder, 10);
         assertEquals(
                 0, forwarder.expireDeliveries(START.plus(LIMITS.deliveryTimeout()).minusMillis(1)));
         assertEquals(1, forwarder.expireDeliveries(START.plus(LIMITS.deliveryTimeout())));
         assertTrue(client.outcomes.get(0) instanceof Modified);
-        assertEquals(
-                List.of(),
-                far.completeDeliveries); // and the backend's copy is settled, not left open
+        assertEquals(List.of(), backend.completeDeliveries); // it is settled at the backend as well
         forwarder.outcomeReceived(
-                late, Accepted.getInstance(), true); // its late word changes nothing
+                expired, Accepted.getInstance(), true); // a late outcome is ignored
         assertTrue(client.outcomes.get(0) instanceof Modified);
     }
 
@@ -304,13 +315,13 @@
 
     @Test
     void abortedDeliveryIsAbortedAtTheBackendWithoutOutcome() {
-        FakeBackend far = attachBackend(forwarder, 10, 1_000);
-        Delivery half = new Delivery(nextDeliveryNumber++, false);
-        forwarder.startDelivery(half);
-        forwarder.bytesReceived(half, new byte[50], false, START);
-        assertEquals(50, far.receivedBytes.get(half));
-        forwarder.deliveryAborted(half);
-        assertEquals(Map.of(), far.receivedBytes);
+        FakeBackend backend = attachBackend(forwarder, 10, 1_000);
+        Delivery aborted = new Delivery(nextDeliveryNumber++, false);
+        forwarder.startDelivery(aborted);
+        forwarder.bytesReceived(aborted, new byte[50], false, START);
+        assertEquals(50, backend.receivedBytes.get(aborted));
+        forwarder.deliveryAborted(aborted);
+        assertEquals(Map.of(), backend.receivedBytes);
         assertEquals(Map.of(), client.outcomes);
         assertEquals(0, forwarder.size());
     }
--- a/relay/src/test/java/saltstage/amqp/DeliveryIdRangesTest.java
+++ b/relay/src/test/java/saltstage/amqp/DeliveryIdRangesTest.java
@@ -12,36 +12,39 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Ranges hold just the ids that were gathered, in as few as can be. */
+/**
+ * Guards against outcomes for deliveries that have none, and lost ones: the ranges must hold
+ * exactly the added ids, also across the wrap of the id, and adjacent ranges must be merged.
+ */
 class DeliveryIdRangesTest {
     @Property(tries = 2000)
     void rangesCoverExactlyTheAddedIds(
             @ForAll int base,
-            @ForAll @Size(max = 300) List<@IntRange(min = 0, max = 500) Integer> distances) {
+            @ForAll @Size(max = 300) List<@IntRange(min = 0, max = 500) Integer> offsets) {
         DeliveryIdRanges ranges = new DeliveryIdRanges();
-        for (int round = 0; round < 2; round++) { // nothing is left from the round before
-            Set<Integer> wanted = new TreeSet<>();
-            for (int distance : distances) {
-                ranges.add(base + distance);
-                wanted.add(distance);
+        for (int round = 0; round < 2; round++) { // draining must remove all ids
+            Set<Integer> expected = new TreeSet<>();
+            for (int offset : offsets) {
+                ranges.add(base + offset);
+                expected.add(offset);
             }
-            List<Integer> found = new ArrayList<>();
-            int[] gaps = new int[1];
+            List<Integer> drained = new ArrayList<>();
+            int[] rangeCount = new int[1];
             ranges.drain(
                     (first, last) -> {
                         assertTrue(last - first >= 0);
-                        if (!found.isEmpty()) {
+                        if (!drained.isEmpty()) {
                             assertTrue(
-                                    first - base > found.get(found.size() - 1) + 1,
-                                    "ranges that touch are one");
+                                    first - base > drained.get(drained.size() - 1) + 1,
+                                    "adjacent ranges are not merged");
                         }
-                        gaps[0]++;
+                        rangeCount[0]++;
                         for (int id = first; id != last + 1; id++) {
-                            found.add(id - base);
+                            drained.add(id - base);
                         }
                     });
-            assertEquals(new ArrayList<>(wanted), found);
-            assertTrue(gaps[0] <= wanted.size());
+            assertEquals(new ArrayList<>(expected), drained);
+            assertTrue(rangeCount[0] <= expected.size());
             assertEquals(0, ranges.size());
         }
     }
--- a/relay/src/test/java/saltstage/amqp/DispositionBatcherTest.java
+++ b/relay/src/test/java/saltstage/amqp/DispositionBatcherTest.java
@@ -20,7 +20,10 @@
 import org.apache.qpid.protonj2.types.transport.Role;
 import org.junit.jupiter.api.Test;
 
-/** Which outcomes wait for one another, and what none of them waits for. */
+/**
+ * Guards against outcomes that are held too long, sent twice or sent after a detach: only accepted
+ * and settled outcomes are batched, and only until the end of the iteration.
+ */
 class DispositionBatcherTest {
     private final List<String> written = new ArrayList<>();
     private final List<Runnable> scheduledTasks = new ArrayList<>();
@@ -33,28 +36,29 @@
                     Proxy.newProxyInstance(
                             getClass().getClassLoader(),
                             new Class<?>[] {EngineHandlerContext.class},
-                            (self, method, with) -> {
+                            (proxy, method, arguments) -> {
                                 if (method.getName().equals("fireWrite")) {
-                                    OutgoingAMQPEnvelope envelope = (OutgoingAMQPEnvelope) with[0];
+                                    OutgoingAMQPEnvelope envelope =
+                                            (OutgoingAMQPEnvelope) arguments[0];
                                     written.add(
                                             describe(envelope.getBody(), envelope.getChannel()));
                                 }
                                 return method.getName().equals("engine") ? engine : null;
                             });
 
-    private static String describe(Performative said, int channel) {
-        if (said instanceof Disposition one) {
+    private static String describe(Performative performative, int channel) {
+        if (performative instanceof Disposition disposition) {
             return channel
                     + ":"
-                    + one.getRole()
+                    + disposition.getRole()
                     + " "
-                    + one.getFirst()
-                    + (one.hasLast() ? "-" + one.getLast() : "")
+                    + disposition.getFirst()
+                    + (disposition.hasLast() ? "-" + disposition.getLast() : "")
                     + " "
-                    + one.getState().getType()
-                    + (one.getSettled() ? "" : " unsettled");
+                    + disposition.getState().getType()
+                    + (disposition.getSettled() ? "" : " unsettled");
         }
-        return channel + ":" + said.getPerformativeType();
+        return channel + ":" + performative.getPerformativeType();
     }
 
     private void writeDisposition(
@@ -70,14 +74,14 @@
         }
     }
 
-    private void write(int channel, Performative said) {
-        batcher.handleWrite(context, pool.take(said, channel, null));
+    private void write(int channel, Performative performative) {
+        batcher.handleWrite(context, pool.take(performative, channel, null));
     }
 
     private void runScheduledTasks() {
-        List<Runnable> now = List.copyOf(scheduledTasks);
+        List<Runnable> tasks = List.copyOf(scheduledTasks);
         scheduledTasks.clear();
-        now.forEach(Runnable::run);
+        tasks.forEach(Runnable::run);
     }
 
     @Test
@@ -92,7 +96,7 @@
         assertEquals(
                 List.of("1:FLOW"),
                 written,
-                "nothing of it before the end of the round, and no flow waits");
+                "outcomes must wait for the end of the iteration, flows must not");
         assertEquals(1, scheduledTasks.size());
         runScheduledTasks();
         assertEquals(
@@ -137,7 +141,7 @@
         write(1, new Detach());
         assertEquals(List.of("1:RECEIVER 5-6 Accepted", "1:DETACH"), written);
         runScheduledTasks();
-        assertEquals(2, written.size(), "nor said twice");
+        assertEquals(2, written.size(), "outcomes were sent twice");
     }
 
     @Test
