--- a/lab/src/main/java/saltstage/lab/Home.java
+++ b/lab/src/main/java/saltstage/lab/Installation.java
@@ -14,24 +14,24 @@
 import java.util.stream.Stream;
 
 /** Where the built relay is, and how it is met. */
-public final class Home {
-    private Home() {
+public final class Installation {
+    private Installation() {
     }
 
     /** The root of the repository: bin/lab names it. */
-    public static Path root() {
+    public static Path repositoryRoot() {
         String home = System.getenv("SALTSTAGE_HOME");
         return Path.of(home == null ? "." : home).toAbsolutePath().normalize();
     }
 
     /** The script that starts the relay. */
-    public static Path relay() {
-        return root().resolve("bin/saltstage");
+    public static Path relayScript() {
+        return repositoryRoot().resolve("bin/saltstage");
     }
 
     /** The service jar. */
-    public static Path jar() {
-        return root().resolve("relay/target/saltstage.jar");
+    public static Path relayJar() {
+        return repositoryRoot().resolve("relay/target/saltstage.jar");
     }
 
     /** Waits until the relay at this address answers PING with PONG; returns how long it took. */
@@ -59,7 +59,7 @@
     }
 
     /** Deletes a folder with all that is in it. */
-    public static void delete(Path dir) throws IOException {
+    public static void deleteRecursively(Path dir) throws IOException {
         List<Path> files;
         try (Stream<Path> below = Files.walk(dir)) {
             files = below.sorted(Comparator.reverseOrder()).toList();
@@ -70,7 +70,7 @@
     }
 
     /** The folder where measurements are kept. */
-    public static Path measurements() throws IOException {
-        return Files.createDirectories(root().resolve("docs/measurements"));
+    public static Path measurementsDirectory() throws IOException {
+        return Files.createDirectories(repositoryRoot().resolve("docs/measurements"));
     }
 }
--- a/lab/src/main/java/saltstage/lab/amqp/AmqpBench.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpBenchmark.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import saltstage.lab.Home;
-import saltstage.lab.fleet.Fleet;
+import saltstage.lab.Installation;
+import saltstage.lab.fleet.FakeFleet;
 import saltstage.lab.store.Report;
 
 /** The relay's AMQP front against the gateways themselves, in one run. */
@@ -20,12 +20,12 @@
     "Deliveries a second and latencies through a relay on one core and straight to the gateways, at several",
     "numbers of links; then bytes a quiet link, the last new link after a drain, and the time that a killed",
     "gateway costs. Written to docs/measurements as tables and a chart."})
-public final class AmqpBench implements Callable<Integer> {
-    private static final int GATEWAYS = 4;
+public final class AmqpBenchmark implements Callable<Integer> {
+    private static final int BACKENDS = 4;
     /** Deliveries a round, and a rate at which nothing takes them: there is always one more due. */
-    private static final double ROUND = 120_000;
-    private static final double ALL_AT_ONCE = 1_000_000;
-    private static final double WARM_RATE = 60_000;
+    private static final double DELIVERIES_PER_ROUND = 120_000;
+    private static final double UNLIMITED_RATE_PER_SECOND = 1_000_000;
+    private static final double WARM_UP_RATE_PER_SECOND = 60_000;
 
     @Option(names = "--links", split = ",", defaultValue = "1,100,5000", description = "numbers of links")
     private List<Integer> links;
@@ -52,7 +52,7 @@
     private List<String> parts;
 
     private Path dir;
-    private Fleet fleet;
+    private FakeFleet fleet;
     private Process relay;
 
     @Override
@@ -61,118 +61,118 @@
         new ProcessBuilder("taskset", "-acp", others, Long.toString(ProcessHandle.current().pid()))
             .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start().waitFor();
         dir = Files.createTempDirectory("saltstage-amqp");
-        fleet = new Fleet(GATEWAYS, true, 0);
-        fleet.writeFiles(dir, "log {\n  level = \"warn\"\n}\n" + fleet.settings(
+        fleet = new FakeFleet(BACKENDS, true, 0);
+        fleet.writeFiles(dir, "log {\n  level = \"warn\"\n}\n" + fleet.operatorSettings(
             "  links_per_connection = 100000\n  links = 100000\n  connections = 1000\n"
             + "  attaches_per_second = 100000\n"));
         relay = new ProcessBuilder("taskset", "-c", cpu, "java", "-Xms" + heap, "-Xmx" + heap,
-            "-XX:+UseSerialGC", "-jar", Home.jar().toString(), "serve", "--config",
+            "-XX:+UseSerialGC", "-jar", Installation.relayJar().toString(), "serve", "--config",
             dir.resolve("config.json").toString(), "--settings", dir.resolve("saltstage.hcl").toString())
             .redirectErrorStream(true).redirectOutput(dir.resolve("log").toFile()).start();
         try {
-            Home.awaitPong(address(fleet.listen()), relay, Duration.ofSeconds(30));
+            Installation.awaitPong(parseAddress(fleet.listenAddress()), relay, Duration.ofSeconds(30));
             for (String part : parts) {
-                measure(part);
+                measurePart(part);
             }
         } finally {
             relay.destroy();
             if (!relay.waitFor(20, TimeUnit.SECONDS)) {
                 relay.destroyForcibly().waitFor();
             }
-            Home.delete(dir);
+            Installation.deleteRecursively(dir);
         }
         return 0;
     }
 
-    private void measure(String part) throws IOException, InterruptedException {
+    private void measurePart(String part) throws IOException, InterruptedException {
         switch (part) {
-            case "rates" -> rates();
-            case "quiet" -> quiet();
-            case "drain" -> drain();
-            case "kill" -> kill();
+            case "rates" -> measureRates();
+            case "quiet" -> measureQuietLinks();
+            case "drain" -> measureDrain();
+            case "kill" -> measureKill();
             default -> throw new IllegalArgumentException("no part '" + part
                 + "': rates, quiet, drain, kill");
         }
     }
 
-    private List<InetSocketAddress> to(boolean straight) {
-        return straight ? fleet.amqp().stream().map(AmqpGateway::address).toList()
-            : List.of(address(fleet.amqpListen()));
+    private List<InetSocketAddress> targetAddresses(boolean straight) {
+        return straight ? fleet.amqpBackends().stream().map(FakeAmqpBackend::address).toList()
+            : List.of(parseAddress(fleet.amqpListenAddress()));
     }
 
-    private void rates() throws IOException, InterruptedException {
+    private void measureRates() throws IOException, InterruptedException {
         warmUp();
         Report report = new Report("amqp-rates", "links", "way", "most deliveries a second",
             "at a rate of", "p50 ms", "p99 ms", "p99.9 ms", "worst ms");
         for (int count : links) {
             double[] most = new double[2];
             for (int way = 0; way < 2; way++) { // a first run warms the machine's compiler up
-                most[way] = most(way == 1, count);
+                most[way] = measureMaxRate(way == 1, count);
             }
             double half = most[0] / 2;
             for (int way = 0; way < 2; way++) {
-                try (Load load = new Load(true, to(way == 1), count, "half" + way + count)) {
+                try (LoadGenerator load = new LoadGenerator(true, targetAddresses(way == 1), count, "half" + way + count)) {
                     load.run(half, 3, false);
                 }
-                try (Load load = new Load(true, to(way == 1), count, "rate" + way + count)) {
+                try (LoadGenerator load = new LoadGenerator(true, targetAddresses(way == 1), count, "rate" + way + count)) {
                     load.run(half, seconds, false);
-                    var times = load.ledger().times();
-                    report.row(count, way == 1 ? "straight" : "relay", Math.round(most[way]),
-                        Math.round(half), millis(times.getValueAtPercentile(50)),
-                        millis(times.getValueAtPercentile(99)), millis(times.getValueAtPercentile(99.9)),
-                        millis(times.getMaxValue()));
+                    var times = load.deliveryTracker().latencies();
+                    report.addRow(count, way == 1 ? "straight" : "relay", Math.round(most[way]),
+                        Math.round(half), formatMillis(times.getValueAtPercentile(50)),
+                        formatMillis(times.getValueAtPercentile(99)), formatMillis(times.getValueAtPercentile(99.9)),
+                        formatMillis(times.getMaxValue()));
                 }
             }
         }
-        report.bars("AMQP deliveries a second, relay on one core", "links", "deliveries a second", 1, 0, 2);
-        report.write(Home.measurements());
+        report.setBarChart("AMQP deliveries a second, relay on one core", "links", "deliveries a second", 1, 0, 2);
+        report.writeFiles(Installation.measurementsDirectory());
     }
 
     private void warmUp() throws InterruptedException {
         long start = System.nanoTime();
         for (int round = 0; System.nanoTime() - start < warm * 1e9; round++) {
             for (int way = 0; way < 2; way++) {
-                try (Load load = new Load(true, to(way == 1), 100, "warm" + way + "r" + round)) {
-                    load.run(WARM_RATE, 2, false);
+                try (LoadGenerator load = new LoadGenerator(true, targetAddresses(way == 1), 100, "warm" + way + "r" + round)) {
+                    load.run(WARM_UP_RATE_PER_SECOND, 2, false);
                 }
             }
         }
     }
 
     /** Far more is due than can go: what is answered a second is the most. */
-    private double most(boolean straight, int count) throws InterruptedException {
+    private double measureMaxRate(boolean straight, int count) throws InterruptedException {
         double best = 0;
         for (int round = 0; round < 3; round++) {
-            try (Load load = new Load(true, to(straight), count, "most" + straight + count + "r" + round)) {
+            try (LoadGenerator load = new LoadGenerator(true, targetAddresses(straight), count, "most" + straight + count + "r" + round)) {
                 long start = System.nanoTime();
-                load.run(ALL_AT_ONCE, ROUND / ALL_AT_ONCE, false);
+                load.run(UNLIMITED_RATE_PER_SECOND, DELIVERIES_PER_ROUND / UNLIMITED_RATE_PER_SECOND, false);
                 double took = (System.nanoTime() - start) / 1e9;
-                best = Math.max(best, load.ledger().size() / took);
+                best = Math.max(best, load.deliveryTracker().sentCount() / took);
             }
         }
         return best;
     }
 
-    private static String millis(long nanos) {
+    private static String formatMillis(long nanos) {
         return String.format(Locale.ROOT, "%.2f", nanos / 1e6);
     }
 
-    private void quiet() throws IOException, InterruptedException {
+    private void measureQuietLinks() throws IOException, InterruptedException {
         Report report = new Report("amqp-quiet", "quiet links", "heap in use KiB", "bytes a link");
-        long before = heapKib();
-        report.row(0, before, "-");
+        long before = liveHeapKib();
+        report.addRow(0, before, "-");
         for (int count : new int[] {2_000, 10_000}) {
-            try (Load load = new Load(true, to(false), count, "quiet" + count)) {
-                long now = heapKib();
-                report.row(count, now, (now - before) * 1024 / count);
+            try (LoadGenerator load = new LoadGenerator(true, targetAddresses(false), count, "quiet" + count)) {
+                long now = liveHeapKib();
+                report.addRow(count, now, (now - before) * 1024 / count);
             }
             Thread.sleep(3_000);
         }
-        report.write(Home.measurements());
+        report.writeFiles(Installation.measurementsDirectory());
     }
 
     /** Live bytes on the heap, after a collection. */
-    private long heapKib() throws IOException, InterruptedException {
+    private long liveHeapKib() throws IOException, InterruptedException {
         Thread.sleep(1_000);
         Process histogram = new ProcessBuilder("jcmd", Long.toString(relay.pid()), "GC.class_histogram")
             .redirectErrorStream(true).start();
@@ -181,13 +181,13 @@
         return Long.parseLong(total[2]) / 1024;
     }
 
-    private void drain() throws IOException, InterruptedException {
+    private void measureDrain() throws IOException, InterruptedException {
         Report report = new Report("amqp-drain", "round", "links moved", "last new link ms after the drain",
             "all links away ms after the drain");
         for (int round = 0; round < 5; round++) {
-            String g = "g" + round % GATEWAYS;
-            AmqpGateway gateway = fleet.amqp().get(round % GATEWAYS);
-            try (Load load = new Load(true, to(false), 400, "drain" + round)) {
+            String g = "g" + round % BACKENDS;
+            FakeAmqpBackend gateway = fleet.amqpBackends().get(round % BACKENDS);
+            try (LoadGenerator load = new LoadGenerator(true, targetAddresses(false), 400, "drain" + round)) {
                 Thread traffic = new Thread(() -> {
                     try {
                         load.run(2_000, 3, false);
@@ -197,57 +197,57 @@
                 });
                 traffic.start();
                 Thread.sleep(500);
-                int stood = gateway.links();
+                int stood = gateway.linkCount();
                 long told = System.currentTimeMillis();
-                fleet.command("drain " + g);
+                fleet.runCommand("drain " + g);
                 long away = -1;
                 while (away < 0 && System.currentTimeMillis() < told + 5_000) {
-                    away = gateway.links() == 0 ? System.currentTimeMillis() - told : -1;
+                    away = gateway.linkCount() == 0 ? System.currentTimeMillis() - told : -1;
                     Thread.sleep(1);
                 }
                 traffic.join();
-                long last = gateway.lastLink() - told;
-                report.row(round, stood, last < 0 ? "none" : last, away);
-                fleet.command("start " + g);
+                long last = gateway.lastLinkMillis() - told;
+                report.addRow(round, stood, last < 0 ? "none" : last, away);
+                fleet.runCommand("start " + g);
             }
         }
-        report.write(Home.measurements());
+        report.writeFiles(Installation.measurementsDirectory());
     }
 
-    private void kill() throws IOException, InterruptedException {
+    private void measureKill() throws IOException, InterruptedException {
         Report report = new Report("amqp-kill", "round", "links lost", "longest wait for an outcome ms",
             "accepted", "released or modified", "no outcome");
         for (int round = 0; round < 5; round++) {
-            String g = "g" + round % GATEWAYS;
-            AmqpGateway gateway = fleet.amqp().get(round % GATEWAYS);
-            try (Load load = new Load(true, to(false), 100, "kill" + round)) {
+            String g = "g" + round % BACKENDS;
+            FakeAmqpBackend gateway = fleet.amqpBackends().get(round % BACKENDS);
+            try (LoadGenerator load = new LoadGenerator(true, targetAddresses(false), 100, "kill" + round)) {
                 Thread killer = new Thread(() -> {
                     try {
                         Thread.sleep(1_500);
-                        fleet.command("kill " + g);
+                        fleet.runCommand("kill " + g);
                     } catch (InterruptedException | IOException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-                int stood = gateway.links();
+                int stood = gateway.linkCount();
                 killer.start();
                 load.run(2_000, 4, false);
                 killer.join();
-                var counts = load.ledger().counts();
-                report.row(round, stood, millis(load.ledger().times().getMaxValue()),
-                    counts.getOrDefault(Ledger.Told.ACCEPTED, 0L),
-                    counts.getOrDefault(Ledger.Told.RELEASED, 0L)
-                        + counts.getOrDefault(Ledger.Told.MODIFIED, 0L),
-                    counts.getOrDefault(Ledger.Told.NOTHING, 0L)
-                        + counts.getOrDefault(Ledger.Told.WAITING, 0L));
-                fleet.command("start " + g);
+                var counts = load.deliveryTracker().outcomeCounts();
+                report.addRow(round, stood, formatMillis(load.deliveryTracker().latencies().getMaxValue()),
+                    counts.getOrDefault(DeliveryTracker.DeliveryOutcome.ACCEPTED, 0L),
+                    counts.getOrDefault(DeliveryTracker.DeliveryOutcome.RELEASED, 0L)
+                        + counts.getOrDefault(DeliveryTracker.DeliveryOutcome.MODIFIED, 0L),
+                    counts.getOrDefault(DeliveryTracker.DeliveryOutcome.NOTHING, 0L)
+                        + counts.getOrDefault(DeliveryTracker.DeliveryOutcome.WAITING, 0L));
+                fleet.runCommand("start " + g);
                 Thread.sleep(2_000);
             }
         }
-        report.write(Home.measurements());
+        report.writeFiles(Installation.measurementsDirectory());
     }
 
-    private static InetSocketAddress address(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
--- a/lab/src/main/java/saltstage/lab/amqp/LoadClient.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpLoadClient.java
@@ -27,7 +27,7 @@
 import org.apache.qpid.protonj2.types.messaging.Target;
 import org.apache.qpid.protonj2.types.transport.DeliveryState;
 import saltstage.amqp.AmqpConnection;
-import saltstage.lab.amqp.Ledger.Told;
+import saltstage.lab.amqp.DeliveryTracker.DeliveryOutcome;
 import saltstage.net.Connection;
 import saltstage.net.ConnectionHandler;
 import saltstage.net.Loop;
@@ -37,76 +37,76 @@
  * One connection of a client and its sending links. Each delivery is due at a time and is measured from then,
  * whether its link had credit or not. A link that is detached attaches again, and so does the connection.
  */
-public final class LoadClient {
-    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(1 << 20, 256 << 20);
-    private static final Duration CONNECT = Duration.ofSeconds(5);
+public final class AmqpLoadClient {
+    private static final Connection.WriteLimits WRITE_LIMITS = new Connection.WriteLimits(1 << 20, 256 << 20);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
 
     private final Transport transport;
     private final Loop loop;
-    private final InetSocketAddress to;
+    private final InetSocketAddress target;
     private final String name;
-    private final Ledger ledger;
+    private final DeliveryTracker deliveryTracker;
     private final byte[] padding;
-    private final List<OneLink> links = new ArrayList<>();
-    private final Map<String, Long> detached = new TreeMap<>();
-    private Side side;
+    private final List<SenderLink> links = new ArrayList<>();
+    private final Map<String, Long> detachCounts = new TreeMap<>();
+    private LoadConnection loadConnection;
     private Session session;
-    private volatile int attached;
-    private volatile int unsent;
-    private volatile boolean over;
+    private volatile int attachedCount;
+    private volatile int unsentCount;
+    private volatile boolean closing;
 
-    private record Due(String id, long at) { }
+    private record ScheduledDelivery(String id, long dueNanos) { }
 
     /** So many links to addresses of this class, with messages of so many bytes. */
-    public LoadClient(Transport transport, Loop loop, InetSocketAddress to, String name, int count,
-            String address, int bytes, Ledger ledger) {
+    public AmqpLoadClient(Transport transport, Loop loop, InetSocketAddress to, String name, int count,
+            String address, int bytes, DeliveryTracker ledger) {
         this.transport = transport;
         this.loop = loop;
-        this.to = to;
+        this.target = to;
         this.name = name;
-        this.ledger = ledger;
+        this.deliveryTracker = ledger;
         padding = new byte[bytes];
         for (int i = 0; i < count; i++) {
-            links.add(new OneLink(i, address + "/" + name + "-" + i));
+            links.add(new SenderLink(i, address + "/" + name + "-" + i));
         }
         loop.execute(this::connect);
     }
 
     /** Says that a delivery is due on a link, at this moment of the monotonic clock. */
-    public void due(int link, String id, long at) {
-        ledger.sent(id);
-        loop.execute(() -> links.get(link).due(new Due(id, at)));
+    public void scheduleDelivery(int link, String id, long at) {
+        deliveryTracker.deliverySent(id);
+        loop.execute(() -> links.get(link).enqueue(new ScheduledDelivery(id, at)));
     }
 
     /** How many links it has. */
-    public int links() {
+    public int linkCount() {
         return links.size();
     }
 
     /** How many links are attached. */
-    public int attached() {
-        return attached;
+    public int attachedCount() {
+        return attachedCount;
     }
 
     /** How many deliveries are due and were not sent, for want of credit or of a link. */
-    public int unsent() {
-        return unsent;
+    public int unsentCount() {
+        return unsentCount;
     }
 
     /** How many times links were detached, by condition. */
-    public Map<String, Long> detached() {
-        synchronized (detached) {
-            return Map.copyOf(detached);
+    public Map<String, Long> detachCounts() {
+        synchronized (detachCounts) {
+            return Map.copyOf(detachCounts);
         }
     }
 
     /** What keeps it, for a message: each link with deliveries that are due, its credit and its session's. */
-    public String stuck() {
+    public String describeBlockedLinks() {
         StringBuilder text = new StringBuilder();
-        for (OneLink link : links) {
-            if (!link.waiting.isEmpty()) {
-                text.append(link.address).append(" up=").append(link.up).append(" waiting=")
-                    .append(link.waiting.size()).append(" out=").append(link.out.size()).append(" credit=")
+        for (SenderLink link : links) {
+            if (!link.pendingDeliveries.isEmpty()) {
+                text.append(link.address).append(" up=").append(link.attached).append(" waiting=")
+                    .append(link.pendingDeliveries.size()).append(" out=").append(link.unsettledDeliveries.size()).append(" credit=")
                     .append(link.sender.getCredit()).append(" sendable=").append(link.sender.isSendable())
                     .append(" local=").append(link.sender.getState()).append(" remote=")
                     .append(link.sender.getRemoteState()).append("; ");
@@ -116,163 +116,163 @@
     }
 
     /** Ends politely; what has no outcome by then has none. */
-    public void end() {
-        over = true;
+    public void close() {
+        closing = true;
         loop.execute(() -> {
-            if (side != null) {
-                side.close(null);
+            if (loadConnection != null) {
+                loadConnection.close(null);
             }
         });
     }
 
     private void connect() {
-        if (over) {
+        if (closing) {
             return;
         }
-        transport.connect(loop, to, CONNECT, BOUNDS, new Transport.ConnectListener() {
+        transport.connect(loop, target, CONNECT_TIMEOUT, WRITE_LIMITS, new Transport.ConnectListener() {
             @Override
             public ConnectionHandler connected(Connection connection) {
-                side = new Side(connection);
-                side.begin();
-                return side;
+                loadConnection = new LoadConnection(connection);
+                loadConnection.open();
+                return loadConnection;
             }
 
             @Override
             public void failed(IOException why) {
-                again();
+                scheduleReconnect();
             }
         });
     }
 
-    private void again() {
+    private void scheduleReconnect() {
         loop.schedule(Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::connect);
     }
 
     /** The connection. */
-    private final class Side extends AmqpConnection {
-        Side(Connection net) {
+    private final class LoadConnection extends AmqpConnection {
+        LoadConnection(Connection net) {
             super(net, Instant::now, 1 << 20);
         }
 
-        void begin() {
+        void open() {
             Engine engine = EngineFactory.PROTON.createNonSaslEngine();
             engine.connection().setContainerId(name).setMaxFrameSize(16 << 10)
                 .closeHandler(closed -> close(null));
             startEngine(engine);
             engine.connection().open();
             session = engine.connection().session().open();
-            links.forEach(OneLink::attach);
+            links.forEach(SenderLink::attach);
         }
 
         @Override
         protected void onWritable() {
-            links.forEach(OneLink::pump);
+            links.forEach(SenderLink::sendPending);
         }
 
         @Override
         protected void connectionEnded(String why) {
-            links.forEach(OneLink::lost);
-            count("connection " + why);
-            again();
+            links.forEach(SenderLink::markDetached);
+            countDetach("connection " + why);
+            scheduleReconnect();
         }
     }
 
-    private void count(String what) {
-        synchronized (detached) {
-            detached.merge(what, 1L, Long::sum);
+    private void countDetach(String what) {
+        synchronized (detachCounts) {
+            detachCounts.merge(what, 1L, Long::sum);
         }
     }
 
     /** One link and what is due on it. */
-    private final class OneLink {
-        private final int number;
+    private final class SenderLink {
+        private final int index;
         private final String address;
-        private final Deque<Due> waiting = new ArrayDeque<>();
-        private final Map<OutgoingDelivery, Due> out = new LinkedHashMap<>();
+        private final Deque<ScheduledDelivery> pendingDeliveries = new ArrayDeque<>();
+        private final Map<OutgoingDelivery, ScheduledDelivery> unsettledDeliveries = new LinkedHashMap<>();
         private Sender sender;
-        private boolean up;
-        private int tags;
-        private int times;
+        private boolean attached;
+        private int nextTag;
+        private int attachCount;
 
-        OneLink(int number, String address) {
-            this.number = number;
+        SenderLink(int number, String address) {
+            this.index = number;
             this.address = address;
         }
 
         void attach() {
-            if (over || side == null || side.isClosed()) {
+            if (closing || loadConnection == null || loadConnection.isClosed()) {
                 return;
             }
-            sender = session.sender(name + "-" + number + "-" + times++);
+            sender = session.sender(name + "-" + index + "-" + attachCount++);
             sender.setSource(new Source().setAddress(name)).setTarget(new Target().setAddress(address))
                 .openHandler(opened -> {
                     if (sender.getRemoteTarget() != null) {
-                        up = true;
-                        attached++;
+                        attached = true;
+                        attachedCount++;
                     }
                 })
-                .closeHandler(this::detached)
-                .detachHandler(this::detached)
-                .creditStateUpdateHandler(any -> pump())
-                .deliveryStateUpdatedHandler(this::told)
+                .closeHandler(this::detachReceived)
+                .detachHandler(this::detachReceived)
+                .creditStateUpdateHandler(any -> sendPending())
+                .deliveryStateUpdatedHandler(this::dispositionReceived)
                 .open();
         }
 
-        private void detached(Sender closed) {
-            count(closed.getRemoteCondition() == null ? "none"
+        private void detachReceived(Sender closed) {
+            countDetach(closed.getRemoteCondition() == null ? "none"
                 : closed.getRemoteCondition().getCondition().toString());
-            lost();
+            markDetached();
             closed.close();
             loop.schedule(Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::attach);
         }
 
-        void lost() {
-            if (up) {
-                up = false;
-                attached--;
+        void markDetached() {
+            if (attached) {
+                attached = false;
+                attachedCount--;
             }
-            out.values().forEach(due -> ledger.outcome(due.id(), Told.NOTHING, -1));
-            out.clear();
+            unsettledDeliveries.values().forEach(due -> deliveryTracker.outcomeReceived(due.id(), DeliveryOutcome.NOTHING, -1));
+            unsettledDeliveries.clear();
         }
 
-        void due(Due due) {
-            waiting.add(due);
-            unsent++;
-            pump();
+        void enqueue(ScheduledDelivery due) {
+            pendingDeliveries.add(due);
+            unsentCount++;
+            sendPending();
         }
 
-        void pump() {
-            while (up && !waiting.isEmpty() && side.isWritable() && sender.getCredit() > 0
+        void sendPending() {
+            while (attached && !pendingDeliveries.isEmpty() && loadConnection.isWritable() && sender.getCredit() > 0
                 && sender.isSendable()) {
-                Due due = waiting.poll();
-                unsent--;
-                OutgoingDelivery delivery = sender.next().setTag(Integer.toString(tags++, 36)
+                ScheduledDelivery due = pendingDeliveries.poll();
+                unsentCount--;
+                OutgoingDelivery delivery = sender.next().setTag(Integer.toString(nextTag++, 36)
                     .getBytes(StandardCharsets.ISO_8859_1));
-                out.put(delivery, due);
+                unsettledDeliveries.put(delivery, due);
                 delivery.writeBytes(ProtonByteArrayBufferAllocator.wrapped(
-                    Messages.make(due.id(), padding.length)));
+                    MessageCodec.encode(due.id(), padding.length)));
             }
-            if (up && sender.isDraining() && sender.getCredit() > 0 && waiting.isEmpty()) {
+            if (attached && sender.isDraining() && sender.getCredit() > 0 && pendingDeliveries.isEmpty()) {
                 sender.drained();
             }
         }
 
-        private void told(OutgoingDelivery delivery) {
+        private void dispositionReceived(OutgoingDelivery delivery) {
             DeliveryState state = delivery.getRemoteState();
-            Due due = out.get(delivery);
+            ScheduledDelivery due = unsettledDeliveries.get(delivery);
             if (due == null) {
-                count("outcome for nothing");
+                countDetach("outcome for nothing");
                 return;
             }
             if (state == null && !delivery.isRemotelySettled()) {
                 return;
             }
-            Told what = state instanceof Accepted ? Told.ACCEPTED : state instanceof Rejected ? Told.REJECTED
-                : state instanceof Released ? Told.RELEASED : state instanceof Modified ? Told.MODIFIED
-                : Told.OTHER;
-            ledger.outcome(due.id(), what, System.nanoTime() - due.at());
+            DeliveryOutcome what = state instanceof Accepted ? DeliveryOutcome.ACCEPTED : state instanceof Rejected ? DeliveryOutcome.REJECTED
+                : state instanceof Released ? DeliveryOutcome.RELEASED : state instanceof Modified ? DeliveryOutcome.MODIFIED
+                : DeliveryOutcome.OTHER;
+            deliveryTracker.outcomeReceived(due.id(), what, System.nanoTime() - due.dueNanos());
             if (delivery.isRemotelySettled()) {
-                out.remove(delivery);
+                unsettledDeliveries.remove(delivery);
                 delivery.settle();
             }
         }
--- a/lab/src/main/java/saltstage/lab/amqp/ServerSide.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpServerConnection.java
@@ -17,46 +17,46 @@
 import saltstage.net.Connection;
 
 /** A server's side of a connection: with SASL ANONYMOUS or without SASL, as the client begins. */
-class ServerSide extends AmqpConnection {
-    private final Consumer<Engine> setUp;
-    private final Consumer<ServerSide> end;
-    private byte[] head = {};
+class AmqpServerConnection extends AmqpConnection {
+    private final Consumer<Engine> engineConfigurer;
+    private final Consumer<AmqpServerConnection> endListener;
+    private byte[] receivedBytes = {};
 
-    ServerSide(Connection net, Consumer<Engine> setUp, Consumer<ServerSide> end) {
+    AmqpServerConnection(Connection net, Consumer<Engine> setUp, Consumer<AmqpServerConnection> end) {
         super(net, Instant::now, 1 << 20);
-        this.setUp = setUp;
-        this.end = end;
+        this.engineConfigurer = setUp;
+        this.endListener = end;
     }
 
     @Override
     public void received(Connection on, ByteBuffer bytes) {
-        byte[] all = Arrays.copyOf(head, head.length + bytes.remaining());
-        bytes.get(all, head.length, bytes.remaining());
-        head = all;
+        byte[] all = Arrays.copyOf(receivedBytes, receivedBytes.length + bytes.remaining());
+        bytes.get(all, receivedBytes.length, bytes.remaining());
+        receivedBytes = all;
         if (engine() == null) {
-            if (head.length < 8) {
+            if (receivedBytes.length < 8) {
                 return;
             }
-            Engine made = head[4] == 0 ? EngineFactory.PROTON.createNonSaslEngine()
+            Engine made = receivedBytes[4] == 0 ? EngineFactory.PROTON.createNonSaslEngine()
                 : EngineFactory.PROTON.createEngine();
-            if (head[4] != 0) {
-                made.saslDriver().server().setListener(new Anyone());
+            if (receivedBytes[4] != 0) {
+                made.saslDriver().server().setListener(new AnonymousSaslListener());
             }
-            setUp.accept(made);
+            engineConfigurer.accept(made);
             startEngine(made);
         }
-        byte[] whole = head;
-        head = new byte[0];
+        byte[] whole = receivedBytes;
+        receivedBytes = new byte[0];
         ingest(whole);
     }
 
     /** Whether this engine is its own. */
-    boolean runs(Engine one) {
+    boolean hasEngine(Engine one) {
         return engine() == one;
     }
 
     /** Reads on, or lets what comes wait in the system. */
-    void reading(boolean wanted) {
+    void setReading(boolean wanted) {
         netConnection().setReading(wanted);
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** Begins a frame that it does not end, and dies. */
-    void tear() {
+    void resetWithinFrame() {
         netConnection().write(ByteBuffer.wrap(new byte[] {0, 0, 1, 0, 2, 0, 0, 0, 0, 0x53}));
         loop().schedule(Duration.ofMillis(5), this::reset);
     }
@@ -80,10 +80,10 @@
 
     @Override
     protected void connectionEnded(String why) {
-        end.accept(this);
+        endListener.accept(this);
     }
 
-    private static final class Anyone implements SaslServerListener {
+    private static final class AnonymousSaslListener implements SaslServerListener {
         @Override
         public void handleSaslHeader(SaslServerContext context, AMQPHeader header) {
             context.sendMechanisms(new Symbol[] {Symbol.valueOf("ANONYMOUS")});
--- a/lab/src/main/java/saltstage/lab/amqp/AmqpGateway.java
+++ b/lab/src/main/java/saltstage/lab/amqp/FakeAmqpBackend.java
@@ -29,7 +29,7 @@
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 import org.apache.qpid.protonj2.types.transport.LinkError;
 import org.apache.qpid.protonj2.types.transport.ReceiverSettleMode;
-import saltstage.lab.fleet.Gateway.State;
+import saltstage.lab.fleet.FakeBackend.State;
 import saltstage.net.Connection;
 import saltstage.net.Transport;
 
@@ -37,112 +37,112 @@
  * A stand-in for a gateway that speaks AMQP 1.0: takes links on any address, accepts or rejects deliveries,
  * gives messages to who receives, and keeps count of all of it. It drains, dies, freezes and answers late.
  */
-public final class AmqpGateway {
-    private static final int CREDIT = 200;
-    private static final int FRAME = 16 << 10;
-    private static final int MOST_KEPT = 1 << 19;
-    private static final int MOST_LINKS = 10_000;
-    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(1 << 20, 256 << 20);
+public final class FakeAmqpBackend {
+    private static final int LINK_CREDIT = 200;
+    private static final int MAX_FRAME_BYTES = 16 << 10;
+    private static final int MAX_UNREAD_BYTES = 1 << 19;
+    private static final int MAX_LINKS = 10_000;
+    private static final Connection.WriteLimits WRITE_LIMITS = new Connection.WriteLimits(1 << 20, 256 << 20);
 
     private final String uid;
     private final Transport transport;
-    private final InetSocketAddress at;
-    private final Copies copies;
-    private final Set<ServerSide> open = ConcurrentHashMap.newKeySet();
-    private final Set<Runnable> held = ConcurrentHashMap.newKeySet();
+    private final InetSocketAddress address;
+    private final DuplicateDeliveryDetector duplicateDetector;
+    private final Set<AmqpServerConnection> connections = ConcurrentHashMap.newKeySet();
+    private final Set<Runnable> outstandingCleanups = ConcurrentHashMap.newKeySet();
     private final Set<Link<?>> links = ConcurrentHashMap.newKeySet();
-    private final Set<String> names = ConcurrentHashMap.newKeySet();
-    private final List<String> accepted = new ArrayList<>();
-    private final Map<String, Long> outcomes = new TreeMap<>();
-    private final Map<String, Long> told = new TreeMap<>();
+    private final Set<String> linkKeys = ConcurrentHashMap.newKeySet();
+    private final List<String> acceptedIds = new ArrayList<>();
+    private final Map<String, Long> outcomeCounts = new TreeMap<>();
+    private final Map<String, Long> receivedOutcomeCounts = new TreeMap<>();
     private volatile Transport.Listener listener;
     private volatile State state = State.READY;
     private volatile int rejectPercent;
-    private volatile int feed = 10;
-    private volatile int window;
-    private volatile int sessions;
-    private volatile int stolen;
-    private volatile int settledSecond;
-    private volatile Duration delay = Duration.ZERO;
-    private volatile long lastLink;
-    private volatile long served;
+    private volatile int messagesPerLink = 10;
+    private volatile int sessionWindowBytes;
+    private volatile int sessionCount;
+    private volatile int stolenLinkCount;
+    private volatile int senderSettledFirstCount;
+    private volatile Duration outcomeDelay = Duration.ZERO;
+    private volatile long lastLinkMillis;
+    private volatile long servedLinkCount;
 
     /** A gateway at this address. */
-    public AmqpGateway(String uid, Transport transport, InetSocketAddress at, Copies copies)
+    public FakeAmqpBackend(String uid, Transport transport, InetSocketAddress at, DuplicateDeliveryDetector copies)
             throws IOException {
         this.uid = uid;
         this.transport = transport;
-        this.at = at;
-        this.copies = copies;
+        this.address = at;
+        this.duplicateDetector = copies;
         listen();
     }
 
     private void listen() throws IOException {
-        listener = transport.listen(at, 1_024, BOUNDS, net -> {
-            ServerSide side = new ServerSide(net, this::setUp, open::remove);
-            open.add(side);
+        listener = transport.listen(address, 1_024, WRITE_LIMITS, net -> {
+            AmqpServerConnection side = new AmqpServerConnection(net, this::configureEngine, connections::remove);
+            connections.add(side);
             if (state == State.SILENT) {
-                net.loop().execute(() -> side.reading(false));
+                net.loop().execute(() -> side.setReading(false));
             }
             return side;
         });
     }
 
-    private void setUp(Engine engine) {
-        engine.connection().setContainerId(uid).setMaxFrameSize(FRAME)
+    private void configureEngine(Engine engine) {
+        engine.connection().setContainerId(uid).setMaxFrameSize(MAX_FRAME_BYTES)
             .setChannelMax(65_535)
             .openHandler(up -> up.open())
             .closeHandler(up -> up.close())
             .sessionOpenHandler(session -> { // usually without a window: all that comes is read at once
-                if (window > 0) {
-                    session.setIncomingCapacity(window);
+                if (sessionWindowBytes > 0) {
+                    session.setIncomingCapacity(sessionWindowBytes);
                 }
                 session.closeHandler(ended -> ended.close());
-                sessions++;
+                sessionCount++;
                 session.open();
             })
-            .receiverOpenHandler(this::takes)
-            .senderOpenHandler(this::gives);
+            .receiverOpenHandler(this::receiverOpened)
+            .senderOpenHandler(this::senderOpened);
     }
 
-    private boolean turnsAway(Link<?> link) {
-        lastLink = System.currentTimeMillis();
-        if (!names.add(name(link))) { // a second one of this name between two containers (2.6.1)
-            stolen++;
+    private boolean rejectIfUnavailable(Link<?> link) {
+        lastLinkMillis = System.currentTimeMillis();
+        if (!linkKeys.add(linkKey(link))) { // a second one of this name between two containers (2.6.1)
+            stolenLinkCount++;
             link.setSource(null).setTarget((Target) null).open();
             link.setCondition(new ErrorCondition(LinkError.STOLEN, "link " + link.getName())).close();
             return true;
         }
-        if (state != State.DRAINING && links.size() < MOST_LINKS) {
+        if (state != State.DRAINING && links.size() < MAX_LINKS) {
             links.add(link);
-            served++;
+            servedLinkCount++;
             return false;
         }
-        names.remove(name(link));
+        linkKeys.remove(linkKey(link));
         link.setSource(null).setTarget((Target) null).open();
         link.setCondition(new ErrorCondition(AmqpError.RESOURCE_LIMIT_EXCEEDED, "draining or full")).close();
         return true;
     }
 
-    private static String name(Link<?> link) {
+    private static String linkKey(Link<?> link) {
         return link.getEngine().connection().getRemoteContainerId() + " " + link.isSender() + " "
             + link.getName();
     }
 
-    private void takes(Receiver link) {
-        if (turnsAway(link)) {
+    private void receiverOpened(Receiver link) {
+        if (rejectIfUnavailable(link)) {
             return;
         }
         Set<String> out = ConcurrentHashMap.newKeySet();
         Runnable letGo = () -> {
-            out.forEach(copies::ends);
+            out.forEach(duplicateDetector::deliveryEnded);
             out.clear();
         };
-        held.add(letGo);
+        outstandingCleanups.add(letGo);
         Runnable over = () -> {
             links.remove(link);
-            names.remove(name(link));
-            held.remove(letGo);
+            linkKeys.remove(linkKey(link));
+            outstandingCleanups.remove(letGo);
             letGo.run();
             link.close();
         };
@@ -152,7 +152,7 @@
             .setOfferedCapabilities(link.getRemoteDesiredCapabilities())
             .deliveryStateUpdatedHandler(in -> {
                 if (second && in.isRemotelySettled() && !in.isSettled()) {
-                    settledSecond++;
+                    senderSettledFirstCount++;
                     in.settle();
                 }
             })
@@ -160,45 +160,45 @@
             .detachHandler(any -> over.run())
             .parentEndpointClosedHandler(any -> over.run())
             .engineShutdownHandler(any -> over.run())
-            .deliveryReadHandler(in -> came(link, in, out))
+            .deliveryReadHandler(in -> deliveryReceived(link, in, out))
             .deliveryAbortedHandler(in -> in.settle())
             .open();
-        link.addCredit(CREDIT);
+        link.addCredit(LINK_CREDIT);
     }
 
-    private void came(Receiver link, IncomingDelivery in, Set<String> out) {
+    private void deliveryReceived(Receiver link, IncomingDelivery in, Set<String> out) {
         if (in.isPartial()) {
-            if (in.available() > MOST_KEPT) { // a large one is read as it comes: its id came first
-                keepHead(in);
+            if (in.available() > MAX_UNREAD_BYTES) { // a large one is read as it comes: its id came first
+                bufferHead(in);
             }
             return;
         }
-        keepHead(in);
+        bufferHead(in);
         ProtonBuffer whole = in.getLinkedResource();
-        String id = Messages.id(whole);
+        String id = MessageCodec.readId(whole);
         boolean settled = in.isRemotelySettled();
         if (settled) {
-            count(id, "presettled");
+            countOutcome(id, "presettled");
             in.settle();
             link.addCredit(1);
             return;
         }
-        copies.begins(id, uid);
+        duplicateDetector.deliveryReceived(id, uid);
         out.add(id);
-        if (delay.isZero()) {
-            answer(link, in, id, out);
+        if (outcomeDelay.isZero()) {
+            sendOutcome(link, in, id, out);
         } else {
-            side(link).loop().schedule(delay, () -> answer(link, in, id, out));
+            connectionOf(link).loop().schedule(outcomeDelay, () -> sendOutcome(link, in, id, out));
         }
     }
 
     /** The first bytes are enough for the id. */
-    private static void keepHead(IncomingDelivery in) {
+    private static void bufferHead(IncomingDelivery in) {
         ProtonBuffer head = in.getLinkedResource();
         ProtonBuffer got = in.available() > 0 ? in.readAll() : null;
         if (head == null) {
             in.setLinkedResource(got == null ? ProtonBufferAllocator.defaultAllocator().allocate(0) : got);
-        } else if (got != null && head.getReadableBytes() < FRAME) {
+        } else if (got != null && head.getReadableBytes() < MAX_FRAME_BYTES) {
             ProtonBuffer both = ProtonBufferAllocator.defaultAllocator()
                 .allocate(head.getReadableBytes() + got.getReadableBytes());
             both.writeBytes(head).writeBytes(got);
@@ -206,48 +206,48 @@
         }
     }
 
-    private ServerSide side(Link<?> link) {
-        for (ServerSide one : open) {
-            if (one.runs(link.getEngine())) {
+    private AmqpServerConnection connectionOf(Link<?> link) {
+        for (AmqpServerConnection one : connections) {
+            if (one.hasEngine(link.getEngine())) {
                 return one;
             }
         }
         throw new IllegalStateException("a link of no connection");
     }
 
-    private void answer(Receiver link, IncomingDelivery in, String id, Set<String> out) {
+    private void sendOutcome(Receiver link, IncomingDelivery in, String id, Set<String> out) {
         if (!links.contains(link) || state == State.SILENT || !out.remove(id)) {
             return; // its link has ended meanwhile, or the machine is frozen
         }
-        copies.ends(id);
+        duplicateDetector.deliveryEnded(id);
         boolean reject = ThreadLocalRandom.current().nextInt(100) < rejectPercent;
         DeliveryState state = reject
             ? new Rejected(new ErrorCondition(Symbol.valueOf("stand-in:rejected"), "as it was told"))
             : Accepted.getInstance();
-        count(id, reject ? "rejected" : "accepted");
+        countOutcome(id, reject ? "rejected" : "accepted");
         in.disposition(state, link.getReceiverSettleMode() != ReceiverSettleMode.SECOND);
-        if (link.getCredit() <= CREDIT / 2) {
-            link.addCredit(CREDIT - link.getCredit());
+        if (link.getCredit() <= LINK_CREDIT / 2) {
+            link.addCredit(LINK_CREDIT - link.getCredit());
         }
     }
 
-    private void count(String id, String outcome) {
-        synchronized (accepted) {
-            outcomes.merge(outcome, 1L, Long::sum);
+    private void countOutcome(String id, String outcome) {
+        synchronized (acceptedIds) {
+            outcomeCounts.merge(outcome, 1L, Long::sum);
             if (!outcome.equals("rejected")) {
-                accepted.add(id);
+                acceptedIds.add(id);
             }
         }
     }
 
-    private void gives(Sender link) {
-        if (turnsAway(link)) {
+    private void senderOpened(Sender link) {
+        if (rejectIfUnavailable(link)) {
             return;
         }
         int[] given = new int[1];
         Runnable over = () -> {
             links.remove(link);
-            names.remove(name(link));
+            linkKeys.remove(linkKey(link));
             link.close();
         };
         link.setSource(link.getRemoteSource()).setTarget(link.<Target>getRemoteTarget())
@@ -257,8 +257,8 @@
             .parentEndpointClosedHandler(any -> over.run())
             .engineShutdownHandler(any -> over.run())
             .creditStateUpdateHandler(any -> {
-                while (link.isSendable() && given[0] < feed) {
-                    byte[] message = Messages.make(uid + ":" + link.getName() + ":" + given[0]++, 64);
+                while (link.isSendable() && given[0] < messagesPerLink) {
+                    byte[] message = MessageCodec.encode(uid + ":" + link.getName() + ":" + given[0]++, 64);
                     OutgoingDelivery out = link.next().setTag(new byte[] {(byte) (given[0] >> 8),
                         (byte) given[0]});
                     out.writeBytes(ProtonByteArrayBufferAllocator.wrapped(message));
@@ -269,8 +269,8 @@
             })
             .deliveryStateUpdatedHandler(out -> {
                 if (out.getRemoteState() != null) {
-                    synchronized (accepted) {
-                        told.merge(out.getRemoteState().getType().name().toLowerCase(Locale.ROOT),
+                    synchronized (acceptedIds) {
+                        receivedOutcomeCounts.merge(out.getRemoteState().getType().name().toLowerCase(Locale.ROOT),
                             1L, Long::sum);
                     }
                 }
@@ -292,20 +292,20 @@
     public void kill() {
         state = State.DEAD;
         listener.close();
-        open.forEach(side -> side.loop().execute(side::reset));
+        connections.forEach(side -> side.loop().execute(side::reset));
     }
 
     /** Dies in the middle of a frame to each of its peers; a new process takes its place at once. */
-    public void tear() {
-        open.forEach(side -> side.loop().execute(side::tear));
+    public void resetWithinFrame() {
+        connections.forEach(side -> side.loop().execute(side::resetWithinFrame));
     }
 
     /** Freezes as a machine does that is cut off. */
-    public void stop() {
+    public void freeze() {
         state = State.SILENT;
-        open.forEach(side -> side.loop().execute(() -> side.reading(false)));
+        connections.forEach(side -> side.loop().execute(() -> side.setReading(false)));
         // Its peers can only give its connections up, which it does not see: what it holds counts as that.
-        List.copyOf(held).forEach(Runnable::run);
+        List.copyOf(outstandingCleanups).forEach(Runnable::run);
     }
 
     /** Serves again; a killed one as a new process. */
@@ -316,90 +316,90 @@
         boolean frozen = state == State.SILENT;
         state = State.READY;
         if (frozen) { // what it had open is void: its peers have given it up
-            open.forEach(side -> side.loop().execute(side::reset));
+            connections.forEach(side -> side.loop().execute(side::reset));
         }
     }
 
     /** Gives outcomes that much later. */
-    public void slow(Duration by) {
-        delay = by;
+    public void setOutcomeDelay(Duration by) {
+        outcomeDelay = by;
     }
 
     /** Rejects so many of a hundred deliveries. */
-    public void reject(int percent) {
+    public void setRejectPercent(int percent) {
         rejectPercent = percent;
     }
 
     /** Gives so many messages to each link that receives. */
-    public void feed(int messages) {
-        feed = messages;
+    public void setMessagesPerLink(int messages) {
+        messagesPerLink = messages;
     }
 
     /** Takes so many bytes a session before it has read them; 0: any number. */
-    public void window(int bytes) {
-        window = bytes;
+    public void setSessionWindowBytes(int bytes) {
+        sessionWindowBytes = bytes;
     }
 
     // ---- what is seen of it
 
     /** How many sessions it has taken. */
-    public int sessions() {
-        return sessions;
+    public int sessionCount() {
+        return sessionCount;
     }
 
     /** How many deliveries were settled by their sender first, in the mode 'second' (2.6.12). */
-    public int settledSecond() {
-        return settledSecond;
+    public int senderSettledFirstCount() {
+        return senderSettledFirstCount;
     }
 
     /** How many messages its links that send may send now. */
-    public int credit() {
+    public int availableCredit() {
         return links.stream().filter(Link::isSender).mapToInt(Link::getCredit).sum();
     }
 
     /** How many links were turned away as their name was taken. */
-    public int stolen() {
-        return stolen;
+    public int stolenLinkCount() {
+        return stolenLinkCount;
     }
 
     /** Where it listens. */
     public InetSocketAddress address() {
-        return at;
+        return address;
     }
 
     /** How many links are open. */
-    public int links() {
+    public int linkCount() {
         return links.size();
     }
 
     /** How many links it has taken. */
-    public long served() {
-        return served;
+    public long servedLinkCount() {
+        return servedLinkCount;
     }
 
     /** When the last new link came, in Unix milliseconds; 0 for never. */
-    public long lastLink() {
-        return lastLink;
+    public long lastLinkMillis() {
+        return lastLinkMillis;
     }
 
     /** The ids of the deliveries accepted, each time that one was. */
-    public List<String> accepted() {
-        synchronized (accepted) {
-            return List.copyOf(accepted);
+    public List<String> acceptedIds() {
+        synchronized (acceptedIds) {
+            return List.copyOf(acceptedIds);
         }
     }
 
     /** How many outcomes of each kind it has given. */
-    public Map<String, Long> outcomes() {
-        synchronized (accepted) {
-            return Map.copyOf(outcomes);
+    public Map<String, Long> outcomeCounts() {
+        synchronized (acceptedIds) {
+            return Map.copyOf(outcomeCounts);
         }
     }
 
     /** How many outcomes of each kind its receivers have told it. */
-    public Map<String, Long> told() {
-        synchronized (accepted) {
-            return Map.copyOf(told);
+    public Map<String, Long> receivedOutcomeCounts() {
+        synchronized (acceptedIds) {
+            return Map.copyOf(receivedOutcomeCounts);
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/amqp/LoadCommand.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LoadCommand.java
@@ -23,7 +23,7 @@
         "when it was due, and compares what senders were told with what the gateways say."},
     footer = {"", "Exits with 0 where each delivery is accounted for at both ends, else with 1."})
 public final class LoadCommand implements Callable<Integer> {
-    private static final int MOST_FAULTS = 20;
+    private static final int MAX_LISTED_FAULTS = 20;
 
     /** What is spoken. */
     public enum Protocol { lines, amqp }
@@ -55,32 +55,32 @@
         JsonNode fleet = new ObjectMapper().readTree(dir.resolve("fleet.json").toFile());
         List<InetSocketAddress> to = new ArrayList<>();
         if (straight) {
-            ((ArrayNode) fleet.get(protocol + "_gateways")).forEach(at -> to.add(address(at.asText())));
+            ((ArrayNode) fleet.get(protocol + "_gateways")).forEach(at -> to.add(parseAddress(at.asText())));
         } else if (fleet.has(protocol.name())) {
-            to.add(address(fleet.get(protocol.name()).asText()));
+            to.add(parseAddress(fleet.get(protocol.name()).asText()));
         } else {
             throw new IllegalArgumentException("the fleet in " + dir + " does not speak " + protocol);
         }
         Map<String, Object> result = new LinkedHashMap<>();
         List<String> faults;
-        try (Load load = new Load(protocol == Protocol.amqp, to, links, "l" + System.nanoTime())) {
+        try (LoadGenerator load = new LoadGenerator(protocol == Protocol.amqp, to, links, "l" + System.nanoTime())) {
             load.run(rate, seconds, true);
             result.put("protocol", protocol.name());
             result.put("links", links);
             result.put("rate", rate);
             result.put("seconds", seconds);
-            result.put("sent", load.ledger().size());
-            result.put("told", load.ledger().counts());
-            result.put("latency_ms", load.millis());
-            result.put("detached", load.detached());
-            faults = load.ledger().faults(protocol == Protocol.amqp ? accepted(fleet, load) : List.of());
+            result.put("sent", load.deliveryTracker().sentCount());
+            result.put("told", load.deliveryTracker().outcomeCounts());
+            result.put("latency_ms", load.latencyPercentilesMillis());
+            result.put("detached", load.detachCounts());
+            faults = load.deliveryTracker().findFaults(protocol == Protocol.amqp ? acceptedIds(fleet, load) : List.of());
         }
         if (protocol == Protocol.lines) {
             // Lines come back as they are: there is no second end to compare with.
             faults.removeIf(fault -> fault.startsWith("accepted by no gateway"));
         }
         result.put("faults", faults.size());
-        result.put("some_faults", faults.subList(0, Math.min(MOST_FAULTS, faults.size())));
+        result.put("some_faults", faults.subList(0, Math.min(MAX_LISTED_FAULTS, faults.size())));
         String text = new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(result);
         System.out.println(text);
         if (json != null) {
@@ -90,9 +90,9 @@
     }
 
     /** What the gateways have accepted of this load's deliveries; those of others are left out. */
-    private static List<String> accepted(JsonNode fleet, Load load) throws IOException {
+    private static List<String> acceptedIds(JsonNode fleet, LoadGenerator load) throws IOException {
         List<String> all = new ArrayList<>();
-        InetSocketAddress at = address(fleet.get("status").asText());
+        InetSocketAddress at = parseAddress(fleet.get("status").asText());
         try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
             JsonNode status = new ObjectMapper().readTree(socket.getInputStream());
             status.forEach(gateway -> {
@@ -101,11 +101,11 @@
                 }
             });
         }
-        all.removeIf(id -> !load.ledger().knows(id));
+        all.removeIf(id -> !load.deliveryTracker().contains(id));
         return all;
     }
 
-    private static InetSocketAddress address(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
--- a/lab/src/main/java/saltstage/lab/amqp/Load.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LoadGenerator.java
@@ -11,39 +11,39 @@
 import saltstage.net.NettyTransport;
 
 /** A load of deliveries or lines at a rate, each measured from when it was due. */
-final class Load implements AutoCloseable {
+final class LoadGenerator implements AutoCloseable {
     private static final int LINKS_PER_CONNECTION = 250;
-    private static final int BYTES = 128;
-    private static final long SETTLE_S = 20;
+    private static final int MESSAGE_BYTES = 128;
+    private static final long SETTLE_TIMEOUT_SECONDS = 20;
 
     private final NettyTransport transport =
         new NettyTransport(2, true, (where, fault) -> System.err.println("fault in " + where + ": " + fault));
-    private final List<LoadClient> amqp = new ArrayList<>();
-    private final List<LineLoad> lines = new ArrayList<>();
-    private final int links;
+    private final List<AmqpLoadClient> amqpClients = new ArrayList<>();
+    private final List<LineLoadClient> lineClients = new ArrayList<>();
+    private final int linkCount;
     private final String name;
-    private final Ledger ledger = new Ledger();
-    private long number;
+    private final DeliveryTracker deliveryTracker = new DeliveryTracker();
+    private long nextDeliveryNumber;
 
     /** So many links or line connections, spread over these addresses; returns once they stand. */
-    Load(boolean speaksAmqp, List<InetSocketAddress> to, int links, String name) throws InterruptedException {
-        this.links = links;
+    LoadGenerator(boolean speaksAmqp, List<InetSocketAddress> to, int links, String name) throws InterruptedException {
+        this.linkCount = links;
         this.name = name;
         if (speaksAmqp) {
             int connections = Math.max(to.size(), (links + LINKS_PER_CONNECTION - 1) / LINKS_PER_CONNECTION);
             connections = Math.min(links, connections);
             for (int i = 0; i < connections; i++) {
                 int count = links / connections + (i < links % connections ? 1 : 0);
-                amqp.add(new LoadClient(transport, transport.loops().get(i % 2), to.get(i % to.size()),
-                    name + i, count, "status-report", BYTES, ledger));
+                amqpClients.add(new AmqpLoadClient(transport, transport.loops().get(i % 2), to.get(i % to.size()),
+                    name + i, count, "status-report", MESSAGE_BYTES, deliveryTracker));
             }
         } else {
             for (int i = 0; i < links; i++) {
-                lines.add(new LineLoad(transport, transport.loops().get(i % 2), to.get(i % to.size()),
-                    name + i, ledger));
+                lineClients.add(new LineLoadClient(transport, transport.loops().get(i % 2), to.get(i % to.size()),
+                    name + i, deliveryTracker));
             }
         }
-        await(() -> attached() == links, "all of " + links + " attached");
+        await(() -> attachedCount() == links, "all of " + links + " attached");
     }
 
     private static void await(BooleanSupplier holds, String what) throws InterruptedException {
@@ -56,18 +56,18 @@
         }
     }
 
-    int attached() {
-        return amqp.stream().mapToInt(LoadClient::attached).sum()
-            + (int) lines.stream().filter(LineLoad::isUp).count();
+    int attachedCount() {
+        return amqpClients.stream().mapToInt(AmqpLoadClient::attachedCount).sum()
+            + (int) lineClients.stream().filter(LineLoadClient::isEstablished).count();
     }
 
-    Ledger ledger() {
-        return ledger;
+    DeliveryTracker deliveryTracker() {
+        return deliveryTracker;
     }
 
-    Map<String, Long> detached() {
+    Map<String, Long> detachCounts() {
         Map<String, Long> all = new TreeMap<>();
-        amqp.forEach(one -> one.detached().forEach((what, count) -> all.merge(what, count, Long::sum)));
+        amqpClients.forEach(one -> one.detachCounts().forEach((what, count) -> all.merge(what, count, Long::sum)));
         return all;
     }
 
@@ -82,33 +82,33 @@
             if (wait > 100_000) {
                 Thread.sleep(wait / 1_000_000, (int) (wait % 1_000_000));
             }
-            send((int) (i % links), due);
+            send((int) (i % linkCount), due);
             long second = (due - start) / 1_000_000_000L;
             if (progress && second > shown) {
                 shown = second;
-                System.out.println(second + " s: sent " + ledger.size() + ", waiting " + ledger.waiting()
-                    + ", links " + attached());
+                System.out.println(second + " s: sent " + deliveryTracker.sentCount() + ", waiting " + deliveryTracker.pendingCount()
+                    + ", links " + attachedCount());
             }
         }
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_S);
-        while (ledger.waiting() > 0 && System.nanoTime() < until) {
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_TIMEOUT_SECONDS);
+        while (deliveryTracker.pendingCount() > 0 && System.nanoTime() < until) {
             Thread.sleep(10);
         }
     }
 
     private void send(int link, long due) {
-        String id = name + "-" + number++;
-        if (lines.isEmpty()) {
-            LoadClient client = amqp.get(link % amqp.size());
-            client.due(link / amqp.size() % client.links(), id, due);
+        String id = name + "-" + nextDeliveryNumber++;
+        if (lineClients.isEmpty()) {
+            AmqpLoadClient client = amqpClients.get(link % amqpClients.size());
+            client.scheduleDelivery(link / amqpClients.size() % client.linkCount(), id, due);
         } else {
-            lines.get(link).due(id, due);
+            lineClients.get(link).scheduleLine(id, due);
         }
     }
 
     /** Percentiles in milliseconds. */
-    Map<String, Object> millis() {
-        Histogram times = ledger.times();
+    Map<String, Object> latencyPercentilesMillis() {
+        Histogram times = deliveryTracker.latencies();
         Map<String, Object> all = new TreeMap<>();
         for (double percentile : new double[] {50, 90, 99, 99.9, 100}) {
             all.put("p" + (percentile == Math.rint(percentile) ? String.valueOf((int) percentile)
@@ -119,8 +119,8 @@
 
     @Override
     public void close() {
-        amqp.forEach(LoadClient::end);
-        lines.forEach(LineLoad::end);
+        amqpClients.forEach(AmqpLoadClient::close);
+        lineClients.forEach(LineLoadClient::close);
         transport.close();
     }
 }
--- a/lab/src/main/java/saltstage/lab/amqp/Messages.java
+++ b/lab/src/main/java/saltstage/lab/amqp/MessageCodec.java
@@ -11,17 +11,17 @@
 import org.apache.qpid.protonj2.types.messaging.Properties;
 
 /** Messages with an id, made and read. */
-final class Messages {
+final class MessageCodec {
     private static final ThreadLocal<Encoder> ENCODER =
         ThreadLocal.withInitial(CodecFactory::getDefaultEncoder);
     private static final ThreadLocal<Decoder> DECODER =
         ThreadLocal.withInitial(CodecFactory::getDefaultDecoder);
 
-    private Messages() {
+    private MessageCodec() {
     }
 
     /** A message with this id and a body of so many bytes. */
-    static byte[] make(String id, int size) {
+    static byte[] encode(String id, int size) {
         Encoder encoder = ENCODER.get();
         ProtonBuffer buffer = ProtonBufferAllocator.defaultAllocator().allocate(64 + size);
         encoder.writeObject(buffer, encoder.newEncoderState(),
@@ -33,7 +33,7 @@
     }
 
     /** The application property id, else the message id, else null. */
-    static String id(ProtonBuffer message) {
+    static String readId(ProtonBuffer message) {
         Decoder decoder = DECODER.get();
         String id = null;
         while (message.isReadable()) {
--- a/lab/src/main/java/saltstage/lab/fleet/DemoCommand.java
+++ b/lab/src/main/java/saltstage/lab/fleet/DemoCommand.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import saltstage.lab.Home;
+import saltstage.lab.Installation;
 
 /** The relay at work, for someone who has never seen it. */
 @Command(name = "demo", mixinStandardHelpOptions = true, description = {
@@ -30,47 +30,47 @@
         Path dir = Files.createTempDirectory("saltstage-demo");
         Process relay = null;
         try {
-            Fleet fleet = new Fleet(gateways);
+            FakeFleet fleet = new FakeFleet(gateways);
             fleet.writeFiles(dir, "log {\n  level = \"warn\"\n}\n");
-            relay = new ProcessBuilder(Home.relay().toString(), "serve", "--config",
+            relay = new ProcessBuilder(Installation.relayScript().toString(), "serve", "--config",
                 dir.resolve("config.json").toString(), "--settings", dir.resolve("saltstage.hcl").toString())
                 .redirectError(dir.resolve("log").toFile()).start();
-            String[] at = fleet.listen().split(":");
+            String[] at = fleet.listenAddress().split(":");
             InetSocketAddress address = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
-            Home.awaitPong(address, relay, Duration.ofSeconds(30));
-            System.out.println("relay at " + fleet.listen() + ", " + gateways + " gateways, " + clients
+            Installation.awaitPong(address, relay, Duration.ofSeconds(30));
+            System.out.println("relay at " + fleet.listenAddress() + ", " + gateways + " gateways, " + clients
                 + " clients; the log is " + dir.resolve("log") + " until the end");
-            Clients all = new Clients(address, clients, Duration.ofMillis(500), Duration.ofSeconds(20));
-            show(fleet, all);
-            long cut = all.cut();
-            System.out.println("served " + fleet.gateways().stream().mapToLong(Gateway::served).sum()
-                + " connections, moved " + all.moved() + ", cut off " + cut);
-            all.end();
+            SimulatedClients all = new SimulatedClients(address, clients, Duration.ofMillis(500), Duration.ofSeconds(20));
+            printProgress(fleet, all);
+            long cut = all.brokenCount();
+            System.out.println("served " + fleet.backends().stream().mapToLong(FakeBackend::servedCount).sum()
+                + " connections, moved " + all.movedCount() + ", cut off " + cut);
+            all.stop();
             return cut == 0 ? 0 : 1;
         } finally {
-            end(relay, dir);
+            stopRelay(relay, dir);
         }
     }
 
-    private void show(Fleet fleet, Clients all) throws IOException, InterruptedException {
-        System.out.println("  s " + Clients.HEAD + "  at the gateways");
+    private void printProgress(FakeFleet fleet, SimulatedClients all) throws IOException, InterruptedException {
+        System.out.println("  s " + SimulatedClients.ROW_HEADER + "  at the gateways");
         for (int second = 1; second <= seconds; second++) {
             Thread.sleep(1_000);
-            System.out.printf("%3d %s  %s%n", second, all.row(), fleet.command("row"));
+            System.out.printf("%3d %s  %s%n", second, all.statusRow(), fleet.runCommand("row"));
             if (second == seconds / 2) {
                 System.out.println("    g0 drains: its clients are to be moved, none cut off");
-                fleet.command("drain g0");
+                fleet.runCommand("drain g0");
             }
         }
     }
 
-    private static void end(Process relay, Path dir) throws IOException, InterruptedException {
+    private static void stopRelay(Process relay, Path dir) throws IOException, InterruptedException {
         if (relay != null) {
             relay.destroy();
             if (!relay.waitFor(10, TimeUnit.SECONDS)) {
                 relay.destroyForcibly().waitFor();
             }
         }
-        Home.delete(dir);
+        Installation.deleteRecursively(dir);
     }
 }
--- a/lab/src/main/java/saltstage/lab/fleet/Gateway.java
+++ b/lab/src/main/java/saltstage/lab/fleet/FakeBackend.java
@@ -20,33 +20,33 @@
  * when it is probed. It can drain (BUSY for newcomers, clients sent away one by one), be killed (resets and
  * refuses), fall silent as a frozen machine does, and answer late.
  */
-public final class Gateway {
+public final class FakeBackend {
     /** What it is doing. */
     public enum State { READY, DRAINING, SILENT, DEAD }
 
-    private static final int BACKLOG = 512;
-    private static final int ROOM = 200;
-    private static final Duration SEND_AWAY = Duration.ofMillis(50);
+    private static final int ACCEPT_BACKLOG = 512;
+    private static final int MAX_CLIENTS = 200;
+    private static final Duration MOVE_INTERVAL = Duration.ofMillis(50);
 
     private final String uid;
     private final String zone;
     private final InetSocketAddress address;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private final Set<Socket> standing = ConcurrentHashMap.newKeySet();
-    private final AtomicLong served = new AtomicLong();
-    private final AtomicLong refused = new AtomicLong();
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> establishedSockets = ConcurrentHashMap.newKeySet();
+    private final AtomicLong servedCount = new AtomicLong();
+    private final AtomicLong rejectedCount = new AtomicLong();
     private volatile ServerSocket listener;
     private volatile State state = State.READY;
-    private volatile Duration delay = Duration.ZERO;
-    private volatile long bootMs;
+    private volatile Duration answerDelay = Duration.ZERO;
+    private volatile long startedAtMillis;
 
     /** A gateway that listens on a free port from the return on. */
-    public Gateway(String uid, String zone) throws IOException {
+    public FakeBackend(String uid, String zone) throws IOException {
         this(uid, zone, InetAddress.getLoopbackAddress());
     }
 
     /** The same, at an address of its own. */
-    public Gateway(String uid, String zone, InetAddress at) throws IOException {
+    public FakeBackend(String uid, String zone, InetAddress at) throws IOException {
         this.uid = uid;
         this.zone = zone;
         listener = listen(new InetSocketAddress(at, 0));
@@ -56,12 +56,12 @@
     private ServerSocket listen(InetSocketAddress at) throws IOException {
         ServerSocket heard = new ServerSocket();
         heard.setReuseAddress(true);
-        heard.bind(at, BACKLOG);
-        daemon(uid + " accepts", () -> acceptAll(heard));
+        heard.bind(at, ACCEPT_BACKLOG);
+        startDaemon(uid + " accepts", () -> acceptAll(heard));
         return heard;
     }
 
-    static void daemon(String name, Runnable work) {
+    static void startDaemon(String name, Runnable work) {
         Thread thread = new Thread(null, work, name, 256 << 10);
         thread.setDaemon(true);
         thread.start();
@@ -71,8 +71,8 @@
         try {
             while (true) {
                 Socket socket = heard.accept();
-                open.add(socket);
-                daemon(uid, () -> serve(socket));
+                openSockets.add(socket);
+                startDaemon(uid, () -> serve(socket));
             }
         } catch (IOException closed) { // it was killed
             return;
@@ -85,7 +85,7 @@
             BufferedReader in = new BufferedReader(
                 new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1), 1024);
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                pause();
+                delayAnswer();
                 String answer = answer(socket, line);
                 socket.getOutputStream().write((answer + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
                 if (!answer.startsWith("UP") && line.startsWith("OPEN ")) {
@@ -97,13 +97,13 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            standing.remove(socket);
-            open.remove(socket);
+            establishedSockets.remove(socket);
+            openSockets.remove(socket);
         }
     }
 
-    private void pause() throws InterruptedException {
-        Thread.sleep(delay.toMillis());
+    private void delayAnswer() throws InterruptedException {
+        Thread.sleep(answerDelay.toMillis());
         while (state == State.SILENT) {
             Thread.sleep(20);
         }
@@ -114,7 +114,7 @@
             return "PONG";
         }
         if (line.equals("STATS")) {
-            return String.format(Locale.ROOT, "PONG x0=%.2f,queue=0", (double) standing.size() / ROOM);
+            return String.format(Locale.ROOT, "PONG x0=%.2f,queue=0", (double) establishedSockets.size() / MAX_CLIENTS);
         }
         if (!line.startsWith("OPEN ")) {
             return line;
@@ -123,25 +123,25 @@
         if (parts.length != 4) {
             return "SYNTAX";
         }
-        if (state == State.DRAINING || standing.size() >= ROOM) {
-            refused.incrementAndGet();
+        if (state == State.DRAINING || establishedSockets.size() >= MAX_CLIENTS) {
+            rejectedCount.incrementAndGet();
             return "BUSY";
         }
-        standing.add(socket);
-        return "UP " + uid + "-" + served.incrementAndGet();
+        establishedSockets.add(socket);
+        return "UP " + uid + "-" + servedCount.incrementAndGet();
     }
 
     /** Wants nothing new; sends its clients away one after the other. */
     public void drain() {
         state = State.DRAINING;
-        daemon(uid + " drains", () -> {
+        startDaemon(uid + " drains", () -> {
             try {
-                for (Socket socket : standing) {
+                for (Socket socket : establishedSockets) {
                     if (state != State.DRAINING) {
                         return;
                     }
-                    sendAway(socket);
-                    Thread.sleep(SEND_AWAY.toMillis());
+                    sendMove(socket);
+                    Thread.sleep(MOVE_INTERVAL.toMillis());
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -149,7 +149,7 @@
         });
     }
 
-    private static void sendAway(Socket socket) {
+    private static void sendMove(Socket socket) {
         try {
             socket.getOutputStream().write("MOVE\r\n".getBytes(StandardCharsets.ISO_8859_1));
             socket.shutdownOutput();
@@ -162,7 +162,7 @@
     public void kill() throws IOException {
         state = State.DEAD;
         listener.close();
-        for (Socket socket : open) {
+        for (Socket socket : openSockets) {
             try {
                 socket.setSoLinger(true, 0);
             } catch (SocketException closed) { // it ended meanwhile
@@ -174,7 +174,7 @@
     }
 
     /** Freezes as a machine does that is cut off: everything stays open and nothing is said. */
-    public void stop() {
+    public void freeze() {
         state = State.SILENT;
     }
 
@@ -182,14 +182,14 @@
     public void start() throws IOException {
         if (state == State.DEAD) {
             listener = listen(address);
-            bootMs = System.currentTimeMillis();
+            startedAtMillis = System.currentTimeMillis();
         }
         state = State.READY;
     }
 
     /** Answers everything that much later. */
-    public void slow(Duration by) {
-        delay = by;
+    public void setAnswerDelay(Duration by) {
+        answerDelay = by;
     }
 
     /** Where it listens. */
@@ -208,22 +208,22 @@
     }
 
     /** How many clients stand here. */
-    public int standing() {
-        return standing.size();
+    public int establishedCount() {
+        return establishedSockets.size();
     }
 
     /** How many it has served since its first start. */
-    public long served() {
-        return served.get();
+    public long servedCount() {
+        return servedCount.get();
     }
 
     /** How many newcomers it has refused. */
-    public long refused() {
-        return refused.get();
+    public long rejectedCount() {
+        return rejectedCount.get();
     }
 
     /** Its entry in discovery's list. */
-    String entry() {
+    String listEntry() {
         String told = switch (state) {
             case READY, SILENT -> "ready"; // discovery knows only whether a process runs
             case DRAINING -> "draining";
@@ -232,6 +232,6 @@
         return "{\"uid\":\"" + uid + "\",\"endpoint\":\"" + address.getAddress().getHostAddress() + ":"
             + address.getPort() + "\",\"az\":\"" + zone
                 + "\",\"model\":\"stand-in\",\"pod_group\":0,\"state\":\""
-            + told + "\",\"capacity_hint\":1.0,\"boot_ms\":" + bootMs + "}";
+            + told + "\",\"capacity_hint\":1.0,\"boot_ms\":" + startedAtMillis + "}";
     }
 }
--- a/lab/src/main/java/saltstage/lab/fleet/Discovery.java
+++ b/lab/src/main/java/saltstage/lab/fleet/FakeDiscovery.java
@@ -12,27 +12,27 @@
 import java.util.stream.Collectors;
 
 /** A stand-in for discovery: the whole list on demand, and watches that tell each change. */
-public final class Discovery {
-    private static final long EMPTY_LINE_MS = 2_000;
+public final class FakeDiscovery {
+    private static final long EMPTY_LINE_INTERVAL_MS = 2_000;
 
-    private final List<Gateway> gateways;
+    private final List<FakeBackend> backends;
     private final ServerSocket listener;
-    private long rev = 1;
-    private String change = "";
-    private volatile Duration late = Duration.ZERO;
+    private long revision = 1;
+    private String lastChange = "";
+    private volatile Duration answerDelay = Duration.ZERO;
 
     /** Discovery of these gateways, listening on a free port of loopback. */
-    public Discovery(List<Gateway> gateways) throws IOException {
-        this.gateways = gateways;
+    public FakeDiscovery(List<FakeBackend> gateways) throws IOException {
+        this.backends = gateways;
         listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-        Gateway.daemon("discovery", this::acceptAll);
+        FakeBackend.startDaemon("discovery", this::acceptAll);
     }
 
     private void acceptAll() {
         try {
             while (true) {
                 Socket socket = listener.accept();
-                Gateway.daemon("discovery call", () -> serve(socket));
+                FakeBackend.startDaemon("discovery call", () -> serve(socket));
             }
         } catch (IOException closed) {
             return;
@@ -47,15 +47,15 @@
             for (String line = request; line != null && !line.isEmpty();) {
                 line = in.readLine();
             }
-            Thread.sleep(late.toMillis());
+            Thread.sleep(answerDelay.toMillis());
             if (request == null || !request.startsWith("GET /discovery/hosts")) {
-                say(socket, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+                send(socket, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
             } else if (request.contains("watch=1")) {
-                say(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                watch(socket);
+                send(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                sendChanges(socket);
             } else {
-                String list = list();
-                say(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
+                String list = fullList();
+                send(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
             }
         } catch (IOException gone) { // the relay ended the call
             return;
@@ -64,51 +64,51 @@
         }
     }
 
-    private void watch(Socket socket) throws IOException, InterruptedException {
-        String told = list();
-        long last = rev();
+    private void sendChanges(Socket socket) throws IOException, InterruptedException {
+        String told = fullList();
+        long last = revision();
         while (true) {
-            say(socket, Integer.toHexString(told.length() + 1) + "\r\n" + told + "\n\r\n");
+            send(socket, Integer.toHexString(told.length() + 1) + "\r\n" + told + "\n\r\n");
             synchronized (this) {
-                if (rev == last) {
-                    wait(EMPTY_LINE_MS);
+                if (revision == last) {
+                    wait(EMPTY_LINE_INTERVAL_MS);
                 }
-                told = rev == last ? "" : rev == last + 1 ? change : list();
-                last = rev;
+                told = revision == last ? "" : revision == last + 1 ? lastChange : fullList();
+                last = revision;
             }
         }
     }
 
-    private static void say(Socket socket, String text) throws IOException {
+    private static void send(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private synchronized long rev() {
-        return rev;
+    private synchronized long revision() {
+        return revision;
     }
 
     /** Something has changed at this gateway: all watches are told. */
-    public synchronized void changed(Gateway gateway) {
-        rev++;
-        change = "{\"rev\":" + rev + ",\"all\":false,\"targets\":[" + gateway.entry() + "]}";
+    public synchronized void backendChanged(FakeBackend gateway) {
+        revision++;
+        lastChange = "{\"rev\":" + revision + ",\"all\":false,\"targets\":[" + gateway.listEntry() + "]}";
         notifyAll();
     }
 
     /** The whole list as discovery tells it; dead gateways are not in it. */
-    public String list() {
-        return list(gateways.size());
+    public String fullList() {
+        return fullList(backends.size());
     }
 
     /** The list as it was when there were only the first so many. */
-    synchronized String list(int first) {
-        return "{\"rev\":" + rev + ",\"all\":true,\"targets\":["
-            + gateways.stream().limit(first).filter(g -> g.state() != Gateway.State.DEAD).map(Gateway::entry)
+    synchronized String fullList(int first) {
+        return "{\"rev\":" + revision + ",\"all\":true,\"targets\":["
+            + backends.stream().limit(first).filter(g -> g.state() != FakeBackend.State.DEAD).map(FakeBackend::listEntry)
                 .collect(Collectors.joining(",")) + "]}";
     }
 
     /** From now on each call is answered that much later. */
-    void late(Duration by) {
-        late = by;
+    void setAnswerDelay(Duration by) {
+        answerDelay = by;
     }
 
     /** Where it listens, as the configuration has it. */
--- a/lab/src/main/java/saltstage/lab/fleet/FleetCommand.java
+++ b/lab/src/main/java/saltstage/lab/fleet/FleetCommand.java
@@ -40,12 +40,12 @@
         if (gateways < 1 || gateways > 1_000) {
             throw new IllegalArgumentException("--gateways takes 1 to 1000");
         }
-        Fleet fleet = new Fleet(gateways, protocol == Protocol.amqp, amqpPort);
-        fleet.writeFiles(dir, "log {\n  format = \"text\"\n}\n" + fleet.settings(""));
+        FakeFleet fleet = new FakeFleet(gateways, protocol == Protocol.amqp, amqpPort);
+        fleet.writeFiles(dir, "log {\n  format = \"text\"\n}\n" + fleet.operatorSettings(""));
         System.out.println("ready");
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
-            String answer = fleet.command(line);
+            String answer = fleet.runCommand(line);
             if (answer == null) {
                 break;
             }
--- /dev/null
+++ b/lab/src/main/java/saltstage/lab/fleet/SimulatedClients.java
@@ -0,0 +1,152 @@
+package saltstage.lab.fleet;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.Random;
+import java.util.concurrent.ThreadLocalRandom;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.concurrent.atomic.AtomicLong;
+import org.HdrHistogram.ConcurrentHistogram;
+import org.HdrHistogram.Histogram;
+
+/** Clients after the protocol: each asks, stays, says a line every so often, and comes again. */
+public final class SimulatedClients {
+    private static final int CONNECT_TIMEOUT_MS = 2_000;
+    private static final int CLIENT_TIMEOUT_MS = 2_000;
+    private static final int RESPONSE_TIMEOUT_MS = 7_000;
+
+    private final InetSocketAddress relay;
+    private final Duration lineInterval;
+    private final Duration meanLifetime;
+    private final AtomicInteger establishedCount = new AtomicInteger();
+    private final AtomicLong servedCount = new AtomicLong();
+    private final AtomicLong rejectedCount = new AtomicLong();
+    private final AtomicLong failedCount = new AtomicLong();
+    private final AtomicLong movedCount = new AtomicLong();
+    private final AtomicLong brokenCount = new AtomicLong();
+    private final Histogram echoMicros = new ConcurrentHistogram(3);
+    private volatile boolean stopped;
+
+    /** So many clients of the relay, each open for about this life and speaking at this interval. */
+    public SimulatedClients(InetSocketAddress relay, int count, Duration between, Duration life) {
+        this.relay = relay;
+        this.lineInterval = between;
+        this.meanLifetime = life;
+        for (int i = 0; i < count; i++) {
+            int number = i;
+            FakeBackend.startDaemon("client " + i, () -> runClient(number));
+        }
+    }
+
+    private void runClient(int number) {
+        Random random = ThreadLocalRandom.current();
+        boolean again = false;
+        try {
+            Thread.sleep(random.nextInt(2_000));
+            while (!stopped) {
+                long pause = 80 + random.nextInt(400);
+                try {
+                    pause = Math.max(pause, runConnection(number, random, again));
+                } catch (IOException broken) {
+                    brokenCount.incrementAndGet();
+                }
+                again = true;
+                Thread.sleep(pause);
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** One connection; returns how long to stay away at least. */
+    private long runConnection(int number, Random random, boolean again) throws IOException, InterruptedException {
+        try (Socket socket = new Socket()) {
+            socket.connect(relay, CONNECT_TIMEOUT_MS);
+            socket.setTcpNoDelay(true);
+            socket.setSoTimeout(CLIENT_TIMEOUT_MS + 500);
+            BufferedReader in = new BufferedReader(
+                new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1), 512);
+            boolean report = random.nextInt(100) < 79;
+            sendLine(socket, "OPEN " + Long.toHexString(random.nextLong()) + " c" + number + " c="
+                + (report ? "status-report" : "session-check") + ",t="
+                + (number % 2 == 0 ? "kitaden-charge" : "dosan-power") + ",d=" + CLIENT_TIMEOUT_MS + ",g=s"
+                + number / 10 + (again ? ",again=1" : ""));
+            String answer = in.readLine();
+            if (answer == null || !answer.startsWith("UP ")) {
+                return countUnserved(answer);
+            }
+            servedCount.incrementAndGet();
+            establishedCount.incrementAndGet();
+            try {
+                exchangeLines(socket, in, random);
+            } finally {
+                establishedCount.decrementAndGet();
+            }
+            return 0;
+        }
+    }
+
+    private long countUnserved(String answer) {
+        if (answer != null && answer.startsWith("BUSY")) {
+            rejectedCount.incrementAndGet();
+            return answer.matches("BUSY \\d{1,6}") ? Long.parseLong(answer.substring(5)) : 0;
+        }
+        failedCount.incrementAndGet();
+        return 0;
+    }
+
+    private void exchangeLines(Socket socket, BufferedReader in, Random random)
+            throws IOException, InterruptedException {
+        long until = System.nanoTime() + (long) (meanLifetime.toNanos() * -Math.log(1 - random.nextDouble()));
+        socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
+        while (!stopped && System.nanoTime() < until) {
+            long sent = System.nanoTime();
+            sendLine(socket, "STATUS " + sent);
+            String line = in.readLine();
+            if (line == null || line.equals("MOVE")) {
+                (line == null ? brokenCount : movedCount).incrementAndGet();
+                return;
+            }
+            echoMicros.recordValue((System.nanoTime() - sent) / 1_000);
+            Thread.sleep(lineInterval.toMillis());
+        }
+    }
+
+    private static void sendLine(Socket socket, String line) throws IOException {
+        socket.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+    }
+
+    /** No client comes again. */
+    public void stop() {
+        stopped = true;
+    }
+
+    /** What they have met since the start, as a row of numbers under {@link #ROW_HEADER}. */
+    public String statusRow() {
+        return String.format("%8d %8d %8d %8d %8d %8d %9.2f", establishedCount.get(), servedCount.get(), rejectedCount.get(),
+            failedCount.get(), movedCount.get(), brokenCount.get(), echoMicros.getValueAtPercentile(99) / 1e3);
+    }
+
+    /** The names over {@link #statusRow}; the last is the 99th percentile of a line and its echo, in ms. */
+    public static final String ROW_HEADER = "standing   served  refused   failed    moved      cut  p99 in ms";
+
+    /** How many stand now. */
+    public int establishedCount() {
+        return establishedCount.get();
+    }
+
+    /** How many connections ended without MOVE, were refused by the system, or broke. */
+    public long brokenCount() {
+        return brokenCount.get();
+    }
+
+    /** How many were told to move. */
+    public long movedCount() {
+        return movedCount.get();
+    }
+}
--- a/lab/src/main/java/saltstage/lab/measure/RestartCommand.java
+++ b/lab/src/main/java/saltstage/lab/measure/RestartCommand.java
@@ -19,8 +19,8 @@
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import saltstage.lab.Home;
-import saltstage.lab.fleet.Fleet;
+import saltstage.lab.Installation;
+import saltstage.lab.fleet.FakeFleet;
 import saltstage.lab.store.Report;
 
 /** A relay killed outright in front of a fleet in trouble, started again with and without its store. */
@@ -30,8 +30,8 @@
     "The relay is killed and started anew, with and without a store: what clients meet, second by second."}
         )
 public final class RestartCommand implements Callable<Integer> {
-    private static final int GATEWAYS = 8;
-    private static final int PATIENCE_MS = 2_000;
+    private static final int BACKENDS = 8;
+    private static final int CLIENT_TIMEOUT_MS = 2_000;
 
     @Option(names = "--rounds", defaultValue = "5", description = "restarts of each kind (default 5)")
     private int rounds;
@@ -46,31 +46,31 @@
         description = "ms until discovery answers (default 4000)")
     private int late;
 
-    private record Asked(int second, int millis, boolean served) { }
+    private record RequestResult(int second, int millis, boolean served) { }
 
     @Override
     public Integer call() throws Exception {
         Report report = new Report("store-restart", "store", "second", "asked", "not served",
             "set-up p50 in ms", "set-up p99 in ms", "most in ms");
         for (boolean kept : new boolean[] {false, true}) {
-            List<Asked> all = new ArrayList<>();
+            List<RequestResult> all = new ArrayList<>();
             for (int round = 0; round < rounds; round++) {
-                all.addAll(round(kept));
+                all.addAll(runRound(kept));
             }
             for (int second = -1; second < seconds; second++) {
-                row(report, kept, second, all);
+                addRow(report, kept, second, all);
             }
         }
-        report.write(Home.measurements());
+        report.writeFiles(Installation.measurementsDirectory());
         return 0;
     }
 
     /** Second -1 is the time before the kill. */
-    private static void row(Report report, boolean kept, int second, List<Asked> all) {
+    private static void addRow(Report report, boolean kept, int second, List<RequestResult> all) {
         Histogram times = new Histogram(3);
         long asked = 0;
         long unserved = 0;
-        for (Asked one : all) {
+        for (RequestResult one : all) {
             if (one.second() == second) {
                 asked++;
                 unserved += one.served() ? 0 : 1;
@@ -79,80 +79,80 @@
                 }
             }
         }
-        report.row(kept ? "on" : "off", second < 0 ? "before" : second, asked, unserved,
+        report.addRow(kept ? "on" : "off", second < 0 ? "before" : second, asked, unserved,
             times.getValueAtPercentile(50), times.getValueAtPercentile(99), times.getMaxValue());
     }
 
-    private List<Asked> round(boolean kept) throws Exception {
+    private List<RequestResult> runRound(boolean kept) throws Exception {
         Path dir = Files.createTempDirectory("saltstage-restart");
-        Fleet fleet = new Fleet(GATEWAYS);
+        FakeFleet fleet = new FakeFleet(BACKENDS);
         fleet.writeFiles(dir,
             kept ? "store {\n  dir = \"" + dir.resolve("state") + "\"\n  every = \"500ms\"\n}\n"
             : "", 2);
-        fleet.command("kill g0"); // the file that the relay starts from names these two and no other
-        fleet.command("kill g1");
-        fleet.command("stop g2");
+        fleet.runCommand("kill g0"); // the file that the relay starts from names these two and no other
+        fleet.runCommand("kill g1");
+        fleet.runCommand("stop g2");
         ExecutorService clients = Executors.newCachedThreadPool();
         Process relay = null;
         try {
-            relay = start(dir, fleet);
-            load(fleet, clients, 4, -2); // it learns
-            List<Asked> all = new ArrayList<>(load(fleet, clients, 3, -1));
+            relay = startRelay(dir, fleet);
+            sendRequests(fleet, clients, 4, -2); // it learns
+            List<RequestResult> all = new ArrayList<>(sendRequests(fleet, clients, 3, -1));
             relay.destroyForcibly().waitFor();
-            fleet.discoveryLate(Duration.ofMillis(late));
-            relay = start(dir, fleet);
-            all.addAll(load(fleet, clients, seconds, 0));
+            fleet.setDiscoveryDelay(Duration.ofMillis(late));
+            relay = startRelay(dir, fleet);
+            all.addAll(sendRequests(fleet, clients, seconds, 0));
             return all;
         } finally {
             clients.shutdownNow();
             if (relay != null) {
                 relay.destroyForcibly().waitFor();
             }
-            Home.delete(dir);
+            Installation.deleteRecursively(dir);
         }
     }
 
-    private static Process start(Path dir, Fleet fleet) throws IOException, InterruptedException {
-        Process relay = new ProcessBuilder(Home.relay().toString(), "serve", "--config",
+    private static Process startRelay(Path dir, FakeFleet fleet) throws IOException, InterruptedException {
+        Process relay = new ProcessBuilder(Installation.relayScript().toString(), "serve", "--config",
             dir.resolve("config.json").toString(), "--settings", dir.resolve("saltstage.hcl").toString())
             .redirectError(dir.resolve("log").toFile()).start();
-        Home.awaitPong(address(fleet), relay, Duration.ofSeconds(30));
+        Installation.awaitPong(relayAddress(fleet), relay, Duration.ofSeconds(30));
         return relay;
     }
 
-    private static InetSocketAddress address(Fleet fleet) {
-        String[] at = fleet.listen().split(":");
+    private static InetSocketAddress relayAddress(FakeFleet fleet) {
+        String[] at = fleet.listenAddress().split(":");
         return new InetSocketAddress(at[0], Integer.parseInt(at[1]));
     }
 
     /** Asks at the rate for so long, whatever comes back; from second -2 and -1 all count as that second. */
-    private List<Asked> load(Fleet fleet, ExecutorService clients, int forSeconds,
+    private List<RequestResult> sendRequests(FakeFleet fleet, ExecutorService clients, int forSeconds,
         int from) throws Exception {
-        List<Future<Asked>> asked = new ArrayList<>();
+        List<Future<RequestResult>> asked = new ArrayList<>();
         long start = System.nanoTime();
         for (int i = 0; i < forSeconds * rate; i++) {
             long due = start + i * 1_000_000_000L / rate;
             Thread.sleep(Math.max(0, (due - System.nanoTime()) / 1_000_000));
             int second = from < 0 ? from : i / rate;
-            asked.add(clients.submit(() -> ask(address(fleet), second)));
+            asked.add(clients.submit(() -> sendRequest(relayAddress(fleet), second)));
         }
-        List<Asked> all = new ArrayList<>();
-        for (Future<Asked> one : asked) {
+        List<RequestResult> all = new ArrayList<>();
+        for (Future<RequestResult> one : asked) {
             all.add(one.get());
         }
         return all;
     }
 
-    private static Asked ask(InetSocketAddress relay, int second) {
+    private static RequestResult sendRequest(InetSocketAddress relay, int second) {
         long start = System.nanoTime();
         boolean served = false;
         int millis = 0;
         try (Socket socket = new Socket()) {
-            socket.connect(relay, PATIENCE_MS);
-            socket.setSoTimeout(PATIENCE_MS + 500);
+            socket.connect(relay, CLIENT_TIMEOUT_MS);
+            socket.setSoTimeout(CLIENT_TIMEOUT_MS + 500);
             ThreadLocalRandom random = ThreadLocalRandom.current();
             socket.getOutputStream().write(("OPEN " + Long.toHexString(random.nextLong()) + " k"
-                + random.nextInt(1_000) + " c=status-report,t=kitaden-charge,d=" + PATIENCE_MS + ",g=s"
+                + random.nextInt(1_000) + " c=status-report,t=kitaden-charge,d=" + CLIENT_TIMEOUT_MS + ",g=s"
                 + random.nextInt(60) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
             String answer = new BufferedReader(
                 new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1)).readLine();
@@ -164,6 +164,6 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return new Asked(second, millis, served);
+        return new RequestResult(second, millis, served);
     }
 }
--- a/lab/src/main/java/saltstage/lab/measure/StartupCommand.java
+++ b/lab/src/main/java/saltstage/lab/measure/StartupCommand.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import saltstage.lab.Home;
-import saltstage.lab.fleet.Fleet;
+import saltstage.lab.Installation;
+import saltstage.lab.fleet.FakeFleet;
 
 /** How long a relay takes from its start to the first PONG, and what it then holds. */
 @Command(name = "startup", mixinStandardHelpOptions = true, description = {
@@ -21,7 +21,7 @@
     "and processor time until the first PONG and the resident memory then, as minimum, median, maximum.",
     "On half a core the processor time is the half of what it takes."})
 public final class StartupCommand implements Callable<Integer> {
-    private static final long TICK_MS = 10; // Linux counts processor time in hundredths of a second
+    private static final long CLOCK_TICK_MS = 10; // Linux counts processor time in hundredths of a second
 
     @Option(names = "--runs", defaultValue = "9", description = "runs of each (default 9)")
     private int runs;
@@ -42,11 +42,11 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        List<Path> all = jars.isEmpty() ? List.of(Home.jar()) : jars;
+        List<Path> all = jars.isEmpty() ? List.of(Installation.relayJar()) : jars;
         long[][][] figures = new long[all.size()][3][runs];
         for (int run = -1; run < runs; run++) { // one warm-up
             for (int i = 0; i < all.size(); i++) {
-                long[] got = once(all.get(i), i < flags.size() ? flags.get(i) : "");
+                long[] got = measureOnce(all.get(i), i < flags.size() ? flags.get(i) : "");
                 for (int f = 0; run >= 0 && f < got.length; f++) {
                     figures[i][f][run] = got[f];
                 }
@@ -65,9 +65,9 @@
         return 0;
     }
 
-    private long[] once(Path jar, String more) throws IOException, InterruptedException {
+    private long[] measureOnce(Path jar, String more) throws IOException, InterruptedException {
         Path dir = Files.createTempDirectory("saltstage-startup");
-        Fleet fleet = new Fleet(12);
+        FakeFleet fleet = new FakeFleet(12);
         fleet.writeFiles(dir, "store {\n  dir = \"" + dir.resolve("state") + "\"\n}\n");
         List<String> command = new ArrayList<>(List.of("taskset", "-c", "1", "java"));
         command.addAll(jvm);
@@ -80,30 +80,30 @@
             command.addAll(List.of("--settings", dir.resolve("saltstage.hcl").toString()));
             Process before = new ProcessBuilder(command).redirectErrorStream(true)
                 .redirectOutput(dir.resolve("log").toFile()).start();
-            Home.awaitPong(address(fleet), before, Duration.ofSeconds(30));
+            Installation.awaitPong(relayAddress(fleet), before, Duration.ofSeconds(30));
             Thread.sleep(1_000); // the list is heard and kept within that
             before.destroyForcibly().waitFor();
         }
         Process relay = new ProcessBuilder(command).redirectErrorStream(true)
             .redirectOutput(dir.resolve("log").toFile()).start();
         try {
-            Duration wall = Home.awaitPong(address(fleet), relay, Duration.ofSeconds(30));
+            Duration wall = Installation.awaitPong(relayAddress(fleet), relay, Duration.ofSeconds(30));
             Path proc = Path.of("/proc", Long.toString(relay.pid()));
             String stat = Files.readString(proc.resolve("stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            long cpu = (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * TICK_MS;
+            long cpu = (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * CLOCK_TICK_MS;
             long resident = Files.readAllLines(proc.resolve("status")).stream()
                 .filter(line -> line.startsWith("VmRSS:"))
                 .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", ""))).findFirst().orElse(0);
             return new long[] {wall.toMillis(), cpu, resident};
         } finally {
             relay.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
-            Home.delete(dir);
+            Installation.deleteRecursively(dir);
         }
     }
 
-    private static InetSocketAddress address(Fleet fleet) {
-        String[] at = fleet.listen().split(":");
+    private static InetSocketAddress relayAddress(FakeFleet fleet) {
+        String[] at = fleet.listenAddress().split(":");
         return new InetSocketAddress(at[0], Integer.parseInt(at[1]));
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/AllCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/AllRunsCommand.java
@@ -13,7 +13,7 @@
         name = "all",
         mixinStandardHelpOptions = true,
         description = "All runs, the fits and the page's tables; exit 1 where a bound was missed.")
-final class AllCommand implements Callable<Integer> {
+final class AllRunsCommand implements Callable<Integer> {
     private static final List<String> RUNS =
             List.of(
                     "list",
@@ -38,7 +38,7 @@
             long begun = System.nanoTime();
             int code = scale.execute(run);
             missed += code == 0 ? 0 : 1;
-            ScaleRun.progress(
+            ScaleRun.printProgress(
                     run
                             + ": exit "
                             + code
--- a/lab/src/main/java/saltstage/lab/scale/HollowLines.java
+++ b/lab/src/main/java/saltstage/lab/scale/AsyncLineWriter.java
@@ -7,30 +7,30 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /** Writes lines from one thread, several at once, so that who tells something never waits. */
-final class HollowLines {
+final class AsyncLineWriter {
     private final PrintStream out;
-    private final BlockingQueue<String> waiting = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> pendingLines = new LinkedBlockingQueue<>();
 
-    HollowLines(PrintStream out) {
+    AsyncLineWriter(PrintStream out) {
         this.out = out;
     }
 
     void start() {
-        Thread writer = new Thread(this::write, "lines");
+        Thread writer = new Thread(this::writeLoop, "lines");
         writer.setDaemon(true);
         writer.start();
     }
 
-    void say(String line) {
-        waiting.add(line);
+    void enqueue(String line) {
+        pendingLines.add(line);
     }
 
-    private void write() {
+    private void writeLoop() {
         List<String> lines = new ArrayList<>();
         try {
             while (true) {
-                lines.add(waiting.take());
-                waiting.drainTo(lines);
+                lines.add(pendingLines.take());
+                pendingLines.drainTo(lines);
                 out.print(String.join("\n", lines) + "\n");
                 out.flush();
                 lines.clear();
--- a/lab/src/main/java/saltstage/lab/scale/BackendsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/BackendsRun.java
@@ -12,11 +12,11 @@
         description = "One real relay before ever more backends, with the same clients.")
 final class BackendsRun extends ScaleRun {
     /** The widest is what the operators name; the first ones are the usual sizes. */
-    static final int[] BACKENDS = {60, 200, 800, 3_200};
+    static final int[] BACKEND_COUNTS = {60, 200, 800, 3_200};
 
-    private static final int SOCKETS = 1_400;
-    private static final double OPENS_A_SECOND = 12;
-    private static final int STANDING = 120;
+    private static final int MAX_SOCKETS = 1_400;
+    private static final double OPENS_PER_SECOND = 12;
+    private static final int MAX_ESTABLISHED = 120;
     private static final double SETTLE_SECONDS = 3;
 
     @Option(
@@ -30,53 +30,53 @@
     }
 
     @Override
-    boolean run(Stage stage) throws Exception {
-        for (int backends : BACKENDS) {
-            stage.file().begin(backends);
+    boolean run(RunContext stage) throws Exception {
+        for (int backends : BACKEND_COUNTS) {
+            stage.file().beginPoint(backends);
             measure(stage, backends);
         }
         return true;
     }
 
-    private void measure(Stage stage, int count) throws Exception {
-        progress("backends: " + count);
-        try (LineBackends backends = new LineBackends(stage.transport());
-                ListStandIn list = new ListStandIn(count, backends.port(), false, stage.seed());
-                CountingLink link =
-                        new CountingLink(stage.transport(), list.address(), Duration.ZERO);
+    private void measure(RunContext stage, int count) throws Exception {
+        printProgress("backends: " + count);
+        try (FakeLineBackends backends = new FakeLineBackends(stage.transport());
+                LargeListDiscovery list = new LargeListDiscovery(count, backends.port(), false, stage.seed());
+                CountingProxy link =
+                        new CountingProxy(stage.transport(), list.address(), Duration.ZERO);
                 RelayProcess relay =
                         new RelayProcess(
                                 stage.folder().resolve("backends-" + count),
                                 link.address(),
-                                SOCKETS)) {
-            seconds(SETTLE_SECONDS);
-            LineClients clients = new LineClients(stage.transport(), relay.listen());
-            int opened = traffic(list, clients);
-            ProcessFigures used = relay.figures();
+                                MAX_SOCKETS)) {
+            sleepSeconds(SETTLE_SECONDS);
+            LineClients clients = new LineClients(stage.transport(), relay.listenAddress());
+            int opened = runTraffic(list, clients);
+            ProcessStatistics used = relay.statistics();
             MeasurementFile file = stage.file();
-            file.add("processor_seconds", used.processorSeconds());
-            file.add("resident_mb", used.residentMegabytes());
-            file.add("threads", used.threads());
-            file.add("descriptors", relay.descriptors());
-            file.add("connections_to_backends", backends.accepted());
-            file.add("list_bytes", link.bytesFromTarget());
-            file.add("opened", opened);
-            file.add("share_up", (opened - clients.refused()) / (double) opened);
+            file.addFigure("processor_seconds", used.processorSeconds());
+            file.addFigure("resident_mb", used.residentMegabytes());
+            file.addFigure("threads", used.threadCount());
+            file.addFigure("descriptors", relay.openDescriptors());
+            file.addFigure("connections_to_backends", backends.acceptedCount());
+            file.addFigure("list_bytes", link.bytesFromTarget());
+            file.addFigure("opened", opened);
+            file.addFigure("share_up", (opened - clients.rejectedCount()) / (double) opened);
         }
     }
 
     /** Opens connections at an even pace, ends the ones beyond a number, changes the list each second. */
-    private int traffic(ListStandIn list, LineClients clients) throws Exception {
-        int opens = (int) (span * OPENS_A_SECOND);
+    private int runTraffic(LargeListDiscovery list, LineClients clients) throws Exception {
+        int opens = (int) (span * OPENS_PER_SECOND);
         for (int i = 0; i < opens; i++) {
             clients.open();
-            clients.end(Math.max(0, clients.standing() - STANDING));
-            if (i % (int) OPENS_A_SECOND == 0) {
-                list.change();
+            clients.closeSome(Math.max(0, clients.establishedCount() - MAX_ESTABLISHED));
+            if (i % (int) OPENS_PER_SECOND == 0) {
+                list.changeEntry();
             }
-            seconds(1 / OPENS_A_SECOND);
+            sleepSeconds(1 / OPENS_PER_SECOND);
         }
-        seconds(SETTLE_SECONDS);
+        sleepSeconds(SETTLE_SECONDS);
         return opens;
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/BackendsTable.java
+++ b/lab/src/main/java/saltstage/lab/scale/BackendsTable.java
@@ -8,21 +8,21 @@
 
 /** The table of a relay's needs before ever more backends, beside what the operators allow. */
 final class BackendsTable {
-    private static final String RUN = "backends";
+    private static final String RUN_NAME = "backends";
     private static final String NOT_RUN = "not run";
 
     /** What the widest fleet may take: a factor of the usual one and so much more. */
-    private record Allowed(double factor, double more) {}
+    private record AllowedGrowth(double factor, double offset) {}
 
     /** For 3,200 backends, by the operators' page. */
-    private static final Map<String, Allowed> ALLOWED =
+    private static final Map<String, AllowedGrowth> ALLOWED_GROWTH =
             new TreeMap<>(
                     Map.of(
-                            "processor_seconds", new Allowed(1.4, 0.02 + 0.12 * 3.2),
-                            "resident_mb", new Allowed(1.5, 8 + 4 * 3.2),
-                            "descriptors", new Allowed(2, 40),
-                            "connections_to_backends", new Allowed(2.5, 40),
-                            "list_bytes", new Allowed(2, 64_000 + 500_000 * 3.2)));
+                            "processor_seconds", new AllowedGrowth(1.4, 0.02 + 0.12 * 3.2),
+                            "resident_mb", new AllowedGrowth(1.5, 8 + 4 * 3.2),
+                            "descriptors", new AllowedGrowth(2, 40),
+                            "connections_to_backends", new AllowedGrowth(2.5, 40),
+                            "list_bytes", new AllowedGrowth(2, 64_000 + 500_000 * 3.2)));
 
     private BackendsTable() {}
 
@@ -30,8 +30,8 @@
     static String of(MeasuredData data) {
         StringBuilder head = new StringBuilder("| figure |");
         StringBuilder rule = new StringBuilder("| --- |");
-        for (int backends : BackendsRun.BACKENDS) {
-            head.append(' ').append(Figures.page(backends)).append(" |");
+        for (int backends : BackendsRun.BACKEND_COUNTS) {
+            head.append(' ').append(FigureFormat.forPage(backends)).append(" |");
             rule.append(" ---: |");
         }
         List<String> lines = new ArrayList<>();
@@ -46,27 +46,27 @@
                         "list_bytes",
                         "threads",
                         "share_up")) {
-            lines.add(line(data, figure));
+            lines.add(tableRow(data, figure));
         }
         return String.join("\n", lines);
     }
 
-    private static String line(MeasuredData data, String figure) {
+    private static String tableRow(MeasuredData data, String figure) {
         StringBuilder line = new StringBuilder("| " + figure.replace('_', ' ') + " |");
-        for (int backends : BackendsRun.BACKENDS) {
-            line.append(' ').append(cell(data.at(RUN, figure, backends))).append(" |");
+        for (int backends : BackendsRun.BACKEND_COUNTS) {
+            line.append(' ').append(formatFigure(data.valueAt(RUN_NAME, figure, backends))).append(" |");
         }
-        Allowed allowed = ALLOWED.get(figure);
-        OptionalDouble usual = data.at(RUN, figure, BackendsRun.BACKENDS[1]);
+        AllowedGrowth allowed = ALLOWED_GROWTH.get(figure);
+        OptionalDouble usual = data.valueAt(RUN_NAME, figure, BackendsRun.BACKEND_COUNTS[1]);
         boolean bounded = allowed != null && usual.isPresent();
         String bound =
                 bounded
-                        ? Figures.page(allowed.factor * usual.getAsDouble() + allowed.more)
+                        ? FigureFormat.forPage(allowed.factor * usual.getAsDouble() + allowed.offset)
                         : "";
         return line.append(' ').append(bound).append(" |").toString();
     }
 
-    private static String cell(OptionalDouble value) {
-        return value.isEmpty() ? NOT_RUN : Figures.page(value.getAsDouble());
+    private static String formatFigure(OptionalDouble value) {
+        return value.isEmpty() ? NOT_RUN : FigureFormat.forPage(value.getAsDouble());
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/CapacityPage.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityPage.java
@@ -9,15 +9,15 @@
  * The generated parts of a page: what stands between {@code <!-- table:NAME -->} and its end mark.
  */
 final class CapacityPage {
-    private static final Pattern TABLE =
+    private static final Pattern TABLE_PATTERN =
             Pattern.compile(
                     "(<!-- table:([a-z-]+) -->\n)(.*?)(<!-- /table:\\2 -->)", Pattern.DOTALL);
 
     private CapacityPage() {}
 
     /** The page with its tables replaced; throws for one that nothing generates. */
-    static String filled(String page, Map<String, String> tables) {
-        Matcher mark = TABLE.matcher(page);
+    static String fillTables(String page, Map<String, String> tables) {
+        Matcher mark = TABLE_PATTERN.matcher(page);
         StringBuilder text = new StringBuilder();
         while (mark.find()) {
             String table = tables.get(mark.group(2));
@@ -38,7 +38,7 @@
         byName.put("fits", tables.fits());
         byName.put("estimates", tables.estimates());
         byName.put("events", EventTable.of(data));
-        byName.put("files", FileTable.of(data.folder()));
+        byName.put("files", MeasurementFileTable.of(data.folder()));
         byName.put("backends", BackendsTable.of(data));
         byName.put("real-relays", RealRelaysTable.of(data));
         return byName;
--- a/lab/src/main/java/saltstage/lab/scale/Need.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityRequirement.java
@@ -15,57 +15,57 @@
  * @param budget how much there is, in the same unit
  * @param carrier the class or package that carries it
  */
-record Need(String role, String resource, Source source, double budget, String carrier) {
+record CapacityRequirement(String role, String resource, Source source, double budget, String implementation) {
     /** A row whose budget and carrier are still to be said. */
-    static Need of(String role, String resource, Source source) {
-        return new Need(role, resource, source, Double.NaN, "");
+    static CapacityRequirement of(String role, String resource, Source source) {
+        return new CapacityRequirement(role, resource, source, Double.NaN, "");
     }
 
     /** The same with a budget. */
-    Need within(double given, String by) {
-        return new Need(role, resource, source, given, by);
+    CapacityRequirement withBudget(double given, String by) {
+        return new CapacityRequirement(role, resource, source, given, by);
     }
 
     /** The same, where the source itself brings the budget. */
-    Need carriedBy(String by) {
-        return new Need(role, resource, source, Double.NaN, by);
+    CapacityRequirement withImplementation(String by) {
+        return new CapacityRequirement(role, resource, source, Double.NaN, by);
     }
 
     /** Where a need comes from. */
-    sealed interface Source permits Line, Measured, Limit, Estimate {}
+    sealed interface Source permits Extrapolation, MeasuredFigure, MeasuredLimit, Estimate {}
 
     /**
      * A line through the points of a figure, read at the target and multiplied.
      *
      * @param withIntercept false where the value at quantity 0 is no part of the need
      */
-    record Line(
+    record Extrapolation(
             String run,
             String figure,
             String quantity,
-            double target,
-            double times,
-            boolean withIntercept)
+            double targetQuantity,
+            double multiplier,
+            boolean includesIntercept)
             implements Source {
-        static Line of(String run, String figure, String quantity, double target) {
-            return new Line(run, figure, quantity, target, 1, true);
+        static Extrapolation of(String run, String figure, String quantity, double target) {
+            return new Extrapolation(run, figure, quantity, target, 1, true);
         }
 
         /** The same, multiplied. */
-        Line times(double factor) {
-            return new Line(run, figure, quantity, target, factor, withIntercept);
+        Extrapolation multipliedBy(double factor) {
+            return new Extrapolation(run, figure, quantity, targetQuantity, factor, includesIntercept);
         }
 
         /** The same without its intercept. */
-        Line growthOnly() {
-            return new Line(run, figure, quantity, target, times, false);
+        Extrapolation withoutIntercept() {
+            return new Extrapolation(run, figure, quantity, targetQuantity, multiplier, false);
         }
     }
 
     /** A figure that was measured at the target's size. */
-    record Measured(String run, String figure, double quantity) implements Source {
-        static Measured of(String run, String figure, double quantity) {
-            return new Measured(run, figure, quantity);
+    record MeasuredFigure(String run, String figure, double quantity) implements Source {
+        static MeasuredFigure of(String run, String figure, double quantity) {
+            return new MeasuredFigure(run, figure, quantity);
         }
     }
 
@@ -76,7 +76,7 @@
      * @param most reads the measured most
      * @param target what the target takes
      */
-    record Limit(Function<MeasuredData, Double> most, double target) implements Source {}
+    record MeasuredLimit(Function<MeasuredData, Double> measuredMax, double targetValue) implements Source {}
 
     /**
      * Arithmetic on measured figures, or on the design alone.
@@ -84,7 +84,7 @@
      * @param arithmetic as a reader can follow it
      * @param carried reads what was measured to be carried of it
      */
-    record Estimate(String arithmetic, double value, Function<MeasuredData, Double> carried)
+    record Estimate(String arithmetic, double value, Function<MeasuredData, Double> measuredCapacity)
             implements Source {}
 
     /**
@@ -94,7 +94,7 @@
      * @param budget in the same unit
      * @param fit the line, or null
      */
-    record Result(Need row, double need, double budget, LineFit fit, Basis basis) {
+    record Result(CapacityRequirement requirement, double need, double budget, LineFit fit, Basis basis) {
         double headroom() {
             return budget / need;
         }
@@ -117,68 +117,68 @@
         /** No run of it. */
         NOT_MEASURED;
 
-        String word() {
+        String text() {
             return name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
     }
 
     /** Computes the need from measured data. */
-    Result result(MeasuredData data) {
-        if (source instanceof Line line) {
-            return line(line, data.points(line.run(), line.figure()));
+    Result evaluate(MeasuredData data) {
+        if (source instanceof Extrapolation line) {
+            return evaluateLine(line, data.points(line.run(), line.figure()));
         }
-        if (source instanceof Measured figure) {
-            OptionalDouble value = data.at(figure.run(), figure.figure(), figure.quantity());
+        if (source instanceof MeasuredFigure figure) {
+            OptionalDouble value = data.valueAt(figure.run(), figure.figure(), figure.quantity());
             return value.isPresent()
                     ? new Result(this, value.getAsDouble(), budget, null, Basis.MEASURED)
                     : new Result(this, Double.NaN, budget, null, Basis.NOT_MEASURED);
         }
-        if (source instanceof Limit limit) {
-            double most = limit.most().apply(data);
+        if (source instanceof MeasuredLimit limit) {
+            double most = limit.measuredMax().apply(data);
             return new Result(
                     this,
-                    limit.target(),
+                    limit.targetValue(),
                     most,
                     null,
                     Double.isNaN(most) ? Basis.NOT_MEASURED : Basis.LIMIT);
         }
         Estimate estimate = (Estimate) source;
         return new Result(
-                this, estimate.value(), estimate.carried().apply(data), null, Basis.ESTIMATE);
+                this, estimate.value(), estimate.measuredCapacity().apply(data), null, Basis.ESTIMATE);
     }
 
-    private Result line(Line line, List<LineFit.Point> points) {
+    private Result evaluateLine(Extrapolation line, List<LineFit.Point> points) {
         LineFit fit = LineFit.of(points);
         return switch (fit.shape()) {
-            case TOO_FEW -> new Result(this, Double.NaN, budget, fit, Basis.NOT_MEASURED);
-            case BENT -> withoutLine(line, points, fit);
+            case TOO_FEW_POINTS -> new Result(this, Double.NaN, budget, fit, Basis.NOT_MEASURED);
+            case CURVED -> evaluateWithoutLine(line, points, fit);
             case FLAT -> {
                 double mean =
                         points.stream().mapToDouble(LineFit.Point::value).average().orElseThrow();
-                double mostGrowth = fit.slope().high() * line.target();
-                double value = line.withIntercept() ? mean : mostGrowth;
-                yield new Result(this, value * line.times(), budget, fit, Basis.FLAT);
+                double mostGrowth = fit.slope().high() * line.targetQuantity();
+                double value = line.includesIntercept() ? mean : mostGrowth;
+                yield new Result(this, value * line.multiplier(), budget, fit, Basis.FLAT);
             }
             case LINE -> {
                 double value =
-                        !line.withIntercept()
-                                ? fit.slope().value() * line.target()
-                                : fit.at(line.target());
-                yield new Result(this, Math.max(0, value) * line.times(), budget, fit, Basis.FIT);
+                        !line.includesIntercept()
+                                ? fit.slope().value() * line.targetQuantity()
+                                : fit.valueAt(line.targetQuantity());
+                yield new Result(this, Math.max(0, value) * line.multiplier(), budget, fit, Basis.FIT);
             }
         };
     }
 
     /** Where the target was passed by the runs, the next point above it; else nothing. */
-    private Result withoutLine(Line line, List<LineFit.Point> points, LineFit fit) {
+    private Result evaluateWithoutLine(Extrapolation line, List<LineFit.Point> points, LineFit fit) {
         return points.stream()
-                .filter(point -> point.quantity() >= line.target() && line.withIntercept())
+                .filter(point -> point.quantity() >= line.targetQuantity() && line.includesIntercept())
                 .min(Comparator.comparingDouble(LineFit.Point::quantity))
                 .map(
                         point ->
                                 new Result(
                                         this,
-                                        point.value() * line.times(),
+                                        point.value() * line.multiplier(),
                                         budget,
                                         fit,
                                         Basis.MEASURED))
--- a/lab/src/main/java/saltstage/lab/scale/CapacityTables.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityTables.java
@@ -6,7 +6,7 @@
 
 /** The tables of {@code docs/CAPACITY.md} and the CSV of fits, computed from measured data. */
 final class CapacityTables {
-    private static final String NONE = "—";
+    private static final String NO_VALUE = "—";
     private static final List<String> CSV_COLUMNS =
             List.of(
                     "role",
@@ -28,11 +28,11 @@
                     "budget",
                     "headroom");
 
-    private final List<Need.Result> results;
+    private final List<CapacityRequirement.Result> results;
 
     /** Computes all rows. */
     CapacityTables(MeasuredData data) {
-        results = Needs.all().stream().map(need -> need.result(data)).toList();
+        results = CapacityRequirements.all().stream().map(need -> need.evaluate(data)).toList();
     }
 
     /** All rows by headroom, the worst first; those without a figure last. */
@@ -44,24 +44,24 @@
                                         + " headroom | basis | carried by |",
                                 "| --- | --- | ---: | ---: | ---: | --- | --- |"));
         results.stream()
-                .sorted(Comparator.comparingDouble(CapacityTables::rank))
+                .sorted(Comparator.comparingDouble(CapacityTables::sortKey))
                 .forEach(result -> lines.add(summaryLine(result)));
         return String.join("\n", lines);
     }
 
-    private static double rank(Need.Result result) {
+    private static double sortKey(CapacityRequirement.Result result) {
         return Double.isNaN(result.headroom()) ? Double.MAX_VALUE : result.headroom();
     }
 
-    private static String summaryLine(Need.Result result) {
-        return cells(
-                result.row().role(),
-                result.row().resource(),
-                figure(result.need()),
-                figure(result.budget()),
-                figure(result.headroom()),
-                result.basis().word(),
-                "`" + result.row().carrier() + "`");
+    private static String summaryLine(CapacityRequirement.Result result) {
+        return tableRow(
+                result.requirement().role(),
+                result.requirement().resource(),
+                formatFigure(result.need()),
+                formatFigure(result.budget()),
+                formatFigure(result.headroom()),
+                result.basis().text(),
+                "`" + result.requirement().implementation() + "`");
     }
 
     /** Each line that was fitted, by role. */
@@ -78,24 +78,24 @@
         return String.join("\n", lines);
     }
 
-    private static String fitLine(Need.Result result) {
-        Need.Line line = (Need.Line) result.row().source();
+    private static String fitLine(CapacityRequirement.Result result) {
+        CapacityRequirement.Extrapolation line = (CapacityRequirement.Extrapolation) result.requirement().source();
         LineFit fit = result.fit();
         boolean drawn = fit.shape() == LineFit.Shape.LINE || fit.shape() == LineFit.Shape.FLAT;
-        return cells(
-                result.row().role(),
+        return tableRow(
+                result.requirement().role(),
                 "`" + line.run() + ": " + line.figure() + "`",
-                drawn ? interval(fit.intercept()) : NONE,
-                drawn ? interval(fit.slope()) : NONE,
-                Figures.page(fit.least())
+                drawn ? formatInterval(fit.intercept()) : NO_VALUE,
+                drawn ? formatInterval(fit.slope()) : NO_VALUE,
+                FigureFormat.forPage(fit.minQuantity())
                         + " to "
-                        + Figures.page(fit.most())
+                        + FigureFormat.forPage(fit.maxQuantity())
                         + " "
                         + line.quantity(),
-                Integer.toString(fit.points()),
-                word(fit.shape()),
-                Figures.page(line.target()),
-                fit.most() == 0 ? NONE : "× " + Figures.page(line.target() / fit.most()));
+                Integer.toString(fit.pointCount()),
+                shapeText(fit.shape()),
+                FigureFormat.forPage(line.targetQuantity()),
+                fit.maxQuantity() == 0 ? NO_VALUE : "× " + FigureFormat.forPage(line.targetQuantity() / fit.maxQuantity()));
     }
 
     /** The rows that are arithmetic. */
@@ -105,13 +105,13 @@
                         List.of(
                                 "| role | resource | value | arithmetic |",
                                 "| --- | --- | ---: | --- |"));
-        for (Need.Result result : results) {
-            if (result.row().source() instanceof Need.Estimate estimate) {
+        for (CapacityRequirement.Result result : results) {
+            if (result.requirement().source() instanceof CapacityRequirement.Estimate estimate) {
                 lines.add(
-                        cells(
-                                result.row().role(),
-                                result.row().resource(),
-                                figure(result.need()),
+                        tableRow(
+                                result.requirement().role(),
+                                result.requirement().resource(),
+                                formatFigure(result.need()),
                                 estimate.arithmetic()));
             }
         }
@@ -125,57 +125,57 @@
                 .filter(result -> result.fit() != null)
                 .forEach(
                         result -> {
-                            Need.Line line = (Need.Line) result.row().source();
+                            CapacityRequirement.Extrapolation line = (CapacityRequirement.Extrapolation) result.requirement().source();
                             LineFit fit = result.fit();
                             text.append(
                                             String.join(
                                                     ",",
-                                                    result.row().role().replace(",", ";"),
+                                                    result.requirement().role().replace(",", ";"),
                                                     line.run(),
                                                     line.figure(),
                                                     line.quantity(),
-                                                    word(fit.shape()),
-                                                    Integer.toString(fit.points()),
-                                                    Figures.plain(fit.least()),
-                                                    Figures.plain(fit.most()),
-                                                    Figures.plain(fit.intercept().value()),
-                                                    Figures.plain(fit.intercept().low()),
-                                                    Figures.plain(fit.intercept().high()),
-                                                    Figures.plain(fit.slope().value()),
-                                                    Figures.plain(fit.slope().low()),
-                                                    Figures.plain(fit.slope().high()),
-                                                    Figures.plain(line.target()),
-                                                    Figures.plain(result.need()),
-                                                    Figures.plain(result.budget()),
-                                                    Figures.plain(result.headroom())))
+                                                    shapeText(fit.shape()),
+                                                    Integer.toString(fit.pointCount()),
+                                                    FigureFormat.forCsv(fit.minQuantity()),
+                                                    FigureFormat.forCsv(fit.maxQuantity()),
+                                                    FigureFormat.forCsv(fit.intercept().value()),
+                                                    FigureFormat.forCsv(fit.intercept().low()),
+                                                    FigureFormat.forCsv(fit.intercept().high()),
+                                                    FigureFormat.forCsv(fit.slope().value()),
+                                                    FigureFormat.forCsv(fit.slope().low()),
+                                                    FigureFormat.forCsv(fit.slope().high()),
+                                                    FigureFormat.forCsv(line.targetQuantity()),
+                                                    FigureFormat.forCsv(result.need()),
+                                                    FigureFormat.forCsv(result.budget()),
+                                                    FigureFormat.forCsv(result.headroom())))
                                     .append('\n');
                         });
         return text.toString();
     }
 
-    private static String word(LineFit.Shape shape) {
+    private static String shapeText(LineFit.Shape shape) {
         return switch (shape) {
             case LINE -> "line";
             case FLAT -> "flat";
-            case BENT -> "bends: no line";
-            case TOO_FEW -> "too few points";
+            case CURVED -> "bends: no line";
+            case TOO_FEW_POINTS -> "too few points";
         };
     }
 
-    private static String interval(LineFit.Interval interval) {
-        return Figures.page(interval.value())
+    private static String formatInterval(LineFit.Interval interval) {
+        return FigureFormat.forPage(interval.value())
                 + " ["
-                + Figures.page(interval.low())
+                + FigureFormat.forPage(interval.low())
                 + ", "
-                + Figures.page(interval.high())
+                + FigureFormat.forPage(interval.high())
                 + "]";
     }
 
-    private static String figure(double value) {
-        return Double.isNaN(value) || Double.isInfinite(value) ? NONE : Figures.page(value);
+    private static String formatFigure(double value) {
+        return Double.isNaN(value) || Double.isInfinite(value) ? NO_VALUE : FigureFormat.forPage(value);
     }
 
-    private static String cells(String... cells) {
+    private static String tableRow(String... cells) {
         return "| " + String.join(" | ", cells) + " |";
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/ChildProcess.java
+++ b/lab/src/main/java/saltstage/lab/scale/ChildProcess.java
@@ -10,24 +10,24 @@
  * A JVM of a scale run: started, killed, paused and started again, always by its own process id.
  */
 final class ChildProcess implements AutoCloseable {
-    private static final List<String> FLAGS =
+    private static final List<String> JVM_FLAGS =
             List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData");
 
     private final List<String> command;
-    private final File log;
-    private final boolean talks;
+    private final File logFile;
+    private final boolean outputPiped;
     private Process process;
 
     private ChildProcess(List<String> command, File log, boolean talks) {
         this.command = command;
-        this.log = log;
-        this.talks = talks;
+        this.logFile = log;
+        this.outputPiped = talks;
     }
 
     /** A program of a jar; it writes into a log named after it. */
     static ChildProcess ofJar(
             String name, Path jar, int heapMegabytes, Path folder, List<String> words) {
-        List<String> command = java(heapMegabytes);
+        List<String> command = javaCommand(heapMegabytes);
         command.addAll(List.of("-jar", jar.toString()));
         command.addAll(words);
         return new ChildProcess(command, folder.resolve(name + ".log").toFile(), false);
@@ -37,24 +37,24 @@
      * A program of the laboratory, with which this process talks over standard input and output.
      */
     static ChildProcess ofLab(String name, int heapMegabytes, Path folder, List<String> words) {
-        List<String> command = java(heapMegabytes);
+        List<String> command = javaCommand(heapMegabytes);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), "saltstage.lab.Lab"));
         command.addAll(words);
         return new ChildProcess(command, folder.resolve(name + ".log").toFile(), true);
     }
 
-    private static List<String> java(int heapMegabytes) {
+    private static List<String> javaCommand(int heapMegabytes) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.add("-Xmx" + heapMegabytes + "m");
-        command.addAll(FLAGS);
+        command.addAll(JVM_FLAGS);
         return command;
     }
 
     synchronized ChildProcess start() throws IOException {
-        ProcessBuilder.Redirect toLog = ProcessBuilder.Redirect.appendTo(log);
+        ProcessBuilder.Redirect toLog = ProcessBuilder.Redirect.appendTo(logFile);
         ProcessBuilder builder = new ProcessBuilder(command).redirectError(toLog);
-        if (!talks) {
+        if (!outputPiped) {
             builder.redirectOutput(toLog);
         }
         process = builder.start();
@@ -65,13 +65,13 @@
         return process;
     }
 
-    synchronized boolean alive() {
+    synchronized boolean isAlive() {
         return process != null && process.isAlive();
     }
 
     /** What the kernel tells of it now. */
-    ProcessFigures figures() throws IOException {
-        return ProcessFigures.of(process().pid());
+    ProcessStatistics statistics() throws IOException {
+        return ProcessStatistics.read(process().pid());
     }
 
     /** SIGKILL; waits until it is gone. */
@@ -81,15 +81,15 @@
 
     /** SIGSTOP. */
     void pause() throws IOException, InterruptedException {
-        signal("STOP");
+        sendSignal("STOP");
     }
 
     /** SIGCONT. */
     void resume() throws IOException, InterruptedException {
-        signal("CONT");
+        sendSignal("CONT");
     }
 
-    private void signal(String name) throws IOException, InterruptedException {
+    private void sendSignal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process().pid())).start().waitFor();
     }
 
--- a/lab/src/main/java/saltstage/lab/scale/ConfigurationLoad.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConfigurationLoadGenerator.java
@@ -23,19 +23,19 @@
  * Writes configuration: backends, shards placed at them, and changes of placement one after the
  * other.
  */
-final class ConfigurationLoad {
+final class ConfigurationLoadGenerator {
     private static final String AUTHOR = "scale";
-    private static final int BACKENDS = 200;
-    private static final Duration CALL = Duration.ofSeconds(30);
+    private static final int BACKEND_COUNT = 200;
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(30);
 
     private final GroupClient client;
     private final Random random;
     private final int backendPort;
     private final AtomicLong newestRevision = new AtomicLong();
-    private volatile int shards;
+    private volatile int shardCount;
 
     /** Backends are at loopback addresses of their own, all at this port. */
-    ConfigurationLoad(GroupClient client, Random random, int backendPort) {
+    ConfigurationLoadGenerator(GroupClient client, Random random, int backendPort) {
         this.client = client;
         this.random = random;
         this.backendPort = backendPort;
@@ -47,12 +47,12 @@
      * @param askedNanos when it was first sent
      * @param answeredNanos when its acceptance was known
      */
-    record Accepted(long revision, long askedNanos, long answeredNanos) {}
+    record AcceptedRevision(long revision, long sentNanos, long acceptedNanos) {}
 
     /** Puts the backends. */
     void putBackends() throws IOException, InterruptedException {
         List<Mutation> mutations = new ArrayList<>();
-        for (int i = 0; i < BACKENDS; i++) {
+        for (int i = 0; i < BACKEND_COUNT; i++) {
             EntryValue.Backend backend =
                     new EntryValue.Backend(
                             "127.9.0." + (1 + i) + ":" + backendPort,
@@ -63,28 +63,28 @@
                             0);
             mutations.add(new Mutation(new EntryKey(EntryKind.BACKEND, "gw-" + i), backend));
         }
-        send(client, mutations, CALL);
+        send(client, mutations, CALL_TIMEOUT);
     }
 
     /** Puts shards until there are so many, by several writers at once. */
     void putShards(int upTo, List<GroupClient> writers)
             throws InterruptedException, ExecutionException {
-        Parallel.each(
+        Parallel.forEach(
                 writers,
                 writer -> {
-                    List<Mutation> next = nextShards(upTo);
+                    List<Mutation> next = nextShardMutations(upTo);
                     while (!next.isEmpty()) {
-                        send(writer, next, CALL);
-                        next = nextShards(upTo);
+                        send(writer, next, CALL_TIMEOUT);
+                        next = nextShardMutations(upTo);
                     }
                 });
     }
 
-    private synchronized List<Mutation> nextShards(int upTo) {
+    private synchronized List<Mutation> nextShardMutations(int upTo) {
         List<Mutation> mutations = new ArrayList<>();
-        int until = Math.min(upTo, shards + ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE);
-        for (; shards < until; shards++) {
-            mutations.add(placed(shards));
+        int until = Math.min(upTo, shardCount + ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE);
+        for (; shardCount < until; shardCount++) {
+            mutations.add(randomPlacement(shardCount));
         }
         return mutations;
     }
@@ -95,38 +95,38 @@
     }
 
     /** A change of one shard, as a command. */
-    ChangeConfiguration anyChange() {
-        return new ChangeConfiguration(AUTHOR, List.of(placed(random.nextInt(shards))), Map.of());
+    ChangeConfiguration randomChange() {
+        return new ChangeConfiguration(AUTHOR, List.of(randomPlacement(random.nextInt(shardCount))), Map.of());
     }
 
-    private Mutation placed(int shard) {
+    private Mutation randomPlacement(int shard) {
         EntryKey key = new EntryKey(EntryKind.SHARD, "topic-" + shard / 16 + "/" + shard % 16);
-        return new Mutation(key, new EntryValue.Shard("gw-" + random.nextInt(BACKENDS)));
+        return new Mutation(key, new EntryValue.Shard("gw-" + random.nextInt(BACKEND_COUNT)));
     }
 
     /** Places one shard anew, so often as a revision takes to come of it. */
-    Accepted changeOne() throws IOException, InterruptedException {
-        return change(client, 1, CALL);
+    AcceptedRevision changeOneShard() throws IOException, InterruptedException {
+        return changeShards(client, 1, CALL_TIMEOUT);
     }
 
     /** Places so many shards anew by one change, through this client. */
-    Accepted change(GroupClient through, int count, Duration within)
+    AcceptedRevision changeShards(GroupClient through, int count, Duration within)
             throws IOException, InterruptedException {
         List<Mutation> mutations = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            mutations.add(placed(random.nextInt(shards)));
+            mutations.add(randomPlacement(random.nextInt(shardCount)));
         }
         return send(through, mutations, within);
     }
 
-    private Accepted send(GroupClient through, List<Mutation> mutations, Duration within)
+    private AcceptedRevision send(GroupClient through, List<Mutation> mutations, Duration within)
             throws IOException, InterruptedException {
         long asked = System.nanoTime();
         Reply reply =
                 through.send(new ChangeConfiguration(AUTHOR, mutations, Map.of()), within).reply();
         if (reply instanceof Changed changed) {
             newestRevision.accumulateAndGet(changed.revision(), Math::max);
-            return new Accepted(changed.revision(), asked, System.nanoTime());
+            return new AcceptedRevision(changed.revision(), asked, System.nanoTime());
         }
         throw new IOException("a change was not accepted: " + reply);
     }
--- a/lab/src/main/java/saltstage/lab/scale/ConfigurationRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConfigurationRun.java
@@ -25,52 +25,52 @@
                 "Nine control processes and ever more entries; a follower with a relay's heap at"
                         + " each point.")
 final class ConfigurationRun extends ScaleRun {
-    private static final int[] ENTRIES = {3_600, 7_400, 14_750, 29_500, 59_000};
+    private static final int[] ENTRY_COUNTS = {3_600, 7_400, 14_750, 29_500, 59_000};
 
     /** The heap that a relay is deployed with. */
     private static final int RELAY_HEAP_MEGABYTES = 48;
 
     private static final double SETTLE_SECONDS = 2;
 
-    private static final int OK = 200;
-    private static final long NEWEST = 0;
+    private static final int HTTP_OK = 200;
+    private static final long NEWEST_REVISION = 0;
 
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    private long bytes;
+    private long snapshotBytes;
 
     ConfigurationRun() {
         super("configuration");
     }
 
     @Override
-    boolean run(Stage stage) throws Exception {
-        try (FleetStage all = new FleetStage(stage.folder(), stage.transport(), stage.seed(), 0)) {
-            List<String> sources = all.control().sourcesOfRelays(Zone.A1);
-            for (int entries : ENTRIES) {
-                progress("configuration: " + entries + " entries");
+    boolean run(RunContext stage) throws Exception {
+        try (FleetEnvironment all = new FleetEnvironment(stage.folder(), stage.transport(), stage.seed(), 0)) {
+            List<String> sources = all.controlPlane().addRelaySources(Zone.A1);
+            for (int entries : ENTRY_COUNTS) {
+                printProgress("configuration: " + entries + " entries");
                 all.putShards(entries);
-                awaitRevision(sources.get(0), all.load().newestRevision());
-                stage.file().begin(entries);
-                control(stage.file(), all);
-                snapshot(stage.file(), sources.get(0));
-                follower(stage, sources, entries);
+                awaitRevision(sources.get(0), all.configurationLoad().newestRevision());
+                stage.file().beginPoint(entries);
+                measureControlMemory(stage.file(), all);
+                measureSnapshot(stage.file(), sources.get(0));
+                measureFollower(stage, sources, entries);
             }
         }
         return true;
     }
 
-    private static void control(MeasurementFile file, FleetStage all) throws Exception {
-        file.add(
+    private static void measureControlMemory(MeasurementFile file, FleetEnvironment all) throws Exception {
+        file.addFigure(
                 "leader_resident_mb",
-                all.control().replica(all.control().leader()).figures().residentMegabytes());
-        file.add(
+                all.controlPlane().replica(all.controlPlane().leader()).statistics().residentMegabytes());
+        file.addFigure(
                 "distributor_resident_mb",
-                all.control().distributor(Zone.A1).figures().residentMegabytes());
+                all.controlPlane().distributor(Zone.A1).statistics().residentMegabytes());
     }
 
-    private SnapshotPage page(String source, long revision, String from, int limit)
+    private SnapshotPage fetchPage(String source, long revision, String from, int limit)
             throws Exception {
         URI uri =
                 URI.create(
@@ -83,64 +83,64 @@
                                 + limit);
         HttpRequest request = HttpRequest.newBuilder(uri).build();
         HttpResponse<String> answer = http.send(request, HttpResponse.BodyHandlers.ofString());
-        if (answer.statusCode() != OK) {
+        if (answer.statusCode() != HTTP_OK) {
             throw new IOException("a snapshot was answered with " + answer.statusCode());
         }
-        bytes += answer.body().length();
+        snapshotBytes += answer.body().length();
         return ConfigurationJson.parseSnapshotPage(answer.body());
     }
 
     /** Waits until a source serves this revision; one that has just started does not listen yet. */
     private void awaitRevision(String source, long revision) throws Exception {
-        while (!serves(source, revision)) {
-            seconds(SETTLE_SECONDS);
+        while (!isServing(source, revision)) {
+            sleepSeconds(SETTLE_SECONDS);
         }
     }
 
-    private boolean serves(String source, long revision) throws Exception {
+    private boolean isServing(String source, long revision) throws Exception {
         try {
-            return page(source, NEWEST, "", 1).revision() >= revision;
+            return fetchPage(source, NEWEST_REVISION, "", 1).revision() >= revision;
         } catch (IOException notYet) {
             return false;
         }
     }
 
     /** Takes a snapshot page by page, as a follower does. */
-    private void snapshot(MeasurementFile file, String source) throws Exception {
-        bytes = 0;
+    private void measureSnapshot(MeasurementFile file, String source) throws Exception {
+        snapshotBytes = 0;
         long begun = System.nanoTime();
-        long revision = NEWEST;
+        long revision = NEWEST_REVISION;
         String from = "";
         int pages = 0;
         while (from != null) {
-            SnapshotPage page = page(source, revision, from, ConfigurationLimits.MAX_ENTRIES_PER_PAGE);
+            SnapshotPage page = fetchPage(source, revision, from, ConfigurationLimits.MAX_ENTRIES_PER_PAGE);
             revision = page.revision();
             from = page.next() == null ? null : "&from=" + page.next().text();
             pages++;
         }
-        file.add("snapshot_s", (System.nanoTime() - begun) / 1e9);
-        file.add("snapshot_bytes", bytes);
-        file.add("snapshot_pages", pages);
+        file.addFigure("snapshot_s", (System.nanoTime() - begun) / 1e9);
+        file.addFigure("snapshot_bytes", snapshotBytes);
+        file.addFigure("snapshot_pages", pages);
     }
 
-    private static void follower(Stage stage, List<String> sources, int entries) throws Exception {
+    private static void measureFollower(RunContext stage, List<String> sources, int entries) throws Exception {
         long begun = System.nanoTime();
-        try (HollowHost host =
-                new HollowHost(
+        try (SimulatedRelayHost host =
+                new SimulatedRelayHost(
                         entries,
                         1,
                         "a1",
                         sources,
                         RELAY_HEAP_MEGABYTES,
                         stage.folder(),
-                        new InForceLog())) {
+                        new AppliedRevisionLog())) {
             host.start();
             host.awaitReady();
-            stage.file().add("follower_start_s", (System.nanoTime() - begun) / 1e9);
-            seconds(1);
-            ProcessFigures figures = host.process().figures();
-            stage.file().add("follower_resident_mb", figures.residentMegabytes());
-            stage.file().add("follower_start_processor_s", figures.processorSeconds());
+            stage.file().addFigure("follower_start_s", (System.nanoTime() - begun) / 1e9);
+            sleepSeconds(1);
+            ProcessStatistics figures = host.process().statistics();
+            stage.file().addFigure("follower_resident_mb", figures.residentMegabytes());
+            stage.file().addFigure("follower_start_processor_s", figures.processorSeconds());
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/ConnectionsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConnectionsRun.java
@@ -16,21 +16,21 @@
         mixinStandardHelpOptions = true,
         description = "One real relay with ever more standing connections to stand-in gateways.")
 final class ConnectionsRun extends ScaleRun {
-    private static final int[] CONNECTIONS = {125, 250, 500, 1_000, 2_000, 3_000, 4_000, 8_000};
+    private static final int[] CONNECTION_COUNTS = {125, 250, 500, 1_000, 2_000, 3_000, 4_000, 8_000};
 
     /** As many descriptors as the machine gives one process here. */
-    private static final int SOCKETS = 20_000;
+    private static final int MAX_SOCKETS = 20_000;
 
-    private static final int MOST_OPENING = 16;
+    private static final int MAX_OPENING = 16;
     private static final double SETTLE_SECONDS = 2;
     private static final double QUIET_SECONDS = 3;
     private static final double DELIVERY_SECONDS = 3;
-    private static final int DELIVERIES_A_SECOND = 1_000;
+    private static final int DELIVERIES_PER_SECOND = 1_000;
 
     /** Without one more connection for so long, the relay takes no more. */
-    private static final double STALL_SECONDS = 6;
+    private static final double STALL_TIMEOUT_SECONDS = 6;
 
-    private static final double DELIVERED = 0.95;
+    private static final double MIN_DELIVERED_SHARE = 0.95;
 
     @Option(
             names = "--most",
@@ -43,16 +43,16 @@
     }
 
     @Override
-    boolean run(Stage stage) throws Exception {
-        try (LineBackends backends = new LineBackends(stage.transport());
-                ListStandIn list = new ListStandIn(8, backends.port(), false, stage.seed());
-                CountingLink link =
-                        new CountingLink(stage.transport(), list.address(), Duration.ZERO);
-                RelayProcess relay = new RelayProcess(stage.folder(), link.address(), SOCKETS)) {
-            LineClients clients = new LineClients(stage.transport(), relay.listen());
-            seconds(SETTLE_SECONDS);
-            quiet(stage.file(), relay, 0);
-            for (int connections : CONNECTIONS) {
+    boolean run(RunContext stage) throws Exception {
+        try (FakeLineBackends backends = new FakeLineBackends(stage.transport());
+                LargeListDiscovery list = new LargeListDiscovery(8, backends.port(), false, stage.seed());
+                CountingProxy link =
+                        new CountingProxy(stage.transport(), list.address(), Duration.ZERO);
+                RelayProcess relay = new RelayProcess(stage.folder(), link.address(), MAX_SOCKETS)) {
+            LineClients clients = new LineClients(stage.transport(), relay.listenAddress());
+            sleepSeconds(SETTLE_SECONDS);
+            measureQuiet(stage.file(), relay, 0);
+            for (int connections : CONNECTION_COUNTS) {
                 if (connections > most
                         || !measure(stage.file(), relay, backends, clients, connections)) {
                     break;
@@ -62,70 +62,70 @@
         return true;
     }
 
-    private static void quiet(MeasurementFile file, RelayProcess relay, int connections)
+    private static void measureQuiet(MeasurementFile file, RelayProcess relay, int connections)
             throws Exception {
-        file.begin(connections);
-        ProcessFigures before = relay.figures();
-        seconds(QUIET_SECONDS);
-        ProcessFigures after = relay.figures();
+        file.beginPoint(connections);
+        ProcessStatistics before = relay.statistics();
+        sleepSeconds(QUIET_SECONDS);
+        ProcessStatistics after = relay.statistics();
         double used = after.processorSeconds() - before.processorSeconds();
-        file.add("resident_mb", after.residentMegabytes());
-        file.add("threads", after.threads());
-        file.add("quiet_processor_share", used / QUIET_SECONDS);
+        file.addFigure("resident_mb", after.residentMegabytes());
+        file.addFigure("threads", after.threadCount());
+        file.addFigure("quiet_processor_share", used / QUIET_SECONDS);
     }
 
     private static boolean measure(
             MeasurementFile file,
             RelayProcess relay,
-            LineBackends backends,
+            FakeLineBackends backends,
             LineClients clients,
             int connections)
             throws Exception {
-        progress("connections: " + connections);
-        int had = clients.standing();
-        double before = relay.figures().processorSeconds();
+        printProgress("connections: " + connections);
+        int had = clients.establishedCount();
+        double before = relay.statistics().processorSeconds();
         long begun = System.nanoTime();
-        boolean all = open(relay, clients, connections);
+        boolean all = openConnections(relay, clients, connections);
         double spent = (System.nanoTime() - begun) / 1e9;
-        if (!relay.alive() || !all) {
-            file.begin(connections);
-            file.add("reached", clients.standing());
-            file.add("relay_alive", relay.alive() ? 1 : 0);
-            file.add("refused", clients.refused());
-            file.add("lost", clients.lost());
+        if (!relay.isAlive() || !all) {
+            file.beginPoint(connections);
+            file.addFigure("reached", clients.establishedCount());
+            file.addFigure("relay_alive", relay.isAlive() ? 1 : 0);
+            file.addFigure("refused", clients.rejectedCount());
+            file.addFigure("lost", clients.lostCount());
             return false;
         }
-        double used = relay.figures().processorSeconds() - before;
-        double opened = clients.standing() - (double) had;
-        seconds(SETTLE_SECONDS);
-        quiet(file, relay, connections);
-        Histogram setUps = clients.takeSetUps();
-        file.add("reached", clients.standing());
-        file.add("set_ups_per_s", opened / spent);
-        file.add("set_up_processor_ms", used * 1e3 / opened);
-        file.add("set_up_p99_ms", setUps.getValueAtPercentile(99) / 1e3);
-        deliver(file, relay, backends, clients);
-        return relay.alive();
+        double used = relay.statistics().processorSeconds() - before;
+        double opened = clients.establishedCount() - (double) had;
+        sleepSeconds(SETTLE_SECONDS);
+        measureQuiet(file, relay, connections);
+        Histogram setUps = clients.takeSetupMicros();
+        file.addFigure("reached", clients.establishedCount());
+        file.addFigure("set_ups_per_s", opened / spent);
+        file.addFigure("set_up_processor_ms", used * 1e3 / opened);
+        file.addFigure("set_up_p99_ms", setUps.getValueAtPercentile(99) / 1e3);
+        measureDeliveries(file, relay, backends, clients);
+        return relay.isAlive();
     }
 
     /**
      * Opens until so many stand; a refusal is tried again. False where they do not come to stand in
      * time.
      */
-    private static boolean open(RelayProcess relay, LineClients clients, int connections)
+    private static boolean openConnections(RelayProcess relay, LineClients clients, int connections)
             throws InterruptedException {
-        int most = clients.standing();
+        int most = clients.establishedCount();
         long lastNewcomer = System.nanoTime();
-        while (clients.standing() < connections) {
-            if (clients.standing() > most) {
-                most = clients.standing();
+        while (clients.establishedCount() < connections) {
+            if (clients.establishedCount() > most) {
+                most = clients.establishedCount();
                 lastNewcomer = System.nanoTime();
             }
-            if (!relay.alive() || System.nanoTime() - lastNewcomer > STALL_SECONDS * 1e9) {
+            if (!relay.isAlive() || System.nanoTime() - lastNewcomer > STALL_TIMEOUT_SECONDS * 1e9) {
                 return false;
             }
-            int wanted = connections - clients.standing() - clients.opening();
-            int room = MOST_OPENING - clients.opening();
+            int wanted = connections - clients.establishedCount() - clients.openingCount();
+            int room = MAX_OPENING - clients.openingCount();
             for (int i = 0; i < Math.min(wanted, room); i++) {
                 clients.open();
             }
@@ -134,17 +134,17 @@
         return true;
     }
 
-    private static void deliver(
-            MeasurementFile file, RelayProcess relay, LineBackends backends, LineClients clients)
+    private static void measureDeliveries(
+            MeasurementFile file, RelayProcess relay, FakeLineBackends backends, LineClients clients)
             throws Exception {
-        Deliveries deliveries = new Deliveries(backends, clients);
-        Deliveries.Outcome outcome = deliveries.run(relay, DELIVERIES_A_SECOND, DELIVERY_SECONDS);
-        file.add("delivery_processor_us", outcome.processorSeconds() * 1e6 / outcome.delivered());
-        file.add("delivery_p50_ms", outcome.p50Ms());
-        file.add("delivery_p99_ms", outcome.p99Ms());
-        file.add("delivered_share", outcome.delivered() / (DELIVERIES_A_SECOND * DELIVERY_SECONDS));
-        if (outcome.delivered() < DELIVERED * DELIVERIES_A_SECOND * DELIVERY_SECONDS) {
-            progress("connections: only " + outcome.delivered() + " deliveries came");
+        DeliveryGenerator deliveries = new DeliveryGenerator(backends, clients);
+        DeliveryGenerator.Result outcome = deliveries.run(relay, DELIVERIES_PER_SECOND, DELIVERY_SECONDS);
+        file.addFigure("delivery_processor_us", outcome.processorSeconds() * 1e6 / outcome.delivered());
+        file.addFigure("delivery_p50_ms", outcome.p50Ms());
+        file.addFigure("delivery_p99_ms", outcome.p99Ms());
+        file.addFigure("delivered_share", outcome.delivered() / (DELIVERIES_PER_SECOND * DELIVERY_SECONDS));
+        if (outcome.delivered() < MIN_DELIVERED_SHARE * DELIVERIES_PER_SECOND * DELIVERY_SECONDS) {
+            printProgress("connections: only " + outcome.delivered() + " deliveries came");
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
+++ b/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
@@ -8,7 +8,7 @@
 import saltstage.coordinator.group.GroupCodec;
 import saltstage.coordinator.model.Command;
 import saltstage.lab.scale.Topology.Zone;
-import saltstage.lab.trial.Proc;
+import saltstage.lab.trial.TrialProcess;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -32,27 +32,27 @@
  */
 final class ControlPlane implements AutoCloseable {
     /** Use of links: relays that ask distributors. */
-    static final String RELAYS = "relays";
+    static final String RELAY_LINKS = "relays";
 
     /** Use of links: distributors that ask and tell replicas. */
-    static final String DISTRIBUTORS = "distributors";
+    static final String DISTRIBUTOR_LINKS = "distributors";
 
     /** Use of links: replicas among themselves. */
-    static final String REPLICAS = "replicas";
+    static final String REPLICA_LINKS = "replicas";
 
     private static final int PEER_PORT = 7_101;
     private static final int CLIENT_PORT = 7_201;
     private static final int REPLICA_HEAP_MEGABYTES = 256;
     private static final int DISTRIBUTOR_HEAP_MEGABYTES = 256;
-    private static final Duration STATUS = Duration.ofSeconds(2);
-    private static final Duration REFUSAL = Duration.ofSeconds(4);
-    private static final int OK = 200;
-    private static final Duration LEADER = Duration.ofSeconds(30);
+    private static final Duration STATUS_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration REJECTION_TIMEOUT = Duration.ofSeconds(4);
+    private static final int HTTP_OK = 200;
+    private static final Duration LEADER_TIMEOUT = Duration.ofSeconds(30);
 
     private final Path folder;
     private final ZoneLinks links;
-    private final Map<String, Zone> zones = new LinkedHashMap<>();
-    private final Map<String, String> hosts = new LinkedHashMap<>();
+    private final Map<String, Zone> replicaZones = new LinkedHashMap<>();
+    private final Map<String, String> replicaHosts = new LinkedHashMap<>();
     private final Map<String, ChildProcess> replicas = new LinkedHashMap<>();
     private final Map<Zone, ChildProcess> distributors = new EnumMap<>(Zone.class);
     private final Map<Zone, String> distributorHosts = new EnumMap<>(Zone.class);
@@ -64,14 +64,14 @@
         // Not from the run's seed: two runs at once must not meet each other.
         ThreadLocalRandom random = ThreadLocalRandom.current();
         String block = "127." + random.nextInt(1, 255) + "." + random.nextInt(255) + ".";
-        for (int i = 0; i < Topology.REPLICAS.size(); i++) {
-            zones.put("r" + (i + 1), Topology.REPLICAS.get(i));
-            hosts.put("r" + (i + 1), block + (i + 1));
+        for (int i = 0; i < Topology.REPLICA_ZONES.size(); i++) {
+            replicaZones.put("r" + (i + 1), Topology.REPLICA_ZONES.get(i));
+            replicaHosts.put("r" + (i + 1), block + (i + 1));
         }
         for (Zone zone : Zone.values()) {
             distributorHosts.put(zone, block + (100 + zone.ordinal()));
         }
-        for (String name : hosts.keySet()) {
+        for (String name : replicaHosts.keySet()) {
             prepareReplica(name);
         }
         for (Zone zone : Zone.values()) {
@@ -80,22 +80,22 @@
     }
 
     private void prepareReplica(String name) throws IOException {
-        StringBuilder text = new StringBuilder(groupHead());
-        for (String other : hosts.keySet()) {
+        StringBuilder text = new StringBuilder(groupSettings());
+        for (String other : replicaHosts.keySet()) {
             if (!other.equals(name)) {
                 String at =
-                        links.add(
-                                REPLICAS,
-                                zones.get(name),
-                                zones.get(other),
-                                new InetSocketAddress(hosts.get(other), PEER_PORT));
+                        links.addLink(
+                                REPLICA_LINKS,
+                                replicaZones.get(name),
+                                replicaZones.get(other),
+                                new InetSocketAddress(replicaHosts.get(other), PEER_PORT));
                 text.append("  reach \"" + other + "\" {\n    at = \"" + at + "\"\n  }\n");
             }
         }
         Path settings = Files.writeString(folder.resolve(name + ".hcl"), text + "}\n");
         replicas.put(
                 name,
-                coordinator(
+                coordinatorProcess(
                         name,
                         REPLICA_HEAP_MEGABYTES,
                         List.of(
@@ -107,13 +107,13 @@
                                 name)));
     }
 
-    private String groupHead() {
+    private String groupSettings() {
         StringBuilder text =
                 new StringBuilder(
                         "coordinator {\n  group = \"scale\"\n  dir = \""
                                 + folder.resolve("replicas")
                                 + "\"\n");
-        hosts.forEach(
+        replicaHosts.forEach(
                 (name, host) ->
                         text.append(
                                 "  member \""
@@ -131,41 +131,41 @@
     }
 
     private void prepareDistributor(Zone zone) throws IOException {
-        String name = "d-" + zone.text();
+        String name = "d-" + zone.lowerCaseName();
         List<String> block =
                 List.of(
                         "distributor \"" + name + "\" {",
-                        "  zone = \"" + zone.text() + "\"",
+                        "  zone = \"" + zone.lowerCaseName() + "\"",
                         "  clients = \"" + distributorHosts.get(zone) + ":" + CLIENT_PORT + "\"",
                         "  sources = [\""
-                                + String.join("\", \"", sourcesOfDistributor(zone))
+                                + String.join("\", \"", addDistributorSources(zone))
                                 + "\"]",
                         "  dir = \"" + folder.resolve("distributors") + "\"",
                         "}");
-        String text = groupHead() + "}\n" + String.join("\n", block) + "\n";
+        String text = groupSettings() + "}\n" + String.join("\n", block) + "\n";
         Path settings = Files.writeString(folder.resolve(name + ".hcl"), text);
         List<String> words =
                 List.of("distributor", "serve", "--settings", settings.toString(), "--name", name);
-        distributors.put(zone, coordinator(name, DISTRIBUTOR_HEAP_MEGABYTES, words));
+        distributors.put(zone, coordinatorProcess(name, DISTRIBUTOR_HEAP_MEGABYTES, words));
     }
 
-    private List<String> sourcesOfDistributor(Zone zone) throws IOException {
+    private List<String> addDistributorSources(Zone zone) throws IOException {
         List<String> sources = new ArrayList<>();
-        for (Zone preferred : zone.byPreference()) {
-            for (String replica : replicasOf(preferred)) {
-                InetSocketAddress at = new InetSocketAddress(hosts.get(replica), CLIENT_PORT);
-                sources.add(links.add(DISTRIBUTORS, zone, preferred, at));
+        for (Zone preferred : zone.zonesByPreference()) {
+            for (String replica : replicasIn(preferred)) {
+                InetSocketAddress at = new InetSocketAddress(replicaHosts.get(replica), CLIENT_PORT);
+                sources.add(links.addLink(DISTRIBUTOR_LINKS, zone, preferred, at));
             }
         }
         return sources;
     }
 
-    private List<String> replicasOf(Zone zone) {
-        return zones.keySet().stream().filter(name -> zones.get(name) == zone).toList();
+    private List<String> replicasIn(Zone zone) {
+        return replicaZones.keySet().stream().filter(name -> replicaZones.get(name) == zone).toList();
     }
 
-    private ChildProcess coordinator(String name, int heapMegabytes, List<String> words) {
-        return ChildProcess.ofJar(name, Proc.builtJar(), heapMegabytes, folder, words);
+    private ChildProcess coordinatorProcess(String name, int heapMegabytes, List<String> words) {
+        return ChildProcess.ofJar(name, TrialProcess.coordinatorJar(), heapMegabytes, folder, words);
     }
 
     /** Starts all nine. */
@@ -183,16 +183,16 @@
      * Adds the links of a zone's relays to all distributors; returns their addresses, preferred
      * first.
      */
-    List<String> sourcesOfRelays(Zone zone) throws IOException {
-        return sourcesOfRelays(RELAYS, zone);
+    List<String> addRelaySources(Zone zone) throws IOException {
+        return addRelaySources(RELAY_LINKS, zone);
     }
 
     /** The same for links that are counted by another use. */
-    List<String> sourcesOfRelays(String use, Zone zone) throws IOException {
+    List<String> addRelaySources(String use, Zone zone) throws IOException {
         List<String> sources = new ArrayList<>();
-        for (Zone preferred : zone.byPreference()) {
+        for (Zone preferred : zone.zonesByPreference()) {
             sources.add(
-                    links.add(
+                    links.addLink(
                             use,
                             zone,
                             preferred,
@@ -207,42 +207,42 @@
     }
 
     /** Whether each replica of a zone's region refuses a command, or does not answer it in time. */
-    boolean refusesChanges(Zone zone, Command command) throws InterruptedException {
+    boolean isRejectingChanges(Zone zone, Command command) throws InterruptedException {
         ObjectNode body = GroupCodec.jsonMapper().createObjectNode().put("client", "outsider").put("seq", 1);
         body.set("command", GroupCodec.jsonMapper().valueToTree(command));
         HttpClient http = HttpClient.newHttpClient();
-        for (String name : hosts.keySet()) {
-            if (zones.get(name).sharesRegionWith(zone) && accepts(http, hosts.get(name), body)) {
+        for (String name : replicaHosts.keySet()) {
+            if (replicaZones.get(name).isInSameRegionAs(zone) && isAccepted(http, replicaHosts.get(name), body)) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean accepts(HttpClient http, String host, ObjectNode body)
+    private static boolean isAccepted(HttpClient http, String host, ObjectNode body)
             throws InterruptedException {
         URI uri = URI.create("http://" + host + ":" + CLIENT_PORT + "/v1/do");
         HttpRequest request =
                 HttpRequest.newBuilder(uri)
-                        .timeout(REFUSAL)
+                        .timeout(REJECTION_TIMEOUT)
                         .POST(HttpRequest.BodyPublishers.ofString(body.toString()))
                         .build();
         try {
-            return http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode() == OK;
+            return http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode() == HTTP_OK;
         } catch (IOException unanswered) {
             return false;
         }
     }
 
     private List<String> replicaAddresses() {
-        return hosts.values().stream().map(host -> host + ":" + CLIENT_PORT).toList();
+        return replicaHosts.values().stream().map(host -> host + ":" + CLIENT_PORT).toList();
     }
 
     /** Who leads; waits for one that a majority follows. */
     String leader() throws IOException, InterruptedException {
-        client().get("/v1/leases?limit=1", LEADER);
-        for (String name : hosts.keySet()) {
-            if (replicas.get(name).alive() && isLeader(name)) {
+        client().get("/v1/leases?limit=1", LEADER_TIMEOUT);
+        for (String name : replicaHosts.keySet()) {
+            if (replicas.get(name).isAlive() && isLeader(name)) {
                 return name;
             }
         }
@@ -252,8 +252,8 @@
     private boolean isLeader(String name) throws IOException, InterruptedException {
         try {
             GroupClient one =
-                    new GroupClient(List.of(hosts.get(name) + ":" + CLIENT_PORT), Ticker.SYSTEM);
-            JsonNode status = one.get("/v1/status", STATUS);
+                    new GroupClient(List.of(replicaHosts.get(name) + ":" + CLIENT_PORT), Ticker.SYSTEM);
+            JsonNode status = one.get("/v1/status", STATUS_TIMEOUT);
             return status.path("role").asText().equals("leader");
         } catch (GroupClient.GroupUnreachableException down) {
             return false;
@@ -271,7 +271,7 @@
     /** Kills the zone's replicas and its distributor. */
     void killZone(Zone zone) throws InterruptedException {
         for (Map.Entry<String, ChildProcess> replica : replicas.entrySet()) {
-            if (zones.get(replica.getKey()) == zone) {
+            if (replicaZones.get(replica.getKey()) == zone) {
                 replica.getValue().kill();
             }
         }
@@ -279,14 +279,14 @@
     }
 
     /** Starts whatever does not run. */
-    void startMissing() throws IOException {
+    void startStopped() throws IOException {
         for (ChildProcess replica : replicas.values()) {
-            if (!replica.alive()) {
+            if (!replica.isAlive()) {
                 replica.start();
             }
         }
         for (ChildProcess distributor : distributors.values()) {
-            if (!distributor.alive()) {
+            if (!distributor.isAlive()) {
                 distributor.start();
             }
         }
@@ -294,12 +294,12 @@
 
     /** Kills all nine at once. */
     void killAll() throws InterruptedException {
-        for (ChildProcess each : all()) {
+        for (ChildProcess each : allProcesses()) {
             each.kill();
         }
     }
 
-    private List<ChildProcess> all() {
+    private List<ChildProcess> allProcesses() {
         List<ChildProcess> all = new ArrayList<>(replicas.values());
         all.addAll(distributors.values());
         return all;
@@ -307,7 +307,7 @@
 
     @Override
     public void close() throws InterruptedException {
-        for (ChildProcess each : all()) {
+        for (ChildProcess each : allProcesses()) {
             each.close();
         }
     }
--- a/lab/src/main/java/saltstage/lab/scale/CountingLink.java
+++ b/lab/src/main/java/saltstage/lab/scale/CountingProxy.java
@@ -19,10 +19,10 @@
  * A proxy that counts what passes, delivers it late by a fixed delay, and can be cut: while cut,
  * nothing passes and nobody is told, as between two regions that lose each other.
  */
-public final class CountingLink implements AutoCloseable {
+public final class CountingProxy implements AutoCloseable {
     private static final int BACKLOG = 1_024;
-    private static final Duration CONNECT = Duration.ofSeconds(2);
-    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(1 << 18, 64 << 20);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
+    private static final Connection.WriteLimits WRITE_LIMITS = new Connection.WriteLimits(1 << 18, 64 << 20);
 
     private final Transport transport;
     private final InetSocketAddress target;
@@ -31,18 +31,18 @@
     private final LongAdder bytesToTarget = new LongAdder();
     private final LongAdder bytesFromTarget = new LongAdder();
     private final LongAdder messagesToTarget = new LongAdder();
-    private final Set<Pair> pairs = ConcurrentHashMap.newKeySet();
+    private final Set<ProxiedConnection> connections = ConcurrentHashMap.newKeySet();
     private volatile boolean cut;
 
     /** A link to the target on a free port of loopback; the transport's loops carry it. */
-    public CountingLink(Transport transport, InetSocketAddress target, Duration delay)
+    public CountingProxy(Transport transport, InetSocketAddress target, Duration delay)
             throws IOException {
         this.transport = transport;
         this.target = target;
         this.delay = delay;
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         listener =
-                transport.listen(any, BACKLOG, BOUNDS, accepted -> new Pair(accepted).fromClient);
+                transport.listen(any, BACKLOG, WRITE_LIMITS, accepted -> new ProxiedConnection(accepted).fromClient);
     }
 
     /** Where clients connect. */
@@ -76,12 +76,12 @@
     /** What was held back passes. */
     public void heal() {
         cut = false;
-        pairs.forEach(Pair::resume);
+        connections.forEach(ProxiedConnection::resume);
     }
 
     /** Resets all connections that are open. */
     public void reset() {
-        pairs.forEach(pair -> pair.client.loop().execute(pair::resetBoth));
+        connections.forEach(pair -> pair.clientConnection.loop().execute(pair::resetBoth));
     }
 
     @Override
@@ -91,49 +91,49 @@
     }
 
     /** One client's connection and the one to the target; both on one loop. */
-    private final class Pair implements Transport.ConnectListener {
-        private final Connection client;
-        private final Way fromClient = new Way(true);
-        private final Way fromTarget = new Way(false);
-        private Connection server;
-        private boolean over;
-        private boolean sideEnded;
-
-        Pair(Connection client) {
-            this.client = client;
-            pairs.add(this);
+    private final class ProxiedConnection implements Transport.ConnectListener {
+        private final Connection clientConnection;
+        private final Direction fromClient = new Direction(true);
+        private final Direction fromTarget = new Direction(false);
+        private Connection targetConnection;
+        private boolean ended;
+        private boolean oneSideEnded;
+
+        ProxiedConnection(Connection client) {
+            this.clientConnection = client;
+            connections.add(this);
             connect();
         }
 
         private void connect() {
             if (!cut) {
-                transport.connect(client.loop(), target, CONNECT, BOUNDS, this);
+                transport.connect(clientConnection.loop(), target, CONNECT_TIMEOUT, WRITE_LIMITS, this);
             }
         }
 
         private void resume() {
-            client.loop()
+            clientConnection.loop()
                     .execute(
                             () -> {
-                                if (server == null && !over) {
+                                if (targetConnection == null && !ended) {
                                     connect();
                                 }
-                                fromClient.pass();
-                                fromTarget.pass();
-                                if (sideEnded) {
-                                    end();
+                                fromClient.forwardDue();
+                                fromTarget.forwardDue();
+                                if (oneSideEnded) {
+                                    closeBoth();
                                 }
                             });
         }
 
         @Override
         public ConnectionHandler connected(Connection connection) {
-            server = connection;
-            if (over) {
+            targetConnection = connection;
+            if (ended) {
                 connection.reset();
                 return fromTarget;
             }
-            fromClient.pass();
+            fromClient.forwardDue();
             return fromTarget;
         }
 
@@ -143,32 +143,32 @@
         }
 
         private void resetBoth() {
-            over = true;
-            pairs.remove(this);
-            client.reset();
-            if (server != null) {
-                server.reset();
+            ended = true;
+            connections.remove(this);
+            clientConnection.reset();
+            if (targetConnection != null) {
+                targetConnection.reset();
             }
         }
 
         /** A piece that waits until it is due; no bytes: the end of the input. */
-        private record Piece(long dueNanos, ByteBuffer bytes) {}
+        private record DelayedBytes(long dueNanos, ByteBuffer bytes) {}
 
         /** One direction. */
-        private final class Way implements ConnectionHandler {
+        private final class Direction implements ConnectionHandler {
             private final boolean toTarget;
-            private final Deque<Piece> waiting = new ArrayDeque<>();
+            private final Deque<DelayedBytes> delayedBytes = new ArrayDeque<>();
 
-            Way(boolean toTarget) {
+            Direction(boolean toTarget) {
                 this.toTarget = toTarget;
             }
 
             private Connection sink() {
-                return toTarget ? server : client;
+                return toTarget ? targetConnection : clientConnection;
             }
 
             private Connection source() {
-                return toTarget ? client : server;
+                return toTarget ? clientConnection : targetConnection;
             }
 
             @Override
@@ -182,30 +182,30 @@
             }
 
             private void enqueue(ByteBuffer bytes) {
-                waiting.add(new Piece(System.nanoTime() + delay.toNanos(), bytes));
+                delayedBytes.add(new DelayedBytes(System.nanoTime() + delay.toNanos(), bytes));
                 if (delay.isZero()) {
-                    pass();
+                    forwardDue();
                 } else {
-                    client.loop().schedule(delay, this::pass);
+                    clientConnection.loop().schedule(delay, this::forwardDue);
                 }
             }
 
-            private void pass() {
+            private void forwardDue() {
                 long now = System.nanoTime();
                 while (!cut
                         && sink() != null
-                        && !waiting.isEmpty()
-                        && waiting.peek().dueNanos() <= now) {
-                    ByteBuffer bytes = waiting.poll().bytes();
+                        && !delayedBytes.isEmpty()
+                        && delayedBytes.peek().dueNanos() <= now) {
+                    ByteBuffer bytes = delayedBytes.poll().bytes();
                     if (bytes.hasRemaining()) {
                         sink().write(bytes);
                     } else {
                         sink().shutdownOutput();
                     }
                 }
-                if (!waiting.isEmpty() && waiting.peek().dueNanos() > now) {
-                    client.loop()
-                            .schedule(Duration.ofNanos(waiting.peek().dueNanos() - now), this::pass);
+                if (!delayedBytes.isEmpty() && delayedBytes.peek().dueNanos() > now) {
+                    clientConnection.loop()
+                            .schedule(Duration.ofNanos(delayedBytes.peek().dueNanos() - now), this::forwardDue);
                 }
             }
 
@@ -216,7 +216,7 @@
 
             @Override
             public void writabilityChanged(Connection on, boolean now) {
-                Connection from = on == client ? server : client;
+                Connection from = on == clientConnection ? targetConnection : clientConnection;
                 if (from != null) {
                     from.setReading(now);
                 }
@@ -227,19 +227,19 @@
                 if (on != source() || why == Connection.Cause.OURS) {
                     return;
                 }
-                sideEnded = true;
+                oneSideEnded = true;
                 if (!cut) {
-                    client.loop().schedule(delay, Pair.this::end);
+                    clientConnection.loop().schedule(delay, ProxiedConnection.this::closeBoth);
                 }
             }
         }
 
-        private void end() {
-            over = true;
-            pairs.remove(this);
-            client.close();
-            if (server != null) {
-                server.close();
+        private void closeBoth() {
+            ended = true;
+            connections.remove(this);
+            clientConnection.close();
+            if (targetConnection != null) {
+                targetConnection.close();
             }
         }
     }
--- a/lab/src/main/java/saltstage/lab/scale/DeliveriesRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/DeliveriesRun.java
@@ -11,12 +11,12 @@
         mixinStandardHelpOptions = true,
         description = "One real relay with standing connections; deliveries at rising rates.")
 final class DeliveriesRun extends ScaleRun {
-    private static final int[] RATES = {250, 500, 1_000, 2_000, 4_000, 8_000, 16_000, 32_000};
-    private static final int SOCKETS = 4_096;
+    private static final int[] RATES_PER_SECOND = {250, 500, 1_000, 2_000, 4_000, 8_000, 16_000, 32_000};
+    private static final int MAX_SOCKETS = 4_096;
     private static final double SETTLE_SECONDS = 2;
-    private static final double SECONDS = 5;
-    private static final int MOST_OPENING = 16;
-    private static final double CARRIED = 0.9;
+    private static final double MEASURED_SECONDS = 5;
+    private static final int MAX_OPENING = 16;
+    private static final double MIN_DELIVERED_SHARE = 0.9;
 
     @Option(names = "--connections", defaultValue = "500", description = "that stand (default 500)")
     private int connections;
@@ -26,23 +26,23 @@
     }
 
     @Override
-    boolean run(Stage stage) throws Exception {
-        try (LineBackends backends = new LineBackends(stage.transport());
-                ListStandIn list = new ListStandIn(8, backends.port(), false, stage.seed());
-                CountingLink link =
-                        new CountingLink(stage.transport(), list.address(), Duration.ZERO);
-                RelayProcess relay = new RelayProcess(stage.folder(), link.address(), SOCKETS)) {
-            LineClients clients = new LineClients(stage.transport(), relay.listen());
-            while (clients.standing() < connections) {
-                if (clients.opening() < MOST_OPENING) {
+    boolean run(RunContext stage) throws Exception {
+        try (FakeLineBackends backends = new FakeLineBackends(stage.transport());
+                LargeListDiscovery list = new LargeListDiscovery(8, backends.port(), false, stage.seed());
+                CountingProxy link =
+                        new CountingProxy(stage.transport(), list.address(), Duration.ZERO);
+                RelayProcess relay = new RelayProcess(stage.folder(), link.address(), MAX_SOCKETS)) {
+            LineClients clients = new LineClients(stage.transport(), relay.listenAddress());
+            while (clients.establishedCount() < connections) {
+                if (clients.openingCount() < MAX_OPENING) {
                     clients.open();
                 }
                 Thread.sleep(1);
             }
-            seconds(SETTLE_SECONDS);
-            Deliveries deliveries = new Deliveries(backends, clients);
-            deliveries.run(relay, RATES[2], SETTLE_SECONDS); // compiles what is used most
-            for (int rate : RATES) {
+            sleepSeconds(SETTLE_SECONDS);
+            DeliveryGenerator deliveries = new DeliveryGenerator(backends, clients);
+            deliveries.run(relay, RATES_PER_SECOND[2], SETTLE_SECONDS); // compiles what is used most
+            for (int rate : RATES_PER_SECOND) {
                 if (!measure(stage.file(), relay, deliveries, rate)) {
                     break;
                 }
@@ -52,16 +52,16 @@
     }
 
     private static boolean measure(
-            MeasurementFile file, RelayProcess relay, Deliveries deliveries, int rate)
+            MeasurementFile file, RelayProcess relay, DeliveryGenerator deliveries, int rate)
             throws Exception {
-        progress("deliveries: " + rate + " a second");
-        Deliveries.Outcome outcome = deliveries.run(relay, rate, SECONDS);
-        double carried = outcome.delivered() / SECONDS;
-        file.begin(carried);
-        file.add("offered_per_s", rate);
-        file.add("processor_share", outcome.processorSeconds() / SECONDS);
-        file.add("p50_ms", outcome.p50Ms());
-        file.add("p99_ms", outcome.p99Ms());
-        return carried >= rate * CARRIED;
+        printProgress("deliveries: " + rate + " a second");
+        DeliveryGenerator.Result outcome = deliveries.run(relay, rate, MEASURED_SECONDS);
+        double carried = outcome.delivered() / MEASURED_SECONDS;
+        file.beginPoint(carried);
+        file.addFigure("offered_per_s", rate);
+        file.addFigure("processor_share", outcome.processorSeconds() / MEASURED_SECONDS);
+        file.addFigure("p50_ms", outcome.p50Ms());
+        file.addFigure("p99_ms", outcome.p99Ms());
+        return carried >= rate * MIN_DELIVERED_SHARE;
     }
 }
