--- a/lab/src/main/java/saltstage/lab/scale/Deliveries.java
+++ b/lab/src/main/java/saltstage/lab/scale/DeliveryGenerator.java
@@ -7,8 +7,8 @@
 /**
  * Has backends deliver lines at a steady rate to clients that stand, one client after the other.
  */
-final class Deliveries {
-    private static final double LAST_ARRIVALS_SECONDS = 0.5;
+final class DeliveryGenerator {
+    private static final double LAST_ARRIVALS_WAIT_SECONDS = 0.5;
     private static final long STEP_NANOS = 1_000_000;
 
     /**
@@ -19,35 +19,35 @@
      * @param p50Ms median time from the backend's write to the client's read
      * @param p99Ms the same, 99 in 100
      */
-    record Outcome(long delivered, double processorSeconds, double p50Ms, double p99Ms) {}
+    record Result(long delivered, double processorSeconds, double p50Ms, double p99Ms) {}
 
-    private final LineBackends backends;
+    private final FakeLineBackends backends;
     private final LineClients clients;
-    private long next;
+    private long nextClient;
 
-    Deliveries(LineBackends backends, LineClients clients) {
+    DeliveryGenerator(FakeLineBackends backends, LineClients clients) {
         this.backends = backends;
         this.clients = clients;
     }
 
-    Outcome run(RelayProcess relay, int perSecond, double seconds)
+    Result run(RelayProcess relay, int perSecond, double seconds)
             throws IOException, InterruptedException {
-        clients.takeDeliveries();
-        double before = relay.figures().processorSeconds();
+        clients.takeDeliveryMicros();
+        double before = relay.statistics().processorSeconds();
         long begun = System.nanoTime();
         long until = begun + (long) (seconds * 1e9);
         long sent = 0;
         for (long now = begun; now < until; now = System.nanoTime()) {
             long due = (long) ((now - begun) / 1e9 * perSecond);
             for (; sent < due; sent++) {
-                backends.deliver(next++);
+                backends.deliver(nextClient++);
             }
             Thread.sleep(STEP_NANOS / 1_000_000);
         }
-        ScaleRun.seconds(LAST_ARRIVALS_SECONDS);
-        double used = relay.figures().processorSeconds() - before;
-        Histogram times = clients.takeDeliveries();
-        return new Outcome(
+        ScaleRun.sleepSeconds(LAST_ARRIVALS_WAIT_SECONDS);
+        double used = relay.statistics().processorSeconds() - before;
+        Histogram times = clients.takeDeliveryMicros();
+        return new Result(
                 times.getTotalCount(),
                 used,
                 times.getValueAtPercentile(50) / 1e3,
--- a/lab/src/main/java/saltstage/lab/scale/EventTable.java
+++ b/lab/src/main/java/saltstage/lab/scale/EventTable.java
@@ -7,10 +7,10 @@
 
 /** The table of measured events: times until changes were in force while something happened. */
 final class EventTable {
-    private static final String RUN = "fleet-events";
+    private static final String RUN_NAME = "fleet-events";
 
     /** Another play of the same set-up, which was ended after its first events. */
-    private static final String OTHER_PLAY = "fleet-events-other";
+    private static final String OTHER_RUN_NAME = "fleet-events-other";
 
     private static final List<String> FIGURES =
             List.of(
@@ -21,8 +21,8 @@
                     "_everywhere_median_s",
                     "_everywhere_most_s",
                     "_missing");
-    private static final String NONE = "—";
-    private static final String HEAD =
+    private static final String NO_VALUE = "—";
+    private static final String HEADER =
             "| event | changes | unanswered | p50 | p99 | everywhere, median | everywhere, most |"
                     + " never came | afterwards |\n"
                     + "| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | --- |\n";
@@ -35,31 +35,31 @@
      * @param after the figure of what came afterwards, in seconds; null: none
      * @param meaning what was waited for
      */
-    private record Row(String name, String run, String prefix, String after, String meaning) {
+    private record Row(String name, String run, String prefix, String recoveryFigure, String recoveryCondition) {
         private static Row of(String name, String run, String prefix) {
             return new Row(name, run, prefix, null, "");
         }
 
-        private static Row thenBack(String name, String prefix, String meaning) {
-            return new Row(name, RUN, prefix, prefix + "_back_s", meaning);
+        private static Row withRecovery(String name, String prefix, String meaning) {
+            return new Row(name, RUN_NAME, prefix, prefix + "_back_s", meaning);
         }
     }
 
     private static final List<Row> ROWS =
             List.of(
-                    Row.of("none", RUN, "none"),
-                    Row.of("none, another play", OTHER_PLAY, "none"),
-                    Row.of("leader killed", RUN, "leader_killed"),
-                    Row.of("leader killed, another play", OTHER_PLAY, "leader_killed"),
-                    Row.of("distributor killed", RUN, "distributor_killed"),
-                    Row.of("distributor killed, another play", OTHER_PLAY, "distributor_killed"),
-                    Row.thenBack(
+                    Row.of("none", RUN_NAME, "none"),
+                    Row.of("none, another play", OTHER_RUN_NAME, "none"),
+                    Row.of("leader killed", RUN_NAME, "leader_killed"),
+                    Row.of("leader killed, another play", OTHER_RUN_NAME, "leader_killed"),
+                    Row.of("distributor killed", RUN_NAME, "distributor_killed"),
+                    Row.of("distributor killed, another play", OTHER_RUN_NAME, "distributor_killed"),
+                    Row.withRecovery(
                             "1% of relays stopped (the others)", "relays_stopped", "all current"),
-                    Row.thenBack("a zone killed (the others)", "zone_killed", "the zone current"),
-                    Row.thenBack("regions cut (region a)", "regions_cut", "region b current"),
-                    Row.thenBack(
+                    Row.withRecovery("a zone killed (the others)", "zone_killed", "the zone current"),
+                    Row.withRecovery("regions cut (region a)", "regions_cut", "region b current"),
+                    Row.withRecovery(
                             "all nine restarted", "control_restarted", "next change everywhere"),
-                    Row.thenBack(
+                    Row.withRecovery(
                             "relays away beyond the history",
                             "relays_away",
                             "current by snapshot"));
@@ -68,23 +68,23 @@
 
     /** The table. */
     static String of(MeasuredData data) {
-        return HEAD + ROWS.stream().map(row -> line(row, data)).collect(Collectors.joining("\n"));
+        return HEADER + ROWS.stream().map(row -> tableRow(row, data)).collect(Collectors.joining("\n"));
     }
 
-    private static String line(Row row, MeasuredData data) {
+    private static String tableRow(Row row, MeasuredData data) {
         List<String> cells = new ArrayList<>(List.of(row.name()));
         for (String figure : FIGURES) {
-            cells.add(figure(data, row, row.prefix() + figure));
+            cells.add(formatFigure(data, row, row.prefix() + figure));
         }
-        boolean ends = row.after() != null;
-        cells.add(ends ? row.meaning() + " after " + figure(data, row, row.after()) + " s" : NONE);
+        boolean ends = row.recoveryFigure() != null;
+        cells.add(ends ? row.recoveryCondition() + " after " + formatFigure(data, row, row.recoveryFigure()) + " s" : NO_VALUE);
         return "| " + String.join(" | ", cells) + " |";
     }
 
-    private static String figure(MeasuredData data, Row row, String name) {
-        OptionalDouble value = data.most(row.run(), name);
+    private static String formatFigure(MeasuredData data, Row row, String name) {
+        OptionalDouble value = data.maxValue(row.run(), name);
         return value.isEmpty() || Double.isNaN(value.getAsDouble())
-                ? NONE
-                : Figures.page(value.getAsDouble());
+                ? NO_VALUE
+                : FigureFormat.forPage(value.getAsDouble());
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/LineBackends.java
+++ b/lab/src/main/java/saltstage/lab/scale/FakeLineBackends.java
@@ -17,18 +17,18 @@
  * take OPEN, answer probes, echo other lines, and deliver lines to their clients that hold the time
  * of sending.
  */
-final class LineBackends implements AutoCloseable {
+final class FakeLineBackends implements AutoCloseable {
     private static final int BACKLOG = 4_096;
-    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(1 << 18, 4 << 20);
+    private static final Connection.WriteLimits WRITE_LIMITS = new Connection.WriteLimits(1 << 18, 4 << 20);
 
     private final Transport.Listener listener;
-    private final List<Connection> standing = new CopyOnWriteArrayList<>();
-    private final AtomicLong names = new AtomicLong();
-    private final AtomicLong accepted = new AtomicLong();
+    private final List<Connection> established = new CopyOnWriteArrayList<>();
+    private final AtomicLong lastSessionNumber = new AtomicLong();
+    private final AtomicLong acceptedCount = new AtomicLong();
 
-    LineBackends(Transport transport) throws IOException {
+    FakeLineBackends(Transport transport) throws IOException {
         listener =
-                transport.listen(new InetSocketAddress("0.0.0.0", 0), BACKLOG, BOUNDS, Side::new);
+                transport.listen(new InetSocketAddress("0.0.0.0", 0), BACKLOG, WRITE_LIMITS, LineConnectionHandler::new);
     }
 
     int port() {
@@ -36,25 +36,25 @@
     }
 
     /** How many connections were made, for requests and for probes. */
-    long accepted() {
-        return accepted.get();
+    long acceptedCount() {
+        return acceptedCount.get();
     }
 
-    int standing() {
-        return standing.size();
+    int establishedCount() {
+        return established.size();
     }
 
     /** Sends one line to a client, picked by its place modulo how many there are. */
     void deliver(long place) {
-        int size = standing.size();
+        int size = established.size();
         if (size == 0) {
             return;
         }
-        Connection to = standing.get((int) (place % size));
-        to.loop().execute(() -> say(to, LineClients.DELIVERY + System.nanoTime()));
+        Connection to = established.get((int) (place % size));
+        to.loop().execute(() -> sendLine(to, LineClients.DELIVERY_PREFIX + System.nanoTime()));
     }
 
-    private static void say(Connection to, String line) {
+    private static void sendLine(Connection to, String line) {
         to.write(ByteBuffer.wrap((line + "\r\n").getBytes(StandardCharsets.US_ASCII)));
     }
 
@@ -63,13 +63,13 @@
         listener.close();
     }
 
-    private final class Side implements ConnectionHandler {
+    private final class LineConnectionHandler implements ConnectionHandler {
         private final Connection connection;
-        private final StringBuilder line = new StringBuilder();
+        private final StringBuilder partialLine = new StringBuilder();
 
-        Side(Connection connection) {
+        LineConnectionHandler(Connection connection) {
             this.connection = connection;
-            accepted.incrementAndGet();
+            acceptedCount.incrementAndGet();
         }
 
         @Override
@@ -77,22 +77,22 @@
             while (bytes.hasRemaining()) {
                 char c = (char) bytes.get();
                 if (c == '\n') {
-                    heard(line.toString().trim());
-                    line.setLength(0);
+                    lineReceived(partialLine.toString().trim());
+                    partialLine.setLength(0);
                 } else {
-                    line.append(c);
+                    partialLine.append(c);
                 }
             }
         }
 
-        private void heard(String text) {
+        private void lineReceived(String text) {
             if (text.startsWith("OPEN ")) {
-                standing.add(connection);
-                say(connection, "UP s-" + names.incrementAndGet());
+                established.add(connection);
+                sendLine(connection, "UP s-" + lastSessionNumber.incrementAndGet());
             } else if (text.equals("STATS")) {
-                say(connection, "PONG x0=0.10,queue=0");
+                sendLine(connection, "PONG x0=0.10,queue=0");
             } else {
-                say(connection, text.equals("PING") ? "PONG" : text);
+                sendLine(connection, text.equals("PING") ? "PONG" : text);
             }
         }
 
@@ -103,7 +103,7 @@
 
         @Override
         public void closed(Connection on, Connection.Cause why) {
-            standing.remove(connection);
+            established.remove(connection);
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/Figures.java
+++ b/lab/src/main/java/saltstage/lab/scale/FigureFormat.java
@@ -4,32 +4,32 @@
 import java.math.MathContext;
 
 /** How figures are written, in CSVs and on pages. */
-final class Figures {
+final class FigureFormat {
     private static final MathContext CSV_DIGITS = new MathContext(6);
     private static final MathContext PAGE_DIGITS = new MathContext(3);
-    private static final double SMALLEST_SHOWN = 1e-12;
+    private static final double MIN_SHOWN_VALUE = 1e-12;
 
-    private Figures() {}
+    private FigureFormat() {}
 
     /** Six significant digits without an exponent, as in CSVs. */
-    static String plain(double value) {
-        return digits(value, CSV_DIGITS);
+    static String forCsv(double value) {
+        return roundToDigits(value, CSV_DIGITS);
     }
 
     /** Three significant digits, thousands grouped, as on pages. */
-    static String page(double value) {
-        String text = digits(value, PAGE_DIGITS);
+    static String forPage(double value) {
+        String text = roundToDigits(value, PAGE_DIGITS);
         int point = text.indexOf('.');
         String whole = point < 0 ? text : text.substring(0, point);
         String grouped = whole.replaceAll("(?<=\\d)(?=(\\d{3})+$)", ",");
         return grouped + (point < 0 ? "" : text.substring(point));
     }
 
-    private static String digits(double value, MathContext digits) {
+    private static String roundToDigits(double value, MathContext digits) {
         if (Double.isNaN(value) || Double.isInfinite(value)) {
             return Double.toString(value);
         }
-        if (Math.abs(value) < SMALLEST_SHOWN) {
+        if (Math.abs(value) < MIN_SHOWN_VALUE) {
             return "0";
         }
         return new BigDecimal(value).round(digits).stripTrailingZeros().toPlainString();
--- a/lab/src/main/java/saltstage/lab/scale/FitCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/FitCommand.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.Command;
 
-import saltstage.lab.Home;
+import saltstage.lab.Installation;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -14,13 +14,13 @@
         mixinStandardHelpOptions = true,
         description = "Lines through the measured points: docs/measurements/scale-fits.csv.")
 final class FitCommand implements Callable<Integer> {
-    static final String FILE = "scale-fits.csv";
+    static final String FILE_NAME = "scale-fits.csv";
 
     @Override
     public Integer call() throws Exception {
-        Path folder = Home.measurements();
+        Path folder = Installation.measurementsDirectory();
         String csv = new CapacityTables(new MeasuredData(folder)).fitsCsv();
-        Files.writeString(folder.resolve(FILE), csv);
+        Files.writeString(folder.resolve(FILE_NAME), csv);
         System.out.print(csv);
         return 0;
     }
--- a/lab/src/main/java/saltstage/lab/scale/FleetEvents.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetEvents.java
@@ -14,43 +14,43 @@
 
 /** What befalls an installation, one event after the other, while changes go on. */
 final class FleetEvents {
-    private static final double CHANGES_A_SECOND = 2;
+    private static final double CHANGES_PER_SECOND = 2;
     private static final double LEAD_SECONDS = 1.5;
     private static final double EVENT_SECONDS = 8;
-    private static final double MOST_WAIT_SECONDS = 60;
+    private static final double MAX_WAIT_SECONDS = 60;
 
     /** The goals: through every single failure, for every relay that the failure leaves alone. */
     private static final double GOAL_MEDIAN_SECONDS = 2;
 
-    private static final double GOAL_MOST_SECONDS = 9;
+    private static final double GOAL_MAX_SECONDS = 9;
     private static final int STOPPED_RELAYS = 8;
     private static final int AWAY_RELAYS = 4;
 
     /** More than a history keeps, in changes of 500 entries: 8 MiB of some 90 bytes each. */
     private static final int CHANGES_WHILE_AWAY = 230;
 
-    private static final int ENTRIES_A_CHANGE = 500;
-    private static final Duration CALL = Duration.ofSeconds(30);
+    private static final int ENTRIES_PER_CHANGE = 500;
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(30);
     private static final int WRITERS = 5;
 
-    private final FleetStage all;
+    private final FleetEnvironment environment;
     private final MeasurementFile file;
-    private boolean kept = true;
+    private boolean goalsMet = true;
 
-    FleetEvents(FleetStage all, MeasurementFile file) {
-        this.all = all;
+    FleetEvents(FleetEnvironment all, MeasurementFile file) {
+        this.environment = all;
         this.file = file;
     }
 
     /** Something that happens. */
     private interface Event {
-        void happen() throws Exception;
+        void run() throws Exception;
     }
 
     /** All of them; false where a goal was missed. */
     boolean run() throws Exception {
         Event nothing = () -> {};
-        during("none", nothing, nothing, everywhere());
+        measureDuring("none", nothing, nothing, allRelays());
         leaderKilled();
         distributorKilled();
         relaysStopped();
@@ -58,175 +58,175 @@
         regionsCut();
         allControlRestarted();
         relaysAway();
-        return kept;
+        return goalsMet;
     }
 
-    private Set<Integer> everywhere() {
-        return all.fleet().relays(zone -> true);
+    private Set<Integer> allRelays() {
+        return environment.fleet().relaysIn(zone -> true);
     }
 
-    private void begin(String event) {
-        ScaleRun.progress("fleet event: " + event);
-        file.begin(all.fleet().size());
+    private void beginEvent(String event) {
+        ScaleRun.printProgress("fleet event: " + event);
+        file.beginPoint(environment.fleet().relayCount());
     }
 
     /** Changes go on before, during and after an event; its times count at these relays. */
-    private SteadyChanges during(String name, Event event, Event end, Set<Integer> counted)
+    private SteadyChanges measureDuring(String name, Event event, Event end, Set<Integer> counted)
             throws Exception {
-        begin(name);
-        SteadyChanges changes = all.change(CHANGES_A_SECOND);
-        ScaleRun.seconds(LEAD_SECONDS);
-        event.happen();
-        ScaleRun.seconds(EVENT_SECONDS);
-        changes.end();
-        FleetRun.await(all, counted, changes);
-        SteadyChanges.Times times = changes.times(all.fleet().log(), counted);
+        beginEvent(name);
+        SteadyChanges changes = environment.startChanges(CHANGES_PER_SECOND);
+        ScaleRun.sleepSeconds(LEAD_SECONDS);
+        event.run();
+        ScaleRun.sleepSeconds(EVENT_SECONDS);
+        changes.stop();
+        FleetRun.awaitApplied(environment, counted, changes);
+        SteadyChanges.PropagationTimes times = changes.propagationTimes(environment.fleet().revisionLog(), counted);
         times.addTo(file, name);
-        judge(name, times);
-        end.happen();
+        checkGoals(name, times);
+        end.run();
         return changes;
     }
 
-    private void judge(String name, SteadyChanges.Times times) {
+    private void checkGoals(String name, SteadyChanges.PropagationTimes times) {
         boolean good =
-                times.missing() == 0
-                        && times.failed() == 0
-                        && times.everywhereMedian() <= GOAL_MEDIAN_SECONDS
-                        && times.everywhereMost() <= GOAL_MOST_SECONDS;
-        bound(name, good);
+                times.missingCount() == 0
+                        && times.failedCount() == 0
+                        && times.everywhereMedianSeconds() <= GOAL_MEDIAN_SECONDS
+                        && times.everywhereMaxSeconds() <= GOAL_MAX_SECONDS;
+        recordGoal(name, good);
     }
 
-    private void bound(String name, boolean good) {
-        file.add(name + "_goal_kept", good ? 1 : 0);
-        kept &= good;
+    private void recordGoal(String name, boolean good) {
+        file.addFigure(name + "_goal_kept", good ? 1 : 0);
+        goalsMet &= good;
         if (!good) {
-            ScaleRun.progress("fleet event: " + name + " MISSED its goal");
+            ScaleRun.printProgress("fleet event: " + name + " MISSED its goal");
         }
     }
 
     /** From now until all these relays have what was accepted last. */
-    private void untilCurrent(String figure, Set<Integer> relays) throws Exception {
+    private void measureRecovery(String figure, Set<Integer> relays) throws Exception {
         long begun = System.nanoTime();
-        ConfigurationLoad.Accepted last = all.load().change(all.control().client(), 1, CALL);
-        file.add(
+        ConfigurationLoadGenerator.AcceptedRevision last = environment.configurationLoad().changeShards(environment.controlPlane().client(), 1, CALL_TIMEOUT);
+        file.addFigure(
                 figure,
-                all.fleet().awaitInForce(relays, last.revision(), begun, MOST_WAIT_SECONDS));
+                environment.fleet().awaitApplied(relays, last.revision(), begun, MAX_WAIT_SECONDS));
     }
 
     private void leaderKilled() throws Exception {
-        String leader = all.control().leader();
-        during(
+        String leader = environment.controlPlane().leader();
+        measureDuring(
                 "leader_killed",
-                () -> all.control().replica(leader).kill(),
-                all.control()::startMissing,
-                everywhere());
+                () -> environment.controlPlane().replica(leader).kill(),
+                environment.controlPlane()::startStopped,
+                allRelays());
     }
 
     private void distributorKilled() throws Exception {
-        during(
+        measureDuring(
                 "distributor_killed",
-                () -> all.control().distributor(Zone.A1).kill(),
-                all.control()::startMissing,
-                everywhere());
+                () -> environment.controlPlane().distributor(Zone.A1).kill(),
+                environment.controlPlane()::startStopped,
+                allRelays());
     }
 
     private void relaysStopped() throws Exception {
-        HollowHost stopped = all.fleet().host(Zone.A2, STOPPED_RELAYS);
-        Set<Integer> others = new HashSet<>(everywhere());
-        others.removeAll(stopped.relays());
-        during("relays_stopped", stopped.process()::pause, stopped.process()::resume, others);
-        untilCurrent("relays_stopped_back_s", everywhere());
+        SimulatedRelayHost stopped = environment.fleet().findHost(Zone.A2, STOPPED_RELAYS);
+        Set<Integer> others = new HashSet<>(allRelays());
+        others.removeAll(stopped.relayIndexes());
+        measureDuring("relays_stopped", stopped.process()::pause, stopped.process()::resume, others);
+        measureRecovery("relays_stopped_back_s", allRelays());
     }
 
     private void zoneKilled() throws Exception {
-        Set<Integer> others = all.fleet().relays(zone -> zone != Zone.B2);
-        during(
+        Set<Integer> others = environment.fleet().relaysIn(zone -> zone != Zone.B2);
+        measureDuring(
                 "zone_killed",
                 () -> {
-                    all.control().killZone(Zone.B2);
-                    all.fleet().kill(Zone.B2);
+                    environment.controlPlane().killZone(Zone.B2);
+                    environment.fleet().kill(Zone.B2);
                 },
                 () -> {
-                    all.control().startMissing();
-                    all.fleet().restart(Zone.B2);
+                    environment.controlPlane().startStopped();
+                    environment.fleet().restart(Zone.B2);
                 },
                 others);
-        untilCurrent("zone_killed_back_s", everywhere());
-        all.fleet().awaitReady();
+        measureRecovery("zone_killed_back_s", allRelays());
+        environment.fleet().awaitReady();
     }
 
     private void regionsCut() throws Exception {
-        Set<Integer> regionA = all.fleet().relays(zone -> zone.sharesRegionWith(Zone.A1));
+        Set<Integer> regionA = environment.fleet().relaysIn(zone -> zone.isInSameRegionAs(Zone.A1));
         boolean[] refused = {false};
         SteadyChanges changes =
-                during(
+                measureDuring(
                         "regions_cut",
                         () -> {
-                            all.links().cutRegions();
+                            environment.links().cutRegions();
                             refused[0] =
-                                    all.control().refusesChanges(Zone.B1, all.load().anyChange());
+                                    environment.controlPlane().isRejectingChanges(Zone.B1, environment.configurationLoad().randomChange());
                         },
                         () -> {},
                         regionA);
-        Set<Integer> regionB = all.fleet().relays(zone -> !zone.sharesRegionWith(Zone.A1));
-        long lastInA = changes.accepted().get(changes.accepted().size() - 1).revision();
-        file.add("regions_cut_relays_of_b_with_newest", all.fleet().log().count(regionB, lastInA));
-        file.add("regions_cut_b_refused_changes", refused[0] ? 1 : 0);
-        all.links().healRegions();
-        untilCurrent("regions_cut_back_s", everywhere());
-        ScaleRun.seconds(1);
-        int states = all.fleet().states().size();
-        file.add("regions_cut_states_after", states);
-        bound("regions_cut_healing", states == 1 && refused[0]);
+        Set<Integer> regionB = environment.fleet().relaysIn(zone -> !zone.isInSameRegionAs(Zone.A1));
+        long lastInA = changes.acceptedRevisions().get(changes.acceptedRevisions().size() - 1).revision();
+        file.addFigure("regions_cut_relays_of_b_with_newest", environment.fleet().revisionLog().countWithRevision(regionB, lastInA));
+        file.addFigure("regions_cut_b_refused_changes", refused[0] ? 1 : 0);
+        environment.links().healRegions();
+        measureRecovery("regions_cut_back_s", allRelays());
+        ScaleRun.sleepSeconds(1);
+        int states = environment.fleet().distinctStates().size();
+        file.addFigure("regions_cut_states_after", states);
+        recordGoal("regions_cut_healing", states == 1 && refused[0]);
     }
 
     private void allControlRestarted() throws Exception {
-        begin("control_restarted");
-        all.control().killAll();
+        beginEvent("control_restarted");
+        environment.controlPlane().killAll();
         long begun = System.nanoTime();
-        all.control().startMissing();
-        ConfigurationLoad.Accepted last = all.load().change(all.control().client(), 1, CALL);
-        file.add("control_restarted_accepted_s", (last.answeredNanos() - begun) / 1e9);
+        environment.controlPlane().startStopped();
+        ConfigurationLoadGenerator.AcceptedRevision last = environment.configurationLoad().changeShards(environment.controlPlane().client(), 1, CALL_TIMEOUT);
+        file.addFigure("control_restarted_accepted_s", (last.acceptedNanos() - begun) / 1e9);
         double back =
-                all.fleet().awaitInForce(everywhere(), last.revision(), begun, MOST_WAIT_SECONDS);
-        file.add("control_restarted_back_s", back);
+                environment.fleet().awaitApplied(allRelays(), last.revision(), begun, MAX_WAIT_SECONDS);
+        file.addFigure("control_restarted_back_s", back);
     }
 
     /** More changes than a history keeps; the one of the newest revision. */
-    private ConfigurationLoad.Accepted changeMuch() throws Exception {
-        List<ConfigurationLoad.Accepted> accepted = new CopyOnWriteArrayList<>();
-        List<GroupClient> writers = Stream.generate(all.control()::client).limit(WRITERS).toList();
-        Parallel.each(
+    private ConfigurationLoadGenerator.AcceptedRevision changeBeyondHistory() throws Exception {
+        List<ConfigurationLoadGenerator.AcceptedRevision> accepted = new CopyOnWriteArrayList<>();
+        List<GroupClient> writers = Stream.generate(environment.controlPlane()::client).limit(WRITERS).toList();
+        Parallel.forEach(
                 writers,
                 writer -> {
                     for (int i = 0; i < CHANGES_WHILE_AWAY / WRITERS; i++) {
-                        accepted.add(all.load().change(writer, ENTRIES_A_CHANGE, CALL));
+                        accepted.add(environment.configurationLoad().changeShards(writer, ENTRIES_PER_CHANGE, CALL_TIMEOUT));
                     }
                 });
         return Collections.max(
-                accepted, Comparator.comparingLong(ConfigurationLoad.Accepted::revision));
+                accepted, Comparator.comparingLong(ConfigurationLoadGenerator.AcceptedRevision::revision));
     }
 
     private void relaysAway() throws Exception {
-        begin("relays_away");
-        HollowHost away = all.fleet().host(Zone.A2, AWAY_RELAYS);
-        Set<Integer> others = new HashSet<>(everywhere());
-        others.removeAll(away.relays());
+        beginEvent("relays_away");
+        SimulatedRelayHost away = environment.fleet().findHost(Zone.A2, AWAY_RELAYS);
+        Set<Integer> others = new HashSet<>(allRelays());
+        others.removeAll(away.relayIndexes());
         away.process().pause();
         long begun = System.nanoTime();
-        ConfigurationLoad.Accepted last = changeMuch();
-        file.add(
+        ConfigurationLoadGenerator.AcceptedRevision last = changeBeyondHistory();
+        file.addFigure(
                 "relays_away_changes_per_s",
                 CHANGES_WHILE_AWAY * 1e9 / (System.nanoTime() - begun));
-        file.add(
+        file.addFigure(
                 "relays_away_others_in_force_s",
-                all.fleet()
-                        .awaitInForce(
-                                others, last.revision(), last.askedNanos(), MOST_WAIT_SECONDS));
+                environment.fleet()
+                        .awaitApplied(
+                                others, last.revision(), last.sentNanos(), MAX_WAIT_SECONDS));
         away.process().resume();
-        untilCurrent("relays_away_back_s", everywhere());
-        int states = all.fleet().states().size();
-        file.add("relays_away_states_after", states);
-        bound("relays_away", states == 1);
+        measureRecovery("relays_away_back_s", allRelays());
+        int states = environment.fleet().distinctStates().size();
+        file.addFigure("relays_away_states_after", states);
+        recordGoal("relays_away", states == 1);
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/FleetEventsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetEventsRun.java
@@ -12,7 +12,7 @@
                         + " on.")
 final class FleetEventsRun extends ScaleRun {
     /** Of the spans without and with changes before the first event. */
-    private static final double SECONDS = 6;
+    private static final double SPAN_SECONDS = 6;
 
     @Option(names = "--shards", defaultValue = "59000", description = "placed (default 59000)")
     private int shards;
@@ -28,14 +28,14 @@
     }
 
     @Override
-    boolean run(Stage stage) throws Exception {
-        try (FleetStage all =
-                new FleetStage(stage.folder(), stage.transport(), stage.seed(), shards)) {
+    boolean run(RunContext stage) throws Exception {
+        try (FleetEnvironment all =
+                new FleetEnvironment(stage.folder(), stage.transport(), stage.seed(), shards)) {
             for (int step = 0; step < steps; step++) {
                 FleetRun.addStep(all.fleet(), step);
             }
             FleetRun.awaitReady(all);
-            FleetRun.measure(stage.file(), all, SECONDS, SECONDS);
+            FleetRun.measure(stage.file(), all, SPAN_SECONDS, SPAN_SECONDS);
             return new FleetEvents(all, stage.file()).run();
         }
     }
--- a/lab/src/main/java/saltstage/lab/scale/FleetRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetRun.java
@@ -15,13 +15,13 @@
         description = "Five replicas, four distributors and up to 780 hollow relays in four zones.")
 final class FleetRun extends ScaleRun {
     /** How many relays each zone gets in addition; four zones: 48, 96, 192, 384, 780. */
-    private static final int[] STEPS = {12, 12, 24, 48, 99};
+    private static final int[] RELAYS_PER_ZONE_BY_STEP = {12, 12, 24, 48, 99};
 
     /** The first step of zone A2: the smaller process is one hundredth of all relays. */
-    private static final int[] SMALL_HOSTS = {8, 4};
+    private static final int[] SPLIT_HOST_SIZES = {8, 4};
 
-    private static final double FIFTY_FOLD = 50 * Target.CHANGES_A_SECOND;
-    private static final double FLAT = 1.2;
+    private static final double FIFTY_FOLD_CHANGES_PER_SECOND = 50 * CapacityTarget.CHANGES_PER_SECOND;
+    private static final double MAX_LEADER_GROWTH = 1.2;
 
     @Option(names = "--shards", defaultValue = "59000", description = "placed (default 59000)")
     private int shards;
@@ -49,11 +49,11 @@
     }
 
     @Override
-    boolean run(Stage stage) throws Exception {
+    boolean run(RunContext stage) throws Exception {
         long begun = System.nanoTime();
-        try (FleetStage all =
-                new FleetStage(stage.folder(), stage.transport(), stage.seed(), shards)) {
-            progress(
+        try (FleetEnvironment all =
+                new FleetEnvironment(stage.folder(), stage.transport(), stage.seed(), shards)) {
+            printProgress(
                     "fleet: "
                             + shards
                             + " shards after "
@@ -64,60 +64,60 @@
                 awaitReady(all);
                 measure(stage.file(), all, quietSeconds, changingSeconds);
             }
-            return leaderIsFlat(stage.file());
+            return isLeaderUsageFlat(stage.file());
         }
     }
 
     /** Starts the relays that a step adds. */
-    static void addStep(HollowFleet fleet, int step) throws IOException {
+    static void addStep(SimulatedRelayFleet fleet, int step) throws IOException {
         for (Zone zone : Zone.values()) {
             boolean split = step == 0 && zone == Zone.A2;
-            fleet.add(zone, split ? SMALL_HOSTS : new int[] {STEPS[step]});
+            fleet.add(zone, split ? SPLIT_HOST_SIZES : new int[] {RELAYS_PER_ZONE_BY_STEP[step]});
         }
     }
 
-    static void awaitReady(FleetStage all) throws IOException, InterruptedException {
+    static void awaitReady(FleetEnvironment all) throws IOException, InterruptedException {
         long begun = System.nanoTime();
         all.fleet().awaitReady();
         long millis = (System.nanoTime() - begun) / 1_000_000;
-        progress("fleet: " + all.fleet().size() + " relays after " + millis + " ms");
+        printProgress("fleet: " + all.fleet().relayCount() + " relays after " + millis + " ms");
     }
 
     static void measure(
-            MeasurementFile file, FleetStage all, double quietSeconds, double changingSeconds)
+            MeasurementFile file, FleetEnvironment all, double quietSeconds, double changingSeconds)
             throws Exception {
-        int relays = all.fleet().size();
-        file.begin(relays);
-        seconds(2);
-        FleetUse before = FleetUse.now(all);
-        seconds(quietSeconds);
-        FleetUse.now(all).since(before).addTo(file, "quiet", relays);
-        before = FleetUse.now(all);
-        SteadyChanges changes = all.change(FIFTY_FOLD);
-        seconds(changingSeconds);
-        FleetUse.now(all).since(before).addTo(file, "changing", relays);
-        changes.end();
-        Set<Integer> everywhere = all.fleet().relays(zone -> true);
-        await(all, everywhere, changes);
-        changes.times(all.fleet().log(), everywhere).addTo(file, "changing");
+        int relays = all.fleet().relayCount();
+        file.beginPoint(relays);
+        sleepSeconds(2);
+        FleetResourceUsage before = FleetResourceUsage.measure(all);
+        sleepSeconds(quietSeconds);
+        FleetResourceUsage.measure(all).since(before).addTo(file, "quiet", relays);
+        before = FleetResourceUsage.measure(all);
+        SteadyChanges changes = all.startChanges(FIFTY_FOLD_CHANGES_PER_SECOND);
+        sleepSeconds(changingSeconds);
+        FleetResourceUsage.measure(all).since(before).addTo(file, "changing", relays);
+        changes.stop();
+        Set<Integer> everywhere = all.fleet().relaysIn(zone -> true);
+        awaitApplied(all, everywhere, changes);
+        changes.propagationTimes(all.fleet().revisionLog(), everywhere).addTo(file, "changing");
         file.printPoint();
     }
 
-    static double await(FleetStage all, Set<Integer> relays, SteadyChanges changes)
+    static double awaitApplied(FleetEnvironment all, Set<Integer> relays, SteadyChanges changes)
             throws InterruptedException {
-        var accepted = changes.accepted();
+        var accepted = changes.acceptedRevisions();
         if (accepted.isEmpty()) {
             return Double.NaN;
         }
         var last = accepted.get(accepted.size() - 1);
-        return all.fleet().awaitInForce(relays, last.revision(), last.askedNanos(), 30);
+        return all.fleet().awaitApplied(relays, last.revision(), last.sentNanos(), 30);
     }
 
     /** Whether the leader takes no more with all relays than with the fewest, but for a fifth. */
-    private static boolean leaderIsFlat(MeasurementFile file) {
+    private static boolean isLeaderUsageFlat(MeasurementFile file) {
         var shares = file.points("changing_leader_processor_share");
-        boolean flat = shares.get(shares.size() - 1).value() <= FLAT * shares.get(0).value();
-        progress("fleet: leader's processor time " + (flat ? "is flat" : "GROWS"));
+        boolean flat = shares.get(shares.size() - 1).value() <= MAX_LEADER_GROWTH * shares.get(0).value();
+        printProgress("fleet: leader's processor time " + (flat ? "is flat" : "GROWS"));
         return flat;
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/GroupedRenewalsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/GroupedRenewalsRun.java
@@ -13,6 +13,6 @@
                         + " rates.")
 final class GroupedRenewalsRun extends RenewalsRun {
     GroupedRenewalsRun() {
-        super("renewals-grouped", (int) Target.SHARDS_A_RELAY);
+        super("renewals-grouped", (int) CapacityTarget.SHARDS_PER_RELAY);
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/ListStandIn.java
+++ b/lab/src/main/java/saltstage/lab/scale/LargeListDiscovery.java
@@ -15,29 +15,29 @@
  * Discovery with a list of any length. A change is told as the whole list or as the one entry that
  * changed, the two ways that the protocol has.
  */
-final class ListStandIn implements AutoCloseable {
-    private static final long EMPTY_LINE_MS = 2_000;
-    private static final int ADDRESSES_A_BLOCK = 250;
+final class LargeListDiscovery implements AutoCloseable {
+    private static final long EMPTY_LINE_INTERVAL_MS = 2_000;
+    private static final int ADDRESSES_PER_BLOCK = 250;
 
-    private final int entries;
+    private final int entryCount;
     private final int backendPort;
-    private final boolean whole;
+    private final boolean sendsFullList;
     private final Random random;
     private final ServerSocket listener;
     private long revision = 1;
-    private String change = "";
+    private String lastChange = "";
 
     /** A list of so many entries, each at a loopback address of its own and all at this port. */
-    ListStandIn(int entries, int backendPort, boolean whole, long seed) throws IOException {
-        this.entries = entries;
+    LargeListDiscovery(int entries, int backendPort, boolean whole, long seed) throws IOException {
+        this.entryCount = entries;
         this.backendPort = backendPort;
-        this.whole = whole;
+        this.sendsFullList = whole;
         random = new Random(seed);
         listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-        start(this::accept);
+        startDaemon(this::acceptAll);
     }
 
-    private static void start(Runnable work) {
+    private static void startDaemon(Runnable work) {
         Thread thread = new Thread(work, "list");
         thread.setDaemon(true);
         thread.start();
@@ -47,11 +47,11 @@
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    private void accept() {
+    private void acceptAll() {
         try {
             while (true) {
                 Socket socket = listener.accept();
-                start(() -> serve(socket));
+                startDaemon(() -> serve(socket));
             }
         } catch (IOException closed) {
             return;
@@ -71,7 +71,7 @@
             out.write(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
-            watch(out);
+            sendChanges(out);
         } catch (IOException gone) {
             return;
         } catch (InterruptedException e) {
@@ -79,27 +79,27 @@
         }
     }
 
-    private void watch(OutputStream out) throws IOException, InterruptedException {
-        String told = list();
+    private void sendChanges(OutputStream out) throws IOException, InterruptedException {
+        String told = fullList();
         long last = revision();
         while (true) {
             String chunk = Integer.toHexString(told.length() + 1) + "\r\n" + told + "\n\r\n";
             out.write(chunk.getBytes(StandardCharsets.US_ASCII));
             synchronized (this) {
                 if (revision == last) {
-                    wait(EMPTY_LINE_MS);
+                    wait(EMPTY_LINE_INTERVAL_MS);
                 }
-                told = next(last);
+                told = changeSince(last);
                 last = revision;
             }
         }
     }
 
-    private synchronized String next(long last) {
+    private synchronized String changeSince(long last) {
         if (revision == last) {
             return "";
         }
-        return whole || revision > last + 1 ? list() : change;
+        return sendsFullList || revision > last + 1 ? fullList() : lastChange;
     }
 
     private synchronized long revision() {
@@ -107,31 +107,31 @@
     }
 
     /** One entry changes; all watches are told. */
-    synchronized void change() {
+    synchronized void changeEntry() {
         revision++;
         double capacity = 1 + random.nextInt(100) / 100.0;
-        change =
+        lastChange =
                 "{\"rev\":"
                         + revision
                         + ",\"all\":false,\"targets\":["
-                        + entry(random.nextInt(entries), capacity)
+                        + entryJson(random.nextInt(entryCount), capacity)
                         + "]}";
         notifyAll();
     }
 
-    private synchronized String list() {
+    private synchronized String fullList() {
         StringBuilder text =
                 new StringBuilder("{\"rev\":" + revision + ",\"all\":true,\"targets\":[");
-        for (int i = 0; i < entries; i++) {
-            text.append(i == 0 ? "" : ",").append(entry(i, 1));
+        for (int i = 0; i < entryCount; i++) {
+            text.append(i == 0 ? "" : ",").append(entryJson(i, 1));
         }
         return text.append("]}").toString();
     }
 
-    private String entry(int i, double capacity) {
-        int block = i / ADDRESSES_A_BLOCK;
+    private String entryJson(int i, double capacity) {
+        int block = i / ADDRESSES_PER_BLOCK;
         String host =
-                "127." + (1 + block / 250) + "." + block % 250 + "." + (1 + i % ADDRESSES_A_BLOCK);
+                "127." + (1 + block / 250) + "." + block % 250 + "." + (1 + i % ADDRESSES_PER_BLOCK);
         return "{\"uid\":\"g"
                 + i
                 + "\",\"endpoint\":\""
--- a/lab/src/main/java/saltstage/lab/scale/LeasesRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/LeasesRun.java
@@ -10,7 +10,7 @@
 import saltstage.coordinator.lease.LeaseReplies.Renewed;
 import saltstage.coordinator.model.Reply;
 import saltstage.lab.trial.GroupUnderTest;
-import saltstage.lab.trial.Proc;
+import saltstage.lab.trial.TrialProcess;
 
 import java.io.IOException;
 import java.time.Duration;
@@ -32,16 +32,16 @@
                         + " command.")
 final class LeasesRun extends ScaleRun {
     private static final int REPLICAS = 3;
-    private static final int[] LEASES = {500, 2_000, 8_000, 16_000, 32_000, 59_000};
-    private static final Duration CALL = Duration.ofSeconds(15);
-    private static final int ACQUIRERS = 64;
+    private static final int[] LEASE_COUNTS = {500, 2_000, 8_000, 16_000, 32_000, 59_000};
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(15);
+    private static final int ACQUIRER_COUNT = 64;
     private static final long TTL_MS = 3_600_000;
     private static final String OWNER = "holder";
 
     /**
      * A lease of 5 s, renewed a quarter of its span after the last time, as the lease client does.
      */
-    private static final double INTERVAL_SECONDS = 1.25;
+    private static final double RENEWAL_INTERVAL_SECONDS = 1.25;
 
     @Option(
             names = "--renewals",
@@ -54,14 +54,14 @@
     }
 
     @Override
-    boolean run(Stage stage) throws Exception {
+    boolean run(RunContext stage) throws Exception {
         try (GroupUnderTest group =
-                new GroupUnderTest(stage.folder(), REPLICAS, List.of(Proc.builtJar()), "")
+                new GroupUnderTest(stage.folder(), REPLICAS, List.of(TrialProcess.coordinatorJar()), "")
                         .start()) {
             ConcurrentSkipListMap<String, Long> fences = new ConcurrentSkipListMap<>();
-            for (int leases : LEASES) {
-                progress("leases: " + leases);
-                stage.file().begin(leases);
+            for (int leases : LEASE_COUNTS) {
+                printProgress("leases: " + leases);
+                stage.file().beginPoint(leases);
                 acquire(stage.file(), group, fences, leases);
                 if (!measure(stage.file(), group, fences)) {
                     break;
@@ -77,61 +77,61 @@
         int first = fences.size();
         AtomicInteger next = new AtomicInteger(first);
         long begun = System.nanoTime();
-        List<GroupClient> clients = Stream.generate(group::client).limit(ACQUIRERS).toList();
-        Parallel.each(
+        List<GroupClient> clients = Stream.generate(group::client).limit(ACQUIRER_COUNT).toList();
+        Parallel.forEach(
                 clients,
                 client -> {
                     for (int n = next.getAndIncrement(); n < upTo; n = next.getAndIncrement()) {
                         Acquire acquire = new Acquire("shard-" + n, OWNER, TTL_MS, 0, false);
                         fences.put(
                                 "shard-" + n,
-                                ((Granted) client.send(acquire, CALL).reply()).fence());
+                                ((Granted) client.send(acquire, CALL_TIMEOUT).reply()).fence());
                     }
                 });
-        file.add("acquired_per_s", (upTo - first) * 1e9 / (System.nanoTime() - begun));
+        file.addFigure("acquired_per_s", (upTo - first) * 1e9 / (System.nanoTime() - begun));
     }
 
     private boolean measure(MeasurementFile file, GroupUnderTest group, Map<String, Long> fences)
             throws Exception {
         GroupClient client = group.client();
         Renew renew = new Renew(OWNER, new TreeMap<>(fences));
-        if (!renewed(client, renew)) {
-            file.add("renewed", 0);
+        if (!renewAll(client, renew)) {
+            file.addFigure("renewed", 0);
             return false;
         }
-        long leader = group.pid(group.leader(CALL));
-        ProcessFigures before = ProcessFigures.of(leader);
+        long leader = group.pid(group.leader(CALL_TIMEOUT));
+        ProcessStatistics before = ProcessStatistics.read(leader);
         long begun = System.nanoTime();
         double took = 0;
         for (int i = 0; i < renewals; i++) {
             long start = System.nanoTime();
-            boolean answered = renewed(client, renew);
+            boolean answered = renewAll(client, renew);
             double one = (System.nanoTime() - start) / 1e9;
             if (!answered) {
-                file.add("renewed", 0);
+                file.addFigure("renewed", 0);
                 return false;
             }
             took += one;
-            seconds(Math.max(0, INTERVAL_SECONDS - one));
+            sleepSeconds(Math.max(0, RENEWAL_INTERVAL_SECONDS - one));
         }
-        ProcessFigures after = ProcessFigures.of(leader);
+        ProcessStatistics after = ProcessStatistics.read(leader);
         double spent = (System.nanoTime() - begun) / 1e9;
-        file.add("renewed", 1);
-        file.add("answer_ms", took * 1e3 / renewals);
-        file.add(
+        file.addFigure("renewed", 1);
+        file.addFigure("answer_ms", took * 1e3 / renewals);
+        file.addFigure(
                 "leader_processor_share",
                 (after.processorSeconds() - before.processorSeconds()) / spent);
-        file.add("leader_resident_mb", after.residentMegabytes());
+        file.addFigure("leader_resident_mb", after.residentMegabytes());
         return true;
     }
 
     /** False where the group does not take so large a command, or does not answer it in time. */
-    private static boolean renewed(GroupClient client, Renew renew) throws InterruptedException {
+    private static boolean renewAll(GroupClient client, Renew renew) throws InterruptedException {
         try {
-            Reply reply = client.send(renew, CALL).reply();
+            Reply reply = client.send(renew, CALL_TIMEOUT).reply();
             return reply instanceof Renewed all && all.lost().isEmpty();
         } catch (IOException | IllegalArgumentException refused) {
-            progress(
+            printProgress(
                     "leases: "
                             + renew.fences().size()
                             + " in one command: "
--- a/lab/src/main/java/saltstage/lab/scale/LineClients.java
+++ b/lab/src/main/java/saltstage/lab/scale/LineClients.java
@@ -20,21 +20,21 @@
 /** Clients that open connections through a relay, stand, and time what is delivered to them. */
 final class LineClients {
     /** How a delivered line begins; the time of sending follows. */
-    static final String DELIVERY = "D ";
+    static final String DELIVERY_PREFIX = "D ";
 
-    private static final Duration CONNECT = Duration.ofSeconds(2);
-    private static final Connection.WriteLimits BOUNDS = new Connection.WriteLimits(1 << 16, 1 << 20);
-    private static final long MOST_MICROS = 60_000_000;
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
+    private static final Connection.WriteLimits WRITE_LIMITS = new Connection.WriteLimits(1 << 16, 1 << 20);
+    private static final long MAX_RECORDED_MICROS = 60_000_000;
 
     private final Transport transport;
     private final InetSocketAddress relay;
-    private final Set<Client> up = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger opening = new AtomicInteger();
-    private final AtomicInteger refused = new AtomicInteger();
-    private final AtomicInteger lost = new AtomicInteger();
-    private final AtomicInteger names = new AtomicInteger();
-    private volatile Histogram setUpMicros = new ConcurrentHistogram(MOST_MICROS, 3);
-    private volatile Histogram deliveryMicros = new ConcurrentHistogram(MOST_MICROS, 3);
+    private final Set<Client> established = ConcurrentHashMap.newKeySet();
+    private final AtomicInteger openingCount = new AtomicInteger();
+    private final AtomicInteger rejectedCount = new AtomicInteger();
+    private final AtomicInteger lostCount = new AtomicInteger();
+    private final AtomicInteger lastClientNumber = new AtomicInteger();
+    private volatile Histogram setupMicros = new ConcurrentHistogram(MAX_RECORDED_MICROS, 3);
+    private volatile Histogram deliveryMicros = new ConcurrentHistogram(MAX_RECORDED_MICROS, 3);
 
     LineClients(Transport transport, InetSocketAddress relay) {
         this.transport = transport;
@@ -43,60 +43,60 @@
 
     /** Begins to open one more connection. */
     void open() {
-        int name = names.incrementAndGet();
+        int name = lastClientNumber.incrementAndGet();
         Loop loop = transport.loops().get(name % transport.loops().size());
         Client client = new Client("c" + name);
-        opening.incrementAndGet();
-        loop.execute(() -> transport.connect(loop, relay, CONNECT, BOUNDS, client));
+        openingCount.incrementAndGet();
+        loop.execute(() -> transport.connect(loop, relay, CONNECT_TIMEOUT, WRITE_LIMITS, client));
     }
 
-    int standing() {
-        return up.size();
+    int establishedCount() {
+        return established.size();
     }
 
-    int opening() {
-        return opening.get();
+    int openingCount() {
+        return openingCount.get();
     }
 
-    int refused() {
-        return refused.get();
+    int rejectedCount() {
+        return rejectedCount.get();
     }
 
     /** Connections that stood and ended without being asked to. */
-    int lost() {
-        return lost.get();
+    int lostCount() {
+        return lostCount.get();
     }
 
     /** Takes the times of set-up, in microseconds, that were measured since the last call. */
-    Histogram takeSetUps() {
-        Histogram taken = setUpMicros;
-        setUpMicros = new ConcurrentHistogram(MOST_MICROS, 3);
+    Histogram takeSetupMicros() {
+        Histogram taken = setupMicros;
+        setupMicros = new ConcurrentHistogram(MAX_RECORDED_MICROS, 3);
         return taken;
     }
 
     /** Takes the times from backend to client, in microseconds, since the last call. */
-    Histogram takeDeliveries() {
+    Histogram takeDeliveryMicros() {
         Histogram taken = deliveryMicros;
-        deliveryMicros = new ConcurrentHistogram(MOST_MICROS, 3);
+        deliveryMicros = new ConcurrentHistogram(MAX_RECORDED_MICROS, 3);
         return taken;
     }
 
     /** Ends so many of those that stand. */
-    void end(int count) {
-        up.stream().limit(count).forEach(Client::end);
+    void closeSome(int count) {
+        established.stream().limit(count).forEach(Client::close);
     }
 
     private static long microsSince(long nanos) {
-        return Math.min(MOST_MICROS, Math.max(0, (System.nanoTime() - nanos) / 1_000));
+        return Math.min(MAX_RECORDED_MICROS, Math.max(0, (System.nanoTime() - nanos) / 1_000));
     }
 
     private final class Client implements ConnectionHandler, Transport.ConnectListener {
         private final String name;
-        private final long begun = System.nanoTime();
-        private final StringBuilder line = new StringBuilder();
+        private final long startedNanos = System.nanoTime();
+        private final StringBuilder partialLine = new StringBuilder();
         private Connection connection;
         private boolean answered;
-        private volatile boolean ending;
+        private volatile boolean closing;
 
         Client(String name) {
             this.name = name;
@@ -105,42 +105,42 @@
         @Override
         public ConnectionHandler connected(Connection made) {
             connection = made;
-            say("OPEN " + name + " k" + name + " c=lines,t=tenant,d=2000,g=" + name);
+            sendLine("OPEN " + name + " k" + name + " c=lines,t=tenant,d=2000,g=" + name);
             return this;
         }
 
-        private void say(String text) {
+        private void sendLine(String text) {
             connection.write(ByteBuffer.wrap((text + "\r\n").getBytes(StandardCharsets.US_ASCII)));
         }
 
         @Override
         public void failed(IOException why) {
-            answer(false);
+            requestAnswered(false);
         }
 
-        private void answer(boolean taken) {
+        private void requestAnswered(boolean taken) {
             if (answered) {
                 return;
             }
             answered = true;
-            opening.decrementAndGet();
+            openingCount.decrementAndGet();
             if (taken) {
-                setUpMicros.recordValue(microsSince(begun));
-                up.add(this);
+                setupMicros.recordValue(microsSince(startedNanos));
+                established.add(this);
             } else {
-                refused.incrementAndGet();
-                leave();
+                rejectedCount.incrementAndGet();
+                closeIfConnected();
             }
         }
 
-        private void leave() {
+        private void closeIfConnected() {
             if (connection != null) {
                 connection.close();
             }
         }
 
-        private void end() {
-            ending = true;
+        private void close() {
+            closing = true;
             connection.loop().execute(connection::close);
         }
 
@@ -149,22 +149,22 @@
             while (bytes.hasRemaining()) {
                 char c = (char) bytes.get();
                 if (c == '\n') {
-                    heard(line.toString().trim());
-                    line.setLength(0);
+                    lineReceived(partialLine.toString().trim());
+                    partialLine.setLength(0);
                 } else {
-                    line.append(c);
+                    partialLine.append(c);
                 }
             }
         }
 
-        private void heard(String text) {
-            if (text.startsWith(DELIVERY)) {
+        private void lineReceived(String text) {
+            if (text.startsWith(DELIVERY_PREFIX)) {
                 deliveryMicros.recordValue(
-                        microsSince(Long.parseLong(text.substring(DELIVERY.length()))));
+                        microsSince(Long.parseLong(text.substring(DELIVERY_PREFIX.length()))));
             } else if (text.startsWith("UP ")) {
-                answer(true);
+                requestAnswered(true);
             } else if (!answered) {
-                answer(false);
+                requestAnswered(false);
             }
         }
 
@@ -175,9 +175,9 @@
 
         @Override
         public void closed(Connection on, Connection.Cause why) {
-            answer(false);
-            if (up.remove(this) && !ending) {
-                lost.incrementAndGet();
+            requestAnswered(false);
+            if (established.remove(this) && !closing) {
+                lostCount.incrementAndGet();
             }
         }
     }
--- a/lab/src/main/java/saltstage/lab/scale/LineFit.java
+++ b/lab/src/main/java/saltstage/lab/scale/LineFit.java
@@ -20,11 +20,11 @@
  * @param points how many were measured
  */
 public record LineFit(
-        Shape shape, Interval intercept, Interval slope, double least, double most, int points) {
-    private static final double LEVEL = 0.05;
-    private static final double MATERIAL = 0.1;
-    private static final int LEAST_POINTS = 5;
-    private static final double LEAST_FACTOR = 16;
+        Shape shape, Interval intercept, Interval slope, double minQuantity, double maxQuantity, int pointCount) {
+    private static final double SIGNIFICANCE_LEVEL = 0.05;
+    private static final double MIN_CURVATURE_SHARE = 0.1;
+    private static final int MIN_POINTS = 5;
+    private static final double MIN_RANGE_FACTOR = 16;
 
     /** What the points look like. */
     public enum Shape {
@@ -33,9 +33,9 @@
         /** No growth: the slope's interval holds zero. */
         FLAT,
         /** The residuals bend: no line is drawn. */
-        BENT,
+        CURVED,
         /** Fewer than five points, or over less than a factor of 16. */
-        TOO_FEW
+        TOO_FEW_POINTS
     }
 
     /** An estimate and the ends of its 95% interval. */
@@ -55,28 +55,28 @@
         double least =
                 points.stream().mapToDouble(Point::quantity).filter(q -> q > 0).min().orElse(0);
         double most = points.stream().mapToDouble(Point::quantity).max().orElse(0);
-        if (points.size() < LEAST_POINTS || most < LEAST_FACTOR * least * 0.99) {
+        if (points.size() < MIN_POINTS || most < MIN_RANGE_FACTOR * least * 0.99) {
             Interval none = new Interval(Double.NaN, Double.NaN, Double.NaN);
-            return new LineFit(Shape.TOO_FEW, none, none, least, most, points.size());
+            return new LineFit(Shape.TOO_FEW_POINTS, none, none, least, most, points.size());
         }
         SimpleRegression line = new SimpleRegression();
         points.forEach(point -> line.addData(point.quantity(), point.value()));
         double t =
-                new TDistribution(points.size() - 2.0).inverseCumulativeProbability(1 - LEVEL / 2);
+                new TDistribution(points.size() - 2.0).inverseCumulativeProbability(1 - SIGNIFICANCE_LEVEL / 2);
         Interval slope = Interval.around(line.getSlope(), t * line.getSlopeStdErr());
         Interval intercept = Interval.around(line.getIntercept(), t * line.getInterceptStdErr());
         return new LineFit(
-                shape(points, slope, most), intercept, slope, least, most, points.size());
+                classify(points, slope, most), intercept, slope, least, most, points.size());
     }
 
-    private static Shape shape(List<Point> points, Interval slope, double most) {
-        if (bends(points, most)) {
-            return Shape.BENT;
+    private static Shape classify(List<Point> points, Interval slope, double most) {
+        if (isCurved(points, most)) {
+            return Shape.CURVED;
         }
         return slope.low() <= 0 && slope.high() >= 0 ? Shape.FLAT : Shape.LINE;
     }
 
-    private static boolean bends(List<Point> points, double most) {
+    private static boolean isCurved(List<Point> points, double most) {
         double[] values = points.stream().mapToDouble(Point::value).toArray();
         double[][] powers = new double[points.size()][];
         for (int i = 0; i < powers.length; i++) {
@@ -89,16 +89,16 @@
             double[] terms = curve.estimateRegressionParameters();
             double error = curve.estimateRegressionParametersStandardErrors()[2];
             double freedom = points.size() - 3.0;
-            double bound = new TDistribution(freedom).inverseCumulativeProbability(1 - LEVEL / 2);
+            double bound = new TDistribution(freedom).inverseCumulativeProbability(1 - SIGNIFICANCE_LEVEL / 2);
             double atMost = Math.abs(terms[0] + terms[1] + terms[2]);
-            return Math.abs(terms[2]) > bound * error && Math.abs(terms[2]) > MATERIAL * atMost;
+            return Math.abs(terms[2]) > bound * error && Math.abs(terms[2]) > MIN_CURVATURE_SHARE * atMost;
         } catch (MathIllegalArgumentException flat) {
             return false; // the points lie on one value
         }
     }
 
     /** The line's value at this quantity. */
-    public double at(double quantity) {
+    public double valueAt(double quantity) {
         return intercept.value() + slope.value() * quantity;
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/ListRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ListRun.java
@@ -18,17 +18,17 @@
                 "One real relay behind a discovery whose list grows: bytes, processor time,"
                         + " memory.")
 final class ListRun extends ScaleRun {
-    private static final int[] ENTRIES = {90, 360, 1_440, 2_880, 5_760, 11_520, 23_040, 59_000};
-    private static final int SOCKETS = 4_096;
+    private static final int[] ENTRY_COUNTS = {90, 360, 1_440, 2_880, 5_760, 11_520, 23_040, 59_000};
+    private static final int MAX_SOCKETS = 4_096;
     private static final int WARM_UP_CHANGES = 3;
     private static final double QUIET_SECONDS = 2;
 
     /** Between two changes: long enough for the relay to have taken the one before. */
-    private static final double LEAST_GAP_SECONDS = 0.5;
+    private static final double MIN_CHANGE_INTERVAL_SECONDS = 0.5;
 
-    private static final double ENTRIES_A_SECOND = 20_000;
-    private static final double FIRST_ENTRIES_A_SECOND = 8_000;
-    private static final long LEAST_CHANGE_BYTES = 100;
+    private static final double ENTRIES_PER_SECOND = 20_000;
+    private static final double FIRST_LIST_ENTRIES_PER_SECOND = 8_000;
+    private static final long MIN_CHANGE_BYTES = 100;
 
     @Option(
             names = "--changes",
@@ -37,20 +37,20 @@
     private int changes;
 
     /** How a change is told, and whether the relay asks the backends of its list for their load. */
-    private enum Way {
+    private enum UpdateMode {
         WHOLE(true, false),
         CHANGED(false, false),
         PROBING(false, true);
 
-        private final boolean wholeList;
-        private final boolean probes;
+        private final boolean sendsFullList;
+        private final boolean probesBackends;
 
-        Way(boolean wholeList, boolean probes) {
-            this.wholeList = wholeList;
-            this.probes = probes;
+        UpdateMode(boolean wholeList, boolean probes) {
+            this.sendsFullList = wholeList;
+            this.probesBackends = probes;
         }
 
-        private String figure(String name) {
+        private String figureName(String name) {
             return name().toLowerCase(Locale.ROOT) + "_" + name;
         }
     }
@@ -60,98 +60,98 @@
     }
 
     @Override
-    boolean run(Stage stage) throws Exception {
-        for (int entries : ENTRIES) {
-            stage.file().begin(entries);
-            Parallel.each(List.of(Way.values()), way -> measure(stage, entries, way));
+    boolean run(RunContext stage) throws Exception {
+        for (int entries : ENTRY_COUNTS) {
+            stage.file().beginPoint(entries);
+            Parallel.forEach(List.of(UpdateMode.values()), way -> measure(stage, entries, way));
         }
         return true;
     }
 
-    private static double gap(int entries, Way way) {
-        return way.wholeList
-                ? Math.max(LEAST_GAP_SECONDS, entries / ENTRIES_A_SECOND)
-                : LEAST_GAP_SECONDS;
+    private static double changeIntervalSeconds(int entries, UpdateMode way) {
+        return way.sendsFullList
+                ? Math.max(MIN_CHANGE_INTERVAL_SECONDS, entries / ENTRIES_PER_SECOND)
+                : MIN_CHANGE_INTERVAL_SECONDS;
     }
 
-    private void measure(Stage stage, int entries, Way way) throws Exception {
-        progress("list: " + entries + " entries, " + way);
-        double gap = gap(entries, way);
-        try (LineBackends backends = new LineBackends(stage.transport());
-                ListStandIn list =
-                        new ListStandIn(entries, backends.port(), way.wholeList, stage.seed());
-                CountingLink link =
-                        new CountingLink(stage.transport(), list.address(), Duration.ZERO);
+    private void measure(RunContext stage, int entries, UpdateMode way) throws Exception {
+        printProgress("list: " + entries + " entries, " + way);
+        double gap = changeIntervalSeconds(entries, way);
+        try (FakeLineBackends backends = new FakeLineBackends(stage.transport());
+                LargeListDiscovery list =
+                        new LargeListDiscovery(entries, backends.port(), way.sendsFullList, stage.seed());
+                CountingProxy link =
+                        new CountingProxy(stage.transport(), list.address(), Duration.ZERO);
                 RelayProcess relay =
                         new RelayProcess(
                                 stage.folder().resolve(way.name()),
                                 link.address(),
-                                SOCKETS,
-                                way.probes)) {
-            seconds(settle(entries));
+                                MAX_SOCKETS,
+                                way.probesBackends)) {
+            sleepSeconds(settleSeconds(entries));
             for (int i = 0; i < WARM_UP_CHANGES; i++) {
-                list.change();
-                seconds(gap);
+                list.changeEntry();
+                sleepSeconds(gap);
             }
             MeasurementFile file = stage.file();
-            boolean followed = followed(relay, link, list, settle(entries));
-            file.add(way.figure("followed"), followed ? 1 : 0);
+            boolean followed = isFollowed(relay, link, list, settleSeconds(entries));
+            file.addFigure(way.figureName("followed"), followed ? 1 : 0);
             if (followed) {
-                changes(file, way, relay, link, list, gap);
+                measureChanges(file, way, relay, link, list, gap);
             }
         }
     }
 
     /** Long enough for a first list to be taken, in seconds. */
-    private static double settle(int entries) {
-        return QUIET_SECONDS + entries / FIRST_ENTRIES_A_SECOND;
+    private static double settleSeconds(int entries) {
+        return QUIET_SECONDS + entries / FIRST_LIST_ENTRIES_PER_SECOND;
     }
 
     /**
      * Whether a change reaches the relay on the watch that it has: it does not ask for the list
      * anew.
      */
-    private static boolean followed(
-            RelayProcess relay, CountingLink link, ListStandIn list, double settle)
+    private static boolean isFollowed(
+            RelayProcess relay, CountingProxy link, LargeListDiscovery list, double settle)
             throws IOException, InterruptedException {
         long asked = link.messagesToTarget();
-        seconds(settle);
+        sleepSeconds(settle);
         long bytes = link.bytesFromTarget();
-        list.change();
-        seconds(settle);
-        boolean arrived = link.bytesFromTarget() - bytes > LEAST_CHANGE_BYTES;
-        return relay.alive() && arrived && link.messagesToTarget() == asked;
+        list.changeEntry();
+        sleepSeconds(settle);
+        boolean arrived = link.bytesFromTarget() - bytes > MIN_CHANGE_BYTES;
+        return relay.isAlive() && arrived && link.messagesToTarget() == asked;
     }
 
-    private void changes(
+    private void measureChanges(
             MeasurementFile file,
-            Way way,
+            UpdateMode way,
             RelayProcess relay,
-            CountingLink link,
-            ListStandIn list,
+            CountingProxy link,
+            LargeListDiscovery list,
             double gap)
             throws Exception {
-        double quiet = relay.figures().processorSeconds();
-        seconds(QUIET_SECONDS);
-        double before = relay.figures().processorSeconds();
+        double quiet = relay.statistics().processorSeconds();
+        sleepSeconds(QUIET_SECONDS);
+        double before = relay.statistics().processorSeconds();
         long bytes = link.bytesFromTarget();
         long begun = System.nanoTime();
         for (int i = 0; i < changes; i++) {
-            list.change();
-            seconds(gap);
+            list.changeEntry();
+            sleepSeconds(gap);
         }
         double spent = (System.nanoTime() - begun) / 1e9;
-        ProcessFigures after = relay.figures();
+        ProcessStatistics after = relay.statistics();
         double quietShare = (before - quiet) / QUIET_SECONDS;
-        file.add(way.figure("quiet_processor_share"), quietShare);
-        file.add(way.figure("resident_mb"), after.residentMegabytes());
-        if (!way.probes) {
+        file.addFigure(way.figureName("quiet_processor_share"), quietShare);
+        file.addFigure(way.figureName("resident_mb"), after.residentMegabytes());
+        if (!way.probesBackends) {
             double forChanges = after.processorSeconds() - before - quietShare * spent;
-            file.add(
-                    way.figure("bytes_per_change"),
+            file.addFigure(
+                    way.figureName("bytes_per_change"),
                     (link.bytesFromTarget() - bytes) / (double) changes);
-            file.add(
-                    way.figure("processor_ms_per_change"), Math.max(0, forChanges) * 1e3 / changes);
+            file.addFigure(
+                    way.figureName("processor_ms_per_change"), Math.max(0, forChanges) * 1e3 / changes);
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/MeasuredData.java
+++ b/lab/src/main/java/saltstage/lab/scale/MeasuredData.java
@@ -11,7 +11,7 @@
 /** The committed CSVs of all runs. */
 final class MeasuredData {
     private final Path folder;
-    private final Map<String, List<Measurement>> byRun = new ConcurrentHashMap<>();
+    private final Map<String, List<Measurement>> measurementsByRun = new ConcurrentHashMap<>();
 
     /** The CSVs in this folder. */
     MeasuredData(Path folder) {
@@ -23,8 +23,8 @@
         return folder;
     }
 
-    private List<Measurement> run(String run) {
-        return byRun.computeIfAbsent(
+    private List<Measurement> measurementsOf(String run) {
+        return measurementsByRun.computeIfAbsent(
                 run,
                 name -> {
                     try {
@@ -37,19 +37,19 @@
 
     /** The points of a figure; none where the run was not made. */
     List<LineFit.Point> points(String run, String figure) {
-        return run(run).stream()
+        return measurementsOf(run).stream()
                 .filter(row -> row.figure().equals(figure))
                 .map(row -> new LineFit.Point(row.quantity(), row.value()))
                 .toList();
     }
 
     /** The largest value of a figure. */
-    OptionalDouble most(String run, String figure) {
+    OptionalDouble maxValue(String run, String figure) {
         return points(run, figure).stream().mapToDouble(LineFit.Point::value).max();
     }
 
     /** The largest quantity at which a figure has at least this value. */
-    OptionalDouble mostQuantity(String run, String figure, double least) {
+    OptionalDouble maxQuantity(String run, String figure, double least) {
         return points(run, figure).stream()
                 .filter(point -> point.value() >= least)
                 .mapToDouble(LineFit.Point::quantity)
@@ -57,7 +57,7 @@
     }
 
     /** The value of a figure at a quantity. */
-    OptionalDouble at(String run, String figure, double quantity) {
+    OptionalDouble valueAt(String run, String figure, double quantity) {
         return points(run, figure).stream()
                 .filter(point -> point.quantity() == quantity)
                 .mapToDouble(LineFit.Point::value)
--- a/lab/src/main/java/saltstage/lab/scale/Measurement.java
+++ b/lab/src/main/java/saltstage/lab/scale/Measurement.java
@@ -9,17 +9,17 @@
  * @param value the measured value
  */
 public record Measurement(long seed, double quantity, String figure, double value) {
-    private static final int COLUMNS = 4;
+    private static final int COLUMN_COUNT = 4;
 
     /** The line as the CSV has it. */
-    String line() {
-        return seed + "," + Figures.plain(quantity) + "," + figure + "," + Figures.plain(value);
+    String toCsvLine() {
+        return seed + "," + FigureFormat.forCsv(quantity) + "," + figure + "," + FigureFormat.forCsv(value);
     }
 
     /** Parses a line of a CSV. */
     static Measurement parse(String line) {
         String[] cells = line.split(",");
-        if (cells.length != COLUMNS) {
+        if (cells.length != COLUMN_COUNT) {
             throw new IllegalArgumentException("not a measurement: " + line);
         }
         return new Measurement(
--- a/lab/src/main/java/saltstage/lab/scale/MeasurementFile.java
+++ b/lab/src/main/java/saltstage/lab/scale/MeasurementFile.java
@@ -14,7 +14,7 @@
  * The CSV of a scale run, {@code scale-NAME.csv}; each point is also printed as one line of JSON.
  */
 public final class MeasurementFile {
-    private static final String HEAD = "seed,quantity,figure,value";
+    private static final String CSV_HEADER = "seed,quantity,figure,value";
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final String run;
@@ -29,13 +29,13 @@
     }
 
     /** Begins the point of this quantity; the one before it is printed. */
-    public void begin(double quantity) {
+    public void beginPoint(double quantity) {
         printPoint();
         point = JSON.createObjectNode().put("run", run).put("seed", seed).put("quantity", quantity);
     }
 
     /** Adds a figure to the current point. */
-    public synchronized void add(String figure, double value) {
+    public synchronized void addFigure(String figure, double value) {
         rows.add(new Measurement(seed, point.get("quantity").asDouble(), figure, value));
         point.put(figure, value);
     }
@@ -59,17 +59,17 @@
     /** Writes the CSV into the folder. */
     public void write(Path folder) throws IOException {
         printPoint();
-        String lines = rows.stream().map(row -> row.line() + "\n").collect(Collectors.joining());
-        Files.writeString(file(folder, run), HEAD + "\n" + lines);
+        String lines = rows.stream().map(row -> row.toCsvLine() + "\n").collect(Collectors.joining());
+        Files.writeString(csvFile(folder, run), CSV_HEADER + "\n" + lines);
     }
 
-    private static Path file(Path folder, String run) {
+    private static Path csvFile(Path folder, String run) {
         return folder.resolve("scale-" + run + ".csv");
     }
 
     /** Reads the CSV of a run; empty where there is none. */
     static List<Measurement> read(Path folder, String run) throws IOException {
-        Path file = file(folder, run);
+        Path file = csvFile(folder, run);
         if (!Files.exists(file)) {
             return List.of();
         }
--- a/lab/src/main/java/saltstage/lab/scale/FileTable.java
+++ b/lab/src/main/java/saltstage/lab/scale/MeasurementFileTable.java
@@ -14,28 +14,28 @@
 /**
  * The table of the CSVs that a page was computed from, so that any change of one of them is seen.
  */
-final class FileTable {
-    private static final int SHOWN_DIGITS = 16;
+final class MeasurementFileTable {
+    private static final int SHOWN_DIGEST_DIGITS = 16;
 
-    private FileTable() {}
+    private MeasurementFileTable() {}
 
     /** The table of all CSVs of scale runs in this folder. */
     static String of(Path folder) {
         try (Stream<Path> files = Files.list(folder)) {
-            List<Path> csvs = files.filter(FileTable::isMeasured).sorted().toList();
+            List<Path> csvs = files.filter(MeasurementFileTable::isMeasurementFile).sorted().toList();
             return "| file | figures | SHA-256 begins with |\n| --- | ---: | --- |\n"
-                    + csvs.stream().map(FileTable::line).collect(Collectors.joining("\n"));
+                    + csvs.stream().map(MeasurementFileTable::tableRow).collect(Collectors.joining("\n"));
         } catch (IOException unreadable) {
             throw new UncheckedIOException(unreadable);
         }
     }
 
-    private static boolean isMeasured(Path file) {
+    private static boolean isMeasurementFile(Path file) {
         String name = file.getFileName().toString();
-        return name.matches("scale-[a-z-]+\\.csv") && !name.equals(FitCommand.FILE);
+        return name.matches("scale-[a-z-]+\\.csv") && !name.equals(FitCommand.FILE_NAME);
     }
 
-    private static String line(Path file) {
+    private static String tableRow(Path file) {
         try {
             byte[] content = Files.readAllBytes(file);
             String digest =
@@ -46,7 +46,7 @@
                     + "` | "
                     + figures
                     + " | "
-                    + digest.substring(0, SHOWN_DIGITS)
+                    + digest.substring(0, SHOWN_DIGEST_DIGITS)
                     + " |";
         } catch (IOException unreadable) {
             throw new UncheckedIOException(unreadable);
--- a/lab/src/main/java/saltstage/lab/scale/PageCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/PageCommand.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.Command;
 
-import saltstage.lab.Home;
+import saltstage.lab.Installation;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,14 +15,14 @@
         description = "Writes the generated tables of docs/CAPACITY.md.")
 final class PageCommand implements Callable<Integer> {
     /** The page, from the repository's root. */
-    static final String PAGE = "docs/CAPACITY.md";
+    static final String PAGE_PATH = "docs/CAPACITY.md";
 
     @Override
     public Integer call() throws Exception {
-        Path page = Home.root().resolve(PAGE);
-        MeasuredData data = new MeasuredData(Home.measurements());
+        Path page = Installation.repositoryRoot().resolve(PAGE_PATH);
+        MeasuredData data = new MeasuredData(Installation.measurementsDirectory());
         Files.writeString(
-                page, CapacityPage.filled(Files.readString(page), CapacityPage.tables(data)));
+                page, CapacityPage.fillTables(Files.readString(page), CapacityPage.tables(data)));
         return 0;
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/Parallel.java
+++ b/lab/src/main/java/saltstage/lab/scale/Parallel.java
@@ -12,12 +12,12 @@
     private Parallel() {}
 
     /** What is done with one of them. */
-    interface Work<T> {
-        void with(T each) throws Exception;
+    interface Task<T> {
+        void run(T each) throws Exception;
     }
 
     /** Each on a thread of its own; ends when all have, with the first failure if there is one. */
-    static <T> void each(List<T> things, Work<T> work)
+    static <T> void forEach(List<T> things, Task<T> work)
             throws InterruptedException, ExecutionException {
         ExecutorService threads = Executors.newFixedThreadPool(things.size());
         try {
@@ -26,7 +26,7 @@
                 parts.add(
                         threads.submit(
                                 () -> {
-                                    work.with(thing);
+                                    work.run(thing);
                                     return null;
                                 }));
             }
--- a/lab/src/main/java/saltstage/lab/scale/ProcessFigures.java
+++ b/lab/src/main/java/saltstage/lab/scale/ProcessStatistics.java
@@ -12,24 +12,24 @@
  * @param residentBytes resident memory
  * @param threads how many threads it has
  */
-public record ProcessFigures(double processorSeconds, long residentBytes, int threads) {
-    private static final double TICKS_A_SECOND = 100;
+public record ProcessStatistics(double processorSeconds, long residentBytes, int threadCount) {
+    private static final double TICKS_PER_SECOND = 100;
     private static final long PAGE_BYTES = 4_096;
-    private static final int USER_TICKS = 11;
-    private static final int SYSTEM_TICKS = 12;
-    private static final int THREADS = 17;
-    private static final int RESIDENT_PAGES = 21;
+    private static final int USER_TICKS_FIELD = 11;
+    private static final int SYSTEM_TICKS_FIELD = 12;
+    private static final int THREADS_FIELD = 17;
+    private static final int RESIDENT_PAGES_FIELD = 21;
 
     /** Reads the figures of a running process; throws where it has ended. */
-    public static ProcessFigures of(long pid) throws IOException {
+    public static ProcessStatistics read(long pid) throws IOException {
         String line = Files.readString(Path.of("/proc/" + pid + "/stat"));
         String[] afterName = line.substring(line.lastIndexOf(')') + 2).split(" ");
         double ticks =
-                Double.parseDouble(afterName[USER_TICKS])
-                        + Double.parseDouble(afterName[SYSTEM_TICKS]);
-        long pages = Long.parseLong(afterName[RESIDENT_PAGES]);
-        return new ProcessFigures(
-                ticks / TICKS_A_SECOND, pages * PAGE_BYTES, Integer.parseInt(afterName[THREADS]));
+                Double.parseDouble(afterName[USER_TICKS_FIELD])
+                        + Double.parseDouble(afterName[SYSTEM_TICKS_FIELD]);
+        long pages = Long.parseLong(afterName[RESIDENT_PAGES_FIELD]);
+        return new ProcessStatistics(
+                ticks / TICKS_PER_SECOND, pages * PAGE_BYTES, Integer.parseInt(afterName[THREADS_FIELD]));
     }
 
     /** Resident memory in units of 1,000,000 bytes. */
--- a/lab/src/main/java/saltstage/lab/scale/RealRelaysRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/RealRelaysRun.java
@@ -18,13 +18,13 @@
         mixinStandardHelpOptions = true,
         description = "Bytes and requests of three real relays against those of three hollow ones.")
 final class RealRelaysRun extends ScaleRun {
-    private static final int RELAYS = 3;
-    private static final String REAL = "real relays";
-    private static final String HOLLOW = "hollow relays";
-    private static final int SOCKETS = 4_096;
+    private static final int RELAY_COUNT = 3;
+    private static final String REAL_RELAY_LINKS = "real relays";
+    private static final String SIMULATED_RELAY_LINKS = "hollow relays";
+    private static final int MAX_SOCKETS = 4_096;
     private static final int HEAP_MEGABYTES = 160;
-    private static final double FIFTY_FOLD = 50 * Target.CHANGES_A_SECOND;
-    private static final double AGREE = 0.1;
+    private static final double FIFTY_FOLD_CHANGES_PER_SECOND = 50 * CapacityTarget.CHANGES_PER_SECOND;
+    private static final double MAX_DEVIATION = 0.1;
     private static final double SETTLE_SECONDS = 6;
 
     @Option(names = "--shards", defaultValue = "59000", description = "placed (default 59000)")
@@ -33,46 +33,46 @@
     @Option(names = "--seconds", defaultValue = "20", description = "of each span (default 20)")
     private double span;
 
-    private final List<RelayProcess> relays = new ArrayList<>();
+    private final List<RelayProcess> realRelays = new ArrayList<>();
 
     RealRelaysRun() {
         super("real-relays");
     }
 
     @Override
-    boolean run(Stage stage) throws Exception {
-        try (LineBackends backends = new LineBackends(stage.transport());
-                FleetStage all =
-                        new FleetStage(
+    boolean run(RunContext stage) throws Exception {
+        try (FakeLineBackends backends = new FakeLineBackends(stage.transport());
+                FleetEnvironment all =
+                        new FleetEnvironment(
                                 stage.folder(),
                                 stage.transport(),
                                 stage.seed(),
                                 shards,
                                 backends.port())) {
-            List<String> sources = all.control().sourcesOfRelays(HOLLOW, Zone.A1);
-            try (HollowHost hollow =
-                    new HollowHost(
+            List<String> sources = all.controlPlane().addRelaySources(SIMULATED_RELAY_LINKS, Zone.A1);
+            try (SimulatedRelayHost hollow =
+                    new SimulatedRelayHost(
                             0,
-                            RELAYS,
-                            Zone.A1.text(),
+                            RELAY_COUNT,
+                            Zone.A1.lowerCaseName(),
                             sources,
                             HEAP_MEGABYTES,
                             stage.folder(),
-                            new InForceLog())) {
+                            new AppliedRevisionLog())) {
                 hollow.start();
                 hollow.awaitReady();
-                startReal(stage.folder(), all.control().sourcesOfRelays(REAL, Zone.A1));
-                seconds(SETTLE_SECONDS);
+                startRealRelays(stage.folder(), all.controlPlane().addRelaySources(REAL_RELAY_LINKS, Zone.A1));
+                sleepSeconds(SETTLE_SECONDS);
                 return compare(stage.file(), all);
             } finally {
-                closeAll();
+                closeRealRelays();
             }
         }
     }
 
-    private void startReal(Path folder, List<String> sources)
+    private void startRealRelays(Path folder, List<String> sources)
             throws IOException, InterruptedException {
-        for (int i = 0; i < RELAYS; i++) {
+        for (int i = 0; i < RELAY_COUNT; i++) {
             Path own = folder.resolve("real-" + i);
             String settings =
                     "configuration {\n  sources = [\""
@@ -83,53 +83,53 @@
                             + own.resolve("held")
                             + "\"\n}\n";
             InetSocketAddress nobody = new InetSocketAddress(InetAddress.getLoopbackAddress(), 9);
-            relays.add(new RelayProcess(own, nobody, SOCKETS, true, settings));
+            realRelays.add(new RelayProcess(own, nobody, MAX_SOCKETS, true, settings));
         }
     }
 
-    private void closeAll() throws InterruptedException {
-        for (RelayProcess relay : relays) {
+    private void closeRealRelays() throws InterruptedException {
+        for (RelayProcess relay : realRelays) {
             relay.close();
         }
     }
 
-    private boolean compare(MeasurementFile file, FleetStage all) throws Exception {
-        file.begin(RELAYS);
-        boolean quiet = span(file, all, "quiet");
-        SteadyChanges changes = all.change(FIFTY_FOLD);
-        boolean changing = span(file, all, "changing");
-        changes.end();
+    private boolean compare(MeasurementFile file, FleetEnvironment all) throws Exception {
+        file.beginPoint(RELAY_COUNT);
+        boolean quiet = measureSpan(file, all, "quiet");
+        SteadyChanges changes = all.startChanges(FIFTY_FOLD_CHANGES_PER_SECOND);
+        boolean changing = measureSpan(file, all, "changing");
+        changes.stop();
         return quiet && changing;
     }
 
-    private boolean span(MeasurementFile file, FleetStage all, String name) throws Exception {
-        ZoneLinks.Traffic realBefore = all.links().traffic(REAL, zone -> true);
-        ZoneLinks.Traffic hollowBefore = all.links().traffic(HOLLOW, zone -> true);
+    private boolean measureSpan(MeasurementFile file, FleetEnvironment all, String name) throws Exception {
+        ZoneLinks.Traffic realBefore = all.links().traffic(REAL_RELAY_LINKS, zone -> true);
+        ZoneLinks.Traffic hollowBefore = all.links().traffic(SIMULATED_RELAY_LINKS, zone -> true);
         double processorBefore = processorSeconds();
-        seconds(span);
-        ZoneLinks.Traffic real = all.links().traffic(REAL, zone -> true).since(realBefore);
-        ZoneLinks.Traffic hollow = all.links().traffic(HOLLOW, zone -> true).since(hollowBefore);
-        file.add(name + "_real_bytes_per_s", real.bytes() / span / RELAYS);
-        file.add(name + "_hollow_bytes_per_s", hollow.bytes() / span / RELAYS);
-        file.add(name + "_real_requests_per_s", real.requests() / span / RELAYS);
-        file.add(name + "_hollow_requests_per_s", hollow.requests() / span / RELAYS);
-        file.add(name + "_bytes_ratio", (double) hollow.bytes() / real.bytes());
-        file.add(name + "_requests_ratio", (double) hollow.requests() / real.requests());
-        file.add(
+        sleepSeconds(span);
+        ZoneLinks.Traffic real = all.links().traffic(REAL_RELAY_LINKS, zone -> true).since(realBefore);
+        ZoneLinks.Traffic hollow = all.links().traffic(SIMULATED_RELAY_LINKS, zone -> true).since(hollowBefore);
+        file.addFigure(name + "_real_bytes_per_s", real.bytes() / span / RELAY_COUNT);
+        file.addFigure(name + "_hollow_bytes_per_s", hollow.bytes() / span / RELAY_COUNT);
+        file.addFigure(name + "_real_requests_per_s", real.requests() / span / RELAY_COUNT);
+        file.addFigure(name + "_hollow_requests_per_s", hollow.requests() / span / RELAY_COUNT);
+        file.addFigure(name + "_bytes_ratio", (double) hollow.bytes() / real.bytes());
+        file.addFigure(name + "_requests_ratio", (double) hollow.requests() / real.requests());
+        file.addFigure(
                 name + "_real_processor_share",
-                (processorSeconds() - processorBefore) / span / RELAYS);
-        file.add(name + "_real_resident_mb", relays.get(0).figures().residentMegabytes());
-        return agree(hollow.bytes(), real.bytes()) && agree(hollow.requests(), real.requests());
+                (processorSeconds() - processorBefore) / span / RELAY_COUNT);
+        file.addFigure(name + "_real_resident_mb", realRelays.get(0).statistics().residentMegabytes());
+        return isWithinDeviation(hollow.bytes(), real.bytes()) && isWithinDeviation(hollow.requests(), real.requests());
     }
 
-    private static boolean agree(double hollow, double real) {
-        return Math.abs(hollow / real - 1) <= AGREE;
+    private static boolean isWithinDeviation(double hollow, double real) {
+        return Math.abs(hollow / real - 1) <= MAX_DEVIATION;
     }
 
     private double processorSeconds() throws IOException {
         double sum = 0;
-        for (RelayProcess relay : relays) {
-            sum += relay.figures().processorSeconds();
+        for (RelayProcess relay : realRelays) {
+            sum += relay.statistics().processorSeconds();
         }
         return sum;
     }
--- a/lab/src/main/java/saltstage/lab/scale/RealRelaysTable.java
+++ b/lab/src/main/java/saltstage/lab/scale/RealRelaysTable.java
@@ -7,7 +7,7 @@
 
 /** The table that sets hollow relays beside real ones. */
 final class RealRelaysTable {
-    private static final String RUN = "real-relays";
+    private static final String RUN_NAME = "real-relays";
     private static final String NOT_RUN = "not run";
 
     private RealRelaysTable() {}
@@ -26,20 +26,20 @@
                     String.join(
                             " | ",
                             List.of(
-                                    figure(data, span, "real_bytes_per_s"),
-                                    figure(data, span, "hollow_bytes_per_s"),
-                                    figure(data, span, "bytes_ratio"),
-                                    figure(data, span, "real_requests_per_s"),
-                                    figure(data, span, "hollow_requests_per_s"),
-                                    figure(data, span, "real_processor_share"),
-                                    figure(data, span, "real_resident_mb")));
+                                    formatFigure(data, span, "real_bytes_per_s"),
+                                    formatFigure(data, span, "hollow_bytes_per_s"),
+                                    formatFigure(data, span, "bytes_ratio"),
+                                    formatFigure(data, span, "real_requests_per_s"),
+                                    formatFigure(data, span, "hollow_requests_per_s"),
+                                    formatFigure(data, span, "real_processor_share"),
+                                    formatFigure(data, span, "real_resident_mb")));
             lines.add("| " + span.toLowerCase(Locale.ROOT) + " | " + cells + " |");
         }
         return String.join("\n", lines);
     }
 
-    private static String figure(MeasuredData data, String span, String name) {
-        OptionalDouble value = data.most(RUN, span + "_" + name);
-        return value.isEmpty() ? NOT_RUN : Figures.page(value.getAsDouble());
+    private static String formatFigure(MeasuredData data, String span, String name) {
+        OptionalDouble value = data.maxValue(RUN_NAME, span + "_" + name);
+        return value.isEmpty() ? NOT_RUN : FigureFormat.forPage(value.getAsDouble());
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/RelayProcess.java
+++ b/lab/src/main/java/saltstage/lab/scale/RelayProcess.java
@@ -1,6 +1,6 @@
 package saltstage.lab.scale;
 
-import saltstage.lab.Home;
+import saltstage.lab.Installation;
 
 import java.io.File;
 import java.io.IOException;
@@ -17,9 +17,9 @@
 
 /** A real relay, started by the command and with the JVM flags of {@code deploy/balancer.toml}. */
 final class RelayProcess implements AutoCloseable {
-    private static final Duration START = Duration.ofSeconds(30);
-    private static final Pattern RUN = Pattern.compile("(?m)^run = \"exec ([^\"]+)\"");
-    private static final String CONFIG =
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
+    private static final Pattern RUN_COMMAND_PATTERN = Pattern.compile("(?m)^run = \"exec ([^\"]+)\"");
+    private static final String CONFIGURATION_TEMPLATE =
             """
             {"name":"relay","listen":"LISTEN","discovery":"DISCOVERY","seed":"1",
              "limits":{"cores":1.0,"memory_mb":192,"sockets":SOCKETS},
@@ -35,9 +35,9 @@
               "Services":[{"Name":"lines","Aim":500000,"GiveUp":2000000,"Effect":"retryable"}]}}
             """;
 
-    private final InetSocketAddress listen;
+    private final InetSocketAddress listenAddress;
     private final Process process;
-    private final File log;
+    private final File logFile;
 
     /** Starts a relay that follows this discovery and asks backends for their load. */
     RelayProcess(Path folder, InetSocketAddress discovery, int sockets)
@@ -55,29 +55,29 @@
     RelayProcess(
             Path folder, InetSocketAddress discovery, int sockets, boolean probes, String settings)
             throws IOException, InterruptedException {
-        listen = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
+        listenAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
         Path config = Files.createDirectories(folder).resolve("relay.json");
         Files.writeString(
                 config,
-                CONFIG.replace("LISTEN", text(listen))
-                        .replace("DISCOVERY", text(discovery))
+                CONFIGURATION_TEMPLATE.replace("LISTEN", formatAddress(listenAddress))
+                        .replace("DISCOVERY", formatAddress(discovery))
                         .replace("SOCKETS", Integer.toString(sockets))
                         .replace("PROBES", Boolean.toString(probes)));
         Path operator = Files.writeString(folder.resolve("saltstage.hcl"), settings);
-        log = folder.resolve("relay.log").toFile();
+        logFile = folder.resolve("relay.log").toFile();
         List<String> command = new ArrayList<>(deployedCommand());
         command.addAll(List.of("--config", config.toString(), "--settings", operator.toString()));
         process =
                 new ProcessBuilder(command)
-                        .directory(Home.root().toFile())
+                        .directory(Installation.repositoryRoot().toFile())
                         .redirectErrorStream(true)
-                        .redirectOutput(log)
+                        .redirectOutput(logFile)
                         .start();
-        Home.awaitPong(listen, process, START);
+        Installation.awaitPong(listenAddress, process, START_TIMEOUT);
     }
 
     private static List<String> deployedCommand() throws IOException {
-        Matcher run = RUN.matcher(Files.readString(Home.root().resolve("deploy/balancer.toml")));
+        Matcher run = RUN_COMMAND_PATTERN.matcher(Files.readString(Installation.repositoryRoot().resolve("deploy/balancer.toml")));
         if (!run.find()) {
             throw new IOException("deploy/balancer.toml names no command to run a relay");
         }
@@ -90,34 +90,34 @@
         }
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /** Where clients connect. */
-    InetSocketAddress listen() {
-        return listen;
+    InetSocketAddress listenAddress() {
+        return listenAddress;
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process.isAlive();
     }
 
     /** What the kernel tells of it now. */
-    ProcessFigures figures() throws IOException {
-        return ProcessFigures.of(process.pid());
+    ProcessStatistics statistics() throws IOException {
+        return ProcessStatistics.read(process.pid());
     }
 
     /** How many descriptors it has open now. */
-    long descriptors() throws IOException {
+    long openDescriptors() throws IOException {
         try (var open = Files.list(Path.of("/proc", Long.toString(process.pid()), "fd"))) {
             return open.count();
         }
     }
 
     /** How many lines of its log hold this text. */
-    long logged(String text) throws IOException {
-        try (var lines = Files.lines(log.toPath(), java.nio.charset.StandardCharsets.ISO_8859_1)) {
+    long countLogLines(String text) throws IOException {
+        try (var lines = Files.lines(logFile.toPath(), java.nio.charset.StandardCharsets.ISO_8859_1)) {
             return lines.filter(line -> line.contains(text)).count();
         }
     }
--- a/lab/src/main/java/saltstage/lab/scale/RenewalsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/RenewalsRun.java
@@ -12,7 +12,7 @@
 import saltstage.coordinator.lease.LeaseReplies.Granted;
 import saltstage.coordinator.lease.LeaseReplies.Renewed;
 import saltstage.lab.trial.GroupUnderTest;
-import saltstage.lab.trial.Proc;
+import saltstage.lab.trial.TrialProcess;
 
 import java.io.IOException;
 import java.time.Duration;
@@ -28,14 +28,14 @@
         description = "Three real replicas; holders that renew one lease each, at rising rates.")
 class RenewalsRun extends ScaleRun {
     private static final int REPLICAS = 3;
-    private static final Duration CALL = Duration.ofSeconds(20);
-    private static final int[] RATES = {10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400};
-    private static final int HOLDERS = 192;
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(20);
+    private static final int[] RATES_PER_SECOND = {10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400};
+    private static final int HOLDER_COUNT = 192;
     private static final long TTL_MS = 600_000;
     private static final double WARM_UP_SECONDS = 4;
 
     /** Below this share of what was offered, a higher rate would bring no more. */
-    private static final double CARRIED = 0.5;
+    private static final double MIN_ACHIEVED_SHARE = 0.5;
 
     @Option(
             names = "--seconds",
@@ -43,7 +43,7 @@
             description = "measured at each rate (default 4)")
     private int seconds;
 
-    private final int leasesEach;
+    private final int leasesPerHolder;
 
     RenewalsRun() {
         this("renewals", 1);
@@ -51,21 +51,21 @@
 
     RenewalsRun(String name, int leasesEach) {
         super(name);
-        this.leasesEach = leasesEach;
+        this.leasesPerHolder = leasesEach;
     }
 
     @Override
-    boolean run(Stage stage) throws Exception {
+    boolean run(RunContext stage) throws Exception {
         try (GroupUnderTest group =
-                new GroupUnderTest(stage.folder(), REPLICAS, List.of(Proc.builtJar()), "")
+                new GroupUnderTest(stage.folder(), REPLICAS, List.of(TrialProcess.coordinatorJar()), "")
                         .start()) {
-            List<Holder> holders = new ArrayList<>();
-            for (int i = 0; i < HOLDERS; i++) {
-                holders.add(new Holder(group.client(), "holder-" + i));
+            List<LeaseHolder> holders = new ArrayList<>();
+            for (int i = 0; i < HOLDER_COUNT; i++) {
+                holders.add(new LeaseHolder(group.client(), "holder-" + i));
             }
             acquire(holders);
             renew(holders, Integer.MAX_VALUE, WARM_UP_SECONDS, new ConcurrentHistogram(3));
-            for (int rate : RATES) {
+            for (int rate : RATES_PER_SECOND) {
                 if (!measure(stage.file(), group, holders, rate)) {
                     break;
                 }
@@ -74,41 +74,41 @@
         return true;
     }
 
-    private void acquire(List<Holder> holders) throws Exception {
-        progress("renewals: " + holders.size() * leasesEach + " leases");
-        Parallel.each(holders, holder -> holder.acquire(leasesEach));
+    private void acquire(List<LeaseHolder> holders) throws Exception {
+        printProgress("renewals: " + holders.size() * leasesPerHolder + " leases");
+        Parallel.forEach(holders, holder -> holder.acquire(leasesPerHolder));
     }
 
     private boolean measure(
-            MeasurementFile file, GroupUnderTest group, List<Holder> holders, int rate)
+            MeasurementFile file, GroupUnderTest group, List<LeaseHolder> holders, int rate)
             throws Exception {
-        progress("renewals: " + rate + " a second");
-        long leader = group.pid(group.leader(CALL));
-        ProcessFigures before = ProcessFigures.of(leader);
+        printProgress("renewals: " + rate + " a second");
+        long leader = group.pid(group.leader(CALL_TIMEOUT));
+        ProcessStatistics before = ProcessStatistics.read(leader);
         Histogram took = new ConcurrentHistogram(3);
         long begun = System.nanoTime();
         renew(holders, rate, seconds, took);
         double spent = (System.nanoTime() - begun) / 1e9;
-        ProcessFigures after = ProcessFigures.of(leader);
+        ProcessStatistics after = ProcessStatistics.read(leader);
         double carried = took.getTotalCount() / spent;
-        file.begin(carried);
-        file.add("offered_per_s", rate);
-        file.add(
+        file.beginPoint(carried);
+        file.addFigure("offered_per_s", rate);
+        file.addFigure(
                 "leader_processor_share",
                 (after.processorSeconds() - before.processorSeconds()) / spent);
-        file.add("leader_resident_mb", after.residentMegabytes());
-        file.add("answer_p50_ms", took.getValueAtPercentile(50) / 1e3);
-        file.add("answer_p99_ms", took.getValueAtPercentile(99) / 1e3);
-        return carried >= rate * CARRIED;
+        file.addFigure("leader_resident_mb", after.residentMegabytes());
+        file.addFigure("answer_p50_ms", took.getValueAtPercentile(50) / 1e3);
+        file.addFigure("answer_p99_ms", took.getValueAtPercentile(99) / 1e3);
+        return carried >= rate * MIN_ACHIEVED_SHARE;
     }
 
     /** Each holder renews at its share of the rate; one that is late goes on at once. */
-    private static void renew(List<Holder> holders, int rate, double seconds, Histogram took)
+    private static void renew(List<LeaseHolder> holders, int rate, double seconds, Histogram took)
             throws Exception {
         long begun = System.nanoTime();
         long until = begun + (long) (seconds * 1e9);
         double gapNanos = 1e9 * holders.size() / rate;
-        Parallel.each(
+        Parallel.forEach(
                 holders,
                 holder -> {
                     long first =
@@ -118,12 +118,12 @@
     }
 
     /** One that holds leases and renews all of them by one command. */
-    private static final class Holder {
+    private static final class LeaseHolder {
         private final GroupClient client;
         private final String name;
-        private final Map<String, Long> fences = new TreeMap<>();
+        private final Map<String, Long> fencingTokens = new TreeMap<>();
 
-        Holder(GroupClient client, String name) {
+        LeaseHolder(GroupClient client, String name) {
             this.client = client;
             this.name = name;
         }
@@ -133,9 +133,9 @@
                 String lease = name + "-" + i;
                 Granted granted =
                         (Granted)
-                                client.send(new Acquire(lease, name, TTL_MS, 0, false), CALL)
+                                client.send(new Acquire(lease, name, TTL_MS, 0, false), CALL_TIMEOUT)
                                         .reply();
-                fences.put(lease, granted.fence());
+                fencingTokens.put(lease, granted.fence());
             }
         }
 
@@ -145,7 +145,7 @@
             while (due < until && System.nanoTime() < until) {
                 Thread.sleep(Math.max(0, (long) ((due - System.nanoTime()) / 1e6)));
                 long start = System.nanoTime();
-                Renewed renewed = (Renewed) client.send(new Renew(name, fences), CALL).reply();
+                Renewed renewed = (Renewed) client.send(new Renew(name, fencingTokens), CALL_TIMEOUT).reply();
                 if (!renewed.lost().isEmpty()) {
                     throw new IOException("a lease of " + name + " was lost");
                 }
--- a/lab/src/main/java/saltstage/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/ScaleCommand.java
@@ -23,8 +23,8 @@
             ConfigurationRun.class,
             FleetEventsRun.class,
             RealRelaysRun.class,
-            AllCommand.class,
-            HollowHostCommand.class,
+            AllRunsCommand.class,
+            SimulatedRelayHostCommand.class,
             FitCommand.class,
             PageCommand.class
         },
--- a/lab/src/main/java/saltstage/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ScaleRun.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.Option;
 
-import saltstage.lab.Home;
+import saltstage.lab.Installation;
 import saltstage.net.NettyTransport;
 import saltstage.net.Transport;
 
@@ -12,7 +12,7 @@
 
 /** What all scale runs share: a seed, a scratch folder, event loops, and a CSV at the end. */
 abstract class ScaleRun implements Callable<Integer> {
-    private static final int LOOPS = 2;
+    private static final int EVENT_LOOPS = 2;
 
     @Option(names = "--seed", defaultValue = "1", description = "of all random numbers (default 1)")
     private long seed;
@@ -24,10 +24,10 @@
     }
 
     /** Carries the run out and fills its file; returns whether every bound was kept. */
-    abstract boolean run(Stage stage) throws Exception;
+    abstract boolean run(RunContext stage) throws Exception;
 
     /** What a run works with. */
-    record Stage(long seed, Path folder, Transport transport, MeasurementFile file) {}
+    record RunContext(long seed, Path folder, Transport transport, MeasurementFile file) {}
 
     @Override
     public Integer call() throws Exception {
@@ -36,22 +36,22 @@
         boolean kept;
         try (Transport transport =
                 new NettyTransport(
-                        LOOPS,
+                        EVENT_LOOPS,
                         true,
                         (where, fault) -> System.err.println("fault in " + where + ": " + fault))) {
-            kept = run(new Stage(seed, folder, transport, file));
+            kept = run(new RunContext(seed, folder, transport, file));
         }
-        file.write(Home.measurements());
-        Home.delete(folder);
+        file.write(Installation.measurementsDirectory());
+        Installation.deleteRecursively(folder);
         return kept ? 0 : 1;
     }
 
     /** Progress, for who waits. */
-    static void progress(String text) {
+    static void printProgress(String text) {
         System.err.println(text);
     }
 
-    static void seconds(double seconds) throws InterruptedException {
+    static void sleepSeconds(double seconds) throws InterruptedException {
         Thread.sleep((long) (seconds * 1_000));
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/HollowRelay.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelay.java
@@ -13,64 +13,64 @@
 import java.util.List;
 
 /** One hollow relay: the real client, which tells when revisions come into force. */
-final class HollowRelay implements FollowerListener {
+final class SimulatedRelay implements FollowerListener {
     /** What was in force at one moment. */
-    record Held(long revision, List<Entry> entries) {}
+    record Snapshot(long revision, List<Entry> entries) {}
 
     private final int index;
     private final ConfigurationView view;
-    private final HollowLines lines;
-    private final Runnable onCurrent;
-    private Held snapshot;
+    private final AsyncLineWriter lineWriter;
+    private final Runnable confirmedListener;
+    private Snapshot snapshot;
     private long revision;
     private long digest;
 
-    HollowRelay(int index, ConfigurationView view, HollowLines lines, Runnable onCurrent) {
+    SimulatedRelay(int index, ConfigurationView view, AsyncLineWriter lines, Runnable onCurrent) {
         this.index = index;
         this.view = view;
-        this.lines = lines;
-        this.onCurrent = onCurrent;
-        snapshot = new Held(view.revision(), List.of());
+        this.lineWriter = lines;
+        this.confirmedListener = onCurrent;
+        snapshot = new Snapshot(view.revision(), List.of());
         revision = view.revision();
         digest = view.digest();
     }
 
     void start(FollowerOptions options, FollowerResources resources) {
-        lines.say(inForceLine());
+        lineWriter.enqueue(revisionLine());
         new ConfigurationClient(options, resources, ConfigurationPersistence.NONE, view, this)
                 .start();
     }
 
     /** The snapshot that it took; nothing where it has taken none. */
-    synchronized Held held() {
+    synchronized Snapshot snapshot() {
         return snapshot;
     }
 
     @Override
     public synchronized void changesApplied(List<Change> changes) {
         Change newest = changes.get(changes.size() - 1);
-        inForce(newest.revision(), newest.digest());
+        revisionApplied(newest.revision(), newest.digest());
     }
 
     @Override
     public synchronized void snapshotApplied(ConfigurationView taken) {
-        snapshot = new Held(taken.revision(), List.copyOf(taken.entries().values()));
-        inForce(taken.revision(), taken.digest());
+        snapshot = new Snapshot(taken.revision(), List.copyOf(taken.entries().values()));
+        revisionApplied(taken.revision(), taken.digest());
     }
 
-    private void inForce(long newRevision, long newDigest) {
+    private void revisionApplied(long newRevision, long newDigest) {
         revision = newRevision;
         digest = newDigest;
-        lines.say(inForceLine());
+        lineWriter.enqueue(revisionLine());
     }
 
-    private String inForceLine() {
-        return HollowHost.IN_FORCE + " " + index + " " + revision + " " + System.nanoTime();
+    private String revisionLine() {
+        return SimulatedRelayHost.REVISION_LINE + " " + index + " " + revision + " " + System.nanoTime();
     }
 
     @Override
     public void revisionConfirmed(long confirmedRevision) {
-        onCurrent.run();
+        confirmedListener.run();
     }
 
     @Override
@@ -84,6 +84,6 @@
     }
 
     synchronized String digestLine() {
-        return HollowHost.DIGEST + " " + index + " " + revision + " " + digest;
+        return SimulatedRelayHost.DIGEST_LINE + " " + index + " " + revision + " " + digest;
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/HollowFleet.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelayFleet.java
@@ -14,89 +14,89 @@
 import java.util.function.Predicate;
 
 /** The hollow relays of all zones, in processes that can be killed and paused one by one. */
-final class HollowFleet implements AutoCloseable {
-    private static final int HOST_MEGABYTES = 160;
-    private static final int RELAY_MEGABYTES = 4;
+final class SimulatedRelayFleet implements AutoCloseable {
+    private static final int BASE_HEAP_MEGABYTES = 160;
+    private static final int HEAP_MEGABYTES_PER_RELAY = 4;
 
-    private record Host(Zone zone, int size, HollowHost process) {}
+    private record HostProcess(Zone zone, int relayCount, SimulatedRelayHost relayHost) {}
 
     private final Path folder;
-    private final InForceLog log = new InForceLog();
-    private final Map<Zone, List<String>> sources = new EnumMap<>(Zone.class);
-    private final List<Host> hosts = new ArrayList<>();
-    private int relays;
+    private final AppliedRevisionLog revisionLog = new AppliedRevisionLog();
+    private final Map<Zone, List<String>> sourcesByZone = new EnumMap<>(Zone.class);
+    private final List<HostProcess> hosts = new ArrayList<>();
+    private int relayCount;
 
-    HollowFleet(ControlPlane control, Path folder) throws IOException {
+    SimulatedRelayFleet(ControlPlane control, Path folder) throws IOException {
         this.folder = folder;
         for (Zone zone : Zone.values()) {
-            sources.put(zone, control.sourcesOfRelays(zone));
+            sourcesByZone.put(zone, control.addRelaySources(zone));
         }
     }
 
     /** Starts processes of these sizes in a zone; {@link #awaitReady} waits for them. */
     void add(Zone zone, int... sizes) throws IOException {
         for (int size : sizes) {
-            HollowHost process =
-                    new HollowHost(
-                            relays,
+            SimulatedRelayHost process =
+                    new SimulatedRelayHost(
+                            relayCount,
                             size,
-                            zone.text(),
-                            sources.get(zone),
-                            HOST_MEGABYTES + RELAY_MEGABYTES * size,
+                            zone.lowerCaseName(),
+                            sourcesByZone.get(zone),
+                            BASE_HEAP_MEGABYTES + HEAP_MEGABYTES_PER_RELAY * size,
                             folder,
-                            log);
-            relays += size;
-            hosts.add(new Host(zone, size, process));
+                            revisionLog);
+            relayCount += size;
+            hosts.add(new HostProcess(zone, size, process));
             process.start();
         }
     }
 
     void awaitReady() throws IOException, InterruptedException {
-        for (Host host : hosts) {
-            host.process().awaitReady();
+        for (HostProcess host : hosts) {
+            host.relayHost().awaitReady();
         }
     }
 
-    int size() {
-        return relays;
+    int relayCount() {
+        return relayCount;
     }
 
-    InForceLog log() {
-        return log;
+    AppliedRevisionLog revisionLog() {
+        return revisionLog;
     }
 
     /** The relays of these zones. */
-    Set<Integer> relays(Predicate<Zone> of) {
+    Set<Integer> relaysIn(Predicate<Zone> of) {
         Set<Integer> numbers = new HashSet<>();
         hosts.stream()
                 .filter(host -> of.test(host.zone()))
-                .forEach(host -> numbers.addAll(host.process().relays()));
+                .forEach(host -> numbers.addAll(host.relayHost().relayIndexes()));
         return numbers;
     }
 
     /** The first process of a zone that has so many relays. */
-    HollowHost host(Zone zone, int size) {
+    SimulatedRelayHost findHost(Zone zone, int size) {
         return hosts.stream()
-                .filter(host -> host.zone() == zone && host.size() == size)
+                .filter(host -> host.zone() == zone && host.relayCount() == size)
                 .findFirst()
                 .orElseThrow()
-                .process();
+                .relayHost();
     }
 
     /** Kills all relays of a zone. */
     void kill(Zone zone) throws InterruptedException {
-        for (Host host : hosts) {
+        for (HostProcess host : hosts) {
             if (host.zone() == zone) {
-                host.process().process().kill();
+                host.relayHost().process().kill();
             }
         }
     }
 
     /** Starts all relays of a zone again, at once. */
     void restart(Zone zone) throws IOException {
-        for (Host host : hosts) {
+        for (HostProcess host : hosts) {
             if (host.zone() == zone) {
-                host.process().start();
+                host.relayHost().start();
             }
         }
     }
@@ -104,8 +104,8 @@
     /** Processor time of all processes so far, in seconds. */
     double processorSeconds() throws IOException {
         double sum = 0;
-        for (Host host : hosts) {
-            sum += host.process().process().figures().processorSeconds();
+        for (HostProcess host : hosts) {
+            sum += host.relayHost().process().statistics().processorSeconds();
         }
         return sum;
     }
@@ -113,40 +113,40 @@
     /** Resident memory of all processes, in MB. */
     double residentMegabytes() throws IOException {
         double sum = 0;
-        for (Host host : hosts) {
-            sum += host.process().process().figures().residentMegabytes();
+        for (HostProcess host : hosts) {
+            sum += host.relayHost().process().statistics().residentMegabytes();
         }
         return sum;
     }
 
     /** The different states that relays have; one where all agree. */
-    Set<HollowHost.State> states() throws IOException, InterruptedException {
-        Set<HollowHost.State> different = new HashSet<>();
-        for (Host host : hosts) {
-            different.addAll(host.process().states().values());
+    Set<SimulatedRelayHost.RelayState> distinctStates() throws IOException, InterruptedException {
+        Set<SimulatedRelayHost.RelayState> different = new HashSet<>();
+        for (HostProcess host : hosts) {
+            different.addAll(host.relayHost().states().values());
         }
         return different;
     }
 
     /** Waits until these relays have the revision; returns the seconds from the moment, or NaN. */
-    double awaitInForce(
+    double awaitApplied(
             Collection<Integer> which, long revision, long fromNanos, double mostSeconds)
             throws InterruptedException {
         long until = System.nanoTime() + (long) (mostSeconds * 1e9);
-        while (log.count(which, revision) < which.size()) {
+        while (revisionLog.countWithRevision(which, revision) < which.size()) {
             if (System.nanoTime() > until) {
                 return Double.NaN;
             }
             Thread.sleep(20);
         }
-        double[] times = log.seconds(which, revision, fromNanos);
+        double[] times = revisionLog.secondsUntilApplied(which, revision, fromNanos);
         return times.length == 0 ? Double.NaN : times[times.length - 1];
     }
 
     @Override
     public void close() throws InterruptedException {
-        for (Host host : hosts) {
-            host.process().close();
+        for (HostProcess host : hosts) {
+            host.relayHost().close();
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/HollowHost.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHost.java
@@ -14,41 +14,41 @@
 import java.util.stream.IntStream;
 
 /** A process with hollow relays of one zone, as the run that started it sees it. */
-final class HollowHost implements AutoCloseable {
+final class SimulatedRelayHost implements AutoCloseable {
     /**
      * Line: a revision came into force at a relay, with the time on the machine's monotonic clock.
      */
-    static final String IN_FORCE = "F";
+    static final String REVISION_LINE = "F";
 
     /** Line: a relay's revision and digest. */
-    static final String DIGEST = "D";
+    static final String DIGEST_LINE = "D";
 
-    private static final long START_SECONDS = 150;
-    private static final long ANSWER_SECONDS = 20;
+    private static final long START_TIMEOUT_SECONDS = 150;
+    private static final long ANSWER_TIMEOUT_SECONDS = 20;
 
     /** What a relay has in force. */
-    record State(long revision, long digest) {}
+    record RelayState(long revision, long digest) {}
 
-    private final int first;
-    private final int count;
-    private final InForceLog log;
+    private final int firstIndex;
+    private final int relayCount;
+    private final AppliedRevisionLog revisionLog;
     private final ChildProcess process;
-    private final Map<Integer, State> states = new TreeMap<>();
-    private CountDownLatch ready;
-    private CountDownLatch answered = new CountDownLatch(1);
+    private final Map<Integer, RelayState> states = new TreeMap<>();
+    private CountDownLatch readyLatch;
+    private CountDownLatch answerLatch = new CountDownLatch(1);
 
     /** So many relays from this number on, which ask these sources in this order. */
-    HollowHost(
+    SimulatedRelayHost(
             int first,
             int count,
             String zone,
             List<String> sources,
             int heapMegabytes,
             Path folder,
-            InForceLog log) {
-        this.first = first;
-        this.count = count;
-        this.log = log;
+            AppliedRevisionLog log) {
+        this.firstIndex = first;
+        this.relayCount = count;
+        this.revisionLog = log;
         process =
                 ChildProcess.ofLab(
                         "hollow-" + zone + "-" + first,
@@ -69,59 +69,59 @@
 
     /** Starts the process; {@link #awaitReady} waits until its relays have begun. */
     void start() throws IOException {
-        ready = new CountDownLatch(1);
+        readyLatch = new CountDownLatch(1);
         Process started = process.start().process();
         BufferedReader out =
                 new BufferedReader(
                         new InputStreamReader(started.getInputStream(), StandardCharsets.US_ASCII));
-        Thread reader = new Thread(() -> read(out), "hollow");
+        Thread reader = new Thread(() -> readLines(out), "hollow");
         reader.setDaemon(true);
         reader.start();
     }
 
     void awaitReady() throws IOException, InterruptedException {
-        if (!ready.await(START_SECONDS, TimeUnit.SECONDS)) {
-            throw new IOException("hollow relays " + first + " and on did not start");
+        if (!readyLatch.await(START_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            throw new IOException("hollow relays " + firstIndex + " and on did not start");
         }
     }
 
-    private void read(BufferedReader out) {
+    private void readLines(BufferedReader out) {
         try {
             for (String line = out.readLine(); line != null; line = out.readLine()) {
-                take(line.split(" "));
+                handleLine(line.split(" "));
             }
         } catch (IOException ended) {
             return;
         }
     }
 
-    private synchronized void take(String[] words) {
+    private synchronized void handleLine(String[] words) {
         switch (words[0]) {
-            case IN_FORCE ->
-                    log.inForce(
+            case REVISION_LINE ->
+                    revisionLog.revisionApplied(
                             Integer.parseInt(words[1]),
                             Long.parseLong(words[2]),
                             Long.parseLong(words[3]));
-            case DIGEST ->
+            case DIGEST_LINE ->
                     states.put(
                             Integer.parseInt(words[1]),
-                            new State(Long.parseLong(words[2]), Long.parseLong(words[3])));
-            case "READY" -> ready.countDown();
-            default -> answered.countDown();
+                            new RelayState(Long.parseLong(words[2]), Long.parseLong(words[3])));
+            case "READY" -> readyLatch.countDown();
+            default -> answerLatch.countDown();
         }
     }
 
     /** What all its relays have in force now. */
-    Map<Integer, State> states() throws IOException, InterruptedException {
+    Map<Integer, RelayState> states() throws IOException, InterruptedException {
         CountDownLatch answer = new CountDownLatch(1);
         synchronized (this) {
             states.clear();
-            answered = answer;
+            answerLatch = answer;
         }
         process.process().getOutputStream().write('\n');
         process.process().getOutputStream().flush();
-        if (!answer.await(ANSWER_SECONDS, TimeUnit.SECONDS)) {
-            throw new IOException("hollow relays " + first + " and on do not answer");
+        if (!answer.await(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            throw new IOException("hollow relays " + firstIndex + " and on do not answer");
         }
         synchronized (this) {
             return new TreeMap<>(states);
@@ -129,8 +129,8 @@
     }
 
     /** The numbers of its relays. */
-    Collection<Integer> relays() {
-        return IntStream.range(first, first + count).boxed().toList();
+    Collection<Integer> relayIndexes() {
+        return IntStream.range(firstIndex, firstIndex + relayCount).boxed().toList();
     }
 
     ChildProcess process() {
--- a/lab/src/main/java/saltstage/lab/scale/HollowHostCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHostCommand.java
@@ -31,15 +31,15 @@
  * Many hollow relays in one process: the control side of a relay (client, codec, state, timers)
  * without clients and without a disk. The first takes a snapshot; the others start with its
  * entries, as relays do that have them on disk, and share the entries' objects. Speaks lines, see
- * {@link HollowHost}.
+ * {@link SimulatedRelayHost}.
  */
 @Command(
         name = "hollow-host",
         hidden = true,
         description = "Hollow relays of one zone; part of a fleet run.")
-final class HollowHostCommand implements Callable<Integer> {
-    private static final Duration CONNECT = Duration.ofSeconds(1);
-    private static final long SNAPSHOT_SECONDS = 120;
+final class SimulatedRelayHostCommand implements Callable<Integer> {
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
+    private static final long SNAPSHOT_TIMEOUT_SECONDS = 120;
 
     @Option(names = "--first", required = true)
     private int first;
@@ -53,43 +53,43 @@
     @Option(names = "--sources", split = ",", required = true)
     private List<String> sources;
 
-    private final List<HollowRelay> relays = new ArrayList<>();
-    private final HollowLines lines = new HollowLines(System.out);
+    private final List<SimulatedRelay> relays = new ArrayList<>();
+    private final AsyncLineWriter lineWriter = new AsyncLineWriter(System.out);
 
     @Override
     public Integer call() throws Exception {
-        lines.start();
-        FollowerResources resources = resources();
+        lineWriter.start();
+        FollowerResources resources = followerResources();
         CountDownLatch current = new CountDownLatch(1);
-        HollowRelay leading =
-                new HollowRelay(first, new ConfigurationView(), lines, current::countDown);
+        SimulatedRelay leading =
+                new SimulatedRelay(first, new ConfigurationView(), lineWriter, current::countDown);
         relays.add(leading);
-        leading.start(options(first), resources);
-        if (!current.await(SNAPSHOT_SECONDS, TimeUnit.SECONDS)) {
-            throw new IOException("no source gave a snapshot within " + SNAPSHOT_SECONDS + " s");
+        leading.start(followerOptions(first), resources);
+        if (!current.await(SNAPSHOT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            throw new IOException("no source gave a snapshot within " + SNAPSHOT_TIMEOUT_SECONDS + " s");
         }
-        HollowRelay.Held held = leading.held();
+        SimulatedRelay.Snapshot held = leading.snapshot();
         for (int index = first + 1; index < first + count; index++) {
             ConfigurationView view = new ConfigurationView(held.revision(), held.entries());
-            HollowRelay relay = new HollowRelay(index, view, lines, () -> {});
+            SimulatedRelay relay = new SimulatedRelay(index, view, lineWriter, () -> {});
             relays.add(relay);
-            relay.start(options(index), resources);
+            relay.start(followerOptions(index), resources);
         }
-        lines.say("READY");
-        answerQuestions();
+        lineWriter.enqueue("READY");
+        answerDigestRequests();
         return 0;
     }
 
-    private FollowerOptions options(int index) {
+    private FollowerOptions followerOptions(int index) {
         List<URI> addresses = sources.stream().map(FollowerOptions::sourceUri).toList();
         return new FollowerOptions(addresses, "hollow-" + index, zone, FollowerTimings.defaults());
     }
 
-    private static FollowerResources resources() {
+    private static FollowerResources followerResources() {
         HttpClient http =
                 HttpClient.newBuilder()
                         .version(HttpClient.Version.HTTP_1_1)
-                        .connectTimeout(CONNECT)
+                        .connectTimeout(CONNECT_TIMEOUT)
                         .build();
         return new FollowerResources(
                 http,
@@ -110,12 +110,12 @@
     }
 
     /** Any line asks for the digests; the end of the input ends the process. */
-    private void answerQuestions() throws IOException {
+    private void answerDigestRequests() throws IOException {
         BufferedReader in =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
         while (in.readLine() != null) {
-            relays.forEach(relay -> lines.say(relay.digestLine()));
-            lines.say("END");
+            relays.forEach(relay -> lineWriter.enqueue(relay.digestLine()));
+            lineWriter.enqueue("END");
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/SteadyChanges.java
+++ b/lab/src/main/java/saltstage/lab/scale/SteadyChanges.java
@@ -10,36 +10,36 @@
 
 /** Changes at a steady rate from a thread of their own, and when they came into force where. */
 final class SteadyChanges {
-    private static final java.time.Duration CALL = java.time.Duration.ofSeconds(12);
+    private static final java.time.Duration CALL_TIMEOUT = java.time.Duration.ofSeconds(12);
 
-    private final ConfigurationLoad load;
+    private final ConfigurationLoadGenerator configurationLoad;
     private final GroupClient client;
-    private final List<ConfigurationLoad.Accepted> accepted = new ArrayList<>();
-    private final Thread writer;
-    private volatile boolean over;
-    private int failed;
+    private final List<ConfigurationLoadGenerator.AcceptedRevision> acceptedRevisions = new ArrayList<>();
+    private final Thread writerThread;
+    private volatile boolean stopped;
+    private int failedCount;
 
     /** Begins at once. */
-    SteadyChanges(ConfigurationLoad load, GroupClient client, double perSecond) {
-        this.load = load;
+    SteadyChanges(ConfigurationLoadGenerator load, GroupClient client, double perSecond) {
+        this.configurationLoad = load;
         this.client = client;
-        writer = new Thread(() -> write(perSecond), "writer");
-        writer.setDaemon(true);
-        writer.start();
+        writerThread = new Thread(() -> writeLoop(perSecond), "writer");
+        writerThread.setDaemon(true);
+        writerThread.start();
     }
 
-    private void write(double perSecond) {
+    private void writeLoop(double perSecond) {
         double due = System.nanoTime();
-        while (!over) {
+        while (!stopped) {
             try {
                 Thread.sleep(Math.max(0, (long) ((due - System.nanoTime()) / 1e6)));
                 due = Math.max(due + 1e9 / perSecond, System.nanoTime() - 1e9);
-                ConfigurationLoad.Accepted one = load.change(client, 1, CALL);
-                synchronized (accepted) {
-                    accepted.add(one);
+                ConfigurationLoadGenerator.AcceptedRevision one = configurationLoad.changeShards(client, 1, CALL_TIMEOUT);
+                synchronized (acceptedRevisions) {
+                    acceptedRevisions.add(one);
                 }
             } catch (IOException refused) {
-                failed++;
+                failedCount++;
             } catch (InterruptedException ended) {
                 return;
             }
@@ -47,15 +47,15 @@
     }
 
     /** Ends the writing after the change that is under way. */
-    void end() throws InterruptedException {
-        over = true;
-        writer.join();
+    void stop() throws InterruptedException {
+        stopped = true;
+        writerThread.join();
     }
 
     /** Those that were accepted. */
-    List<ConfigurationLoad.Accepted> accepted() {
-        synchronized (accepted) {
-            return List.copyOf(accepted);
+    List<ConfigurationLoadGenerator.AcceptedRevision> acceptedRevisions() {
+        synchronized (acceptedRevisions) {
+            return List.copyOf(acceptedRevisions);
         }
     }
 
@@ -69,31 +69,31 @@
      * @param missing pairs of change and relay that never came
      * @param failed changes without an answer
      */
-    record Times(
-            int changes,
-            double p50,
-            double p99,
-            double everywhereMedian,
-            double everywhereMost,
-            long missing,
-            int failed) {
+    record PropagationTimes(
+            int changeCount,
+            double p50Seconds,
+            double p99Seconds,
+            double everywhereMedianSeconds,
+            double everywhereMaxSeconds,
+            long missingCount,
+            int failedCount) {
         /** Adds them to a file, each with this prefix. */
         void addTo(MeasurementFile file, String prefix) {
-            file.add(prefix + "_changes", changes);
-            file.add(prefix + "_p50_s", p50);
-            file.add(prefix + "_p99_s", p99);
-            file.add(prefix + "_everywhere_median_s", everywhereMedian);
-            file.add(prefix + "_everywhere_most_s", everywhereMost);
-            file.add(prefix + "_missing", missing);
-            file.add(prefix + "_unanswered_changes", failed);
+            file.addFigure(prefix + "_changes", changeCount);
+            file.addFigure(prefix + "_p50_s", p50Seconds);
+            file.addFigure(prefix + "_p99_s", p99Seconds);
+            file.addFigure(prefix + "_everywhere_median_s", everywhereMedianSeconds);
+            file.addFigure(prefix + "_everywhere_most_s", everywhereMaxSeconds);
+            file.addFigure(prefix + "_missing", missingCount);
+            file.addFigure(prefix + "_unanswered_changes", failedCount);
         }
     }
 
     /** The times at these relays. */
-    Times times(InForceLog log, Collection<Integer> relays) {
+    PropagationTimes propagationTimes(AppliedRevisionLog log, Collection<Integer> relays) {
         List<double[]> byChange =
-                accepted().stream()
-                        .map(change -> log.seconds(relays, change.revision(), change.askedNanos()))
+                acceptedRevisions().stream()
+                        .map(change -> log.secondsUntilApplied(relays, change.revision(), change.sentNanos()))
                         .toList();
         double[] all = byChange.stream().flatMapToDouble(Arrays::stream).sorted().toArray();
         double[] everywhere =
@@ -103,14 +103,14 @@
                         .sorted()
                         .toArray();
         long missing = (long) byChange.size() * relays.size() - all.length;
-        return new Times(
+        return new PropagationTimes(
                 byChange.size(),
                 quantile(all, 0.5),
                 quantile(all, 0.99),
                 quantile(everywhere, 0.5),
                 quantile(everywhere, 1),
                 missing,
-                failed);
+                failedCount);
     }
 
     private static double quantile(double[] sorted, double share) {
--- a/lab/src/main/java/saltstage/lab/scale/Topology.java
+++ b/lab/src/main/java/saltstage/lab/scale/Topology.java
@@ -6,10 +6,10 @@
 /** Four zones in two regions, and how late a message is from one to another. */
 final class Topology {
     /** Between two zones of a region. */
-    static final Duration IN_REGION = Duration.ofMillis(1);
+    static final Duration DELAY_WITHIN_REGION = Duration.ofMillis(1);
 
     /** Between the regions. */
-    static final Duration BETWEEN_REGIONS = Duration.ofMillis(15);
+    static final Duration DELAY_BETWEEN_REGIONS = Duration.ofMillis(15);
 
     /** A zone; its distributor has the zone's name after {@code d-}. */
     enum Zone {
@@ -24,26 +24,26 @@
             this.region = region;
         }
 
-        String text() {
+        String lowerCaseName() {
             return name().toLowerCase(java.util.Locale.ROOT);
         }
 
-        boolean sharesRegionWith(Zone other) {
+        boolean isInSameRegionAs(Zone other) {
             return region.equals(other.region);
         }
 
         /** The zones as this one prefers them: itself, the other of its region, the others. */
-        List<Zone> byPreference() {
+        List<Zone> zonesByPreference() {
             return List.of(values()).stream()
                     .sorted(
                             java.util.Comparator.comparing((Zone other) -> other != this)
-                                    .thenComparing(other -> !other.sharesRegionWith(this)))
+                                    .thenComparing(other -> !other.isInSameRegionAs(this)))
                     .toList();
         }
     }
 
     /** The zones of the five replicas: two and one in region a, one and one in region b. */
-    static final List<Zone> REPLICAS = List.of(Zone.A1, Zone.A1, Zone.A2, Zone.B1, Zone.B2);
+    static final List<Zone> REPLICA_ZONES = List.of(Zone.A1, Zone.A1, Zone.A2, Zone.B1, Zone.B2);
 
     private Topology() {}
 
@@ -52,6 +52,6 @@
         if (from == to) {
             return Duration.ZERO;
         }
-        return from.sharesRegionWith(to) ? IN_REGION : BETWEEN_REGIONS;
+        return from.isInSameRegionAs(to) ? DELAY_WITHIN_REGION : DELAY_BETWEEN_REGIONS;
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/ZoneLinks.java
+++ b/lab/src/main/java/saltstage/lab/scale/ZoneLinks.java
@@ -19,9 +19,9 @@
      *
      * @param use who uses it for what: links are counted together by it
      */
-    private record ZoneLink(String use, Zone from, Zone to, CountingLink link) {
+    private record ZoneLink(String purpose, Zone from, Zone to, CountingProxy proxy) {
         private boolean crossesRegions() {
-            return !from.sharesRegionWith(to);
+            return !from.isInSameRegionAs(to);
         }
     }
 
@@ -47,37 +47,37 @@
     }
 
     /** Adds a link; returns where it is to be reached, as HOST:PORT. */
-    String add(String use, Zone from, Zone to, InetSocketAddress target) throws IOException {
-        CountingLink link = new CountingLink(transport, target, Topology.delay(from, to));
+    String addLink(String use, Zone from, Zone to, InetSocketAddress target) throws IOException {
+        CountingProxy link = new CountingProxy(transport, target, Topology.delay(from, to));
         links.add(new ZoneLink(use, from, to, link));
         return "127.0.0.1:" + link.address().getPort();
     }
 
     /** What passed on all links of a use from these zones. */
     Traffic traffic(String use, Predicate<Zone> from) {
-        List<CountingLink> counted =
+        List<CountingProxy> counted =
                 links.stream()
-                        .filter(each -> each.use().equals(use) && from.test(each.from()))
-                        .map(ZoneLink::link)
+                        .filter(each -> each.purpose().equals(use) && from.test(each.from()))
+                        .map(ZoneLink::proxy)
                         .toList();
         return new Traffic(
-                counted.stream().mapToLong(CountingLink::bytesToTarget).sum(),
-                counted.stream().mapToLong(CountingLink::bytesFromTarget).sum(),
-                counted.stream().mapToLong(CountingLink::messagesToTarget).sum());
+                counted.stream().mapToLong(CountingProxy::bytesToTarget).sum(),
+                counted.stream().mapToLong(CountingProxy::bytesFromTarget).sum(),
+                counted.stream().mapToLong(CountingProxy::messagesToTarget).sum());
     }
 
     /** From now on the regions do not hear each other. */
     void cutRegions() {
-        links.stream().filter(ZoneLink::crossesRegions).forEach(each -> each.link().cut());
+        links.stream().filter(ZoneLink::crossesRegions).forEach(each -> each.proxy().cut());
     }
 
     /** They do again. */
     void healRegions() {
-        links.stream().filter(ZoneLink::crossesRegions).forEach(each -> each.link().heal());
+        links.stream().filter(ZoneLink::crossesRegions).forEach(each -> each.proxy().heal());
     }
 
     @Override
     public void close() {
-        links.forEach(each -> each.link().close());
+        links.forEach(each -> each.proxy().close());
     }
 }
--- a/lab/src/main/java/saltstage/lab/store/Report.java
+++ b/lab/src/main/java/saltstage/lab/store/Report.java
@@ -16,25 +16,25 @@
 /** A result as CSV, as a table for people, and if wanted as a chart. */
 public final class Report {
     private final String name;
-    private final List<String> head;
+    private final List<String> header;
     private final List<List<String>> rows = new ArrayList<>();
     private CategoryChart chart;
 
     /** A result of this name with these columns. */
     public Report(String name, String... columns) {
         this.name = name;
-        head = List.of(columns);
+        header = List.of(columns);
     }
 
     /** Adds a row and says it. */
-    public void row(Object... cells) {
+    public void addRow(Object... cells) {
         List<String> row = Arrays.stream(cells).map(String::valueOf).toList();
         rows.add(row);
         System.out.println(String.join("  ", row));
     }
 
     /** Bars of a column by the values of another, one colour for each value of the first. */
-    public void bars(String title, String x, String y, int series, int category, int figure) {
+    public void setBarChart(String title, String x, String y, int series, int category, int figure) {
         chart = new CategoryChartBuilder().width(900).height(500).title(title).xAxisTitle(x).yAxisTitle(y)
             .build();
         Map<String, Map<String, Double>> all = new LinkedHashMap<>();
@@ -47,11 +47,11 @@
     }
 
     /** Writes NAME.csv, NAME.md and, where there is one, NAME.png. */
-    public void write(Path dir) throws IOException {
-        Files.writeString(dir.resolve(name + ".csv"), String.join(",", head) + "\n"
+    public void writeFiles(Path dir) throws IOException {
+        Files.writeString(dir.resolve(name + ".csv"), String.join(",", header) + "\n"
             + rows.stream().map(row -> String.join(",", row) + "\n").collect(Collectors.joining()));
-        StringBuilder table = new StringBuilder("| " + String.join(" | ", head) + " |\n|");
-        head.forEach(column -> table.append(" --- |"));
+        StringBuilder table = new StringBuilder("| " + String.join(" | ", header) + " |\n|");
+        header.forEach(column -> table.append(" --- |"));
         rows.forEach(row -> table.append("\n| ").append(String.join(" | ", row)).append(" |"));
         Files.writeString(dir.resolve(name + ".table.md"), table + "\n");
         if (chart != null) {
--- a/lab/src/main/java/saltstage/lab/store/Engine.java
+++ b/lab/src/main/java/saltstage/lab/store/StorageEngine.java
@@ -18,7 +18,7 @@
 import saltstage.store.StoreOptions;
 
 /** Something that makes one pair durable at a time; used by many threads. */
-interface Engine extends AutoCloseable {
+interface StorageEngine extends AutoCloseable {
     /** Returns once the pair is durable. */
     void put(byte[] key, byte[] value) throws Exception;
 
@@ -43,27 +43,27 @@
             return title;
         }
 
-        Engine open(Path dir) throws Exception {
+        StorageEngine open(Path dir) throws Exception {
             Files.createDirectories(dir);
             return switch (this) {
-                case RAW_GROWING -> new Raw(dir.resolve("raw"), 0);
-                case RAW_FILLED -> new Raw(dir.resolve("raw"), 64 << 20);
-                case SALTSTAGE -> new Ours(dir);
-                case MVSTORE -> new Mv(dir.resolve("mv"));
-                case ROCKSDB -> new Rocks(dir);
+                case RAW_GROWING -> new RawFileEngine(dir.resolve("raw"), 0);
+                case RAW_FILLED -> new RawFileEngine(dir.resolve("raw"), 64 << 20);
+                case SALTSTAGE -> new SaltstageEngine(dir);
+                case MVSTORE -> new MvStoreEngine(dir.resolve("mv"));
+                case ROCKSDB -> new RocksDbEngine(dir);
             };
         }
     }
 
     /** The limit: each record alone appended and forced. */
-    final class Raw implements Engine {
+    final class RawFileEngine implements StorageEngine {
         private final FileChannel file;
-        private final long filled;
-        private long end;
+        private final long filledBytes;
+        private long position;
 
-        Raw(Path path, int fill) throws IOException {
+        RawFileEngine(Path path, int fill) throws IOException {
             file = FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-            filled = fill;
+            filledBytes = fill;
             for (int at = 0; at < fill; at += 1 << 20) {
                 file.write(ByteBuffer.allocate(1 << 20), at);
             }
@@ -74,10 +74,10 @@
         public synchronized void put(byte[] key, byte[] value) throws IOException {
             ByteBuffer out = ByteBuffer.allocate(key.length + value.length);
             out.put(key).put(value).flip();
-            if (filled > 0 && end + out.remaining() > filled) {
-                end = 0;
+            if (filledBytes > 0 && position + out.remaining() > filledBytes) {
+                position = 0;
             }
-            end += file.write(out, end);
+            position += file.write(out, position);
             file.force(false);
         }
 
@@ -88,10 +88,10 @@
     }
 
     /** This repository's. */
-    final class Ours implements Engine {
+    final class SaltstageEngine implements StorageEngine {
         private final Store store;
 
-        Ours(Path dir) throws IOException {
+        SaltstageEngine(Path dir) throws IOException {
             store = Store.open(FileDisk.openOrCreate(dir), StoreOptions.defaults(), StoreEventListener.NONE);
         }
 
@@ -107,11 +107,11 @@
     }
 
     /** MVStore; who waits while another commits is covered by the next commit, as in the others. */
-    final class Mv implements Engine {
+    final class MvStoreEngine implements StorageEngine {
         private final MVStore store;
         private final MVMap<byte[], byte[]> map;
 
-        Mv(Path file) {
+        MvStoreEngine(Path file) {
             store = new MVStore.Builder().fileName(file.toString()).autoCommitDisabled().open();
             map = store.openMap("m");
         }
@@ -135,25 +135,25 @@
     }
 
     /** RocksDB with its own group commit. */
-    final class Rocks implements Engine {
+    final class RocksDbEngine implements StorageEngine {
         private final Options options = new Options().setCreateIfMissing(true);
-        private final WriteOptions durable = new WriteOptions().setSync(true);
-        private final RocksDB db;
+        private final WriteOptions syncWrites = new WriteOptions().setSync(true);
+        private final RocksDB database;
 
-        Rocks(Path dir) throws RocksDBException {
+        RocksDbEngine(Path dir) throws RocksDBException {
             RocksDB.loadLibrary();
-            db = RocksDB.open(options, dir.toString());
+            database = RocksDB.open(options, dir.toString());
         }
 
         @Override
         public void put(byte[] key, byte[] value) throws RocksDBException {
-            db.put(durable, key, value);
+            database.put(syncWrites, key, value);
         }
 
         @Override
         public void close() {
-            db.close();
-            durable.close();
+            database.close();
+            syncWrites.close();
             options.close();
         }
     }
--- a/lab/src/main/java/saltstage/lab/store/StoreBench.java
+++ b/lab/src/main/java/saltstage/lab/store/StoreBenchmark.java
@@ -19,7 +19,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import saltstage.lab.Home;
+import saltstage.lab.Installation;
 import saltstage.store.Batch;
 import saltstage.store.FileDisk;
 import saltstage.store.Store;
@@ -28,9 +28,9 @@
 
 /** Measurements of the store; results go to docs/measurements as CSV, table and chart. */
 @Command(name = "store", mixinStandardHelpOptions = true, description = "Measures the embedded store.",
-    subcommands = {StoreBench.Commits.class, StoreBench.Recovery.class, StoreBench.Compaction.class})
-public final class StoreBench implements Callable<Integer> {
-    private static final int VALUE = 128;
+    subcommands = {StoreBenchmark.Commits.class, StoreBenchmark.Recovery.class, StoreBenchmark.Compaction.class})
+public final class StoreBenchmark implements Callable<Integer> {
+    private static final int VALUE_BYTES = 128;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -45,7 +45,7 @@
     }
 
     static byte[] value(long n) {
-        byte[] value = new byte[VALUE];
+        byte[] value = new byte[VALUE_BYTES];
         Arrays.fill(value, (byte) n);
         ByteBuffer.wrap(value).putLong(n);
         return value;
@@ -55,12 +55,12 @@
         return figures.stream().sorted().skip(figures.size() / 2).findFirst().orElseThrow();
     }
 
-    private interface Step {
+    private interface StoreOperation {
         void run(long n) throws Exception;
     }
 
     /** Runs so many writers for this time; returns the steps done a second. */
-    private static long rate(int writers, double seconds, Histogram latency, Step step) throws Exception {
+    private static long measureRate(int writers, double seconds, Histogram latency, StoreOperation step) throws Exception {
         LongAdder done = new LongAdder();
         AtomicReference<Exception> failed = new AtomicReference<>();
         long start = System.nanoTime();
@@ -113,13 +113,13 @@
             Map<String, List<Long>> rates = new LinkedHashMap<>();
             for (int round = 0; round < rounds; round++) {
                 for (int n : writers) {
-                    for (Engine.Kind kind : Engine.Kind.values()) {
+                    for (StorageEngine.Kind kind : StorageEngine.Kind.values()) {
                         Path at = dir.resolve(kind + "-" + n + "-" + round);
-                        try (Engine engine = kind.open(at)) {
-                            long rate = rate(n, seconds, null, k -> engine.put(key(k), value(k)));
+                        try (StorageEngine engine = kind.open(at)) {
+                            long rate = measureRate(n, seconds, null, k -> engine.put(key(k), value(k)));
                             rates.computeIfAbsent(kind + " " + n, k -> new ArrayList<>()).add(rate);
                         }
-                        Home.delete(at);
+                        Installation.deleteRecursively(at);
                     }
                 }
                 System.err.println("round " + (round + 1) + " of " + rounds);
@@ -127,16 +127,16 @@
             Report report = new Report("store-commits", "engine", "writers", "median", "least", "most",
                 "to growing file");
             for (int n : writers) {
-                long limit = median(rates.get(Engine.Kind.RAW_GROWING + " 1"));
-                for (Engine.Kind kind : Engine.Kind.values()) {
+                long limit = median(rates.get(StorageEngine.Kind.RAW_GROWING + " 1"));
+                for (StorageEngine.Kind kind : StorageEngine.Kind.values()) {
                     List<Long> all = rates.get(kind + " " + n);
-                    report.row(kind.title(), n, median(all), all.stream().min(Long::compare).get(),
+                    report.addRow(kind.title(), n, median(all), all.stream().min(Long::compare).get(),
                         all.stream().max(Long::compare).get(),
                         String.format("%.2f", (double) median(all) / limit));
                 }
             }
-            report.bars("durable commits a second, 128-byte values", "writers", "commits/s", 0, 1, 2);
-            report.write(Home.measurements());
+            report.setBarChart("durable commits a second, 128-byte values", "writers", "commits/s", 0, 1, 2);
+            report.writeFiles(Installation.measurementsDirectory());
             return 0;
         }
     }
@@ -160,30 +160,30 @@
                 Path at = dir.resolve("keys-" + keys);
                 for (boolean checkpoint : new boolean[] {false, true}) {
                     if (!checkpoint) {
-                        load(at, keys, byHand);
+                        writeKeys(at, keys, byHand);
                     }
-                    long before = heap();
+                    long before = usedHeapBytes();
                     long start = System.nanoTime();
                     Store store = Store.open(FileDisk.openOrCreate(at), byHand, StoreEventListener.NONE);
                     long millis = (System.nanoTime() - start) / 1_000_000;
-                    long bytes = heap() - before;
+                    long bytes = usedHeapBytes() - before;
                     if (store.statistics().liveKeys() != keys) {
                         throw new IOException(store.statistics().liveKeys() + " keys came back of " + keys);
                     }
-                    report.row(keys, checkpoint ? "checkpoint" : "log", millis,
+                    report.addRow(keys, checkpoint ? "checkpoint" : "log", millis,
                         String.format("%.1f", (double) bytes / keys), store.statistics().fileBytes() >> 20);
                     if (!checkpoint) {
                         store.checkpoint();
                     }
                     store.close();
                 }
-                Home.delete(at);
+                Installation.deleteRecursively(at);
             }
-            report.write(Home.measurements());
+            report.writeFiles(Installation.measurementsDirectory());
             return 0;
         }
 
-        private static void load(Path at, int keys, StoreOptions options) throws IOException {
+        private static void writeKeys(Path at, int keys, StoreOptions options) throws IOException {
             Store store = Store.open(FileDisk.openOrCreate(at), options, StoreEventListener.NONE);
             for (int i = 0; i < keys;) {
                 Batch batch = new Batch();
@@ -200,11 +200,11 @@
                 }
             }
             store.close();
-            Home.delete(at);
+            Installation.deleteRecursively(at);
             Files.move(copy, at);
         }
 
-        private static long heap() {
+        private static long usedHeapBytes() {
             for (int i = 0; i < 3; i++) {
                 System.gc();
             }
@@ -241,18 +241,18 @@
                             }
                             store.commit(batch);
                         }
-                        long rate = rate(writers, seconds, latency, k -> store.put(key(k), value(k)));
-                        double user = rate * seconds * (VALUE + 16);
-                        report.row(writers, beside ? "on" : "off", rate, latency.getValueAtPercentile(50),
+                        long rate = measureRate(writers, seconds, latency, k -> store.put(key(k), value(k)));
+                        double user = rate * seconds * (VALUE_BYTES + 16);
+                        report.addRow(writers, beside ? "on" : "off", rate, latency.getValueAtPercentile(50),
                             latency.getValueAtPercentile(99), latency.getValueAtPercentile(99.9),
                             String.format("%.1f", latency.getMaxValue() / 1e3),
                             String.format("%.2f", store.copiedBytes() / user),
                             store.statistics().fileBytes() >> 20);
                     }
-                    Home.delete(at);
+                    Installation.deleteRecursively(at);
                 }
             }
-            report.write(Home.measurements());
+            report.writeFiles(Installation.measurementsDirectory());
             return 0;
         }
     }
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationFault.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationFault.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import saltstage.lab.trial.FaultProxy.Way;
+import saltstage.lab.trial.FaultProxy.DirectionFault;
 
 /**
  * What befalls whom in a trial of the configuration, and for how long.
@@ -13,7 +13,7 @@
  * @param at the one that it befalls; empty where the kind says it
  * @param lastsMs until it is mended, milliseconds
  */
-record ConfigurationFault(Kind kind, String at, int lastsMs) {
+record ConfigurationFault(Kind kind, String target, int durationMs) {
     /** The kinds of faults; the links are those to the preferred source. */
     enum Kind {
         LEADER_KILLED,
@@ -28,23 +28,23 @@
     }
 
     /** Long enough that whoever waits at a silent source has to leave it. */
-    private static final int SILENT_MS = 9_000;
+    private static final int SILENCE_MS = 9_000;
 
-    private static final Duration CALL = Duration.ofSeconds(30);
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(30);
 
     /** The faults of a seed, one after the other. */
-    static List<ConfigurationFault> script(long seed, int count, ConfigurationFleet fleet) {
+    static List<ConfigurationFault> randomFaults(long seed, int count, ConfigurationFleet fleet) {
         Random random = new Random(seed);
         List<Kind> kinds = new ArrayList<>(List.of(Kind.values()));
         java.util.Collections.shuffle(kinds, random);
         List<ConfigurationFault> script = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            script.add(drawn(kinds.get(i % kinds.size()), random, fleet));
+            script.add(randomFault(kinds.get(i % kinds.size()), random, fleet));
         }
         return script;
     }
 
-    private static ConfigurationFault drawn(Kind kind, Random random, ConfigurationFleet fleet) {
+    private static ConfigurationFault randomFault(Kind kind, Random random, ConfigurationFleet fleet) {
         List<String> distributors = fleet.distributorNames();
         List<String> followers = fleet.followerNames();
         List<String> asking = new ArrayList<>(distributors);
@@ -59,30 +59,30 @@
                     default -> asking.get(random.nextInt(asking.size()));
                 };
         boolean silent = kind == Kind.LINK_SILENT || kind == Kind.DISTRIBUTOR_PAUSED;
-        return new ConfigurationFault(kind, at, silent ? SILENT_MS : 500 + random.nextInt(2_500));
+        return new ConfigurationFault(kind, at, silent ? SILENCE_MS : 500 + random.nextInt(2_500));
     }
 
-    /** Whether followers are down meanwhile, all of those at {@link #at}. */
+    /** Whether followers are down meanwhile, all of those at {@link #target}. */
     boolean stopsFollowers() {
         return kind == Kind.FOLLOWERS_KILLED || kind == Kind.FOLLOWERS_PAUSED;
     }
 
-    void begin(GroupUnderTest group, ConfigurationFleet fleet)
+    void inject(GroupUnderTest group, ConfigurationFleet fleet)
             throws IOException, InterruptedException {
         switch (kind) {
-            case LEADER_KILLED -> group.proc(group.leader(CALL)).kill();
-            case DISTRIBUTOR_KILLED -> fleet.distributor(at).kill();
-            case DISTRIBUTOR_PAUSED -> fleet.distributor(at).pause();
-            case FOLLOWERS_KILLED -> fleet.followers(at).kill();
-            case FOLLOWERS_PAUSED -> fleet.followers(at).pause();
+            case LEADER_KILLED -> group.process(group.leader(CALL_TIMEOUT)).kill();
+            case DISTRIBUTOR_KILLED -> fleet.distributor(target).kill();
+            case DISTRIBUTOR_PAUSED -> fleet.distributor(target).pause();
+            case FOLLOWERS_KILLED -> fleet.followers(target).kill();
+            case FOLLOWERS_PAUSED -> fleet.followers(target).pause();
             case LINK_CUT -> {
-                fleet.links(at).get(0).refuse(true);
-                fleet.links(at).get(0).drop();
+                fleet.links(target).get(0).setRejecting(true);
+                fleet.links(target).get(0).dropConnections();
             }
-            case LINK_SILENT -> fleet.links(at).get(0).ways(Way.SILENT, Way.SILENT);
+            case LINK_SILENT -> fleet.links(target).get(0).setFaults(DirectionFault.SILENT, DirectionFault.SILENT);
             case LINK_SLOW -> {
-                Way slow = new Way(false, 30, true, Long.MAX_VALUE);
-                fleet.links(at).get(0).ways(slow, slow);
+                DirectionFault slow = new DirectionFault(false, 30, true, Long.MAX_VALUE);
+                fleet.links(target).get(0).setFaults(slow, slow);
             }
             case CONTROL_RESTARTED -> killControl(group, fleet);
             default -> throw new IllegalStateException(kind.name());
@@ -92,7 +92,7 @@
     private static void killControl(GroupUnderTest group, ConfigurationFleet fleet)
             throws InterruptedException {
         for (String name : group.names()) {
-            group.proc(name).kill();
+            group.process(name).kill();
         }
         for (String name : fleet.distributorNames()) {
             fleet.distributor(name).kill();
@@ -100,13 +100,13 @@
     }
 
     /** Mends it; returns once whoever was down answers again. */
-    void end(GroupUnderTest group, ConfigurationFleet fleet)
+    void repair(GroupUnderTest group, ConfigurationFleet fleet)
             throws IOException, InterruptedException {
         group.heal();
         fleet.heal();
         if (kind == Kind.CONTROL_RESTARTED) {
             for (String name : fleet.distributorNames()) {
-                fleet.status(name, CALL);
+                fleet.status(name, CALL_TIMEOUT);
             }
         }
     }
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationFleet.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationFleet.java
@@ -23,20 +23,20 @@
     private static final List<String> ZONES = List.of("a1", "a2");
 
     private final GroupUnderTest group;
-    private final ConfigurationWitness witness;
+    private final ConfigurationObserver observer;
     private final int followersPerZone;
     private final Map<String, InetSocketAddress> distributorAddresses = new LinkedHashMap<>();
-    private final Map<String, Proc> distributors = new LinkedHashMap<>();
-    private final Map<String, Proc> followers = new LinkedHashMap<>();
+    private final Map<String, TrialProcess> distributors = new LinkedHashMap<>();
+    private final Map<String, TrialProcess> followers = new LinkedHashMap<>();
 
     /** By the one who asks: the links to its sources, the preferred one first. */
     private final Map<String, List<FaultProxy>> links = new LinkedHashMap<>();
 
     ConfigurationFleet(
-            Path dir, GroupUnderTest group, ConfigurationWitness witness, int followersPerZone)
+            Path dir, GroupUnderTest group, ConfigurationObserver witness, int followersPerZone)
             throws IOException {
         this.group = group;
-        this.witness = witness;
+        this.observer = witness;
         this.followersPerZone = followersPerZone;
         for (String zone : ZONES) {
             distributorAddresses.put("d-" + zone, freeAddress());
@@ -44,8 +44,8 @@
         Path settings = writeSettings(dir);
         for (String zone : ZONES) {
             String distributor = "d-" + zone;
-            distributors.put(distributor, distributor(dir, settings, distributor));
-            followers.put("f-" + zone, followers(dir, zone));
+            distributors.put(distributor, newDistributorProcess(dir, settings, distributor));
+            followers.put("f-" + zone, newFollowerProcess(dir, zone));
         }
     }
 
@@ -55,21 +55,21 @@
         }
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    private static String address(FaultProxy link) {
+    private static String proxyAddress(FaultProxy link) {
         return "127.0.0.1:" + link.address().getPort();
     }
 
     private Path writeSettings(Path dir) throws IOException {
         StringBuilder text =
-                new StringBuilder(Files.readString(group.settings(group.names().get(0))));
+                new StringBuilder(Files.readString(group.settingsFile(group.names().get(0))));
         for (String zone : ZONES) {
             String name = "d-" + zone;
             List<FaultProxy> toReplicas = new ArrayList<>();
-            for (String replica : rotated(group.places(), ZONES.indexOf(zone))) {
+            for (String replica : rotated(group.clientAddresses(), ZONES.indexOf(zone))) {
                 String[] parts = replica.split(":");
                 toReplicas.add(
                         new FaultProxy(
@@ -77,9 +77,9 @@
             }
             links.put(name, toReplicas);
             List<String> sources =
-                    toReplicas.stream().map(link -> "\"" + address(link) + "\"").toList();
+                    toReplicas.stream().map(link -> "\"" + proxyAddress(link) + "\"").toList();
             text.append("distributor \"" + name + "\" {\n  zone = \"" + zone + "\"\n")
-                    .append("  clients = \"" + text(distributorAddresses.get(name)) + "\"\n")
+                    .append("  clients = \"" + formatAddress(distributorAddresses.get(name)) + "\"\n")
                     .append("  sources = [" + String.join(", ", sources) + "]\n")
                     .append("  dir = \"" + dir.resolve("distributors") + "\"\n}\n");
         }
@@ -94,15 +94,15 @@
         return rotated;
     }
 
-    private static Proc distributor(Path dir, Path settings, String name) {
-        return Proc.coordinator(
+    private static TrialProcess newDistributorProcess(Path dir, Path settings, String name) {
+        return TrialProcess.coordinator(
                 name,
-                Proc.builtJar(),
+                TrialProcess.coordinatorJar(),
                 dir,
                 List.of("distributor", "serve", "--settings", settings.toString(), "--name", name));
     }
 
-    private Proc followers(Path dir, String zone) throws IOException {
+    private TrialProcess newFollowerProcess(Path dir, String zone) throws IOException {
         String name = "f-" + zone;
         List<FaultProxy> toDistributors = new ArrayList<>();
         for (InetSocketAddress at :
@@ -111,8 +111,8 @@
         }
         links.put(name, toDistributors);
         List<String> sources =
-                toDistributors.stream().map(ConfigurationFleet::address).toList();
-        return Proc.lab(
+                toDistributors.stream().map(ConfigurationFleet::proxyAddress).toList();
+        return TrialProcess.lab(
                 name,
                 dir,
                 List.of(
@@ -128,21 +128,21 @@
                         "--sources",
                         String.join(",", sources),
                         "--witness",
-                        Integer.toString(witness.address().getPort())));
+                        Integer.toString(observer.address().getPort())));
     }
 
     /** Starts all and waits until each follower has told the witness what it has. */
     void start(Duration within) throws IOException, InterruptedException {
-        for (Proc distributor : distributors.values()) {
+        for (TrialProcess distributor : distributors.values()) {
             distributor.start();
         }
         for (String name : distributors.keySet()) {
             status(name, within);
         }
-        for (Proc process : followers.values()) {
+        for (TrialProcess process : followers.values()) {
             process.start();
         }
-        if (!witness.awaitRevision(0, followerCount(), within.toMillis())) {
+        if (!observer.awaitRevision(0, followerCount(), within.toMillis())) {
             throw new IOException("not all followers have started");
         }
     }
@@ -151,11 +151,11 @@
         return ZONES.size() * followersPerZone;
     }
 
-    Proc distributor(String name) {
+    TrialProcess distributor(String name) {
         return distributors.get(name);
     }
 
-    Proc followers(String name) {
+    TrialProcess followers(String name) {
         return followers.get(name);
     }
 
@@ -174,7 +174,7 @@
 
     /** What a distributor says of itself. */
     JsonNode status(String distributor, Duration within) throws IOException, InterruptedException {
-        String at = text(distributorAddresses.get(distributor));
+        String at = formatAddress(distributorAddresses.get(distributor));
         return new GroupClient(List.of(at), Ticker.SYSTEM)
                 .get("/v1/configuration/status", within);
     }
@@ -182,23 +182,23 @@
     /** Everything runs, and every link is clear again. */
     void heal() throws IOException, InterruptedException {
         links.values().forEach(some -> some.forEach(FaultProxy::heal));
-        for (Proc proc : processes()) {
-            proc.goOn();
-            if (!proc.alive()) {
+        for (TrialProcess proc : processes()) {
+            proc.resume();
+            if (!proc.isAlive()) {
                 proc.start();
             }
         }
     }
 
-    private List<Proc> processes() {
-        List<Proc> all = new ArrayList<>(distributors.values());
+    private List<TrialProcess> processes() {
+        List<TrialProcess> all = new ArrayList<>(distributors.values());
         all.addAll(followers.values());
         return all;
     }
 
     @Override
     public void close() throws IOException, InterruptedException {
-        for (Proc proc : processes()) {
+        for (TrialProcess proc : processes()) {
             proc.close();
         }
         for (List<FaultProxy> some : links.values()) {
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationWitness.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationObserver.java
@@ -21,23 +21,23 @@
  * no two have one revision with different digests. What was accepted is known later: {@link
  * #compare}.
  */
-final class ConfigurationWitness implements AutoCloseable {
+final class ConfigurationObserver implements AutoCloseable {
     /** A revision as it came into force at one follower; times are milliseconds since the start. */
-    record Observation(String follower, long revision, String digest, long atMs, boolean start) {}
+    record Observation(String follower, long revision, String digest, long atMs, boolean atStart) {}
 
     private final ServerSocket listener;
     private final long startNanos = System.nanoTime();
     private final List<Observation> observations = new ArrayList<>();
-    private final Map<String, Observation> newest = new TreeMap<>();
-    private final Map<Long, Observation> firstOfRevision = new TreeMap<>();
-    private final List<String> broken = new ArrayList<>();
+    private final Map<String, Observation> newestByFollower = new TreeMap<>();
+    private final Map<Long, Observation> firstByRevision = new TreeMap<>();
+    private final List<String> violations = new ArrayList<>();
 
-    ConfigurationWitness() throws IOException {
+    ConfigurationObserver() throws IOException {
         listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-        daemon(this::accept);
+        startDaemon(this::acceptAll);
     }
 
-    private static void daemon(Runnable work) {
+    private static void startDaemon(Runnable work) {
         Thread thread = new Thread(work, "configuration-witness");
         thread.setDaemon(true);
         thread.start();
@@ -47,11 +47,11 @@
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    private void accept() {
+    private void acceptAll() {
         while (!listener.isClosed()) {
             try {
                 Socket from = listener.accept();
-                daemon(() -> serve(from));
+                startDaemon(() -> serve(from));
             } catch (IOException closed) {
                 return;
             }
@@ -76,18 +76,18 @@
     /** Takes what a follower tells; {@code what} is how the revision came into force. */
     synchronized void observe(String follower, String what, long revision, String digest) {
         Observation now =
-                new Observation(follower, revision, digest, nowMs(), what.equals("start"));
+                new Observation(follower, revision, digest, elapsedMs(), what.equals("start"));
         observations.add(now);
         if (!List.of("start", "applied", "snapshot").contains(what)) {
-            broken.add(follower + " at revision " + revision + ": " + what);
+            violations.add(follower + " at revision " + revision + ": " + what);
         }
-        Observation before = newest.put(follower, now);
+        Observation before = newestByFollower.put(follower, now);
         if (before != null && revision < before.revision()) {
-            broken.add(follower + " went back from " + before.revision() + " to " + revision);
+            violations.add(follower + " went back from " + before.revision() + " to " + revision);
         }
-        Observation first = firstOfRevision.putIfAbsent(revision, now);
+        Observation first = firstByRevision.putIfAbsent(revision, now);
         if (first != null && !first.digest().equals(digest)) {
-            broken.add(
+            violations.add(
                     follower + " and " + first.follower() + " differ at revision " + revision);
         }
         notifyAll();
@@ -98,13 +98,13 @@
      *
      * @param digests by revision, as accepted
      */
-    synchronized void compare(Map<Long, String> digests) {
-        for (Observation one : firstOfRevision.values()) {
+    synchronized void compareWithAccepted(Map<Long, String> digests) {
+        for (Observation one : firstByRevision.values()) {
             String accepted = digests.get(one.revision());
             if (accepted == null) {
-                broken.add(one.follower() + " had revision " + one.revision() + ", never accepted");
+                violations.add(one.follower() + " had revision " + one.revision() + ", never accepted");
             } else if (!accepted.equals(one.digest())) {
-                broken.add(one.follower() + " had another digest at revision " + one.revision());
+                violations.add(one.follower() + " had another digest at revision " + one.revision());
             }
         }
     }
@@ -112,9 +112,9 @@
     /** Waits until so many followers have this revision or a newer one; false if not in time. */
     synchronized boolean awaitRevision(long revision, int followers, long withinMs)
             throws InterruptedException {
-        long untilMs = nowMs() + withinMs;
-        while (count(revision) < followers) {
-            long leftMs = untilMs - nowMs();
+        long untilMs = elapsedMs() + withinMs;
+        while (countWithRevision(revision) < followers) {
+            long leftMs = untilMs - elapsedMs();
             if (leftMs <= 0) {
                 return false;
             }
@@ -123,12 +123,12 @@
         return true;
     }
 
-    private long count(long revision) {
-        return newest.values().stream().filter(one -> one.revision() >= revision).count();
+    private long countWithRevision(long revision) {
+        return newestByFollower.values().stream().filter(one -> one.revision() >= revision).count();
     }
 
     /** When each follower had a revision, or a newer one, for the first time. */
-    synchronized Map<String, Long> inForceMs(long revision) {
+    synchronized Map<String, Long> appliedMsByFollower(long revision) {
         Map<String, Long> times = new TreeMap<>();
         for (Observation one : observations) {
             if (one.revision() >= revision) {
@@ -139,31 +139,31 @@
     }
 
     /** The newest observation of each follower. */
-    synchronized Map<String, Observation> newest() {
-        return new TreeMap<>(newest);
+    synchronized Map<String, Observation> newestByFollower() {
+        return new TreeMap<>(newestByFollower);
     }
 
     /** How many observations there were. */
-    synchronized int size() {
+    synchronized int observationCount() {
         return observations.size();
     }
 
     /** What must not be; none if all is as it should be. */
-    synchronized List<String> broken() {
-        return List.copyOf(broken);
+    synchronized List<String> violations() {
+        return List.copyOf(violations);
     }
 
     /** Adds what others found. */
-    synchronized void breach(String what) {
-        broken.add(what);
+    synchronized void addViolation(String what) {
+        violations.add(what);
     }
 
-    long nowMs() {
+    long elapsedMs() {
         return (System.nanoTime() - startNanos) / 1_000_000;
     }
 
     /** The digests that revision 0 has. */
-    static Map<Long, String> nothing() {
+    static Map<Long, String> initialDigests() {
         Map<Long, String> digests = new TreeMap<>();
         digests.put(0L, ConfigurationJson.formatDigest(new ConfigurationView().digest()));
         return digests;
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationSteps.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationStepTrial.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import saltstage.lab.trial.ConfigurationWriter.Accepted;
+import saltstage.lab.trial.ConfigurationWriter.AcceptedRevision;
 
 /**
  * Kills a process at a step of one change, starts it again, and waits until the change is in force
  * at all followers: each step with each process once.
  */
-final class ConfigurationSteps {
+final class ConfigurationStepTrial {
     /** How far a change is when the process is killed. */
     enum Step {
         /** It is on its way to the leader, or in its log; the writer has no reply. */
@@ -35,51 +35,51 @@
         ALL_CONTROL
     }
 
-    private static final Duration CALL = Duration.ofSeconds(30);
-    private static final long MOST_MS = 30_000;
-    private static final int LOGGED_MS = 2;
-    private static final int DOWN_MS = 300;
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(30);
+    private static final long MAX_WAIT_MS = 30_000;
+    private static final int LOGGED_DELAY_MS = 2;
+    private static final int DOWNTIME_MS = 300;
     private static final String DISTRIBUTOR = "d-a1";
     private static final String FOLLOWERS = "f-a1";
 
     private final ConfigurationTrial trial;
 
-    ConfigurationSteps(ConfigurationTrial trial) {
+    ConfigurationStepTrial(ConfigurationTrial trial) {
         this.trial = trial;
     }
 
     /** Returns how long it took from acceptance until all followers had it, milliseconds. */
-    long play(Step step, Victim victim) throws IOException, InterruptedException {
-        ConfigurationWitness witness = trial.witness();
-        String leader = trial.group().leader(CALL);
+    long runCase(Step step, Victim victim) throws IOException, InterruptedException {
+        ConfigurationObserver witness = trial.observer();
+        String leader = trial.group().leader(CALL_TIMEOUT);
         long before = newestRevision();
-        CompletableFuture<Accepted> change = CompletableFuture.supplyAsync(this::write);
+        CompletableFuture<AcceptedRevision> change = CompletableFuture.supplyAsync(this::writeChange);
         awaitStep(step, change, before + 1);
         kill(victim, leader);
-        Thread.sleep(DOWN_MS);
+        Thread.sleep(DOWNTIME_MS);
         trial.group().heal();
         trial.fleet().heal();
-        Accepted accepted = change.join();
+        AcceptedRevision accepted = change.join();
         if (accepted.revision() != before + 1) {
-            witness.breach("a change came to be " + (accepted.revision() - before) + " revisions");
+            witness.addViolation("a change came to be " + (accepted.revision() - before) + " revisions");
         }
         int all = trial.fleet().followerCount();
-        if (!witness.awaitRevision(accepted.revision(), all, MOST_MS)) {
-            throw new IOException("not in force everywhere after " + MOST_MS + " ms");
+        if (!witness.awaitRevision(accepted.revision(), all, MAX_WAIT_MS)) {
+            throw new IOException("not in force everywhere after " + MAX_WAIT_MS + " ms");
         }
-        witness.compare(trial.writer().digests());
-        return witness.inForceMs(accepted.revision()).values().stream()
+        witness.compareWithAccepted(trial.writer().fetchDigests());
+        return witness.appliedMsByFollower(accepted.revision()).values().stream()
                 .mapToLong(atMs -> Math.max(0, atMs - accepted.atMs()))
                 .max()
                 .orElseThrow();
     }
 
     private long newestRevision() {
-        List<Accepted> accepted = trial.writer().accepted();
+        List<AcceptedRevision> accepted = trial.writer().acceptedRevisions();
         return accepted.get(accepted.size() - 1).revision();
     }
 
-    private Accepted write() {
+    private AcceptedRevision writeChange() {
         try {
             return trial.writer().moveShards();
         } catch (IOException | InterruptedException failed) {
@@ -87,10 +87,10 @@
         }
     }
 
-    private void awaitStep(Step step, CompletableFuture<Accepted> change, long revision)
+    private void awaitStep(Step step, CompletableFuture<AcceptedRevision> change, long revision)
             throws IOException, InterruptedException {
         switch (step) {
-            case LOGGED -> Thread.sleep(LOGGED_MS);
+            case LOGGED -> Thread.sleep(LOGGED_DELAY_MS);
             case ACCEPTED -> change.join();
             case AT_DISTRIBUTOR -> {
                 while (status().path("revision").asLong() < revision) {
@@ -98,8 +98,8 @@
                 }
             }
             case AT_FOLLOWER -> {
-                if (!trial.witness().awaitRevision(revision, 1, MOST_MS)) {
-                    throw new IOException("at no follower after " + MOST_MS + " ms");
+                if (!trial.observer().awaitRevision(revision, 1, MAX_WAIT_MS)) {
+                    throw new IOException("at no follower after " + MAX_WAIT_MS + " ms");
                 }
             }
             case CONFIRMED -> awaitConfirmations(revision);
@@ -108,11 +108,11 @@
     }
 
     private JsonNode status() throws IOException, InterruptedException {
-        return trial.fleet().status(DISTRIBUTOR, CALL);
+        return trial.fleet().status(DISTRIBUTOR, CALL_TIMEOUT);
     }
 
     private void awaitConfirmations(long revision) throws IOException, InterruptedException {
-        long untilNanos = System.nanoTime() + Duration.ofMillis(MOST_MS).toNanos();
+        long untilNanos = System.nanoTime() + Duration.ofMillis(MAX_WAIT_MS).toNanos();
         while (System.nanoTime() < untilNanos) {
             JsonNode status = status();
             for (JsonNode zone : status.path("zones")) {
@@ -125,17 +125,17 @@
             }
             Thread.sleep(1);
         }
-        throw new IOException("not confirmed after " + MOST_MS + " ms");
+        throw new IOException("not confirmed after " + MAX_WAIT_MS + " ms");
     }
 
     private void kill(Victim victim, String leader) throws IOException, InterruptedException {
         switch (victim) {
-            case LEADER -> trial.group().proc(leader).kill();
+            case LEADER -> trial.group().process(leader).kill();
             case DISTRIBUTOR -> trial.fleet().distributor(DISTRIBUTOR).kill();
             case FOLLOWERS -> trial.fleet().followers(FOLLOWERS).kill();
             case ALL_CONTROL ->
                     new ConfigurationFault(ConfigurationFault.Kind.CONTROL_RESTARTED, "", 0)
-                            .begin(trial.group(), trial.fleet());
+                            .inject(trial.group(), trial.fleet());
             default -> throw new IllegalStateException(victim.name());
         }
     }
