--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationTrial.java
@@ -9,22 +9,22 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import saltstage.lab.trial.ConfigurationWriter.Accepted;
+import saltstage.lab.trial.ConfigurationWriter.AcceptedRevision;
 
 /**
  * A group, its distributors and followers in processes of their own, with changes written while
  * faults befall them. The witness outside judges: nothing that was not accepted, nobody goes back,
  * no other digest than the writer's, all digests agree in the end, and each change in force at each
- * live follower within {@link #LIMIT_MS}.
+ * live follower within {@link #MAX_PROPAGATION_MS}.
  */
 public final class ConfigurationTrial implements AutoCloseable {
     /** A change is in force at each live follower within so many milliseconds. */
-    public static final long LIMIT_MS = 9_000;
+    public static final long MAX_PROPAGATION_MS = 9_000;
 
-    private static final Duration START = Duration.ofSeconds(60);
-    private static final int CONVERGES_MS = 30_000;
-    private static final int PAUSE_MS = 120;
-    private static final int AFTER_FAULT_MS = 800;
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
+    private static final int CONVERGENCE_TIMEOUT_MS = 30_000;
+    private static final int WRITE_INTERVAL_MS = 120;
+    private static final int WRITE_AFTER_FAULT_MS = 800;
 
     /**
      * How a trial went; times from acceptance to in force, in milliseconds, over all changes and
@@ -34,40 +34,40 @@
      */
     public record Verdict(
             long seed,
-            int changes,
-            int observations,
+            int changeCount,
+            int observationCount,
             long medianMs,
             long p99Ms,
-            long longestMs,
-            Map<String, Long> longestMsByFault,
-            List<String> broken) {}
+            long maxMs,
+            Map<String, Long> maxMsByFault,
+            List<String> violations) {}
 
     /** Followers that were not live, or nobody who served, for this span of the witness's time. */
-    private record Down(String followers, long fromMs, long toMs) {
+    private record Outage(String followerPrefix, long fromMs, long toMs) {
         boolean covers(String follower, long fromMs, long toMs) {
-            return follower.startsWith(followers) && this.fromMs <= toMs && this.toMs >= fromMs;
+            return follower.startsWith(followerPrefix) && this.fromMs <= toMs && this.toMs >= fromMs;
         }
     }
 
-    private record Write(Accepted accepted, ConfigurationFault.Kind under) {}
+    private record WrittenChange(AcceptedRevision accepted, ConfigurationFault.Kind faultKind) {}
 
-    private final ConfigurationWitness witness = new ConfigurationWitness();
+    private final ConfigurationObserver observer = new ConfigurationObserver();
     private final GroupUnderTest group;
     private final ConfigurationFleet fleet;
     private final ConfigurationWriter writer;
-    private final List<Down> down = new ArrayList<>();
-    private final List<Write> writes = new ArrayList<>();
+    private final List<Outage> outages = new ArrayList<>();
+    private final List<WrittenChange> writtenChanges = new ArrayList<>();
 
     /** Starts all of it in a folder of its own, with so many followers a zone. */
     public ConfigurationTrial(Path dir, int followersPerZone)
             throws IOException, InterruptedException {
-        List<Path> jars = List.of(Proc.builtJar());
+        List<Path> jars = List.of(TrialProcess.coordinatorJar());
         group = new GroupUnderTest(dir, 3, jars, "  snapshot_every = 100\n").start();
-        group.leader(START);
-        fleet = new ConfigurationFleet(dir, group, witness, followersPerZone);
-        writer = new ConfigurationWriter(group.client(), witness, 1);
-        writer.begin(START);
-        fleet.start(START);
+        group.leader(START_TIMEOUT);
+        fleet = new ConfigurationFleet(dir, group, observer, followersPerZone);
+        writer = new ConfigurationWriter(group.client(), observer, 1);
+        writer.putBackends(START_TIMEOUT);
+        fleet.start(START_TIMEOUT);
     }
 
     GroupUnderTest group() {
@@ -82,108 +82,108 @@
         return writer;
     }
 
-    ConfigurationWitness witness() {
-        return witness;
+    ConfigurationObserver observer() {
+        return observer;
     }
 
     /** Plays so many faults of a seed and judges. */
-    public Verdict play(long seed, int faults) throws IOException, InterruptedException {
-        writes.clear();
-        down.clear();
-        write(null, AFTER_FAULT_MS);
-        for (ConfigurationFault fault : ConfigurationFault.script(seed, faults, fleet)) {
-            play(fault);
+    public Verdict run(long seed, int faults) throws IOException, InterruptedException {
+        writtenChanges.clear();
+        outages.clear();
+        writeChanges(null, WRITE_AFTER_FAULT_MS);
+        for (ConfigurationFault fault : ConfigurationFault.randomFaults(seed, faults, fleet)) {
+            runFault(fault);
         }
-        return judge(seed);
+        return evaluate(seed);
     }
 
-    private void play(ConfigurationFault fault) throws IOException, InterruptedException {
-        long fromMs = witness.nowMs();
-        fault.begin(group, fleet);
+    private void runFault(ConfigurationFault fault) throws IOException, InterruptedException {
+        long fromMs = observer.elapsedMs();
+        fault.inject(group, fleet);
         boolean nobodyWrites = fault.kind() == ConfigurationFault.Kind.CONTROL_RESTARTED;
         if (!nobodyWrites) {
-            write(fault.kind(), fault.lastsMs());
+            writeChanges(fault.kind(), fault.durationMs());
         }
-        fault.end(group, fleet);
+        fault.repair(group, fleet);
         if (fault.kind() == ConfigurationFault.Kind.FOLLOWERS_KILLED) {
-            awaitStart(fault.at(), fromMs);
+            awaitRestart(fault.target(), fromMs);
         }
         if (fault.stopsFollowers()) {
-            down.add(new Down(fault.at(), fromMs, witness.nowMs()));
+            outages.add(new Outage(fault.target(), fromMs, observer.elapsedMs()));
         } else if (nobodyWrites) {
-            down.add(new Down("", fromMs, witness.nowMs()));
+            outages.add(new Outage("", fromMs, observer.elapsedMs()));
         }
-        write(fault.kind(), AFTER_FAULT_MS);
+        writeChanges(fault.kind(), WRITE_AFTER_FAULT_MS);
     }
 
-    private void awaitStart(String followers, long sinceMs) throws InterruptedException {
-        long untilMs = witness.nowMs() + START.toMillis();
-        while (witness.newest().values().stream()
+    private void awaitRestart(String followers, long sinceMs) throws InterruptedException {
+        long untilMs = observer.elapsedMs() + START_TIMEOUT.toMillis();
+        while (observer.newestByFollower().values().stream()
                 .anyMatch(one -> one.follower().startsWith(followers) && one.atMs() < sinceMs)) {
-            if (witness.nowMs() > untilMs) {
-                witness.breach(followers + " did not start again");
+            if (observer.elapsedMs() > untilMs) {
+                observer.addViolation(followers + " did not start again");
                 return;
             }
             Thread.sleep(10);
         }
     }
 
-    private void write(ConfigurationFault.Kind under, long forMs)
+    private void writeChanges(ConfigurationFault.Kind under, long forMs)
             throws IOException, InterruptedException {
-        long untilMs = witness.nowMs() + forMs;
+        long untilMs = observer.elapsedMs() + forMs;
         do {
-            writes.add(new Write(writer.moveShards(), under));
-            Thread.sleep(PAUSE_MS);
-        } while (witness.nowMs() < untilMs);
+            writtenChanges.add(new WrittenChange(writer.moveShards(), under));
+            Thread.sleep(WRITE_INTERVAL_MS);
+        } while (observer.elapsedMs() < untilMs);
     }
 
-    private Verdict judge(long seed) throws IOException, InterruptedException {
-        Accepted last = writes.get(writes.size() - 1).accepted();
-        if (!witness.awaitRevision(last.revision(), fleet.followerCount(), CONVERGES_MS)) {
-            witness.breach("not all followers came to revision " + last.revision());
+    private Verdict evaluate(long seed) throws IOException, InterruptedException {
+        AcceptedRevision last = writtenChanges.get(writtenChanges.size() - 1).accepted();
+        if (!observer.awaitRevision(last.revision(), fleet.followerCount(), CONVERGENCE_TIMEOUT_MS)) {
+            observer.addViolation("not all followers came to revision " + last.revision());
         }
-        Map<Long, String> digests = writer.digests();
-        witness.compare(digests);
-        witness.newest().values().stream()
+        Map<Long, String> digests = writer.fetchDigests();
+        observer.compareWithAccepted(digests);
+        observer.newestByFollower().values().stream()
                 .filter(one -> !one.digest().equals(digests.get(one.revision())))
-                .forEach(one -> witness.breach(one.follower() + " ends with another digest"));
+                .forEach(one -> observer.addViolation(one.follower() + " ends with another digest"));
         Histogram times = new Histogram(3);
         Map<ConfigurationFault.Kind, Long> longest = new EnumMap<>(ConfigurationFault.Kind.class);
-        for (Write write : writes) {
-            for (long ms : timesInForce(write.accepted())) {
+        for (WrittenChange write : writtenChanges) {
+            for (long ms : propagationTimes(write.accepted())) {
                 times.recordValue(ms);
-                if (write.under() != null) {
-                    longest.merge(write.under(), ms, Math::max);
+                if (write.faultKind() != null) {
+                    longest.merge(write.faultKind(), ms, Math::max);
                 }
             }
         }
-        if (times.getMaxValue() > LIMIT_MS) {
-            witness.breach("a change was in force only after " + times.getMaxValue() + " ms");
+        if (times.getMaxValue() > MAX_PROPAGATION_MS) {
+            observer.addViolation("a change was in force only after " + times.getMaxValue() + " ms");
         }
         Map<String, Long> named = new TreeMap<>();
         longest.forEach((kind, ms) -> named.put(kind.name().toLowerCase(), ms));
         return new Verdict(
                 seed,
-                writes.size(),
-                witness.size(),
+                writtenChanges.size(),
+                observer.observationCount(),
                 times.getValueAtPercentile(50),
                 times.getValueAtPercentile(99),
                 times.getMaxValue(),
                 named,
-                witness.broken());
+                observer.violations());
     }
 
     /** From acceptance, or from when the follower was live again, to in force; by follower. */
-    private List<Long> timesInForce(Accepted accepted) {
+    private List<Long> propagationTimes(AcceptedRevision accepted) {
         List<Long> times = new ArrayList<>();
-        witness.inForceMs(accepted.revision())
-                .forEach((follower, atMs) -> times.add(timeInForce(accepted, follower, atMs)));
+        observer.appliedMsByFollower(accepted.revision())
+                .forEach((follower, atMs) -> times.add(propagationTime(accepted, follower, atMs)));
         return times;
     }
 
-    private long timeInForce(Accepted accepted, String follower, long atMs) {
+    private long propagationTime(AcceptedRevision accepted, String follower, long atMs) {
         long fromMs = accepted.atMs();
-        for (Down span : down) {
+        for (Outage span : outages) {
             if (span.covers(follower, accepted.atMs(), atMs)) {
                 fromMs = Math.max(fromMs, span.toMs());
             }
@@ -195,6 +195,6 @@
     public void close() throws IOException, InterruptedException {
         fleet.close();
         group.close();
-        witness.close();
+        observer.close();
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationTrialCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationTrialCommand.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import saltstage.lab.Home;
+import saltstage.lab.Installation;
 
 /** Trials of the configuration's way from the group to followers. */
 @Command(
@@ -34,44 +34,44 @@
         Path dir = Files.createTempDirectory("trial-configuration-");
         boolean sound;
         try (ConfigurationTrial trial = new ConfigurationTrial(dir, followers)) {
-            sound = steps ? table(trial) : seeds(trial);
+            sound = steps ? runStepTable(trial) : runSeeds(trial);
         }
         if (sound) {
-            Home.delete(dir);
+            Installation.deleteRecursively(dir);
         } else {
             System.out.println("in " + dir);
         }
         return sound ? 0 : 1;
     }
 
-    private boolean seeds(ConfigurationTrial trial) throws Exception {
+    private boolean runSeeds(ConfigurationTrial trial) throws Exception {
         boolean sound = true;
         for (long each = seed; each < seed + seeds && sound; each++) {
-            ConfigurationTrial.Verdict verdict = trial.play(each, faults);
+            ConfigurationTrial.Verdict verdict = trial.run(each, faults);
             System.out.printf(
                     "seed %d: %d changes, %d observations; in force after p50 %d, p99 %d, most"
                             + " %d ms; most by fault %s%s%n",
                     each,
-                    verdict.changes(),
-                    verdict.observations(),
+                    verdict.changeCount(),
+                    verdict.observationCount(),
                     verdict.medianMs(),
                     verdict.p99Ms(),
-                    verdict.longestMs(),
-                    verdict.longestMsByFault(),
-                    verdict.broken().isEmpty() ? "" : ", BROKEN " + verdict.broken());
-            sound = verdict.broken().isEmpty();
+                    verdict.maxMs(),
+                    verdict.maxMsByFault(),
+                    verdict.violations().isEmpty() ? "" : ", BROKEN " + verdict.violations());
+            sound = verdict.violations().isEmpty();
         }
         return sound;
     }
 
-    private static boolean table(ConfigurationTrial trial) throws InterruptedException {
-        ConfigurationSteps cells = new ConfigurationSteps(trial);
+    private static boolean runStepTable(ConfigurationTrial trial) throws InterruptedException {
+        ConfigurationStepTrial cells = new ConfigurationStepTrial(trial);
         int failed = 0;
-        for (ConfigurationSteps.Step step : ConfigurationSteps.Step.values()) {
-            for (ConfigurationSteps.Victim victim : ConfigurationSteps.Victim.values()) {
+        for (ConfigurationStepTrial.Step step : ConfigurationStepTrial.Step.values()) {
+            for (ConfigurationStepTrial.Victim victim : ConfigurationStepTrial.Victim.values()) {
                 String came;
                 try {
-                    came = "in force everywhere after " + cells.play(step, victim) + " ms";
+                    came = "in force everywhere after " + cells.runCase(step, victim) + " ms";
                 } catch (IOException not) {
                     came = not.getMessage();
                     failed++;
@@ -79,7 +79,7 @@
                 System.out.printf("%-15s %-12s %s%n", step, victim, came);
             }
         }
-        System.out.println("broken: " + trial.witness().broken());
-        return failed == 0 && trial.witness().broken().isEmpty();
+        System.out.println("broken: " + trial.observer().violations());
+        return failed == 0 && trial.observer().violations().isEmpty();
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationWriter.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationWriter.java
@@ -19,28 +19,28 @@
 /** Changes a group's configuration and keeps what was accepted, and when. */
 final class ConfigurationWriter {
     /** An accepted change; the time is the witness's, when the reply came. */
-    record Accepted(long revision, String digest, long atMs) {}
+    record AcceptedRevision(long revision, String digest, long atMs) {}
 
-    private static final Duration CALL = Duration.ofSeconds(20);
-    private static final int BACKENDS = 4;
-    private static final int SHARDS = 40;
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(20);
+    private static final int BACKEND_COUNT = 4;
+    private static final int SHARD_COUNT = 40;
 
     private final GroupClient client;
-    private final ConfigurationWitness witness;
+    private final ConfigurationObserver observer;
     private final Random random;
-    private final List<Accepted> accepted = new ArrayList<>();
-    private int changes;
+    private final List<AcceptedRevision> acceptedRevisions = new ArrayList<>();
+    private int changeCount;
 
-    ConfigurationWriter(GroupClient client, ConfigurationWitness witness, long seed) {
+    ConfigurationWriter(GroupClient client, ConfigurationObserver witness, long seed) {
         this.client = client;
-        this.witness = witness;
+        this.observer = witness;
         random = new Random(seed);
     }
 
     /** Waits until the group takes configuration, and puts the backends in. */
-    void begin(Duration within) throws IOException, InterruptedException {
+    void putBackends(Duration within) throws IOException, InterruptedException {
         List<Mutation> backends = new ArrayList<>();
-        for (int i = 0; i < BACKENDS; i++) {
+        for (int i = 0; i < BACKEND_COUNT; i++) {
             EntryValue backend =
                     new EntryValue.Backend(
                             "10.0.0." + (i + 1) + ":5000",
@@ -63,26 +63,26 @@
     }
 
     /** Moves some shards to other backends, as one change. */
-    Accepted moveShards() throws IOException, InterruptedException {
-        changes++;
+    AcceptedRevision moveShards() throws IOException, InterruptedException {
+        changeCount++;
         List<Mutation> moves = new ArrayList<>();
         for (int i = 0; i <= random.nextInt(5); i++) {
-            EntryKey key = EntryKey.parse("shard/topic-1/" + random.nextInt(SHARDS));
+            EntryKey key = EntryKey.parse("shard/topic-1/" + random.nextInt(SHARD_COUNT));
             boolean delete = random.nextInt(10) == 0;
-            EntryValue to = new EntryValue.Shard("gw-" + random.nextInt(BACKENDS));
+            EntryValue to = new EntryValue.Shard("gw-" + random.nextInt(BACKEND_COUNT));
             moves.add(new Mutation(key, delete ? null : to));
         }
         // Each change says something new, whatever the moves come to.
-        String weight = "10.0.1." + changes % 200 + ":" + (1 + changes);
+        String weight = "10.0.1." + changeCount % 200 + ":" + (1 + changeCount);
         EntryValue marker =
                 new EntryValue.Backend(
-                        weight, "a1", 0, EntryValue.BackendState.DRAINING, 0, changes);
+                        weight, "a1", 0, EntryValue.BackendState.DRAINING, 0, changeCount);
         moves.add(new Mutation(EntryKey.parse("backend/marker"), marker));
         Reply reply = send(moves);
         if (!(reply instanceof ConfigurationReplies.Changed)) {
             throw new IOException("refused: " + reply);
         }
-        return accepted.get(accepted.size() - 1);
+        return acceptedRevisions.get(acceptedRevisions.size() - 1);
     }
 
     private Reply send(List<Mutation> mutations) throws IOException, InterruptedException {
@@ -90,27 +90,27 @@
                 client.send(
                                 new ConfigurationCommands.ChangeConfiguration(
                                         "trial", mutations, Map.of()),
-                                CALL)
+                                CALL_TIMEOUT)
                         .reply();
         if (reply instanceof ConfigurationReplies.Changed changed) {
-            accepted.add(new Accepted(changed.revision(), changed.digest(), witness.nowMs()));
+            acceptedRevisions.add(new AcceptedRevision(changed.revision(), changed.digest(), observer.elapsedMs()));
         }
         return reply;
     }
 
-    List<Accepted> accepted() {
-        return List.copyOf(accepted);
+    List<AcceptedRevision> acceptedRevisions() {
+        return List.copyOf(acceptedRevisions);
     }
 
     /**
      * What the group has accepted, by revision, as it says itself now. A replica that has just
      * started may not have caught up yet; what was accepted and does not show in time is lost.
      */
-    Map<Long, String> digests() throws IOException, InterruptedException {
-        Map<Long, String> digests = ConfigurationWitness.nothing();
+    Map<Long, String> fetchDigests() throws IOException, InterruptedException {
+        Map<Long, String> digests = ConfigurationObserver.initialDigests();
         long after = 0;
-        long wanted = accepted.get(accepted.size() - 1).revision();
-        long untilNanos = System.nanoTime() + CALL.toNanos();
+        long wanted = acceptedRevisions.get(acceptedRevisions.size() - 1).revision();
+        long untilNanos = System.nanoTime() + CALL_TIMEOUT.toNanos();
         while (after < wanted && System.nanoTime() < untilNanos) {
             JsonNode answer =
                     client.get(
@@ -119,7 +119,7 @@
                                     + "&digest="
                                     + digests.get(after)
                                     + "&follower=trial&zone=trial&waitMs=0",
-                            CALL);
+                            CALL_TIMEOUT);
             for (JsonNode change : answer.path("changes")) {
                 after = change.path("revision").asLong();
                 digests.put(after, change.path("digest").asText());
@@ -128,9 +128,9 @@
                 Thread.sleep(50);
             }
         }
-        for (Accepted one : accepted) {
+        for (AcceptedRevision one : acceptedRevisions) {
             if (!one.digest().equals(digests.get(one.revision()))) {
-                witness.breach("revision " + one.revision() + " was accepted and is lost or other");
+                observer.addViolation("revision " + one.revision() + " was accepted and is lost or other");
             }
         }
         return new TreeMap<>(digests);
--- a/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
@@ -22,7 +22,7 @@
 import saltstage.coordinator.window.WindowCommands;
 import saltstage.coordinator.window.WindowReplies;
 import saltstage.coordinator.window.WindowRequest;
-import saltstage.lab.Home;
+import saltstage.lab.Installation;
 
 /**
  * The fleet as one, to look at: three coordinators, two regions with an agent, a relay, gateways and clients
@@ -33,73 +33,73 @@
 @Command(name = "demo-fleet", mixinStandardHelpOptions = true,
     description = "Two regions in maintenance, a leader and an agent killed on the way.")
 public final class DemoFleetCommand implements Callable<Integer> {
-    private static final int NODES = 4;
-    private static final long FLOOR = 5;
+    private static final int NODES_PER_REGION = 4;
+    private static final long FLOOR_NODES = 5;
     private static final long DRAIN_MS = 3_000;
     private static final long WORK_MS = 4_000;
-    private static final long WARM_MS = 4_000;
-    private static final Duration CALL = Duration.ofSeconds(15);
-    private static final Duration MOST = Duration.ofSeconds(100);
+    private static final long WARM_UP_MS = 4_000;
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(15);
+    private static final Duration MAX_DURATION = Duration.ofSeconds(100);
 
     @Option(names = "--clients", defaultValue = "40", description = "a region (default 40)")
     private int clientCount;
 
     private final Map<String, RealRegion> regions = new LinkedHashMap<>();
-    private final Map<String, Proc> agents = new LinkedHashMap<>();
-    private final List<String> broken = new ArrayList<>();
-    private final List<String> happened = new ArrayList<>();
-    private long least = Long.MAX_VALUE;
-    private long shownMs = -1_000;
+    private final Map<String, TrialProcess> agents = new LinkedHashMap<>();
+    private final List<String> violations = new ArrayList<>();
+    private final List<String> unprintedEvents = new ArrayList<>();
+    private long minCapacity = Long.MAX_VALUE;
+    private long lastPrintedMs = -1_000;
 
     /** What became of it; none broken is as it should be. */
-    public List<String> broken() {
-        return broken;
+    public List<String> violations() {
+        return violations;
     }
 
     @Override
     public Integer call() throws Exception {
         Path dir = Files.createTempDirectory("demo-fleet");
-        try (GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(Proc.builtJar()), "").start()) {
+        try (GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), "").start()) {
             group.leader(Duration.ofSeconds(20));
             for (String name : List.of("kita", "minami")) {
-                regions.put(name, new RealRegion(name, dir, NODES, clientCount, WARM_MS));
-                agents.put(name, Proc.coordinator("agent-" + name, Proc.builtJar(), dir, List.of("agent",
-                    "--at", String.join(",", group.places()), "--agent",
-                    regions.get(name).seen().settings(dir).toString())).start());
+                regions.put(name, new RealRegion(name, dir, NODES_PER_REGION, clientCount, WARM_UP_MS));
+                agents.put(name, TrialProcess.coordinator("agent-" + name, TrialProcess.coordinatorJar(), dir, List.of("agent",
+                    "--at", String.join(",", group.clientAddresses()), "--agent",
+                    regions.get(name).fakeRegion().writeAgentSettings(dir).toString())).start());
             }
-            play(group);
+            runWindows(group);
             group.heal();
             try (ConfigurationDemo configuration = new ConfigurationDemo(dir, group)) {
-                if (!configuration.play()) {
-                    broken.add("configuration");
+                if (!configuration.run()) {
+                    violations.add("configuration");
                 }
             }
         } finally {
-            for (Proc agent : agents.values()) {
+            for (TrialProcess agent : agents.values()) {
                 agent.close();
             }
             for (RealRegion region : regions.values()) {
                 region.close();
             }
         }
-        System.out.println("least capacity " + least / 1_000.0 + " of " + 2 * NODES + " gateways, floor "
-            + FLOOR + (broken.isEmpty() ? ": kept" : ": BROKEN " + broken + ", see " + dir));
-        if (broken.isEmpty()) {
-            Home.delete(dir);
+        System.out.println("least capacity " + minCapacity / 1_000.0 + " of " + 2 * NODES_PER_REGION + " gateways, floor "
+            + FLOOR_NODES + (violations.isEmpty() ? ": kept" : ": BROKEN " + violations + ", see " + dir));
+        if (violations.isEmpty()) {
+            Installation.deleteRecursively(dir);
         }
-        return broken.isEmpty() ? 0 : 1;
+        return violations.isEmpty() ? 0 : 1;
     }
 
-    private void play(GroupUnderTest group) throws Exception {
+    private void runWindows(GroupUnderTest group) throws Exception {
         GroupClient client = group.client();
         StringBuilder fleet = new StringBuilder("fleet {\n  slot = \"200ms\"\n  most_regions = 2\n");
-        regions.values().forEach(region -> fleet.append(region.seen().fleet()));
-        fleet.append("  floor \"all\" {\n    regions = [\"kita\", \"minami\"]\n    least = " + FLOOR
+        regions.values().forEach(region -> fleet.append(region.fakeRegion().fleetSettings()));
+        fleet.append("  floor \"all\" {\n    regions = [\"kita\", \"minami\"]\n    least = " + FLOOR_NODES
             + "\n  }\n}\n");
         Reply agreed = null;
         for (int i = 0; i < 100 && !(agreed instanceof Acknowledgement); i++) {
             agreed = client.send(new WindowCommands.SetFleet(
-                FleetSettings.parse("fleet", fleet.toString(), Instant.now()), "demo"), CALL).reply();
+                FleetSettings.parse("fleet", fleet.toString(), Instant.now()), "demo"), CALL_TIMEOUT).reply();
             Thread.sleep(100);
         }
         Thread.sleep(2_000); // clients come
@@ -107,66 +107,66 @@
         for (String region : regions.keySet()) {
             Window window = propose(client, region);
             windows.put(window.id(), window);
-            happened.add("proposed " + window.id() + " in " + region + ", planned for "
+            unprintedEvents.add("proposed " + window.id() + " in " + region + ", planned for "
                 + Instant.ofEpochMilli(window.start()) + " (" + window.why() + ")");
         }
-        watch(group, client, windows);
+        watchWindows(group, client, windows);
     }
 
     private Window propose(GroupClient client, String region) throws IOException, InterruptedException {
         long now = System.currentTimeMillis();
-        List<String> nodes = regions.get(region).seen().nodes().subList(0, NODES - 1);
-        WindowRequest request = new WindowRequest(region, nodes, DRAIN_MS, WORK_MS, WARM_MS, now,
+        List<String> nodes = regions.get(region).fakeRegion().nodeNames().subList(0, NODES_PER_REGION - 1);
+        WindowRequest request = new WindowRequest(region, nodes, DRAIN_MS, WORK_MS, WARM_UP_MS, now,
             now + 600_000, 0, false, false, List.of(), List.of(), "demo", "new kernel");
-        Reply reply = client.send(new WindowCommands.Propose(request), CALL).reply();
+        Reply reply = client.send(new WindowCommands.Propose(request), CALL_TIMEOUT).reply();
         if (reply instanceof WindowReplies.Planned planned) {
             return planned.windows().get(0);
         }
         throw new IOException("not planned: " + reply);
     }
 
-    private void watch(GroupUnderTest group, GroupClient client, Map<Long, Window> windows) throws Exception {
+    private void watchWindows(GroupUnderTest group, GroupClient client, Map<Long, Window> windows) throws Exception {
         long start = System.nanoTime();
         boolean agentKilled = false;
         boolean leaderKilled = false;
         String victim = null;
         for (boolean over = false; !over; Thread.sleep(250)) {
             over = true;
-            for (JsonNode row : client.get("/v1/windows", CALL).path("windows")) {
+            for (JsonNode row : client.get("/v1/windows", CALL_TIMEOUT).path("windows")) {
                 Window now = GroupCodec.jsonMapper().treeToValue(row, Window.class);
                 Window before = windows.put(now.id(), now);
                 if (before == null || before.state() != now.state()) {
-                    happened.add("window " + now.id() + " " + now.state() + ": " + now.why());
+                    unprintedEvents.add("window " + now.id() + " " + now.state() + ": " + now.why());
                     checkEmpty(now);
                 }
                 over &= now.state() == Window.State.DONE;
                 if (now.state() == Window.State.OUT && !agentKilled) {
                     agentKilled = true;
-                    Proc agent = agents.get(now.wish().region());
+                    TrialProcess agent = agents.get(now.wish().region());
                     agent.kill();
                     agent.start();
-                    happened.add("agent of " + now.wish().region() + " killed and started anew");
+                    unprintedEvents.add("agent of " + now.wish().region() + " killed and started anew");
                 }
                 if (now.state() == Window.State.WARMING && !leaderKilled) {
                     leaderKilled = true;
-                    victim = group.leader(CALL);
-                    group.proc(victim).kill();
-                    happened.add("leader " + victim + " killed");
-                } else if (victim != null && !group.proc(victim).alive()
+                    victim = group.leader(CALL_TIMEOUT);
+                    group.process(victim).kill();
+                    unprintedEvents.add("leader " + victim + " killed");
+                } else if (victim != null && !group.process(victim).isAlive()
                         && now.state() == Window.State.DONE) {
-                    group.proc(victim).start();
-                    happened.add(victim + " started anew");
+                    group.process(victim).start();
+                    unprintedEvents.add(victim + " started anew");
                 }
             }
-            line((System.nanoTime() - start) / 1_000_000);
-            if (System.nanoTime() - start > MOST.toNanos()) {
-                broken.add("not done within " + MOST.toSeconds() + " s: " + windows.values());
+            printStatus((System.nanoTime() - start) / 1_000_000);
+            if (System.nanoTime() - start > MAX_DURATION.toNanos()) {
+                violations.add("not done within " + MAX_DURATION.toSeconds() + " s: " + windows.values());
                 return;
             }
         }
         regions.forEach((name, region) -> {
-            if (region.clients().cut() > 0) {
-                broken.add(region.clients().cut() + " clients were cut off in " + name);
+            if (region.clients().brokenCount() > 0) {
+                violations.add(region.clients().brokenCount() + " clients were cut off in " + name);
             }
         });
     }
@@ -178,28 +178,28 @@
         }
         RealRegion region = regions.get(window.wish().region());
         for (String node : window.wish().nodes()) {
-            if (region.standing(node) > 0) {
-                broken.add("window " + window.id() + " is out with " + region.standing(node) + " clients at "
+            if (region.establishedCount(node) > 0) {
+                violations.add("window " + window.id() + " is out with " + region.establishedCount(node) + " clients at "
                     + node);
             }
         }
     }
 
-    private void line(long ms) {
-        long now = regions.values().stream().mapToLong(r -> r.seen().capacity(false)).sum();
-        least = Math.min(least, now);
-        if (now < FLOOR * 1_000) {
-            broken.add("at " + ms + " ms " + now + " thousandths of a gateway");
+    private void printStatus(long ms) {
+        long now = regions.values().stream().mapToLong(r -> r.fakeRegion().capacity(false)).sum();
+        minCapacity = Math.min(minCapacity, now);
+        if (now < FLOOR_NODES * 1_000) {
+            violations.add("at " + ms + " ms " + now + " thousandths of a gateway");
         }
-        if (happened.isEmpty() && ms - shownMs < 1_000) {
+        if (unprintedEvents.isEmpty() && ms - lastPrintedMs < 1_000) {
             return;
         }
-        shownMs = ms;
+        lastPrintedMs = ms;
         StringBuilder text = new StringBuilder();
-        regions.forEach((name, region) -> text.append(name).append(" out ").append(region.seen().outNow())
-            .append(" clients ").append(region.clients().standing()).append("  "));
-        System.out.printf("%6.2f s  %5.2f of %d, floor %d  %s%s%n", ms / 1_000.0, now / 1_000.0, 2 * NODES,
-            FLOOR, text, happened.isEmpty() ? "" : "  <- " + String.join("; ", happened));
-        happened.clear();
+        regions.forEach((name, region) -> text.append(name).append(" out ").append(region.fakeRegion().suspendedNodes())
+            .append(" clients ").append(region.clients().establishedCount()).append("  "));
+        System.out.printf("%6.2f s  %5.2f of %d, floor %d  %s%s%n", ms / 1_000.0, now / 1_000.0, 2 * NODES_PER_REGION,
+            FLOOR_NODES, text, unprintedEvents.isEmpty() ? "" : "  <- " + String.join("; ", unprintedEvents));
+        unprintedEvents.clear();
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/StandInRegion.java
+++ b/lab/src/main/java/saltstage/lab/trial/FakeRegion.java
@@ -22,64 +22,64 @@
  * The relays and nodes of one region, as an agent meets them: relays take operators' calls, nodes answer
  * PING. It knows what is out and since when it is back, whatever the group believes.
  */
-final class StandInRegion implements AutoCloseable {
+final class FakeRegion implements AutoCloseable {
     private final String name;
     private final Map<String, InetSocketAddress> nodes = new LinkedHashMap<>();
-    private final long warmMs;
-    private final List<InetSocketAddress> behind;
-    private final List<Set<String>> suspended = new ArrayList<>();
-    private final List<ServerSocket> relays = new ArrayList<>();
-    private final List<ServerSocket> listeners = new ArrayList<>();
-    private final Map<String, Long> backSince = new LinkedHashMap<>();
-    private final Set<String> down = new HashSet<>();
-    private final Set<Integer> relaysDown = new HashSet<>();
-    private int begun;
+    private final long warmUpMs;
+    private final List<InetSocketAddress> realRelays;
+    private final List<Set<String>> suspendedNodesByRelay = new ArrayList<>();
+    private final List<ServerSocket> relayListeners = new ArrayList<>();
+    private final List<ServerSocket> nodeListeners = new ArrayList<>();
+    private final Map<String, Long> restoredAtNanos = new LinkedHashMap<>();
+    private final Set<String> downNodes = new HashSet<>();
+    private final Set<Integer> downRelays = new HashSet<>();
+    private int suspensionCount;
 
     /** A region of which all is made here. */
-    StandInRegion(String name, int nodeCount, int relayCount, long warmMs) throws IOException {
+    FakeRegion(String name, int nodeCount, int relayCount, long warmMs) throws IOException {
         this(name, warmMs, List.of());
         for (int i = 1; i <= nodeCount; i++) {
             String node = name + i;
             ServerSocket listener =
                 listen(line -> isDown(node) ? null : line.equals("PING") ? "PONG" : "NO");
-            listeners.add(listener);
+            nodeListeners.add(listener);
             nodes.put(node, (InetSocketAddress) listener.getLocalSocketAddress());
         }
-        relays(relayCount);
+        startRelays(relayCount);
     }
 
     /**
      * One whose nodes and relays are there already: it stands before the relays and sees what they are
      * told.
      */
-    StandInRegion(String name, Map<String, InetSocketAddress> nodes, List<InetSocketAddress> behind,
+    FakeRegion(String name, Map<String, InetSocketAddress> nodes, List<InetSocketAddress> behind,
             long warmMs) throws IOException {
         this(name, warmMs, behind);
         this.nodes.putAll(nodes);
-        relays(behind.size());
+        startRelays(behind.size());
     }
 
-    private StandInRegion(String name, long warmMs, List<InetSocketAddress> behind) {
+    private FakeRegion(String name, long warmMs, List<InetSocketAddress> behind) {
         this.name = name;
-        this.warmMs = warmMs;
-        this.behind = behind;
+        this.warmUpMs = warmMs;
+        this.realRelays = behind;
     }
 
-    private void relays(int count) throws IOException {
+    private void startRelays(int count) throws IOException {
         for (int i = 0; i < count; i++) {
             int relay = i;
-            suspended.add(new HashSet<>());
-            relays.add(listen(line -> call(relay, line)));
+            suspendedNodesByRelay.add(new HashSet<>());
+            relayListeners.add(listen(line -> handleCall(relay, line)));
         }
     }
 
     /** What the relay behind says; what no relay stands behind is done. */
-    private String behind(int relay, String line) {
-        if (behind.isEmpty()) {
+    private String forwardToRealRelay(int relay, String line) {
+        if (realRelays.isEmpty()) {
             return "done";
         }
         try (Socket there = new Socket()) {
-            there.connect(behind.get(relay), 1_000);
+            there.connect(realRelays.get(relay), 1_000);
             there.setSoTimeout(1_400);
             there.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.US_ASCII));
             return new BufferedReader(new InputStreamReader(there.getInputStream(),
@@ -112,13 +112,13 @@
     }
 
     private synchronized boolean isDown(String node) {
-        return down.contains(node);
+        return downNodes.contains(node);
     }
 
-    private String call(int relay, String line) {
+    private String handleCall(int relay, String line) {
         String[] words = line.split(" ");
         synchronized (this) {
-            if (relaysDown.contains(relay)) {
+            if (downRelays.contains(relay)) {
                 return null;
             }
         }
@@ -126,78 +126,78 @@
             return "error no such call";
         }
         if (words[0].equals("SUSPEND")) {
-            count(relay, words); // from the asking on: whether it was heard is not known
+            recordCall(relay, words); // from the asking on: whether it was heard is not known
         }
-        String answer = behind(relay, line);
+        String answer = forwardToRealRelay(relay, line);
         if (answer != null && answer.startsWith("done")) {
-            count(relay, words);
+            recordCall(relay, words);
         }
         return answer;
     }
 
-    private synchronized void count(int relay, String[] words) {
-        boolean was = out(words[1]);
+    private synchronized void recordCall(int relay, String[] words) {
+        boolean was = isSuspended(words[1]);
         if (words[0].equals("SUSPEND")) {
-            suspended.get(relay).add(words[1]);
-            begun += was ? 0 : 1;
+            suspendedNodesByRelay.get(relay).add(words[1]);
+            suspensionCount += was ? 0 : 1;
         } else {
-            suspended.get(relay).remove(words[1]);
-            if (was && !out(words[1])) {
-                backSince.put(words[1], System.nanoTime());
+            suspendedNodesByRelay.get(relay).remove(words[1]);
+            if (was && !isSuspended(words[1])) {
+                restoredAtNanos.put(words[1], System.nanoTime());
             }
         }
     }
 
-    private boolean out(String node) {
-        return suspended.stream().anyMatch(set -> set.contains(node));
+    private boolean isSuspended(String node) {
+        return suspendedNodesByRelay.stream().anyMatch(set -> set.contains(node));
     }
 
     /** What the region can do now, of 1000 a node; with windows alone, or with outages too. */
     synchronized long capacity(boolean outages) {
         long sum = 0;
         for (String node : nodes.keySet()) {
-            long back = backSince.getOrDefault(node, 0L);
+            long back = restoredAtNanos.getOrDefault(node, 0L);
             long since = (System.nanoTime() - back) / 1_000_000;
-            long warm = back == 0 || since >= warmMs ? 1_000 : 310 + 690 * since / warmMs;
-            sum += out(node) || outages && down.contains(node) ? 0 : warm;
+            long warm = back == 0 || since >= warmUpMs ? 1_000 : 310 + 690 * since / warmUpMs;
+            sum += isSuspended(node) || outages && downNodes.contains(node) ? 0 : warm;
         }
         return sum;
     }
 
     /** How often a node was taken out. */
-    synchronized int begun() {
-        return begun;
+    synchronized int suspensionCount() {
+        return suspensionCount;
     }
 
     /** Whether nothing is out. */
-    synchronized boolean whole() {
-        return nodes.keySet().stream().noneMatch(this::out);
+    synchronized boolean hasNoSuspendedNode() {
+        return nodes.keySet().stream().noneMatch(this::isSuspended);
     }
 
     /** A node that is dead, or is there again. */
-    synchronized void dead(String node, boolean yes) {
+    synchronized void setNodeDown(String node, boolean yes) {
         if (yes) {
-            down.add(node);
+            downNodes.add(node);
         } else {
-            down.remove(node);
+            downNodes.remove(node);
         }
     }
 
     /** A relay that is away; when it comes back it has forgotten what was suspended. */
-    synchronized void relayAway(int relay, boolean yes) {
+    synchronized void setRelayDown(int relay, boolean yes) {
         if (yes) {
-            relaysDown.add(relay);
+            downRelays.add(relay);
         } else {
-            relaysDown.remove(relay);
+            downRelays.remove(relay);
         }
     }
 
     /** The agent's settings. */
-    Path settings(Path dir) throws IOException {
+    Path writeAgentSettings(Path dir) throws IOException {
         StringBuilder text = new StringBuilder("agent \"" + name + "\" {\n");
-        for (int i = 0; i < relays.size(); i++) {
+        for (int i = 0; i < relayListeners.size(); i++) {
             text.append("  relay \"n").append(i).append("\" {\n    admin = \"127.0.0.1:")
-                .append(relays.get(i).getLocalPort()).append("\"\n  }\n");
+                .append(relayListeners.get(i).getLocalPort()).append("\"\n  }\n");
         }
         nodes.forEach((node, at) -> text.append("  node \"").append(node).append("\" {\n    at = \"")
             .append(at.getAddress().getHostAddress()).append(':').append(at.getPort()).append("\"\n  }\n"));
@@ -205,7 +205,7 @@
     }
 
     /** Its part of the agreement. */
-    String fleet() {
+    String fleetSettings() {
         StringBuilder text = new StringBuilder("  region \"" + name + "\" {\n");
         nodes.keySet().forEach(node -> text.append("    node \"").append(node)
             .append("\" {\n      capacity = 1\n    }\n"));
@@ -216,21 +216,21 @@
         return name;
     }
 
-    List<String> nodes() {
+    List<String> nodeNames() {
         return List.copyOf(nodes.keySet());
     }
 
     /** Those that take nothing new now. */
-    synchronized List<String> outNow() {
-        return nodes.keySet().stream().filter(this::out).toList();
+    synchronized List<String> suspendedNodes() {
+        return nodes.keySet().stream().filter(this::isSuspended).toList();
     }
 
     @Override
     public void close() throws IOException {
-        for (ServerSocket relay : relays) {
+        for (ServerSocket relay : relayListeners) {
             relay.close();
         }
-        for (ServerSocket node : listeners) {
+        for (ServerSocket node : nodeListeners) {
             node.close();
         }
     }
--- a/lab/src/main/java/saltstage/lab/trial/FaultProxy.java
+++ b/lab/src/main/java/saltstage/lab/trial/FaultProxy.java
@@ -16,26 +16,26 @@
  * stay open), late, slow, or cut after some bytes; connections may be refused or dropped.
  */
 final class FaultProxy implements AutoCloseable {
-    private static final int CONNECT_MS = 500;
-    private static final int SLOW_BYTES = 64;
+    private static final int CONNECT_TIMEOUT_MS = 500;
+    private static final int TRICKLE_BYTES = 64;
 
     /** What one direction does with what is sent. */
-    record Way(boolean silent, int lateMs, boolean trickle, long cutAfter) {
-        static final Way CLEAR = new Way(false, 0, false, Long.MAX_VALUE);
-        static final Way SILENT = new Way(true, 0, false, Long.MAX_VALUE);
+    record DirectionFault(boolean silent, int maxDelayMs, boolean trickle, long cutAfterBytes) {
+        static final DirectionFault CLEAR = new DirectionFault(false, 0, false, Long.MAX_VALUE);
+        static final DirectionFault SILENT = new DirectionFault(true, 0, false, Long.MAX_VALUE);
     }
 
     private final ServerSocket listener;
     private final InetSocketAddress target;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private volatile Way there = Way.CLEAR;
-    private volatile Way back = Way.CLEAR;
-    private volatile boolean refusing;
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
+    private volatile DirectionFault toTargetFault = DirectionFault.CLEAR;
+    private volatile DirectionFault fromTargetFault = DirectionFault.CLEAR;
+    private volatile boolean rejecting;
 
     FaultProxy(InetSocketAddress target) throws IOException {
         this.target = target;
         listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-        daemon(this::accept);
+        startDaemon(this::acceptAll);
     }
 
     InetSocketAddress address() {
@@ -43,34 +43,34 @@
     }
 
     /** Sets both directions. */
-    void ways(Way toTarget, Way fromTarget) {
-        there = toTarget;
-        back = fromTarget;
+    void setFaults(DirectionFault toTarget, DirectionFault fromTarget) {
+        toTargetFault = toTarget;
+        fromTargetFault = fromTarget;
     }
 
     /** New connections are reset at once. */
-    void refuse(boolean yes) {
-        refusing = yes;
+    void setRejecting(boolean yes) {
+        rejecting = yes;
     }
 
     /** Breaks all connections that are open. */
-    void drop() {
-        open.forEach(FaultProxy::shut);
+    void dropConnections() {
+        openSockets.forEach(FaultProxy::closeQuietly);
     }
 
     /** As if nothing had been. What waited in a silent direction is sent on. */
     void heal() {
-        refusing = false;
-        ways(Way.CLEAR, Way.CLEAR);
+        rejecting = false;
+        setFaults(DirectionFault.CLEAR, DirectionFault.CLEAR);
     }
 
-    private static void daemon(Runnable work) {
+    private static void startDaemon(Runnable work) {
         Thread thread = new Thread(work, "proxy");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private static void shut(Socket socket) {
+    private static void closeQuietly(Socket socket) {
         try {
             socket.close();
         } catch (IOException closed) {
@@ -78,15 +78,15 @@
         }
     }
 
-    private void accept() {
+    private void acceptAll() {
         while (!listener.isClosed()) {
             try {
                 Socket from = listener.accept();
-                if (refusing) {
+                if (rejecting) {
                     from.setSoLinger(true, 0);
                     from.close();
                 } else {
-                    daemon(() -> carry(from));
+                    startDaemon(() -> forward(from));
                 }
             } catch (IOException closed) {
                 return;
@@ -94,30 +94,30 @@
         }
     }
 
-    private void carry(Socket from) {
+    private void forward(Socket from) {
         Socket to = new Socket();
-        open.add(from);
-        open.add(to);
+        openSockets.add(from);
+        openSockets.add(to);
         try {
             from.setTcpNoDelay(true);
             to.setTcpNoDelay(true);
-            to.connect(target, CONNECT_MS);
-            daemon(() -> pump(to, from, false));
-            pump(from, to, true);
+            to.connect(target, CONNECT_TIMEOUT_MS);
+            startDaemon(() -> copyBytes(to, from, false));
+            copyBytes(from, to, true);
         } catch (IOException unreachable) {
-            shut(from);
+            closeQuietly(from);
         } finally {
-            shut(to);
-            open.remove(from);
-            open.remove(to);
+            closeQuietly(to);
+            openSockets.remove(from);
+            openSockets.remove(to);
         }
     }
 
-    private Way way(boolean toTarget) {
-        return toTarget ? there : back;
+    private DirectionFault directionFault(boolean toTarget) {
+        return toTarget ? toTargetFault : fromTargetFault;
     }
 
-    private void pump(Socket from, Socket to, boolean toTarget) {
+    private void copyBytes(Socket from, Socket to, boolean toTarget) {
         byte[] buffer = new byte[16 << 10];
         long carried = 0;
         try (Socket source = from; Socket sink = to) {
@@ -125,17 +125,17 @@
             OutputStream out = sink.getOutputStream();
             for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
                 for (int at = 0; at < n;) {
-                    while (way(toTarget).silent() && !source.isClosed() && !sink.isClosed()) {
+                    while (directionFault(toTarget).silent() && !source.isClosed() && !sink.isClosed()) {
                         Thread.sleep(5);
                     }
-                    Way now = way(toTarget);
-                    int piece = now.trickle() ? Math.min(SLOW_BYTES, n - at) : n - at;
-                    if (now.lateMs() > 0 || now.trickle()) {
-                        Thread.sleep(1 + (now.lateMs() == 0 ? 0
-                            : ThreadLocalRandom.current().nextInt(now.lateMs())));
+                    DirectionFault now = directionFault(toTarget);
+                    int piece = now.trickle() ? Math.min(TRICKLE_BYTES, n - at) : n - at;
+                    if (now.maxDelayMs() > 0 || now.trickle()) {
+                        Thread.sleep(1 + (now.maxDelayMs() == 0 ? 0
+                            : ThreadLocalRandom.current().nextInt(now.maxDelayMs())));
                     }
-                    if (carried + piece > now.cutAfter()) {
-                        out.write(buffer, at, (int) Math.max(0, now.cutAfter() - carried));
+                    if (carried + piece > now.cutAfterBytes()) {
+                        out.write(buffer, at, (int) Math.max(0, now.cutAfterBytes() - carried));
                         return;
                     }
                     out.write(buffer, at, piece);
@@ -151,6 +151,6 @@
     @Override
     public void close() throws IOException {
         listener.close();
-        drop();
+        dropConnections();
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/Witness.java
+++ b/lab/src/main/java/saltstage/lab/trial/FencedResource.java
@@ -17,21 +17,21 @@
  * A guarded resource outside the group: it takes acts, each with its holder and fence, refuses those of a
  * fence lower than one that it has seen, and keeps all of it for the judgement.
  */
-final class Witness implements AutoCloseable {
+final class FencedResource implements AutoCloseable {
     /** An act as it came in. */
-    record Act(long atMs, String holder, long fence, boolean taken) {
+    record Operation(long atMs, String holder, long fencingToken, boolean accepted) {
     }
 
     private final ServerSocket listener;
-    private final long start = System.nanoTime();
-    private final List<Act> acts = new ArrayList<>();
-    private final Map<Long, String> owners = new TreeMap<>();
-    private final List<String> faults = new ArrayList<>();
-    private long highest;
+    private final long startNanos = System.nanoTime();
+    private final List<Operation> operations = new ArrayList<>();
+    private final Map<Long, String> holdersByToken = new TreeMap<>();
+    private final List<String> violations = new ArrayList<>();
+    private long highestToken;
 
-    Witness() throws IOException {
+    FencedResource() throws IOException {
         listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-        Thread thread = new Thread(this::accept, "witness");
+        Thread thread = new Thread(this::acceptAll, "witness");
         thread.setDaemon(true);
         thread.start();
     }
@@ -40,7 +40,7 @@
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    private void accept() {
+    private void acceptAll() {
         while (!listener.isClosed()) {
             try {
                 Socket from = listener.accept();
@@ -59,7 +59,7 @@
             from.setTcpNoDelay(true);
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String[] words = line.split(" ");
-                boolean taken = act(words[0], Long.parseLong(words[1]));
+                boolean taken = perform(words[0], Long.parseLong(words[1]));
                 String answer = taken ? "ok\n" : "stale\n";
                 from.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
             }
@@ -68,34 +68,34 @@
         }
     }
 
-    private synchronized boolean act(String holder, long fence) {
-        boolean taken = fence >= highest;
-        highest = Math.max(highest, fence);
-        acts.add(new Act((System.nanoTime() - start) / 1_000_000, holder, fence, taken));
-        String owner = owners.putIfAbsent(fence, holder);
+    private synchronized boolean perform(String holder, long fence) {
+        boolean taken = fence >= highestToken;
+        highestToken = Math.max(highestToken, fence);
+        operations.add(new Operation((System.nanoTime() - startNanos) / 1_000_000, holder, fence, taken));
+        String owner = holdersByToken.putIfAbsent(fence, holder);
         if (owner != null && !owner.equals(holder)) {
-            faults.add("fence " + fence + " was given to " + owner + " and to " + holder);
+            violations.add("fence " + fence + " was given to " + owner + " and to " + holder);
         }
         return taken;
     }
 
     /** Acts so far. */
-    synchronized List<Act> acts() {
-        return List.copyOf(acts);
+    synchronized List<Operation> operations() {
+        return List.copyOf(operations);
     }
 
     /** Grants that led to an act. */
-    synchronized int grants() {
-        return owners.size();
+    synchronized int grantCount() {
+        return holdersByToken.size();
     }
 
     /** Fences that were used by two holders. */
-    synchronized List<String> faults() {
-        return List.copyOf(faults);
+    synchronized List<String> violations() {
+        return List.copyOf(violations);
     }
 
-    long nowMs() {
-        return (System.nanoTime() - start) / 1_000_000;
+    long elapsedMs() {
+        return (System.nanoTime() - startNanos) / 1_000_000;
     }
 
     @Override
--- a/lab/src/main/java/saltstage/lab/trial/GroupUnderTest.java
+++ b/lab/src/main/java/saltstage/lab/trial/GroupUnderTest.java
@@ -16,16 +16,16 @@
 
 /** The replicas of a group as processes, with a faulty link for each direction between two of them. */
 public final class GroupUnderTest implements AutoCloseable {
-    private static final int PEERS = 7_101;
-    private static final int CLIENTS = 7_201;
+    private static final int PEER_PORT = 7_101;
+    private static final int CLIENT_PORT = 7_201;
 
     private final Path dir;
     private final List<String> names = new ArrayList<>();
     private final Map<String, String> hosts = new LinkedHashMap<>();
-    private final Map<String, Proc> procs = new LinkedHashMap<>();
+    private final Map<String, TrialProcess> processes = new LinkedHashMap<>();
     /** From one, to another: its link there. */
-    private final Map<String, Map<String, FaultProxy>> links = new LinkedHashMap<>();
-    private final Map<String, FaultProxy> doors = new LinkedHashMap<>();
+    private final Map<String, Map<String, FaultProxy>> replicaLinks = new LinkedHashMap<>();
+    private final Map<String, FaultProxy> clientLinks = new LinkedHashMap<>();
 
     /**
      * So many replicas, each of the jar at its place (the last goes on for the rest), with these
@@ -42,51 +42,51 @@
             Map<String, FaultProxy> mine = new LinkedHashMap<>();
             for (String to : names) {
                 if (!from.equals(to)) {
-                    mine.put(to, new FaultProxy(new InetSocketAddress(hosts.get(to), PEERS)));
+                    mine.put(to, new FaultProxy(new InetSocketAddress(hosts.get(to), PEER_PORT)));
                 }
             }
-            links.put(from, mine);
-            doors.put(from, new FaultProxy(new InetSocketAddress(hosts.get(from), CLIENTS)));
+            replicaLinks.put(from, mine);
+            clientLinks.put(from, new FaultProxy(new InetSocketAddress(hosts.get(from), CLIENT_PORT)));
         }
         for (int i = 0; i < replicas; i++) {
-            write(names.get(i), more);
+            writeSettings(names.get(i), more);
             Path jar = jars.get(Math.min(i, jars.size() - 1));
-            procs.put(names.get(i), Proc.coordinator(names.get(i), jar, dir, List.of("cluster", "serve",
-                "--settings", settings(names.get(i)).toString(), "--name", names.get(i))));
+            processes.put(names.get(i), TrialProcess.coordinator(names.get(i), jar, dir, List.of("cluster", "serve",
+                "--settings", settingsFile(names.get(i)).toString(), "--name", names.get(i))));
         }
     }
 
     /** Other settings for one, from its next start on. */
-    public void more(String name, String more) throws IOException {
-        write(name, more);
+    public void setExtraSettings(String name, String more) throws IOException {
+        writeSettings(name, more);
     }
 
     /** A process that joins the group under a new name, on an address of its own. */
-    Proc joining(String name) {
+    TrialProcess newJoiningProcess(String name) {
         String host = hosts.get(names.get(0)).replaceAll("[0-9]+$", "200");
-        return Proc.coordinator(name, Proc.builtJar(), dir, List.of("cluster", "serve", "--settings",
-            settings(names.get(0)).toString(), "--name", name, "--join",
-            host + ":" + PEERS + "," + host + ":" + CLIENTS));
+        return TrialProcess.coordinator(name, TrialProcess.coordinatorJar(), dir, List.of("cluster", "serve", "--settings",
+            settingsFile(names.get(0)).toString(), "--name", name, "--join",
+            host + ":" + PEER_PORT + "," + host + ":" + CLIENT_PORT));
     }
 
-    private void write(String name, String more) throws IOException {
+    private void writeSettings(String name, String more) throws IOException {
         StringBuilder text = new StringBuilder("coordinator {\n  group = \"trial\"\n  dir = \""
             + dir.resolve("data") + "\"\n" + more);
         hosts.forEach((other, host) -> text.append("  member \"" + other + "\" {\n    peers = \"" + host + ":"
-            + PEERS + "\"\n    clients = \"" + host + ":" + CLIENTS + "\"\n  }\n"));
-        links.get(name).forEach((other, link) -> text.append("  reach \"" + other
+            + PEER_PORT + "\"\n    clients = \"" + host + ":" + CLIENT_PORT + "\"\n  }\n"));
+        replicaLinks.get(name).forEach((other, link) -> text.append("  reach \"" + other
             + "\" {\n    at = \"127.0.0.1:" + link.address().getPort() + "\"\n  }\n"));
-        Files.writeString(settings(name), text + "}\n");
+        Files.writeString(settingsFile(name), text + "}\n");
     }
 
     /** The settings of one. */
-    public Path settings(String name) {
+    public Path settingsFile(String name) {
         return dir.resolve(name + ".hcl");
     }
 
     /** Starts all. */
     public GroupUnderTest start() throws IOException {
-        for (Proc proc : procs.values()) {
+        for (TrialProcess proc : processes.values()) {
             proc.start();
         }
         return this;
@@ -99,43 +99,43 @@
 
     /** The process id of a replica that runs. */
     public long pid(String name) {
-        return procs.get(name).pid();
+        return processes.get(name).pid();
     }
 
-    Proc proc(String name) {
-        return procs.get(name);
+    TrialProcess process(String name) {
+        return processes.get(name);
     }
 
-    FaultProxy link(String from, String to) {
-        return links.get(from).get(to);
+    FaultProxy replicaLink(String from, String to) {
+        return replicaLinks.get(from).get(to);
     }
 
-    FaultProxy door(String name) {
-        return doors.get(name);
+    FaultProxy clientLink(String name) {
+        return clientLinks.get(name);
     }
 
     /** Where replicas take calls, straight. */
-    public List<String> places() {
-        return hosts.values().stream().map(host -> host + ":" + CLIENTS).toList();
+    public List<String> clientAddresses() {
+        return hosts.values().stream().map(host -> host + ":" + CLIENT_PORT).toList();
     }
 
     /** Where they take calls, through links that can be faulty. */
-    public List<String> doors() {
-        return doors.values().stream().map(door -> "127.0.0.1:" + door.address().getPort()).toList();
+    public List<String> clientLinkAddresses() {
+        return clientLinks.values().stream().map(door -> "127.0.0.1:" + door.address().getPort()).toList();
     }
 
     /** A client, straight. */
     public GroupClient client() {
-        return new GroupClient(places(), Ticker.SYSTEM);
+        return new GroupClient(clientAddresses(), Ticker.SYSTEM);
     }
 
     /** Who leads, as a majority would have it; waits for one. */
     public String leader(Duration within) throws IOException, InterruptedException {
         JsonNode any = client().get("/v1/leases?limit=1", within); // answered by a leader that is one
         for (String name : names) {
-            if (procs.get(name).alive() && !procs.get(name).paused()) {
+            if (processes.get(name).isAlive() && !processes.get(name).isPaused()) {
                 try {
-                    JsonNode status = new GroupClient(List.of(hosts.get(name) + ":" + CLIENTS), Ticker.SYSTEM)
+                    JsonNode status = new GroupClient(List.of(hosts.get(name) + ":" + CLIENT_PORT), Ticker.SYSTEM)
                         .get("/v1/status", Duration.ofSeconds(2));
                     if (status.path("role").asText().equals("leader")) {
                         return name;
@@ -150,11 +150,11 @@
 
     /** Everything runs and every link is clear again. */
     void heal() throws IOException, InterruptedException {
-        links.values().forEach(mine -> mine.values().forEach(FaultProxy::heal));
-        doors.values().forEach(FaultProxy::heal);
-        for (Proc proc : procs.values()) {
-            proc.goOn();
-            if (!proc.alive()) {
+        replicaLinks.values().forEach(mine -> mine.values().forEach(FaultProxy::heal));
+        clientLinks.values().forEach(FaultProxy::heal);
+        for (TrialProcess proc : processes.values()) {
+            proc.resume();
+            if (!proc.isAlive()) {
                 proc.start();
             }
         }
@@ -162,15 +162,15 @@
 
     @Override
     public void close() throws IOException, InterruptedException {
-        for (Proc proc : procs.values()) {
+        for (TrialProcess proc : processes.values()) {
             proc.close();
         }
-        for (Map<String, FaultProxy> mine : links.values()) {
+        for (Map<String, FaultProxy> mine : replicaLinks.values()) {
             for (FaultProxy link : mine.values()) {
                 link.close();
             }
         }
-        for (FaultProxy door : doors.values()) {
+        for (FaultProxy door : clientLinks.values()) {
             door.close();
         }
     }
--- a/lab/src/main/java/saltstage/lab/trial/WorkerCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/LeaseWorkerCommand.java
@@ -17,7 +17,7 @@
 
 /** Takes a lease again and again, and acts at the witness while it holds it. */
 @Command(name = "trial-worker", description = "One holder of a trial.", hidden = true)
-public final class WorkerCommand implements Callable<Integer> {
+public final class LeaseWorkerCommand implements Callable<Integer> {
     @Option(names = "--at", split = ",", required = true)
     private List<String> places;
 
@@ -47,7 +47,7 @@
                     Duration.ofSeconds(5), drawn.nextInt(3), () -> { });
                     Socket socket = new Socket("127.0.0.1", witness)) {
                 socket.setTcpNoDelay(true);
-                act(socket, lease, 10 + drawn.nextInt(150), drawn);
+                performOperations(socket, lease, 10 + drawn.nextInt(150), drawn);
             } catch (LeaseClient.LeaseNotGrantedException | LeaseClient.LeaseLostException
                     | IOException again) {
                 System.out.println(again.getMessage());
@@ -55,7 +55,7 @@
         }
     }
 
-    private void act(Socket socket, LeaseClient.Lease lease, int times, Random drawn)
+    private void performOperations(Socket socket, LeaseClient.Lease lease, int times, Random drawn)
             throws IOException, LeaseClient.LeaseLostException, InterruptedException {
         BufferedReader in = new BufferedReader(
             new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
--- a/lab/src/main/java/saltstage/lab/trial/RealRegion.java
+++ b/lab/src/main/java/saltstage/lab/trial/RealRegion.java
@@ -10,39 +10,39 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import saltstage.lab.Home;
-import saltstage.lab.fleet.Clients;
-import saltstage.lab.fleet.Fleet;
-import saltstage.lab.fleet.Gateway;
+import saltstage.lab.Installation;
+import saltstage.lab.fleet.SimulatedClients;
+import saltstage.lab.fleet.FakeFleet;
+import saltstage.lab.fleet.FakeBackend;
 
 /** A region with a real relay in a process of its own, stand-in gateways, and clients that come and stay. */
 final class RealRegion implements AutoCloseable {
-    private final Fleet fleet;
-    private final Proc relay;
-    private final Clients clients;
-    private final StandInRegion seen;
-    private final Map<String, Gateway> gateways = new LinkedHashMap<>();
+    private final FakeFleet fleet;
+    private final TrialProcess relay;
+    private final SimulatedClients clients;
+    private final FakeRegion fakeRegion;
+    private final Map<String, FakeBackend> backends = new LinkedHashMap<>();
 
     RealRegion(String name, Path under, int size, int clientCount, long warmMs)
             throws IOException, InterruptedException {
         Path dir = Files.createDirectories(under.resolve("region-" + name));
         Path tmp = Files.createDirectories(dir.resolve("tmp"));
-        fleet = new Fleet(size);
+        fleet = new FakeFleet(size);
         fleet.writeFiles(dir, "log {\n  level = \"info\"\n}\n");
         InetSocketAddress admin = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
-        relay = Proc.relay("relay-" + name, dir, Map.of("GW_ADMIN", "127.0.0.1:" + admin.getPort(), "TMPDIR",
+        relay = TrialProcess.relay("relay-" + name, dir, Map.of("GW_ADMIN", "127.0.0.1:" + admin.getPort(), "TMPDIR",
             tmp.toString()), List.of("serve", "--config", dir.resolve("config.json").toString(), "--settings",
             dir.resolve("saltstage.hcl").toString())).start();
-        String[] at = fleet.listen().split(":");
+        String[] at = fleet.listenAddress().split(":");
         InetSocketAddress listen = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
-        Home.awaitPong(listen, relay.process(), Duration.ofSeconds(30));
-        clients = new Clients(listen, clientCount, Duration.ofMillis(300), Duration.ofSeconds(60));
+        Installation.awaitPong(listen, relay.process(), Duration.ofSeconds(30));
+        clients = new SimulatedClients(listen, clientCount, Duration.ofMillis(300), Duration.ofSeconds(60));
         Map<String, InetSocketAddress> nodes = new LinkedHashMap<>();
-        fleet.gateways().forEach(gateway -> {
+        fleet.backends().forEach(gateway -> {
             nodes.put(gateway.uid(), gateway.address());
-            gateways.put(gateway.uid(), gateway);
+            backends.put(gateway.uid(), gateway);
         });
-        seen = new StandInRegion(name, nodes, List.of(admin), warmMs);
+        fakeRegion = new FakeRegion(name, nodes, List.of(admin), warmMs);
     }
 
     private static int freePort() throws IOException {
@@ -52,31 +52,31 @@
     }
 
     /** What stands before its relay. */
-    StandInRegion seen() {
-        return seen;
+    FakeRegion fakeRegion() {
+        return fakeRegion;
     }
 
     /** The relay's process. */
-    Proc relay() {
+    TrialProcess relay() {
         return relay;
     }
 
     /** The clients. */
-    Clients clients() {
+    SimulatedClients clients() {
         return clients;
     }
 
     /** Connections that stand at a node. */
-    int standing(String node) {
-        return gateways.get(node).standing();
+    int establishedCount(String node) {
+        return backends.get(node).establishedCount();
     }
 
     @Override
     public void close() throws IOException, InterruptedException {
-        clients.end();
+        clients.stop();
         relay.close();
-        seen.close();
-        for (Gateway gateway : gateways.values()) {
+        fakeRegion.close();
+        for (FakeBackend gateway : backends.values()) {
             gateway.kill();
         }
     }
--- a/lab/src/main/java/saltstage/lab/trial/TrialCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/TrialCommand.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import saltstage.lab.Home;
+import saltstage.lab.Installation;
 
 /** Trials of leases, one seed after the other; a seed that fails is shrunk to the faults that it takes. */
 @Command(name = "trial", mixinStandardHelpOptions = true, subcommands = ConfigurationTrialCommand.class,
@@ -34,31 +34,31 @@
     @Option(names = "--windows", description = "the table of a window's steps and faults, each cell once")
     private boolean windows;
 
-    private int table() throws Exception {
+    private int runWindowTable() throws Exception {
         Path dir = Files.createTempDirectory("trial-windows-");
         int failed = 0;
-        try (WindowTrial trial = new WindowTrial(dir, jars == null ? List.of(Proc.builtJar()) : jars)) {
+        try (WindowTrial trial = new WindowTrial(dir, jars == null ? List.of(TrialProcess.coordinatorJar()) : jars)) {
             for (String step : WindowTrial.STEPS) {
                 for (String fault : WindowTrial.FAULTS) {
                     String came;
                     try {
-                        came = "done after " + trial.play(step, fault) + " ms";
+                        came = "done after " + trial.runCase(step, fault) + " ms";
                     } catch (java.io.IOException not) {
                         came = not.getMessage();
                         failed++;
                     }
-                    System.out.printf("%-10s %-12s %s, least so far %d%n", step, fault, came, trial.least());
+                    System.out.printf("%-10s %-12s %s, least so far %d%n", step, fault, came, trial.minCapacity());
                 }
             }
-            System.out.println("under the floor: " + trial.broken() + (failed > 0 ? ", in " + dir : ""));
-            return failed > 0 || !trial.broken().isEmpty() ? 1 : 0;
+            System.out.println("under the floor: " + trial.violations() + (failed > 0 ? ", in " + dir : ""));
+            return failed > 0 || !trial.violations().isEmpty() ? 1 : 0;
         }
     }
 
     @Override
     public Integer call() throws Exception {
         if (windows) {
-            return table();
+            return runWindowTable();
         }
         String[] ends = seeds.split("\\.\\.");
         long first = Long.parseLong(ends[0]);
@@ -68,14 +68,14 @@
         long grants = 0;
         int stale = 0;
         for (long seed = first; seed <= last; seed++) {
-            LeaseTrial.Verdict verdict = play(seed, null);
+            LeaseTrial.Verdict verdict = runSeed(seed, null);
             System.out.printf("seed %d: %d acts, %d grants, %d late acts of paused holders refused, longest"
-                + " gap %d ms%s%n", seed, verdict.acts(), verdict.grants(), verdict.staleOfPaused(),
-                verdict.longestGapMs(), verdict.broken().isEmpty() ? "" : ", BROKEN " + verdict.broken());
-            acts += verdict.acts();
-            grants += verdict.grants();
-            stale += verdict.staleOfPaused();
-            if (!verdict.broken().isEmpty()) {
+                + " gap %d ms%s%n", seed, verdict.operationCount(), verdict.grantCount(), verdict.rejectedOperationCount(),
+                verdict.maxGapMs(), verdict.violations().isEmpty() ? "" : ", BROKEN " + verdict.violations());
+            acts += verdict.operationCount();
+            grants += verdict.grantCount();
+            stale += verdict.rejectedOperationCount();
+            if (!verdict.violations().isEmpty()) {
                 failed.add(seed);
                 shrink(seed, verdict.faults());
             }
@@ -85,15 +85,15 @@
         return failed.isEmpty() ? 0 : 1;
     }
 
-    private LeaseTrial.Verdict play(long seed, List<LeaseTrial.Fault> faults) throws Exception {
+    private LeaseTrial.Verdict runSeed(long seed, List<LeaseTrial.Fault> faults) throws Exception {
         Path dir = Files.createTempDirectory("trial-" + seed + "-");
         LeaseTrial trial = new LeaseTrial(dir, replicas, workers, seconds * 1_000,
-            jars == null ? List.of(Proc.builtJar()) : jars);
-        LeaseTrial.Verdict verdict = trial.play(seed, faults == null ? trial.script(seed) : faults);
-        if (keep || !verdict.broken().isEmpty()) {
+            jars == null ? List.of(TrialProcess.coordinatorJar()) : jars);
+        LeaseTrial.Verdict verdict = trial.run(seed, faults == null ? trial.randomFaults(seed) : faults);
+        if (keep || !verdict.violations().isEmpty()) {
             System.out.println("  in " + dir);
         } else {
-            Home.delete(dir);
+            Installation.deleteRecursively(dir);
         }
         return verdict;
     }
@@ -104,7 +104,7 @@
         for (LeaseTrial.Fault each : faults) {
             List<LeaseTrial.Fault> fewer = new ArrayList<>(left);
             fewer.remove(each);
-            if (!play(seed, fewer).broken().isEmpty()) {
+            if (!runSeed(seed, fewer).violations().isEmpty()) {
                 left = fewer;
             }
         }
--- a/lab/src/main/java/saltstage/lab/trial/FollowersCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/TrialFollowersCommand.java
@@ -33,8 +33,8 @@
  * was told, whose digest it tells the witness with each revision that comes into force.
  */
 @Command(name = "trial-followers", description = "Followers of a trial.", hidden = true)
-public final class FollowersCommand implements Callable<Integer> {
-    private static final Duration CONNECT = Duration.ofMillis(500);
+public final class TrialFollowersCommand implements Callable<Integer> {
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
     @Option(names = "--sources", split = ",", required = true)
     private List<String> sources;
@@ -57,7 +57,7 @@
     @Option(names = "--poll-ms", description = "in place of a relay's usual wait")
     private Long pollMs;
 
-    private static ScheduledExecutorService executor() {
+    private static ScheduledExecutorService newExecutor() {
         return Executors.newSingleThreadScheduledExecutor(
                 work -> {
                     Thread thread = new Thread(work, "follower");
@@ -80,18 +80,18 @@
 
     @Override
     public Integer call() throws Exception {
-        ScheduledExecutorService timer = executor();
+        ScheduledExecutorService timer = newExecutor();
         HttpClient http =
                 HttpClient.newBuilder()
                         .version(HttpClient.Version.HTTP_1_1)
-                        .connectTimeout(CONNECT)
+                        .connectTimeout(CONNECT_TIMEOUT)
                         .build();
         List<URI> uris = sources.stream().map(FollowerOptions::sourceUri).toList();
         RandomGenerator random = () -> ThreadLocalRandom.current().nextLong();
         for (int i = 1; i <= count; i++) {
             FollowerOptions options = new FollowerOptions(uris, name + "-" + i, zone, timings());
             FollowerResources resources =
-                    new FollowerResources(http, timer, executor(), Clock.systemUTC(), random);
+                    new FollowerResources(http, timer, newExecutor(), Clock.systemUTC(), random);
             start(options, resources);
         }
         new CountDownLatch(1).await(); // until it is killed
@@ -100,45 +100,45 @@
 
     private void start(FollowerOptions options, FollowerResources resources) throws IOException {
         Path own = Files.createDirectories(dir.resolve(options.name()));
-        ConfigurationDirectory disk = new ConfigurationDirectory(own, FollowersCommand::tell);
-        Told told = new Told(options.name(), new Socket("127.0.0.1", witness));
-        told.begin(disk.persistedConfiguration().view());
+        ConfigurationDirectory disk = new ConfigurationDirectory(own, TrialFollowersCommand::logEvent);
+        ObserverReporter told = new ObserverReporter(options.name(), new Socket("127.0.0.1", witness));
+        told.reportStart(disk.persistedConfiguration().view());
         new ConfigurationClient(options, resources, disk, disk.persistedConfiguration().view(), told).start();
     }
 
-    private static void tell(String event, Object... pairs) {
+    private static void logEvent(String event, Object... pairs) {
         System.out.println(event + " " + List.of(pairs));
     }
 
     /** What one follower was told, kept apart from the client's own state. */
-    private static final class Told implements FollowerListener {
+    private static final class ObserverReporter implements FollowerListener {
         private final String name;
-        private final Socket witness;
-        private ConfigurationView copy;
+        private final Socket observer;
+        private ConfigurationView followedView;
 
-        Told(String name, Socket witness) throws IOException {
+        ObserverReporter(String name, Socket witness) throws IOException {
             this.name = name;
-            this.witness = witness;
+            this.observer = witness;
             witness.setTcpNoDelay(true);
         }
 
-        void begin(ConfigurationView held) {
-            copy = new ConfigurationView(held.revision(), held.entries().values());
-            send("start");
+        void reportStart(ConfigurationView held) {
+            followedView = new ConfigurationView(held.revision(), held.entries().values());
+            report("start");
         }
 
         @Override
         public void changesApplied(List<Change> changes) {
             for (Change change : changes) {
-                ConfigurationView.Outcome outcome = copy.apply(change);
-                send(outcome == ConfigurationView.Outcome.APPLIED ? "applied" : outcome.name());
+                ConfigurationView.Outcome outcome = followedView.apply(change);
+                report(outcome == ConfigurationView.Outcome.APPLIED ? "applied" : outcome.name());
             }
         }
 
         @Override
         public void snapshotApplied(ConfigurationView view) {
-            copy = new ConfigurationView(view.revision(), view.entries().values());
-            send("snapshot");
+            followedView = new ConfigurationView(view.revision(), view.entries().values());
+            report("snapshot");
         }
 
         @Override
@@ -148,14 +148,14 @@
 
         @Override
         public void faultOccurred(RuntimeException fault) {
-            send("fault-" + fault.getClass().getSimpleName());
+            report("fault-" + fault.getClass().getSimpleName());
         }
 
-        private void send(String what) {
-            String digest = ConfigurationJson.formatDigest(copy.digest());
-            String line = name + " " + what + " " + copy.revision() + " " + digest + "\n";
+        private void report(String what) {
+            String digest = ConfigurationJson.formatDigest(followedView.digest());
+            String line = name + " " + what + " " + followedView.revision() + " " + digest + "\n";
             try {
-                witness.getOutputStream().write(line.getBytes(StandardCharsets.US_ASCII));
+                observer.getOutputStream().write(line.getBytes(StandardCharsets.US_ASCII));
             } catch (IOException trialIsOver) {
                 System.out.println(trialIsOver.getMessage());
             }
--- a/lab/src/main/java/saltstage/lab/trial/Proc.java
+++ b/lab/src/main/java/saltstage/lab/trial/TrialProcess.java
@@ -8,58 +8,58 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import saltstage.lab.Home;
+import saltstage.lab.Installation;
 
 /** A process of a trial: started, killed, paused and gone on with by its own id, and started again. */
-public final class Proc implements AutoCloseable {
-    private static final List<String> JAVA = List.of(Path.of(System.getProperty("java.home"), "bin", "java")
+public final class TrialProcess implements AutoCloseable {
+    private static final List<String> JAVA_COMMAND = List.of(Path.of(System.getProperty("java.home"), "bin", "java")
         .toString(), "-Xmx96m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData");
 
     private final String name;
     private final List<String> command;
-    private final File log;
+    private final File logFile;
     private final Map<String, String> environment = new HashMap<>();
     private Process process;
     private boolean paused;
-    private int fileKib;
+    private int maxFileKib;
 
-    private Proc(String name, List<String> command, Path dir) {
+    private TrialProcess(String name, List<String> command, Path dir) {
         this.name = name;
         this.command = command;
-        log = dir.resolve(name + ".log").toFile();
+        logFile = dir.resolve(name + ".log").toFile();
     }
 
     /** A program of the coordinator's jar. */
-    static Proc coordinator(String name, Path jar, Path dir, List<String> words) {
-        return java(name, jar, dir, words);
+    static TrialProcess coordinator(String name, Path jar, Path dir, List<String> words) {
+        return ofJar(name, jar, dir, words);
     }
 
     /** The jar that was built here. */
-    public static Path builtJar() {
-        return Home.root().resolve("coordinator/target/coordinator.jar");
+    public static Path coordinatorJar() {
+        return Installation.repositoryRoot().resolve("coordinator/target/coordinator.jar");
     }
 
     /** A program of the laboratory, run from the classes of this process. */
-    static Proc lab(String name, Path dir, List<String> words) {
-        List<String> command = new ArrayList<>(JAVA);
+    static TrialProcess lab(String name, Path dir, List<String> words) {
+        List<String> command = new ArrayList<>(JAVA_COMMAND);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), "saltstage.lab.Lab"));
         command.addAll(words);
-        return new Proc(name, command, dir);
+        return new TrialProcess(name, command, dir);
     }
 
     /** The relay, with these variables. */
-    static Proc relay(String name, Path dir, Map<String, String> environment, List<String> words) {
-        Proc relay = java(name, Home.jar(), dir, words);
+    static TrialProcess relay(String name, Path dir, Map<String, String> environment, List<String> words) {
+        TrialProcess relay = ofJar(name, Installation.relayJar(), dir, words);
         relay.environment.putAll(environment);
         return relay;
     }
 
     /** A program of any jar. */
-    static Proc java(String name, Path jar, Path dir, List<String> words) {
-        List<String> command = new ArrayList<>(JAVA);
+    static TrialProcess ofJar(String name, Path jar, Path dir, List<String> words) {
+        List<String> command = new ArrayList<>(JAVA_COMMAND);
         command.addAll(List.of("-jar", jar.toString()));
         command.addAll(words);
-        return new Proc(name, command, dir);
+        return new TrialProcess(name, command, dir);
     }
 
     String name() {
@@ -67,29 +67,29 @@
     }
 
     /** From the next start on no file of it may be larger, in KiB: a disk that is full. */
-    void limitFiles(int kib) {
-        fileKib = kib;
+    void limitFileSize(int kib) {
+        maxFileKib = kib;
     }
 
-    synchronized Proc start() throws IOException {
-        List<String> words = fileKib == 0 ? command : new ArrayList<>(List.of("bash", "-c",
-            "ulimit -f " + fileKib + "; exec \"$@\"", "limited"));
-        if (fileKib != 0) {
+    synchronized TrialProcess start() throws IOException {
+        List<String> words = maxFileKib == 0 ? command : new ArrayList<>(List.of("bash", "-c",
+            "ulimit -f " + maxFileKib + "; exec \"$@\"", "limited"));
+        if (maxFileKib != 0) {
             words.addAll(command);
         }
         ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(log));
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile));
         builder.environment().putAll(environment);
         process = builder.start();
         paused = false;
         return this;
     }
 
-    synchronized boolean alive() {
+    synchronized boolean isAlive() {
         return process != null && process.isAlive();
     }
 
-    synchronized boolean paused() {
+    synchronized boolean isPaused() {
         return paused;
     }
 
@@ -105,8 +105,8 @@
         return process.exitValue();
     }
 
-    File log() {
-        return log;
+    File logFile() {
+        return logFile;
     }
 
     /** SIGKILL. */
@@ -117,27 +117,27 @@
     }
 
     /** SIGTERM; returns whether it ended in time. */
-    boolean end(long withinMs) throws InterruptedException {
+    boolean terminate(long withinMs) throws InterruptedException {
         process.destroy();
         return process.waitFor(withinMs, TimeUnit.MILLISECONDS);
     }
 
-    private void signal(String which) throws IOException, InterruptedException {
+    private void sendSignal(String which) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + which, Long.toString(process.pid())).start().waitFor();
     }
 
     /** SIGSTOP. */
     synchronized void pause() throws IOException, InterruptedException {
-        if (alive()) {
-            signal("STOP");
+        if (isAlive()) {
+            sendSignal("STOP");
             paused = true;
         }
     }
 
     /** SIGCONT. */
-    synchronized void goOn() throws IOException, InterruptedException {
-        if (alive() && paused) {
-            signal("CONT");
+    synchronized void resume() throws IOException, InterruptedException {
+        if (isAlive() && paused) {
+            sendSignal("CONT");
         }
         paused = false;
     }
--- a/lab/src/main/java/saltstage/lab/trial/WindowTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/WindowTrial.java
@@ -25,13 +25,13 @@
  * what the stand-ins really had must never have been under the floor.
  */
 public final class WindowTrial implements AutoCloseable {
-    private static final int NODES = 4;
+    private static final int NODES_PER_REGION = 4;
     private static final long DRAIN_MS = 600;
     private static final long WORK_MS = 1_200;
-    private static final long WARM_MS = 1_000;
-    private static final long FLOOR = 9;
-    private static final Duration CALL = Duration.ofSeconds(15);
-    private static final Duration DONE_WITHIN = Duration.ofSeconds(60);
+    private static final long WARM_UP_MS = 1_000;
+    private static final long FLOOR_NODES = 9;
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(15);
+    private static final Duration STEP_TIMEOUT = Duration.ofSeconds(60);
 
     /** The steps at which a fault befalls. */
     public static final List<String> STEPS = List.of("PLANNED", "DRAINING", "OUT", "WARMING", "RETURNING");
@@ -41,13 +41,13 @@
 
     private final GroupUnderTest group;
     private final GroupClient client;
-    private final Map<String, StandInRegion> regions = new LinkedHashMap<>();
-    private final Map<String, Proc> agents = new LinkedHashMap<>();
-    private final List<String> broken = new ArrayList<>();
-    private final Thread sampler = new Thread(this::sample, "sampler");
-    private volatile boolean over;
-    private volatile String cell = "start";
-    private volatile long least = Long.MAX_VALUE;
+    private final Map<String, FakeRegion> regions = new LinkedHashMap<>();
+    private final Map<String, TrialProcess> agents = new LinkedHashMap<>();
+    private final List<String> violations = new ArrayList<>();
+    private final Thread sampler = new Thread(this::sampleCapacity, "sampler");
+    private volatile boolean stopped;
+    private volatile String currentCase = "start";
+    private volatile long minCapacity = Long.MAX_VALUE;
     private int round;
 
     /** Starts the processes in a folder. */
@@ -55,29 +55,29 @@
         group = new GroupUnderTest(dir, 3, jars, "").start();
         StringBuilder fleet = new StringBuilder("fleet {\n  slot = \"100ms\"\n  most_regions = 3\n");
         for (String name : List.of("a", "b", "c")) {
-            StandInRegion region = new StandInRegion(name, NODES, 2, WARM_MS);
+            FakeRegion region = new FakeRegion(name, NODES_PER_REGION, 2, WARM_UP_MS);
             regions.put(name, region);
-            fleet.append(region.fleet());
+            fleet.append(region.fleetSettings());
         }
-        fleet.append("  floor \"all\" {\n    regions = [\"a\", \"b\", \"c\"]\n    least = ").append(FLOOR)
+        fleet.append("  floor \"all\" {\n    regions = [\"a\", \"b\", \"c\"]\n    least = ").append(FLOOR_NODES)
             .append("\n  }\n}\n");
         group.leader(Duration.ofSeconds(20));
         client = group.client();
-        agree(fleet.toString());
-        for (StandInRegion region : regions.values()) {
-            start(dir, region, region.name());
+        setFleet(fleet.toString());
+        for (FakeRegion region : regions.values()) {
+            startAgent(dir, region, region.name());
         }
-        start(dir, regions.get("a"), "a-successor");
+        startAgent(dir, regions.get("a"), "a-successor");
         sampler.setDaemon(true);
         sampler.start();
     }
 
-    private void agree(String fleet) throws IOException, InterruptedException {
+    private void setFleet(String fleet) throws IOException, InterruptedException {
         Reply agreed = null;
         for (int i = 0; i < 100 && !(agreed instanceof saltstage.coordinator.model.Acknowledgement); i++) {
             try {
                 agreed = client.send(new WindowCommands.SetFleet(FleetSettings.parse("fleet.hcl", fleet,
-                    Instant.now()), "trial"), CALL).reply(); // until every voter was heard to know windows
+                    Instant.now()), "trial"), CALL_TIMEOUT).reply(); // until every voter was heard to know windows
             } catch (MalformedException bad) {
                 throw new IOException(bad);
             }
@@ -85,19 +85,19 @@
         }
     }
 
-    private void start(Path dir, StandInRegion region, String as) throws IOException {
-        agents.put(as, Proc.coordinator("agent-" + as, Proc.builtJar(), dir, List.of("agent", "--at",
-            String.join(",", group.doors()), "--agent", region.settings(dir).toString())).start());
+    private void startAgent(Path dir, FakeRegion region, String as) throws IOException {
+        agents.put(as, TrialProcess.coordinator("agent-" + as, TrialProcess.coordinatorJar(), dir, List.of("agent", "--at",
+            String.join(",", group.clientLinkAddresses()), "--agent", region.writeAgentSettings(dir).toString())).start());
     }
 
-    private void sample() {
-        while (!over) {
+    private void sampleCapacity() {
+        while (!stopped) {
             long now = regions.values().stream().mapToLong(r -> r.capacity(false)).sum();
-            least = Math.min(least, now);
-            if (now < FLOOR * 1_000) {
-                synchronized (broken) {
-                    if (broken.size() < 20) {
-                        broken.add(cell + ": " + now + " of " + FLOOR * 1_000);
+            minCapacity = Math.min(minCapacity, now);
+            if (now < FLOOR_NODES * 1_000) {
+                synchronized (violations) {
+                    if (violations.size() < 20) {
+                        violations.add(currentCase + ": " + now + " of " + FLOOR_NODES * 1_000);
                     }
                 }
             }
@@ -109,8 +109,8 @@
         }
     }
 
-    private Window find(long id) throws IOException, InterruptedException {
-        for (JsonNode row : client.get("/v1/windows", CALL).path("windows")) {
+    private Window findWindow(long id) throws IOException, InterruptedException {
+        for (JsonNode row : client.get("/v1/windows", CALL_TIMEOUT).path("windows")) {
             if (row.path("id").asLong() == id) {
                 return GroupCodec.jsonMapper().treeToValue(row, Window.class);
             }
@@ -121,8 +121,8 @@
     private Window propose(String region) throws IOException, InterruptedException {
         long now = System.currentTimeMillis();
         Reply reply = client.send(new WindowCommands.Propose(new WindowRequest(region,
-            regions.get(region).nodes().subList(0, 3), DRAIN_MS, WORK_MS, WARM_MS, now, now + 300_000, 0,
-            false, false, List.of(), List.of(), "trial", "round " + round)), CALL).reply();
+            regions.get(region).nodeNames().subList(0, 3), DRAIN_MS, WORK_MS, WARM_UP_MS, now, now + 300_000, 0,
+            false, false, List.of(), List.of(), "trial", "round " + round)), CALL_TIMEOUT).reply();
         if (reply instanceof WindowReplies.Planned planned) {
             return planned.windows().get(0);
         }
@@ -130,69 +130,69 @@
     }
 
     /** Plays one cell of the table; returns how long it took to be done, in ms, or throws. */
-    public long play(String step, String fault) throws IOException, InterruptedException {
-        cell = step + " x " + fault;
+    public long runCase(String step, String fault) throws IOException, InterruptedException {
+        currentCase = step + " x " + fault;
         round++;
         long start = System.nanoTime();
         Window first = propose("a");
         Window second = propose("b");
         if (step.equals("RETURNING")) {
-            reach(first.id(), "DRAINING");
-            client.send(new WindowCommands.Withdraw(first.id(), "trial"), CALL);
+            awaitStep(first.id(), "DRAINING");
+            client.send(new WindowCommands.Withdraw(first.id(), "trial"), CALL_TIMEOUT);
         } else {
-            reach(first.id(), step);
+            awaitStep(first.id(), step);
         }
-        befall(fault);
+        injectFault(fault);
         for (Window each : List.of(first, second)) {
-            done(each.id());
+            awaitDone(each.id());
         }
-        if (!regions.values().stream().allMatch(StandInRegion::whole)) {
-            throw new IOException(cell + ": over, and nodes are still suspended");
+        if (!regions.values().stream().allMatch(FakeRegion::hasNoSuspendedNode)) {
+            throw new IOException(currentCase + ": over, and nodes are still suspended");
         }
         return (System.nanoTime() - start) / 1_000_000;
     }
 
-    private void reach(long id, String step) throws IOException, InterruptedException {
-        long until = System.nanoTime() + DONE_WITHIN.toNanos();
-        while (!find(id).state().name().equals(step) && !find(id).state().name().equals("DONE")) {
+    private void awaitStep(long id, String step) throws IOException, InterruptedException {
+        long until = System.nanoTime() + STEP_TIMEOUT.toNanos();
+        while (!findWindow(id).state().name().equals(step) && !findWindow(id).state().name().equals("DONE")) {
             if (System.nanoTime() > until) {
-                throw new IOException(cell + ": never came to " + step + ": " + find(id));
+                throw new IOException(currentCase + ": never came to " + step + ": " + findWindow(id));
             }
             Thread.sleep(20);
         }
     }
 
-    private void done(long id) throws IOException, InterruptedException {
-        long until = System.nanoTime() + DONE_WITHIN.toNanos();
-        for (Window now = find(id); now.state() != Window.State.DONE
-                && now.state() != Window.State.WITHDRAWN; now = find(id)) {
+    private void awaitDone(long id) throws IOException, InterruptedException {
+        long until = System.nanoTime() + STEP_TIMEOUT.toNanos();
+        for (Window now = findWindow(id); now.state() != Window.State.DONE
+                && now.state() != Window.State.WITHDRAWN; now = findWindow(id)) {
             if (System.nanoTime() > until) {
-                throw new IOException(cell + ": not done within " + DONE_WITHIN.toSeconds() + " s: " + now);
+                throw new IOException(currentCase + ": not done within " + STEP_TIMEOUT.toSeconds() + " s: " + now);
             }
             Thread.sleep(50);
         }
     }
 
     /** The agent of region a that holds its lease, else any: who waits is no target worth a fault. */
-    private Proc holder() throws IOException, InterruptedException {
-        String owner = client.get("/v1/lease?name=" + WindowCommands.leaseName("a"), CALL)
+    private TrialProcess leaseHolder() throws IOException, InterruptedException {
+        String owner = client.get("/v1/lease?name=" + WindowCommands.leaseName("a"), CALL_TIMEOUT)
             .path("leases").path(0).path("owner").asText("");
-        for (Proc agent : agents.values()) {
-            if (agent.alive() && owner.startsWith("agent-a-" + agent.pid() + "/")) {
+        for (TrialProcess agent : agents.values()) {
+            if (agent.isAlive() && owner.startsWith("agent-a-" + agent.pid() + "/")) {
                 return agent;
             }
         }
         return agents.get("a");
     }
 
-    private void befall(String fault) throws IOException, InterruptedException {
-        Proc agent = holder();
+    private void injectFault(String fault) throws IOException, InterruptedException {
+        TrialProcess agent = leaseHolder();
         switch (fault) {
             case "kill-leader" -> {
-                String leader = group.leader(CALL);
-                group.proc(leader).kill();
+                String leader = group.leader(CALL_TIMEOUT);
+                group.process(leader).kill();
                 Thread.sleep(1_500);
-                group.proc(leader).start();
+                group.process(leader).start();
             }
             case "kill-agent" -> {
                 agent.kill();
@@ -202,42 +202,42 @@
             case "pause-agent" -> { // for longer than its lease, while a second agent is there to take over
                 agent.pause();
                 Thread.sleep(6_000);
-                agent.goOn();
+                agent.resume();
             }
             case "relay-away" -> {
-                regions.get("a").relayAway(0, true);
+                regions.get("a").setRelayDown(0, true);
                 Thread.sleep(2_000);
-                regions.get("a").relayAway(0, false);
+                regions.get("a").setRelayDown(0, false);
             }
             case "node-dead" -> {
-                regions.get("c").dead("c1", true);
+                regions.get("c").setNodeDown("c1", true);
                 Thread.sleep(3_000);
-                regions.get("c").dead("c1", false);
+                regions.get("c").setNodeDown("c1", false);
             }
             default -> throw new IllegalArgumentException("no fault '" + fault + "'");
         }
     }
 
     /** What the witness saw under the floor. */
-    public List<String> broken() {
-        synchronized (broken) {
-            return List.copyOf(broken);
+    public List<String> violations() {
+        synchronized (violations) {
+            return List.copyOf(violations);
         }
     }
 
     /** The least that the stand-ins had, in thousandths of a node. */
-    public long least() {
-        return least;
+    public long minCapacity() {
+        return minCapacity;
     }
 
     @Override
     public void close() throws IOException, InterruptedException {
-        over = true;
-        for (Proc agent : agents.values()) {
+        stopped = true;
+        for (TrialProcess agent : agents.values()) {
             agent.close();
         }
         group.close();
-        for (StandInRegion region : regions.values()) {
+        for (FakeRegion region : regions.values()) {
             region.close();
         }
     }
--- a/lab/src/test/java/saltstage/lab/amqp/FrontTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/AmqpFrontendTest.java
@@ -30,20 +30,20 @@
 import org.apache.qpid.protonj2.client.StreamSenderMessage;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltstage.lab.fleet.Clients;
+import saltstage.lab.fleet.SimulatedClients;
 import saltstage.net.NettyTransport;
 
 /** What the front makes of clients that are hostile, unknown, large, sudden, or speak lines beside. */
 @Timeout(150)
-class FrontTest {
-    private static final byte[] AMQP = {'A', 'M', 'Q', 'P', 0, 1, 0, 0};
-    private static final byte[] EMPTY = {0, 0, 0, 8, 2, 0, 0, 0};
+class AmqpFrontendTest {
+    private static final byte[] PROTOCOL_HEADER = {'A', 'M', 'Q', 'P', 0, 1, 0, 0};
+    private static final byte[] EMPTY_FRAME = {0, 0, 0, 8, 2, 0, 0, 0};
     /** An open with the container id "x" (2.7.1). */
-    private static final byte[] OPEN = {0, 0, 0, 17, 2, 0, 0, 0, 0, 0x53, 0x10, (byte) 0xc0, 4, 1,
+    private static final byte[] OPEN_FRAME = {0, 0, 0, 17, 2, 0, 0, 0, 0, 0x53, 0x10, (byte) 0xc0, 4, 1,
         (byte) 0xa1, 1, 'x'};
 
-    private static String talk(Stage stage, byte[]... pieces) throws IOException {
-        try (Socket socket = new Socket(stage.amqp().getAddress(), stage.amqp().getPort())) {
+    private static String exchange(AmqpTestEnvironment stage, byte[]... pieces) throws IOException {
+        try (Socket socket = new Socket(stage.amqpAddress().getAddress(), stage.amqpAddress().getPort())) {
             socket.setSoTimeout(20_000);
             ByteArrayOutputStream heard = new ByteArrayOutputStream();
             try {
@@ -64,19 +64,19 @@
     }
 
     @Test
-    void whoSaysNothingOrRubbishOrTooMuchIsCutOff() throws Exception {
-        try (Stage stage = new Stage(1, "  open_within = \"500ms\"\n  frame = \"4KiB\"\n")) {
-            talk(stage);
-            talk(stage, AMQP); // a header alone
-            talk(stage, "GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
-            talk(stage, AMQP, new byte[] {0, 0, 0, 1, 2, 0, 0, 0, 0}); // a size below the least
-            talk(stage, AMQP, new byte[] {0x7f, 0, 0, 0, 2, 0, 0, 0}); // and a huge one
-            String flooded = talk(stage, AMQP, OPEN, empties(1_000));
+    void silentMalformedAndFloodingClientsAreDisconnected() throws Exception {
+        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, "  open_within = \"500ms\"\n  frame = \"4KiB\"\n")) {
+            exchange(stage);
+            exchange(stage, PROTOCOL_HEADER); // a header alone
+            exchange(stage, "GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
+            exchange(stage, PROTOCOL_HEADER, new byte[] {0, 0, 0, 1, 2, 0, 0, 0, 0}); // a size below the least
+            exchange(stage, PROTOCOL_HEADER, new byte[] {0x7f, 0, 0, 0, 2, 0, 0, 0}); // and a huge one
+            String flooded = exchange(stage, PROTOCOL_HEADER, OPEN_FRAME, emptyFrames(1_000));
             assertTrue(flooded.contains("amqp:resource-limit-exceeded"), flooded);
-            stage.await("amqp.flood", () -> logged(stage, "amqp.flood"));
-            assertTrue(logged(stage, "amqp.client.silent"));
+            stage.await("amqp.flood", () -> hasLogged(stage, "amqp.flood"));
+            assertTrue(hasLogged(stage, "amqp.client.silent"));
             try (Client client = Client.create()) { // and it goes on serving
-                Connection connection = client.connect(stage.amqp().getHostString(), stage.amqp().getPort());
+                Connection connection = client.connect(stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
                 assertEquals(DeliveryState.Type.ACCEPTED, connection.openSender("status-report")
                     .send(Message.create("x").messageId("after")).awaitSettlement(20, TimeUnit.SECONDS)
                     .remoteState().getType());
@@ -84,29 +84,29 @@
         }
     }
 
-    private static byte[] empties(int count) {
-        byte[] all = new byte[count * EMPTY.length];
+    private static byte[] emptyFrames(int count) {
+        byte[] all = new byte[count * EMPTY_FRAME.length];
         for (int i = 0; i < count; i++) {
-            System.arraycopy(EMPTY, 0, all, i * EMPTY.length, EMPTY.length);
+            System.arraycopy(EMPTY_FRAME, 0, all, i * EMPTY_FRAME.length, EMPTY_FRAME.length);
         }
         return all;
     }
 
-    private static boolean logged(Stage stage, String event) {
+    private static boolean hasLogged(AmqpTestEnvironment stage, String event) {
         try {
-            return stage.log().contains(event);
+            return stage.readLog().contains(event);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
     @Test
-    void connectionsAndLinksBeyondTheLimitAreRefusedWithTheTimeToComeBack() throws Exception {
-        try (Stage stage = new Stage(1, "  connections = 2\n  links_per_connection = 1\n");
+    void connectionsAndLinksBeyondTheLimitAreRejected() throws Exception {
+        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, "  connections = 2\n  links_per_connection = 1\n");
             Client client = Client.create()) {
             List<Connection> held = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
-                held.add(client.connect(stage.amqp().getHostString(), stage.amqp().getPort()));
+                held.add(client.connect(stage.amqpAddress().getHostString(), stage.amqpAddress().getPort()));
                 held.get(i).openFuture().get(20, TimeUnit.SECONDS);
             }
             held.get(0).openSender("status-report").openFuture().get(20, TimeUnit.SECONDS);
@@ -114,19 +114,19 @@
                 .send(Message.create("x")).awaitSettlement(20, TimeUnit.SECONDS));
             assertTrue(second.toString().contains("amqp:resource-limit-exceeded"), second.toString());
             Exception third = assertThrows(Exception.class, () -> client.connect(
-                stage.amqp().getHostString(), stage.amqp().getPort()).openSender("status-report")
+                stage.amqpAddress().getHostString(), stage.amqpAddress().getPort()).openSender("status-report")
                 .openFuture().get(20, TimeUnit.SECONDS));
             assertTrue(third.toString().contains("amqp:resource-limit-exceeded"), third.toString());
         }
     }
 
     @Test
-    void usersNeedTheirSecret() throws Exception {
+    void usersMustAuthenticateWithTheirSecret() throws Exception {
         Path secrets = Files.createTempFile("saltstage", "secrets");
         Files.writeString(secrets, "# users\ndosan-power:right\n");
-        try (Stage stage = new Stage(1, "  secrets = \"" + secrets + "\"\n");
+        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, "  secrets = \"" + secrets + "\"\n");
             Client client = Client.create()) {
-            Connection right = client.connect(stage.amqp().getHostString(), stage.amqp().getPort(),
+            Connection right = client.connect(stage.amqpAddress().getHostString(), stage.amqpAddress().getPort(),
                 new ConnectionOptions().user("dosan-power").password("right"));
             assertEquals(DeliveryState.Type.ACCEPTED, right.openSender("session-check")
                 .send(Message.create("x").messageId("m")).awaitSettlement(20, TimeUnit.SECONDS).remoteState()
@@ -136,21 +136,21 @@
                 ConnectionOptions options = new ConnectionOptions().user(wrong[0]).password(wrong[1]);
                 options.saslOptions().addAllowedMechanism("PLAIN");
                 options.reconnectEnabled(false);
-                assertThrows(ExecutionException.class, () -> client.connect(stage.amqp().getHostString(),
-                    stage.amqp().getPort(), options).openFuture().get(20, TimeUnit.SECONDS), wrong[0]);
+                assertThrows(ExecutionException.class, () -> client.connect(stage.amqpAddress().getHostString(),
+                    stage.amqpAddress().getPort(), options).openFuture().get(20, TimeUnit.SECONDS), wrong[0]);
             }
-            stage.await("amqp.login.failed", () -> logged(stage, "amqp.login.failed"));
+            stage.await("amqp.login.failed", () -> hasLogged(stage, "amqp.login.failed"));
         } finally {
             Files.delete(secrets);
         }
     }
 
-    private static boolean comesIn(Client client, Stage stage, String secret) throws Exception {
+    private static boolean canSend(Client client, AmqpTestEnvironment stage, String secret) throws Exception {
         ConnectionOptions options = new ConnectionOptions().user("dosan-power").password(secret);
         options.saslOptions().addAllowedMechanism("PLAIN");
         options.reconnectEnabled(false);
         Connection connection =
-            client.connect(stage.amqp().getHostString(), stage.amqp().getPort(), options);
+            client.connect(stage.amqpAddress().getHostString(), stage.amqpAddress().getPort(), options);
         try {
             connection.openFuture().get(20, TimeUnit.SECONDS);
             connection.openSender("session-check").send(Message.create("x"))
@@ -161,56 +161,56 @@
         }
     }
 
-    private static long count(Stage stage, String what) {
+    private static long countLogLines(AmqpTestEnvironment stage, String what) {
         try {
-            return stage.log().lines().filter(line -> line.contains(what)).count();
+            return stage.readLog().lines().filter(line -> line.contains(what)).count();
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
     @Test
-    void sighupTakesOtherLimitsAndSecretsAndRefusesBadOnesWhole() throws Exception {
+    void sighupAppliesNewLimitsAndSecretsAndRejectsInvalidOnesCompletely() throws Exception {
         Path secrets = Files.createTempFile("saltstage", "secrets");
         Files.writeString(secrets, "dosan-power:first\n");
         String access = "  secrets = \"" + secrets + "\"\n";
-        try (Stage stage = new Stage(1, access + "  connections = 1\n"); Client client = Client.create()) {
-            assertTrue(comesIn(client, stage, "first"));
-            assertFalse(comesIn(client, stage, "first"), "one connection was allowed");
+        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, access + "  connections = 1\n"); Client client = Client.create()) {
+            assertTrue(canSend(client, stage, "first"));
+            assertFalse(canSend(client, stage, "first"), "one connection was allowed");
             Files.writeString(secrets, "dosan-power:second\n");
-            stage.reload(access + "  connections = 20\n");
-            stage.await("reload.done", () -> count(stage, "reload.done") == 1);
-            assertTrue(comesIn(client, stage, "second"));
-            assertFalse(comesIn(client, stage, "first"));
+            stage.reloadSettings(access + "  connections = 20\n");
+            stage.await("reload.done", () -> countLogLines(stage, "reload.done") == 1);
+            assertTrue(canSend(client, stage, "second"));
+            assertFalse(canSend(client, stage, "first"));
             Files.writeString(secrets, "no colon\n");
-            stage.reload(access + "  connections = 1\n");
-            stage.await("reload.refused", () -> count(stage, "reload.refused") == 1);
-            assertTrue(comesIn(client, stage, "second"), "nothing of a bad change is in force");
+            stage.reloadSettings(access + "  connections = 1\n");
+            stage.await("reload.refused", () -> countLogLines(stage, "reload.refused") == 1);
+            assertTrue(canSend(client, stage, "second"), "nothing of a bad change is in force");
             Files.writeString(secrets, "dosan-power:second\n");
-            stage.reload(access + "  connections = 20\n  loops = 2\n");
-            stage.await("what waits for a restart", () -> count(stage, "amqp.loops") == 1);
-            assertTrue(comesIn(client, stage, "second"));
+            stage.reloadSettings(access + "  connections = 20\n  loops = 2\n");
+            stage.await("what waits for a restart", () -> countLogLines(stage, "amqp.loops") == 1);
+            assertTrue(canSend(client, stage, "second"));
         } finally {
             Files.delete(secrets);
         }
     }
 
     @Test
-    void largeDeliveryIsPassedThroughAndOneThatBreaksOffReachesNobody() throws Exception {
-        try (Stage stage = new Stage(2, "  link_bytes = \"128KiB\"\n"); Client client = Client.create()) {
-            Connection connection = client.connect(stage.amqp().getHostString(), stage.amqp().getPort());
+    void largeDeliveryIsForwardedAndAnAbortedOneIsNotDelivered() throws Exception {
+        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(2, "  link_bytes = \"128KiB\"\n"); Client client = Client.create()) {
+            Connection connection = client.connect(stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
             StreamSender sender = connection.openStreamSender("status-report");
-            stream(sender, "large", 12 << 20).close();
-            stage.await("accepted", () -> accepted(stage).contains("large"));
-            OutputStream half = stream(sender, "half", 1 << 20);
+            startDelivery(sender, "large", 12 << 20).close();
+            stage.await("accepted", () -> acceptedIds(stage).contains("large"));
+            OutputStream half = startDelivery(sender, "half", 1 << 20);
             half.flush();
             connection.close();
-            stage.await("no links", () -> stage.fleet().amqp().stream().allMatch(g -> g.links() == 0));
-            assertEquals(List.of("large"), accepted(stage));
+            stage.await("no links", () -> stage.fleet().amqpBackends().stream().allMatch(g -> g.linkCount() == 0));
+            assertEquals(List.of("large"), acceptedIds(stage));
         }
     }
 
-    private static OutputStream stream(StreamSender sender, String id, int bytes) throws Exception {
+    private static OutputStream startDelivery(StreamSender sender, String id, int bytes) throws Exception {
         StreamSenderMessage message = sender.beginMessage();
         message.property("id", id);
         OutputStream out = message.body(new OutputStreamOptions());
@@ -221,38 +221,38 @@
         return out;
     }
 
-    private static List<String> accepted(Stage stage) {
-        return stage.fleet().amqp().stream().flatMap(g -> g.accepted().stream()).toList();
+    private static List<String> acceptedIds(AmqpTestEnvironment stage) {
+        return stage.fleet().amqpBackends().stream().flatMap(g -> g.acceptedIds().stream()).toList();
     }
 
     @Test
-    void relayThatLeavesMovesItsLinksAndLosesNothingBesideLines() throws Exception {
-        try (Stage stage = new Stage(3, "");
+    void relayThatShutsDownDetachesItsLinksAndLosesNoDelivery() throws Exception {
+        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(3, "");
             NettyTransport transport = new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
-            String[] at = stage.fleet().listen().split(":");
-            Clients lines = new Clients(new InetSocketAddress(at[0], Integer.parseInt(at[1])), 50,
+            String[] at = stage.fleet().listenAddress().split(":");
+            SimulatedClients lines = new SimulatedClients(new InetSocketAddress(at[0], Integer.parseInt(at[1])), 50,
                 Duration.ofMillis(200), Duration.ofSeconds(30));
-            Ledger ledger = new Ledger();
-            LoadClient client = new LoadClient(transport, transport.loops().get(0), stage.amqp(), "leave", 20,
+            DeliveryTracker ledger = new DeliveryTracker();
+            AmqpLoadClient client = new AmqpLoadClient(transport, transport.loops().get(0), stage.amqpAddress(), "leave", 20,
                 "session-check", 64, ledger);
-            stage.await("attached", () -> client.attached() == 20);
+            stage.await("attached", () -> client.attachedCount() == 20);
             stage.await("lines stand", () ->
-                stage.fleet().gateways().stream().mapToInt(g -> g.standing()).sum() >= 45);
+                stage.fleet().backends().stream().mapToInt(g -> g.establishedCount()).sum() >= 45);
             for (int i = 0; i < 2_000; i++) {
-                client.due(i % 20, "l" + i, System.nanoTime());
+                client.scheduleDelivery(i % 20, "l" + i, System.nanoTime());
                 if (i % 20 == 0) {
                     Thread.sleep(2);
                 }
             }
-            stage.await("answered", () -> ledger.waiting() == 0);
-            assertEquals(List.of(), ledger.faults(accepted(stage)));
-            assertEquals(2_000, ledger.counts().get(Ledger.Told.ACCEPTED));
-            assertEquals(0, lines.cut());
+            stage.await("answered", () -> ledger.pendingCount() == 0);
+            assertEquals(List.of(), ledger.findFaults(acceptedIds(stage)));
+            assertEquals(2_000, ledger.outcomeCounts().get(DeliveryTracker.DeliveryOutcome.ACCEPTED));
+            assertEquals(0, lines.brokenCount());
             stage.relay().destroy();
             assertTrue(stage.relay().waitFor(10, TimeUnit.SECONDS), "it does not leave");
-            lines.end();
-            assertEquals(20, client.detached().getOrDefault("amqp:link:detach-forced", 0L).intValue(),
-                client.detached().toString());
+            lines.stop();
+            assertEquals(20, client.detachCounts().getOrDefault("amqp:link:detach-forced", 0L).intValue(),
+                client.detachCounts().toString());
         }
     }
 }
--- a/lab/src/test/java/saltstage/lab/amqp/Stage.java
+++ b/lab/src/test/java/saltstage/lab/amqp/AmqpTestEnvironment.java
@@ -8,27 +8,27 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import saltstage.lab.Home;
-import saltstage.lab.fleet.Fleet;
+import saltstage.lab.Installation;
+import saltstage.lab.fleet.FakeFleet;
 
 /** The built relay as a process, in front of a fleet of stand-ins that speak AMQP. */
-final class Stage implements AutoCloseable {
+final class AmqpTestEnvironment implements AutoCloseable {
     private final Path dir;
-    private final Fleet fleet;
+    private final FakeFleet fleet;
     private final Process relay;
 
-    Stage(int gateways, String amqpSettings) throws IOException, InterruptedException {
+    AmqpTestEnvironment(int gateways, String amqpSettings) throws IOException, InterruptedException {
         dir = Files.createTempDirectory("saltstage-amqp");
-        fleet = new Fleet(gateways, true, 0);
-        fleet.writeFiles(dir, fleet.settings(amqpSettings));
-        relay = new ProcessBuilder(Home.relay().toString(), "serve", "--config",
+        fleet = new FakeFleet(gateways, true, 0);
+        fleet.writeFiles(dir, fleet.operatorSettings(amqpSettings));
+        relay = new ProcessBuilder(Installation.relayScript().toString(), "serve", "--config",
             dir.resolve("config.json").toString(), "--settings", dir.resolve("saltstage.hcl").toString())
             .redirectErrorStream(true).redirectOutput(dir.resolve("log").toFile()).start();
-        String[] at = fleet.listen().split(":");
-        Home.awaitPong(new InetSocketAddress(at[0], Integer.parseInt(at[1])), relay, Duration.ofSeconds(60));
+        String[] at = fleet.listenAddress().split(":");
+        Installation.awaitPong(new InetSocketAddress(at[0], Integer.parseInt(at[1])), relay, Duration.ofSeconds(60));
     }
 
-    Fleet fleet() {
+    FakeFleet fleet() {
         return fleet;
     }
 
@@ -36,25 +36,25 @@
         return relay;
     }
 
-    InetSocketAddress amqp() {
-        String[] at = fleet.amqpListen().split(":");
+    InetSocketAddress amqpAddress() {
+        String[] at = fleet.amqpListenAddress().split(":");
         return new InetSocketAddress(at[0], Integer.parseInt(at[1]));
     }
 
-    String log() throws IOException {
+    String readLog() throws IOException {
         return Files.readString(dir.resolve("log"));
     }
 
-    void command(String line) throws IOException {
-        String answer = fleet.command(line);
+    void runCommand(String line) throws IOException {
+        String answer = fleet.runCommand(line);
         if (!answer.startsWith("ok")) {
             throw new IllegalArgumentException(line + ": " + answer);
         }
     }
 
     /** Writes other settings and sends SIGHUP. */
-    void reload(String amqpSettings) throws IOException, InterruptedException {
-        Files.writeString(dir.resolve("saltstage.hcl"), fleet.settings(amqpSettings));
+    void reloadSettings(String amqpSettings) throws IOException, InterruptedException {
+        Files.writeString(dir.resolve("saltstage.hcl"), fleet.operatorSettings(amqpSettings));
         new ProcessBuilder("kill", "-HUP", Long.toString(relay.pid())).start().waitFor();
     }
 
@@ -72,7 +72,7 @@
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
         while (!holds.getAsBoolean()) {
             if (System.nanoTime() > until) {
-                throw new AssertionError("never: " + what + "\n" + log());
+                throw new AssertionError("never: " + what + "\n" + readLog());
             }
             Thread.sleep(10);
         }
@@ -84,6 +84,6 @@
         if (!relay.waitFor(20, TimeUnit.SECONDS)) {
             relay.destroyForcibly().waitFor();
         }
-        Home.delete(dir);
+        Installation.deleteRecursively(dir);
     }
 }
--- /dev/null
+++ b/lab/src/test/java/saltstage/lab/amqp/ProtocolDriverTest.java
@@ -0,0 +1,264 @@
+package saltstage.lab.amqp;
+
+import static org.hamcrest.CoreMatchers.notNullValue;
+import static org.hamcrest.CoreMatchers.nullValue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.apache.qpid.protonj2.test.driver.ProtonTestClient;
+import org.apache.qpid.protonj2.test.driver.actions.FlowInjectAction;
+import org.apache.qpid.protonj2.test.driver.codec.transport.Role;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import saltstage.net.NettyTransport;
+
+/** Frame by frame, by a driver that nobody here wrote: what comes back must be what it was told to expect. */
+@Timeout(120)
+class ProtocolDriverTest {
+    /** Properties with the message id "d1" (3.2.4) and a data section of one byte (3.2.6). */
+    private static final byte[] MESSAGE = {0, 0x53, 0x73, (byte) 0xc0, 5, 1, (byte) 0xa1, 2, 'd', '1',
+        0, 0x53, 0x75, (byte) 0xa0, 1, 'x'};
+
+    private static final int MAX_ATTEMPTS = 5;
+
+    private AmqpTestEnvironment environment;
+    private ProtonTestClient driver;
+
+    /** What a peer does and waits for. */
+    private interface Script {
+        void run() throws Exception;
+    }
+
+    /** An attach may be refused for now, as on a machine that is slow just then: that is played anew. */
+    private void runWithRetries(Script script) throws Exception {
+        for (int i = 1;; i++) {
+            try {
+                script.run();
+                return;
+            } catch (AssertionError failed) {
+                if (i == MAX_ATTEMPTS || !String.valueOf(failed.getMessage()).contains("come again")) {
+                    throw failed;
+                }
+                end();
+            }
+        }
+    }
+
+    private void start(String settings) throws Exception {
+        environment = new AmqpTestEnvironment(1, settings);
+        awaitFirstLink();
+        driver = new ProtonTestClient();
+        driver.connect(environment.amqpAddress().getAddress().getHostAddress(), environment.amqpAddress().getPort());
+        driver.expectAMQPHeader();
+        driver.remoteAMQPHeader().now();
+        driver.waitForScriptToComplete(20, TimeUnit.SECONDS);
+    }
+
+    /** A relay that has just begun may refuse at first: links are taken from here on. */
+    private void awaitFirstLink() throws Exception {
+        try (NettyTransport transport =
+            new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
+            AmqpLoadClient first = new AmqpLoadClient(transport, transport.loops().get(0), environment.amqpAddress(), "first", 1,
+                "session-check", 64, new DeliveryTracker());
+            environment.await("a first link", () -> first.attachedCount() == 1);
+            first.close();
+            environment.await("it is gone", () -> backend().linkCount() == 0);
+        }
+    }
+
+    private void open() throws Exception {
+        start("  idle = \"2s\"\n");
+        driver.expectOpen();
+        driver.expectBegin();
+        driver.remoteOpen().withContainerId("driver").now();
+        driver.remoteBegin().withNextOutgoingId(0).withIncomingWindow(100).withOutgoingWindow(100).now();
+        awaitScript();
+    }
+
+    private void awaitScript() {
+        driver.waitForScriptToComplete(20, TimeUnit.SECONDS);
+    }
+
+    /** A flow with the session's state as it is while nothing was transferred. */
+    private FlowInjectAction flow() {
+        return driver.remoteFlow().withIncomingWindow(100).withNextIncomingId(0).withNextOutgoingId(0)
+            .withOutgoingWindow(100);
+    }
+
+    private FakeAmqpBackend backend() {
+        return environment.fleet().amqpBackends().get(0);
+    }
+
+    private void attachSender(boolean second) {
+        driver.expectAttach().ofReceiver().withHandle(0);
+        driver.expectFlow().withHandle(nullValue()).optional();
+        driver.expectFlow().withHandle(0).withLinkCredit(notNullValue());
+        var attach = driver.remoteAttach().ofSender().withName("out").withHandle(0).withInitialDeliveryCount(0);
+        if (second) {
+            attach.withReceivervSettlesSecond();
+        }
+        attach.withSource().withAddress("driver").also();
+        attach.withTarget().withAddress("session-check").also().now();
+        awaitScript();
+    }
+
+    private void attachReceiver() {
+        driver.expectAttach().ofSender().withHandle(0);
+        var attach = driver.remoteAttach().ofReceiver().withName("in").withHandle(0);
+        attach.withSource().withAddress("session-check").also();
+        attach.withTarget().withAddress("driver").also().now();
+        awaitScript();
+    }
+
+    @AfterEach
+    void end() throws Exception {
+        driver.close();
+        environment.close();
+    }
+
+    @Test
+    void echoRequestsOfLinkAndSessionAreAnswered() throws Exception {
+        runWithRetries(this::echoRequestsOfLinkAndSessionAreAnsweredScript);
+    }
+
+    private void echoRequestsOfLinkAndSessionAreAnsweredScript() throws Exception {
+        open();
+        attachSender(false);
+        driver.expectFlow().withHandle(0).withLinkCredit(notNullValue());
+        flow().withHandle(0).withDeliveryCount(0).withLinkCredit(0).withEcho(true).now();
+        awaitScript();
+        driver.expectFlow().withHandle(nullValue());
+        flow().withNullHandle().withEcho(true).now();
+        awaitScript();
+    }
+
+    @Test
+    void drainReturnsUnusedCredit() throws Exception {
+        runWithRetries(this::drainReturnsUnusedCreditScript);
+    }
+
+    private void drainReturnsUnusedCreditScript() throws Exception {
+        open();
+        backend().setMessagesPerLink(0);
+        attachReceiver();
+        flow().withHandle(0).withDeliveryCount(0).withLinkCredit(7).now();
+        environment.await("the backend has the credit", () -> backend().availableCredit() == 7);
+        driver.expectFlow().withHandle(0).withDeliveryCount(7).withLinkCredit(0).withDrain(true);
+        flow().withHandle(0).withDeliveryCount(0).withLinkCredit(7).withDrain(true).now();
+        awaitScript();
+        environment.await("and none after it", () -> backend().availableCredit() == 0);
+    }
+
+    @Test
+    void reducedCreditIsReducedAtTheBackend() throws Exception {
+        runWithRetries(this::reducedCreditIsReducedAtTheBackendScript);
+    }
+
+    private void reducedCreditIsReducedAtTheBackendScript() throws Exception {
+        open();
+        backend().setMessagesPerLink(0);
+        attachReceiver();
+        for (int credit : new int[] {50, 3, 0, 4}) {
+            flow().withHandle(0).withDeliveryCount(0).withLinkCredit(credit).now();
+            environment.await("credit " + credit, () -> backend().availableCredit() == credit);
+        }
+    }
+
+    @Test
+    void inModeSecondTheBackendSettlesAfterTheClient() throws Exception {
+        runWithRetries(this::inModeSecondTheBackendSettlesAfterTheClientScript);
+    }
+
+    private void inModeSecondTheBackendSettlesAfterTheClientScript() throws Exception {
+        open();
+        attachSender(true);
+        driver.expectDisposition().withFirst(0).withState().accepted();
+        driver.remoteTransfer().withHandle(0).withDeliveryId(0).withDeliveryTag(new byte[] {1})
+            .withPayload(MESSAGE).now();
+        awaitScript();
+        assertEquals(0, backend().senderSettledFirstCount());
+        driver.remoteDisposition().withRole(Role.SENDER).withFirst(0).withSettled(true).withState()
+            .accepted().now();
+        environment.await("settled at the backend", () -> backend().senderSettledFirstCount() == 1);
+    }
+
+    @Test
+    void sessionEndDuringATransferLeavesNothingBehind() throws Exception {
+        runWithRetries(this::sessionEndDuringATransferLeavesNothingBehindScript);
+    }
+
+    private void sessionEndDuringATransferLeavesNothingBehindScript() throws Exception {
+        open();
+        attachSender(false);
+        driver.expectEnd();
+        driver.remoteTransfer().withHandle(0).withDeliveryId(0).withDeliveryTag(new byte[] {1}).withMore(true)
+            .withPayload(MESSAGE).now();
+        driver.remoteEnd().now();
+        awaitScript();
+        environment.await("no link", () -> backend().linkCount() == 0);
+        assertEquals(List.of(), backend().acceptedIds());
+        driver.expectBegin(); // the connection goes on
+        driver.remoteBegin().withNextOutgoingId(0).withIncomingWindow(100).withOutgoingWindow(100).now();
+        awaitScript();
+        attachSender(false);
+        driver.expectDisposition().withFirst(0).withSettled(true).withState().accepted();
+        driver.remoteTransfer().withHandle(0).withDeliveryId(0).withDeliveryTag(new byte[] {1})
+            .withPayload(MESSAGE).now();
+        awaitScript();
+    }
+
+    @Test
+    void detachDuringATransferLeavesNothingBehindAndNoOutcome() throws Exception {
+        runWithRetries(this::detachDuringATransferLeavesNothingBehindAndNoOutcomeScript);
+    }
+
+    private void detachDuringATransferLeavesNothingBehindAndNoOutcomeScript() throws Exception {
+        open();
+        attachSender(false);
+        driver.expectDetach().withHandle(0);
+        driver.expectFlow().withHandle(nullValue()); // the session's window, which the link's bytes had used
+        driver.remoteTransfer().withHandle(0).withDeliveryId(0).withDeliveryTag(new byte[] {1}).withMore(true)
+            .withPayload(MESSAGE).now();
+        driver.remoteDetach().withHandle(0).withClosed(true).now();
+        awaitScript();
+        environment.await("no link", () -> backend().linkCount() == 0);
+        assertEquals(List.of(), backend().acceptedIds());
+    }
+
+    @Test
+    void transactionsAreRejectedWithAnError() throws Exception {
+        runWithRetries(this::transactionsAreRejectedWithAnErrorScript);
+    }
+
+    private void transactionsAreRejectedWithAnErrorScript() throws Exception {
+        open();
+        driver.expectAttach().withTarget(nullValue()).optional();
+        driver.expectDetach().withError("amqp:not-implemented", "transactions");
+        var attach = driver.remoteAttach().ofSender().withName("tx").withHandle(0).withInitialDeliveryCount(0);
+        attach.withSource().withAddress("driver").also();
+        attach.withCoordinator().also().now();
+        awaitScript();
+    }
+
+    @Test
+    void heartbeatsFollowTheIdleTimeoutAndAHalfOpenClientIsDisconnected() throws Exception {
+        runWithRetries(this::heartbeatsFollowTheIdleTimeoutAndAHalfOpenClientIsDisconnectedScript);
+    }
+
+    private void heartbeatsFollowTheIdleTimeoutAndAHalfOpenClientIsDisconnectedScript() throws Exception {
+        start("  idle = \"2s\"\n");
+        driver.expectOpen();
+        driver.expectEmptyFrame();
+        driver.expectEmptyFrame();
+        driver.remoteOpen().withContainerId("driver").withIdleTimeOut(400).now();
+        awaitScript();
+        // The peer goes silent now: beats still come, until the relay ends what it takes for dead.
+        for (int i = 0; i < 30; i++) {
+            driver.expectEmptyFrame().optional();
+        }
+        driver.expectClose().withError("amqp:resource-limit-exceeded");
+        awaitScript();
+    }
+}
--- a/lab/src/test/java/saltstage/lab/amqp/PublicClientTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/ThirdPartyClientTest.java
@@ -25,17 +25,17 @@
 
 /** A public client that nobody here wrote meets the relay as it would meet any server. */
 @Timeout(120)
-class PublicClientTest {
+class ThirdPartyClientTest {
 
     private static Message<String> message(String id) throws ClientException {
         return Message.create("an event").messageId(id).property("id", id);
     }
 
     @Test
-    void sendsReceivesAndIsToldWhatBackendsSay() throws Exception {
-        try (Stage stage = new Stage(3, "");
+    void sendsReceivesAndGetsTheOutcomesOfBackends() throws Exception {
+        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(3, "");
             Client client = Client.create(new ClientOptions().id("back-office"))) {
-            Connection connection = client.connect(stage.amqp().getHostString(), stage.amqp().getPort());
+            Connection connection = client.connect(stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
             connection.openFuture().get(20, TimeUnit.SECONDS);
             Sender sender = connection.openSender("status-report/station-7");
             sender.openFuture().get(20, TimeUnit.SECONDS);
@@ -47,11 +47,11 @@
                     .remoteState().getType());
             }
             List<String> accepted =
-                stage.fleet().amqp().stream().flatMap(g -> g.accepted().stream()).toList();
+                stage.fleet().amqpBackends().stream().flatMap(g -> g.acceptedIds().stream()).toList();
             assertEquals(500, accepted.size());
             assertEquals(sent, new HashSet<>(accepted));
             for (int i = 0; i < 3; i++) {
-                stage.command("reject g" + i + " 100");
+                stage.runCommand("reject g" + i + " 100");
             }
             assertEquals(DeliveryState.Type.REJECTED, sender.send(message("bad"))
                 .awaitSettlement(20, TimeUnit.SECONDS).remoteState().getType());
@@ -61,19 +61,19 @@
                 Delivery got = receiver.receive(20, TimeUnit.SECONDS);
                 assertTrue(got.message().property("id").toString().endsWith(":" + i), "order");
             }
-            stage.await("ten accepted", () -> stage.fleet().amqp().stream()
-                .mapToLong(g -> g.told().getOrDefault("accepted", 0L)).sum() == 10);
+            stage.await("ten accepted", () -> stage.fleet().amqpBackends().stream()
+                .mapToLong(g -> g.receivedOutcomeCounts().getOrDefault("accepted", 0L)).sum() == 10);
             receiver.close();
             sender.close();
             connection.close();
-            stage.await("no links left", () -> stage.fleet().amqp().stream().allMatch(g -> g.links() == 0));
+            stage.await("no links left", () -> stage.fleet().amqpBackends().stream().allMatch(g -> g.linkCount() == 0));
         }
     }
 
     @Test
-    void unknownClassesAndWhatIsNotSupportedAreRefusedLoudly() throws Exception {
-        try (Stage stage = new Stage(1, ""); Client client = Client.create()) {
-            Connection connection = client.connect(stage.amqp().getHostString(), stage.amqp().getPort());
+    void unknownClassesAndUnsupportedFeaturesAreRejectedWithAnError() throws Exception {
+        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, ""); Client client = Client.create()) {
+            Connection connection = client.connect(stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
             ClientException unknown = assertThrows(ClientException.class,
                 () -> connection.openSender("no-such-class").send(message("x")));
             assertTrue(unknown.toString().contains("amqp:not-found"), unknown.toString());
--- a/lab/src/test/java/saltstage/lab/scale/CapacityPageTest.java
+++ b/lab/src/test/java/saltstage/lab/scale/CapacityPageTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-import saltstage.lab.Home;
+import saltstage.lab.Installation;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -19,35 +19,35 @@
 
 /** No figure stands in the capacity page's tables that the committed CSVs do not give. */
 class CapacityPageTest {
-    private static final Path PAGE = Home.root().resolve(PageCommand.PAGE);
-    private static final Pattern MARK = Pattern.compile("<!-- table:([a-z-]+) -->");
+    private static final Path PAGE = Installation.repositoryRoot().resolve(PageCommand.PAGE_PATH);
+    private static final Pattern TABLE_MARK = Pattern.compile("<!-- table:([a-z-]+) -->");
 
     @TempDir Path folder;
 
-    private static Path measurements() {
-        return Home.root().resolve("docs/measurements");
+    private static Path measurementsDirectory() {
+        return Installation.repositoryRoot().resolve("docs/measurements");
     }
 
-    private static String filled(Path csvs) throws IOException {
-        return CapacityPage.filled(
+    private static String fillTables(Path csvs) throws IOException {
+        return CapacityPage.fillTables(
                 Files.readString(PAGE), CapacityPage.tables(new MeasuredData(csvs)));
     }
 
     @Test
     void theTablesAreThoseOfTheCommittedCsvs() throws IOException {
-        assertEquals(filled(measurements()), Files.readString(PAGE));
+        assertEquals(fillTables(measurementsDirectory()), Files.readString(PAGE));
     }
 
     @Test
     void theFitsAreThoseOfTheCommittedCsvs() throws IOException {
-        String fits = new CapacityTables(new MeasuredData(measurements())).fitsCsv();
-        assertEquals(fits, Files.readString(measurements().resolve(FitCommand.FILE)));
+        String fits = new CapacityTables(new MeasuredData(measurementsDirectory())).fitsCsv();
+        assertEquals(fits, Files.readString(measurementsDirectory().resolve(FitCommand.FILE_NAME)));
     }
 
     @Test
     void everyTableIsOnThePage() throws IOException {
-        Matcher marks = MARK.matcher(Files.readString(PAGE));
-        Map<String, String> tables = CapacityPage.tables(new MeasuredData(measurements()));
+        Matcher marks = TABLE_MARK.matcher(Files.readString(PAGE));
+        Map<String, String> tables = CapacityPage.tables(new MeasuredData(measurementsDirectory()));
         long found = marks.results().filter(mark -> tables.containsKey(mark.group(1))).count();
         assertEquals(tables.size(), found);
     }
@@ -60,13 +60,13 @@
         assertTrue(digit.find(table));
         char other = page.charAt(digit.start()) == '9' ? '8' : '9';
         String changed = page.substring(0, digit.start()) + other + page.substring(digit.end());
-        Map<String, String> tables = CapacityPage.tables(new MeasuredData(measurements()));
-        assertNotEquals(CapacityPage.filled(changed, tables), changed);
+        Map<String, String> tables = CapacityPage.tables(new MeasuredData(measurementsDirectory()));
+        assertNotEquals(CapacityPage.fillTables(changed, tables), changed);
     }
 
     @Test
     void aChangedDigitInACsvIsFound() throws IOException {
-        try (Stream<Path> csvs = Files.list(measurements())) {
+        try (Stream<Path> csvs = Files.list(measurementsDirectory())) {
             for (Path csv :
                     csvs.filter(file -> file.getFileName().toString().startsWith("scale-"))
                             .toList()) {
@@ -76,7 +76,7 @@
         Path changed = folder.resolve("scale-connections.csv");
         String text = Files.readString(changed);
         Files.writeString(changed, text.replaceFirst("resident_mb,\\d", "resident_mb,9"));
-        assertNotEquals(Files.readString(PAGE), filled(folder));
+        assertNotEquals(Files.readString(PAGE), fillTables(folder));
         assertTrue(text.contains("resident_mb,"));
     }
 }
--- a/lab/src/test/java/saltstage/lab/scale/FleetTest.java
+++ b/lab/src/test/java/saltstage/lab/scale/FleetTest.java
@@ -20,15 +20,15 @@
 @Timeout(value = 2, unit = TimeUnit.MINUTES)
 class FleetTest {
     private static final int SHARDS = 2_000;
-    private static final int RELAYS_A_ZONE = 12;
-    private static final int RELAYS_MORE = 2;
-    private static final double CHANGES_A_SECOND = 4;
+    private static final int RELAYS_PER_ZONE = 12;
+    private static final int EXTRA_RELAYS = 2;
+    private static final double CHANGES_PER_SECOND = 4;
 
     /** A slow machine may take so many times longer than what a change takes without a failure. */
-    private static final double CALM_TIMES = 5;
+    private static final double MAX_SLOWDOWN_FACTOR = 5;
 
     /** The bytes of a quiet relay against its budget. */
-    private static final double QUIET_SHARE_OF_BUDGET = 0.5;
+    private static final double MAX_QUIET_SHARE_OF_BUDGET = 0.5;
 
     @TempDir private Path folder;
 
@@ -36,53 +36,53 @@
     void aChangeComesIntoForceEverywhereWhileTheLeaderDies() throws Exception {
         try (NettyTransport transport =
                         new NettyTransport(2, true, (where, fault) -> fault.printStackTrace());
-                FleetStage all = new FleetStage(folder, transport, 1, SHARDS)) {
-            all.addToEachZone(RELAYS_A_ZONE);
-            all.fleet().add(Zone.B1, RELAYS_MORE);
+                FleetEnvironment all = new FleetEnvironment(folder, transport, 1, SHARDS)) {
+            all.addRelaysToEachZone(RELAYS_PER_ZONE);
+            all.fleet().add(Zone.B1, EXTRA_RELAYS);
             all.fleet().awaitReady();
-            Set<Integer> everywhere = all.fleet().relays(zone -> true);
+            Set<Integer> everywhere = all.fleet().relaysIn(zone -> true);
             assertEquals(50, everywhere.size());
 
-            quietRelaysKeepTheirBudget(all);
-            SteadyChanges.Times calm = changesThrough(all, everywhere, () -> {});
-            String leader = all.control().leader();
-            SteadyChanges.Times killed =
-                    changesThrough(all, everywhere, all.control().replica(leader)::kill);
+            assertQuietRelaysKeepTheirBudget(all);
+            SteadyChanges.PropagationTimes calm = measureChangesDuring(all, everywhere, () -> {});
+            String leader = all.controlPlane().leader();
+            SteadyChanges.PropagationTimes killed =
+                    measureChangesDuring(all, everywhere, all.controlPlane().replica(leader)::kill);
 
-            assertEquals(0, calm.missing());
-            assertEquals(0, killed.missing());
+            assertEquals(0, calm.missingCount());
+            assertEquals(0, killed.missingCount());
             assertTrue(
-                    killed.everywhereMost()
-                            <= Target.IN_FORCE_SECONDS + CALM_TIMES * calm.everywhereMost(),
+                    killed.everywhereMaxSeconds()
+                            <= CapacityTarget.MAX_PROPAGATION_SECONDS + MAX_SLOWDOWN_FACTOR * calm.everywhereMaxSeconds(),
                     calm + " and " + killed);
             assertEquals(
-                    1, all.fleet().states().size(), "all relays have the same revision and digest");
+                    1, all.fleet().distinctStates().size(), "all relays have the same revision and digest");
         }
     }
 
-    private static void quietRelaysKeepTheirBudget(FleetStage all) throws Exception {
-        FleetUse before = FleetUse.now(all);
-        ScaleRun.seconds(4);
-        FleetUse quiet = FleetUse.now(all).since(before);
-        double perRelay = quiet.relayTraffic().bytes() / quiet.seconds() / all.fleet().size();
+    private static void assertQuietRelaysKeepTheirBudget(FleetEnvironment all) throws Exception {
+        FleetResourceUsage before = FleetResourceUsage.measure(all);
+        ScaleRun.sleepSeconds(4);
+        FleetResourceUsage quiet = FleetResourceUsage.measure(all).since(before);
+        double perRelay = quiet.relayTraffic().bytes() / quiet.seconds() / all.fleet().relayCount();
         assertTrue(
-                perRelay <= QUIET_SHARE_OF_BUDGET * Target.CONTROL_BYTES_A_SECOND,
+                perRelay <= MAX_QUIET_SHARE_OF_BUDGET * CapacityTarget.CONTROL_BYTES_PER_SECOND,
                 perRelay + " bytes a second");
     }
 
     /** Something that befalls it. */
     private interface Event {
-        void happen() throws Exception;
+        void run() throws Exception;
     }
 
-    private static SteadyChanges.Times changesThrough(
-            FleetStage all, Set<Integer> relays, Event event) throws Exception {
-        SteadyChanges changes = all.change(CHANGES_A_SECOND);
-        ScaleRun.seconds(1);
-        event.happen();
-        ScaleRun.seconds(4);
-        changes.end();
-        FleetRun.await(all, relays, changes);
-        return changes.times(all.fleet().log(), relays);
+    private static SteadyChanges.PropagationTimes measureChangesDuring(
+            FleetEnvironment all, Set<Integer> relays, Event event) throws Exception {
+        SteadyChanges changes = all.startChanges(CHANGES_PER_SECOND);
+        ScaleRun.sleepSeconds(1);
+        event.run();
+        ScaleRun.sleepSeconds(4);
+        changes.stop();
+        FleetRun.awaitApplied(all, relays, changes);
+        return changes.propagationTimes(all.fleet().revisionLog(), relays);
     }
 }
--- a/lab/src/test/java/saltstage/lab/scale/LineFitTest.java
+++ b/lab/src/test/java/saltstage/lab/scale/LineFitTest.java
@@ -28,16 +28,16 @@
     }
 
     @Test
-    void aLineIsFoundAndItsIntervalsHoldIt() {
+    void lineIsFittedWithinItsIntervals() {
         LineFit fit = fit(q -> 10 + 3 * q);
         assertEquals(LineFit.Shape.LINE, fit.shape());
         assertTrue(fit.slope().low() < 3 && 3 < fit.slope().high(), fit.toString());
         assertTrue(fit.intercept().low() < 10 && 10 < fit.intercept().high(), fit.toString());
-        assertEquals(310, fit.at(100), 10);
+        assertEquals(310, fit.valueAt(100), 10);
     }
 
     @Test
-    void intervalsAreStudentsAtThreeDegrees() {
+    void intervalsFollowStudentsTWithThreeDegreesOfFreedom() {
         // Student's t at 97.5% with three degrees of freedom is 3.18245.
         LineFit fit =
                 LineFit.of(
@@ -72,9 +72,9 @@
     }
 
     @Test
-    void noLineIsDrawnWhereResidualsBend() {
-        assertEquals(LineFit.Shape.BENT, fit(q -> 1 + q * q).shape());
-        assertEquals(LineFit.Shape.BENT, fit(q -> 20 * Math.sqrt(q)).shape());
+    void curvedResidualsYieldNoLine() {
+        assertEquals(LineFit.Shape.CURVED, fit(q -> 1 + q * q).shape());
+        assertEquals(LineFit.Shape.CURVED, fit(q -> 20 * Math.sqrt(q)).shape());
     }
 
     @Test
@@ -86,9 +86,9 @@
     void fourPointsOrLessThanAFactorOfSixteenAreTooFew() {
         List<LineFit.Point> four =
                 DoubleStream.of(1, 4, 8, 16).mapToObj(q -> new LineFit.Point(q, q)).toList();
-        assertEquals(LineFit.Shape.TOO_FEW, LineFit.of(four).shape());
+        assertEquals(LineFit.Shape.TOO_FEW_POINTS, LineFit.of(four).shape());
         List<LineFit.Point> near =
                 DoubleStream.of(1, 2, 3, 4, 5).mapToObj(q -> new LineFit.Point(q, q)).toList();
-        assertEquals(LineFit.Shape.TOO_FEW, LineFit.of(near).shape());
+        assertEquals(LineFit.Shape.TOO_FEW_POINTS, LineFit.of(near).shape());
     }
 }
--- a/lab/src/test/java/saltstage/lab/trial/ConfigurationTrialTest.java
+++ b/lab/src/test/java/saltstage/lab/trial/ConfigurationTrialTest.java
@@ -20,30 +20,30 @@
     Path dir;
 
     @Test
-    void changesComeIntoForceInTimeAndNothingElseDoesUnderFaults() throws Exception {
+    void onlyAcceptedChangesAreAppliedAndInTimeUnderFaults() throws Exception {
         try (ConfigurationTrial trial = new ConfigurationTrial(dir, 3)) {
             for (long seed = 1; seed <= 2; seed++) {
-                ConfigurationTrial.Verdict verdict = trial.play(seed, FAULTS);
-                assertEquals(List.of(), verdict.broken(), verdict.toString());
-                assertTrue(verdict.changes() > FAULTS && verdict.longestMs() > 0, verdict.toString());
+                ConfigurationTrial.Verdict verdict = trial.run(seed, FAULTS);
+                assertEquals(List.of(), verdict.violations(), verdict.toString());
+                assertTrue(verdict.changeCount() > FAULTS && verdict.maxMs() > 0, verdict.toString());
             }
         }
     }
 
     @Test
-    void witnessNoticesWhatMustNotBe() throws Exception {
+    void observerReportsViolations() throws Exception {
         String digest = "00000000000000aa";
-        try (ConfigurationWitness witness = new ConfigurationWitness()) {
+        try (ConfigurationObserver witness = new ConfigurationObserver()) {
             witness.observe("f-1", "applied", 1, digest);
             witness.observe("f-2", "applied", 1, "00000000000000bb");
-            assertTrue(witness.broken().get(0).contains("differ"), "another digest");
+            assertTrue(witness.violations().get(0).contains("differ"), "another digest");
             witness.observe("f-1", "applied", 2, digest);
             witness.observe("f-1", "snapshot", 1, digest);
-            assertTrue(witness.broken().get(1).contains("went back"), "an older revision");
+            assertTrue(witness.violations().get(1).contains("went back"), "an older revision");
             witness.observe("f-1", "GAP", 1, digest);
-            assertTrue(witness.broken().get(2).contains("GAP"), "a hole");
-            witness.compare(Map.of(1L, "00000000000000bb"));
-            assertEquals(5, witness.broken().size(), "another digest, and never accepted");
+            assertTrue(witness.violations().get(2).contains("GAP"), "a hole");
+            witness.compareWithAccepted(Map.of(1L, "00000000000000bb"));
+            assertEquals(5, witness.violations().size(), "another digest, and never accepted");
         }
     }
 }
--- a/lab/src/test/java/saltstage/lab/trial/GroupTest.java
+++ b/lab/src/test/java/saltstage/lab/trial/GroupProcessTest.java
@@ -31,31 +31,31 @@
 import saltstage.coordinator.lease.LeaseReplies.Granted;
 import saltstage.coordinator.lease.LeaseReplies.Held;
 import saltstage.coordinator.model.Reply;
-import saltstage.lab.Home;
+import saltstage.lab.Installation;
 
 /** Groups of real processes that are killed, wiped, held back and cut off. */
 @Timeout(value = 4, unit = TimeUnit.MINUTES)
-class GroupTest {
-    private static final Duration CALL = Duration.ofSeconds(30);
+class GroupProcessTest {
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(30);
 
     @TempDir
     Path dir;
 
-    private GroupUnderTest group(String more) throws IOException, InterruptedException {
-        GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(Proc.builtJar()), more).start();
-        group.leader(CALL);
+    private GroupUnderTest startGroup(String more) throws IOException, InterruptedException {
+        GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), more).start();
+        group.leader(CALL_TIMEOUT);
         return group;
     }
 
     private static Reply acquire(GroupClient client, String owner, long ttlMs)
             throws IOException, InterruptedException {
-        return client.send(new Acquire("x", owner, ttlMs, 0, false), CALL).reply();
+        return client.send(new Acquire("x", owner, ttlMs, 0, false), CALL_TIMEOUT).reply();
     }
 
     private static JsonNode status(GroupUnderTest group, String name)
             throws IOException, InterruptedException {
-        return new GroupClient(List.of(group.places().get(group.names().indexOf(name))), Ticker.SYSTEM)
-            .get("/v1/status", CALL);
+        return new GroupClient(List.of(group.clientAddresses().get(group.names().indexOf(name))), Ticker.SYSTEM)
+            .get("/v1/status", CALL_TIMEOUT);
     }
 
     /** Something that comes true, waited for far longer than it takes. */
@@ -64,7 +64,7 @@
     }
 
     private static void await(String what, Condition condition) throws IOException, InterruptedException {
-        long until = System.nanoTime() + CALL.toNanos();
+        long until = System.nanoTime() + CALL_TIMEOUT.toNanos();
         while (!condition.holds()) {
             assertTrue(System.nanoTime() < until, what);
             Thread.sleep(50);
@@ -72,66 +72,66 @@
     }
 
     @Test
-    void noTwoHoldersOverlapWhileFaultsBefallThem() throws Exception {
-        LeaseTrial trial = new LeaseTrial(dir, 3, 3, 7_000, List.of(Proc.builtJar()));
-        LeaseTrial.Verdict verdict = trial.play(5, trial.script(5));
-        assertEquals(List.of(), verdict.broken(), verdict.toString());
-        assertTrue(verdict.acts() > 0 && verdict.grants() > 0, verdict.toString());
+    void noTwoHoldersOverlapUnderFaults() throws Exception {
+        LeaseTrial trial = new LeaseTrial(dir, 3, 3, 7_000, List.of(TrialProcess.coordinatorJar()));
+        LeaseTrial.Verdict verdict = trial.run(5, trial.randomFaults(5));
+        assertEquals(List.of(), verdict.violations(), verdict.toString());
+        assertTrue(verdict.operationCount() > 0 && verdict.grantCount() > 0, verdict.toString());
     }
 
     @Test
-    void windowsOfTwoRegionsLeaveTheFloorWhileAgentAndLeaderAreKilled() throws Exception {
-        try (WindowTrial trial = new WindowTrial(dir, List.of(Proc.builtJar()))) {
-            trial.play("OUT", "kill-agent");
-            trial.play("DRAINING", "kill-leader");
-            assertEquals(List.of(), trial.broken());
-            assertTrue(trial.least() < 12_000, "something was out");
+    void windowsOfTwoRegionsKeepTheFloorWhileAgentAndLeaderAreKilled() throws Exception {
+        try (WindowTrial trial = new WindowTrial(dir, List.of(TrialProcess.coordinatorJar()))) {
+            trial.runCase("OUT", "kill-agent");
+            trial.runCase("DRAINING", "kill-leader");
+            assertEquals(List.of(), trial.violations());
+            assertTrue(trial.minCapacity() < 12_000, "something was out");
         }
     }
 
     @Test
-    void realRelaysGoThroughMaintenanceOneRegionAfterTheOtherAndCutNobodyOff() throws Exception {
+    void regionsWithRealRelaysAreMaintainedInTurnWithoutBreakingConnections() throws Exception {
         DemoFleetCommand demo = CommandLine.populateCommand(new DemoFleetCommand(), "--clients", "20");
-        assertEquals(0, demo.call(), () -> String.valueOf(demo.broken()));
+        assertEquals(0, demo.call(), () -> String.valueOf(demo.violations()));
     }
 
     @Test
-    void leaderIsReplacedThoughEachFollowerHadAskedForVotesAndHeardItAgain() throws Exception {
-        try (GroupUnderTest group = group("")) {
-            String leader = group.leader(CALL);
+    void leaderIsReplacedAfterEachFollowerHadTemporarilyLostIt() throws Exception {
+        try (GroupUnderTest group = startGroup("")) {
+            String leader = group.leader(CALL_TIMEOUT);
             int term = status(group, leader).path("term").asInt();
             for (String follower : group.names()) {
                 if (!follower.equals(leader)) {
-                    losesItsLeaderForAWhile(group, leader, follower);
+                    interruptLeader(group, leader, follower);
                 }
             }
             assertEquals(term, status(group, leader).path("term").asInt(), "it led all the time");
-            group.proc(leader).kill();
-            assertFalse(leader.equals(group.leader(CALL)));
+            group.process(leader).kill();
+            assertFalse(leader.equals(group.leader(CALL_TIMEOUT)));
         }
     }
 
     /** One direction is silent until the follower has noticed; the other follower still hears the leader. */
-    private static void losesItsLeaderForAWhile(GroupUnderTest group, String leader, String follower)
+    private static void interruptLeader(GroupUnderTest group, String leader, String follower)
             throws IOException, InterruptedException {
-        group.link(leader, follower).ways(FaultProxy.Way.SILENT, FaultProxy.Way.CLEAR);
+        group.replicaLink(leader, follower).setFaults(FaultProxy.DirectionFault.SILENT, FaultProxy.DirectionFault.CLEAR);
         await(follower + " misses its leader",
             () -> !status(group, follower).path("leader").asText().equals(leader));
-        group.link(leader, follower).heal();
+        group.replicaLink(leader, follower).heal();
         await(follower + " hears it again",
             () -> status(group, follower).path("leader").asText().equals(leader));
     }
 
     @Test
-    void leasesOutliveTheWholeGroupButAreNeverGivenTwice() throws Exception {
-        try (GroupUnderTest group = group("")) {
+    void leasesSurviveAFullRestartAndAreNeverGrantedTwice() throws Exception {
+        try (GroupUnderTest group = startGroup("")) {
             GroupClient client = group.client();
             long fence = assertInstanceOf(Granted.class, acquire(client, "a", 4_000)).fence();
             for (String name : group.names()) {
-                group.proc(name).kill();
+                group.process(name).kill();
             }
             for (String name : group.names()) {
-                group.proc(name).start();
+                group.process(name).start();
             }
             assertInstanceOf(Held.class, acquire(client, "b", 4_000), "its time goes on, it is not over");
             Reply[] later = new Reply[1];
@@ -144,21 +144,21 @@
     }
 
     @Test
-    void minorityServesNothingAsCurrent() throws Exception {
-        try (GroupUnderTest group = group("")) {
-            String leader = group.leader(CALL);
+    void minorityAnswersOnlyStaleReads() throws Exception {
+        try (GroupUnderTest group = startGroup("")) {
+            String leader = group.leader(CALL_TIMEOUT);
             for (String other : group.names()) {
                 if (!other.equals(leader)) {
-                    group.proc(other).kill();
+                    group.process(other).kill();
                 }
             }
             GroupClient alone = new GroupClient(
-                List.of(group.places().get(group.names().indexOf(leader))), Ticker.SYSTEM);
+                List.of(group.clientAddresses().get(group.names().indexOf(leader))), Ticker.SYSTEM);
             Thread.sleep(100);
             assertUnreachable(() -> alone.get("/v1/leases", Duration.ofSeconds(3)));
             assertUnreachable(() -> alone.send(new Acquire("x", "a", 1_000, 0, false),
                 Duration.ofSeconds(3)));
-            assertTrue(alone.get("/v1/leases?stale=1", CALL).path("stale").asBoolean());
+            assertTrue(alone.get("/v1/leases?stale=1", CALL_TIMEOUT).path("stale").asBoolean());
         }
     }
 
@@ -167,29 +167,29 @@
     }
 
     @Test
-    void wipedReplicaIsRefusedAndOneOfANewNameTakesItsPlace() throws Exception {
-        try (GroupUnderTest group = group("")) {
-            await("all are known", () -> status(group, group.leader(CALL)).path("members").size() == 3);
+    void wipedReplicaIsRejectedAndOneWithANewNameReplacesIt() throws Exception {
+        try (GroupUnderTest group = startGroup("")) {
+            await("all are known", () -> status(group, group.leader(CALL_TIMEOUT)).path("members").size() == 3);
             String victim = group.names().stream().filter(name -> {
                 try {
-                    return !name.equals(group.leader(CALL));
+                    return !name.equals(group.leader(CALL_TIMEOUT));
                 } catch (IOException | InterruptedException impossible) {
                     throw new IllegalStateException(impossible);
                 }
             }).findFirst().orElseThrow();
-            group.proc(victim).kill();
-            Home.delete(dir.resolve("data").resolve(victim));
-            group.proc(victim).start();
-            await("it ends by itself", () -> !group.proc(victim).alive());
-            assertEquals(78, group.proc(victim).exitCode());
-            assertTrue(Files.readString(group.proc(victim).log().toPath()).contains("other-disk"));
+            group.process(victim).kill();
+            Installation.deleteRecursively(dir.resolve("data").resolve(victim));
+            group.process(victim).start();
+            await("it ends by itself", () -> !group.process(victim).isAlive());
+            assertEquals(78, group.process(victim).exitCode());
+            assertTrue(Files.readString(group.process(victim).logFile().toPath()).contains("other-disk"));
 
             group.client().post("/v1/leave",
-                GroupCodec.jsonMapper().createObjectNode().put("name", victim), CALL);
-            try (Proc anew = group.joining("r4")) {
+                GroupCodec.jsonMapper().createObjectNode().put("name", victim), CALL_TIMEOUT);
+            try (TrialProcess anew = group.newJoiningProcess("r4")) {
                 anew.start();
                 await("it votes again", () -> {
-                    JsonNode now = status(group, group.leader(CALL));
+                    JsonNode now = status(group, group.leader(CALL_TIMEOUT));
                     return now.path("voters").size() == 3;
                 });
             }
@@ -197,9 +197,9 @@
     }
 
     @Test
-    void whateverIsAskedGetsOneErrorAndChangesNothing() throws Exception {
-        try (GroupUnderTest group = new GroupUnderTest(dir, 1, List.of(Proc.builtJar()), "").start()) {
-            group.leader(CALL);
+    void invalidRequestsGetAnErrorAndChangeNothing() throws Exception {
+        try (GroupUnderTest group = new GroupUnderTest(dir, 1, List.of(TrialProcess.coordinatorJar()), "").start()) {
+            group.leader(CALL_TIMEOUT);
             long before = status(group, "r1").path("leases").asLong();
             String acquire = "{'client':'c','seq':1,'command':{'op':'acquire','name':'x','owner':'o',"
                 + "'ttlMs':999,'priority':0,'queue':false}}";
@@ -224,18 +224,18 @@
     private static HttpResponse<String> post(GroupUnderTest group, String path, String body)
             throws IOException, InterruptedException {
         HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-        return http.send(HttpRequest.newBuilder(URI.create("http://" + group.places().get(0) + path))
+        return http.send(HttpRequest.newBuilder(URI.create("http://" + group.clientAddresses().get(0) + path))
             .POST(HttpRequest.BodyPublishers.ofString(body)).build(), HttpResponse.BodyHandlers.ofString());
     }
 
     @Test
-    void damagedDiskIsRefusedAndTheOthersGoOn() throws Exception {
-        try (GroupUnderTest group = group("")) {
+    void replicaWithADamagedDiskStopsAndTheOthersContinue() throws Exception {
+        try (GroupUnderTest group = startGroup("")) {
             GroupClient client = group.client();
             for (int i = 0; i < 50; i++) {
-                client.send(new Acquire("l" + i, "o", 60_000, 0, false), CALL);
+                client.send(new Acquire("l" + i, "o", 60_000, 0, false), CALL_TIMEOUT);
             }
-            group.proc("r2").kill();
+            group.process("r2").kill();
             List<Path> segments;
             try (Stream<Path> files = Files.list(dir.resolve("data").resolve("r2"))) {
                 segments = files.filter(f -> f.getFileName().toString().contains("seg")
@@ -249,38 +249,38 @@
                 }
                 Files.write(segment, bytes);
             }
-            group.proc("r2").start();
-            await("it ends by itself", () -> !group.proc("r2").alive());
-            assertTrue(group.proc("r2").exitCode() != 0);
+            group.process("r2").start();
+            await("it ends by itself", () -> !group.process("r2").isAlive());
+            assertTrue(group.process("r2").exitCode() != 0);
             assertInstanceOf(Held.class,
-                client.send(new Acquire("l49", "other", 1_000, 0, false), CALL).reply());
+                client.send(new Acquire("l49", "other", 1_000, 0, false), CALL_TIMEOUT).reply());
         }
     }
 
     @Test
-    void diskThatIsFullEndsItsReplicaAndTheOthersGoOn() throws Exception {
-        try (GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(Proc.builtJar()),
+    void replicaWithAFullDiskStopsAndTheOthersContinue() throws Exception {
+        try (GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()),
                 "  snapshot_every = 100000\n")) {
-            group.proc("r2").limitFiles(4 << 10); // KiB a file: the first segment does not fit
+            group.process("r2").limitFileSize(4 << 10); // KiB a file: the first segment does not fit
             group.start();
-            await("it ends by itself", () -> !group.proc("r2").alive());
-            assertTrue(group.proc("r2").exitCode() != 0);
+            await("it ends by itself", () -> !group.process("r2").isAlive());
+            assertTrue(group.process("r2").exitCode() != 0);
             assertInstanceOf(Granted.class, acquire(group.client(), "a", 1_000));
         }
     }
 
     @Test
-    void clockOfOneReplicaThatIsAnHourOffChangesNothing() throws Exception {
-        try (GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(Proc.builtJar()), "")) {
-            group.more("r1", "  trial {\n    wall_off_ms = 3600000\n  }\n");
-            group.more("r2", "  trial {\n    clock_percent = 101\n  }\n");
+    void oneReplicasWallClockAnHourOffChangesNothing() throws Exception {
+        try (GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), "")) {
+            group.setExtraSettings("r1", "  trial {\n    wall_off_ms = 3600000\n  }\n");
+            group.setExtraSettings("r2", "  trial {\n    clock_percent = 101\n  }\n");
             group.start();
-            await("the day is known", () -> status(group, group.leader(CALL)).path("day").asLong() > 0
-                && status(group, group.leader(CALL)).path("members").size() == 3);
+            await("the day is known", () -> status(group, group.leader(CALL_TIMEOUT)).path("day").asLong() > 0
+                && status(group, group.leader(CALL_TIMEOUT)).path("members").size() == 3);
             for (String name : group.names()) { // each leads once, the one that is off too
-                if (!name.equals(group.leader(CALL))) {
+                if (!name.equals(group.leader(CALL_TIMEOUT))) {
                     group.client().post("/v1/transfer",
-                        GroupCodec.jsonMapper().createObjectNode().put("to", name), CALL);
+                        GroupCodec.jsonMapper().createObjectNode().put("to", name), CALL_TIMEOUT);
                 }
                 Thread.sleep(500);
                 long off = status(group, name).path("day").asLong() - System.currentTimeMillis();
@@ -290,16 +290,16 @@
     }
 
     @Test
-    void groupUsesWindowsOnlyOnceEveryVoterKnowsThem() throws Exception {
-        try (GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(Proc.builtJar()), "")) {
-            group.more("r1", "  speaks = 1\n");
+    void groupUsesWindowsOnlyOnceEveryVoterSupportsThem() throws Exception {
+        try (GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), "")) {
+            group.setExtraSettings("r1", "  speaks = 1\n");
             group.start();
-            await("all are known", () -> status(group, group.leader(CALL)).path("members").size() == 3);
+            await("all are known", () -> status(group, group.leader(CALL_TIMEOUT)).path("members").size() == 3);
             Thread.sleep(1_000); // ticks go by; the level must not move by them
-            assertEquals(1, status(group, group.leader(CALL)).path("level").asInt());
-            group.proc("r1").kill();
-            group.more("r1", "");
-            group.proc("r1").start();
+            assertEquals(1, status(group, group.leader(CALL_TIMEOUT)).path("level").asInt());
+            group.process("r1").kill();
+            group.setExtraSettings("r1", "");
+            group.process("r1").start();
             await("all know what this build does",
                 () -> status(group, "r1").path("level").asInt() == GroupState.SUPPORTED_FEATURE_LEVEL);
         }
