--- a/lab/src/main/java/saltstage/lab/Installation.java
+++ b/lab/src/main/java/saltstage/lab/Installation.java
@@ -15,8 +15,7 @@
 
 /** Where the built relay is, and how it is met. */
 public final class Installation {
-    private Installation() {
-    }
+    private Installation() {}
 
     /** The root of the repository: bin/lab names it. */
     public static Path repositoryRoot() {
@@ -46,8 +45,12 @@
                 socket.connect(at, 500);
                 socket.setSoTimeout(2_000);
                 socket.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.ISO_8859_1));
-                String answer = new BufferedReader(
-                    new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1)).readLine();
+                String answer =
+                        new BufferedReader(
+                                        new InputStreamReader(
+                                                socket.getInputStream(),
+                                                StandardCharsets.ISO_8859_1))
+                                .readLine();
                 if ("PONG".equals(answer)) {
                     return Duration.ofNanos(System.nanoTime() - start);
                 }
--- a/lab/src/main/java/saltstage/lab/Lab.java
+++ b/lab/src/main/java/saltstage/lab/Lab.java
@@ -11,19 +11,33 @@
 import saltstage.lab.measure.StartupCommand;
 import saltstage.lab.scale.ScaleCommand;
 import saltstage.lab.store.StoreBenchmark;
-import saltstage.lab.trial.DemoFleetCommand;
-import saltstage.lab.trial.TrialFollowersCommand;
 import saltstage.lab.trial.CoordinatorBenchmark;
-import saltstage.lab.trial.TrialCommand;
+import saltstage.lab.trial.DemoFleetCommand;
 import saltstage.lab.trial.LeaseWorkerCommand;
+import saltstage.lab.trial.TrialCommand;
+import saltstage.lab.trial.TrialFollowersCommand;
 
 /** The laboratory's command line. */
-@Command(name = "lab", description = "Stand-ins, load and measurements for saltstage; never in service.",
-    mixinStandardHelpOptions = true,
-    subcommands = {FleetCommand.class, DemoCommand.class, StartupCommand.class, StoreBenchmark.class,
-        RestartCommand.class, LoadCommand.class, AmqpBenchmark.class, TrialCommand.class, LeaseWorkerCommand.class,
-        CoordinatorBenchmark.class, DemoFleetCommand.class, TrialFollowersCommand.class,
-        ScaleCommand.class, CommandLine.HelpCommand.class})
+@Command(
+        name = "lab",
+        description = "Stand-ins, load and measurements for saltstage; never in service.",
+        mixinStandardHelpOptions = true,
+        subcommands = {
+            FleetCommand.class,
+            DemoCommand.class,
+            StartupCommand.class,
+            StoreBenchmark.class,
+            RestartCommand.class,
+            LoadCommand.class,
+            AmqpBenchmark.class,
+            TrialCommand.class,
+            LeaseWorkerCommand.class,
+            CoordinatorBenchmark.class,
+            DemoFleetCommand.class,
+            TrialFollowersCommand.class,
+            ScaleCommand.class,
+            CommandLine.HelpCommand.class
+        })
 public final class Lab implements Callable<Integer> {
     static final int EXIT_FAILED = 1;
     static final int EXIT_USAGE = 2;
@@ -32,7 +46,8 @@
     public static void main(String[] args) {
         CommandLine line = new CommandLine(new Lab());
         line.setParameterExceptionHandler((e, words) -> reportError(e.getMessage(), EXIT_USAGE));
-        line.setExecutionExceptionHandler((e, at, all) -> reportError(String.valueOf(e.getMessage()), EXIT_FAILED));
+        line.setExecutionExceptionHandler(
+                (e, at, all) -> reportError(String.valueOf(e.getMessage()), EXIT_FAILED));
         System.exit(line.execute(args));
     }
 
--- a/lab/src/main/java/saltstage/lab/amqp/AmqpBenchmark.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpBenchmark.java
@@ -16,18 +16,30 @@
 import saltstage.lab.store.Report;
 
 /** The relay's AMQP front against the gateways themselves, in one run. */
-@Command(name = "amqp", mixinStandardHelpOptions = true, description = {
-    "Deliveries a second and latencies through a relay on one core and straight to the gateways, at several",
-    "numbers of links; then bytes a quiet link, the last new link after a drain, and the time that a killed",
-    "gateway costs. Written to docs/measurements as tables and a chart."})
+@Command(
+        name = "amqp",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Deliveries a second and latencies through a relay on one core and straight to the"
+                    + " gateways, at several",
+            "numbers of links; then bytes a quiet link, the last new link after a drain, and the"
+                    + " time that a killed",
+            "gateway costs. Written to docs/measurements as tables and a chart."
+        })
 public final class AmqpBenchmark implements Callable<Integer> {
     private static final int BACKENDS = 4;
+
     /** Deliveries a round, and a rate at which nothing takes them: there is always one more due. */
     private static final double DELIVERIES_PER_ROUND = 120_000;
+
     private static final double UNLIMITED_RATE_PER_SECOND = 1_000_000;
     private static final double WARM_UP_RATE_PER_SECOND = 60_000;
 
-    @Option(names = "--links", split = ",", defaultValue = "1,100,5000", description = "numbers of links")
+    @Option(
+            names = "--links",
+            split = ",",
+            defaultValue = "1,100,5000",
+            description = "numbers of links")
     private List<Integer> links;
 
     @Option(names = "--seconds", defaultValue = "4", description = "each measurement (default 4)")
@@ -36,19 +48,33 @@
     @Option(names = "--cpu", defaultValue = "0", description = "the relay's core (default 0)")
     private String cpu;
 
-    @Option(names = "--others", defaultValue = "1-7", description = "cores of all else (default 1-7)")
+    @Option(
+            names = "--others",
+            defaultValue = "1-7",
+            description = "cores of all else (default 1-7)")
     private String others;
 
-    @Option(names = "--heap", defaultValue = "512m", description = "the relay's heap (default 512m)")
+    @Option(
+            names = "--heap",
+            defaultValue = "512m",
+            description = "the relay's heap (default 512m)")
     private String heap;
 
-    @Option(names = "--warm", defaultValue = "30", description = {
-        "seconds of load before the rates (default 30): the machine's compiler takes its turns on the",
-        "relay's only core until it has done its work"})
+    @Option(
+            names = "--warm",
+            defaultValue = "30",
+            description = {
+                "seconds of load before the rates (default 30): the machine's compiler takes its"
+                        + " turns on the",
+                "relay's only core until it has done its work"
+            })
     private double warm;
 
-    @Option(names = "--parts", split = ",", defaultValue = "rates,quiet,drain,kill",
-        description = "what is measured (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--parts",
+            split = ",",
+            defaultValue = "rates,quiet,drain,kill",
+            description = "what is measured (default ${DEFAULT-VALUE})")
     private List<String> parts;
 
     private Path dir;
@@ -57,20 +83,45 @@
 
     @Override
     public Integer call() throws Exception {
-        // The relay has its core to itself: clients and gateways keep off it, with all their threads.
+        // The relay has its core to itself: clients and gateways keep off it, with all their
+        // threads.
         new ProcessBuilder("taskset", "-acp", others, Long.toString(ProcessHandle.current().pid()))
-            .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start().waitFor();
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .start()
+                .waitFor();
         dir = Files.createTempDirectory("saltstage-amqp");
         fleet = new FakeFleet(BACKENDS, true, 0);
-        fleet.writeFiles(dir, "log {\n  level = \"warn\"\n}\n" + fleet.operatorSettings(
-            "  links_per_connection = 100000\n  links = 100000\n  connections = 1000\n"
-            + "  attaches_per_second = 100000\n"));
-        relay = new ProcessBuilder("taskset", "-c", cpu, "java", "-Xms" + heap, "-Xmx" + heap,
-            "-XX:+UseSerialGC", "-jar", Installation.relayJar().toString(), "serve", "--config",
-            dir.resolve("config.json").toString(), "--settings", dir.resolve("saltstage.hcl").toString())
-            .redirectErrorStream(true).redirectOutput(dir.resolve("log").toFile()).start();
+        fleet.writeFiles(
+                dir,
+                "log {\n  level = \"warn\"\n}\n"
+                        + fleet.operatorSettings(
+                                "  links_per_connection = 100000\n"
+                                        + "  links = 100000\n"
+                                        + "  connections = 1000\n"
+                                        + "  attaches_per_second = 100000\n"));
+        relay =
+                new ProcessBuilder(
+                                "taskset",
+                                "-c",
+                                cpu,
+                                "java",
+                                "-Xms" + heap,
+                                "-Xmx" + heap,
+                                "-XX:+UseSerialGC",
+                                "-jar",
+                                Installation.relayJar().toString(),
+                                "serve",
+                                "--config",
+                                dir.resolve("config.json").toString(),
+                                "--settings",
+                                dir.resolve("saltstage.hcl").toString())
+                        .redirectErrorStream(true)
+                        .redirectOutput(dir.resolve("log").toFile())
+                        .start();
         try {
-            Installation.awaitPong(parseAddress(fleet.listenAddress()), relay, Duration.ofSeconds(30));
+            Installation.awaitPong(
+                    parseAddress(fleet.listenAddress()), relay, Duration.ofSeconds(30));
             for (String part : parts) {
                 measurePart(part);
             }
@@ -90,20 +141,31 @@
             case "quiet" -> measureQuietLinks();
             case "drain" -> measureDrain();
             case "kill" -> measureKill();
-            default -> throw new IllegalArgumentException("no part '" + part
-                + "': rates, quiet, drain, kill");
+            default ->
+                    throw new IllegalArgumentException(
+                            "no part '" + part + "': rates, quiet, drain, kill");
         }
     }
 
     private List<InetSocketAddress> targetAddresses(boolean straight) {
-        return straight ? fleet.amqpBackends().stream().map(FakeAmqpBackend::address).toList()
-            : List.of(parseAddress(fleet.amqpListenAddress()));
+        return straight
+                ? fleet.amqpBackends().stream().map(FakeAmqpBackend::address).toList()
+                : List.of(parseAddress(fleet.amqpListenAddress()));
     }
 
     private void measureRates() throws IOException, InterruptedException {
         warmUp();
-        Report report = new Report("amqp-rates", "links", "way", "most deliveries a second",
-            "at a rate of", "p50 ms", "p99 ms", "p99.9 ms", "worst ms");
+        Report report =
+                new Report(
+                        "amqp-rates",
+                        "links",
+                        "way",
+                        "most deliveries a second",
+                        "at a rate of",
+                        "p50 ms",
+                        "p99 ms",
+                        "p99.9 ms",
+                        "worst ms");
         for (int count : links) {
             double[] most = new double[2];
             for (int way = 0; way < 2; way++) { // a first run warms the machine's compiler up
@@ -111,20 +173,35 @@
             }
             double half = most[0] / 2;
             for (int way = 0; way < 2; way++) {
-                try (LoadGenerator load = new LoadGenerator(true, targetAddresses(way == 1), count, "half" + way + count)) {
+                try (LoadGenerator load =
+                        new LoadGenerator(
+                                true, targetAddresses(way == 1), count, "half" + way + count)) {
                     load.run(half, 3, false);
                 }
-                try (LoadGenerator load = new LoadGenerator(true, targetAddresses(way == 1), count, "rate" + way + count)) {
+                try (LoadGenerator load =
+                        new LoadGenerator(
+                                true, targetAddresses(way == 1), count, "rate" + way + count)) {
                     load.run(half, seconds, false);
                     var times = load.deliveryTracker().latencies();
-                    report.addRow(count, way == 1 ? "straight" : "relay", Math.round(most[way]),
-                        Math.round(half), formatMillis(times.getValueAtPercentile(50)),
-                        formatMillis(times.getValueAtPercentile(99)), formatMillis(times.getValueAtPercentile(99.9)),
-                        formatMillis(times.getMaxValue()));
+                    report.addRow(
+                            count,
+                            way == 1 ? "straight" : "relay",
+                            Math.round(most[way]),
+                            Math.round(half),
+                            formatMillis(times.getValueAtPercentile(50)),
+                            formatMillis(times.getValueAtPercentile(99)),
+                            formatMillis(times.getValueAtPercentile(99.9)),
+                            formatMillis(times.getMaxValue()));
                 }
             }
         }
-        report.setBarChart("AMQP deliveries a second, relay on one core", "links", "deliveries a second", 1, 0, 2);
+        report.setBarChart(
+                "AMQP deliveries a second, relay on one core",
+                "links",
+                "deliveries a second",
+                1,
+                0,
+                2);
         report.writeFiles(Installation.measurementsDirectory());
     }
 
@@ -132,7 +209,9 @@
         long start = System.nanoTime();
         for (int round = 0; System.nanoTime() - start < warm * 1e9; round++) {
             for (int way = 0; way < 2; way++) {
-                try (LoadGenerator load = new LoadGenerator(true, targetAddresses(way == 1), 100, "warm" + way + "r" + round)) {
+                try (LoadGenerator load =
+                        new LoadGenerator(
+                                true, targetAddresses(way == 1), 100, "warm" + way + "r" + round)) {
                     load.run(WARM_UP_RATE_PER_SECOND, 2, false);
                 }
             }
@@ -143,9 +222,17 @@
     private double measureMaxRate(boolean straight, int count) throws InterruptedException {
         double best = 0;
         for (int round = 0; round < 3; round++) {
-            try (LoadGenerator load = new LoadGenerator(true, targetAddresses(straight), count, "most" + straight + count + "r" + round)) {
+            try (LoadGenerator load =
+                    new LoadGenerator(
+                            true,
+                            targetAddresses(straight),
+                            count,
+                            "most" + straight + count + "r" + round)) {
                 long start = System.nanoTime();
-                load.run(UNLIMITED_RATE_PER_SECOND, DELIVERIES_PER_ROUND / UNLIMITED_RATE_PER_SECOND, false);
+                load.run(
+                        UNLIMITED_RATE_PER_SECOND,
+                        DELIVERIES_PER_ROUND / UNLIMITED_RATE_PER_SECOND,
+                        false);
                 double took = (System.nanoTime() - start) / 1e9;
                 best = Math.max(best, load.deliveryTracker().sentCount() / took);
             }
@@ -162,7 +249,8 @@
         long before = liveHeapKib();
         report.addRow(0, before, "-");
         for (int count : new int[] {2_000, 10_000}) {
-            try (LoadGenerator load = new LoadGenerator(true, targetAddresses(false), count, "quiet" + count)) {
+            try (LoadGenerator load =
+                    new LoadGenerator(true, targetAddresses(false), count, "quiet" + count)) {
                 long now = liveHeapKib();
                 report.addRow(count, now, (now - before) * 1024 / count);
             }
@@ -174,27 +262,37 @@
     /** Live bytes on the heap, after a collection. */
     private long liveHeapKib() throws IOException, InterruptedException {
         Thread.sleep(1_000);
-        Process histogram = new ProcessBuilder("jcmd", Long.toString(relay.pid()), "GC.class_histogram")
-            .redirectErrorStream(true).start();
+        Process histogram =
+                new ProcessBuilder("jcmd", Long.toString(relay.pid()), "GC.class_histogram")
+                        .redirectErrorStream(true)
+                        .start();
         List<String> lines = new String(histogram.getInputStream().readAllBytes()).lines().toList();
         String[] total = lines.get(lines.size() - 1).trim().split("\\s+");
         return Long.parseLong(total[2]) / 1024;
     }
 
     private void measureDrain() throws IOException, InterruptedException {
-        Report report = new Report("amqp-drain", "round", "links moved", "last new link ms after the drain",
-            "all links away ms after the drain");
+        Report report =
+                new Report(
+                        "amqp-drain",
+                        "round",
+                        "links moved",
+                        "last new link ms after the drain",
+                        "all links away ms after the drain");
         for (int round = 0; round < 5; round++) {
             String g = "g" + round % BACKENDS;
             FakeAmqpBackend gateway = fleet.amqpBackends().get(round % BACKENDS);
-            try (LoadGenerator load = new LoadGenerator(true, targetAddresses(false), 400, "drain" + round)) {
-                Thread traffic = new Thread(() -> {
-                    try {
-                        load.run(2_000, 3, false);
-                    } catch (InterruptedException e) {
-                        Thread.currentThread().interrupt();
-                    }
-                });
+            try (LoadGenerator load =
+                    new LoadGenerator(true, targetAddresses(false), 400, "drain" + round)) {
+                Thread traffic =
+                        new Thread(
+                                () -> {
+                                    try {
+                                        load.run(2_000, 3, false);
+                                    } catch (InterruptedException e) {
+                                        Thread.currentThread().interrupt();
+                                    }
+                                });
                 traffic.start();
                 Thread.sleep(500);
                 int stood = gateway.linkCount();
@@ -215,31 +313,44 @@
     }
 
     private void measureKill() throws IOException, InterruptedException {
-        Report report = new Report("amqp-kill", "round", "links lost", "longest wait for an outcome ms",
-            "accepted", "released or modified", "no outcome");
+        Report report =
+                new Report(
+                        "amqp-kill",
+                        "round",
+                        "links lost",
+                        "longest wait for an outcome ms",
+                        "accepted",
+                        "released or modified",
+                        "no outcome");
         for (int round = 0; round < 5; round++) {
             String g = "g" + round % BACKENDS;
             FakeAmqpBackend gateway = fleet.amqpBackends().get(round % BACKENDS);
-            try (LoadGenerator load = new LoadGenerator(true, targetAddresses(false), 100, "kill" + round)) {
-                Thread killer = new Thread(() -> {
-                    try {
-                        Thread.sleep(1_500);
-                        fleet.runCommand("kill " + g);
-                    } catch (InterruptedException | IOException e) {
-                        Thread.currentThread().interrupt();
-                    }
-                });
+            try (LoadGenerator load =
+                    new LoadGenerator(true, targetAddresses(false), 100, "kill" + round)) {
+                Thread killer =
+                        new Thread(
+                                () -> {
+                                    try {
+                                        Thread.sleep(1_500);
+                                        fleet.runCommand("kill " + g);
+                                    } catch (InterruptedException | IOException e) {
+                                        Thread.currentThread().interrupt();
+                                    }
+                                });
                 int stood = gateway.linkCount();
                 killer.start();
                 load.run(2_000, 4, false);
                 killer.join();
                 var counts = load.deliveryTracker().outcomeCounts();
-                report.addRow(round, stood, formatMillis(load.deliveryTracker().latencies().getMaxValue()),
-                    counts.getOrDefault(DeliveryTracker.DeliveryOutcome.ACCEPTED, 0L),
-                    counts.getOrDefault(DeliveryTracker.DeliveryOutcome.RELEASED, 0L)
-                        + counts.getOrDefault(DeliveryTracker.DeliveryOutcome.MODIFIED, 0L),
-                    counts.getOrDefault(DeliveryTracker.DeliveryOutcome.NOTHING, 0L)
-                        + counts.getOrDefault(DeliveryTracker.DeliveryOutcome.WAITING, 0L));
+                report.addRow(
+                        round,
+                        stood,
+                        formatMillis(load.deliveryTracker().latencies().getMaxValue()),
+                        counts.getOrDefault(DeliveryTracker.DeliveryOutcome.ACCEPTED, 0L),
+                        counts.getOrDefault(DeliveryTracker.DeliveryOutcome.RELEASED, 0L)
+                                + counts.getOrDefault(DeliveryTracker.DeliveryOutcome.MODIFIED, 0L),
+                        counts.getOrDefault(DeliveryTracker.DeliveryOutcome.NOTHING, 0L)
+                                + counts.getOrDefault(DeliveryTracker.DeliveryOutcome.WAITING, 0L));
                 fleet.runCommand("start " + g);
                 Thread.sleep(2_000);
             }
@@ -249,6 +360,7 @@
 
     private static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
-        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 }
--- a/lab/src/main/java/saltstage/lab/amqp/AmqpLoadClient.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpLoadClient.java
@@ -34,11 +34,13 @@
 import saltstage.net.Transport;
 
 /**
- * One connection of a client and its sending links. Each delivery is due at a time and is measured from then,
- * whether its link had credit or not. A link that is detached attaches again, and so does the connection.
+ * One connection of a client and its sending links. Each delivery is due at a time and is measured
+ * from then, whether its link had credit or not. A link that is detached attaches again, and so
+ * does the connection.
  */
 public final class AmqpLoadClient {
-    private static final Connection.WriteLimits WRITE_LIMITS = new Connection.WriteLimits(1 << 20, 256 << 20);
+    private static final Connection.WriteLimits WRITE_LIMITS =
+            new Connection.WriteLimits(1 << 20, 256 << 20);
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
 
     private final Transport transport;
@@ -55,11 +57,18 @@
     private volatile int unsentCount;
     private volatile boolean closing;
 
-    private record ScheduledDelivery(String id, long dueNanos) { }
+    private record ScheduledDelivery(String id, long dueNanos) {}
 
     /** So many links to addresses of this class, with messages of so many bytes. */
-    public AmqpLoadClient(Transport transport, Loop loop, InetSocketAddress to, String name, int count,
-            String address, int bytes, DeliveryTracker ledger) {
+    public AmqpLoadClient(
+            Transport transport,
+            Loop loop,
+            InetSocketAddress to,
+            String name,
+            int count,
+            String address,
+            int bytes,
+            DeliveryTracker ledger) {
         this.transport = transport;
         this.loop = loop;
         this.target = to;
@@ -100,16 +109,30 @@
         }
     }
 
-    /** What keeps it, for a message: each link with deliveries that are due, its credit and its session's. */
+    /**
+     * What keeps it, for a message: each link with deliveries that are due, its credit and its
+     * session's.
+     */
     public String describeBlockedLinks() {
         StringBuilder text = new StringBuilder();
         for (SenderLink link : links) {
             if (!link.pendingDeliveries.isEmpty()) {
-                text.append(link.address).append(" up=").append(link.attached).append(" waiting=")
-                    .append(link.pendingDeliveries.size()).append(" out=").append(link.unsettledDeliveries.size()).append(" credit=")
-                    .append(link.sender.getCredit()).append(" sendable=").append(link.sender.isSendable())
-                    .append(" local=").append(link.sender.getState()).append(" remote=")
-                    .append(link.sender.getRemoteState()).append("; ");
+                text.append(link.address)
+                        .append(" up=")
+                        .append(link.attached)
+                        .append(" waiting=")
+                        .append(link.pendingDeliveries.size())
+                        .append(" out=")
+                        .append(link.unsettledDeliveries.size())
+                        .append(" credit=")
+                        .append(link.sender.getCredit())
+                        .append(" sendable=")
+                        .append(link.sender.isSendable())
+                        .append(" local=")
+                        .append(link.sender.getState())
+                        .append(" remote=")
+                        .append(link.sender.getRemoteState())
+                        .append("; ");
             }
         }
         return text.toString();
@@ -118,34 +141,41 @@
     /** Ends politely; what has no outcome by then has none. */
     public void close() {
         closing = true;
-        loop.execute(() -> {
-            if (loadConnection != null) {
-                loadConnection.close(null);
-            }
-        });
+        loop.execute(
+                () -> {
+                    if (loadConnection != null) {
+                        loadConnection.close(null);
+                    }
+                });
     }
 
     private void connect() {
         if (closing) {
             return;
         }
-        transport.connect(loop, target, CONNECT_TIMEOUT, WRITE_LIMITS, new Transport.ConnectListener() {
-            @Override
-            public ConnectionHandler connected(Connection connection) {
-                loadConnection = new LoadConnection(connection);
-                loadConnection.open();
-                return loadConnection;
-            }
+        transport.connect(
+                loop,
+                target,
+                CONNECT_TIMEOUT,
+                WRITE_LIMITS,
+                new Transport.ConnectListener() {
+                    @Override
+                    public ConnectionHandler connected(Connection connection) {
+                        loadConnection = new LoadConnection(connection);
+                        loadConnection.open();
+                        return loadConnection;
+                    }
 
-            @Override
-            public void failed(IOException why) {
-                scheduleReconnect();
-            }
-        });
+                    @Override
+                    public void failed(IOException why) {
+                        scheduleReconnect();
+                    }
+                });
     }
 
     private void scheduleReconnect() {
-        loop.schedule(Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::connect);
+        loop.schedule(
+                Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::connect);
     }
 
     /** The connection. */
@@ -156,8 +186,10 @@
 
         void open() {
             Engine engine = EngineFactory.PROTON.createNonSaslEngine();
-            engine.connection().setContainerId(name).setMaxFrameSize(16 << 10)
-                .closeHandler(closed -> close(null));
+            engine.connection()
+                    .setContainerId(name)
+                    .setMaxFrameSize(16 << 10)
+                    .closeHandler(closed -> close(null));
             startEngine(engine);
             engine.connection().open();
             session = engine.connection().session().open();
@@ -188,7 +220,8 @@
         private final int index;
         private final String address;
         private final Deque<ScheduledDelivery> pendingDeliveries = new ArrayDeque<>();
-        private final Map<OutgoingDelivery, ScheduledDelivery> unsettledDeliveries = new LinkedHashMap<>();
+        private final Map<OutgoingDelivery, ScheduledDelivery> unsettledDeliveries =
+                new LinkedHashMap<>();
         private Sender sender;
         private boolean attached;
         private int nextTag;
@@ -204,26 +237,31 @@
                 return;
             }
             sender = session.sender(name + "-" + index + "-" + attachCount++);
-            sender.setSource(new Source().setAddress(name)).setTarget(new Target().setAddress(address))
-                .openHandler(opened -> {
-                    if (sender.getRemoteTarget() != null) {
-                        attached = true;
-                        attachedCount++;
-                    }
-                })
-                .closeHandler(this::detachReceived)
-                .detachHandler(this::detachReceived)
-                .creditStateUpdateHandler(any -> sendPending())
-                .deliveryStateUpdatedHandler(this::dispositionReceived)
-                .open();
+            sender.setSource(new Source().setAddress(name))
+                    .setTarget(new Target().setAddress(address))
+                    .openHandler(
+                            opened -> {
+                                if (sender.getRemoteTarget() != null) {
+                                    attached = true;
+                                    attachedCount++;
+                                }
+                            })
+                    .closeHandler(this::detachReceived)
+                    .detachHandler(this::detachReceived)
+                    .creditStateUpdateHandler(any -> sendPending())
+                    .deliveryStateUpdatedHandler(this::dispositionReceived)
+                    .open();
         }
 
         private void detachReceived(Sender closed) {
-            countDetach(closed.getRemoteCondition() == null ? "none"
-                : closed.getRemoteCondition().getCondition().toString());
+            countDetach(
+                    closed.getRemoteCondition() == null
+                            ? "none"
+                            : closed.getRemoteCondition().getCondition().toString());
             markDetached();
             closed.close();
-            loop.schedule(Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::attach);
+            loop.schedule(
+                    Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::attach);
         }
 
         void markDetached() {
@@ -231,7 +269,12 @@
                 attached = false;
                 attachedCount--;
             }
-            unsettledDeliveries.values().forEach(due -> deliveryTracker.outcomeReceived(due.id(), DeliveryOutcome.NOTHING, -1));
+            unsettledDeliveries
+                    .values()
+                    .forEach(
+                            due ->
+                                    deliveryTracker.outcomeReceived(
+                                            due.id(), DeliveryOutcome.NOTHING, -1));
             unsettledDeliveries.clear();
         }
 
@@ -242,17 +285,27 @@
         }
 
         void sendPending() {
-            while (attached && !pendingDeliveries.isEmpty() && loadConnection.isWritable() && sender.getCredit() > 0
-                && sender.isSendable()) {
+            while (attached
+                    && !pendingDeliveries.isEmpty()
+                    && loadConnection.isWritable()
+                    && sender.getCredit() > 0
+                    && sender.isSendable()) {
                 ScheduledDelivery due = pendingDeliveries.poll();
                 unsentCount--;
-                OutgoingDelivery delivery = sender.next().setTag(Integer.toString(nextTag++, 36)
-                    .getBytes(StandardCharsets.ISO_8859_1));
+                OutgoingDelivery delivery =
+                        sender.next()
+                                .setTag(
+                                        Integer.toString(nextTag++, 36)
+                                                .getBytes(StandardCharsets.ISO_8859_1));
                 unsettledDeliveries.put(delivery, due);
-                delivery.writeBytes(ProtonByteArrayBufferAllocator.wrapped(
-                    MessageCodec.encode(due.id(), padding.length)));
+                delivery.writeBytes(
+                        ProtonByteArrayBufferAllocator.wrapped(
+                                MessageCodec.encode(due.id(), padding.length)));
             }
-            if (attached && sender.isDraining() && sender.getCredit() > 0 && pendingDeliveries.isEmpty()) {
+            if (attached
+                    && sender.isDraining()
+                    && sender.getCredit() > 0
+                    && pendingDeliveries.isEmpty()) {
                 sender.drained();
             }
         }
@@ -267,9 +320,16 @@
             if (state == null && !delivery.isRemotelySettled()) {
                 return;
             }
-            DeliveryOutcome what = state instanceof Accepted ? DeliveryOutcome.ACCEPTED : state instanceof Rejected ? DeliveryOutcome.REJECTED
-                : state instanceof Released ? DeliveryOutcome.RELEASED : state instanceof Modified ? DeliveryOutcome.MODIFIED
-                : DeliveryOutcome.OTHER;
+            DeliveryOutcome what =
+                    state instanceof Accepted
+                            ? DeliveryOutcome.ACCEPTED
+                            : state instanceof Rejected
+                                    ? DeliveryOutcome.REJECTED
+                                    : state instanceof Released
+                                            ? DeliveryOutcome.RELEASED
+                                            : state instanceof Modified
+                                                    ? DeliveryOutcome.MODIFIED
+                                                    : DeliveryOutcome.OTHER;
             deliveryTracker.outcomeReceived(due.id(), what, System.nanoTime() - due.dueNanos());
             if (delivery.isRemotelySettled()) {
                 unsettledDeliveries.remove(delivery);
--- a/lab/src/main/java/saltstage/lab/amqp/AmqpServerConnection.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpServerConnection.java
@@ -22,7 +22,8 @@
     private final Consumer<AmqpServerConnection> endListener;
     private byte[] receivedBytes = {};
 
-    AmqpServerConnection(Connection net, Consumer<Engine> setUp, Consumer<AmqpServerConnection> end) {
+    AmqpServerConnection(
+            Connection net, Consumer<Engine> setUp, Consumer<AmqpServerConnection> end) {
         super(net, Instant::now, 1 << 20);
         this.engineConfigurer = setUp;
         this.endListener = end;
@@ -37,8 +38,10 @@
             if (receivedBytes.length < 8) {
                 return;
             }
-            Engine made = receivedBytes[4] == 0 ? EngineFactory.PROTON.createNonSaslEngine()
-                : EngineFactory.PROTON.createEngine();
+            Engine made =
+                    receivedBytes[4] == 0
+                            ? EngineFactory.PROTON.createNonSaslEngine()
+                            : EngineFactory.PROTON.createEngine();
             if (receivedBytes[4] != 0) {
                 made.saslDriver().server().setListener(new AnonymousSaslListener());
             }
@@ -63,7 +66,8 @@
     /** Ends as a process does that dies. */
     void reset() {
         if (engine() != null) {
-            engine().shutdown(); // its links are over before its peer can know: no copy is out there any more
+            engine().shutdown(); // its links are over before its peer can know: no copy is out
+            // there any more
         }
         netConnection().reset();
     }
@@ -75,8 +79,7 @@
     }
 
     @Override
-    protected void onWritable() {
-    }
+    protected void onWritable() {}
 
     @Override
     protected void connectionEnded(String why) {
@@ -90,7 +93,8 @@
         }
 
         @Override
-        public void handleSaslInit(SaslServerContext context, Symbol mechanism, ProtonBuffer response) {
+        public void handleSaslInit(
+                SaslServerContext context, Symbol mechanism, ProtonBuffer response) {
             context.sendOutcome(SaslOutcome.SASL_OK, null);
         }
 
--- a/lab/src/main/java/saltstage/lab/amqp/DeliveryTracker.java
+++ b/lab/src/main/java/saltstage/lab/amqp/DeliveryTracker.java
@@ -11,13 +11,28 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 
-/** Every delivery sent and what its sender was told of it, to be compared with what the gateways say. */
+/**
+ * Every delivery sent and what its sender was told of it, to be compared with what the gateways
+ * say.
+ */
 public final class DeliveryTracker {
     /** What a sender was told, or that its link ended without a word. */
-    public enum DeliveryOutcome { WAITING, ACCEPTED, REJECTED, RELEASED, MODIFIED, OTHER, NOTHING }
+    public enum DeliveryOutcome {
+        WAITING,
+        ACCEPTED,
+        REJECTED,
+        RELEASED,
+        MODIFIED,
+        OTHER,
+        NOTHING
+    }
 
-    /** Room beforehand: a map that grows keeps all threads of a measurement waiting for milliseconds. */
+    /**
+     * Room beforehand: a map that grows keeps all threads of a measurement waiting for
+     * milliseconds.
+     */
     private final Map<String, DeliveryOutcome> outcomes = new HashMap<>(1 << 20);
+
     private long pendingCount;
     private final List<String> faults = new ArrayList<>();
     private final Histogram latencies = new Histogram(TimeUnit.MINUTES.toNanos(2), 3);
@@ -69,21 +84,26 @@
         return latencies.copy();
     }
 
-    /** What cannot be, compared with the ids that the gateways have accepted; empty where all is well. */
+    /**
+     * What cannot be, compared with the ids that the gateways have accepted; empty where all is
+     * well.
+     */
     public synchronized List<String> findFaults(Collection<String> acceptedThere) {
         List<String> all = new ArrayList<>(faults);
         Set<String> there = new HashSet<>(acceptedThere);
-        outcomes.forEach((id, what) -> {
-            if (what == DeliveryOutcome.ACCEPTED && !there.contains(id)) {
-                all.add("accepted by no gateway: " + id);
-            }
-            if ((what == DeliveryOutcome.RELEASED || what == DeliveryOutcome.REJECTED) && there.contains(id)) {
-                all.add(what + " though a gateway accepted it: " + id);
-            }
-            if (what == DeliveryOutcome.WAITING || what == DeliveryOutcome.NOTHING) {
-                all.add("no outcome: " + id);
-            }
-        });
+        outcomes.forEach(
+                (id, what) -> {
+                    if (what == DeliveryOutcome.ACCEPTED && !there.contains(id)) {
+                        all.add("accepted by no gateway: " + id);
+                    }
+                    if ((what == DeliveryOutcome.RELEASED || what == DeliveryOutcome.REJECTED)
+                            && there.contains(id)) {
+                        all.add(what + " though a gateway accepted it: " + id);
+                    }
+                    if (what == DeliveryOutcome.WAITING || what == DeliveryOutcome.NOTHING) {
+                        all.add("no outcome: " + id);
+                    }
+                });
         there.removeAll(outcomes.keySet());
         there.forEach(id -> all.add("accepted and never sent: " + id));
         return all;
--- a/lab/src/main/java/saltstage/lab/amqp/FakeAmqpBackend.java
+++ b/lab/src/main/java/saltstage/lab/amqp/FakeAmqpBackend.java
@@ -34,15 +34,17 @@
 import saltstage.net.Transport;
 
 /**
- * A stand-in for a gateway that speaks AMQP 1.0: takes links on any address, accepts or rejects deliveries,
- * gives messages to who receives, and keeps count of all of it. It drains, dies, freezes and answers late.
+ * A stand-in for a gateway that speaks AMQP 1.0: takes links on any address, accepts or rejects
+ * deliveries, gives messages to who receives, and keeps count of all of it. It drains, dies,
+ * freezes and answers late.
  */
 public final class FakeAmqpBackend {
     private static final int LINK_CREDIT = 200;
     private static final int MAX_FRAME_BYTES = 16 << 10;
     private static final int MAX_UNREAD_BYTES = 1 << 19;
     private static final int MAX_LINKS = 10_000;
-    private static final Connection.WriteLimits WRITE_LIMITS = new Connection.WriteLimits(1 << 20, 256 << 20);
+    private static final Connection.WriteLimits WRITE_LIMITS =
+            new Connection.WriteLimits(1 << 20, 256 << 20);
 
     private final String uid;
     private final Transport transport;
@@ -68,7 +70,8 @@
     private volatile long servedLinkCount;
 
     /** A gateway at this address. */
-    public FakeAmqpBackend(String uid, Transport transport, InetSocketAddress at, DuplicateDeliveryDetector copies)
+    public FakeAmqpBackend(
+            String uid, Transport transport, InetSocketAddress at, DuplicateDeliveryDetector copies)
             throws IOException {
         this.uid = uid;
         this.transport = transport;
@@ -78,39 +81,51 @@
     }
 
     private void listen() throws IOException {
-        listener = transport.listen(address, 1_024, WRITE_LIMITS, net -> {
-            AmqpServerConnection side = new AmqpServerConnection(net, this::configureEngine, connections::remove);
-            connections.add(side);
-            if (state == State.SILENT) {
-                net.loop().execute(() -> side.setReading(false));
-            }
-            return side;
-        });
+        listener =
+                transport.listen(
+                        address,
+                        1_024,
+                        WRITE_LIMITS,
+                        net -> {
+                            AmqpServerConnection side =
+                                    new AmqpServerConnection(
+                                            net, this::configureEngine, connections::remove);
+                            connections.add(side);
+                            if (state == State.SILENT) {
+                                net.loop().execute(() -> side.setReading(false));
+                            }
+                            return side;
+                        });
     }
 
     private void configureEngine(Engine engine) {
-        engine.connection().setContainerId(uid).setMaxFrameSize(MAX_FRAME_BYTES)
-            .setChannelMax(65_535)
-            .openHandler(up -> up.open())
-            .closeHandler(up -> up.close())
-            .sessionOpenHandler(session -> { // usually without a window: all that comes is read at once
-                if (sessionWindowBytes > 0) {
-                    session.setIncomingCapacity(sessionWindowBytes);
-                }
-                session.closeHandler(ended -> ended.close());
-                sessionCount++;
-                session.open();
-            })
-            .receiverOpenHandler(this::receiverOpened)
-            .senderOpenHandler(this::senderOpened);
+        engine.connection()
+                .setContainerId(uid)
+                .setMaxFrameSize(MAX_FRAME_BYTES)
+                .setChannelMax(65_535)
+                .openHandler(up -> up.open())
+                .closeHandler(up -> up.close())
+                .sessionOpenHandler(
+                        session -> { // usually without a window: all that comes is read at once
+                            if (sessionWindowBytes > 0) {
+                                session.setIncomingCapacity(sessionWindowBytes);
+                            }
+                            session.closeHandler(ended -> ended.close());
+                            sessionCount++;
+                            session.open();
+                        })
+                .receiverOpenHandler(this::receiverOpened)
+                .senderOpenHandler(this::senderOpened);
     }
 
     private boolean rejectIfUnavailable(Link<?> link) {
         lastLinkMillis = System.currentTimeMillis();
-        if (!linkKeys.add(linkKey(link))) { // a second one of this name between two containers (2.6.1)
+        if (!linkKeys.add(
+                linkKey(link))) { // a second one of this name between two containers (2.6.1)
             stolenLinkCount++;
             link.setSource(null).setTarget((Target) null).open();
-            link.setCondition(new ErrorCondition(LinkError.STOLEN, "link " + link.getName())).close();
+            link.setCondition(new ErrorCondition(LinkError.STOLEN, "link " + link.getName()))
+                    .close();
             return true;
         }
         if (state != State.DRAINING && links.size() < MAX_LINKS) {
@@ -120,13 +135,17 @@
         }
         linkKeys.remove(linkKey(link));
         link.setSource(null).setTarget((Target) null).open();
-        link.setCondition(new ErrorCondition(AmqpError.RESOURCE_LIMIT_EXCEEDED, "draining or full")).close();
+        link.setCondition(new ErrorCondition(AmqpError.RESOURCE_LIMIT_EXCEEDED, "draining or full"))
+                .close();
         return true;
     }
 
     private static String linkKey(Link<?> link) {
-        return link.getEngine().connection().getRemoteContainerId() + " " + link.isSender() + " "
-            + link.getName();
+        return link.getEngine().connection().getRemoteContainerId()
+                + " "
+                + link.isSender()
+                + " "
+                + link.getName();
     }
 
     private void receiverOpened(Receiver link) {
@@ -134,41 +153,46 @@
             return;
         }
         Set<String> out = ConcurrentHashMap.newKeySet();
-        Runnable letGo = () -> {
-            out.forEach(duplicateDetector::deliveryEnded);
-            out.clear();
-        };
+        Runnable letGo =
+                () -> {
+                    out.forEach(duplicateDetector::deliveryEnded);
+                    out.clear();
+                };
         outstandingCleanups.add(letGo);
-        Runnable over = () -> {
-            links.remove(link);
-            linkKeys.remove(linkKey(link));
-            outstandingCleanups.remove(letGo);
-            letGo.run();
-            link.close();
-        };
+        Runnable over =
+                () -> {
+                    links.remove(link);
+                    linkKeys.remove(linkKey(link));
+                    outstandingCleanups.remove(letGo);
+                    letGo.run();
+                    link.close();
+                };
         boolean second = link.getRemoteReceiverSettleMode() == ReceiverSettleMode.SECOND;
-        link.setSource(link.getRemoteSource()).setTarget(link.<Target>getRemoteTarget())
-            .setReceiverSettleMode(link.getRemoteReceiverSettleMode())
-            .setOfferedCapabilities(link.getRemoteDesiredCapabilities())
-            .deliveryStateUpdatedHandler(in -> {
-                if (second && in.isRemotelySettled() && !in.isSettled()) {
-                    senderSettledFirstCount++;
-                    in.settle();
-                }
-            })
-            .closeHandler(any -> over.run())
-            .detachHandler(any -> over.run())
-            .parentEndpointClosedHandler(any -> over.run())
-            .engineShutdownHandler(any -> over.run())
-            .deliveryReadHandler(in -> deliveryReceived(link, in, out))
-            .deliveryAbortedHandler(in -> in.settle())
-            .open();
+        link.setSource(link.getRemoteSource())
+                .setTarget(link.<Target>getRemoteTarget())
+                .setReceiverSettleMode(link.getRemoteReceiverSettleMode())
+                .setOfferedCapabilities(link.getRemoteDesiredCapabilities())
+                .deliveryStateUpdatedHandler(
+                        in -> {
+                            if (second && in.isRemotelySettled() && !in.isSettled()) {
+                                senderSettledFirstCount++;
+                                in.settle();
+                            }
+                        })
+                .closeHandler(any -> over.run())
+                .detachHandler(any -> over.run())
+                .parentEndpointClosedHandler(any -> over.run())
+                .engineShutdownHandler(any -> over.run())
+                .deliveryReadHandler(in -> deliveryReceived(link, in, out))
+                .deliveryAbortedHandler(in -> in.settle())
+                .open();
         link.addCredit(LINK_CREDIT);
     }
 
     private void deliveryReceived(Receiver link, IncomingDelivery in, Set<String> out) {
         if (in.isPartial()) {
-            if (in.available() > MAX_UNREAD_BYTES) { // a large one is read as it comes: its id came first
+            if (in.available()
+                    > MAX_UNREAD_BYTES) { // a large one is read as it comes: its id came first
                 bufferHead(in);
             }
             return;
@@ -197,10 +221,12 @@
         ProtonBuffer head = in.getLinkedResource();
         ProtonBuffer got = in.available() > 0 ? in.readAll() : null;
         if (head == null) {
-            in.setLinkedResource(got == null ? ProtonBufferAllocator.defaultAllocator().allocate(0) : got);
+            in.setLinkedResource(
+                    got == null ? ProtonBufferAllocator.defaultAllocator().allocate(0) : got);
         } else if (got != null && head.getReadableBytes() < MAX_FRAME_BYTES) {
-            ProtonBuffer both = ProtonBufferAllocator.defaultAllocator()
-                .allocate(head.getReadableBytes() + got.getReadableBytes());
+            ProtonBuffer both =
+                    ProtonBufferAllocator.defaultAllocator()
+                            .allocate(head.getReadableBytes() + got.getReadableBytes());
             both.writeBytes(head).writeBytes(got);
             in.setLinkedResource(both);
         }
@@ -221,9 +247,12 @@
         }
         duplicateDetector.deliveryEnded(id);
         boolean reject = ThreadLocalRandom.current().nextInt(100) < rejectPercent;
-        DeliveryState state = reject
-            ? new Rejected(new ErrorCondition(Symbol.valueOf("stand-in:rejected"), "as it was told"))
-            : Accepted.getInstance();
+        DeliveryState state =
+                reject
+                        ? new Rejected(
+                                new ErrorCondition(
+                                        Symbol.valueOf("stand-in:rejected"), "as it was told"))
+                        : Accepted.getInstance();
         countOutcome(id, reject ? "rejected" : "accepted");
         in.disposition(state, link.getReceiverSettleMode() != ReceiverSettleMode.SECOND);
         if (link.getCredit() <= LINK_CREDIT / 2) {
@@ -245,40 +274,55 @@
             return;
         }
         int[] given = new int[1];
-        Runnable over = () -> {
-            links.remove(link);
-            linkKeys.remove(linkKey(link));
-            link.close();
-        };
-        link.setSource(link.getRemoteSource()).setTarget(link.<Target>getRemoteTarget())
-            .setSenderSettleMode(link.getRemoteSenderSettleMode())
-            .closeHandler(any -> over.run())
-            .detachHandler(any -> over.run())
-            .parentEndpointClosedHandler(any -> over.run())
-            .engineShutdownHandler(any -> over.run())
-            .creditStateUpdateHandler(any -> {
-                while (link.isSendable() && given[0] < messagesPerLink) {
-                    byte[] message = MessageCodec.encode(uid + ":" + link.getName() + ":" + given[0]++, 64);
-                    OutgoingDelivery out = link.next().setTag(new byte[] {(byte) (given[0] >> 8),
-                        (byte) given[0]});
-                    out.writeBytes(ProtonByteArrayBufferAllocator.wrapped(message));
-                }
-                if (link.isDraining()) {
-                    link.drained();
-                }
-            })
-            .deliveryStateUpdatedHandler(out -> {
-                if (out.getRemoteState() != null) {
-                    synchronized (acceptedIds) {
-                        receivedOutcomeCounts.merge(out.getRemoteState().getType().name().toLowerCase(Locale.ROOT),
-                            1L, Long::sum);
-                    }
-                }
-                if (out.isRemotelySettled()) {
-                    out.settle();
-                }
-            })
-            .open();
+        Runnable over =
+                () -> {
+                    links.remove(link);
+                    linkKeys.remove(linkKey(link));
+                    link.close();
+                };
+        link.setSource(link.getRemoteSource())
+                .setTarget(link.<Target>getRemoteTarget())
+                .setSenderSettleMode(link.getRemoteSenderSettleMode())
+                .closeHandler(any -> over.run())
+                .detachHandler(any -> over.run())
+                .parentEndpointClosedHandler(any -> over.run())
+                .engineShutdownHandler(any -> over.run())
+                .creditStateUpdateHandler(
+                        any -> {
+                            while (link.isSendable() && given[0] < messagesPerLink) {
+                                byte[] message =
+                                        MessageCodec.encode(
+                                                uid + ":" + link.getName() + ":" + given[0]++, 64);
+                                OutgoingDelivery out =
+                                        link.next()
+                                                .setTag(
+                                                        new byte[] {
+                                                            (byte) (given[0] >> 8), (byte) given[0]
+                                                        });
+                                out.writeBytes(ProtonByteArrayBufferAllocator.wrapped(message));
+                            }
+                            if (link.isDraining()) {
+                                link.drained();
+                            }
+                        })
+                .deliveryStateUpdatedHandler(
+                        out -> {
+                            if (out.getRemoteState() != null) {
+                                synchronized (acceptedIds) {
+                                    receivedOutcomeCounts.merge(
+                                            out.getRemoteState()
+                                                    .getType()
+                                                    .name()
+                                                    .toLowerCase(Locale.ROOT),
+                                            1L,
+                                            Long::sum);
+                                }
+                            }
+                            if (out.isRemotelySettled()) {
+                                out.settle();
+                            }
+                        })
+                .open();
     }
 
     // ---- what is done to it
@@ -295,7 +339,9 @@
         connections.forEach(side -> side.loop().execute(side::reset));
     }
 
-    /** Dies in the middle of a frame to each of its peers; a new process takes its place at once. */
+    /**
+     * Dies in the middle of a frame to each of its peers; a new process takes its place at once.
+     */
     public void resetWithinFrame() {
         connections.forEach(side -> side.loop().execute(side::resetWithinFrame));
     }
@@ -304,7 +350,8 @@
     public void freeze() {
         state = State.SILENT;
         connections.forEach(side -> side.loop().execute(() -> side.setReading(false)));
-        // Its peers can only give its connections up, which it does not see: what it holds counts as that.
+        // Its peers can only give its connections up, which it does not see: what it holds counts
+        // as that.
         List.copyOf(outstandingCleanups).forEach(Runnable::run);
     }
 
--- a/lab/src/main/java/saltstage/lab/amqp/LineLoadClient.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LineLoadClient.java
@@ -14,9 +14,10 @@
 
 /** One client that speaks lines: opens, then says numbered lines that its backend says back. */
 final class LineLoadClient implements ConnectionHandler, Transport.ConnectListener {
-    private static final Connection.WriteLimits WRITE_LIMITS = new Connection.WriteLimits(1 << 16, 1 << 24);
+    private static final Connection.WriteLimits WRITE_LIMITS =
+            new Connection.WriteLimits(1 << 16, 1 << 24);
 
-    private record ScheduledLine(String id, long dueNanos) { }
+    private record ScheduledLine(String id, long dueNanos) {}
 
     private final DeliveryTracker deliveryTracker;
     private final Loop loop;
@@ -26,10 +27,22 @@
     private Connection connection;
     private volatile boolean established;
 
-    LineLoadClient(Transport transport, Loop loop, InetSocketAddress to, String name, DeliveryTracker ledger) {
+    LineLoadClient(
+            Transport transport,
+            Loop loop,
+            InetSocketAddress to,
+            String name,
+            DeliveryTracker ledger) {
         this.deliveryTracker = ledger;
         this.loop = loop;
-        openLine = "OPEN " + name + " k" + name + " c=status-report,t=kitaden-charge,d=2000,g=" + name + "\r\n";
+        openLine =
+                "OPEN "
+                        + name
+                        + " k"
+                        + name
+                        + " c=status-report,t=kitaden-charge,d=2000,g="
+                        + name
+                        + "\r\n";
         loop.execute(() -> transport.connect(loop, to, Duration.ofSeconds(5), WRITE_LIMITS, this));
     }
 
@@ -40,12 +53,13 @@
     /** A line is due; it counts from this moment. */
     void scheduleLine(String id, long at) {
         deliveryTracker.deliverySent(id);
-        loop.execute(() -> {
-            pendingLines.add(new ScheduledLine(id, at));
-            if (established) {
-                send(id + "\r\n");
-            }
-        });
+        loop.execute(
+                () -> {
+                    pendingLines.add(new ScheduledLine(id, at));
+                    if (established) {
+                        send(id + "\r\n");
+                    }
+                });
     }
 
     private void send(String text) {
@@ -53,11 +67,12 @@
     }
 
     void close() {
-        loop.execute(() -> {
-            if (connection != null) {
-                connection.close();
-            }
-        });
+        loop.execute(
+                () -> {
+                    if (connection != null) {
+                        connection.close();
+                    }
+                });
     }
 
     @Override
@@ -87,7 +102,10 @@
                 pendingLines.forEach(due -> send(due.id() + "\r\n"));
             } else if (!pendingLines.isEmpty() && pendingLines.peek().id().equals(text)) {
                 ScheduledLine due = pendingLines.poll();
-                deliveryTracker.outcomeReceived(due.id(), DeliveryTracker.DeliveryOutcome.ACCEPTED, System.nanoTime() - due.dueNanos());
+                deliveryTracker.outcomeReceived(
+                        due.id(),
+                        DeliveryTracker.DeliveryOutcome.ACCEPTED,
+                        System.nanoTime() - due.dueNanos());
             }
         }
     }
@@ -100,7 +118,10 @@
     @Override
     public void closed(Connection on, Connection.Cause why) {
         established = false;
-        pendingLines.forEach(due -> deliveryTracker.outcomeReceived(due.id(), DeliveryTracker.DeliveryOutcome.NOTHING, -1));
+        pendingLines.forEach(
+                due ->
+                        deliveryTracker.outcomeReceived(
+                                due.id(), DeliveryTracker.DeliveryOutcome.NOTHING, -1));
         pendingLines.clear();
     }
 }
--- a/lab/src/main/java/saltstage/lab/amqp/LoadCommand.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LoadCommand.java
@@ -18,15 +18,26 @@
 import picocli.CommandLine.Parameters;
 
 /** Load on a relay that serves in front of a fleet. */
-@Command(name = "load", mixinStandardHelpOptions = true,
-    description = {"Sends deliveries (or lines) at a rate through the relay of a fleet, each measured from",
-        "when it was due, and compares what senders were told with what the gateways say."},
-    footer = {"", "Exits with 0 where each delivery is accounted for at both ends, else with 1."})
+@Command(
+        name = "load",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Sends deliveries (or lines) at a rate through the relay of a fleet, each measured"
+                    + " from",
+            "when it was due, and compares what senders were told with what the gateways say."
+        },
+        footer = {
+            "",
+            "Exits with 0 where each delivery is accounted for at both ends, else with 1."
+        })
 public final class LoadCommand implements Callable<Integer> {
     private static final int MAX_LISTED_FAULTS = 20;
 
     /** What is spoken. */
-    public enum Protocol { lines, amqp }
+    public enum Protocol {
+        lines,
+        amqp
+    }
 
     @Parameters(paramLabel = "DIR", description = "the folder that 'lab fleet' has written")
     private Path dir;
@@ -34,14 +45,25 @@
     @Option(names = "--protocol", defaultValue = "amqp", description = "amqp (default) or lines")
     private Protocol protocol;
 
-    @Option(names = "--links", paramLabel = "N", defaultValue = "100", description = "links (default 100)")
+    @Option(
+            names = "--links",
+            paramLabel = "N",
+            defaultValue = "100",
+            description = "links (default 100)")
     private int links;
 
-    @Option(names = "--rate", paramLabel = "R", defaultValue = "1000",
-        description = "deliveries a second over all links (default 1000)")
+    @Option(
+            names = "--rate",
+            paramLabel = "R",
+            defaultValue = "1000",
+            description = "deliveries a second over all links (default 1000)")
     private double rate;
 
-    @Option(names = "--seconds", paramLabel = "S", defaultValue = "10", description = "how long (default 10)")
+    @Option(
+            names = "--seconds",
+            paramLabel = "S",
+            defaultValue = "10",
+            description = "how long (default 10)")
     private double seconds;
 
     @Option(names = "--straight", description = "to the gateways themselves, past the relay")
@@ -55,15 +77,18 @@
         JsonNode fleet = new ObjectMapper().readTree(dir.resolve("fleet.json").toFile());
         List<InetSocketAddress> to = new ArrayList<>();
         if (straight) {
-            ((ArrayNode) fleet.get(protocol + "_gateways")).forEach(at -> to.add(parseAddress(at.asText())));
+            ((ArrayNode) fleet.get(protocol + "_gateways"))
+                    .forEach(at -> to.add(parseAddress(at.asText())));
         } else if (fleet.has(protocol.name())) {
             to.add(parseAddress(fleet.get(protocol.name()).asText()));
         } else {
-            throw new IllegalArgumentException("the fleet in " + dir + " does not speak " + protocol);
+            throw new IllegalArgumentException(
+                    "the fleet in " + dir + " does not speak " + protocol);
         }
         Map<String, Object> result = new LinkedHashMap<>();
         List<String> faults;
-        try (LoadGenerator load = new LoadGenerator(protocol == Protocol.amqp, to, links, "l" + System.nanoTime())) {
+        try (LoadGenerator load =
+                new LoadGenerator(protocol == Protocol.amqp, to, links, "l" + System.nanoTime())) {
             load.run(rate, seconds, true);
             result.put("protocol", protocol.name());
             result.put("links", links);
@@ -73,7 +98,12 @@
             result.put("told", load.deliveryTracker().outcomeCounts());
             result.put("latency_ms", load.latencyPercentilesMillis());
             result.put("detached", load.detachCounts());
-            faults = load.deliveryTracker().findFaults(protocol == Protocol.amqp ? acceptedIds(fleet, load) : List.of());
+            faults =
+                    load.deliveryTracker()
+                            .findFaults(
+                                    protocol == Protocol.amqp
+                                            ? acceptedIds(fleet, load)
+                                            : List.of());
         }
         if (protocol == Protocol.lines) {
             // Lines come back as they are: there is no second end to compare with.
@@ -81,7 +111,8 @@
         }
         result.put("faults", faults.size());
         result.put("some_faults", faults.subList(0, Math.min(MAX_LISTED_FAULTS, faults.size())));
-        String text = new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(result);
+        String text =
+                new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(result);
         System.out.println(text);
         if (json != null) {
             Files.writeString(json, text + "\n");
@@ -95,11 +126,12 @@
         InetSocketAddress at = parseAddress(fleet.get("status").asText());
         try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
             JsonNode status = new ObjectMapper().readTree(socket.getInputStream());
-            status.forEach(gateway -> {
-                if (gateway.has("accepted")) {
-                    gateway.get("accepted").forEach(id -> all.add(id.asText()));
-                }
-            });
+            status.forEach(
+                    gateway -> {
+                        if (gateway.has("accepted")) {
+                            gateway.get("accepted").forEach(id -> all.add(id.asText()));
+                        }
+                    });
         }
         all.removeIf(id -> !load.deliveryTracker().contains(id));
         return all;
@@ -107,6 +139,7 @@
 
     private static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
-        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 }
--- a/lab/src/main/java/saltstage/lab/amqp/LoadGenerator.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LoadGenerator.java
@@ -17,7 +17,10 @@
     private static final long SETTLE_TIMEOUT_SECONDS = 20;
 
     private final NettyTransport transport =
-        new NettyTransport(2, true, (where, fault) -> System.err.println("fault in " + where + ": " + fault));
+            new NettyTransport(
+                    2,
+                    true,
+                    (where, fault) -> System.err.println("fault in " + where + ": " + fault));
     private final List<AmqpLoadClient> amqpClients = new ArrayList<>();
     private final List<LineLoadClient> lineClients = new ArrayList<>();
     private final int linkCount;
@@ -26,21 +29,36 @@
     private long nextDeliveryNumber;
 
     /** So many links or line connections, spread over these addresses; returns once they stand. */
-    LoadGenerator(boolean speaksAmqp, List<InetSocketAddress> to, int links, String name) throws InterruptedException {
+    LoadGenerator(boolean speaksAmqp, List<InetSocketAddress> to, int links, String name)
+            throws InterruptedException {
         this.linkCount = links;
         this.name = name;
         if (speaksAmqp) {
-            int connections = Math.max(to.size(), (links + LINKS_PER_CONNECTION - 1) / LINKS_PER_CONNECTION);
+            int connections =
+                    Math.max(to.size(), (links + LINKS_PER_CONNECTION - 1) / LINKS_PER_CONNECTION);
             connections = Math.min(links, connections);
             for (int i = 0; i < connections; i++) {
                 int count = links / connections + (i < links % connections ? 1 : 0);
-                amqpClients.add(new AmqpLoadClient(transport, transport.loops().get(i % 2), to.get(i % to.size()),
-                    name + i, count, "status-report", MESSAGE_BYTES, deliveryTracker));
+                amqpClients.add(
+                        new AmqpLoadClient(
+                                transport,
+                                transport.loops().get(i % 2),
+                                to.get(i % to.size()),
+                                name + i,
+                                count,
+                                "status-report",
+                                MESSAGE_BYTES,
+                                deliveryTracker));
             }
         } else {
             for (int i = 0; i < links; i++) {
-                lineClients.add(new LineLoadClient(transport, transport.loops().get(i % 2), to.get(i % to.size()),
-                    name + i, deliveryTracker));
+                lineClients.add(
+                        new LineLoadClient(
+                                transport,
+                                transport.loops().get(i % 2),
+                                to.get(i % to.size()),
+                                name + i,
+                                deliveryTracker));
             }
         }
         await(() -> attachedCount() == links, "all of " + links + " attached");
@@ -58,7 +76,7 @@
 
     int attachedCount() {
         return amqpClients.stream().mapToInt(AmqpLoadClient::attachedCount).sum()
-            + (int) lineClients.stream().filter(LineLoadClient::isEstablished).count();
+                + (int) lineClients.stream().filter(LineLoadClient::isEstablished).count();
     }
 
     DeliveryTracker deliveryTracker() {
@@ -67,11 +85,17 @@
 
     Map<String, Long> detachCounts() {
         Map<String, Long> all = new TreeMap<>();
-        amqpClients.forEach(one -> one.detachCounts().forEach((what, count) -> all.merge(what, count, Long::sum)));
+        amqpClients.forEach(
+                one ->
+                        one.detachCounts()
+                                .forEach((what, count) -> all.merge(what, count, Long::sum)));
         return all;
     }
 
-    /** Sends at this rate for so long, then waits for the outcomes; shows a line a second where asked to. */
+    /**
+     * Sends at this rate for so long, then waits for the outcomes; shows a line a second where
+     * asked to.
+     */
     void run(double rate, double seconds, boolean progress) throws InterruptedException {
         long start = System.nanoTime();
         long all = (long) (rate * seconds);
@@ -86,8 +110,14 @@
             long second = (due - start) / 1_000_000_000L;
             if (progress && second > shown) {
                 shown = second;
-                System.out.println(second + " s: sent " + deliveryTracker.sentCount() + ", waiting " + deliveryTracker.pendingCount()
-                    + ", links " + attachedCount());
+                System.out.println(
+                        second
+                                + " s: sent "
+                                + deliveryTracker.sentCount()
+                                + ", waiting "
+                                + deliveryTracker.pendingCount()
+                                + ", links "
+                                + attachedCount());
             }
         }
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_TIMEOUT_SECONDS);
@@ -111,8 +141,12 @@
         Histogram times = deliveryTracker.latencies();
         Map<String, Object> all = new TreeMap<>();
         for (double percentile : new double[] {50, 90, 99, 99.9, 100}) {
-            all.put("p" + (percentile == Math.rint(percentile) ? String.valueOf((int) percentile)
-                : String.valueOf(percentile)), times.getValueAtPercentile(percentile) / 1e6);
+            all.put(
+                    "p"
+                            + (percentile == Math.rint(percentile)
+                                    ? String.valueOf((int) percentile)
+                                    : String.valueOf(percentile)),
+                    times.getValueAtPercentile(percentile) / 1e6);
         }
         return all;
     }
--- a/lab/src/main/java/saltstage/lab/amqp/MessageCodec.java
+++ b/lab/src/main/java/saltstage/lab/amqp/MessageCodec.java
@@ -13,19 +13,20 @@
 /** Messages with an id, made and read. */
 final class MessageCodec {
     private static final ThreadLocal<Encoder> ENCODER =
-        ThreadLocal.withInitial(CodecFactory::getDefaultEncoder);
+            ThreadLocal.withInitial(CodecFactory::getDefaultEncoder);
     private static final ThreadLocal<Decoder> DECODER =
-        ThreadLocal.withInitial(CodecFactory::getDefaultDecoder);
+            ThreadLocal.withInitial(CodecFactory::getDefaultDecoder);
 
-    private MessageCodec() {
-    }
+    private MessageCodec() {}
 
     /** A message with this id and a body of so many bytes. */
     static byte[] encode(String id, int size) {
         Encoder encoder = ENCODER.get();
         ProtonBuffer buffer = ProtonBufferAllocator.defaultAllocator().allocate(64 + size);
-        encoder.writeObject(buffer, encoder.newEncoderState(),
-            new ApplicationProperties(Map.of("id", (Object) id)));
+        encoder.writeObject(
+                buffer,
+                encoder.newEncoderState(),
+                new ApplicationProperties(Map.of("id", (Object) id)));
         encoder.writeObject(buffer, encoder.newEncoderState(), new Data(new byte[size]));
         byte[] bytes = new byte[buffer.getReadableBytes()];
         buffer.readBytes(bytes, 0, bytes.length);
@@ -39,9 +40,10 @@
         while (message.isReadable()) {
             Object section = decoder.readObject(message, decoder.newDecoderState());
             if (section instanceof ApplicationProperties properties
-                && properties.getValue().get("id") != null) {
+                    && properties.getValue().get("id") != null) {
                 return properties.getValue().get("id").toString();
-            } else if (section instanceof Properties properties && properties.getMessageId() != null) {
+            } else if (section instanceof Properties properties
+                    && properties.getMessageId() != null) {
                 id = properties.getMessageId().toString();
             } else if (section instanceof Data) {
                 break;
--- a/lab/src/main/java/saltstage/lab/fleet/DemoCommand.java
+++ b/lab/src/main/java/saltstage/lab/fleet/DemoCommand.java
@@ -12,9 +12,14 @@
 import saltstage.lab.Installation;
 
 /** The relay at work, for someone who has never seen it. */
-@Command(name = "demo", mixinStandardHelpOptions = true, description = {
-    "Starts a fleet, the built relay and some hundred clients, shows what is served each second,",
-    "drains a gateway on the way, and ends everything. Exits 1 if a client was cut off."})
+@Command(
+        name = "demo",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Starts a fleet, the built relay and some hundred clients, shows what is served each"
+                    + " second,",
+            "drains a gateway on the way, and ends everything. Exits 1 if a client was cut off."
+        })
 public final class DemoCommand implements Callable<Integer> {
     @Option(names = "--gateways", defaultValue = "4", description = "stand-in gateways (default 4)")
     private int gateways;
@@ -32,19 +37,41 @@
         try {
             FakeFleet fleet = new FakeFleet(gateways);
             fleet.writeFiles(dir, "log {\n  level = \"warn\"\n}\n");
-            relay = new ProcessBuilder(Installation.relayScript().toString(), "serve", "--config",
-                dir.resolve("config.json").toString(), "--settings", dir.resolve("saltstage.hcl").toString())
-                .redirectError(dir.resolve("log").toFile()).start();
+            relay =
+                    new ProcessBuilder(
+                                    Installation.relayScript().toString(),
+                                    "serve",
+                                    "--config",
+                                    dir.resolve("config.json").toString(),
+                                    "--settings",
+                                    dir.resolve("saltstage.hcl").toString())
+                            .redirectError(dir.resolve("log").toFile())
+                            .start();
             String[] at = fleet.listenAddress().split(":");
             InetSocketAddress address = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
             Installation.awaitPong(address, relay, Duration.ofSeconds(30));
-            System.out.println("relay at " + fleet.listenAddress() + ", " + gateways + " gateways, " + clients
-                + " clients; the log is " + dir.resolve("log") + " until the end");
-            SimulatedClients all = new SimulatedClients(address, clients, Duration.ofMillis(500), Duration.ofSeconds(20));
+            System.out.println(
+                    "relay at "
+                            + fleet.listenAddress()
+                            + ", "
+                            + gateways
+                            + " gateways, "
+                            + clients
+                            + " clients; the log is "
+                            + dir.resolve("log")
+                            + " until the end");
+            SimulatedClients all =
+                    new SimulatedClients(
+                            address, clients, Duration.ofMillis(500), Duration.ofSeconds(20));
             printProgress(fleet, all);
             long cut = all.brokenCount();
-            System.out.println("served " + fleet.backends().stream().mapToLong(FakeBackend::servedCount).sum()
-                + " connections, moved " + all.movedCount() + ", cut off " + cut);
+            System.out.println(
+                    "served "
+                            + fleet.backends().stream().mapToLong(FakeBackend::servedCount).sum()
+                            + " connections, moved "
+                            + all.movedCount()
+                            + ", cut off "
+                            + cut);
             all.stop();
             return cut == 0 ? 0 : 1;
         } finally {
@@ -52,7 +79,8 @@
         }
     }
 
-    private void printProgress(FakeFleet fleet, SimulatedClients all) throws IOException, InterruptedException {
+    private void printProgress(FakeFleet fleet, SimulatedClients all)
+            throws IOException, InterruptedException {
         System.out.println("  s " + SimulatedClients.ROW_HEADER + "  at the gateways");
         for (int second = 1; second <= seconds; second++) {
             Thread.sleep(1_000);
@@ -64,7 +92,8 @@
         }
     }
 
-    private static void stopRelay(Process relay, Path dir) throws IOException, InterruptedException {
+    private static void stopRelay(Process relay, Path dir)
+            throws IOException, InterruptedException {
         if (relay != null) {
             relay.destroy();
             if (!relay.waitFor(10, TimeUnit.SECONDS)) {
--- a/lab/src/main/java/saltstage/lab/fleet/FakeBackend.java
+++ b/lab/src/main/java/saltstage/lab/fleet/FakeBackend.java
@@ -16,13 +16,18 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A stand-in for a gateway on loopback: takes OPEN lines, answers UP, echoes what clients say, tells its load
- * when it is probed. It can drain (BUSY for newcomers, clients sent away one by one), be killed (resets and
- * refuses), fall silent as a frozen machine does, and answer late.
+ * A stand-in for a gateway on loopback: takes OPEN lines, answers UP, echoes what clients say,
+ * tells its load when it is probed. It can drain (BUSY for newcomers, clients sent away one by
+ * one), be killed (resets and refuses), fall silent as a frozen machine does, and answer late.
  */
 public final class FakeBackend {
     /** What it is doing. */
-    public enum State { READY, DRAINING, SILENT, DEAD }
+    public enum State {
+        READY,
+        DRAINING,
+        SILENT,
+        DEAD
+    }
 
     private static final int ACCEPT_BACKLOG = 512;
     private static final int MAX_CLIENTS = 200;
@@ -82,12 +87,16 @@
     private void serve(Socket socket) {
         try (socket) {
             socket.setTcpNoDelay(true);
-            BufferedReader in = new BufferedReader(
-                new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1), 1024);
+            BufferedReader in =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.ISO_8859_1),
+                            1024);
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 delayAnswer();
                 String answer = answer(socket, line);
-                socket.getOutputStream().write((answer + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream()
+                        .write((answer + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
                 if (!answer.startsWith("UP") && line.startsWith("OPEN ")) {
                     return;
                 }
@@ -114,7 +123,10 @@
             return "PONG";
         }
         if (line.equals("STATS")) {
-            return String.format(Locale.ROOT, "PONG x0=%.2f,queue=0", (double) establishedSockets.size() / MAX_CLIENTS);
+            return String.format(
+                    Locale.ROOT,
+                    "PONG x0=%.2f,queue=0",
+                    (double) establishedSockets.size() / MAX_CLIENTS);
         }
         if (!line.startsWith("OPEN ")) {
             return line;
@@ -134,19 +146,21 @@
     /** Wants nothing new; sends its clients away one after the other. */
     public void drain() {
         state = State.DRAINING;
-        startDaemon(uid + " drains", () -> {
-            try {
-                for (Socket socket : establishedSockets) {
-                    if (state != State.DRAINING) {
-                        return;
+        startDaemon(
+                uid + " drains",
+                () -> {
+                    try {
+                        for (Socket socket : establishedSockets) {
+                            if (state != State.DRAINING) {
+                                return;
+                            }
+                            sendMove(socket);
+                            Thread.sleep(MOVE_INTERVAL.toMillis());
+                        }
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
                     }
-                    sendMove(socket);
-                    Thread.sleep(MOVE_INTERVAL.toMillis());
-                }
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+                });
     }
 
     private static void sendMove(Socket socket) {
@@ -224,14 +238,24 @@
 
     /** Its entry in discovery's list. */
     String listEntry() {
-        String told = switch (state) {
-            case READY, SILENT -> "ready"; // discovery knows only whether a process runs
-            case DRAINING -> "draining";
-            case DEAD -> "gone";
-        };
-        return "{\"uid\":\"" + uid + "\",\"endpoint\":\"" + address.getAddress().getHostAddress() + ":"
-            + address.getPort() + "\",\"az\":\"" + zone
+        String told =
+                switch (state) {
+                    case READY, SILENT -> "ready"; // discovery knows only whether a process runs
+                    case DRAINING -> "draining";
+                    case DEAD -> "gone";
+                };
+        return "{\"uid\":\""
+                + uid
+                + "\",\"endpoint\":\""
+                + address.getAddress().getHostAddress()
+                + ":"
+                + address.getPort()
+                + "\",\"az\":\""
+                + zone
                 + "\",\"model\":\"stand-in\",\"pod_group\":0,\"state\":\""
-            + told + "\",\"capacity_hint\":1.0,\"boot_ms\":" + startedAtMillis + "}";
+                + told
+                + "\",\"capacity_hint\":1.0,\"boot_ms\":"
+                + startedAtMillis
+                + "}";
     }
 }
--- a/lab/src/main/java/saltstage/lab/fleet/FakeDiscovery.java
+++ b/lab/src/main/java/saltstage/lab/fleet/FakeDiscovery.java
@@ -41,10 +41,12 @@
 
     private void serve(Socket socket) {
         try (socket) {
-            BufferedReader in = new BufferedReader(
-                new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
+            BufferedReader in =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.ISO_8859_1));
             String request = in.readLine();
-            for (String line = request; line != null && !line.isEmpty();) {
+            for (String line = request; line != null && !line.isEmpty(); ) {
                 line = in.readLine();
             }
             Thread.sleep(answerDelay.toMillis());
@@ -55,7 +57,9 @@
                 sendChanges(socket);
             } else {
                 String list = fullList();
-                send(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
+                send(
+                        socket,
+                        "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
             }
         } catch (IOException gone) { // the relay ended the call
             return;
@@ -90,7 +94,12 @@
     /** Something has changed at this gateway: all watches are told. */
     public synchronized void backendChanged(FakeBackend gateway) {
         revision++;
-        lastChange = "{\"rev\":" + revision + ",\"all\":false,\"targets\":[" + gateway.listEntry() + "]}";
+        lastChange =
+                "{\"rev\":"
+                        + revision
+                        + ",\"all\":false,\"targets\":["
+                        + gateway.listEntry()
+                        + "]}";
         notifyAll();
     }
 
@@ -101,9 +110,15 @@
 
     /** The list as it was when there were only the first so many. */
     synchronized String fullList(int first) {
-        return "{\"rev\":" + revision + ",\"all\":true,\"targets\":["
-            + backends.stream().limit(first).filter(g -> g.state() != FakeBackend.State.DEAD).map(FakeBackend::listEntry)
-                .collect(Collectors.joining(",")) + "]}";
+        return "{\"rev\":"
+                + revision
+                + ",\"all\":true,\"targets\":["
+                + backends.stream()
+                        .limit(first)
+                        .filter(g -> g.state() != FakeBackend.State.DEAD)
+                        .map(FakeBackend::listEntry)
+                        .collect(Collectors.joining(","))
+                + "]}";
     }
 
     /** From now on each call is answered that much later. */
--- a/lab/src/main/java/saltstage/lab/fleet/FakeFleet.java
+++ b/lab/src/main/java/saltstage/lab/fleet/FakeFleet.java
@@ -15,12 +15,14 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import saltstage.lab.amqp.FakeAmqpBackend;
 import saltstage.lab.amqp.DuplicateDeliveryDetector;
+import saltstage.lab.amqp.FakeAmqpBackend;
 import saltstage.net.NettyTransport;
 import saltstage.net.Transport;
 
-/** Stand-in gateways with their discovery, and the files with which a relay serves in front of them. */
+/**
+ * Stand-in gateways with their discovery, and the files with which a relay serves in front of them.
+ */
 public final class FakeFleet {
     private static final int MAX_SOCKETS = 4096;
 
@@ -39,8 +41,8 @@
     }
 
     /**
-     * So many gateways, each at a loopback address of its own; with amqp they speak that too, all at one
-     * port, and the relay is to listen for it at this port, or at any where that is 0.
+     * So many gateways, each at a loopback address of its own; with amqp they speak that too, all
+     * at one port, and the relay is to listen for it at this port, or at any where that is 0.
      */
     public FakeFleet(int size, boolean speakAmqp, int relayPort) throws IOException {
         for (int i = 0; i < size; i++) {
@@ -50,12 +52,21 @@
         discovery = new FakeDiscovery(backends);
         listenAddress = "127.0.0.1:" + freePort();
         if (speakAmqp) {
-            Transport transport = new NettyTransport(2, true, (where, fault) ->
-                System.err.println("fault in " + where + ": " + fault));
+            Transport transport =
+                    new NettyTransport(
+                            2,
+                            true,
+                            (where, fault) ->
+                                    System.err.println("fault in " + where + ": " + fault));
             amqpBackendPort = freePort();
             for (FakeBackend lines : backends) {
-                amqpBackends.add(new FakeAmqpBackend(lines.uid(), transport,
-                    new InetSocketAddress(lines.address().getAddress(), amqpBackendPort), duplicateDetector));
+                amqpBackends.add(
+                        new FakeAmqpBackend(
+                                lines.uid(),
+                                transport,
+                                new InetSocketAddress(
+                                        lines.address().getAddress(), amqpBackendPort),
+                                duplicateDetector));
             }
             amqpListenAddress = "127.0.0.1:" + (relayPort == 0 ? freePort() : relayPort);
         }
@@ -84,8 +95,15 @@
 
     /** The operator's settings that go with this fleet; lines may be added to its block amqp. */
     public String operatorSettings(String more) {
-        return amqpBackends.isEmpty() ? "" : "amqp {\n  listen = \"" + amqpListenAddress + "\"\n  backend_port = " + amqpBackendPort
-            + "\n  anonymous_tenant = \"kitaden-charge\"\n" + more + "}\n";
+        return amqpBackends.isEmpty()
+                ? ""
+                : "amqp {\n  listen = \""
+                        + amqpListenAddress
+                        + "\"\n  backend_port = "
+                        + amqpBackendPort
+                        + "\n  anonymous_tenant = \"kitaden-charge\"\n"
+                        + more
+                        + "}\n";
     }
 
     /** Where the relay is to listen. */
@@ -113,7 +131,8 @@
         Files.createDirectories(dir);
         Files.writeString(dir.resolve("config.json"), relayConfiguration(known));
         Files.writeString(dir.resolve("saltstage.hcl"), settings);
-        Files.writeString(dir.resolve("fleet.json"), new ObjectMapper().writeValueAsString(addresses()));
+        Files.writeString(
+                dir.resolve("fleet.json"), new ObjectMapper().writeValueAsString(addresses()));
     }
 
     /** Where all is that a load tool has to know. */
@@ -122,11 +141,25 @@
         all.put("lines", listenAddress);
         if (!amqpBackends.isEmpty()) {
             all.put("amqp", amqpListenAddress);
-            all.put("amqp_gateways", amqpBackends.stream().map(g -> g.address().getAddress().getHostAddress() + ":"
-                + g.address().getPort()).toList());
+            all.put(
+                    "amqp_gateways",
+                    amqpBackends.stream()
+                            .map(
+                                    g ->
+                                            g.address().getAddress().getHostAddress()
+                                                    + ":"
+                                                    + g.address().getPort())
+                            .toList());
         }
-        all.put("lines_gateways", backends.stream().map(g -> g.address().getAddress().getHostAddress() + ":"
-            + g.address().getPort()).toList());
+        all.put(
+                "lines_gateways",
+                backends.stream()
+                        .map(
+                                g ->
+                                        g.address().getAddress().getHostAddress()
+                                                + ":"
+                                                + g.address().getPort())
+                        .toList());
         if (statusListener == null) {
             statusListener = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
             FakeBackend.startDaemon("status", this::serveStatus);
@@ -139,7 +172,8 @@
     private void serveStatus() {
         while (true) {
             try (Socket asker = statusListener.accept()) {
-                asker.getOutputStream().write((statusJson() + "\n").getBytes(StandardCharsets.UTF_8));
+                asker.getOutputStream()
+                        .write((statusJson() + "\n").getBytes(StandardCharsets.UTF_8));
             } catch (IOException gone) { // who asked has left: the next one may not
                 continue;
             }
@@ -147,19 +181,28 @@
     }
 
     private String relayConfiguration(int known) {
-        return ("{'name':'relay','listen':'" + listenAddress + "','discovery':'" + discovery.address()
-            + "','seed':'" + Long.toHexString(System.nanoTime()) + "','limits':{'cores':1.0,'memory_mb':192,"
-            + "'sockets':" + MAX_SOCKETS + "},'known':" + discovery.fullList(known) + ",'settings':{"
-            + "'Discovery':'on_request','FleetSize':1,'Zone':0,'Zones':['a'],"
-            + "'Limits':{'MaxAttempts':6,'ConnectTimeout':250000,'RetryAfter':true,'MaxRetryAfter':1500000,"
-            + "'Probes':true},'Report':{'Fields':['x0','queue'],'How':'probe'},"
-            + "'FamilyInfo':{'MessageAim':[60000.0,50000.0]},"
-            + "'Safety':{'DrainGrace':1000000,'AskEvery':6000000,'ColdFrom':0.31,'Cold':8700000,"
-            + "'TipMultiple':3.0,'Fall':3000000},"
-            + "'Realms':[{'Name':'kitaden-charge'},{'Name':'dosan-power'}],'Services':["
-            + "{'Name':'status-report','Aim':500000,'GiveUp':2000000,'Effect':'retryable'},"
-            + "{'Name':'session-check','Aim':800000,'GiveUp':3200000,'Effect':'retryable'}]}}")
-            .replace('\'', '"');
+        return ("{'name':'relay','listen':'"
+                        + listenAddress
+                        + "','discovery':'"
+                        + discovery.address()
+                        + "','seed':'"
+                        + Long.toHexString(System.nanoTime())
+                        + "','limits':{'cores':1.0,'memory_mb':192,"
+                        + "'sockets':"
+                        + MAX_SOCKETS
+                        + "},'known':"
+                        + discovery.fullList(known)
+                        + ",'settings':{"
+                        + "'Discovery':'on_request','FleetSize':1,'Zone':0,'Zones':['a'],"
+                        + "'Limits':{'MaxAttempts':6,'ConnectTimeout':250000,'RetryAfter':true,'MaxRetryAfter':1500000,"
+                        + "'Probes':true},'Report':{'Fields':['x0','queue'],'How':'probe'},"
+                        + "'FamilyInfo':{'MessageAim':[60000.0,50000.0]},"
+                        + "'Safety':{'DrainGrace':1000000,'AskEvery':6000000,'ColdFrom':0.31,'Cold':8700000,"
+                        + "'TipMultiple':3.0,'Fall':3000000},"
+                        + "'Realms':[{'Name':'kitaden-charge'},{'Name':'dosan-power'}],'Services':["
+                        + "{'Name':'status-report','Aim':500000,'GiveUp':2000000,'Effect':'retryable'},"
+                        + "{'Name':'session-check','Aim':800000,'GiveUp':3200000,'Effect':'retryable'}]}}")
+                .replace('\'', '"');
     }
 
     /** Does what a line says; the answer is one line, or null for the end. */
@@ -181,13 +224,18 @@
             setDiscoveryDelay(Duration.ofMillis(Long.parseLong(words[1])));
             return "ok discovery answers " + words[1] + " ms late";
         }
-        FakeBackend named = words.length < 2 ? null
-            : backends.stream().filter(g -> g.uid().equals(words[1])).findFirst().orElse(null);
+        FakeBackend named =
+                words.length < 2
+                        ? null
+                        : backends.stream()
+                                .filter(g -> g.uid().equals(words[1]))
+                                .findFirst()
+                                .orElse(null);
         boolean figure = List.of("slow", "reject", "feed").contains(words[0]);
         if (named == null || words.length != (figure ? 3 : 2)) {
-            return "error: say drain|kill|stop|start|tear G, slow G MS, reject G PERCENT, feed G MESSAGES, "
-                + "late MS, status or quit; G is one of g0"
-                + " to g" + (backends.size() - 1);
+            return "error: say drain|kill|stop|start|tear G, slow G MS, reject G PERCENT, feed G"
+                    + " MESSAGES, late MS, status or quit; G is one of g0 to g"
+                    + (backends.size() - 1);
         }
         return applyToBackend(words, named);
     }
@@ -196,7 +244,8 @@
         if (words.length == 3 && !words[2].matches("\\d{1,6}")) {
             return "error: not a number: " + words[2];
         }
-        FakeAmqpBackend second = amqpBackends.isEmpty() ? null : amqpBackends.get(backends.indexOf(named));
+        FakeAmqpBackend second =
+                amqpBackends.isEmpty() ? null : amqpBackends.get(backends.indexOf(named));
         switch (words[0]) {
             case "drain" -> named.drain();
             case "kill" -> named.kill();
@@ -221,7 +270,8 @@
         return "ok " + named.uid() + " " + named.state().name().toLowerCase(Locale.ROOT);
     }
 
-    private static void applyToAmqpBackend(String[] words, FakeAmqpBackend second) throws IOException {
+    private static void applyToAmqpBackend(String[] words, FakeAmqpBackend second)
+            throws IOException {
         switch (words[0]) {
             case "drain" -> second.drain();
             case "kill" -> second.kill();
@@ -261,8 +311,12 @@
     private String statusRow() {
         StringBuilder told = new StringBuilder();
         for (FakeBackend g : backends) {
-            told.append(g.uid()).append('=').append(g.state().name().toLowerCase(Locale.ROOT)).append(':')
-                .append(g.establishedCount()).append(' ');
+            told.append(g.uid())
+                    .append('=')
+                    .append(g.state().name().toLowerCase(Locale.ROOT))
+                    .append(':')
+                    .append(g.establishedCount())
+                    .append(' ');
         }
         return told.toString().trim();
     }
--- a/lab/src/main/java/saltstage/lab/fleet/FleetCommand.java
+++ b/lab/src/main/java/saltstage/lab/fleet/FleetCommand.java
@@ -11,28 +11,48 @@
 import picocli.CommandLine.Parameters;
 
 /** A fleet of stand-ins that a relay can be started in front of. */
-@Command(name = "fleet", mixinStandardHelpOptions = true,
-    description = {"Runs discovery and stand-in gateways on loopback and writes DIR/config.json and",
-        "DIR/saltstage.hcl; then: bin/saltstage serve --config DIR/config.json --settings DIR/saltstage.hcl"},
-    footer = {"", "On standard input: drain G, kill G, stop G, start G, slow G MS, late MS (discovery),",
-        "with AMQP also tear G (resets within a frame), reject G PERCENT, feed G MESSAGES;",
-        "status (one line of JSON), quit. Ends with 0 at quit or at the end of input."})
+@Command(
+        name = "fleet",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Runs discovery and stand-in gateways on loopback and writes DIR/config.json and",
+            "DIR/saltstage.hcl; then: bin/saltstage serve --config DIR/config.json --settings"
+                    + " DIR/saltstage.hcl"
+        },
+        footer = {
+            "",
+            "On standard input: drain G, kill G, stop G, start G, slow G MS, late MS (discovery),",
+            "with AMQP also tear G (resets within a frame), reject G PERCENT, feed G MESSAGES;",
+            "status (one line of JSON), quit. Ends with 0 at quit or at the end of input."
+        })
 public final class FleetCommand implements Callable<Integer> {
     /** What the gateways speak. */
-    public enum Protocol { lines, amqp }
+    public enum Protocol {
+        lines,
+        amqp
+    }
 
     @Parameters(paramLabel = "DIR", description = "where the two files go; made if it is not there")
     private Path dir;
 
-    @Option(names = "--protocol", defaultValue = "lines",
-        description = "lines (default), or amqp: both, on a port each")
+    @Option(
+            names = "--protocol",
+            defaultValue = "lines",
+            description = "lines (default), or amqp: both, on a port each")
     private Protocol protocol;
 
-    @Option(names = "--gateways", paramLabel = "N", defaultValue = "4", description = "how many (default 4)")
+    @Option(
+            names = "--gateways",
+            paramLabel = "N",
+            defaultValue = "4",
+            description = "how many (default 4)")
     private int gateways;
 
-    @Option(names = "--amqp-port", paramLabel = "P", defaultValue = "0",
-        description = "where the relay is to listen for AMQP (default: any)")
+    @Option(
+            names = "--amqp-port",
+            paramLabel = "P",
+            defaultValue = "0",
+            description = "where the relay is to listen for AMQP (default: any)")
     private int amqpPort;
 
     @Override
@@ -43,7 +63,8 @@
         FakeFleet fleet = new FakeFleet(gateways, protocol == Protocol.amqp, amqpPort);
         fleet.writeFiles(dir, "log {\n  format = \"text\"\n}\n" + fleet.operatorSettings(""));
         System.out.println("ready");
-        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             String answer = fleet.runCommand(line);
             if (answer == null) {
--- a/lab/src/main/java/saltstage/lab/fleet/SimulatedClients.java
+++ b/lab/src/main/java/saltstage/lab/fleet/SimulatedClients.java
@@ -32,7 +32,9 @@
     private final Histogram echoMicros = new ConcurrentHistogram(3);
     private volatile boolean stopped;
 
-    /** So many clients of the relay, each open for about this life and speaking at this interval. */
+    /**
+     * So many clients of the relay, each open for about this life and speaking at this interval.
+     */
     public SimulatedClients(InetSocketAddress relay, int count, Duration between, Duration life) {
         this.relay = relay;
         this.lineInterval = between;
@@ -64,18 +66,33 @@
     }
 
     /** One connection; returns how long to stay away at least. */
-    private long runConnection(int number, Random random, boolean again) throws IOException, InterruptedException {
+    private long runConnection(int number, Random random, boolean again)
+            throws IOException, InterruptedException {
         try (Socket socket = new Socket()) {
             socket.connect(relay, CONNECT_TIMEOUT_MS);
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(CLIENT_TIMEOUT_MS + 500);
-            BufferedReader in = new BufferedReader(
-                new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1), 512);
+            BufferedReader in =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.ISO_8859_1),
+                            512);
             boolean report = random.nextInt(100) < 79;
-            sendLine(socket, "OPEN " + Long.toHexString(random.nextLong()) + " c" + number + " c="
-                + (report ? "status-report" : "session-check") + ",t="
-                + (number % 2 == 0 ? "kitaden-charge" : "dosan-power") + ",d=" + CLIENT_TIMEOUT_MS + ",g=s"
-                + number / 10 + (again ? ",again=1" : ""));
+            sendLine(
+                    socket,
+                    "OPEN "
+                            + Long.toHexString(random.nextLong())
+                            + " c"
+                            + number
+                            + " c="
+                            + (report ? "status-report" : "session-check")
+                            + ",t="
+                            + (number % 2 == 0 ? "kitaden-charge" : "dosan-power")
+                            + ",d="
+                            + CLIENT_TIMEOUT_MS
+                            + ",g=s"
+                            + number / 10
+                            + (again ? ",again=1" : ""));
             String answer = in.readLine();
             if (answer == null || !answer.startsWith("UP ")) {
                 return countUnserved(answer);
@@ -102,7 +119,9 @@
 
     private void exchangeLines(Socket socket, BufferedReader in, Random random)
             throws IOException, InterruptedException {
-        long until = System.nanoTime() + (long) (meanLifetime.toNanos() * -Math.log(1 - random.nextDouble()));
+        long until =
+                System.nanoTime()
+                        + (long) (meanLifetime.toNanos() * -Math.log(1 - random.nextDouble()));
         socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
         while (!stopped && System.nanoTime() < until) {
             long sent = System.nanoTime();
@@ -128,12 +147,23 @@
 
     /** What they have met since the start, as a row of numbers under {@link #ROW_HEADER}. */
     public String statusRow() {
-        return String.format("%8d %8d %8d %8d %8d %8d %9.2f", establishedCount.get(), servedCount.get(), rejectedCount.get(),
-            failedCount.get(), movedCount.get(), brokenCount.get(), echoMicros.getValueAtPercentile(99) / 1e3);
+        return String.format(
+                "%8d %8d %8d %8d %8d %8d %9.2f",
+                establishedCount.get(),
+                servedCount.get(),
+                rejectedCount.get(),
+                failedCount.get(),
+                movedCount.get(),
+                brokenCount.get(),
+                echoMicros.getValueAtPercentile(99) / 1e3);
     }
 
-    /** The names over {@link #statusRow}; the last is the 99th percentile of a line and its echo, in ms. */
-    public static final String ROW_HEADER = "standing   served  refused   failed    moved      cut  p99 in ms";
+    /**
+     * The names over {@link #statusRow}; the last is the 99th percentile of a line and its echo, in
+     * ms.
+     */
+    public static final String ROW_HEADER =
+            "standing   served  refused   failed    moved      cut  p99 in ms";
 
     /** How many stand now. */
     public int establishedCount() {
--- a/lab/src/main/java/saltstage/lab/measure/RestartCommand.java
+++ b/lab/src/main/java/saltstage/lab/measure/RestartCommand.java
@@ -23,35 +23,61 @@
 import saltstage.lab.fleet.FakeFleet;
 import saltstage.lab.store.Report;
 
-/** A relay killed outright in front of a fleet in trouble, started again with and without its store. */
-@Command(name = "restart", mixinStandardHelpOptions = true, description = {
-    "A deploy has replaced the two gateways that the platform's list names by six others, of which one is",
-    "frozen, and discovery answers late.",
-    "The relay is killed and started anew, with and without a store: what clients meet, second by second."}
-        )
+/**
+ * A relay killed outright in front of a fleet in trouble, started again with and without its store.
+ */
+@Command(
+        name = "restart",
+        mixinStandardHelpOptions = true,
+        description = {
+            "A deploy has replaced the two gateways that the platform's list names by six others,"
+                    + " of which one is",
+            "frozen, and discovery answers late.",
+            "The relay is killed and started anew, with and without a store: what clients meet,"
+                    + " second by second."
+        })
 public final class RestartCommand implements Callable<Integer> {
     private static final int BACKENDS = 8;
     private static final int CLIENT_TIMEOUT_MS = 2_000;
 
-    @Option(names = "--rounds", defaultValue = "5", description = "restarts of each kind (default 5)")
+    @Option(
+            names = "--rounds",
+            defaultValue = "5",
+            description = "restarts of each kind (default 5)")
     private int rounds;
 
-    @Option(names = "--seconds", defaultValue = "10", description = "watched after each start (default 10)")
+    @Option(
+            names = "--seconds",
+            defaultValue = "10",
+            description = "watched after each start (default 10)")
     private int seconds;
 
-    @Option(names = "--rate", defaultValue = "40", description = "new connections a second (default 40)")
+    @Option(
+            names = "--rate",
+            defaultValue = "40",
+            description = "new connections a second (default 40)")
     private int rate;
 
-    @Option(names = "--late", defaultValue = "4000",
-        description = "ms until discovery answers (default 4000)")
+    @Option(
+            names = "--late",
+            defaultValue = "4000",
+            description = "ms until discovery answers (default 4000)")
     private int late;
 
-    private record RequestResult(int second, int millis, boolean served) { }
+    private record RequestResult(int second, int millis, boolean served) {}
 
     @Override
     public Integer call() throws Exception {
-        Report report = new Report("store-restart", "store", "second", "asked", "not served",
-            "set-up p50 in ms", "set-up p99 in ms", "most in ms");
+        Report report =
+                new Report(
+                        "store-restart",
+                        "store",
+                        "second",
+                        "asked",
+                        "not served",
+                        "set-up p50 in ms",
+                        "set-up p99 in ms",
+                        "most in ms");
         for (boolean kept : new boolean[] {false, true}) {
             List<RequestResult> all = new ArrayList<>();
             for (int round = 0; round < rounds; round++) {
@@ -79,17 +105,29 @@
                 }
             }
         }
-        report.addRow(kept ? "on" : "off", second < 0 ? "before" : second, asked, unserved,
-            times.getValueAtPercentile(50), times.getValueAtPercentile(99), times.getMaxValue());
+        report.addRow(
+                kept ? "on" : "off",
+                second < 0 ? "before" : second,
+                asked,
+                unserved,
+                times.getValueAtPercentile(50),
+                times.getValueAtPercentile(99),
+                times.getMaxValue());
     }
 
     private List<RequestResult> runRound(boolean kept) throws Exception {
         Path dir = Files.createTempDirectory("saltstage-restart");
         FakeFleet fleet = new FakeFleet(BACKENDS);
-        fleet.writeFiles(dir,
-            kept ? "store {\n  dir = \"" + dir.resolve("state") + "\"\n  every = \"500ms\"\n}\n"
-            : "", 2);
-        fleet.runCommand("kill g0"); // the file that the relay starts from names these two and no other
+        fleet.writeFiles(
+                dir,
+                kept
+                        ? "store {\n  dir = \""
+                                + dir.resolve("state")
+                                + "\"\n  every = \"500ms\"\n}\n"
+                        : "",
+                2);
+        fleet.runCommand(
+                "kill g0"); // the file that the relay starts from names these two and no other
         fleet.runCommand("kill g1");
         fleet.runCommand("stop g2");
         ExecutorService clients = Executors.newCachedThreadPool();
@@ -112,10 +150,18 @@
         }
     }
 
-    private static Process startRelay(Path dir, FakeFleet fleet) throws IOException, InterruptedException {
-        Process relay = new ProcessBuilder(Installation.relayScript().toString(), "serve", "--config",
-            dir.resolve("config.json").toString(), "--settings", dir.resolve("saltstage.hcl").toString())
-            .redirectError(dir.resolve("log").toFile()).start();
+    private static Process startRelay(Path dir, FakeFleet fleet)
+            throws IOException, InterruptedException {
+        Process relay =
+                new ProcessBuilder(
+                                Installation.relayScript().toString(),
+                                "serve",
+                                "--config",
+                                dir.resolve("config.json").toString(),
+                                "--settings",
+                                dir.resolve("saltstage.hcl").toString())
+                        .redirectError(dir.resolve("log").toFile())
+                        .start();
         Installation.awaitPong(relayAddress(fleet), relay, Duration.ofSeconds(30));
         return relay;
     }
@@ -125,9 +171,12 @@
         return new InetSocketAddress(at[0], Integer.parseInt(at[1]));
     }
 
-    /** Asks at the rate for so long, whatever comes back; from second -2 and -1 all count as that second. */
-    private List<RequestResult> sendRequests(FakeFleet fleet, ExecutorService clients, int forSeconds,
-        int from) throws Exception {
+    /**
+     * Asks at the rate for so long, whatever comes back; from second -2 and -1 all count as that
+     * second.
+     */
+    private List<RequestResult> sendRequests(
+            FakeFleet fleet, ExecutorService clients, int forSeconds, int from) throws Exception {
         List<Future<RequestResult>> asked = new ArrayList<>();
         long start = System.nanoTime();
         for (int i = 0; i < forSeconds * rate; i++) {
@@ -151,11 +200,23 @@
             socket.connect(relay, CLIENT_TIMEOUT_MS);
             socket.setSoTimeout(CLIENT_TIMEOUT_MS + 500);
             ThreadLocalRandom random = ThreadLocalRandom.current();
-            socket.getOutputStream().write(("OPEN " + Long.toHexString(random.nextLong()) + " k"
-                + random.nextInt(1_000) + " c=status-report,t=kitaden-charge,d=" + CLIENT_TIMEOUT_MS + ",g=s"
-                + random.nextInt(60) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
-            String answer = new BufferedReader(
-                new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1)).readLine();
+            socket.getOutputStream()
+                    .write(
+                            ("OPEN "
+                                            + Long.toHexString(random.nextLong())
+                                            + " k"
+                                            + random.nextInt(1_000)
+                                            + " c=status-report,t=kitaden-charge,d="
+                                            + CLIENT_TIMEOUT_MS
+                                            + ",g=s"
+                                            + random.nextInt(60)
+                                            + "\r\n")
+                                    .getBytes(StandardCharsets.ISO_8859_1));
+            String answer =
+                    new BufferedReader(
+                                    new InputStreamReader(
+                                            socket.getInputStream(), StandardCharsets.ISO_8859_1))
+                            .readLine();
             millis = (int) ((System.nanoTime() - start) / 1_000_000);
             served = answer != null && answer.startsWith("UP ");
             Thread.sleep(served ? 500 : 0);
--- a/lab/src/main/java/saltstage/lab/measure/StartupCommand.java
+++ b/lab/src/main/java/saltstage/lab/measure/StartupCommand.java
@@ -16,20 +16,37 @@
 import saltstage.lab.fleet.FakeFleet;
 
 /** How long a relay takes from its start to the first PONG, and what it then holds. */
-@Command(name = "startup", mixinStandardHelpOptions = true, description = {
-    "Starts relays in turn, each pinned to one processor with the flags of service, and prints wall time",
-    "and processor time until the first PONG and the resident memory then, as minimum, median, maximum.",
-    "On half a core the processor time is the half of what it takes."})
+@Command(
+        name = "startup",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Starts relays in turn, each pinned to one processor with the flags of service, and"
+                    + " prints wall time",
+            "and processor time until the first PONG and the resident memory then, as minimum,"
+                    + " median, maximum.",
+            "On half a core the processor time is the half of what it takes."
+        })
 public final class StartupCommand implements Callable<Integer> {
-    private static final long CLOCK_TICK_MS = 10; // Linux counts processor time in hundredths of a second
+    private static final long CLOCK_TICK_MS =
+            10; // Linux counts processor time in hundredths of a second
 
     @Option(names = "--runs", defaultValue = "9", description = "runs of each (default 9)")
     private int runs;
 
-    @Option(names = "--jvm", split = " ", description = "flags of the JVM (default: those of deploy/)")
-    private List<String> jvm = List.of("-Xms24m", "-Xmx48m", "-Xss256k", "-XX:+UseSerialGC",
-        "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-XX:MaxMetaspaceSize=32m",
-        "-XX:ReservedCodeCacheSize=16m");
+    @Option(
+            names = "--jvm",
+            split = " ",
+            description = "flags of the JVM (default: those of deploy/)")
+    private List<String> jvm =
+            List.of(
+                    "-Xms24m",
+                    "-Xmx48m",
+                    "-Xss256k",
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-XX:-UsePerfData",
+                    "-XX:MaxMetaspaceSize=32m",
+                    "-XX:ReservedCodeCacheSize=16m");
 
     @Option(names = "--jars", split = ",", description = "jars to compare (default: the built one)")
     private List<Path> jars = List.of();
@@ -58,8 +75,9 @@
             for (int f = 0; f < names.length; f++) {
                 long[] sorted = figures[i][f];
                 Arrays.sort(sorted);
-                System.out.printf("%-10s %-22s %8d %8d %8d%n", (char) ('A' + i), names[f], sorted[0],
-                    sorted[runs / 2], sorted[runs - 1]);
+                System.out.printf(
+                        "%-10s %-22s %8d %8d %8d%n",
+                        (char) ('A' + i), names[f], sorted[0], sorted[runs / 2], sorted[runs - 1]);
             }
         }
         return 0;
@@ -74,27 +92,42 @@
         if (!more.isBlank()) {
             command.addAll(List.of(more.trim().split(" ")));
         }
-        command.addAll(List.of("-jar", jar.toString(), "serve", "--config",
-            dir.resolve("config.json").toString()));
+        command.addAll(
+                List.of(
+                        "-jar",
+                        jar.toString(),
+                        "serve",
+                        "--config",
+                        dir.resolve("config.json").toString()));
         if (store) {
             command.addAll(List.of("--settings", dir.resolve("saltstage.hcl").toString()));
-            Process before = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(dir.resolve("log").toFile()).start();
+            Process before =
+                    new ProcessBuilder(command)
+                            .redirectErrorStream(true)
+                            .redirectOutput(dir.resolve("log").toFile())
+                            .start();
             Installation.awaitPong(relayAddress(fleet), before, Duration.ofSeconds(30));
             Thread.sleep(1_000); // the list is heard and kept within that
             before.destroyForcibly().waitFor();
         }
-        Process relay = new ProcessBuilder(command).redirectErrorStream(true)
-            .redirectOutput(dir.resolve("log").toFile()).start();
+        Process relay =
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(dir.resolve("log").toFile())
+                        .start();
         try {
-            Duration wall = Installation.awaitPong(relayAddress(fleet), relay, Duration.ofSeconds(30));
+            Duration wall =
+                    Installation.awaitPong(relayAddress(fleet), relay, Duration.ofSeconds(30));
             Path proc = Path.of("/proc", Long.toString(relay.pid()));
             String stat = Files.readString(proc.resolve("stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             long cpu = (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * CLOCK_TICK_MS;
-            long resident = Files.readAllLines(proc.resolve("status")).stream()
-                .filter(line -> line.startsWith("VmRSS:"))
-                .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", ""))).findFirst().orElse(0);
+            long resident =
+                    Files.readAllLines(proc.resolve("status")).stream()
+                            .filter(line -> line.startsWith("VmRSS:"))
+                            .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
+                            .findFirst()
+                            .orElse(0);
             return new long[] {wall.toMillis(), cpu, resident};
         } finally {
             relay.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
--- a/lab/src/main/java/saltstage/lab/scale/AllRunsCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/AllRunsCommand.java
@@ -1,13 +1,12 @@
 package saltstage.lab.scale;
 
+import java.util.List;
+import java.util.concurrent.Callable;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-import java.util.List;
-import java.util.concurrent.Callable;
-
 /** Every scale run one after the other, then the fits and the page. */
 @Command(
         name = "all",
--- a/lab/src/main/java/saltstage/lab/scale/AppliedRevisionLog.java
+++ b/lab/src/main/java/saltstage/lab/scale/AppliedRevisionLog.java
@@ -12,7 +12,8 @@
 
     /** A relay decides by this revision from this moment on. */
     void revisionApplied(int relay, long revision, long nanos) {
-        TreeMap<Long, Long> own = appliedNanosByRelay.computeIfAbsent(relay, any -> new TreeMap<>());
+        TreeMap<Long, Long> own =
+                appliedNanosByRelay.computeIfAbsent(relay, any -> new TreeMap<>());
         synchronized (own) {
             own.putIfAbsent(revision, nanos);
         }
--- a/lab/src/main/java/saltstage/lab/scale/BackendsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/BackendsRun.java
@@ -1,10 +1,9 @@
 package saltstage.lab.scale;
 
+import java.time.Duration;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-import java.time.Duration;
-
 /** What a relay needs as its list grows while its traffic stays the same. */
 @Command(
         name = "backends",
@@ -41,7 +40,8 @@
     private void measure(RunContext stage, int count) throws Exception {
         printProgress("backends: " + count);
         try (FakeLineBackends backends = new FakeLineBackends(stage.transport());
-                LargeListDiscovery list = new LargeListDiscovery(count, backends.port(), false, stage.seed());
+                LargeListDiscovery list =
+                        new LargeListDiscovery(count, backends.port(), false, stage.seed());
                 CountingProxy link =
                         new CountingProxy(stage.transport(), list.address(), Duration.ZERO);
                 RelayProcess relay =
@@ -65,7 +65,10 @@
         }
     }
 
-    /** Opens connections at an even pace, ends the ones beyond a number, changes the list each second. */
+    /**
+     * Opens connections at an even pace, ends the ones beyond a number, changes the list each
+     * second.
+     */
     private int runTraffic(LargeListDiscovery list, LineClients clients) throws Exception {
         int opens = (int) (span * OPENS_PER_SECOND);
         for (int i = 0; i < opens; i++) {
--- a/lab/src/main/java/saltstage/lab/scale/BackendsTable.java
+++ b/lab/src/main/java/saltstage/lab/scale/BackendsTable.java
@@ -54,14 +54,17 @@
     private static String tableRow(MeasuredData data, String figure) {
         StringBuilder line = new StringBuilder("| " + figure.replace('_', ' ') + " |");
         for (int backends : BackendsRun.BACKEND_COUNTS) {
-            line.append(' ').append(formatFigure(data.valueAt(RUN_NAME, figure, backends))).append(" |");
+            line.append(' ')
+                    .append(formatFigure(data.valueAt(RUN_NAME, figure, backends)))
+                    .append(" |");
         }
         AllowedGrowth allowed = ALLOWED_GROWTH.get(figure);
         OptionalDouble usual = data.valueAt(RUN_NAME, figure, BackendsRun.BACKEND_COUNTS[1]);
         boolean bounded = allowed != null && usual.isPresent();
         String bound =
                 bounded
-                        ? FigureFormat.forPage(allowed.factor * usual.getAsDouble() + allowed.offset)
+                        ? FigureFormat.forPage(
+                                allowed.factor * usual.getAsDouble() + allowed.offset)
                         : "";
         return line.append(' ').append(bound).append(" |").toString();
     }
--- a/lab/src/main/java/saltstage/lab/scale/CapacityRequirement.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityRequirement.java
@@ -15,7 +15,8 @@
  * @param budget how much there is, in the same unit
  * @param carrier the class or package that carries it
  */
-record CapacityRequirement(String role, String resource, Source source, double budget, String implementation) {
+record CapacityRequirement(
+        String role, String resource, Source source, double budget, String implementation) {
     /** A row whose budget and carrier are still to be said. */
     static CapacityRequirement of(String role, String resource, Source source) {
         return new CapacityRequirement(role, resource, source, Double.NaN, "");
@@ -53,7 +54,8 @@
 
         /** The same, multiplied. */
         Extrapolation multipliedBy(double factor) {
-            return new Extrapolation(run, figure, quantity, targetQuantity, factor, includesIntercept);
+            return new Extrapolation(
+                    run, figure, quantity, targetQuantity, factor, includesIntercept);
         }
 
         /** The same without its intercept. */
@@ -76,7 +78,8 @@
      * @param most reads the measured most
      * @param target what the target takes
      */
-    record MeasuredLimit(Function<MeasuredData, Double> measuredMax, double targetValue) implements Source {}
+    record MeasuredLimit(Function<MeasuredData, Double> measuredMax, double targetValue)
+            implements Source {}
 
     /**
      * Arithmetic on measured figures, or on the design alone.
@@ -84,7 +87,8 @@
      * @param arithmetic as a reader can follow it
      * @param carried reads what was measured to be carried of it
      */
-    record Estimate(String arithmetic, double value, Function<MeasuredData, Double> measuredCapacity)
+    record Estimate(
+            String arithmetic, double value, Function<MeasuredData, Double> measuredCapacity)
             implements Source {}
 
     /**
@@ -94,7 +98,8 @@
      * @param budget in the same unit
      * @param fit the line, or null
      */
-    record Result(CapacityRequirement requirement, double need, double budget, LineFit fit, Basis basis) {
+    record Result(
+            CapacityRequirement requirement, double need, double budget, LineFit fit, Basis basis) {
         double headroom() {
             return budget / need;
         }
@@ -144,7 +149,11 @@
         }
         Estimate estimate = (Estimate) source;
         return new Result(
-                this, estimate.value(), estimate.measuredCapacity().apply(data), null, Basis.ESTIMATE);
+                this,
+                estimate.value(),
+                estimate.measuredCapacity().apply(data),
+                null,
+                Basis.ESTIMATE);
     }
 
     private Result evaluateLine(Extrapolation line, List<LineFit.Point> points) {
@@ -164,15 +173,20 @@
                         !line.includesIntercept()
                                 ? fit.slope().value() * line.targetQuantity()
                                 : fit.valueAt(line.targetQuantity());
-                yield new Result(this, Math.max(0, value) * line.multiplier(), budget, fit, Basis.FIT);
+                yield new Result(
+                        this, Math.max(0, value) * line.multiplier(), budget, fit, Basis.FIT);
             }
         };
     }
 
     /** Where the target was passed by the runs, the next point above it; else nothing. */
-    private Result evaluateWithoutLine(Extrapolation line, List<LineFit.Point> points, LineFit fit) {
+    private Result evaluateWithoutLine(
+            Extrapolation line, List<LineFit.Point> points, LineFit fit) {
         return points.stream()
-                .filter(point -> point.quantity() >= line.targetQuantity() && line.includesIntercept())
+                .filter(
+                        point ->
+                                point.quantity() >= line.targetQuantity()
+                                        && line.includesIntercept())
                 .min(Comparator.comparingDouble(LineFit.Point::quantity))
                 .map(
                         point ->
--- a/lab/src/main/java/saltstage/lab/scale/CapacityRequirements.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityRequirements.java
@@ -1,13 +1,12 @@
 package saltstage.lab.scale;
 
-import saltstage.lab.scale.CapacityRequirement.Estimate;
-import saltstage.lab.scale.CapacityRequirement.MeasuredLimit;
-import saltstage.lab.scale.CapacityRequirement.Extrapolation;
-import saltstage.lab.scale.CapacityRequirement.MeasuredFigure;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
+import saltstage.lab.scale.CapacityRequirement.Estimate;
+import saltstage.lab.scale.CapacityRequirement.Extrapolation;
+import saltstage.lab.scale.CapacityRequirement.MeasuredFigure;
+import saltstage.lab.scale.CapacityRequirement.MeasuredLimit;
 
 /** All rows of the capacity page, by role. */
 final class CapacityRequirements {
@@ -47,32 +46,63 @@
 
     private static List<CapacityRequirement> fullLists() {
         String role = "relay, whole lists";
-        Extrapolation bytes = Extrapolation.of("list", "whole_bytes_per_change", ENTRIES, CapacityTarget.SHARDS);
-        Extrapolation processor = Extrapolation.of("list", "whole_processor_ms_per_change", ENTRIES, CapacityTarget.SHARDS);
+        Extrapolation bytes =
+                Extrapolation.of("list", "whole_bytes_per_change", ENTRIES, CapacityTarget.SHARDS);
+        Extrapolation processor =
+                Extrapolation.of(
+                        "list", "whole_processor_ms_per_change", ENTRIES, CapacityTarget.SHARDS);
         return List.of(
-                CapacityRequirement.of(role, CONTROL_BYTES_PER_SECOND, bytes.multipliedBy(CapacityTarget.CHANGES_PER_SECOND))
-                        .withBudget(CapacityTarget.CONTROL_BYTES_PER_SECOND, "wire.DiscoveryClient"),
-                CapacityRequirement.of(role, CONTROL_PROCESSOR, processor.multipliedBy(SECONDS_PER_MILLI * CapacityTarget.CHANGES_PER_SECOND))
+                CapacityRequirement.of(
+                                role,
+                                CONTROL_BYTES_PER_SECOND,
+                                bytes.multipliedBy(CapacityTarget.CHANGES_PER_SECOND))
+                        .withBudget(
+                                CapacityTarget.CONTROL_BYTES_PER_SECOND, "wire.DiscoveryClient"),
+                CapacityRequirement.of(
+                                role,
+                                CONTROL_PROCESSOR,
+                                processor.multipliedBy(
+                                        SECONDS_PER_MILLI * CapacityTarget.CHANGES_PER_SECOND))
                         .withBudget(CapacityTarget.CONTROL_PROCESSOR_SHARE, "wire.HostList"),
-                CapacityRequirement.of(role, "entries that it follows", followedEntries("whole_followed"))
+                CapacityRequirement.of(
+                                role, "entries that it follows", followedEntries("whole_followed"))
                         .withImplementation("wire.DiscoveryClient"));
     }
 
     private static List<CapacityRequirement> changedEntries() {
         String role = "relay, changed entries";
-        Extrapolation bytes = Extrapolation.of("list", "changed_bytes_per_change", ENTRIES, CapacityTarget.SHARDS);
-        Extrapolation processor = Extrapolation.of("list", "changed_processor_ms_per_change", ENTRIES, CapacityTarget.SHARDS);
-        Extrapolation memory = Extrapolation.of("list", "changed_resident_mb", ENTRIES, CapacityTarget.SHARDS);
+        Extrapolation bytes =
+                Extrapolation.of(
+                        "list", "changed_bytes_per_change", ENTRIES, CapacityTarget.SHARDS);
+        Extrapolation processor =
+                Extrapolation.of(
+                        "list", "changed_processor_ms_per_change", ENTRIES, CapacityTarget.SHARDS);
+        Extrapolation memory =
+                Extrapolation.of("list", "changed_resident_mb", ENTRIES, CapacityTarget.SHARDS);
         return List.of(
-                CapacityRequirement.of(role, CONTROL_BYTES_PER_SECOND, bytes.multipliedBy(CapacityTarget.CHANGES_PER_SECOND))
-                        .withBudget(CapacityTarget.CONTROL_BYTES_PER_SECOND, "wire.DiscoveryClient"),
-                CapacityRequirement.of(role, CONTROL_PROCESSOR, processor.multipliedBy(SECONDS_PER_MILLI * CapacityTarget.CHANGES_PER_SECOND))
+                CapacityRequirement.of(
+                                role,
+                                CONTROL_BYTES_PER_SECOND,
+                                bytes.multipliedBy(CapacityTarget.CHANGES_PER_SECOND))
+                        .withBudget(
+                                CapacityTarget.CONTROL_BYTES_PER_SECOND, "wire.DiscoveryClient"),
+                CapacityRequirement.of(
+                                role,
+                                CONTROL_PROCESSOR,
+                                processor.multipliedBy(
+                                        SECONDS_PER_MILLI * CapacityTarget.CHANGES_PER_SECOND))
                         .withBudget(CapacityTarget.CONTROL_PROCESSOR_SHARE, "wire.HostList"),
                 CapacityRequirement.of(role, CONTROL_MEMORY, memory.withoutIntercept())
                         .withBudget(CapacityTarget.CONTROL_MEGABYTES, "memory.Peers, Logic"),
-                CapacityRequirement.of(role, "entries that it follows", followedEntries("changed_followed"))
+                CapacityRequirement.of(
+                                role,
+                                "entries that it follows",
+                                followedEntries("changed_followed"))
                         .withImplementation("wire.DiscoveryClient"),
-                CapacityRequirement.of(role, "entries, with load asked for", followedEntries("probing_followed"))
+                CapacityRequirement.of(
+                                role,
+                                "entries, with load asked for",
+                                followedEntries("probing_followed"))
                         .withImplementation("stage.Probe, memory.Peers"));
     }
 
@@ -90,23 +120,32 @@
         double target = CapacityTarget.CONNECTIONS_PER_RELAY;
         Extrapolation memory = Extrapolation.of("connections", "resident_mb", CONNECTIONS, target);
         Extrapolation threads = Extrapolation.of("connections", "threads", CONNECTIONS, target);
-        Extrapolation quiet = Extrapolation.of("connections", "quiet_processor_share", CONNECTIONS, target);
+        Extrapolation quiet =
+                Extrapolation.of("connections", "quiet_processor_share", CONNECTIONS, target);
         MeasuredLimit reached = new MeasuredLimit(maxValue("connections", "reached"), target);
         return List.of(
                 CapacityRequirement.of(role, "memory in MB", memory)
-                        .withBudget(CapacityTarget.RELAY_MEGABYTES, "stage.LineRelay, stage.Threads"),
-                CapacityRequirement.of(role, "threads", threads).withBudget(MAX_THREADS, "stage.Threads"),
+                        .withBudget(
+                                CapacityTarget.RELAY_MEGABYTES, "stage.LineRelay, stage.Threads"),
+                CapacityRequirement.of(role, "threads", threads)
+                        .withBudget(MAX_THREADS, "stage.Threads"),
                 CapacityRequirement.of(role, "connections, deployed flags", reached)
                         .withImplementation("stage.Admit (heap of 48 MB)"),
-                CapacityRequirement.of("relay, control", "processor share, quiet connections", quiet)
+                CapacityRequirement.of(
+                                "relay, control", "processor share, quiet connections", quiet)
                         .withBudget(CapacityTarget.CONTROL_PROCESSOR_SHARE, "lifecycle.Program"));
     }
 
     private static List<CapacityRequirement> connectionSetups() {
-        double returning = CapacityTarget.RECONNECTING_CLIENTS_PER_RELAY / CapacityTarget.RECONNECT_SECONDS;
-        MeasuredLimit setUps = new MeasuredLimit(maxValue("connections", "set_ups_per_s"), returning);
+        double returning =
+                CapacityTarget.RECONNECTING_CLIENTS_PER_RELAY / CapacityTarget.RECONNECT_SECONDS;
+        MeasuredLimit setUps =
+                new MeasuredLimit(maxValue("connections", "set_ups_per_s"), returning);
         return List.of(
-                CapacityRequirement.of("relay, data path", "set-ups a second, a zone back in a minute", setUps)
+                CapacityRequirement.of(
+                                "relay, data path",
+                                "set-ups a second, a zone back in a minute",
+                                setUps)
                         .withImplementation("stage.TakeIn, stage.Route"));
     }
 
@@ -121,7 +160,8 @@
                 CapacityRequirement.of(
                                 role,
                                 "deliveries a second, p99 in 110 ms",
-                                new MeasuredLimit(CapacityRequirements::maxInTimeDeliveryRate, target))
+                                new MeasuredLimit(
+                                        CapacityRequirements::maxInTimeDeliveryRate, target))
                         .withImplementation("stage.LineRelay"));
     }
 
@@ -137,14 +177,22 @@
         double single = CapacityTarget.SHARDS / CapacityTarget.LEASE_RENEWAL_INTERVAL_SECONDS;
         double grouped = CapacityTarget.RELAYS / CapacityTarget.LEASE_RENEWAL_INTERVAL_SECONDS;
         String run = "renewals-grouped";
-        Extrapolation leader = Extrapolation.of(run, "leader_processor_share", COMMANDS_PER_SECOND, grouped);
+        Extrapolation leader =
+                Extrapolation.of(run, "leader_processor_share", COMMANDS_PER_SECOND, grouped);
         return List.of(
-                CapacityRequirement.of("replica, a lease a command", COMMANDS_PER_SECOND, achievedRateLimit("renewals", single))
+                CapacityRequirement.of(
+                                "replica, a lease a command",
+                                COMMANDS_PER_SECOND,
+                                achievedRateLimit("renewals", single))
                         .withImplementation("coordinator.replica, coordinator.lease"),
-                CapacityRequirement.of("replica, 76 leases a command", COMMANDS_PER_SECOND, achievedRateLimit(run, grouped))
+                CapacityRequirement.of(
+                                "replica, 76 leases a command",
+                                COMMANDS_PER_SECOND,
+                                achievedRateLimit(run, grouped))
                         .withImplementation("coordinator.client.LeaseClient"),
                 CapacityRequirement.of("replica, 76 leases a command", LEADER_PROCESSOR, leader)
-                        .withBudget(CapacityTarget.ONE_CORE_PROCESSOR_SHARE, "coordinator.replica"));
+                        .withBudget(
+                                CapacityTarget.ONE_CORE_PROCESSOR_SHARE, "coordinator.replica"));
     }
 
     private static MeasuredLimit achievedRateLimit(String run, double target) {
@@ -165,41 +213,63 @@
     private static List<CapacityRequirement> leases() {
         String role = "replica, all leases of one holder";
         String leases = "leases";
-        Extrapolation leader = Extrapolation.of(leases, "leader_processor_share", leases, CapacityTarget.SHARDS);
-        Extrapolation memory = Extrapolation.of(leases, "leader_resident_mb", leases, CapacityTarget.SHARDS);
-        MeasuredLimit taken = new MeasuredLimit(maxQuantity(leases, "renewed"), CapacityTarget.SHARDS);
+        Extrapolation leader =
+                Extrapolation.of(leases, "leader_processor_share", leases, CapacityTarget.SHARDS);
+        Extrapolation memory =
+                Extrapolation.of(leases, "leader_resident_mb", leases, CapacityTarget.SHARDS);
+        MeasuredLimit taken =
+                new MeasuredLimit(maxQuantity(leases, "renewed"), CapacityTarget.SHARDS);
         return List.of(
                 CapacityRequirement.of(role, "leases in one command", taken)
                         .withImplementation("coordinator.api (bodies up to 1 MiB)"),
                 CapacityRequirement.of(role, LEADER_PROCESSOR, leader)
                         .withBudget(CapacityTarget.ONE_CORE_PROCESSOR_SHARE, "coordinator.lease"),
-                CapacityRequirement.of("replica", "memory in MB for leases", memory.withoutIntercept())
+                CapacityRequirement.of(
+                                "replica", "memory in MB for leases", memory.withoutIntercept())
                         .withBudget(CapacityTarget.CONTROL_MACHINE_MEGABYTES, "coordinator.lease"));
     }
 
     private static List<CapacityRequirement> relaysByRevision() {
         String role = "relay, by revision";
-        MeasuredFigure bytes = MeasuredFigure.of("fleet", "quiet_relay_bytes_per_s", CapacityTarget.RELAYS);
-        Extrapolation processor = Extrapolation.of("fleet", "quiet_hollow_processor_share", SIMULATED_RELAYS, 1);
+        MeasuredFigure bytes =
+                MeasuredFigure.of("fleet", "quiet_relay_bytes_per_s", CapacityTarget.RELAYS);
+        Extrapolation processor =
+                Extrapolation.of("fleet", "quiet_hollow_processor_share", SIMULATED_RELAYS, 1);
         return List.of(
                 CapacityRequirement.of(role, CONTROL_BYTES_PER_SECOND + ", quiet", bytes)
-                        .withBudget(CapacityTarget.CONTROL_BYTES_PER_SECOND, "configuration.follower"),
-                CapacityRequirement.of(role, CONTROL_PROCESSOR + ", quiet", processor.withoutIntercept())
-                        .withBudget(CapacityTarget.CONTROL_PROCESSOR_SHARE, "configuration.follower"));
+                        .withBudget(
+                                CapacityTarget.CONTROL_BYTES_PER_SECOND, "configuration.follower"),
+                CapacityRequirement.of(
+                                role, CONTROL_PROCESSOR + ", quiet", processor.withoutIntercept())
+                        .withBudget(
+                                CapacityTarget.CONTROL_PROCESSOR_SHARE, "configuration.follower"));
     }
 
     private static List<CapacityRequirement> relaysByRevisionChanging() {
         String role = "relay, by revision";
-        MeasuredFigure bytes = MeasuredFigure.of("fleet", "changing_relay_bytes_per_s", CapacityTarget.RELAYS);
-        Extrapolation processor = Extrapolation.of("fleet", "changing_hollow_processor_share", SIMULATED_RELAYS, 1);
-        MeasuredFigure most = MeasuredFigure.of("fleet", "changing_everywhere_most_s", CapacityTarget.RELAYS);
+        MeasuredFigure bytes =
+                MeasuredFigure.of("fleet", "changing_relay_bytes_per_s", CapacityTarget.RELAYS);
+        Extrapolation processor =
+                Extrapolation.of("fleet", "changing_hollow_processor_share", SIMULATED_RELAYS, 1);
+        MeasuredFigure most =
+                MeasuredFigure.of("fleet", "changing_everywhere_most_s", CapacityTarget.RELAYS);
         return List.of(
                 CapacityRequirement.of(role, CONTROL_BYTES_PER_SECOND + FIFTY_FOLD_CHANGES, bytes)
-                        .withBudget(CapacityTarget.CONTROL_BYTES_PER_SECOND, "configuration.follower"),
-                CapacityRequirement.of(role, CONTROL_PROCESSOR + FIFTY_FOLD_CHANGES, processor.withoutIntercept())
-                        .withBudget(CapacityTarget.CONTROL_PROCESSOR_SHARE, "configuration.follower"),
-                CapacityRequirement.of(role, "seconds to be in force everywhere, most" + FIFTY_FOLD_CHANGES, most)
-                        .withBudget(CapacityTarget.MAX_PROPAGATION_SECONDS, "coordinator.distribution"));
+                        .withBudget(
+                                CapacityTarget.CONTROL_BYTES_PER_SECOND, "configuration.follower"),
+                CapacityRequirement.of(
+                                role,
+                                CONTROL_PROCESSOR + FIFTY_FOLD_CHANGES,
+                                processor.withoutIntercept())
+                        .withBudget(
+                                CapacityTarget.CONTROL_PROCESSOR_SHARE, "configuration.follower"),
+                CapacityRequirement.of(
+                                role,
+                                "seconds to be in force everywhere, most" + FIFTY_FOLD_CHANGES,
+                                most)
+                        .withBudget(
+                                CapacityTarget.MAX_PROPAGATION_SECONDS,
+                                "coordinator.distribution"));
     }
 
     /** The whole processes, with a disk, and with 200 backends that they ask for their load. */
@@ -207,7 +277,8 @@
         String role = "real relay, by revision";
         String resource = "processor share of the whole process";
         MeasuredFigure quiet = MeasuredFigure.of("real-relays", "quiet_real_processor_share", 3);
-        MeasuredFigure changing = MeasuredFigure.of("real-relays", "changing_real_processor_share", 3);
+        MeasuredFigure changing =
+                MeasuredFigure.of("real-relays", "changing_real_processor_share", 3);
         return List.of(
                 CapacityRequirement.of(role, resource + ", quiet", quiet)
                         .withBudget(CapacityTarget.CONTROL_PROCESSOR_SHARE, "lifecycle.Program"),
@@ -217,38 +288,62 @@
 
     private static List<CapacityRequirement> distribution() {
         double relays = CapacityTarget.RELAYS;
-        Extrapolation leader = Extrapolation.of("fleet", "changing_leader_processor_share", SIMULATED_RELAYS, relays);
-        Extrapolation distributor = Extrapolation.of("fleet", "changing_distributor_processor_share", SIMULATED_RELAYS, relays);
-        MeasuredFigure bytes = MeasuredFigure.of("fleet", "changing_distributor_bytes_per_s", relays);
+        Extrapolation leader =
+                Extrapolation.of(
+                        "fleet", "changing_leader_processor_share", SIMULATED_RELAYS, relays);
+        Extrapolation distributor =
+                Extrapolation.of(
+                        "fleet", "changing_distributor_processor_share", SIMULATED_RELAYS, relays);
+        MeasuredFigure bytes =
+                MeasuredFigure.of("fleet", "changing_distributor_bytes_per_s", relays);
         return List.of(
                 CapacityRequirement.of("replica", LEADER_PROCESSOR + FIFTY_FOLD_CHANGES, leader)
-                        .withBudget(CapacityTarget.ONE_CORE_PROCESSOR_SHARE, "coordinator.configuration"),
-                CapacityRequirement.of("distributor", "processor share" + FIFTY_FOLD_CHANGES, distributor)
-                        .withBudget(CapacityTarget.ONE_CORE_PROCESSOR_SHARE, "coordinator.distribution"),
-                CapacityRequirement.of("distributor", "bytes a second with replicas" + FIFTY_FOLD_CHANGES, bytes)
-                        .withBudget(CapacityTarget.CONTROL_LINK_BYTES_PER_SECOND, "coordinator.distribution"));
+                        .withBudget(
+                                CapacityTarget.ONE_CORE_PROCESSOR_SHARE,
+                                "coordinator.configuration"),
+                CapacityRequirement.of(
+                                "distributor", "processor share" + FIFTY_FOLD_CHANGES, distributor)
+                        .withBudget(
+                                CapacityTarget.ONE_CORE_PROCESSOR_SHARE,
+                                "coordinator.distribution"),
+                CapacityRequirement.of(
+                                "distributor",
+                                "bytes a second with replicas" + FIFTY_FOLD_CHANGES,
+                                bytes)
+                        .withBudget(
+                                CapacityTarget.CONTROL_LINK_BYTES_PER_SECOND,
+                                "coordinator.distribution"));
     }
 
     private static List<CapacityRequirement> snapshots() {
         String role = "relay, by revision";
         String run = "configuration";
-        Extrapolation memory = Extrapolation.of(run, "follower_resident_mb", ENTRIES, CapacityTarget.SHARDS);
-        Extrapolation bytes = Extrapolation.of(run, "snapshot_bytes", ENTRIES, CapacityTarget.SHARDS);
+        Extrapolation memory =
+                Extrapolation.of(run, "follower_resident_mb", ENTRIES, CapacityTarget.SHARDS);
+        Extrapolation bytes =
+                Extrapolation.of(run, "snapshot_bytes", ENTRIES, CapacityTarget.SHARDS);
         Extrapolation seconds = Extrapolation.of(run, "snapshot_s", ENTRIES, CapacityTarget.SHARDS);
         return List.of(
                 CapacityRequirement.of(role, CONTROL_MEMORY, memory.withoutIntercept())
-                        .withBudget(CapacityTarget.CONTROL_MEGABYTES, "configuration.ConfigurationView"),
+                        .withBudget(
+                                CapacityTarget.CONTROL_MEGABYTES,
+                                "configuration.ConfigurationView"),
                 CapacityRequirement.of(role, "bytes of a snapshot", bytes)
-                        .withBudget(CapacityTarget.MAX_SNAPSHOT_BYTES, "configuration.SnapshotPager"),
+                        .withBudget(
+                                CapacityTarget.MAX_SNAPSHOT_BYTES, "configuration.SnapshotPager"),
                 CapacityRequirement.of(role, "seconds to take a snapshot", seconds)
-                        .withBudget(CapacityTarget.MAX_PROPAGATION_SECONDS, "configuration.SnapshotPager"));
+                        .withBudget(
+                                CapacityTarget.MAX_PROPAGATION_SECONDS,
+                                "configuration.SnapshotPager"));
     }
 
     private static List<CapacityRequirement> controlMemory() {
         String resource = "memory in MB for configuration";
         String run = "configuration";
-        Extrapolation leader = Extrapolation.of(run, "leader_resident_mb", ENTRIES, CapacityTarget.SHARDS);
-        Extrapolation distributor = Extrapolation.of(run, "distributor_resident_mb", ENTRIES, CapacityTarget.SHARDS);
+        Extrapolation leader =
+                Extrapolation.of(run, "leader_resident_mb", ENTRIES, CapacityTarget.SHARDS);
+        Extrapolation distributor =
+                Extrapolation.of(run, "distributor_resident_mb", ENTRIES, CapacityTarget.SHARDS);
         double budget = CapacityTarget.CONTROL_MACHINE_MEGABYTES;
         return List.of(
                 CapacityRequirement.of("replica", resource, leader.withoutIntercept())
@@ -262,7 +357,8 @@
         Estimate advisor = estimate("780 relays ÷ 10 s; that relays tell loads is not built", 78);
         Estimate operators = estimate("200 changes ÷ 60 s, in a burst", 200 / 60.0);
         return List.of(
-                CapacityRequirement.of("agent", COMMANDS_PER_SECOND, agents).withImplementation("coordinator.agent"),
+                CapacityRequirement.of("agent", COMMANDS_PER_SECOND, agents)
+                        .withImplementation("coordinator.agent"),
                 CapacityRequirement.of("advisor", "load snapshots a second", advisor)
                         .withImplementation("coordinator.advice"),
                 CapacityRequirement.of("operators' commands", COMMANDS_PER_SECOND, operators)
@@ -271,6 +367,7 @@
 
     /** In commands a second, against the commands that the group was measured to carry. */
     private static Estimate estimate(String arithmetic, double commandsPerSecond) {
-        return new Estimate(arithmetic, commandsPerSecond, data -> maxAchievedRate(data, "renewals"));
+        return new Estimate(
+                arithmetic, commandsPerSecond, data -> maxAchievedRate(data, "renewals"));
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/CapacityTables.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityTables.java
@@ -79,7 +79,8 @@
     }
 
     private static String fitLine(CapacityRequirement.Result result) {
-        CapacityRequirement.Extrapolation line = (CapacityRequirement.Extrapolation) result.requirement().source();
+        CapacityRequirement.Extrapolation line =
+                (CapacityRequirement.Extrapolation) result.requirement().source();
         LineFit fit = result.fit();
         boolean drawn = fit.shape() == LineFit.Shape.LINE || fit.shape() == LineFit.Shape.FLAT;
         return tableRow(
@@ -95,7 +96,9 @@
                 Integer.toString(fit.pointCount()),
                 shapeText(fit.shape()),
                 FigureFormat.forPage(line.targetQuantity()),
-                fit.maxQuantity() == 0 ? NO_VALUE : "× " + FigureFormat.forPage(line.targetQuantity() / fit.maxQuantity()));
+                fit.maxQuantity() == 0
+                        ? NO_VALUE
+                        : "× " + FigureFormat.forPage(line.targetQuantity() / fit.maxQuantity()));
     }
 
     /** The rows that are arithmetic. */
@@ -125,7 +128,9 @@
                 .filter(result -> result.fit() != null)
                 .forEach(
                         result -> {
-                            CapacityRequirement.Extrapolation line = (CapacityRequirement.Extrapolation) result.requirement().source();
+                            CapacityRequirement.Extrapolation line =
+                                    (CapacityRequirement.Extrapolation)
+                                            result.requirement().source();
                             LineFit fit = result.fit();
                             text.append(
                                             String.join(
@@ -172,7 +177,9 @@
     }
 
     private static String formatFigure(double value) {
-        return Double.isNaN(value) || Double.isInfinite(value) ? NO_VALUE : FigureFormat.forPage(value);
+        return Double.isNaN(value) || Double.isInfinite(value)
+                ? NO_VALUE
+                : FigureFormat.forPage(value);
     }
 
     private static String tableRow(String... cells) {
--- a/lab/src/main/java/saltstage/lab/scale/ConfigurationLoadGenerator.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConfigurationLoadGenerator.java
@@ -1,5 +1,13 @@
 package saltstage.lab.scale;
 
+import java.io.IOException;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.atomic.AtomicLong;
 import saltstage.configuration.ConfigurationLimits;
 import saltstage.configuration.EntryKey;
 import saltstage.configuration.EntryKind;
@@ -10,15 +18,6 @@
 import saltstage.coordinator.configuration.ConfigurationReplies.Changed;
 import saltstage.coordinator.model.Reply;
 
-import java.io.IOException;
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
-import java.util.Random;
-import java.util.concurrent.ExecutionException;
-import java.util.concurrent.atomic.AtomicLong;
-
 /**
  * Writes configuration: backends, shards placed at them, and changes of placement one after the
  * other.
@@ -96,7 +95,8 @@
 
     /** A change of one shard, as a command. */
     ChangeConfiguration randomChange() {
-        return new ChangeConfiguration(AUTHOR, List.of(randomPlacement(random.nextInt(shardCount))), Map.of());
+        return new ChangeConfiguration(
+                AUTHOR, List.of(randomPlacement(random.nextInt(shardCount))), Map.of());
     }
 
     private Mutation randomPlacement(int shard) {
--- a/lab/src/main/java/saltstage/lab/scale/ConfigurationRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConfigurationRun.java
@@ -1,18 +1,16 @@
 package saltstage.lab.scale;
 
-import picocli.CommandLine.Command;
-
-import saltstage.configuration.ConfigurationJson;
-import saltstage.configuration.ConfigurationLimits;
-import saltstage.configuration.SnapshotPage;
-import saltstage.lab.scale.Topology.Zone;
-
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.util.List;
+import picocli.CommandLine.Command;
+import saltstage.configuration.ConfigurationJson;
+import saltstage.configuration.ConfigurationLimits;
+import saltstage.configuration.SnapshotPage;
+import saltstage.lab.scale.Topology.Zone;
 
 /**
  * What the number of entries costs: memory of replicas, distributors and followers; size of
@@ -46,7 +44,8 @@
 
     @Override
     boolean run(RunContext stage) throws Exception {
-        try (FleetEnvironment all = new FleetEnvironment(stage.folder(), stage.transport(), stage.seed(), 0)) {
+        try (FleetEnvironment all =
+                new FleetEnvironment(stage.folder(), stage.transport(), stage.seed(), 0)) {
             List<String> sources = all.controlPlane().addRelaySources(Zone.A1);
             for (int entries : ENTRY_COUNTS) {
                 printProgress("configuration: " + entries + " entries");
@@ -61,10 +60,14 @@
         return true;
     }
 
-    private static void measureControlMemory(MeasurementFile file, FleetEnvironment all) throws Exception {
+    private static void measureControlMemory(MeasurementFile file, FleetEnvironment all)
+            throws Exception {
         file.addFigure(
                 "leader_resident_mb",
-                all.controlPlane().replica(all.controlPlane().leader()).statistics().residentMegabytes());
+                all.controlPlane()
+                        .replica(all.controlPlane().leader())
+                        .statistics()
+                        .residentMegabytes());
         file.addFigure(
                 "distributor_resident_mb",
                 all.controlPlane().distributor(Zone.A1).statistics().residentMegabytes());
@@ -113,7 +116,8 @@
         String from = "";
         int pages = 0;
         while (from != null) {
-            SnapshotPage page = fetchPage(source, revision, from, ConfigurationLimits.MAX_ENTRIES_PER_PAGE);
+            SnapshotPage page =
+                    fetchPage(source, revision, from, ConfigurationLimits.MAX_ENTRIES_PER_PAGE);
             revision = page.revision();
             from = page.next() == null ? null : "&from=" + page.next().text();
             pages++;
@@ -123,7 +127,8 @@
         file.addFigure("snapshot_pages", pages);
     }
 
-    private static void measureFollower(RunContext stage, List<String> sources, int entries) throws Exception {
+    private static void measureFollower(RunContext stage, List<String> sources, int entries)
+            throws Exception {
         long begun = System.nanoTime();
         try (SimulatedRelayHost host =
                 new SimulatedRelayHost(
--- a/lab/src/main/java/saltstage/lab/scale/ConnectionsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConnectionsRun.java
@@ -1,12 +1,10 @@
 package saltstage.lab.scale;
 
+import java.time.Duration;
 import org.HdrHistogram.Histogram;
-
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-import java.time.Duration;
-
 /**
  * What standing connections cost a relay: memory, threads, processor time when quiet and per
  * delivery.
@@ -16,7 +14,9 @@
         mixinStandardHelpOptions = true,
         description = "One real relay with ever more standing connections to stand-in gateways.")
 final class ConnectionsRun extends ScaleRun {
-    private static final int[] CONNECTION_COUNTS = {125, 250, 500, 1_000, 2_000, 3_000, 4_000, 8_000};
+    private static final int[] CONNECTION_COUNTS = {
+        125, 250, 500, 1_000, 2_000, 3_000, 4_000, 8_000
+    };
 
     /** As many descriptors as the machine gives one process here. */
     private static final int MAX_SOCKETS = 20_000;
@@ -45,10 +45,12 @@
     @Override
     boolean run(RunContext stage) throws Exception {
         try (FakeLineBackends backends = new FakeLineBackends(stage.transport());
-                LargeListDiscovery list = new LargeListDiscovery(8, backends.port(), false, stage.seed());
+                LargeListDiscovery list =
+                        new LargeListDiscovery(8, backends.port(), false, stage.seed());
                 CountingProxy link =
                         new CountingProxy(stage.transport(), list.address(), Duration.ZERO);
-                RelayProcess relay = new RelayProcess(stage.folder(), link.address(), MAX_SOCKETS)) {
+                RelayProcess relay =
+                        new RelayProcess(stage.folder(), link.address(), MAX_SOCKETS)) {
             LineClients clients = new LineClients(stage.transport(), relay.listenAddress());
             sleepSeconds(SETTLE_SECONDS);
             measureQuiet(stage.file(), relay, 0);
@@ -121,7 +123,8 @@
                 most = clients.establishedCount();
                 lastNewcomer = System.nanoTime();
             }
-            if (!relay.isAlive() || System.nanoTime() - lastNewcomer > STALL_TIMEOUT_SECONDS * 1e9) {
+            if (!relay.isAlive()
+                    || System.nanoTime() - lastNewcomer > STALL_TIMEOUT_SECONDS * 1e9) {
                 return false;
             }
             int wanted = connections - clients.establishedCount() - clients.openingCount();
@@ -135,14 +138,21 @@
     }
 
     private static void measureDeliveries(
-            MeasurementFile file, RelayProcess relay, FakeLineBackends backends, LineClients clients)
+            MeasurementFile file,
+            RelayProcess relay,
+            FakeLineBackends backends,
+            LineClients clients)
             throws Exception {
         DeliveryGenerator deliveries = new DeliveryGenerator(backends, clients);
-        DeliveryGenerator.Result outcome = deliveries.run(relay, DELIVERIES_PER_SECOND, DELIVERY_SECONDS);
-        file.addFigure("delivery_processor_us", outcome.processorSeconds() * 1e6 / outcome.delivered());
+        DeliveryGenerator.Result outcome =
+                deliveries.run(relay, DELIVERIES_PER_SECOND, DELIVERY_SECONDS);
+        file.addFigure(
+                "delivery_processor_us", outcome.processorSeconds() * 1e6 / outcome.delivered());
         file.addFigure("delivery_p50_ms", outcome.p50Ms());
         file.addFigure("delivery_p99_ms", outcome.p99Ms());
-        file.addFigure("delivered_share", outcome.delivered() / (DELIVERIES_PER_SECOND * DELIVERY_SECONDS));
+        file.addFigure(
+                "delivered_share",
+                outcome.delivered() / (DELIVERIES_PER_SECOND * DELIVERY_SECONDS));
         if (outcome.delivered() < MIN_DELIVERED_SHARE * DELIVERIES_PER_SECOND * DELIVERY_SECONDS) {
             printProgress("connections: only " + outcome.delivered() + " deliveries came");
         }
--- a/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
+++ b/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
@@ -2,14 +2,6 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-
-import saltstage.coordinator.client.GroupClient;
-import saltstage.coordinator.client.Ticker;
-import saltstage.coordinator.group.GroupCodec;
-import saltstage.coordinator.model.Command;
-import saltstage.lab.scale.Topology.Zone;
-import saltstage.lab.trial.TrialProcess;
-
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URI;
@@ -25,6 +17,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ThreadLocalRandom;
+import saltstage.coordinator.client.GroupClient;
+import saltstage.coordinator.client.Ticker;
+import saltstage.coordinator.group.GroupCodec;
+import saltstage.coordinator.model.Command;
+import saltstage.lab.scale.Topology.Zone;
+import saltstage.lab.trial.TrialProcess;
 
 /**
  * The nine control processes: five replicas and a distributor in each zone, each reached by the
@@ -153,7 +151,8 @@
         List<String> sources = new ArrayList<>();
         for (Zone preferred : zone.zonesByPreference()) {
             for (String replica : replicasIn(preferred)) {
-                InetSocketAddress at = new InetSocketAddress(replicaHosts.get(replica), CLIENT_PORT);
+                InetSocketAddress at =
+                        new InetSocketAddress(replicaHosts.get(replica), CLIENT_PORT);
                 sources.add(links.addLink(DISTRIBUTOR_LINKS, zone, preferred, at));
             }
         }
@@ -161,11 +160,14 @@
     }
 
     private List<String> replicasIn(Zone zone) {
-        return replicaZones.keySet().stream().filter(name -> replicaZones.get(name) == zone).toList();
+        return replicaZones.keySet().stream()
+                .filter(name -> replicaZones.get(name) == zone)
+                .toList();
     }
 
     private ChildProcess coordinatorProcess(String name, int heapMegabytes, List<String> words) {
-        return ChildProcess.ofJar(name, TrialProcess.coordinatorJar(), heapMegabytes, folder, words);
+        return ChildProcess.ofJar(
+                name, TrialProcess.coordinatorJar(), heapMegabytes, folder, words);
     }
 
     /** Starts all nine. */
@@ -208,11 +210,13 @@
 
     /** Whether each replica of a zone's region refuses a command, or does not answer it in time. */
     boolean isRejectingChanges(Zone zone, Command command) throws InterruptedException {
-        ObjectNode body = GroupCodec.jsonMapper().createObjectNode().put("client", "outsider").put("seq", 1);
+        ObjectNode body =
+                GroupCodec.jsonMapper().createObjectNode().put("client", "outsider").put("seq", 1);
         body.set("command", GroupCodec.jsonMapper().valueToTree(command));
         HttpClient http = HttpClient.newHttpClient();
         for (String name : replicaHosts.keySet()) {
-            if (replicaZones.get(name).isInSameRegionAs(zone) && isAccepted(http, replicaHosts.get(name), body)) {
+            if (replicaZones.get(name).isInSameRegionAs(zone)
+                    && isAccepted(http, replicaHosts.get(name), body)) {
                 return false;
             }
         }
@@ -228,7 +232,8 @@
                         .POST(HttpRequest.BodyPublishers.ofString(body.toString()))
                         .build();
         try {
-            return http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode() == HTTP_OK;
+            return http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode()
+                    == HTTP_OK;
         } catch (IOException unanswered) {
             return false;
         }
@@ -252,7 +257,8 @@
     private boolean isLeader(String name) throws IOException, InterruptedException {
         try {
             GroupClient one =
-                    new GroupClient(List.of(replicaHosts.get(name) + ":" + CLIENT_PORT), Ticker.SYSTEM);
+                    new GroupClient(
+                            List.of(replicaHosts.get(name) + ":" + CLIENT_PORT), Ticker.SYSTEM);
             JsonNode status = one.get("/v1/status", STATUS_TIMEOUT);
             return status.path("role").asText().equals("leader");
         } catch (GroupClient.GroupUnreachableException down) {
--- a/lab/src/main/java/saltstage/lab/scale/CountingProxy.java
+++ b/lab/src/main/java/saltstage/lab/scale/CountingProxy.java
@@ -1,9 +1,5 @@
 package saltstage.lab.scale;
 
-import saltstage.net.Connection;
-import saltstage.net.ConnectionHandler;
-import saltstage.net.Transport;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -14,6 +10,9 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
+import saltstage.net.Connection;
+import saltstage.net.ConnectionHandler;
+import saltstage.net.Transport;
 
 /**
  * A proxy that counts what passes, delivers it late by a fixed delay, and can be cut: while cut,
@@ -22,7 +21,8 @@
 public final class CountingProxy implements AutoCloseable {
     private static final int BACKLOG = 1_024;
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
-    private static final Connection.WriteLimits WRITE_LIMITS = new Connection.WriteLimits(1 << 18, 64 << 20);
+    private static final Connection.WriteLimits WRITE_LIMITS =
+            new Connection.WriteLimits(1 << 18, 64 << 20);
 
     private final Transport transport;
     private final InetSocketAddress target;
@@ -42,7 +42,11 @@
         this.delay = delay;
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         listener =
-                transport.listen(any, BACKLOG, WRITE_LIMITS, accepted -> new ProxiedConnection(accepted).fromClient);
+                transport.listen(
+                        any,
+                        BACKLOG,
+                        WRITE_LIMITS,
+                        accepted -> new ProxiedConnection(accepted).fromClient);
     }
 
     /** Where clients connect. */
@@ -107,12 +111,14 @@
 
         private void connect() {
             if (!cut) {
-                transport.connect(clientConnection.loop(), target, CONNECT_TIMEOUT, WRITE_LIMITS, this);
+                transport.connect(
+                        clientConnection.loop(), target, CONNECT_TIMEOUT, WRITE_LIMITS, this);
             }
         }
 
         private void resume() {
-            clientConnection.loop()
+            clientConnection
+                    .loop()
                     .execute(
                             () -> {
                                 if (targetConnection == null && !ended) {
@@ -204,8 +210,11 @@
                     }
                 }
                 if (!delayedBytes.isEmpty() && delayedBytes.peek().dueNanos() > now) {
-                    clientConnection.loop()
-                            .schedule(Duration.ofNanos(delayedBytes.peek().dueNanos() - now), this::forwardDue);
+                    clientConnection
+                            .loop()
+                            .schedule(
+                                    Duration.ofNanos(delayedBytes.peek().dueNanos() - now),
+                                    this::forwardDue);
                 }
             }
 
--- a/lab/src/main/java/saltstage/lab/scale/DeliveriesRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/DeliveriesRun.java
@@ -1,17 +1,18 @@
 package saltstage.lab.scale;
 
+import java.time.Duration;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-import java.time.Duration;
-
 /** What deliveries cost a relay, by their rate, and from which rate on they come late. */
 @Command(
         name = "deliveries",
         mixinStandardHelpOptions = true,
         description = "One real relay with standing connections; deliveries at rising rates.")
 final class DeliveriesRun extends ScaleRun {
-    private static final int[] RATES_PER_SECOND = {250, 500, 1_000, 2_000, 4_000, 8_000, 16_000, 32_000};
+    private static final int[] RATES_PER_SECOND = {
+        250, 500, 1_000, 2_000, 4_000, 8_000, 16_000, 32_000
+    };
     private static final int MAX_SOCKETS = 4_096;
     private static final double SETTLE_SECONDS = 2;
     private static final double MEASURED_SECONDS = 5;
@@ -28,10 +29,12 @@
     @Override
     boolean run(RunContext stage) throws Exception {
         try (FakeLineBackends backends = new FakeLineBackends(stage.transport());
-                LargeListDiscovery list = new LargeListDiscovery(8, backends.port(), false, stage.seed());
+                LargeListDiscovery list =
+                        new LargeListDiscovery(8, backends.port(), false, stage.seed());
                 CountingProxy link =
                         new CountingProxy(stage.transport(), list.address(), Duration.ZERO);
-                RelayProcess relay = new RelayProcess(stage.folder(), link.address(), MAX_SOCKETS)) {
+                RelayProcess relay =
+                        new RelayProcess(stage.folder(), link.address(), MAX_SOCKETS)) {
             LineClients clients = new LineClients(stage.transport(), relay.listenAddress());
             while (clients.establishedCount() < connections) {
                 if (clients.openingCount() < MAX_OPENING) {
@@ -41,7 +44,8 @@
             }
             sleepSeconds(SETTLE_SECONDS);
             DeliveryGenerator deliveries = new DeliveryGenerator(backends, clients);
-            deliveries.run(relay, RATES_PER_SECOND[2], SETTLE_SECONDS); // compiles what is used most
+            deliveries.run(
+                    relay, RATES_PER_SECOND[2], SETTLE_SECONDS); // compiles what is used most
             for (int rate : RATES_PER_SECOND) {
                 if (!measure(stage.file(), relay, deliveries, rate)) {
                     break;
--- a/lab/src/main/java/saltstage/lab/scale/DeliveryGenerator.java
+++ b/lab/src/main/java/saltstage/lab/scale/DeliveryGenerator.java
@@ -1,8 +1,7 @@
 package saltstage.lab.scale;
 
-import org.HdrHistogram.Histogram;
-
 import java.io.IOException;
+import org.HdrHistogram.Histogram;
 
 /**
  * Has backends deliver lines at a steady rate to clients that stand, one client after the other.
--- a/lab/src/main/java/saltstage/lab/scale/EventTable.java
+++ b/lab/src/main/java/saltstage/lab/scale/EventTable.java
@@ -35,7 +35,12 @@
      * @param after the figure of what came afterwards, in seconds; null: none
      * @param meaning what was waited for
      */
-    private record Row(String name, String run, String prefix, String recoveryFigure, String recoveryCondition) {
+    private record Row(
+            String name,
+            String run,
+            String prefix,
+            String recoveryFigure,
+            String recoveryCondition) {
         private static Row of(String name, String run, String prefix) {
             return new Row(name, run, prefix, null, "");
         }
@@ -52,10 +57,14 @@
                     Row.of("leader killed", RUN_NAME, "leader_killed"),
                     Row.of("leader killed, another play", OTHER_RUN_NAME, "leader_killed"),
                     Row.of("distributor killed", RUN_NAME, "distributor_killed"),
-                    Row.of("distributor killed, another play", OTHER_RUN_NAME, "distributor_killed"),
+                    Row.of(
+                            "distributor killed, another play",
+                            OTHER_RUN_NAME,
+                            "distributor_killed"),
                     Row.withRecovery(
                             "1% of relays stopped (the others)", "relays_stopped", "all current"),
-                    Row.withRecovery("a zone killed (the others)", "zone_killed", "the zone current"),
+                    Row.withRecovery(
+                            "a zone killed (the others)", "zone_killed", "the zone current"),
                     Row.withRecovery("regions cut (region a)", "regions_cut", "region b current"),
                     Row.withRecovery(
                             "all nine restarted", "control_restarted", "next change everywhere"),
@@ -68,7 +77,8 @@
 
     /** The table. */
     static String of(MeasuredData data) {
-        return HEADER + ROWS.stream().map(row -> tableRow(row, data)).collect(Collectors.joining("\n"));
+        return HEADER
+                + ROWS.stream().map(row -> tableRow(row, data)).collect(Collectors.joining("\n"));
     }
 
     private static String tableRow(Row row, MeasuredData data) {
@@ -77,7 +87,13 @@
             cells.add(formatFigure(data, row, row.prefix() + figure));
         }
         boolean ends = row.recoveryFigure() != null;
-        cells.add(ends ? row.recoveryCondition() + " after " + formatFigure(data, row, row.recoveryFigure()) + " s" : NO_VALUE);
+        cells.add(
+                ends
+                        ? row.recoveryCondition()
+                                + " after "
+                                + formatFigure(data, row, row.recoveryFigure())
+                                + " s"
+                        : NO_VALUE);
         return "| " + String.join(" | ", cells) + " |";
     }
 
--- a/lab/src/main/java/saltstage/lab/scale/FakeLineBackends.java
+++ b/lab/src/main/java/saltstage/lab/scale/FakeLineBackends.java
@@ -1,9 +1,5 @@
 package saltstage.lab.scale;
 
-import saltstage.net.Connection;
-import saltstage.net.ConnectionHandler;
-import saltstage.net.Transport;
-
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -11,6 +7,9 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicLong;
+import saltstage.net.Connection;
+import saltstage.net.ConnectionHandler;
+import saltstage.net.Transport;
 
 /**
  * Stand-in gateways with room for all who come, at every address of loopback and one port. They
@@ -19,7 +18,8 @@
  */
 final class FakeLineBackends implements AutoCloseable {
     private static final int BACKLOG = 4_096;
-    private static final Connection.WriteLimits WRITE_LIMITS = new Connection.WriteLimits(1 << 18, 4 << 20);
+    private static final Connection.WriteLimits WRITE_LIMITS =
+            new Connection.WriteLimits(1 << 18, 4 << 20);
 
     private final Transport.Listener listener;
     private final List<Connection> established = new CopyOnWriteArrayList<>();
@@ -28,7 +28,11 @@
 
     FakeLineBackends(Transport transport) throws IOException {
         listener =
-                transport.listen(new InetSocketAddress("0.0.0.0", 0), BACKLOG, WRITE_LIMITS, LineConnectionHandler::new);
+                transport.listen(
+                        new InetSocketAddress("0.0.0.0", 0),
+                        BACKLOG,
+                        WRITE_LIMITS,
+                        LineConnectionHandler::new);
     }
 
     int port() {
--- a/lab/src/main/java/saltstage/lab/scale/FitCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/FitCommand.java
@@ -1,12 +1,10 @@
 package saltstage.lab.scale;
 
-import picocli.CommandLine.Command;
-
-import saltstage.lab.Installation;
-
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import saltstage.lab.Installation;
 
 /** Computes the fits from the CSVs of all runs. */
 @Command(
--- a/lab/src/main/java/saltstage/lab/scale/FleetEnvironment.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetEnvironment.java
@@ -1,13 +1,12 @@
 package saltstage.lab.scale;
 
-import saltstage.lab.scale.Topology.Zone;
-import saltstage.net.Transport;
-
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Random;
 import java.util.concurrent.ExecutionException;
 import java.util.stream.Stream;
+import saltstage.lab.scale.Topology.Zone;
+import saltstage.net.Transport;
 
 /** Control processes and hollow relays together, with configuration loaded. */
 final class FleetEnvironment implements AutoCloseable {
@@ -33,14 +32,16 @@
         controlPlane = new ControlPlane(folder, links);
         fleet = new SimulatedRelayFleet(controlPlane, folder);
         controlPlane.start();
-        configurationLoad = new ConfigurationLoadGenerator(controlPlane.client(), random, backendPort);
+        configurationLoad =
+                new ConfigurationLoadGenerator(controlPlane.client(), random, backendPort);
         configurationLoad.putBackends();
         putShards(shards);
     }
 
     /** Puts shards until there are so many. */
     final void putShards(int upTo) throws InterruptedException, ExecutionException {
-        configurationLoad.putShards(upTo, Stream.generate(controlPlane::client).limit(WRITER_COUNT).toList());
+        configurationLoad.putShards(
+                upTo, Stream.generate(controlPlane::client).limit(WRITER_COUNT).toList());
     }
 
     ZoneLinks links() {
--- a/lab/src/main/java/saltstage/lab/scale/FleetEvents.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetEvents.java
@@ -1,8 +1,5 @@
 package saltstage.lab.scale;
 
-import saltstage.coordinator.client.GroupClient;
-import saltstage.lab.scale.Topology.Zone;
-
 import java.time.Duration;
 import java.util.Collections;
 import java.util.Comparator;
@@ -11,6 +8,8 @@
 import java.util.Set;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.stream.Stream;
+import saltstage.coordinator.client.GroupClient;
+import saltstage.lab.scale.Topology.Zone;
 
 /** What befalls an installation, one event after the other, while changes go on. */
 final class FleetEvents {
@@ -80,7 +79,8 @@
         ScaleRun.sleepSeconds(EVENT_SECONDS);
         changes.stop();
         FleetRun.awaitApplied(environment, counted, changes);
-        SteadyChanges.PropagationTimes times = changes.propagationTimes(environment.fleet().revisionLog(), counted);
+        SteadyChanges.PropagationTimes times =
+                changes.propagationTimes(environment.fleet().revisionLog(), counted);
         times.addTo(file, name);
         checkGoals(name, times);
         end.run();
@@ -107,7 +107,10 @@
     /** From now until all these relays have what was accepted last. */
     private void measureRecovery(String figure, Set<Integer> relays) throws Exception {
         long begun = System.nanoTime();
-        ConfigurationLoadGenerator.AcceptedRevision last = environment.configurationLoad().changeShards(environment.controlPlane().client(), 1, CALL_TIMEOUT);
+        ConfigurationLoadGenerator.AcceptedRevision last =
+                environment
+                        .configurationLoad()
+                        .changeShards(environment.controlPlane().client(), 1, CALL_TIMEOUT);
         file.addFigure(
                 figure,
                 environment.fleet().awaitApplied(relays, last.revision(), begun, MAX_WAIT_SECONDS));
@@ -134,7 +137,8 @@
         SimulatedRelayHost stopped = environment.fleet().findHost(Zone.A2, STOPPED_RELAYS);
         Set<Integer> others = new HashSet<>(allRelays());
         others.removeAll(stopped.relayIndexes());
-        measureDuring("relays_stopped", stopped.process()::pause, stopped.process()::resume, others);
+        measureDuring(
+                "relays_stopped", stopped.process()::pause, stopped.process()::resume, others);
         measureRecovery("relays_stopped_back_s", allRelays());
     }
 
@@ -164,13 +168,21 @@
                         () -> {
                             environment.links().cutRegions();
                             refused[0] =
-                                    environment.controlPlane().isRejectingChanges(Zone.B1, environment.configurationLoad().randomChange());
+                                    environment
+                                            .controlPlane()
+                                            .isRejectingChanges(
+                                                    Zone.B1,
+                                                    environment.configurationLoad().randomChange());
                         },
                         () -> {},
                         regionA);
-        Set<Integer> regionB = environment.fleet().relaysIn(zone -> !zone.isInSameRegionAs(Zone.A1));
-        long lastInA = changes.acceptedRevisions().get(changes.acceptedRevisions().size() - 1).revision();
-        file.addFigure("regions_cut_relays_of_b_with_newest", environment.fleet().revisionLog().countWithRevision(regionB, lastInA));
+        Set<Integer> regionB =
+                environment.fleet().relaysIn(zone -> !zone.isInSameRegionAs(Zone.A1));
+        long lastInA =
+                changes.acceptedRevisions().get(changes.acceptedRevisions().size() - 1).revision();
+        file.addFigure(
+                "regions_cut_relays_of_b_with_newest",
+                environment.fleet().revisionLog().countWithRevision(regionB, lastInA));
         file.addFigure("regions_cut_b_refused_changes", refused[0] ? 1 : 0);
         environment.links().healRegions();
         measureRecovery("regions_cut_back_s", allRelays());
@@ -185,26 +197,36 @@
         environment.controlPlane().killAll();
         long begun = System.nanoTime();
         environment.controlPlane().startStopped();
-        ConfigurationLoadGenerator.AcceptedRevision last = environment.configurationLoad().changeShards(environment.controlPlane().client(), 1, CALL_TIMEOUT);
+        ConfigurationLoadGenerator.AcceptedRevision last =
+                environment
+                        .configurationLoad()
+                        .changeShards(environment.controlPlane().client(), 1, CALL_TIMEOUT);
         file.addFigure("control_restarted_accepted_s", (last.acceptedNanos() - begun) / 1e9);
         double back =
-                environment.fleet().awaitApplied(allRelays(), last.revision(), begun, MAX_WAIT_SECONDS);
+                environment
+                        .fleet()
+                        .awaitApplied(allRelays(), last.revision(), begun, MAX_WAIT_SECONDS);
         file.addFigure("control_restarted_back_s", back);
     }
 
     /** More changes than a history keeps; the one of the newest revision. */
     private ConfigurationLoadGenerator.AcceptedRevision changeBeyondHistory() throws Exception {
         List<ConfigurationLoadGenerator.AcceptedRevision> accepted = new CopyOnWriteArrayList<>();
-        List<GroupClient> writers = Stream.generate(environment.controlPlane()::client).limit(WRITERS).toList();
+        List<GroupClient> writers =
+                Stream.generate(environment.controlPlane()::client).limit(WRITERS).toList();
         Parallel.forEach(
                 writers,
                 writer -> {
                     for (int i = 0; i < CHANGES_WHILE_AWAY / WRITERS; i++) {
-                        accepted.add(environment.configurationLoad().changeShards(writer, ENTRIES_PER_CHANGE, CALL_TIMEOUT));
+                        accepted.add(
+                                environment
+                                        .configurationLoad()
+                                        .changeShards(writer, ENTRIES_PER_CHANGE, CALL_TIMEOUT));
                     }
                 });
         return Collections.max(
-                accepted, Comparator.comparingLong(ConfigurationLoadGenerator.AcceptedRevision::revision));
+                accepted,
+                Comparator.comparingLong(ConfigurationLoadGenerator.AcceptedRevision::revision));
     }
 
     private void relaysAway() throws Exception {
@@ -220,9 +242,9 @@
                 CHANGES_WHILE_AWAY * 1e9 / (System.nanoTime() - begun));
         file.addFigure(
                 "relays_away_others_in_force_s",
-                environment.fleet()
-                        .awaitApplied(
-                                others, last.revision(), last.sentNanos(), MAX_WAIT_SECONDS));
+                environment
+                        .fleet()
+                        .awaitApplied(others, last.revision(), last.sentNanos(), MAX_WAIT_SECONDS));
         away.process().resume();
         measureRecovery("relays_away_back_s", allRelays());
         int states = environment.fleet().distinctStates().size();
--- a/lab/src/main/java/saltstage/lab/scale/FleetResourceUsage.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetResourceUsage.java
@@ -1,8 +1,7 @@
 package saltstage.lab.scale;
 
-import saltstage.lab.scale.Topology.Zone;
-
 import java.io.IOException;
+import saltstage.lab.scale.Topology.Zone;
 
 /**
  * What an installation has used up to a moment, or between two.
@@ -24,7 +23,8 @@
         double leaderMegabytes,
         double distributorMegabytes,
         double simulatedRelayMegabytes) {
-    static FleetResourceUsage measure(FleetEnvironment all) throws IOException, InterruptedException {
+    static FleetResourceUsage measure(FleetEnvironment all)
+            throws IOException, InterruptedException {
         double distributors = 0;
         double distributorMegabytes = 0;
         for (Zone zone : Zone.values()) {
@@ -32,7 +32,8 @@
             distributors += figures.processorSeconds();
             distributorMegabytes = Math.max(distributorMegabytes, figures.residentMegabytes());
         }
-        ProcessStatistics leader = all.controlPlane().replica(all.controlPlane().leader()).statistics();
+        ProcessStatistics leader =
+                all.controlPlane().replica(all.controlPlane().leader()).statistics();
         return new FleetResourceUsage(
                 System.nanoTime() / 1e9,
                 leader.processorSeconds(),
@@ -65,10 +66,13 @@
         file.addFigure(
                 prefix + "_distributor_processor_share",
                 distributorProcessorSeconds / seconds / zones);
-        file.addFigure(prefix + "_hollow_processor_share", simulatedRelayProcessorSeconds / seconds);
+        file.addFigure(
+                prefix + "_hollow_processor_share", simulatedRelayProcessorSeconds / seconds);
         file.addFigure(prefix + "_relay_bytes_per_s", relayTraffic.bytes() / seconds / relays);
-        file.addFigure(prefix + "_relay_requests_per_s", relayTraffic.requests() / seconds / relays);
-        file.addFigure(prefix + "_distributor_bytes_per_s", distributorTraffic.bytes() / seconds / zones);
+        file.addFigure(
+                prefix + "_relay_requests_per_s", relayTraffic.requests() / seconds / relays);
+        file.addFigure(
+                prefix + "_distributor_bytes_per_s", distributorTraffic.bytes() / seconds / zones);
         file.addFigure(
                 prefix + "_distributor_requests_per_s",
                 distributorTraffic.requests() / seconds / zones);
--- a/lab/src/main/java/saltstage/lab/scale/FleetRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetRun.java
@@ -1,13 +1,11 @@
 package saltstage.lab.scale;
 
+import java.io.IOException;
+import java.util.Set;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-
 import saltstage.lab.scale.Topology.Zone;
 
-import java.io.IOException;
-import java.util.Set;
-
 /** Hollow relays up to the target's number behind real replicas and distributors. */
 @Command(
         name = "fleet",
@@ -20,7 +18,8 @@
     /** The first step of zone A2: the smaller process is one hundredth of all relays. */
     private static final int[] SPLIT_HOST_SIZES = {8, 4};
 
-    private static final double FIFTY_FOLD_CHANGES_PER_SECOND = 50 * CapacityTarget.CHANGES_PER_SECOND;
+    private static final double FIFTY_FOLD_CHANGES_PER_SECOND =
+            50 * CapacityTarget.CHANGES_PER_SECOND;
     private static final double MAX_LEADER_GROWTH = 1.2;
 
     @Option(names = "--shards", defaultValue = "59000", description = "placed (default 59000)")
@@ -116,7 +115,8 @@
     /** Whether the leader takes no more with all relays than with the fewest, but for a fifth. */
     private static boolean isLeaderUsageFlat(MeasurementFile file) {
         var shares = file.points("changing_leader_processor_share");
-        boolean flat = shares.get(shares.size() - 1).value() <= MAX_LEADER_GROWTH * shares.get(0).value();
+        boolean flat =
+                shares.get(shares.size() - 1).value() <= MAX_LEADER_GROWTH * shares.get(0).value();
         printProgress("fleet: leader's processor time " + (flat ? "is flat" : "GROWS"));
         return flat;
     }
--- a/lab/src/main/java/saltstage/lab/scale/LargeListDiscovery.java
+++ b/lab/src/main/java/saltstage/lab/scale/LargeListDiscovery.java
@@ -131,7 +131,12 @@
     private String entryJson(int i, double capacity) {
         int block = i / ADDRESSES_PER_BLOCK;
         String host =
-                "127." + (1 + block / 250) + "." + block % 250 + "." + (1 + i % ADDRESSES_PER_BLOCK);
+                "127."
+                        + (1 + block / 250)
+                        + "."
+                        + block % 250
+                        + "."
+                        + (1 + i % ADDRESSES_PER_BLOCK);
         return "{\"uid\":\"g"
                 + i
                 + "\",\"endpoint\":\""
--- a/lab/src/main/java/saltstage/lab/scale/LeasesRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/LeasesRun.java
@@ -1,8 +1,15 @@
 package saltstage.lab.scale;
 
+import java.io.IOException;
+import java.time.Duration;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.ConcurrentSkipListMap;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.stream.Stream;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-
 import saltstage.coordinator.client.GroupClient;
 import saltstage.coordinator.lease.LeaseCommands.Acquire;
 import saltstage.coordinator.lease.LeaseCommands.Renew;
@@ -12,15 +19,6 @@
 import saltstage.lab.trial.GroupUnderTest;
 import saltstage.lab.trial.TrialProcess;
 
-import java.io.IOException;
-import java.time.Duration;
-import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
-import java.util.concurrent.ConcurrentSkipListMap;
-import java.util.concurrent.atomic.AtomicInteger;
-import java.util.stream.Stream;
-
 /**
  * What many leases of one holder cost: one command renews them all, as the lease client does it.
  */
@@ -56,7 +54,11 @@
     @Override
     boolean run(RunContext stage) throws Exception {
         try (GroupUnderTest group =
-                new GroupUnderTest(stage.folder(), REPLICAS, List.of(TrialProcess.coordinatorJar()), "")
+                new GroupUnderTest(
+                                stage.folder(),
+                                REPLICAS,
+                                List.of(TrialProcess.coordinatorJar()),
+                                "")
                         .start()) {
             ConcurrentSkipListMap<String, Long> fences = new ConcurrentSkipListMap<>();
             for (int leases : LEASE_COUNTS) {
--- a/lab/src/main/java/saltstage/lab/scale/LineClients.java
+++ b/lab/src/main/java/saltstage/lab/scale/LineClients.java
@@ -1,13 +1,5 @@
 package saltstage.lab.scale;
 
-import org.HdrHistogram.ConcurrentHistogram;
-import org.HdrHistogram.Histogram;
-
-import saltstage.net.Connection;
-import saltstage.net.ConnectionHandler;
-import saltstage.net.Loop;
-import saltstage.net.Transport;
-
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -16,6 +8,12 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
+import org.HdrHistogram.ConcurrentHistogram;
+import org.HdrHistogram.Histogram;
+import saltstage.net.Connection;
+import saltstage.net.ConnectionHandler;
+import saltstage.net.Loop;
+import saltstage.net.Transport;
 
 /** Clients that open connections through a relay, stand, and time what is delivered to them. */
 final class LineClients {
@@ -23,7 +21,8 @@
     static final String DELIVERY_PREFIX = "D ";
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
-    private static final Connection.WriteLimits WRITE_LIMITS = new Connection.WriteLimits(1 << 16, 1 << 20);
+    private static final Connection.WriteLimits WRITE_LIMITS =
+            new Connection.WriteLimits(1 << 16, 1 << 20);
     private static final long MAX_RECORDED_MICROS = 60_000_000;
 
     private final Transport transport;
