--- a/lab/src/main/java/saltstage/lab/scale/LineFit.java
+++ b/lab/src/main/java/saltstage/lab/scale/LineFit.java
@@ -1,12 +1,11 @@
 package saltstage.lab.scale;
 
+import java.util.List;
 import org.apache.commons.math3.distribution.TDistribution;
 import org.apache.commons.math3.exception.MathIllegalArgumentException;
 import org.apache.commons.math3.stat.regression.OLSMultipleLinearRegression;
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
-import java.util.List;
-
 /**
  * A least-squares line through measured points, with 95% intervals from Student's t. The line is
  * not to be used where the residuals bend: where a quadratic term differs from zero at the 5% level
@@ -20,7 +19,12 @@
  * @param points how many were measured
  */
 public record LineFit(
-        Shape shape, Interval intercept, Interval slope, double minQuantity, double maxQuantity, int pointCount) {
+        Shape shape,
+        Interval intercept,
+        Interval slope,
+        double minQuantity,
+        double maxQuantity,
+        int pointCount) {
     private static final double SIGNIFICANCE_LEVEL = 0.05;
     private static final double MIN_CURVATURE_SHARE = 0.1;
     private static final int MIN_POINTS = 5;
@@ -62,7 +66,8 @@
         SimpleRegression line = new SimpleRegression();
         points.forEach(point -> line.addData(point.quantity(), point.value()));
         double t =
-                new TDistribution(points.size() - 2.0).inverseCumulativeProbability(1 - SIGNIFICANCE_LEVEL / 2);
+                new TDistribution(points.size() - 2.0)
+                        .inverseCumulativeProbability(1 - SIGNIFICANCE_LEVEL / 2);
         Interval slope = Interval.around(line.getSlope(), t * line.getSlopeStdErr());
         Interval intercept = Interval.around(line.getIntercept(), t * line.getInterceptStdErr());
         return new LineFit(
@@ -89,9 +94,12 @@
             double[] terms = curve.estimateRegressionParameters();
             double error = curve.estimateRegressionParametersStandardErrors()[2];
             double freedom = points.size() - 3.0;
-            double bound = new TDistribution(freedom).inverseCumulativeProbability(1 - SIGNIFICANCE_LEVEL / 2);
+            double bound =
+                    new TDistribution(freedom)
+                            .inverseCumulativeProbability(1 - SIGNIFICANCE_LEVEL / 2);
             double atMost = Math.abs(terms[0] + terms[1] + terms[2]);
-            return Math.abs(terms[2]) > bound * error && Math.abs(terms[2]) > MIN_CURVATURE_SHARE * atMost;
+            return Math.abs(terms[2]) > bound * error
+                    && Math.abs(terms[2]) > MIN_CURVATURE_SHARE * atMost;
         } catch (MathIllegalArgumentException flat) {
             return false; // the points lie on one value
         }
--- a/lab/src/main/java/saltstage/lab/scale/ListRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ListRun.java
@@ -1,12 +1,11 @@
 package saltstage.lab.scale;
 
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
-
 import java.io.IOException;
 import java.time.Duration;
 import java.util.List;
 import java.util.Locale;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
 
 /**
  * What a change of a list costs a relay today, told as the whole list or as the entry that changed.
@@ -18,7 +17,9 @@
                 "One real relay behind a discovery whose list grows: bytes, processor time,"
                         + " memory.")
 final class ListRun extends ScaleRun {
-    private static final int[] ENTRY_COUNTS = {90, 360, 1_440, 2_880, 5_760, 11_520, 23_040, 59_000};
+    private static final int[] ENTRY_COUNTS = {
+        90, 360, 1_440, 2_880, 5_760, 11_520, 23_040, 59_000
+    };
     private static final int MAX_SOCKETS = 4_096;
     private static final int WARM_UP_CHANGES = 3;
     private static final double QUIET_SECONDS = 2;
@@ -79,7 +80,8 @@
         double gap = changeIntervalSeconds(entries, way);
         try (FakeLineBackends backends = new FakeLineBackends(stage.transport());
                 LargeListDiscovery list =
-                        new LargeListDiscovery(entries, backends.port(), way.sendsFullList, stage.seed());
+                        new LargeListDiscovery(
+                                entries, backends.port(), way.sendsFullList, stage.seed());
                 CountingProxy link =
                         new CountingProxy(stage.transport(), list.address(), Duration.ZERO);
                 RelayProcess relay =
@@ -151,7 +153,8 @@
                     way.figureName("bytes_per_change"),
                     (link.bytesFromTarget() - bytes) / (double) changes);
             file.addFigure(
-                    way.figureName("processor_ms_per_change"), Math.max(0, forChanges) * 1e3 / changes);
+                    way.figureName("processor_ms_per_change"),
+                    Math.max(0, forChanges) * 1e3 / changes);
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/Measurement.java
+++ b/lab/src/main/java/saltstage/lab/scale/Measurement.java
@@ -13,7 +13,13 @@
 
     /** The line as the CSV has it. */
     String toCsvLine() {
-        return seed + "," + FigureFormat.forCsv(quantity) + "," + figure + "," + FigureFormat.forCsv(value);
+        return seed
+                + ","
+                + FigureFormat.forCsv(quantity)
+                + ","
+                + figure
+                + ","
+                + FigureFormat.forCsv(value);
     }
 
     /** Parses a line of a CSV. */
--- a/lab/src/main/java/saltstage/lab/scale/MeasurementFile.java
+++ b/lab/src/main/java/saltstage/lab/scale/MeasurementFile.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -59,7 +58,8 @@
     /** Writes the CSV into the folder. */
     public void write(Path folder) throws IOException {
         printPoint();
-        String lines = rows.stream().map(row -> row.toCsvLine() + "\n").collect(Collectors.joining());
+        String lines =
+                rows.stream().map(row -> row.toCsvLine() + "\n").collect(Collectors.joining());
         Files.writeString(csvFile(folder, run), CSV_HEADER + "\n" + lines);
     }
 
--- a/lab/src/main/java/saltstage/lab/scale/MeasurementFileTable.java
+++ b/lab/src/main/java/saltstage/lab/scale/MeasurementFileTable.java
@@ -22,9 +22,12 @@
     /** The table of all CSVs of scale runs in this folder. */
     static String of(Path folder) {
         try (Stream<Path> files = Files.list(folder)) {
-            List<Path> csvs = files.filter(MeasurementFileTable::isMeasurementFile).sorted().toList();
+            List<Path> csvs =
+                    files.filter(MeasurementFileTable::isMeasurementFile).sorted().toList();
             return "| file | figures | SHA-256 begins with |\n| --- | ---: | --- |\n"
-                    + csvs.stream().map(MeasurementFileTable::tableRow).collect(Collectors.joining("\n"));
+                    + csvs.stream()
+                            .map(MeasurementFileTable::tableRow)
+                            .collect(Collectors.joining("\n"));
         } catch (IOException unreadable) {
             throw new UncheckedIOException(unreadable);
         }
--- a/lab/src/main/java/saltstage/lab/scale/ProcessStatistics.java
+++ b/lab/src/main/java/saltstage/lab/scale/ProcessStatistics.java
@@ -29,7 +29,9 @@
                         + Double.parseDouble(afterName[SYSTEM_TICKS_FIELD]);
         long pages = Long.parseLong(afterName[RESIDENT_PAGES_FIELD]);
         return new ProcessStatistics(
-                ticks / TICKS_PER_SECOND, pages * PAGE_BYTES, Integer.parseInt(afterName[THREADS_FIELD]));
+                ticks / TICKS_PER_SECOND,
+                pages * PAGE_BYTES,
+                Integer.parseInt(afterName[THREADS_FIELD]));
     }
 
     /** Resident memory in units of 1,000,000 bytes. */
--- a/lab/src/main/java/saltstage/lab/scale/RealRelaysRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/RealRelaysRun.java
@@ -1,16 +1,14 @@
 package saltstage.lab.scale;
 
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
-
-import saltstage.lab.scale.Topology.Zone;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import saltstage.lab.scale.Topology.Zone;
 
 /** Whether hollow relays cost what real ones do: three of each behind one distributor. */
 @Command(
@@ -23,7 +21,8 @@
     private static final String SIMULATED_RELAY_LINKS = "hollow relays";
     private static final int MAX_SOCKETS = 4_096;
     private static final int HEAP_MEGABYTES = 160;
-    private static final double FIFTY_FOLD_CHANGES_PER_SECOND = 50 * CapacityTarget.CHANGES_PER_SECOND;
+    private static final double FIFTY_FOLD_CHANGES_PER_SECOND =
+            50 * CapacityTarget.CHANGES_PER_SECOND;
     private static final double MAX_DEVIATION = 0.1;
     private static final double SETTLE_SECONDS = 6;
 
@@ -49,7 +48,8 @@
                                 stage.seed(),
                                 shards,
                                 backends.port())) {
-            List<String> sources = all.controlPlane().addRelaySources(SIMULATED_RELAY_LINKS, Zone.A1);
+            List<String> sources =
+                    all.controlPlane().addRelaySources(SIMULATED_RELAY_LINKS, Zone.A1);
             try (SimulatedRelayHost hollow =
                     new SimulatedRelayHost(
                             0,
@@ -61,7 +61,9 @@
                             new AppliedRevisionLog())) {
                 hollow.start();
                 hollow.awaitReady();
-                startRealRelays(stage.folder(), all.controlPlane().addRelaySources(REAL_RELAY_LINKS, Zone.A1));
+                startRealRelays(
+                        stage.folder(),
+                        all.controlPlane().addRelaySources(REAL_RELAY_LINKS, Zone.A1));
                 sleepSeconds(SETTLE_SECONDS);
                 return compare(stage.file(), all);
             } finally {
@@ -102,13 +104,16 @@
         return quiet && changing;
     }
 
-    private boolean measureSpan(MeasurementFile file, FleetEnvironment all, String name) throws Exception {
+    private boolean measureSpan(MeasurementFile file, FleetEnvironment all, String name)
+            throws Exception {
         ZoneLinks.Traffic realBefore = all.links().traffic(REAL_RELAY_LINKS, zone -> true);
         ZoneLinks.Traffic hollowBefore = all.links().traffic(SIMULATED_RELAY_LINKS, zone -> true);
         double processorBefore = processorSeconds();
         sleepSeconds(span);
-        ZoneLinks.Traffic real = all.links().traffic(REAL_RELAY_LINKS, zone -> true).since(realBefore);
-        ZoneLinks.Traffic hollow = all.links().traffic(SIMULATED_RELAY_LINKS, zone -> true).since(hollowBefore);
+        ZoneLinks.Traffic real =
+                all.links().traffic(REAL_RELAY_LINKS, zone -> true).since(realBefore);
+        ZoneLinks.Traffic hollow =
+                all.links().traffic(SIMULATED_RELAY_LINKS, zone -> true).since(hollowBefore);
         file.addFigure(name + "_real_bytes_per_s", real.bytes() / span / RELAY_COUNT);
         file.addFigure(name + "_hollow_bytes_per_s", hollow.bytes() / span / RELAY_COUNT);
         file.addFigure(name + "_real_requests_per_s", real.requests() / span / RELAY_COUNT);
@@ -118,8 +123,10 @@
         file.addFigure(
                 name + "_real_processor_share",
                 (processorSeconds() - processorBefore) / span / RELAY_COUNT);
-        file.addFigure(name + "_real_resident_mb", realRelays.get(0).statistics().residentMegabytes());
-        return isWithinDeviation(hollow.bytes(), real.bytes()) && isWithinDeviation(hollow.requests(), real.requests());
+        file.addFigure(
+                name + "_real_resident_mb", realRelays.get(0).statistics().residentMegabytes());
+        return isWithinDeviation(hollow.bytes(), real.bytes())
+                && isWithinDeviation(hollow.requests(), real.requests());
     }
 
     private static boolean isWithinDeviation(double hollow, double real) {
--- a/lab/src/main/java/saltstage/lab/scale/RelayProcess.java
+++ b/lab/src/main/java/saltstage/lab/scale/RelayProcess.java
@@ -1,7 +1,5 @@
 package saltstage.lab.scale;
 
-import saltstage.lab.Installation;
-
 import java.io.File;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -14,11 +12,13 @@
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import saltstage.lab.Installation;
 
 /** A real relay, started by the command and with the JVM flags of {@code deploy/balancer.toml}. */
 final class RelayProcess implements AutoCloseable {
     private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
-    private static final Pattern RUN_COMMAND_PATTERN = Pattern.compile("(?m)^run = \"exec ([^\"]+)\"");
+    private static final Pattern RUN_COMMAND_PATTERN =
+            Pattern.compile("(?m)^run = \"exec ([^\"]+)\"");
     private static final String CONFIGURATION_TEMPLATE =
             """
             {"name":"relay","listen":"LISTEN","discovery":"DISCOVERY","seed":"1",
@@ -59,7 +59,8 @@
         Path config = Files.createDirectories(folder).resolve("relay.json");
         Files.writeString(
                 config,
-                CONFIGURATION_TEMPLATE.replace("LISTEN", formatAddress(listenAddress))
+                CONFIGURATION_TEMPLATE
+                        .replace("LISTEN", formatAddress(listenAddress))
                         .replace("DISCOVERY", formatAddress(discovery))
                         .replace("SOCKETS", Integer.toString(sockets))
                         .replace("PROBES", Boolean.toString(probes)));
@@ -77,7 +78,10 @@
     }
 
     private static List<String> deployedCommand() throws IOException {
-        Matcher run = RUN_COMMAND_PATTERN.matcher(Files.readString(Installation.repositoryRoot().resolve("deploy/balancer.toml")));
+        Matcher run =
+                RUN_COMMAND_PATTERN.matcher(
+                        Files.readString(
+                                Installation.repositoryRoot().resolve("deploy/balancer.toml")));
         if (!run.find()) {
             throw new IOException("deploy/balancer.toml names no command to run a relay");
         }
@@ -117,7 +121,8 @@
 
     /** How many lines of its log hold this text. */
     long countLogLines(String text) throws IOException {
-        try (var lines = Files.lines(logFile.toPath(), java.nio.charset.StandardCharsets.ISO_8859_1)) {
+        try (var lines =
+                Files.lines(logFile.toPath(), java.nio.charset.StandardCharsets.ISO_8859_1)) {
             return lines.filter(line -> line.contains(text)).count();
         }
     }
--- a/lab/src/main/java/saltstage/lab/scale/RenewalsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/RenewalsRun.java
@@ -1,11 +1,15 @@
 package saltstage.lab.scale;
 
+import java.io.IOException;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
-
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-
 import saltstage.coordinator.client.GroupClient;
 import saltstage.coordinator.lease.LeaseCommands.Acquire;
 import saltstage.coordinator.lease.LeaseCommands.Renew;
@@ -14,13 +18,6 @@
 import saltstage.lab.trial.GroupUnderTest;
 import saltstage.lab.trial.TrialProcess;
 
-import java.io.IOException;
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
-
 /** What renewing leases through the group's log costs its leader, by the rate of renewals. */
 @Command(
         name = "renewals",
@@ -29,7 +26,9 @@
 class RenewalsRun extends ScaleRun {
     private static final int REPLICAS = 3;
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(20);
-    private static final int[] RATES_PER_SECOND = {10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400};
+    private static final int[] RATES_PER_SECOND = {
+        10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400
+    };
     private static final int HOLDER_COUNT = 192;
     private static final long TTL_MS = 600_000;
     private static final double WARM_UP_SECONDS = 4;
@@ -57,7 +56,11 @@
     @Override
     boolean run(RunContext stage) throws Exception {
         try (GroupUnderTest group =
-                new GroupUnderTest(stage.folder(), REPLICAS, List.of(TrialProcess.coordinatorJar()), "")
+                new GroupUnderTest(
+                                stage.folder(),
+                                REPLICAS,
+                                List.of(TrialProcess.coordinatorJar()),
+                                "")
                         .start()) {
             List<LeaseHolder> holders = new ArrayList<>();
             for (int i = 0; i < HOLDER_COUNT; i++) {
@@ -133,7 +136,9 @@
                 String lease = name + "-" + i;
                 Granted granted =
                         (Granted)
-                                client.send(new Acquire(lease, name, TTL_MS, 0, false), CALL_TIMEOUT)
+                                client.send(
+                                                new Acquire(lease, name, TTL_MS, 0, false),
+                                                CALL_TIMEOUT)
                                         .reply();
                 fencingTokens.put(lease, granted.fence());
             }
@@ -145,7 +150,8 @@
             while (due < until && System.nanoTime() < until) {
                 Thread.sleep(Math.max(0, (long) ((due - System.nanoTime()) / 1e6)));
                 long start = System.nanoTime();
-                Renewed renewed = (Renewed) client.send(new Renew(name, fencingTokens), CALL_TIMEOUT).reply();
+                Renewed renewed =
+                        (Renewed) client.send(new Renew(name, fencingTokens), CALL_TIMEOUT).reply();
                 if (!renewed.lost().isEmpty()) {
                     throw new IOException("a lease of " + name + " was lost");
                 }
--- a/lab/src/main/java/saltstage/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/ScaleCommand.java
@@ -1,12 +1,11 @@
 package saltstage.lab.scale;
 
+import java.util.concurrent.Callable;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-import java.util.concurrent.Callable;
-
 /** Scale runs and the page that is computed from them. */
 @Command(
         name = "scale",
--- a/lab/src/main/java/saltstage/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ScaleRun.java
@@ -1,15 +1,13 @@
 package saltstage.lab.scale;
 
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.concurrent.Callable;
 import picocli.CommandLine.Option;
-
 import saltstage.lab.Installation;
 import saltstage.net.NettyTransport;
 import saltstage.net.Transport;
 
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.concurrent.Callable;
-
 /** What all scale runs share: a seed, a scratch folder, event loops, and a CSV at the end. */
 abstract class ScaleRun implements Callable<Integer> {
     private static final int EVENT_LOOPS = 2;
--- a/lab/src/main/java/saltstage/lab/scale/SimulatedRelay.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelay.java
@@ -1,5 +1,7 @@
 package saltstage.lab.scale;
 
+import java.net.URI;
+import java.util.List;
 import saltstage.configuration.Change;
 import saltstage.configuration.ConfigurationView;
 import saltstage.configuration.Entry;
@@ -9,9 +11,6 @@
 import saltstage.configuration.follower.FollowerOptions;
 import saltstage.configuration.follower.FollowerResources;
 
-import java.net.URI;
-import java.util.List;
-
 /** One hollow relay: the real client, which tells when revisions come into force. */
 final class SimulatedRelay implements FollowerListener {
     /** What was in force at one moment. */
@@ -65,7 +64,13 @@
     }
 
     private String revisionLine() {
-        return SimulatedRelayHost.REVISION_LINE + " " + index + " " + revision + " " + System.nanoTime();
+        return SimulatedRelayHost.REVISION_LINE
+                + " "
+                + index
+                + " "
+                + revision
+                + " "
+                + System.nanoTime();
     }
 
     @Override
--- a/lab/src/main/java/saltstage/lab/scale/SimulatedRelayFleet.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelayFleet.java
@@ -1,7 +1,5 @@
 package saltstage.lab.scale;
 
-import saltstage.lab.scale.Topology.Zone;
-
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -12,6 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
+import saltstage.lab.scale.Topology.Zone;
 
 /** The hollow relays of all zones, in processes that can be killed and paused one by one. */
 final class SimulatedRelayFleet implements AutoCloseable {
--- a/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHostCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHostCommand.java
@@ -1,13 +1,5 @@
 package saltstage.lab.scale;
 
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
-
-import saltstage.configuration.ConfigurationView;
-import saltstage.configuration.follower.FollowerOptions;
-import saltstage.configuration.follower.FollowerResources;
-import saltstage.configuration.follower.FollowerTimings;
-
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -26,6 +18,12 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import saltstage.configuration.ConfigurationView;
+import saltstage.configuration.follower.FollowerOptions;
+import saltstage.configuration.follower.FollowerResources;
+import saltstage.configuration.follower.FollowerTimings;
 
 /**
  * Many hollow relays in one process: the control side of a relay (client, codec, state, timers)
@@ -66,7 +64,8 @@
         relays.add(leading);
         leading.start(followerOptions(first), resources);
         if (!current.await(SNAPSHOT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-            throw new IOException("no source gave a snapshot within " + SNAPSHOT_TIMEOUT_SECONDS + " s");
+            throw new IOException(
+                    "no source gave a snapshot within " + SNAPSHOT_TIMEOUT_SECONDS + " s");
         }
         SimulatedRelay.Snapshot held = leading.snapshot();
         for (int index = first + 1; index < first + count; index++) {
--- a/lab/src/main/java/saltstage/lab/scale/SteadyChanges.java
+++ b/lab/src/main/java/saltstage/lab/scale/SteadyChanges.java
@@ -1,12 +1,11 @@
 package saltstage.lab.scale;
 
-import saltstage.coordinator.client.GroupClient;
-
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collection;
 import java.util.List;
+import saltstage.coordinator.client.GroupClient;
 
 /** Changes at a steady rate from a thread of their own, and when they came into force where. */
 final class SteadyChanges {
@@ -14,7 +13,8 @@
 
     private final ConfigurationLoadGenerator configurationLoad;
     private final GroupClient client;
-    private final List<ConfigurationLoadGenerator.AcceptedRevision> acceptedRevisions = new ArrayList<>();
+    private final List<ConfigurationLoadGenerator.AcceptedRevision> acceptedRevisions =
+            new ArrayList<>();
     private final Thread writerThread;
     private volatile boolean stopped;
     private int failedCount;
@@ -34,7 +34,8 @@
             try {
                 Thread.sleep(Math.max(0, (long) ((due - System.nanoTime()) / 1e6)));
                 due = Math.max(due + 1e9 / perSecond, System.nanoTime() - 1e9);
-                ConfigurationLoadGenerator.AcceptedRevision one = configurationLoad.changeShards(client, 1, CALL_TIMEOUT);
+                ConfigurationLoadGenerator.AcceptedRevision one =
+                        configurationLoad.changeShards(client, 1, CALL_TIMEOUT);
                 synchronized (acceptedRevisions) {
                     acceptedRevisions.add(one);
                 }
@@ -93,7 +94,10 @@
     PropagationTimes propagationTimes(AppliedRevisionLog log, Collection<Integer> relays) {
         List<double[]> byChange =
                 acceptedRevisions().stream()
-                        .map(change -> log.secondsUntilApplied(relays, change.revision(), change.sentNanos()))
+                        .map(
+                                change ->
+                                        log.secondsUntilApplied(
+                                                relays, change.revision(), change.sentNanos()))
                         .toList();
         double[] all = byChange.stream().flatMapToDouble(Arrays::stream).sorted().toArray();
         double[] everywhere =
--- a/lab/src/main/java/saltstage/lab/scale/ZoneLinks.java
+++ b/lab/src/main/java/saltstage/lab/scale/ZoneLinks.java
@@ -1,13 +1,12 @@
 package saltstage.lab.scale;
 
-import saltstage.lab.scale.Topology.Zone;
-import saltstage.net.Transport;
-
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
+import saltstage.lab.scale.Topology.Zone;
+import saltstage.net.Transport;
 
 /**
  * The links of an installation, each from a zone to a process of a zone; they count, delay and can
--- a/lab/src/main/java/saltstage/lab/store/Report.java
+++ b/lab/src/main/java/saltstage/lab/store/Report.java
@@ -34,29 +34,45 @@
     }
 
     /** Bars of a column by the values of another, one colour for each value of the first. */
-    public void setBarChart(String title, String x, String y, int series, int category, int figure) {
-        chart = new CategoryChartBuilder().width(900).height(500).title(title).xAxisTitle(x).yAxisTitle(y)
-            .build();
+    public void setBarChart(
+            String title, String x, String y, int series, int category, int figure) {
+        chart =
+                new CategoryChartBuilder()
+                        .width(900)
+                        .height(500)
+                        .title(title)
+                        .xAxisTitle(x)
+                        .yAxisTitle(y)
+                        .build();
         Map<String, Map<String, Double>> all = new LinkedHashMap<>();
         for (List<String> row : rows) {
             all.computeIfAbsent(row.get(series), k -> new LinkedHashMap<>())
-                .put(row.get(category), Double.valueOf(row.get(figure)));
+                    .put(row.get(category), Double.valueOf(row.get(figure)));
         }
-        all.forEach((one, values) ->
-            chart.addSeries(one, new ArrayList<>(values.keySet()), new ArrayList<>(values.values())));
+        all.forEach(
+                (one, values) ->
+                        chart.addSeries(
+                                one,
+                                new ArrayList<>(values.keySet()),
+                                new ArrayList<>(values.values())));
     }
 
     /** Writes NAME.csv, NAME.md and, where there is one, NAME.png. */
     public void writeFiles(Path dir) throws IOException {
-        Files.writeString(dir.resolve(name + ".csv"), String.join(",", header) + "\n"
-            + rows.stream().map(row -> String.join(",", row) + "\n").collect(Collectors.joining()));
+        Files.writeString(
+                dir.resolve(name + ".csv"),
+                String.join(",", header)
+                        + "\n"
+                        + rows.stream()
+                                .map(row -> String.join(",", row) + "\n")
+                                .collect(Collectors.joining()));
         StringBuilder table = new StringBuilder("| " + String.join(" | ", header) + " |\n|");
         header.forEach(column -> table.append(" --- |"));
         rows.forEach(row -> table.append("\n| ").append(String.join(" | ", row)).append(" |"));
         Files.writeString(dir.resolve(name + ".table.md"), table + "\n");
         if (chart != null) {
-            BitmapEncoder.saveBitmap(chart, dir.resolve(name + ".png").toString(),
-                BitmapEncoder.BitmapFormat.PNG);
+            BitmapEncoder.saveBitmap(
+                    chart, dir.resolve(name + ".png").toString(), BitmapEncoder.BitmapFormat.PNG);
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/store/StorageEngine.java
+++ b/lab/src/main/java/saltstage/lab/store/StorageEngine.java
@@ -92,7 +92,11 @@
         private final Store store;
 
         SaltstageEngine(Path dir) throws IOException {
-            store = Store.open(FileDisk.openOrCreate(dir), StoreOptions.defaults(), StoreEventListener.NONE);
+            store =
+                    Store.open(
+                            FileDisk.openOrCreate(dir),
+                            StoreOptions.defaults(),
+                            StoreEventListener.NONE);
         }
 
         @Override
--- a/lab/src/main/java/saltstage/lab/store/StoreBenchmark.java
+++ b/lab/src/main/java/saltstage/lab/store/StoreBenchmark.java
@@ -27,13 +27,19 @@
 import saltstage.store.StoreOptions;
 
 /** Measurements of the store; results go to docs/measurements as CSV, table and chart. */
-@Command(name = "store", mixinStandardHelpOptions = true, description = "Measures the embedded store.",
-    subcommands = {StoreBenchmark.Commits.class, StoreBenchmark.Recovery.class, StoreBenchmark.Compaction.class})
+@Command(
+        name = "store",
+        mixinStandardHelpOptions = true,
+        description = "Measures the embedded store.",
+        subcommands = {
+            StoreBenchmark.Commits.class,
+            StoreBenchmark.Recovery.class,
+            StoreBenchmark.Compaction.class
+        })
 public final class StoreBenchmark implements Callable<Integer> {
     private static final int VALUE_BYTES = 128;
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
@@ -60,7 +66,8 @@
     }
 
     /** Runs so many writers for this time; returns the steps done a second. */
-    private static long measureRate(int writers, double seconds, Histogram latency, StoreOperation step) throws Exception {
+    private static long measureRate(
+            int writers, double seconds, Histogram latency, StoreOperation step) throws Exception {
         LongAdder done = new LongAdder();
         AtomicReference<Exception> failed = new AtomicReference<>();
         long start = System.nanoTime();
@@ -68,21 +75,24 @@
         List<Thread> threads = new ArrayList<>();
         for (int w = 0; w < writers; w++) {
             SplittableRandom random = new SplittableRandom(w + 1);
-            threads.add(new Thread(() -> {
-                try {
-                    for (long at = System.nanoTime(); at < until && failed.get() == null;) {
-                        step.run(random.nextLong(100_000));
-                        long now = System.nanoTime();
-                        if (latency != null) {
-                            latency.recordValue((now - at) / 1_000);
-                        }
-                        at = now;
-                        done.increment();
-                    }
-                } catch (Exception e) {
-                    failed.set(e);
-                }
-            }));
+            threads.add(
+                    new Thread(
+                            () -> {
+                                try {
+                                    for (long at = System.nanoTime();
+                                            at < until && failed.get() == null; ) {
+                                        step.run(random.nextLong(100_000));
+                                        long now = System.nanoTime();
+                                        if (latency != null) {
+                                            latency.recordValue((now - at) / 1_000);
+                                        }
+                                        at = now;
+                                        done.increment();
+                                    }
+                                } catch (Exception e) {
+                                    failed.set(e);
+                                }
+                            }));
         }
         threads.forEach(Thread::start);
         for (Thread thread : threads) {
@@ -95,13 +105,23 @@
     }
 
     /** Durable commits a second, engines in turn. */
-    @Command(name = "commits", mixinStandardHelpOptions = true,
-        description = "Durable commits a second of 128-byte values, against other engines on the same disk.")
+    @Command(
+            name = "commits",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Durable commits a second of 128-byte values, against other engines on the same"
+                            + " disk.")
     static final class Commits implements Callable<Integer> {
-        @Option(names = "--dir", required = true, description = "a new folder on the disk to measure")
+        @Option(
+                names = "--dir",
+                required = true,
+                description = "a new folder on the disk to measure")
         private Path dir;
 
-        @Option(names = "--rounds", defaultValue = "5", description = "rounds of all engines in turn (5)")
+        @Option(
+                names = "--rounds",
+                defaultValue = "5",
+                description = "rounds of all engines in turn (5)")
         private int rounds;
 
         @Option(names = "--seconds", defaultValue = "1.5", description = "of each run (1.5)")
@@ -116,7 +136,9 @@
                     for (StorageEngine.Kind kind : StorageEngine.Kind.values()) {
                         Path at = dir.resolve(kind + "-" + n + "-" + round);
                         try (StorageEngine engine = kind.open(at)) {
-                            long rate = measureRate(n, seconds, null, k -> engine.put(key(k), value(k)));
+                            long rate =
+                                    measureRate(
+                                            n, seconds, null, k -> engine.put(key(k), value(k)));
                             rates.computeIfAbsent(kind + " " + n, k -> new ArrayList<>()).add(rate);
                         }
                         Installation.deleteRecursively(at);
@@ -124,37 +146,66 @@
                 }
                 System.err.println("round " + (round + 1) + " of " + rounds);
             }
-            Report report = new Report("store-commits", "engine", "writers", "median", "least", "most",
-                "to growing file");
+            Report report =
+                    new Report(
+                            "store-commits",
+                            "engine",
+                            "writers",
+                            "median",
+                            "least",
+                            "most",
+                            "to growing file");
             for (int n : writers) {
                 long limit = median(rates.get(StorageEngine.Kind.RAW_GROWING + " 1"));
                 for (StorageEngine.Kind kind : StorageEngine.Kind.values()) {
                     List<Long> all = rates.get(kind + " " + n);
-                    report.addRow(kind.title(), n, median(all), all.stream().min(Long::compare).get(),
-                        all.stream().max(Long::compare).get(),
-                        String.format("%.2f", (double) median(all) / limit));
+                    report.addRow(
+                            kind.title(),
+                            n,
+                            median(all),
+                            all.stream().min(Long::compare).get(),
+                            all.stream().max(Long::compare).get(),
+                            String.format("%.2f", (double) median(all) / limit));
                 }
             }
-            report.setBarChart("durable commits a second, 128-byte values", "writers", "commits/s", 0, 1, 2);
+            report.setBarChart(
+                    "durable commits a second, 128-byte values", "writers", "commits/s", 0, 1, 2);
             report.writeFiles(Installation.measurementsDirectory());
             return 0;
         }
     }
 
     /** Opening and memory. */
-    @Command(name = "recovery", mixinStandardHelpOptions = true,
-        description = "Time to open and bytes of heap a key, from a checkpoint and from the log alone.")
+    @Command(
+            name = "recovery",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Time to open and bytes of heap a key, from a checkpoint and from the log"
+                            + " alone.")
     static final class Recovery implements Callable<Integer> {
-        @Option(names = "--dir", required = true, description = "a new folder on the disk to measure")
+        @Option(
+                names = "--dir",
+                required = true,
+                description = "a new folder on the disk to measure")
         private Path dir;
 
-        @Option(names = "--keys", split = ",", defaultValue = "1000000,5000000", description = "sizes")
+        @Option(
+                names = "--keys",
+                split = ",",
+                defaultValue = "1000000,5000000",
+                description = "sizes")
         private List<Integer> sizes;
 
         @Override
         public Integer call() throws Exception {
-            Report report = new Report("store-recovery", "keys", "from", "open in ms", "heap bytes a key",
-                "files in MiB");
+            Report report =
+                    new Report(
+                            "store-recovery",
+                            "keys",
+                            "from",
+                            "open in ms",
+                            "heap bytes a key",
+                            "files in MiB");
             StoreOptions byHand = new StoreOptions(64 << 20, false, 1 << 30);
             for (int keys : sizes) {
                 Path at = dir.resolve("keys-" + keys);
@@ -164,14 +215,20 @@
                     }
                     long before = usedHeapBytes();
                     long start = System.nanoTime();
-                    Store store = Store.open(FileDisk.openOrCreate(at), byHand, StoreEventListener.NONE);
+                    Store store =
+                            Store.open(FileDisk.openOrCreate(at), byHand, StoreEventListener.NONE);
                     long millis = (System.nanoTime() - start) / 1_000_000;
                     long bytes = usedHeapBytes() - before;
                     if (store.statistics().liveKeys() != keys) {
-                        throw new IOException(store.statistics().liveKeys() + " keys came back of " + keys);
+                        throw new IOException(
+                                store.statistics().liveKeys() + " keys came back of " + keys);
                     }
-                    report.addRow(keys, checkpoint ? "checkpoint" : "log", millis,
-                        String.format("%.1f", (double) bytes / keys), store.statistics().fileBytes() >> 20);
+                    report.addRow(
+                            keys,
+                            checkpoint ? "checkpoint" : "log",
+                            millis,
+                            String.format("%.1f", (double) bytes / keys),
+                            store.statistics().fileBytes() >> 20);
                     if (!checkpoint) {
                         store.checkpoint();
                     }
@@ -185,7 +242,7 @@
 
         private static void writeKeys(Path at, int keys, StoreOptions options) throws IOException {
             Store store = Store.open(FileDisk.openOrCreate(at), options, StoreEventListener.NONE);
-            for (int i = 0; i < keys;) {
+            for (int i = 0; i < keys; ) {
                 Batch batch = new Batch();
                 for (int end = Math.min(keys, i + 1_000); i < end; i++) {
                     batch.put(key(i), value(i));
@@ -194,7 +251,8 @@
             }
             Path copy = at.resolveSibling(at.getFileName() + "-copy");
             Files.createDirectories(copy);
-            try (Stream<Path> files = Files.list(at)) { // as a crash leaves it: closing writes a checkpoint
+            try (Stream<Path> files =
+                    Files.list(at)) { // as a crash leaves it: closing writes a checkpoint
                 for (Path file : files.toList()) {
                     Files.copy(file, copy.resolve(file.getFileName()));
                 }
@@ -213,11 +271,17 @@
     }
 
     /** Stalls and amplification. */
-    @Command(name = "compaction", mixinStandardHelpOptions = true,
-        description = "Commit latency and bytes written while 100,000 keys are overwritten, with and without "
-            + "compaction beside.")
+    @Command(
+            name = "compaction",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Commit latency and bytes written while 100,000 keys are overwritten, with and"
+                            + " without compaction beside.")
     static final class Compaction implements Callable<Integer> {
-        @Option(names = "--dir", required = true, description = "a new folder on the disk to measure")
+        @Option(
+                names = "--dir",
+                required = true,
+                description = "a new folder on the disk to measure")
         private Path dir;
 
         @Option(names = "--seconds", defaultValue = "20", description = "of each run (20)")
@@ -225,29 +289,50 @@
 
         @Override
         public Integer call() throws Exception {
-            Report report = new Report("store-compaction", "writers", "compaction", "commits/s", "p50 us",
-                "p99 us", "p99.9 us", "most ms", "copied a byte", "files in MiB");
+            Report report =
+                    new Report(
+                            "store-compaction",
+                            "writers",
+                            "compaction",
+                            "commits/s",
+                            "p50 us",
+                            "p99 us",
+                            "p99.9 us",
+                            "most ms",
+                            "copied a byte",
+                            "files in MiB");
             for (int writers : new int[] {1, 8, 64}) {
                 for (boolean beside : new boolean[] {false, true}) {
                     Path at = dir.resolve("c-" + writers + beside);
                     Histogram latency = new ConcurrentHistogram(3);
                     StoreOptions options = new StoreOptions(8 << 20, beside, 32L << 20);
                     try (Store store =
-                            Store.open(FileDisk.openOrCreate(at), options, StoreEventListener.NONE)) {
-                        for (long i = 0; i < 100_000;) {
+                            Store.open(
+                                    FileDisk.openOrCreate(at), options, StoreEventListener.NONE)) {
+                        for (long i = 0; i < 100_000; ) {
                             Batch batch = new Batch();
                             for (long end = i + 1_000; i < end; i++) {
                                 batch.put(key(i), value(i));
                             }
                             store.commit(batch);
                         }
-                        long rate = measureRate(writers, seconds, latency, k -> store.put(key(k), value(k)));
+                        long rate =
+                                measureRate(
+                                        writers,
+                                        seconds,
+                                        latency,
+                                        k -> store.put(key(k), value(k)));
                         double user = rate * seconds * (VALUE_BYTES + 16);
-                        report.addRow(writers, beside ? "on" : "off", rate, latency.getValueAtPercentile(50),
-                            latency.getValueAtPercentile(99), latency.getValueAtPercentile(99.9),
-                            String.format("%.1f", latency.getMaxValue() / 1e3),
-                            String.format("%.2f", store.copiedBytes() / user),
-                            store.statistics().fileBytes() >> 20);
+                        report.addRow(
+                                writers,
+                                beside ? "on" : "off",
+                                rate,
+                                latency.getValueAtPercentile(50),
+                                latency.getValueAtPercentile(99),
+                                latency.getValueAtPercentile(99.9),
+                                String.format("%.1f", latency.getMaxValue() / 1e3),
+                                String.format("%.2f", store.copiedBytes() / user),
+                                store.statistics().fileBytes() >> 20);
                     }
                     Installation.deleteRecursively(at);
                 }
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationDemo.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationDemo.java
@@ -48,7 +48,8 @@
         return observer.violations().isEmpty();
     }
 
-    private void showPropagation(String what, AcceptedRevision accepted) throws InterruptedException {
+    private void showPropagation(String what, AcceptedRevision accepted)
+            throws InterruptedException {
         long revision = accepted.revision();
         if (!observer.awaitRevision(
                 revision, fleet.followerCount(), ConfigurationTrial.MAX_PROPAGATION_MS)) {
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationFault.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationFault.java
@@ -44,7 +44,8 @@
         return script;
     }
 
-    private static ConfigurationFault randomFault(Kind kind, Random random, ConfigurationFleet fleet) {
+    private static ConfigurationFault randomFault(
+            Kind kind, Random random, ConfigurationFleet fleet) {
         List<String> distributors = fleet.distributorNames();
         List<String> followers = fleet.followerNames();
         List<String> asking = new ArrayList<>(distributors);
@@ -79,7 +80,10 @@
                 fleet.links(target).get(0).setRejecting(true);
                 fleet.links(target).get(0).dropConnections();
             }
-            case LINK_SILENT -> fleet.links(target).get(0).setFaults(DirectionFault.SILENT, DirectionFault.SILENT);
+            case LINK_SILENT ->
+                    fleet.links(target)
+                            .get(0)
+                            .setFaults(DirectionFault.SILENT, DirectionFault.SILENT);
             case LINK_SLOW -> {
                 DirectionFault slow = new DirectionFault(false, 30, true, Long.MAX_VALUE);
                 fleet.links(target).get(0).setFaults(slow, slow);
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationFleet.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationFleet.java
@@ -79,7 +79,10 @@
             List<String> sources =
                     toReplicas.stream().map(link -> "\"" + proxyAddress(link) + "\"").toList();
             text.append("distributor \"" + name + "\" {\n  zone = \"" + zone + "\"\n")
-                    .append("  clients = \"" + formatAddress(distributorAddresses.get(name)) + "\"\n")
+                    .append(
+                            "  clients = \""
+                                    + formatAddress(distributorAddresses.get(name))
+                                    + "\"\n")
                     .append("  sources = [" + String.join(", ", sources) + "]\n")
                     .append("  dir = \"" + dir.resolve("distributors") + "\"\n}\n");
         }
@@ -105,8 +108,7 @@
     private TrialProcess newFollowerProcess(Path dir, String zone) throws IOException {
         String name = "f-" + zone;
         List<FaultProxy> toDistributors = new ArrayList<>();
-        for (InetSocketAddress at :
-                rotated(distributorAddresses.values(), ZONES.indexOf(zone))) {
+        for (InetSocketAddress at : rotated(distributorAddresses.values(), ZONES.indexOf(zone))) {
             toDistributors.add(new FaultProxy(at));
         }
         links.put(name, toDistributors);
@@ -175,8 +177,7 @@
     /** What a distributor says of itself. */
     JsonNode status(String distributor, Duration within) throws IOException, InterruptedException {
         String at = formatAddress(distributorAddresses.get(distributor));
-        return new GroupClient(List.of(at), Ticker.SYSTEM)
-                .get("/v1/configuration/status", within);
+        return new GroupClient(List.of(at), Ticker.SYSTEM).get("/v1/configuration/status", within);
     }
 
     /** Everything runs, and every link is clear again. */
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationObserver.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationObserver.java
@@ -102,9 +102,11 @@
         for (Observation one : firstByRevision.values()) {
             String accepted = digests.get(one.revision());
             if (accepted == null) {
-                violations.add(one.follower() + " had revision " + one.revision() + ", never accepted");
+                violations.add(
+                        one.follower() + " had revision " + one.revision() + ", never accepted");
             } else if (!accepted.equals(one.digest())) {
-                violations.add(one.follower() + " had another digest at revision " + one.revision());
+                violations.add(
+                        one.follower() + " had another digest at revision " + one.revision());
             }
         }
     }
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationStepTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationStepTrial.java
@@ -53,7 +53,8 @@
         ConfigurationObserver witness = trial.observer();
         String leader = trial.group().leader(CALL_TIMEOUT);
         long before = newestRevision();
-        CompletableFuture<AcceptedRevision> change = CompletableFuture.supplyAsync(this::writeChange);
+        CompletableFuture<AcceptedRevision> change =
+                CompletableFuture.supplyAsync(this::writeChange);
         awaitStep(step, change, before + 1);
         kill(victim, leader);
         Thread.sleep(DOWNTIME_MS);
@@ -61,7 +62,8 @@
         trial.fleet().heal();
         AcceptedRevision accepted = change.join();
         if (accepted.revision() != before + 1) {
-            witness.addViolation("a change came to be " + (accepted.revision() - before) + " revisions");
+            witness.addViolation(
+                    "a change came to be " + (accepted.revision() - before) + " revisions");
         }
         int all = trial.fleet().followerCount();
         if (!witness.awaitRevision(accepted.revision(), all, MAX_WAIT_MS)) {
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationTrial.java
@@ -45,7 +45,9 @@
     /** Followers that were not live, or nobody who served, for this span of the witness's time. */
     private record Outage(String followerPrefix, long fromMs, long toMs) {
         boolean covers(String follower, long fromMs, long toMs) {
-            return follower.startsWith(followerPrefix) && this.fromMs <= toMs && this.toMs >= fromMs;
+            return follower.startsWith(followerPrefix)
+                    && this.fromMs <= toMs
+                    && this.toMs >= fromMs;
         }
     }
 
@@ -139,14 +141,16 @@
 
     private Verdict evaluate(long seed) throws IOException, InterruptedException {
         AcceptedRevision last = writtenChanges.get(writtenChanges.size() - 1).accepted();
-        if (!observer.awaitRevision(last.revision(), fleet.followerCount(), CONVERGENCE_TIMEOUT_MS)) {
+        if (!observer.awaitRevision(
+                last.revision(), fleet.followerCount(), CONVERGENCE_TIMEOUT_MS)) {
             observer.addViolation("not all followers came to revision " + last.revision());
         }
         Map<Long, String> digests = writer.fetchDigests();
         observer.compareWithAccepted(digests);
         observer.newestByFollower().values().stream()
                 .filter(one -> !one.digest().equals(digests.get(one.revision())))
-                .forEach(one -> observer.addViolation(one.follower() + " ends with another digest"));
+                .forEach(
+                        one -> observer.addViolation(one.follower() + " ends with another digest"));
         Histogram times = new Histogram(3);
         Map<ConfigurationFault.Kind, Long> longest = new EnumMap<>(ConfigurationFault.Kind.class);
         for (WrittenChange write : writtenChanges) {
@@ -158,7 +162,8 @@
             }
         }
         if (times.getMaxValue() > MAX_PROPAGATION_MS) {
-            observer.addViolation("a change was in force only after " + times.getMaxValue() + " ms");
+            observer.addViolation(
+                    "a change was in force only after " + times.getMaxValue() + " ms");
         }
         Map<String, Long> named = new TreeMap<>();
         longest.forEach((kind, ms) -> named.put(kind.name().toLowerCase(), ms));
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationWriter.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationWriter.java
@@ -93,7 +93,9 @@
                                 CALL_TIMEOUT)
                         .reply();
         if (reply instanceof ConfigurationReplies.Changed changed) {
-            acceptedRevisions.add(new AcceptedRevision(changed.revision(), changed.digest(), observer.elapsedMs()));
+            acceptedRevisions.add(
+                    new AcceptedRevision(
+                            changed.revision(), changed.digest(), observer.elapsedMs()));
         }
         return reply;
     }
@@ -130,7 +132,8 @@
         }
         for (AcceptedRevision one : acceptedRevisions) {
             if (!one.digest().equals(digests.get(one.revision()))) {
-                observer.addViolation("revision " + one.revision() + " was accepted and is lost or other");
+                observer.addViolation(
+                        "revision " + one.revision() + " was accepted and is lost or other");
             }
         }
         return new TreeMap<>(digests);
--- a/lab/src/main/java/saltstage/lab/trial/CoordinatorBenchmark.java
+++ b/lab/src/main/java/saltstage/lab/trial/CoordinatorBenchmark.java
@@ -26,8 +26,10 @@
  * What a group of coordinators gives: grants a second, and how long nobody leads after a kill or a
  * transfer.
  */
-@Command(name = "coordinator", mixinStandardHelpOptions = true,
-    description = "Measures groups of coordinators: rates, and time without a leader.")
+@Command(
+        name = "coordinator",
+        mixinStandardHelpOptions = true,
+        description = "Measures groups of coordinators: rates, and time without a leader.")
 public final class CoordinatorBenchmark implements Callable<Integer> {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(30);
 
@@ -42,8 +44,14 @@
 
     @Override
     public Integer call() throws Exception {
-        Report rates = new Report("coordinator-rates", "replicas", "clients",
-            "grants and releases a second", "p50 in ms", "p99 in ms");
+        Report rates =
+                new Report(
+                        "coordinator-rates",
+                        "replicas",
+                        "clients",
+                        "grants and releases a second",
+                        "p50 in ms",
+                        "p99 in ms");
         for (int replicas : new int[] {1, 3, 5}) {
             for (int clients : new int[] {1, 16, 64}) {
                 measureRate(replicas, clients, rates);
@@ -61,7 +69,9 @@
         Path dir = Files.createTempDirectory("coordinator-");
         Histogram took = new Histogram(60_000_000L, 3);
         long done = 0;
-        try (GroupUnderTest group = new GroupUnderTest(dir, replicas, List.of(TrialProcess.coordinatorJar()), "").start()) {
+        try (GroupUnderTest group =
+                new GroupUnderTest(dir, replicas, List.of(TrialProcess.coordinatorJar()), "")
+                        .start()) {
             group.leader(CALL_TIMEOUT);
             ExecutorService threads = Executors.newFixedThreadPool(clients);
             List<Future<Histogram>> parts = new ArrayList<>();
@@ -76,16 +86,24 @@
             done = took.getTotalCount();
         }
         Installation.deleteRecursively(dir);
-        report.addRow(replicas, clients, done / seconds, took.getValueAtPercentile(50) / 1_000.0,
-            took.getValueAtPercentile(99) / 1_000.0);
+        report.addRow(
+                replicas,
+                clients,
+                done / seconds,
+                took.getValueAtPercentile(50) / 1_000.0,
+                took.getValueAtPercentile(99) / 1_000.0);
     }
 
-    private Histogram runLoad(GroupClient client, String name) throws IOException, InterruptedException {
+    private Histogram runLoad(GroupClient client, String name)
+            throws IOException, InterruptedException {
         Histogram took = new Histogram(60_000_000L, 3);
         long until = System.nanoTime() + seconds * 1_000_000_000L;
         while (System.nanoTime() < until) {
             long start = System.nanoTime();
-            Granted granted = (Granted) client.send(new Acquire(name, name, 5_000, 0, false), CALL_TIMEOUT).reply();
+            Granted granted =
+                    (Granted)
+                            client.send(new Acquire(name, name, 5_000, 0, false), CALL_TIMEOUT)
+                                    .reply();
             took.recordValue((System.nanoTime() - start) / 1_000);
             start = System.nanoTime();
             client.send(new Release(name, name, granted.fence()), CALL_TIMEOUT);
@@ -94,7 +112,9 @@
         return took;
     }
 
-    /** The longest time from one answered command to the next, while something befalls the leader. */
+    /**
+     * The longest time from one answered command to the next, while something befalls the leader.
+     */
     private interface LeaderEvent {
         void apply(String leader) throws Exception;
     }
@@ -103,19 +123,24 @@
         String leader = group.leader(CALL_TIMEOUT);
         boolean[] over = {false};
         long[] most = {0};
-        Thread writer = new Thread(() -> {
-            GroupClient client = new GroupClient(group.clientAddresses(), Ticker.SYSTEM);
-            long last = System.nanoTime();
-            for (int i = 0; !over[0]; i++) {
-                try {
-                    client.send(new Acquire("gap", "me", 5_000, 0, false), CALL_TIMEOUT);
-                } catch (IOException | InterruptedException lost) {
-                    return;
-                }
-                most[0] = i == 0 ? 0 : Math.max(most[0], System.nanoTime() - last);
-                last = System.nanoTime();
-            }
-        });
+        Thread writer =
+                new Thread(
+                        () -> {
+                            GroupClient client =
+                                    new GroupClient(group.clientAddresses(), Ticker.SYSTEM);
+                            long last = System.nanoTime();
+                            for (int i = 0; !over[0]; i++) {
+                                try {
+                                    client.send(
+                                            new Acquire("gap", "me", 5_000, 0, false),
+                                            CALL_TIMEOUT);
+                                } catch (IOException | InterruptedException lost) {
+                                    return;
+                                }
+                                most[0] = i == 0 ? 0 : Math.max(most[0], System.nanoTime() - last);
+                                last = System.nanoTime();
+                            }
+                        });
         writer.start();
         Thread.sleep(300);
         befalls.apply(leader);
@@ -129,29 +154,50 @@
         Path dir = Files.createTempDirectory("coordinator-");
         Histogram killed = new Histogram(60_000_000L, 3);
         Histogram handed = new Histogram(60_000_000L, 3);
-        try (GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), "").start()) {
+        try (GroupUnderTest group =
+                new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), "").start()) {
             for (int i = 0; i < kills; i++) {
                 String[] victim = new String[1];
-                killed.recordValue(measureGap(group, leader -> {
-                    victim[0] = leader;
-                    group.process(leader).kill();
-                }));
+                killed.recordValue(
+                        measureGap(
+                                group,
+                                leader -> {
+                                    victim[0] = leader;
+                                    group.process(leader).kill();
+                                }));
                 group.process(victim[0]).start();
                 Thread.sleep(2_000);
             }
             for (int i = 0; i < transfers; i++) {
-                handed.recordValue(measureGap(group, leader -> {
-                    String to = group.names().stream().filter(n -> !n.equals(leader)).findFirst()
-                        .orElseThrow();
-                    group.client().post("/v1/transfer",
-                        GroupCodec.jsonMapper().createObjectNode().put("to", to), CALL_TIMEOUT);
-                }));
+                handed.recordValue(
+                        measureGap(
+                                group,
+                                leader -> {
+                                    String to =
+                                            group.names().stream()
+                                                    .filter(n -> !n.equals(leader))
+                                                    .findFirst()
+                                                    .orElseThrow();
+                                    group.client()
+                                            .post(
+                                                    "/v1/transfer",
+                                                    GroupCodec.jsonMapper()
+                                                            .createObjectNode()
+                                                            .put("to", to),
+                                                    CALL_TIMEOUT);
+                                }));
             }
         }
         Installation.deleteRecursively(dir);
-        report.addRow("leader killed", kills, killed.getValueAtPercentile(50) / 1_000.0,
-            killed.getMaxValue() / 1_000.0);
-        report.addRow("transfer", transfers, handed.getValueAtPercentile(50) / 1_000.0,
-            handed.getMaxValue() / 1_000.0);
+        report.addRow(
+                "leader killed",
+                kills,
+                killed.getValueAtPercentile(50) / 1_000.0,
+                killed.getMaxValue() / 1_000.0);
+        report.addRow(
+                "transfer",
+                transfers,
+                handed.getValueAtPercentile(50) / 1_000.0,
+                handed.getMaxValue() / 1_000.0);
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
@@ -25,13 +25,16 @@
 import saltstage.lab.Installation;
 
 /**
- * The fleet as one, to look at: three coordinators, two regions with an agent, a relay, gateways and clients
- * each. Both regions want most of their gateways out at once; the floor bears one. The leader and an agent
- * are killed on the way. Then changes of the configuration go into force at followers while the leader dies.
- * Ends with 1 if the floor was breached, a client cut off, work begun too early, or a change not in force.
+ * The fleet as one, to look at: three coordinators, two regions with an agent, a relay, gateways
+ * and clients each. Both regions want most of their gateways out at once; the floor bears one. The
+ * leader and an agent are killed on the way. Then changes of the configuration go into force at
+ * followers while the leader dies. Ends with 1 if the floor was breached, a client cut off, work
+ * begun too early, or a change not in force.
  */
-@Command(name = "demo-fleet", mixinStandardHelpOptions = true,
-    description = "Two regions in maintenance, a leader and an agent killed on the way.")
+@Command(
+        name = "demo-fleet",
+        mixinStandardHelpOptions = true,
+        description = "Two regions in maintenance, a leader and an agent killed on the way.")
 public final class DemoFleetCommand implements Callable<Integer> {
     private static final int NODES_PER_REGION = 4;
     private static final long FLOOR_NODES = 5;
@@ -59,13 +62,28 @@
     @Override
     public Integer call() throws Exception {
         Path dir = Files.createTempDirectory("demo-fleet");
-        try (GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), "").start()) {
+        try (GroupUnderTest group =
+                new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), "").start()) {
             group.leader(Duration.ofSeconds(20));
             for (String name : List.of("kita", "minami")) {
-                regions.put(name, new RealRegion(name, dir, NODES_PER_REGION, clientCount, WARM_UP_MS));
-                agents.put(name, TrialProcess.coordinator("agent-" + name, TrialProcess.coordinatorJar(), dir, List.of("agent",
-                    "--at", String.join(",", group.clientAddresses()), "--agent",
-                    regions.get(name).fakeRegion().writeAgentSettings(dir).toString())).start());
+                regions.put(
+                        name, new RealRegion(name, dir, NODES_PER_REGION, clientCount, WARM_UP_MS));
+                agents.put(
+                        name,
+                        TrialProcess.coordinator(
+                                        "agent-" + name,
+                                        TrialProcess.coordinatorJar(),
+                                        dir,
+                                        List.of(
+                                                "agent",
+                                                "--at",
+                                                String.join(",", group.clientAddresses()),
+                                                "--agent",
+                                                regions.get(name)
+                                                        .fakeRegion()
+                                                        .writeAgentSettings(dir)
+                                                        .toString()))
+                                .start());
             }
             runWindows(group);
             group.heal();
@@ -82,8 +100,16 @@
                 region.close();
             }
         }
-        System.out.println("least capacity " + minCapacity / 1_000.0 + " of " + 2 * NODES_PER_REGION + " gateways, floor "
-            + FLOOR_NODES + (violations.isEmpty() ? ": kept" : ": BROKEN " + violations + ", see " + dir));
+        System.out.println(
+                "least capacity "
+                        + minCapacity / 1_000.0
+                        + " of "
+                        + 2 * NODES_PER_REGION
+                        + " gateways, floor "
+                        + FLOOR_NODES
+                        + (violations.isEmpty()
+                                ? ": kept"
+                                : ": BROKEN " + violations + ", see " + dir));
         if (violations.isEmpty()) {
             Installation.deleteRecursively(dir);
         }
@@ -92,14 +118,23 @@
 
     private void runWindows(GroupUnderTest group) throws Exception {
         GroupClient client = group.client();
-        StringBuilder fleet = new StringBuilder("fleet {\n  slot = \"200ms\"\n  most_regions = 2\n");
+        StringBuilder fleet =
+                new StringBuilder("fleet {\n  slot = \"200ms\"\n  most_regions = 2\n");
         regions.values().forEach(region -> fleet.append(region.fakeRegion().fleetSettings()));
-        fleet.append("  floor \"all\" {\n    regions = [\"kita\", \"minami\"]\n    least = " + FLOOR_NODES
-            + "\n  }\n}\n");
+        fleet.append(
+                "  floor \"all\" {\n    regions = [\"kita\", \"minami\"]\n    least = "
+                        + FLOOR_NODES
+                        + "\n  }\n}\n");
         Reply agreed = null;
         for (int i = 0; i < 100 && !(agreed instanceof Acknowledgement); i++) {
-            agreed = client.send(new WindowCommands.SetFleet(
-                FleetSettings.parse("fleet", fleet.toString(), Instant.now()), "demo"), CALL_TIMEOUT).reply();
+            agreed =
+                    client.send(
+                                    new WindowCommands.SetFleet(
+                                            FleetSettings.parse(
+                                                    "fleet", fleet.toString(), Instant.now()),
+                                            "demo"),
+                                    CALL_TIMEOUT)
+                            .reply();
             Thread.sleep(100);
         }
         Thread.sleep(2_000); // clients come
@@ -107,17 +142,41 @@
         for (String region : regions.keySet()) {
             Window window = propose(client, region);
             windows.put(window.id(), window);
-            unprintedEvents.add("proposed " + window.id() + " in " + region + ", planned for "
-                + Instant.ofEpochMilli(window.start()) + " (" + window.why() + ")");
+            unprintedEvents.add(
+                    "proposed "
+                            + window.id()
+                            + " in "
+                            + region
+                            + ", planned for "
+                            + Instant.ofEpochMilli(window.start())
+                            + " ("
+                            + window.why()
+                            + ")");
         }
         watchWindows(group, client, windows);
     }
 
-    private Window propose(GroupClient client, String region) throws IOException, InterruptedException {
+    private Window propose(GroupClient client, String region)
+            throws IOException, InterruptedException {
         long now = System.currentTimeMillis();
-        List<String> nodes = regions.get(region).fakeRegion().nodeNames().subList(0, NODES_PER_REGION - 1);
-        WindowRequest request = new WindowRequest(region, nodes, DRAIN_MS, WORK_MS, WARM_UP_MS, now,
-            now + 600_000, 0, false, false, List.of(), List.of(), "demo", "new kernel");
+        List<String> nodes =
+                regions.get(region).fakeRegion().nodeNames().subList(0, NODES_PER_REGION - 1);
+        WindowRequest request =
+                new WindowRequest(
+                        region,
+                        nodes,
+                        DRAIN_MS,
+                        WORK_MS,
+                        WARM_UP_MS,
+                        now,
+                        now + 600_000,
+                        0,
+                        false,
+                        false,
+                        List.of(),
+                        List.of(),
+                        "demo",
+                        "new kernel");
         Reply reply = client.send(new WindowCommands.Propose(request), CALL_TIMEOUT).reply();
         if (reply instanceof WindowReplies.Planned planned) {
             return planned.windows().get(0);
@@ -125,7 +184,8 @@
         throw new IOException("not planned: " + reply);
     }
 
-    private void watchWindows(GroupUnderTest group, GroupClient client, Map<Long, Window> windows) throws Exception {
+    private void watchWindows(GroupUnderTest group, GroupClient client, Map<Long, Window> windows)
+            throws Exception {
         long start = System.nanoTime();
         boolean agentKilled = false;
         boolean leaderKilled = false;
@@ -136,7 +196,8 @@
                 Window now = GroupCodec.jsonMapper().treeToValue(row, Window.class);
                 Window before = windows.put(now.id(), now);
                 if (before == null || before.state() != now.state()) {
-                    unprintedEvents.add("window " + now.id() + " " + now.state() + ": " + now.why());
+                    unprintedEvents.add(
+                            "window " + now.id() + " " + now.state() + ": " + now.why());
                     checkEmpty(now);
                 }
                 over &= now.state() == Window.State.DONE;
@@ -145,14 +206,16 @@
                     TrialProcess agent = agents.get(now.wish().region());
                     agent.kill();
                     agent.start();
-                    unprintedEvents.add("agent of " + now.wish().region() + " killed and started anew");
+                    unprintedEvents.add(
+                            "agent of " + now.wish().region() + " killed and started anew");
                 }
                 if (now.state() == Window.State.WARMING && !leaderKilled) {
                     leaderKilled = true;
                     victim = group.leader(CALL_TIMEOUT);
                     group.process(victim).kill();
                     unprintedEvents.add("leader " + victim + " killed");
-                } else if (victim != null && !group.process(victim).isAlive()
+                } else if (victim != null
+                        && !group.process(victim).isAlive()
                         && now.state() == Window.State.DONE) {
                     group.process(victim).start();
                     unprintedEvents.add(victim + " started anew");
@@ -160,15 +223,20 @@
             }
             printStatus((System.nanoTime() - start) / 1_000_000);
             if (System.nanoTime() - start > MAX_DURATION.toNanos()) {
-                violations.add("not done within " + MAX_DURATION.toSeconds() + " s: " + windows.values());
+                violations.add(
+                        "not done within " + MAX_DURATION.toSeconds() + " s: " + windows.values());
                 return;
             }
         }
-        regions.forEach((name, region) -> {
-            if (region.clients().brokenCount() > 0) {
-                violations.add(region.clients().brokenCount() + " clients were cut off in " + name);
-            }
-        });
+        regions.forEach(
+                (name, region) -> {
+                    if (region.clients().brokenCount() > 0) {
+                        violations.add(
+                                region.clients().brokenCount()
+                                        + " clients were cut off in "
+                                        + name);
+                    }
+                });
     }
 
     /** Work may begin only at nodes that nobody stands at. */
@@ -179,8 +247,13 @@
         RealRegion region = regions.get(window.wish().region());
         for (String node : window.wish().nodes()) {
             if (region.establishedCount(node) > 0) {
-                violations.add("window " + window.id() + " is out with " + region.establishedCount(node) + " clients at "
-                    + node);
+                violations.add(
+                        "window "
+                                + window.id()
+                                + " is out with "
+                                + region.establishedCount(node)
+                                + " clients at "
+                                + node);
             }
         }
     }
@@ -196,10 +269,22 @@
         }
         lastPrintedMs = ms;
         StringBuilder text = new StringBuilder();
-        regions.forEach((name, region) -> text.append(name).append(" out ").append(region.fakeRegion().suspendedNodes())
-            .append(" clients ").append(region.clients().establishedCount()).append("  "));
-        System.out.printf("%6.2f s  %5.2f of %d, floor %d  %s%s%n", ms / 1_000.0, now / 1_000.0, 2 * NODES_PER_REGION,
-            FLOOR_NODES, text, unprintedEvents.isEmpty() ? "" : "  <- " + String.join("; ", unprintedEvents));
+        regions.forEach(
+                (name, region) ->
+                        text.append(name)
+                                .append(" out ")
+                                .append(region.fakeRegion().suspendedNodes())
+                                .append(" clients ")
+                                .append(region.clients().establishedCount())
+                                .append("  "));
+        System.out.printf(
+                "%6.2f s  %5.2f of %d, floor %d  %s%s%n",
+                ms / 1_000.0,
+                now / 1_000.0,
+                2 * NODES_PER_REGION,
+                FLOOR_NODES,
+                text,
+                unprintedEvents.isEmpty() ? "" : "  <- " + String.join("; ", unprintedEvents));
         unprintedEvents.clear();
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/FakeRegion.java
+++ b/lab/src/main/java/saltstage/lab/trial/FakeRegion.java
@@ -19,8 +19,8 @@
 import java.util.function.Function;
 
 /**
- * The relays and nodes of one region, as an agent meets them: relays take operators' calls, nodes answer
- * PING. It knows what is out and since when it is back, whatever the group believes.
+ * The relays and nodes of one region, as an agent meets them: relays take operators' calls, nodes
+ * answer PING. It knows what is out and since when it is back, whatever the group believes.
  */
 final class FakeRegion implements AutoCloseable {
     private final String name;
@@ -41,7 +41,7 @@
         for (int i = 1; i <= nodeCount; i++) {
             String node = name + i;
             ServerSocket listener =
-                listen(line -> isDown(node) ? null : line.equals("PING") ? "PONG" : "NO");
+                    listen(line -> isDown(node) ? null : line.equals("PING") ? "PONG" : "NO");
             nodeListeners.add(listener);
             nodes.put(node, (InetSocketAddress) listener.getLocalSocketAddress());
         }
@@ -49,11 +49,15 @@
     }
 
     /**
-     * One whose nodes and relays are there already: it stands before the relays and sees what they are
-     * told.
+     * One whose nodes and relays are there already: it stands before the relays and sees what they
+     * are told.
      */
-    FakeRegion(String name, Map<String, InetSocketAddress> nodes, List<InetSocketAddress> behind,
-            long warmMs) throws IOException {
+    FakeRegion(
+            String name,
+            Map<String, InetSocketAddress> nodes,
+            List<InetSocketAddress> behind,
+            long warmMs)
+            throws IOException {
         this(name, warmMs, behind);
         this.nodes.putAll(nodes);
         startRelays(behind.size());
@@ -82,8 +86,10 @@
             there.connect(realRelays.get(relay), 1_000);
             there.setSoTimeout(1_400);
             there.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.US_ASCII));
-            return new BufferedReader(new InputStreamReader(there.getInputStream(),
-                StandardCharsets.US_ASCII)).readLine();
+            return new BufferedReader(
+                            new InputStreamReader(
+                                    there.getInputStream(), StandardCharsets.US_ASCII))
+                    .readLine();
         } catch (IOException silent) {
             return null;
         }
@@ -91,21 +97,32 @@
 
     private static ServerSocket listen(Function<String, String> answers) throws IOException {
         ServerSocket listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-        Thread thread = new Thread(() -> {
-            while (!listener.isClosed()) {
-                try (Socket from = listener.accept()) {
-                    from.setSoTimeout(1_000);
-                    String line = new BufferedReader(new InputStreamReader(from.getInputStream(),
-                        StandardCharsets.US_ASCII)).readLine();
-                    String answer = line == null ? null : answers.apply(line);
-                    if (answer != null) {
-                        from.getOutputStream().write((answer + "\r\n").getBytes(StandardCharsets.US_ASCII));
-                    }
-                } catch (IOException next) {
-                    continue;
-                }
-            }
-        }, "stand-in");
+        Thread thread =
+                new Thread(
+                        () -> {
+                            while (!listener.isClosed()) {
+                                try (Socket from = listener.accept()) {
+                                    from.setSoTimeout(1_000);
+                                    String line =
+                                            new BufferedReader(
+                                                            new InputStreamReader(
+                                                                    from.getInputStream(),
+                                                                    StandardCharsets.US_ASCII))
+                                                    .readLine();
+                                    String answer = line == null ? null : answers.apply(line);
+                                    if (answer != null) {
+                                        from.getOutputStream()
+                                                .write(
+                                                        (answer + "\r\n")
+                                                                .getBytes(
+                                                                        StandardCharsets.US_ASCII));
+                                    }
+                                } catch (IOException next) {
+                                    continue;
+                                }
+                            }
+                        },
+                        "stand-in");
         thread.setDaemon(true);
         thread.start();
         return listener;
@@ -196,19 +213,33 @@
     Path writeAgentSettings(Path dir) throws IOException {
         StringBuilder text = new StringBuilder("agent \"" + name + "\" {\n");
         for (int i = 0; i < relayListeners.size(); i++) {
-            text.append("  relay \"n").append(i).append("\" {\n    admin = \"127.0.0.1:")
-                .append(relayListeners.get(i).getLocalPort()).append("\"\n  }\n");
+            text.append("  relay \"n")
+                    .append(i)
+                    .append("\" {\n    admin = \"127.0.0.1:")
+                    .append(relayListeners.get(i).getLocalPort())
+                    .append("\"\n  }\n");
         }
-        nodes.forEach((node, at) -> text.append("  node \"").append(node).append("\" {\n    at = \"")
-            .append(at.getAddress().getHostAddress()).append(':').append(at.getPort()).append("\"\n  }\n"));
+        nodes.forEach(
+                (node, at) ->
+                        text.append("  node \"")
+                                .append(node)
+                                .append("\" {\n    at = \"")
+                                .append(at.getAddress().getHostAddress())
+                                .append(':')
+                                .append(at.getPort())
+                                .append("\"\n  }\n"));
         return Files.writeString(dir.resolve("agent-" + name + ".hcl"), text + "}\n");
     }
 
     /** Its part of the agreement. */
     String fleetSettings() {
         StringBuilder text = new StringBuilder("  region \"" + name + "\" {\n");
-        nodes.keySet().forEach(node -> text.append("    node \"").append(node)
-            .append("\" {\n      capacity = 1\n    }\n"));
+        nodes.keySet()
+                .forEach(
+                        node ->
+                                text.append("    node \"")
+                                        .append(node)
+                                        .append("\" {\n      capacity = 1\n    }\n"));
         return text + "  }\n";
     }
 
--- a/lab/src/main/java/saltstage/lab/trial/FaultProxy.java
+++ b/lab/src/main/java/saltstage/lab/trial/FaultProxy.java
@@ -12,8 +12,9 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * A link between two processes, with faults: each direction may be silent (what is sent waits, connections
- * stay open), late, slow, or cut after some bytes; connections may be refused or dropped.
+ * A link between two processes, with faults: each direction may be silent (what is sent waits,
+ * connections stay open), late, slow, or cut after some bytes; connections may be refused or
+ * dropped.
  */
 final class FaultProxy implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MS = 500;
@@ -120,19 +121,26 @@
     private void copyBytes(Socket from, Socket to, boolean toTarget) {
         byte[] buffer = new byte[16 << 10];
         long carried = 0;
-        try (Socket source = from; Socket sink = to) {
+        try (Socket source = from;
+                Socket sink = to) {
             InputStream in = source.getInputStream();
             OutputStream out = sink.getOutputStream();
             for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
-                for (int at = 0; at < n;) {
-                    while (directionFault(toTarget).silent() && !source.isClosed() && !sink.isClosed()) {
+                for (int at = 0; at < n; ) {
+                    while (directionFault(toTarget).silent()
+                            && !source.isClosed()
+                            && !sink.isClosed()) {
                         Thread.sleep(5);
                     }
                     DirectionFault now = directionFault(toTarget);
                     int piece = now.trickle() ? Math.min(TRICKLE_BYTES, n - at) : n - at;
                     if (now.maxDelayMs() > 0 || now.trickle()) {
-                        Thread.sleep(1 + (now.maxDelayMs() == 0 ? 0
-                            : ThreadLocalRandom.current().nextInt(now.maxDelayMs())));
+                        Thread.sleep(
+                                1
+                                        + (now.maxDelayMs() == 0
+                                                ? 0
+                                                : ThreadLocalRandom.current()
+                                                        .nextInt(now.maxDelayMs())));
                     }
                     if (carried + piece > now.cutAfterBytes()) {
                         out.write(buffer, at, (int) Math.max(0, now.cutAfterBytes() - carried));
--- a/lab/src/main/java/saltstage/lab/trial/FencedResource.java
+++ b/lab/src/main/java/saltstage/lab/trial/FencedResource.java
@@ -14,13 +14,12 @@
 import java.util.TreeMap;
 
 /**
- * A guarded resource outside the group: it takes acts, each with its holder and fence, refuses those of a
- * fence lower than one that it has seen, and keeps all of it for the judgement.
+ * A guarded resource outside the group: it takes acts, each with its holder and fence, refuses
+ * those of a fence lower than one that it has seen, and keeps all of it for the judgement.
  */
 final class FencedResource implements AutoCloseable {
     /** An act as it came in. */
-    record Operation(long atMs, String holder, long fencingToken, boolean accepted) {
-    }
+    record Operation(long atMs, String holder, long fencingToken, boolean accepted) {}
 
     private final ServerSocket listener;
     private final long startNanos = System.nanoTime();
@@ -54,8 +53,11 @@
     }
 
     private void serve(Socket from) {
-        try (from; BufferedReader in = new BufferedReader(
-                new InputStreamReader(from.getInputStream(), StandardCharsets.US_ASCII))) {
+        try (from;
+                BufferedReader in =
+                        new BufferedReader(
+                                new InputStreamReader(
+                                        from.getInputStream(), StandardCharsets.US_ASCII))) {
             from.setTcpNoDelay(true);
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String[] words = line.split(" ");
@@ -71,7 +73,8 @@
     private synchronized boolean perform(String holder, long fence) {
         boolean taken = fence >= highestToken;
         highestToken = Math.max(highestToken, fence);
-        operations.add(new Operation((System.nanoTime() - startNanos) / 1_000_000, holder, fence, taken));
+        operations.add(
+                new Operation((System.nanoTime() - startNanos) / 1_000_000, holder, fence, taken));
         String owner = holdersByToken.putIfAbsent(fence, holder);
         if (owner != null && !owner.equals(holder)) {
             violations.add("fence " + fence + " was given to " + owner + " and to " + holder);
--- a/lab/src/main/java/saltstage/lab/trial/GroupUnderTest.java
+++ b/lab/src/main/java/saltstage/lab/trial/GroupUnderTest.java
@@ -14,7 +14,9 @@
 import saltstage.coordinator.client.GroupClient;
 import saltstage.coordinator.client.Ticker;
 
-/** The replicas of a group as processes, with a faulty link for each direction between two of them. */
+/**
+ * The replicas of a group as processes, with a faulty link for each direction between two of them.
+ */
 public final class GroupUnderTest implements AutoCloseable {
     private static final int PEER_PORT = 7_101;
     private static final int CLIENT_PORT = 7_201;
@@ -23,8 +25,10 @@
     private final List<String> names = new ArrayList<>();
     private final Map<String, String> hosts = new LinkedHashMap<>();
     private final Map<String, TrialProcess> processes = new LinkedHashMap<>();
+
     /** From one, to another: its link there. */
     private final Map<String, Map<String, FaultProxy>> replicaLinks = new LinkedHashMap<>();
+
     private final Map<String, FaultProxy> clientLinks = new LinkedHashMap<>();
 
     /**
@@ -34,7 +38,9 @@
     public GroupUnderTest(Path dir, int replicas, List<Path> jars, String more) throws IOException {
         this.dir = dir;
         ThreadLocalRandom drawn = ThreadLocalRandom.current();
-        for (int i = 1; i <= replicas; i++) { // loopback has room for addresses that nobody else uses
+        for (int i = 1;
+                i <= replicas;
+                i++) { // loopback has room for addresses that nobody else uses
             names.add("r" + i);
             hosts.put("r" + i, "127." + drawn.nextInt(1, 255) + "." + drawn.nextInt(255) + "." + i);
         }
@@ -46,13 +52,25 @@
                 }
             }
             replicaLinks.put(from, mine);
-            clientLinks.put(from, new FaultProxy(new InetSocketAddress(hosts.get(from), CLIENT_PORT)));
+            clientLinks.put(
+                    from, new FaultProxy(new InetSocketAddress(hosts.get(from), CLIENT_PORT)));
         }
         for (int i = 0; i < replicas; i++) {
             writeSettings(names.get(i), more);
             Path jar = jars.get(Math.min(i, jars.size() - 1));
-            processes.put(names.get(i), TrialProcess.coordinator(names.get(i), jar, dir, List.of("cluster", "serve",
-                "--settings", settingsFile(names.get(i)).toString(), "--name", names.get(i))));
+            processes.put(
+                    names.get(i),
+                    TrialProcess.coordinator(
+                            names.get(i),
+                            jar,
+                            dir,
+                            List.of(
+                                    "cluster",
+                                    "serve",
+                                    "--settings",
+                                    settingsFile(names.get(i)).toString(),
+                                    "--name",
+                                    names.get(i))));
         }
     }
 
@@ -64,18 +82,52 @@
     /** A process that joins the group under a new name, on an address of its own. */
     TrialProcess newJoiningProcess(String name) {
         String host = hosts.get(names.get(0)).replaceAll("[0-9]+$", "200");
-        return TrialProcess.coordinator(name, TrialProcess.coordinatorJar(), dir, List.of("cluster", "serve", "--settings",
-            settingsFile(names.get(0)).toString(), "--name", name, "--join",
-            host + ":" + PEER_PORT + "," + host + ":" + CLIENT_PORT));
+        return TrialProcess.coordinator(
+                name,
+                TrialProcess.coordinatorJar(),
+                dir,
+                List.of(
+                        "cluster",
+                        "serve",
+                        "--settings",
+                        settingsFile(names.get(0)).toString(),
+                        "--name",
+                        name,
+                        "--join",
+                        host + ":" + PEER_PORT + "," + host + ":" + CLIENT_PORT));
     }
 
     private void writeSettings(String name, String more) throws IOException {
-        StringBuilder text = new StringBuilder("coordinator {\n  group = \"trial\"\n  dir = \""
-            + dir.resolve("data") + "\"\n" + more);
-        hosts.forEach((other, host) -> text.append("  member \"" + other + "\" {\n    peers = \"" + host + ":"
-            + PEER_PORT + "\"\n    clients = \"" + host + ":" + CLIENT_PORT + "\"\n  }\n"));
-        replicaLinks.get(name).forEach((other, link) -> text.append("  reach \"" + other
-            + "\" {\n    at = \"127.0.0.1:" + link.address().getPort() + "\"\n  }\n"));
+        StringBuilder text =
+                new StringBuilder(
+                        "coordinator {\n  group = \"trial\"\n  dir = \""
+                                + dir.resolve("data")
+                                + "\"\n"
+                                + more);
+        hosts.forEach(
+                (other, host) ->
+                        text.append(
+                                "  member \""
+                                        + other
+                                        + "\" {\n    peers = \""
+                                        + host
+                                        + ":"
+                                        + PEER_PORT
+                                        + "\"\n    clients = \""
+                                        + host
+                                        + ":"
+                                        + CLIENT_PORT
+                                        + "\"\n  }\n"));
+        replicaLinks
+                .get(name)
+                .forEach(
+                        (other, link) ->
+                                text.append(
+                                        "  reach \""
+                                                + other
+                                                + "\" {\n    at = \"127.0.0.1:"
+                                                + link.address().getPort()
+                                                + "\"\n  }\n"));
         Files.writeString(settingsFile(name), text + "}\n");
     }
 
@@ -121,7 +173,9 @@
 
     /** Where they take calls, through links that can be faulty. */
     public List<String> clientLinkAddresses() {
-        return clientLinks.values().stream().map(door -> "127.0.0.1:" + door.address().getPort()).toList();
+        return clientLinks.values().stream()
+                .map(door -> "127.0.0.1:" + door.address().getPort())
+                .toList();
     }
 
     /** A client, straight. */
@@ -131,12 +185,16 @@
 
     /** Who leads, as a majority would have it; waits for one. */
     public String leader(Duration within) throws IOException, InterruptedException {
-        JsonNode any = client().get("/v1/leases?limit=1", within); // answered by a leader that is one
+        JsonNode any =
+                client().get("/v1/leases?limit=1", within); // answered by a leader that is one
         for (String name : names) {
             if (processes.get(name).isAlive() && !processes.get(name).isPaused()) {
                 try {
-                    JsonNode status = new GroupClient(List.of(hosts.get(name) + ":" + CLIENT_PORT), Ticker.SYSTEM)
-                        .get("/v1/status", Duration.ofSeconds(2));
+                    JsonNode status =
+                            new GroupClient(
+                                            List.of(hosts.get(name) + ":" + CLIENT_PORT),
+                                            Ticker.SYSTEM)
+                                    .get("/v1/status", Duration.ofSeconds(2));
                     if (status.path("role").asText().equals("leader")) {
                         return name;
                     }
--- a/lab/src/main/java/saltstage/lab/trial/LeaseTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/LeaseTrial.java
@@ -12,22 +12,27 @@
 import saltstage.lab.trial.FaultProxy.DirectionFault;
 
 /**
- * Holders in processes of their own want one lease of a group while faults befall replicas, links and
- * holders. Judged by the witness alone: no two holders under one fence, no act taken under an old one, no
- * late act of a holder that was not paused, and a grant to somebody within a stated time once faults end.
+ * Holders in processes of their own want one lease of a group while faults befall replicas, links
+ * and holders. Judged by the witness alone: no two holders under one fence, no act taken under an
+ * old one, no late act of a holder that was not paused, and a grant to somebody within a stated
+ * time once faults end.
  */
 public final class LeaseTrial {
     private static final int TTL_MS = 1_500;
     private static final int MAX_RECOVERY_MS = 8_000;
 
     /** What befalls whom, when and for how long. */
-    public record Fault(String kind, String at, String other, int fromMs, int lastsMs) {
-    }
+    public record Fault(String kind, String at, String other, int fromMs, int lastsMs) {}
 
     /** How a trial went. */
-    public record Verdict(long seed, int operationCount, int grantCount, int rejectedOperationCount, int maxGapMs,
-            List<String> violations, List<Fault> faults) {
-    }
+    public record Verdict(
+            long seed,
+            int operationCount,
+            int grantCount,
+            int rejectedOperationCount,
+            int maxGapMs,
+            List<String> violations,
+            List<Fault> faults) {}
 
     private final Path dir;
     private final int replicaCount;
@@ -47,15 +52,29 @@
     /** The faults of a seed: some kinds only, so that seeds differ in what meets what. */
     public List<Fault> randomFaults(long seed) {
         Random drawn = new Random(seed);
-        List<String> kinds = new ArrayList<>(List.of("kill", "pause", "cut", "one-way", "late", "drop",
-            "trickle", "kill-worker", "pause-worker", "door", "restart-all"));
+        List<String> kinds =
+                new ArrayList<>(
+                        List.of(
+                                "kill",
+                                "pause",
+                                "cut",
+                                "one-way",
+                                "late",
+                                "drop",
+                                "trickle",
+                                "kill-worker",
+                                "pause-worker",
+                                "door",
+                                "restart-all"));
         java.util.Collections.shuffle(kinds, drawn);
         kinds = kinds.subList(0, 3 + drawn.nextInt(4));
         List<Fault> faults = new ArrayList<>();
         for (int at = 300; at < durationMs - 1_000; at += 300 + drawn.nextInt(1_500)) {
             String kind = kinds.get(drawn.nextInt(kinds.size()));
-            String whom = kind.endsWith("worker") ? "w" + (1 + drawn.nextInt(workerCount))
-                : "r" + (1 + drawn.nextInt(replicaCount));
+            String whom =
+                    kind.endsWith("worker")
+                            ? "w" + (1 + drawn.nextInt(workerCount))
+                            : "r" + (1 + drawn.nextInt(replicaCount));
             String other = "r" + (1 + drawn.nextInt(replicaCount));
             faults.add(new Fault(kind, whom, other, at, 200 + drawn.nextInt(2_800)));
         }
@@ -67,14 +86,34 @@
         Set<String> wasPaused = new HashSet<>();
         Map<String, TrialProcess> holders = new LinkedHashMap<>();
         try (FencedResource witness = new FencedResource();
-                GroupUnderTest group = new GroupUnderTest(dir, replicaCount, jars, "  snapshot_every = 100\n")) {
+                GroupUnderTest group =
+                        new GroupUnderTest(dir, replicaCount, jars, "  snapshot_every = 100\n")) {
             group.start().leader(java.time.Duration.ofSeconds(20));
             for (int i = 1; i <= workerCount; i++) {
-                int clock = 1_000 + (int) (seed + i) % 3 * 8 - 8; // 0.992, 1.000 or 1.008 of the world's
-                holders.put("w" + i, TrialProcess.lab("w" + i, dir, List.of("trial-worker", "--name", "w" + i, "--at",
-                    String.join(",", group.clientLinkAddresses()), "--witness",
-                    Integer.toString(witness.address().getPort()), "--ttl-ms", Integer.toString(TTL_MS),
-                    "--clock-permille", Integer.toString(clock), "--seed", Long.toString(seed + i))).start());
+                int clock =
+                        1_000
+                                + (int) (seed + i) % 3 * 8
+                                - 8; // 0.992, 1.000 or 1.008 of the world's
+                holders.put(
+                        "w" + i,
+                        TrialProcess.lab(
+                                        "w" + i,
+                                        dir,
+                                        List.of(
+                                                "trial-worker",
+                                                "--name",
+                                                "w" + i,
+                                                "--at",
+                                                String.join(",", group.clientLinkAddresses()),
+                                                "--witness",
+                                                Integer.toString(witness.address().getPort()),
+                                                "--ttl-ms",
+                                                Integer.toString(TTL_MS),
+                                                "--clock-permille",
+                                                Integer.toString(clock),
+                                                "--seed",
+                                                Long.toString(seed + i)))
+                                .start());
             }
             runFaults(faults, group, holders, wasPaused);
             group.heal();
@@ -92,7 +131,8 @@
         }
     }
 
-    private static Verdict evaluate(long seed, List<Fault> faults, FencedResource witness, Set<String> wasPaused)
+    private static Verdict evaluate(
+            long seed, List<Fault> faults, FencedResource witness, Set<String> wasPaused)
             throws InterruptedException {
         List<String> broken = new ArrayList<>(witness.violations());
         int before = witness.grantCount();
@@ -112,19 +152,35 @@
             if (!act.accepted()) {
                 stale++;
                 if (!wasPaused.contains(act.holder().substring(0, act.holder().indexOf('-')))) {
-                    broken.add("at " + act.atMs() + " ms " + act.holder() + " acted under fence "
-                        + act.fencingToken() + ", which was over, and it had not been paused");
+                    broken.add(
+                            "at "
+                                    + act.atMs()
+                                    + " ms "
+                                    + act.holder()
+                                    + " acted under fence "
+                                    + act.fencingToken()
+                                    + ", which was over, and it had not been paused");
                 }
             }
         }
-        return new Verdict(seed, witness.operations().size(), witness.grantCount(), stale, (int) gap, broken, faults);
+        return new Verdict(
+                seed,
+                witness.operations().size(),
+                witness.grantCount(),
+                stale,
+                (int) gap,
+                broken,
+                faults);
     }
 
-    private record FaultStep(int atMs, boolean isStart, Fault fault) {
-    }
+    private record FaultStep(int atMs, boolean isStart, Fault fault) {}
 
-    private static void runFaults(List<Fault> faults, GroupUnderTest group, Map<String, TrialProcess> holders,
-            Set<String> wasPaused) throws IOException, InterruptedException {
+    private static void runFaults(
+            List<Fault> faults,
+            GroupUnderTest group,
+            Map<String, TrialProcess> holders,
+            Set<String> wasPaused)
+            throws IOException, InterruptedException {
         List<FaultStep> steps = new ArrayList<>();
         for (Fault fault : faults) {
             steps.add(new FaultStep(fault.fromMs(), true, fault));
@@ -143,19 +199,30 @@
         }
     }
 
-    private static void inject(Fault fault, GroupUnderTest group, Map<String, TrialProcess> holders,
-            Set<String> wasPaused) throws IOException, InterruptedException {
+    private static void inject(
+            Fault fault,
+            GroupUnderTest group,
+            Map<String, TrialProcess> holders,
+            Set<String> wasPaused)
+            throws IOException, InterruptedException {
         String at = fault.at();
         switch (fault.kind()) {
             case "kill" -> group.process(at).kill();
             case "pause" -> group.process(at).pause();
             case "cut", "one-way", "late", "trickle" -> injectLinkFault(fault, group);
-            case "drop" -> group.names().forEach(other -> {
-                if (!other.equals(at)) {
-                    group.replicaLink(at, other).dropConnections();
-                }
-            });
-            case "door" -> group.clientLink(at).setFaults(DirectionFault.CLEAR, DirectionFault.SILENT); // calls are heard, answers are not
+            case "drop" ->
+                    group.names()
+                            .forEach(
+                                    other -> {
+                                        if (!other.equals(at)) {
+                                            group.replicaLink(at, other).dropConnections();
+                                        }
+                                    });
+            case "door" ->
+                    group.clientLink(at)
+                            .setFaults(
+                                    DirectionFault.CLEAR,
+                                    DirectionFault.SILENT); // calls are heard, answers are not
             case "kill-worker" -> holders.get(at).kill();
             case "pause-worker" -> {
                 wasPaused.add(at);
@@ -178,11 +245,12 @@
             if (other.equals(fault.at())) {
                 continue;
             }
-            DirectionFault way = switch (fault.kind()) {
-                case "late" -> new DirectionFault(false, 150, false, Long.MAX_VALUE);
-                case "trickle" -> new DirectionFault(false, 0, true, Long.MAX_VALUE);
-                default -> DirectionFault.SILENT;
-            };
+            DirectionFault way =
+                    switch (fault.kind()) {
+                        case "late" -> new DirectionFault(false, 150, false, Long.MAX_VALUE);
+                        case "trickle" -> new DirectionFault(false, 0, true, Long.MAX_VALUE);
+                        default -> DirectionFault.SILENT;
+                    };
             group.replicaLink(fault.at(), other).setFaults(way, DirectionFault.CLEAR);
             if (!fault.kind().equals("one-way")) {
                 group.replicaLink(other, fault.at()).setFaults(way, DirectionFault.CLEAR);
--- a/lab/src/main/java/saltstage/lab/trial/LeaseWorkerCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/LeaseWorkerCommand.java
@@ -40,15 +40,25 @@
     public Integer call() throws Exception {
         Random drawn = new Random(seed);
         Ticker ticker = () -> (long) (System.nanoTime() * (clock / 1000.0));
-        LeaseClient leases = new LeaseClient(new GroupClient(places, ticker), new GroupClient(places, ticker),
-            ticker, name);
+        LeaseClient leases =
+                new LeaseClient(
+                        new GroupClient(places, ticker),
+                        new GroupClient(places, ticker),
+                        ticker,
+                        name);
         while (true) {
-            try (LeaseClient.Lease lease = leases.acquire("job", Duration.ofMillis(ttlMs),
-                    Duration.ofSeconds(5), drawn.nextInt(3), () -> { });
+            try (LeaseClient.Lease lease =
+                            leases.acquire(
+                                    "job",
+                                    Duration.ofMillis(ttlMs),
+                                    Duration.ofSeconds(5),
+                                    drawn.nextInt(3),
+                                    () -> {});
                     Socket socket = new Socket("127.0.0.1", witness)) {
                 socket.setTcpNoDelay(true);
                 performOperations(socket, lease, 10 + drawn.nextInt(150), drawn);
-            } catch (LeaseClient.LeaseNotGrantedException | LeaseClient.LeaseLostException
+            } catch (LeaseClient.LeaseNotGrantedException
+                    | LeaseClient.LeaseLostException
                     | IOException again) {
                 System.out.println(again.getMessage());
             }
@@ -57,12 +67,20 @@
 
     private void performOperations(Socket socket, LeaseClient.Lease lease, int times, Random drawn)
             throws IOException, LeaseClient.LeaseLostException, InterruptedException {
-        BufferedReader in = new BufferedReader(
-            new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+        BufferedReader in =
+                new BufferedReader(
+                        new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         for (int i = 0; i < times; i++) {
             lease.checkStillHeld();
-            socket.getOutputStream().write((name + "-" + ProcessHandle.current().pid() + " "
-                + lease.fencingToken() + "\n").getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(
+                            (name
+                                            + "-"
+                                            + ProcessHandle.current().pid()
+                                            + " "
+                                            + lease.fencingToken()
+                                            + "\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
             if (!"ok".equals(in.readLine())) {
                 System.out.println("refused by its fence: " + lease.fencingToken());
                 return;
--- a/lab/src/main/java/saltstage/lab/trial/RealRegion.java
+++ b/lab/src/main/java/saltstage/lab/trial/RealRegion.java
@@ -11,11 +11,14 @@
 import java.util.List;
 import java.util.Map;
 import saltstage.lab.Installation;
-import saltstage.lab.fleet.SimulatedClients;
-import saltstage.lab.fleet.FakeFleet;
 import saltstage.lab.fleet.FakeBackend;
+import saltstage.lab.fleet.FakeFleet;
+import saltstage.lab.fleet.SimulatedClients;
 
-/** A region with a real relay in a process of its own, stand-in gateways, and clients that come and stay. */
+/**
+ * A region with a real relay in a process of its own, stand-in gateways, and clients that come and
+ * stay.
+ */
 final class RealRegion implements AutoCloseable {
     private final FakeFleet fleet;
     private final TrialProcess relay;
@@ -29,19 +32,37 @@
         Path tmp = Files.createDirectories(dir.resolve("tmp"));
         fleet = new FakeFleet(size);
         fleet.writeFiles(dir, "log {\n  level = \"info\"\n}\n");
-        InetSocketAddress admin = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
-        relay = TrialProcess.relay("relay-" + name, dir, Map.of("GW_ADMIN", "127.0.0.1:" + admin.getPort(), "TMPDIR",
-            tmp.toString()), List.of("serve", "--config", dir.resolve("config.json").toString(), "--settings",
-            dir.resolve("saltstage.hcl").toString())).start();
+        InetSocketAddress admin =
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
+        relay =
+                TrialProcess.relay(
+                                "relay-" + name,
+                                dir,
+                                Map.of(
+                                        "GW_ADMIN",
+                                        "127.0.0.1:" + admin.getPort(),
+                                        "TMPDIR",
+                                        tmp.toString()),
+                                List.of(
+                                        "serve",
+                                        "--config",
+                                        dir.resolve("config.json").toString(),
+                                        "--settings",
+                                        dir.resolve("saltstage.hcl").toString()))
+                        .start();
         String[] at = fleet.listenAddress().split(":");
         InetSocketAddress listen = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
         Installation.awaitPong(listen, relay.process(), Duration.ofSeconds(30));
-        clients = new SimulatedClients(listen, clientCount, Duration.ofMillis(300), Duration.ofSeconds(60));
+        clients =
+                new SimulatedClients(
+                        listen, clientCount, Duration.ofMillis(300), Duration.ofSeconds(60));
         Map<String, InetSocketAddress> nodes = new LinkedHashMap<>();
-        fleet.backends().forEach(gateway -> {
-            nodes.put(gateway.uid(), gateway.address());
-            backends.put(gateway.uid(), gateway);
-        });
+        fleet.backends()
+                .forEach(
+                        gateway -> {
+                            nodes.put(gateway.uid(), gateway.address());
+                            backends.put(gateway.uid(), gateway);
+                        });
         fakeRegion = new FakeRegion(name, nodes, List.of(admin), warmMs);
     }
 
--- a/lab/src/main/java/saltstage/lab/trial/TrialFollowersCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/TrialFollowersCommand.java
@@ -100,10 +100,14 @@
 
     private void start(FollowerOptions options, FollowerResources resources) throws IOException {
         Path own = Files.createDirectories(dir.resolve(options.name()));
-        ConfigurationDirectory disk = new ConfigurationDirectory(own, TrialFollowersCommand::logEvent);
-        ObserverReporter told = new ObserverReporter(options.name(), new Socket("127.0.0.1", witness));
+        ConfigurationDirectory disk =
+                new ConfigurationDirectory(own, TrialFollowersCommand::logEvent);
+        ObserverReporter told =
+                new ObserverReporter(options.name(), new Socket("127.0.0.1", witness));
         told.reportStart(disk.persistedConfiguration().view());
-        new ConfigurationClient(options, resources, disk, disk.persistedConfiguration().view(), told).start();
+        new ConfigurationClient(
+                        options, resources, disk, disk.persistedConfiguration().view(), told)
+                .start();
     }
 
     private static void logEvent(String event, Object... pairs) {
--- a/lab/src/main/java/saltstage/lab/trial/TrialProcess.java
+++ b/lab/src/main/java/saltstage/lab/trial/TrialProcess.java
@@ -10,10 +10,17 @@
 import java.util.concurrent.TimeUnit;
 import saltstage.lab.Installation;
 
-/** A process of a trial: started, killed, paused and gone on with by its own id, and started again. */
+/**
+ * A process of a trial: started, killed, paused and gone on with by its own id, and started again.
+ */
 public final class TrialProcess implements AutoCloseable {
-    private static final List<String> JAVA_COMMAND = List.of(Path.of(System.getProperty("java.home"), "bin", "java")
-        .toString(), "-Xmx96m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData");
+    private static final List<String> JAVA_COMMAND =
+            List.of(
+                    Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                    "-Xmx96m",
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-XX:-UsePerfData");
 
     private final String name;
     private final List<String> command;
@@ -48,7 +55,8 @@
     }
 
     /** The relay, with these variables. */
-    static TrialProcess relay(String name, Path dir, Map<String, String> environment, List<String> words) {
+    static TrialProcess relay(
+            String name, Path dir, Map<String, String> environment, List<String> words) {
         TrialProcess relay = ofJar(name, Installation.relayJar(), dir, words);
         relay.environment.putAll(environment);
         return relay;
@@ -72,13 +80,22 @@
     }
 
     synchronized TrialProcess start() throws IOException {
-        List<String> words = maxFileKib == 0 ? command : new ArrayList<>(List.of("bash", "-c",
-            "ulimit -f " + maxFileKib + "; exec \"$@\"", "limited"));
+        List<String> words =
+                maxFileKib == 0
+                        ? command
+                        : new ArrayList<>(
+                                List.of(
+                                        "bash",
+                                        "-c",
+                                        "ulimit -f " + maxFileKib + "; exec \"$@\"",
+                                        "limited"));
         if (maxFileKib != 0) {
             words.addAll(command);
         }
-        ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile));
+        ProcessBuilder builder =
+                new ProcessBuilder(words)
+                        .redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile));
         builder.environment().putAll(environment);
         process = builder.start();
         paused = false;
--- a/lab/src/main/java/saltstage/lab/trial/WindowTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/WindowTrial.java
@@ -20,9 +20,9 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Three regions, two of which want to be out at once where the floor bears one. For each step of a window and
- * each fault: when the first window reaches the step, the fault befalls; then both must still be done, and
- * what the stand-ins really had must never have been under the floor.
+ * Three regions, two of which want to be out at once where the floor bears one. For each step of a
+ * window and each fault: when the first window reaches the step, the fault befalls; then both must
+ * still be done, and what the stand-ins really had must never have been under the floor.
  */
 public final class WindowTrial implements AutoCloseable {
     private static final int NODES_PER_REGION = 4;
@@ -34,10 +34,12 @@
     private static final Duration STEP_TIMEOUT = Duration.ofSeconds(60);
 
     /** The steps at which a fault befalls. */
-    public static final List<String> STEPS = List.of("PLANNED", "DRAINING", "OUT", "WARMING", "RETURNING");
+    public static final List<String> STEPS =
+            List.of("PLANNED", "DRAINING", "OUT", "WARMING", "RETURNING");
+
     /** The faults. */
     public static final List<String> FAULTS =
-        List.of("kill-leader", "kill-agent", "pause-agent", "relay-away", "node-dead");
+            List.of("kill-leader", "kill-agent", "pause-agent", "relay-away", "node-dead");
 
     private final GroupUnderTest group;
     private final GroupClient client;
@@ -53,14 +55,16 @@
     /** Starts the processes in a folder. */
     public WindowTrial(Path dir, List<Path> jars) throws IOException, InterruptedException {
         group = new GroupUnderTest(dir, 3, jars, "").start();
-        StringBuilder fleet = new StringBuilder("fleet {\n  slot = \"100ms\"\n  most_regions = 3\n");
+        StringBuilder fleet =
+                new StringBuilder("fleet {\n  slot = \"100ms\"\n  most_regions = 3\n");
         for (String name : List.of("a", "b", "c")) {
             FakeRegion region = new FakeRegion(name, NODES_PER_REGION, 2, WARM_UP_MS);
             regions.put(name, region);
             fleet.append(region.fleetSettings());
         }
-        fleet.append("  floor \"all\" {\n    regions = [\"a\", \"b\", \"c\"]\n    least = ").append(FLOOR_NODES)
-            .append("\n  }\n}\n");
+        fleet.append("  floor \"all\" {\n    regions = [\"a\", \"b\", \"c\"]\n    least = ")
+                .append(FLOOR_NODES)
+                .append("\n  }\n}\n");
         group.leader(Duration.ofSeconds(20));
         client = group.client();
         setFleet(fleet.toString());
@@ -74,10 +78,18 @@
 
     private void setFleet(String fleet) throws IOException, InterruptedException {
         Reply agreed = null;
-        for (int i = 0; i < 100 && !(agreed instanceof saltstage.coordinator.model.Acknowledgement); i++) {
+        for (int i = 0;
+                i < 100 && !(agreed instanceof saltstage.coordinator.model.Acknowledgement);
+                i++) {
             try {
-                agreed = client.send(new WindowCommands.SetFleet(FleetSettings.parse("fleet.hcl", fleet,
-                    Instant.now()), "trial"), CALL_TIMEOUT).reply(); // until every voter was heard to know windows
+                agreed =
+                        client.send(
+                                        new WindowCommands.SetFleet(
+                                                FleetSettings.parse(
+                                                        "fleet.hcl", fleet, Instant.now()),
+                                                "trial"),
+                                        CALL_TIMEOUT)
+                                .reply(); // until every voter was heard to know windows
             } catch (MalformedException bad) {
                 throw new IOException(bad);
             }
@@ -86,8 +98,19 @@
     }
 
     private void startAgent(Path dir, FakeRegion region, String as) throws IOException {
-        agents.put(as, TrialProcess.coordinator("agent-" + as, TrialProcess.coordinatorJar(), dir, List.of("agent", "--at",
-            String.join(",", group.clientLinkAddresses()), "--agent", region.writeAgentSettings(dir).toString())).start());
+        agents.put(
+                as,
+                TrialProcess.coordinator(
+                                "agent-" + as,
+                                TrialProcess.coordinatorJar(),
+                                dir,
+                                List.of(
+                                        "agent",
+                                        "--at",
+                                        String.join(",", group.clientLinkAddresses()),
+                                        "--agent",
+                                        region.writeAgentSettings(dir).toString()))
+                        .start());
     }
 
     private void sampleCapacity() {
@@ -120,9 +143,26 @@
 
     private Window propose(String region) throws IOException, InterruptedException {
         long now = System.currentTimeMillis();
-        Reply reply = client.send(new WindowCommands.Propose(new WindowRequest(region,
-            regions.get(region).nodeNames().subList(0, 3), DRAIN_MS, WORK_MS, WARM_UP_MS, now, now + 300_000, 0,
-            false, false, List.of(), List.of(), "trial", "round " + round)), CALL_TIMEOUT).reply();
+        Reply reply =
+                client.send(
+                                new WindowCommands.Propose(
+                                        new WindowRequest(
+                                                region,
+                                                regions.get(region).nodeNames().subList(0, 3),
+                                                DRAIN_MS,
+                                                WORK_MS,
+                                                WARM_UP_MS,
+                                                now,
+                                                now + 300_000,
+                                                0,
+                                                false,
+                                                false,
+                                                List.of(),
+                                                List.of(),
+                                                "trial",
+                                                "round " + round)),
+                                CALL_TIMEOUT)
+                        .reply();
         if (reply instanceof WindowReplies.Planned planned) {
             return planned.windows().get(0);
         }
@@ -154,9 +194,11 @@
 
     private void awaitStep(long id, String step) throws IOException, InterruptedException {
         long until = System.nanoTime() + STEP_TIMEOUT.toNanos();
-        while (!findWindow(id).state().name().equals(step) && !findWindow(id).state().name().equals("DONE")) {
+        while (!findWindow(id).state().name().equals(step)
+                && !findWindow(id).state().name().equals("DONE")) {
             if (System.nanoTime() > until) {
-                throw new IOException(currentCase + ": never came to " + step + ": " + findWindow(id));
+                throw new IOException(
+                        currentCase + ": never came to " + step + ": " + findWindow(id));
             }
             Thread.sleep(20);
         }
@@ -164,19 +206,31 @@
 
     private void awaitDone(long id) throws IOException, InterruptedException {
         long until = System.nanoTime() + STEP_TIMEOUT.toNanos();
-        for (Window now = findWindow(id); now.state() != Window.State.DONE
-                && now.state() != Window.State.WITHDRAWN; now = findWindow(id)) {
+        for (Window now = findWindow(id);
+                now.state() != Window.State.DONE && now.state() != Window.State.WITHDRAWN;
+                now = findWindow(id)) {
             if (System.nanoTime() > until) {
-                throw new IOException(currentCase + ": not done within " + STEP_TIMEOUT.toSeconds() + " s: " + now);
+                throw new IOException(
+                        currentCase
+                                + ": not done within "
+                                + STEP_TIMEOUT.toSeconds()
+                                + " s: "
+                                + now);
             }
             Thread.sleep(50);
         }
     }
 
-    /** The agent of region a that holds its lease, else any: who waits is no target worth a fault. */
+    /**
+     * The agent of region a that holds its lease, else any: who waits is no target worth a fault.
+     */
     private TrialProcess leaseHolder() throws IOException, InterruptedException {
-        String owner = client.get("/v1/lease?name=" + WindowCommands.leaseName("a"), CALL_TIMEOUT)
-            .path("leases").path(0).path("owner").asText("");
+        String owner =
+                client.get("/v1/lease?name=" + WindowCommands.leaseName("a"), CALL_TIMEOUT)
+                        .path("leases")
+                        .path(0)
+                        .path("owner")
+                        .asText("");
         for (TrialProcess agent : agents.values()) {
             if (agent.isAlive() && owner.startsWith("agent-a-" + agent.pid() + "/")) {
                 return agent;
@@ -199,7 +253,8 @@
                 Thread.sleep(300);
                 agent.start();
             }
-            case "pause-agent" -> { // for longer than its lease, while a second agent is there to take over
+            case "pause-agent" -> { // for longer than its lease, while a second agent is there to
+                // take over
                 agent.pause();
                 Thread.sleep(6_000);
                 agent.resume();
--- a/lab/src/test/java/saltstage/lab/amqp/AmqpFaultSoakTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/AmqpFaultSoakTest.java
@@ -16,9 +16,9 @@
 import saltstage.net.NettyTransport;
 
 /**
- * Nights of trouble from seeds: gateways drain, die, reset in the middle of a frame, freeze, slow down and
- * come back while tens of thousands of deliveries pass. Each has one outcome, none is out twice, and a
- * gateway that drains gets no link later than a second after it was told.
+ * Nights of trouble from seeds: gateways drain, die, reset in the middle of a frame, freeze, slow
+ * down and come back while tens of thousands of deliveries pass. Each has one outcome, none is out
+ * twice, and a gateway that drains gets no link later than a second after it was told.
  */
 @Timeout(180)
 class AmqpFaultSoakTest {
@@ -36,19 +36,36 @@
         Random random = new Random(seed);
         Map<String, Long> drained = new TreeMap<>();
         List<String> late = new ArrayList<>();
-        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(BACKENDS, "  backend_idle = \"1s\"\n");
-            NettyTransport transport = new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
+        try (AmqpTestEnvironment stage =
+                        new AmqpTestEnvironment(BACKENDS, "  backend_idle = \"1s\"\n");
+                NettyTransport transport =
+                        new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
             DeliveryTracker ledger = new DeliveryTracker();
             List<AmqpLoadClient> clients = new ArrayList<>();
             for (int i = 0; i < CONNECTIONS; i++) {
-                clients.add(new AmqpLoadClient(transport, transport.loops().get(0), stage.amqpAddress(), "night" + i,
-                    LINKS_PER_CONNECTION, "status-report", 100, ledger));
+                clients.add(
+                        new AmqpLoadClient(
+                                transport,
+                                transport.loops().get(0),
+                                stage.amqpAddress(),
+                                "night" + i,
+                                LINKS_PER_CONNECTION,
+                                "status-report",
+                                100,
+                                ledger));
             }
-            stage.await("all attached", () -> clients.stream().allMatch(c -> c.attachedCount() == LINKS_PER_CONNECTION));
+            stage.await(
+                    "all attached",
+                    () ->
+                            clients.stream()
+                                    .allMatch(c -> c.attachedCount() == LINKS_PER_CONNECTION));
             for (int sent = 0; sent < DELIVERIES; sent += BURST) {
                 for (int i = 0; i < BURST; i++) {
-                    clients.get(random.nextInt(CONNECTIONS)).scheduleDelivery(random.nextInt(LINKS_PER_CONNECTION),
-                        seed + "-" + (sent + i), System.nanoTime());
+                    clients.get(random.nextInt(CONNECTIONS))
+                            .scheduleDelivery(
+                                    random.nextInt(LINKS_PER_CONNECTION),
+                                    seed + "-" + (sent + i),
+                                    System.nanoTime());
                 }
                 if (sent % (BURST * 20) == 0) {
                     injectRandomFault(stage, random, drained, late);
@@ -60,32 +77,52 @@
                 stage.runCommand("start g" + i);
                 stage.runCommand("slow g" + i + " 0");
             }
-            stage.await(() -> "all sent " + clients.stream().map(AmqpLoadClient::describeBlockedLinks).toList(),
-                () -> clients.stream().allMatch(c -> c.unsentCount() == 0));
+            stage.await(
+                    () ->
+                            "all sent "
+                                    + clients.stream()
+                                            .map(AmqpLoadClient::describeBlockedLinks)
+                                            .toList(),
+                    () -> clients.stream().allMatch(c -> c.unsentCount() == 0));
             stage.await("all answered", () -> ledger.pendingCount() == 0);
             List<String> accepted = new ArrayList<>();
             stage.fleet().amqpBackends().forEach(g -> accepted.addAll(g.acceptedIds()));
             Map<DeliveryTracker.DeliveryOutcome, Long> counts = ledger.outcomeCounts();
-            System.out.println("night " + seed + ": " + counts + ", links detached "
-                + clients.stream().map(AmqpLoadClient::detachCounts).toList());
+            System.out.println(
+                    "night "
+                            + seed
+                            + ": "
+                            + counts
+                            + ", links detached "
+                            + clients.stream().map(AmqpLoadClient::detachCounts).toList());
             assertEquals(List.of(), ledger.findFaults(accepted));
-            assertEquals(0, stage.fleet().duplicateDetector().duplicateCount(), stage.fleet().duplicateDetector().example());
+            assertEquals(
+                    0,
+                    stage.fleet().duplicateDetector().duplicateCount(),
+                    stage.fleet().duplicateDetector().example());
             assertEquals(List.of(), late);
-            assertTrue(counts.get(DeliveryTracker.DeliveryOutcome.ACCEPTED) > DELIVERIES / 2, counts.toString());
+            assertTrue(
+                    counts.get(DeliveryTracker.DeliveryOutcome.ACCEPTED) > DELIVERIES / 2,
+                    counts.toString());
             clients.forEach(AmqpLoadClient::close);
-            stage.await("no link is left", () -> stage.fleet().amqpBackends().stream().allMatch(g -> g.linkCount() == 0));
+            stage.await(
+                    "no link is left",
+                    () -> stage.fleet().amqpBackends().stream().allMatch(g -> g.linkCount() == 0));
             assertTrue(!stage.readLog().contains("fault"), stage.readLog());
         }
     }
 
     /** One thing happens to one gateway; two at least are left alone. */
-    private static void injectRandomFault(AmqpTestEnvironment stage, Random random, Map<String, Long> drained, List<String> late)
+    private static void injectRandomFault(
+            AmqpTestEnvironment stage, Random random, Map<String, Long> drained, List<String> late)
             throws Exception {
         int chosen = random.nextInt(BACKENDS);
         FakeBackend gateway = stage.fleet().backends().get(chosen);
         String g = gateway.uid();
-        long ready = stage.fleet().backends().stream().filter(any -> any.state() == FakeBackend.State.READY)
-            .count();
+        long ready =
+                stage.fleet().backends().stream()
+                        .filter(any -> any.state() == FakeBackend.State.READY)
+                        .count();
         if (gateway.state() != FakeBackend.State.READY) {
             checkDrained(stage, chosen, drained, late);
             stage.runCommand("start " + g);
@@ -106,11 +143,19 @@
         }
     }
 
-    private static void checkDrained(AmqpTestEnvironment stage, int chosen, Map<String, Long> drained, List<String> late) {
+    private static void checkDrained(
+            AmqpTestEnvironment stage, int chosen, Map<String, Long> drained, List<String> late) {
         FakeAmqpBackend gateway = stage.fleet().amqpBackends().get(chosen);
         Long since = drained.remove("g" + chosen);
-        if (since != null && gateway.lastLinkMillis() > since + MAX_LINK_AFTER_DRAIN_MS + DISCOVERY_TOLERANCE_MS) {
-            late.add("g" + chosen + ": a link came " + (gateway.lastLinkMillis() - since) + " ms after the drain");
+        if (since != null
+                && gateway.lastLinkMillis()
+                        > since + MAX_LINK_AFTER_DRAIN_MS + DISCOVERY_TOLERANCE_MS) {
+            late.add(
+                    "g"
+                            + chosen
+                            + ": a link came "
+                            + (gateway.lastLinkMillis() - since)
+                            + " ms after the drain");
         }
     }
 }
--- a/lab/src/test/java/saltstage/lab/amqp/AmqpFrontendTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/AmqpFrontendTest.java
@@ -33,17 +33,22 @@
 import saltstage.lab.fleet.SimulatedClients;
 import saltstage.net.NettyTransport;
 
-/** What the front makes of clients that are hostile, unknown, large, sudden, or speak lines beside. */
+/**
+ * What the front makes of clients that are hostile, unknown, large, sudden, or speak lines beside.
+ */
 @Timeout(150)
 class AmqpFrontendTest {
     private static final byte[] PROTOCOL_HEADER = {'A', 'M', 'Q', 'P', 0, 1, 0, 0};
     private static final byte[] EMPTY_FRAME = {0, 0, 0, 8, 2, 0, 0, 0};
+
     /** An open with the container id "x" (2.7.1). */
-    private static final byte[] OPEN_FRAME = {0, 0, 0, 17, 2, 0, 0, 0, 0, 0x53, 0x10, (byte) 0xc0, 4, 1,
-        (byte) 0xa1, 1, 'x'};
+    private static final byte[] OPEN_FRAME = {
+        0, 0, 0, 17, 2, 0, 0, 0, 0, 0x53, 0x10, (byte) 0xc0, 4, 1, (byte) 0xa1, 1, 'x'
+    };
 
     private static String exchange(AmqpTestEnvironment stage, byte[]... pieces) throws IOException {
-        try (Socket socket = new Socket(stage.amqpAddress().getAddress(), stage.amqpAddress().getPort())) {
+        try (Socket socket =
+                new Socket(stage.amqpAddress().getAddress(), stage.amqpAddress().getPort())) {
             socket.setSoTimeout(20_000);
             ByteArrayOutputStream heard = new ByteArrayOutputStream();
             try {
@@ -65,21 +70,37 @@
 
     @Test
     void silentMalformedAndFloodingClientsAreDisconnected() throws Exception {
-        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, "  open_within = \"500ms\"\n  frame = \"4KiB\"\n")) {
+        try (AmqpTestEnvironment stage =
+                new AmqpTestEnvironment(1, "  open_within = \"500ms\"\n  frame = \"4KiB\"\n")) {
             exchange(stage);
             exchange(stage, PROTOCOL_HEADER); // a header alone
-            exchange(stage, "GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
-            exchange(stage, PROTOCOL_HEADER, new byte[] {0, 0, 0, 1, 2, 0, 0, 0, 0}); // a size below the least
-            exchange(stage, PROTOCOL_HEADER, new byte[] {0x7f, 0, 0, 0, 2, 0, 0, 0}); // and a huge one
+            exchange(
+                    stage,
+                    "GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
+            exchange(
+                    stage,
+                    PROTOCOL_HEADER,
+                    new byte[] {0, 0, 0, 1, 2, 0, 0, 0, 0}); // a size below the least
+            exchange(
+                    stage,
+                    PROTOCOL_HEADER,
+                    new byte[] {0x7f, 0, 0, 0, 2, 0, 0, 0}); // and a huge one
             String flooded = exchange(stage, PROTOCOL_HEADER, OPEN_FRAME, emptyFrames(1_000));
             assertTrue(flooded.contains("amqp:resource-limit-exceeded"), flooded);
             stage.await("amqp.flood", () -> hasLogged(stage, "amqp.flood"));
             assertTrue(hasLogged(stage, "amqp.client.silent"));
             try (Client client = Client.create()) { // and it goes on serving
-                Connection connection = client.connect(stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
-                assertEquals(DeliveryState.Type.ACCEPTED, connection.openSender("status-report")
-                    .send(Message.create("x").messageId("after")).awaitSettlement(20, TimeUnit.SECONDS)
-                    .remoteState().getType());
+                Connection connection =
+                        client.connect(
+                                stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
+                assertEquals(
+                        DeliveryState.Type.ACCEPTED,
+                        connection
+                                .openSender("status-report")
+                                .send(Message.create("x").messageId("after"))
+                                .awaitSettlement(20, TimeUnit.SECONDS)
+                                .remoteState()
+                                .getType());
             }
         }
     }
@@ -102,20 +123,39 @@
 
     @Test
     void connectionsAndLinksBeyondTheLimitAreRejected() throws Exception {
-        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, "  connections = 2\n  links_per_connection = 1\n");
-            Client client = Client.create()) {
+        try (AmqpTestEnvironment stage =
+                        new AmqpTestEnvironment(
+                                1, "  connections = 2\n  links_per_connection = 1\n");
+                Client client = Client.create()) {
             List<Connection> held = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
-                held.add(client.connect(stage.amqpAddress().getHostString(), stage.amqpAddress().getPort()));
+                held.add(
+                        client.connect(
+                                stage.amqpAddress().getHostString(),
+                                stage.amqpAddress().getPort()));
                 held.get(i).openFuture().get(20, TimeUnit.SECONDS);
             }
             held.get(0).openSender("status-report").openFuture().get(20, TimeUnit.SECONDS);
-            Exception second = assertThrows(Exception.class, () -> held.get(0).openSender("status-report")
-                .send(Message.create("x")).awaitSettlement(20, TimeUnit.SECONDS));
-            assertTrue(second.toString().contains("amqp:resource-limit-exceeded"), second.toString());
-            Exception third = assertThrows(Exception.class, () -> client.connect(
-                stage.amqpAddress().getHostString(), stage.amqpAddress().getPort()).openSender("status-report")
-                .openFuture().get(20, TimeUnit.SECONDS));
+            Exception second =
+                    assertThrows(
+                            Exception.class,
+                            () ->
+                                    held.get(0)
+                                            .openSender("status-report")
+                                            .send(Message.create("x"))
+                                            .awaitSettlement(20, TimeUnit.SECONDS));
+            assertTrue(
+                    second.toString().contains("amqp:resource-limit-exceeded"), second.toString());
+            Exception third =
+                    assertThrows(
+                            Exception.class,
+                            () ->
+                                    client.connect(
+                                                    stage.amqpAddress().getHostString(),
+                                                    stage.amqpAddress().getPort())
+                                            .openSender("status-report")
+                                            .openFuture()
+                                            .get(20, TimeUnit.SECONDS));
             assertTrue(third.toString().contains("amqp:resource-limit-exceeded"), third.toString());
         }
     }
@@ -124,20 +164,41 @@
     void usersMustAuthenticateWithTheirSecret() throws Exception {
         Path secrets = Files.createTempFile("saltstage", "secrets");
         Files.writeString(secrets, "# users\ndosan-power:right\n");
-        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, "  secrets = \"" + secrets + "\"\n");
-            Client client = Client.create()) {
-            Connection right = client.connect(stage.amqpAddress().getHostString(), stage.amqpAddress().getPort(),
-                new ConnectionOptions().user("dosan-power").password("right"));
-            assertEquals(DeliveryState.Type.ACCEPTED, right.openSender("session-check")
-                .send(Message.create("x").messageId("m")).awaitSettlement(20, TimeUnit.SECONDS).remoteState()
-                .getType());
-            for (String[] wrong : new String[][] {{"dosan-power", "wrong"}, {"nobody", "right"},
-                {"nobody", "nobody has this one"}}) {
-                ConnectionOptions options = new ConnectionOptions().user(wrong[0]).password(wrong[1]);
+        try (AmqpTestEnvironment stage =
+                        new AmqpTestEnvironment(1, "  secrets = \"" + secrets + "\"\n");
+                Client client = Client.create()) {
+            Connection right =
+                    client.connect(
+                            stage.amqpAddress().getHostString(),
+                            stage.amqpAddress().getPort(),
+                            new ConnectionOptions().user("dosan-power").password("right"));
+            assertEquals(
+                    DeliveryState.Type.ACCEPTED,
+                    right.openSender("session-check")
+                            .send(Message.create("x").messageId("m"))
+                            .awaitSettlement(20, TimeUnit.SECONDS)
+                            .remoteState()
+                            .getType());
+            for (String[] wrong :
+                    new String[][] {
+                        {"dosan-power", "wrong"},
+                        {"nobody", "right"},
+                        {"nobody", "nobody has this one"}
+                    }) {
+                ConnectionOptions options =
+                        new ConnectionOptions().user(wrong[0]).password(wrong[1]);
                 options.saslOptions().addAllowedMechanism("PLAIN");
                 options.reconnectEnabled(false);
-                assertThrows(ExecutionException.class, () -> client.connect(stage.amqpAddress().getHostString(),
-                    stage.amqpAddress().getPort(), options).openFuture().get(20, TimeUnit.SECONDS), wrong[0]);
+                assertThrows(
+                        ExecutionException.class,
+                        () ->
+                                client.connect(
+                                                stage.amqpAddress().getHostString(),
+                                                stage.amqpAddress().getPort(),
+                                                options)
+                                        .openFuture()
+                                        .get(20, TimeUnit.SECONDS),
+                        wrong[0]);
             }
             stage.await("amqp.login.failed", () -> hasLogged(stage, "amqp.login.failed"));
         } finally {
@@ -145,16 +206,22 @@
         }
     }
 
-    private static boolean canSend(Client client, AmqpTestEnvironment stage, String secret) throws Exception {
+    private static boolean canSend(Client client, AmqpTestEnvironment stage, String secret)
+            throws Exception {
         ConnectionOptions options = new ConnectionOptions().user("dosan-power").password(secret);
         options.saslOptions().addAllowedMechanism("PLAIN");
         options.reconnectEnabled(false);
         Connection connection =
-            client.connect(stage.amqpAddress().getHostString(), stage.amqpAddress().getPort(), options);
+                client.connect(
+                        stage.amqpAddress().getHostString(),
+                        stage.amqpAddress().getPort(),
+                        options);
         try {
             connection.openFuture().get(20, TimeUnit.SECONDS);
-            connection.openSender("session-check").send(Message.create("x"))
-                .awaitSettlement(20, TimeUnit.SECONDS);
+            connection
+                    .openSender("session-check")
+                    .send(Message.create("x"))
+                    .awaitSettlement(20, TimeUnit.SECONDS);
             return true;
         } catch (Exception refused) {
             return false;
@@ -174,7 +241,9 @@
         Path secrets = Files.createTempFile("saltstage", "secrets");
         Files.writeString(secrets, "dosan-power:first\n");
         String access = "  secrets = \"" + secrets + "\"\n";
-        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, access + "  connections = 1\n"); Client client = Client.create()) {
+        try (AmqpTestEnvironment stage =
+                        new AmqpTestEnvironment(1, access + "  connections = 1\n");
+                Client client = Client.create()) {
             assertTrue(canSend(client, stage, "first"));
             assertFalse(canSend(client, stage, "first"), "one connection was allowed");
             Files.writeString(secrets, "dosan-power:second\n");
@@ -197,20 +266,26 @@
 
     @Test
     void largeDeliveryIsForwardedAndAnAbortedOneIsNotDelivered() throws Exception {
-        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(2, "  link_bytes = \"128KiB\"\n"); Client client = Client.create()) {
-            Connection connection = client.connect(stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
+        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(2, "  link_bytes = \"128KiB\"\n");
+                Client client = Client.create()) {
+            Connection connection =
+                    client.connect(
+                            stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
             StreamSender sender = connection.openStreamSender("status-report");
             startDelivery(sender, "large", 12 << 20).close();
             stage.await("accepted", () -> acceptedIds(stage).contains("large"));
             OutputStream half = startDelivery(sender, "half", 1 << 20);
             half.flush();
             connection.close();
-            stage.await("no links", () -> stage.fleet().amqpBackends().stream().allMatch(g -> g.linkCount() == 0));
+            stage.await(
+                    "no links",
+                    () -> stage.fleet().amqpBackends().stream().allMatch(g -> g.linkCount() == 0));
             assertEquals(List.of("large"), acceptedIds(stage));
         }
     }
 
-    private static OutputStream startDelivery(StreamSender sender, String id, int bytes) throws Exception {
+    private static OutputStream startDelivery(StreamSender sender, String id, int bytes)
+            throws Exception {
         StreamSenderMessage message = sender.beginMessage();
         message.property("id", id);
         OutputStream out = message.body(new OutputStreamOptions());
@@ -222,22 +297,42 @@
     }
 
     private static List<String> acceptedIds(AmqpTestEnvironment stage) {
-        return stage.fleet().amqpBackends().stream().flatMap(g -> g.acceptedIds().stream()).toList();
+        return stage.fleet().amqpBackends().stream()
+                .flatMap(g -> g.acceptedIds().stream())
+                .toList();
     }
 
     @Test
     void relayThatShutsDownDetachesItsLinksAndLosesNoDelivery() throws Exception {
         try (AmqpTestEnvironment stage = new AmqpTestEnvironment(3, "");
-            NettyTransport transport = new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
+                NettyTransport transport =
+                        new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
             String[] at = stage.fleet().listenAddress().split(":");
-            SimulatedClients lines = new SimulatedClients(new InetSocketAddress(at[0], Integer.parseInt(at[1])), 50,
-                Duration.ofMillis(200), Duration.ofSeconds(30));
+            SimulatedClients lines =
+                    new SimulatedClients(
+                            new InetSocketAddress(at[0], Integer.parseInt(at[1])),
+                            50,
+                            Duration.ofMillis(200),
+                            Duration.ofSeconds(30));
             DeliveryTracker ledger = new DeliveryTracker();
-            AmqpLoadClient client = new AmqpLoadClient(transport, transport.loops().get(0), stage.amqpAddress(), "leave", 20,
-                "session-check", 64, ledger);
+            AmqpLoadClient client =
+                    new AmqpLoadClient(
+                            transport,
+                            transport.loops().get(0),
+                            stage.amqpAddress(),
+                            "leave",
+                            20,
+                            "session-check",
+                            64,
+                            ledger);
             stage.await("attached", () -> client.attachedCount() == 20);
-            stage.await("lines stand", () ->
-                stage.fleet().backends().stream().mapToInt(g -> g.establishedCount()).sum() >= 45);
+            stage.await(
+                    "lines stand",
+                    () ->
+                            stage.fleet().backends().stream()
+                                            .mapToInt(g -> g.establishedCount())
+                                            .sum()
+                                    >= 45);
             for (int i = 0; i < 2_000; i++) {
                 client.scheduleDelivery(i % 20, "l" + i, System.nanoTime());
                 if (i % 20 == 0) {
@@ -246,13 +341,16 @@
             }
             stage.await("answered", () -> ledger.pendingCount() == 0);
             assertEquals(List.of(), ledger.findFaults(acceptedIds(stage)));
-            assertEquals(2_000, ledger.outcomeCounts().get(DeliveryTracker.DeliveryOutcome.ACCEPTED));
+            assertEquals(
+                    2_000, ledger.outcomeCounts().get(DeliveryTracker.DeliveryOutcome.ACCEPTED));
             assertEquals(0, lines.brokenCount());
             stage.relay().destroy();
             assertTrue(stage.relay().waitFor(10, TimeUnit.SECONDS), "it does not leave");
             lines.stop();
-            assertEquals(20, client.detachCounts().getOrDefault("amqp:link:detach-forced", 0L).intValue(),
-                client.detachCounts().toString());
+            assertEquals(
+                    20,
+                    client.detachCounts().getOrDefault("amqp:link:detach-forced", 0L).intValue(),
+                    client.detachCounts().toString());
         }
     }
 }
--- a/lab/src/test/java/saltstage/lab/amqp/AmqpTestEnvironment.java
+++ b/lab/src/test/java/saltstage/lab/amqp/AmqpTestEnvironment.java
@@ -17,15 +17,27 @@
     private final FakeFleet fleet;
     private final Process relay;
 
-    AmqpTestEnvironment(int gateways, String amqpSettings) throws IOException, InterruptedException {
+    AmqpTestEnvironment(int gateways, String amqpSettings)
+            throws IOException, InterruptedException {
         dir = Files.createTempDirectory("saltstage-amqp");
         fleet = new FakeFleet(gateways, true, 0);
         fleet.writeFiles(dir, fleet.operatorSettings(amqpSettings));
-        relay = new ProcessBuilder(Installation.relayScript().toString(), "serve", "--config",
-            dir.resolve("config.json").toString(), "--settings", dir.resolve("saltstage.hcl").toString())
-            .redirectErrorStream(true).redirectOutput(dir.resolve("log").toFile()).start();
+        relay =
+                new ProcessBuilder(
+                                Installation.relayScript().toString(),
+                                "serve",
+                                "--config",
+                                dir.resolve("config.json").toString(),
+                                "--settings",
+                                dir.resolve("saltstage.hcl").toString())
+                        .redirectErrorStream(true)
+                        .redirectOutput(dir.resolve("log").toFile())
+                        .start();
         String[] at = fleet.listenAddress().split(":");
-        Installation.awaitPong(new InetSocketAddress(at[0], Integer.parseInt(at[1])), relay, Duration.ofSeconds(60));
+        Installation.awaitPong(
+                new InetSocketAddress(at[0], Integer.parseInt(at[1])),
+                relay,
+                Duration.ofSeconds(60));
     }
 
     FakeFleet fleet() {
@@ -59,7 +71,8 @@
     }
 
     /** The same with a description that is made when it is needed. */
-    void await(Supplier<String> what, BooleanSupplier holds) throws InterruptedException, IOException {
+    void await(Supplier<String> what, BooleanSupplier holds)
+            throws InterruptedException, IOException {
         try {
             await("", holds);
         } catch (AssertionError never) {
--- a/lab/src/test/java/saltstage/lab/amqp/ProtocolDriverTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/ProtocolDriverTest.java
@@ -14,12 +14,31 @@
 import org.junit.jupiter.api.Timeout;
 import saltstage.net.NettyTransport;
 
-/** Frame by frame, by a driver that nobody here wrote: what comes back must be what it was told to expect. */
+/**
+ * Frame by frame, by a driver that nobody here wrote: what comes back must be what it was told to
+ * expect.
+ */
 @Timeout(120)
 class ProtocolDriverTest {
     /** Properties with the message id "d1" (3.2.4) and a data section of one byte (3.2.6). */
-    private static final byte[] MESSAGE = {0, 0x53, 0x73, (byte) 0xc0, 5, 1, (byte) 0xa1, 2, 'd', '1',
-        0, 0x53, 0x75, (byte) 0xa0, 1, 'x'};
+    private static final byte[] MESSAGE = {
+        0,
+        0x53,
+        0x73,
+        (byte) 0xc0,
+        5,
+        1,
+        (byte) 0xa1,
+        2,
+        'd',
+        '1',
+        0,
+        0x53,
+        0x75,
+        (byte) 0xa0,
+        1,
+        'x'
+    };
 
     private static final int MAX_ATTEMPTS = 5;
 
@@ -31,14 +50,18 @@
         void run() throws Exception;
     }
 
-    /** An attach may be refused for now, as on a machine that is slow just then: that is played anew. */
+    /**
+     * An attach may be refused for now, as on a machine that is slow just then: that is played
+     * anew.
+     */
     private void runWithRetries(Script script) throws Exception {
-        for (int i = 1;; i++) {
+        for (int i = 1; ; i++) {
             try {
                 script.run();
                 return;
             } catch (AssertionError failed) {
-                if (i == MAX_ATTEMPTS || !String.valueOf(failed.getMessage()).contains("come again")) {
+                if (i == MAX_ATTEMPTS
+                        || !String.valueOf(failed.getMessage()).contains("come again")) {
                     throw failed;
                 }
                 end();
@@ -50,7 +73,9 @@
         environment = new AmqpTestEnvironment(1, settings);
         awaitFirstLink();
         driver = new ProtonTestClient();
-        driver.connect(environment.amqpAddress().getAddress().getHostAddress(), environment.amqpAddress().getPort());
+        driver.connect(
+                environment.amqpAddress().getAddress().getHostAddress(),
+                environment.amqpAddress().getPort());
         driver.expectAMQPHeader();
         driver.remoteAMQPHeader().now();
         driver.waitForScriptToComplete(20, TimeUnit.SECONDS);
@@ -59,9 +84,17 @@
     /** A relay that has just begun may refuse at first: links are taken from here on. */
     private void awaitFirstLink() throws Exception {
         try (NettyTransport transport =
-            new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
-            AmqpLoadClient first = new AmqpLoadClient(transport, transport.loops().get(0), environment.amqpAddress(), "first", 1,
-                "session-check", 64, new DeliveryTracker());
+                new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
+            AmqpLoadClient first =
+                    new AmqpLoadClient(
+                            transport,
+                            transport.loops().get(0),
+                            environment.amqpAddress(),
+                            "first",
+                            1,
+                            "session-check",
+                            64,
+                            new DeliveryTracker());
             environment.await("a first link", () -> first.attachedCount() == 1);
             first.close();
             environment.await("it is gone", () -> backend().linkCount() == 0);
@@ -73,7 +106,11 @@
         driver.expectOpen();
         driver.expectBegin();
         driver.remoteOpen().withContainerId("driver").now();
-        driver.remoteBegin().withNextOutgoingId(0).withIncomingWindow(100).withOutgoingWindow(100).now();
+        driver.remoteBegin()
+                .withNextOutgoingId(0)
+                .withIncomingWindow(100)
+                .withOutgoingWindow(100)
+                .now();
         awaitScript();
     }
 
@@ -83,8 +120,11 @@
 
     /** A flow with the session's state as it is while nothing was transferred. */
     private FlowInjectAction flow() {
-        return driver.remoteFlow().withIncomingWindow(100).withNextIncomingId(0).withNextOutgoingId(0)
-            .withOutgoingWindow(100);
+        return driver.remoteFlow()
+                .withIncomingWindow(100)
+                .withNextIncomingId(0)
+                .withNextOutgoingId(0)
+                .withOutgoingWindow(100);
     }
 
     private FakeAmqpBackend backend() {
@@ -95,7 +135,12 @@
         driver.expectAttach().ofReceiver().withHandle(0);
         driver.expectFlow().withHandle(nullValue()).optional();
         driver.expectFlow().withHandle(0).withLinkCredit(notNullValue());
-        var attach = driver.remoteAttach().ofSender().withName("out").withHandle(0).withInitialDeliveryCount(0);
+        var attach =
+                driver.remoteAttach()
+                        .ofSender()
+                        .withName("out")
+                        .withHandle(0)
+                        .withInitialDeliveryCount(0);
         if (second) {
             attach.withReceivervSettlesSecond();
         }
@@ -175,12 +220,21 @@
         open();
         attachSender(true);
         driver.expectDisposition().withFirst(0).withState().accepted();
-        driver.remoteTransfer().withHandle(0).withDeliveryId(0).withDeliveryTag(new byte[] {1})
-            .withPayload(MESSAGE).now();
+        driver.remoteTransfer()
+                .withHandle(0)
+                .withDeliveryId(0)
+                .withDeliveryTag(new byte[] {1})
+                .withPayload(MESSAGE)
+                .now();
         awaitScript();
         assertEquals(0, backend().senderSettledFirstCount());
-        driver.remoteDisposition().withRole(Role.SENDER).withFirst(0).withSettled(true).withState()
-            .accepted().now();
+        driver.remoteDisposition()
+                .withRole(Role.SENDER)
+                .withFirst(0)
+                .withSettled(true)
+                .withState()
+                .accepted()
+                .now();
         environment.await("settled at the backend", () -> backend().senderSettledFirstCount() == 1);
     }
 
@@ -193,19 +247,32 @@
         open();
         attachSender(false);
         driver.expectEnd();
-        driver.remoteTransfer().withHandle(0).withDeliveryId(0).withDeliveryTag(new byte[] {1}).withMore(true)
-            .withPayload(MESSAGE).now();
+        driver.remoteTransfer()
+                .withHandle(0)
+                .withDeliveryId(0)
+                .withDeliveryTag(new byte[] {1})
+                .withMore(true)
+                .withPayload(MESSAGE)
+                .now();
         driver.remoteEnd().now();
         awaitScript();
         environment.await("no link", () -> backend().linkCount() == 0);
         assertEquals(List.of(), backend().acceptedIds());
         driver.expectBegin(); // the connection goes on
-        driver.remoteBegin().withNextOutgoingId(0).withIncomingWindow(100).withOutgoingWindow(100).now();
+        driver.remoteBegin()
+                .withNextOutgoingId(0)
+                .withIncomingWindow(100)
+                .withOutgoingWindow(100)
+                .now();
         awaitScript();
         attachSender(false);
         driver.expectDisposition().withFirst(0).withSettled(true).withState().accepted();
-        driver.remoteTransfer().withHandle(0).withDeliveryId(0).withDeliveryTag(new byte[] {1})
-            .withPayload(MESSAGE).now();
+        driver.remoteTransfer()
+                .withHandle(0)
+                .withDeliveryId(0)
+                .withDeliveryTag(new byte[] {1})
+                .withPayload(MESSAGE)
+                .now();
         awaitScript();
     }
 
@@ -218,9 +285,15 @@
         open();
         attachSender(false);
         driver.expectDetach().withHandle(0);
-        driver.expectFlow().withHandle(nullValue()); // the session's window, which the link's bytes had used
-        driver.remoteTransfer().withHandle(0).withDeliveryId(0).withDeliveryTag(new byte[] {1}).withMore(true)
-            .withPayload(MESSAGE).now();
+        driver.expectFlow()
+                .withHandle(nullValue()); // the session's window, which the link's bytes had used
+        driver.remoteTransfer()
+                .withHandle(0)
+                .withDeliveryId(0)
+                .withDeliveryTag(new byte[] {1})
+                .withMore(true)
+                .withPayload(MESSAGE)
+                .now();
         driver.remoteDetach().withHandle(0).withClosed(true).now();
         awaitScript();
         environment.await("no link", () -> backend().linkCount() == 0);
@@ -236,7 +309,12 @@
         open();
         driver.expectAttach().withTarget(nullValue()).optional();
         driver.expectDetach().withError("amqp:not-implemented", "transactions");
-        var attach = driver.remoteAttach().ofSender().withName("tx").withHandle(0).withInitialDeliveryCount(0);
+        var attach =
+                driver.remoteAttach()
+                        .ofSender()
+                        .withName("tx")
+                        .withHandle(0)
+                        .withInitialDeliveryCount(0);
         attach.withSource().withAddress("driver").also();
         attach.withCoordinator().also().now();
         awaitScript();
@@ -247,7 +325,8 @@
         runWithRetries(this::heartbeatsFollowTheIdleTimeoutAndAHalfOpenClientIsDisconnectedScript);
     }
 
-    private void heartbeatsFollowTheIdleTimeoutAndAHalfOpenClientIsDisconnectedScript() throws Exception {
+    private void heartbeatsFollowTheIdleTimeoutAndAHalfOpenClientIsDisconnectedScript()
+            throws Exception {
         start("  idle = \"2s\"\n");
         driver.expectOpen();
         driver.expectEmptyFrame();
--- a/lab/src/test/java/saltstage/lab/amqp/ThirdPartyClientTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/ThirdPartyClientTest.java
@@ -34,8 +34,10 @@
     @Test
     void sendsReceivesAndGetsTheOutcomesOfBackends() throws Exception {
         try (AmqpTestEnvironment stage = new AmqpTestEnvironment(3, "");
-            Client client = Client.create(new ClientOptions().id("back-office"))) {
-            Connection connection = client.connect(stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
+                Client client = Client.create(new ClientOptions().id("back-office"))) {
+            Connection connection =
+                    client.connect(
+                            stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
             connection.openFuture().get(20, TimeUnit.SECONDS);
             Sender sender = connection.openSender("status-report/station-7");
             sender.openFuture().get(20, TimeUnit.SECONDS);
@@ -43,42 +45,71 @@
             for (int i = 0; i < 500; i++) {
                 Tracker tracker = sender.send(message("m" + i));
                 sent.add("m" + i);
-                assertEquals(DeliveryState.Type.ACCEPTED, tracker.awaitSettlement(20, TimeUnit.SECONDS)
-                    .remoteState().getType());
+                assertEquals(
+                        DeliveryState.Type.ACCEPTED,
+                        tracker.awaitSettlement(20, TimeUnit.SECONDS).remoteState().getType());
             }
             List<String> accepted =
-                stage.fleet().amqpBackends().stream().flatMap(g -> g.acceptedIds().stream()).toList();
+                    stage.fleet().amqpBackends().stream()
+                            .flatMap(g -> g.acceptedIds().stream())
+                            .toList();
             assertEquals(500, accepted.size());
             assertEquals(sent, new HashSet<>(accepted));
             for (int i = 0; i < 3; i++) {
                 stage.runCommand("reject g" + i + " 100");
             }
-            assertEquals(DeliveryState.Type.REJECTED, sender.send(message("bad"))
-                .awaitSettlement(20, TimeUnit.SECONDS).remoteState().getType());
+            assertEquals(
+                    DeliveryState.Type.REJECTED,
+                    sender.send(message("bad"))
+                            .awaitSettlement(20, TimeUnit.SECONDS)
+                            .remoteState()
+                            .getType());
             Receiver receiver =
-                connection.openReceiver("session-check", new ReceiverOptions().creditWindow(4));
+                    connection.openReceiver("session-check", new ReceiverOptions().creditWindow(4));
             for (int i = 0; i < 10; i++) {
                 Delivery got = receiver.receive(20, TimeUnit.SECONDS);
                 assertTrue(got.message().property("id").toString().endsWith(":" + i), "order");
             }
-            stage.await("ten accepted", () -> stage.fleet().amqpBackends().stream()
-                .mapToLong(g -> g.receivedOutcomeCounts().getOrDefault("accepted", 0L)).sum() == 10);
+            stage.await(
+                    "ten accepted",
+                    () ->
+                            stage.fleet().amqpBackends().stream()
+                                            .mapToLong(
+                                                    g ->
+                                                            g.receivedOutcomeCounts()
+                                                                    .getOrDefault("accepted", 0L))
+                                            .sum()
+                                    == 10);
             receiver.close();
             sender.close();
             connection.close();
-            stage.await("no links left", () -> stage.fleet().amqpBackends().stream().allMatch(g -> g.linkCount() == 0));
+            stage.await(
+                    "no links left",
+                    () -> stage.fleet().amqpBackends().stream().allMatch(g -> g.linkCount() == 0));
         }
     }
 
     @Test
     void unknownClassesAndUnsupportedFeaturesAreRejectedWithAnError() throws Exception {
-        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, ""); Client client = Client.create()) {
-            Connection connection = client.connect(stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
-            ClientException unknown = assertThrows(ClientException.class,
-                () -> connection.openSender("no-such-class").send(message("x")));
+        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, "");
+                Client client = Client.create()) {
+            Connection connection =
+                    client.connect(
+                            stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
+            ClientException unknown =
+                    assertThrows(
+                            ClientException.class,
+                            () -> connection.openSender("no-such-class").send(message("x")));
             assertTrue(unknown.toString().contains("amqp:not-found"), unknown.toString());
-            ExecutionException dynamic = assertThrows(ExecutionException.class,
-                () -> connection.openDynamicReceiver().openFuture().get(20, TimeUnit.SECONDS).address());
+            ExecutionException dynamic =
+                    assertThrows(
+                            ExecutionException.class,
+                            () ->
+                                    connection
+                                            .openDynamicReceiver()
+                                            .openFuture()
+                                            .get(20, TimeUnit.SECONDS)
+                                            .address());
             assertTrue(dynamic.toString().contains("amqp:not-implemented"), dynamic.toString());
         }
     }
--- a/lab/src/test/java/saltstage/lab/scale/CapacityPageTest.java
+++ b/lab/src/test/java/saltstage/lab/scale/CapacityPageTest.java
@@ -4,11 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-
-import saltstage.lab.Installation;
-
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,6 +11,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import saltstage.lab.Installation;
 
 /** No figure stands in the capacity page's tables that the committed CSVs do not give. */
 class CapacityPageTest {
--- a/lab/src/test/java/saltstage/lab/scale/FleetTest.java
+++ b/lab/src/test/java/saltstage/lab/scale/FleetTest.java
@@ -3,17 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.file.Path;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-
 import saltstage.lab.scale.Topology.Zone;
 import saltstage.net.NettyTransport;
 
-import java.nio.file.Path;
-import java.util.Set;
-import java.util.concurrent.TimeUnit;
-
 /**
  * A small installation of real control processes: its leader is killed while configuration changes.
  */
@@ -53,10 +51,13 @@
             assertEquals(0, killed.missingCount());
             assertTrue(
                     killed.everywhereMaxSeconds()
-                            <= CapacityTarget.MAX_PROPAGATION_SECONDS + MAX_SLOWDOWN_FACTOR * calm.everywhereMaxSeconds(),
+                            <= CapacityTarget.MAX_PROPAGATION_SECONDS
+                                    + MAX_SLOWDOWN_FACTOR * calm.everywhereMaxSeconds(),
                     calm + " and " + killed);
             assertEquals(
-                    1, all.fleet().distinctStates().size(), "all relays have the same revision and digest");
+                    1,
+                    all.fleet().distinctStates().size(),
+                    "all relays have the same revision and digest");
         }
     }
 
--- a/lab/src/test/java/saltstage/lab/scale/LineFitTest.java
+++ b/lab/src/test/java/saltstage/lab/scale/LineFitTest.java
@@ -3,11 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
-
 import java.util.List;
 import java.util.function.DoubleUnaryOperator;
 import java.util.stream.DoubleStream;
+import org.junit.jupiter.api.Test;
 
 /** Lines through points, their intervals, and where none is drawn. */
 class LineFitTest {
--- a/lab/src/test/java/saltstage/lab/trial/ConfigurationTrialTest.java
+++ b/lab/src/test/java/saltstage/lab/trial/ConfigurationTrialTest.java
@@ -16,8 +16,7 @@
 class ConfigurationTrialTest {
     private static final int FAULTS = 2;
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     @Test
     void onlyAcceptedChangesAreAppliedAndInTimeUnderFaults() throws Exception {
@@ -25,7 +24,8 @@
             for (long seed = 1; seed <= 2; seed++) {
                 ConfigurationTrial.Verdict verdict = trial.run(seed, FAULTS);
                 assertEquals(List.of(), verdict.violations(), verdict.toString());
-                assertTrue(verdict.changeCount() > FAULTS && verdict.maxMs() > 0, verdict.toString());
+                assertTrue(
+                        verdict.changeCount() > FAULTS && verdict.maxMs() > 0, verdict.toString());
             }
         }
     }
--- a/lab/src/test/java/saltstage/lab/trial/GroupProcessTest.java
+++ b/lab/src/test/java/saltstage/lab/trial/GroupProcessTest.java
@@ -38,11 +38,11 @@
 class GroupProcessTest {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(30);
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     private GroupUnderTest startGroup(String more) throws IOException, InterruptedException {
-        GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), more).start();
+        GroupUnderTest group =
+                new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), more).start();
         group.leader(CALL_TIMEOUT);
         return group;
     }
@@ -54,8 +54,10 @@
 
     private static JsonNode status(GroupUnderTest group, String name)
             throws IOException, InterruptedException {
-        return new GroupClient(List.of(group.clientAddresses().get(group.names().indexOf(name))), Ticker.SYSTEM)
-            .get("/v1/status", CALL_TIMEOUT);
+        return new GroupClient(
+                        List.of(group.clientAddresses().get(group.names().indexOf(name))),
+                        Ticker.SYSTEM)
+                .get("/v1/status", CALL_TIMEOUT);
     }
 
     /** Something that comes true, waited for far longer than it takes. */
@@ -63,7 +65,8 @@
         boolean holds() throws IOException, InterruptedException;
     }
 
-    private static void await(String what, Condition condition) throws IOException, InterruptedException {
+    private static void await(String what, Condition condition)
+            throws IOException, InterruptedException {
         long until = System.nanoTime() + CALL_TIMEOUT.toNanos();
         while (!condition.holds()) {
             assertTrue(System.nanoTime() < until, what);
@@ -91,7 +94,8 @@
 
     @Test
     void regionsWithRealRelaysAreMaintainedInTurnWithoutBreakingConnections() throws Exception {
-        DemoFleetCommand demo = CommandLine.populateCommand(new DemoFleetCommand(), "--clients", "20");
+        DemoFleetCommand demo =
+                CommandLine.populateCommand(new DemoFleetCommand(), "--clients", "20");
         assertEquals(0, demo.call(), () -> String.valueOf(demo.violations()));
     }
 
@@ -111,15 +115,21 @@
         }
     }
 
-    /** One direction is silent until the follower has noticed; the other follower still hears the leader. */
+    /**
+     * One direction is silent until the follower has noticed; the other follower still hears the
+     * leader.
+     */
     private static void interruptLeader(GroupUnderTest group, String leader, String follower)
             throws IOException, InterruptedException {
-        group.replicaLink(leader, follower).setFaults(FaultProxy.DirectionFault.SILENT, FaultProxy.DirectionFault.CLEAR);
-        await(follower + " misses its leader",
-            () -> !status(group, follower).path("leader").asText().equals(leader));
+        group.replicaLink(leader, follower)
+                .setFaults(FaultProxy.DirectionFault.SILENT, FaultProxy.DirectionFault.CLEAR);
+        await(
+                follower + " misses its leader",
+                () -> !status(group, follower).path("leader").asText().equals(leader));
         group.replicaLink(leader, follower).heal();
-        await(follower + " hears it again",
-            () -> status(group, follower).path("leader").asText().equals(leader));
+        await(
+                follower + " hears it again",
+                () -> status(group, follower).path("leader").asText().equals(leader));
     }
 
     @Test
@@ -133,12 +143,15 @@
             for (String name : group.names()) {
                 group.process(name).start();
             }
-            assertInstanceOf(Held.class, acquire(client, "b", 4_000), "its time goes on, it is not over");
+            assertInstanceOf(
+                    Held.class, acquire(client, "b", 4_000), "its time goes on, it is not over");
             Reply[] later = new Reply[1];
-            await("its time comes to an end", () -> {
-                later[0] = acquire(client, "b", 4_000);
-                return later[0] instanceof Granted;
-            });
+            await(
+                    "its time comes to an end",
+                    () -> {
+                        later[0] = acquire(client, "b", 4_000);
+                        return later[0] instanceof Granted;
+                    });
             assertTrue(((Granted) later[0]).fence() > fence);
         }
     }
@@ -152,12 +165,16 @@
                     group.process(other).kill();
                 }
             }
-            GroupClient alone = new GroupClient(
-                List.of(group.clientAddresses().get(group.names().indexOf(leader))), Ticker.SYSTEM);
+            GroupClient alone =
+                    new GroupClient(
+                            List.of(group.clientAddresses().get(group.names().indexOf(leader))),
+                            Ticker.SYSTEM);
             Thread.sleep(100);
             assertUnreachable(() -> alone.get("/v1/leases", Duration.ofSeconds(3)));
-            assertUnreachable(() -> alone.send(new Acquire("x", "a", 1_000, 0, false),
-                Duration.ofSeconds(3)));
+            assertUnreachable(
+                    () ->
+                            alone.send(
+                                    new Acquire("x", "a", 1_000, 0, false), Duration.ofSeconds(3)));
             assertTrue(alone.get("/v1/leases?stale=1", CALL_TIMEOUT).path("stale").asBoolean());
         }
     }
@@ -169,50 +186,84 @@
     @Test
     void wipedReplicaIsRejectedAndOneWithANewNameReplacesIt() throws Exception {
         try (GroupUnderTest group = startGroup("")) {
-            await("all are known", () -> status(group, group.leader(CALL_TIMEOUT)).path("members").size() == 3);
-            String victim = group.names().stream().filter(name -> {
-                try {
-                    return !name.equals(group.leader(CALL_TIMEOUT));
-                } catch (IOException | InterruptedException impossible) {
-                    throw new IllegalStateException(impossible);
-                }
-            }).findFirst().orElseThrow();
+            await(
+                    "all are known",
+                    () -> status(group, group.leader(CALL_TIMEOUT)).path("members").size() == 3);
+            String victim =
+                    group.names().stream()
+                            .filter(
+                                    name -> {
+                                        try {
+                                            return !name.equals(group.leader(CALL_TIMEOUT));
+                                        } catch (IOException | InterruptedException impossible) {
+                                            throw new IllegalStateException(impossible);
+                                        }
+                                    })
+                            .findFirst()
+                            .orElseThrow();
             group.process(victim).kill();
             Installation.deleteRecursively(dir.resolve("data").resolve(victim));
             group.process(victim).start();
             await("it ends by itself", () -> !group.process(victim).isAlive());
             assertEquals(78, group.process(victim).exitCode());
-            assertTrue(Files.readString(group.process(victim).logFile().toPath()).contains("other-disk"));
+            assertTrue(
+                    Files.readString(group.process(victim).logFile().toPath())
+                            .contains("other-disk"));
 
-            group.client().post("/v1/leave",
-                GroupCodec.jsonMapper().createObjectNode().put("name", victim), CALL_TIMEOUT);
+            group.client()
+                    .post(
+                            "/v1/leave",
+                            GroupCodec.jsonMapper().createObjectNode().put("name", victim),
+                            CALL_TIMEOUT);
             try (TrialProcess anew = group.newJoiningProcess("r4")) {
                 anew.start();
-                await("it votes again", () -> {
-                    JsonNode now = status(group, group.leader(CALL_TIMEOUT));
-                    return now.path("voters").size() == 3;
-                });
+                await(
+                        "it votes again",
+                        () -> {
+                            JsonNode now = status(group, group.leader(CALL_TIMEOUT));
+                            return now.path("voters").size() == 3;
+                        });
             }
         }
     }
 
     @Test
     void invalidRequestsGetAnErrorAndChangeNothing() throws Exception {
-        try (GroupUnderTest group = new GroupUnderTest(dir, 1, List.of(TrialProcess.coordinatorJar()), "").start()) {
+        try (GroupUnderTest group =
+                new GroupUnderTest(dir, 1, List.of(TrialProcess.coordinatorJar()), "").start()) {
             group.leader(CALL_TIMEOUT);
             long before = status(group, "r1").path("leases").asLong();
-            String acquire = "{'client':'c','seq':1,'command':{'op':'acquire','name':'x','owner':'o',"
-                + "'ttlMs':999,'priority':0,'queue':false}}";
-            String plan = "{'client':'c','seq':1,'command':{'op':'set-fleet','by':'b','plan':{'slotMs':1000,"
-                + "'zones':{},'regions':[null],'floors':[],'mostRegions':1,'spacingMs':0,'coldPermille':0}}}";
-            for (String body : List.of("", "{", "[]", "null", "{}", acquire.replace("'seq':1", "'seq':0"),
-                    acquire.replace("'ttlMs':999,", ""), acquire.replace("'x'", "null"),
-                    acquire.replace("'acquire'", "'tick'"), acquire.replace("'acquire'", "'never'"),
-                    acquire.replace("'o'", "'o','more':1"), plan, "x".repeat(100_000))) {
+            String acquire =
+                    "{'client':'c','seq':1,'command':{'op':'acquire','name':'x','owner':'o',"
+                            + "'ttlMs':999,'priority':0,'queue':false}}";
+            String plan =
+                    "{'client':'c','seq':1,'command':{'op':'set-fleet','by':'b','plan':{'slotMs':1000,"
+                        + "'zones':{},'regions':[null],'floors':[],'mostRegions':1,'spacingMs':0,'coldPermille':0}}}";
+            for (String body :
+                    List.of(
+                            "",
+                            "{",
+                            "[]",
+                            "null",
+                            "{}",
+                            acquire.replace("'seq':1", "'seq':0"),
+                            acquire.replace("'ttlMs':999,", ""),
+                            acquire.replace("'x'", "null"),
+                            acquire.replace("'acquire'", "'tick'"),
+                            acquire.replace("'acquire'", "'never'"),
+                            acquire.replace("'o'", "'o','more':1"),
+                            plan,
+                            "x".repeat(100_000))) {
                 HttpResponse<String> said = post(group, "/v1/do", body.replace('\'', '"'));
                 assertEquals(400, said.statusCode(), body + " got " + said.body());
-                assertTrue(GroupCodec.jsonMapper().readTree(said.body()).path("error").asText().length() > 5,
-                    said.body());
+                assertTrue(
+                        GroupCodec.jsonMapper()
+                                        .readTree(said.body())
+                                        .path("error")
+                                        .asText()
+                                        .length()
+                                > 5,
+                        said.body());
             }
             assertEquals(404, post(group, "/v1/never", "{}").statusCode());
             assertEquals(413, post(group, "/v1/do", "x".repeat(3 << 20)).statusCode());
@@ -224,8 +275,12 @@
     private static HttpResponse<String> post(GroupUnderTest group, String path, String body)
             throws IOException, InterruptedException {
         HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-        return http.send(HttpRequest.newBuilder(URI.create("http://" + group.clientAddresses().get(0) + path))
-            .POST(HttpRequest.BodyPublishers.ofString(body)).build(), HttpResponse.BodyHandlers.ofString());
+        return http.send(
+                HttpRequest.newBuilder(
+                                URI.create("http://" + group.clientAddresses().get(0) + path))
+                        .POST(HttpRequest.BodyPublishers.ofString(body))
+                        .build(),
+                HttpResponse.BodyHandlers.ofString());
     }
 
     @Test
@@ -238,8 +293,15 @@
             group.process("r2").kill();
             List<Path> segments;
             try (Stream<Path> files = Files.list(dir.resolve("data").resolve("r2"))) {
-                segments = files.filter(f -> f.getFileName().toString().contains("seg")
-                    || f.getFileName().toString().endsWith(".log")).sorted().toList();
+                segments =
+                        files.filter(
+                                        f ->
+                                                f.getFileName().toString().contains("seg")
+                                                        || f.getFileName()
+                                                                .toString()
+                                                                .endsWith(".log"))
+                                .sorted()
+                                .toList();
             }
             assertFalse(segments.isEmpty());
             for (Path segment : segments) { // a stretch in the middle of what is acknowledged
@@ -252,16 +314,23 @@
             group.process("r2").start();
             await("it ends by itself", () -> !group.process("r2").isAlive());
             assertTrue(group.process("r2").exitCode() != 0);
-            assertInstanceOf(Held.class,
-                client.send(new Acquire("l49", "other", 1_000, 0, false), CALL_TIMEOUT).reply());
+            assertInstanceOf(
+                    Held.class,
+                    client.send(new Acquire("l49", "other", 1_000, 0, false), CALL_TIMEOUT)
+                            .reply());
         }
     }
 
     @Test
     void replicaWithAFullDiskStopsAndTheOthersContinue() throws Exception {
-        try (GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()),
-                "  snapshot_every = 100000\n")) {
-            group.process("r2").limitFileSize(4 << 10); // KiB a file: the first segment does not fit
+        try (GroupUnderTest group =
+                new GroupUnderTest(
+                        dir,
+                        3,
+                        List.of(TrialProcess.coordinatorJar()),
+                        "  snapshot_every = 100000\n")) {
+            group.process("r2")
+                    .limitFileSize(4 << 10); // KiB a file: the first segment does not fit
             group.start();
             await("it ends by itself", () -> !group.process("r2").isAlive());
             assertTrue(group.process("r2").exitCode() != 0);
@@ -271,37 +340,55 @@
 
     @Test
     void oneReplicasWallClockAnHourOffChangesNothing() throws Exception {
-        try (GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), "")) {
+        try (GroupUnderTest group =
+                new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), "")) {
             group.setExtraSettings("r1", "  trial {\n    wall_off_ms = 3600000\n  }\n");
             group.setExtraSettings("r2", "  trial {\n    clock_percent = 101\n  }\n");
             group.start();
-            await("the day is known", () -> status(group, group.leader(CALL_TIMEOUT)).path("day").asLong() > 0
-                && status(group, group.leader(CALL_TIMEOUT)).path("members").size() == 3);
+            await(
+                    "the day is known",
+                    () ->
+                            status(group, group.leader(CALL_TIMEOUT)).path("day").asLong() > 0
+                                    && status(group, group.leader(CALL_TIMEOUT))
+                                                    .path("members")
+                                                    .size()
+                                            == 3);
             for (String name : group.names()) { // each leads once, the one that is off too
                 if (!name.equals(group.leader(CALL_TIMEOUT))) {
-                    group.client().post("/v1/transfer",
-                        GroupCodec.jsonMapper().createObjectNode().put("to", name), CALL_TIMEOUT);
+                    group.client()
+                            .post(
+                                    "/v1/transfer",
+                                    GroupCodec.jsonMapper().createObjectNode().put("to", name),
+                                    CALL_TIMEOUT);
                 }
                 Thread.sleep(500);
                 long off = status(group, name).path("day").asLong() - System.currentTimeMillis();
-                assertTrue(Math.abs(off) < 60_000, name + " leads, and the day is off by " + off + " ms");
+                assertTrue(
+                        Math.abs(off) < 60_000,
+                        name + " leads, and the day is off by " + off + " ms");
             }
         }
     }
 
     @Test
     void groupUsesWindowsOnlyOnceEveryVoterSupportsThem() throws Exception {
-        try (GroupUnderTest group = new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), "")) {
+        try (GroupUnderTest group =
+                new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), "")) {
             group.setExtraSettings("r1", "  speaks = 1\n");
             group.start();
-            await("all are known", () -> status(group, group.leader(CALL_TIMEOUT)).path("members").size() == 3);
+            await(
+                    "all are known",
+                    () -> status(group, group.leader(CALL_TIMEOUT)).path("members").size() == 3);
             Thread.sleep(1_000); // ticks go by; the level must not move by them
             assertEquals(1, status(group, group.leader(CALL_TIMEOUT)).path("level").asInt());
             group.process("r1").kill();
             group.setExtraSettings("r1", "");
             group.process("r1").start();
-            await("all know what this build does",
-                () -> status(group, "r1").path("level").asInt() == GroupState.SUPPORTED_FEATURE_LEVEL);
+            await(
+                    "all know what this build does",
+                    () ->
+                            status(group, "r1").path("level").asInt()
+                                    == GroupState.SUPPORTED_FEATURE_LEVEL);
         }
     }
 }
