--- a/lab/src/main/java/saltstage/lab/amqp/AmqpBenchmark.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpBenchmark.java
@@ -100,25 +100,7 @@
                                         + "  links = 100000\n"
                                         + "  connections = 1000\n"
                                         + "  attaches_per_second = 100000\n"));
-        relay =
-                new ProcessBuilder(
-                                "taskset",
-                                "-c",
-                                cpu,
-                                "java",
-                                "-Xms" + heap,
-                                "-Xmx" + heap,
-                                "-XX:+UseSerialGC",
-                                "-jar",
-                                Installation.relayJar().toString(),
-                                "serve",
-                                "--config",
-                                dir.resolve("config.json").toString(),
-                                "--settings",
-                                dir.resolve("saltstage.hcl").toString())
-                        .redirectErrorStream(true)
-                        .redirectOutput(dir.resolve("log").toFile())
-                        .start();
+        relay = startRelay();
         try {
             Installation.awaitPong(
                     parseAddress(fleet.listenAddress()), relay, Duration.ofSeconds(30));
@@ -135,6 +117,27 @@
         return 0;
     }
 
+    private Process startRelay() throws IOException {
+        return new ProcessBuilder(
+                        "taskset",
+                        "-c",
+                        cpu,
+                        "java",
+                        "-Xms" + heap,
+                        "-Xmx" + heap,
+                        "-XX:+UseSerialGC",
+                        "-jar",
+                        Installation.relayJar().toString(),
+                        "serve",
+                        "--config",
+                        dir.resolve("config.json").toString(),
+                        "--settings",
+                        dir.resolve("saltstage.hcl").toString())
+                .redirectErrorStream(true)
+                .redirectOutput(dir.resolve("log").toFile())
+                .start();
+    }
+
     private void measurePart(String part) throws IOException, InterruptedException {
         switch (part) {
             case "rates" -> measureRates();
@@ -173,26 +176,7 @@
             }
             double half = most[0] / 2;
             for (int way = 0; way < 2; way++) {
-                try (LoadGenerator load =
-                        new LoadGenerator(
-                                true, targetAddresses(way == 1), count, "half" + way + count)) {
-                    load.run(half, 3, false);
-                }
-                try (LoadGenerator load =
-                        new LoadGenerator(
-                                true, targetAddresses(way == 1), count, "rate" + way + count)) {
-                    load.run(half, seconds, false);
-                    var times = load.deliveryTracker().latencies();
-                    report.addRow(
-                            count,
-                            way == 1 ? "straight" : "relay",
-                            Math.round(most[way]),
-                            Math.round(half),
-                            formatMillis(times.getValueAtPercentile(50)),
-                            formatMillis(times.getValueAtPercentile(99)),
-                            formatMillis(times.getValueAtPercentile(99.9)),
-                            formatMillis(times.getMaxValue()));
-                }
+                measureLatencies(report, count, way, most[way], half);
             }
         }
         report.setBarChart(
@@ -205,6 +189,29 @@
         report.writeFiles(Installation.measurementsDirectory());
     }
 
+    /** Latencies at a rate; a first run at that rate is not counted. */
+    private void measureLatencies(Report report, int count, int way, double max, double rate)
+            throws InterruptedException {
+        try (LoadGenerator load =
+                new LoadGenerator(true, targetAddresses(way == 1), count, "half" + way + count)) {
+            load.run(rate, 3, false);
+        }
+        try (LoadGenerator load =
+                new LoadGenerator(true, targetAddresses(way == 1), count, "rate" + way + count)) {
+            load.run(rate, seconds, false);
+            var times = load.deliveryTracker().latencies();
+            report.addRow(
+                    count,
+                    way == 1 ? "straight" : "relay",
+                    Math.round(max),
+                    Math.round(rate),
+                    formatMillis(times.getValueAtPercentile(50)),
+                    formatMillis(times.getValueAtPercentile(99)),
+                    formatMillis(times.getValueAtPercentile(99.9)),
+                    formatMillis(times.getMaxValue()));
+        }
+    }
+
     private void warmUp() throws InterruptedException {
         long start = System.nanoTime();
         for (int round = 0; System.nanoTime() - start < warm * 1e9; round++) {
--- a/lab/src/main/java/saltstage/lab/amqp/FakeAmqpBackend.java
+++ b/lab/src/main/java/saltstage/lab/amqp/FakeAmqpBackend.java
@@ -287,44 +287,37 @@
                 .detachHandler(any -> over.run())
                 .parentEndpointClosedHandler(any -> over.run())
                 .engineShutdownHandler(any -> over.run())
-                .creditStateUpdateHandler(
-                        any -> {
-                            while (link.isSendable() && given[0] < messagesPerLink) {
-                                byte[] message =
-                                        MessageCodec.encode(
-                                                uid + ":" + link.getName() + ":" + given[0]++, 64);
-                                OutgoingDelivery out =
-                                        link.next()
-                                                .setTag(
-                                                        new byte[] {
-                                                            (byte) (given[0] >> 8), (byte) given[0]
-                                                        });
-                                out.writeBytes(ProtonByteArrayBufferAllocator.wrapped(message));
-                            }
-                            if (link.isDraining()) {
-                                link.drained();
-                            }
-                        })
-                .deliveryStateUpdatedHandler(
-                        out -> {
-                            if (out.getRemoteState() != null) {
-                                synchronized (acceptedIds) {
-                                    receivedOutcomeCounts.merge(
-                                            out.getRemoteState()
-                                                    .getType()
-                                                    .name()
-                                                    .toLowerCase(Locale.ROOT),
-                                            1L,
-                                            Long::sum);
-                                }
-                            }
-                            if (out.isRemotelySettled()) {
-                                out.settle();
-                            }
-                        })
+                .creditStateUpdateHandler(any -> sendMessages(link, given))
+                .deliveryStateUpdatedHandler(out -> outcomeReceived(out))
                 .open();
     }
 
+    private void sendMessages(Sender link, int[] given) {
+        while (link.isSendable() && given[0] < messagesPerLink) {
+            byte[] message = MessageCodec.encode(uid + ":" + link.getName() + ":" + given[0]++, 64);
+            OutgoingDelivery out =
+                    link.next().setTag(new byte[] {(byte) (given[0] >> 8), (byte) given[0]});
+            out.writeBytes(ProtonByteArrayBufferAllocator.wrapped(message));
+        }
+        if (link.isDraining()) {
+            link.drained();
+        }
+    }
+
+    private void outcomeReceived(OutgoingDelivery out) {
+        if (out.getRemoteState() != null) {
+            synchronized (acceptedIds) {
+                receivedOutcomeCounts.merge(
+                        out.getRemoteState().getType().name().toLowerCase(Locale.ROOT),
+                        1L,
+                        Long::sum);
+            }
+        }
+        if (out.isRemotelySettled()) {
+            out.settle();
+        }
+    }
+
     // ---- what is done to it
 
     /** Wants no new links; those that it has go on. */
--- a/lab/src/main/java/saltstage/lab/amqp/LoadCommand.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LoadCommand.java
@@ -75,16 +75,7 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         JsonNode fleet = new ObjectMapper().readTree(dir.resolve("fleet.json").toFile());
-        List<InetSocketAddress> to = new ArrayList<>();
-        if (straight) {
-            ((ArrayNode) fleet.get(protocol + "_gateways"))
-                    .forEach(at -> to.add(parseAddress(at.asText())));
-        } else if (fleet.has(protocol.name())) {
-            to.add(parseAddress(fleet.get(protocol.name()).asText()));
-        } else {
-            throw new IllegalArgumentException(
-                    "the fleet in " + dir + " does not speak " + protocol);
-        }
+        List<InetSocketAddress> to = targetAddresses(fleet);
         Map<String, Object> result = new LinkedHashMap<>();
         List<String> faults;
         try (LoadGenerator load =
@@ -120,6 +111,20 @@
         return faults.isEmpty() ? 0 : 1;
     }
 
+    private List<InetSocketAddress> targetAddresses(JsonNode fleet) {
+        List<InetSocketAddress> to = new ArrayList<>();
+        if (straight) {
+            ((ArrayNode) fleet.get(protocol + "_gateways"))
+                    .forEach(at -> to.add(parseAddress(at.asText())));
+        } else if (fleet.has(protocol.name())) {
+            to.add(parseAddress(fleet.get(protocol.name()).asText()));
+        } else {
+            throw new IllegalArgumentException(
+                    "the fleet in " + dir + " does not speak " + protocol);
+        }
+        return to;
+    }
+
     /** What the gateways have accepted of this load's deliveries; those of others are left out. */
     private static List<String> acceptedIds(JsonNode fleet, LoadGenerator load) throws IOException {
         List<String> all = new ArrayList<>();
--- a/lab/src/main/java/saltstage/lab/fleet/DemoCommand.java
+++ b/lab/src/main/java/saltstage/lab/fleet/DemoCommand.java
@@ -37,16 +37,7 @@
         try {
             FakeFleet fleet = new FakeFleet(gateways);
             fleet.writeFiles(dir, "log {\n  level = \"warn\"\n}\n");
-            relay =
-                    new ProcessBuilder(
-                                    Installation.relayScript().toString(),
-                                    "serve",
-                                    "--config",
-                                    dir.resolve("config.json").toString(),
-                                    "--settings",
-                                    dir.resolve("saltstage.hcl").toString())
-                            .redirectError(dir.resolve("log").toFile())
-                            .start();
+            relay = startRelay(dir);
             String[] at = fleet.listenAddress().split(":");
             InetSocketAddress address = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
             Installation.awaitPong(address, relay, Duration.ofSeconds(30));
@@ -79,6 +70,18 @@
         }
     }
 
+    private static Process startRelay(Path dir) throws IOException {
+        return new ProcessBuilder(
+                        Installation.relayScript().toString(),
+                        "serve",
+                        "--config",
+                        dir.resolve("config.json").toString(),
+                        "--settings",
+                        dir.resolve("saltstage.hcl").toString())
+                .redirectError(dir.resolve("log").toFile())
+                .start();
+    }
+
     private void printProgress(FakeFleet fleet, SimulatedClients all)
             throws IOException, InterruptedException {
         System.out.println("  s " + SimulatedClients.ROW_HEADER + "  at the gateways");
--- a/lab/src/main/java/saltstage/lab/fleet/FakeFleet.java
+++ b/lab/src/main/java/saltstage/lab/fleet/FakeFleet.java
@@ -194,7 +194,8 @@
                         + discovery.fullList(known)
                         + ",'settings':{"
                         + "'Discovery':'on_request','FleetSize':1,'Zone':0,'Zones':['a'],"
-                        + "'Limits':{'MaxAttempts':6,'ConnectTimeout':250000,'RetryAfter':true,'MaxRetryAfter':1500000,"
+                        + "'Limits':{'MaxAttempts':6,'ConnectTimeout':250000,'RetryAfter':true,"
+                        + "'MaxRetryAfter':1500000,"
                         + "'Probes':true},'Report':{'Fields':['x0','queue'],'How':'probe'},"
                         + "'FamilyInfo':{'MessageAim':[60000.0,50000.0]},"
                         + "'Safety':{'DrainGrace':1000000,'AskEvery':6000000,'ColdFrom':0.31,'Cold':8700000,"
--- a/lab/src/main/java/saltstage/lab/measure/StartupCommand.java
+++ b/lab/src/main/java/saltstage/lab/measure/StartupCommand.java
@@ -87,18 +87,7 @@
         Path dir = Files.createTempDirectory("saltstage-startup");
         FakeFleet fleet = new FakeFleet(12);
         fleet.writeFiles(dir, "store {\n  dir = \"" + dir.resolve("state") + "\"\n}\n");
-        List<String> command = new ArrayList<>(List.of("taskset", "-c", "1", "java"));
-        command.addAll(jvm);
-        if (!more.isBlank()) {
-            command.addAll(List.of(more.trim().split(" ")));
-        }
-        command.addAll(
-                List.of(
-                        "-jar",
-                        jar.toString(),
-                        "serve",
-                        "--config",
-                        dir.resolve("config.json").toString()));
+        List<String> command = relayCommand(jar, more, dir);
         if (store) {
             command.addAll(List.of("--settings", dir.resolve("saltstage.hcl").toString()));
             Process before =
@@ -135,6 +124,22 @@
         }
     }
 
+    private List<String> relayCommand(Path jar, String more, Path dir) {
+        List<String> command = new ArrayList<>(List.of("taskset", "-c", "1", "java"));
+        command.addAll(jvm);
+        if (!more.isBlank()) {
+            command.addAll(List.of(more.trim().split(" ")));
+        }
+        command.addAll(
+                List.of(
+                        "-jar",
+                        jar.toString(),
+                        "serve",
+                        "--config",
+                        dir.resolve("config.json").toString()));
+        return command;
+    }
+
     private static InetSocketAddress relayAddress(FakeFleet fleet) {
         String[] at = fleet.listenAddress().split(":");
         return new InetSocketAddress(at[0], Integer.parseInt(at[1]));
--- a/lab/src/main/java/saltstage/lab/store/StoreBenchmark.java
+++ b/lab/src/main/java/saltstage/lab/store/StoreBenchmark.java
@@ -303,42 +303,41 @@
                             "files in MiB");
             for (int writers : new int[] {1, 8, 64}) {
                 for (boolean beside : new boolean[] {false, true}) {
-                    Path at = dir.resolve("c-" + writers + beside);
-                    Histogram latency = new ConcurrentHistogram(3);
-                    StoreOptions options = new StoreOptions(8 << 20, beside, 32L << 20);
-                    try (Store store =
-                            Store.open(
-                                    FileDisk.openOrCreate(at), options, StoreEventListener.NONE)) {
-                        for (long i = 0; i < 100_000; ) {
-                            Batch batch = new Batch();
-                            for (long end = i + 1_000; i < end; i++) {
-                                batch.put(key(i), value(i));
-                            }
-                            store.commit(batch);
-                        }
-                        long rate =
-                                measureRate(
-                                        writers,
-                                        seconds,
-                                        latency,
-                                        k -> store.put(key(k), value(k)));
-                        double user = rate * seconds * (VALUE_BYTES + 16);
-                        report.addRow(
-                                writers,
-                                beside ? "on" : "off",
-                                rate,
-                                latency.getValueAtPercentile(50),
-                                latency.getValueAtPercentile(99),
-                                latency.getValueAtPercentile(99.9),
-                                String.format("%.1f", latency.getMaxValue() / 1e3),
-                                String.format("%.2f", store.copiedBytes() / user),
-                                store.statistics().fileBytes() >> 20);
-                    }
-                    Installation.deleteRecursively(at);
+                    measureRun(report, writers, beside);
                 }
             }
             report.writeFiles(Installation.measurementsDirectory());
             return 0;
         }
+
+        private void measureRun(Report report, int writers, boolean beside) throws Exception {
+            Path at = dir.resolve("c-" + writers + beside);
+            Histogram latency = new ConcurrentHistogram(3);
+            StoreOptions options = new StoreOptions(8 << 20, beside, 32L << 20);
+            try (Store store =
+                    Store.open(FileDisk.openOrCreate(at), options, StoreEventListener.NONE)) {
+                for (long i = 0; i < 100_000; ) {
+                    Batch batch = new Batch();
+                    for (long end = i + 1_000; i < end; i++) {
+                        batch.put(key(i), value(i));
+                    }
+                    store.commit(batch);
+                }
+                long rate =
+                        measureRate(writers, seconds, latency, k -> store.put(key(k), value(k)));
+                double user = rate * seconds * (VALUE_BYTES + 16);
+                report.addRow(
+                        writers,
+                        beside ? "on" : "off",
+                        rate,
+                        latency.getValueAtPercentile(50),
+                        latency.getValueAtPercentile(99),
+                        latency.getValueAtPercentile(99.9),
+                        String.format("%.1f", latency.getMaxValue() / 1e3),
+                        String.format("%.2f", store.copiedBytes() / user),
+                        store.statistics().fileBytes() >> 20);
+            }
+            Installation.deleteRecursively(at);
+        }
     }
 }
