--- a/lab/src/main/java/saltstage/lab/trial/CoordinatorBenchmark.java
+++ b/lab/src/main/java/saltstage/lab/trial/CoordinatorBenchmark.java
@@ -150,6 +150,16 @@
         return most[0] / 1_000;
     }
 
+    private static void transferLeadership(GroupUnderTest group, String leader)
+            throws IOException, InterruptedException {
+        String to = group.names().stream().filter(n -> !n.equals(leader)).findFirst().orElseThrow();
+        group.client()
+                .post(
+                        "/v1/transfer",
+                        GroupCodec.jsonMapper().createObjectNode().put("to", to),
+                        CALL_TIMEOUT);
+    }
+
     private void measureGaps(Report report) throws Exception {
         Path dir = Files.createTempDirectory("coordinator-");
         Histogram killed = new Histogram(60_000_000L, 3);
@@ -169,23 +179,7 @@
                 Thread.sleep(2_000);
             }
             for (int i = 0; i < transfers; i++) {
-                handed.recordValue(
-                        measureGap(
-                                group,
-                                leader -> {
-                                    String to =
-                                            group.names().stream()
-                                                    .filter(n -> !n.equals(leader))
-                                                    .findFirst()
-                                                    .orElseThrow();
-                                    group.client()
-                                            .post(
-                                                    "/v1/transfer",
-                                                    GroupCodec.jsonMapper()
-                                                            .createObjectNode()
-                                                            .put("to", to),
-                                                    CALL_TIMEOUT);
-                                }));
+                handed.recordValue(measureGap(group, leader -> transferLeadership(group, leader)));
             }
         }
         Installation.deleteRecursively(dir);
--- a/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
@@ -68,22 +68,7 @@
             for (String name : List.of("kita", "minami")) {
                 regions.put(
                         name, new RealRegion(name, dir, NODES_PER_REGION, clientCount, WARM_UP_MS));
-                agents.put(
-                        name,
-                        TrialProcess.coordinator(
-                                        "agent-" + name,
-                                        TrialProcess.coordinatorJar(),
-                                        dir,
-                                        List.of(
-                                                "agent",
-                                                "--at",
-                                                String.join(",", group.clientAddresses()),
-                                                "--agent",
-                                                regions.get(name)
-                                                        .fakeRegion()
-                                                        .writeAgentSettings(dir)
-                                                        .toString()))
-                                .start());
+                agents.put(name, startAgent(name, dir, group));
             }
             runWindows(group);
             group.heal();
@@ -116,6 +101,21 @@
         return violations.isEmpty() ? 0 : 1;
     }
 
+    private TrialProcess startAgent(String name, Path dir, GroupUnderTest group)
+            throws IOException, InterruptedException {
+        return TrialProcess.coordinator(
+                        "agent-" + name,
+                        TrialProcess.coordinatorJar(),
+                        dir,
+                        List.of(
+                                "agent",
+                                "--at",
+                                String.join(",", group.clientAddresses()),
+                                "--agent",
+                                regions.get(name).fakeRegion().writeAgentSettings(dir).toString()))
+                .start();
+    }
+
     private void runWindows(GroupUnderTest group) throws Exception {
         GroupClient client = group.client();
         StringBuilder fleet =
@@ -203,11 +203,7 @@
                 over &= now.state() == Window.State.DONE;
                 if (now.state() == Window.State.OUT && !agentKilled) {
                     agentKilled = true;
-                    TrialProcess agent = agents.get(now.wish().region());
-                    agent.kill();
-                    agent.start();
-                    unprintedEvents.add(
-                            "agent of " + now.wish().region() + " killed and started anew");
+                    restartAgent(now.wish().region());
                 }
                 if (now.state() == Window.State.WARMING && !leaderKilled) {
                     leaderKilled = true;
@@ -228,6 +224,17 @@
                 return;
             }
         }
+        checkNoClientBroken();
+    }
+
+    private void restartAgent(String region) throws IOException, InterruptedException {
+        TrialProcess agent = agents.get(region);
+        agent.kill();
+        agent.start();
+        unprintedEvents.add("agent of " + region + " killed and started anew");
+    }
+
+    private void checkNoClientBroken() {
         regions.forEach(
                 (name, region) -> {
                     if (region.clients().brokenCount() > 0) {
--- a/lab/src/main/java/saltstage/lab/trial/LeaseTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/LeaseTrial.java
@@ -90,30 +90,7 @@
                         new GroupUnderTest(dir, replicaCount, jars, "  snapshot_every = 100\n")) {
             group.start().leader(java.time.Duration.ofSeconds(20));
             for (int i = 1; i <= workerCount; i++) {
-                int clock =
-                        1_000
-                                + (int) (seed + i) % 3 * 8
-                                - 8; // 0.992, 1.000 or 1.008 of the world's
-                holders.put(
-                        "w" + i,
-                        TrialProcess.lab(
-                                        "w" + i,
-                                        dir,
-                                        List.of(
-                                                "trial-worker",
-                                                "--name",
-                                                "w" + i,
-                                                "--at",
-                                                String.join(",", group.clientLinkAddresses()),
-                                                "--witness",
-                                                Integer.toString(witness.address().getPort()),
-                                                "--ttl-ms",
-                                                Integer.toString(TTL_MS),
-                                                "--clock-permille",
-                                                Integer.toString(clock),
-                                                "--seed",
-                                                Long.toString(seed + i)))
-                                .start());
+                holders.put("w" + i, startHolder(i, seed, group, witness));
             }
             runFaults(faults, group, holders, wasPaused);
             group.heal();
@@ -131,6 +108,31 @@
         }
     }
 
+    private TrialProcess startHolder(
+            int number, long seed, GroupUnderTest group, FencedResource witness)
+            throws IOException, InterruptedException {
+        int clock =
+                1_000 + (int) (seed + number) % 3 * 8 - 8; // 0.992, 1.000 or 1.008 of the world's
+        return TrialProcess.lab(
+                        "w" + number,
+                        dir,
+                        List.of(
+                                "trial-worker",
+                                "--name",
+                                "w" + number,
+                                "--at",
+                                String.join(",", group.clientLinkAddresses()),
+                                "--witness",
+                                Integer.toString(witness.address().getPort()),
+                                "--ttl-ms",
+                                Integer.toString(TTL_MS),
+                                "--clock-permille",
+                                Integer.toString(clock),
+                                "--seed",
+                                Long.toString(seed + number)))
+                .start();
+    }
+
     private static Verdict evaluate(
             long seed, List<Fault> faults, FencedResource witness, Set<String> wasPaused)
             throws InterruptedException {
