--- a/lab/src/test/java/saltstage/lab/amqp/AmqpFaultSoakTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/AmqpFaultSoakTest.java
@@ -41,50 +41,15 @@
                 NettyTransport transport =
                         new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
             DeliveryTracker ledger = new DeliveryTracker();
-            List<AmqpLoadClient> clients = new ArrayList<>();
-            for (int i = 0; i < CONNECTIONS; i++) {
-                clients.add(
-                        new AmqpLoadClient(
-                                transport,
-                                transport.loops().get(0),
-                                stage.amqpAddress(),
-                                "night" + i,
-                                LINKS_PER_CONNECTION,
-                                "status-report",
-                                100,
-                                ledger));
-            }
+            List<AmqpLoadClient> clients = openClients(stage, transport, ledger);
             stage.await(
                     "all attached",
                     () ->
                             clients.stream()
                                     .allMatch(c -> c.attachedCount() == LINKS_PER_CONNECTION));
-            for (int sent = 0; sent < DELIVERIES; sent += BURST) {
-                for (int i = 0; i < BURST; i++) {
-                    clients.get(random.nextInt(CONNECTIONS))
-                            .scheduleDelivery(
-                                    random.nextInt(LINKS_PER_CONNECTION),
-                                    seed + "-" + (sent + i),
-                                    System.nanoTime());
-                }
-                if (sent % (BURST * 20) == 0) {
-                    injectRandomFault(stage, random, drained, late);
-                }
-                Thread.sleep(10);
-            }
-            for (int i = 0; i < BACKENDS; i++) {
-                checkDrained(stage, i, drained, late);
-                stage.runCommand("start g" + i);
-                stage.runCommand("slow g" + i + " 0");
-            }
-            stage.await(
-                    () ->
-                            "all sent "
-                                    + clients.stream()
-                                            .map(AmqpLoadClient::describeBlockedLinks)
-                                            .toList(),
-                    () -> clients.stream().allMatch(c -> c.unsentCount() == 0));
-            stage.await("all answered", () -> ledger.pendingCount() == 0);
+            sendDeliveriesDespiteFaults(stage, clients, seed, random, drained, late);
+            restoreBackends(stage, drained, late);
+            awaitOutcomes(stage, clients, ledger);
             List<String> accepted = new ArrayList<>();
             stage.fleet().amqpBackends().forEach(g -> accepted.addAll(g.acceptedIds()));
             Map<DeliveryTracker.DeliveryOutcome, Long> counts = ledger.outcomeCounts();
@@ -112,6 +77,71 @@
         }
     }
 
+    private static List<AmqpLoadClient> openClients(
+            AmqpTestEnvironment stage, NettyTransport transport, DeliveryTracker ledger)
+            throws Exception {
+        List<AmqpLoadClient> clients = new ArrayList<>();
+        for (int i = 0; i < CONNECTIONS; i++) {
+            clients.add(
+                    new AmqpLoadClient(
+                            transport,
+                            transport.loops().get(0),
+                            stage.amqpAddress(),
+                            "night" + i,
+                            LINKS_PER_CONNECTION,
+                            "status-report",
+                            100,
+                            ledger));
+        }
+        return clients;
+    }
+
+    private static void sendDeliveriesDespiteFaults(
+            AmqpTestEnvironment stage,
+            List<AmqpLoadClient> clients,
+            long seed,
+            Random random,
+            Map<String, Long> drained,
+            List<String> late)
+            throws Exception {
+        for (int sent = 0; sent < DELIVERIES; sent += BURST) {
+            for (int i = 0; i < BURST; i++) {
+                clients.get(random.nextInt(CONNECTIONS))
+                        .scheduleDelivery(
+                                random.nextInt(LINKS_PER_CONNECTION),
+                                seed + "-" + (sent + i),
+                                System.nanoTime());
+            }
+            if (sent % (BURST * 20) == 0) {
+                injectRandomFault(stage, random, drained, late);
+            }
+            Thread.sleep(10);
+        }
+    }
+
+    private static void restoreBackends(
+            AmqpTestEnvironment stage, Map<String, Long> drained, List<String> late)
+            throws Exception {
+        for (int i = 0; i < BACKENDS; i++) {
+            checkDrained(stage, i, drained, late);
+            stage.runCommand("start g" + i);
+            stage.runCommand("slow g" + i + " 0");
+        }
+    }
+
+    private static void awaitOutcomes(
+            AmqpTestEnvironment stage, List<AmqpLoadClient> clients, DeliveryTracker ledger)
+            throws Exception {
+        stage.await(
+                () ->
+                        "all sent "
+                                + clients.stream()
+                                        .map(AmqpLoadClient::describeBlockedLinks)
+                                        .toList(),
+                () -> clients.stream().allMatch(c -> c.unsentCount() == 0));
+        stage.await("all answered", () -> ledger.pendingCount() == 0);
+    }
+
     /** One thing happens to one gateway; two at least are left alone. */
     private static void injectRandomFault(
             AmqpTestEnvironment stage, Random random, Map<String, Long> drained, List<String> late)
--- a/lab/src/test/java/saltstage/lab/amqp/AmqpFrontendTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/AmqpFrontendTest.java
@@ -302,18 +302,30 @@
                 .toList();
     }
 
+    private static SimulatedClients startLineClients(AmqpTestEnvironment stage) {
+        String[] at = stage.fleet().listenAddress().split(":");
+        return new SimulatedClients(
+                new InetSocketAddress(at[0], Integer.parseInt(at[1])),
+                50,
+                Duration.ofMillis(200),
+                Duration.ofSeconds(30));
+    }
+
+    private static void sendDeliveries(AmqpLoadClient client) throws InterruptedException {
+        for (int i = 0; i < 2_000; i++) {
+            client.scheduleDelivery(i % 20, "l" + i, System.nanoTime());
+            if (i % 20 == 0) {
+                Thread.sleep(2);
+            }
+        }
+    }
+
     @Test
     void relayThatShutsDownDetachesItsLinksAndLosesNoDelivery() throws Exception {
         try (AmqpTestEnvironment stage = new AmqpTestEnvironment(3, "");
                 NettyTransport transport =
                         new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
-            String[] at = stage.fleet().listenAddress().split(":");
-            SimulatedClients lines =
-                    new SimulatedClients(
-                            new InetSocketAddress(at[0], Integer.parseInt(at[1])),
-                            50,
-                            Duration.ofMillis(200),
-                            Duration.ofSeconds(30));
+            SimulatedClients lines = startLineClients(stage);
             DeliveryTracker ledger = new DeliveryTracker();
             AmqpLoadClient client =
                     new AmqpLoadClient(
@@ -333,12 +345,7 @@
                                             .mapToInt(g -> g.establishedCount())
                                             .sum()
                                     >= 45);
-            for (int i = 0; i < 2_000; i++) {
-                client.scheduleDelivery(i % 20, "l" + i, System.nanoTime());
-                if (i % 20 == 0) {
-                    Thread.sleep(2);
-                }
-            }
+            sendDeliveries(client);
             stage.await("answered", () -> ledger.pendingCount() == 0);
             assertEquals(List.of(), ledger.findFaults(acceptedIds(stage)));
             assertEquals(
--- a/lab/src/test/java/saltstage/lab/amqp/SharedSessionTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/SharedSessionTest.java
@@ -26,6 +26,24 @@
                 .toList();
     }
 
+    private static AmqpLoadClient openClient(
+            AmqpTestEnvironment stage,
+            NettyTransport transport,
+            String name,
+            int links,
+            DeliveryTracker ledger)
+            throws Exception {
+        return new AmqpLoadClient(
+                transport,
+                transport.loops().get(0),
+                stage.amqpAddress(),
+                name,
+                links,
+                "session-check",
+                64,
+                ledger);
+    }
+
     @Test
     void linksOfAClientSessionShareABackendSessionAndAClosedWindowBlocksNobody() throws Exception {
         try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, "");
@@ -34,26 +52,8 @@
             FakeAmqpBackend gateway = stage.fleet().amqpBackends().get(0);
             gateway.setSessionWindowBytes(32 << 10); // two frames
             DeliveryTracker ledger = new DeliveryTracker();
-            AmqpLoadClient client =
-                    new AmqpLoadClient(
-                            transport,
-                            transport.loops().get(0),
-                            stage.amqpAddress(),
-                            "shared",
-                            40,
-                            "session-check",
-                            64,
-                            ledger);
-            AmqpLoadClient other =
-                    new AmqpLoadClient(
-                            transport,
-                            transport.loops().get(0),
-                            stage.amqpAddress(),
-                            "other",
-                            1,
-                            "session-check",
-                            64,
-                            ledger);
+            AmqpLoadClient client = openClient(stage, transport, "shared", 40, ledger);
+            AmqpLoadClient other = openClient(stage, transport, "other", 1, ledger);
             stage.await(
                     "attached", () -> client.attachedCount() == 40 && other.attachedCount() == 1);
             assertTrue(gateway.sessionCount() <= 4, "sessions: " + gateway.sessionCount());
--- a/lab/src/test/java/saltstage/lab/amqp/ThirdPartyClientTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/ThirdPartyClientTest.java
@@ -41,14 +41,7 @@
             connection.openFuture().get(20, TimeUnit.SECONDS);
             Sender sender = connection.openSender("status-report/station-7");
             sender.openFuture().get(20, TimeUnit.SECONDS);
-            Set<String> sent = new HashSet<>();
-            for (int i = 0; i < 500; i++) {
-                Tracker tracker = sender.send(message("m" + i));
-                sent.add("m" + i);
-                assertEquals(
-                        DeliveryState.Type.ACCEPTED,
-                        tracker.awaitSettlement(20, TimeUnit.SECONDS).remoteState().getType());
-            }
+            Set<String> sent = sendAndAwaitAcceptance(sender);
             List<String> accepted =
                     stage.fleet().amqpBackends().stream()
                             .flatMap(g -> g.acceptedIds().stream())
@@ -64,12 +57,7 @@
                             .awaitSettlement(20, TimeUnit.SECONDS)
                             .remoteState()
                             .getType());
-            Receiver receiver =
-                    connection.openReceiver("session-check", new ReceiverOptions().creditWindow(4));
-            for (int i = 0; i < 10; i++) {
-                Delivery got = receiver.receive(20, TimeUnit.SECONDS);
-                assertTrue(got.message().property("id").toString().endsWith(":" + i), "order");
-            }
+            Receiver receiver = receiveInOrder(connection);
             stage.await(
                     "ten accepted",
                     () ->
@@ -89,6 +77,28 @@
         }
     }
 
+    private static Set<String> sendAndAwaitAcceptance(Sender sender) throws Exception {
+        Set<String> sent = new HashSet<>();
+        for (int i = 0; i < 500; i++) {
+            Tracker tracker = sender.send(message("m" + i));
+            sent.add("m" + i);
+            assertEquals(
+                    DeliveryState.Type.ACCEPTED,
+                    tracker.awaitSettlement(20, TimeUnit.SECONDS).remoteState().getType());
+        }
+        return sent;
+    }
+
+    private static Receiver receiveInOrder(Connection connection) throws Exception {
+        Receiver receiver =
+                connection.openReceiver("session-check", new ReceiverOptions().creditWindow(4));
+        for (int i = 0; i < 10; i++) {
+            Delivery got = receiver.receive(20, TimeUnit.SECONDS);
+            assertTrue(got.message().property("id").toString().endsWith(":" + i), "order");
+        }
+        return receiver;
+    }
+
     @Test
     void unknownClassesAndUnsupportedFeaturesAreRejectedWithAnError() throws Exception {
         try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, "");
--- a/lab/src/test/java/saltstage/lab/trial/GroupProcessTest.java
+++ b/lab/src/test/java/saltstage/lab/trial/GroupProcessTest.java
@@ -238,7 +238,8 @@
                             + "'ttlMs':999,'priority':0,'queue':false}}";
             String plan =
                     "{'client':'c','seq':1,'command':{'op':'set-fleet','by':'b','plan':{'slotMs':1000,"
-                        + "'zones':{},'regions':[null],'floors':[],'mostRegions':1,'spacingMs':0,'coldPermille':0}}}";
+                        + "'zones':{},'regions':[null],'floors':[],"
+                        + "'mostRegions':1,'spacingMs':0,'coldPermille':0}}}";
             for (String body :
                     List.of(
                             "",
