--- /dev/null
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpLoadClient.java
@@ -0,0 +1,340 @@
+package saltstage.lab.amqp;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.ThreadLocalRandom;
+import org.apache.qpid.protonj2.buffer.impl.ProtonByteArrayBufferAllocator;
+import org.apache.qpid.protonj2.engine.Engine;
+import org.apache.qpid.protonj2.engine.EngineFactory;
+import org.apache.qpid.protonj2.engine.OutgoingDelivery;
+import org.apache.qpid.protonj2.engine.Sender;
+import org.apache.qpid.protonj2.engine.Session;
+import org.apache.qpid.protonj2.types.messaging.Accepted;
+import org.apache.qpid.protonj2.types.messaging.Modified;
+import org.apache.qpid.protonj2.types.messaging.Rejected;
+import org.apache.qpid.protonj2.types.messaging.Released;
+import org.apache.qpid.protonj2.types.messaging.Source;
+import org.apache.qpid.protonj2.types.messaging.Target;
+import org.apache.qpid.protonj2.types.transport.DeliveryState;
+import saltstage.amqp.AmqpConnection;
+import saltstage.lab.amqp.DeliveryTracker.DeliveryOutcome;
+import saltstage.net.Connection;
+import saltstage.net.ConnectionHandler;
+import saltstage.net.Loop;
+import saltstage.net.Transport;
+
+/**
+ * One connection of a client and its sending links. Each delivery is due at a time and is measured
+ * from then, whether its link had credit or not. A link that is detached attaches again, and so
+ * does the connection.
+ */
+public final class AmqpLoadClient {
+    private static final Connection.WriteLimits WRITE_LIMITS =
+            new Connection.WriteLimits(1 << 20, 256 << 20);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
+
+    private final Transport transport;
+    private final Loop loop;
+    private final InetSocketAddress target;
+    private final String name;
+    private final DeliveryTracker deliveryTracker;
+    private final byte[] padding;
+    private final List<SenderLink> links = new ArrayList<>();
+    private final Map<String, Long> detachCounts = new TreeMap<>();
+    private LoadConnection loadConnection;
+    private Session session;
+    private volatile int attachedCount;
+    private volatile int unsentCount;
+    private volatile boolean closing;
+
+    private record ScheduledDelivery(String id, long dueNanos) {}
+
+    /** So many links to addresses of this class, with messages of so many bytes. */
+    public AmqpLoadClient(
+            Transport transport,
+            Loop loop,
+            InetSocketAddress to,
+            String name,
+            int count,
+            String address,
+            int bytes,
+            DeliveryTracker ledger) {
+        this.transport = transport;
+        this.loop = loop;
+        this.target = to;
+        this.name = name;
+        this.deliveryTracker = ledger;
+        padding = new byte[bytes];
+        for (int i = 0; i < count; i++) {
+            links.add(new SenderLink(i, address + "/" + name + "-" + i));
+        }
+        loop.execute(this::connect);
+    }
+
+    /** Says that a delivery is due on a link, at this moment of the monotonic clock. */
+    public void scheduleDelivery(int link, String id, long at) {
+        deliveryTracker.deliverySent(id);
+        loop.execute(() -> links.get(link).enqueue(new ScheduledDelivery(id, at)));
+    }
+
+    /** How many links it has. */
+    public int linkCount() {
+        return links.size();
+    }
+
+    /** How many links are attached. */
+    public int attachedCount() {
+        return attachedCount;
+    }
+
+    /** How many deliveries are due and were not sent, for want of credit or of a link. */
+    public int unsentCount() {
+        return unsentCount;
+    }
+
+    /** How many times links were detached, by condition. */
+    public Map<String, Long> detachCounts() {
+        synchronized (detachCounts) {
+            return Map.copyOf(detachCounts);
+        }
+    }
+
+    /**
+     * What keeps it, for a message: each link with deliveries that are due, its credit and its
+     * session's.
+     */
+    public String describeBlockedLinks() {
+        StringBuilder text = new StringBuilder();
+        for (SenderLink link : links) {
+            if (!link.pendingDeliveries.isEmpty()) {
+                text.append(link.address)
+                        .append(" up=")
+                        .append(link.attached)
+                        .append(" waiting=")
+                        .append(link.pendingDeliveries.size())
+                        .append(" out=")
+                        .append(link.unsettledDeliveries.size())
+                        .append(" credit=")
+                        .append(link.sender.getCredit())
+                        .append(" sendable=")
+                        .append(link.sender.isSendable())
+                        .append(" local=")
+                        .append(link.sender.getState())
+                        .append(" remote=")
+                        .append(link.sender.getRemoteState())
+                        .append("; ");
+            }
+        }
+        return text.toString();
+    }
+
+    /** Ends politely; what has no outcome by then has none. */
+    public void close() {
+        closing = true;
+        loop.execute(
+                () -> {
+                    if (loadConnection != null) {
+                        loadConnection.close(null);
+                    }
+                });
+    }
+
+    private void connect() {
+        if (closing) {
+            return;
+        }
+        transport.connect(
+                loop,
+                target,
+                CONNECT_TIMEOUT,
+                WRITE_LIMITS,
+                new Transport.ConnectListener() {
+                    @Override
+                    public ConnectionHandler connected(Connection connection) {
+                        loadConnection = new LoadConnection(connection);
+                        loadConnection.open();
+                        return loadConnection;
+                    }
+
+                    @Override
+                    public void failed(IOException why) {
+                        scheduleReconnect();
+                    }
+                });
+    }
+
+    private void scheduleReconnect() {
+        loop.schedule(
+                Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::connect);
+    }
+
+    /** The connection. */
+    private final class LoadConnection extends AmqpConnection {
+        LoadConnection(Connection net) {
+            super(net, Instant::now, 1 << 20);
+        }
+
+        void open() {
+            Engine engine = EngineFactory.PROTON.createNonSaslEngine();
+            engine.connection()
+                    .setContainerId(name)
+                    .setMaxFrameSize(16 << 10)
+                    .closeHandler(closed -> close(null));
+            startEngine(engine);
+            engine.connection().open();
+            session = engine.connection().session().open();
+            links.forEach(SenderLink::attach);
+        }
+
+        @Override
+        protected void onWritable() {
+            links.forEach(SenderLink::sendPending);
+        }
+
+        @Override
+        protected void connectionEnded(String why) {
+            links.forEach(SenderLink::markDetached);
+            countDetach("connection " + why);
+            scheduleReconnect();
+        }
+    }
+
+    private void countDetach(String what) {
+        synchronized (detachCounts) {
+            detachCounts.merge(what, 1L, Long::sum);
+        }
+    }
+
+    /** One link and what is due on it. */
+    private final class SenderLink {
+        private final int index;
+        private final String address;
+        private final Deque<ScheduledDelivery> pendingDeliveries = new ArrayDeque<>();
+        private final Map<OutgoingDelivery, ScheduledDelivery> unsettledDeliveries =
+                new LinkedHashMap<>();
+        private Sender sender;
+        private boolean attached;
+        private int nextTag;
+        private int attachCount;
+
+        SenderLink(int number, String address) {
+            this.index = number;
+            this.address = address;
+        }
+
+        void attach() {
+            if (closing || loadConnection == null || loadConnection.isClosed()) {
+                return;
+            }
+            sender = session.sender(name + "-" + index + "-" + attachCount++);
+            sender.setSource(new Source().setAddress(name))
+                    .setTarget(new Target().setAddress(address))
+                    .openHandler(
+                            opened -> {
+                                if (sender.getRemoteTarget() != null) {
+                                    attached = true;
+                                    attachedCount++;
+                                }
+                            })
+                    .closeHandler(this::detachReceived)
+                    .detachHandler(this::detachReceived)
+                    .creditStateUpdateHandler(any -> sendPending())
+                    .deliveryStateUpdatedHandler(this::dispositionReceived)
+                    .open();
+        }
+
+        private void detachReceived(Sender closed) {
+            countDetach(
+                    closed.getRemoteCondition() == null
+                            ? "none"
+                            : closed.getRemoteCondition().getCondition().toString());
+            markDetached();
+            closed.close();
+            loop.schedule(
+                    Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::attach);
+        }
+
+        void markDetached() {
+            if (attached) {
+                attached = false;
+                attachedCount--;
+            }
+            unsettledDeliveries
+                    .values()
+                    .forEach(
+                            due ->
+                                    deliveryTracker.outcomeReceived(
+                                            due.id(), DeliveryOutcome.NOTHING, -1));
+            unsettledDeliveries.clear();
+        }
+
+        void enqueue(ScheduledDelivery due) {
+            pendingDeliveries.add(due);
+            unsentCount++;
+            sendPending();
+        }
+
+        void sendPending() {
+            while (attached
+                    && !pendingDeliveries.isEmpty()
+                    && loadConnection.isWritable()
+                    && sender.getCredit() > 0
+                    && sender.isSendable()) {
+                ScheduledDelivery due = pendingDeliveries.poll();
+                unsentCount--;
+                OutgoingDelivery delivery =
+                        sender.next()
+                                .setTag(
+                                        Integer.toString(nextTag++, 36)
+                                                .getBytes(StandardCharsets.ISO_8859_1));
+                unsettledDeliveries.put(delivery, due);
+                delivery.writeBytes(
+                        ProtonByteArrayBufferAllocator.wrapped(
+                                MessageCodec.encode(due.id(), padding.length)));
+            }
+            if (attached
+                    && sender.isDraining()
+                    && sender.getCredit() > 0
+                    && pendingDeliveries.isEmpty()) {
+                sender.drained();
+            }
+        }
+
+        private void dispositionReceived(OutgoingDelivery delivery) {
+            DeliveryState state = delivery.getRemoteState();
+            ScheduledDelivery due = unsettledDeliveries.get(delivery);
+            if (due == null) {
+                countDetach("outcome for nothing");
+                return;
+            }
+            if (state == null && !delivery.isRemotelySettled()) {
+                return;
+            }
+            DeliveryOutcome what =
+                    state instanceof Accepted
+                            ? DeliveryOutcome.ACCEPTED
+                            : state instanceof Rejected
+                                    ? DeliveryOutcome.REJECTED
+                                    : state instanceof Released
+                                            ? DeliveryOutcome.RELEASED
+                                            : state instanceof Modified
+                                                    ? DeliveryOutcome.MODIFIED
+                                                    : DeliveryOutcome.OTHER;
+            deliveryTracker.outcomeReceived(due.id(), what, System.nanoTime() - due.dueNanos());
+            if (delivery.isRemotelySettled()) {
+                unsettledDeliveries.remove(delivery);
+                delivery.settle();
+            }
+        }
+    }
+}
--- a/lab/src/main/java/saltstage/lab/scale/AllCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/AllRunsCommand.java
@@ -1,19 +1,18 @@
 package saltstage.lab.scale;
 
+import java.util.List;
+import java.util.concurrent.Callable;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-import java.util.List;
-import java.util.concurrent.Callable;
-
 /** Every scale run one after the other, then the fits and the page. */
 @Command(
         name = "all",
         mixinStandardHelpOptions = true,
         description = "All runs, the fits and the page's tables; exit 1 where a bound was missed.")
-final class AllCommand implements Callable<Integer> {
+final class AllRunsCommand implements Callable<Integer> {
     private static final List<String> RUNS =
             List.of(
                     "list",
@@ -38,7 +37,7 @@
             long begun = System.nanoTime();
             int code = scale.execute(run);
             missed += code == 0 ? 0 : 1;
-            ScaleRun.progress(
+            ScaleRun.printProgress(
                     run
                             + ": exit "
                             + code
--- a/lab/src/main/java/saltstage/lab/scale/PageCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/PageCommand.java
@@ -1,12 +1,10 @@
 package saltstage.lab.scale;
 
-import picocli.CommandLine.Command;
-
-import saltstage.lab.Home;
-
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import saltstage.lab.Installation;
 
 /** Fills the tables of the capacity page from the CSVs. */
 @Command(
@@ -15,14 +13,14 @@
         description = "Writes the generated tables of docs/CAPACITY.md.")
 final class PageCommand implements Callable<Integer> {
     /** The page, from the repository's root. */
-    static final String PAGE = "docs/CAPACITY.md";
+    static final String PAGE_PATH = "docs/CAPACITY.md";
 
     @Override
     public Integer call() throws Exception {
-        Path page = Home.root().resolve(PAGE);
-        MeasuredData data = new MeasuredData(Home.measurements());
+        Path page = Installation.repositoryRoot().resolve(PAGE_PATH);
+        MeasuredData data = new MeasuredData(Installation.measurementsDirectory());
         Files.writeString(
-                page, CapacityPage.filled(Files.readString(page), CapacityPage.tables(data)));
+                page, CapacityPage.fillTables(Files.readString(page), CapacityPage.tables(data)));
         return 0;
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/ScaleCommand.java
@@ -1,12 +1,11 @@
 package saltstage.lab.scale;
 
+import java.util.concurrent.Callable;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-import java.util.concurrent.Callable;
-
 /** Scale runs and the page that is computed from them. */
 @Command(
         name = "scale",
@@ -23,8 +22,8 @@
             ConfigurationRun.class,
             FleetEventsRun.class,
             RealRelaysRun.class,
-            AllCommand.class,
-            HollowHostCommand.class,
+            AllRunsCommand.class,
+            SimulatedRelayHostCommand.class,
             FitCommand.class,
             PageCommand.class
         },
--- /dev/null
+++ b/lab/src/main/java/saltstage/lab/trial/CoordinatorBenchmark.java
@@ -0,0 +1,197 @@
+package saltstage.lab.trial;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.Callable;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.Future;
+import org.HdrHistogram.Histogram;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import saltstage.coordinator.client.GroupClient;
+import saltstage.coordinator.client.Ticker;
+import saltstage.coordinator.group.GroupCodec;
+import saltstage.coordinator.lease.LeaseCommands.Acquire;
+import saltstage.coordinator.lease.LeaseCommands.Release;
+import saltstage.coordinator.lease.LeaseReplies.Granted;
+import saltstage.lab.Installation;
+import saltstage.lab.store.Report;
+
+/**
+ * What a group of coordinators gives: grants a second, and how long nobody leads after a kill or a
+ * transfer.
+ */
+@Command(
+        name = "coordinator",
+        mixinStandardHelpOptions = true,
+        description = "Measures groups of coordinators: rates, and time without a leader.")
+public final class CoordinatorBenchmark implements Callable<Integer> {
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(30);
+
+    @Option(names = "--kills", defaultValue = "20", description = "leaders killed (default 20)")
+    private int kills;
+
+    @Option(names = "--transfers", defaultValue = "20", description = "transfers (default 20)")
+    private int transfers;
+
+    @Option(names = "--seconds", defaultValue = "5", description = "of load, each row (default 5)")
+    private int seconds;
+
+    @Override
+    public Integer call() throws Exception {
+        Report rates =
+                new Report(
+                        "coordinator-rates",
+                        "replicas",
+                        "clients",
+                        "grants and releases a second",
+                        "p50 in ms",
+                        "p99 in ms");
+        for (int replicas : new int[] {1, 3, 5}) {
+            for (int clients : new int[] {1, 16, 64}) {
+                measureRate(replicas, clients, rates);
+            }
+        }
+        rates.setBarChart("Grants and releases", "clients", "a second", 0, 1, 2);
+        rates.writeFiles(Installation.measurementsDirectory());
+        Report gaps = new Report("coordinator-gaps", "what", "times", "p50 in ms", "most in ms");
+        measureGaps(gaps);
+        gaps.writeFiles(Installation.measurementsDirectory());
+        return 0;
+    }
+
+    private void measureRate(int replicas, int clients, Report report) throws Exception {
+        Path dir = Files.createTempDirectory("coordinator-");
+        Histogram took = new Histogram(60_000_000L, 3);
+        long done = 0;
+        try (GroupUnderTest group =
+                new GroupUnderTest(dir, replicas, List.of(TrialProcess.coordinatorJar()), "")
+                        .start()) {
+            group.leader(CALL_TIMEOUT);
+            ExecutorService threads = Executors.newFixedThreadPool(clients);
+            List<Future<Histogram>> parts = new ArrayList<>();
+            for (int i = 0; i < clients; i++) {
+                int me = i;
+                parts.add(threads.submit(() -> runLoad(group.client(), "c" + me)));
+            }
+            for (Future<Histogram> part : parts) {
+                took.add(part.get());
+            }
+            threads.shutdown();
+            done = took.getTotalCount();
+        }
+        Installation.deleteRecursively(dir);
+        report.addRow(
+                replicas,
+                clients,
+                done / seconds,
+                took.getValueAtPercentile(50) / 1_000.0,
+                took.getValueAtPercentile(99) / 1_000.0);
+    }
+
+    private Histogram runLoad(GroupClient client, String name)
+            throws IOException, InterruptedException {
+        Histogram took = new Histogram(60_000_000L, 3);
+        long until = System.nanoTime() + seconds * 1_000_000_000L;
+        while (System.nanoTime() < until) {
+            long start = System.nanoTime();
+            Granted granted =
+                    (Granted)
+                            client.send(new Acquire(name, name, 5_000, 0, false), CALL_TIMEOUT)
+                                    .reply();
+            took.recordValue((System.nanoTime() - start) / 1_000);
+            start = System.nanoTime();
+            client.send(new Release(name, name, granted.fence()), CALL_TIMEOUT);
+            took.recordValue((System.nanoTime() - start) / 1_000);
+        }
+        return took;
+    }
+
+    /**
+     * The longest time from one answered command to the next, while something befalls the leader.
+     */
+    private interface LeaderEvent {
+        void apply(String leader) throws Exception;
+    }
+
+    private long measureGap(GroupUnderTest group, LeaderEvent befalls) throws Exception {
+        String leader = group.leader(CALL_TIMEOUT);
+        boolean[] over = {false};
+        long[] most = {0};
+        Thread writer =
+                new Thread(
+                        () -> {
+                            GroupClient client =
+                                    new GroupClient(group.clientAddresses(), Ticker.SYSTEM);
+                            long last = System.nanoTime();
+                            for (int i = 0; !over[0]; i++) {
+                                try {
+                                    client.send(
+                                            new Acquire("gap", "me", 5_000, 0, false),
+                                            CALL_TIMEOUT);
+                                } catch (IOException | InterruptedException lost) {
+                                    return;
+                                }
+                                most[0] = i == 0 ? 0 : Math.max(most[0], System.nanoTime() - last);
+                                last = System.nanoTime();
+                            }
+                        });
+        writer.start();
+        Thread.sleep(300);
+        befalls.apply(leader);
+        Thread.sleep(3_000);
+        over[0] = true;
+        writer.join();
+        return most[0] / 1_000;
+    }
+
+    private static void transferLeadership(GroupUnderTest group, String leader)
+            throws IOException, InterruptedException {
+        String to = group.names().stream().filter(n -> !n.equals(leader)).findFirst().orElseThrow();
+        group.client()
+                .post(
+                        "/v1/transfer",
+                        GroupCodec.jsonMapper().createObjectNode().put("to", to),
+                        CALL_TIMEOUT);
+    }
+
+    private void measureGaps(Report report) throws Exception {
+        Path dir = Files.createTempDirectory("coordinator-");
+        Histogram killed = new Histogram(60_000_000L, 3);
+        Histogram handed = new Histogram(60_000_000L, 3);
+        try (GroupUnderTest group =
+                new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), "").start()) {
+            for (int i = 0; i < kills; i++) {
+                String[] victim = new String[1];
+                killed.recordValue(
+                        measureGap(
+                                group,
+                                leader -> {
+                                    victim[0] = leader;
+                                    group.process(leader).kill();
+                                }));
+                group.process(victim[0]).start();
+                Thread.sleep(2_000);
+            }
+            for (int i = 0; i < transfers; i++) {
+                handed.recordValue(measureGap(group, leader -> transferLeadership(group, leader)));
+            }
+        }
+        Installation.deleteRecursively(dir);
+        report.addRow(
+                "leader killed",
+                kills,
+                killed.getValueAtPercentile(50) / 1_000.0,
+                killed.getMaxValue() / 1_000.0);
+        report.addRow(
+                "transfer",
+                transfers,
+                handed.getValueAtPercentile(50) / 1_000.0,
+                handed.getMaxValue() / 1_000.0);
+    }
+}
--- a/lab/src/main/java/saltstage/lab/trial/WorkerCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/LeaseWorkerCommand.java
@@ -17,7 +17,7 @@
 
 /** Takes a lease again and again, and acts at the witness while it holds it. */
 @Command(name = "trial-worker", description = "One holder of a trial.", hidden = true)
-public final class WorkerCommand implements Callable<Integer> {
+public final class LeaseWorkerCommand implements Callable<Integer> {
     @Option(names = "--at", split = ",", required = true)
     private List<String> places;
 
@@ -40,29 +40,47 @@
     public Integer call() throws Exception {
         Random drawn = new Random(seed);
         Ticker ticker = () -> (long) (System.nanoTime() * (clock / 1000.0));
-        LeaseClient leases = new LeaseClient(new GroupClient(places, ticker), new GroupClient(places, ticker),
-            ticker, name);
+        LeaseClient leases =
+                new LeaseClient(
+                        new GroupClient(places, ticker),
+                        new GroupClient(places, ticker),
+                        ticker,
+                        name);
         while (true) {
-            try (LeaseClient.Lease lease = leases.acquire("job", Duration.ofMillis(ttlMs),
-                    Duration.ofSeconds(5), drawn.nextInt(3), () -> { });
+            try (LeaseClient.Lease lease =
+                            leases.acquire(
+                                    "job",
+                                    Duration.ofMillis(ttlMs),
+                                    Duration.ofSeconds(5),
+                                    drawn.nextInt(3),
+                                    () -> {});
                     Socket socket = new Socket("127.0.0.1", witness)) {
                 socket.setTcpNoDelay(true);
-                act(socket, lease, 10 + drawn.nextInt(150), drawn);
-            } catch (LeaseClient.LeaseNotGrantedException | LeaseClient.LeaseLostException
+                performOperations(socket, lease, 10 + drawn.nextInt(150), drawn);
+            } catch (LeaseClient.LeaseNotGrantedException
+                    | LeaseClient.LeaseLostException
                     | IOException again) {
                 System.out.println(again.getMessage());
             }
         }
     }
 
-    private void act(Socket socket, LeaseClient.Lease lease, int times, Random drawn)
+    private void performOperations(Socket socket, LeaseClient.Lease lease, int times, Random drawn)
             throws IOException, LeaseClient.LeaseLostException, InterruptedException {
-        BufferedReader in = new BufferedReader(
-            new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+        BufferedReader in =
+                new BufferedReader(
+                        new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         for (int i = 0; i < times; i++) {
             lease.checkStillHeld();
-            socket.getOutputStream().write((name + "-" + ProcessHandle.current().pid() + " "
-                + lease.fencingToken() + "\n").getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(
+                            (name
+                                            + "-"
+                                            + ProcessHandle.current().pid()
+                                            + " "
+                                            + lease.fencingToken()
+                                            + "\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
             if (!"ok".equals(in.readLine())) {
                 System.out.println("refused by its fence: " + lease.fencingToken());
                 return;
--- /dev/null
+++ b/lab/src/main/java/saltstage/lab/trial/TrialProcess.java
@@ -0,0 +1,168 @@
+package saltstage.lab.trial;
+
+import java.io.File;
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import saltstage.lab.Installation;
+
+/**
+ * A process of a trial: started, killed, paused and gone on with by its own id, and started again.
+ */
+public final class TrialProcess implements AutoCloseable {
+    private static final List<String> JAVA_COMMAND =
+            List.of(
+                    Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                    "-Xmx96m",
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-XX:-UsePerfData");
+
+    private final String name;
+    private final List<String> command;
+    private final File logFile;
+    private final Map<String, String> environment = new HashMap<>();
+    private Process process;
+    private boolean paused;
+    private int maxFileKib;
+
+    private TrialProcess(String name, List<String> command, Path dir) {
+        this.name = name;
+        this.command = command;
+        logFile = dir.resolve(name + ".log").toFile();
+    }
+
+    /** A program of the coordinator's jar. */
+    static TrialProcess coordinator(String name, Path jar, Path dir, List<String> words) {
+        return ofJar(name, jar, dir, words);
+    }
+
+    /** The jar that was built here. */
+    public static Path coordinatorJar() {
+        return Installation.repositoryRoot().resolve("coordinator/target/coordinator.jar");
+    }
+
+    /** A program of the laboratory, run from the classes of this process. */
+    static TrialProcess lab(String name, Path dir, List<String> words) {
+        List<String> command = new ArrayList<>(JAVA_COMMAND);
+        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "saltstage.lab.Lab"));
+        command.addAll(words);
+        return new TrialProcess(name, command, dir);
+    }
+
+    /** The relay, with these variables. */
+    static TrialProcess relay(
+            String name, Path dir, Map<String, String> environment, List<String> words) {
+        TrialProcess relay = ofJar(name, Installation.relayJar(), dir, words);
+        relay.environment.putAll(environment);
+        return relay;
+    }
+
+    /** A program of any jar. */
+    static TrialProcess ofJar(String name, Path jar, Path dir, List<String> words) {
+        List<String> command = new ArrayList<>(JAVA_COMMAND);
+        command.addAll(List.of("-jar", jar.toString()));
+        command.addAll(words);
+        return new TrialProcess(name, command, dir);
+    }
+
+    String name() {
+        return name;
+    }
+
+    /** From the next start on no file of it may be larger, in KiB: a disk that is full. */
+    void limitFileSize(int kib) {
+        maxFileKib = kib;
+    }
+
+    synchronized TrialProcess start() throws IOException {
+        List<String> words =
+                maxFileKib == 0
+                        ? command
+                        : new ArrayList<>(
+                                List.of(
+                                        "bash",
+                                        "-c",
+                                        "ulimit -f " + maxFileKib + "; exec \"$@\"",
+                                        "limited"));
+        if (maxFileKib != 0) {
+            words.addAll(command);
+        }
+        ProcessBuilder builder =
+                new ProcessBuilder(words)
+                        .redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile));
+        builder.environment().putAll(environment);
+        process = builder.start();
+        paused = false;
+        return this;
+    }
+
+    synchronized boolean isAlive() {
+        return process != null && process.isAlive();
+    }
+
+    synchronized boolean isPaused() {
+        return paused;
+    }
+
+    synchronized Process process() {
+        return process;
+    }
+
+    synchronized long pid() {
+        return process.pid();
+    }
+
+    synchronized int exitCode() {
+        return process.exitValue();
+    }
+
+    File logFile() {
+        return logFile;
+    }
+
+    /** SIGKILL. */
+    synchronized void kill() throws InterruptedException {
+        process.destroyForcibly();
+        process.waitFor();
+        paused = false;
+    }
+
+    /** SIGTERM; returns whether it ended in time. */
+    boolean terminate(long withinMs) throws InterruptedException {
+        process.destroy();
+        return process.waitFor(withinMs, TimeUnit.MILLISECONDS);
+    }
+
+    private void sendSignal(String which) throws IOException, InterruptedException {
+        new ProcessBuilder("kill", "-" + which, Long.toString(process.pid())).start().waitFor();
+    }
+
+    /** SIGSTOP. */
+    synchronized void pause() throws IOException, InterruptedException {
+        if (isAlive()) {
+            sendSignal("STOP");
+            paused = true;
+        }
+    }
+
+    /** SIGCONT. */
+    synchronized void resume() throws IOException, InterruptedException {
+        if (isAlive() && paused) {
+            sendSignal("CONT");
+        }
+        paused = false;
+    }
+
+    @Override
+    public void close() throws InterruptedException {
+        if (process != null) {
+            kill();
+        }
+    }
+}
