--- a/lab/src/main/java/saltstage/lab/scale/AllRunsCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/AllRunsCommand.java
@@ -7,11 +7,12 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Every scale run one after the other, then the fits and the page. */
+/** Executes every scale run in sequence, then computes the fits and the tables of the page. */
 @Command(
         name = "all",
         mixinStandardHelpOptions = true,
-        description = "All runs, the fits and the page's tables; exit 1 where a bound was missed.")
+        description =
+                "All runs, the fits and the page's tables; exits with 1 if a bound is missed.")
 final class AllRunsCommand implements Callable<Integer> {
     private static final List<String> RUNS =
             List.of(
--- a/lab/src/main/java/saltstage/lab/scale/AppliedRevisionLog.java
+++ b/lab/src/main/java/saltstage/lab/scale/AppliedRevisionLog.java
@@ -6,11 +6,11 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** When which revision came into force at which relay, by the machine's monotonic clock. */
+/** Records when each relay applied each revision, by the machine's monotonic clock. */
 final class AppliedRevisionLog {
     private final Map<Integer, TreeMap<Long, Long>> appliedNanosByRelay = new ConcurrentHashMap<>();
 
-    /** A relay decides by this revision from this moment on. */
+    /** Records that a relay uses this revision from this moment on. */
     void revisionApplied(int relay, long revision, long nanos) {
         TreeMap<Long, Long> own =
                 appliedNanosByRelay.computeIfAbsent(relay, any -> new TreeMap<>());
@@ -19,12 +19,12 @@
         }
     }
 
-    /** How many of these relays have the revision, or a newer one. */
+    /** Counts those of the given relays that have applied the revision or a newer one. */
     long countWithRevision(Collection<Integer> relays, long revision) {
         return relays.stream().filter(relay -> appliedNanos(relay, revision) != null).count();
     }
 
-    /** Since when a relay has the revision or a newer one; null: not yet. */
+    /** Returns when a relay applied the revision or a newer one, or null if it has not yet. */
     Long appliedNanos(int relay, long revision) {
         TreeMap<Long, Long> own = appliedNanosByRelay.get(relay);
         if (own == null) {
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Seconds from a moment until the revision was in force at each of these relays that has it;
-     * sorted.
+     * Returns the seconds from a moment until each of the given relays applied the revision,
+     * sorted. Relays that have not applied it are left out.
      */
     double[] secondsUntilApplied(Collection<Integer> relays, long revision, long fromNanos) {
         double[] times =
--- a/lab/src/main/java/saltstage/lab/scale/AsyncLineWriter.java
+++ b/lab/src/main/java/saltstage/lab/scale/AsyncLineWriter.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** Writes lines from one thread, several at once, so that who tells something never waits. */
+/** Writes lines in batches from a thread of its own, so that callers never block on the output. */
 final class AsyncLineWriter {
     private final PrintStream out;
     private final BlockingQueue<String> pendingLines = new LinkedBlockingQueue<>();
--- a/lab/src/main/java/saltstage/lab/scale/BackendsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/BackendsRun.java
@@ -4,13 +4,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** What a relay needs as its list grows while its traffic stays the same. */
+/** Measures what a relay needs as its backend list grows while its traffic stays the same. */
 @Command(
         name = "backends",
         mixinStandardHelpOptions = true,
-        description = "One real relay before ever more backends, with the same clients.")
+        description = "One real relay with a growing number of backends and the same clients.")
 final class BackendsRun extends ScaleRun {
-    /** The widest is what the operators name; the first ones are the usual sizes. */
+    /** The largest count is the one that operators require; the first ones are usual sizes. */
     static final int[] BACKEND_COUNTS = {60, 200, 800, 3_200};
 
     private static final int MAX_SOCKETS = 1_400;
@@ -21,7 +21,7 @@
     @Option(
             names = "--seconds",
             defaultValue = "30",
-            description = "of traffic at each point (default 30)")
+            description = "seconds of traffic at each point (default 30)")
     private int span;
 
     BackendsRun() {
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Opens connections at an even pace, ends the ones beyond a number, changes the list each
-     * second.
+     * Opens connections at an even pace, closes those beyond {@link #MAX_ESTABLISHED} and changes
+     * the list once a second. Returns the number of connections opened.
      */
     private int runTraffic(LargeListDiscovery list, LineClients clients) throws Exception {
         int opens = (int) (span * OPENS_PER_SECOND);
--- a/lab/src/main/java/saltstage/lab/scale/BackendsTable.java
+++ b/lab/src/main/java/saltstage/lab/scale/BackendsTable.java
@@ -6,15 +6,15 @@
 import java.util.OptionalDouble;
 import java.util.TreeMap;
 
-/** The table of a relay's needs before ever more backends, beside what the operators allow. */
+/** The table of a relay's needs by number of backends, next to what the operators allow. */
 final class BackendsTable {
     private static final String RUN_NAME = "backends";
     private static final String NOT_RUN = "not run";
 
-    /** What the widest fleet may take: a factor of the usual one and so much more. */
+    /** What the largest fleet may need: the usual fleet's need times a factor, plus an offset. */
     private record AllowedGrowth(double factor, double offset) {}
 
-    /** For 3,200 backends, by the operators' page. */
+    /** The growth that the operators' page allows for 3,200 backends. */
     private static final Map<String, AllowedGrowth> ALLOWED_GROWTH =
             new TreeMap<>(
                     Map.of(
@@ -26,7 +26,7 @@
 
     private BackendsTable() {}
 
-    /** The table. */
+    /** Returns the table as Markdown. */
     static String of(MeasuredData data) {
         StringBuilder head = new StringBuilder("| figure |");
         StringBuilder rule = new StringBuilder("| --- |");
--- a/lab/src/main/java/saltstage/lab/scale/CapacityPage.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityPage.java
@@ -6,7 +6,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The generated parts of a page: what stands between {@code <!-- table:NAME -->} and its end mark.
+ * Fills the generated parts of a page: the text between {@code <!-- table:NAME -->} and its end
+ * mark.
  */
 final class CapacityPage {
     private static final Pattern TABLE_PATTERN =
@@ -15,7 +16,7 @@
 
     private CapacityPage() {}
 
-    /** The page with its tables replaced; throws for one that nothing generates. */
+    /** Returns the page with its tables replaced; throws if the page names an unknown table. */
     static String fillTables(String page, Map<String, String> tables) {
         Matcher mark = TABLE_PATTERN.matcher(page);
         StringBuilder text = new StringBuilder();
@@ -30,7 +31,7 @@
         return mark.appendTail(text).toString();
     }
 
-    /** All tables by name, from the CSVs of a folder. */
+    /** Returns all tables by name, computed from measured data. */
     static Map<String, String> tables(MeasuredData data) {
         CapacityTables tables = new CapacityTables(data);
         Map<String, String> byName = new TreeMap<>();
--- a/lab/src/main/java/saltstage/lab/scale/CapacityRequirement.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityRequirement.java
@@ -9,36 +9,36 @@
 /**
  * What a role needs of a resource at the target size, and its budget: a row of the capacity page.
  *
- * @param role who needs it
- * @param resource what it needs, with the unit of its figures
- * @param source where the need comes from
- * @param budget how much there is, in the same unit
- * @param carrier the class or package that carries it
+ * @param role the part of an installation that needs the resource
+ * @param resource the resource, with the unit of its figures
+ * @param source how the need is determined
+ * @param budget how much of the resource there is, in the same unit; NaN if the source gives it
+ * @param implementation the class or package that implements what needs the resource
  */
 record CapacityRequirement(
         String role, String resource, Source source, double budget, String implementation) {
-    /** A row whose budget and carrier are still to be said. */
+    /** Returns a row without a budget and an implementation. */
     static CapacityRequirement of(String role, String resource, Source source) {
         return new CapacityRequirement(role, resource, source, Double.NaN, "");
     }
 
-    /** The same with a budget. */
+    /** Returns this row with a budget and an implementation. */
     CapacityRequirement withBudget(double given, String by) {
         return new CapacityRequirement(role, resource, source, given, by);
     }
 
-    /** The same, where the source itself brings the budget. */
+    /** Returns this row with an implementation, for a source that gives the budget itself. */
     CapacityRequirement withImplementation(String by) {
         return new CapacityRequirement(role, resource, source, Double.NaN, by);
     }
 
-    /** Where a need comes from. */
+    /** How a need is determined. */
     sealed interface Source permits Extrapolation, MeasuredFigure, MeasuredLimit, Estimate {}
 
     /**
-     * A line through the points of a figure, read at the target and multiplied.
+     * A line through the points of a figure, evaluated at the target and multiplied.
      *
-     * @param withIntercept false where the value at quantity 0 is no part of the need
+     * @param includesIntercept false if the value at quantity 0 is not part of the need
      */
     record Extrapolation(
             String run,
@@ -52,13 +52,13 @@
             return new Extrapolation(run, figure, quantity, target, 1, true);
         }
 
-        /** The same, multiplied. */
+        /** Returns this extrapolation with its multiplier replaced. */
         Extrapolation multipliedBy(double factor) {
             return new Extrapolation(
                     run, figure, quantity, targetQuantity, factor, includesIntercept);
         }
 
-        /** The same without its intercept. */
+        /** Returns this extrapolation without its intercept. */
         Extrapolation withoutIntercept() {
             return new Extrapolation(run, figure, quantity, targetQuantity, multiplier, false);
         }
@@ -72,11 +72,11 @@
     }
 
     /**
-     * The most that was measured, against what the target takes: a budget that was found by running
-     * into it.
+     * The measured maximum, compared with what the target needs. The budget is a limit that the
+     * runs reached.
      *
-     * @param most reads the measured most
-     * @param target what the target takes
+     * @param measuredMax reads the measured maximum
+     * @param targetValue what the target needs
      */
     record MeasuredLimit(Function<MeasuredData, Double> measuredMax, double targetValue)
             implements Source {}
@@ -84,19 +84,20 @@
     /**
      * Arithmetic on measured figures, or on the design alone.
      *
-     * @param arithmetic as a reader can follow it
-     * @param carried reads what was measured to be carried of it
+     * @param arithmetic the calculation, as text for the reader of the page
+     * @param value the result of the calculation
+     * @param measuredCapacity reads the capacity that was measured
      */
     record Estimate(
             String arithmetic, double value, Function<MeasuredData, Double> measuredCapacity)
             implements Source {}
 
     /**
-     * The need as computed.
+     * The computed need.
      *
-     * @param need at the target; NaN where no line is drawn or nothing was measured
-     * @param budget in the same unit
-     * @param fit the line, or null
+     * @param need the need at the target; NaN if no line fits or nothing was measured
+     * @param budget the budget in the same unit
+     * @param fit the fitted line, or null if the source is not an extrapolation
      */
     record Result(
             CapacityRequirement requirement, double need, double budget, LineFit fit, Basis basis) {
@@ -105,21 +106,21 @@
         }
     }
 
-    /** What a need rests on. */
+    /** What a computed need is based on. */
     enum Basis {
         /** A line through measured points. */
         FIT,
-        /** No growth within the measured range: the mean, or the most that the interval allows. */
+        /** No growth within the measured range: the mean, or the largest growth in the interval. */
         FLAT,
         /** Measured at the target's size. */
         MEASURED,
-        /** A measured bound. */
+        /** A limit that was measured. */
         LIMIT,
-        /** Arithmetic. */
+        /** Arithmetic on measured figures or on the design. */
         ESTIMATE,
-        /** Points that bend. */
+        /** The measured points do not lie on a line. */
         NO_LINE,
-        /** No run of it. */
+        /** No run has measured it. */
         NOT_MEASURED;
 
         String text() {
@@ -179,7 +180,10 @@
         };
     }
 
-    /** Where the target was passed by the runs, the next point above it; else nothing. */
+    /**
+     * Uses the lowest measured point at or above the target. Without such a point, or where the
+     * intercept is not part of the need, the need stays unknown.
+     */
     private Result evaluateWithoutLine(
             Extrapolation line, List<LineFit.Point> points, LineFit fit) {
         return points.stream()
--- a/lab/src/main/java/saltstage/lab/scale/CapacityRequirements.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityRequirements.java
@@ -8,7 +8,7 @@
 import saltstage.lab.scale.CapacityRequirement.MeasuredFigure;
 import saltstage.lab.scale.CapacityRequirement.MeasuredLimit;
 
-/** All rows of the capacity page, by role. */
+/** Defines all rows of the capacity page, by role. */
 final class CapacityRequirements {
     private static final double SECONDS_PER_MILLI = 1e-3;
     private static final double MAX_THREADS = 32_768;
@@ -24,7 +24,7 @@
 
     private CapacityRequirements() {}
 
-    /** The rows. */
+    /** Returns all rows. */
     static List<CapacityRequirement> all() {
         List<CapacityRequirement> rows = new ArrayList<>();
         rows.addAll(fullLists());
@@ -110,7 +110,7 @@
         return new MeasuredLimit(maxQuantity("list", figure), CapacityTarget.SHARDS);
     }
 
-    /** The largest quantity of a run at which a figure was 1. */
+    /** Reads the largest quantity of a run at which a figure was 1. */
     private static Function<MeasuredData, Double> maxQuantity(String run, String figure) {
         return data -> data.maxQuantity(run, figure, 1).orElse(Double.NaN);
     }
@@ -272,7 +272,7 @@
                                 "coordinator.distribution"));
     }
 
-    /** The whole processes, with a disk, and with 200 backends that they ask for their load. */
+    /** Rows of complete relay processes that use a disk and probe 200 backends for their load. */
     private static List<CapacityRequirement> realRelays() {
         String role = "real relay, by revision";
         String resource = "processor share of the whole process";
@@ -365,7 +365,7 @@
                         .withImplementation("coordinator.command"));
     }
 
-    /** In commands a second, against the commands that the group was measured to carry. */
+    /** An estimate in commands a second, compared with the rate that the group achieved. */
     private static Estimate estimate(String arithmetic, double commandsPerSecond) {
         return new Estimate(
                 arithmetic, commandsPerSecond, data -> maxAchievedRate(data, "renewals"));
--- a/lab/src/main/java/saltstage/lab/scale/CapacityTables.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityTables.java
@@ -30,12 +30,12 @@
 
     private final List<CapacityRequirement.Result> results;
 
-    /** Computes all rows. */
+    /** Computes all rows from measured data. */
     CapacityTables(MeasuredData data) {
         results = CapacityRequirements.all().stream().map(need -> need.evaluate(data)).toList();
     }
 
-    /** All rows by headroom, the worst first; those without a figure last. */
+    /** Returns the table of all rows by headroom, lowest first; rows without a figure come last. */
     String summary() {
         List<String> lines =
                 new ArrayList<>(
@@ -64,7 +64,7 @@
                 "`" + result.requirement().implementation() + "`");
     }
 
-    /** Each line that was fitted, by role. */
+    /** Returns the table of all fitted lines, by role. */
     String fits() {
         List<String> lines =
                 new ArrayList<>(
@@ -101,7 +101,7 @@
                         : "× " + FigureFormat.forPage(line.targetQuantity() / fit.maxQuantity()));
     }
 
-    /** The rows that are arithmetic. */
+    /** Returns the table of the rows that are estimates. */
     String estimates() {
         List<String> lines =
                 new ArrayList<>(
@@ -121,7 +121,7 @@
         return String.join("\n", lines);
     }
 
-    /** The CSV of all fits. */
+    /** Returns the CSV of all fits. */
     String fitsCsv() {
         StringBuilder text = new StringBuilder(String.join(",", CSV_COLUMNS) + "\n");
         results.stream()
--- a/lab/src/main/java/saltstage/lab/scale/ChildProcess.java
+++ b/lab/src/main/java/saltstage/lab/scale/ChildProcess.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * A JVM of a scale run: started, killed, paused and started again, always by its own process id.
+ * A JVM of a scale run that can be killed, paused and started again, always by its own process id.
  */
 final class ChildProcess implements AutoCloseable {
     private static final List<String> JVM_FLAGS =
@@ -24,7 +24,7 @@
         this.outputPiped = talks;
     }
 
-    /** A program of a jar; it writes into a log named after it. */
+    /** Returns a process that runs a jar and writes its output to a log file named after it. */
     static ChildProcess ofJar(
             String name, Path jar, int heapMegabytes, Path folder, List<String> words) {
         List<String> command = javaCommand(heapMegabytes);
@@ -34,7 +34,8 @@
     }
 
     /**
-     * A program of the laboratory, with which this process talks over standard input and output.
+     * Returns a process that runs a command of the lab and exchanges lines with this process over
+     * standard input and output.
      */
     static ChildProcess ofLab(String name, int heapMegabytes, Path folder, List<String> words) {
         List<String> command = javaCommand(heapMegabytes);
@@ -69,22 +70,22 @@
         return process != null && process.isAlive();
     }
 
-    /** What the kernel tells of it now. */
+    /** Reads the kernel's current statistics of the process. */
     ProcessStatistics statistics() throws IOException {
         return ProcessStatistics.read(process().pid());
     }
 
-    /** SIGKILL; waits until it is gone. */
+    /** Sends SIGKILL and waits until the process has ended. */
     void kill() throws InterruptedException {
         process().destroyForcibly().waitFor();
     }
 
-    /** SIGSTOP. */
+    /** Sends SIGSTOP. */
     void pause() throws IOException, InterruptedException {
         sendSignal("STOP");
     }
 
-    /** SIGCONT. */
+    /** Sends SIGCONT. */
     void resume() throws IOException, InterruptedException {
         sendSignal("CONT");
     }
--- a/lab/src/main/java/saltstage/lab/scale/ConfigurationLoadGenerator.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConfigurationLoadGenerator.java
@@ -18,10 +18,7 @@
 import saltstage.coordinator.configuration.ConfigurationReplies.Changed;
 import saltstage.coordinator.model.Reply;
 
-/**
- * Writes configuration: backends, shards placed at them, and changes of placement one after the
- * other.
- */
+/** Writes configuration: backends, shards placed on them, and changes of the placement. */
 final class ConfigurationLoadGenerator {
     private static final String AUTHOR = "scale";
     private static final int BACKEND_COUNT = 200;
@@ -33,7 +30,7 @@
     private final AtomicLong newestRevision = new AtomicLong();
     private volatile int shardCount;
 
-    /** Backends are at loopback addresses of their own, all at this port. */
+    /** Creates a generator whose backends have one loopback address each and share a port. */
     ConfigurationLoadGenerator(GroupClient client, Random random, int backendPort) {
         this.client = client;
         this.random = random;
@@ -43,12 +40,13 @@
     /**
      * A change that was accepted.
      *
-     * @param askedNanos when it was first sent
-     * @param answeredNanos when its acceptance was known
+     * @param revision the revision that the change made
+     * @param sentNanos when the change was first sent
+     * @param acceptedNanos when the reply arrived
      */
     record AcceptedRevision(long revision, long sentNanos, long acceptedNanos) {}
 
-    /** Puts the backends. */
+    /** Writes all backends. */
     void putBackends() throws IOException, InterruptedException {
         List<Mutation> mutations = new ArrayList<>();
         for (int i = 0; i < BACKEND_COUNT; i++) {
@@ -65,7 +63,7 @@
         send(client, mutations, CALL_TIMEOUT);
     }
 
-    /** Puts shards until there are so many, by several writers at once. */
+    /** Writes shards with several concurrent writers until there are as many as requested. */
     void putShards(int upTo, List<GroupClient> writers)
             throws InterruptedException, ExecutionException {
         Parallel.forEach(
@@ -88,12 +86,12 @@
         return mutations;
     }
 
-    /** The newest revision that came of this. */
+    /** Returns the newest revision that this generator's changes have made. */
     long newestRevision() {
         return newestRevision.get();
     }
 
-    /** A change of one shard, as a command. */
+    /** Returns a command that places a random shard on a random backend. */
     ChangeConfiguration randomChange() {
         return new ChangeConfiguration(
                 AUTHOR, List.of(randomPlacement(random.nextInt(shardCount))), Map.of());
@@ -104,12 +102,12 @@
         return new Mutation(key, new EntryValue.Shard("gw-" + random.nextInt(BACKEND_COUNT)));
     }
 
-    /** Places one shard anew, so often as a revision takes to come of it. */
+    /** Places one random shard on a random backend. */
     AcceptedRevision changeOneShard() throws IOException, InterruptedException {
         return changeShards(client, 1, CALL_TIMEOUT);
     }
 
-    /** Places so many shards anew by one change, through this client. */
+    /** Places random shards on random backends with one change sent through the given client. */
     AcceptedRevision changeShards(GroupClient through, int count, Duration within)
             throws IOException, InterruptedException {
         List<Mutation> mutations = new ArrayList<>();
--- a/lab/src/main/java/saltstage/lab/scale/ConfigurationRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConfigurationRun.java
@@ -13,15 +13,15 @@
 import saltstage.lab.scale.Topology.Zone;
 
 /**
- * What the number of entries costs: memory of replicas, distributors and followers; size of
- * snapshots.
+ * Measures what the number of entries costs: memory of replicas, distributors and followers, and
+ * the size of snapshots.
  */
 @Command(
         name = "configuration",
         mixinStandardHelpOptions = true,
         description =
-                "Nine control processes and ever more entries; a follower with a relay's heap at"
-                        + " each point.")
+                "Nine control processes and a growing number of entries; a follower with a"
+                        + " relay's heap at each point.")
 final class ConfigurationRun extends ScaleRun {
     private static final int[] ENTRY_COUNTS = {3_600, 7_400, 14_750, 29_500, 59_000};
 
@@ -87,13 +87,14 @@
         HttpRequest request = HttpRequest.newBuilder(uri).build();
         HttpResponse<String> answer = http.send(request, HttpResponse.BodyHandlers.ofString());
         if (answer.statusCode() != HTTP_OK) {
-            throw new IOException("a snapshot was answered with " + answer.statusCode());
+            throw new IOException(
+                    "snapshot request was answered with status " + answer.statusCode());
         }
         snapshotBytes += answer.body().length();
         return ConfigurationJson.parseSnapshotPage(answer.body());
     }
 
-    /** Waits until a source serves this revision; one that has just started does not listen yet. */
+    /** Waits until a source serves this revision; a source that just started may not listen yet. */
     private void awaitRevision(String source, long revision) throws Exception {
         while (!isServing(source, revision)) {
             sleepSeconds(SETTLE_SECONDS);
@@ -108,7 +109,7 @@
         }
     }
 
-    /** Takes a snapshot page by page, as a follower does. */
+    /** Fetches a snapshot page by page, as a follower does. */
     private void measureSnapshot(MeasurementFile file, String source) throws Exception {
         snapshotBytes = 0;
         long begun = System.nanoTime();
--- a/lab/src/main/java/saltstage/lab/scale/ConnectionsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConnectionsRun.java
@@ -6,19 +6,20 @@
 import picocli.CommandLine.Option;
 
 /**
- * What standing connections cost a relay: memory, threads, processor time when quiet and per
- * delivery.
+ * Measures what established connections cost a relay: memory, threads, and processor time when idle
+ * and per delivery.
  */
 @Command(
         name = "connections",
         mixinStandardHelpOptions = true,
-        description = "One real relay with ever more standing connections to stand-in gateways.")
+        description =
+                "One real relay with a growing number of established connections to fake backends.")
 final class ConnectionsRun extends ScaleRun {
     private static final int[] CONNECTION_COUNTS = {
         125, 250, 500, 1_000, 2_000, 3_000, 4_000, 8_000
     };
 
-    /** As many descriptors as the machine gives one process here. */
+    /** The number of file descriptors that the machine allows one process. */
     private static final int MAX_SOCKETS = 20_000;
 
     private static final int MAX_OPENING = 16;
@@ -27,7 +28,7 @@
     private static final double DELIVERY_SECONDS = 3;
     private static final int DELIVERIES_PER_SECOND = 1_000;
 
-    /** Without one more connection for so long, the relay takes no more. */
+    /** A relay that establishes no further connection for this time has reached its limit. */
     private static final double STALL_TIMEOUT_SECONDS = 6;
 
     private static final double MIN_DELIVERED_SHARE = 0.95;
@@ -35,7 +36,7 @@
     @Option(
             names = "--most",
             defaultValue = "8000",
-            description = "connections at the most (default 8000)")
+            description = "maximum number of connections (default 8000)")
     private int most;
 
     ConnectionsRun() {
@@ -111,8 +112,8 @@
     }
 
     /**
-     * Opens until so many stand; a refusal is tried again. False where they do not come to stand in
-     * time.
+     * Opens connections until the given number is established, and opens another one for each that
+     * was rejected. Returns false if the relay ends or stalls before that.
      */
     private static boolean openConnections(RelayProcess relay, LineClients clients, int connections)
             throws InterruptedException {
--- a/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
+++ b/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
@@ -29,13 +29,13 @@
  * others over links with the delay between their zones.
  */
 final class ControlPlane implements AutoCloseable {
-    /** Use of links: relays that ask distributors. */
+    /** Use of links: requests of relays to distributors. */
     static final String RELAY_LINKS = "relays";
 
-    /** Use of links: distributors that ask and tell replicas. */
+    /** Use of links: requests and reports of distributors to replicas. */
     static final String DISTRIBUTOR_LINKS = "distributors";
 
-    /** Use of links: replicas among themselves. */
+    /** Use of links: traffic between replicas. */
     static final String REPLICA_LINKS = "replicas";
 
     private static final int PEER_PORT = 7_101;
@@ -55,11 +55,11 @@
     private final Map<Zone, ChildProcess> distributors = new EnumMap<>(Zone.class);
     private final Map<Zone, String> distributorHosts = new EnumMap<>(Zone.class);
 
-    /** Sets everything up and starts nothing. */
+    /** Prepares links, settings files and processes, and starts none of the processes. */
     ControlPlane(Path folder, ZoneLinks links) throws IOException {
         this.folder = folder;
         this.links = links;
-        // Not from the run's seed: two runs at once must not meet each other.
+        // Not derived from the run's seed: the addresses of concurrent runs must not collide.
         ThreadLocalRandom random = ThreadLocalRandom.current();
         String block = "127." + random.nextInt(1, 255) + "." + random.nextInt(255) + ".";
         for (int i = 0; i < Topology.REPLICA_ZONES.size(); i++) {
@@ -170,7 +170,7 @@
                 name, TrialProcess.coordinatorJar(), heapMegabytes, folder, words);
     }
 
-    /** Starts all nine. */
+    /** Starts all nine processes, the distributors after a leader has been elected. */
     void start() throws IOException, InterruptedException {
         for (ChildProcess replica : replicas.values()) {
             replica.start();
@@ -182,14 +182,14 @@
     }
 
     /**
-     * Adds the links of a zone's relays to all distributors; returns their addresses, preferred
-     * first.
+     * Adds links from a zone's relays to all distributors. Returns the addresses of the links, the
+     * preferred one first.
      */
     List<String> addRelaySources(Zone zone) throws IOException {
         return addRelaySources(RELAY_LINKS, zone);
     }
 
-    /** The same for links that are counted by another use. */
+    /** Adds such links, whose traffic is counted under another use. */
     List<String> addRelaySources(String use, Zone zone) throws IOException {
         List<String> sources = new ArrayList<>();
         for (Zone preferred : zone.zonesByPreference()) {
@@ -203,12 +203,12 @@
         return sources;
     }
 
-    /** A client at an operator's desk, without delay to any replica. */
+    /** Returns a client as an operator has it, without a delay to any replica. */
     GroupClient client() {
         return new GroupClient(replicaAddresses(), Ticker.SYSTEM);
     }
 
-    /** Whether each replica of a zone's region refuses a command, or does not answer it in time. */
+    /** Whether each replica in a zone's region rejects a command or does not answer it in time. */
     boolean isRejectingChanges(Zone zone, Command command) throws InterruptedException {
         ObjectNode body =
                 GroupCodec.jsonMapper().createObjectNode().put("client", "outsider").put("seq", 1);
@@ -243,7 +243,7 @@
         return replicaHosts.values().stream().map(host -> host + ":" + CLIENT_PORT).toList();
     }
 
-    /** Who leads; waits for one that a majority follows. */
+    /** Returns the leader's name after waiting for a leader that a majority follows. */
     String leader() throws IOException, InterruptedException {
         client().get("/v1/leases?limit=1", LEADER_TIMEOUT);
         for (String name : replicaHosts.keySet()) {
@@ -251,7 +251,7 @@
                 return name;
             }
         }
-        throw new IOException("no replica says that it leads");
+        throw new IOException("no replica reports that it is the leader");
     }
 
     private boolean isLeader(String name) throws IOException, InterruptedException {
@@ -274,7 +274,7 @@
         return distributors.get(zone);
     }
 
-    /** Kills the zone's replicas and its distributor. */
+    /** Kills a zone's replicas and its distributor. */
     void killZone(Zone zone) throws InterruptedException {
         for (Map.Entry<String, ChildProcess> replica : replicas.entrySet()) {
             if (replicaZones.get(replica.getKey()) == zone) {
@@ -284,7 +284,7 @@
         distributors.get(zone).kill();
     }
 
-    /** Starts whatever does not run. */
+    /** Starts the processes that are not running. */
     void startStopped() throws IOException {
         for (ChildProcess replica : replicas.values()) {
             if (!replica.isAlive()) {
@@ -298,7 +298,7 @@
         }
     }
 
-    /** Kills all nine at once. */
+    /** Kills all nine processes. */
     void killAll() throws InterruptedException {
         for (ChildProcess each : allProcesses()) {
             each.kill();
--- a/lab/src/main/java/saltstage/lab/scale/CountingProxy.java
+++ b/lab/src/main/java/saltstage/lab/scale/CountingProxy.java
@@ -15,8 +15,8 @@
 import saltstage.net.Transport;
 
 /**
- * A proxy that counts what passes, delivers it late by a fixed delay, and can be cut: while cut,
- * nothing passes and nobody is told, as between two regions that lose each other.
+ * A proxy that counts forwarded traffic, adds a fixed delay and can be cut. While it is cut it
+ * forwards nothing and closes no connection, as in a network partition between two regions.
  */
 public final class CountingProxy implements AutoCloseable {
     private static final int BACKLOG = 1_024;
@@ -34,7 +34,9 @@
     private final Set<ProxiedConnection> connections = ConcurrentHashMap.newKeySet();
     private volatile boolean cut;
 
-    /** A link to the target on a free port of loopback; the transport's loops carry it. */
+    /**
+     * Listens on a free loopback port and forwards to the target on the transport's event loops.
+     */
     public CountingProxy(Transport transport, InetSocketAddress target, Duration delay)
             throws IOException {
         this.transport = transport;
@@ -49,41 +51,41 @@
                         accepted -> new ProxiedConnection(accepted).fromClient);
     }
 
-    /** Where clients connect. */
+    /** The address to which clients connect. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
-    /** Bytes that clients sent. */
+    /** The number of bytes received from clients. */
     public long bytesToTarget() {
         return bytesToTarget.sum();
     }
 
-    /** Bytes that the target sent. */
+    /** The number of bytes received from the target. */
     public long bytesFromTarget() {
         return bytesFromTarget.sum();
     }
 
     /**
-     * Pieces read from clients: requests, where each is written at once and answered before the
-     * next.
+     * The number of reads from clients. It equals the number of requests if each request is written
+     * at once and answered before the next one.
      */
     public long messagesToTarget() {
         return messagesToTarget.sum();
     }
 
-    /** From now on nothing passes, and newcomers hang. */
+    /** Stops forwarding; new connections are accepted but not connected to the target. */
     public void cut() {
         cut = true;
     }
 
-    /** What was held back passes. */
+    /** Forwards again, beginning with the bytes held back while the proxy was cut. */
     public void heal() {
         cut = false;
         connections.forEach(ProxiedConnection::resume);
     }
 
-    /** Resets all connections that are open. */
+    /** Resets all open connections. */
     public void reset() {
         connections.forEach(pair -> pair.clientConnection.loop().execute(pair::resetBoth));
     }
@@ -94,7 +96,7 @@
         reset();
     }
 
-    /** One client's connection and the one to the target; both on one loop. */
+    /** A client's connection and its connection to the target, both on one event loop. */
     private final class ProxiedConnection implements Transport.ConnectListener {
         private final Connection clientConnection;
         private final Direction fromClient = new Direction(true);
@@ -157,10 +159,10 @@
             }
         }
 
-        /** A piece that waits until it is due; no bytes: the end of the input. */
+        /** Bytes to be forwarded when they are due; an empty buffer marks the end of the input. */
         private record DelayedBytes(long dueNanos, ByteBuffer bytes) {}
 
-        /** One direction. */
+        /** One direction of a proxied connection. */
         private final class Direction implements ConnectionHandler {
             private final boolean toTarget;
             private final Deque<DelayedBytes> delayedBytes = new ArrayDeque<>();
--- a/lab/src/main/java/saltstage/lab/scale/DeliveriesRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/DeliveriesRun.java
@@ -4,11 +4,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** What deliveries cost a relay, by their rate, and from which rate on they come late. */
+/** Measures what deliveries cost a relay by their rate, and at which rate they become late. */
 @Command(
         name = "deliveries",
         mixinStandardHelpOptions = true,
-        description = "One real relay with standing connections; deliveries at rising rates.")
+        description = "One real relay with established connections; deliveries at rising rates.")
 final class DeliveriesRun extends ScaleRun {
     private static final int[] RATES_PER_SECOND = {
         250, 500, 1_000, 2_000, 4_000, 8_000, 16_000, 32_000
@@ -19,7 +19,10 @@
     private static final int MAX_OPENING = 16;
     private static final double MIN_DELIVERED_SHARE = 0.9;
 
-    @Option(names = "--connections", defaultValue = "500", description = "that stand (default 500)")
+    @Option(
+            names = "--connections",
+            defaultValue = "500",
+            description = "number of established connections (default 500)")
     private int connections;
 
     DeliveriesRun() {
@@ -44,8 +47,7 @@
             }
             sleepSeconds(SETTLE_SECONDS);
             DeliveryGenerator deliveries = new DeliveryGenerator(backends, clients);
-            deliveries.run(
-                    relay, RATES_PER_SECOND[2], SETTLE_SECONDS); // compiles what is used most
+            deliveries.run(relay, RATES_PER_SECOND[2], SETTLE_SECONDS); // warms up the JIT compiler
             for (int rate : RATES_PER_SECOND) {
                 if (!measure(stage.file(), relay, deliveries, rate)) {
                     break;
--- a/lab/src/main/java/saltstage/lab/scale/DeliveryGenerator.java
+++ b/lab/src/main/java/saltstage/lab/scale/DeliveryGenerator.java
@@ -3,20 +3,18 @@
 import java.io.IOException;
 import org.HdrHistogram.Histogram;
 
-/**
- * Has backends deliver lines at a steady rate to clients that stand, one client after the other.
- */
+/** Makes backends deliver lines at a steady rate to established clients in turn. */
 final class DeliveryGenerator {
     private static final double LAST_ARRIVALS_WAIT_SECONDS = 0.5;
     private static final long STEP_NANOS = 1_000_000;
 
     /**
-     * What came of it.
+     * The result of a series of deliveries.
      *
      * @param delivered lines that reached their client
-     * @param processorSeconds what the relay used meanwhile
+     * @param processorSeconds processor time that the relay used meanwhile
      * @param p50Ms median time from the backend's write to the client's read
-     * @param p99Ms the same, 99 in 100
+     * @param p99Ms 99th percentile of the same time
      */
     record Result(long delivered, double processorSeconds, double p50Ms, double p99Ms) {}
 
--- a/lab/src/main/java/saltstage/lab/scale/EventTable.java
+++ b/lab/src/main/java/saltstage/lab/scale/EventTable.java
@@ -5,11 +5,11 @@
 import java.util.OptionalDouble;
 import java.util.stream.Collectors;
 
-/** The table of measured events: times until changes were in force while something happened. */
+/** The table of fleet events: how long changes took to be applied during each event. */
 final class EventTable {
     private static final String RUN_NAME = "fleet-events";
 
-    /** Another play of the same set-up, which was ended after its first events. */
+    /** Another run of the same setup, which was stopped after its first events. */
     private static final String OTHER_RUN_NAME = "fleet-events-other";
 
     private static final List<String> FIGURES =
@@ -28,12 +28,13 @@
                     + "| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | --- |\n";
 
     /**
-     * An event.
+     * A row of the table, for one event.
      *
-     * @param run the play that it is taken from
-     * @param prefix of its figures
-     * @param after the figure of what came afterwards, in seconds; null: none
-     * @param meaning what was waited for
+     * @param name the event as the table names it
+     * @param run the run that measured the event
+     * @param prefix the prefix of the event's figures
+     * @param recoveryFigure the figure of the recovery time in seconds, or null if there is none
+     * @param recoveryCondition the condition that ends the recovery
      */
     private record Row(
             String name,
@@ -75,7 +76,7 @@
 
     private EventTable() {}
 
-    /** The table. */
+    /** Returns the table as Markdown. */
     static String of(MeasuredData data) {
         return HEADER
                 + ROWS.stream().map(row -> tableRow(row, data)).collect(Collectors.joining("\n"));
--- a/lab/src/main/java/saltstage/lab/scale/FakeLineBackends.java
+++ b/lab/src/main/java/saltstage/lab/scale/FakeLineBackends.java
@@ -12,9 +12,9 @@
 import saltstage.net.Transport;
 
 /**
- * Stand-in gateways with room for all who come, at every address of loopback and one port. They
- * take OPEN, answer probes, echo other lines, and deliver lines to their clients that hold the time
- * of sending.
+ * Fake backends without a limit on clients, listening on one port of every loopback address. They
+ * accept OPEN, answer probes, echo other lines, and deliver lines that contain the time of sending
+ * to their clients.
  */
 final class FakeLineBackends implements AutoCloseable {
     private static final int BACKLOG = 4_096;
@@ -39,7 +39,7 @@
         return listener.address().getPort();
     }
 
-    /** How many connections were made, for requests and for probes. */
+    /** The number of accepted connections, for requests and for probes. */
     long acceptedCount() {
         return acceptedCount.get();
     }
@@ -48,7 +48,7 @@
         return established.size();
     }
 
-    /** Sends one line to a client, picked by its place modulo how many there are. */
+    /** Sends one line to the client at this index modulo the number of clients. */
     void deliver(long place) {
         int size = established.size();
         if (size == 0) {
--- a/lab/src/main/java/saltstage/lab/scale/FigureFormat.java
+++ b/lab/src/main/java/saltstage/lab/scale/FigureFormat.java
@@ -3,7 +3,7 @@
 import java.math.BigDecimal;
 import java.math.MathContext;
 
-/** How figures are written, in CSVs and on pages. */
+/** Formats figures for CSV files and pages. */
 final class FigureFormat {
     private static final MathContext CSV_DIGITS = new MathContext(6);
     private static final MathContext PAGE_DIGITS = new MathContext(3);
@@ -11,12 +11,12 @@
 
     private FigureFormat() {}
 
-    /** Six significant digits without an exponent, as in CSVs. */
+    /** Formats a value for a CSV file: six significant digits without an exponent. */
     static String forCsv(double value) {
         return roundToDigits(value, CSV_DIGITS);
     }
 
-    /** Three significant digits, thousands grouped, as on pages. */
+    /** Formats a value for a page: three significant digits with thousands separators. */
     static String forPage(double value) {
         String text = roundToDigits(value, PAGE_DIGITS);
         int point = text.indexOf('.');
--- a/lab/src/main/java/saltstage/lab/scale/FitCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/FitCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import saltstage.lab.Installation;
 
-/** Computes the fits from the CSVs of all runs. */
+/** Computes the fits from the CSV files of all runs, and writes and prints them. */
 @Command(
         name = "fit",
         mixinStandardHelpOptions = true,
--- a/lab/src/main/java/saltstage/lab/scale/FleetEnvironment.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetEnvironment.java
@@ -8,7 +8,7 @@
 import saltstage.lab.scale.Topology.Zone;
 import saltstage.net.Transport;
 
-/** Control processes and hollow relays together, with configuration loaded. */
+/** Control processes and simulated relays together, with configuration loaded. */
 final class FleetEnvironment implements AutoCloseable {
     private static final int WRITER_COUNT = 5;
     private static final int DISCARD_PORT = 9;
@@ -18,13 +18,13 @@
     private final ConfigurationLoadGenerator configurationLoad;
     private final SimulatedRelayFleet fleet;
 
-    /** Starts the control processes and loads so many shards at backends that nobody calls. */
+    /** Starts the control processes and loads shards on backends that receive no requests. */
     FleetEnvironment(Path folder, Transport transport, long seed, int shards)
             throws IOException, InterruptedException, ExecutionException {
         this(folder, transport, seed, shards, DISCARD_PORT);
     }
 
-    /** Starts the control processes and loads so many shards; no relays yet. */
+    /** Starts the control processes and loads shards; starts no relays. */
     FleetEnvironment(Path folder, Transport transport, long seed, int shards, int backendPort)
             throws IOException, InterruptedException, ExecutionException {
         Random random = new Random(seed);
@@ -38,7 +38,7 @@
         putShards(shards);
     }
 
-    /** Puts shards until there are so many. */
+    /** Writes shards until there are as many as requested. */
     final void putShards(int upTo) throws InterruptedException, ExecutionException {
         configurationLoad.putShards(
                 upTo, Stream.generate(controlPlane::client).limit(WRITER_COUNT).toList());
@@ -60,7 +60,7 @@
         return fleet;
     }
 
-    /** Starts a process with so many relays in each zone. */
+    /** Starts a process with the given number of simulated relays in each zone. */
     void addRelaysToEachZone(int relays) throws IOException {
         for (Zone zone : Zone.values()) {
             fleet.add(zone, relays);
--- a/lab/src/main/java/saltstage/lab/scale/FleetEvents.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetEvents.java
@@ -11,21 +11,24 @@
 import saltstage.coordinator.client.GroupClient;
 import saltstage.lab.scale.Topology.Zone;
 
-/** What befalls an installation, one event after the other, while changes go on. */
+/** Triggers faults and restarts in an installation one after the other while changes continue. */
 final class FleetEvents {
     private static final double CHANGES_PER_SECOND = 2;
     private static final double LEAD_SECONDS = 1.5;
     private static final double EVENT_SECONDS = 8;
     private static final double MAX_WAIT_SECONDS = 60;
 
-    /** The goals: through every single failure, for every relay that the failure leaves alone. */
+    /** Each goal holds through every single failure, for every relay that it does not affect. */
     private static final double GOAL_MEDIAN_SECONDS = 2;
 
     private static final double GOAL_MAX_SECONDS = 9;
     private static final int STOPPED_RELAYS = 8;
     private static final int AWAY_RELAYS = 4;
 
-    /** More than a history keeps, in changes of 500 entries: 8 MiB of some 90 bytes each. */
+    /**
+     * Changes of 500 entries of about 90 bytes each, together more than the 8 MiB that a history
+     * keeps.
+     */
     private static final int CHANGES_WHILE_AWAY = 230;
 
     private static final int ENTRIES_PER_CHANGE = 500;
@@ -41,12 +44,12 @@
         this.file = file;
     }
 
-    /** Something that happens. */
+    /** A fault or another action on the installation. */
     private interface Event {
         void run() throws Exception;
     }
 
-    /** All of them; false where a goal was missed. */
+    /** Runs all events; returns false if a goal was missed. */
     boolean run() throws Exception {
         Event nothing = () -> {};
         measureDuring("none", nothing, nothing, allRelays());
@@ -69,7 +72,7 @@
         file.beginPoint(environment.fleet().relayCount());
     }
 
-    /** Changes go on before, during and after an event; its times count at these relays. */
+    /** Measures changes before, during and after an event, as applied at the counted relays. */
     private SteadyChanges measureDuring(String name, Event event, Event end, Set<Integer> counted)
             throws Exception {
         beginEvent(name);
@@ -104,7 +107,7 @@
         }
     }
 
-    /** From now until all these relays have what was accepted last. */
+    /** Makes a change and measures the time until all the given relays have applied it. */
     private void measureRecovery(String figure, Set<Integer> relays) throws Exception {
         long begun = System.nanoTime();
         ConfigurationLoadGenerator.AcceptedRevision last =
@@ -209,7 +212,7 @@
         file.addFigure("control_restarted_back_s", back);
     }
 
-    /** More changes than a history keeps; the one of the newest revision. */
+    /** Makes more changes than a history keeps; returns the one with the newest revision. */
     private ConfigurationLoadGenerator.AcceptedRevision changeBeyondHistory() throws Exception {
         List<ConfigurationLoadGenerator.AcceptedRevision> accepted = new CopyOnWriteArrayList<>();
         List<GroupClient> writers =
--- a/lab/src/main/java/saltstage/lab/scale/FleetEventsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetEventsRun.java
@@ -3,24 +3,27 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** All hollow relays, and one event after the other. */
+/** Runs the fleet events in sequence on an installation with all simulated relays. */
 @Command(
         name = "fleet-events",
         mixinStandardHelpOptions = true,
         description =
-                "Control processes and 780 hollow relays: kills, cuts and stops while changes go"
-                        + " on.")
+                "Control processes and 780 simulated relays: kills, cuts and stops while changes"
+                        + " continue.")
 final class FleetEventsRun extends ScaleRun {
-    /** Of the spans without and with changes before the first event. */
+    /** Length of each of the two periods before the first event, without and with changes. */
     private static final double SPAN_SECONDS = 6;
 
-    @Option(names = "--shards", defaultValue = "59000", description = "placed (default 59000)")
+    @Option(
+            names = "--shards",
+            defaultValue = "59000",
+            description = "shards to place (default 59000)")
     private int shards;
 
     @Option(
             names = "--steps",
             defaultValue = "5",
-            description = "of growth; 5 is all 780 (default 5)")
+            description = "steps of growth; 5 is all 780 relays (default 5)")
     private int steps;
 
     FleetEventsRun() {
--- a/lab/src/main/java/saltstage/lab/scale/FleetResourceUsage.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetResourceUsage.java
@@ -4,14 +4,17 @@
 import saltstage.lab.scale.Topology.Zone;
 
 /**
- * What an installation has used up to a moment, or between two.
+ * Resources that an installation has used up to a point in time, or between two of them.
  *
- * @param seconds on the clock
- * @param leaderProcessorSeconds of whoever leads
- * @param distributorProcessorSeconds of all distributors
- * @param hollowProcessorSeconds of all processes with hollow relays
- * @param relayTraffic between relays and distributors
- * @param distributorTraffic between distributors and replicas
+ * @param seconds the reading of the monotonic clock, or the time between two readings
+ * @param leaderProcessorSeconds processor time of the leader
+ * @param distributorProcessorSeconds processor time of all distributors
+ * @param simulatedRelayProcessorSeconds processor time of all processes with simulated relays
+ * @param relayTraffic traffic between relays and distributors
+ * @param distributorTraffic traffic between distributors and replicas
+ * @param leaderMegabytes resident memory of the leader
+ * @param distributorMegabytes largest resident memory of a distributor
+ * @param simulatedRelayMegabytes resident memory of the processes with simulated relays
  */
 record FleetResourceUsage(
         double seconds,
@@ -59,7 +62,7 @@
                 simulatedRelayMegabytes);
     }
 
-    /** Adds the figures of a span, each with this prefix. */
+    /** Adds the figures of a period to the file, each with this prefix. */
     void addTo(MeasurementFile file, String prefix, int relays) {
         double zones = Zone.values().length;
         file.addFigure(prefix + "_leader_processor_share", leaderProcessorSeconds / seconds);
--- a/lab/src/main/java/saltstage/lab/scale/FleetRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetRun.java
@@ -6,29 +6,36 @@
 import picocli.CommandLine.Option;
 import saltstage.lab.scale.Topology.Zone;
 
-/** Hollow relays up to the target's number behind real replicas and distributors. */
+/** Measures real replicas and distributors with simulated relays up to the target's number. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
-        description = "Five replicas, four distributors and up to 780 hollow relays in four zones.")
+        description =
+                "Five replicas, four distributors and up to 780 simulated relays in four zones.")
 final class FleetRun extends ScaleRun {
-    /** How many relays each zone gets in addition; four zones: 48, 96, 192, 384, 780. */
+    /** Relays that each step adds to each zone; in total 48, 96, 192, 384 and 780 in four zones. */
     private static final int[] RELAYS_PER_ZONE_BY_STEP = {12, 12, 24, 48, 99};
 
-    /** The first step of zone A2: the smaller process is one hundredth of all relays. */
+    /**
+     * Sizes of the two processes of zone A2 in the first step. The first is about one hundredth of
+     * all relays.
+     */
     private static final int[] SPLIT_HOST_SIZES = {8, 4};
 
     private static final double FIFTY_FOLD_CHANGES_PER_SECOND =
             50 * CapacityTarget.CHANGES_PER_SECOND;
     private static final double MAX_LEADER_GROWTH = 1.2;
 
-    @Option(names = "--shards", defaultValue = "59000", description = "placed (default 59000)")
+    @Option(
+            names = "--shards",
+            defaultValue = "59000",
+            description = "shards to place (default 59000)")
     private int shards;
 
     @Option(
             names = "--steps",
             defaultValue = "5",
-            description = "of growth; 5 is all 780 (default 5)")
+            description = "steps of growth; 5 is all 780 relays (default 5)")
     private int steps;
 
     @Option(
@@ -112,7 +119,7 @@
         return all.fleet().awaitApplied(relays, last.revision(), last.sentNanos(), 30);
     }
 
-    /** Whether the leader takes no more with all relays than with the fewest, but for a fifth. */
+    /** Whether the leader's processor share with all relays is at most a fifth above the first. */
     private static boolean isLeaderUsageFlat(MeasurementFile file) {
         var shares = file.points("changing_leader_processor_share");
         boolean flat =
