--- a/lab/src/main/java/saltstage/lab/scale/AllRunsCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/AllRunsCommand.java
@@ -33,22 +33,22 @@
     @Override
     public Integer call() {
         CommandLine scale = spec.parent().commandLine();
-        int missed = 0;
+        int failedRuns = 0;
         for (String run : RUNS) {
-            long begun = System.nanoTime();
-            int code = scale.execute(run);
-            missed += code == 0 ? 0 : 1;
+            long startNanos = System.nanoTime();
+            int exitCode = scale.execute(run);
+            failedRuns += exitCode == 0 ? 0 : 1;
             ScaleRun.printProgress(
                     run
                             + ": exit "
-                            + code
+                            + exitCode
                             + " after "
-                            + (System.nanoTime() - begun) / 1_000_000_000
+                            + (System.nanoTime() - startNanos) / 1_000_000_000
                             + " s");
         }
         for (String result : RESULTS) {
-            missed += scale.execute(result) == 0 ? 0 : 1;
+            failedRuns += scale.execute(result) == 0 ? 0 : 1;
         }
-        return missed == 0 ? 0 : 1;
+        return failedRuns == 0 ? 0 : 1;
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/AppliedRevisionLog.java
+++ b/lab/src/main/java/saltstage/lab/scale/AppliedRevisionLog.java
@@ -12,10 +12,10 @@
 
     /** Records that a relay uses this revision from this moment on. */
     void revisionApplied(int relay, long revision, long nanos) {
-        TreeMap<Long, Long> own =
-                appliedNanosByRelay.computeIfAbsent(relay, any -> new TreeMap<>());
-        synchronized (own) {
-            own.putIfAbsent(revision, nanos);
+        TreeMap<Long, Long> nanosByRevision =
+                appliedNanosByRelay.computeIfAbsent(relay, key -> new TreeMap<>());
+        synchronized (nanosByRevision) {
+            nanosByRevision.putIfAbsent(revision, nanos);
         }
     }
 
@@ -26,12 +26,14 @@
 
     /** Returns when a relay applied the revision or a newer one, or null if it has not yet. */
     Long appliedNanos(int relay, long revision) {
-        TreeMap<Long, Long> own = appliedNanosByRelay.get(relay);
-        if (own == null) {
+        TreeMap<Long, Long> nanosByRevision = appliedNanosByRelay.get(relay);
+        if (nanosByRevision == null) {
             return null;
         }
-        synchronized (own) {
-            return own.tailMap(revision, true).values().stream().min(Long::compare).orElse(null);
+        synchronized (nanosByRevision) {
+            return nanosByRevision.tailMap(revision, true).values().stream()
+                    .min(Long::compare)
+                    .orElse(null);
         }
     }
 
--- a/lab/src/main/java/saltstage/lab/scale/AsyncLineWriter.java
+++ b/lab/src/main/java/saltstage/lab/scale/AsyncLineWriter.java
@@ -35,7 +35,7 @@
                 out.flush();
                 lines.clear();
             }
-        } catch (InterruptedException ended) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/lab/src/main/java/saltstage/lab/scale/BackendsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/BackendsRun.java
@@ -22,44 +22,44 @@
             names = "--seconds",
             defaultValue = "30",
             description = "seconds of traffic at each point (default 30)")
-    private int span;
+    private int trafficSeconds;
 
     BackendsRun() {
         super("backends");
     }
 
     @Override
-    boolean run(RunContext stage) throws Exception {
+    boolean run(RunContext context) throws Exception {
         for (int backends : BACKEND_COUNTS) {
-            stage.file().beginPoint(backends);
-            measure(stage, backends);
+            context.file().beginPoint(backends);
+            measure(context, backends);
         }
         return true;
     }
 
-    private void measure(RunContext stage, int count) throws Exception {
+    private void measure(RunContext context, int count) throws Exception {
         printProgress("backends: " + count);
-        try (FakeLineBackends backends = new FakeLineBackends(stage.transport());
+        try (FakeLineBackends backends = new FakeLineBackends(context.transport());
                 LargeListDiscovery list =
-                        new LargeListDiscovery(count, backends.port(), false, stage.seed());
-                CountingProxy link =
-                        new CountingProxy(stage.transport(), list.address(), Duration.ZERO);
+                        new LargeListDiscovery(count, backends.port(), false, context.seed());
+                CountingProxy proxy =
+                        new CountingProxy(context.transport(), list.address(), Duration.ZERO);
                 RelayProcess relay =
                         new RelayProcess(
-                                stage.folder().resolve("backends-" + count),
-                                link.address(),
+                                context.folder().resolve("backends-" + count),
+                                proxy.address(),
                                 MAX_SOCKETS)) {
             sleepSeconds(SETTLE_SECONDS);
-            LineClients clients = new LineClients(stage.transport(), relay.listenAddress());
+            LineClients clients = new LineClients(context.transport(), relay.listenAddress());
             int opened = runTraffic(list, clients);
-            ProcessStatistics used = relay.statistics();
-            MeasurementFile file = stage.file();
-            file.addFigure("processor_seconds", used.processorSeconds());
-            file.addFigure("resident_mb", used.residentMegabytes());
-            file.addFigure("threads", used.threadCount());
+            ProcessStatistics statistics = relay.statistics();
+            MeasurementFile file = context.file();
+            file.addFigure("processor_seconds", statistics.processorSeconds());
+            file.addFigure("resident_mb", statistics.residentMegabytes());
+            file.addFigure("threads", statistics.threadCount());
             file.addFigure("descriptors", relay.openDescriptors());
             file.addFigure("connections_to_backends", backends.acceptedCount());
-            file.addFigure("list_bytes", link.bytesFromTarget());
+            file.addFigure("list_bytes", proxy.bytesFromTarget());
             file.addFigure("opened", opened);
             file.addFigure("share_up", (opened - clients.rejectedCount()) / (double) opened);
         }
@@ -70,7 +70,7 @@
      * the list once a second. Returns the number of connections opened.
      */
     private int runTraffic(LargeListDiscovery list, LineClients clients) throws Exception {
-        int opens = (int) (span * OPENS_PER_SECOND);
+        int opens = (int) (trafficSeconds * OPENS_PER_SECOND);
         for (int i = 0; i < opens; i++) {
             clients.open();
             clients.closeSome(Math.max(0, clients.establishedCount() - MAX_ESTABLISHED));
--- a/lab/src/main/java/saltstage/lab/scale/CapacityPage.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityPage.java
@@ -18,17 +18,18 @@
 
     /** Returns the page with its tables replaced; throws if the page names an unknown table. */
     static String fillTables(String page, Map<String, String> tables) {
-        Matcher mark = TABLE_PATTERN.matcher(page);
-        StringBuilder text = new StringBuilder();
-        while (mark.find()) {
-            String table = tables.get(mark.group(2));
+        Matcher matcher = TABLE_PATTERN.matcher(page);
+        StringBuilder filled = new StringBuilder();
+        while (matcher.find()) {
+            String table = tables.get(matcher.group(2));
             if (table == null) {
-                throw new IllegalArgumentException("no such table: " + mark.group(2));
+                throw new IllegalArgumentException("no such table: " + matcher.group(2));
             }
-            mark.appendReplacement(
-                    text, Matcher.quoteReplacement(mark.group(1) + table + "\n" + mark.group(4)));
+            matcher.appendReplacement(
+                    filled,
+                    Matcher.quoteReplacement(matcher.group(1) + table + "\n" + matcher.group(4)));
         }
-        return mark.appendTail(text).toString();
+        return matcher.appendTail(filled).toString();
     }
 
     /** Returns all tables by name, computed from measured data. */
--- a/lab/src/main/java/saltstage/lab/scale/CapacityRequirement.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityRequirement.java
@@ -23,13 +23,13 @@
     }
 
     /** Returns this row with a budget and an implementation. */
-    CapacityRequirement withBudget(double given, String by) {
-        return new CapacityRequirement(role, resource, source, given, by);
+    CapacityRequirement withBudget(double newBudget, String implementedBy) {
+        return new CapacityRequirement(role, resource, source, newBudget, implementedBy);
     }
 
     /** Returns this row with an implementation, for a source that gives the budget itself. */
-    CapacityRequirement withImplementation(String by) {
-        return new CapacityRequirement(role, resource, source, Double.NaN, by);
+    CapacityRequirement withImplementation(String implementedBy) {
+        return new CapacityRequirement(role, resource, source, Double.NaN, implementedBy);
     }
 
     /** How a need is determined. */
@@ -140,13 +140,13 @@
                     : new Result(this, Double.NaN, budget, null, Basis.NOT_MEASURED);
         }
         if (source instanceof MeasuredLimit limit) {
-            double most = limit.measuredMax().apply(data);
+            double measuredMax = limit.measuredMax().apply(data);
             return new Result(
                     this,
                     limit.targetValue(),
-                    most,
+                    measuredMax,
                     null,
-                    Double.isNaN(most) ? Basis.NOT_MEASURED : Basis.LIMIT);
+                    Double.isNaN(measuredMax) ? Basis.NOT_MEASURED : Basis.LIMIT);
         }
         Estimate estimate = (Estimate) source;
         return new Result(
@@ -165,8 +165,8 @@
             case FLAT -> {
                 double mean =
                         points.stream().mapToDouble(LineFit.Point::value).average().orElseThrow();
-                double mostGrowth = fit.slope().high() * line.targetQuantity();
-                double value = line.includesIntercept() ? mean : mostGrowth;
+                double maxGrowth = fit.slope().high() * line.targetQuantity();
+                double value = line.includesIntercept() ? mean : maxGrowth;
                 yield new Result(this, value * line.multiplier(), budget, fit, Basis.FLAT);
             }
             case LINE -> {
--- a/lab/src/main/java/saltstage/lab/scale/CapacityRequirements.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityRequirements.java
@@ -137,15 +137,15 @@
     }
 
     private static List<CapacityRequirement> connectionSetups() {
-        double returning =
+        double reconnectsPerSecond =
                 CapacityTarget.RECONNECTING_CLIENTS_PER_RELAY / CapacityTarget.RECONNECT_SECONDS;
-        MeasuredLimit setUps =
-                new MeasuredLimit(maxValue("connections", "set_ups_per_s"), returning);
+        MeasuredLimit setupRate =
+                new MeasuredLimit(maxValue("connections", "set_ups_per_s"), reconnectsPerSecond);
         return List.of(
                 CapacityRequirement.of(
                                 "relay, data path",
                                 "set-ups a second, a zone back in a minute",
-                                setUps)
+                                setupRate)
                         .withImplementation("stage.TakeIn, stage.Route"));
     }
 
@@ -217,10 +217,10 @@
                 Extrapolation.of(leases, "leader_processor_share", leases, CapacityTarget.SHARDS);
         Extrapolation memory =
                 Extrapolation.of(leases, "leader_resident_mb", leases, CapacityTarget.SHARDS);
-        MeasuredLimit taken =
+        MeasuredLimit maxLeases =
                 new MeasuredLimit(maxQuantity(leases, "renewed"), CapacityTarget.SHARDS);
         return List.of(
-                CapacityRequirement.of(role, "leases in one command", taken)
+                CapacityRequirement.of(role, "leases in one command", maxLeases)
                         .withImplementation("coordinator.api (bodies up to 1 MiB)"),
                 CapacityRequirement.of(role, LEADER_PROCESSOR, leader)
                         .withBudget(CapacityTarget.ONE_CORE_PROCESSOR_SHARE, "coordinator.lease"),
@@ -251,7 +251,7 @@
                 MeasuredFigure.of("fleet", "changing_relay_bytes_per_s", CapacityTarget.RELAYS);
         Extrapolation processor =
                 Extrapolation.of("fleet", "changing_hollow_processor_share", SIMULATED_RELAYS, 1);
-        MeasuredFigure most =
+        MeasuredFigure maxSeconds =
                 MeasuredFigure.of("fleet", "changing_everywhere_most_s", CapacityTarget.RELAYS);
         return List.of(
                 CapacityRequirement.of(role, CONTROL_BYTES_PER_SECOND + FIFTY_FOLD_CHANGES, bytes)
@@ -266,7 +266,7 @@
                 CapacityRequirement.of(
                                 role,
                                 "seconds to be in force everywhere, most" + FIFTY_FOLD_CHANGES,
-                                most)
+                                maxSeconds)
                         .withBudget(
                                 CapacityTarget.MAX_PROPAGATION_SECONDS,
                                 "coordinator.distribution"));
--- a/lab/src/main/java/saltstage/lab/scale/CapacityTables.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityTables.java
@@ -32,7 +32,10 @@
 
     /** Computes all rows from measured data. */
     CapacityTables(MeasuredData data) {
-        results = CapacityRequirements.all().stream().map(need -> need.evaluate(data)).toList();
+        results =
+                CapacityRequirements.all().stream()
+                        .map(requirement -> requirement.evaluate(data))
+                        .toList();
     }
 
     /** Returns the table of all rows by headroom, lowest first; rows without a figure come last. */
@@ -82,12 +85,12 @@
         CapacityRequirement.Extrapolation line =
                 (CapacityRequirement.Extrapolation) result.requirement().source();
         LineFit fit = result.fit();
-        boolean drawn = fit.shape() == LineFit.Shape.LINE || fit.shape() == LineFit.Shape.FLAT;
+        boolean hasLine = fit.shape() == LineFit.Shape.LINE || fit.shape() == LineFit.Shape.FLAT;
         return tableRow(
                 result.requirement().role(),
                 "`" + line.run() + ": " + line.figure() + "`",
-                drawn ? formatInterval(fit.intercept()) : NO_VALUE,
-                drawn ? formatInterval(fit.slope()) : NO_VALUE,
+                hasLine ? formatInterval(fit.intercept()) : NO_VALUE,
+                hasLine ? formatInterval(fit.slope()) : NO_VALUE,
                 FigureFormat.forPage(fit.minQuantity())
                         + " to "
                         + FigureFormat.forPage(fit.maxQuantity())
--- a/lab/src/main/java/saltstage/lab/scale/ChildProcess.java
+++ b/lab/src/main/java/saltstage/lab/scale/ChildProcess.java
@@ -18,18 +18,18 @@
     private final boolean outputPiped;
     private Process process;
 
-    private ChildProcess(List<String> command, File log, boolean talks) {
+    private ChildProcess(List<String> command, File logFile, boolean outputPiped) {
         this.command = command;
-        this.logFile = log;
-        this.outputPiped = talks;
+        this.logFile = logFile;
+        this.outputPiped = outputPiped;
     }
 
     /** Returns a process that runs a jar and writes its output to a log file named after it. */
     static ChildProcess ofJar(
-            String name, Path jar, int heapMegabytes, Path folder, List<String> words) {
+            String name, Path jar, int heapMegabytes, Path folder, List<String> arguments) {
         List<String> command = javaCommand(heapMegabytes);
         command.addAll(List.of("-jar", jar.toString()));
-        command.addAll(words);
+        command.addAll(arguments);
         return new ChildProcess(command, folder.resolve(name + ".log").toFile(), false);
     }
 
@@ -37,10 +37,10 @@
      * Returns a process that runs a command of the lab and exchanges lines with this process over
      * standard input and output.
      */
-    static ChildProcess ofLab(String name, int heapMegabytes, Path folder, List<String> words) {
+    static ChildProcess ofLab(String name, int heapMegabytes, Path folder, List<String> arguments) {
         List<String> command = javaCommand(heapMegabytes);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), "saltstage.lab.Lab"));
-        command.addAll(words);
+        command.addAll(arguments);
         return new ChildProcess(command, folder.resolve(name + ".log").toFile(), true);
     }
 
--- a/lab/src/main/java/saltstage/lab/scale/ConfigurationLoadGenerator.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConfigurationLoadGenerator.java
@@ -64,23 +64,24 @@
     }
 
     /** Writes shards with several concurrent writers until there are as many as requested. */
-    void putShards(int upTo, List<GroupClient> writers)
+    void putShards(int targetCount, List<GroupClient> writers)
             throws InterruptedException, ExecutionException {
         Parallel.forEach(
                 writers,
                 writer -> {
-                    List<Mutation> next = nextShardMutations(upTo);
+                    List<Mutation> next = nextShardMutations(targetCount);
                     while (!next.isEmpty()) {
                         send(writer, next, CALL_TIMEOUT);
-                        next = nextShardMutations(upTo);
+                        next = nextShardMutations(targetCount);
                     }
                 });
     }
 
-    private synchronized List<Mutation> nextShardMutations(int upTo) {
+    private synchronized List<Mutation> nextShardMutations(int targetCount) {
         List<Mutation> mutations = new ArrayList<>();
-        int until = Math.min(upTo, shardCount + ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE);
-        for (; shardCount < until; shardCount++) {
+        int endCount =
+                Math.min(targetCount, shardCount + ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE);
+        for (; shardCount < endCount; shardCount++) {
             mutations.add(randomPlacement(shardCount));
         }
         return mutations;
@@ -108,23 +109,26 @@
     }
 
     /** Places random shards on random backends with one change sent through the given client. */
-    AcceptedRevision changeShards(GroupClient through, int count, Duration within)
+    AcceptedRevision changeShards(GroupClient groupClient, int count, Duration timeout)
             throws IOException, InterruptedException {
         List<Mutation> mutations = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             mutations.add(randomPlacement(random.nextInt(shardCount)));
         }
-        return send(through, mutations, within);
+        return send(groupClient, mutations, timeout);
     }
 
-    private AcceptedRevision send(GroupClient through, List<Mutation> mutations, Duration within)
+    private AcceptedRevision send(
+            GroupClient groupClient, List<Mutation> mutations, Duration timeout)
             throws IOException, InterruptedException {
-        long asked = System.nanoTime();
+        long sentNanos = System.nanoTime();
         Reply reply =
-                through.send(new ChangeConfiguration(AUTHOR, mutations, Map.of()), within).reply();
+                groupClient
+                        .send(new ChangeConfiguration(AUTHOR, mutations, Map.of()), timeout)
+                        .reply();
         if (reply instanceof Changed changed) {
             newestRevision.accumulateAndGet(changed.revision(), Math::max);
-            return new AcceptedRevision(changed.revision(), asked, System.nanoTime());
+            return new AcceptedRevision(changed.revision(), sentNanos, System.nanoTime());
         }
         throw new IOException("a change was not accepted: " + reply);
     }
--- a/lab/src/main/java/saltstage/lab/scale/ConfigurationRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConfigurationRun.java
@@ -43,37 +43,38 @@
     }
 
     @Override
-    boolean run(RunContext stage) throws Exception {
-        try (FleetEnvironment all =
-                new FleetEnvironment(stage.folder(), stage.transport(), stage.seed(), 0)) {
-            List<String> sources = all.controlPlane().addRelaySources(Zone.A1);
+    boolean run(RunContext context) throws Exception {
+        try (FleetEnvironment environment =
+                new FleetEnvironment(context.folder(), context.transport(), context.seed(), 0)) {
+            List<String> sources = environment.controlPlane().addRelaySources(Zone.A1);
             for (int entries : ENTRY_COUNTS) {
                 printProgress("configuration: " + entries + " entries");
-                all.putShards(entries);
-                awaitRevision(sources.get(0), all.configurationLoad().newestRevision());
-                stage.file().beginPoint(entries);
-                measureControlMemory(stage.file(), all);
-                measureSnapshot(stage.file(), sources.get(0));
-                measureFollower(stage, sources, entries);
+                environment.putShards(entries);
+                awaitRevision(sources.get(0), environment.configurationLoad().newestRevision());
+                context.file().beginPoint(entries);
+                measureControlMemory(context.file(), environment);
+                measureSnapshot(context.file(), sources.get(0));
+                measureFollower(context, sources, entries);
             }
         }
         return true;
     }
 
-    private static void measureControlMemory(MeasurementFile file, FleetEnvironment all)
+    private static void measureControlMemory(MeasurementFile file, FleetEnvironment environment)
             throws Exception {
         file.addFigure(
                 "leader_resident_mb",
-                all.controlPlane()
-                        .replica(all.controlPlane().leader())
+                environment
+                        .controlPlane()
+                        .replica(environment.controlPlane().leader())
                         .statistics()
                         .residentMegabytes());
         file.addFigure(
                 "distributor_resident_mb",
-                all.controlPlane().distributor(Zone.A1).statistics().residentMegabytes());
+                environment.controlPlane().distributor(Zone.A1).statistics().residentMegabytes());
     }
 
-    private SnapshotPage fetchPage(String source, long revision, String from, int limit)
+    private SnapshotPage fetchPage(String source, long revision, String fromParameter, int limit)
             throws Exception {
         URI uri =
                 URI.create(
@@ -81,17 +82,17 @@
                                 + source
                                 + "/v1/configuration/snapshot?revision="
                                 + revision
-                                + from
+                                + fromParameter
                                 + "&limit="
                                 + limit);
         HttpRequest request = HttpRequest.newBuilder(uri).build();
-        HttpResponse<String> answer = http.send(request, HttpResponse.BodyHandlers.ofString());
-        if (answer.statusCode() != HTTP_OK) {
+        HttpResponse<String> response = http.send(request, HttpResponse.BodyHandlers.ofString());
+        if (response.statusCode() != HTTP_OK) {
             throw new IOException(
-                    "snapshot request was answered with status " + answer.statusCode());
+                    "snapshot request was answered with status " + response.statusCode());
         }
-        snapshotBytes += answer.body().length();
-        return ConfigurationJson.parseSnapshotPage(answer.body());
+        snapshotBytes += response.body().length();
+        return ConfigurationJson.parseSnapshotPage(response.body());
     }
 
     /** Waits until a source serves this revision; a source that just started may not listen yet. */
@@ -104,7 +105,7 @@
     private boolean isServing(String source, long revision) throws Exception {
         try {
             return fetchPage(source, NEWEST_REVISION, "", 1).revision() >= revision;
-        } catch (IOException notYet) {
+        } catch (IOException unavailable) {
             return false;
         }
     }
@@ -112,25 +113,29 @@
     /** Fetches a snapshot page by page, as a follower does. */
     private void measureSnapshot(MeasurementFile file, String source) throws Exception {
         snapshotBytes = 0;
-        long begun = System.nanoTime();
+        long startNanos = System.nanoTime();
         long revision = NEWEST_REVISION;
-        String from = "";
+        String fromParameter = "";
         int pages = 0;
-        while (from != null) {
+        while (fromParameter != null) {
             SnapshotPage page =
-                    fetchPage(source, revision, from, ConfigurationLimits.MAX_ENTRIES_PER_PAGE);
+                    fetchPage(
+                            source,
+                            revision,
+                            fromParameter,
+                            ConfigurationLimits.MAX_ENTRIES_PER_PAGE);
             revision = page.revision();
-            from = page.next() == null ? null : "&from=" + page.next().text();
+            fromParameter = page.next() == null ? null : "&from=" + page.next().text();
             pages++;
         }
-        file.addFigure("snapshot_s", (System.nanoTime() - begun) / 1e9);
+        file.addFigure("snapshot_s", (System.nanoTime() - startNanos) / 1e9);
         file.addFigure("snapshot_bytes", snapshotBytes);
         file.addFigure("snapshot_pages", pages);
     }
 
-    private static void measureFollower(RunContext stage, List<String> sources, int entries)
+    private static void measureFollower(RunContext context, List<String> sources, int entries)
             throws Exception {
-        long begun = System.nanoTime();
+        long startNanos = System.nanoTime();
         try (SimulatedRelayHost host =
                 new SimulatedRelayHost(
                         entries,
@@ -138,15 +143,15 @@
                         "a1",
                         sources,
                         RELAY_HEAP_MEGABYTES,
-                        stage.folder(),
+                        context.folder(),
                         new AppliedRevisionLog())) {
             host.start();
             host.awaitReady();
-            stage.file().addFigure("follower_start_s", (System.nanoTime() - begun) / 1e9);
+            context.file().addFigure("follower_start_s", (System.nanoTime() - startNanos) / 1e9);
             sleepSeconds(1);
-            ProcessStatistics figures = host.process().statistics();
-            stage.file().addFigure("follower_resident_mb", figures.residentMegabytes());
-            stage.file().addFigure("follower_start_processor_s", figures.processorSeconds());
+            ProcessStatistics statistics = host.process().statistics();
+            context.file().addFigure("follower_resident_mb", statistics.residentMegabytes());
+            context.file().addFigure("follower_start_processor_s", statistics.processorSeconds());
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/ConnectionsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConnectionsRun.java
@@ -37,27 +37,27 @@
             names = "--most",
             defaultValue = "8000",
             description = "maximum number of connections (default 8000)")
-    private int most;
+    private int maxConnections;
 
     ConnectionsRun() {
         super("connections");
     }
 
     @Override
-    boolean run(RunContext stage) throws Exception {
-        try (FakeLineBackends backends = new FakeLineBackends(stage.transport());
+    boolean run(RunContext context) throws Exception {
+        try (FakeLineBackends backends = new FakeLineBackends(context.transport());
                 LargeListDiscovery list =
-                        new LargeListDiscovery(8, backends.port(), false, stage.seed());
-                CountingProxy link =
-                        new CountingProxy(stage.transport(), list.address(), Duration.ZERO);
+                        new LargeListDiscovery(8, backends.port(), false, context.seed());
+                CountingProxy proxy =
+                        new CountingProxy(context.transport(), list.address(), Duration.ZERO);
                 RelayProcess relay =
-                        new RelayProcess(stage.folder(), link.address(), MAX_SOCKETS)) {
-            LineClients clients = new LineClients(stage.transport(), relay.listenAddress());
+                        new RelayProcess(context.folder(), proxy.address(), MAX_SOCKETS)) {
+            LineClients clients = new LineClients(context.transport(), relay.listenAddress());
             sleepSeconds(SETTLE_SECONDS);
-            measureQuiet(stage.file(), relay, 0);
+            measureQuiet(context.file(), relay, 0);
             for (int connections : CONNECTION_COUNTS) {
-                if (connections > most
-                        || !measure(stage.file(), relay, backends, clients, connections)) {
+                if (connections > maxConnections
+                        || !measure(context.file(), relay, backends, clients, connections)) {
                     break;
                 }
             }
@@ -85,12 +85,12 @@
             int connections)
             throws Exception {
         printProgress("connections: " + connections);
-        int had = clients.establishedCount();
-        double before = relay.statistics().processorSeconds();
-        long begun = System.nanoTime();
-        boolean all = openConnections(relay, clients, connections);
-        double spent = (System.nanoTime() - begun) / 1e9;
-        if (!relay.isAlive() || !all) {
+        int establishedBefore = clients.establishedCount();
+        double processorSecondsBefore = relay.statistics().processorSeconds();
+        long startNanos = System.nanoTime();
+        boolean allEstablished = openConnections(relay, clients, connections);
+        double setupSeconds = (System.nanoTime() - startNanos) / 1e9;
+        if (!relay.isAlive() || !allEstablished) {
             file.beginPoint(connections);
             file.addFigure("reached", clients.establishedCount());
             file.addFigure("relay_alive", relay.isAlive() ? 1 : 0);
@@ -98,14 +98,14 @@
             file.addFigure("lost", clients.lostCount());
             return false;
         }
-        double used = relay.statistics().processorSeconds() - before;
-        double opened = clients.establishedCount() - (double) had;
+        double processorSeconds = relay.statistics().processorSeconds() - processorSecondsBefore;
+        double opened = clients.establishedCount() - (double) establishedBefore;
         sleepSeconds(SETTLE_SECONDS);
         measureQuiet(file, relay, connections);
         Histogram setUps = clients.takeSetupMicros();
         file.addFigure("reached", clients.establishedCount());
-        file.addFigure("set_ups_per_s", opened / spent);
-        file.addFigure("set_up_processor_ms", used * 1e3 / opened);
+        file.addFigure("set_ups_per_s", opened / setupSeconds);
+        file.addFigure("set_up_processor_ms", processorSeconds * 1e3 / opened);
         file.addFigure("set_up_p99_ms", setUps.getValueAtPercentile(99) / 1e3);
         measureDeliveries(file, relay, backends, clients);
         return relay.isAlive();
@@ -117,20 +117,20 @@
      */
     private static boolean openConnections(RelayProcess relay, LineClients clients, int connections)
             throws InterruptedException {
-        int most = clients.establishedCount();
-        long lastNewcomer = System.nanoTime();
+        int maxEstablished = clients.establishedCount();
+        long lastIncreaseNanos = System.nanoTime();
         while (clients.establishedCount() < connections) {
-            if (clients.establishedCount() > most) {
-                most = clients.establishedCount();
-                lastNewcomer = System.nanoTime();
+            if (clients.establishedCount() > maxEstablished) {
+                maxEstablished = clients.establishedCount();
+                lastIncreaseNanos = System.nanoTime();
             }
             if (!relay.isAlive()
-                    || System.nanoTime() - lastNewcomer > STALL_TIMEOUT_SECONDS * 1e9) {
+                    || System.nanoTime() - lastIncreaseNanos > STALL_TIMEOUT_SECONDS * 1e9) {
                 return false;
             }
-            int wanted = connections - clients.establishedCount() - clients.openingCount();
+            int missing = connections - clients.establishedCount() - clients.openingCount();
             int room = MAX_OPENING - clients.openingCount();
-            for (int i = 0; i < Math.min(wanted, room); i++) {
+            for (int i = 0; i < Math.min(missing, room); i++) {
                 clients.open();
             }
             Thread.sleep(1);
--- a/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
+++ b/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
@@ -61,13 +61,13 @@
         this.links = links;
         // Not derived from the run's seed: the addresses of concurrent runs must not collide.
         ThreadLocalRandom random = ThreadLocalRandom.current();
-        String block = "127." + random.nextInt(1, 255) + "." + random.nextInt(255) + ".";
+        String addressPrefix = "127." + random.nextInt(1, 255) + "." + random.nextInt(255) + ".";
         for (int i = 0; i < Topology.REPLICA_ZONES.size(); i++) {
             replicaZones.put("r" + (i + 1), Topology.REPLICA_ZONES.get(i));
-            replicaHosts.put("r" + (i + 1), block + (i + 1));
+            replicaHosts.put("r" + (i + 1), addressPrefix + (i + 1));
         }
         for (Zone zone : Zone.values()) {
-            distributorHosts.put(zone, block + (100 + zone.ordinal()));
+            distributorHosts.put(zone, addressPrefix + (100 + zone.ordinal()));
         }
         for (String name : replicaHosts.keySet()) {
             prepareReplica(name);
@@ -81,13 +81,13 @@
         StringBuilder text = new StringBuilder(groupSettings());
         for (String other : replicaHosts.keySet()) {
             if (!other.equals(name)) {
-                String at =
+                String address =
                         links.addLink(
                                 REPLICA_LINKS,
                                 replicaZones.get(name),
                                 replicaZones.get(other),
                                 new InetSocketAddress(replicaHosts.get(other), PEER_PORT));
-                text.append("  reach \"" + other + "\" {\n    at = \"" + at + "\"\n  }\n");
+                text.append("  reach \"" + other + "\" {\n    at = \"" + address + "\"\n  }\n");
             }
         }
         Path settings = Files.writeString(folder.resolve(name + ".hcl"), text + "}\n");
@@ -130,7 +130,7 @@
 
     private void prepareDistributor(Zone zone) throws IOException {
         String name = "d-" + zone.lowerCaseName();
-        List<String> block =
+        List<String> settingsBlock =
                 List.of(
                         "distributor \"" + name + "\" {",
                         "  zone = \"" + zone.lowerCaseName() + "\"",
@@ -140,20 +140,20 @@
                                 + "\"]",
                         "  dir = \"" + folder.resolve("distributors") + "\"",
                         "}");
-        String text = groupSettings() + "}\n" + String.join("\n", block) + "\n";
+        String text = groupSettings() + "}\n" + String.join("\n", settingsBlock) + "\n";
         Path settings = Files.writeString(folder.resolve(name + ".hcl"), text);
-        List<String> words =
+        List<String> arguments =
                 List.of("distributor", "serve", "--settings", settings.toString(), "--name", name);
-        distributors.put(zone, coordinatorProcess(name, DISTRIBUTOR_HEAP_MEGABYTES, words));
+        distributors.put(zone, coordinatorProcess(name, DISTRIBUTOR_HEAP_MEGABYTES, arguments));
     }
 
     private List<String> addDistributorSources(Zone zone) throws IOException {
         List<String> sources = new ArrayList<>();
         for (Zone preferred : zone.zonesByPreference()) {
             for (String replica : replicasIn(preferred)) {
-                InetSocketAddress at =
+                InetSocketAddress target =
                         new InetSocketAddress(replicaHosts.get(replica), CLIENT_PORT);
-                sources.add(links.addLink(DISTRIBUTOR_LINKS, zone, preferred, at));
+                sources.add(links.addLink(DISTRIBUTOR_LINKS, zone, preferred, target));
             }
         }
         return sources;
@@ -165,9 +165,10 @@
                 .toList();
     }
 
-    private ChildProcess coordinatorProcess(String name, int heapMegabytes, List<String> words) {
+    private ChildProcess coordinatorProcess(
+            String name, int heapMegabytes, List<String> arguments) {
         return ChildProcess.ofJar(
-                name, TrialProcess.coordinatorJar(), heapMegabytes, folder, words);
+                name, TrialProcess.coordinatorJar(), heapMegabytes, folder, arguments);
     }
 
     /** Starts all nine processes, the distributors after a leader has been elected. */
@@ -256,12 +257,12 @@
 
     private boolean isLeader(String name) throws IOException, InterruptedException {
         try {
-            GroupClient one =
+            GroupClient replicaClient =
                     new GroupClient(
                             List.of(replicaHosts.get(name) + ":" + CLIENT_PORT), Ticker.SYSTEM);
-            JsonNode status = one.get("/v1/status", STATUS_TIMEOUT);
+            JsonNode status = replicaClient.get("/v1/status", STATUS_TIMEOUT);
             return status.path("role").asText().equals("leader");
-        } catch (GroupClient.GroupUnreachableException down) {
+        } catch (GroupClient.GroupUnreachableException unreachable) {
             return false;
         }
     }
@@ -300,8 +301,8 @@
 
     /** Kills all nine processes. */
     void killAll() throws InterruptedException {
-        for (ChildProcess each : allProcesses()) {
-            each.kill();
+        for (ChildProcess process : allProcesses()) {
+            process.kill();
         }
     }
 
@@ -313,8 +314,8 @@
 
     @Override
     public void close() throws InterruptedException {
-        for (ChildProcess each : allProcesses()) {
-            each.close();
+        for (ChildProcess process : allProcesses()) {
+            process.close();
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/CountingProxy.java
+++ b/lab/src/main/java/saltstage/lab/scale/CountingProxy.java
@@ -42,10 +42,10 @@
         this.transport = transport;
         this.target = target;
         this.delay = delay;
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         listener =
                 transport.listen(
-                        any,
+                        anyPort,
                         BACKLOG,
                         WRITE_LIMITS,
                         accepted -> new ProxiedConnection(accepted).fromClient);
@@ -87,7 +87,7 @@
 
     /** Resets all open connections. */
     public void reset() {
-        connections.forEach(pair -> pair.clientConnection.loop().execute(pair::resetBoth));
+        connections.forEach(proxied -> proxied.clientConnection.loop().execute(proxied::resetBoth));
     }
 
     @Override
@@ -146,7 +146,7 @@
         }
 
         @Override
-        public void failed(IOException why) {
+        public void failed(IOException cause) {
             resetBoth();
         }
 
@@ -180,7 +180,7 @@
             }
 
             @Override
-            public void received(Connection on, ByteBuffer bytes) {
+            public void received(Connection connection, ByteBuffer bytes) {
                 (toTarget ? bytesToTarget : bytesFromTarget).add(bytes.remaining());
                 if (toTarget) {
                     messagesToTarget.increment();
@@ -221,21 +221,22 @@
             }
 
             @Override
-            public void inputEnded(Connection on) {
+            public void inputEnded(Connection connection) {
                 enqueue(ByteBuffer.allocate(0));
             }
 
             @Override
-            public void writabilityChanged(Connection on, boolean now) {
-                Connection from = on == clientConnection ? targetConnection : clientConnection;
-                if (from != null) {
-                    from.setReading(now);
+            public void writabilityChanged(Connection connection, boolean writable) {
+                Connection otherConnection =
+                        connection == clientConnection ? targetConnection : clientConnection;
+                if (otherConnection != null) {
+                    otherConnection.setReading(writable);
                 }
             }
 
             @Override
-            public void closed(Connection on, Connection.Cause why) {
-                if (on != source() || why == Connection.Cause.OURS) {
+            public void closed(Connection connection, Connection.Cause cause) {
+                if (connection != source() || cause == Connection.Cause.OURS) {
                     return;
                 }
                 oneSideEnded = true;
--- a/lab/src/main/java/saltstage/lab/scale/DeliveriesRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/DeliveriesRun.java
@@ -30,15 +30,15 @@
     }
 
     @Override
-    boolean run(RunContext stage) throws Exception {
-        try (FakeLineBackends backends = new FakeLineBackends(stage.transport());
+    boolean run(RunContext context) throws Exception {
+        try (FakeLineBackends backends = new FakeLineBackends(context.transport());
                 LargeListDiscovery list =
-                        new LargeListDiscovery(8, backends.port(), false, stage.seed());
-                CountingProxy link =
-                        new CountingProxy(stage.transport(), list.address(), Duration.ZERO);
+                        new LargeListDiscovery(8, backends.port(), false, context.seed());
+                CountingProxy proxy =
+                        new CountingProxy(context.transport(), list.address(), Duration.ZERO);
                 RelayProcess relay =
-                        new RelayProcess(stage.folder(), link.address(), MAX_SOCKETS)) {
-            LineClients clients = new LineClients(stage.transport(), relay.listenAddress());
+                        new RelayProcess(context.folder(), proxy.address(), MAX_SOCKETS)) {
+            LineClients clients = new LineClients(context.transport(), relay.listenAddress());
             while (clients.establishedCount() < connections) {
                 if (clients.openingCount() < MAX_OPENING) {
                     clients.open();
@@ -49,7 +49,7 @@
             DeliveryGenerator deliveries = new DeliveryGenerator(backends, clients);
             deliveries.run(relay, RATES_PER_SECOND[2], SETTLE_SECONDS); // warms up the JIT compiler
             for (int rate : RATES_PER_SECOND) {
-                if (!measure(stage.file(), relay, deliveries, rate)) {
+                if (!measure(context.file(), relay, deliveries, rate)) {
                     break;
                 }
             }
@@ -61,13 +61,13 @@
             MeasurementFile file, RelayProcess relay, DeliveryGenerator deliveries, int rate)
             throws Exception {
         printProgress("deliveries: " + rate + " a second");
-        DeliveryGenerator.Result outcome = deliveries.run(relay, rate, MEASURED_SECONDS);
-        double carried = outcome.delivered() / MEASURED_SECONDS;
-        file.beginPoint(carried);
+        DeliveryGenerator.Result result = deliveries.run(relay, rate, MEASURED_SECONDS);
+        double deliveredPerSecond = result.delivered() / MEASURED_SECONDS;
+        file.beginPoint(deliveredPerSecond);
         file.addFigure("offered_per_s", rate);
-        file.addFigure("processor_share", outcome.processorSeconds() / MEASURED_SECONDS);
-        file.addFigure("p50_ms", outcome.p50Ms());
-        file.addFigure("p99_ms", outcome.p99Ms());
-        return carried >= rate * MIN_DELIVERED_SHARE;
+        file.addFigure("processor_share", result.processorSeconds() / MEASURED_SECONDS);
+        file.addFigure("p50_ms", result.p50Ms());
+        file.addFigure("p99_ms", result.p99Ms());
+        return deliveredPerSecond >= rate * MIN_DELIVERED_SHARE;
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/DeliveryGenerator.java
+++ b/lab/src/main/java/saltstage/lab/scale/DeliveryGenerator.java
@@ -30,24 +30,24 @@
     Result run(RelayProcess relay, int perSecond, double seconds)
             throws IOException, InterruptedException {
         clients.takeDeliveryMicros();
-        double before = relay.statistics().processorSeconds();
-        long begun = System.nanoTime();
-        long until = begun + (long) (seconds * 1e9);
+        double processorSecondsBefore = relay.statistics().processorSeconds();
+        long startNanos = System.nanoTime();
+        long endNanos = startNanos + (long) (seconds * 1e9);
         long sent = 0;
-        for (long now = begun; now < until; now = System.nanoTime()) {
-            long due = (long) ((now - begun) / 1e9 * perSecond);
+        for (long now = startNanos; now < endNanos; now = System.nanoTime()) {
+            long due = (long) ((now - startNanos) / 1e9 * perSecond);
             for (; sent < due; sent++) {
                 backends.deliver(nextClient++);
             }
             Thread.sleep(STEP_NANOS / 1_000_000);
         }
         ScaleRun.sleepSeconds(LAST_ARRIVALS_WAIT_SECONDS);
-        double used = relay.statistics().processorSeconds() - before;
-        Histogram times = clients.takeDeliveryMicros();
+        double processorSeconds = relay.statistics().processorSeconds() - processorSecondsBefore;
+        Histogram deliveryMicros = clients.takeDeliveryMicros();
         return new Result(
-                times.getTotalCount(),
-                used,
-                times.getValueAtPercentile(50) / 1e3,
-                times.getValueAtPercentile(99) / 1e3);
+                deliveryMicros.getTotalCount(),
+                processorSeconds,
+                deliveryMicros.getValueAtPercentile(50) / 1e3,
+                deliveryMicros.getValueAtPercentile(99) / 1e3);
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/EventTable.java
+++ b/lab/src/main/java/saltstage/lab/scale/EventTable.java
@@ -46,8 +46,8 @@
             return new Row(name, run, prefix, null, "");
         }
 
-        private static Row withRecovery(String name, String prefix, String meaning) {
-            return new Row(name, RUN_NAME, prefix, prefix + "_back_s", meaning);
+        private static Row withRecovery(String name, String prefix, String condition) {
+            return new Row(name, RUN_NAME, prefix, prefix + "_back_s", condition);
         }
     }
 
@@ -87,9 +87,9 @@
         for (String figure : FIGURES) {
             cells.add(formatFigure(data, row, row.prefix() + figure));
         }
-        boolean ends = row.recoveryFigure() != null;
+        boolean hasRecovery = row.recoveryFigure() != null;
         cells.add(
-                ends
+                hasRecovery
                         ? row.recoveryCondition()
                                 + " after "
                                 + formatFigure(data, row, row.recoveryFigure())
--- a/lab/src/main/java/saltstage/lab/scale/FakeLineBackends.java
+++ b/lab/src/main/java/saltstage/lab/scale/FakeLineBackends.java
@@ -49,17 +49,18 @@
     }
 
     /** Sends one line to the client at this index modulo the number of clients. */
-    void deliver(long place) {
-        int size = established.size();
-        if (size == 0) {
+    void deliver(long index) {
+        int clientCount = established.size();
+        if (clientCount == 0) {
             return;
         }
-        Connection to = established.get((int) (place % size));
-        to.loop().execute(() -> sendLine(to, LineClients.DELIVERY_PREFIX + System.nanoTime()));
+        Connection client = established.get((int) (index % clientCount));
+        client.loop()
+                .execute(() -> sendLine(client, LineClients.DELIVERY_PREFIX + System.nanoTime()));
     }
 
-    private static void sendLine(Connection to, String line) {
-        to.write(ByteBuffer.wrap((line + "\r\n").getBytes(StandardCharsets.US_ASCII)));
+    private static void sendLine(Connection client, String line) {
+        client.write(ByteBuffer.wrap((line + "\r\n").getBytes(StandardCharsets.US_ASCII)));
     }
 
     @Override
@@ -77,7 +78,7 @@
         }
 
         @Override
-        public void received(Connection on, ByteBuffer bytes) {
+        public void received(Connection source, ByteBuffer bytes) {
             while (bytes.hasRemaining()) {
                 char c = (char) bytes.get();
                 if (c == '\n') {
@@ -101,12 +102,12 @@
         }
 
         @Override
-        public void inputEnded(Connection on) {
-            on.close();
+        public void inputEnded(Connection source) {
+            source.close();
         }
 
         @Override
-        public void closed(Connection on, Connection.Cause why) {
+        public void closed(Connection source, Connection.Cause cause) {
             established.remove(connection);
         }
     }
--- a/lab/src/main/java/saltstage/lab/scale/FigureFormat.java
+++ b/lab/src/main/java/saltstage/lab/scale/FigureFormat.java
@@ -19,10 +19,10 @@
     /** Formats a value for a page: three significant digits with thousands separators. */
     static String forPage(double value) {
         String text = roundToDigits(value, PAGE_DIGITS);
-        int point = text.indexOf('.');
-        String whole = point < 0 ? text : text.substring(0, point);
-        String grouped = whole.replaceAll("(?<=\\d)(?=(\\d{3})+$)", ",");
-        return grouped + (point < 0 ? "" : text.substring(point));
+        int pointIndex = text.indexOf('.');
+        String integerPart = pointIndex < 0 ? text : text.substring(0, pointIndex);
+        String grouped = integerPart.replaceAll("(?<=\\d)(?=(\\d{3})+$)", ",");
+        return grouped + (pointIndex < 0 ? "" : text.substring(pointIndex));
     }
 
     private static String roundToDigits(double value, MathContext digits) {
--- a/lab/src/main/java/saltstage/lab/scale/FleetEnvironment.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetEnvironment.java
@@ -39,9 +39,9 @@
     }
 
     /** Writes shards until there are as many as requested. */
-    final void putShards(int upTo) throws InterruptedException, ExecutionException {
+    final void putShards(int targetCount) throws InterruptedException, ExecutionException {
         configurationLoad.putShards(
-                upTo, Stream.generate(controlPlane::client).limit(WRITER_COUNT).toList());
+                targetCount, Stream.generate(controlPlane::client).limit(WRITER_COUNT).toList());
     }
 
     ZoneLinks links() {
--- a/lab/src/main/java/saltstage/lab/scale/FleetEvents.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetEvents.java
@@ -33,14 +33,14 @@
 
     private static final int ENTRIES_PER_CHANGE = 500;
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(30);
-    private static final int WRITERS = 5;
+    private static final int WRITER_COUNT = 5;
 
     private final FleetEnvironment environment;
     private final MeasurementFile file;
     private boolean goalsMet = true;
 
-    FleetEvents(FleetEnvironment all, MeasurementFile file) {
-        this.environment = all;
+    FleetEvents(FleetEnvironment environment, MeasurementFile file) {
+        this.environment = environment;
         this.file = file;
     }
 
@@ -51,8 +51,8 @@
 
     /** Runs all events; returns false if a goal was missed. */
     boolean run() throws Exception {
-        Event nothing = () -> {};
-        measureDuring("none", nothing, nothing, allRelays());
+        Event noEvent = () -> {};
+        measureDuring("none", noEvent, noEvent, allRelays());
         leaderKilled();
         distributorKilled();
         relaysStopped();
@@ -73,50 +73,52 @@
     }
 
     /** Measures changes before, during and after an event, as applied at the counted relays. */
-    private SteadyChanges measureDuring(String name, Event event, Event end, Set<Integer> counted)
-            throws Exception {
+    private SteadyChanges measureDuring(
+            String name, Event event, Event cleanup, Set<Integer> countedRelays) throws Exception {
         beginEvent(name);
         SteadyChanges changes = environment.startChanges(CHANGES_PER_SECOND);
         ScaleRun.sleepSeconds(LEAD_SECONDS);
         event.run();
         ScaleRun.sleepSeconds(EVENT_SECONDS);
         changes.stop();
-        FleetRun.awaitApplied(environment, counted, changes);
+        FleetRun.awaitApplied(environment, countedRelays, changes);
         SteadyChanges.PropagationTimes times =
-                changes.propagationTimes(environment.fleet().revisionLog(), counted);
+                changes.propagationTimes(environment.fleet().revisionLog(), countedRelays);
         times.addTo(file, name);
         checkGoals(name, times);
-        end.run();
+        cleanup.run();
         return changes;
     }
 
     private void checkGoals(String name, SteadyChanges.PropagationTimes times) {
-        boolean good =
+        boolean goalMet =
                 times.missingCount() == 0
                         && times.failedCount() == 0
                         && times.everywhereMedianSeconds() <= GOAL_MEDIAN_SECONDS
                         && times.everywhereMaxSeconds() <= GOAL_MAX_SECONDS;
-        recordGoal(name, good);
+        recordGoal(name, goalMet);
     }
 
-    private void recordGoal(String name, boolean good) {
-        file.addFigure(name + "_goal_kept", good ? 1 : 0);
-        goalsMet &= good;
-        if (!good) {
+    private void recordGoal(String name, boolean goalMet) {
+        file.addFigure(name + "_goal_kept", goalMet ? 1 : 0);
+        goalsMet &= goalMet;
+        if (!goalMet) {
             ScaleRun.printProgress("fleet event: " + name + " MISSED its goal");
         }
     }
 
     /** Makes a change and measures the time until all the given relays have applied it. */
     private void measureRecovery(String figure, Set<Integer> relays) throws Exception {
-        long begun = System.nanoTime();
-        ConfigurationLoadGenerator.AcceptedRevision last =
+        long startNanos = System.nanoTime();
+        ConfigurationLoadGenerator.AcceptedRevision lastChange =
                 environment
                         .configurationLoad()
                         .changeShards(environment.controlPlane().client(), 1, CALL_TIMEOUT);
         file.addFigure(
                 figure,
-                environment.fleet().awaitApplied(relays, last.revision(), begun, MAX_WAIT_SECONDS));
+                environment
+                        .fleet()
+                        .awaitApplied(relays, lastChange.revision(), startNanos, MAX_WAIT_SECONDS));
     }
 
     private void leaderKilled() throws Exception {
@@ -137,16 +139,19 @@
     }
 
     private void relaysStopped() throws Exception {
-        SimulatedRelayHost stopped = environment.fleet().findHost(Zone.A2, STOPPED_RELAYS);
-        Set<Integer> others = new HashSet<>(allRelays());
-        others.removeAll(stopped.relayIndexes());
+        SimulatedRelayHost stoppedHost = environment.fleet().findHost(Zone.A2, STOPPED_RELAYS);
+        Set<Integer> otherRelays = new HashSet<>(allRelays());
+        otherRelays.removeAll(stoppedHost.relayIndexes());
         measureDuring(
-                "relays_stopped", stopped.process()::pause, stopped.process()::resume, others);
+                "relays_stopped",
+                stoppedHost.process()::pause,
+                stoppedHost.process()::resume,
+                otherRelays);
         measureRecovery("relays_stopped_back_s", allRelays());
     }
 
     private void zoneKilled() throws Exception {
-        Set<Integer> others = environment.fleet().relaysIn(zone -> zone != Zone.B2);
+        Set<Integer> otherRelays = environment.fleet().relaysIn(zone -> zone != Zone.B2);
         measureDuring(
                 "zone_killed",
                 () -> {
@@ -157,20 +162,20 @@
                     environment.controlPlane().startStopped();
                     environment.fleet().restart(Zone.B2);
                 },
-                others);
+                otherRelays);
         measureRecovery("zone_killed_back_s", allRelays());
         environment.fleet().awaitReady();
     }
 
     private void regionsCut() throws Exception {
         Set<Integer> regionA = environment.fleet().relaysIn(zone -> zone.isInSameRegionAs(Zone.A1));
-        boolean[] refused = {false};
+        boolean[] rejected = {false};
         SteadyChanges changes =
                 measureDuring(
                         "regions_cut",
                         () -> {
                             environment.links().cutRegions();
-                            refused[0] =
+                            rejected[0] =
                                     environment
                                             .controlPlane()
                                             .isRejectingChanges(
@@ -181,46 +186,48 @@
                         regionA);
         Set<Integer> regionB =
                 environment.fleet().relaysIn(zone -> !zone.isInSameRegionAs(Zone.A1));
-        long lastInA =
+        long lastRevisionInA =
                 changes.acceptedRevisions().get(changes.acceptedRevisions().size() - 1).revision();
         file.addFigure(
                 "regions_cut_relays_of_b_with_newest",
-                environment.fleet().revisionLog().countWithRevision(regionB, lastInA));
-        file.addFigure("regions_cut_b_refused_changes", refused[0] ? 1 : 0);
+                environment.fleet().revisionLog().countWithRevision(regionB, lastRevisionInA));
+        file.addFigure("regions_cut_b_refused_changes", rejected[0] ? 1 : 0);
         environment.links().healRegions();
         measureRecovery("regions_cut_back_s", allRelays());
         ScaleRun.sleepSeconds(1);
-        int states = environment.fleet().distinctStates().size();
-        file.addFigure("regions_cut_states_after", states);
-        recordGoal("regions_cut_healing", states == 1 && refused[0]);
+        int stateCount = environment.fleet().distinctStates().size();
+        file.addFigure("regions_cut_states_after", stateCount);
+        recordGoal("regions_cut_healing", stateCount == 1 && rejected[0]);
     }
 
     private void allControlRestarted() throws Exception {
         beginEvent("control_restarted");
         environment.controlPlane().killAll();
-        long begun = System.nanoTime();
+        long startNanos = System.nanoTime();
         environment.controlPlane().startStopped();
-        ConfigurationLoadGenerator.AcceptedRevision last =
+        ConfigurationLoadGenerator.AcceptedRevision lastChange =
                 environment
                         .configurationLoad()
                         .changeShards(environment.controlPlane().client(), 1, CALL_TIMEOUT);
-        file.addFigure("control_restarted_accepted_s", (last.acceptedNanos() - begun) / 1e9);
-        double back =
+        file.addFigure(
+                "control_restarted_accepted_s", (lastChange.acceptedNanos() - startNanos) / 1e9);
+        double recoverySeconds =
                 environment
                         .fleet()
-                        .awaitApplied(allRelays(), last.revision(), begun, MAX_WAIT_SECONDS);
-        file.addFigure("control_restarted_back_s", back);
+                        .awaitApplied(
+                                allRelays(), lastChange.revision(), startNanos, MAX_WAIT_SECONDS);
+        file.addFigure("control_restarted_back_s", recoverySeconds);
     }
 
     /** Makes more changes than a history keeps; returns the one with the newest revision. */
     private ConfigurationLoadGenerator.AcceptedRevision changeBeyondHistory() throws Exception {
         List<ConfigurationLoadGenerator.AcceptedRevision> accepted = new CopyOnWriteArrayList<>();
         List<GroupClient> writers =
-                Stream.generate(environment.controlPlane()::client).limit(WRITERS).toList();
+                Stream.generate(environment.controlPlane()::client).limit(WRITER_COUNT).toList();
         Parallel.forEach(
                 writers,
                 writer -> {
-                    for (int i = 0; i < CHANGES_WHILE_AWAY / WRITERS; i++) {
+                    for (int i = 0; i < CHANGES_WHILE_AWAY / WRITER_COUNT; i++) {
                         accepted.add(
                                 environment
                                         .configurationLoad()
@@ -234,24 +241,28 @@
 
     private void relaysAway() throws Exception {
         beginEvent("relays_away");
-        SimulatedRelayHost away = environment.fleet().findHost(Zone.A2, AWAY_RELAYS);
-        Set<Integer> others = new HashSet<>(allRelays());
-        others.removeAll(away.relayIndexes());
-        away.process().pause();
-        long begun = System.nanoTime();
-        ConfigurationLoadGenerator.AcceptedRevision last = changeBeyondHistory();
+        SimulatedRelayHost pausedHost = environment.fleet().findHost(Zone.A2, AWAY_RELAYS);
+        Set<Integer> otherRelays = new HashSet<>(allRelays());
+        otherRelays.removeAll(pausedHost.relayIndexes());
+        pausedHost.process().pause();
+        long startNanos = System.nanoTime();
+        ConfigurationLoadGenerator.AcceptedRevision lastChange = changeBeyondHistory();
         file.addFigure(
                 "relays_away_changes_per_s",
-                CHANGES_WHILE_AWAY * 1e9 / (System.nanoTime() - begun));
+                CHANGES_WHILE_AWAY * 1e9 / (System.nanoTime() - startNanos));
         file.addFigure(
                 "relays_away_others_in_force_s",
                 environment
                         .fleet()
-                        .awaitApplied(others, last.revision(), last.sentNanos(), MAX_WAIT_SECONDS));
-        away.process().resume();
+                        .awaitApplied(
+                                otherRelays,
+                                lastChange.revision(),
+                                lastChange.sentNanos(),
+                                MAX_WAIT_SECONDS));
+        pausedHost.process().resume();
         measureRecovery("relays_away_back_s", allRelays());
-        int states = environment.fleet().distinctStates().size();
-        file.addFigure("relays_away_states_after", states);
-        recordGoal("relays_away", states == 1);
+        int stateCount = environment.fleet().distinctStates().size();
+        file.addFigure("relays_away_states_after", stateCount);
+        recordGoal("relays_away", stateCount == 1);
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/FleetEventsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetEventsRun.java
@@ -12,7 +12,7 @@
                         + " continue.")
 final class FleetEventsRun extends ScaleRun {
     /** Length of each of the two periods before the first event, without and with changes. */
-    private static final double SPAN_SECONDS = 6;
+    private static final double PERIOD_SECONDS = 6;
 
     @Option(
             names = "--shards",
@@ -31,15 +31,16 @@
     }
 
     @Override
-    boolean run(RunContext stage) throws Exception {
-        try (FleetEnvironment all =
-                new FleetEnvironment(stage.folder(), stage.transport(), stage.seed(), shards)) {
+    boolean run(RunContext context) throws Exception {
+        try (FleetEnvironment environment =
+                new FleetEnvironment(
+                        context.folder(), context.transport(), context.seed(), shards)) {
             for (int step = 0; step < steps; step++) {
-                FleetRun.addStep(all.fleet(), step);
+                FleetRun.addStep(environment.fleet(), step);
             }
-            FleetRun.awaitReady(all);
-            FleetRun.measure(stage.file(), all, SPAN_SECONDS, SPAN_SECONDS);
-            return new FleetEvents(all, stage.file()).run();
+            FleetRun.awaitReady(environment);
+            FleetRun.measure(context.file(), environment, PERIOD_SECONDS, PERIOD_SECONDS);
+            return new FleetEvents(environment, context.file()).run();
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/FleetResourceUsage.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetResourceUsage.java
@@ -26,27 +26,31 @@
         double leaderMegabytes,
         double distributorMegabytes,
         double simulatedRelayMegabytes) {
-    static FleetResourceUsage measure(FleetEnvironment all)
+    static FleetResourceUsage measure(FleetEnvironment environment)
             throws IOException, InterruptedException {
-        double distributors = 0;
+        double distributorProcessorSeconds = 0;
         double distributorMegabytes = 0;
         for (Zone zone : Zone.values()) {
-            ProcessStatistics figures = all.controlPlane().distributor(zone).statistics();
-            distributors += figures.processorSeconds();
-            distributorMegabytes = Math.max(distributorMegabytes, figures.residentMegabytes());
+            ProcessStatistics statistics =
+                    environment.controlPlane().distributor(zone).statistics();
+            distributorProcessorSeconds += statistics.processorSeconds();
+            distributorMegabytes = Math.max(distributorMegabytes, statistics.residentMegabytes());
         }
         ProcessStatistics leader =
-                all.controlPlane().replica(all.controlPlane().leader()).statistics();
+                environment
+                        .controlPlane()
+                        .replica(environment.controlPlane().leader())
+                        .statistics();
         return new FleetResourceUsage(
                 System.nanoTime() / 1e9,
                 leader.processorSeconds(),
-                distributors,
-                all.fleet().processorSeconds(),
-                all.links().traffic(ControlPlane.RELAY_LINKS, zone -> true),
-                all.links().traffic(ControlPlane.DISTRIBUTOR_LINKS, zone -> true),
+                distributorProcessorSeconds,
+                environment.fleet().processorSeconds(),
+                environment.links().traffic(ControlPlane.RELAY_LINKS, zone -> true),
+                environment.links().traffic(ControlPlane.DISTRIBUTOR_LINKS, zone -> true),
                 leader.residentMegabytes(),
                 distributorMegabytes,
-                all.fleet().residentMegabytes());
+                environment.fleet().residentMegabytes());
     }
 
     FleetResourceUsage since(FleetResourceUsage before) {
--- a/lab/src/main/java/saltstage/lab/scale/FleetRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetRun.java
@@ -55,22 +55,23 @@
     }
 
     @Override
-    boolean run(RunContext stage) throws Exception {
-        long begun = System.nanoTime();
-        try (FleetEnvironment all =
-                new FleetEnvironment(stage.folder(), stage.transport(), stage.seed(), shards)) {
+    boolean run(RunContext context) throws Exception {
+        long startNanos = System.nanoTime();
+        try (FleetEnvironment environment =
+                new FleetEnvironment(
+                        context.folder(), context.transport(), context.seed(), shards)) {
             printProgress(
                     "fleet: "
                             + shards
                             + " shards after "
-                            + (System.nanoTime() - begun) / 1_000_000
+                            + (System.nanoTime() - startNanos) / 1_000_000
                             + " ms");
             for (int step = 0; step < steps; step++) {
-                addStep(all.fleet(), step);
-                awaitReady(all);
-                measure(stage.file(), all, quietSeconds, changingSeconds);
+                addStep(environment.fleet(), step);
+                awaitReady(environment);
+                measure(context.file(), environment, quietSeconds, changingSeconds);
             }
-            return isLeaderUsageFlat(stage.file());
+            return isLeaderUsageFlat(context.file());
         }
     }
 
@@ -82,41 +83,49 @@
         }
     }
 
-    static void awaitReady(FleetEnvironment all) throws IOException, InterruptedException {
-        long begun = System.nanoTime();
-        all.fleet().awaitReady();
-        long millis = (System.nanoTime() - begun) / 1_000_000;
-        printProgress("fleet: " + all.fleet().relayCount() + " relays after " + millis + " ms");
+    static void awaitReady(FleetEnvironment environment) throws IOException, InterruptedException {
+        long startNanos = System.nanoTime();
+        environment.fleet().awaitReady();
+        long millis = (System.nanoTime() - startNanos) / 1_000_000;
+        printProgress(
+                "fleet: " + environment.fleet().relayCount() + " relays after " + millis + " ms");
     }
 
     static void measure(
-            MeasurementFile file, FleetEnvironment all, double quietSeconds, double changingSeconds)
+            MeasurementFile file,
+            FleetEnvironment environment,
+            double quietSeconds,
+            double changingSeconds)
             throws Exception {
-        int relays = all.fleet().relayCount();
+        int relays = environment.fleet().relayCount();
         file.beginPoint(relays);
         sleepSeconds(2);
-        FleetResourceUsage before = FleetResourceUsage.measure(all);
+        FleetResourceUsage before = FleetResourceUsage.measure(environment);
         sleepSeconds(quietSeconds);
-        FleetResourceUsage.measure(all).since(before).addTo(file, "quiet", relays);
-        before = FleetResourceUsage.measure(all);
-        SteadyChanges changes = all.startChanges(FIFTY_FOLD_CHANGES_PER_SECOND);
+        FleetResourceUsage.measure(environment).since(before).addTo(file, "quiet", relays);
+        before = FleetResourceUsage.measure(environment);
+        SteadyChanges changes = environment.startChanges(FIFTY_FOLD_CHANGES_PER_SECOND);
         sleepSeconds(changingSeconds);
-        FleetResourceUsage.measure(all).since(before).addTo(file, "changing", relays);
+        FleetResourceUsage.measure(environment).since(before).addTo(file, "changing", relays);
         changes.stop();
-        Set<Integer> everywhere = all.fleet().relaysIn(zone -> true);
-        awaitApplied(all, everywhere, changes);
-        changes.propagationTimes(all.fleet().revisionLog(), everywhere).addTo(file, "changing");
+        Set<Integer> allRelays = environment.fleet().relaysIn(zone -> true);
+        awaitApplied(environment, allRelays, changes);
+        changes.propagationTimes(environment.fleet().revisionLog(), allRelays)
+                .addTo(file, "changing");
         file.printPoint();
     }
 
-    static double awaitApplied(FleetEnvironment all, Set<Integer> relays, SteadyChanges changes)
+    static double awaitApplied(
+            FleetEnvironment environment, Set<Integer> relays, SteadyChanges changes)
             throws InterruptedException {
         var accepted = changes.acceptedRevisions();
         if (accepted.isEmpty()) {
             return Double.NaN;
         }
-        var last = accepted.get(accepted.size() - 1);
-        return all.fleet().awaitApplied(relays, last.revision(), last.sentNanos(), 30);
+        var lastChange = accepted.get(accepted.size() - 1);
+        return environment
+                .fleet()
+                .awaitApplied(relays, lastChange.revision(), lastChange.sentNanos(), 30);
     }
 
     /** Whether the leader's processor share with all relays is at most a fifth above the first. */
