--- a/lab/src/main/java/saltstage/lab/scale/ConnectionsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConnectionsRun.java
@@ -145,17 +145,16 @@
             LineClients clients)
             throws Exception {
         DeliveryGenerator deliveries = new DeliveryGenerator(backends, clients);
-        DeliveryGenerator.Result outcome =
+        DeliveryGenerator.Result result =
                 deliveries.run(relay, DELIVERIES_PER_SECOND, DELIVERY_SECONDS);
         file.addFigure(
-                "delivery_processor_us", outcome.processorSeconds() * 1e6 / outcome.delivered());
-        file.addFigure("delivery_p50_ms", outcome.p50Ms());
-        file.addFigure("delivery_p99_ms", outcome.p99Ms());
+                "delivery_processor_us", result.processorSeconds() * 1e6 / result.delivered());
+        file.addFigure("delivery_p50_ms", result.p50Ms());
+        file.addFigure("delivery_p99_ms", result.p99Ms());
         file.addFigure(
-                "delivered_share",
-                outcome.delivered() / (DELIVERIES_PER_SECOND * DELIVERY_SECONDS));
-        if (outcome.delivered() < MIN_DELIVERED_SHARE * DELIVERIES_PER_SECOND * DELIVERY_SECONDS) {
-            printProgress("connections: only " + outcome.delivered() + " deliveries came");
+                "delivered_share", result.delivered() / (DELIVERIES_PER_SECOND * DELIVERY_SECONDS));
+        if (result.delivered() < MIN_DELIVERED_SHARE * DELIVERIES_PER_SECOND * DELIVERY_SECONDS) {
+            printProgress("connections: only " + result.delivered() + " deliveries came");
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/FleetEvents.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetEvents.java
@@ -23,13 +23,13 @@
 
     private static final double GOAL_MAX_SECONDS = 9;
     private static final int STOPPED_RELAYS = 8;
-    private static final int AWAY_RELAYS = 4;
+    private static final int PAUSED_RELAYS = 4;
 
     /**
      * Changes of 500 entries of about 90 bytes each, together more than the 8 MiB that a history
      * keeps.
      */
-    private static final int CHANGES_WHILE_AWAY = 230;
+    private static final int CHANGES_WHILE_PAUSED = 230;
 
     private static final int ENTRIES_PER_CHANGE = 500;
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(30);
@@ -53,13 +53,13 @@
     boolean run() throws Exception {
         Event noEvent = () -> {};
         measureDuring("none", noEvent, noEvent, allRelays());
-        leaderKilled();
-        distributorKilled();
-        relaysStopped();
-        zoneKilled();
-        regionsCut();
-        allControlRestarted();
-        relaysAway();
+        killLeader();
+        killDistributor();
+        stopRelays();
+        killZone();
+        cutRegions();
+        restartControlPlane();
+        pauseRelaysBeyondHistory();
         return goalsMet;
     }
 
@@ -121,7 +121,7 @@
                         .awaitApplied(relays, lastChange.revision(), startNanos, MAX_WAIT_SECONDS));
     }
 
-    private void leaderKilled() throws Exception {
+    private void killLeader() throws Exception {
         String leader = environment.controlPlane().leader();
         measureDuring(
                 "leader_killed",
@@ -130,7 +130,7 @@
                 allRelays());
     }
 
-    private void distributorKilled() throws Exception {
+    private void killDistributor() throws Exception {
         measureDuring(
                 "distributor_killed",
                 () -> environment.controlPlane().distributor(Zone.A1).kill(),
@@ -138,7 +138,7 @@
                 allRelays());
     }
 
-    private void relaysStopped() throws Exception {
+    private void stopRelays() throws Exception {
         SimulatedRelayHost stoppedHost = environment.fleet().findHost(Zone.A2, STOPPED_RELAYS);
         Set<Integer> otherRelays = new HashSet<>(allRelays());
         otherRelays.removeAll(stoppedHost.relayIndexes());
@@ -150,7 +150,7 @@
         measureRecovery("relays_stopped_back_s", allRelays());
     }
 
-    private void zoneKilled() throws Exception {
+    private void killZone() throws Exception {
         Set<Integer> otherRelays = environment.fleet().relaysIn(zone -> zone != Zone.B2);
         measureDuring(
                 "zone_killed",
@@ -167,8 +167,9 @@
         environment.fleet().awaitReady();
     }
 
-    private void regionsCut() throws Exception {
-        Set<Integer> regionA = environment.fleet().relaysIn(zone -> zone.isInSameRegionAs(Zone.A1));
+    private void cutRegions() throws Exception {
+        Set<Integer> relaysInRegionA =
+                environment.fleet().relaysIn(zone -> zone.isInSameRegionAs(Zone.A1));
         boolean[] rejected = {false};
         SteadyChanges changes =
                 measureDuring(
@@ -183,14 +184,17 @@
                                                     environment.configurationLoad().randomChange());
                         },
                         () -> {},
-                        regionA);
-        Set<Integer> regionB =
+                        relaysInRegionA);
+        Set<Integer> relaysInRegionB =
                 environment.fleet().relaysIn(zone -> !zone.isInSameRegionAs(Zone.A1));
         long lastRevisionInA =
                 changes.acceptedRevisions().get(changes.acceptedRevisions().size() - 1).revision();
         file.addFigure(
                 "regions_cut_relays_of_b_with_newest",
-                environment.fleet().revisionLog().countWithRevision(regionB, lastRevisionInA));
+                environment
+                        .fleet()
+                        .revisionLog()
+                        .countWithRevision(relaysInRegionB, lastRevisionInA));
         file.addFigure("regions_cut_b_refused_changes", rejected[0] ? 1 : 0);
         environment.links().healRegions();
         measureRecovery("regions_cut_back_s", allRelays());
@@ -200,7 +204,7 @@
         recordGoal("regions_cut_healing", stateCount == 1 && rejected[0]);
     }
 
-    private void allControlRestarted() throws Exception {
+    private void restartControlPlane() throws Exception {
         beginEvent("control_restarted");
         environment.controlPlane().killAll();
         long startNanos = System.nanoTime();
@@ -227,7 +231,7 @@
         Parallel.forEach(
                 writers,
                 writer -> {
-                    for (int i = 0; i < CHANGES_WHILE_AWAY / WRITER_COUNT; i++) {
+                    for (int i = 0; i < CHANGES_WHILE_PAUSED / WRITER_COUNT; i++) {
                         accepted.add(
                                 environment
                                         .configurationLoad()
@@ -239,9 +243,9 @@
                 Comparator.comparingLong(ConfigurationLoadGenerator.AcceptedRevision::revision));
     }
 
-    private void relaysAway() throws Exception {
+    private void pauseRelaysBeyondHistory() throws Exception {
         beginEvent("relays_away");
-        SimulatedRelayHost pausedHost = environment.fleet().findHost(Zone.A2, AWAY_RELAYS);
+        SimulatedRelayHost pausedHost = environment.fleet().findHost(Zone.A2, PAUSED_RELAYS);
         Set<Integer> otherRelays = new HashSet<>(allRelays());
         otherRelays.removeAll(pausedHost.relayIndexes());
         pausedHost.process().pause();
@@ -249,7 +253,7 @@
         ConfigurationLoadGenerator.AcceptedRevision lastChange = changeBeyondHistory();
         file.addFigure(
                 "relays_away_changes_per_s",
-                CHANGES_WHILE_AWAY * 1e9 / (System.nanoTime() - startNanos));
+                CHANGES_WHILE_PAUSED * 1e9 / (System.nanoTime() - startNanos));
         file.addFigure(
                 "relays_away_others_in_force_s",
                 environment
