--- a/lab/src/main/java/saltstage/lab/scale/AsyncLineWriter.java
+++ b/lab/src/main/java/saltstage/lab/scale/AsyncLineWriter.java
@@ -15,12 +15,14 @@
         this.out = out;
     }
 
+    /** Starts the writing thread, a daemon. */
     void start() {
         Thread writer = new Thread(this::writeLoop, "lines");
         writer.setDaemon(true);
         writer.start();
     }
 
+    /** Adds a line to be written, without waiting for it. */
     void enqueue(String line) {
         pendingLines.add(line);
     }
--- a/lab/src/main/java/saltstage/lab/scale/CapacityRequirement.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityRequirement.java
@@ -48,6 +48,7 @@
             double multiplier,
             boolean includesIntercept)
             implements Source {
+        /** Returns an extrapolation with a multiplier of 1 that includes the intercept. */
         static Extrapolation of(String run, String figure, String quantity, double target) {
             return new Extrapolation(run, figure, quantity, target, 1, true);
         }
@@ -101,6 +102,7 @@
      */
     record Result(
             CapacityRequirement requirement, double need, double budget, LineFit fit, Basis basis) {
+        /** How many times the need fits into the budget. */
         double headroom() {
             return budget / need;
         }
@@ -123,6 +125,7 @@
         /** No run has measured it. */
         NOT_MEASURED;
 
+        /** The basis as the tables show it. */
         String text() {
             return name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
--- a/lab/src/main/java/saltstage/lab/scale/ChildProcess.java
+++ b/lab/src/main/java/saltstage/lab/scale/ChildProcess.java
@@ -52,6 +52,7 @@
         return command;
     }
 
+    /** Starts the process, also again after a kill; its log file is appended to. */
     synchronized ChildProcess start() throws IOException {
         ProcessBuilder.Redirect toLog = ProcessBuilder.Redirect.appendTo(logFile);
         ProcessBuilder builder = new ProcessBuilder(command).redirectError(toLog);
--- a/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
+++ b/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
@@ -267,10 +267,12 @@
         }
     }
 
+    /** Returns the process of the replica with this name. */
     ChildProcess replica(String name) {
         return replicas.get(name);
     }
 
+    /** Returns the process of a zone's distributor. */
     ChildProcess distributor(Zone zone) {
         return distributors.get(zone);
     }
--- a/lab/src/main/java/saltstage/lab/scale/FakeLineBackends.java
+++ b/lab/src/main/java/saltstage/lab/scale/FakeLineBackends.java
@@ -44,6 +44,7 @@
         return acceptedCount.get();
     }
 
+    /** The number of connections that have sent OPEN and are still open. */
     int establishedCount() {
         return established.size();
     }
--- a/lab/src/main/java/saltstage/lab/scale/FleetEnvironment.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetEnvironment.java
@@ -67,6 +67,7 @@
         }
     }
 
+    /** Starts changes at a steady rate; the caller stops them. */
     SteadyChanges startChanges(double perSecond) {
         return new SteadyChanges(configurationLoad, controlPlane.client(), perSecond);
     }
--- a/lab/src/main/java/saltstage/lab/scale/FleetResourceUsage.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetResourceUsage.java
@@ -26,6 +26,7 @@
         double leaderMegabytes,
         double distributorMegabytes,
         double simulatedRelayMegabytes) {
+    /** Reads the usage of all processes and links up to now. */
     static FleetResourceUsage measure(FleetEnvironment environment)
             throws IOException, InterruptedException {
         double distributorProcessorSeconds = 0;
@@ -53,6 +54,7 @@
                 environment.fleet().residentMegabytes());
     }
 
+    /** Returns the usage since an earlier reading; memory is that of the later reading. */
     FleetResourceUsage since(FleetResourceUsage before) {
         return new FleetResourceUsage(
                 seconds - before.seconds,
--- a/lab/src/main/java/saltstage/lab/scale/FleetRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetRun.java
@@ -83,6 +83,7 @@
         }
     }
 
+    /** Waits until all started relays are ready, and prints how long that took. */
     static void awaitReady(FleetEnvironment environment) throws IOException, InterruptedException {
         long startNanos = System.nanoTime();
         environment.fleet().awaitReady();
@@ -91,6 +92,7 @@
                 "fleet: " + environment.fleet().relayCount() + " relays after " + millis + " ms");
     }
 
+    /** Adds a point with the usage of a period without changes and of a period with changes. */
     static void measure(
             MeasurementFile file,
             FleetEnvironment environment,
@@ -115,6 +117,7 @@
         file.printPoint();
     }
 
+    /** Waits until the relays have applied the last change; NaN if none or not within 30 s. */
     static double awaitApplied(
             FleetEnvironment environment, Set<Integer> relays, SteadyChanges changes)
             throws InterruptedException {
