--- a/lab/src/main/java/saltstage/lab/scale/AsyncLineWriter.java
+++ b/lab/src/main/java/saltstage/lab/scale/AsyncLineWriter.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** Writes lines from one thread, several at once, so that who tells something never waits. */
+/** Writes lines in batches from a thread of its own, so that callers never block on the output. */
 final class AsyncLineWriter {
     private final PrintStream out;
     private final BlockingQueue<String> pendingLines = new LinkedBlockingQueue<>();
@@ -15,12 +15,14 @@
         this.out = out;
     }
 
+    /** Starts the writing thread, a daemon. */
     void start() {
         Thread writer = new Thread(this::writeLoop, "lines");
         writer.setDaemon(true);
         writer.start();
     }
 
+    /** Adds a line to be written, without waiting for it. */
     void enqueue(String line) {
         pendingLines.add(line);
     }
@@ -35,7 +37,7 @@
                 out.flush();
                 lines.clear();
             }
-        } catch (InterruptedException ended) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/lab/src/main/java/saltstage/lab/scale/CapacityRequirements.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityRequirements.java
@@ -8,7 +8,7 @@
 import saltstage.lab.scale.CapacityRequirement.MeasuredFigure;
 import saltstage.lab.scale.CapacityRequirement.MeasuredLimit;
 
-/** All rows of the capacity page, by role. */
+/** Defines all rows of the capacity page, by role. */
 final class CapacityRequirements {
     private static final double SECONDS_PER_MILLI = 1e-3;
     private static final double MAX_THREADS = 32_768;
@@ -24,7 +24,7 @@
 
     private CapacityRequirements() {}
 
-    /** The rows. */
+    /** Returns all rows. */
     static List<CapacityRequirement> all() {
         List<CapacityRequirement> rows = new ArrayList<>();
         rows.addAll(fullLists());
@@ -110,7 +110,7 @@
         return new MeasuredLimit(maxQuantity("list", figure), CapacityTarget.SHARDS);
     }
 
-    /** The largest quantity of a run at which a figure was 1. */
+    /** Reads the largest quantity of a run at which a figure was 1. */
     private static Function<MeasuredData, Double> maxQuantity(String run, String figure) {
         return data -> data.maxQuantity(run, figure, 1).orElse(Double.NaN);
     }
@@ -137,15 +137,15 @@
     }
 
     private static List<CapacityRequirement> connectionSetups() {
-        double returning =
+        double reconnectsPerSecond =
                 CapacityTarget.RECONNECTING_CLIENTS_PER_RELAY / CapacityTarget.RECONNECT_SECONDS;
-        MeasuredLimit setUps =
-                new MeasuredLimit(maxValue("connections", "set_ups_per_s"), returning);
+        MeasuredLimit setupRate =
+                new MeasuredLimit(maxValue("connections", "set_ups_per_s"), reconnectsPerSecond);
         return List.of(
                 CapacityRequirement.of(
                                 "relay, data path",
                                 "set-ups a second, a zone back in a minute",
-                                setUps)
+                                setupRate)
                         .withImplementation("stage.TakeIn, stage.Route"));
     }
 
@@ -217,10 +217,10 @@
                 Extrapolation.of(leases, "leader_processor_share", leases, CapacityTarget.SHARDS);
         Extrapolation memory =
                 Extrapolation.of(leases, "leader_resident_mb", leases, CapacityTarget.SHARDS);
-        MeasuredLimit taken =
+        MeasuredLimit maxLeases =
                 new MeasuredLimit(maxQuantity(leases, "renewed"), CapacityTarget.SHARDS);
         return List.of(
-                CapacityRequirement.of(role, "leases in one command", taken)
+                CapacityRequirement.of(role, "leases in one command", maxLeases)
                         .withImplementation("coordinator.api (bodies up to 1 MiB)"),
                 CapacityRequirement.of(role, LEADER_PROCESSOR, leader)
                         .withBudget(CapacityTarget.ONE_CORE_PROCESSOR_SHARE, "coordinator.lease"),
@@ -251,7 +251,7 @@
                 MeasuredFigure.of("fleet", "changing_relay_bytes_per_s", CapacityTarget.RELAYS);
         Extrapolation processor =
                 Extrapolation.of("fleet", "changing_hollow_processor_share", SIMULATED_RELAYS, 1);
-        MeasuredFigure most =
+        MeasuredFigure maxSeconds =
                 MeasuredFigure.of("fleet", "changing_everywhere_most_s", CapacityTarget.RELAYS);
         return List.of(
                 CapacityRequirement.of(role, CONTROL_BYTES_PER_SECOND + FIFTY_FOLD_CHANGES, bytes)
@@ -266,13 +266,13 @@
                 CapacityRequirement.of(
                                 role,
                                 "seconds to be in force everywhere, most" + FIFTY_FOLD_CHANGES,
-                                most)
+                                maxSeconds)
                         .withBudget(
                                 CapacityTarget.MAX_PROPAGATION_SECONDS,
                                 "coordinator.distribution"));
     }
 
-    /** The whole processes, with a disk, and with 200 backends that they ask for their load. */
+    /** Rows of complete relay processes that use a disk and probe 200 backends for their load. */
     private static List<CapacityRequirement> realRelays() {
         String role = "real relay, by revision";
         String resource = "processor share of the whole process";
@@ -365,7 +365,7 @@
                         .withImplementation("coordinator.command"));
     }
 
-    /** In commands a second, against the commands that the group was measured to carry. */
+    /** An estimate in commands a second, compared with the rate that the group achieved. */
     private static Estimate estimate(String arithmetic, double commandsPerSecond) {
         return new Estimate(
                 arithmetic, commandsPerSecond, data -> maxAchievedRate(data, "renewals"));
--- a/lab/src/main/java/saltstage/lab/scale/CapacityTables.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityTables.java
@@ -30,12 +30,15 @@
 
     private final List<CapacityRequirement.Result> results;
 
-    /** Computes all rows. */
+    /** Computes all rows from measured data. */
     CapacityTables(MeasuredData data) {
-        results = CapacityRequirements.all().stream().map(need -> need.evaluate(data)).toList();
+        results =
+                CapacityRequirements.all().stream()
+                        .map(requirement -> requirement.evaluate(data))
+                        .toList();
     }
 
-    /** All rows by headroom, the worst first; those without a figure last. */
+    /** Returns the table of all rows by headroom, lowest first; rows without a figure come last. */
     String summary() {
         List<String> lines =
                 new ArrayList<>(
@@ -64,7 +67,7 @@
                 "`" + result.requirement().implementation() + "`");
     }
 
-    /** Each line that was fitted, by role. */
+    /** Returns the table of all fitted lines, by role. */
     String fits() {
         List<String> lines =
                 new ArrayList<>(
@@ -82,12 +85,12 @@
         CapacityRequirement.Extrapolation line =
                 (CapacityRequirement.Extrapolation) result.requirement().source();
         LineFit fit = result.fit();
-        boolean drawn = fit.shape() == LineFit.Shape.LINE || fit.shape() == LineFit.Shape.FLAT;
+        boolean hasLine = fit.shape() == LineFit.Shape.LINE || fit.shape() == LineFit.Shape.FLAT;
         return tableRow(
                 result.requirement().role(),
                 "`" + line.run() + ": " + line.figure() + "`",
-                drawn ? formatInterval(fit.intercept()) : NO_VALUE,
-                drawn ? formatInterval(fit.slope()) : NO_VALUE,
+                hasLine ? formatInterval(fit.intercept()) : NO_VALUE,
+                hasLine ? formatInterval(fit.slope()) : NO_VALUE,
                 FigureFormat.forPage(fit.minQuantity())
                         + " to "
                         + FigureFormat.forPage(fit.maxQuantity())
@@ -101,7 +104,7 @@
                         : "× " + FigureFormat.forPage(line.targetQuantity() / fit.maxQuantity()));
     }
 
-    /** The rows that are arithmetic. */
+    /** Returns the table of the rows that are estimates. */
     String estimates() {
         List<String> lines =
                 new ArrayList<>(
@@ -121,7 +124,7 @@
         return String.join("\n", lines);
     }
 
-    /** The CSV of all fits. */
+    /** Returns the CSV of all fits. */
     String fitsCsv() {
         StringBuilder text = new StringBuilder(String.join(",", CSV_COLUMNS) + "\n");
         results.stream()
--- a/lab/src/main/java/saltstage/lab/scale/ConfigurationLoadGenerator.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConfigurationLoadGenerator.java
@@ -18,10 +18,7 @@
 import saltstage.coordinator.configuration.ConfigurationReplies.Changed;
 import saltstage.coordinator.model.Reply;
 
-/**
- * Writes configuration: backends, shards placed at them, and changes of placement one after the
- * other.
- */
+/** Writes configuration: backends, shards placed on them, and changes of the placement. */
 final class ConfigurationLoadGenerator {
     private static final String AUTHOR = "scale";
     private static final int BACKEND_COUNT = 200;
@@ -33,7 +30,7 @@
     private final AtomicLong newestRevision = new AtomicLong();
     private volatile int shardCount;
 
-    /** Backends are at loopback addresses of their own, all at this port. */
+    /** Creates a generator whose backends have one loopback address each and share a port. */
     ConfigurationLoadGenerator(GroupClient client, Random random, int backendPort) {
         this.client = client;
         this.random = random;
@@ -43,12 +40,13 @@
     /**
      * A change that was accepted.
      *
-     * @param askedNanos when it was first sent
-     * @param answeredNanos when its acceptance was known
+     * @param revision the revision that the change made
+     * @param sentNanos when the change was first sent
+     * @param acceptedNanos when the reply arrived
      */
     record AcceptedRevision(long revision, long sentNanos, long acceptedNanos) {}
 
-    /** Puts the backends. */
+    /** Writes all backends. */
     void putBackends() throws IOException, InterruptedException {
         List<Mutation> mutations = new ArrayList<>();
         for (int i = 0; i < BACKEND_COUNT; i++) {
@@ -65,35 +63,36 @@
         send(client, mutations, CALL_TIMEOUT);
     }
 
-    /** Puts shards until there are so many, by several writers at once. */
-    void putShards(int upTo, List<GroupClient> writers)
+    /** Writes shards with several concurrent writers until there are as many as requested. */
+    void putShards(int targetCount, List<GroupClient> writers)
             throws InterruptedException, ExecutionException {
         Parallel.forEach(
                 writers,
                 writer -> {
-                    List<Mutation> next = nextShardMutations(upTo);
+                    List<Mutation> next = nextShardMutations(targetCount);
                     while (!next.isEmpty()) {
                         send(writer, next, CALL_TIMEOUT);
-                        next = nextShardMutations(upTo);
+                        next = nextShardMutations(targetCount);
                     }
                 });
     }
 
-    private synchronized List<Mutation> nextShardMutations(int upTo) {
+    private synchronized List<Mutation> nextShardMutations(int targetCount) {
         List<Mutation> mutations = new ArrayList<>();
-        int until = Math.min(upTo, shardCount + ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE);
-        for (; shardCount < until; shardCount++) {
+        int endCount =
+                Math.min(targetCount, shardCount + ConfigurationLimits.MAX_MUTATIONS_PER_CHANGE);
+        for (; shardCount < endCount; shardCount++) {
             mutations.add(randomPlacement(shardCount));
         }
         return mutations;
     }
 
-    /** The newest revision that came of this. */
+    /** Returns the newest revision that this generator's changes have made. */
     long newestRevision() {
         return newestRevision.get();
     }
 
-    /** A change of one shard, as a command. */
+    /** Returns a command that places a random shard on a random backend. */
     ChangeConfiguration randomChange() {
         return new ChangeConfiguration(
                 AUTHOR, List.of(randomPlacement(random.nextInt(shardCount))), Map.of());
@@ -104,29 +103,32 @@
         return new Mutation(key, new EntryValue.Shard("gw-" + random.nextInt(BACKEND_COUNT)));
     }
 
-    /** Places one shard anew, so often as a revision takes to come of it. */
+    /** Places one random shard on a random backend. */
     AcceptedRevision changeOneShard() throws IOException, InterruptedException {
         return changeShards(client, 1, CALL_TIMEOUT);
     }
 
-    /** Places so many shards anew by one change, through this client. */
-    AcceptedRevision changeShards(GroupClient through, int count, Duration within)
+    /** Places random shards on random backends with one change sent through the given client. */
+    AcceptedRevision changeShards(GroupClient groupClient, int count, Duration timeout)
             throws IOException, InterruptedException {
         List<Mutation> mutations = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             mutations.add(randomPlacement(random.nextInt(shardCount)));
         }
-        return send(through, mutations, within);
+        return send(groupClient, mutations, timeout);
     }
 
-    private AcceptedRevision send(GroupClient through, List<Mutation> mutations, Duration within)
+    private AcceptedRevision send(
+            GroupClient groupClient, List<Mutation> mutations, Duration timeout)
             throws IOException, InterruptedException {
-        long asked = System.nanoTime();
+        long sentNanos = System.nanoTime();
         Reply reply =
-                through.send(new ChangeConfiguration(AUTHOR, mutations, Map.of()), within).reply();
+                groupClient
+                        .send(new ChangeConfiguration(AUTHOR, mutations, Map.of()), timeout)
+                        .reply();
         if (reply instanceof Changed changed) {
             newestRevision.accumulateAndGet(changed.revision(), Math::max);
-            return new AcceptedRevision(changed.revision(), asked, System.nanoTime());
+            return new AcceptedRevision(changed.revision(), sentNanos, System.nanoTime());
         }
         throw new IOException("a change was not accepted: " + reply);
     }
--- a/lab/src/main/java/saltstage/lab/scale/ConnectionsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ConnectionsRun.java
@@ -6,19 +6,20 @@
 import picocli.CommandLine.Option;
 
 /**
- * What standing connections cost a relay: memory, threads, processor time when quiet and per
- * delivery.
+ * Measures what established connections cost a relay: memory, threads, and processor time when idle
+ * and per delivery.
  */
 @Command(
         name = "connections",
         mixinStandardHelpOptions = true,
-        description = "One real relay with ever more standing connections to stand-in gateways.")
+        description =
+                "One real relay with a growing number of established connections to fake backends.")
 final class ConnectionsRun extends ScaleRun {
     private static final int[] CONNECTION_COUNTS = {
         125, 250, 500, 1_000, 2_000, 3_000, 4_000, 8_000
     };
 
-    /** As many descriptors as the machine gives one process here. */
+    /** The number of file descriptors that the machine allows one process. */
     private static final int MAX_SOCKETS = 20_000;
 
     private static final int MAX_OPENING = 16;
@@ -27,7 +28,7 @@
     private static final double DELIVERY_SECONDS = 3;
     private static final int DELIVERIES_PER_SECOND = 1_000;
 
-    /** Without one more connection for so long, the relay takes no more. */
+    /** A relay that establishes no further connection for this time has reached its limit. */
     private static final double STALL_TIMEOUT_SECONDS = 6;
 
     private static final double MIN_DELIVERED_SHARE = 0.95;
@@ -35,28 +36,28 @@
     @Option(
             names = "--most",
             defaultValue = "8000",
-            description = "connections at the most (default 8000)")
-    private int most;
+            description = "maximum number of connections (default 8000)")
+    private int maxConnections;
 
     ConnectionsRun() {
         super("connections");
     }
 
     @Override
-    boolean run(RunContext stage) throws Exception {
-        try (FakeLineBackends backends = new FakeLineBackends(stage.transport());
+    boolean run(RunContext context) throws Exception {
+        try (FakeLineBackends backends = new FakeLineBackends(context.transport());
                 LargeListDiscovery list =
-                        new LargeListDiscovery(8, backends.port(), false, stage.seed());
-                CountingProxy link =
-                        new CountingProxy(stage.transport(), list.address(), Duration.ZERO);
+                        new LargeListDiscovery(8, backends.port(), false, context.seed());
+                CountingProxy proxy =
+                        new CountingProxy(context.transport(), list.address(), Duration.ZERO);
                 RelayProcess relay =
-                        new RelayProcess(stage.folder(), link.address(), MAX_SOCKETS)) {
-            LineClients clients = new LineClients(stage.transport(), relay.listenAddress());
+                        new RelayProcess(context.folder(), proxy.address(), MAX_SOCKETS)) {
+            LineClients clients = new LineClients(context.transport(), relay.listenAddress());
             sleepSeconds(SETTLE_SECONDS);
-            measureQuiet(stage.file(), relay, 0);
+            measureQuiet(context.file(), relay, 0);
             for (int connections : CONNECTION_COUNTS) {
-                if (connections > most
-                        || !measure(stage.file(), relay, backends, clients, connections)) {
+                if (connections > maxConnections
+                        || !measure(context.file(), relay, backends, clients, connections)) {
                     break;
                 }
             }
@@ -84,12 +85,12 @@
             int connections)
             throws Exception {
         printProgress("connections: " + connections);
-        int had = clients.establishedCount();
-        double before = relay.statistics().processorSeconds();
-        long begun = System.nanoTime();
-        boolean all = openConnections(relay, clients, connections);
-        double spent = (System.nanoTime() - begun) / 1e9;
-        if (!relay.isAlive() || !all) {
+        int establishedBefore = clients.establishedCount();
+        double processorSecondsBefore = relay.statistics().processorSeconds();
+        long startNanos = System.nanoTime();
+        boolean allEstablished = openConnections(relay, clients, connections);
+        double setupSeconds = (System.nanoTime() - startNanos) / 1e9;
+        if (!relay.isAlive() || !allEstablished) {
             file.beginPoint(connections);
             file.addFigure("reached", clients.establishedCount());
             file.addFigure("relay_alive", relay.isAlive() ? 1 : 0);
@@ -97,39 +98,39 @@
             file.addFigure("lost", clients.lostCount());
             return false;
         }
-        double used = relay.statistics().processorSeconds() - before;
-        double opened = clients.establishedCount() - (double) had;
+        double processorSeconds = relay.statistics().processorSeconds() - processorSecondsBefore;
+        double opened = clients.establishedCount() - (double) establishedBefore;
         sleepSeconds(SETTLE_SECONDS);
         measureQuiet(file, relay, connections);
         Histogram setUps = clients.takeSetupMicros();
         file.addFigure("reached", clients.establishedCount());
-        file.addFigure("set_ups_per_s", opened / spent);
-        file.addFigure("set_up_processor_ms", used * 1e3 / opened);
+        file.addFigure("set_ups_per_s", opened / setupSeconds);
+        file.addFigure("set_up_processor_ms", processorSeconds * 1e3 / opened);
         file.addFigure("set_up_p99_ms", setUps.getValueAtPercentile(99) / 1e3);
         measureDeliveries(file, relay, backends, clients);
         return relay.isAlive();
     }
 
     /**
-     * Opens until so many stand; a refusal is tried again. False where they do not come to stand in
-     * time.
+     * Opens connections until the given number is established, and opens another one for each that
+     * was rejected. Returns false if the relay ends or stalls before that.
      */
     private static boolean openConnections(RelayProcess relay, LineClients clients, int connections)
             throws InterruptedException {
-        int most = clients.establishedCount();
-        long lastNewcomer = System.nanoTime();
+        int maxEstablished = clients.establishedCount();
+        long lastIncreaseNanos = System.nanoTime();
         while (clients.establishedCount() < connections) {
-            if (clients.establishedCount() > most) {
-                most = clients.establishedCount();
-                lastNewcomer = System.nanoTime();
+            if (clients.establishedCount() > maxEstablished) {
+                maxEstablished = clients.establishedCount();
+                lastIncreaseNanos = System.nanoTime();
             }
             if (!relay.isAlive()
-                    || System.nanoTime() - lastNewcomer > STALL_TIMEOUT_SECONDS * 1e9) {
+                    || System.nanoTime() - lastIncreaseNanos > STALL_TIMEOUT_SECONDS * 1e9) {
                 return false;
             }
-            int wanted = connections - clients.establishedCount() - clients.openingCount();
+            int missing = connections - clients.establishedCount() - clients.openingCount();
             int room = MAX_OPENING - clients.openingCount();
-            for (int i = 0; i < Math.min(wanted, room); i++) {
+            for (int i = 0; i < Math.min(missing, room); i++) {
                 clients.open();
             }
             Thread.sleep(1);
@@ -144,17 +145,16 @@
             LineClients clients)
             throws Exception {
         DeliveryGenerator deliveries = new DeliveryGenerator(backends, clients);
-        DeliveryGenerator.Result outcome =
+        DeliveryGenerator.Result result =
                 deliveries.run(relay, DELIVERIES_PER_SECOND, DELIVERY_SECONDS);
         file.addFigure(
-                "delivery_processor_us", outcome.processorSeconds() * 1e6 / outcome.delivered());
-        file.addFigure("delivery_p50_ms", outcome.p50Ms());
-        file.addFigure("delivery_p99_ms", outcome.p99Ms());
+                "delivery_processor_us", result.processorSeconds() * 1e6 / result.delivered());
+        file.addFigure("delivery_p50_ms", result.p50Ms());
+        file.addFigure("delivery_p99_ms", result.p99Ms());
         file.addFigure(
-                "delivered_share",
-                outcome.delivered() / (DELIVERIES_PER_SECOND * DELIVERY_SECONDS));
-        if (outcome.delivered() < MIN_DELIVERED_SHARE * DELIVERIES_PER_SECOND * DELIVERY_SECONDS) {
-            printProgress("connections: only " + outcome.delivered() + " deliveries came");
+                "delivered_share", result.delivered() / (DELIVERIES_PER_SECOND * DELIVERY_SECONDS));
+        if (result.delivered() < MIN_DELIVERED_SHARE * DELIVERIES_PER_SECOND * DELIVERY_SECONDS) {
+            printProgress("connections: only " + result.delivered() + " deliveries came");
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
+++ b/lab/src/main/java/saltstage/lab/scale/ControlPlane.java
@@ -29,13 +29,13 @@
  * others over links with the delay between their zones.
  */
 final class ControlPlane implements AutoCloseable {
-    /** Use of links: relays that ask distributors. */
+    /** Use of links: requests of relays to distributors. */
     static final String RELAY_LINKS = "relays";
 
-    /** Use of links: distributors that ask and tell replicas. */
+    /** Use of links: requests and reports of distributors to replicas. */
     static final String DISTRIBUTOR_LINKS = "distributors";
 
-    /** Use of links: replicas among themselves. */
+    /** Use of links: traffic between replicas. */
     static final String REPLICA_LINKS = "replicas";
 
     private static final int PEER_PORT = 7_101;
@@ -55,19 +55,19 @@
     private final Map<Zone, ChildProcess> distributors = new EnumMap<>(Zone.class);
     private final Map<Zone, String> distributorHosts = new EnumMap<>(Zone.class);
 
-    /** Sets everything up and starts nothing. */
+    /** Prepares links, settings files and processes, and starts none of the processes. */
     ControlPlane(Path folder, ZoneLinks links) throws IOException {
         this.folder = folder;
         this.links = links;
-        // Not from the run's seed: two runs at once must not meet each other.
+        // Not derived from the run's seed: the addresses of concurrent runs must not collide.
         ThreadLocalRandom random = ThreadLocalRandom.current();
-        String block = "127." + random.nextInt(1, 255) + "." + random.nextInt(255) + ".";
+        String addressPrefix = "127." + random.nextInt(1, 255) + "." + random.nextInt(255) + ".";
         for (int i = 0; i < Topology.REPLICA_ZONES.size(); i++) {
             replicaZones.put("r" + (i + 1), Topology.REPLICA_ZONES.get(i));
-            replicaHosts.put("r" + (i + 1), block + (i + 1));
+            replicaHosts.put("r" + (i + 1), addressPrefix + (i + 1));
         }
         for (Zone zone : Zone.values()) {
-            distributorHosts.put(zone, block + (100 + zone.ordinal()));
+            distributorHosts.put(zone, addressPrefix + (100 + zone.ordinal()));
         }
         for (String name : replicaHosts.keySet()) {
             prepareReplica(name);
@@ -81,13 +81,13 @@
         StringBuilder text = new StringBuilder(groupSettings());
         for (String other : replicaHosts.keySet()) {
             if (!other.equals(name)) {
-                String at =
+                String address =
                         links.addLink(
                                 REPLICA_LINKS,
                                 replicaZones.get(name),
                                 replicaZones.get(other),
                                 new InetSocketAddress(replicaHosts.get(other), PEER_PORT));
-                text.append("  reach \"" + other + "\" {\n    at = \"" + at + "\"\n  }\n");
+                text.append("  reach \"" + other + "\" {\n    at = \"" + address + "\"\n  }\n");
             }
         }
         Path settings = Files.writeString(folder.resolve(name + ".hcl"), text + "}\n");
@@ -130,7 +130,7 @@
 
     private void prepareDistributor(Zone zone) throws IOException {
         String name = "d-" + zone.lowerCaseName();
-        List<String> block =
+        List<String> settingsBlock =
                 List.of(
                         "distributor \"" + name + "\" {",
                         "  zone = \"" + zone.lowerCaseName() + "\"",
@@ -140,20 +140,20 @@
                                 + "\"]",
                         "  dir = \"" + folder.resolve("distributors") + "\"",
                         "}");
-        String text = groupSettings() + "}\n" + String.join("\n", block) + "\n";
+        String text = groupSettings() + "}\n" + String.join("\n", settingsBlock) + "\n";
         Path settings = Files.writeString(folder.resolve(name + ".hcl"), text);
-        List<String> words =
+        List<String> arguments =
                 List.of("distributor", "serve", "--settings", settings.toString(), "--name", name);
-        distributors.put(zone, coordinatorProcess(name, DISTRIBUTOR_HEAP_MEGABYTES, words));
+        distributors.put(zone, coordinatorProcess(name, DISTRIBUTOR_HEAP_MEGABYTES, arguments));
     }
 
     private List<String> addDistributorSources(Zone zone) throws IOException {
         List<String> sources = new ArrayList<>();
         for (Zone preferred : zone.zonesByPreference()) {
             for (String replica : replicasIn(preferred)) {
-                InetSocketAddress at =
+                InetSocketAddress target =
                         new InetSocketAddress(replicaHosts.get(replica), CLIENT_PORT);
-                sources.add(links.addLink(DISTRIBUTOR_LINKS, zone, preferred, at));
+                sources.add(links.addLink(DISTRIBUTOR_LINKS, zone, preferred, target));
             }
         }
         return sources;
@@ -165,12 +165,13 @@
                 .toList();
     }
 
-    private ChildProcess coordinatorProcess(String name, int heapMegabytes, List<String> words) {
+    private ChildProcess coordinatorProcess(
+            String name, int heapMegabytes, List<String> arguments) {
         return ChildProcess.ofJar(
-                name, TrialProcess.coordinatorJar(), heapMegabytes, folder, words);
+                name, TrialProcess.coordinatorJar(), heapMegabytes, folder, arguments);
     }
 
-    /** Starts all nine. */
+    /** Starts all nine processes, the distributors after a leader has been elected. */
     void start() throws IOException, InterruptedException {
         for (ChildProcess replica : replicas.values()) {
             replica.start();
@@ -182,14 +183,14 @@
     }
 
     /**
-     * Adds the links of a zone's relays to all distributors; returns their addresses, preferred
-     * first.
+     * Adds links from a zone's relays to all distributors. Returns the addresses of the links, the
+     * preferred one first.
      */
     List<String> addRelaySources(Zone zone) throws IOException {
         return addRelaySources(RELAY_LINKS, zone);
     }
 
-    /** The same for links that are counted by another use. */
+    /** Adds such links, whose traffic is counted under another use. */
     List<String> addRelaySources(String use, Zone zone) throws IOException {
         List<String> sources = new ArrayList<>();
         for (Zone preferred : zone.zonesByPreference()) {
@@ -203,12 +204,12 @@
         return sources;
     }
 
-    /** A client at an operator's desk, without delay to any replica. */
+    /** Returns a client as an operator has it, without a delay to any replica. */
     GroupClient client() {
         return new GroupClient(replicaAddresses(), Ticker.SYSTEM);
     }
 
-    /** Whether each replica of a zone's region refuses a command, or does not answer it in time. */
+    /** Whether each replica in a zone's region rejects a command or does not answer it in time. */
     boolean isRejectingChanges(Zone zone, Command command) throws InterruptedException {
         ObjectNode body =
                 GroupCodec.jsonMapper().createObjectNode().put("client", "outsider").put("seq", 1);
@@ -243,7 +244,7 @@
         return replicaHosts.values().stream().map(host -> host + ":" + CLIENT_PORT).toList();
     }
 
-    /** Who leads; waits for one that a majority follows. */
+    /** Returns the leader's name after waiting for a leader that a majority follows. */
     String leader() throws IOException, InterruptedException {
         client().get("/v1/leases?limit=1", LEADER_TIMEOUT);
         for (String name : replicaHosts.keySet()) {
@@ -251,30 +252,32 @@
                 return name;
             }
         }
-        throw new IOException("no replica says that it leads");
+        throw new IOException("no replica reports that it is the leader");
     }
 
     private boolean isLeader(String name) throws IOException, InterruptedException {
         try {
-            GroupClient one =
+            GroupClient replicaClient =
                     new GroupClient(
                             List.of(replicaHosts.get(name) + ":" + CLIENT_PORT), Ticker.SYSTEM);
-            JsonNode status = one.get("/v1/status", STATUS_TIMEOUT);
+            JsonNode status = replicaClient.get("/v1/status", STATUS_TIMEOUT);
             return status.path("role").asText().equals("leader");
-        } catch (GroupClient.GroupUnreachableException down) {
+        } catch (GroupClient.GroupUnreachableException unreachable) {
             return false;
         }
     }
 
+    /** Returns the process of the replica with this name. */
     ChildProcess replica(String name) {
         return replicas.get(name);
     }
 
+    /** Returns the process of a zone's distributor. */
     ChildProcess distributor(Zone zone) {
         return distributors.get(zone);
     }
 
-    /** Kills the zone's replicas and its distributor. */
+    /** Kills a zone's replicas and its distributor. */
     void killZone(Zone zone) throws InterruptedException {
         for (Map.Entry<String, ChildProcess> replica : replicas.entrySet()) {
             if (replicaZones.get(replica.getKey()) == zone) {
@@ -284,7 +287,7 @@
         distributors.get(zone).kill();
     }
 
-    /** Starts whatever does not run. */
+    /** Starts the processes that are not running. */
     void startStopped() throws IOException {
         for (ChildProcess replica : replicas.values()) {
             if (!replica.isAlive()) {
@@ -298,10 +301,10 @@
         }
     }
 
-    /** Kills all nine at once. */
+    /** Kills all nine processes. */
     void killAll() throws InterruptedException {
-        for (ChildProcess each : allProcesses()) {
-            each.kill();
+        for (ChildProcess process : allProcesses()) {
+            process.kill();
         }
     }
 
@@ -313,8 +316,8 @@
 
     @Override
     public void close() throws InterruptedException {
-        for (ChildProcess each : allProcesses()) {
-            each.close();
+        for (ChildProcess process : allProcesses()) {
+            process.close();
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/CountingProxy.java
+++ b/lab/src/main/java/saltstage/lab/scale/CountingProxy.java
@@ -15,8 +15,8 @@
 import saltstage.net.Transport;
 
 /**
- * A proxy that counts what passes, delivers it late by a fixed delay, and can be cut: while cut,
- * nothing passes and nobody is told, as between two regions that lose each other.
+ * A proxy that counts forwarded traffic, adds a fixed delay and can be cut. While it is cut it
+ * forwards nothing and closes no connection, as in a network partition between two regions.
  */
 public final class CountingProxy implements AutoCloseable {
     private static final int BACKLOG = 1_024;
@@ -34,58 +34,60 @@
     private final Set<ProxiedConnection> connections = ConcurrentHashMap.newKeySet();
     private volatile boolean cut;
 
-    /** A link to the target on a free port of loopback; the transport's loops carry it. */
+    /**
+     * Listens on a free loopback port and forwards to the target on the transport's event loops.
+     */
     public CountingProxy(Transport transport, InetSocketAddress target, Duration delay)
             throws IOException {
         this.transport = transport;
         this.target = target;
         this.delay = delay;
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         listener =
                 transport.listen(
-                        any,
+                        anyPort,
                         BACKLOG,
                         WRITE_LIMITS,
                         accepted -> new ProxiedConnection(accepted).fromClient);
     }
 
-    /** Where clients connect. */
+    /** The address to which clients connect. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
-    /** Bytes that clients sent. */
+    /** The number of bytes received from clients. */
     public long bytesToTarget() {
         return bytesToTarget.sum();
     }
 
-    /** Bytes that the target sent. */
+    /** The number of bytes received from the target. */
     public long bytesFromTarget() {
         return bytesFromTarget.sum();
     }
 
     /**
-     * Pieces read from clients: requests, where each is written at once and answered before the
-     * next.
+     * The number of reads from clients. It equals the number of requests if each request is written
+     * at once and answered before the next one.
      */
     public long messagesToTarget() {
         return messagesToTarget.sum();
     }
 
-    /** From now on nothing passes, and newcomers hang. */
+    /** Stops forwarding; new connections are accepted but not connected to the target. */
     public void cut() {
         cut = true;
     }
 
-    /** What was held back passes. */
+    /** Forwards again, beginning with the bytes held back while the proxy was cut. */
     public void heal() {
         cut = false;
         connections.forEach(ProxiedConnection::resume);
     }
 
-    /** Resets all connections that are open. */
+    /** Resets all open connections. */
     public void reset() {
-        connections.forEach(pair -> pair.clientConnection.loop().execute(pair::resetBoth));
+        connections.forEach(proxied -> proxied.clientConnection.loop().execute(proxied::resetBoth));
     }
 
     @Override
@@ -94,7 +96,7 @@
         reset();
     }
 
-    /** One client's connection and the one to the target; both on one loop. */
+    /** A client's connection and its connection to the target, both on one event loop. */
     private final class ProxiedConnection implements Transport.ConnectListener {
         private final Connection clientConnection;
         private final Direction fromClient = new Direction(true);
@@ -144,7 +146,7 @@
         }
 
         @Override
-        public void failed(IOException why) {
+        public void failed(IOException cause) {
             resetBoth();
         }
 
@@ -157,10 +159,10 @@
             }
         }
 
-        /** A piece that waits until it is due; no bytes: the end of the input. */
+        /** Bytes to be forwarded when they are due; an empty buffer marks the end of the input. */
         private record DelayedBytes(long dueNanos, ByteBuffer bytes) {}
 
-        /** One direction. */
+        /** One direction of a proxied connection. */
         private final class Direction implements ConnectionHandler {
             private final boolean toTarget;
             private final Deque<DelayedBytes> delayedBytes = new ArrayDeque<>();
@@ -178,7 +180,7 @@
             }
 
             @Override
-            public void received(Connection on, ByteBuffer bytes) {
+            public void received(Connection connection, ByteBuffer bytes) {
                 (toTarget ? bytesToTarget : bytesFromTarget).add(bytes.remaining());
                 if (toTarget) {
                     messagesToTarget.increment();
@@ -219,21 +221,22 @@
             }
 
             @Override
-            public void inputEnded(Connection on) {
+            public void inputEnded(Connection connection) {
                 enqueue(ByteBuffer.allocate(0));
             }
 
             @Override
-            public void writabilityChanged(Connection on, boolean now) {
-                Connection from = on == clientConnection ? targetConnection : clientConnection;
-                if (from != null) {
-                    from.setReading(now);
+            public void writabilityChanged(Connection connection, boolean writable) {
+                Connection otherConnection =
+                        connection == clientConnection ? targetConnection : clientConnection;
+                if (otherConnection != null) {
+                    otherConnection.setReading(writable);
                 }
             }
 
             @Override
-            public void closed(Connection on, Connection.Cause why) {
-                if (on != source() || why == Connection.Cause.OURS) {
+            public void closed(Connection connection, Connection.Cause cause) {
+                if (connection != source() || cause == Connection.Cause.OURS) {
                     return;
                 }
                 oneSideEnded = true;
--- a/lab/src/main/java/saltstage/lab/scale/FakeLineBackends.java
+++ b/lab/src/main/java/saltstage/lab/scale/FakeLineBackends.java
@@ -12,9 +12,9 @@
 import saltstage.net.Transport;
 
 /**
- * Stand-in gateways with room for all who come, at every address of loopback and one port. They
- * take OPEN, answer probes, echo other lines, and deliver lines to their clients that hold the time
- * of sending.
+ * Fake backends without a limit on clients, listening on one port of every loopback address. They
+ * accept OPEN, answer probes, echo other lines, and deliver lines that contain the time of sending
+ * to their clients.
  */
 final class FakeLineBackends implements AutoCloseable {
     private static final int BACKLOG = 4_096;
@@ -39,27 +39,29 @@
         return listener.address().getPort();
     }
 
-    /** How many connections were made, for requests and for probes. */
+    /** The number of accepted connections, for requests and for probes. */
     long acceptedCount() {
         return acceptedCount.get();
     }
 
+    /** The number of connections that have sent OPEN and are still open. */
     int establishedCount() {
         return established.size();
     }
 
-    /** Sends one line to a client, picked by its place modulo how many there are. */
-    void deliver(long place) {
-        int size = established.size();
-        if (size == 0) {
+    /** Sends one line to the client at this index modulo the number of clients. */
+    void deliver(long index) {
+        int clientCount = established.size();
+        if (clientCount == 0) {
             return;
         }
-        Connection to = established.get((int) (place % size));
-        to.loop().execute(() -> sendLine(to, LineClients.DELIVERY_PREFIX + System.nanoTime()));
+        Connection client = established.get((int) (index % clientCount));
+        client.loop()
+                .execute(() -> sendLine(client, LineClients.DELIVERY_PREFIX + System.nanoTime()));
     }
 
-    private static void sendLine(Connection to, String line) {
-        to.write(ByteBuffer.wrap((line + "\r\n").getBytes(StandardCharsets.US_ASCII)));
+    private static void sendLine(Connection client, String line) {
+        client.write(ByteBuffer.wrap((line + "\r\n").getBytes(StandardCharsets.US_ASCII)));
     }
 
     @Override
@@ -77,7 +79,7 @@
         }
 
         @Override
-        public void received(Connection on, ByteBuffer bytes) {
+        public void received(Connection source, ByteBuffer bytes) {
             while (bytes.hasRemaining()) {
                 char c = (char) bytes.get();
                 if (c == '\n') {
@@ -101,12 +103,12 @@
         }
 
         @Override
-        public void inputEnded(Connection on) {
-            on.close();
+        public void inputEnded(Connection source) {
+            source.close();
         }
 
         @Override
-        public void closed(Connection on, Connection.Cause why) {
+        public void closed(Connection source, Connection.Cause cause) {
             established.remove(connection);
         }
     }
--- a/lab/src/main/java/saltstage/lab/scale/FleetResourceUsage.java
+++ b/lab/src/main/java/saltstage/lab/scale/FleetResourceUsage.java
@@ -4,14 +4,17 @@
 import saltstage.lab.scale.Topology.Zone;
 
 /**
- * What an installation has used up to a moment, or between two.
+ * Resources that an installation has used up to a point in time, or between two of them.
  *
- * @param seconds on the clock
- * @param leaderProcessorSeconds of whoever leads
- * @param distributorProcessorSeconds of all distributors
- * @param hollowProcessorSeconds of all processes with hollow relays
- * @param relayTraffic between relays and distributors
- * @param distributorTraffic between distributors and replicas
+ * @param seconds the reading of the monotonic clock, or the time between two readings
+ * @param leaderProcessorSeconds processor time of the leader
+ * @param distributorProcessorSeconds processor time of all distributors
+ * @param simulatedRelayProcessorSeconds processor time of all processes with simulated relays
+ * @param relayTraffic traffic between relays and distributors
+ * @param distributorTraffic traffic between distributors and replicas
+ * @param leaderMegabytes resident memory of the leader
+ * @param distributorMegabytes largest resident memory of a distributor
+ * @param simulatedRelayMegabytes resident memory of the processes with simulated relays
  */
 record FleetResourceUsage(
         double seconds,
@@ -23,29 +26,35 @@
         double leaderMegabytes,
         double distributorMegabytes,
         double simulatedRelayMegabytes) {
-    static FleetResourceUsage measure(FleetEnvironment all)
+    /** Reads the usage of all processes and links up to now. */
+    static FleetResourceUsage measure(FleetEnvironment environment)
             throws IOException, InterruptedException {
-        double distributors = 0;
+        double distributorProcessorSeconds = 0;
         double distributorMegabytes = 0;
         for (Zone zone : Zone.values()) {
-            ProcessStatistics figures = all.controlPlane().distributor(zone).statistics();
-            distributors += figures.processorSeconds();
-            distributorMegabytes = Math.max(distributorMegabytes, figures.residentMegabytes());
+            ProcessStatistics statistics =
+                    environment.controlPlane().distributor(zone).statistics();
+            distributorProcessorSeconds += statistics.processorSeconds();
+            distributorMegabytes = Math.max(distributorMegabytes, statistics.residentMegabytes());
         }
         ProcessStatistics leader =
-                all.controlPlane().replica(all.controlPlane().leader()).statistics();
+                environment
+                        .controlPlane()
+                        .replica(environment.controlPlane().leader())
+                        .statistics();
         return new FleetResourceUsage(
                 System.nanoTime() / 1e9,
                 leader.processorSeconds(),
-                distributors,
-                all.fleet().processorSeconds(),
-                all.links().traffic(ControlPlane.RELAY_LINKS, zone -> true),
-                all.links().traffic(ControlPlane.DISTRIBUTOR_LINKS, zone -> true),
+                distributorProcessorSeconds,
+                environment.fleet().processorSeconds(),
+                environment.links().traffic(ControlPlane.RELAY_LINKS, zone -> true),
+                environment.links().traffic(ControlPlane.DISTRIBUTOR_LINKS, zone -> true),
                 leader.residentMegabytes(),
                 distributorMegabytes,
-                all.fleet().residentMegabytes());
+                environment.fleet().residentMegabytes());
     }
 
+    /** Returns the usage since an earlier reading; memory is that of the later reading. */
     FleetResourceUsage since(FleetResourceUsage before) {
         return new FleetResourceUsage(
                 seconds - before.seconds,
@@ -59,7 +68,7 @@
                 simulatedRelayMegabytes);
     }
 
-    /** Adds the figures of a span, each with this prefix. */
+    /** Adds the figures of a period to the file, each with this prefix. */
     void addTo(MeasurementFile file, String prefix, int relays) {
         double zones = Zone.values().length;
         file.addFigure(prefix + "_leader_processor_share", leaderProcessorSeconds / seconds);
