--- a/lab/src/main/java/saltstage/lab/scale/GroupedRenewalsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/GroupedRenewalsRun.java
@@ -3,7 +3,8 @@
 import picocli.CommandLine.Command;
 
 /**
- * The same for holders that renew all of a relay's leases by one command, as the lease client does.
+ * Measures the same cost as {@link RenewalsRun}, with holders that renew all leases of a relay in
+ * one command, as the lease client does.
  */
 @Command(
         name = "renewals-grouped",
--- a/lab/src/main/java/saltstage/lab/scale/LargeListDiscovery.java
+++ b/lab/src/main/java/saltstage/lab/scale/LargeListDiscovery.java
@@ -12,8 +12,8 @@
 import java.util.Random;
 
 /**
- * Discovery with a list of any length. A change is told as the whole list or as the one entry that
- * changed, the two ways that the protocol has.
+ * A discovery service with a backend list of any length. It sends each change either as the full
+ * list or as a delta with the one changed entry: the protocol allows both.
  */
 final class LargeListDiscovery implements AutoCloseable {
     private static final long EMPTY_LINE_INTERVAL_MS = 2_000;
@@ -27,7 +27,7 @@
     private long revision = 1;
     private String lastChange = "";
 
-    /** A list of so many entries, each at a loopback address of its own and all at this port. */
+    /** Serves a list in which each entry has its own loopback address and all share one port. */
     LargeListDiscovery(int entries, int backendPort, boolean whole, long seed) throws IOException {
         this.entryCount = entries;
         this.backendPort = backendPort;
@@ -43,6 +43,7 @@
         thread.start();
     }
 
+    /** The address on which this discovery service listens. */
     InetSocketAddress address() {
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
@@ -106,7 +107,7 @@
         return revision;
     }
 
-    /** One entry changes; all watches are told. */
+    /** Changes the capacity of a random entry and wakes all watches, which send the change. */
     synchronized void changeEntry() {
         revision++;
         double capacity = 1 + random.nextInt(100) / 100.0;
--- a/lab/src/main/java/saltstage/lab/scale/LeasesRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/LeasesRun.java
@@ -20,14 +20,15 @@
 import saltstage.lab.trial.TrialProcess;
 
 /**
- * What many leases of one holder cost: one command renews them all, as the lease client does it.
+ * Measures the cost of many leases of one holder, which renews all of them in one command as the
+ * lease client does.
  */
 @Command(
         name = "leases",
         mixinStandardHelpOptions = true,
         description =
-                "Three real replicas; one holder of ever more leases that renews all by one"
-                        + " command.")
+                "Three real replicas; one holder of a growing number of leases that renews all"
+                        + " of them in one command.")
 final class LeasesRun extends ScaleRun {
     private static final int REPLICAS = 3;
     private static final int[] LEASE_COUNTS = {500, 2_000, 8_000, 16_000, 32_000, 59_000};
@@ -37,14 +38,15 @@
     private static final String OWNER = "holder";
 
     /**
-     * A lease of 5 s, renewed a quarter of its span after the last time, as the lease client does.
+     * The lease client renews a lease of 5 s when a quarter of its duration has passed since the
+     * last renewal.
      */
     private static final double RENEWAL_INTERVAL_SECONDS = 1.25;
 
     @Option(
             names = "--renewals",
             defaultValue = "4",
-            description = "measured at each point (default 4)")
+            description = "renewals measured at each point (default 4)")
     private int renewals;
 
     LeasesRun() {
@@ -127,7 +129,7 @@
         return true;
     }
 
-    /** False where the group does not take so large a command, or does not answer it in time. */
+    /** Returns false if the group rejects a command of this size or does not answer in time. */
     private static boolean renewAll(GroupClient client, Renew renew) throws InterruptedException {
         try {
             Reply reply = client.send(renew, CALL_TIMEOUT).reply();
--- a/lab/src/main/java/saltstage/lab/scale/LineClients.java
+++ b/lab/src/main/java/saltstage/lab/scale/LineClients.java
@@ -15,9 +15,12 @@
 import saltstage.net.Loop;
 import saltstage.net.Transport;
 
-/** Clients that open connections through a relay, stand, and time what is delivered to them. */
+/**
+ * Clients that open connections through a relay, keep them established, and measure the latency of
+ * the lines delivered to them.
+ */
 final class LineClients {
-    /** How a delivered line begins; the time of sending follows. */
+    /** Prefix of a delivered line; the send time in nanoseconds follows. */
     static final String DELIVERY_PREFIX = "D ";
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
@@ -40,7 +43,7 @@
         this.relay = relay;
     }
 
-    /** Begins to open one more connection. */
+    /** Starts to open one more connection; the result arrives asynchronously. */
     void open() {
         int name = lastClientNumber.incrementAndGet();
         Loop loop = transport.loops().get(name % transport.loops().size());
@@ -61,26 +64,29 @@
         return rejectedCount.get();
     }
 
-    /** Connections that stood and ended without being asked to. */
+    /** Number of established connections that ended without a call of {@link #closeSome}. */
     int lostCount() {
         return lostCount.get();
     }
 
-    /** Takes the times of set-up, in microseconds, that were measured since the last call. */
+    /** Returns the setup times in microseconds recorded since the last call, and resets them. */
     Histogram takeSetupMicros() {
         Histogram taken = setupMicros;
         setupMicros = new ConcurrentHistogram(MAX_RECORDED_MICROS, 3);
         return taken;
     }
 
-    /** Takes the times from backend to client, in microseconds, since the last call. */
+    /**
+     * Returns the delivery times from backend to client in microseconds recorded since the last
+     * call, and resets them.
+     */
     Histogram takeDeliveryMicros() {
         Histogram taken = deliveryMicros;
         deliveryMicros = new ConcurrentHistogram(MAX_RECORDED_MICROS, 3);
         return taken;
     }
 
-    /** Ends so many of those that stand. */
+    /** Closes the given number of established connections. */
     void closeSome(int count) {
         established.stream().limit(count).forEach(Client::close);
     }
--- a/lab/src/main/java/saltstage/lab/scale/LineFit.java
+++ b/lab/src/main/java/saltstage/lab/scale/LineFit.java
@@ -7,16 +7,16 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A least-squares line through measured points, with 95% intervals from Student's t. The line is
- * not to be used where the residuals bend: where a quadratic term differs from zero at the 5% level
- * and moves the value at the largest quantity by more than a tenth.
+ * A least-squares line through measured points, with 95% confidence intervals from Student's t
+ * distribution. The line must not be used if the points are curved: if a quadratic term differs
+ * from zero at the 5% level and changes the value at the largest quantity by more than a tenth.
  *
  * @param shape whether a line describes the points
- * @param intercept at quantity 0
- * @param slope per unit of the quantity
- * @param least the smallest measured quantity
- * @param most the largest measured quantity
- * @param points how many were measured
+ * @param intercept the value at quantity 0
+ * @param slope the growth per unit of the quantity
+ * @param minQuantity the smallest measured quantity above 0
+ * @param maxQuantity the largest measured quantity
+ * @param pointCount the number of measured points
  */
 public record LineFit(
         Shape shape,
@@ -30,30 +30,31 @@
     private static final int MIN_POINTS = 5;
     private static final double MIN_RANGE_FACTOR = 16;
 
-    /** What the points look like. */
+    /** The shape of the measured points. */
     public enum Shape {
-        /** A line, whose slope differs from zero. */
+        /** A line with a slope that differs significantly from zero. */
         LINE,
-        /** No growth: the slope's interval holds zero. */
+        /** No growth: the interval of the slope contains zero. */
         FLAT,
-        /** The residuals bend: no line is drawn. */
+        /** The quadratic term is significant: no line describes the points. */
         CURVED,
-        /** Fewer than five points, or over less than a factor of 16. */
+        /** Fewer than five points, or a range of quantities below a factor of 16. */
         TOO_FEW_POINTS
     }
 
-    /** An estimate and the ends of its 95% interval. */
+    /** An estimate and the bounds of its 95% confidence interval. */
     public record Interval(double value, double low, double high) {
         private static Interval around(double value, double half) {
             return new Interval(value, value - half, value + half);
         }
     }
 
-    /** A point: a quantity and what was measured there. */
+    /** A quantity and the value measured at it. */
     public record Point(double quantity, double value) {}
 
     /**
-     * Fits the points; those at quantity 0 count, yet not for the factor between least and most.
+     * Fits a line to the points. Points at quantity 0 take part in the fit but are ignored when the
+     * range factor between the smallest and the largest quantity is checked.
      */
     public static LineFit of(List<Point> points) {
         double least =
@@ -85,7 +86,7 @@
         double[] values = points.stream().mapToDouble(Point::value).toArray();
         double[][] powers = new double[points.size()][];
         for (int i = 0; i < powers.length; i++) {
-            double scaled = points.get(i).quantity() / most; // keeps the matrix well conditioned
+            double scaled = points.get(i).quantity() / most; // keeps the matrix well-conditioned
             powers[i] = new double[] {scaled, scaled * scaled};
         }
         try {
@@ -101,11 +102,11 @@
             return Math.abs(terms[2]) > bound * error
                     && Math.abs(terms[2]) > MIN_CURVATURE_SHARE * atMost;
         } catch (MathIllegalArgumentException flat) {
-            return false; // the points lie on one value
+            return false; // all points have the same value
         }
     }
 
-    /** The line's value at this quantity. */
+    /** The value of the line at a quantity. */
     public double valueAt(double quantity) {
         return intercept.value() + slope.value() * quantity;
     }
--- a/lab/src/main/java/saltstage/lab/scale/ListRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ListRun.java
@@ -8,14 +8,15 @@
 import picocli.CommandLine.Option;
 
 /**
- * What a change of a list costs a relay today, told as the whole list or as the entry that changed.
+ * Measures the cost of a change of the backend list to a relay, for changes sent as the full list
+ * and as a delta with the changed entry.
  */
 @Command(
         name = "list",
         mixinStandardHelpOptions = true,
         description =
-                "One real relay behind a discovery whose list grows: bytes, processor time,"
-                        + " memory.")
+                "One real relay and a discovery service with a growing list: bytes, processor"
+                        + " time, memory.")
 final class ListRun extends ScaleRun {
     private static final int[] ENTRY_COUNTS = {
         90, 360, 1_440, 2_880, 5_760, 11_520, 23_040, 59_000
@@ -24,7 +25,7 @@
     private static final int WARM_UP_CHANGES = 3;
     private static final double QUIET_SECONDS = 2;
 
-    /** Between two changes: long enough for the relay to have taken the one before. */
+    /** Interval between two changes that lets the relay apply the first before the second. */
     private static final double MIN_CHANGE_INTERVAL_SECONDS = 0.5;
 
     private static final double ENTRIES_PER_SECOND = 20_000;
@@ -34,10 +35,10 @@
     @Option(
             names = "--changes",
             defaultValue = "10",
-            description = "measured at each point (default 10)")
+            description = "changes measured at each point (default 10)")
     private int changes;
 
-    /** How a change is told, and whether the relay asks the backends of its list for their load. */
+    /** How discovery sends a change, and whether the relay probes the listed backends' load. */
     private enum UpdateMode {
         WHOLE(true, false),
         CHANGED(false, false),
@@ -104,14 +105,14 @@
         }
     }
 
-    /** Long enough for a first list to be taken, in seconds. */
+    /** Seconds that suffice for the relay to apply its first list. */
     private static double settleSeconds(int entries) {
         return QUIET_SECONDS + entries / FIRST_LIST_ENTRIES_PER_SECOND;
     }
 
     /**
-     * Whether a change reaches the relay on the watch that it has: it does not ask for the list
-     * anew.
+     * Returns whether a change reaches the relay over its open watch, without another request for
+     * the list.
      */
     private static boolean isFollowed(
             RelayProcess relay, CountingProxy link, LargeListDiscovery list, double settle)
--- a/lab/src/main/java/saltstage/lab/scale/MeasuredData.java
+++ b/lab/src/main/java/saltstage/lab/scale/MeasuredData.java
@@ -8,17 +8,17 @@
 import java.util.OptionalDouble;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The committed CSVs of all runs. */
+/** The measurements of all runs, read from the CSV files in a folder and cached. */
 final class MeasuredData {
     private final Path folder;
     private final Map<String, List<Measurement>> measurementsByRun = new ConcurrentHashMap<>();
 
-    /** The CSVs in this folder. */
+    /** Reads the CSV files in this folder on first use. */
     MeasuredData(Path folder) {
         this.folder = folder;
     }
 
-    /** The folder of the CSVs. */
+    /** The folder of the CSV files. */
     Path folder() {
         return folder;
     }
@@ -35,7 +35,7 @@
                 });
     }
 
-    /** The points of a figure; none where the run was not made. */
+    /** The points of a figure; empty if there is no CSV file of the run. */
     List<LineFit.Point> points(String run, String figure) {
         return measurementsOf(run).stream()
                 .filter(row -> row.figure().equals(figure))
@@ -43,12 +43,12 @@
                 .toList();
     }
 
-    /** The largest value of a figure. */
+    /** The largest value of a figure, if it was measured. */
     OptionalDouble maxValue(String run, String figure) {
         return points(run, figure).stream().mapToDouble(LineFit.Point::value).max();
     }
 
-    /** The largest quantity at which a figure has at least this value. */
+    /** The largest quantity at which a figure reaches the minimum value. */
     OptionalDouble maxQuantity(String run, String figure, double least) {
         return points(run, figure).stream()
                 .filter(point -> point.value() >= least)
@@ -56,7 +56,7 @@
                 .max();
     }
 
-    /** The value of a figure at a quantity. */
+    /** The value of a figure at exactly this quantity, if it was measured. */
     OptionalDouble valueAt(String run, String figure, double quantity) {
         return points(run, figure).stream()
                 .filter(point -> point.quantity() == quantity)
--- a/lab/src/main/java/saltstage/lab/scale/Measurement.java
+++ b/lab/src/main/java/saltstage/lab/scale/Measurement.java
@@ -1,17 +1,17 @@
 package saltstage.lab.scale;
 
 /**
- * One figure of a scale run: a line of its CSV.
+ * One figure of a scale run, which is one line of its CSV file.
  *
- * @param seed what the run drew its random numbers from
- * @param quantity what the run varied, for example how many connections stood
- * @param figure name of what was measured, with its unit
+ * @param seed seed of the run's random numbers
+ * @param quantity value of the varied quantity, for example the number of established connections
+ * @param figure name of the measured figure, with its unit
  * @param value the measured value
  */
 public record Measurement(long seed, double quantity, String figure, double value) {
     private static final int COLUMN_COUNT = 4;
 
-    /** The line as the CSV has it. */
+    /** Formats the measurement as a line of the CSV file. */
     String toCsvLine() {
         return seed
                 + ","
@@ -22,7 +22,7 @@
                 + FigureFormat.forCsv(value);
     }
 
-    /** Parses a line of a CSV. */
+    /** Parses a line of a CSV file. */
     static Measurement parse(String line) {
         String[] cells = line.split(",");
         if (cells.length != COLUMN_COUNT) {
--- a/lab/src/main/java/saltstage/lab/scale/MeasurementFile.java
+++ b/lab/src/main/java/saltstage/lab/scale/MeasurementFile.java
@@ -10,7 +10,8 @@
 import java.util.stream.Collectors;
 
 /**
- * The CSV of a scale run, {@code scale-NAME.csv}; each point is also printed as one line of JSON.
+ * The CSV file of a scale run, {@code scale-NAME.csv}. Each point is also printed to standard
+ * output as one line of JSON.
  */
 public final class MeasurementFile {
     private static final String CSV_HEADER = "seed,quantity,figure,value";
@@ -21,13 +22,13 @@
     private final List<Measurement> rows = new ArrayList<>();
     private ObjectNode point;
 
-    /** An empty file of this run. */
+    /** Creates the file of a run without any points. */
     public MeasurementFile(String run, long seed) {
         this.run = run;
         this.seed = seed;
     }
 
-    /** Begins the point of this quantity; the one before it is printed. */
+    /** Begins the point of this quantity and prints the previous point. */
     public void beginPoint(double quantity) {
         printPoint();
         point = JSON.createObjectNode().put("run", run).put("seed", seed).put("quantity", quantity);
@@ -39,7 +40,7 @@
         point.put(figure, value);
     }
 
-    /** The points of a figure so far. */
+    /** The points of a figure that were added so far. */
     List<LineFit.Point> points(String figure) {
         return rows.stream()
                 .filter(row -> row.figure().equals(figure))
@@ -47,7 +48,7 @@
                 .toList();
     }
 
-    /** Prints the point that is finished. */
+    /** Prints the current point, if there is one, as a line of JSON. */
     void printPoint() {
         if (point != null) {
             System.out.println(point);
@@ -55,7 +56,7 @@
         }
     }
 
-    /** Writes the CSV into the folder. */
+    /** Writes the CSV file into the folder. */
     public void write(Path folder) throws IOException {
         printPoint();
         String lines =
@@ -67,7 +68,7 @@
         return folder.resolve("scale-" + run + ".csv");
     }
 
-    /** Reads the CSV of a run; empty where there is none. */
+    /** Reads the CSV file of a run; returns an empty list if the file does not exist. */
     static List<Measurement> read(Path folder, String run) throws IOException {
         Path file = csvFile(folder, run);
         if (!Files.exists(file)) {
--- a/lab/src/main/java/saltstage/lab/scale/MeasurementFileTable.java
+++ b/lab/src/main/java/saltstage/lab/scale/MeasurementFileTable.java
@@ -12,14 +12,15 @@
 import java.util.stream.Stream;
 
 /**
- * The table of the CSVs that a page was computed from, so that any change of one of them is seen.
+ * The table of the CSV files from which a page was computed. It lists their digests, so that a
+ * change of any file makes the page differ.
  */
 final class MeasurementFileTable {
     private static final int SHOWN_DIGEST_DIGITS = 16;
 
     private MeasurementFileTable() {}
 
-    /** The table of all CSVs of scale runs in this folder. */
+    /** Builds the table of all CSV files of scale runs in this folder. */
     static String of(Path folder) {
         try (Stream<Path> files = Files.list(folder)) {
             List<Path> csvs =
--- a/lab/src/main/java/saltstage/lab/scale/PageCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/PageCommand.java
@@ -6,13 +6,13 @@
 import picocli.CommandLine.Command;
 import saltstage.lab.Installation;
 
-/** Fills the tables of the capacity page from the CSVs. */
+/** Fills the tables of the capacity page from the CSV files of the scale runs. */
 @Command(
         name = "page",
         mixinStandardHelpOptions = true,
         description = "Writes the generated tables of docs/CAPACITY.md.")
 final class PageCommand implements Callable<Integer> {
-    /** The page, from the repository's root. */
+    /** Path of the page relative to the repository root. */
     static final String PAGE_PATH = "docs/CAPACITY.md";
 
     @Override
--- a/lab/src/main/java/saltstage/lab/scale/Parallel.java
+++ b/lab/src/main/java/saltstage/lab/scale/Parallel.java
@@ -7,16 +7,20 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 
-/** Work on several things at once. */
+/** Runs a task for several items in parallel. */
 final class Parallel {
     private Parallel() {}
 
-    /** What is done with one of them. */
+    /** A task that processes one item and may throw any exception. */
     interface Task<T> {
         void run(T each) throws Exception;
     }
 
-    /** Each on a thread of its own; ends when all have, with the first failure if there is one. */
+    /**
+     * Runs the task for each item on its own thread and waits for all of them. Throws the failure
+     * of the first item in list order that failed, after it has interrupted the tasks still
+     * running.
+     */
     static <T> void forEach(List<T> things, Task<T> work)
             throws InterruptedException, ExecutionException {
         ExecutorService threads = Executors.newFixedThreadPool(things.size());
--- a/lab/src/main/java/saltstage/lab/scale/ProcessStatistics.java
+++ b/lab/src/main/java/saltstage/lab/scale/ProcessStatistics.java
@@ -5,12 +5,12 @@
 import java.nio.file.Path;
 
 /**
- * What the kernel tells of a process, from {@code /proc/PID/stat} (see proc(5)).
+ * Resource usage of a process as the kernel reports it in {@code /proc/PID/stat}, see proc(5).
  *
- * @param processorSeconds user and system time used since the process began, in steps of a clock
- *     tick
+ * @param processorSeconds user and system time used since the process started, with the resolution
+ *     of a clock tick
  * @param residentBytes resident memory
- * @param threads how many threads it has
+ * @param threadCount number of threads
  */
 public record ProcessStatistics(double processorSeconds, long residentBytes, int threadCount) {
     private static final double TICKS_PER_SECOND = 100;
@@ -20,7 +20,7 @@
     private static final int THREADS_FIELD = 17;
     private static final int RESIDENT_PAGES_FIELD = 21;
 
-    /** Reads the figures of a running process; throws where it has ended. */
+    /** Reads the usage of a running process; throws if the process has ended. */
     public static ProcessStatistics read(long pid) throws IOException {
         String line = Files.readString(Path.of("/proc/" + pid + "/stat"));
         String[] afterName = line.substring(line.lastIndexOf(')') + 2).split(" ");
--- a/lab/src/main/java/saltstage/lab/scale/RealRelaysRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/RealRelaysRun.java
@@ -10,11 +10,14 @@
 import picocli.CommandLine.Option;
 import saltstage.lab.scale.Topology.Zone;
 
-/** Whether hollow relays cost what real ones do: three of each behind one distributor. */
+/**
+ * Checks that simulated relays cause the same control traffic as real relays, with three of each
+ * behind one distributor.
+ */
 @Command(
         name = "real-relays",
         mixinStandardHelpOptions = true,
-        description = "Bytes and requests of three real relays against those of three hollow ones.")
+        description = "Compares bytes and requests of three real and three simulated relays.")
 final class RealRelaysRun extends ScaleRun {
     private static final int RELAY_COUNT = 3;
     private static final String REAL_RELAY_LINKS = "real relays";
@@ -26,10 +29,16 @@
     private static final double MAX_DEVIATION = 0.1;
     private static final double SETTLE_SECONDS = 6;
 
-    @Option(names = "--shards", defaultValue = "59000", description = "placed (default 59000)")
+    @Option(
+            names = "--shards",
+            defaultValue = "59000",
+            description = "number of placed shards (default 59000)")
     private int shards;
 
-    @Option(names = "--seconds", defaultValue = "20", description = "of each span (default 20)")
+    @Option(
+            names = "--seconds",
+            defaultValue = "20",
+            description = "length of each span (default 20)")
     private double span;
 
     private final List<RelayProcess> realRelays = new ArrayList<>();
--- a/lab/src/main/java/saltstage/lab/scale/RealRelaysTable.java
+++ b/lab/src/main/java/saltstage/lab/scale/RealRelaysTable.java
@@ -5,14 +5,14 @@
 import java.util.Locale;
 import java.util.OptionalDouble;
 
-/** The table that sets hollow relays beside real ones. */
+/** The table of the capacity page that compares simulated relays with real relays. */
 final class RealRelaysTable {
     private static final String RUN_NAME = "real-relays";
     private static final String NOT_RUN = "not run";
 
     private RealRelaysTable() {}
 
-    /** The table. */
+    /** Builds the table from the measurements of the real-relays run. */
     static String of(MeasuredData data) {
         List<String> lines =
                 new ArrayList<>(
--- a/lab/src/main/java/saltstage/lab/scale/RelayProcess.java
+++ b/lab/src/main/java/saltstage/lab/scale/RelayProcess.java
@@ -14,7 +14,7 @@
 import java.util.regex.Pattern;
 import saltstage.lab.Installation;
 
-/** A real relay, started by the command and with the JVM flags of {@code deploy/balancer.toml}. */
+/** A real relay process, started with the command and JVM flags of {@code deploy/balancer.toml}. */
 final class RelayProcess implements AutoCloseable {
     private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
     private static final Pattern RUN_COMMAND_PATTERN =
@@ -39,19 +39,19 @@
     private final Process process;
     private final File logFile;
 
-    /** Starts a relay that follows this discovery and asks backends for their load. */
+    /** Starts a relay that follows this discovery service and probes backends. */
     RelayProcess(Path folder, InetSocketAddress discovery, int sockets)
             throws IOException, InterruptedException {
         this(folder, discovery, sockets, true);
     }
 
-    /** Starts a relay that follows this discovery, with or without probes. */
+    /** Starts a relay that follows this discovery service, with or without probes. */
     RelayProcess(Path folder, InetSocketAddress discovery, int sockets, boolean probes)
             throws IOException, InterruptedException {
         this(folder, discovery, sockets, probes, "");
     }
 
-    /** Starts a relay with these operator's settings, and waits until it answers. */
+    /** Starts a relay with these operator settings and waits until it answers a ping. */
     RelayProcess(
             Path folder, InetSocketAddress discovery, int sockets, boolean probes, String settings)
             throws IOException, InterruptedException {
@@ -83,7 +83,7 @@
                         Files.readString(
                                 Installation.repositoryRoot().resolve("deploy/balancer.toml")));
         if (!run.find()) {
-            throw new IOException("deploy/balancer.toml names no command to run a relay");
+            throw new IOException("deploy/balancer.toml has no command that runs a relay");
         }
         return List.of(run.group(1).trim().split("\\s+"));
     }
@@ -98,7 +98,7 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Where clients connect. */
+    /** The address to which clients connect. */
     InetSocketAddress listenAddress() {
         return listenAddress;
     }
@@ -107,19 +107,19 @@
         return process.isAlive();
     }
 
-    /** What the kernel tells of it now. */
+    /** The current resource usage of the process. */
     ProcessStatistics statistics() throws IOException {
         return ProcessStatistics.read(process.pid());
     }
 
-    /** How many descriptors it has open now. */
+    /** The number of file descriptors that the process has open. */
     long openDescriptors() throws IOException {
         try (var open = Files.list(Path.of("/proc", Long.toString(process.pid()), "fd"))) {
             return open.count();
         }
     }
 
-    /** How many lines of its log hold this text. */
+    /** The number of log lines that contain this text. */
     long countLogLines(String text) throws IOException {
         try (var lines =
                 Files.lines(logFile.toPath(), java.nio.charset.StandardCharsets.ISO_8859_1)) {
--- a/lab/src/main/java/saltstage/lab/scale/RenewalsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/RenewalsRun.java
@@ -18,7 +18,10 @@
 import saltstage.lab.trial.GroupUnderTest;
 import saltstage.lab.trial.TrialProcess;
 
-/** What renewing leases through the group's log costs its leader, by the rate of renewals. */
+/**
+ * Measures the cost of lease renewals through the group's log to its leader, at rising renewal
+ * rates.
+ */
 @Command(
         name = "renewals",
         mixinStandardHelpOptions = true,
@@ -33,13 +36,16 @@
     private static final long TTL_MS = 600_000;
     private static final double WARM_UP_SECONDS = 4;
 
-    /** Below this share of what was offered, a higher rate would bring no more. */
+    /**
+     * The run ends when less than this share of the offered rate is achieved, because a higher rate
+     * would not increase the throughput.
+     */
     private static final double MIN_ACHIEVED_SHARE = 0.5;
 
     @Option(
             names = "--seconds",
             defaultValue = "4",
-            description = "measured at each rate (default 4)")
+            description = "seconds measured at each rate (default 4)")
     private int seconds;
 
     private final int leasesPerHolder;
@@ -105,7 +111,9 @@
         return carried >= rate * MIN_ACHIEVED_SHARE;
     }
 
-    /** Each holder renews at its share of the rate; one that is late goes on at once. */
+    /**
+     * Each holder renews at its share of the rate; a holder that is late renews without a pause.
+     */
     private static void renew(List<LeaseHolder> holders, int rate, double seconds, Histogram took)
             throws Exception {
         long begun = System.nanoTime();
@@ -120,7 +128,7 @@
                 });
     }
 
-    /** One that holds leases and renews all of them by one command. */
+    /** A client that holds leases and renews all of them in one command. */
     private static final class LeaseHolder {
         private final GroupClient client;
         private final String name;
--- a/lab/src/main/java/saltstage/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/ScaleCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Scale runs and the page that is computed from them. */
+/** Command group of the scale runs and of the capacity page that is computed from them. */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
@@ -28,7 +28,7 @@
             PageCommand.class
         },
         description =
-                "What each role costs as its quantities grow; CSVs go to"
+                "Measures the cost of each role as its quantities grow; writes CSV files to"
                         + " docs/measurements/scale-*.csv.")
 public final class ScaleCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
--- a/lab/src/main/java/saltstage/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ScaleRun.java
@@ -8,11 +8,17 @@
 import saltstage.net.NettyTransport;
 import saltstage.net.Transport;
 
-/** What all scale runs share: a seed, a scratch folder, event loops, and a CSV at the end. */
+/**
+ * Base class of the scale runs: provides a seed, a scratch folder and event loops, and writes the
+ * CSV file at the end.
+ */
 abstract class ScaleRun implements Callable<Integer> {
     private static final int EVENT_LOOPS = 2;
 
-    @Option(names = "--seed", defaultValue = "1", description = "of all random numbers (default 1)")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "seed of all random numbers (default 1)")
     private long seed;
 
     private final String name;
@@ -21,10 +27,10 @@
         this.name = name;
     }
 
-    /** Carries the run out and fills its file; returns whether every bound was kept. */
+    /** Executes the run and fills its file; returns whether all checked bounds were met. */
     abstract boolean run(RunContext stage) throws Exception;
 
-    /** What a run works with. */
+    /** The inputs and resources of a run. */
     record RunContext(long seed, Path folder, Transport transport, MeasurementFile file) {}
 
     @Override
@@ -44,7 +50,7 @@
         return kept ? 0 : 1;
     }
 
-    /** Progress, for who waits. */
+    /** Prints a progress message to standard error, separate from the results. */
     static void printProgress(String text) {
         System.err.println(text);
     }
--- a/lab/src/main/java/saltstage/lab/scale/SimulatedRelay.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelay.java
@@ -11,9 +11,12 @@
 import saltstage.configuration.follower.FollowerOptions;
 import saltstage.configuration.follower.FollowerResources;
 
-/** One hollow relay: the real client, which tells when revisions come into force. */
+/**
+ * A simulated relay: it runs the real configuration client and reports when each revision is
+ * applied.
+ */
 final class SimulatedRelay implements FollowerListener {
-    /** What was in force at one moment. */
+    /** The configuration entries that were in force at a revision. */
     record Snapshot(long revision, List<Entry> entries) {}
 
     private final int index;
@@ -34,13 +37,14 @@
         digest = view.digest();
     }
 
+    /** Reports the initial revision and starts the configuration client. */
     void start(FollowerOptions options, FollowerResources resources) {
         lineWriter.enqueue(revisionLine());
         new ConfigurationClient(options, resources, ConfigurationPersistence.NONE, view, this)
                 .start();
     }
 
-    /** The snapshot that it took; nothing where it has taken none. */
+    /** The last applied snapshot; without entries if no snapshot has been applied. */
     synchronized Snapshot snapshot() {
         return snapshot;
     }
@@ -88,6 +92,7 @@
         fault.printStackTrace();
     }
 
+    /** The line that reports the current revision and its digest. */
     synchronized String digestLine() {
         return SimulatedRelayHost.DIGEST_LINE + " " + index + " " + revision + " " + digest;
     }
--- a/lab/src/main/java/saltstage/lab/scale/SimulatedRelayFleet.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelayFleet.java
@@ -12,7 +12,7 @@
 import java.util.function.Predicate;
 import saltstage.lab.scale.Topology.Zone;
 
-/** The hollow relays of all zones, in processes that can be killed and paused one by one. */
+/** The simulated relays of all zones, in processes that can be killed and paused individually. */
 final class SimulatedRelayFleet implements AutoCloseable {
     private static final int BASE_HEAP_MEGABYTES = 160;
     private static final int HEAP_MEGABYTES_PER_RELAY = 4;
@@ -32,7 +32,10 @@
         }
     }
 
-    /** Starts processes of these sizes in a zone; {@link #awaitReady} waits for them. */
+    /**
+     * Starts one process for each size, with that number of relays, in a zone; {@link #awaitReady}
+     * waits for them.
+     */
     void add(Zone zone, int... sizes) throws IOException {
         for (int size : sizes) {
             SimulatedRelayHost process =
@@ -50,6 +53,7 @@
         }
     }
 
+    /** Waits until the relays of all processes have started. */
     void awaitReady() throws IOException, InterruptedException {
         for (HostProcess host : hosts) {
             host.relayHost().awaitReady();
@@ -64,7 +68,7 @@
         return revisionLog;
     }
 
-    /** The relays of these zones. */
+    /** The indexes of the relays in the matching zones. */
     Set<Integer> relaysIn(Predicate<Zone> of) {
         Set<Integer> numbers = new HashSet<>();
         hosts.stream()
@@ -73,7 +77,7 @@
         return numbers;
     }
 
-    /** The first process of a zone that has so many relays. */
+    /** The first process of a zone that has this number of relays. */
     SimulatedRelayHost findHost(Zone zone, int size) {
         return hosts.stream()
                 .filter(host -> host.zone() == zone && host.relayCount() == size)
@@ -82,7 +86,7 @@
                 .relayHost();
     }
 
-    /** Kills all relays of a zone. */
+    /** Kills all relay processes of a zone. */
     void kill(Zone zone) throws InterruptedException {
         for (HostProcess host : hosts) {
             if (host.zone() == zone) {
@@ -91,7 +95,7 @@
         }
     }
 
-    /** Starts all relays of a zone again, at once. */
+    /** Restarts all relay processes of a zone at the same time. */
     void restart(Zone zone) throws IOException {
         for (HostProcess host : hosts) {
             if (host.zone() == zone) {
@@ -100,7 +104,7 @@
         }
     }
 
-    /** Processor time of all processes so far, in seconds. */
+    /** Processor time used so far by all processes, in seconds. */
     double processorSeconds() throws IOException {
         double sum = 0;
         for (HostProcess host : hosts) {
@@ -118,7 +122,7 @@
         return sum;
     }
 
-    /** The different states that relays have; one where all agree. */
+    /** The distinct states of all relays; a single state if all relays agree. */
     Set<SimulatedRelayHost.RelayState> distinctStates() throws IOException, InterruptedException {
         Set<SimulatedRelayHost.RelayState> different = new HashSet<>();
         for (HostProcess host : hosts) {
@@ -127,7 +131,10 @@
         return different;
     }
 
-    /** Waits until these relays have the revision; returns the seconds from the moment, or NaN. */
+    /**
+     * Waits until these relays have applied the revision. Returns the seconds from the start until
+     * the last relay applied it, or NaN after a timeout.
+     */
     double awaitApplied(
             Collection<Integer> which, long revision, long fromNanos, double mostSeconds)
             throws InterruptedException {
--- a/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHost.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHost.java
@@ -13,20 +13,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
 
-/** A process with hollow relays of one zone, as the run that started it sees it. */
+/** Controls a process with simulated relays of one zone, from the run that started it. */
 final class SimulatedRelayHost implements AutoCloseable {
     /**
-     * Line: a revision came into force at a relay, with the time on the machine's monotonic clock.
+     * First word of a line that reports a revision applied by a relay, with the time on the
+     * machine's monotonic clock.
      */
     static final String REVISION_LINE = "F";
 
-    /** Line: a relay's revision and digest. */
+    /** First word of a line that reports a relay's revision and digest. */
     static final String DIGEST_LINE = "D";
 
     private static final long START_TIMEOUT_SECONDS = 150;
     private static final long ANSWER_TIMEOUT_SECONDS = 20;
 
-    /** What a relay has in force. */
+    /** The revision and the digest of the configuration that a relay has applied. */
     record RelayState(long revision, long digest) {}
 
     private final int firstIndex;
@@ -37,7 +38,10 @@
     private CountDownLatch readyLatch;
     private CountDownLatch answerLatch = new CountDownLatch(1);
 
-    /** So many relays from this number on, which ask these sources in this order. */
+    /**
+     * Prepares a process with the given number of relays, indexed from the first index on. The
+     * relays use these sources in order of preference.
+     */
     SimulatedRelayHost(
             int first,
             int count,
@@ -67,7 +71,7 @@
                                 String.join(",", sources)));
     }
 
-    /** Starts the process; {@link #awaitReady} waits until its relays have begun. */
+    /** Starts the process; {@link #awaitReady} waits until its relays have started. */
     void start() throws IOException {
         readyLatch = new CountDownLatch(1);
         Process started = process.start().process();
@@ -79,9 +83,10 @@
         reader.start();
     }
 
+    /** Waits until all relays of the process have started. */
     void awaitReady() throws IOException, InterruptedException {
         if (!readyLatch.await(START_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-            throw new IOException("hollow relays " + firstIndex + " and on did not start");
+            throw new IOException("simulated relays from " + firstIndex + " on did not start");
         }
     }
 
@@ -111,7 +116,7 @@
         }
     }
 
-    /** What all its relays have in force now. */
+    /** Requests the current state of all relays of the process, by relay index. */
     Map<Integer, RelayState> states() throws IOException, InterruptedException {
         CountDownLatch answer = new CountDownLatch(1);
         synchronized (this) {
@@ -121,14 +126,14 @@
         process.process().getOutputStream().write('\n');
         process.process().getOutputStream().flush();
         if (!answer.await(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-            throw new IOException("hollow relays " + firstIndex + " and on do not answer");
+            throw new IOException("simulated relays from " + firstIndex + " on do not answer");
         }
         synchronized (this) {
             return new TreeMap<>(states);
         }
     }
 
-    /** The numbers of its relays. */
+    /** The indexes of the relays of this process. */
     Collection<Integer> relayIndexes() {
         return IntStream.range(firstIndex, firstIndex + relayCount).boxed().toList();
     }
--- a/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHostCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHostCommand.java
@@ -26,15 +26,15 @@
 import saltstage.configuration.follower.FollowerTimings;
 
 /**
- * Many hollow relays in one process: the control side of a relay (client, codec, state, timers)
- * without clients and without a disk. The first takes a snapshot; the others start with its
- * entries, as relays do that have them on disk, and share the entries' objects. Speaks lines, see
- * {@link SimulatedRelayHost}.
+ * Runs many simulated relays in one process: the control side of a relay (client, codec, state,
+ * timers) without client connections and persistence. The first relay fetches a snapshot. The
+ * others start with its entries, like relays that have persisted them, and share the entry objects.
+ * The process reports in lines, see {@link SimulatedRelayHost}.
  */
 @Command(
         name = "hollow-host",
         hidden = true,
-        description = "Hollow relays of one zone; part of a fleet run.")
+        description = "Runs simulated relays of one zone; part of a fleet run.")
 final class SimulatedRelayHostCommand implements Callable<Integer> {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final long SNAPSHOT_TIMEOUT_SECONDS = 120;
@@ -65,7 +65,7 @@
         leading.start(followerOptions(first), resources);
         if (!current.await(SNAPSHOT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             throw new IOException(
-                    "no source gave a snapshot within " + SNAPSHOT_TIMEOUT_SECONDS + " s");
+                    "no source delivered a snapshot within " + SNAPSHOT_TIMEOUT_SECONDS + " s");
         }
         SimulatedRelay.Snapshot held = leading.snapshot();
         for (int index = first + 1; index < first + count; index++) {
@@ -108,7 +108,7 @@
         return Executors.newSingleThreadScheduledExecutor(daemons);
     }
 
-    /** Any line asks for the digests; the end of the input ends the process. */
+    /** Answers each input line with the digests of all relays; returns at the end of the input. */
     private void answerDigestRequests() throws IOException {
         BufferedReader in =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
--- a/lab/src/main/java/saltstage/lab/scale/SteadyChanges.java
+++ b/lab/src/main/java/saltstage/lab/scale/SteadyChanges.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import saltstage.coordinator.client.GroupClient;
 
-/** Changes at a steady rate from a thread of their own, and when they came into force where. */
+/**
+ * Writes configuration changes at a steady rate on its own thread, and computes how long they took
+ * to reach the relays.
+ */
 final class SteadyChanges {
     private static final java.time.Duration CALL_TIMEOUT = java.time.Duration.ofSeconds(12);
 
@@ -19,7 +22,7 @@
     private volatile boolean stopped;
     private int failedCount;
 
-    /** Begins at once. */
+    /** Starts to write changes immediately. */
     SteadyChanges(ConfigurationLoadGenerator load, GroupClient client, double perSecond) {
         this.configurationLoad = load;
         this.client = client;
@@ -47,13 +50,13 @@
         }
     }
 
-    /** Ends the writing after the change that is under way. */
+    /** Stops after the change in progress and waits for the writer thread to end. */
     void stop() throws InterruptedException {
         stopped = true;
         writerThread.join();
     }
 
-    /** Those that were accepted. */
+    /** The revisions of the changes that were accepted so far. */
     List<ConfigurationLoadGenerator.AcceptedRevision> acceptedRevisions() {
         synchronized (acceptedRevisions) {
             return List.copyOf(acceptedRevisions);
@@ -61,14 +64,18 @@
     }
 
     /**
-     * Times until changes were in force, in seconds from the moment they were asked for.
+     * Times from the request of a change until relays applied it, in seconds.
      *
-     * @param p50 over all changes and relays
-     * @param p99 over all changes and relays
-     * @param everywhereMedian until the last relay had it, the median over changes
-     * @param everywhereMost the same, at the most
-     * @param missing pairs of change and relay that never came
-     * @param failed changes without an answer
+     * @param changeCount number of accepted changes
+     * @param p50Seconds median over all pairs of change and relay
+     * @param p99Seconds 99th percentile over all pairs of change and relay
+     * @param everywhereMedianSeconds time until the last relay applied a change, the median over
+     *     changes
+     * @param everywhereMaxSeconds time until the last relay applied a change, the maximum over
+     *     changes
+     * @param missingCount number of pairs of change and relay where the relay never applied the
+     *     change
+     * @param failedCount number of changes that failed or got no answer
      */
     record PropagationTimes(
             int changeCount,
@@ -78,7 +85,7 @@
             double everywhereMaxSeconds,
             long missingCount,
             int failedCount) {
-        /** Adds them to a file, each with this prefix. */
+        /** Adds the figures to a file, each with this prefix. */
         void addTo(MeasurementFile file, String prefix) {
             file.addFigure(prefix + "_changes", changeCount);
             file.addFigure(prefix + "_p50_s", p50Seconds);
@@ -90,7 +97,7 @@
         }
     }
 
-    /** The times at these relays. */
+    /** Computes the propagation times of all accepted changes to these relays. */
     PropagationTimes propagationTimes(AppliedRevisionLog log, Collection<Integer> relays) {
         List<double[]> byChange =
                 acceptedRevisions().stream()
--- a/lab/src/main/java/saltstage/lab/scale/Topology.java
+++ b/lab/src/main/java/saltstage/lab/scale/Topology.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 import java.util.List;
 
-/** Four zones in two regions, and how late a message is from one to another. */
+/** Four zones in two regions, and the delay of a message from one zone to another. */
 final class Topology {
-    /** Between two zones of a region. */
+    /** Delay between two zones of the same region. */
     static final Duration DELAY_WITHIN_REGION = Duration.ofMillis(1);
 
-    /** Between the regions. */
+    /** Delay between two zones of different regions. */
     static final Duration DELAY_BETWEEN_REGIONS = Duration.ofMillis(15);
 
-    /** A zone; its distributor has the zone's name after {@code d-}. */
+    /** A zone. The name of its distributor is {@code d-} followed by the name of the zone. */
     enum Zone {
         A1("a"),
         A2("a"),
@@ -32,7 +32,7 @@
             return region.equals(other.region);
         }
 
-        /** The zones as this one prefers them: itself, the other of its region, the others. */
+        /** All zones in order of preference: this zone, the other of its region, then the rest. */
         List<Zone> zonesByPreference() {
             return List.of(values()).stream()
                     .sorted(
@@ -42,12 +42,15 @@
         }
     }
 
-    /** The zones of the five replicas: two and one in region a, one and one in region b. */
+    /**
+     * The zones of the five replicas: two replicas in A1 and one in A2 of region a, one in each
+     * zone of region b.
+     */
     static final List<Zone> REPLICA_ZONES = List.of(Zone.A1, Zone.A1, Zone.A2, Zone.B1, Zone.B2);
 
     private Topology() {}
 
-    /** How late a message from one zone is in another. */
+    /** The delay of a message from one zone to another. */
     static Duration delay(Zone from, Zone to) {
         if (from == to) {
             return Duration.ZERO;
--- a/lab/src/main/java/saltstage/lab/scale/ZoneLinks.java
+++ b/lab/src/main/java/saltstage/lab/scale/ZoneLinks.java
@@ -9,14 +9,15 @@
 import saltstage.net.Transport;
 
 /**
- * The links of an installation, each from a zone to a process of a zone; they count, delay and can
- * be cut.
+ * The network links of an installation, each from a zone to a process in a zone. Links count
+ * traffic, delay it, and can be cut.
  */
 final class ZoneLinks implements AutoCloseable {
     /**
-     * One link.
+     * A link between two zones.
      *
-     * @param use who uses it for what: links are counted together by it
+     * @param purpose the user and use of the link; the traffic of links with the same purpose is
+     *     summed
      */
     private record ZoneLink(String purpose, Zone from, Zone to, CountingProxy proxy) {
         private boolean crossesRegions() {
@@ -24,7 +25,7 @@
         }
     }
 
-    /** What passed so far. */
+    /** Traffic so far. The target is the process at the end of a link. */
     record Traffic(long bytesToTargets, long bytesFromTargets, long requests) {
         Traffic since(Traffic before) {
             return new Traffic(
@@ -45,14 +46,14 @@
         this.transport = transport;
     }
 
-    /** Adds a link; returns where it is to be reached, as HOST:PORT. */
+    /** Adds a link and returns the address under which it can be reached, as HOST:PORT. */
     String addLink(String use, Zone from, Zone to, InetSocketAddress target) throws IOException {
         CountingProxy link = new CountingProxy(transport, target, Topology.delay(from, to));
         links.add(new ZoneLink(use, from, to, link));
         return "127.0.0.1:" + link.address().getPort();
     }
 
-    /** What passed on all links of a use from these zones. */
+    /** The summed traffic of all links with this purpose from the matching zones. */
     Traffic traffic(String use, Predicate<Zone> from) {
         List<CountingProxy> counted =
                 links.stream()
@@ -65,12 +66,12 @@
                 counted.stream().mapToLong(CountingProxy::messagesToTarget).sum());
     }
 
-    /** From now on the regions do not hear each other. */
+    /** Cuts all links between the regions. */
     void cutRegions() {
         links.stream().filter(ZoneLink::crossesRegions).forEach(each -> each.proxy().cut());
     }
 
-    /** They do again. */
+    /** Restores the links between the regions. */
     void healRegions() {
         links.stream().filter(ZoneLink::crossesRegions).forEach(each -> each.proxy().heal());
     }
--- a/lab/src/main/java/saltstage/lab/scale/package-info.java
+++ b/lab/src/main/java/saltstage/lab/scale/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Scale runs: what each role of an installation costs as its quantities grow, measured from outside
- * the measured processes, and the capacity page that is computed from the results.
+ * Scale runs, which measure the cost of each role of an installation as its quantities grow, and
+ * the capacity page that is computed from the results. All measurements are taken from outside the
+ * measured processes.
  */
 package saltstage.lab.scale;
--- a/lab/src/test/java/saltstage/lab/scale/CapacityPageTest.java
+++ b/lab/src/test/java/saltstage/lab/scale/CapacityPageTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import saltstage.lab.Installation;
 
-/** No figure stands in the capacity page's tables that the committed CSVs do not give. */
+/**
+ * Guards against figures in the tables of the capacity page that do not follow from the committed
+ * CSV files, for example after an edit by hand or a new measurement without a new page.
+ */
 class CapacityPageTest {
     private static final Path PAGE = Installation.repositoryRoot().resolve(PageCommand.PAGE_PATH);
     private static final Pattern TABLE_MARK = Pattern.compile("<!-- table:([a-z-]+) -->");
--- a/lab/src/test/java/saltstage/lab/scale/FleetTest.java
+++ b/lab/src/test/java/saltstage/lab/scale/FleetTest.java
@@ -13,7 +13,8 @@
 import saltstage.net.NettyTransport;
 
 /**
- * A small installation of real control processes: its leader is killed while configuration changes.
+ * Guards against configuration changes that are lost or delayed too long when the leader of the
+ * group is killed. Runs a small installation of real control processes with simulated relays.
  */
 @Timeout(value = 2, unit = TimeUnit.MINUTES)
 class FleetTest {
@@ -22,10 +23,13 @@
     private static final int EXTRA_RELAYS = 2;
     private static final double CHANGES_PER_SECOND = 4;
 
-    /** A slow machine may take so many times longer than what a change takes without a failure. */
+    /**
+     * Allowance for slow machines: on top of the propagation limit, a change may take this multiple
+     * of the time measured without a failure.
+     */
     private static final double MAX_SLOWDOWN_FACTOR = 5;
 
-    /** The bytes of a quiet relay against its budget. */
+    /** Maximum share of its byte budget that a relay may use while nothing changes. */
     private static final double MAX_QUIET_SHARE_OF_BUDGET = 0.5;
 
     @TempDir private Path folder;
@@ -71,7 +75,7 @@
                 perRelay + " bytes a second");
     }
 
-    /** Something that befalls it. */
+    /** An event triggered while configuration changes are written. */
     private interface Event {
         void run() throws Exception;
     }
--- a/lab/src/test/java/saltstage/lab/scale/LineFitTest.java
+++ b/lab/src/test/java/saltstage/lab/scale/LineFitTest.java
@@ -8,11 +8,14 @@
 import java.util.stream.DoubleStream;
 import org.junit.jupiter.api.Test;
 
-/** Lines through points, their intervals, and where none is drawn. */
+/**
+ * Guards against wrong fits: wrong coefficients or intervals, and lines through points that are
+ * curved, flat or too few.
+ */
 class LineFitTest {
     private static final double[] QUANTITIES = {1, 2, 4, 8, 16};
 
-    /** Added in turn, so that the points do not lie on the curve exactly. */
+    /** Deviations added to the points in order, so that they do not lie exactly on the curve. */
     private static final double[] NOISE = {0.2, -0.3, 0.1, 0.25, -0.2};
 
     private static LineFit fit(DoubleUnaryOperator curve) {
