--- a/lab/src/main/java/saltstage/lab/scale/LargeListDiscovery.java
+++ b/lab/src/main/java/saltstage/lab/scale/LargeListDiscovery.java
@@ -28,17 +28,18 @@
     private String lastChange = "";
 
     /** Serves a list in which each entry has its own loopback address and all share one port. */
-    LargeListDiscovery(int entries, int backendPort, boolean whole, long seed) throws IOException {
-        this.entryCount = entries;
+    LargeListDiscovery(int entryCount, int backendPort, boolean sendsFullList, long seed)
+            throws IOException {
+        this.entryCount = entryCount;
         this.backendPort = backendPort;
-        this.sendsFullList = whole;
+        this.sendsFullList = sendsFullList;
         random = new Random(seed);
         listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
         startDaemon(this::acceptAll);
     }
 
-    private static void startDaemon(Runnable work) {
-        Thread thread = new Thread(work, "list");
+    private static void startDaemon(Runnable task) {
+        Thread thread = new Thread(task, "list");
         thread.setDaemon(true);
         thread.start();
     }
@@ -81,26 +82,26 @@
     }
 
     private void sendChanges(OutputStream out) throws IOException, InterruptedException {
-        String told = fullList();
-        long last = revision();
+        String message = fullList();
+        long sentRevision = revision();
         while (true) {
-            String chunk = Integer.toHexString(told.length() + 1) + "\r\n" + told + "\n\r\n";
+            String chunk = Integer.toHexString(message.length() + 1) + "\r\n" + message + "\n\r\n";
             out.write(chunk.getBytes(StandardCharsets.US_ASCII));
             synchronized (this) {
-                if (revision == last) {
+                if (revision == sentRevision) {
                     wait(EMPTY_LINE_INTERVAL_MS);
                 }
-                told = changeSince(last);
-                last = revision;
+                message = changeSince(sentRevision);
+                sentRevision = revision;
             }
         }
     }
 
-    private synchronized String changeSince(long last) {
-        if (revision == last) {
+    private synchronized String changeSince(long sentRevision) {
+        if (revision == sentRevision) {
             return "";
         }
-        return sendsFullList || revision > last + 1 ? fullList() : lastChange;
+        return sendsFullList || revision > sentRevision + 1 ? fullList() : lastChange;
     }
 
     private synchronized long revision() {
@@ -129,17 +130,17 @@
         return text.append("]}").toString();
     }
 
-    private String entryJson(int i, double capacity) {
-        int block = i / ADDRESSES_PER_BLOCK;
+    private String entryJson(int index, double capacity) {
+        int block = index / ADDRESSES_PER_BLOCK;
         String host =
                 "127."
                         + (1 + block / 250)
                         + "."
                         + block % 250
                         + "."
-                        + (1 + i % ADDRESSES_PER_BLOCK);
+                        + (1 + index % ADDRESSES_PER_BLOCK);
         return "{\"uid\":\"g"
-                + i
+                + index
                 + "\",\"endpoint\":\""
                 + host
                 + ":"
--- a/lab/src/main/java/saltstage/lab/scale/LeasesRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/LeasesRun.java
@@ -54,20 +54,20 @@
     }
 
     @Override
-    boolean run(RunContext stage) throws Exception {
+    boolean run(RunContext context) throws Exception {
         try (GroupUnderTest group =
                 new GroupUnderTest(
-                                stage.folder(),
+                                context.folder(),
                                 REPLICAS,
                                 List.of(TrialProcess.coordinatorJar()),
                                 "")
                         .start()) {
-            ConcurrentSkipListMap<String, Long> fences = new ConcurrentSkipListMap<>();
-            for (int leases : LEASE_COUNTS) {
-                printProgress("leases: " + leases);
-                stage.file().beginPoint(leases);
-                acquire(stage.file(), group, fences, leases);
-                if (!measure(stage.file(), group, fences)) {
+            ConcurrentSkipListMap<String, Long> fencingTokens = new ConcurrentSkipListMap<>();
+            for (int leaseCount : LEASE_COUNTS) {
+                printProgress("leases: " + leaseCount);
+                context.file().beginPoint(leaseCount);
+                acquire(context.file(), group, fencingTokens, leaseCount);
+                if (!measure(context.file(), group, fencingTokens)) {
                     break;
                 }
             }
@@ -76,55 +76,63 @@
     }
 
     private static void acquire(
-            MeasurementFile file, GroupUnderTest group, Map<String, Long> fences, int upTo)
+            MeasurementFile file,
+            GroupUnderTest group,
+            Map<String, Long> fencingTokens,
+            int targetCount)
             throws Exception {
-        int first = fences.size();
-        AtomicInteger next = new AtomicInteger(first);
-        long begun = System.nanoTime();
+        int initialCount = fencingTokens.size();
+        AtomicInteger next = new AtomicInteger(initialCount);
+        long startNanos = System.nanoTime();
         List<GroupClient> clients = Stream.generate(group::client).limit(ACQUIRER_COUNT).toList();
         Parallel.forEach(
                 clients,
                 client -> {
-                    for (int n = next.getAndIncrement(); n < upTo; n = next.getAndIncrement()) {
+                    for (int n = next.getAndIncrement();
+                            n < targetCount;
+                            n = next.getAndIncrement()) {
                         Acquire acquire = new Acquire("shard-" + n, OWNER, TTL_MS, 0, false);
-                        fences.put(
+                        fencingTokens.put(
                                 "shard-" + n,
                                 ((Granted) client.send(acquire, CALL_TIMEOUT).reply()).fence());
                     }
                 });
-        file.addFigure("acquired_per_s", (upTo - first) * 1e9 / (System.nanoTime() - begun));
+        file.addFigure(
+                "acquired_per_s",
+                (targetCount - initialCount) * 1e9 / (System.nanoTime() - startNanos));
     }
 
-    private boolean measure(MeasurementFile file, GroupUnderTest group, Map<String, Long> fences)
+    private boolean measure(
+            MeasurementFile file, GroupUnderTest group, Map<String, Long> fencingTokens)
             throws Exception {
         GroupClient client = group.client();
-        Renew renew = new Renew(OWNER, new TreeMap<>(fences));
+        Renew renew = new Renew(OWNER, new TreeMap<>(fencingTokens));
         if (!renewAll(client, renew)) {
             file.addFigure("renewed", 0);
             return false;
         }
-        long leader = group.pid(group.leader(CALL_TIMEOUT));
-        ProcessStatistics before = ProcessStatistics.read(leader);
-        long begun = System.nanoTime();
-        double took = 0;
+        long leaderPid = group.pid(group.leader(CALL_TIMEOUT));
+        ProcessStatistics before = ProcessStatistics.read(leaderPid);
+        long startNanos = System.nanoTime();
+        double answerSeconds = 0;
         for (int i = 0; i < renewals; i++) {
-            long start = System.nanoTime();
+            long callStartNanos = System.nanoTime();
             boolean answered = renewAll(client, renew);
-            double one = (System.nanoTime() - start) / 1e9;
+            double callSeconds = (System.nanoTime() - callStartNanos) / 1e9;
             if (!answered) {
                 file.addFigure("renewed", 0);
                 return false;
             }
-            took += one;
-            sleepSeconds(Math.max(0, RENEWAL_INTERVAL_SECONDS - one));
+            answerSeconds += callSeconds;
+            sleepSeconds(Math.max(0, RENEWAL_INTERVAL_SECONDS - callSeconds));
         }
-        ProcessStatistics after = ProcessStatistics.read(leader);
-        double spent = (System.nanoTime() - begun) / 1e9;
+        ProcessStatistics after = ProcessStatistics.read(leaderPid);
+        double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
         file.addFigure("renewed", 1);
-        file.addFigure("answer_ms", took * 1e3 / renewals);
+        file.addFigure("answer_ms", answerSeconds * 1e3 / renewals);
         file.addFigure(
                 "leader_processor_share",
-                (after.processorSeconds() - before.processorSeconds()) / spent);
+                (after.processorSeconds() - before.processorSeconds()) / elapsedSeconds);
         file.addFigure("leader_resident_mb", after.residentMegabytes());
         return true;
     }
@@ -133,13 +141,13 @@
     private static boolean renewAll(GroupClient client, Renew renew) throws InterruptedException {
         try {
             Reply reply = client.send(renew, CALL_TIMEOUT).reply();
-            return reply instanceof Renewed all && all.lost().isEmpty();
-        } catch (IOException | IllegalArgumentException refused) {
+            return reply instanceof Renewed renewed && renewed.lost().isEmpty();
+        } catch (IOException | IllegalArgumentException failure) {
             printProgress(
                     "leases: "
                             + renew.fences().size()
                             + " in one command: "
-                            + refused.getMessage());
+                            + failure.getMessage());
             return false;
         }
     }
--- a/lab/src/main/java/saltstage/lab/scale/LineClients.java
+++ b/lab/src/main/java/saltstage/lab/scale/LineClients.java
@@ -45,9 +45,9 @@
 
     /** Starts to open one more connection; the result arrives asynchronously. */
     void open() {
-        int name = lastClientNumber.incrementAndGet();
-        Loop loop = transport.loops().get(name % transport.loops().size());
-        Client client = new Client("c" + name);
+        int number = lastClientNumber.incrementAndGet();
+        Loop loop = transport.loops().get(number % transport.loops().size());
+        Client client = new Client("c" + number);
         openingCount.incrementAndGet();
         loop.execute(() -> transport.connect(loop, relay, CONNECT_TIMEOUT, WRITE_LIMITS, client));
     }
@@ -91,8 +91,8 @@
         established.stream().limit(count).forEach(Client::close);
     }
 
-    private static long microsSince(long nanos) {
-        return Math.min(MAX_RECORDED_MICROS, Math.max(0, (System.nanoTime() - nanos) / 1_000));
+    private static long microsSince(long startNanos) {
+        return Math.min(MAX_RECORDED_MICROS, Math.max(0, (System.nanoTime() - startNanos) / 1_000));
     }
 
     private final class Client implements ConnectionHandler, Transport.ConnectListener {
@@ -108,8 +108,8 @@
         }
 
         @Override
-        public ConnectionHandler connected(Connection made) {
-            connection = made;
+        public ConnectionHandler connected(Connection newConnection) {
+            connection = newConnection;
             sendLine("OPEN " + name + " k" + name + " c=lines,t=tenant,d=2000,g=" + name);
             return this;
         }
@@ -119,17 +119,17 @@
         }
 
         @Override
-        public void failed(IOException why) {
+        public void failed(IOException cause) {
             requestAnswered(false);
         }
 
-        private void requestAnswered(boolean taken) {
+        private void requestAnswered(boolean accepted) {
             if (answered) {
                 return;
             }
             answered = true;
             openingCount.decrementAndGet();
-            if (taken) {
+            if (accepted) {
                 setupMicros.recordValue(microsSince(startedNanos));
                 established.add(this);
             } else {
@@ -150,7 +150,7 @@
         }
 
         @Override
-        public void received(Connection on, ByteBuffer bytes) {
+        public void received(Connection source, ByteBuffer bytes) {
             while (bytes.hasRemaining()) {
                 char c = (char) bytes.get();
                 if (c == '\n') {
@@ -174,12 +174,12 @@
         }
 
         @Override
-        public void inputEnded(Connection on) {
-            on.close();
+        public void inputEnded(Connection source) {
+            source.close();
         }
 
         @Override
-        public void closed(Connection on, Connection.Cause why) {
+        public void closed(Connection source, Connection.Cause cause) {
             requestAnswered(false);
             if (established.remove(this) && !closing) {
                 lostCount.incrementAndGet();
--- a/lab/src/main/java/saltstage/lab/scale/LineFit.java
+++ b/lab/src/main/java/saltstage/lab/scale/LineFit.java
@@ -44,8 +44,8 @@
 
     /** An estimate and the bounds of its 95% confidence interval. */
     public record Interval(double value, double low, double high) {
-        private static Interval around(double value, double half) {
-            return new Interval(value, value - half, value + half);
+        private static Interval around(double value, double halfWidth) {
+            return new Interval(value, value - halfWidth, value + halfWidth);
         }
     }
 
@@ -57,51 +57,59 @@
      * range factor between the smallest and the largest quantity is checked.
      */
     public static LineFit of(List<Point> points) {
-        double least =
+        double minQuantity =
                 points.stream().mapToDouble(Point::quantity).filter(q -> q > 0).min().orElse(0);
-        double most = points.stream().mapToDouble(Point::quantity).max().orElse(0);
-        if (points.size() < MIN_POINTS || most < MIN_RANGE_FACTOR * least * 0.99) {
+        double maxQuantity = points.stream().mapToDouble(Point::quantity).max().orElse(0);
+        if (points.size() < MIN_POINTS || maxQuantity < MIN_RANGE_FACTOR * minQuantity * 0.99) {
             Interval none = new Interval(Double.NaN, Double.NaN, Double.NaN);
-            return new LineFit(Shape.TOO_FEW_POINTS, none, none, least, most, points.size());
+            return new LineFit(
+                    Shape.TOO_FEW_POINTS, none, none, minQuantity, maxQuantity, points.size());
         }
         SimpleRegression line = new SimpleRegression();
         points.forEach(point -> line.addData(point.quantity(), point.value()));
-        double t =
+        double tQuantile =
                 new TDistribution(points.size() - 2.0)
                         .inverseCumulativeProbability(1 - SIGNIFICANCE_LEVEL / 2);
-        Interval slope = Interval.around(line.getSlope(), t * line.getSlopeStdErr());
-        Interval intercept = Interval.around(line.getIntercept(), t * line.getInterceptStdErr());
+        Interval slope = Interval.around(line.getSlope(), tQuantile * line.getSlopeStdErr());
+        Interval intercept =
+                Interval.around(line.getIntercept(), tQuantile * line.getInterceptStdErr());
         return new LineFit(
-                classify(points, slope, most), intercept, slope, least, most, points.size());
+                classify(points, slope, maxQuantity),
+                intercept,
+                slope,
+                minQuantity,
+                maxQuantity,
+                points.size());
     }
 
-    private static Shape classify(List<Point> points, Interval slope, double most) {
-        if (isCurved(points, most)) {
+    private static Shape classify(List<Point> points, Interval slope, double maxQuantity) {
+        if (isCurved(points, maxQuantity)) {
             return Shape.CURVED;
         }
         return slope.low() <= 0 && slope.high() >= 0 ? Shape.FLAT : Shape.LINE;
     }
 
-    private static boolean isCurved(List<Point> points, double most) {
+    private static boolean isCurved(List<Point> points, double maxQuantity) {
         double[] values = points.stream().mapToDouble(Point::value).toArray();
         double[][] powers = new double[points.size()][];
         for (int i = 0; i < powers.length; i++) {
-            double scaled = points.get(i).quantity() / most; // keeps the matrix well-conditioned
+            double scaled =
+                    points.get(i).quantity() / maxQuantity; // keeps the matrix well-conditioned
             powers[i] = new double[] {scaled, scaled * scaled};
         }
         try {
             OLSMultipleLinearRegression curve = new OLSMultipleLinearRegression();
             curve.newSampleData(values, powers);
             double[] terms = curve.estimateRegressionParameters();
-            double error = curve.estimateRegressionParametersStandardErrors()[2];
-            double freedom = points.size() - 3.0;
-            double bound =
-                    new TDistribution(freedom)
+            double standardError = curve.estimateRegressionParametersStandardErrors()[2];
+            double degreesOfFreedom = points.size() - 3.0;
+            double tQuantile =
+                    new TDistribution(degreesOfFreedom)
                             .inverseCumulativeProbability(1 - SIGNIFICANCE_LEVEL / 2);
-            double atMost = Math.abs(terms[0] + terms[1] + terms[2]);
-            return Math.abs(terms[2]) > bound * error
-                    && Math.abs(terms[2]) > MIN_CURVATURE_SHARE * atMost;
-        } catch (MathIllegalArgumentException flat) {
+            double valueAtMaxQuantity = Math.abs(terms[0] + terms[1] + terms[2]);
+            return Math.abs(terms[2]) > tQuantile * standardError
+                    && Math.abs(terms[2]) > MIN_CURVATURE_SHARE * valueAtMaxQuantity;
+        } catch (MathIllegalArgumentException constantValues) {
             return false; // all points have the same value
         }
     }
--- a/lab/src/main/java/saltstage/lab/scale/ListRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ListRun.java
@@ -47,9 +47,9 @@
         private final boolean sendsFullList;
         private final boolean probesBackends;
 
-        UpdateMode(boolean wholeList, boolean probes) {
-            this.sendsFullList = wholeList;
-            this.probesBackends = probes;
+        UpdateMode(boolean sendsFullList, boolean probesBackends) {
+            this.sendsFullList = sendsFullList;
+            this.probesBackends = probesBackends;
         }
 
         private String figureName(String name) {
@@ -62,52 +62,53 @@
     }
 
     @Override
-    boolean run(RunContext stage) throws Exception {
-        for (int entries : ENTRY_COUNTS) {
-            stage.file().beginPoint(entries);
-            Parallel.forEach(List.of(UpdateMode.values()), way -> measure(stage, entries, way));
+    boolean run(RunContext context) throws Exception {
+        for (int entryCount : ENTRY_COUNTS) {
+            context.file().beginPoint(entryCount);
+            Parallel.forEach(
+                    List.of(UpdateMode.values()), mode -> measure(context, entryCount, mode));
         }
         return true;
     }
 
-    private static double changeIntervalSeconds(int entries, UpdateMode way) {
-        return way.sendsFullList
-                ? Math.max(MIN_CHANGE_INTERVAL_SECONDS, entries / ENTRIES_PER_SECOND)
+    private static double changeIntervalSeconds(int entryCount, UpdateMode mode) {
+        return mode.sendsFullList
+                ? Math.max(MIN_CHANGE_INTERVAL_SECONDS, entryCount / ENTRIES_PER_SECOND)
                 : MIN_CHANGE_INTERVAL_SECONDS;
     }
 
-    private void measure(RunContext stage, int entries, UpdateMode way) throws Exception {
-        printProgress("list: " + entries + " entries, " + way);
-        double gap = changeIntervalSeconds(entries, way);
-        try (FakeLineBackends backends = new FakeLineBackends(stage.transport());
-                LargeListDiscovery list =
+    private void measure(RunContext context, int entryCount, UpdateMode mode) throws Exception {
+        printProgress("list: " + entryCount + " entries, " + mode);
+        double intervalSeconds = changeIntervalSeconds(entryCount, mode);
+        try (FakeLineBackends backends = new FakeLineBackends(context.transport());
+                LargeListDiscovery discovery =
                         new LargeListDiscovery(
-                                entries, backends.port(), way.sendsFullList, stage.seed());
-                CountingProxy link =
-                        new CountingProxy(stage.transport(), list.address(), Duration.ZERO);
+                                entryCount, backends.port(), mode.sendsFullList, context.seed());
+                CountingProxy proxy =
+                        new CountingProxy(context.transport(), discovery.address(), Duration.ZERO);
                 RelayProcess relay =
                         new RelayProcess(
-                                stage.folder().resolve(way.name()),
-                                link.address(),
+                                context.folder().resolve(mode.name()),
+                                proxy.address(),
                                 MAX_SOCKETS,
-                                way.probesBackends)) {
-            sleepSeconds(settleSeconds(entries));
+                                mode.probesBackends)) {
+            sleepSeconds(settleSeconds(entryCount));
             for (int i = 0; i < WARM_UP_CHANGES; i++) {
-                list.changeEntry();
-                sleepSeconds(gap);
+                discovery.changeEntry();
+                sleepSeconds(intervalSeconds);
             }
-            MeasurementFile file = stage.file();
-            boolean followed = isFollowed(relay, link, list, settleSeconds(entries));
-            file.addFigure(way.figureName("followed"), followed ? 1 : 0);
+            MeasurementFile file = context.file();
+            boolean followed = isFollowed(relay, proxy, discovery, settleSeconds(entryCount));
+            file.addFigure(mode.figureName("followed"), followed ? 1 : 0);
             if (followed) {
-                measureChanges(file, way, relay, link, list, gap);
+                measureChanges(file, mode, relay, proxy, discovery, intervalSeconds);
             }
         }
     }
 
     /** Seconds that suffice for the relay to apply its first list. */
-    private static double settleSeconds(int entries) {
-        return QUIET_SECONDS + entries / FIRST_LIST_ENTRIES_PER_SECOND;
+    private static double settleSeconds(int entryCount) {
+        return QUIET_SECONDS + entryCount / FIRST_LIST_ENTRIES_PER_SECOND;
     }
 
     /**
@@ -115,47 +116,51 @@
      * the list.
      */
     private static boolean isFollowed(
-            RelayProcess relay, CountingProxy link, LargeListDiscovery list, double settle)
+            RelayProcess relay,
+            CountingProxy proxy,
+            LargeListDiscovery discovery,
+            double settleSeconds)
             throws IOException, InterruptedException {
-        long asked = link.messagesToTarget();
-        sleepSeconds(settle);
-        long bytes = link.bytesFromTarget();
-        list.changeEntry();
-        sleepSeconds(settle);
-        boolean arrived = link.bytesFromTarget() - bytes > MIN_CHANGE_BYTES;
-        return relay.isAlive() && arrived && link.messagesToTarget() == asked;
+        long requestsBefore = proxy.messagesToTarget();
+        sleepSeconds(settleSeconds);
+        long bytesBefore = proxy.bytesFromTarget();
+        discovery.changeEntry();
+        sleepSeconds(settleSeconds);
+        boolean arrived = proxy.bytesFromTarget() - bytesBefore > MIN_CHANGE_BYTES;
+        return relay.isAlive() && arrived && proxy.messagesToTarget() == requestsBefore;
     }
 
     private void measureChanges(
             MeasurementFile file,
-            UpdateMode way,
+            UpdateMode mode,
             RelayProcess relay,
-            CountingProxy link,
-            LargeListDiscovery list,
-            double gap)
+            CountingProxy proxy,
+            LargeListDiscovery discovery,
+            double intervalSeconds)
             throws Exception {
-        double quiet = relay.statistics().processorSeconds();
+        double processorSecondsBeforeQuiet = relay.statistics().processorSeconds();
         sleepSeconds(QUIET_SECONDS);
-        double before = relay.statistics().processorSeconds();
-        long bytes = link.bytesFromTarget();
-        long begun = System.nanoTime();
+        double processorSecondsBefore = relay.statistics().processorSeconds();
+        long bytesBefore = proxy.bytesFromTarget();
+        long startNanos = System.nanoTime();
         for (int i = 0; i < changes; i++) {
-            list.changeEntry();
-            sleepSeconds(gap);
+            discovery.changeEntry();
+            sleepSeconds(intervalSeconds);
         }
-        double spent = (System.nanoTime() - begun) / 1e9;
+        double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
         ProcessStatistics after = relay.statistics();
-        double quietShare = (before - quiet) / QUIET_SECONDS;
-        file.addFigure(way.figureName("quiet_processor_share"), quietShare);
-        file.addFigure(way.figureName("resident_mb"), after.residentMegabytes());
-        if (!way.probesBackends) {
-            double forChanges = after.processorSeconds() - before - quietShare * spent;
+        double quietShare = (processorSecondsBefore - processorSecondsBeforeQuiet) / QUIET_SECONDS;
+        file.addFigure(mode.figureName("quiet_processor_share"), quietShare);
+        file.addFigure(mode.figureName("resident_mb"), after.residentMegabytes());
+        if (!mode.probesBackends) {
+            double changeProcessorSeconds =
+                    after.processorSeconds() - processorSecondsBefore - quietShare * elapsedSeconds;
             file.addFigure(
-                    way.figureName("bytes_per_change"),
-                    (link.bytesFromTarget() - bytes) / (double) changes);
+                    mode.figureName("bytes_per_change"),
+                    (proxy.bytesFromTarget() - bytesBefore) / (double) changes);
             file.addFigure(
-                    way.figureName("processor_ms_per_change"),
-                    Math.max(0, forChanges) * 1e3 / changes);
+                    mode.figureName("processor_ms_per_change"),
+                    Math.max(0, changeProcessorSeconds) * 1e3 / changes);
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/MeasuredData.java
+++ b/lab/src/main/java/saltstage/lab/scale/MeasuredData.java
@@ -49,9 +49,9 @@
     }
 
     /** The largest quantity at which a figure reaches the minimum value. */
-    OptionalDouble maxQuantity(String run, String figure, double least) {
+    OptionalDouble maxQuantity(String run, String figure, double minValue) {
         return points(run, figure).stream()
-                .filter(point -> point.value() >= least)
+                .filter(point -> point.value() >= minValue)
                 .mapToDouble(LineFit.Point::quantity)
                 .max();
     }
--- a/lab/src/main/java/saltstage/lab/scale/Parallel.java
+++ b/lab/src/main/java/saltstage/lab/scale/Parallel.java
@@ -13,7 +13,7 @@
 
     /** A task that processes one item and may throw any exception. */
     interface Task<T> {
-        void run(T each) throws Exception;
+        void run(T item) throws Exception;
     }
 
     /**
@@ -21,24 +21,24 @@
      * of the first item in list order that failed, after it has interrupted the tasks still
      * running.
      */
-    static <T> void forEach(List<T> things, Task<T> work)
+    static <T> void forEach(List<T> items, Task<T> task)
             throws InterruptedException, ExecutionException {
-        ExecutorService threads = Executors.newFixedThreadPool(things.size());
+        ExecutorService executor = Executors.newFixedThreadPool(items.size());
         try {
-            List<Future<?>> parts = new ArrayList<>();
-            for (T thing : things) {
-                parts.add(
-                        threads.submit(
+            List<Future<?>> futures = new ArrayList<>();
+            for (T item : items) {
+                futures.add(
+                        executor.submit(
                                 () -> {
-                                    work.run(thing);
+                                    task.run(item);
                                     return null;
                                 }));
             }
-            for (Future<?> part : parts) {
-                part.get();
+            for (Future<?> future : futures) {
+                future.get();
             }
         } finally {
-            threads.shutdownNow();
+            executor.shutdownNow();
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/RealRelaysRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/RealRelaysRun.java
@@ -48,33 +48,33 @@
     }
 
     @Override
-    boolean run(RunContext stage) throws Exception {
-        try (FakeLineBackends backends = new FakeLineBackends(stage.transport());
-                FleetEnvironment all =
+    boolean run(RunContext context) throws Exception {
+        try (FakeLineBackends backends = new FakeLineBackends(context.transport());
+                FleetEnvironment environment =
                         new FleetEnvironment(
-                                stage.folder(),
-                                stage.transport(),
-                                stage.seed(),
+                                context.folder(),
+                                context.transport(),
+                                context.seed(),
                                 shards,
                                 backends.port())) {
             List<String> sources =
-                    all.controlPlane().addRelaySources(SIMULATED_RELAY_LINKS, Zone.A1);
-            try (SimulatedRelayHost hollow =
+                    environment.controlPlane().addRelaySources(SIMULATED_RELAY_LINKS, Zone.A1);
+            try (SimulatedRelayHost simulated =
                     new SimulatedRelayHost(
                             0,
                             RELAY_COUNT,
                             Zone.A1.lowerCaseName(),
                             sources,
                             HEAP_MEGABYTES,
-                            stage.folder(),
+                            context.folder(),
                             new AppliedRevisionLog())) {
-                hollow.start();
-                hollow.awaitReady();
+                simulated.start();
+                simulated.awaitReady();
                 startRealRelays(
-                        stage.folder(),
-                        all.controlPlane().addRelaySources(REAL_RELAY_LINKS, Zone.A1));
+                        context.folder(),
+                        environment.controlPlane().addRelaySources(REAL_RELAY_LINKS, Zone.A1));
                 sleepSeconds(SETTLE_SECONDS);
-                return compare(stage.file(), all);
+                return compare(context.file(), environment);
             } finally {
                 closeRealRelays();
             }
@@ -84,17 +84,19 @@
     private void startRealRelays(Path folder, List<String> sources)
             throws IOException, InterruptedException {
         for (int i = 0; i < RELAY_COUNT; i++) {
-            Path own = folder.resolve("real-" + i);
+            Path relayFolder = folder.resolve("real-" + i);
             String settings =
                     "configuration {\n  sources = [\""
                             + String.join("\", \"", sources)
                             + "\"]\n  zone = \"a1\"\n  name = \"real-"
                             + i
                             + "\"\n  dir = \""
-                            + own.resolve("held")
+                            + relayFolder.resolve("held")
                             + "\"\n}\n";
-            InetSocketAddress nobody = new InetSocketAddress(InetAddress.getLoopbackAddress(), 9);
-            realRelays.add(new RelayProcess(own, nobody, MAX_SOCKETS, true, settings));
+            InetSocketAddress unusedDiscovery =
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), 9);
+            realRelays.add(
+                    new RelayProcess(relayFolder, unusedDiscovery, MAX_SOCKETS, true, settings));
         }
     }
 
@@ -104,42 +106,46 @@
         }
     }
 
-    private boolean compare(MeasurementFile file, FleetEnvironment all) throws Exception {
+    private boolean compare(MeasurementFile file, FleetEnvironment environment) throws Exception {
         file.beginPoint(RELAY_COUNT);
-        boolean quiet = measureSpan(file, all, "quiet");
-        SteadyChanges changes = all.startChanges(FIFTY_FOLD_CHANGES_PER_SECOND);
-        boolean changing = measureSpan(file, all, "changing");
+        boolean quietMatches = measureSpan(file, environment, "quiet");
+        SteadyChanges changes = environment.startChanges(FIFTY_FOLD_CHANGES_PER_SECOND);
+        boolean changingMatches = measureSpan(file, environment, "changing");
         changes.stop();
-        return quiet && changing;
+        return quietMatches && changingMatches;
     }
 
-    private boolean measureSpan(MeasurementFile file, FleetEnvironment all, String name)
+    private boolean measureSpan(MeasurementFile file, FleetEnvironment environment, String name)
             throws Exception {
-        ZoneLinks.Traffic realBefore = all.links().traffic(REAL_RELAY_LINKS, zone -> true);
-        ZoneLinks.Traffic hollowBefore = all.links().traffic(SIMULATED_RELAY_LINKS, zone -> true);
-        double processorBefore = processorSeconds();
+        ZoneLinks.Traffic realBefore = environment.links().traffic(REAL_RELAY_LINKS, zone -> true);
+        ZoneLinks.Traffic simulatedBefore =
+                environment.links().traffic(SIMULATED_RELAY_LINKS, zone -> true);
+        double processorSecondsBefore = processorSeconds();
         sleepSeconds(span);
         ZoneLinks.Traffic real =
-                all.links().traffic(REAL_RELAY_LINKS, zone -> true).since(realBefore);
-        ZoneLinks.Traffic hollow =
-                all.links().traffic(SIMULATED_RELAY_LINKS, zone -> true).since(hollowBefore);
+                environment.links().traffic(REAL_RELAY_LINKS, zone -> true).since(realBefore);
+        ZoneLinks.Traffic simulated =
+                environment
+                        .links()
+                        .traffic(SIMULATED_RELAY_LINKS, zone -> true)
+                        .since(simulatedBefore);
         file.addFigure(name + "_real_bytes_per_s", real.bytes() / span / RELAY_COUNT);
-        file.addFigure(name + "_hollow_bytes_per_s", hollow.bytes() / span / RELAY_COUNT);
+        file.addFigure(name + "_hollow_bytes_per_s", simulated.bytes() / span / RELAY_COUNT);
         file.addFigure(name + "_real_requests_per_s", real.requests() / span / RELAY_COUNT);
-        file.addFigure(name + "_hollow_requests_per_s", hollow.requests() / span / RELAY_COUNT);
-        file.addFigure(name + "_bytes_ratio", (double) hollow.bytes() / real.bytes());
-        file.addFigure(name + "_requests_ratio", (double) hollow.requests() / real.requests());
+        file.addFigure(name + "_hollow_requests_per_s", simulated.requests() / span / RELAY_COUNT);
+        file.addFigure(name + "_bytes_ratio", (double) simulated.bytes() / real.bytes());
+        file.addFigure(name + "_requests_ratio", (double) simulated.requests() / real.requests());
         file.addFigure(
                 name + "_real_processor_share",
-                (processorSeconds() - processorBefore) / span / RELAY_COUNT);
+                (processorSeconds() - processorSecondsBefore) / span / RELAY_COUNT);
         file.addFigure(
                 name + "_real_resident_mb", realRelays.get(0).statistics().residentMegabytes());
-        return isWithinDeviation(hollow.bytes(), real.bytes())
-                && isWithinDeviation(hollow.requests(), real.requests());
+        return isWithinDeviation(simulated.bytes(), real.bytes())
+                && isWithinDeviation(simulated.requests(), real.requests());
     }
 
-    private static boolean isWithinDeviation(double hollow, double real) {
-        return Math.abs(hollow / real - 1) <= MAX_DEVIATION;
+    private static boolean isWithinDeviation(double simulated, double real) {
+        return Math.abs(simulated / real - 1) <= MAX_DEVIATION;
     }
 
     private double processorSeconds() throws IOException {
--- a/lab/src/main/java/saltstage/lab/scale/RelayProcess.java
+++ b/lab/src/main/java/saltstage/lab/scale/RelayProcess.java
@@ -56,18 +56,23 @@
             Path folder, InetSocketAddress discovery, int sockets, boolean probes, String settings)
             throws IOException, InterruptedException {
         listenAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
-        Path config = Files.createDirectories(folder).resolve("relay.json");
+        Path configurationFile = Files.createDirectories(folder).resolve("relay.json");
         Files.writeString(
-                config,
+                configurationFile,
                 CONFIGURATION_TEMPLATE
                         .replace("LISTEN", formatAddress(listenAddress))
                         .replace("DISCOVERY", formatAddress(discovery))
                         .replace("SOCKETS", Integer.toString(sockets))
                         .replace("PROBES", Boolean.toString(probes)));
-        Path operator = Files.writeString(folder.resolve("saltstage.hcl"), settings);
+        Path settingsFile = Files.writeString(folder.resolve("saltstage.hcl"), settings);
         logFile = folder.resolve("relay.log").toFile();
         List<String> command = new ArrayList<>(deployedCommand());
-        command.addAll(List.of("--config", config.toString(), "--settings", operator.toString()));
+        command.addAll(
+                List.of(
+                        "--config",
+                        configurationFile.toString(),
+                        "--settings",
+                        settingsFile.toString()));
         process =
                 new ProcessBuilder(command)
                         .directory(Installation.repositoryRoot().toFile())
@@ -78,19 +83,19 @@
     }
 
     private static List<String> deployedCommand() throws IOException {
-        Matcher run =
+        Matcher runCommand =
                 RUN_COMMAND_PATTERN.matcher(
                         Files.readString(
                                 Installation.repositoryRoot().resolve("deploy/balancer.toml")));
-        if (!run.find()) {
+        if (!runCommand.find()) {
             throw new IOException("deploy/balancer.toml has no command that runs a relay");
         }
-        return List.of(run.group(1).trim().split("\\s+"));
+        return List.of(runCommand.group(1).trim().split("\\s+"));
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return any.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
@@ -114,8 +119,8 @@
 
     /** The number of file descriptors that the process has open. */
     long openDescriptors() throws IOException {
-        try (var open = Files.list(Path.of("/proc", Long.toString(process.pid()), "fd"))) {
-            return open.count();
+        try (var descriptors = Files.list(Path.of("/proc", Long.toString(process.pid()), "fd"))) {
+            return descriptors.count();
         }
     }
 
--- a/lab/src/main/java/saltstage/lab/scale/RenewalsRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/RenewalsRun.java
@@ -54,16 +54,16 @@
         this("renewals", 1);
     }
 
-    RenewalsRun(String name, int leasesEach) {
+    RenewalsRun(String name, int leasesPerHolder) {
         super(name);
-        this.leasesPerHolder = leasesEach;
+        this.leasesPerHolder = leasesPerHolder;
     }
 
     @Override
-    boolean run(RunContext stage) throws Exception {
+    boolean run(RunContext context) throws Exception {
         try (GroupUnderTest group =
                 new GroupUnderTest(
-                                stage.folder(),
+                                context.folder(),
                                 REPLICAS,
                                 List.of(TrialProcess.coordinatorJar()),
                                 "")
@@ -75,7 +75,7 @@
             acquire(holders);
             renew(holders, Integer.MAX_VALUE, WARM_UP_SECONDS, new ConcurrentHistogram(3));
             for (int rate : RATES_PER_SECOND) {
-                if (!measure(stage.file(), group, holders, rate)) {
+                if (!measure(context.file(), group, holders, rate)) {
                     break;
                 }
             }
@@ -92,39 +92,44 @@
             MeasurementFile file, GroupUnderTest group, List<LeaseHolder> holders, int rate)
             throws Exception {
         printProgress("renewals: " + rate + " a second");
-        long leader = group.pid(group.leader(CALL_TIMEOUT));
-        ProcessStatistics before = ProcessStatistics.read(leader);
-        Histogram took = new ConcurrentHistogram(3);
-        long begun = System.nanoTime();
-        renew(holders, rate, seconds, took);
-        double spent = (System.nanoTime() - begun) / 1e9;
-        ProcessStatistics after = ProcessStatistics.read(leader);
-        double carried = took.getTotalCount() / spent;
-        file.beginPoint(carried);
+        long leaderPid = group.pid(group.leader(CALL_TIMEOUT));
+        ProcessStatistics before = ProcessStatistics.read(leaderPid);
+        Histogram answerMicros = new ConcurrentHistogram(3);
+        long startNanos = System.nanoTime();
+        renew(holders, rate, seconds, answerMicros);
+        double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
+        ProcessStatistics after = ProcessStatistics.read(leaderPid);
+        double achievedRate = answerMicros.getTotalCount() / elapsedSeconds;
+        file.beginPoint(achievedRate);
         file.addFigure("offered_per_s", rate);
         file.addFigure(
                 "leader_processor_share",
-                (after.processorSeconds() - before.processorSeconds()) / spent);
+                (after.processorSeconds() - before.processorSeconds()) / elapsedSeconds);
         file.addFigure("leader_resident_mb", after.residentMegabytes());
-        file.addFigure("answer_p50_ms", took.getValueAtPercentile(50) / 1e3);
-        file.addFigure("answer_p99_ms", took.getValueAtPercentile(99) / 1e3);
-        return carried >= rate * MIN_ACHIEVED_SHARE;
+        file.addFigure("answer_p50_ms", answerMicros.getValueAtPercentile(50) / 1e3);
+        file.addFigure("answer_p99_ms", answerMicros.getValueAtPercentile(99) / 1e3);
+        return achievedRate >= rate * MIN_ACHIEVED_SHARE;
     }
 
     /**
      * Each holder renews at its share of the rate; a holder that is late renews without a pause.
      */
-    private static void renew(List<LeaseHolder> holders, int rate, double seconds, Histogram took)
+    private static void renew(
+            List<LeaseHolder> holders, int rate, double seconds, Histogram answerMicros)
             throws Exception {
-        long begun = System.nanoTime();
-        long until = begun + (long) (seconds * 1e9);
-        double gapNanos = 1e9 * holders.size() / rate;
+        long startNanos = System.nanoTime();
+        long endNanos = startNanos + (long) (seconds * 1e9);
+        double intervalNanos = 1e9 * holders.size() / rate;
         Parallel.forEach(
                 holders,
                 holder -> {
-                    long first =
-                            begun + (long) (gapNanos * holders.indexOf(holder) / holders.size());
-                    holder.renew(first, gapNanos, until, took);
+                    long firstDueNanos =
+                            startNanos
+                                    + (long)
+                                            (intervalNanos
+                                                    * holders.indexOf(holder)
+                                                    / holders.size());
+                    holder.renew(firstDueNanos, intervalNanos, endNanos, answerMicros);
                 });
     }
 
@@ -139,8 +144,8 @@
             this.name = name;
         }
 
-        void acquire(int leases) throws IOException, InterruptedException {
-            for (int i = 0; i < leases; i++) {
+        void acquire(int leaseCount) throws IOException, InterruptedException {
+            for (int i = 0; i < leaseCount; i++) {
                 String lease = name + "-" + i;
                 Granted granted =
                         (Granted)
@@ -152,19 +157,19 @@
             }
         }
 
-        void renew(long first, double gapNanos, long until, Histogram took)
+        void renew(long firstDueNanos, double intervalNanos, long endNanos, Histogram answerMicros)
                 throws IOException, InterruptedException {
-            double due = first;
-            while (due < until && System.nanoTime() < until) {
-                Thread.sleep(Math.max(0, (long) ((due - System.nanoTime()) / 1e6)));
-                long start = System.nanoTime();
+            double dueNanos = firstDueNanos;
+            while (dueNanos < endNanos && System.nanoTime() < endNanos) {
+                Thread.sleep(Math.max(0, (long) ((dueNanos - System.nanoTime()) / 1e6)));
+                long callStartNanos = System.nanoTime();
                 Renewed renewed =
                         (Renewed) client.send(new Renew(name, fencingTokens), CALL_TIMEOUT).reply();
                 if (!renewed.lost().isEmpty()) {
                     throw new IOException("a lease of " + name + " was lost");
                 }
-                took.recordValue((System.nanoTime() - start) / 1_000);
-                due = due + gapNanos;
+                answerMicros.recordValue((System.nanoTime() - callStartNanos) / 1_000);
+                dueNanos = dueNanos + intervalNanos;
             }
         }
     }
--- a/lab/src/main/java/saltstage/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ScaleRun.java
@@ -28,7 +28,7 @@
     }
 
     /** Executes the run and fills its file; returns whether all checked bounds were met. */
-    abstract boolean run(RunContext stage) throws Exception;
+    abstract boolean run(RunContext context) throws Exception;
 
     /** The inputs and resources of a run. */
     record RunContext(long seed, Path folder, Transport transport, MeasurementFile file) {}
@@ -37,17 +37,18 @@
     public Integer call() throws Exception {
         Path folder = Files.createTempDirectory("scale-" + name + "-");
         MeasurementFile file = new MeasurementFile(name, seed);
-        boolean kept;
+        boolean withinBounds;
         try (Transport transport =
                 new NettyTransport(
                         EVENT_LOOPS,
                         true,
-                        (where, fault) -> System.err.println("fault in " + where + ": " + fault))) {
-            kept = run(new RunContext(seed, folder, transport, file));
+                        (location, fault) ->
+                                System.err.println("fault in " + location + ": " + fault))) {
+            withinBounds = run(new RunContext(seed, folder, transport, file));
         }
         file.write(Installation.measurementsDirectory());
         Installation.deleteRecursively(folder);
-        return kept ? 0 : 1;
+        return withinBounds ? 0 : 1;
     }
 
     /** Prints a progress message to standard error, separate from the results. */
--- a/lab/src/main/java/saltstage/lab/scale/SimulatedRelay.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelay.java
@@ -27,11 +27,15 @@
     private long revision;
     private long digest;
 
-    SimulatedRelay(int index, ConfigurationView view, AsyncLineWriter lines, Runnable onCurrent) {
+    SimulatedRelay(
+            int index,
+            ConfigurationView view,
+            AsyncLineWriter lineWriter,
+            Runnable confirmedListener) {
         this.index = index;
         this.view = view;
-        this.lineWriter = lines;
-        this.confirmedListener = onCurrent;
+        this.lineWriter = lineWriter;
+        this.confirmedListener = confirmedListener;
         snapshot = new Snapshot(view.revision(), List.of());
         revision = view.revision();
         digest = view.digest();
@@ -56,9 +60,9 @@
     }
 
     @Override
-    public synchronized void snapshotApplied(ConfigurationView taken) {
-        snapshot = new Snapshot(taken.revision(), List.copyOf(taken.entries().values()));
-        revisionApplied(taken.revision(), taken.digest());
+    public synchronized void snapshotApplied(ConfigurationView newView) {
+        snapshot = new Snapshot(newView.revision(), List.copyOf(newView.entries().values()));
+        revisionApplied(newView.revision(), newView.digest());
     }
 
     private void revisionApplied(long newRevision, long newDigest) {
--- a/lab/src/main/java/saltstage/lab/scale/SimulatedRelayFleet.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelayFleet.java
@@ -25,10 +25,10 @@
     private final List<HostProcess> hosts = new ArrayList<>();
     private int relayCount;
 
-    SimulatedRelayFleet(ControlPlane control, Path folder) throws IOException {
+    SimulatedRelayFleet(ControlPlane controlPlane, Path folder) throws IOException {
         this.folder = folder;
         for (Zone zone : Zone.values()) {
-            sourcesByZone.put(zone, control.addRelaySources(zone));
+            sourcesByZone.put(zone, controlPlane.addRelaySources(zone));
         }
     }
 
@@ -69,12 +69,12 @@
     }
 
     /** The indexes of the relays in the matching zones. */
-    Set<Integer> relaysIn(Predicate<Zone> of) {
-        Set<Integer> numbers = new HashSet<>();
+    Set<Integer> relaysIn(Predicate<Zone> zoneFilter) {
+        Set<Integer> indexes = new HashSet<>();
         hosts.stream()
-                .filter(host -> of.test(host.zone()))
-                .forEach(host -> numbers.addAll(host.relayHost().relayIndexes()));
-        return numbers;
+                .filter(host -> zoneFilter.test(host.zone()))
+                .forEach(host -> indexes.addAll(host.relayHost().relayIndexes()));
+        return indexes;
     }
 
     /** The first process of a zone that has this number of relays. */
@@ -124,11 +124,11 @@
 
     /** The distinct states of all relays; a single state if all relays agree. */
     Set<SimulatedRelayHost.RelayState> distinctStates() throws IOException, InterruptedException {
-        Set<SimulatedRelayHost.RelayState> different = new HashSet<>();
+        Set<SimulatedRelayHost.RelayState> states = new HashSet<>();
         for (HostProcess host : hosts) {
-            different.addAll(host.relayHost().states().values());
+            states.addAll(host.relayHost().states().values());
         }
-        return different;
+        return states;
     }
 
     /**
@@ -136,16 +136,16 @@
      * the last relay applied it, or NaN after a timeout.
      */
     double awaitApplied(
-            Collection<Integer> which, long revision, long fromNanos, double mostSeconds)
+            Collection<Integer> relays, long revision, long startNanos, double timeoutSeconds)
             throws InterruptedException {
-        long until = System.nanoTime() + (long) (mostSeconds * 1e9);
-        while (revisionLog.countWithRevision(which, revision) < which.size()) {
-            if (System.nanoTime() > until) {
+        long deadlineNanos = System.nanoTime() + (long) (timeoutSeconds * 1e9);
+        while (revisionLog.countWithRevision(relays, revision) < relays.size()) {
+            if (System.nanoTime() > deadlineNanos) {
                 return Double.NaN;
             }
             Thread.sleep(20);
         }
-        double[] times = revisionLog.secondsUntilApplied(which, revision, fromNanos);
+        double[] times = revisionLog.secondsUntilApplied(relays, revision, startNanos);
         return times.length == 0 ? Double.NaN : times[times.length - 1];
     }
 
--- a/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHost.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHost.java
@@ -43,28 +43,28 @@
      * relays use these sources in order of preference.
      */
     SimulatedRelayHost(
-            int first,
-            int count,
+            int firstIndex,
+            int relayCount,
             String zone,
             List<String> sources,
             int heapMegabytes,
             Path folder,
-            AppliedRevisionLog log) {
-        this.firstIndex = first;
-        this.relayCount = count;
-        this.revisionLog = log;
+            AppliedRevisionLog revisionLog) {
+        this.firstIndex = firstIndex;
+        this.relayCount = relayCount;
+        this.revisionLog = revisionLog;
         process =
                 ChildProcess.ofLab(
-                        "hollow-" + zone + "-" + first,
+                        "hollow-" + zone + "-" + firstIndex,
                         heapMegabytes,
                         folder,
                         List.of(
                                 "scale",
                                 "hollow-host",
                                 "--first",
-                                Integer.toString(first),
+                                Integer.toString(firstIndex),
                                 "--count",
-                                Integer.toString(count),
+                                Integer.toString(relayCount),
                                 "--zone",
                                 zone,
                                 "--sources",
--- a/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHostCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHostCommand.java
@@ -58,18 +58,19 @@
     public Integer call() throws Exception {
         lineWriter.start();
         FollowerResources resources = followerResources();
-        CountDownLatch current = new CountDownLatch(1);
-        SimulatedRelay leading =
-                new SimulatedRelay(first, new ConfigurationView(), lineWriter, current::countDown);
-        relays.add(leading);
-        leading.start(followerOptions(first), resources);
-        if (!current.await(SNAPSHOT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+        CountDownLatch firstConfirmed = new CountDownLatch(1);
+        SimulatedRelay firstRelay =
+                new SimulatedRelay(
+                        first, new ConfigurationView(), lineWriter, firstConfirmed::countDown);
+        relays.add(firstRelay);
+        firstRelay.start(followerOptions(first), resources);
+        if (!firstConfirmed.await(SNAPSHOT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             throw new IOException(
                     "no source delivered a snapshot within " + SNAPSHOT_TIMEOUT_SECONDS + " s");
         }
-        SimulatedRelay.Snapshot held = leading.snapshot();
+        SimulatedRelay.Snapshot snapshot = firstRelay.snapshot();
         for (int index = first + 1; index < first + count; index++) {
-            ConfigurationView view = new ConfigurationView(held.revision(), held.entries());
+            ConfigurationView view = new ConfigurationView(snapshot.revision(), snapshot.entries());
             SimulatedRelay relay = new SimulatedRelay(index, view, lineWriter, () -> {});
             relays.add(relay);
             relay.start(followerOptions(index), resources);
@@ -99,13 +100,13 @@
     }
 
     private static ScheduledExecutorService scheduler(String name) {
-        ThreadFactory daemons =
-                work -> {
-                    Thread thread = new Thread(work, name);
+        ThreadFactory daemonThreads =
+                task -> {
+                    Thread thread = new Thread(task, name);
                     thread.setDaemon(true);
                     return thread;
                 };
-        return Executors.newSingleThreadScheduledExecutor(daemons);
+        return Executors.newSingleThreadScheduledExecutor(daemonThreads);
     }
 
     /** Answers each input line with the digests of all relays; returns at the end of the input. */
--- a/lab/src/main/java/saltstage/lab/scale/SteadyChanges.java
+++ b/lab/src/main/java/saltstage/lab/scale/SteadyChanges.java
@@ -23,28 +23,31 @@
     private int failedCount;
 
     /** Starts to write changes immediately. */
-    SteadyChanges(ConfigurationLoadGenerator load, GroupClient client, double perSecond) {
-        this.configurationLoad = load;
+    SteadyChanges(
+            ConfigurationLoadGenerator configurationLoad,
+            GroupClient client,
+            double changesPerSecond) {
+        this.configurationLoad = configurationLoad;
         this.client = client;
-        writerThread = new Thread(() -> writeLoop(perSecond), "writer");
+        writerThread = new Thread(() -> writeLoop(changesPerSecond), "writer");
         writerThread.setDaemon(true);
         writerThread.start();
     }
 
-    private void writeLoop(double perSecond) {
-        double due = System.nanoTime();
+    private void writeLoop(double changesPerSecond) {
+        double dueNanos = System.nanoTime();
         while (!stopped) {
             try {
-                Thread.sleep(Math.max(0, (long) ((due - System.nanoTime()) / 1e6)));
-                due = Math.max(due + 1e9 / perSecond, System.nanoTime() - 1e9);
-                ConfigurationLoadGenerator.AcceptedRevision one =
+                Thread.sleep(Math.max(0, (long) ((dueNanos - System.nanoTime()) / 1e6)));
+                dueNanos = Math.max(dueNanos + 1e9 / changesPerSecond, System.nanoTime() - 1e9);
+                ConfigurationLoadGenerator.AcceptedRevision accepted =
                         configurationLoad.changeShards(client, 1, CALL_TIMEOUT);
                 synchronized (acceptedRevisions) {
-                    acceptedRevisions.add(one);
+                    acceptedRevisions.add(accepted);
                 }
-            } catch (IOException refused) {
+            } catch (IOException failure) {
                 failedCount++;
-            } catch (InterruptedException ended) {
+            } catch (InterruptedException interrupted) {
                 return;
             }
         }
@@ -98,36 +101,36 @@
     }
 
     /** Computes the propagation times of all accepted changes to these relays. */
-    PropagationTimes propagationTimes(AppliedRevisionLog log, Collection<Integer> relays) {
+    PropagationTimes propagationTimes(AppliedRevisionLog revisionLog, Collection<Integer> relays) {
         List<double[]> byChange =
                 acceptedRevisions().stream()
                         .map(
                                 change ->
-                                        log.secondsUntilApplied(
+                                        revisionLog.secondsUntilApplied(
                                                 relays, change.revision(), change.sentNanos()))
                         .toList();
-        double[] all = byChange.stream().flatMapToDouble(Arrays::stream).sorted().toArray();
-        double[] everywhere =
+        double[] allTimes = byChange.stream().flatMapToDouble(Arrays::stream).sorted().toArray();
+        double[] completionTimes =
                 byChange.stream()
                         .filter(times -> times.length == relays.size())
                         .mapToDouble(times -> times[times.length - 1])
                         .sorted()
                         .toArray();
-        long missing = (long) byChange.size() * relays.size() - all.length;
+        long missingCount = (long) byChange.size() * relays.size() - allTimes.length;
         return new PropagationTimes(
                 byChange.size(),
-                quantile(all, 0.5),
-                quantile(all, 0.99),
-                quantile(everywhere, 0.5),
-                quantile(everywhere, 1),
-                missing,
+                quantile(allTimes, 0.5),
+                quantile(allTimes, 0.99),
+                quantile(completionTimes, 0.5),
+                quantile(completionTimes, 1),
+                missingCount,
                 failedCount);
     }
 
-    private static double quantile(double[] sorted, double share) {
+    private static double quantile(double[] sorted, double fraction) {
         if (sorted.length == 0) {
             return Double.NaN;
         }
-        return sorted[Math.min(sorted.length - 1, (int) Math.ceil(share * sorted.length) - 1)];
+        return sorted[Math.min(sorted.length - 1, (int) Math.ceil(fraction * sorted.length) - 1)];
     }
 }
--- a/lab/src/main/java/saltstage/lab/scale/ZoneLinks.java
+++ b/lab/src/main/java/saltstage/lab/scale/ZoneLinks.java
@@ -47,17 +47,18 @@
     }
 
     /** Adds a link and returns the address under which it can be reached, as HOST:PORT. */
-    String addLink(String use, Zone from, Zone to, InetSocketAddress target) throws IOException {
-        CountingProxy link = new CountingProxy(transport, target, Topology.delay(from, to));
-        links.add(new ZoneLink(use, from, to, link));
-        return "127.0.0.1:" + link.address().getPort();
+    String addLink(String purpose, Zone from, Zone to, InetSocketAddress target)
+            throws IOException {
+        CountingProxy proxy = new CountingProxy(transport, target, Topology.delay(from, to));
+        links.add(new ZoneLink(purpose, from, to, proxy));
+        return "127.0.0.1:" + proxy.address().getPort();
     }
 
     /** The summed traffic of all links with this purpose from the matching zones. */
-    Traffic traffic(String use, Predicate<Zone> from) {
+    Traffic traffic(String purpose, Predicate<Zone> from) {
         List<CountingProxy> counted =
                 links.stream()
-                        .filter(each -> each.purpose().equals(use) && from.test(each.from()))
+                        .filter(link -> link.purpose().equals(purpose) && from.test(link.from()))
                         .map(ZoneLink::proxy)
                         .toList();
         return new Traffic(
@@ -68,16 +69,16 @@
 
     /** Cuts all links between the regions. */
     void cutRegions() {
-        links.stream().filter(ZoneLink::crossesRegions).forEach(each -> each.proxy().cut());
+        links.stream().filter(ZoneLink::crossesRegions).forEach(link -> link.proxy().cut());
     }
 
     /** Restores the links between the regions. */
     void healRegions() {
-        links.stream().filter(ZoneLink::crossesRegions).forEach(each -> each.proxy().heal());
+        links.stream().filter(ZoneLink::crossesRegions).forEach(link -> link.proxy().heal());
     }
 
     @Override
     public void close() {
-        links.forEach(each -> each.proxy().close());
+        links.forEach(link -> link.proxy().close());
     }
 }
--- a/lab/src/test/java/saltstage/lab/scale/FleetTest.java
+++ b/lab/src/test/java/saltstage/lab/scale/FleetTest.java
@@ -37,39 +37,45 @@
     @Test
     void aChangeComesIntoForceEverywhereWhileTheLeaderDies() throws Exception {
         try (NettyTransport transport =
-                        new NettyTransport(2, true, (where, fault) -> fault.printStackTrace());
-                FleetEnvironment all = new FleetEnvironment(folder, transport, 1, SHARDS)) {
-            all.addRelaysToEachZone(RELAYS_PER_ZONE);
-            all.fleet().add(Zone.B1, EXTRA_RELAYS);
-            all.fleet().awaitReady();
-            Set<Integer> everywhere = all.fleet().relaysIn(zone -> true);
-            assertEquals(50, everywhere.size());
+                        new NettyTransport(2, true, (location, fault) -> fault.printStackTrace());
+                FleetEnvironment environment = new FleetEnvironment(folder, transport, 1, SHARDS)) {
+            environment.addRelaysToEachZone(RELAYS_PER_ZONE);
+            environment.fleet().add(Zone.B1, EXTRA_RELAYS);
+            environment.fleet().awaitReady();
+            Set<Integer> allRelays = environment.fleet().relaysIn(zone -> true);
+            assertEquals(50, allRelays.size());
 
-            assertQuietRelaysKeepTheirBudget(all);
-            SteadyChanges.PropagationTimes calm = measureChangesDuring(all, everywhere, () -> {});
-            String leader = all.controlPlane().leader();
-            SteadyChanges.PropagationTimes killed =
-                    measureChangesDuring(all, everywhere, all.controlPlane().replica(leader)::kill);
+            assertQuietRelaysKeepTheirBudget(environment);
+            SteadyChanges.PropagationTimes withoutFailure =
+                    measureChangesDuring(environment, allRelays, () -> {});
+            String leader = environment.controlPlane().leader();
+            SteadyChanges.PropagationTimes withLeaderKilled =
+                    measureChangesDuring(
+                            environment,
+                            allRelays,
+                            environment.controlPlane().replica(leader)::kill);
 
-            assertEquals(0, calm.missingCount());
-            assertEquals(0, killed.missingCount());
+            assertEquals(0, withoutFailure.missingCount());
+            assertEquals(0, withLeaderKilled.missingCount());
             assertTrue(
-                    killed.everywhereMaxSeconds()
+                    withLeaderKilled.everywhereMaxSeconds()
                             <= CapacityTarget.MAX_PROPAGATION_SECONDS
-                                    + MAX_SLOWDOWN_FACTOR * calm.everywhereMaxSeconds(),
-                    calm + " and " + killed);
+                                    + MAX_SLOWDOWN_FACTOR * withoutFailure.everywhereMaxSeconds(),
+                    withoutFailure + " and " + withLeaderKilled);
             assertEquals(
                     1,
-                    all.fleet().distinctStates().size(),
+                    environment.fleet().distinctStates().size(),
                     "all relays have the same revision and digest");
         }
     }
 
-    private static void assertQuietRelaysKeepTheirBudget(FleetEnvironment all) throws Exception {
-        FleetResourceUsage before = FleetResourceUsage.measure(all);
+    private static void assertQuietRelaysKeepTheirBudget(FleetEnvironment environment)
+            throws Exception {
+        FleetResourceUsage before = FleetResourceUsage.measure(environment);
         ScaleRun.sleepSeconds(4);
-        FleetResourceUsage quiet = FleetResourceUsage.measure(all).since(before);
-        double perRelay = quiet.relayTraffic().bytes() / quiet.seconds() / all.fleet().relayCount();
+        FleetResourceUsage quiet = FleetResourceUsage.measure(environment).since(before);
+        double perRelay =
+                quiet.relayTraffic().bytes() / quiet.seconds() / environment.fleet().relayCount();
         assertTrue(
                 perRelay <= MAX_QUIET_SHARE_OF_BUDGET * CapacityTarget.CONTROL_BYTES_PER_SECOND,
                 perRelay + " bytes a second");
@@ -81,13 +87,13 @@
     }
 
     private static SteadyChanges.PropagationTimes measureChangesDuring(
-            FleetEnvironment all, Set<Integer> relays, Event event) throws Exception {
-        SteadyChanges changes = all.startChanges(CHANGES_PER_SECOND);
+            FleetEnvironment environment, Set<Integer> relays, Event event) throws Exception {
+        SteadyChanges changes = environment.startChanges(CHANGES_PER_SECOND);
         ScaleRun.sleepSeconds(1);
         event.run();
         ScaleRun.sleepSeconds(4);
         changes.stop();
-        FleetRun.awaitApplied(all, relays, changes);
-        return changes.propagationTimes(all.fleet().revisionLog(), relays);
+        FleetRun.awaitApplied(environment, relays, changes);
+        return changes.propagationTimes(environment.fleet().revisionLog(), relays);
     }
 }
--- a/lab/src/test/java/saltstage/lab/scale/LineFitTest.java
+++ b/lab/src/test/java/saltstage/lab/scale/LineFitTest.java
@@ -49,8 +49,8 @@
                                 new LineFit.Point(2, 2.3),
                                 new LineFit.Point(3, 3.3),
                                 new LineFit.Point(16, 17.0)));
-        double half = (fit.slope().high() - fit.slope().low()) / 2;
-        assertEquals(3.18245 * slopeError(), half, 1e-4);
+        double halfWidth = (fit.slope().high() - fit.slope().low()) / 2;
+        assertEquals(3.18245 * slopeError(), halfWidth, 1e-4);
     }
 
     private static double slopeError() {
@@ -65,12 +65,12 @@
             xy += (x[i] - meanX) * (y[i] - meanY);
         }
         double slope = xy / xx;
-        double squares = 0;
+        double squaredResiduals = 0;
         for (int i = 0; i < x.length; i++) {
             double residual = y[i] - meanY - slope * (x[i] - meanX);
-            squares += residual * residual;
+            squaredResiduals += residual * residual;
         }
-        return Math.sqrt(squares / 3 / xx);
+        return Math.sqrt(squaredResiduals / 3 / xx);
     }
 
     @Test
