--- a/lab/src/main/java/saltstage/lab/scale/RealRelaysRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/RealRelaysRun.java
@@ -33,13 +33,13 @@
             names = "--shards",
             defaultValue = "59000",
             description = "number of placed shards (default 59000)")
-    private int shards;
+    private int shardCount;
 
     @Option(
             names = "--seconds",
             defaultValue = "20",
             description = "length of each span (default 20)")
-    private double span;
+    private double spanSeconds;
 
     private final List<RelayProcess> realRelays = new ArrayList<>();
 
@@ -55,7 +55,7 @@
                                 context.folder(),
                                 context.transport(),
                                 context.seed(),
-                                shards,
+                                shardCount,
                                 backends.port())) {
             List<String> sources =
                     environment.controlPlane().addRelaySources(SIMULATED_RELAY_LINKS, Zone.A1);
@@ -121,7 +121,7 @@
         ZoneLinks.Traffic simulatedBefore =
                 environment.links().traffic(SIMULATED_RELAY_LINKS, zone -> true);
         double processorSecondsBefore = processorSeconds();
-        sleepSeconds(span);
+        sleepSeconds(spanSeconds);
         ZoneLinks.Traffic real =
                 environment.links().traffic(REAL_RELAY_LINKS, zone -> true).since(realBefore);
         ZoneLinks.Traffic simulated =
@@ -129,15 +129,16 @@
                         .links()
                         .traffic(SIMULATED_RELAY_LINKS, zone -> true)
                         .since(simulatedBefore);
-        file.addFigure(name + "_real_bytes_per_s", real.bytes() / span / RELAY_COUNT);
-        file.addFigure(name + "_hollow_bytes_per_s", simulated.bytes() / span / RELAY_COUNT);
-        file.addFigure(name + "_real_requests_per_s", real.requests() / span / RELAY_COUNT);
-        file.addFigure(name + "_hollow_requests_per_s", simulated.requests() / span / RELAY_COUNT);
+        file.addFigure(name + "_real_bytes_per_s", real.bytes() / spanSeconds / RELAY_COUNT);
+        file.addFigure(name + "_hollow_bytes_per_s", simulated.bytes() / spanSeconds / RELAY_COUNT);
+        file.addFigure(name + "_real_requests_per_s", real.requests() / spanSeconds / RELAY_COUNT);
+        file.addFigure(
+                name + "_hollow_requests_per_s", simulated.requests() / spanSeconds / RELAY_COUNT);
         file.addFigure(name + "_bytes_ratio", (double) simulated.bytes() / real.bytes());
         file.addFigure(name + "_requests_ratio", (double) simulated.requests() / real.requests());
         file.addFigure(
                 name + "_real_processor_share",
-                (processorSeconds() - processorSecondsBefore) / span / RELAY_COUNT);
+                (processorSeconds() - processorSecondsBefore) / spanSeconds / RELAY_COUNT);
         file.addFigure(
                 name + "_real_resident_mb", realRelays.get(0).statistics().residentMegabytes());
         return isWithinDeviation(simulated.bytes(), real.bytes())
--- a/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHostCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHostCommand.java
@@ -40,10 +40,10 @@
     private static final long SNAPSHOT_TIMEOUT_SECONDS = 120;
 
     @Option(names = "--first", required = true)
-    private int first;
+    private int firstIndex;
 
     @Option(names = "--count", required = true)
-    private int count;
+    private int relayCount;
 
     @Option(names = "--zone", required = true)
     private String zone;
@@ -61,15 +61,15 @@
         CountDownLatch firstConfirmed = new CountDownLatch(1);
         SimulatedRelay firstRelay =
                 new SimulatedRelay(
-                        first, new ConfigurationView(), lineWriter, firstConfirmed::countDown);
+                        firstIndex, new ConfigurationView(), lineWriter, firstConfirmed::countDown);
         relays.add(firstRelay);
-        firstRelay.start(followerOptions(first), resources);
+        firstRelay.start(followerOptions(firstIndex), resources);
         if (!firstConfirmed.await(SNAPSHOT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             throw new IOException(
                     "no source delivered a snapshot within " + SNAPSHOT_TIMEOUT_SECONDS + " s");
         }
         SimulatedRelay.Snapshot snapshot = firstRelay.snapshot();
-        for (int index = first + 1; index < first + count; index++) {
+        for (int index = firstIndex + 1; index < firstIndex + relayCount; index++) {
             ConfigurationView view = new ConfigurationView(snapshot.revision(), snapshot.entries());
             SimulatedRelay relay = new SimulatedRelay(index, view, lineWriter, () -> {});
             relays.add(relay);
