--- a/lab/src/main/java/saltstage/lab/scale/LineClients.java
+++ b/lab/src/main/java/saltstage/lab/scale/LineClients.java
@@ -15,9 +15,12 @@
 import saltstage.net.Loop;
 import saltstage.net.Transport;
 
-/** Clients that open connections through a relay, stand, and time what is delivered to them. */
+/**
+ * Clients that open connections through a relay, keep them established, and measure the latency of
+ * the lines delivered to them.
+ */
 final class LineClients {
-    /** How a delivered line begins; the time of sending follows. */
+    /** Prefix of a delivered line; the send time in nanoseconds follows. */
     static final String DELIVERY_PREFIX = "D ";
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
@@ -40,11 +43,11 @@
         this.relay = relay;
     }
 
-    /** Begins to open one more connection. */
+    /** Starts to open one more connection; the result arrives asynchronously. */
     void open() {
-        int name = lastClientNumber.incrementAndGet();
-        Loop loop = transport.loops().get(name % transport.loops().size());
-        Client client = new Client("c" + name);
+        int number = lastClientNumber.incrementAndGet();
+        Loop loop = transport.loops().get(number % transport.loops().size());
+        Client client = new Client("c" + number);
         openingCount.incrementAndGet();
         loop.execute(() -> transport.connect(loop, relay, CONNECT_TIMEOUT, WRITE_LIMITS, client));
     }
@@ -61,32 +64,35 @@
         return rejectedCount.get();
     }
 
-    /** Connections that stood and ended without being asked to. */
+    /** Number of established connections that ended without a call of {@link #closeSome}. */
     int lostCount() {
         return lostCount.get();
     }
 
-    /** Takes the times of set-up, in microseconds, that were measured since the last call. */
+    /** Returns the setup times in microseconds recorded since the last call, and resets them. */
     Histogram takeSetupMicros() {
         Histogram taken = setupMicros;
         setupMicros = new ConcurrentHistogram(MAX_RECORDED_MICROS, 3);
         return taken;
     }
 
-    /** Takes the times from backend to client, in microseconds, since the last call. */
+    /**
+     * Returns the delivery times from backend to client in microseconds recorded since the last
+     * call, and resets them.
+     */
     Histogram takeDeliveryMicros() {
         Histogram taken = deliveryMicros;
         deliveryMicros = new ConcurrentHistogram(MAX_RECORDED_MICROS, 3);
         return taken;
     }
 
-    /** Ends so many of those that stand. */
+    /** Closes the given number of established connections. */
     void closeSome(int count) {
         established.stream().limit(count).forEach(Client::close);
     }
 
-    private static long microsSince(long nanos) {
-        return Math.min(MAX_RECORDED_MICROS, Math.max(0, (System.nanoTime() - nanos) / 1_000));
+    private static long microsSince(long startNanos) {
+        return Math.min(MAX_RECORDED_MICROS, Math.max(0, (System.nanoTime() - startNanos) / 1_000));
     }
 
     private final class Client implements ConnectionHandler, Transport.ConnectListener {
@@ -102,8 +108,8 @@
         }
 
         @Override
-        public ConnectionHandler connected(Connection made) {
-            connection = made;
+        public ConnectionHandler connected(Connection newConnection) {
+            connection = newConnection;
             sendLine("OPEN " + name + " k" + name + " c=lines,t=tenant,d=2000,g=" + name);
             return this;
         }
@@ -113,17 +119,17 @@
         }
 
         @Override
-        public void failed(IOException why) {
+        public void failed(IOException cause) {
             requestAnswered(false);
         }
 
-        private void requestAnswered(boolean taken) {
+        private void requestAnswered(boolean accepted) {
             if (answered) {
                 return;
             }
             answered = true;
             openingCount.decrementAndGet();
-            if (taken) {
+            if (accepted) {
                 setupMicros.recordValue(microsSince(startedNanos));
                 established.add(this);
             } else {
@@ -144,7 +150,7 @@
         }
 
         @Override
-        public void received(Connection on, ByteBuffer bytes) {
+        public void received(Connection source, ByteBuffer bytes) {
             while (bytes.hasRemaining()) {
                 char c = (char) bytes.get();
                 if (c == '\n') {
@@ -168,12 +174,12 @@
         }
 
         @Override
-        public void inputEnded(Connection on) {
-            on.close();
+        public void inputEnded(Connection source) {
+            source.close();
         }
 
         @Override
-        public void closed(Connection on, Connection.Cause why) {
+        public void closed(Connection source, Connection.Cause cause) {
             requestAnswered(false);
             if (established.remove(this) && !closing) {
                 lostCount.incrementAndGet();
--- a/lab/src/main/java/saltstage/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/saltstage/lab/scale/ScaleRun.java
@@ -8,11 +8,17 @@
 import saltstage.net.NettyTransport;
 import saltstage.net.Transport;
 
-/** What all scale runs share: a seed, a scratch folder, event loops, and a CSV at the end. */
+/**
+ * Base class of the scale runs: provides a seed, a scratch folder and event loops, and writes the
+ * CSV file at the end.
+ */
 abstract class ScaleRun implements Callable<Integer> {
     private static final int EVENT_LOOPS = 2;
 
-    @Option(names = "--seed", defaultValue = "1", description = "of all random numbers (default 1)")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "seed of all random numbers (default 1)")
     private long seed;
 
     private final String name;
@@ -21,30 +27,31 @@
         this.name = name;
     }
 
-    /** Carries the run out and fills its file; returns whether every bound was kept. */
-    abstract boolean run(RunContext stage) throws Exception;
+    /** Executes the run and fills its file; returns whether all checked bounds were met. */
+    abstract boolean run(RunContext context) throws Exception;
 
-    /** What a run works with. */
+    /** The inputs and resources of a run. */
     record RunContext(long seed, Path folder, Transport transport, MeasurementFile file) {}
 
     @Override
     public Integer call() throws Exception {
         Path folder = Files.createTempDirectory("scale-" + name + "-");
         MeasurementFile file = new MeasurementFile(name, seed);
-        boolean kept;
+        boolean withinBounds;
         try (Transport transport =
                 new NettyTransport(
                         EVENT_LOOPS,
                         true,
-                        (where, fault) -> System.err.println("fault in " + where + ": " + fault))) {
-            kept = run(new RunContext(seed, folder, transport, file));
+                        (location, fault) ->
+                                System.err.println("fault in " + location + ": " + fault))) {
+            withinBounds = run(new RunContext(seed, folder, transport, file));
         }
         file.write(Installation.measurementsDirectory());
         Installation.deleteRecursively(folder);
-        return kept ? 0 : 1;
+        return withinBounds ? 0 : 1;
     }
 
-    /** Progress, for who waits. */
+    /** Prints a progress message to standard error, separate from the results. */
     static void printProgress(String text) {
         System.err.println(text);
     }
--- a/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHostCommand.java
+++ b/lab/src/main/java/saltstage/lab/scale/SimulatedRelayHostCommand.java
@@ -26,24 +26,24 @@
 import saltstage.configuration.follower.FollowerTimings;
 
 /**
- * Many hollow relays in one process: the control side of a relay (client, codec, state, timers)
- * without clients and without a disk. The first takes a snapshot; the others start with its
- * entries, as relays do that have them on disk, and share the entries' objects. Speaks lines, see
- * {@link SimulatedRelayHost}.
+ * Runs many simulated relays in one process: the control side of a relay (client, codec, state,
+ * timers) without client connections and persistence. The first relay fetches a snapshot. The
+ * others start with its entries, like relays that have persisted them, and share the entry objects.
+ * The process reports in lines, see {@link SimulatedRelayHost}.
  */
 @Command(
         name = "hollow-host",
         hidden = true,
-        description = "Hollow relays of one zone; part of a fleet run.")
+        description = "Runs simulated relays of one zone; part of a fleet run.")
 final class SimulatedRelayHostCommand implements Callable<Integer> {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final long SNAPSHOT_TIMEOUT_SECONDS = 120;
 
     @Option(names = "--first", required = true)
-    private int first;
+    private int firstIndex;
 
     @Option(names = "--count", required = true)
-    private int count;
+    private int relayCount;
 
     @Option(names = "--zone", required = true)
     private String zone;
@@ -58,18 +58,19 @@
     public Integer call() throws Exception {
         lineWriter.start();
         FollowerResources resources = followerResources();
-        CountDownLatch current = new CountDownLatch(1);
-        SimulatedRelay leading =
-                new SimulatedRelay(first, new ConfigurationView(), lineWriter, current::countDown);
-        relays.add(leading);
-        leading.start(followerOptions(first), resources);
-        if (!current.await(SNAPSHOT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+        CountDownLatch firstConfirmed = new CountDownLatch(1);
+        SimulatedRelay firstRelay =
+                new SimulatedRelay(
+                        firstIndex, new ConfigurationView(), lineWriter, firstConfirmed::countDown);
+        relays.add(firstRelay);
+        firstRelay.start(followerOptions(firstIndex), resources);
+        if (!firstConfirmed.await(SNAPSHOT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             throw new IOException(
-                    "no source gave a snapshot within " + SNAPSHOT_TIMEOUT_SECONDS + " s");
+                    "no source delivered a snapshot within " + SNAPSHOT_TIMEOUT_SECONDS + " s");
         }
-        SimulatedRelay.Snapshot held = leading.snapshot();
-        for (int index = first + 1; index < first + count; index++) {
-            ConfigurationView view = new ConfigurationView(held.revision(), held.entries());
+        SimulatedRelay.Snapshot snapshot = firstRelay.snapshot();
+        for (int index = firstIndex + 1; index < firstIndex + relayCount; index++) {
+            ConfigurationView view = new ConfigurationView(snapshot.revision(), snapshot.entries());
             SimulatedRelay relay = new SimulatedRelay(index, view, lineWriter, () -> {});
             relays.add(relay);
             relay.start(followerOptions(index), resources);
@@ -99,16 +100,16 @@
     }
 
     private static ScheduledExecutorService scheduler(String name) {
-        ThreadFactory daemons =
-                work -> {
-                    Thread thread = new Thread(work, name);
+        ThreadFactory daemonThreads =
+                task -> {
+                    Thread thread = new Thread(task, name);
                     thread.setDaemon(true);
                     return thread;
                 };
-        return Executors.newSingleThreadScheduledExecutor(daemons);
+        return Executors.newSingleThreadScheduledExecutor(daemonThreads);
     }
 
-    /** Any line asks for the digests; the end of the input ends the process. */
+    /** Answers each input line with the digests of all relays; returns at the end of the input. */
     private void answerDigestRequests() throws IOException {
         BufferedReader in =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
--- a/lab/src/main/java/saltstage/lab/scale/SteadyChanges.java
+++ b/lab/src/main/java/saltstage/lab/scale/SteadyChanges.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import saltstage.coordinator.client.GroupClient;
 
-/** Changes at a steady rate from a thread of their own, and when they came into force where. */
+/**
+ * Writes configuration changes at a steady rate on its own thread, and computes how long they took
+ * to reach the relays.
+ */
 final class SteadyChanges {
     private static final java.time.Duration CALL_TIMEOUT = java.time.Duration.ofSeconds(12);
 
@@ -19,41 +22,44 @@
     private volatile boolean stopped;
     private int failedCount;
 
-    /** Begins at once. */
-    SteadyChanges(ConfigurationLoadGenerator load, GroupClient client, double perSecond) {
-        this.configurationLoad = load;
+    /** Starts to write changes immediately. */
+    SteadyChanges(
+            ConfigurationLoadGenerator configurationLoad,
+            GroupClient client,
+            double changesPerSecond) {
+        this.configurationLoad = configurationLoad;
         this.client = client;
-        writerThread = new Thread(() -> writeLoop(perSecond), "writer");
+        writerThread = new Thread(() -> writeLoop(changesPerSecond), "writer");
         writerThread.setDaemon(true);
         writerThread.start();
     }
 
-    private void writeLoop(double perSecond) {
-        double due = System.nanoTime();
+    private void writeLoop(double changesPerSecond) {
+        double dueNanos = System.nanoTime();
         while (!stopped) {
             try {
-                Thread.sleep(Math.max(0, (long) ((due - System.nanoTime()) / 1e6)));
-                due = Math.max(due + 1e9 / perSecond, System.nanoTime() - 1e9);
-                ConfigurationLoadGenerator.AcceptedRevision one =
+                Thread.sleep(Math.max(0, (long) ((dueNanos - System.nanoTime()) / 1e6)));
+                dueNanos = Math.max(dueNanos + 1e9 / changesPerSecond, System.nanoTime() - 1e9);
+                ConfigurationLoadGenerator.AcceptedRevision accepted =
                         configurationLoad.changeShards(client, 1, CALL_TIMEOUT);
                 synchronized (acceptedRevisions) {
-                    acceptedRevisions.add(one);
+                    acceptedRevisions.add(accepted);
                 }
-            } catch (IOException refused) {
+            } catch (IOException failure) {
                 failedCount++;
-            } catch (InterruptedException ended) {
+            } catch (InterruptedException interrupted) {
                 return;
             }
         }
     }
 
-    /** Ends the writing after the change that is under way. */
+    /** Stops after the change in progress and waits for the writer thread to end. */
     void stop() throws InterruptedException {
         stopped = true;
         writerThread.join();
     }
 
-    /** Those that were accepted. */
+    /** The revisions of the changes that were accepted so far. */
     List<ConfigurationLoadGenerator.AcceptedRevision> acceptedRevisions() {
         synchronized (acceptedRevisions) {
             return List.copyOf(acceptedRevisions);
@@ -61,14 +67,18 @@
     }
 
     /**
-     * Times until changes were in force, in seconds from the moment they were asked for.
+     * Times from the request of a change until relays applied it, in seconds.
      *
-     * @param p50 over all changes and relays
-     * @param p99 over all changes and relays
-     * @param everywhereMedian until the last relay had it, the median over changes
-     * @param everywhereMost the same, at the most
-     * @param missing pairs of change and relay that never came
-     * @param failed changes without an answer
+     * @param changeCount number of accepted changes
+     * @param p50Seconds median over all pairs of change and relay
+     * @param p99Seconds 99th percentile over all pairs of change and relay
+     * @param everywhereMedianSeconds time until the last relay applied a change, the median over
+     *     changes
+     * @param everywhereMaxSeconds time until the last relay applied a change, the maximum over
+     *     changes
+     * @param missingCount number of pairs of change and relay where the relay never applied the
+     *     change
+     * @param failedCount number of changes that failed or got no answer
      */
     record PropagationTimes(
             int changeCount,
@@ -78,7 +88,7 @@
             double everywhereMaxSeconds,
             long missingCount,
             int failedCount) {
-        /** Adds them to a file, each with this prefix. */
+        /** Adds the figures to a file, each with this prefix. */
         void addTo(MeasurementFile file, String prefix) {
             file.addFigure(prefix + "_changes", changeCount);
             file.addFigure(prefix + "_p50_s", p50Seconds);
@@ -90,37 +100,37 @@
         }
     }
 
-    /** The times at these relays. */
-    PropagationTimes propagationTimes(AppliedRevisionLog log, Collection<Integer> relays) {
+    /** Computes the propagation times of all accepted changes to these relays. */
+    PropagationTimes propagationTimes(AppliedRevisionLog revisionLog, Collection<Integer> relays) {
         List<double[]> byChange =
                 acceptedRevisions().stream()
                         .map(
                                 change ->
-                                        log.secondsUntilApplied(
+                                        revisionLog.secondsUntilApplied(
                                                 relays, change.revision(), change.sentNanos()))
                         .toList();
-        double[] all = byChange.stream().flatMapToDouble(Arrays::stream).sorted().toArray();
-        double[] everywhere =
+        double[] allTimes = byChange.stream().flatMapToDouble(Arrays::stream).sorted().toArray();
+        double[] completionTimes =
                 byChange.stream()
                         .filter(times -> times.length == relays.size())
                         .mapToDouble(times -> times[times.length - 1])
                         .sorted()
                         .toArray();
-        long missing = (long) byChange.size() * relays.size() - all.length;
+        long missingCount = (long) byChange.size() * relays.size() - allTimes.length;
         return new PropagationTimes(
                 byChange.size(),
-                quantile(all, 0.5),
-                quantile(all, 0.99),
-                quantile(everywhere, 0.5),
-                quantile(everywhere, 1),
-                missing,
+                quantile(allTimes, 0.5),
+                quantile(allTimes, 0.99),
+                quantile(completionTimes, 0.5),
+                quantile(completionTimes, 1),
+                missingCount,
                 failedCount);
     }
 
-    private static double quantile(double[] sorted, double share) {
+    private static double quantile(double[] sorted, double fraction) {
         if (sorted.length == 0) {
             return Double.NaN;
         }
-        return sorted[Math.min(sorted.length - 1, (int) Math.ceil(share * sorted.length) - 1)];
+        return sorted[Math.min(sorted.length - 1, (int) Math.ceil(fraction * sorted.length) - 1)];
     }
 }
--- a/lab/src/test/java/saltstage/lab/scale/FleetTest.java
+++ b/lab/src/test/java/saltstage/lab/scale/FleetTest.java
@@ -13,7 +13,8 @@
 import saltstage.net.NettyTransport;
 
 /**
- * A small installation of real control processes: its leader is killed while configuration changes.
+ * Guards against configuration changes that are lost or delayed too long when the leader of the
+ * group is killed. Runs a small installation of real control processes with simulated relays.
  */
 @Timeout(value = 2, unit = TimeUnit.MINUTES)
 class FleetTest {
@@ -22,10 +23,13 @@
     private static final int EXTRA_RELAYS = 2;
     private static final double CHANGES_PER_SECOND = 4;
 
-    /** A slow machine may take so many times longer than what a change takes without a failure. */
+    /**
+     * Allowance for slow machines: on top of the propagation limit, a change may take this multiple
+     * of the time measured without a failure.
+     */
     private static final double MAX_SLOWDOWN_FACTOR = 5;
 
-    /** The bytes of a quiet relay against its budget. */
+    /** Maximum share of its byte budget that a relay may use while nothing changes. */
     private static final double MAX_QUIET_SHARE_OF_BUDGET = 0.5;
 
     @TempDir private Path folder;
@@ -33,57 +37,63 @@
     @Test
     void aChangeComesIntoForceEverywhereWhileTheLeaderDies() throws Exception {
         try (NettyTransport transport =
-                        new NettyTransport(2, true, (where, fault) -> fault.printStackTrace());
-                FleetEnvironment all = new FleetEnvironment(folder, transport, 1, SHARDS)) {
-            all.addRelaysToEachZone(RELAYS_PER_ZONE);
-            all.fleet().add(Zone.B1, EXTRA_RELAYS);
-            all.fleet().awaitReady();
-            Set<Integer> everywhere = all.fleet().relaysIn(zone -> true);
-            assertEquals(50, everywhere.size());
+                        new NettyTransport(2, true, (location, fault) -> fault.printStackTrace());
+                FleetEnvironment environment = new FleetEnvironment(folder, transport, 1, SHARDS)) {
+            environment.addRelaysToEachZone(RELAYS_PER_ZONE);
+            environment.fleet().add(Zone.B1, EXTRA_RELAYS);
+            environment.fleet().awaitReady();
+            Set<Integer> allRelays = environment.fleet().relaysIn(zone -> true);
+            assertEquals(50, allRelays.size());
 
-            assertQuietRelaysKeepTheirBudget(all);
-            SteadyChanges.PropagationTimes calm = measureChangesDuring(all, everywhere, () -> {});
-            String leader = all.controlPlane().leader();
-            SteadyChanges.PropagationTimes killed =
-                    measureChangesDuring(all, everywhere, all.controlPlane().replica(leader)::kill);
+            assertQuietRelaysKeepTheirBudget(environment);
+            SteadyChanges.PropagationTimes withoutFailure =
+                    measureChangesDuring(environment, allRelays, () -> {});
+            String leader = environment.controlPlane().leader();
+            SteadyChanges.PropagationTimes withLeaderKilled =
+                    measureChangesDuring(
+                            environment,
+                            allRelays,
+                            environment.controlPlane().replica(leader)::kill);
 
-            assertEquals(0, calm.missingCount());
-            assertEquals(0, killed.missingCount());
+            assertEquals(0, withoutFailure.missingCount());
+            assertEquals(0, withLeaderKilled.missingCount());
             assertTrue(
-                    killed.everywhereMaxSeconds()
+                    withLeaderKilled.everywhereMaxSeconds()
                             <= CapacityTarget.MAX_PROPAGATION_SECONDS
-                                    + MAX_SLOWDOWN_FACTOR * calm.everywhereMaxSeconds(),
-                    calm + " and " + killed);
+                                    + MAX_SLOWDOWN_FACTOR * withoutFailure.everywhereMaxSeconds(),
+                    withoutFailure + " and " + withLeaderKilled);
             assertEquals(
                     1,
-                    all.fleet().distinctStates().size(),
+                    environment.fleet().distinctStates().size(),
                     "all relays have the same revision and digest");
         }
     }
 
-    private static void assertQuietRelaysKeepTheirBudget(FleetEnvironment all) throws Exception {
-        FleetResourceUsage before = FleetResourceUsage.measure(all);
+    private static void assertQuietRelaysKeepTheirBudget(FleetEnvironment environment)
+            throws Exception {
+        FleetResourceUsage before = FleetResourceUsage.measure(environment);
         ScaleRun.sleepSeconds(4);
-        FleetResourceUsage quiet = FleetResourceUsage.measure(all).since(before);
-        double perRelay = quiet.relayTraffic().bytes() / quiet.seconds() / all.fleet().relayCount();
+        FleetResourceUsage quiet = FleetResourceUsage.measure(environment).since(before);
+        double perRelay =
+                quiet.relayTraffic().bytes() / quiet.seconds() / environment.fleet().relayCount();
         assertTrue(
                 perRelay <= MAX_QUIET_SHARE_OF_BUDGET * CapacityTarget.CONTROL_BYTES_PER_SECOND,
                 perRelay + " bytes a second");
     }
 
-    /** Something that befalls it. */
+    /** An event triggered while configuration changes are written. */
     private interface Event {
         void run() throws Exception;
     }
 
     private static SteadyChanges.PropagationTimes measureChangesDuring(
-            FleetEnvironment all, Set<Integer> relays, Event event) throws Exception {
-        SteadyChanges changes = all.startChanges(CHANGES_PER_SECOND);
+            FleetEnvironment environment, Set<Integer> relays, Event event) throws Exception {
+        SteadyChanges changes = environment.startChanges(CHANGES_PER_SECOND);
         ScaleRun.sleepSeconds(1);
         event.run();
         ScaleRun.sleepSeconds(4);
         changes.stop();
-        FleetRun.awaitApplied(all, relays, changes);
-        return changes.propagationTimes(all.fleet().revisionLog(), relays);
+        FleetRun.awaitApplied(environment, relays, changes);
+        return changes.propagationTimes(environment.fleet().revisionLog(), relays);
     }
 }
--- a/lab/src/test/java/saltstage/lab/scale/LineFitTest.java
+++ b/lab/src/test/java/saltstage/lab/scale/LineFitTest.java
@@ -8,11 +8,14 @@
 import java.util.stream.DoubleStream;
 import org.junit.jupiter.api.Test;
 
-/** Lines through points, their intervals, and where none is drawn. */
+/**
+ * Guards against wrong fits: wrong coefficients or intervals, and lines through points that are
+ * curved, flat or too few.
+ */
 class LineFitTest {
     private static final double[] QUANTITIES = {1, 2, 4, 8, 16};
 
-    /** Added in turn, so that the points do not lie on the curve exactly. */
+    /** Deviations added to the points in order, so that they do not lie exactly on the curve. */
     private static final double[] NOISE = {0.2, -0.3, 0.1, 0.25, -0.2};
 
     private static LineFit fit(DoubleUnaryOperator curve) {
@@ -46,8 +49,8 @@
                                 new LineFit.Point(2, 2.3),
                                 new LineFit.Point(3, 3.3),
                                 new LineFit.Point(16, 17.0)));
-        double half = (fit.slope().high() - fit.slope().low()) / 2;
-        assertEquals(3.18245 * slopeError(), half, 1e-4);
+        double halfWidth = (fit.slope().high() - fit.slope().low()) / 2;
+        assertEquals(3.18245 * slopeError(), halfWidth, 1e-4);
     }
 
     private static double slopeError() {
@@ -62,12 +65,12 @@
             xy += (x[i] - meanX) * (y[i] - meanY);
         }
         double slope = xy / xx;
-        double squares = 0;
+        double squaredResiduals = 0;
         for (int i = 0; i < x.length; i++) {
             double residual = y[i] - meanY - slope * (x[i] - meanX);
-            squares += residual * residual;
+            squaredResiduals += residual * residual;
         }
-        return Math.sqrt(squares / 3 / xx);
+        return Math.sqrt(squaredResiduals / 3 / xx);
     }
 
     @Test
