--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationDemo.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationDemo.java
@@ -6,7 +6,10 @@
 import java.util.LongSummaryStatistics;
 import saltstage.lab.trial.ConfigurationWriter.AcceptedRevision;
 
-/** To look at: changes that go into force at all followers of a group while its leader dies. */
+/**
+ * Demonstrates that configuration changes are applied by all followers of a group while the leader
+ * of the group is killed.
+ */
 final class ConfigurationDemo implements AutoCloseable {
     private static final int FOLLOWERS_PER_ZONE = 20;
     private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
@@ -16,7 +19,7 @@
     private final ConfigurationFleet fleet;
     private final ConfigurationWriter writer;
 
-    /** Starts distributors and followers beside the group. */
+    /** Starts the distributors and followers of the group. */
     ConfigurationDemo(Path dir, GroupUnderTest group) throws IOException, InterruptedException {
         this.group = group;
         fleet = new ConfigurationFleet(dir, group, observer, FOLLOWERS_PER_ZONE);
@@ -25,7 +28,10 @@
         fleet.start(START_TIMEOUT);
     }
 
-    /** Plays it; false if a change was not in force everywhere in time, or anything else broke. */
+    /**
+     * Runs the demonstration. Returns false if a change was not applied everywhere in time or any
+     * other check failed.
+     */
     boolean run() throws IOException, InterruptedException {
         System.out.println(
                 "configuration: 2 distributors, " + fleet.followerCount() + " followers");
@@ -44,7 +50,7 @@
         System.out.println(
                 observer.violations().isEmpty()
                         ? "  all digests agree"
-                        : "  BROKEN " + observer.violations());
+                        : "  VIOLATIONS " + observer.violations());
         return observer.violations().isEmpty();
     }
 
@@ -53,14 +59,15 @@
         long revision = accepted.revision();
         if (!observer.awaitRevision(
                 revision, fleet.followerCount(), ConfigurationTrial.MAX_PROPAGATION_MS)) {
-            observer.addViolation("revision " + revision + " is not in force everywhere in time");
+            observer.addViolation(
+                    "revision " + revision + " was not applied by all followers in time");
         }
         LongSummaryStatistics times =
                 observer.appliedMsByFollower(revision).values().stream()
                         .mapToLong(atMs -> Math.max(0, atMs - accepted.atMs()))
                         .summaryStatistics();
         System.out.printf(
-                "  %s: revision %d in force at %d followers, the first after %d ms, the last"
+                "  %s: revision %d applied by %d followers, the first after %d ms, the last"
                         + " after %d ms%n",
                 what, revision, times.getCount(), times.getMin(), times.getMax());
     }
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationFault.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationFault.java
@@ -8,13 +8,13 @@
 import saltstage.lab.trial.FaultProxy.DirectionFault;
 
 /**
- * What befalls whom in a trial of the configuration, and for how long.
+ * A fault that a configuration trial injects.
  *
- * @param at the one that it befalls; empty where the kind says it
- * @param lastsMs until it is mended, milliseconds
+ * @param target name of the affected process; empty where the kind implies it
+ * @param durationMs milliseconds until the fault is repaired
  */
 record ConfigurationFault(Kind kind, String target, int durationMs) {
-    /** The kinds of faults; the links are those to the preferred source. */
+    /** The kinds of faults. Link faults affect the link to the preferred source of the target. */
     enum Kind {
         LEADER_KILLED,
         DISTRIBUTOR_KILLED,
@@ -27,12 +27,12 @@
         CONTROL_RESTARTED
     }
 
-    /** Long enough that whoever waits at a silent source has to leave it. */
+    /** Long enough that a client of a silent source has to fail over to another source. */
     private static final int SILENCE_MS = 9_000;
 
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(30);
 
-    /** The faults of a seed, one after the other. */
+    /** Returns the faults of a seed in the order in which they are injected. */
     static List<ConfigurationFault> randomFaults(long seed, int count, ConfigurationFleet fleet) {
         Random random = new Random(seed);
         List<Kind> kinds = new ArrayList<>(List.of(Kind.values()));
@@ -63,7 +63,7 @@
         return new ConfigurationFault(kind, at, silent ? SILENCE_MS : 500 + random.nextInt(2_500));
     }
 
-    /** Whether followers are down meanwhile, all of those at {@link #target}. */
+    /** Returns whether the fault stops all followers of the process {@link #target}. */
     boolean stopsFollowers() {
         return kind == Kind.FOLLOWERS_KILLED || kind == Kind.FOLLOWERS_PAUSED;
     }
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Mends it; returns once whoever was down answers again. */
+    /** Repairs the fault and returns once the stopped processes answer again. */
     void repair(GroupUnderTest group, ConfigurationFleet fleet)
             throws IOException, InterruptedException {
         group.heal();
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationFleet.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationFleet.java
@@ -16,8 +16,9 @@
 import saltstage.coordinator.client.Ticker;
 
 /**
- * Two distributors and a process of followers for each of their zones beside a group, with faulty
- * links between distributors and replicas and between followers and distributors.
+ * Two distributors of a group, each in a zone of its own, and one process with followers for each
+ * zone. The links between distributors and replicas, and between followers and distributors, pass
+ * through proxies that can inject faults.
  */
 final class ConfigurationFleet implements AutoCloseable {
     private static final List<String> ZONES = List.of("a1", "a2");
@@ -29,7 +30,7 @@
     private final Map<String, TrialProcess> distributors = new LinkedHashMap<>();
     private final Map<String, TrialProcess> followers = new LinkedHashMap<>();
 
-    /** By the one who asks: the links to its sources, the preferred one first. */
+    /** The links from each process to its sources, the preferred source first. */
     private final Map<String, List<FaultProxy>> links = new LinkedHashMap<>();
 
     ConfigurationFleet(
@@ -133,7 +134,7 @@
                         Integer.toString(observer.address().getPort())));
     }
 
-    /** Starts all and waits until each follower has told the witness what it has. */
+    /** Starts all processes and waits until each follower has reported its first revision. */
     void start(Duration within) throws IOException, InterruptedException {
         for (TrialProcess distributor : distributors.values()) {
             distributor.start();
@@ -169,18 +170,18 @@
         return List.copyOf(followers.keySet());
     }
 
-    /** The links of a distributor to replicas, or of followers to distributors. */
+    /** Returns the links of a distributor to the replicas, or of followers to the distributors. */
     List<FaultProxy> links(String asking) {
         return links.get(asking);
     }
 
-    /** What a distributor says of itself. */
+    /** Fetches the status that a distributor reports. */
     JsonNode status(String distributor, Duration within) throws IOException, InterruptedException {
         String at = formatAddress(distributorAddresses.get(distributor));
         return new GroupClient(List.of(at), Ticker.SYSTEM).get("/v1/configuration/status", within);
     }
 
-    /** Everything runs, and every link is clear again. */
+    /** Restarts or resumes all stopped processes and removes the faults of all links. */
     void heal() throws IOException, InterruptedException {
         links.values().forEach(some -> some.forEach(FaultProxy::heal));
         for (TrialProcess proc : processes()) {
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationObserver.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationObserver.java
@@ -16,13 +16,13 @@
 import saltstage.configuration.ConfigurationView;
 
 /**
- * Hears from each follower what has come into force there, outside the group, the distributors and
- * the followers. It checks at once what an observation alone can break: no follower goes back, and
- * no two have one revision with different digests. What was accepted is known later: {@link
- * #compare}.
+ * Receives a report from each follower for every revision that it applies, independently of the
+ * group, the distributors and the followers. It checks immediately that no follower goes back to an
+ * older revision and that no two followers have different digests for one revision. The comparison
+ * with the changes that the group accepted follows later, in {@link #compareWithAccepted}.
  */
 final class ConfigurationObserver implements AutoCloseable {
-    /** A revision as it came into force at one follower; times are milliseconds since the start. */
+    /** A revision that one follower applied; times are milliseconds since the observer started. */
     record Observation(String follower, long revision, String digest, long atMs, boolean atStart) {}
 
     private final ServerSocket listener;
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Takes what a follower tells; {@code what} is how the revision came into force. */
+    /** Records the report of a follower; {@code what} tells how it applied the revision. */
     synchronized void observe(String follower, String what, long revision, String digest) {
         Observation now =
                 new Observation(follower, revision, digest, elapsedMs(), what.equals("start"));
@@ -96,7 +96,7 @@
     /**
      * Compares all observations with what the group accepted.
      *
-     * @param digests by revision, as accepted
+     * @param digests the digests of the accepted changes, by revision
      */
     synchronized void compareWithAccepted(Map<Long, String> digests) {
         for (Observation one : firstByRevision.values()) {
@@ -111,7 +111,10 @@
         }
     }
 
-    /** Waits until so many followers have this revision or a newer one; false if not in time. */
+    /**
+     * Waits until this number of followers have the revision or a newer one; returns false if they
+     * do not in time.
+     */
     synchronized boolean awaitRevision(long revision, int followers, long withinMs)
             throws InterruptedException {
         long untilMs = elapsedMs() + withinMs;
@@ -129,7 +132,7 @@
         return newestByFollower.values().stream().filter(one -> one.revision() >= revision).count();
     }
 
-    /** When each follower had a revision, or a newer one, for the first time. */
+    /** Returns, by follower, when it first applied the revision or a newer one. */
     synchronized Map<String, Long> appliedMsByFollower(long revision) {
         Map<String, Long> times = new TreeMap<>();
         for (Observation one : observations) {
@@ -140,22 +143,22 @@
         return times;
     }
 
-    /** The newest observation of each follower. */
+    /** Returns the newest observation of each follower. */
     synchronized Map<String, Observation> newestByFollower() {
         return new TreeMap<>(newestByFollower);
     }
 
-    /** How many observations there were. */
+    /** Returns the number of observations. */
     synchronized int observationCount() {
         return observations.size();
     }
 
-    /** What must not be; none if all is as it should be. */
+    /** Returns the violations found so far; empty if every check passed. */
     synchronized List<String> violations() {
         return List.copyOf(violations);
     }
 
-    /** Adds what others found. */
+    /** Adds a violation that another check found. */
     synchronized void addViolation(String what) {
         violations.add(what);
     }
@@ -164,7 +167,7 @@
         return (System.nanoTime() - startNanos) / 1_000_000;
     }
 
-    /** The digests that revision 0 has. */
+    /** Returns a new map that holds the digest of revision 0. */
     static Map<Long, String> initialDigests() {
         Map<Long, String> digests = new TreeMap<>();
         digests.put(0L, ConfigurationJson.formatDigest(new ConfigurationView().digest()));
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationStepTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationStepTrial.java
@@ -9,25 +9,25 @@
 import saltstage.lab.trial.ConfigurationWriter.AcceptedRevision;
 
 /**
- * Kills a process at a step of one change, starts it again, and waits until the change is in force
- * at all followers: each step with each process once.
+ * Kills a process at a given step of one configuration change, restarts it, and waits until all
+ * followers have applied the change. Each case combines one step with one victim.
  */
 final class ConfigurationStepTrial {
-    /** How far a change is when the process is killed. */
+    /** The step that a change has reached when the process is killed. */
     enum Step {
-        /** It is on its way to the leader, or in its log; the writer has no reply. */
+        /** The change is on its way to the leader or in its log; the writer has no reply. */
         LOGGED,
-        /** The writer has its reply. */
+        /** The writer has the reply. */
         ACCEPTED,
-        /** A distributor serves it. */
+        /** A distributor serves the change. */
         AT_DISTRIBUTOR,
-        /** It is in force at the first follower. */
+        /** The first follower has applied the change. */
         AT_FOLLOWER,
-        /** A distributor has all confirmations of its zone. */
+        /** A distributor has received the confirmations of all followers in its zone. */
         CONFIRMED
     }
 
-    /** Who is killed. */
+    /** The process or processes that are killed. */
     enum Victim {
         LEADER,
         DISTRIBUTOR,
@@ -48,7 +48,7 @@
         this.trial = trial;
     }
 
-    /** Returns how long it took from acceptance until all followers had it, milliseconds. */
+    /** Returns the milliseconds from acceptance until all followers had applied the change. */
     long runCase(Step step, Victim victim) throws IOException, InterruptedException {
         ConfigurationObserver witness = trial.observer();
         String leader = trial.group().leader(CALL_TIMEOUT);
@@ -63,11 +63,11 @@
         AcceptedRevision accepted = change.join();
         if (accepted.revision() != before + 1) {
             witness.addViolation(
-                    "a change came to be " + (accepted.revision() - before) + " revisions");
+                    "one change produced " + (accepted.revision() - before) + " revisions");
         }
         int all = trial.fleet().followerCount();
         if (!witness.awaitRevision(accepted.revision(), all, MAX_WAIT_MS)) {
-            throw new IOException("not in force everywhere after " + MAX_WAIT_MS + " ms");
+            throw new IOException("not applied by all followers after " + MAX_WAIT_MS + " ms");
         }
         witness.compareWithAccepted(trial.writer().fetchDigests());
         return witness.appliedMsByFollower(accepted.revision()).values().stream()
@@ -101,7 +101,7 @@
             }
             case AT_FOLLOWER -> {
                 if (!trial.observer().awaitRevision(revision, 1, MAX_WAIT_MS)) {
-                    throw new IOException("at no follower after " + MAX_WAIT_MS + " ms");
+                    throw new IOException("applied by no follower after " + MAX_WAIT_MS + " ms");
                 }
             }
             case CONFIRMED -> awaitConfirmations(revision);
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationTrial.java
@@ -12,13 +12,14 @@
 import saltstage.lab.trial.ConfigurationWriter.AcceptedRevision;
 
 /**
- * A group, its distributors and followers in processes of their own, with changes written while
- * faults befall them. The witness outside judges: nothing that was not accepted, nobody goes back,
- * no other digest than the writer's, all digests agree in the end, and each change in force at each
- * live follower within {@link #MAX_PROPAGATION_MS}.
+ * Writes configuration changes while faults are injected into a group, its distributors and its
+ * followers, all of which run in processes of their own. A separate observer checks that followers
+ * apply only accepted changes, that none goes back to an older revision, that every digest equals
+ * the writer's, that all digests agree in the end, and that each live follower applies each change
+ * within {@link #MAX_PROPAGATION_MS}.
  */
 public final class ConfigurationTrial implements AutoCloseable {
-    /** A change is in force at each live follower within so many milliseconds. */
+    /** Milliseconds within which each live follower must have applied an accepted change. */
     public static final long MAX_PROPAGATION_MS = 9_000;
 
     private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
@@ -27,10 +28,10 @@
     private static final int WRITE_AFTER_FAULT_MS = 800;
 
     /**
-     * How a trial went; times from acceptance to in force, in milliseconds, over all changes and
-     * live followers.
+     * The result of a trial. Times are milliseconds from the acceptance of a change until it was
+     * applied, over all changes and live followers.
      *
-     * @param longestMsByFault the longest of the changes accepted under each kind of fault
+     * @param maxMsByFault the longest time of a change accepted under each kind of fault
      */
     public record Verdict(
             long seed,
@@ -42,7 +43,10 @@
             Map<String, Long> maxMsByFault,
             List<String> violations) {}
 
-    /** Followers that were not live, or nobody who served, for this span of the witness's time. */
+    /**
+     * A time span of the observer's clock in which followers with this prefix were stopped, or,
+     * with an empty prefix, no source served any follower.
+     */
     private record Outage(String followerPrefix, long fromMs, long toMs) {
         boolean covers(String follower, long fromMs, long toMs) {
             return follower.startsWith(followerPrefix)
@@ -60,7 +64,7 @@
     private final List<Outage> outages = new ArrayList<>();
     private final List<WrittenChange> writtenChanges = new ArrayList<>();
 
-    /** Starts all of it in a folder of its own, with so many followers a zone. */
+    /** Starts all processes in a directory, with this number of followers in each zone. */
     public ConfigurationTrial(Path dir, int followersPerZone)
             throws IOException, InterruptedException {
         List<Path> jars = List.of(TrialProcess.coordinatorJar());
@@ -88,7 +92,7 @@
         return observer;
     }
 
-    /** Plays so many faults of a seed and judges. */
+    /** Injects this number of random faults of a seed and evaluates the observations. */
     public Verdict run(long seed, int faults) throws IOException, InterruptedException {
         writtenChanges.clear();
         outages.clear();
@@ -143,7 +147,7 @@
         AcceptedRevision last = writtenChanges.get(writtenChanges.size() - 1).accepted();
         if (!observer.awaitRevision(
                 last.revision(), fleet.followerCount(), CONVERGENCE_TIMEOUT_MS)) {
-            observer.addViolation("not all followers came to revision " + last.revision());
+            observer.addViolation("not all followers reached revision " + last.revision());
         }
         Map<Long, String> digests = writer.fetchDigests();
         observer.compareWithAccepted(digests);
@@ -162,8 +166,7 @@
             }
         }
         if (times.getMaxValue() > MAX_PROPAGATION_MS) {
-            observer.addViolation(
-                    "a change was in force only after " + times.getMaxValue() + " ms");
+            observer.addViolation("a change was applied only after " + times.getMaxValue() + " ms");
         }
         Map<String, Long> named = new TreeMap<>();
         longest.forEach((kind, ms) -> named.put(kind.name().toLowerCase(), ms));
@@ -178,7 +181,10 @@
                 observer.violations());
     }
 
-    /** From acceptance, or from when the follower was live again, to in force; by follower. */
+    /**
+     * Returns the time that each follower needed to apply a change, counted from its acceptance or
+     * from the end of an outage of the follower, whichever is later.
+     */
     private List<Long> propagationTimes(AcceptedRevision accepted) {
         List<Long> times = new ArrayList<>();
         observer.appliedMsByFollower(accepted.revision())
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationTrialCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationTrialCommand.java
@@ -8,22 +8,28 @@
 import picocli.CommandLine.Option;
 import saltstage.lab.Installation;
 
-/** Trials of the configuration's way from the group to followers. */
+/** Runs trials of the propagation of configuration changes from the group to followers. */
 @Command(
         name = "configuration",
         mixinStandardHelpOptions = true,
-        description = "Changes written under faults; exit 1 if anything was not as it should be.")
+        description = "Writes changes under faults; exits with 1 if any check failed.")
 public final class ConfigurationTrialCommand implements Callable<Integer> {
-    @Option(names = "--seed", defaultValue = "1", description = "the first (default: 1)")
+    @Option(names = "--seed", defaultValue = "1", description = "first seed (default: 1)")
     private long seed;
 
-    @Option(names = "--seeds", defaultValue = "1", description = "how many (default: 1)")
+    @Option(names = "--seeds", defaultValue = "1", description = "number of seeds (default: 1)")
     private int seeds;
 
-    @Option(names = "--faults", defaultValue = "9", description = "each seed (default: 9)")
+    @Option(
+            names = "--faults",
+            defaultValue = "9",
+            description = "faults for each seed (default: 9)")
     private int faults;
 
-    @Option(names = "--followers", defaultValue = "5", description = "each zone (default: 5)")
+    @Option(
+            names = "--followers",
+            defaultValue = "5",
+            description = "followers in each zone (default: 5)")
     private int followers;
 
     @Option(names = "--steps", description = "kill each process at each step of a change instead")
@@ -39,7 +45,7 @@
         if (sound) {
             Installation.deleteRecursively(dir);
         } else {
-            System.out.println("in " + dir);
+            System.out.println("files kept in " + dir);
         }
         return sound ? 0 : 1;
     }
@@ -49,8 +55,8 @@
         for (long each = seed; each < seed + seeds && sound; each++) {
             ConfigurationTrial.Verdict verdict = trial.run(each, faults);
             System.out.printf(
-                    "seed %d: %d changes, %d observations; in force after p50 %d, p99 %d, most"
-                            + " %d ms; most by fault %s%s%n",
+                    "seed %d: %d changes, %d observations; applied after p50 %d, p99 %d, max"
+                            + " %d ms; max by fault %s%s%n",
                     each,
                     verdict.changeCount(),
                     verdict.observationCount(),
@@ -58,7 +64,7 @@
                     verdict.p99Ms(),
                     verdict.maxMs(),
                     verdict.maxMsByFault(),
-                    verdict.violations().isEmpty() ? "" : ", BROKEN " + verdict.violations());
+                    verdict.violations().isEmpty() ? "" : ", VIOLATIONS " + verdict.violations());
             sound = verdict.violations().isEmpty();
         }
         return sound;
@@ -71,7 +77,7 @@
             for (ConfigurationStepTrial.Victim victim : ConfigurationStepTrial.Victim.values()) {
                 String came;
                 try {
-                    came = "in force everywhere after " + cells.runCase(step, victim) + " ms";
+                    came = "applied by all followers after " + cells.runCase(step, victim) + " ms";
                 } catch (IOException not) {
                     came = not.getMessage();
                     failed++;
@@ -79,7 +85,7 @@
                 System.out.printf("%-15s %-12s %s%n", step, victim, came);
             }
         }
-        System.out.println("broken: " + trial.observer().violations());
+        System.out.println("violations: " + trial.observer().violations());
         return failed == 0 && trial.observer().violations().isEmpty();
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationWriter.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationWriter.java
@@ -16,9 +16,9 @@
 import saltstage.coordinator.configuration.ConfigurationReplies;
 import saltstage.coordinator.model.Reply;
 
-/** Changes a group's configuration and keeps what was accepted, and when. */
+/** Changes the configuration of a group and records each accepted change and its time. */
 final class ConfigurationWriter {
-    /** An accepted change; the time is the witness's, when the reply came. */
+    /** An accepted change, with the time of the reply by the observer's clock. */
     record AcceptedRevision(long revision, String digest, long atMs) {}
 
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(20);
@@ -37,7 +37,7 @@
         random = new Random(seed);
     }
 
-    /** Waits until the group takes configuration, and puts the backends in. */
+    /** Waits until the group accepts configuration changes and adds the backends. */
     void putBackends(Duration within) throws IOException, InterruptedException {
         List<Mutation> backends = new ArrayList<>();
         for (int i = 0; i < BACKEND_COUNT; i++) {
@@ -55,14 +55,14 @@
         Reply reply = send(backends);
         while (!(reply instanceof ConfigurationReplies.Changed)) {
             if (System.nanoTime() > untilNanos) {
-                throw new IOException("no configuration is taken: " + reply);
+                throw new IOException("the group accepts no configuration: " + reply);
             }
             Thread.sleep(100);
             reply = send(backends);
         }
     }
 
-    /** Moves some shards to other backends, as one change. */
+    /** Moves some shards to other backends in one change. */
     AcceptedRevision moveShards() throws IOException, InterruptedException {
         changeCount++;
         List<Mutation> moves = new ArrayList<>();
@@ -72,7 +72,7 @@
             EntryValue to = new EntryValue.Shard("gw-" + random.nextInt(BACKEND_COUNT));
             moves.add(new Mutation(key, delete ? null : to));
         }
-        // Each change says something new, whatever the moves come to.
+        // The marker makes each change different, even if its moves have no effect.
         String weight = "10.0.1." + changeCount % 200 + ":" + (1 + changeCount);
         EntryValue marker =
                 new EntryValue.Backend(
@@ -80,7 +80,7 @@
         moves.add(new Mutation(EntryKey.parse("backend/marker"), marker));
         Reply reply = send(moves);
         if (!(reply instanceof ConfigurationReplies.Changed)) {
-            throw new IOException("refused: " + reply);
+            throw new IOException("the group rejected the change: " + reply);
         }
         return acceptedRevisions.get(acceptedRevisions.size() - 1);
     }
@@ -105,8 +105,9 @@
     }
 
     /**
-     * What the group has accepted, by revision, as it says itself now. A replica that has just
-     * started may not have caught up yet; what was accepted and does not show in time is lost.
+     * Fetches the digests of all changes that the group has accepted, by revision. A replica that
+     * has just started may not have caught up yet, so an accepted change counts as lost only if it
+     * does not appear in time.
      */
     Map<Long, String> fetchDigests() throws IOException, InterruptedException {
         Map<Long, String> digests = ConfigurationObserver.initialDigests();
@@ -133,7 +134,9 @@
         for (AcceptedRevision one : acceptedRevisions) {
             if (!one.digest().equals(digests.get(one.revision()))) {
                 observer.addViolation(
-                        "revision " + one.revision() + " was accepted and is lost or other");
+                        "revision "
+                                + one.revision()
+                                + " was accepted and is lost or has another digest");
             }
         }
         return new TreeMap<>(digests);
--- a/lab/src/main/java/saltstage/lab/trial/CoordinatorBenchmark.java
+++ b/lab/src/main/java/saltstage/lab/trial/CoordinatorBenchmark.java
@@ -23,23 +23,32 @@
 import saltstage.lab.store.Report;
 
 /**
- * What a group of coordinators gives: grants a second, and how long nobody leads after a kill or a
- * transfer.
+ * Measures a group of coordinators: lease grants and releases per second, and how long the group
+ * has no leader after the leader is killed or leadership is transferred.
  */
 @Command(
         name = "coordinator",
         mixinStandardHelpOptions = true,
-        description = "Measures groups of coordinators: rates, and time without a leader.")
+        description = "Measures coordinator groups: command rates and time without a leader.")
 public final class CoordinatorBenchmark implements Callable<Integer> {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(30);
 
-    @Option(names = "--kills", defaultValue = "20", description = "leaders killed (default 20)")
+    @Option(
+            names = "--kills",
+            defaultValue = "20",
+            description = "number of leaders killed (default 20)")
     private int kills;
 
-    @Option(names = "--transfers", defaultValue = "20", description = "transfers (default 20)")
+    @Option(
+            names = "--transfers",
+            defaultValue = "20",
+            description = "number of transfers (default 20)")
     private int transfers;
 
-    @Option(names = "--seconds", defaultValue = "5", description = "of load, each row (default 5)")
+    @Option(
+            names = "--seconds",
+            defaultValue = "5",
+            description = "seconds of load for each row (default 5)")
     private int seconds;
 
     @Override
@@ -112,13 +121,14 @@
         return took;
     }
 
-    /**
-     * The longest time from one answered command to the next, while something befalls the leader.
-     */
+    /** An event that affects the current leader, for example its death. */
     private interface LeaderEvent {
         void apply(String leader) throws Exception;
     }
 
+    /**
+     * Measures the longest time, in microseconds, between two answered commands during an event.
+     */
     private long measureGap(GroupUnderTest group, LeaderEvent befalls) throws Exception {
         String leader = group.leader(CALL_TIMEOUT);
         boolean[] over = {false};
--- a/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
@@ -25,16 +25,17 @@
 import saltstage.lab.Installation;
 
 /**
- * The fleet as one, to look at: three coordinators, two regions with an agent, a relay, gateways
- * and clients each. Both regions want most of their gateways out at once; the floor bears one. The
- * leader and an agent are killed on the way. Then changes of the configuration go into force at
- * followers while the leader dies. Ends with 1 if the floor was breached, a client cut off, work
- * begun too early, or a change not in force.
+ * Demonstrates a whole fleet: three coordinators and two regions, each with an agent, a relay,
+ * backends and clients. Both regions request a maintenance window for most of their backends at the
+ * same time, but the capacity floor allows only one of the windows. The leader and an agent are
+ * killed meanwhile. Then configuration changes are propagated to followers while the leader is
+ * killed. The command exits with 1 if the capacity fell below the floor, a client lost its
+ * connection, maintenance work began too early, or a change was not applied.
  */
 @Command(
         name = "demo-fleet",
         mixinStandardHelpOptions = true,
-        description = "Two regions in maintenance, a leader and an agent killed on the way.")
+        description = "Maintains two regions while a leader and an agent are killed.")
 public final class DemoFleetCommand implements Callable<Integer> {
     private static final int NODES_PER_REGION = 4;
     private static final long FLOOR_NODES = 5;
@@ -44,7 +45,10 @@
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(15);
     private static final Duration MAX_DURATION = Duration.ofSeconds(100);
 
-    @Option(names = "--clients", defaultValue = "40", description = "a region (default 40)")
+    @Option(
+            names = "--clients",
+            defaultValue = "40",
+            description = "clients in each region (default 40)")
     private int clientCount;
 
     private final Map<String, RealRegion> regions = new LinkedHashMap<>();
@@ -54,7 +58,7 @@
     private long minCapacity = Long.MAX_VALUE;
     private long lastPrintedMs = -1_000;
 
-    /** What became of it; none broken is as it should be. */
+    /** Returns the violations found; empty if every check passed. */
     public List<String> violations() {
         return violations;
     }
@@ -86,7 +90,7 @@
             }
         }
         System.out.println(
-                "least capacity "
+                "minimum capacity "
                         + minCapacity / 1_000.0
                         + " of "
                         + 2 * NODES_PER_REGION
@@ -94,7 +98,7 @@
                         + FLOOR_NODES
                         + (violations.isEmpty()
                                 ? ": kept"
-                                : ": BROKEN " + violations + ", see " + dir));
+                                : ": VIOLATIONS " + violations + ", files kept in " + dir));
         if (violations.isEmpty()) {
             Installation.deleteRecursively(dir);
         }
@@ -137,7 +141,7 @@
                             .reply();
             Thread.sleep(100);
         }
-        Thread.sleep(2_000); // clients come
+        Thread.sleep(2_000); // time for the clients to connect
         Map<Long, Window> windows = new LinkedHashMap<>();
         for (String region : regions.keySet()) {
             Window window = propose(client, region);
@@ -214,7 +218,7 @@
                         && !group.process(victim).isAlive()
                         && now.state() == Window.State.DONE) {
                     group.process(victim).start();
-                    unprintedEvents.add(victim + " started anew");
+                    unprintedEvents.add(victim + " restarted");
                 }
             }
             printStatus((System.nanoTime() - start) / 1_000_000);
@@ -231,7 +235,7 @@
         TrialProcess agent = agents.get(region);
         agent.kill();
         agent.start();
-        unprintedEvents.add("agent of " + region + " killed and started anew");
+        unprintedEvents.add("agent of " + region + " killed and restarted");
     }
 
     private void checkNoClientBroken() {
@@ -240,13 +244,13 @@
                     if (region.clients().brokenCount() > 0) {
                         violations.add(
                                 region.clients().brokenCount()
-                                        + " clients were cut off in "
+                                        + " clients lost their connection in "
                                         + name);
                     }
                 });
     }
 
-    /** Work may begin only at nodes that nobody stands at. */
+    /** Checks that no client is connected to the nodes of a window in which work begins. */
     private void checkEmpty(Window window) {
         if (window.state() != Window.State.OUT) {
             return;
@@ -257,7 +261,7 @@
                 violations.add(
                         "window "
                                 + window.id()
-                                + " is out with "
+                                + " began work with "
                                 + region.establishedCount(node)
                                 + " clients at "
                                 + node);
@@ -269,7 +273,7 @@
         long now = regions.values().stream().mapToLong(r -> r.fakeRegion().capacity(false)).sum();
         minCapacity = Math.min(minCapacity, now);
         if (now < FLOOR_NODES * 1_000) {
-            violations.add("at " + ms + " ms " + now + " thousandths of a gateway");
+            violations.add("at " + ms + " ms " + now + " thousandths of a gateway are left");
         }
         if (unprintedEvents.isEmpty() && ms - lastPrintedMs < 1_000) {
             return;
--- a/lab/src/main/java/saltstage/lab/trial/FakeRegion.java
+++ b/lab/src/main/java/saltstage/lab/trial/FakeRegion.java
@@ -19,8 +19,9 @@
 import java.util.function.Function;
 
 /**
- * The relays and nodes of one region, as an agent meets them: relays take operators' calls, nodes
- * answer PING. It knows what is out and since when it is back, whatever the group believes.
+ * Simulates the relays and nodes of one region for an agent: the relays take operator calls and the
+ * nodes answer PING. It records which nodes are suspended and when they were restored,
+ * independently of the state of the group.
  */
 final class FakeRegion implements AutoCloseable {
     private final String name;
@@ -35,7 +36,7 @@
     private final Set<Integer> downRelays = new HashSet<>();
     private int suspensionCount;
 
-    /** A region of which all is made here. */
+    /** Creates a region whose relays and nodes are all simulated. */
     FakeRegion(String name, int nodeCount, int relayCount, long warmMs) throws IOException {
         this(name, warmMs, List.of());
         for (int i = 1; i <= nodeCount; i++) {
@@ -49,8 +50,8 @@
     }
 
     /**
-     * One whose nodes and relays are there already: it stands before the relays and sees what they
-     * are told.
+     * Creates a region with existing nodes and relays. The simulated relays forward operator calls
+     * to the real ones and record them.
      */
     FakeRegion(
             String name,
@@ -77,7 +78,7 @@
         }
     }
 
-    /** What the relay behind says; what no relay stands behind is done. */
+    /** Forwards a call to the real relay and returns its answer; without real relays, "done". */
     private String forwardToRealRelay(int relay, String line) {
         if (realRelays.isEmpty()) {
             return "done";
@@ -142,8 +143,9 @@
         if (words.length != 2 || !nodes.containsKey(words[1])) {
             return "error no such call";
         }
+        // A suspension is recorded before forwarding: the relay may act even if its answer is lost.
         if (words[0].equals("SUSPEND")) {
-            recordCall(relay, words); // from the asking on: whether it was heard is not known
+            recordCall(relay, words);
         }
         String answer = forwardToRealRelay(relay, line);
         if (answer != null && answer.startsWith("done")) {
@@ -169,7 +171,11 @@
         return suspendedNodesByRelay.stream().anyMatch(set -> set.contains(node));
     }
 
-    /** What the region can do now, of 1000 a node; with windows alone, or with outages too. */
+    /**
+     * Returns the current capacity of the region, 1000 for each node. Suspended nodes count as 0
+     * and restored nodes warm up gradually; with {@code outages}, nodes that are down count as 0
+     * too.
+     */
     synchronized long capacity(boolean outages) {
         long sum = 0;
         for (String node : nodes.keySet()) {
@@ -181,17 +187,17 @@
         return sum;
     }
 
-    /** How often a node was taken out. */
+    /** Returns how often a node was suspended. */
     synchronized int suspensionCount() {
         return suspensionCount;
     }
 
-    /** Whether nothing is out. */
+    /** Returns whether no node is suspended. */
     synchronized boolean hasNoSuspendedNode() {
         return nodes.keySet().stream().noneMatch(this::isSuspended);
     }
 
-    /** A node that is dead, or is there again. */
+    /** Stops or restarts the answers of a node. */
     synchronized void setNodeDown(String node, boolean yes) {
         if (yes) {
             downNodes.add(node);
@@ -200,7 +206,7 @@
         }
     }
 
-    /** A relay that is away; when it comes back it has forgotten what was suspended. */
+    /** Stops or restarts the answers of a relay to operator calls. */
     synchronized void setRelayDown(int relay, boolean yes) {
         if (yes) {
             downRelays.add(relay);
@@ -209,7 +215,7 @@
         }
     }
 
-    /** The agent's settings. */
+    /** Writes the settings file of the region's agent and returns its path. */
     Path writeAgentSettings(Path dir) throws IOException {
         StringBuilder text = new StringBuilder("agent \"" + name + "\" {\n");
         for (int i = 0; i < relayListeners.size(); i++) {
@@ -231,7 +237,7 @@
         return Files.writeString(dir.resolve("agent-" + name + ".hcl"), text + "}\n");
     }
 
-    /** Its part of the agreement. */
+    /** Returns the settings block of the region for the fleet settings. */
     String fleetSettings() {
         StringBuilder text = new StringBuilder("  region \"" + name + "\" {\n");
         nodes.keySet()
@@ -251,7 +257,7 @@
         return List.copyOf(nodes.keySet());
     }
 
-    /** Those that take nothing new now. */
+    /** Returns the nodes that are suspended at any relay. */
     synchronized List<String> suspendedNodes() {
         return nodes.keySet().stream().filter(this::isSuspended).toList();
     }
--- a/lab/src/main/java/saltstage/lab/trial/FaultProxy.java
+++ b/lab/src/main/java/saltstage/lab/trial/FaultProxy.java
@@ -12,15 +12,15 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * A link between two processes, with faults: each direction may be silent (what is sent waits,
- * connections stay open), late, slow, or cut after some bytes; connections may be refused or
- * dropped.
+ * A TCP proxy between two processes that can inject faults. Each direction may be silent (data is
+ * held back while connections stay open), delayed, slow, or cut after a number of bytes. New
+ * connections may be reset and open connections dropped.
  */
 final class FaultProxy implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MS = 500;
     private static final int TRICKLE_BYTES = 64;
 
-    /** What one direction does with what is sent. */
+    /** The fault of one direction. */
     record DirectionFault(boolean silent, int maxDelayMs, boolean trickle, long cutAfterBytes) {
         static final DirectionFault CLEAR = new DirectionFault(false, 0, false, Long.MAX_VALUE);
         static final DirectionFault SILENT = new DirectionFault(true, 0, false, Long.MAX_VALUE);
@@ -43,23 +43,23 @@
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    /** Sets both directions. */
+    /** Sets the faults of both directions. */
     void setFaults(DirectionFault toTarget, DirectionFault fromTarget) {
         toTargetFault = toTarget;
         fromTargetFault = fromTarget;
     }
 
-    /** New connections are reset at once. */
+    /** Sets whether new connections are reset immediately. */
     void setRejecting(boolean yes) {
         rejecting = yes;
     }
 
-    /** Breaks all connections that are open. */
+    /** Closes all open connections. */
     void dropConnections() {
         openSockets.forEach(FaultProxy::closeQuietly);
     }
 
-    /** As if nothing had been. What waited in a silent direction is sent on. */
+    /** Removes all faults. Data held back in a silent direction is then forwarded. */
     void heal() {
         rejecting = false;
         setFaults(DirectionFault.CLEAR, DirectionFault.CLEAR);
--- a/lab/src/main/java/saltstage/lab/trial/FencedResource.java
+++ b/lab/src/main/java/saltstage/lab/trial/FencedResource.java
@@ -14,11 +14,12 @@
 import java.util.TreeMap;
 
 /**
- * A guarded resource outside the group: it takes acts, each with its holder and fence, refuses
- * those of a fence lower than one that it has seen, and keeps all of it for the judgement.
+ * A resource outside the group that is protected by fencing tokens. It receives operations, each
+ * with the lease holder and its fencing token, rejects an operation whose token is lower than one
+ * seen before, and records all of them for the evaluation.
  */
 final class FencedResource implements AutoCloseable {
-    /** An act as it came in. */
+    /** An operation as it was received. */
     record Operation(long atMs, String holder, long fencingToken, boolean accepted) {}
 
     private final ServerSocket listener;
@@ -77,22 +78,23 @@
                 new Operation((System.nanoTime() - startNanos) / 1_000_000, holder, fence, taken));
         String owner = holdersByToken.putIfAbsent(fence, holder);
         if (owner != null && !owner.equals(holder)) {
-            violations.add("fence " + fence + " was given to " + owner + " and to " + holder);
+            violations.add(
+                    "fencing token " + fence + " was granted to " + owner + " and to " + holder);
         }
         return taken;
     }
 
-    /** Acts so far. */
+    /** Returns the operations received so far. */
     synchronized List<Operation> operations() {
         return List.copyOf(operations);
     }
 
-    /** Grants that led to an act. */
+    /** Returns the number of lease grants whose holder performed an operation. */
     synchronized int grantCount() {
         return holdersByToken.size();
     }
 
-    /** Fences that were used by two holders. */
+    /** Returns a violation for each use of one fencing token by two holders. */
     synchronized List<String> violations() {
         return List.copyOf(violations);
     }
--- a/lab/src/main/java/saltstage/lab/trial/GroupUnderTest.java
+++ b/lab/src/main/java/saltstage/lab/trial/GroupUnderTest.java
@@ -15,7 +15,8 @@
 import saltstage.coordinator.client.Ticker;
 
 /**
- * The replicas of a group as processes, with a faulty link for each direction between two of them.
+ * The replicas of a group as processes. Each direction between two replicas has a proxy that can
+ * inject faults, and so has the client address of each replica.
  */
 public final class GroupUnderTest implements AutoCloseable {
     private static final int PEER_PORT = 7_101;
@@ -26,21 +27,22 @@
     private final Map<String, String> hosts = new LinkedHashMap<>();
     private final Map<String, TrialProcess> processes = new LinkedHashMap<>();
 
-    /** From one, to another: its link there. */
+    /** The links between replicas, by source and then by destination. */
     private final Map<String, Map<String, FaultProxy>> replicaLinks = new LinkedHashMap<>();
 
     private final Map<String, FaultProxy> clientLinks = new LinkedHashMap<>();
 
     /**
-     * So many replicas, each of the jar at its place (the last goes on for the rest), with these
-     * settings.
+     * Creates the replicas without starting them. Each replica runs the jar at its position in the
+     * list, or the last jar if the list is shorter.
+     *
+     * @param more settings added to those of each replica
      */
     public GroupUnderTest(Path dir, int replicas, List<Path> jars, String more) throws IOException {
         this.dir = dir;
         ThreadLocalRandom drawn = ThreadLocalRandom.current();
-        for (int i = 1;
-                i <= replicas;
-                i++) { // loopback has room for addresses that nobody else uses
+        // Random loopback addresses avoid conflicts with other groups on this machine.
+        for (int i = 1; i <= replicas; i++) {
             names.add("r" + i);
             hosts.put("r" + i, "127." + drawn.nextInt(1, 255) + "." + drawn.nextInt(255) + "." + i);
         }
@@ -74,12 +76,12 @@
         }
     }
 
-    /** Other settings for one, from its next start on. */
+    /** Replaces the additional settings of a replica; they apply from its next start. */
     public void setExtraSettings(String name, String more) throws IOException {
         writeSettings(name, more);
     }
 
-    /** A process that joins the group under a new name, on an address of its own. */
+    /** Creates a process that joins the group under a new name and address. */
     TrialProcess newJoiningProcess(String name) {
         String host = hosts.get(names.get(0)).replaceAll("[0-9]+$", "200");
         return TrialProcess.coordinator(
@@ -131,12 +133,12 @@
         Files.writeString(settingsFile(name), text + "}\n");
     }
 
-    /** The settings of one. */
+    /** Returns the settings file of a replica. */
     public Path settingsFile(String name) {
         return dir.resolve(name + ".hcl");
     }
 
-    /** Starts all. */
+    /** Starts all replicas. */
     public GroupUnderTest start() throws IOException {
         for (TrialProcess proc : processes.values()) {
             proc.start();
@@ -144,12 +146,12 @@
         return this;
     }
 
-    /** Their names. */
+    /** Returns the names of the replicas. */
     public List<String> names() {
         return names;
     }
 
-    /** The process id of a replica that runs. */
+    /** Returns the process id of a running replica. */
     public long pid(String name) {
         return processes.get(name).pid();
     }
@@ -166,27 +168,27 @@
         return clientLinks.get(name);
     }
 
-    /** Where replicas take calls, straight. */
+    /** Returns the client addresses of the replicas, without proxies. */
     public List<String> clientAddresses() {
         return hosts.values().stream().map(host -> host + ":" + CLIENT_PORT).toList();
     }
 
-    /** Where they take calls, through links that can be faulty. */
+    /** Returns the client addresses of the replicas through the proxies that can inject faults. */
     public List<String> clientLinkAddresses() {
         return clientLinks.values().stream()
                 .map(door -> "127.0.0.1:" + door.address().getPort())
                 .toList();
     }
 
-    /** A client, straight. */
+    /** Returns a client that connects to the replicas without proxies. */
     public GroupClient client() {
         return new GroupClient(clientAddresses(), Ticker.SYSTEM);
     }
 
-    /** Who leads, as a majority would have it; waits for one. */
+    /** Waits for a leader that a majority confirms, and returns its name. */
     public String leader(Duration within) throws IOException, InterruptedException {
         JsonNode any =
-                client().get("/v1/leases?limit=1", within); // answered by a leader that is one
+                client().get("/v1/leases?limit=1", within); // only a confirmed leader answers
         for (String name : names) {
             if (processes.get(name).isAlive() && !processes.get(name).isPaused()) {
                 try {
@@ -203,10 +205,10 @@
                 }
             }
         }
-        throw new IOException("no leader, though somebody answered " + any);
+        throw new IOException("no replica reports to be leader, but a leader answered " + any);
     }
 
-    /** Everything runs and every link is clear again. */
+    /** Restarts or resumes all stopped replicas and removes the faults of all links. */
     void heal() throws IOException, InterruptedException {
         replicaLinks.values().forEach(mine -> mine.values().forEach(FaultProxy::heal));
         clientLinks.values().forEach(FaultProxy::heal);
--- a/lab/src/main/java/saltstage/lab/trial/LeaseTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/LeaseTrial.java
@@ -12,19 +12,20 @@
 import saltstage.lab.trial.FaultProxy.DirectionFault;
 
 /**
- * Holders in processes of their own want one lease of a group while faults befall replicas, links
- * and holders. Judged by the witness alone: no two holders under one fence, no act taken under an
- * old one, no late act of a holder that was not paused, and a grant to somebody within a stated
- * time once faults end.
+ * Several holders, each in a process of its own, compete for one lease of a group while faults are
+ * injected into replicas, links and holders. The evaluation relies on the fenced resource alone: no
+ * two holders use one fencing token, no operation is accepted under an old token, no holder that
+ * was not paused performs a late operation, and the lease is granted within {@code MAX_RECOVERY_MS}
+ * after the last fault.
  */
 public final class LeaseTrial {
     private static final int TTL_MS = 1_500;
     private static final int MAX_RECOVERY_MS = 8_000;
 
-    /** What befalls whom, when and for how long. */
+    /** A fault, its target, its start and its duration; times are relative to the trial's start. */
     public record Fault(String kind, String at, String other, int fromMs, int lastsMs) {}
 
-    /** How a trial went. */
+    /** The result of a trial. */
     public record Verdict(
             long seed,
             int operationCount,
@@ -40,7 +41,7 @@
     private final int durationMs;
     private final List<Path> jars;
 
-    /** A trial in a folder of its own; replicas run the jars in turn. */
+    /** Creates a trial in a directory; each replica runs the jar at its position in the list. */
     public LeaseTrial(Path dir, int replicas, int workers, int lengthMs, List<Path> jars) {
         this.dir = dir;
         this.replicaCount = replicas;
@@ -49,7 +50,7 @@
         this.jars = jars;
     }
 
-    /** The faults of a seed: some kinds only, so that seeds differ in what meets what. */
+    /** Returns the faults of a seed, of a few kinds only, so that seeds combine different kinds. */
     public List<Fault> randomFaults(long seed) {
         Random drawn = new Random(seed);
         List<String> kinds =
@@ -81,7 +82,7 @@
         return faults;
     }
 
-    /** Plays a script. */
+    /** Runs the trial with these faults and evaluates it. */
     public Verdict run(long seed, List<Fault> faults) throws IOException, InterruptedException {
         Set<String> wasPaused = new HashSet<>();
         Map<String, TrialProcess> holders = new LinkedHashMap<>();
@@ -111,8 +112,8 @@
     private TrialProcess startHolder(
             int number, long seed, GroupUnderTest group, FencedResource witness)
             throws IOException, InterruptedException {
-        int clock =
-                1_000 + (int) (seed + number) % 3 * 8 - 8; // 0.992, 1.000 or 1.008 of the world's
+        // The holder's clock runs at 0.992, 1.000 or 1.008 times real time.
+        int clock = 1_000 + (int) (seed + number) % 3 * 8 - 8;
         return TrialProcess.lab(
                         "w" + number,
                         dir,
@@ -159,9 +160,9 @@
                                     + act.atMs()
                                     + " ms "
                                     + act.holder()
-                                    + " acted under fence "
+                                    + " used the outdated fencing token "
                                     + act.fencingToken()
-                                    + ", which was over, and it had not been paused");
+                                    + " although it had not been paused");
                 }
             }
         }
@@ -224,7 +225,7 @@
                     group.clientLink(at)
                             .setFaults(
                                     DirectionFault.CLEAR,
-                                    DirectionFault.SILENT); // calls are heard, answers are not
+                                    DirectionFault.SILENT); // requests arrive, answers do not
             case "kill-worker" -> holders.get(at).kill();
             case "pause-worker" -> {
                 wasPaused.add(at);
@@ -275,7 +276,7 @@
                     }
                 }
             }
-            default -> { // it was over at once
+            default -> { // these faults have no duration
             }
         }
     }
--- a/lab/src/main/java/saltstage/lab/trial/LeaseWorkerCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/LeaseWorkerCommand.java
@@ -15,8 +15,8 @@
 import saltstage.coordinator.client.LeaseClient;
 import saltstage.coordinator.client.Ticker;
 
-/** Takes a lease again and again, and acts at the witness while it holds it. */
-@Command(name = "trial-worker", description = "One holder of a trial.", hidden = true)
+/** Acquires a lease repeatedly and performs operations at the fenced resource while holding it. */
+@Command(name = "trial-worker", description = "Runs one lease holder of a trial.", hidden = true)
 public final class LeaseWorkerCommand implements Callable<Integer> {
     @Option(names = "--at", split = ",", required = true)
     private List<String> places;
@@ -82,7 +82,8 @@
                                             + "\n")
                                     .getBytes(StandardCharsets.US_ASCII));
             if (!"ok".equals(in.readLine())) {
-                System.out.println("refused by its fence: " + lease.fencingToken());
+                System.out.println(
+                        "rejected because of the outdated fencing token " + lease.fencingToken());
                 return;
             }
             Thread.sleep(2 + drawn.nextInt(12));
--- a/lab/src/main/java/saltstage/lab/trial/RealRegion.java
+++ b/lab/src/main/java/saltstage/lab/trial/RealRegion.java
@@ -16,8 +16,8 @@
 import saltstage.lab.fleet.SimulatedClients;
 
 /**
- * A region with a real relay in a process of its own, stand-in gateways, and clients that come and
- * stay.
+ * A region with a real relay in a process of its own, simulated backends, and simulated clients
+ * that keep their connections open.
  */
 final class RealRegion implements AutoCloseable {
     private final FakeFleet fleet;
@@ -72,22 +72,22 @@
         }
     }
 
-    /** What stands before its relay. */
+    /** Returns the simulated region that forwards operator calls to the relay and records them. */
     FakeRegion fakeRegion() {
         return fakeRegion;
     }
 
-    /** The relay's process. */
+    /** Returns the process of the relay. */
     TrialProcess relay() {
         return relay;
     }
 
-    /** The clients. */
+    /** Returns the simulated clients. */
     SimulatedClients clients() {
         return clients;
     }
 
-    /** Connections that stand at a node. */
+    /** Returns the number of established connections at a node. */
     int establishedCount(String node) {
         return backends.get(node).establishedCount();
     }
--- a/lab/src/main/java/saltstage/lab/trial/TrialCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/TrialCommand.java
@@ -10,19 +10,19 @@
 import saltstage.lab.Installation;
 
 /**
- * Trials of leases, one seed after the other; a seed that fails is shrunk to the faults that it
- * takes.
+ * Runs lease trials, one seed after the other. The faults of a failed seed are reduced to those
+ * that are needed for the failure.
  */
 @Command(
         name = "trial",
         mixinStandardHelpOptions = true,
         subcommands = ConfigurationTrialCommand.class,
-        description = "Real processes with faults between them; exit 1 with the seeds that failed.")
+        description = "Runs trials with real processes under faults; exits with 1 if one failed.")
 public final class TrialCommand implements Callable<Integer> {
     @Option(
             names = "--seeds",
             defaultValue = "1..10",
-            description = "A..B (default: ${DEFAULT-VALUE})")
+            description = "first..last seed (default: ${DEFAULT-VALUE})")
     private String seeds;
 
     @Option(names = "--replicas", defaultValue = "3")
@@ -31,21 +31,24 @@
     @Option(names = "--workers", defaultValue = "3")
     private int workers;
 
-    @Option(names = "--seconds", defaultValue = "12", description = "of faults, each seed")
+    @Option(
+            names = "--seconds",
+            defaultValue = "12",
+            description = "duration of the faults of each seed")
     private int seconds;
 
     @Option(
             names = "--jars",
             split = ",",
-            description = "a coordinator jar a replica, to pair versions")
+            description = "coordinator jar of each replica, to combine versions")
     private List<Path> jars;
 
-    @Option(names = "--keep", description = "keep the folder of each trial")
+    @Option(names = "--keep", description = "keep the directory of each trial")
     private boolean keep;
 
     @Option(
             names = "--windows",
-            description = "the table of a window's steps and faults, each cell once")
+            description = "run each combination of window step and fault once instead")
     private boolean windows;
 
     private int runWindowTable() throws Exception {
@@ -64,12 +67,14 @@
                         failed++;
                     }
                     System.out.printf(
-                            "%-10s %-12s %s, least so far %d%n",
+                            "%-10s %-12s %s, minimum capacity so far %d%n",
                             step, fault, came, trial.minCapacity());
                 }
             }
             System.out.println(
-                    "under the floor: " + trial.violations() + (failed > 0 ? ", in " + dir : ""));
+                    "capacity under the floor: "
+                            + trial.violations()
+                            + (failed > 0 ? ", files kept in " + dir : ""));
             return failed > 0 || !trial.violations().isEmpty() ? 1 : 0;
         }
     }
@@ -89,14 +94,14 @@
         for (long seed = first; seed <= last; seed++) {
             LeaseTrial.Verdict verdict = runSeed(seed, null);
             System.out.printf(
-                    "seed %d: %d acts, %d grants, %d late acts of paused holders refused, longest"
-                            + " gap %d ms%s%n",
+                    "seed %d: %d operations, %d grants, %d late ones of paused holders rejected,"
+                            + " longest gap %d ms%s%n",
                     seed,
                     verdict.operationCount(),
                     verdict.grantCount(),
                     verdict.rejectedOperationCount(),
                     verdict.maxGapMs(),
-                    verdict.violations().isEmpty() ? "" : ", BROKEN " + verdict.violations());
+                    verdict.violations().isEmpty() ? "" : ", VIOLATIONS " + verdict.violations());
             acts += verdict.operationCount();
             grants += verdict.grantCount();
             stale += verdict.rejectedOperationCount();
@@ -106,7 +111,7 @@
             }
         }
         System.out.printf(
-                "%d trials, %d acts, %d grants, %d late acts refused, failed: %s%n",
+                "%d trials, %d operations, %d grants, %d late operations rejected, failed: %s%n",
                 last - first + 1, acts, grants, stale, failed);
         return failed.isEmpty() ? 0 : 1;
     }
@@ -123,7 +128,7 @@
         LeaseTrial.Verdict verdict =
                 trial.run(seed, faults == null ? trial.randomFaults(seed) : faults);
         if (keep || !verdict.violations().isEmpty()) {
-            System.out.println("  in " + dir);
+            System.out.println("  files kept in " + dir);
         } else {
             Installation.deleteRecursively(dir);
         }
@@ -131,8 +136,8 @@
     }
 
     /**
-     * Leaves out fault after fault as long as it still fails; real time may need luck to fail
-     * again.
+     * Removes one fault after the other while the trial still fails. Trials run in real time, so a
+     * repeated run may pass by chance and keep a fault that is not needed.
      */
     private void shrink(long seed, List<LeaseTrial.Fault> faults) throws Exception {
         List<LeaseTrial.Fault> left = new ArrayList<>(faults);
--- a/lab/src/main/java/saltstage/lab/trial/TrialFollowersCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/TrialFollowersCommand.java
@@ -29,10 +29,11 @@
 import saltstage.configuration.follower.FollowerTimings;
 
 /**
- * Followers without a relay around them: each with a folder of its own and an own copy of what it
- * was told, whose digest it tells the witness with each revision that comes into force.
+ * Runs configuration followers without a relay. Each follower has a directory of its own and a copy
+ * of the configuration built only from the received changes. It reports the digest of this copy to
+ * the observer with each revision that it applies.
  */
-@Command(name = "trial-followers", description = "Followers of a trial.", hidden = true)
+@Command(name = "trial-followers", description = "Runs the followers of a trial.", hidden = true)
 public final class TrialFollowersCommand implements Callable<Integer> {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
@@ -54,7 +55,7 @@
     @Option(names = "--dir", required = true)
     private Path dir;
 
-    @Option(names = "--poll-ms", description = "in place of a relay's usual wait")
+    @Option(names = "--poll-ms", description = "poll time in place of the default of a relay")
     private Long pollMs;
 
     private static ScheduledExecutorService newExecutor() {
@@ -94,7 +95,7 @@
                     new FollowerResources(http, timer, newExecutor(), Clock.systemUTC(), random);
             start(options, resources);
         }
-        new CountDownLatch(1).await(); // until it is killed
+        new CountDownLatch(1).await(); // runs until the process is killed
         return 0;
     }
 
@@ -114,7 +115,10 @@
         System.out.println(event + " " + List.of(pairs));
     }
 
-    /** What one follower was told, kept apart from the client's own state. */
+    /**
+     * Reports each revision that a follower applies, from a copy of the configuration that is
+     * separate from the client's own state.
+     */
     private static final class ObserverReporter implements FollowerListener {
         private final String name;
         private final Socket observer;
--- a/lab/src/main/java/saltstage/lab/trial/TrialProcess.java
+++ b/lab/src/main/java/saltstage/lab/trial/TrialProcess.java
@@ -11,7 +11,8 @@
 import saltstage.lab.Installation;
 
 /**
- * A process of a trial: started, killed, paused and gone on with by its own id, and started again.
+ * A process of a trial that can be started, killed, paused, resumed and started again, always by
+ * its own process id.
  */
 public final class TrialProcess implements AutoCloseable {
     private static final List<String> JAVA_COMMAND =
@@ -36,17 +37,17 @@
         logFile = dir.resolve(name + ".log").toFile();
     }
 
-    /** A program of the coordinator's jar. */
+    /** Creates a process that runs a command of a coordinator jar. */
     static TrialProcess coordinator(String name, Path jar, Path dir, List<String> words) {
         return ofJar(name, jar, dir, words);
     }
 
-    /** The jar that was built here. */
+    /** Returns the coordinator jar built in this repository. */
     public static Path coordinatorJar() {
         return Installation.repositoryRoot().resolve("coordinator/target/coordinator.jar");
     }
 
-    /** A program of the laboratory, run from the classes of this process. */
+    /** Creates a process that runs a lab command with the class path of this process. */
     static TrialProcess lab(String name, Path dir, List<String> words) {
         List<String> command = new ArrayList<>(JAVA_COMMAND);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), "saltstage.lab.Lab"));
@@ -54,7 +55,7 @@
         return new TrialProcess(name, command, dir);
     }
 
-    /** The relay, with these variables. */
+    /** Creates a process that runs the relay with additional environment variables. */
     static TrialProcess relay(
             String name, Path dir, Map<String, String> environment, List<String> words) {
         TrialProcess relay = ofJar(name, Installation.relayJar(), dir, words);
@@ -62,7 +63,7 @@
         return relay;
     }
 
-    /** A program of any jar. */
+    /** Creates a process that runs a jar. */
     static TrialProcess ofJar(String name, Path jar, Path dir, List<String> words) {
         List<String> command = new ArrayList<>(JAVA_COMMAND);
         command.addAll(List.of("-jar", jar.toString()));
@@ -74,7 +75,7 @@
         return name;
     }
 
-    /** From the next start on no file of it may be larger, in KiB: a disk that is full. */
+    /** Limits the size of each file from the next start on, to simulate a full disk. */
     void limitFileSize(int kib) {
         maxFileKib = kib;
     }
@@ -126,14 +127,14 @@
         return logFile;
     }
 
-    /** SIGKILL. */
+    /** Sends SIGKILL and waits for the end of the process. */
     synchronized void kill() throws InterruptedException {
         process.destroyForcibly();
         process.waitFor();
         paused = false;
     }
 
-    /** SIGTERM; returns whether it ended in time. */
+    /** Sends SIGTERM and returns whether the process ended in time. */
     boolean terminate(long withinMs) throws InterruptedException {
         process.destroy();
         return process.waitFor(withinMs, TimeUnit.MILLISECONDS);
@@ -143,7 +144,7 @@
         new ProcessBuilder("kill", "-" + which, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** SIGSTOP. */
+    /** Suspends the process with SIGSTOP. */
     synchronized void pause() throws IOException, InterruptedException {
         if (isAlive()) {
             sendSignal("STOP");
@@ -151,7 +152,7 @@
         }
     }
 
-    /** SIGCONT. */
+    /** Resumes the process with SIGCONT if it is suspended. */
     synchronized void resume() throws IOException, InterruptedException {
         if (isAlive() && paused) {
             sendSignal("CONT");
--- a/lab/src/main/java/saltstage/lab/trial/WindowTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/WindowTrial.java
@@ -20,9 +20,11 @@
 import saltstage.wire.MalformedException;
 
 /**
- * Three regions, two of which want to be out at once where the floor bears one. For each step of a
- * window and each fault: when the first window reaches the step, the fault befalls; then both must
- * still be done, and what the stand-ins really had must never have been under the floor.
+ * Runs maintenance windows in a group with three regions under faults. Two regions request windows
+ * for the same time, but the capacity floor allows only one of them. Each case combines a step of a
+ * window with a fault: the fault is injected when the first window reaches the step. Both windows
+ * must still complete, and the capacity that the simulated regions record must never be below the
+ * floor.
  */
 public final class WindowTrial implements AutoCloseable {
     private static final int NODES_PER_REGION = 4;
@@ -33,11 +35,11 @@
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(15);
     private static final Duration STEP_TIMEOUT = Duration.ofSeconds(60);
 
-    /** The steps at which a fault befalls. */
+    /** The window steps at which a fault is injected. */
     public static final List<String> STEPS =
             List.of("PLANNED", "DRAINING", "OUT", "WARMING", "RETURNING");
 
-    /** The faults. */
+    /** The faults that can be injected. */
     public static final List<String> FAULTS =
             List.of("kill-leader", "kill-agent", "pause-agent", "relay-away", "node-dead");
 
@@ -52,7 +54,9 @@
     private volatile long minCapacity = Long.MAX_VALUE;
     private int round;
 
-    /** Starts the processes in a folder. */
+    /**
+     * Starts the processes in a directory; each replica runs the jar at its position in the list.
+     */
     public WindowTrial(Path dir, List<Path> jars) throws IOException, InterruptedException {
         group = new GroupUnderTest(dir, 3, jars, "").start();
         StringBuilder fleet =
@@ -89,7 +93,7 @@
                                                         "fleet.hcl", fleet, Instant.now()),
                                                 "trial"),
                                         CALL_TIMEOUT)
-                                .reply(); // until every voter was heard to know windows
+                                .reply(); // rejected until every voter supports windows
             } catch (MalformedException bad) {
                 throw new IOException(bad);
             }
@@ -169,7 +173,11 @@
         throw new IOException("not planned: " + reply);
     }
 
-    /** Plays one cell of the table; returns how long it took to be done, in ms, or throws. */
+    /**
+     * Runs one case and returns the milliseconds until both windows had ended.
+     *
+     * @throws IOException if a window does not complete or nodes stay suspended
+     */
     public long runCase(String step, String fault) throws IOException, InterruptedException {
         currentCase = step + " x " + fault;
         round++;
@@ -187,7 +195,8 @@
             awaitDone(each.id());
         }
         if (!regions.values().stream().allMatch(FakeRegion::hasNoSuspendedNode)) {
-            throw new IOException(currentCase + ": over, and nodes are still suspended");
+            throw new IOException(
+                    currentCase + ": the windows have ended, but nodes are still suspended");
         }
         return (System.nanoTime() - start) / 1_000_000;
     }
@@ -198,7 +207,7 @@
                 && !findWindow(id).state().name().equals("DONE")) {
             if (System.nanoTime() > until) {
                 throw new IOException(
-                        currentCase + ": never came to " + step + ": " + findWindow(id));
+                        currentCase + ": never reached " + step + ": " + findWindow(id));
             }
             Thread.sleep(20);
         }
@@ -222,7 +231,8 @@
     }
 
     /**
-     * The agent of region a that holds its lease, else any: who waits is no target worth a fault.
+     * Returns the agent of region a that holds the region's lease, because a fault of a waiting
+     * agent would test nothing. Returns the first agent of the region if none holds the lease.
      */
     private TrialProcess leaseHolder() throws IOException, InterruptedException {
         String owner =
@@ -253,8 +263,8 @@
                 Thread.sleep(300);
                 agent.start();
             }
-            case "pause-agent" -> { // for longer than its lease, while a second agent is there to
-                // take over
+            // The pause is longer than the lease, and a second agent can take over.
+            case "pause-agent" -> {
                 agent.pause();
                 Thread.sleep(6_000);
                 agent.resume();
@@ -273,14 +283,14 @@
         }
     }
 
-    /** What the witness saw under the floor. */
+    /** Returns the capacity samples that were below the floor. */
     public List<String> violations() {
         synchronized (violations) {
             return List.copyOf(violations);
         }
     }
 
-    /** The least that the stand-ins had, in thousandths of a node. */
+    /** Returns the lowest capacity sampled, in thousandths of a node. */
     public long minCapacity() {
         return minCapacity;
     }
--- a/lab/src/main/java/saltstage/lab/trial/package-info.java
+++ b/lab/src/main/java/saltstage/lab/trial/package-info.java
@@ -1,2 +1,2 @@
-/** Trials: real processes with faults between them, judged only by what a witness outside saw. */
+/** Trials of real processes under injected faults, evaluated only by independent observers. */
 package saltstage.lab.trial;
--- a/lab/src/test/java/saltstage/lab/trial/ConfigurationTrialTest.java
+++ b/lab/src/test/java/saltstage/lab/trial/ConfigurationTrialTest.java
@@ -11,7 +11,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A few seeds of the configuration's trial on processes, and what its witness notices. */
+/**
+ * Guards against followers that apply changes late, out of order, incompletely or without
+ * acceptance by the group while processes and links fail, and against an observer that misses such
+ * violations.
+ */
 @Timeout(value = 3, unit = TimeUnit.MINUTES)
 class ConfigurationTrialTest {
     private static final int FAULTS = 2;
@@ -36,14 +40,21 @@
         try (ConfigurationObserver witness = new ConfigurationObserver()) {
             witness.observe("f-1", "applied", 1, digest);
             witness.observe("f-2", "applied", 1, "00000000000000bb");
-            assertTrue(witness.violations().get(0).contains("differ"), "another digest");
+            assertTrue(
+                    witness.violations().get(0).contains("differ"),
+                    "a different digest for one revision");
             witness.observe("f-1", "applied", 2, digest);
             witness.observe("f-1", "snapshot", 1, digest);
-            assertTrue(witness.violations().get(1).contains("went back"), "an older revision");
+            assertTrue(
+                    witness.violations().get(1).contains("went back"),
+                    "a follower that returns to an older revision");
             witness.observe("f-1", "GAP", 1, digest);
-            assertTrue(witness.violations().get(2).contains("GAP"), "a hole");
+            assertTrue(witness.violations().get(2).contains("GAP"), "a missing revision");
             witness.compareWithAccepted(Map.of(1L, "00000000000000bb"));
-            assertEquals(5, witness.violations().size(), "another digest, and never accepted");
+            assertEquals(
+                    5,
+                    witness.violations().size(),
+                    "a digest that differs from the accepted one, and a revision never accepted");
         }
     }
 }
--- a/lab/src/test/java/saltstage/lab/trial/GroupProcessTest.java
+++ b/lab/src/test/java/saltstage/lab/trial/GroupProcessTest.java
@@ -33,7 +33,10 @@
 import saltstage.coordinator.model.Reply;
 import saltstage.lab.Installation;
 
-/** Groups of real processes that are killed, wiped, held back and cut off. */
+/**
+ * Guards against lost leases, double grants and breached capacity floors in groups of real
+ * processes that are killed, lose their data, are paused or cannot reach each other.
+ */
 @Timeout(value = 4, unit = TimeUnit.MINUTES)
 class GroupProcessTest {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(30);
@@ -60,7 +63,7 @@
                 .get("/v1/status", CALL_TIMEOUT);
     }
 
-    /** Something that comes true, waited for far longer than it takes. */
+    /** A condition that a test waits for, with a timeout far above the expected time. */
     private interface Condition {
         boolean holds() throws IOException, InterruptedException;
     }
@@ -88,7 +91,7 @@
             trial.runCase("OUT", "kill-agent");
             trial.runCase("DRAINING", "kill-leader");
             assertEquals(List.of(), trial.violations());
-            assertTrue(trial.minCapacity() < 12_000, "something was out");
+            assertTrue(trial.minCapacity() < 12_000, "some node was suspended");
         }
     }
 
@@ -109,26 +112,27 @@
                     interruptLeader(group, leader, follower);
                 }
             }
-            assertEquals(term, status(group, leader).path("term").asInt(), "it led all the time");
+            assertEquals(
+                    term, status(group, leader).path("term").asInt(), "the leader did not change");
             group.process(leader).kill();
             assertFalse(leader.equals(group.leader(CALL_TIMEOUT)));
         }
     }
 
     /**
-     * One direction is silent until the follower has noticed; the other follower still hears the
-     * leader.
+     * Silences the link from the leader to a follower until the follower has noticed it. The other
+     * follower still receives heartbeats from the leader.
      */
     private static void interruptLeader(GroupUnderTest group, String leader, String follower)
             throws IOException, InterruptedException {
         group.replicaLink(leader, follower)
                 .setFaults(FaultProxy.DirectionFault.SILENT, FaultProxy.DirectionFault.CLEAR);
         await(
-                follower + " misses its leader",
+                follower + " notices that its leader is silent",
                 () -> !status(group, follower).path("leader").asText().equals(leader));
         group.replicaLink(leader, follower).heal();
         await(
-                follower + " hears it again",
+                follower + " recognizes the leader again",
                 () -> status(group, follower).path("leader").asText().equals(leader));
     }
 
@@ -144,10 +148,12 @@
                 group.process(name).start();
             }
             assertInstanceOf(
-                    Held.class, acquire(client, "b", 4_000), "its time goes on, it is not over");
+                    Held.class,
+                    acquire(client, "b", 4_000),
+                    "the lease continues and has not expired");
             Reply[] later = new Reply[1];
             await(
-                    "its time comes to an end",
+                    "the lease expires",
                     () -> {
                         later[0] = acquire(client, "b", 4_000);
                         return later[0] instanceof Granted;
@@ -187,7 +193,7 @@
     void wipedReplicaIsRejectedAndOneWithANewNameReplacesIt() throws Exception {
         try (GroupUnderTest group = startGroup("")) {
             await(
-                    "all are known",
+                    "all replicas are known to the leader",
                     () -> status(group, group.leader(CALL_TIMEOUT)).path("members").size() == 3);
             String victim =
                     group.names().stream()
@@ -204,7 +210,7 @@
             group.process(victim).kill();
             Installation.deleteRecursively(dir.resolve("data").resolve(victim));
             group.process(victim).start();
-            await("it ends by itself", () -> !group.process(victim).isAlive());
+            await("the replica stops", () -> !group.process(victim).isAlive());
             assertEquals(78, group.process(victim).exitCode());
             assertTrue(
                     Files.readString(group.process(victim).logFile().toPath())
@@ -218,7 +224,7 @@
             try (TrialProcess anew = group.newJoiningProcess("r4")) {
                 anew.start();
                 await(
-                        "it votes again",
+                        "the group has three voters again",
                         () -> {
                             JsonNode now = status(group, group.leader(CALL_TIMEOUT));
                             return now.path("voters").size() == 3;
@@ -305,7 +311,7 @@
                                 .toList();
             }
             assertFalse(segments.isEmpty());
-            for (Path segment : segments) { // a stretch in the middle of what is acknowledged
+            for (Path segment : segments) { // damage bytes in the middle of acknowledged entries
                 byte[] bytes = Files.readAllBytes(segment);
                 for (int i = 600; i < Math.min(bytes.length, 1_800); i++) {
                     bytes[i] ^= 0x55;
@@ -313,7 +319,7 @@
                 Files.write(segment, bytes);
             }
             group.process("r2").start();
-            await("it ends by itself", () -> !group.process("r2").isAlive());
+            await("the replica stops", () -> !group.process("r2").isAlive());
             assertTrue(group.process("r2").exitCode() != 0);
             assertInstanceOf(
                     Held.class,
@@ -330,10 +336,9 @@
                         3,
                         List.of(TrialProcess.coordinatorJar()),
                         "  snapshot_every = 100000\n")) {
-            group.process("r2")
-                    .limitFileSize(4 << 10); // KiB a file: the first segment does not fit
+            group.process("r2").limitFileSize(4 << 10); // in KiB; the first segment does not fit
             group.start();
-            await("it ends by itself", () -> !group.process("r2").isAlive());
+            await("the replica stops", () -> !group.process("r2").isAlive());
             assertTrue(group.process("r2").exitCode() != 0);
             assertInstanceOf(Granted.class, acquire(group.client(), "a", 1_000));
         }
@@ -347,14 +352,15 @@
             group.setExtraSettings("r2", "  trial {\n    clock_percent = 101\n  }\n");
             group.start();
             await(
-                    "the day is known",
+                    "the group knows the wall-clock time",
                     () ->
                             status(group, group.leader(CALL_TIMEOUT)).path("day").asLong() > 0
                                     && status(group, group.leader(CALL_TIMEOUT))
                                                     .path("members")
                                                     .size()
                                             == 3);
-            for (String name : group.names()) { // each leads once, the one that is off too
+            // Each replica leads once, also the one whose clock is off.
+            for (String name : group.names()) {
                 if (!name.equals(group.leader(CALL_TIMEOUT))) {
                     group.client()
                             .post(
@@ -366,7 +372,7 @@
                 long off = status(group, name).path("day").asLong() - System.currentTimeMillis();
                 assertTrue(
                         Math.abs(off) < 60_000,
-                        name + " leads, and the day is off by " + off + " ms");
+                        name + " leads, and the group's time is off by " + off + " ms");
             }
         }
     }
@@ -378,15 +384,15 @@
             group.setExtraSettings("r1", "  speaks = 1\n");
             group.start();
             await(
-                    "all are known",
+                    "all replicas are known to the leader",
                     () -> status(group, group.leader(CALL_TIMEOUT)).path("members").size() == 3);
-            Thread.sleep(1_000); // ticks go by; the level must not move by them
+            Thread.sleep(1_000); // ticks alone must not raise the feature level
             assertEquals(1, status(group, group.leader(CALL_TIMEOUT)).path("level").asInt());
             group.process("r1").kill();
             group.setExtraSettings("r1", "");
             group.process("r1").start();
             await(
-                    "all know what this build does",
+                    "all replicas are known to support the current feature level",
                     () ->
                             status(group, "r1").path("level").asInt()
                                     == GroupState.SUPPORTED_FEATURE_LEVEL);
