--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationDemo.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationDemo.java
@@ -54,9 +54,9 @@
         return observer.violations().isEmpty();
     }
 
-    private void showPropagation(String what, AcceptedRevision accepted)
+    private void showPropagation(String description, AcceptedRevision change)
             throws InterruptedException {
-        long revision = accepted.revision();
+        long revision = change.revision();
         if (!observer.awaitRevision(
                 revision, fleet.followerCount(), ConfigurationTrial.MAX_PROPAGATION_MS)) {
             observer.addViolation(
@@ -64,12 +64,12 @@
         }
         LongSummaryStatistics times =
                 observer.appliedMsByFollower(revision).values().stream()
-                        .mapToLong(atMs -> Math.max(0, atMs - accepted.atMs()))
+                        .mapToLong(atMs -> Math.max(0, atMs - change.atMs()))
                         .summaryStatistics();
         System.out.printf(
                 "  %s: revision %d applied by %d followers, the first after %d ms, the last"
                         + " after %d ms%n",
-                what, revision, times.getCount(), times.getMin(), times.getMax());
+                description, revision, times.getCount(), times.getMin(), times.getMax());
     }
 
     @Override
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationFault.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationFault.java
@@ -37,30 +37,31 @@
         Random random = new Random(seed);
         List<Kind> kinds = new ArrayList<>(List.of(Kind.values()));
         java.util.Collections.shuffle(kinds, random);
-        List<ConfigurationFault> script = new ArrayList<>();
+        List<ConfigurationFault> faults = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            script.add(randomFault(kinds.get(i % kinds.size()), random, fleet));
+            faults.add(randomFault(kinds.get(i % kinds.size()), random, fleet));
         }
-        return script;
+        return faults;
     }
 
     private static ConfigurationFault randomFault(
             Kind kind, Random random, ConfigurationFleet fleet) {
         List<String> distributors = fleet.distributorNames();
         List<String> followers = fleet.followerNames();
-        List<String> asking = new ArrayList<>(distributors);
-        asking.addAll(followers);
-        String at =
+        List<String> clients = new ArrayList<>(distributors);
+        clients.addAll(followers);
+        String target =
                 switch (kind) {
                     case LEADER_KILLED, CONTROL_RESTARTED -> "";
                     case DISTRIBUTOR_KILLED, DISTRIBUTOR_PAUSED ->
                             distributors.get(random.nextInt(distributors.size()));
                     case FOLLOWERS_KILLED, FOLLOWERS_PAUSED ->
                             followers.get(random.nextInt(followers.size()));
-                    default -> asking.get(random.nextInt(asking.size()));
+                    default -> clients.get(random.nextInt(clients.size()));
                 };
-        boolean silent = kind == Kind.LINK_SILENT || kind == Kind.DISTRIBUTOR_PAUSED;
-        return new ConfigurationFault(kind, at, silent ? SILENCE_MS : 500 + random.nextInt(2_500));
+        boolean silenceFault = kind == Kind.LINK_SILENT || kind == Kind.DISTRIBUTOR_PAUSED;
+        return new ConfigurationFault(
+                kind, target, silenceFault ? SILENCE_MS : 500 + random.nextInt(2_500));
     }
 
     /** Returns whether the fault stops all followers of the process {@link #target}. */
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationFleet.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationFleet.java
@@ -34,10 +34,10 @@
     private final Map<String, List<FaultProxy>> links = new LinkedHashMap<>();
 
     ConfigurationFleet(
-            Path dir, GroupUnderTest group, ConfigurationObserver witness, int followersPerZone)
+            Path dir, GroupUnderTest group, ConfigurationObserver observer, int followersPerZone)
             throws IOException {
         this.group = group;
-        this.observer = witness;
+        this.observer = observer;
         this.followersPerZone = followersPerZone;
         for (String zone : ZONES) {
             distributorAddresses.put("d-" + zone, freeAddress());
@@ -51,8 +51,9 @@
     }
 
     private static InetSocketAddress freeAddress() throws IOException {
-        try (ServerSocket any = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
-            return (InetSocketAddress) any.getLocalSocketAddress();
+        try (ServerSocket socket =
+                new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
+            return (InetSocketAddress) socket.getLocalSocketAddress();
         }
     }
 
@@ -92,9 +93,9 @@
         return settings;
     }
 
-    private static <T> List<T> rotated(Collection<T> all, int by) {
-        List<T> rotated = new ArrayList<>(all);
-        java.util.Collections.rotate(rotated, -by);
+    private static <T> List<T> rotated(Collection<T> items, int distance) {
+        List<T> rotated = new ArrayList<>(items);
+        java.util.Collections.rotate(rotated, -distance);
         return rotated;
     }
 
@@ -109,8 +110,9 @@
     private TrialProcess newFollowerProcess(Path dir, String zone) throws IOException {
         String name = "f-" + zone;
         List<FaultProxy> toDistributors = new ArrayList<>();
-        for (InetSocketAddress at : rotated(distributorAddresses.values(), ZONES.indexOf(zone))) {
-            toDistributors.add(new FaultProxy(at));
+        for (InetSocketAddress address :
+                rotated(distributorAddresses.values(), ZONES.indexOf(zone))) {
+            toDistributors.add(new FaultProxy(address));
         }
         links.put(name, toDistributors);
         List<String> sources =
@@ -171,40 +173,41 @@
     }
 
     /** Returns the links of a distributor to the replicas, or of followers to the distributors. */
-    List<FaultProxy> links(String asking) {
-        return links.get(asking);
+    List<FaultProxy> links(String processName) {
+        return links.get(processName);
     }
 
     /** Fetches the status that a distributor reports. */
     JsonNode status(String distributor, Duration within) throws IOException, InterruptedException {
-        String at = formatAddress(distributorAddresses.get(distributor));
-        return new GroupClient(List.of(at), Ticker.SYSTEM).get("/v1/configuration/status", within);
+        String address = formatAddress(distributorAddresses.get(distributor));
+        return new GroupClient(List.of(address), Ticker.SYSTEM)
+                .get("/v1/configuration/status", within);
     }
 
     /** Restarts or resumes all stopped processes and removes the faults of all links. */
     void heal() throws IOException, InterruptedException {
-        links.values().forEach(some -> some.forEach(FaultProxy::heal));
-        for (TrialProcess proc : processes()) {
-            proc.resume();
-            if (!proc.isAlive()) {
-                proc.start();
+        links.values().forEach(processLinks -> processLinks.forEach(FaultProxy::heal));
+        for (TrialProcess process : processes()) {
+            process.resume();
+            if (!process.isAlive()) {
+                process.start();
             }
         }
     }
 
     private List<TrialProcess> processes() {
-        List<TrialProcess> all = new ArrayList<>(distributors.values());
-        all.addAll(followers.values());
-        return all;
+        List<TrialProcess> processes = new ArrayList<>(distributors.values());
+        processes.addAll(followers.values());
+        return processes;
     }
 
     @Override
     public void close() throws IOException, InterruptedException {
-        for (TrialProcess proc : processes()) {
-            proc.close();
+        for (TrialProcess process : processes()) {
+            process.close();
         }
-        for (List<FaultProxy> some : links.values()) {
-            for (FaultProxy link : some) {
+        for (List<FaultProxy> processLinks : links.values()) {
+            for (FaultProxy link : processLinks) {
                 link.close();
             }
         }
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationObserver.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationObserver.java
@@ -50,42 +50,42 @@
     private void acceptAll() {
         while (!listener.isClosed()) {
             try {
-                Socket from = listener.accept();
-                startDaemon(() -> serve(from));
+                Socket connection = listener.accept();
+                startDaemon(() -> serve(connection));
             } catch (IOException closed) {
                 return;
             }
         }
     }
 
-    private void serve(Socket from) {
-        try (from;
+    private void serve(Socket connection) {
+        try (connection;
                 BufferedReader in =
                         new BufferedReader(
                                 new InputStreamReader(
-                                        from.getInputStream(), StandardCharsets.US_ASCII))) {
+                                        connection.getInputStream(), StandardCharsets.US_ASCII))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String[] words = line.split(" ");
                 observe(words[0], words[1], Long.parseLong(words[2]), words[3]);
             }
-        } catch (IOException over) {
+        } catch (IOException closed) {
             return;
         }
     }
 
-    /** Records the report of a follower; {@code what} tells how it applied the revision. */
-    synchronized void observe(String follower, String what, long revision, String digest) {
-        Observation now =
-                new Observation(follower, revision, digest, elapsedMs(), what.equals("start"));
-        observations.add(now);
-        if (!List.of("start", "applied", "snapshot").contains(what)) {
-            violations.add(follower + " at revision " + revision + ": " + what);
+    /** Records the report of a follower; {@code event} tells how it applied the revision. */
+    synchronized void observe(String follower, String event, long revision, String digest) {
+        Observation observation =
+                new Observation(follower, revision, digest, elapsedMs(), event.equals("start"));
+        observations.add(observation);
+        if (!List.of("start", "applied", "snapshot").contains(event)) {
+            violations.add(follower + " at revision " + revision + ": " + event);
         }
-        Observation before = newestByFollower.put(follower, now);
-        if (before != null && revision < before.revision()) {
-            violations.add(follower + " went back from " + before.revision() + " to " + revision);
+        Observation previous = newestByFollower.put(follower, observation);
+        if (previous != null && revision < previous.revision()) {
+            violations.add(follower + " went back from " + previous.revision() + " to " + revision);
         }
-        Observation first = firstByRevision.putIfAbsent(revision, now);
+        Observation first = firstByRevision.putIfAbsent(revision, observation);
         if (first != null && !first.digest().equals(digest)) {
             violations.add(
                     follower + " and " + first.follower() + " differ at revision " + revision);
@@ -99,14 +99,19 @@
      * @param digests the digests of the accepted changes, by revision
      */
     synchronized void compareWithAccepted(Map<Long, String> digests) {
-        for (Observation one : firstByRevision.values()) {
-            String accepted = digests.get(one.revision());
-            if (accepted == null) {
+        for (Observation observation : firstByRevision.values()) {
+            String acceptedDigest = digests.get(observation.revision());
+            if (acceptedDigest == null) {
                 violations.add(
-                        one.follower() + " had revision " + one.revision() + ", never accepted");
-            } else if (!accepted.equals(one.digest())) {
+                        observation.follower()
+                                + " had revision "
+                                + observation.revision()
+                                + ", never accepted");
+            } else if (!acceptedDigest.equals(observation.digest())) {
                 violations.add(
-                        one.follower() + " had another digest at revision " + one.revision());
+                        observation.follower()
+                                + " had another digest at revision "
+                                + observation.revision());
             }
         }
     }
@@ -129,15 +134,17 @@
     }
 
     private long countWithRevision(long revision) {
-        return newestByFollower.values().stream().filter(one -> one.revision() >= revision).count();
+        return newestByFollower.values().stream()
+                .filter(observation -> observation.revision() >= revision)
+                .count();
     }
 
     /** Returns, by follower, when it first applied the revision or a newer one. */
     synchronized Map<String, Long> appliedMsByFollower(long revision) {
         Map<String, Long> times = new TreeMap<>();
-        for (Observation one : observations) {
-            if (one.revision() >= revision) {
-                times.putIfAbsent(one.follower(), one.atMs());
+        for (Observation observation : observations) {
+            if (observation.revision() >= revision) {
+                times.putIfAbsent(observation.follower(), observation.atMs());
             }
         }
         return times;
@@ -159,8 +166,8 @@
     }
 
     /** Adds a violation that another check found. */
-    synchronized void addViolation(String what) {
-        violations.add(what);
+    synchronized void addViolation(String description) {
+        violations.add(description);
     }
 
     long elapsedMs() {
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationStepTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationStepTrial.java
@@ -50,27 +50,29 @@
 
     /** Returns the milliseconds from acceptance until all followers had applied the change. */
     long runCase(Step step, Victim victim) throws IOException, InterruptedException {
-        ConfigurationObserver witness = trial.observer();
+        ConfigurationObserver observer = trial.observer();
         String leader = trial.group().leader(CALL_TIMEOUT);
-        long before = newestRevision();
+        long previousRevision = newestRevision();
         CompletableFuture<AcceptedRevision> change =
                 CompletableFuture.supplyAsync(this::writeChange);
-        awaitStep(step, change, before + 1);
+        awaitStep(step, change, previousRevision + 1);
         kill(victim, leader);
         Thread.sleep(DOWNTIME_MS);
         trial.group().heal();
         trial.fleet().heal();
         AcceptedRevision accepted = change.join();
-        if (accepted.revision() != before + 1) {
-            witness.addViolation(
-                    "one change produced " + (accepted.revision() - before) + " revisions");
+        if (accepted.revision() != previousRevision + 1) {
+            observer.addViolation(
+                    "one change produced "
+                            + (accepted.revision() - previousRevision)
+                            + " revisions");
         }
-        int all = trial.fleet().followerCount();
-        if (!witness.awaitRevision(accepted.revision(), all, MAX_WAIT_MS)) {
+        int followerCount = trial.fleet().followerCount();
+        if (!observer.awaitRevision(accepted.revision(), followerCount, MAX_WAIT_MS)) {
             throw new IOException("not applied by all followers after " + MAX_WAIT_MS + " ms");
         }
-        witness.compareWithAccepted(trial.writer().fetchDigests());
-        return witness.appliedMsByFollower(accepted.revision()).values().stream()
+        observer.compareWithAccepted(trial.writer().fetchDigests());
+        return observer.appliedMsByFollower(accepted.revision()).values().stream()
                 .mapToLong(atMs -> Math.max(0, atMs - accepted.atMs()))
                 .max()
                 .orElseThrow();
@@ -84,8 +86,8 @@
     private AcceptedRevision writeChange() {
         try {
             return trial.writer().moveShards();
-        } catch (IOException | InterruptedException failed) {
-            throw new CompletionException(failed);
+        } catch (IOException | InterruptedException failure) {
+            throw new CompletionException(failure);
         }
     }
 
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationTrial.java
@@ -106,8 +106,8 @@
     private void runFault(ConfigurationFault fault) throws IOException, InterruptedException {
         long fromMs = observer.elapsedMs();
         fault.inject(group, fleet);
-        boolean nobodyWrites = fault.kind() == ConfigurationFault.Kind.CONTROL_RESTARTED;
-        if (!nobodyWrites) {
+        boolean controlPlaneDown = fault.kind() == ConfigurationFault.Kind.CONTROL_RESTARTED;
+        if (!controlPlaneDown) {
             writeChanges(fault.kind(), fault.durationMs());
         }
         fault.repair(group, fleet);
@@ -116,7 +116,7 @@
         }
         if (fault.stopsFollowers()) {
             outages.add(new Outage(fault.target(), fromMs, observer.elapsedMs()));
-        } else if (nobodyWrites) {
+        } else if (controlPlaneDown) {
             outages.add(new Outage("", fromMs, observer.elapsedMs()));
         }
         writeChanges(fault.kind(), WRITE_AFTER_FAULT_MS);
@@ -125,7 +125,10 @@
     private void awaitRestart(String followers, long sinceMs) throws InterruptedException {
         long untilMs = observer.elapsedMs() + START_TIMEOUT.toMillis();
         while (observer.newestByFollower().values().stream()
-                .anyMatch(one -> one.follower().startsWith(followers) && one.atMs() < sinceMs)) {
+                .anyMatch(
+                        observation ->
+                                observation.follower().startsWith(followers)
+                                        && observation.atMs() < sinceMs)) {
             if (observer.elapsedMs() > untilMs) {
                 observer.addViolation(followers + " did not start again");
                 return;
@@ -134,11 +137,11 @@
         }
     }
 
-    private void writeChanges(ConfigurationFault.Kind under, long forMs)
+    private void writeChanges(ConfigurationFault.Kind faultKind, long durationMs)
             throws IOException, InterruptedException {
-        long untilMs = observer.elapsedMs() + forMs;
+        long untilMs = observer.elapsedMs() + durationMs;
         do {
-            writtenChanges.add(new WrittenChange(writer.moveShards(), under));
+            writtenChanges.add(new WrittenChange(writer.moveShards(), faultKind));
             Thread.sleep(WRITE_INTERVAL_MS);
         } while (observer.elapsedMs() < untilMs);
     }
@@ -152,32 +155,38 @@
         Map<Long, String> digests = writer.fetchDigests();
         observer.compareWithAccepted(digests);
         observer.newestByFollower().values().stream()
-                .filter(one -> !one.digest().equals(digests.get(one.revision())))
+                .filter(
+                        observation ->
+                                !observation.digest().equals(digests.get(observation.revision())))
                 .forEach(
-                        one -> observer.addViolation(one.follower() + " ends with another digest"));
-        Histogram times = new Histogram(3);
-        Map<ConfigurationFault.Kind, Long> longest = new EnumMap<>(ConfigurationFault.Kind.class);
+                        observation ->
+                                observer.addViolation(
+                                        observation.follower() + " ends with another digest"));
+        Histogram propagationMs = new Histogram(3);
+        Map<ConfigurationFault.Kind, Long> maxMsByKind =
+                new EnumMap<>(ConfigurationFault.Kind.class);
         for (WrittenChange write : writtenChanges) {
             for (long ms : propagationTimes(write.accepted())) {
-                times.recordValue(ms);
+                propagationMs.recordValue(ms);
                 if (write.faultKind() != null) {
-                    longest.merge(write.faultKind(), ms, Math::max);
+                    maxMsByKind.merge(write.faultKind(), ms, Math::max);
                 }
             }
         }
-        if (times.getMaxValue() > MAX_PROPAGATION_MS) {
-            observer.addViolation("a change was applied only after " + times.getMaxValue() + " ms");
+        if (propagationMs.getMaxValue() > MAX_PROPAGATION_MS) {
+            observer.addViolation(
+                    "a change was applied only after " + propagationMs.getMaxValue() + " ms");
         }
-        Map<String, Long> named = new TreeMap<>();
-        longest.forEach((kind, ms) -> named.put(kind.name().toLowerCase(), ms));
+        Map<String, Long> maxMsByFault = new TreeMap<>();
+        maxMsByKind.forEach((kind, ms) -> maxMsByFault.put(kind.name().toLowerCase(), ms));
         return new Verdict(
                 seed,
                 writtenChanges.size(),
                 observer.observationCount(),
-                times.getValueAtPercentile(50),
-                times.getValueAtPercentile(99),
-                times.getMaxValue(),
-                named,
+                propagationMs.getValueAtPercentile(50),
+                propagationMs.getValueAtPercentile(99),
+                propagationMs.getMaxValue(),
+                maxMsByFault,
                 observer.violations());
     }
 
@@ -194,9 +203,9 @@
 
     private long propagationTime(AcceptedRevision accepted, String follower, long atMs) {
         long fromMs = accepted.atMs();
-        for (Outage span : outages) {
-            if (span.covers(follower, accepted.atMs(), atMs)) {
-                fromMs = Math.max(fromMs, span.toMs());
+        for (Outage outage : outages) {
+            if (outage.covers(follower, accepted.atMs(), atMs)) {
+                fromMs = Math.max(fromMs, outage.toMs());
             }
         }
         return Math.max(0, atMs - fromMs);
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationTrialCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationTrialCommand.java
@@ -38,26 +38,26 @@
     @Override
     public Integer call() throws Exception {
         Path dir = Files.createTempDirectory("trial-configuration-");
-        boolean sound;
+        boolean passed;
         try (ConfigurationTrial trial = new ConfigurationTrial(dir, followers)) {
-            sound = steps ? runStepTable(trial) : runSeeds(trial);
+            passed = steps ? runStepTable(trial) : runSeeds(trial);
         }
-        if (sound) {
+        if (passed) {
             Installation.deleteRecursively(dir);
         } else {
             System.out.println("files kept in " + dir);
         }
-        return sound ? 0 : 1;
+        return passed ? 0 : 1;
     }
 
     private boolean runSeeds(ConfigurationTrial trial) throws Exception {
-        boolean sound = true;
-        for (long each = seed; each < seed + seeds && sound; each++) {
-            ConfigurationTrial.Verdict verdict = trial.run(each, faults);
+        boolean passed = true;
+        for (long currentSeed = seed; currentSeed < seed + seeds && passed; currentSeed++) {
+            ConfigurationTrial.Verdict verdict = trial.run(currentSeed, faults);
             System.out.printf(
                     "seed %d: %d changes, %d observations; applied after p50 %d, p99 %d, max"
                             + " %d ms; max by fault %s%s%n",
-                    each,
+                    currentSeed,
                     verdict.changeCount(),
                     verdict.observationCount(),
                     verdict.medianMs(),
@@ -65,27 +65,30 @@
                     verdict.maxMs(),
                     verdict.maxMsByFault(),
                     verdict.violations().isEmpty() ? "" : ", VIOLATIONS " + verdict.violations());
-            sound = verdict.violations().isEmpty();
+            passed = verdict.violations().isEmpty();
         }
-        return sound;
+        return passed;
     }
 
     private static boolean runStepTable(ConfigurationTrial trial) throws InterruptedException {
-        ConfigurationStepTrial cells = new ConfigurationStepTrial(trial);
-        int failed = 0;
+        ConfigurationStepTrial stepTrial = new ConfigurationStepTrial(trial);
+        int failureCount = 0;
         for (ConfigurationStepTrial.Step step : ConfigurationStepTrial.Step.values()) {
             for (ConfigurationStepTrial.Victim victim : ConfigurationStepTrial.Victim.values()) {
-                String came;
+                String result;
                 try {
-                    came = "applied by all followers after " + cells.runCase(step, victim) + " ms";
-                } catch (IOException not) {
-                    came = not.getMessage();
-                    failed++;
+                    result =
+                            "applied by all followers after "
+                                    + stepTrial.runCase(step, victim)
+                                    + " ms";
+                } catch (IOException failure) {
+                    result = failure.getMessage();
+                    failureCount++;
                 }
-                System.out.printf("%-15s %-12s %s%n", step, victim, came);
+                System.out.printf("%-15s %-12s %s%n", step, victim, result);
             }
         }
         System.out.println("violations: " + trial.observer().violations());
-        return failed == 0 && trial.observer().violations().isEmpty();
+        return failureCount == 0 && trial.observer().violations().isEmpty();
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationWriter.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationWriter.java
@@ -31,9 +31,9 @@
     private final List<AcceptedRevision> acceptedRevisions = new ArrayList<>();
     private int changeCount;
 
-    ConfigurationWriter(GroupClient client, ConfigurationObserver witness, long seed) {
+    ConfigurationWriter(GroupClient client, ConfigurationObserver observer, long seed) {
         this.client = client;
-        this.observer = witness;
+        this.observer = observer;
         random = new Random(seed);
     }
 
@@ -69,14 +69,14 @@
         for (int i = 0; i <= random.nextInt(5); i++) {
             EntryKey key = EntryKey.parse("shard/topic-1/" + random.nextInt(SHARD_COUNT));
             boolean delete = random.nextInt(10) == 0;
-            EntryValue to = new EntryValue.Shard("gw-" + random.nextInt(BACKEND_COUNT));
-            moves.add(new Mutation(key, delete ? null : to));
+            EntryValue target = new EntryValue.Shard("gw-" + random.nextInt(BACKEND_COUNT));
+            moves.add(new Mutation(key, delete ? null : target));
         }
         // The marker makes each change different, even if its moves have no effect.
-        String weight = "10.0.1." + changeCount % 200 + ":" + (1 + changeCount);
+        String address = "10.0.1." + changeCount % 200 + ":" + (1 + changeCount);
         EntryValue marker =
                 new EntryValue.Backend(
-                        weight, "a1", 0, EntryValue.BackendState.DRAINING, 0, changeCount);
+                        address, "a1", 0, EntryValue.BackendState.DRAINING, 0, changeCount);
         moves.add(new Mutation(EntryKey.parse("backend/marker"), marker));
         Reply reply = send(moves);
         if (!(reply instanceof ConfigurationReplies.Changed)) {
@@ -112,10 +112,10 @@
     Map<Long, String> fetchDigests() throws IOException, InterruptedException {
         Map<Long, String> digests = ConfigurationObserver.initialDigests();
         long after = 0;
-        long wanted = acceptedRevisions.get(acceptedRevisions.size() - 1).revision();
+        long lastAccepted = acceptedRevisions.get(acceptedRevisions.size() - 1).revision();
         long untilNanos = System.nanoTime() + CALL_TIMEOUT.toNanos();
-        while (after < wanted && System.nanoTime() < untilNanos) {
-            JsonNode answer =
+        while (after < lastAccepted && System.nanoTime() < untilNanos) {
+            JsonNode response =
                     client.get(
                             "/v1/configuration/changes?after="
                                     + after
@@ -123,19 +123,19 @@
                                     + digests.get(after)
                                     + "&follower=trial&zone=trial&waitMs=0",
                             CALL_TIMEOUT);
-            for (JsonNode change : answer.path("changes")) {
+            for (JsonNode change : response.path("changes")) {
                 after = change.path("revision").asLong();
                 digests.put(after, change.path("digest").asText());
             }
-            if (answer.path("changes").isEmpty()) {
+            if (response.path("changes").isEmpty()) {
                 Thread.sleep(50);
             }
         }
-        for (AcceptedRevision one : acceptedRevisions) {
-            if (!one.digest().equals(digests.get(one.revision()))) {
+        for (AcceptedRevision acceptedRevision : acceptedRevisions) {
+            if (!acceptedRevision.digest().equals(digests.get(acceptedRevision.revision()))) {
                 observer.addViolation(
                         "revision "
-                                + one.revision()
+                                + acceptedRevision.revision()
                                 + " was accepted and is lost or has another digest");
             }
         }
--- a/lab/src/main/java/saltstage/lab/trial/CoordinatorBenchmark.java
+++ b/lab/src/main/java/saltstage/lab/trial/CoordinatorBenchmark.java
@@ -76,49 +76,49 @@
 
     private void measureRate(int replicas, int clients, Report report) throws Exception {
         Path dir = Files.createTempDirectory("coordinator-");
-        Histogram took = new Histogram(60_000_000L, 3);
-        long done = 0;
+        Histogram latencies = new Histogram(60_000_000L, 3);
+        long operationCount = 0;
         try (GroupUnderTest group =
                 new GroupUnderTest(dir, replicas, List.of(TrialProcess.coordinatorJar()), "")
                         .start()) {
             group.leader(CALL_TIMEOUT);
-            ExecutorService threads = Executors.newFixedThreadPool(clients);
-            List<Future<Histogram>> parts = new ArrayList<>();
+            ExecutorService executor = Executors.newFixedThreadPool(clients);
+            List<Future<Histogram>> loads = new ArrayList<>();
             for (int i = 0; i < clients; i++) {
-                int me = i;
-                parts.add(threads.submit(() -> runLoad(group.client(), "c" + me)));
+                int clientNumber = i;
+                loads.add(executor.submit(() -> runLoad(group.client(), "c" + clientNumber)));
             }
-            for (Future<Histogram> part : parts) {
-                took.add(part.get());
+            for (Future<Histogram> load : loads) {
+                latencies.add(load.get());
             }
-            threads.shutdown();
-            done = took.getTotalCount();
+            executor.shutdown();
+            operationCount = latencies.getTotalCount();
         }
         Installation.deleteRecursively(dir);
         report.addRow(
                 replicas,
                 clients,
-                done / seconds,
-                took.getValueAtPercentile(50) / 1_000.0,
-                took.getValueAtPercentile(99) / 1_000.0);
+                operationCount / seconds,
+                latencies.getValueAtPercentile(50) / 1_000.0,
+                latencies.getValueAtPercentile(99) / 1_000.0);
     }
 
     private Histogram runLoad(GroupClient client, String name)
             throws IOException, InterruptedException {
-        Histogram took = new Histogram(60_000_000L, 3);
-        long until = System.nanoTime() + seconds * 1_000_000_000L;
-        while (System.nanoTime() < until) {
-            long start = System.nanoTime();
+        Histogram latencies = new Histogram(60_000_000L, 3);
+        long deadlineNanos = System.nanoTime() + seconds * 1_000_000_000L;
+        while (System.nanoTime() < deadlineNanos) {
+            long startNanos = System.nanoTime();
             Granted granted =
                     (Granted)
                             client.send(new Acquire(name, name, 5_000, 0, false), CALL_TIMEOUT)
                                     .reply();
-            took.recordValue((System.nanoTime() - start) / 1_000);
-            start = System.nanoTime();
+            latencies.recordValue((System.nanoTime() - startNanos) / 1_000);
+            startNanos = System.nanoTime();
             client.send(new Release(name, name, granted.fence()), CALL_TIMEOUT);
-            took.recordValue((System.nanoTime() - start) / 1_000);
+            latencies.recordValue((System.nanoTime() - startNanos) / 1_000);
         }
-        return took;
+        return latencies;
     }
 
     /** An event that affects the current leader, for example its death. */
@@ -129,79 +129,89 @@
     /**
      * Measures the longest time, in microseconds, between two answered commands during an event.
      */
-    private long measureGap(GroupUnderTest group, LeaderEvent befalls) throws Exception {
+    private long measureGap(GroupUnderTest group, LeaderEvent event) throws Exception {
         String leader = group.leader(CALL_TIMEOUT);
-        boolean[] over = {false};
-        long[] most = {0};
+        boolean[] stopped = {false};
+        long[] maxGapNanos = {0};
         Thread writer =
                 new Thread(
                         () -> {
                             GroupClient client =
                                     new GroupClient(group.clientAddresses(), Ticker.SYSTEM);
-                            long last = System.nanoTime();
-                            for (int i = 0; !over[0]; i++) {
+                            long lastReplyNanos = System.nanoTime();
+                            for (int i = 0; !stopped[0]; i++) {
                                 try {
                                     client.send(
                                             new Acquire("gap", "me", 5_000, 0, false),
                                             CALL_TIMEOUT);
-                                } catch (IOException | InterruptedException lost) {
+                                } catch (IOException | InterruptedException failure) {
                                     return;
                                 }
-                                most[0] = i == 0 ? 0 : Math.max(most[0], System.nanoTime() - last);
-                                last = System.nanoTime();
+                                maxGapNanos[0] =
+                                        i == 0
+                                                ? 0
+                                                : Math.max(
+                                                        maxGapNanos[0],
+                                                        System.nanoTime() - lastReplyNanos);
+                                lastReplyNanos = System.nanoTime();
                             }
                         });
         writer.start();
         Thread.sleep(300);
-        befalls.apply(leader);
+        event.apply(leader);
         Thread.sleep(3_000);
-        over[0] = true;
+        stopped[0] = true;
         writer.join();
-        return most[0] / 1_000;
+        return maxGapNanos[0] / 1_000;
     }
 
     private static void transferLeadership(GroupUnderTest group, String leader)
             throws IOException, InterruptedException {
-        String to = group.names().stream().filter(n -> !n.equals(leader)).findFirst().orElseThrow();
+        String target =
+                group.names().stream()
+                        .filter(name -> !name.equals(leader))
+                        .findFirst()
+                        .orElseThrow();
         group.client()
                 .post(
                         "/v1/transfer",
-                        GroupCodec.jsonMapper().createObjectNode().put("to", to),
+                        GroupCodec.jsonMapper().createObjectNode().put("to", target),
                         CALL_TIMEOUT);
     }
 
     private void measureGaps(Report report) throws Exception {
         Path dir = Files.createTempDirectory("coordinator-");
-        Histogram killed = new Histogram(60_000_000L, 3);
-        Histogram handed = new Histogram(60_000_000L, 3);
+        Histogram killGaps = new Histogram(60_000_000L, 3);
+        Histogram transferGaps = new Histogram(60_000_000L, 3);
         try (GroupUnderTest group =
                 new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), "").start()) {
             for (int i = 0; i < kills; i++) {
-                String[] victim = new String[1];
-                killed.recordValue(
+                String[] killedLeader = new String[1];
+                killGaps.recordValue(
                         measureGap(
                                 group,
                                 leader -> {
-                                    victim[0] = leader;
+                                    killedLeader[0] = leader;
                                     group.process(leader).kill();
                                 }));
-                group.process(victim[0]).start();
+                group.process(killedLeader[0]).start();
                 Thread.sleep(2_000);
             }
             for (int i = 0; i < transfers; i++) {
-                handed.recordValue(measureGap(group, leader -> transferLeadership(group, leader)));
+                transferGaps.recordValue(
+                        measureGap(group, leader -> transferLeadership(group, leader)));
             }
         }
         Installation.deleteRecursively(dir);
         report.addRow(
                 "leader killed",
                 kills,
-                killed.getValueAtPercentile(50) / 1_000.0,
-                killed.getMaxValue() / 1_000.0);
+                killGaps.getValueAtPercentile(50) / 1_000.0,
+                killGaps.getMaxValue() / 1_000.0);
         report.addRow(
                 "transfer",
                 transfers,
-                handed.getValueAtPercentile(50) / 1_000.0,
-                handed.getMaxValue() / 1_000.0);
+                transferGaps.getValueAtPercentile(50) / 1_000.0,
+                transferGaps.getMaxValue() / 1_000.0);
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
@@ -129,9 +129,9 @@
                 "  floor \"all\" {\n    regions = [\"kita\", \"minami\"]\n    least = "
                         + FLOOR_NODES
                         + "\n  }\n}\n");
-        Reply agreed = null;
-        for (int i = 0; i < 100 && !(agreed instanceof Acknowledgement); i++) {
-            agreed =
+        Reply reply = null;
+        for (int i = 0; i < 100 && !(reply instanceof Acknowledgement); i++) {
+            reply =
                     client.send(
                                     new WindowCommands.SetFleet(
                                             FleetSettings.parse(
@@ -190,39 +190,39 @@
 
     private void watchWindows(GroupUnderTest group, GroupClient client, Map<Long, Window> windows)
             throws Exception {
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         boolean agentKilled = false;
         boolean leaderKilled = false;
-        String victim = null;
-        for (boolean over = false; !over; Thread.sleep(250)) {
-            over = true;
+        String killedLeader = null;
+        for (boolean allDone = false; !allDone; Thread.sleep(250)) {
+            allDone = true;
             for (JsonNode row : client.get("/v1/windows", CALL_TIMEOUT).path("windows")) {
-                Window now = GroupCodec.jsonMapper().treeToValue(row, Window.class);
-                Window before = windows.put(now.id(), now);
-                if (before == null || before.state() != now.state()) {
+                Window window = GroupCodec.jsonMapper().treeToValue(row, Window.class);
+                Window previous = windows.put(window.id(), window);
+                if (previous == null || previous.state() != window.state()) {
                     unprintedEvents.add(
-                            "window " + now.id() + " " + now.state() + ": " + now.why());
-                    checkEmpty(now);
+                            "window " + window.id() + " " + window.state() + ": " + window.why());
+                    checkEmpty(window);
                 }
-                over &= now.state() == Window.State.DONE;
-                if (now.state() == Window.State.OUT && !agentKilled) {
+                allDone &= window.state() == Window.State.DONE;
+                if (window.state() == Window.State.OUT && !agentKilled) {
                     agentKilled = true;
-                    restartAgent(now.wish().region());
+                    restartAgent(window.wish().region());
                 }
-                if (now.state() == Window.State.WARMING && !leaderKilled) {
+                if (window.state() == Window.State.WARMING && !leaderKilled) {
                     leaderKilled = true;
-                    victim = group.leader(CALL_TIMEOUT);
-                    group.process(victim).kill();
-                    unprintedEvents.add("leader " + victim + " killed");
-                } else if (victim != null
-                        && !group.process(victim).isAlive()
-                        && now.state() == Window.State.DONE) {
-                    group.process(victim).start();
-                    unprintedEvents.add(victim + " restarted");
+                    killedLeader = group.leader(CALL_TIMEOUT);
+                    group.process(killedLeader).kill();
+                    unprintedEvents.add("leader " + killedLeader + " killed");
+                } else if (killedLeader != null
+                        && !group.process(killedLeader).isAlive()
+                        && window.state() == Window.State.DONE) {
+                    group.process(killedLeader).start();
+                    unprintedEvents.add(killedLeader + " restarted");
                 }
             }
-            printStatus((System.nanoTime() - start) / 1_000_000);
-            if (System.nanoTime() - start > MAX_DURATION.toNanos()) {
+            printStatus((System.nanoTime() - startNanos) / 1_000_000);
+            if (System.nanoTime() - startNanos > MAX_DURATION.toNanos()) {
                 violations.add(
                         "not done within " + MAX_DURATION.toSeconds() + " s: " + windows.values());
                 return;
@@ -269,16 +269,18 @@
         }
     }
 
-    private void printStatus(long ms) {
-        long now = regions.values().stream().mapToLong(r -> r.fakeRegion().capacity(false)).sum();
-        minCapacity = Math.min(minCapacity, now);
-        if (now < FLOOR_NODES * 1_000) {
-            violations.add("at " + ms + " ms " + now + " thousandths of a gateway are left");
+    private void printStatus(long elapsedMs) {
+        long capacity =
+                regions.values().stream().mapToLong(r -> r.fakeRegion().capacity(false)).sum();
+        minCapacity = Math.min(minCapacity, capacity);
+        if (capacity < FLOOR_NODES * 1_000) {
+            violations.add(
+                    "at " + elapsedMs + " ms " + capacity + " thousandths of a gateway are left");
         }
-        if (unprintedEvents.isEmpty() && ms - lastPrintedMs < 1_000) {
+        if (unprintedEvents.isEmpty() && elapsedMs - lastPrintedMs < 1_000) {
             return;
         }
-        lastPrintedMs = ms;
+        lastPrintedMs = elapsedMs;
         StringBuilder text = new StringBuilder();
         regions.forEach(
                 (name, region) ->
@@ -290,8 +292,8 @@
                                 .append("  "));
         System.out.printf(
                 "%6.2f s  %5.2f of %d, floor %d  %s%s%n",
-                ms / 1_000.0,
-                now / 1_000.0,
+                elapsedMs / 1_000.0,
+                capacity / 1_000.0,
                 2 * NODES_PER_REGION,
                 FLOOR_NODES,
                 text,
--- a/lab/src/main/java/saltstage/lab/trial/FakeRegion.java
+++ b/lab/src/main/java/saltstage/lab/trial/FakeRegion.java
@@ -37,8 +37,8 @@
     private int suspensionCount;
 
     /** Creates a region whose relays and nodes are all simulated. */
-    FakeRegion(String name, int nodeCount, int relayCount, long warmMs) throws IOException {
-        this(name, warmMs, List.of());
+    FakeRegion(String name, int nodeCount, int relayCount, long warmUpMs) throws IOException {
+        this(name, warmUpMs, List.of());
         for (int i = 1; i <= nodeCount; i++) {
             String node = name + i;
             ServerSocket listener =
@@ -56,18 +56,18 @@
     FakeRegion(
             String name,
             Map<String, InetSocketAddress> nodes,
-            List<InetSocketAddress> behind,
-            long warmMs)
+            List<InetSocketAddress> realRelays,
+            long warmUpMs)
             throws IOException {
-        this(name, warmMs, behind);
+        this(name, warmUpMs, realRelays);
         this.nodes.putAll(nodes);
-        startRelays(behind.size());
+        startRelays(realRelays.size());
     }
 
-    private FakeRegion(String name, long warmMs, List<InetSocketAddress> behind) {
+    private FakeRegion(String name, long warmUpMs, List<InetSocketAddress> realRelays) {
         this.name = name;
-        this.warmUpMs = warmMs;
-        this.realRelays = behind;
+        this.warmUpMs = warmUpMs;
+        this.realRelays = realRelays;
     }
 
     private void startRelays(int count) throws IOException {
@@ -83,42 +83,43 @@
         if (realRelays.isEmpty()) {
             return "done";
         }
-        try (Socket there = new Socket()) {
-            there.connect(realRelays.get(relay), 1_000);
-            there.setSoTimeout(1_400);
-            there.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.US_ASCII));
+        try (Socket connection = new Socket()) {
+            connection.connect(realRelays.get(relay), 1_000);
+            connection.setSoTimeout(1_400);
+            connection.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.US_ASCII));
             return new BufferedReader(
                             new InputStreamReader(
-                                    there.getInputStream(), StandardCharsets.US_ASCII))
+                                    connection.getInputStream(), StandardCharsets.US_ASCII))
                     .readLine();
-        } catch (IOException silent) {
+        } catch (IOException unreachable) {
             return null;
         }
     }
 
-    private static ServerSocket listen(Function<String, String> answers) throws IOException {
+    private static ServerSocket listen(Function<String, String> handler) throws IOException {
         ServerSocket listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
         Thread thread =
                 new Thread(
                         () -> {
                             while (!listener.isClosed()) {
-                                try (Socket from = listener.accept()) {
-                                    from.setSoTimeout(1_000);
+                                try (Socket connection = listener.accept()) {
+                                    connection.setSoTimeout(1_000);
                                     String line =
                                             new BufferedReader(
                                                             new InputStreamReader(
-                                                                    from.getInputStream(),
+                                                                    connection.getInputStream(),
                                                                     StandardCharsets.US_ASCII))
                                                     .readLine();
-                                    String answer = line == null ? null : answers.apply(line);
+                                    String answer = line == null ? null : handler.apply(line);
                                     if (answer != null) {
-                                        from.getOutputStream()
+                                        connection
+                                                .getOutputStream()
                                                 .write(
                                                         (answer + "\r\n")
                                                                 .getBytes(
                                                                         StandardCharsets.US_ASCII));
                                     }
-                                } catch (IOException next) {
+                                } catch (IOException failed) {
                                     continue;
                                 }
                             }
@@ -155,13 +156,13 @@
     }
 
     private synchronized void recordCall(int relay, String[] words) {
-        boolean was = isSuspended(words[1]);
+        boolean wasSuspended = isSuspended(words[1]);
         if (words[0].equals("SUSPEND")) {
             suspendedNodesByRelay.get(relay).add(words[1]);
-            suspensionCount += was ? 0 : 1;
+            suspensionCount += wasSuspended ? 0 : 1;
         } else {
             suspendedNodesByRelay.get(relay).remove(words[1]);
-            if (was && !isSuspended(words[1])) {
+            if (wasSuspended && !isSuspended(words[1])) {
                 restoredAtNanos.put(words[1], System.nanoTime());
             }
         }
@@ -173,18 +174,24 @@
 
     /**
      * Returns the current capacity of the region, 1000 for each node. Suspended nodes count as 0
-     * and restored nodes warm up gradually; with {@code outages}, nodes that are down count as 0
-     * too.
+     * and restored nodes warm up gradually; with {@code includeOutages}, nodes that are down count
+     * as 0 too.
      */
-    synchronized long capacity(boolean outages) {
-        long sum = 0;
+    synchronized long capacity(boolean includeOutages) {
+        long total = 0;
         for (String node : nodes.keySet()) {
-            long back = restoredAtNanos.getOrDefault(node, 0L);
-            long since = (System.nanoTime() - back) / 1_000_000;
-            long warm = back == 0 || since >= warmUpMs ? 1_000 : 310 + 690 * since / warmUpMs;
-            sum += isSuspended(node) || outages && downNodes.contains(node) ? 0 : warm;
+            long restoredNanos = restoredAtNanos.getOrDefault(node, 0L);
+            long warmingMs = (System.nanoTime() - restoredNanos) / 1_000_000;
+            long nodeCapacity =
+                    restoredNanos == 0 || warmingMs >= warmUpMs
+                            ? 1_000
+                            : 310 + 690 * warmingMs / warmUpMs;
+            total +=
+                    isSuspended(node) || includeOutages && downNodes.contains(node)
+                            ? 0
+                            : nodeCapacity;
         }
-        return sum;
+        return total;
     }
 
     /** Returns how often a node was suspended. */
@@ -198,8 +205,8 @@
     }
 
     /** Stops or restarts the answers of a node. */
-    synchronized void setNodeDown(String node, boolean yes) {
-        if (yes) {
+    synchronized void setNodeDown(String node, boolean down) {
+        if (down) {
             downNodes.add(node);
         } else {
             downNodes.remove(node);
@@ -207,8 +214,8 @@
     }
 
     /** Stops or restarts the answers of a relay to operator calls. */
-    synchronized void setRelayDown(int relay, boolean yes) {
-        if (yes) {
+    synchronized void setRelayDown(int relay, boolean down) {
+        if (down) {
             downRelays.add(relay);
         } else {
             downRelays.remove(relay);
@@ -226,13 +233,13 @@
                     .append("\"\n  }\n");
         }
         nodes.forEach(
-                (node, at) ->
+                (node, address) ->
                         text.append("  node \"")
                                 .append(node)
                                 .append("\" {\n    at = \"")
-                                .append(at.getAddress().getHostAddress())
+                                .append(address.getAddress().getHostAddress())
                                 .append(':')
-                                .append(at.getPort())
+                                .append(address.getPort())
                                 .append("\"\n  }\n"));
         return Files.writeString(dir.resolve("agent-" + name + ".hcl"), text + "}\n");
     }
--- a/lab/src/main/java/saltstage/lab/trial/FaultProxy.java
+++ b/lab/src/main/java/saltstage/lab/trial/FaultProxy.java
@@ -50,8 +50,8 @@
     }
 
     /** Sets whether new connections are reset immediately. */
-    void setRejecting(boolean yes) {
-        rejecting = yes;
+    void setRejecting(boolean enabled) {
+        rejecting = enabled;
     }
 
     /** Closes all open connections. */
@@ -65,8 +65,8 @@
         setFaults(DirectionFault.CLEAR, DirectionFault.CLEAR);
     }
 
-    private static void startDaemon(Runnable work) {
-        Thread thread = new Thread(work, "proxy");
+    private static void startDaemon(Runnable task) {
+        Thread thread = new Thread(task, "proxy");
         thread.setDaemon(true);
         thread.start();
     }
@@ -82,12 +82,12 @@
     private void acceptAll() {
         while (!listener.isClosed()) {
             try {
-                Socket from = listener.accept();
+                Socket connection = listener.accept();
                 if (rejecting) {
-                    from.setSoLinger(true, 0);
-                    from.close();
+                    connection.setSoLinger(true, 0);
+                    connection.close();
                 } else {
-                    startDaemon(() -> forward(from));
+                    startDaemon(() -> forward(connection));
                 }
             } catch (IOException closed) {
                 return;
@@ -120,38 +120,44 @@
 
     private void copyBytes(Socket from, Socket to, boolean toTarget) {
         byte[] buffer = new byte[16 << 10];
-        long carried = 0;
+        long forwardedBytes = 0;
         try (Socket source = from;
                 Socket sink = to) {
             InputStream in = source.getInputStream();
             OutputStream out = sink.getOutputStream();
-            for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
-                for (int at = 0; at < n; ) {
+            for (int length = in.read(buffer); length >= 0; length = in.read(buffer)) {
+                for (int offset = 0; offset < length; ) {
                     while (directionFault(toTarget).silent()
                             && !source.isClosed()
                             && !sink.isClosed()) {
                         Thread.sleep(5);
                     }
-                    DirectionFault now = directionFault(toTarget);
-                    int piece = now.trickle() ? Math.min(TRICKLE_BYTES, n - at) : n - at;
-                    if (now.maxDelayMs() > 0 || now.trickle()) {
+                    DirectionFault fault = directionFault(toTarget);
+                    int pieceLength =
+                            fault.trickle()
+                                    ? Math.min(TRICKLE_BYTES, length - offset)
+                                    : length - offset;
+                    if (fault.maxDelayMs() > 0 || fault.trickle()) {
                         Thread.sleep(
                                 1
-                                        + (now.maxDelayMs() == 0
+                                        + (fault.maxDelayMs() == 0
                                                 ? 0
                                                 : ThreadLocalRandom.current()
-                                                        .nextInt(now.maxDelayMs())));
+                                                        .nextInt(fault.maxDelayMs())));
                     }
-                    if (carried + piece > now.cutAfterBytes()) {
-                        out.write(buffer, at, (int) Math.max(0, now.cutAfterBytes() - carried));
+                    if (forwardedBytes + pieceLength > fault.cutAfterBytes()) {
+                        out.write(
+                                buffer,
+                                offset,
+                                (int) Math.max(0, fault.cutAfterBytes() - forwardedBytes));
                         return;
                     }
-                    out.write(buffer, at, piece);
-                    carried += piece;
-                    at += piece;
+                    out.write(buffer, offset, pieceLength);
+                    forwardedBytes += pieceLength;
+                    offset += pieceLength;
                 }
             }
-        } catch (IOException | InterruptedException over) {
+        } catch (IOException | InterruptedException ended) {
             return;
         }
     }
--- a/lab/src/main/java/saltstage/lab/trial/FencedResource.java
+++ b/lab/src/main/java/saltstage/lab/trial/FencedResource.java
@@ -43,8 +43,8 @@
     private void acceptAll() {
         while (!listener.isClosed()) {
             try {
-                Socket from = listener.accept();
-                Thread thread = new Thread(() -> serve(from), "witness");
+                Socket connection = listener.accept();
+                Thread thread = new Thread(() -> serve(connection), "witness");
                 thread.setDaemon(true);
                 thread.start();
             } catch (IOException closed) {
@@ -53,35 +53,44 @@
         }
     }
 
-    private void serve(Socket from) {
-        try (from;
+    private void serve(Socket connection) {
+        try (connection;
                 BufferedReader in =
                         new BufferedReader(
                                 new InputStreamReader(
-                                        from.getInputStream(), StandardCharsets.US_ASCII))) {
-            from.setTcpNoDelay(true);
+                                        connection.getInputStream(), StandardCharsets.US_ASCII))) {
+            connection.setTcpNoDelay(true);
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String[] words = line.split(" ");
-                boolean taken = perform(words[0], Long.parseLong(words[1]));
-                String answer = taken ? "ok\n" : "stale\n";
-                from.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+                boolean accepted = perform(words[0], Long.parseLong(words[1]));
+                String answer = accepted ? "ok\n" : "stale\n";
+                connection.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
             }
-        } catch (IOException over) {
+        } catch (IOException closed) {
             return;
         }
     }
 
-    private synchronized boolean perform(String holder, long fence) {
-        boolean taken = fence >= highestToken;
-        highestToken = Math.max(highestToken, fence);
+    private synchronized boolean perform(String holder, long fencingToken) {
+        boolean accepted = fencingToken >= highestToken;
+        highestToken = Math.max(highestToken, fencingToken);
         operations.add(
-                new Operation((System.nanoTime() - startNanos) / 1_000_000, holder, fence, taken));
-        String owner = holdersByToken.putIfAbsent(fence, holder);
+                new Operation(
+                        (System.nanoTime() - startNanos) / 1_000_000,
+                        holder,
+                        fencingToken,
+                        accepted));
+        String owner = holdersByToken.putIfAbsent(fencingToken, holder);
         if (owner != null && !owner.equals(holder)) {
             violations.add(
-                    "fencing token " + fence + " was granted to " + owner + " and to " + holder);
+                    "fencing token "
+                            + fencingToken
+                            + " was granted to "
+                            + owner
+                            + " and to "
+                            + holder);
         }
-        return taken;
+        return accepted;
     }
 
     /** Returns the operations received so far. */
--- a/lab/src/main/java/saltstage/lab/trial/GroupUnderTest.java
+++ b/lab/src/main/java/saltstage/lab/trial/GroupUnderTest.java
@@ -36,29 +36,32 @@
      * Creates the replicas without starting them. Each replica runs the jar at its position in the
      * list, or the last jar if the list is shorter.
      *
-     * @param more settings added to those of each replica
+     * @param extraSettings settings added to those of each replica
      */
-    public GroupUnderTest(Path dir, int replicas, List<Path> jars, String more) throws IOException {
+    public GroupUnderTest(Path dir, int replicas, List<Path> jars, String extraSettings)
+            throws IOException {
         this.dir = dir;
-        ThreadLocalRandom drawn = ThreadLocalRandom.current();
+        ThreadLocalRandom random = ThreadLocalRandom.current();
         // Random loopback addresses avoid conflicts with other groups on this machine.
         for (int i = 1; i <= replicas; i++) {
             names.add("r" + i);
-            hosts.put("r" + i, "127." + drawn.nextInt(1, 255) + "." + drawn.nextInt(255) + "." + i);
+            hosts.put(
+                    "r" + i, "127." + random.nextInt(1, 255) + "." + random.nextInt(255) + "." + i);
         }
         for (String from : names) {
-            Map<String, FaultProxy> mine = new LinkedHashMap<>();
+            Map<String, FaultProxy> linksFromReplica = new LinkedHashMap<>();
             for (String to : names) {
                 if (!from.equals(to)) {
-                    mine.put(to, new FaultProxy(new InetSocketAddress(hosts.get(to), PEER_PORT)));
+                    linksFromReplica.put(
+                            to, new FaultProxy(new InetSocketAddress(hosts.get(to), PEER_PORT)));
                 }
             }
-            replicaLinks.put(from, mine);
+            replicaLinks.put(from, linksFromReplica);
             clientLinks.put(
                     from, new FaultProxy(new InetSocketAddress(hosts.get(from), CLIENT_PORT)));
         }
         for (int i = 0; i < replicas; i++) {
-            writeSettings(names.get(i), more);
+            writeSettings(names.get(i), extraSettings);
             Path jar = jars.get(Math.min(i, jars.size() - 1));
             processes.put(
                     names.get(i),
@@ -77,8 +80,8 @@
     }
 
     /** Replaces the additional settings of a replica; they apply from its next start. */
-    public void setExtraSettings(String name, String more) throws IOException {
-        writeSettings(name, more);
+    public void setExtraSettings(String name, String extraSettings) throws IOException {
+        writeSettings(name, extraSettings);
     }
 
     /** Creates a process that joins the group under a new name and address. */
@@ -99,13 +102,13 @@
                         host + ":" + PEER_PORT + "," + host + ":" + CLIENT_PORT));
     }
 
-    private void writeSettings(String name, String more) throws IOException {
+    private void writeSettings(String name, String extraSettings) throws IOException {
         StringBuilder text =
                 new StringBuilder(
                         "coordinator {\n  group = \"trial\"\n  dir = \""
                                 + dir.resolve("data")
                                 + "\"\n"
-                                + more);
+                                + extraSettings);
         hosts.forEach(
                 (other, host) ->
                         text.append(
@@ -140,8 +143,8 @@
 
     /** Starts all replicas. */
     public GroupUnderTest start() throws IOException {
-        for (TrialProcess proc : processes.values()) {
-            proc.start();
+        for (TrialProcess process : processes.values()) {
+            process.start();
         }
         return this;
     }
@@ -176,7 +179,7 @@
     /** Returns the client addresses of the replicas through the proxies that can inject faults. */
     public List<String> clientLinkAddresses() {
         return clientLinks.values().stream()
-                .map(door -> "127.0.0.1:" + door.address().getPort())
+                .map(link -> "127.0.0.1:" + link.address().getPort())
                 .toList();
     }
 
@@ -187,7 +190,7 @@
 
     /** Waits for a leader that a majority confirms, and returns its name. */
     public String leader(Duration within) throws IOException, InterruptedException {
-        JsonNode any =
+        JsonNode leases =
                 client().get("/v1/leases?limit=1", within); // only a confirmed leader answers
         for (String name : names) {
             if (processes.get(name).isAlive() && !processes.get(name).isPaused()) {
@@ -200,38 +203,40 @@
                     if (status.path("role").asText().equals("leader")) {
                         return name;
                     }
-                } catch (GroupClient.GroupUnreachableException gone) {
+                } catch (GroupClient.GroupUnreachableException unreachable) {
                     continue;
                 }
             }
         }
-        throw new IOException("no replica reports to be leader, but a leader answered " + any);
+        throw new IOException("no replica reports to be leader, but a leader answered " + leases);
     }
 
     /** Restarts or resumes all stopped replicas and removes the faults of all links. */
     void heal() throws IOException, InterruptedException {
-        replicaLinks.values().forEach(mine -> mine.values().forEach(FaultProxy::heal));
+        replicaLinks
+                .values()
+                .forEach(linksFromReplica -> linksFromReplica.values().forEach(FaultProxy::heal));
         clientLinks.values().forEach(FaultProxy::heal);
-        for (TrialProcess proc : processes.values()) {
-            proc.resume();
-            if (!proc.isAlive()) {
-                proc.start();
+        for (TrialProcess process : processes.values()) {
+            process.resume();
+            if (!process.isAlive()) {
+                process.start();
             }
         }
     }
 
     @Override
     public void close() throws IOException, InterruptedException {
-        for (TrialProcess proc : processes.values()) {
-            proc.close();
+        for (TrialProcess process : processes.values()) {
+            process.close();
         }
-        for (Map<String, FaultProxy> mine : replicaLinks.values()) {
-            for (FaultProxy link : mine.values()) {
+        for (Map<String, FaultProxy> linksFromReplica : replicaLinks.values()) {
+            for (FaultProxy link : linksFromReplica.values()) {
                 link.close();
             }
         }
-        for (FaultProxy door : clientLinks.values()) {
-            door.close();
+        for (FaultProxy link : clientLinks.values()) {
+            link.close();
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/LeaseTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/LeaseTrial.java
@@ -42,17 +42,18 @@
     private final List<Path> jars;
 
     /** Creates a trial in a directory; each replica runs the jar at its position in the list. */
-    public LeaseTrial(Path dir, int replicas, int workers, int lengthMs, List<Path> jars) {
+    public LeaseTrial(
+            Path dir, int replicaCount, int workerCount, int durationMs, List<Path> jars) {
         this.dir = dir;
-        this.replicaCount = replicas;
-        this.workerCount = workers;
-        this.durationMs = lengthMs;
+        this.replicaCount = replicaCount;
+        this.workerCount = workerCount;
+        this.durationMs = durationMs;
         this.jars = jars;
     }
 
     /** Returns the faults of a seed, of a few kinds only, so that seeds combine different kinds. */
     public List<Fault> randomFaults(long seed) {
-        Random drawn = new Random(seed);
+        Random random = new Random(seed);
         List<String> kinds =
                 new ArrayList<>(
                         List.of(
@@ -67,33 +68,35 @@
                                 "pause-worker",
                                 "door",
                                 "restart-all"));
-        java.util.Collections.shuffle(kinds, drawn);
-        kinds = kinds.subList(0, 3 + drawn.nextInt(4));
+        java.util.Collections.shuffle(kinds, random);
+        kinds = kinds.subList(0, 3 + random.nextInt(4));
         List<Fault> faults = new ArrayList<>();
-        for (int at = 300; at < durationMs - 1_000; at += 300 + drawn.nextInt(1_500)) {
-            String kind = kinds.get(drawn.nextInt(kinds.size()));
-            String whom =
+        for (int startMs = 300;
+                startMs < durationMs - 1_000;
+                startMs += 300 + random.nextInt(1_500)) {
+            String kind = kinds.get(random.nextInt(kinds.size()));
+            String target =
                     kind.endsWith("worker")
-                            ? "w" + (1 + drawn.nextInt(workerCount))
-                            : "r" + (1 + drawn.nextInt(replicaCount));
-            String other = "r" + (1 + drawn.nextInt(replicaCount));
-            faults.add(new Fault(kind, whom, other, at, 200 + drawn.nextInt(2_800)));
+                            ? "w" + (1 + random.nextInt(workerCount))
+                            : "r" + (1 + random.nextInt(replicaCount));
+            String other = "r" + (1 + random.nextInt(replicaCount));
+            faults.add(new Fault(kind, target, other, startMs, 200 + random.nextInt(2_800)));
         }
         return faults;
     }
 
     /** Runs the trial with these faults and evaluates it. */
     public Verdict run(long seed, List<Fault> faults) throws IOException, InterruptedException {
-        Set<String> wasPaused = new HashSet<>();
+        Set<String> pausedHolders = new HashSet<>();
         Map<String, TrialProcess> holders = new LinkedHashMap<>();
-        try (FencedResource witness = new FencedResource();
+        try (FencedResource resource = new FencedResource();
                 GroupUnderTest group =
                         new GroupUnderTest(dir, replicaCount, jars, "  snapshot_every = 100\n")) {
             group.start().leader(java.time.Duration.ofSeconds(20));
             for (int i = 1; i <= workerCount; i++) {
-                holders.put("w" + i, startHolder(i, seed, group, witness));
+                holders.put("w" + i, startHolder(i, seed, group, resource));
             }
-            runFaults(faults, group, holders, wasPaused);
+            runFaults(faults, group, holders, pausedHolders);
             group.heal();
             for (TrialProcess holder : holders.values()) {
                 holder.resume();
@@ -101,7 +104,7 @@
                     holder.start();
                 }
             }
-            return evaluate(seed, faults, witness, wasPaused);
+            return evaluate(seed, faults, resource, pausedHolders);
         } finally {
             for (TrialProcess holder : holders.values()) {
                 holder.close();
@@ -110,10 +113,10 @@
     }
 
     private TrialProcess startHolder(
-            int number, long seed, GroupUnderTest group, FencedResource witness)
+            int number, long seed, GroupUnderTest group, FencedResource resource)
             throws IOException, InterruptedException {
         // The holder's clock runs at 0.992, 1.000 or 1.008 times real time.
-        int clock = 1_000 + (int) (seed + number) % 3 * 8 - 8;
+        int clockPermille = 1_000 + (int) (seed + number) % 3 * 8 - 8;
         return TrialProcess.lab(
                         "w" + number,
                         dir,
@@ -124,55 +127,57 @@
                                 "--at",
                                 String.join(",", group.clientLinkAddresses()),
                                 "--witness",
-                                Integer.toString(witness.address().getPort()),
+                                Integer.toString(resource.address().getPort()),
                                 "--ttl-ms",
                                 Integer.toString(TTL_MS),
                                 "--clock-permille",
-                                Integer.toString(clock),
+                                Integer.toString(clockPermille),
                                 "--seed",
                                 Long.toString(seed + number)))
                 .start();
     }
 
     private static Verdict evaluate(
-            long seed, List<Fault> faults, FencedResource witness, Set<String> wasPaused)
+            long seed, List<Fault> faults, FencedResource resource, Set<String> pausedHolders)
             throws InterruptedException {
-        List<String> broken = new ArrayList<>(witness.violations());
-        int before = witness.grantCount();
-        long healed = witness.elapsedMs();
-        while (witness.grantCount() <= before && witness.elapsedMs() - healed < MAX_RECOVERY_MS) {
+        List<String> violations = new ArrayList<>(resource.violations());
+        int previousGrants = resource.grantCount();
+        long healedMs = resource.elapsedMs();
+        while (resource.grantCount() <= previousGrants
+                && resource.elapsedMs() - healedMs < MAX_RECOVERY_MS) {
             Thread.sleep(20);
         }
-        if (witness.grantCount() <= before) {
-            broken.add("no grant within " + MAX_RECOVERY_MS + " ms after the last fault");
+        if (resource.grantCount() <= previousGrants) {
+            violations.add("no grant within " + MAX_RECOVERY_MS + " ms after the last fault");
         }
-        int stale = 0;
-        long last = 0;
-        long gap = 0;
-        for (FencedResource.Operation act : witness.operations()) {
-            gap = Math.max(gap, act.atMs() - last);
-            last = act.atMs();
-            if (!act.accepted()) {
-                stale++;
-                if (!wasPaused.contains(act.holder().substring(0, act.holder().indexOf('-')))) {
-                    broken.add(
+        int rejectedCount = 0;
+        long previousMs = 0;
+        long maxGapMs = 0;
+        for (FencedResource.Operation operation : resource.operations()) {
+            maxGapMs = Math.max(maxGapMs, operation.atMs() - previousMs);
+            previousMs = operation.atMs();
+            if (!operation.accepted()) {
+                rejectedCount++;
+                if (!pausedHolders.contains(
+                        operation.holder().substring(0, operation.holder().indexOf('-')))) {
+                    violations.add(
                             "at "
-                                    + act.atMs()
+                                    + operation.atMs()
                                     + " ms "
-                                    + act.holder()
+                                    + operation.holder()
                                     + " used the outdated fencing token "
-                                    + act.fencingToken()
+                                    + operation.fencingToken()
                                     + " although it had not been paused");
                 }
             }
         }
         return new Verdict(
                 seed,
-                witness.operations().size(),
-                witness.grantCount(),
-                stale,
-                (int) gap,
-                broken,
+                resource.operations().size(),
+                resource.grantCount(),
+                rejectedCount,
+                (int) maxGapMs,
+                violations,
                 faults);
     }
 
@@ -182,7 +187,7 @@
             List<Fault> faults,
             GroupUnderTest group,
             Map<String, TrialProcess> holders,
-            Set<String> wasPaused)
+            Set<String> pausedHolders)
             throws IOException, InterruptedException {
         List<FaultStep> steps = new ArrayList<>();
         for (Fault fault : faults) {
@@ -190,12 +195,12 @@
             steps.add(new FaultStep(fault.fromMs() + fault.lastsMs(), false, fault));
         }
         steps.sort(java.util.Comparator.comparingInt(FaultStep::atMs));
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         for (FaultStep step : steps) {
-            long left = step.atMs() - (System.nanoTime() - start) / 1_000_000;
-            Thread.sleep(Math.max(0, left));
+            long remainingMs = step.atMs() - (System.nanoTime() - startNanos) / 1_000_000;
+            Thread.sleep(Math.max(0, remainingMs));
             if (step.isStart()) {
-                inject(step.fault(), group, holders, wasPaused);
+                inject(step.fault(), group, holders, pausedHolders);
             } else {
                 repair(step.fault(), group, holders);
             }
@@ -206,30 +211,30 @@
             Fault fault,
             GroupUnderTest group,
             Map<String, TrialProcess> holders,
-            Set<String> wasPaused)
+            Set<String> pausedHolders)
             throws IOException, InterruptedException {
-        String at = fault.at();
+        String target = fault.at();
         switch (fault.kind()) {
-            case "kill" -> group.process(at).kill();
-            case "pause" -> group.process(at).pause();
+            case "kill" -> group.process(target).kill();
+            case "pause" -> group.process(target).pause();
             case "cut", "one-way", "late", "trickle" -> injectLinkFault(fault, group);
             case "drop" ->
                     group.names()
                             .forEach(
                                     other -> {
-                                        if (!other.equals(at)) {
-                                            group.replicaLink(at, other).dropConnections();
+                                        if (!other.equals(target)) {
+                                            group.replicaLink(target, other).dropConnections();
                                         }
                                     });
             case "door" ->
-                    group.clientLink(at)
+                    group.clientLink(target)
                             .setFaults(
                                     DirectionFault.CLEAR,
                                     DirectionFault.SILENT); // requests arrive, answers do not
-            case "kill-worker" -> holders.get(at).kill();
+            case "kill-worker" -> holders.get(target).kill();
             case "pause-worker" -> {
-                wasPaused.add(at);
-                holders.get(at).pause();
+                pausedHolders.add(target);
+                holders.get(target).pause();
             }
             case "restart-all" -> {
                 for (String name : group.names()) {
@@ -248,31 +253,32 @@
             if (other.equals(fault.at())) {
                 continue;
             }
-            DirectionFault way =
+            DirectionFault directionFault =
                     switch (fault.kind()) {
                         case "late" -> new DirectionFault(false, 150, false, Long.MAX_VALUE);
                         case "trickle" -> new DirectionFault(false, 0, true, Long.MAX_VALUE);
                         default -> DirectionFault.SILENT;
                     };
-            group.replicaLink(fault.at(), other).setFaults(way, DirectionFault.CLEAR);
+            group.replicaLink(fault.at(), other).setFaults(directionFault, DirectionFault.CLEAR);
             if (!fault.kind().equals("one-way")) {
-                group.replicaLink(other, fault.at()).setFaults(way, DirectionFault.CLEAR);
+                group.replicaLink(other, fault.at())
+                        .setFaults(directionFault, DirectionFault.CLEAR);
             }
         }
     }
 
     private static void repair(Fault fault, GroupUnderTest group, Map<String, TrialProcess> holders)
             throws IOException, InterruptedException {
-        String at = fault.at();
+        String target = fault.at();
         switch (fault.kind()) {
-            case "kill", "pause" -> ensureRunning(group.process(at));
-            case "kill-worker", "pause-worker" -> ensureRunning(holders.get(at));
-            case "door" -> group.clientLink(at).heal();
+            case "kill", "pause" -> ensureRunning(group.process(target));
+            case "kill-worker", "pause-worker" -> ensureRunning(holders.get(target));
+            case "door" -> group.clientLink(target).heal();
             case "cut", "one-way", "late", "trickle" -> {
                 for (String other : group.names()) {
-                    if (!other.equals(at)) {
-                        group.replicaLink(at, other).heal();
-                        group.replicaLink(other, at).heal();
+                    if (!other.equals(target)) {
+                        group.replicaLink(target, other).heal();
+                        group.replicaLink(other, target).heal();
                     }
                 }
             }
@@ -281,10 +287,11 @@
         }
     }
 
-    private static void ensureRunning(TrialProcess proc) throws IOException, InterruptedException {
-        proc.resume();
-        if (!proc.isAlive()) {
-            proc.start();
+    private static void ensureRunning(TrialProcess process)
+            throws IOException, InterruptedException {
+        process.resume();
+        if (!process.isAlive()) {
+            process.start();
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/LeaseWorkerCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/LeaseWorkerCommand.java
@@ -19,10 +19,10 @@
 @Command(name = "trial-worker", description = "Runs one lease holder of a trial.", hidden = true)
 public final class LeaseWorkerCommand implements Callable<Integer> {
     @Option(names = "--at", split = ",", required = true)
-    private List<String> places;
+    private List<String> groupAddresses;
 
     @Option(names = "--witness", required = true)
-    private int witness;
+    private int resourcePort;
 
     @Option(names = "--name", required = true)
     private String name;
@@ -31,46 +31,47 @@
     private int ttlMs;
 
     @Option(names = "--clock-permille", defaultValue = "1000")
-    private int clock;
+    private int clockPermille;
 
     @Option(names = "--seed", defaultValue = "1")
     private long seed;
 
     @Override
     public Integer call() throws Exception {
-        Random drawn = new Random(seed);
-        Ticker ticker = () -> (long) (System.nanoTime() * (clock / 1000.0));
-        LeaseClient leases =
+        Random random = new Random(seed);
+        Ticker ticker = () -> (long) (System.nanoTime() * (clockPermille / 1000.0));
+        LeaseClient leaseClient =
                 new LeaseClient(
-                        new GroupClient(places, ticker),
-                        new GroupClient(places, ticker),
+                        new GroupClient(groupAddresses, ticker),
+                        new GroupClient(groupAddresses, ticker),
                         ticker,
                         name);
         while (true) {
             try (LeaseClient.Lease lease =
-                            leases.acquire(
+                            leaseClient.acquire(
                                     "job",
                                     Duration.ofMillis(ttlMs),
                                     Duration.ofSeconds(5),
-                                    drawn.nextInt(3),
+                                    random.nextInt(3),
                                     () -> {});
-                    Socket socket = new Socket("127.0.0.1", witness)) {
+                    Socket socket = new Socket("127.0.0.1", resourcePort)) {
                 socket.setTcpNoDelay(true);
-                performOperations(socket, lease, 10 + drawn.nextInt(150), drawn);
+                performOperations(socket, lease, 10 + random.nextInt(150), random);
             } catch (LeaseClient.LeaseNotGrantedException
                     | LeaseClient.LeaseLostException
-                    | IOException again) {
-                System.out.println(again.getMessage());
+                    | IOException failure) {
+                System.out.println(failure.getMessage());
             }
         }
     }
 
-    private void performOperations(Socket socket, LeaseClient.Lease lease, int times, Random drawn)
+    private void performOperations(
+            Socket socket, LeaseClient.Lease lease, int operationCount, Random random)
             throws IOException, LeaseClient.LeaseLostException, InterruptedException {
         BufferedReader in =
                 new BufferedReader(
                         new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-        for (int i = 0; i < times; i++) {
+        for (int i = 0; i < operationCount; i++) {
             lease.checkStillHeld();
             socket.getOutputStream()
                     .write(
@@ -86,7 +87,7 @@
                         "rejected because of the outdated fencing token " + lease.fencingToken());
                 return;
             }
-            Thread.sleep(2 + drawn.nextInt(12));
+            Thread.sleep(2 + random.nextInt(12));
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/RealRegion.java
+++ b/lab/src/main/java/saltstage/lab/trial/RealRegion.java
@@ -26,11 +26,11 @@
     private final FakeRegion fakeRegion;
     private final Map<String, FakeBackend> backends = new LinkedHashMap<>();
 
-    RealRegion(String name, Path under, int size, int clientCount, long warmMs)
+    RealRegion(String name, Path parentDir, int backendCount, int clientCount, long warmUpMs)
             throws IOException, InterruptedException {
-        Path dir = Files.createDirectories(under.resolve("region-" + name));
-        Path tmp = Files.createDirectories(dir.resolve("tmp"));
-        fleet = new FakeFleet(size);
+        Path dir = Files.createDirectories(parentDir.resolve("region-" + name));
+        Path tempDir = Files.createDirectories(dir.resolve("tmp"));
+        fleet = new FakeFleet(backendCount);
         fleet.writeFiles(dir, "log {\n  level = \"info\"\n}\n");
         InetSocketAddress admin =
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
@@ -42,7 +42,7 @@
                                         "GW_ADMIN",
                                         "127.0.0.1:" + admin.getPort(),
                                         "TMPDIR",
-                                        tmp.toString()),
+                                        tempDir.toString()),
                                 List.of(
                                         "serve",
                                         "--config",
@@ -50,8 +50,9 @@
                                         "--settings",
                                         dir.resolve("saltstage.hcl").toString()))
                         .start();
-        String[] at = fleet.listenAddress().split(":");
-        InetSocketAddress listen = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
+        String[] hostAndPort = fleet.listenAddress().split(":");
+        InetSocketAddress listen =
+                new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
         Installation.awaitPong(listen, relay.process(), Duration.ofSeconds(30));
         clients =
                 new SimulatedClients(
@@ -59,16 +60,16 @@
         Map<String, InetSocketAddress> nodes = new LinkedHashMap<>();
         fleet.backends()
                 .forEach(
-                        gateway -> {
-                            nodes.put(gateway.uid(), gateway.address());
-                            backends.put(gateway.uid(), gateway);
+                        backend -> {
+                            nodes.put(backend.uid(), backend.address());
+                            backends.put(backend.uid(), backend);
                         });
-        fakeRegion = new FakeRegion(name, nodes, List.of(admin), warmMs);
+        fakeRegion = new FakeRegion(name, nodes, List.of(admin), warmUpMs);
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return any.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
@@ -97,8 +98,8 @@
         clients.stop();
         relay.close();
         fakeRegion.close();
-        for (FakeBackend gateway : backends.values()) {
-            gateway.kill();
+        for (FakeBackend backend : backends.values()) {
+            backend.kill();
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/TrialCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/TrialCommand.java
@@ -53,29 +53,29 @@
 
     private int runWindowTable() throws Exception {
         Path dir = Files.createTempDirectory("trial-windows-");
-        int failed = 0;
+        int failureCount = 0;
         try (WindowTrial trial =
                 new WindowTrial(
                         dir, jars == null ? List.of(TrialProcess.coordinatorJar()) : jars)) {
             for (String step : WindowTrial.STEPS) {
                 for (String fault : WindowTrial.FAULTS) {
-                    String came;
+                    String result;
                     try {
-                        came = "done after " + trial.runCase(step, fault) + " ms";
-                    } catch (java.io.IOException not) {
-                        came = not.getMessage();
-                        failed++;
+                        result = "done after " + trial.runCase(step, fault) + " ms";
+                    } catch (java.io.IOException failure) {
+                        result = failure.getMessage();
+                        failureCount++;
                     }
                     System.out.printf(
                             "%-10s %-12s %s, minimum capacity so far %d%n",
-                            step, fault, came, trial.minCapacity());
+                            step, fault, result, trial.minCapacity());
                 }
             }
             System.out.println(
                     "capacity under the floor: "
                             + trial.violations()
-                            + (failed > 0 ? ", files kept in " + dir : ""));
-            return failed > 0 || !trial.violations().isEmpty() ? 1 : 0;
+                            + (failureCount > 0 ? ", files kept in " + dir : ""));
+            return failureCount > 0 || !trial.violations().isEmpty() ? 1 : 0;
         }
     }
 
@@ -84,13 +84,13 @@
         if (windows) {
             return runWindowTable();
         }
-        String[] ends = seeds.split("\\.\\.");
-        long first = Long.parseLong(ends[0]);
-        long last = Long.parseLong(ends[ends.length - 1]);
-        List<Long> failed = new ArrayList<>();
-        long acts = 0;
-        long grants = 0;
-        int stale = 0;
+        String[] range = seeds.split("\\.\\.");
+        long first = Long.parseLong(range[0]);
+        long last = Long.parseLong(range[range.length - 1]);
+        List<Long> failedSeeds = new ArrayList<>();
+        long operationCount = 0;
+        long grantCount = 0;
+        int rejectedCount = 0;
         for (long seed = first; seed <= last; seed++) {
             LeaseTrial.Verdict verdict = runSeed(seed, null);
             System.out.printf(
@@ -102,18 +102,18 @@
                     verdict.rejectedOperationCount(),
                     verdict.maxGapMs(),
                     verdict.violations().isEmpty() ? "" : ", VIOLATIONS " + verdict.violations());
-            acts += verdict.operationCount();
-            grants += verdict.grantCount();
-            stale += verdict.rejectedOperationCount();
+            operationCount += verdict.operationCount();
+            grantCount += verdict.grantCount();
+            rejectedCount += verdict.rejectedOperationCount();
             if (!verdict.violations().isEmpty()) {
-                failed.add(seed);
+                failedSeeds.add(seed);
                 shrink(seed, verdict.faults());
             }
         }
         System.out.printf(
                 "%d trials, %d operations, %d grants, %d late operations rejected, failed: %s%n",
-                last - first + 1, acts, grants, stale, failed);
-        return failed.isEmpty() ? 0 : 1;
+                last - first + 1, operationCount, grantCount, rejectedCount, failedSeeds);
+        return failedSeeds.isEmpty() ? 0 : 1;
     }
 
     private LeaseTrial.Verdict runSeed(long seed, List<LeaseTrial.Fault> faults) throws Exception {
@@ -140,15 +140,15 @@
      * repeated run may pass by chance and keep a fault that is not needed.
      */
     private void shrink(long seed, List<LeaseTrial.Fault> faults) throws Exception {
-        List<LeaseTrial.Fault> left = new ArrayList<>(faults);
-        for (LeaseTrial.Fault each : faults) {
-            List<LeaseTrial.Fault> fewer = new ArrayList<>(left);
-            fewer.remove(each);
-            if (!runSeed(seed, fewer).violations().isEmpty()) {
-                left = fewer;
+        List<LeaseTrial.Fault> needed = new ArrayList<>(faults);
+        for (LeaseTrial.Fault fault : faults) {
+            List<LeaseTrial.Fault> candidate = new ArrayList<>(needed);
+            candidate.remove(fault);
+            if (!runSeed(seed, candidate).violations().isEmpty()) {
+                needed = candidate;
             }
         }
         System.out.println("  seed " + seed + " fails with:");
-        left.forEach(fault -> System.out.println("    " + fault));
+        needed.forEach(fault -> System.out.println("    " + fault));
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/TrialFollowersCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/TrialFollowersCommand.java
@@ -41,7 +41,7 @@
     private List<String> sources;
 
     @Option(names = "--witness", required = true)
-    private int witness;
+    private int observerPort;
 
     @Option(names = "--name", required = true, description = "followers are NAME-1, NAME-2, ...")
     private String name;
@@ -60,23 +60,23 @@
 
     private static ScheduledExecutorService newExecutor() {
         return Executors.newSingleThreadScheduledExecutor(
-                work -> {
-                    Thread thread = new Thread(work, "follower");
+                task -> {
+                    Thread thread = new Thread(task, "follower");
                     thread.setDaemon(true);
                     return thread;
                 });
     }
 
     private FollowerTimings timings() {
-        FollowerTimings usual = FollowerTimings.defaults();
+        FollowerTimings defaults = FollowerTimings.defaults();
         return pollMs == null
-                ? usual
+                ? defaults
                 : new FollowerTimings(
                         Duration.ofMillis(pollMs),
-                        usual.baseRetryDelay(),
-                        usual.maxRetryDelay(),
-                        usual.basePreferredRetryDelay(),
-                        usual.maxPreferredRetryDelay());
+                        defaults.baseRetryDelay(),
+                        defaults.maxRetryDelay(),
+                        defaults.basePreferredRetryDelay(),
+                        defaults.maxPreferredRetryDelay());
     }
 
     @Override
@@ -100,14 +100,18 @@
     }
 
     private void start(FollowerOptions options, FollowerResources resources) throws IOException {
-        Path own = Files.createDirectories(dir.resolve(options.name()));
-        ConfigurationDirectory disk =
-                new ConfigurationDirectory(own, TrialFollowersCommand::logEvent);
-        ObserverReporter told =
-                new ObserverReporter(options.name(), new Socket("127.0.0.1", witness));
-        told.reportStart(disk.persistedConfiguration().view());
+        Path followerDir = Files.createDirectories(dir.resolve(options.name()));
+        ConfigurationDirectory directory =
+                new ConfigurationDirectory(followerDir, TrialFollowersCommand::logEvent);
+        ObserverReporter reporter =
+                new ObserverReporter(options.name(), new Socket("127.0.0.1", observerPort));
+        reporter.reportStart(directory.persistedConfiguration().view());
         new ConfigurationClient(
-                        options, resources, disk, disk.persistedConfiguration().view(), told)
+                        options,
+                        resources,
+                        directory,
+                        directory.persistedConfiguration().view(),
+                        reporter)
                 .start();
     }
 
@@ -124,14 +128,15 @@
         private final Socket observer;
         private ConfigurationView followedView;
 
-        ObserverReporter(String name, Socket witness) throws IOException {
+        ObserverReporter(String name, Socket observer) throws IOException {
             this.name = name;
-            this.observer = witness;
-            witness.setTcpNoDelay(true);
+            this.observer = observer;
+            observer.setTcpNoDelay(true);
         }
 
-        void reportStart(ConfigurationView held) {
-            followedView = new ConfigurationView(held.revision(), held.entries().values());
+        void reportStart(ConfigurationView initialView) {
+            followedView =
+                    new ConfigurationView(initialView.revision(), initialView.entries().values());
             report("start");
         }
 
@@ -159,13 +164,13 @@
             report("fault-" + fault.getClass().getSimpleName());
         }
 
-        private void report(String what) {
+        private void report(String event) {
             String digest = ConfigurationJson.formatDigest(followedView.digest());
-            String line = name + " " + what + " " + followedView.revision() + " " + digest + "\n";
+            String line = name + " " + event + " " + followedView.revision() + " " + digest + "\n";
             try {
                 observer.getOutputStream().write(line.getBytes(StandardCharsets.US_ASCII));
-            } catch (IOException trialIsOver) {
-                System.out.println(trialIsOver.getMessage());
+            } catch (IOException failure) {
+                System.out.println(failure.getMessage());
             }
         }
     }
--- a/lab/src/main/java/saltstage/lab/trial/TrialProcess.java
+++ b/lab/src/main/java/saltstage/lab/trial/TrialProcess.java
@@ -38,8 +38,8 @@
     }
 
     /** Creates a process that runs a command of a coordinator jar. */
-    static TrialProcess coordinator(String name, Path jar, Path dir, List<String> words) {
-        return ofJar(name, jar, dir, words);
+    static TrialProcess coordinator(String name, Path jar, Path dir, List<String> arguments) {
+        return ofJar(name, jar, dir, arguments);
     }
 
     /** Returns the coordinator jar built in this repository. */
@@ -48,26 +48,26 @@
     }
 
     /** Creates a process that runs a lab command with the class path of this process. */
-    static TrialProcess lab(String name, Path dir, List<String> words) {
+    static TrialProcess lab(String name, Path dir, List<String> arguments) {
         List<String> command = new ArrayList<>(JAVA_COMMAND);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), "saltstage.lab.Lab"));
-        command.addAll(words);
+        command.addAll(arguments);
         return new TrialProcess(name, command, dir);
     }
 
     /** Creates a process that runs the relay with additional environment variables. */
     static TrialProcess relay(
-            String name, Path dir, Map<String, String> environment, List<String> words) {
-        TrialProcess relay = ofJar(name, Installation.relayJar(), dir, words);
+            String name, Path dir, Map<String, String> environment, List<String> arguments) {
+        TrialProcess relay = ofJar(name, Installation.relayJar(), dir, arguments);
         relay.environment.putAll(environment);
         return relay;
     }
 
     /** Creates a process that runs a jar. */
-    static TrialProcess ofJar(String name, Path jar, Path dir, List<String> words) {
+    static TrialProcess ofJar(String name, Path jar, Path dir, List<String> arguments) {
         List<String> command = new ArrayList<>(JAVA_COMMAND);
         command.addAll(List.of("-jar", jar.toString()));
-        command.addAll(words);
+        command.addAll(arguments);
         return new TrialProcess(name, command, dir);
     }
 
@@ -81,7 +81,7 @@
     }
 
     synchronized TrialProcess start() throws IOException {
-        List<String> words =
+        List<String> commandLine =
                 maxFileKib == 0
                         ? command
                         : new ArrayList<>(
@@ -91,10 +91,10 @@
                                         "ulimit -f " + maxFileKib + "; exec \"$@\"",
                                         "limited"));
         if (maxFileKib != 0) {
-            words.addAll(command);
+            commandLine.addAll(command);
         }
         ProcessBuilder builder =
-                new ProcessBuilder(words)
+                new ProcessBuilder(commandLine)
                         .redirectErrorStream(true)
                         .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile));
         builder.environment().putAll(environment);
@@ -140,8 +140,8 @@
         return process.waitFor(withinMs, TimeUnit.MILLISECONDS);
     }
 
-    private void sendSignal(String which) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + which, Long.toString(process.pid())).start().waitFor();
+    private void sendSignal(String signal) throws IOException, InterruptedException {
+        new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
     }
 
     /** Suspends the process with SIGSTOP. */
--- a/lab/src/main/java/saltstage/lab/trial/WindowTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/WindowTrial.java
@@ -81,12 +81,12 @@
     }
 
     private void setFleet(String fleet) throws IOException, InterruptedException {
-        Reply agreed = null;
+        Reply reply = null;
         for (int i = 0;
-                i < 100 && !(agreed instanceof saltstage.coordinator.model.Acknowledgement);
+                i < 100 && !(reply instanceof saltstage.coordinator.model.Acknowledgement);
                 i++) {
             try {
-                agreed =
+                reply =
                         client.send(
                                         new WindowCommands.SetFleet(
                                                 FleetSettings.parse(
@@ -94,18 +94,18 @@
                                                 "trial"),
                                         CALL_TIMEOUT)
                                 .reply(); // rejected until every voter supports windows
-            } catch (MalformedException bad) {
-                throw new IOException(bad);
+            } catch (MalformedException malformed) {
+                throw new IOException(malformed);
             }
             Thread.sleep(100);
         }
     }
 
-    private void startAgent(Path dir, FakeRegion region, String as) throws IOException {
+    private void startAgent(Path dir, FakeRegion region, String agentName) throws IOException {
         agents.put(
-                as,
+                agentName,
                 TrialProcess.coordinator(
-                                "agent-" + as,
+                                "agent-" + agentName,
                                 TrialProcess.coordinatorJar(),
                                 dir,
                                 List.of(
@@ -119,18 +119,19 @@
 
     private void sampleCapacity() {
         while (!stopped) {
-            long now = regions.values().stream().mapToLong(r -> r.capacity(false)).sum();
-            minCapacity = Math.min(minCapacity, now);
-            if (now < FLOOR_NODES * 1_000) {
+            long capacity = regions.values().stream().mapToLong(r -> r.capacity(false)).sum();
+            minCapacity = Math.min(minCapacity, capacity);
+            if (capacity < FLOOR_NODES * 1_000) {
                 synchronized (violations) {
                     if (violations.size() < 20) {
-                        violations.add(currentCase + ": " + now + " of " + FLOOR_NODES * 1_000);
+                        violations.add(
+                                currentCase + ": " + capacity + " of " + FLOOR_NODES * 1_000);
                     }
                 }
             }
             try {
                 Thread.sleep(5);
-            } catch (InterruptedException ended) {
+            } catch (InterruptedException interrupted) {
                 return;
             }
         }
@@ -181,7 +182,7 @@
     public long runCase(String step, String fault) throws IOException, InterruptedException {
         currentCase = step + " x " + fault;
         round++;
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         Window first = propose("a");
         Window second = propose("b");
         if (step.equals("RETURNING")) {
@@ -191,21 +192,21 @@
             awaitStep(first.id(), step);
         }
         injectFault(fault);
-        for (Window each : List.of(first, second)) {
-            awaitDone(each.id());
+        for (Window window : List.of(first, second)) {
+            awaitDone(window.id());
         }
         if (!regions.values().stream().allMatch(FakeRegion::hasNoSuspendedNode)) {
             throw new IOException(
                     currentCase + ": the windows have ended, but nodes are still suspended");
         }
-        return (System.nanoTime() - start) / 1_000_000;
+        return (System.nanoTime() - startNanos) / 1_000_000;
     }
 
     private void awaitStep(long id, String step) throws IOException, InterruptedException {
-        long until = System.nanoTime() + STEP_TIMEOUT.toNanos();
+        long deadlineNanos = System.nanoTime() + STEP_TIMEOUT.toNanos();
         while (!findWindow(id).state().name().equals(step)
                 && !findWindow(id).state().name().equals("DONE")) {
-            if (System.nanoTime() > until) {
+            if (System.nanoTime() > deadlineNanos) {
                 throw new IOException(
                         currentCase + ": never reached " + step + ": " + findWindow(id));
             }
@@ -214,17 +215,17 @@
     }
 
     private void awaitDone(long id) throws IOException, InterruptedException {
-        long until = System.nanoTime() + STEP_TIMEOUT.toNanos();
-        for (Window now = findWindow(id);
-                now.state() != Window.State.DONE && now.state() != Window.State.WITHDRAWN;
-                now = findWindow(id)) {
-            if (System.nanoTime() > until) {
+        long deadlineNanos = System.nanoTime() + STEP_TIMEOUT.toNanos();
+        for (Window window = findWindow(id);
+                window.state() != Window.State.DONE && window.state() != Window.State.WITHDRAWN;
+                window = findWindow(id)) {
+            if (System.nanoTime() > deadlineNanos) {
                 throw new IOException(
                         currentCase
                                 + ": not done within "
                                 + STEP_TIMEOUT.toSeconds()
                                 + " s: "
-                                + now);
+                                + window);
             }
             Thread.sleep(50);
         }
--- a/lab/src/test/java/saltstage/lab/trial/ConfigurationTrialTest.java
+++ b/lab/src/test/java/saltstage/lab/trial/ConfigurationTrialTest.java
@@ -37,23 +37,23 @@
     @Test
     void observerReportsViolations() throws Exception {
         String digest = "00000000000000aa";
-        try (ConfigurationObserver witness = new ConfigurationObserver()) {
-            witness.observe("f-1", "applied", 1, digest);
-            witness.observe("f-2", "applied", 1, "00000000000000bb");
+        try (ConfigurationObserver observer = new ConfigurationObserver()) {
+            observer.observe("f-1", "applied", 1, digest);
+            observer.observe("f-2", "applied", 1, "00000000000000bb");
             assertTrue(
-                    witness.violations().get(0).contains("differ"),
+                    observer.violations().get(0).contains("differ"),
                     "a different digest for one revision");
-            witness.observe("f-1", "applied", 2, digest);
-            witness.observe("f-1", "snapshot", 1, digest);
+            observer.observe("f-1", "applied", 2, digest);
+            observer.observe("f-1", "snapshot", 1, digest);
             assertTrue(
-                    witness.violations().get(1).contains("went back"),
+                    observer.violations().get(1).contains("went back"),
                     "a follower that returns to an older revision");
-            witness.observe("f-1", "GAP", 1, digest);
-            assertTrue(witness.violations().get(2).contains("GAP"), "a missing revision");
-            witness.compareWithAccepted(Map.of(1L, "00000000000000bb"));
+            observer.observe("f-1", "GAP", 1, digest);
+            assertTrue(observer.violations().get(2).contains("GAP"), "a missing revision");
+            observer.compareWithAccepted(Map.of(1L, "00000000000000bb"));
             assertEquals(
                     5,
-                    witness.violations().size(),
+                    observer.violations().size(),
                     "a digest that differs from the accepted one, and a revision never accepted");
         }
     }
--- a/lab/src/test/java/saltstage/lab/trial/GroupProcessTest.java
+++ b/lab/src/test/java/saltstage/lab/trial/GroupProcessTest.java
@@ -43,9 +43,11 @@
 
     @TempDir Path dir;
 
-    private GroupUnderTest startGroup(String more) throws IOException, InterruptedException {
+    private GroupUnderTest startGroup(String extraSettings)
+            throws IOException, InterruptedException {
         GroupUnderTest group =
-                new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), more).start();
+                new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), extraSettings)
+                        .start();
         group.leader(CALL_TIMEOUT);
         return group;
     }
@@ -68,11 +70,11 @@
         boolean holds() throws IOException, InterruptedException;
     }
 
-    private static void await(String what, Condition condition)
+    private static void await(String description, Condition condition)
             throws IOException, InterruptedException {
-        long until = System.nanoTime() + CALL_TIMEOUT.toNanos();
+        long deadlineNanos = System.nanoTime() + CALL_TIMEOUT.toNanos();
         while (!condition.holds()) {
-            assertTrue(System.nanoTime() < until, what);
+            assertTrue(System.nanoTime() < deadlineNanos, description);
             Thread.sleep(50);
         }
     }
@@ -140,7 +142,8 @@
     void leasesSurviveAFullRestartAndAreNeverGrantedTwice() throws Exception {
         try (GroupUnderTest group = startGroup("")) {
             GroupClient client = group.client();
-            long fence = assertInstanceOf(Granted.class, acquire(client, "a", 4_000)).fence();
+            long fencingToken =
+                    assertInstanceOf(Granted.class, acquire(client, "a", 4_000)).fence();
             for (String name : group.names()) {
                 group.process(name).kill();
             }
@@ -151,14 +154,14 @@
                     Held.class,
                     acquire(client, "b", 4_000),
                     "the lease continues and has not expired");
-            Reply[] later = new Reply[1];
+            Reply[] laterReply = new Reply[1];
             await(
                     "the lease expires",
                     () -> {
-                        later[0] = acquire(client, "b", 4_000);
-                        return later[0] instanceof Granted;
+                        laterReply[0] = acquire(client, "b", 4_000);
+                        return laterReply[0] instanceof Granted;
                     });
-            assertTrue(((Granted) later[0]).fence() > fence);
+            assertTrue(((Granted) laterReply[0]).fence() > fencingToken);
         }
     }
 
@@ -171,17 +174,18 @@
                     group.process(other).kill();
                 }
             }
-            GroupClient alone =
+            GroupClient leaderOnly =
                     new GroupClient(
                             List.of(group.clientAddresses().get(group.names().indexOf(leader))),
                             Ticker.SYSTEM);
             Thread.sleep(100);
-            assertUnreachable(() -> alone.get("/v1/leases", Duration.ofSeconds(3)));
+            assertUnreachable(() -> leaderOnly.get("/v1/leases", Duration.ofSeconds(3)));
             assertUnreachable(
                     () ->
-                            alone.send(
+                            leaderOnly.send(
                                     new Acquire("x", "a", 1_000, 0, false), Duration.ofSeconds(3)));
-            assertTrue(alone.get("/v1/leases?stale=1", CALL_TIMEOUT).path("stale").asBoolean());
+            assertTrue(
+                    leaderOnly.get("/v1/leases?stale=1", CALL_TIMEOUT).path("stale").asBoolean());
         }
     }
 
@@ -201,8 +205,8 @@
                                     name -> {
                                         try {
                                             return !name.equals(group.leader(CALL_TIMEOUT));
-                                        } catch (IOException | InterruptedException impossible) {
-                                            throw new IllegalStateException(impossible);
+                                        } catch (IOException | InterruptedException failure) {
+                                            throw new IllegalStateException(failure);
                                         }
                                     })
                             .findFirst()
@@ -221,13 +225,13 @@
                             "/v1/leave",
                             GroupCodec.jsonMapper().createObjectNode().put("name", victim),
                             CALL_TIMEOUT);
-            try (TrialProcess anew = group.newJoiningProcess("r4")) {
-                anew.start();
+            try (TrialProcess replacement = group.newJoiningProcess("r4")) {
+                replacement.start();
                 await(
                         "the group has three voters again",
                         () -> {
-                            JsonNode now = status(group, group.leader(CALL_TIMEOUT));
-                            return now.path("voters").size() == 3;
+                            JsonNode status = status(group, group.leader(CALL_TIMEOUT));
+                            return status.path("voters").size() == 3;
                         });
             }
         }
@@ -238,7 +242,7 @@
         try (GroupUnderTest group =
                 new GroupUnderTest(dir, 1, List.of(TrialProcess.coordinatorJar()), "").start()) {
             group.leader(CALL_TIMEOUT);
-            long before = status(group, "r1").path("leases").asLong();
+            long leasesBefore = status(group, "r1").path("leases").asLong();
             String acquire =
                     "{'client':'c','seq':1,'command':{'op':'acquire','name':'x','owner':'o',"
                             + "'ttlMs':999,'priority':0,'queue':false}}";
@@ -261,20 +265,20 @@
                             acquire.replace("'o'", "'o','more':1"),
                             plan,
                             "x".repeat(100_000))) {
-                HttpResponse<String> said = post(group, "/v1/do", body.replace('\'', '"'));
-                assertEquals(400, said.statusCode(), body + " got " + said.body());
+                HttpResponse<String> response = post(group, "/v1/do", body.replace('\'', '"'));
+                assertEquals(400, response.statusCode(), body + " got " + response.body());
                 assertTrue(
                         GroupCodec.jsonMapper()
-                                        .readTree(said.body())
+                                        .readTree(response.body())
                                         .path("error")
                                         .asText()
                                         .length()
                                 > 5,
-                        said.body());
+                        response.body());
             }
             assertEquals(404, post(group, "/v1/never", "{}").statusCode());
             assertEquals(413, post(group, "/v1/do", "x".repeat(3 << 20)).statusCode());
-            assertEquals(before, status(group, "r1").path("leases").asLong());
+            assertEquals(leasesBefore, status(group, "r1").path("leases").asLong());
             assertEquals(200, post(group, "/v1/do", acquire.replace('\'', '"')).statusCode());
         }
     }
@@ -302,9 +306,9 @@
             try (Stream<Path> files = Files.list(dir.resolve("data").resolve("r2"))) {
                 segments =
                         files.filter(
-                                        f ->
-                                                f.getFileName().toString().contains("seg")
-                                                        || f.getFileName()
+                                        file ->
+                                                file.getFileName().toString().contains("seg")
+                                                        || file.getFileName()
                                                                 .toString()
                                                                 .endsWith(".log"))
                                 .sorted()
@@ -369,10 +373,11 @@
                                     CALL_TIMEOUT);
                 }
                 Thread.sleep(500);
-                long off = status(group, name).path("day").asLong() - System.currentTimeMillis();
+                long offsetMs =
+                        status(group, name).path("day").asLong() - System.currentTimeMillis();
                 assertTrue(
-                        Math.abs(off) < 60_000,
-                        name + " leads, and the group's time is off by " + off + " ms");
+                        Math.abs(offsetMs) < 60_000,
+                        name + " leads, and the group's time is off by " + offsetMs + " ms");
             }
         }
     }
