--- a/lab/src/main/java/saltstage/lab/trial/LeaseTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/LeaseTrial.java
@@ -23,7 +23,7 @@
     private static final int MAX_RECOVERY_MS = 8_000;
 
     /** A fault, its target, its start and its duration; times are relative to the trial's start. */
-    public record Fault(String kind, String at, String other, int fromMs, int lastsMs) {}
+    public record Fault(String kind, String target, String other, int fromMs, int durationMs) {}
 
     /** The result of a trial. */
     public record Verdict(
@@ -192,7 +192,7 @@
         List<FaultStep> steps = new ArrayList<>();
         for (Fault fault : faults) {
             steps.add(new FaultStep(fault.fromMs(), true, fault));
-            steps.add(new FaultStep(fault.fromMs() + fault.lastsMs(), false, fault));
+            steps.add(new FaultStep(fault.fromMs() + fault.durationMs(), false, fault));
         }
         steps.sort(java.util.Comparator.comparingInt(FaultStep::atMs));
         long startNanos = System.nanoTime();
@@ -213,7 +213,7 @@
             Map<String, TrialProcess> holders,
             Set<String> pausedHolders)
             throws IOException, InterruptedException {
-        String target = fault.at();
+        String target = fault.target();
         switch (fault.kind()) {
             case "kill" -> group.process(target).kill();
             case "pause" -> group.process(target).pause();
@@ -250,7 +250,7 @@
 
     private static void injectLinkFault(Fault fault, GroupUnderTest group) {
         for (String other : group.names()) {
-            if (other.equals(fault.at())) {
+            if (other.equals(fault.target())) {
                 continue;
             }
             DirectionFault directionFault =
@@ -259,9 +259,10 @@
                         case "trickle" -> new DirectionFault(false, 0, true, Long.MAX_VALUE);
                         default -> DirectionFault.SILENT;
                     };
-            group.replicaLink(fault.at(), other).setFaults(directionFault, DirectionFault.CLEAR);
+            group.replicaLink(fault.target(), other)
+                    .setFaults(directionFault, DirectionFault.CLEAR);
             if (!fault.kind().equals("one-way")) {
-                group.replicaLink(other, fault.at())
+                group.replicaLink(other, fault.target())
                         .setFaults(directionFault, DirectionFault.CLEAR);
             }
         }
@@ -269,7 +270,7 @@
 
     private static void repair(Fault fault, GroupUnderTest group, Map<String, TrialProcess> holders)
             throws IOException, InterruptedException {
-        String target = fault.at();
+        String target = fault.target();
         switch (fault.kind()) {
             case "kill", "pause" -> ensureRunning(group.process(target));
             case "kill-worker", "pause-worker" -> ensureRunning(holders.get(target));
