--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationObserver.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationObserver.java
@@ -38,7 +38,7 @@
     }
 
     private static void startDaemon(Runnable work) {
-        Thread thread = new Thread(work, "configuration-witness");
+        Thread thread = new Thread(work, "configuration-observer");
         thread.setDaemon(true);
         thread.start();
     }
--- a/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/DemoFleetCommand.java
@@ -94,7 +94,7 @@
                         + minCapacity / 1_000.0
                         + " of "
                         + 2 * NODES_PER_REGION
-                        + " gateways, floor "
+                        + " backends, floor "
                         + FLOOR_NODES
                         + (violations.isEmpty()
                                 ? ": kept"
@@ -275,7 +275,7 @@
         minCapacity = Math.min(minCapacity, capacity);
         if (capacity < FLOOR_NODES * 1_000) {
             violations.add(
-                    "at " + elapsedMs + " ms " + capacity + " thousandths of a gateway are left");
+                    "at " + elapsedMs + " ms " + capacity + " thousandths of a backend are left");
         }
         if (unprintedEvents.isEmpty() && elapsedMs - lastPrintedMs < 1_000) {
             return;
--- a/lab/src/main/java/saltstage/lab/trial/FakeRegion.java
+++ b/lab/src/main/java/saltstage/lab/trial/FakeRegion.java
@@ -124,7 +124,7 @@
                                 }
                             }
                         },
-                        "stand-in");
+                        "fake-region");
         thread.setDaemon(true);
         thread.start();
         return listener;
--- a/lab/src/main/java/saltstage/lab/trial/FencedResource.java
+++ b/lab/src/main/java/saltstage/lab/trial/FencedResource.java
@@ -31,7 +31,7 @@
 
     FencedResource() throws IOException {
         listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-        Thread thread = new Thread(this::acceptAll, "witness");
+        Thread thread = new Thread(this::acceptAll, "fenced-resource");
         thread.setDaemon(true);
         thread.start();
     }
@@ -44,7 +44,7 @@
         while (!listener.isClosed()) {
             try {
                 Socket connection = listener.accept();
-                Thread thread = new Thread(() -> serve(connection), "witness");
+                Thread thread = new Thread(() -> serve(connection), "fenced-resource");
                 thread.setDaemon(true);
                 thread.start();
             } catch (IOException closed) {
