--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationObserver.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationObserver.java
@@ -16,13 +16,13 @@
 import saltstage.configuration.ConfigurationView;
 
 /**
- * Hears from each follower what has come into force there, outside the group, the distributors and
- * the followers. It checks at once what an observation alone can break: no follower goes back, and
- * no two have one revision with different digests. What was accepted is known later: {@link
- * #compare}.
+ * Receives a report from each follower for every revision that it applies, independently of the
+ * group, the distributors and the followers. It checks immediately that no follower goes back to an
+ * older revision and that no two followers have different digests for one revision. The comparison
+ * with the changes that the group accepted follows later, in {@link #compareWithAccepted}.
  */
 final class ConfigurationObserver implements AutoCloseable {
-    /** A revision as it came into force at one follower; times are milliseconds since the start. */
+    /** A revision that one follower applied; times are milliseconds since the observer started. */
     record Observation(String follower, long revision, String digest, long atMs, boolean atStart) {}
 
     private final ServerSocket listener;
@@ -38,7 +38,7 @@
     }
 
     private static void startDaemon(Runnable work) {
-        Thread thread = new Thread(work, "configuration-witness");
+        Thread thread = new Thread(work, "configuration-observer");
         thread.setDaemon(true);
         thread.start();
     }
@@ -50,42 +50,42 @@
     private void acceptAll() {
         while (!listener.isClosed()) {
             try {
-                Socket from = listener.accept();
-                startDaemon(() -> serve(from));
+                Socket connection = listener.accept();
+                startDaemon(() -> serve(connection));
             } catch (IOException closed) {
                 return;
             }
         }
     }
 
-    private void serve(Socket from) {
-        try (from;
+    private void serve(Socket connection) {
+        try (connection;
                 BufferedReader in =
                         new BufferedReader(
                                 new InputStreamReader(
-                                        from.getInputStream(), StandardCharsets.US_ASCII))) {
+                                        connection.getInputStream(), StandardCharsets.US_ASCII))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String[] words = line.split(" ");
                 observe(words[0], words[1], Long.parseLong(words[2]), words[3]);
             }
-        } catch (IOException over) {
+        } catch (IOException closed) {
             return;
         }
     }
 
-    /** Takes what a follower tells; {@code what} is how the revision came into force. */
-    synchronized void observe(String follower, String what, long revision, String digest) {
-        Observation now =
-                new Observation(follower, revision, digest, elapsedMs(), what.equals("start"));
-        observations.add(now);
-        if (!List.of("start", "applied", "snapshot").contains(what)) {
-            violations.add(follower + " at revision " + revision + ": " + what);
+    /** Records the report of a follower; {@code event} tells how it applied the revision. */
+    synchronized void observe(String follower, String event, long revision, String digest) {
+        Observation observation =
+                new Observation(follower, revision, digest, elapsedMs(), event.equals("start"));
+        observations.add(observation);
+        if (!List.of("start", "applied", "snapshot").contains(event)) {
+            violations.add(follower + " at revision " + revision + ": " + event);
         }
-        Observation before = newestByFollower.put(follower, now);
-        if (before != null && revision < before.revision()) {
-            violations.add(follower + " went back from " + before.revision() + " to " + revision);
+        Observation previous = newestByFollower.put(follower, observation);
+        if (previous != null && revision < previous.revision()) {
+            violations.add(follower + " went back from " + previous.revision() + " to " + revision);
         }
-        Observation first = firstByRevision.putIfAbsent(revision, now);
+        Observation first = firstByRevision.putIfAbsent(revision, observation);
         if (first != null && !first.digest().equals(digest)) {
             violations.add(
                     follower + " and " + first.follower() + " differ at revision " + revision);
@@ -96,22 +96,30 @@
     /**
      * Compares all observations with what the group accepted.
      *
-     * @param digests by revision, as accepted
+     * @param digests the digests of the accepted changes, by revision
      */
     synchronized void compareWithAccepted(Map<Long, String> digests) {
-        for (Observation one : firstByRevision.values()) {
-            String accepted = digests.get(one.revision());
-            if (accepted == null) {
+        for (Observation observation : firstByRevision.values()) {
+            String acceptedDigest = digests.get(observation.revision());
+            if (acceptedDigest == null) {
                 violations.add(
-                        one.follower() + " had revision " + one.revision() + ", never accepted");
-            } else if (!accepted.equals(one.digest())) {
+                        observation.follower()
+                                + " had revision "
+                                + observation.revision()
+                                + ", never accepted");
+            } else if (!acceptedDigest.equals(observation.digest())) {
                 violations.add(
-                        one.follower() + " had another digest at revision " + one.revision());
+                        observation.follower()
+                                + " had another digest at revision "
+                                + observation.revision());
             }
         }
     }
 
-    /** Waits until so many followers have this revision or a newer one; false if not in time. */
+    /**
+     * Waits until this number of followers have the revision or a newer one; returns false if they
+     * do not in time.
+     */
     synchronized boolean awaitRevision(long revision, int followers, long withinMs)
             throws InterruptedException {
         long untilMs = elapsedMs() + withinMs;
@@ -126,45 +134,47 @@
     }
 
     private long countWithRevision(long revision) {
-        return newestByFollower.values().stream().filter(one -> one.revision() >= revision).count();
+        return newestByFollower.values().stream()
+                .filter(observation -> observation.revision() >= revision)
+                .count();
     }
 
-    /** When each follower had a revision, or a newer one, for the first time. */
+    /** Returns, by follower, when it first applied the revision or a newer one. */
     synchronized Map<String, Long> appliedMsByFollower(long revision) {
         Map<String, Long> times = new TreeMap<>();
-        for (Observation one : observations) {
-            if (one.revision() >= revision) {
-                times.putIfAbsent(one.follower(), one.atMs());
+        for (Observation observation : observations) {
+            if (observation.revision() >= revision) {
+                times.putIfAbsent(observation.follower(), observation.atMs());
             }
         }
         return times;
     }
 
-    /** The newest observation of each follower. */
+    /** Returns the newest observation of each follower. */
     synchronized Map<String, Observation> newestByFollower() {
         return new TreeMap<>(newestByFollower);
     }
 
-    /** How many observations there were. */
+    /** Returns the number of observations. */
     synchronized int observationCount() {
         return observations.size();
     }
 
-    /** What must not be; none if all is as it should be. */
+    /** Returns the violations found so far; empty if every check passed. */
     synchronized List<String> violations() {
         return List.copyOf(violations);
     }
 
-    /** Adds what others found. */
-    synchronized void addViolation(String what) {
-        violations.add(what);
+    /** Adds a violation that another check found. */
+    synchronized void addViolation(String description) {
+        violations.add(description);
     }
 
     long elapsedMs() {
         return (System.nanoTime() - startNanos) / 1_000_000;
     }
 
-    /** The digests that revision 0 has. */
+    /** Returns a new map that holds the digest of revision 0. */
     static Map<Long, String> initialDigests() {
         Map<Long, String> digests = new TreeMap<>();
         digests.put(0L, ConfigurationJson.formatDigest(new ConfigurationView().digest()));
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationStepTrial.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationStepTrial.java
@@ -9,25 +9,25 @@
 import saltstage.lab.trial.ConfigurationWriter.AcceptedRevision;
 
 /**
- * Kills a process at a step of one change, starts it again, and waits until the change is in force
- * at all followers: each step with each process once.
+ * Kills a process at a given step of one configuration change, restarts it, and waits until all
+ * followers have applied the change. Each case combines one step with one victim.
  */
 final class ConfigurationStepTrial {
-    /** How far a change is when the process is killed. */
+    /** The step that a change has reached when the process is killed. */
     enum Step {
-        /** It is on its way to the leader, or in its log; the writer has no reply. */
+        /** The change is on its way to the leader or in its log; the writer has no reply. */
         LOGGED,
-        /** The writer has its reply. */
+        /** The writer has the reply. */
         ACCEPTED,
-        /** A distributor serves it. */
+        /** A distributor serves the change. */
         AT_DISTRIBUTOR,
-        /** It is in force at the first follower. */
+        /** The first follower has applied the change. */
         AT_FOLLOWER,
-        /** A distributor has all confirmations of its zone. */
+        /** A distributor has received the confirmations of all followers in its zone. */
         CONFIRMED
     }
 
-    /** Who is killed. */
+    /** The process or processes that are killed. */
     enum Victim {
         LEADER,
         DISTRIBUTOR,
@@ -48,29 +48,31 @@
         this.trial = trial;
     }
 
-    /** Returns how long it took from acceptance until all followers had it, milliseconds. */
+    /** Returns the milliseconds from acceptance until all followers had applied the change. */
     long runCase(Step step, Victim victim) throws IOException, InterruptedException {
-        ConfigurationObserver witness = trial.observer();
+        ConfigurationObserver observer = trial.observer();
         String leader = trial.group().leader(CALL_TIMEOUT);
-        long before = newestRevision();
+        long previousRevision = newestRevision();
         CompletableFuture<AcceptedRevision> change =
                 CompletableFuture.supplyAsync(this::writeChange);
-        awaitStep(step, change, before + 1);
+        awaitStep(step, change, previousRevision + 1);
         kill(victim, leader);
         Thread.sleep(DOWNTIME_MS);
         trial.group().heal();
         trial.fleet().heal();
         AcceptedRevision accepted = change.join();
-        if (accepted.revision() != before + 1) {
-            witness.addViolation(
-                    "a change came to be " + (accepted.revision() - before) + " revisions");
+        if (accepted.revision() != previousRevision + 1) {
+            observer.addViolation(
+                    "one change produced "
+                            + (accepted.revision() - previousRevision)
+                            + " revisions");
         }
-        int all = trial.fleet().followerCount();
-        if (!witness.awaitRevision(accepted.revision(), all, MAX_WAIT_MS)) {
-            throw new IOException("not in force everywhere after " + MAX_WAIT_MS + " ms");
+        int followerCount = trial.fleet().followerCount();
+        if (!observer.awaitRevision(accepted.revision(), followerCount, MAX_WAIT_MS)) {
+            throw new IOException("not applied by all followers after " + MAX_WAIT_MS + " ms");
         }
-        witness.compareWithAccepted(trial.writer().fetchDigests());
-        return witness.appliedMsByFollower(accepted.revision()).values().stream()
+        observer.compareWithAccepted(trial.writer().fetchDigests());
+        return observer.appliedMsByFollower(accepted.revision()).values().stream()
                 .mapToLong(atMs -> Math.max(0, atMs - accepted.atMs()))
                 .max()
                 .orElseThrow();
@@ -84,8 +86,8 @@
     private AcceptedRevision writeChange() {
         try {
             return trial.writer().moveShards();
-        } catch (IOException | InterruptedException failed) {
-            throw new CompletionException(failed);
+        } catch (IOException | InterruptedException failure) {
+            throw new CompletionException(failure);
         }
     }
 
@@ -101,7 +103,7 @@
             }
             case AT_FOLLOWER -> {
                 if (!trial.observer().awaitRevision(revision, 1, MAX_WAIT_MS)) {
-                    throw new IOException("at no follower after " + MAX_WAIT_MS + " ms");
+                    throw new IOException("applied by no follower after " + MAX_WAIT_MS + " ms");
                 }
             }
             case CONFIRMED -> awaitConfirmations(revision);
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationTrialCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationTrialCommand.java
@@ -8,22 +8,28 @@
 import picocli.CommandLine.Option;
 import saltstage.lab.Installation;
 
-/** Trials of the configuration's way from the group to followers. */
+/** Runs trials of the propagation of configuration changes from the group to followers. */
 @Command(
         name = "configuration",
         mixinStandardHelpOptions = true,
-        description = "Changes written under faults; exit 1 if anything was not as it should be.")
+        description = "Writes changes under faults; exits with 1 if any check failed.")
 public final class ConfigurationTrialCommand implements Callable<Integer> {
-    @Option(names = "--seed", defaultValue = "1", description = "the first (default: 1)")
+    @Option(names = "--seed", defaultValue = "1", description = "first seed (default: 1)")
     private long seed;
 
-    @Option(names = "--seeds", defaultValue = "1", description = "how many (default: 1)")
+    @Option(names = "--seeds", defaultValue = "1", description = "number of seeds (default: 1)")
     private int seeds;
 
-    @Option(names = "--faults", defaultValue = "9", description = "each seed (default: 9)")
+    @Option(
+            names = "--faults",
+            defaultValue = "9",
+            description = "faults for each seed (default: 9)")
     private int faults;
 
-    @Option(names = "--followers", defaultValue = "5", description = "each zone (default: 5)")
+    @Option(
+            names = "--followers",
+            defaultValue = "5",
+            description = "followers in each zone (default: 5)")
     private int followers;
 
     @Option(names = "--steps", description = "kill each process at each step of a change instead")
@@ -32,54 +38,57 @@
     @Override
     public Integer call() throws Exception {
         Path dir = Files.createTempDirectory("trial-configuration-");
-        boolean sound;
+        boolean passed;
         try (ConfigurationTrial trial = new ConfigurationTrial(dir, followers)) {
-            sound = steps ? runStepTable(trial) : runSeeds(trial);
+            passed = steps ? runStepTable(trial) : runSeeds(trial);
         }
-        if (sound) {
+        if (passed) {
             Installation.deleteRecursively(dir);
         } else {
-            System.out.println("in " + dir);
+            System.out.println("files kept in " + dir);
         }
-        return sound ? 0 : 1;
+        return passed ? 0 : 1;
     }
 
     private boolean runSeeds(ConfigurationTrial trial) throws Exception {
-        boolean sound = true;
-        for (long each = seed; each < seed + seeds && sound; each++) {
-            ConfigurationTrial.Verdict verdict = trial.run(each, faults);
+        boolean passed = true;
+        for (long currentSeed = seed; currentSeed < seed + seeds && passed; currentSeed++) {
+            ConfigurationTrial.Verdict verdict = trial.run(currentSeed, faults);
             System.out.printf(
-                    "seed %d: %d changes, %d observations; in force after p50 %d, p99 %d, most"
-                            + " %d ms; most by fault %s%s%n",
-                    each,
+                    "seed %d: %d changes, %d observations; applied after p50 %d, p99 %d, max"
+                            + " %d ms; max by fault %s%s%n",
+                    currentSeed,
                     verdict.changeCount(),
                     verdict.observationCount(),
                     verdict.medianMs(),
                     verdict.p99Ms(),
                     verdict.maxMs(),
                     verdict.maxMsByFault(),
-                    verdict.violations().isEmpty() ? "" : ", BROKEN " + verdict.violations());
-            sound = verdict.violations().isEmpty();
+                    verdict.violations().isEmpty() ? "" : ", VIOLATIONS " + verdict.violations());
+            passed = verdict.violations().isEmpty();
         }
-        return sound;
+        return passed;
     }
 
     private static boolean runStepTable(ConfigurationTrial trial) throws InterruptedException {
-        ConfigurationStepTrial cells = new ConfigurationStepTrial(trial);
-        int failed = 0;
+        ConfigurationStepTrial stepTrial = new ConfigurationStepTrial(trial);
+        int failureCount = 0;
         for (ConfigurationStepTrial.Step step : ConfigurationStepTrial.Step.values()) {
             for (ConfigurationStepTrial.Victim victim : ConfigurationStepTrial.Victim.values()) {
-                String came;
+                String result;
                 try {
-                    came = "in force everywhere after " + cells.runCase(step, victim) + " ms";
-                } catch (IOException not) {
-                    came = not.getMessage();
-                    failed++;
+                    result =
+                            "applied by all followers after "
+                                    + stepTrial.runCase(step, victim)
+                                    + " ms";
+                } catch (IOException failure) {
+                    result = failure.getMessage();
+                    failureCount++;
                 }
-                System.out.printf("%-15s %-12s %s%n", step, victim, came);
+                System.out.printf("%-15s %-12s %s%n", step, victim, result);
             }
         }
-        System.out.println("broken: " + trial.observer().violations());
-        return failed == 0 && trial.observer().violations().isEmpty();
+        System.out.println("violations: " + trial.observer().violations());
+        return failureCount == 0 && trial.observer().violations().isEmpty();
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/FakeRegion.java
+++ b/lab/src/main/java/saltstage/lab/trial/FakeRegion.java
@@ -19,8 +19,9 @@
 import java.util.function.Function;
 
 /**
- * The relays and nodes of one region, as an agent meets them: relays take operators' calls, nodes
- * answer PING. It knows what is out and since when it is back, whatever the group believes.
+ * Simulates the relays and nodes of one region for an agent: the relays take operator calls and the
+ * nodes answer PING. It records which nodes are suspended and when they were restored,
+ * independently of the state of the group.
  */
 final class FakeRegion implements AutoCloseable {
     private final String name;
@@ -35,9 +36,9 @@
     private final Set<Integer> downRelays = new HashSet<>();
     private int suspensionCount;
 
-    /** A region of which all is made here. */
-    FakeRegion(String name, int nodeCount, int relayCount, long warmMs) throws IOException {
-        this(name, warmMs, List.of());
+    /** Creates a region whose relays and nodes are all simulated. */
+    FakeRegion(String name, int nodeCount, int relayCount, long warmUpMs) throws IOException {
+        this(name, warmUpMs, List.of());
         for (int i = 1; i <= nodeCount; i++) {
             String node = name + i;
             ServerSocket listener =
@@ -49,24 +50,24 @@
     }
 
     /**
-     * One whose nodes and relays are there already: it stands before the relays and sees what they
-     * are told.
+     * Creates a region with existing nodes and relays. The simulated relays forward operator calls
+     * to the real ones and record them.
      */
     FakeRegion(
             String name,
             Map<String, InetSocketAddress> nodes,
-            List<InetSocketAddress> behind,
-            long warmMs)
+            List<InetSocketAddress> realRelays,
+            long warmUpMs)
             throws IOException {
-        this(name, warmMs, behind);
+        this(name, warmUpMs, realRelays);
         this.nodes.putAll(nodes);
-        startRelays(behind.size());
+        startRelays(realRelays.size());
     }
 
-    private FakeRegion(String name, long warmMs, List<InetSocketAddress> behind) {
+    private FakeRegion(String name, long warmUpMs, List<InetSocketAddress> realRelays) {
         this.name = name;
-        this.warmUpMs = warmMs;
-        this.realRelays = behind;
+        this.warmUpMs = warmUpMs;
+        this.realRelays = realRelays;
     }
 
     private void startRelays(int count) throws IOException {
@@ -77,52 +78,53 @@
         }
     }
 
-    /** What the relay behind says; what no relay stands behind is done. */
+    /** Forwards a call to the real relay and returns its answer; without real relays, "done". */
     private String forwardToRealRelay(int relay, String line) {
         if (realRelays.isEmpty()) {
             return "done";
         }
-        try (Socket there = new Socket()) {
-            there.connect(realRelays.get(relay), 1_000);
-            there.setSoTimeout(1_400);
-            there.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.US_ASCII));
+        try (Socket connection = new Socket()) {
+            connection.connect(realRelays.get(relay), 1_000);
+            connection.setSoTimeout(1_400);
+            connection.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.US_ASCII));
             return new BufferedReader(
                             new InputStreamReader(
-                                    there.getInputStream(), StandardCharsets.US_ASCII))
+                                    connection.getInputStream(), StandardCharsets.US_ASCII))
                     .readLine();
-        } catch (IOException silent) {
+        } catch (IOException unreachable) {
             return null;
         }
     }
 
-    private static ServerSocket listen(Function<String, String> answers) throws IOException {
+    private static ServerSocket listen(Function<String, String> handler) throws IOException {
         ServerSocket listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
         Thread thread =
                 new Thread(
                         () -> {
                             while (!listener.isClosed()) {
-                                try (Socket from = listener.accept()) {
-                                    from.setSoTimeout(1_000);
+                                try (Socket connection = listener.accept()) {
+                                    connection.setSoTimeout(1_000);
                                     String line =
                                             new BufferedReader(
                                                             new InputStreamReader(
-                                                                    from.getInputStream(),
+                                                                    connection.getInputStream(),
                                                                     StandardCharsets.US_ASCII))
                                                     .readLine();
-                                    String answer = line == null ? null : answers.apply(line);
+                                    String answer = line == null ? null : handler.apply(line);
                                     if (answer != null) {
-                                        from.getOutputStream()
+                                        connection
+                                                .getOutputStream()
                                                 .write(
                                                         (answer + "\r\n")
                                                                 .getBytes(
                                                                         StandardCharsets.US_ASCII));
                                     }
-                                } catch (IOException next) {
+                                } catch (IOException failed) {
                                     continue;
                                 }
                             }
                         },
-                        "stand-in");
+                        "fake-region");
         thread.setDaemon(true);
         thread.start();
         return listener;
@@ -142,8 +144,9 @@
         if (words.length != 2 || !nodes.containsKey(words[1])) {
             return "error no such call";
         }
+        // A suspension is recorded before forwarding: the relay may act even if its answer is lost.
         if (words[0].equals("SUSPEND")) {
-            recordCall(relay, words); // from the asking on: whether it was heard is not known
+            recordCall(relay, words);
         }
         String answer = forwardToRealRelay(relay, line);
         if (answer != null && answer.startsWith("done")) {
@@ -153,13 +156,13 @@
     }
 
     private synchronized void recordCall(int relay, String[] words) {
-        boolean was = isSuspended(words[1]);
+        boolean wasSuspended = isSuspended(words[1]);
         if (words[0].equals("SUSPEND")) {
             suspendedNodesByRelay.get(relay).add(words[1]);
-            suspensionCount += was ? 0 : 1;
+            suspensionCount += wasSuspended ? 0 : 1;
         } else {
             suspendedNodesByRelay.get(relay).remove(words[1]);
-            if (was && !isSuspended(words[1])) {
+            if (wasSuspended && !isSuspended(words[1])) {
                 restoredAtNanos.put(words[1], System.nanoTime());
             }
         }
@@ -169,47 +172,57 @@
         return suspendedNodesByRelay.stream().anyMatch(set -> set.contains(node));
     }
 
-    /** What the region can do now, of 1000 a node; with windows alone, or with outages too. */
-    synchronized long capacity(boolean outages) {
-        long sum = 0;
+    /**
+     * Returns the current capacity of the region, 1000 for each node. Suspended nodes count as 0
+     * and restored nodes warm up gradually; with {@code includeOutages}, nodes that are down count
+     * as 0 too.
+     */
+    synchronized long capacity(boolean includeOutages) {
+        long total = 0;
         for (String node : nodes.keySet()) {
-            long back = restoredAtNanos.getOrDefault(node, 0L);
-            long since = (System.nanoTime() - back) / 1_000_000;
-            long warm = back == 0 || since >= warmUpMs ? 1_000 : 310 + 690 * since / warmUpMs;
-            sum += isSuspended(node) || outages && downNodes.contains(node) ? 0 : warm;
+            long restoredNanos = restoredAtNanos.getOrDefault(node, 0L);
+            long warmingMs = (System.nanoTime() - restoredNanos) / 1_000_000;
+            long nodeCapacity =
+                    restoredNanos == 0 || warmingMs >= warmUpMs
+                            ? 1_000
+                            : 310 + 690 * warmingMs / warmUpMs;
+            total +=
+                    isSuspended(node) || includeOutages && downNodes.contains(node)
+                            ? 0
+                            : nodeCapacity;
         }
-        return sum;
+        return total;
     }
 
-    /** How often a node was taken out. */
+    /** Returns how often a node was suspended. */
     synchronized int suspensionCount() {
         return suspensionCount;
     }
 
-    /** Whether nothing is out. */
+    /** Returns whether no node is suspended. */
     synchronized boolean hasNoSuspendedNode() {
         return nodes.keySet().stream().noneMatch(this::isSuspended);
     }
 
-    /** A node that is dead, or is there again. */
-    synchronized void setNodeDown(String node, boolean yes) {
-        if (yes) {
+    /** Stops or restarts the answers of a node. */
+    synchronized void setNodeDown(String node, boolean down) {
+        if (down) {
             downNodes.add(node);
         } else {
             downNodes.remove(node);
         }
     }
 
-    /** A relay that is away; when it comes back it has forgotten what was suspended. */
-    synchronized void setRelayDown(int relay, boolean yes) {
-        if (yes) {
+    /** Stops or restarts the answers of a relay to operator calls. */
+    synchronized void setRelayDown(int relay, boolean down) {
+        if (down) {
             downRelays.add(relay);
         } else {
             downRelays.remove(relay);
         }
     }
 
-    /** The agent's settings. */
+    /** Writes the settings file of the region's agent and returns its path. */
     Path writeAgentSettings(Path dir) throws IOException {
         StringBuilder text = new StringBuilder("agent \"" + name + "\" {\n");
         for (int i = 0; i < relayListeners.size(); i++) {
@@ -220,18 +233,18 @@
                     .append("\"\n  }\n");
         }
         nodes.forEach(
-                (node, at) ->
+                (node, address) ->
                         text.append("  node \"")
                                 .append(node)
                                 .append("\" {\n    at = \"")
-                                .append(at.getAddress().getHostAddress())
+                                .append(address.getAddress().getHostAddress())
                                 .append(':')
-                                .append(at.getPort())
+                                .append(address.getPort())
                                 .append("\"\n  }\n"));
         return Files.writeString(dir.resolve("agent-" + name + ".hcl"), text + "}\n");
     }
 
-    /** Its part of the agreement. */
+    /** Returns the settings block of the region for the fleet settings. */
     String fleetSettings() {
         StringBuilder text = new StringBuilder("  region \"" + name + "\" {\n");
         nodes.keySet()
@@ -251,7 +264,7 @@
         return List.copyOf(nodes.keySet());
     }
 
-    /** Those that take nothing new now. */
+    /** Returns the nodes that are suspended at any relay. */
     synchronized List<String> suspendedNodes() {
         return nodes.keySet().stream().filter(this::isSuspended).toList();
     }
--- a/lab/src/main/java/saltstage/lab/trial/FencedResource.java
+++ b/lab/src/main/java/saltstage/lab/trial/FencedResource.java
@@ -14,11 +14,12 @@
 import java.util.TreeMap;
 
 /**
- * A guarded resource outside the group: it takes acts, each with its holder and fence, refuses
- * those of a fence lower than one that it has seen, and keeps all of it for the judgement.
+ * A resource outside the group that is protected by fencing tokens. It receives operations, each
+ * with the lease holder and its fencing token, rejects an operation whose token is lower than one
+ * seen before, and records all of them for the evaluation.
  */
 final class FencedResource implements AutoCloseable {
-    /** An act as it came in. */
+    /** An operation as it was received. */
     record Operation(long atMs, String holder, long fencingToken, boolean accepted) {}
 
     private final ServerSocket listener;
@@ -30,7 +31,7 @@
 
     FencedResource() throws IOException {
         listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-        Thread thread = new Thread(this::acceptAll, "witness");
+        Thread thread = new Thread(this::acceptAll, "fenced-resource");
         thread.setDaemon(true);
         thread.start();
     }
@@ -42,8 +43,8 @@
     private void acceptAll() {
         while (!listener.isClosed()) {
             try {
-                Socket from = listener.accept();
-                Thread thread = new Thread(() -> serve(from), "witness");
+                Socket connection = listener.accept();
+                Thread thread = new Thread(() -> serve(connection), "fenced-resource");
                 thread.setDaemon(true);
                 thread.start();
             } catch (IOException closed) {
@@ -52,47 +53,57 @@
         }
     }
 
-    private void serve(Socket from) {
-        try (from;
+    private void serve(Socket connection) {
+        try (connection;
                 BufferedReader in =
                         new BufferedReader(
                                 new InputStreamReader(
-                                        from.getInputStream(), StandardCharsets.US_ASCII))) {
-            from.setTcpNoDelay(true);
+                                        connection.getInputStream(), StandardCharsets.US_ASCII))) {
+            connection.setTcpNoDelay(true);
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String[] words = line.split(" ");
-                boolean taken = perform(words[0], Long.parseLong(words[1]));
-                String answer = taken ? "ok\n" : "stale\n";
-                from.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+                boolean accepted = perform(words[0], Long.parseLong(words[1]));
+                String answer = accepted ? "ok\n" : "stale\n";
+                connection.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
             }
-        } catch (IOException over) {
+        } catch (IOException closed) {
             return;
         }
     }
 
-    private synchronized boolean perform(String holder, long fence) {
-        boolean taken = fence >= highestToken;
-        highestToken = Math.max(highestToken, fence);
+    private synchronized boolean perform(String holder, long fencingToken) {
+        boolean accepted = fencingToken >= highestToken;
+        highestToken = Math.max(highestToken, fencingToken);
         operations.add(
-                new Operation((System.nanoTime() - startNanos) / 1_000_000, holder, fence, taken));
-        String owner = holdersByToken.putIfAbsent(fence, holder);
+                new Operation(
+                        (System.nanoTime() - startNanos) / 1_000_000,
+                        holder,
+                        fencingToken,
+                        accepted));
+        String owner = holdersByToken.putIfAbsent(fencingToken, holder);
         if (owner != null && !owner.equals(holder)) {
-            violations.add("fence " + fence + " was given to " + owner + " and to " + holder);
+            violations.add(
+                    "fencing token "
+                            + fencingToken
+                            + " was granted to "
+                            + owner
+                            + " and to "
+                            + holder);
         }
-        return taken;
+        return accepted;
     }
 
-    /** Acts so far. */
+    /** Returns the operations received so far. */
     synchronized List<Operation> operations() {
         return List.copyOf(operations);
     }
 
-    /** Grants that led to an act. */
+    /** Returns the number of lease grants whose holder performed an operation. */
     synchronized int grantCount() {
         return holdersByToken.size();
     }
 
-    /** Fences that were used by two holders. */
+    /** Returns a violation for each use of one fencing token by two holders. */
     synchronized List<String> violations() {
         return List.copyOf(violations);
     }
--- a/lab/src/main/java/saltstage/lab/trial/GroupUnderTest.java
+++ b/lab/src/main/java/saltstage/lab/trial/GroupUnderTest.java
@@ -15,7 +15,8 @@
 import saltstage.coordinator.client.Ticker;
 
 /**
- * The replicas of a group as processes, with a faulty link for each direction between two of them.
+ * The replicas of a group as processes. Each direction between two replicas has a proxy that can
+ * inject faults, and so has the client address of each replica.
  */
 public final class GroupUnderTest implements AutoCloseable {
     private static final int PEER_PORT = 7_101;
@@ -26,37 +27,41 @@
     private final Map<String, String> hosts = new LinkedHashMap<>();
     private final Map<String, TrialProcess> processes = new LinkedHashMap<>();
 
-    /** From one, to another: its link there. */
+    /** The links between replicas, by source and then by destination. */
     private final Map<String, Map<String, FaultProxy>> replicaLinks = new LinkedHashMap<>();
 
     private final Map<String, FaultProxy> clientLinks = new LinkedHashMap<>();
 
     /**
-     * So many replicas, each of the jar at its place (the last goes on for the rest), with these
-     * settings.
+     * Creates the replicas without starting them. Each replica runs the jar at its position in the
+     * list, or the last jar if the list is shorter.
+     *
+     * @param extraSettings settings added to those of each replica
      */
-    public GroupUnderTest(Path dir, int replicas, List<Path> jars, String more) throws IOException {
+    public GroupUnderTest(Path dir, int replicas, List<Path> jars, String extraSettings)
+            throws IOException {
         this.dir = dir;
-        ThreadLocalRandom drawn = ThreadLocalRandom.current();
-        for (int i = 1;
-                i <= replicas;
-                i++) { // loopback has room for addresses that nobody else uses
+        ThreadLocalRandom random = ThreadLocalRandom.current();
+        // Random loopback addresses avoid conflicts with other groups on this machine.
+        for (int i = 1; i <= replicas; i++) {
             names.add("r" + i);
-            hosts.put("r" + i, "127." + drawn.nextInt(1, 255) + "." + drawn.nextInt(255) + "." + i);
+            hosts.put(
+                    "r" + i, "127." + random.nextInt(1, 255) + "." + random.nextInt(255) + "." + i);
         }
         for (String from : names) {
-            Map<String, FaultProxy> mine = new LinkedHashMap<>();
+            Map<String, FaultProxy> linksFromReplica = new LinkedHashMap<>();
             for (String to : names) {
                 if (!from.equals(to)) {
-                    mine.put(to, new FaultProxy(new InetSocketAddress(hosts.get(to), PEER_PORT)));
+                    linksFromReplica.put(
+                            to, new FaultProxy(new InetSocketAddress(hosts.get(to), PEER_PORT)));
                 }
             }
-            replicaLinks.put(from, mine);
+            replicaLinks.put(from, linksFromReplica);
             clientLinks.put(
                     from, new FaultProxy(new InetSocketAddress(hosts.get(from), CLIENT_PORT)));
         }
         for (int i = 0; i < replicas; i++) {
-            writeSettings(names.get(i), more);
+            writeSettings(names.get(i), extraSettings);
             Path jar = jars.get(Math.min(i, jars.size() - 1));
             processes.put(
                     names.get(i),
@@ -74,12 +79,12 @@
         }
     }
 
-    /** Other settings for one, from its next start on. */
-    public void setExtraSettings(String name, String more) throws IOException {
-        writeSettings(name, more);
+    /** Replaces the additional settings of a replica; they apply from its next start. */
+    public void setExtraSettings(String name, String extraSettings) throws IOException {
+        writeSettings(name, extraSettings);
     }
 
-    /** A process that joins the group under a new name, on an address of its own. */
+    /** Creates a process that joins the group under a new name and address. */
     TrialProcess newJoiningProcess(String name) {
         String host = hosts.get(names.get(0)).replaceAll("[0-9]+$", "200");
         return TrialProcess.coordinator(
@@ -97,13 +102,13 @@
                         host + ":" + PEER_PORT + "," + host + ":" + CLIENT_PORT));
     }
 
-    private void writeSettings(String name, String more) throws IOException {
+    private void writeSettings(String name, String extraSettings) throws IOException {
         StringBuilder text =
                 new StringBuilder(
                         "coordinator {\n  group = \"trial\"\n  dir = \""
                                 + dir.resolve("data")
                                 + "\"\n"
-                                + more);
+                                + extraSettings);
         hosts.forEach(
                 (other, host) ->
                         text.append(
@@ -131,25 +136,25 @@
         Files.writeString(settingsFile(name), text + "}\n");
     }
 
-    /** The settings of one. */
+    /** Returns the settings file of a replica. */
     public Path settingsFile(String name) {
         return dir.resolve(name + ".hcl");
     }
 
-    /** Starts all. */
+    /** Starts all replicas. */
     public GroupUnderTest start() throws IOException {
-        for (TrialProcess proc : processes.values()) {
-            proc.start();
+        for (TrialProcess process : processes.values()) {
+            process.start();
         }
         return this;
     }
 
-    /** Their names. */
+    /** Returns the names of the replicas. */
     public List<String> names() {
         return names;
     }
 
-    /** The process id of a replica that runs. */
+    /** Returns the process id of a running replica. */
     public long pid(String name) {
         return processes.get(name).pid();
     }
@@ -166,27 +171,27 @@
         return clientLinks.get(name);
     }
 
-    /** Where replicas take calls, straight. */
+    /** Returns the client addresses of the replicas, without proxies. */
     public List<String> clientAddresses() {
         return hosts.values().stream().map(host -> host + ":" + CLIENT_PORT).toList();
     }
 
-    /** Where they take calls, through links that can be faulty. */
+    /** Returns the client addresses of the replicas through the proxies that can inject faults. */
     public List<String> clientLinkAddresses() {
         return clientLinks.values().stream()
-                .map(door -> "127.0.0.1:" + door.address().getPort())
+                .map(link -> "127.0.0.1:" + link.address().getPort())
                 .toList();
     }
 
-    /** A client, straight. */
+    /** Returns a client that connects to the replicas without proxies. */
     public GroupClient client() {
         return new GroupClient(clientAddresses(), Ticker.SYSTEM);
     }
 
-    /** Who leads, as a majority would have it; waits for one. */
+    /** Waits for a leader that a majority confirms, and returns its name. */
     public String leader(Duration within) throws IOException, InterruptedException {
-        JsonNode any =
-                client().get("/v1/leases?limit=1", within); // answered by a leader that is one
+        JsonNode leases =
+                client().get("/v1/leases?limit=1", within); // only a confirmed leader answers
         for (String name : names) {
             if (processes.get(name).isAlive() && !processes.get(name).isPaused()) {
                 try {
@@ -198,38 +203,40 @@
                     if (status.path("role").asText().equals("leader")) {
                         return name;
                     }
-                } catch (GroupClient.GroupUnreachableException gone) {
+                } catch (GroupClient.GroupUnreachableException unreachable) {
                     continue;
                 }
             }
         }
-        throw new IOException("no leader, though somebody answered " + any);
+        throw new IOException("no replica reports to be leader, but a leader answered " + leases);
     }
 
-    /** Everything runs and every link is clear again. */
+    /** Restarts or resumes all stopped replicas and removes the faults of all links. */
     void heal() throws IOException, InterruptedException {
-        replicaLinks.values().forEach(mine -> mine.values().forEach(FaultProxy::heal));
+        replicaLinks
+                .values()
+                .forEach(linksFromReplica -> linksFromReplica.values().forEach(FaultProxy::heal));
         clientLinks.values().forEach(FaultProxy::heal);
-        for (TrialProcess proc : processes.values()) {
-            proc.resume();
-            if (!proc.isAlive()) {
-                proc.start();
+        for (TrialProcess process : processes.values()) {
+            process.resume();
+            if (!process.isAlive()) {
+                process.start();
             }
         }
     }
 
     @Override
     public void close() throws IOException, InterruptedException {
-        for (TrialProcess proc : processes.values()) {
-            proc.close();
+        for (TrialProcess process : processes.values()) {
+            process.close();
         }
-        for (Map<String, FaultProxy> mine : replicaLinks.values()) {
-            for (FaultProxy link : mine.values()) {
+        for (Map<String, FaultProxy> linksFromReplica : replicaLinks.values()) {
+            for (FaultProxy link : linksFromReplica.values()) {
                 link.close();
             }
         }
-        for (FaultProxy door : clientLinks.values()) {
-            door.close();
+        for (FaultProxy link : clientLinks.values()) {
+            link.close();
         }
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/TrialCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/TrialCommand.java
@@ -10,19 +10,19 @@
 import saltstage.lab.Installation;
 
 /**
- * Trials of leases, one seed after the other; a seed that fails is shrunk to the faults that it
- * takes.
+ * Runs lease trials, one seed after the other. The faults of a failed seed are reduced to those
+ * that are needed for the failure.
  */
 @Command(
         name = "trial",
         mixinStandardHelpOptions = true,
         subcommands = ConfigurationTrialCommand.class,
-        description = "Real processes with faults between them; exit 1 with the seeds that failed.")
+        description = "Runs trials with real processes under faults; exits with 1 if one failed.")
 public final class TrialCommand implements Callable<Integer> {
     @Option(
             names = "--seeds",
             defaultValue = "1..10",
-            description = "A..B (default: ${DEFAULT-VALUE})")
+            description = "first..last seed (default: ${DEFAULT-VALUE})")
     private String seeds;
 
     @Option(names = "--replicas", defaultValue = "3")
@@ -31,46 +31,51 @@
     @Option(names = "--workers", defaultValue = "3")
     private int workers;
 
-    @Option(names = "--seconds", defaultValue = "12", description = "of faults, each seed")
+    @Option(
+            names = "--seconds",
+            defaultValue = "12",
+            description = "duration of the faults of each seed")
     private int seconds;
 
     @Option(
             names = "--jars",
             split = ",",
-            description = "a coordinator jar a replica, to pair versions")
+            description = "coordinator jar of each replica, to combine versions")
     private List<Path> jars;
 
-    @Option(names = "--keep", description = "keep the folder of each trial")
+    @Option(names = "--keep", description = "keep the directory of each trial")
     private boolean keep;
 
     @Option(
             names = "--windows",
-            description = "the table of a window's steps and faults, each cell once")
+            description = "run each combination of window step and fault once instead")
     private boolean windows;
 
     private int runWindowTable() throws Exception {
         Path dir = Files.createTempDirectory("trial-windows-");
-        int failed = 0;
+        int failureCount = 0;
         try (WindowTrial trial =
                 new WindowTrial(
                         dir, jars == null ? List.of(TrialProcess.coordinatorJar()) : jars)) {
             for (String step : WindowTrial.STEPS) {
                 for (String fault : WindowTrial.FAULTS) {
-                    String came;
+                    String result;
                     try {
-                        came = "done after " + trial.runCase(step, fault) + " ms";
-                    } catch (java.io.IOException not) {
-                        came = not.getMessage();
-                        failed++;
+                        result = "done after " + trial.runCase(step, fault) + " ms";
+                    } catch (java.io.IOException failure) {
+                        result = failure.getMessage();
+                        failureCount++;
                     }
                     System.out.printf(
-                            "%-10s %-12s %s, least so far %d%n",
-                            step, fault, came, trial.minCapacity());
+                            "%-10s %-12s %s, minimum capacity so far %d%n",
+                            step, fault, result, trial.minCapacity());
                 }
             }
             System.out.println(
-                    "under the floor: " + trial.violations() + (failed > 0 ? ", in " + dir : ""));
-            return failed > 0 || !trial.violations().isEmpty() ? 1 : 0;
+                    "capacity under the floor: "
+                            + trial.violations()
+                            + (failureCount > 0 ? ", files kept in " + dir : ""));
+            return failureCount > 0 || !trial.violations().isEmpty() ? 1 : 0;
         }
     }
 
@@ -79,36 +84,36 @@
         if (windows) {
             return runWindowTable();
         }
-        String[] ends = seeds.split("\\.\\.");
-        long first = Long.parseLong(ends[0]);
-        long last = Long.parseLong(ends[ends.length - 1]);
-        List<Long> failed = new ArrayList<>();
-        long acts = 0;
-        long grants = 0;
-        int stale = 0;
+        String[] range = seeds.split("\\.\\.");
+        long first = Long.parseLong(range[0]);
+        long last = Long.parseLong(range[range.length - 1]);
+        List<Long> failedSeeds = new ArrayList<>();
+        long operationCount = 0;
+        long grantCount = 0;
+        int rejectedCount = 0;
         for (long seed = first; seed <= last; seed++) {
             LeaseTrial.Verdict verdict = runSeed(seed, null);
             System.out.printf(
-                    "seed %d: %d acts, %d grants, %d late acts of paused holders refused, longest"
-                            + " gap %d ms%s%n",
+                    "seed %d: %d operations, %d grants, %d late ones of paused holders rejected,"
+                            + " longest gap %d ms%s%n",
                     seed,
                     verdict.operationCount(),
                     verdict.grantCount(),
                     verdict.rejectedOperationCount(),
                     verdict.maxGapMs(),
-                    verdict.violations().isEmpty() ? "" : ", BROKEN " + verdict.violations());
-            acts += verdict.operationCount();
-            grants += verdict.grantCount();
-            stale += verdict.rejectedOperationCount();
+                    verdict.violations().isEmpty() ? "" : ", VIOLATIONS " + verdict.violations());
+            operationCount += verdict.operationCount();
+            grantCount += verdict.grantCount();
+            rejectedCount += verdict.rejectedOperationCount();
             if (!verdict.violations().isEmpty()) {
-                failed.add(seed);
+                failedSeeds.add(seed);
                 shrink(seed, verdict.faults());
             }
         }
         System.out.printf(
-                "%d trials, %d acts, %d grants, %d late acts refused, failed: %s%n",
-                last - first + 1, acts, grants, stale, failed);
-        return failed.isEmpty() ? 0 : 1;
+                "%d trials, %d operations, %d grants, %d late operations rejected, failed: %s%n",
+                last - first + 1, operationCount, grantCount, rejectedCount, failedSeeds);
+        return failedSeeds.isEmpty() ? 0 : 1;
     }
 
     private LeaseTrial.Verdict runSeed(long seed, List<LeaseTrial.Fault> faults) throws Exception {
@@ -123,7 +128,7 @@
         LeaseTrial.Verdict verdict =
                 trial.run(seed, faults == null ? trial.randomFaults(seed) : faults);
         if (keep || !verdict.violations().isEmpty()) {
-            System.out.println("  in " + dir);
+            System.out.println("  files kept in " + dir);
         } else {
             Installation.deleteRecursively(dir);
         }
@@ -131,19 +136,19 @@
     }
 
     /**
-     * Leaves out fault after fault as long as it still fails; real time may need luck to fail
-     * again.
+     * Removes one fault after the other while the trial still fails. Trials run in real time, so a
+     * repeated run may pass by chance and keep a fault that is not needed.
      */
     private void shrink(long seed, List<LeaseTrial.Fault> faults) throws Exception {
-        List<LeaseTrial.Fault> left = new ArrayList<>(faults);
-        for (LeaseTrial.Fault each : faults) {
-            List<LeaseTrial.Fault> fewer = new ArrayList<>(left);
-            fewer.remove(each);
-            if (!runSeed(seed, fewer).violations().isEmpty()) {
-                left = fewer;
+        List<LeaseTrial.Fault> needed = new ArrayList<>(faults);
+        for (LeaseTrial.Fault fault : faults) {
+            List<LeaseTrial.Fault> candidate = new ArrayList<>(needed);
+            candidate.remove(fault);
+            if (!runSeed(seed, candidate).violations().isEmpty()) {
+                needed = candidate;
             }
         }
         System.out.println("  seed " + seed + " fails with:");
-        left.forEach(fault -> System.out.println("    " + fault));
+        needed.forEach(fault -> System.out.println("    " + fault));
     }
 }
--- a/lab/src/main/java/saltstage/lab/trial/TrialFollowersCommand.java
+++ b/lab/src/main/java/saltstage/lab/trial/TrialFollowersCommand.java
@@ -29,10 +29,11 @@
 import saltstage.configuration.follower.FollowerTimings;
 
 /**
- * Followers without a relay around them: each with a folder of its own and an own copy of what it
- * was told, whose digest it tells the witness with each revision that comes into force.
+ * Runs configuration followers without a relay. Each follower has a directory of its own and a copy
+ * of the configuration built only from the received changes. It reports the digest of this copy to
+ * the observer with each revision that it applies.
  */
-@Command(name = "trial-followers", description = "Followers of a trial.", hidden = true)
+@Command(name = "trial-followers", description = "Runs the followers of a trial.", hidden = true)
 public final class TrialFollowersCommand implements Callable<Integer> {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
@@ -40,7 +41,7 @@
     private List<String> sources;
 
     @Option(names = "--witness", required = true)
-    private int witness;
+    private int observerPort;
 
     @Option(names = "--name", required = true, description = "followers are NAME-1, NAME-2, ...")
     private String name;
@@ -54,28 +55,28 @@
     @Option(names = "--dir", required = true)
     private Path dir;
 
-    @Option(names = "--poll-ms", description = "in place of a relay's usual wait")
+    @Option(names = "--poll-ms", description = "poll time in place of the default of a relay")
     private Long pollMs;
 
     private static ScheduledExecutorService newExecutor() {
         return Executors.newSingleThreadScheduledExecutor(
-                work -> {
-                    Thread thread = new Thread(work, "follower");
+                task -> {
+                    Thread thread = new Thread(task, "follower");
                     thread.setDaemon(true);
                     return thread;
                 });
     }
 
     private FollowerTimings timings() {
-        FollowerTimings usual = FollowerTimings.defaults();
+        FollowerTimings defaults = FollowerTimings.defaults();
         return pollMs == null
-                ? usual
+                ? defaults
                 : new FollowerTimings(
                         Duration.ofMillis(pollMs),
-                        usual.baseRetryDelay(),
-                        usual.maxRetryDelay(),
-                        usual.basePreferredRetryDelay(),
-                        usual.maxPreferredRetryDelay());
+                        defaults.baseRetryDelay(),
+                        defaults.maxRetryDelay(),
+                        defaults.basePreferredRetryDelay(),
+                        defaults.maxPreferredRetryDelay());
     }
 
     @Override
@@ -94,19 +95,23 @@
                     new FollowerResources(http, timer, newExecutor(), Clock.systemUTC(), random);
             start(options, resources);
         }
-        new CountDownLatch(1).await(); // until it is killed
+        new CountDownLatch(1).await(); // runs until the process is killed
         return 0;
     }
 
     private void start(FollowerOptions options, FollowerResources resources) throws IOException {
-        Path own = Files.createDirectories(dir.resolve(options.name()));
-        ConfigurationDirectory disk =
-                new ConfigurationDirectory(own, TrialFollowersCommand::logEvent);
-        ObserverReporter told =
-                new ObserverReporter(options.name(), new Socket("127.0.0.1", witness));
-        told.reportStart(disk.persistedConfiguration().view());
+        Path followerDir = Files.createDirectories(dir.resolve(options.name()));
+        ConfigurationDirectory directory =
+                new ConfigurationDirectory(followerDir, TrialFollowersCommand::logEvent);
+        ObserverReporter reporter =
+                new ObserverReporter(options.name(), new Socket("127.0.0.1", observerPort));
+        reporter.reportStart(directory.persistedConfiguration().view());
         new ConfigurationClient(
-                        options, resources, disk, disk.persistedConfiguration().view(), told)
+                        options,
+                        resources,
+                        directory,
+                        directory.persistedConfiguration().view(),
+                        reporter)
                 .start();
     }
 
@@ -114,20 +119,24 @@
         System.out.println(event + " " + List.of(pairs));
     }
 
-    /** What one follower was told, kept apart from the client's own state. */
+    /**
+     * Reports each revision that a follower applies, from a copy of the configuration that is
+     * separate from the client's own state.
+     */
     private static final class ObserverReporter implements FollowerListener {
         private final String name;
         private final Socket observer;
         private ConfigurationView followedView;
 
-        ObserverReporter(String name, Socket witness) throws IOException {
+        ObserverReporter(String name, Socket observer) throws IOException {
             this.name = name;
-            this.observer = witness;
-            witness.setTcpNoDelay(true);
+            this.observer = observer;
+            observer.setTcpNoDelay(true);
         }
 
-        void reportStart(ConfigurationView held) {
-            followedView = new ConfigurationView(held.revision(), held.entries().values());
+        void reportStart(ConfigurationView initialView) {
+            followedView =
+                    new ConfigurationView(initialView.revision(), initialView.entries().values());
             report("start");
         }
 
@@ -155,13 +164,13 @@
             report("fault-" + fault.getClass().getSimpleName());
         }
 
-        private void report(String what) {
+        private void report(String event) {
             String digest = ConfigurationJson.formatDigest(followedView.digest());
-            String line = name + " " + what + " " + followedView.revision() + " " + digest + "\n";
+            String line = name + " " + event + " " + followedView.revision() + " " + digest + "\n";
             try {
                 observer.getOutputStream().write(line.getBytes(StandardCharsets.US_ASCII));
-            } catch (IOException trialIsOver) {
-                System.out.println(trialIsOver.getMessage());
+            } catch (IOException failure) {
+                System.out.println(failure.getMessage());
             }
         }
     }
--- a/lab/src/main/java/saltstage/lab/trial/TrialProcess.java
+++ b/lab/src/main/java/saltstage/lab/trial/TrialProcess.java
@@ -11,7 +11,8 @@
 import saltstage.lab.Installation;
 
 /**
- * A process of a trial: started, killed, paused and gone on with by its own id, and started again.
+ * A process of a trial that can be started, killed, paused, resumed and started again, always by
+ * its own process id.
  */
 public final class TrialProcess implements AutoCloseable {
     private static final List<String> JAVA_COMMAND =
@@ -36,37 +37,37 @@
         logFile = dir.resolve(name + ".log").toFile();
     }
 
-    /** A program of the coordinator's jar. */
-    static TrialProcess coordinator(String name, Path jar, Path dir, List<String> words) {
-        return ofJar(name, jar, dir, words);
+    /** Creates a process that runs a command of a coordinator jar. */
+    static TrialProcess coordinator(String name, Path jar, Path dir, List<String> arguments) {
+        return ofJar(name, jar, dir, arguments);
     }
 
-    /** The jar that was built here. */
+    /** Returns the coordinator jar built in this repository. */
     public static Path coordinatorJar() {
         return Installation.repositoryRoot().resolve("coordinator/target/coordinator.jar");
     }
 
-    /** A program of the laboratory, run from the classes of this process. */
-    static TrialProcess lab(String name, Path dir, List<String> words) {
+    /** Creates a process that runs a lab command with the class path of this process. */
+    static TrialProcess lab(String name, Path dir, List<String> arguments) {
         List<String> command = new ArrayList<>(JAVA_COMMAND);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), "saltstage.lab.Lab"));
-        command.addAll(words);
+        command.addAll(arguments);
         return new TrialProcess(name, command, dir);
     }
 
-    /** The relay, with these variables. */
+    /** Creates a process that runs the relay with additional environment variables. */
     static TrialProcess relay(
-            String name, Path dir, Map<String, String> environment, List<String> words) {
-        TrialProcess relay = ofJar(name, Installation.relayJar(), dir, words);
+            String name, Path dir, Map<String, String> environment, List<String> arguments) {
+        TrialProcess relay = ofJar(name, Installation.relayJar(), dir, arguments);
         relay.environment.putAll(environment);
         return relay;
     }
 
-    /** A program of any jar. */
-    static TrialProcess ofJar(String name, Path jar, Path dir, List<String> words) {
+    /** Creates a process that runs a jar. */
+    static TrialProcess ofJar(String name, Path jar, Path dir, List<String> arguments) {
         List<String> command = new ArrayList<>(JAVA_COMMAND);
         command.addAll(List.of("-jar", jar.toString()));
-        command.addAll(words);
+        command.addAll(arguments);
         return new TrialProcess(name, command, dir);
     }
 
@@ -74,13 +75,13 @@
         return name;
     }
 
-    /** From the next start on no file of it may be larger, in KiB: a disk that is full. */
+    /** Limits the size of each file from the next start on, to simulate a full disk. */
     void limitFileSize(int kib) {
         maxFileKib = kib;
     }
 
     synchronized TrialProcess start() throws IOException {
-        List<String> words =
+        List<String> commandLine =
                 maxFileKib == 0
                         ? command
                         : new ArrayList<>(
@@ -90,10 +91,10 @@
                                         "ulimit -f " + maxFileKib + "; exec \"$@\"",
                                         "limited"));
         if (maxFileKib != 0) {
-            words.addAll(command);
+            commandLine.addAll(command);
         }
         ProcessBuilder builder =
-                new ProcessBuilder(words)
+                new ProcessBuilder(commandLine)
                         .redirectErrorStream(true)
                         .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile));
         builder.environment().putAll(environment);
@@ -126,24 +127,24 @@
         return logFile;
     }
 
-    /** SIGKILL. */
+    /** Sends SIGKILL and waits for the end of the process. */
     synchronized void kill() throws InterruptedException {
         process.destroyForcibly();
         process.waitFor();
         paused = false;
     }
 
-    /** SIGTERM; returns whether it ended in time. */
+    /** Sends SIGTERM and returns whether the process ended in time. */
     boolean terminate(long withinMs) throws InterruptedException {
         process.destroy();
         return process.waitFor(withinMs, TimeUnit.MILLISECONDS);
     }
 
-    private void sendSignal(String which) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + which, Long.toString(process.pid())).start().waitFor();
+    private void sendSignal(String signal) throws IOException, InterruptedException {
+        new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** SIGSTOP. */
+    /** Suspends the process with SIGSTOP. */
     synchronized void pause() throws IOException, InterruptedException {
         if (isAlive()) {
             sendSignal("STOP");
@@ -151,7 +152,7 @@
         }
     }
 
-    /** SIGCONT. */
+    /** Resumes the process with SIGCONT if it is suspended. */
     synchronized void resume() throws IOException, InterruptedException {
         if (isAlive() && paused) {
             sendSignal("CONT");
--- a/lab/src/test/java/saltstage/lab/trial/GroupProcessTest.java
+++ b/lab/src/test/java/saltstage/lab/trial/GroupProcessTest.java
@@ -33,16 +33,21 @@
 import saltstage.coordinator.model.Reply;
 import saltstage.lab.Installation;
 
-/** Groups of real processes that are killed, wiped, held back and cut off. */
+/**
+ * Guards against lost leases, double grants and breached capacity floors in groups of real
+ * processes that are killed, lose their data, are paused or cannot reach each other.
+ */
 @Timeout(value = 4, unit = TimeUnit.MINUTES)
 class GroupProcessTest {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(30);
 
     @TempDir Path dir;
 
-    private GroupUnderTest startGroup(String more) throws IOException, InterruptedException {
+    private GroupUnderTest startGroup(String extraSettings)
+            throws IOException, InterruptedException {
         GroupUnderTest group =
-                new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), more).start();
+                new GroupUnderTest(dir, 3, List.of(TrialProcess.coordinatorJar()), extraSettings)
+                        .start();
         group.leader(CALL_TIMEOUT);
         return group;
     }
@@ -60,16 +65,16 @@
                 .get("/v1/status", CALL_TIMEOUT);
     }
 
-    /** Something that comes true, waited for far longer than it takes. */
+    /** A condition that a test waits for, with a timeout far above the expected time. */
     private interface Condition {
         boolean holds() throws IOException, InterruptedException;
     }
 
-    private static void await(String what, Condition condition)
+    private static void await(String description, Condition condition)
             throws IOException, InterruptedException {
-        long until = System.nanoTime() + CALL_TIMEOUT.toNanos();
+        long deadlineNanos = System.nanoTime() + CALL_TIMEOUT.toNanos();
         while (!condition.holds()) {
-            assertTrue(System.nanoTime() < until, what);
+            assertTrue(System.nanoTime() < deadlineNanos, description);
             Thread.sleep(50);
         }
     }
@@ -88,7 +93,7 @@
             trial.runCase("OUT", "kill-agent");
             trial.runCase("DRAINING", "kill-leader");
             assertEquals(List.of(), trial.violations());
-            assertTrue(trial.minCapacity() < 12_000, "something was out");
+            assertTrue(trial.minCapacity() < 12_000, "some node was suspended");
         }
     }
 
@@ -109,26 +114,27 @@
                     interruptLeader(group, leader, follower);
                 }
             }
-            assertEquals(term, status(group, leader).path("term").asInt(), "it led all the time");
+            assertEquals(
+                    term, status(group, leader).path("term").asInt(), "the leader did not change");
             group.process(leader).kill();
             assertFalse(leader.equals(group.leader(CALL_TIMEOUT)));
         }
     }
 
     /**
-     * One direction is silent until the follower has noticed; the other follower still hears the
-     * leader.
+     * Silences the link from the leader to a follower until the follower has noticed it. The other
+     * follower still receives heartbeats from the leader.
      */
     private static void interruptLeader(GroupUnderTest group, String leader, String follower)
             throws IOException, InterruptedException {
         group.replicaLink(leader, follower)
                 .setFaults(FaultProxy.DirectionFault.SILENT, FaultProxy.DirectionFault.CLEAR);
         await(
-                follower + " misses its leader",
+                follower + " notices that its leader is silent",
                 () -> !status(group, follower).path("leader").asText().equals(leader));
         group.replicaLink(leader, follower).heal();
         await(
-                follower + " hears it again",
+                follower + " recognizes the leader again",
                 () -> status(group, follower).path("leader").asText().equals(leader));
     }
 
@@ -136,7 +142,8 @@
     void leasesSurviveAFullRestartAndAreNeverGrantedTwice() throws Exception {
         try (GroupUnderTest group = startGroup("")) {
             GroupClient client = group.client();
-            long fence = assertInstanceOf(Granted.class, acquire(client, "a", 4_000)).fence();
+            long fencingToken =
+                    assertInstanceOf(Granted.class, acquire(client, "a", 4_000)).fence();
             for (String name : group.names()) {
                 group.process(name).kill();
             }
@@ -144,15 +151,17 @@
                 group.process(name).start();
             }
             assertInstanceOf(
-                    Held.class, acquire(client, "b", 4_000), "its time goes on, it is not over");
-            Reply[] later = new Reply[1];
+                    Held.class,
+                    acquire(client, "b", 4_000),
+                    "the lease continues and has not expired");
+            Reply[] laterReply = new Reply[1];
             await(
-                    "its time comes to an end",
+                    "the lease expires",
                     () -> {
-                        later[0] = acquire(client, "b", 4_000);
-                        return later[0] instanceof Granted;
+                        laterReply[0] = acquire(client, "b", 4_000);
+                        return laterReply[0] instanceof Granted;
                     });
-            assertTrue(((Granted) later[0]).fence() > fence);
+            assertTrue(((Granted) laterReply[0]).fence() > fencingToken);
         }
     }
 
@@ -165,17 +174,18 @@
                     group.process(other).kill();
                 }
             }
-            GroupClient alone =
+            GroupClient leaderOnly =
                     new GroupClient(
                             List.of(group.clientAddresses().get(group.names().indexOf(leader))),
                             Ticker.SYSTEM);
             Thread.sleep(100);
-            assertUnreachable(() -> alone.get("/v1/leases", Duration.ofSeconds(3)));
+            assertUnreachable(() -> leaderOnly.get("/v1/leases", Duration.ofSeconds(3)));
             assertUnreachable(
                     () ->
-                            alone.send(
+                            leaderOnly.send(
                                     new Acquire("x", "a", 1_000, 0, false), Duration.ofSeconds(3)));
-            assertTrue(alone.get("/v1/leases?stale=1", CALL_TIMEOUT).path("stale").asBoolean());
+            assertTrue(
+                    leaderOnly.get("/v1/leases?stale=1", CALL_TIMEOUT).path("stale").asBoolean());
         }
     }
 
@@ -187,7 +197,7 @@
     void wipedReplicaIsRejectedAndOneWithANewNameReplacesIt() throws Exception {
         try (GroupUnderTest group = startGroup("")) {
             await(
-                    "all are known",
+                    "all replicas are known to the leader",
                     () -> status(group, group.leader(CALL_TIMEOUT)).path("members").size() == 3);
             String victim =
                     group.names().stream()
@@ -195,8 +205,8 @@
                                     name -> {
                                         try {
                                             return !name.equals(group.leader(CALL_TIMEOUT));
-                                        } catch (IOException | InterruptedException impossible) {
-                                            throw new IllegalStateException(impossible);
+                                        } catch (IOException | InterruptedException failure) {
+                                            throw new IllegalStateException(failure);
                                         }
                                     })
                             .findFirst()
@@ -204,7 +214,7 @@
             group.process(victim).kill();
             Installation.deleteRecursively(dir.resolve("data").resolve(victim));
             group.process(victim).start();
-            await("it ends by itself", () -> !group.process(victim).isAlive());
+            await("the replica stops", () -> !group.process(victim).isAlive());
             assertEquals(78, group.process(victim).exitCode());
             assertTrue(
                     Files.readString(group.process(victim).logFile().toPath())
@@ -215,13 +225,13 @@
                             "/v1/leave",
                             GroupCodec.jsonMapper().createObjectNode().put("name", victim),
                             CALL_TIMEOUT);
-            try (TrialProcess anew = group.newJoiningProcess("r4")) {
-                anew.start();
+            try (TrialProcess replacement = group.newJoiningProcess("r4")) {
+                replacement.start();
                 await(
-                        "it votes again",
+                        "the group has three voters again",
                         () -> {
-                            JsonNode now = status(group, group.leader(CALL_TIMEOUT));
-                            return now.path("voters").size() == 3;
+                            JsonNode status = status(group, group.leader(CALL_TIMEOUT));
+                            return status.path("voters").size() == 3;
                         });
             }
         }
@@ -232,7 +242,7 @@
         try (GroupUnderTest group =
                 new GroupUnderTest(dir, 1, List.of(TrialProcess.coordinatorJar()), "").start()) {
             group.leader(CALL_TIMEOUT);
-            long before = status(group, "r1").path("leases").asLong();
+            long leasesBefore = status(group, "r1").path("leases").asLong();
             String acquire =
                     "{'client':'c','seq':1,'command':{'op':'acquire','name':'x','owner':'o',"
                             + "'ttlMs':999,'priority':0,'queue':false}}";
@@ -255,20 +265,20 @@
                             acquire.replace("'o'", "'o','more':1"),
                             plan,
                             "x".repeat(100_000))) {
-                HttpResponse<String> said = post(group, "/v1/do", body.replace('\'', '"'));
-                assertEquals(400, said.statusCode(), body + " got " + said.body());
+                HttpResponse<String> response = post(group, "/v1/do", body.replace('\'', '"'));
+                assertEquals(400, response.statusCode(), body + " got " + response.body());
                 assertTrue(
                         GroupCodec.jsonMapper()
-                                        .readTree(said.body())
+                                        .readTree(response.body())
                                         .path("error")
                                         .asText()
                                         .length()
                                 > 5,
-                        said.body());
+                        response.body());
             }
             assertEquals(404, post(group, "/v1/never", "{}").statusCode());
             assertEquals(413, post(group, "/v1/do", "x".repeat(3 << 20)).statusCode());
-            assertEquals(before, status(group, "r1").path("leases").asLong());
+            assertEquals(leasesBefore, status(group, "r1").path("leases").asLong());
             assertEquals(200, post(group, "/v1/do", acquire.replace('\'', '"')).statusCode());
         }
     }
@@ -296,16 +306,16 @@
             try (Stream<Path> files = Files.list(dir.resolve("data").resolve("r2"))) {
                 segments =
                         files.filter(
-                                        f ->
-                                                f.getFileName().toString().contains("seg")
-                                                        || f.getFileName()
+                                        file ->
+                                                file.getFileName().toString().contains("seg")
+                                                        || file.getFileName()
                                                                 .toString()
                                                                 .endsWith(".log"))
                                 .sorted()
                                 .toList();
             }
             assertFalse(segments.isEmpty());
-            for (Path segment : segments) { // a stretch in the middle of what is acknowledged
+            for (Path segment : segments) { // damage bytes in the middle of acknowledged entries
                 byte[] bytes = Files.readAllBytes(segment);
                 for (int i = 600; i < Math.min(bytes.length, 1_800); i++) {
                     bytes[i] ^= 0x55;
@@ -313,7 +323,7 @@
                 Files.write(segment, bytes);
             }
             group.process("r2").start();
-            await("it ends by itself", () -> !group.process("r2").isAlive());
+            await("the replica stops", () -> !group.process("r2").isAlive());
             assertTrue(group.process("r2").exitCode() != 0);
             assertInstanceOf(
                     Held.class,
@@ -330,10 +340,9 @@
                         3,
                         List.of(TrialProcess.coordinatorJar()),
                         "  snapshot_every = 100000\n")) {
-            group.process("r2")
-                    .limitFileSize(4 << 10); // KiB a file: the first segment does not fit
+            group.process("r2").limitFileSize(4 << 10); // in KiB; the first segment does not fit
             group.start();
-            await("it ends by itself", () -> !group.process("r2").isAlive());
+            await("the replica stops", () -> !group.process("r2").isAlive());
             assertTrue(group.process("r2").exitCode() != 0);
             assertInstanceOf(Granted.class, acquire(group.client(), "a", 1_000));
         }
@@ -347,14 +356,15 @@
             group.setExtraSettings("r2", "  trial {\n    clock_percent = 101\n  }\n");
             group.start();
             await(
-                    "the day is known",
+                    "the group knows the wall-clock time",
                     () ->
                             status(group, group.leader(CALL_TIMEOUT)).path("day").asLong() > 0
                                     && status(group, group.leader(CALL_TIMEOUT))
                                                     .path("members")
                                                     .size()
                                             == 3);
-            for (String name : group.names()) { // each leads once, the one that is off too
+            // Each replica leads once, also the one whose clock is off.
+            for (String name : group.names()) {
                 if (!name.equals(group.leader(CALL_TIMEOUT))) {
                     group.client()
                             .post(
@@ -363,10 +373,11 @@
                                     CALL_TIMEOUT);
                 }
                 Thread.sleep(500);
-                long off = status(group, name).path("day").asLong() - System.currentTimeMillis();
+                long offsetMs =
+                        status(group, name).path("day").asLong() - System.currentTimeMillis();
                 assertTrue(
-                        Math.abs(off) < 60_000,
-                        name + " leads, and the day is off by " + off + " ms");
+                        Math.abs(offsetMs) < 60_000,
+                        name + " leads, and the group's time is off by " + offsetMs + " ms");
             }
         }
     }
@@ -378,15 +389,15 @@
             group.setExtraSettings("r1", "  speaks = 1\n");
             group.start();
             await(
-                    "all are known",
+                    "all replicas are known to the leader",
                     () -> status(group, group.leader(CALL_TIMEOUT)).path("members").size() == 3);
-            Thread.sleep(1_000); // ticks go by; the level must not move by them
+            Thread.sleep(1_000); // ticks alone must not raise the feature level
             assertEquals(1, status(group, group.leader(CALL_TIMEOUT)).path("level").asInt());
             group.process("r1").kill();
             group.setExtraSettings("r1", "");
             group.process("r1").start();
             await(
-                    "all know what this build does",
+                    "all replicas are known to support the current feature level",
                     () ->
                             status(group, "r1").path("level").asInt()
                                     == GroupState.SUPPORTED_FEATURE_LEVEL);
