--- a/lab/src/main/java/saltstage/lab/amqp/AmqpBenchmark.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpBenchmark.java
@@ -169,14 +169,14 @@
                         "p99 ms",
                         "p99.9 ms",
                         "worst ms");
-        for (int count : links) {
-            double[] most = new double[2];
-            for (int way = 0; way < 2; way++) { // a first run warms the machine's compiler up
-                most[way] = measureMaxRate(way == 1, count);
+        for (int linkCount : links) {
+            double[] maxRates = new double[2];
+            for (int route = 0; route < 2; route++) { // a first run warms the machine's compiler up
+                maxRates[route] = measureMaxRate(route == 1, linkCount);
             }
-            double half = most[0] / 2;
-            for (int way = 0; way < 2; way++) {
-                measureLatencies(report, count, way, most[way], half);
+            double halfRate = maxRates[0] / 2;
+            for (int route = 0; route < 2; route++) {
+                measureLatencies(report, linkCount, route, maxRates[route], halfRate);
             }
         }
         report.setBarChart(
@@ -190,35 +190,41 @@
     }
 
     /** Latencies at a rate; a first run at that rate is not counted. */
-    private void measureLatencies(Report report, int count, int way, double max, double rate)
+    private void measureLatencies(
+            Report report, int linkCount, int route, double maxRate, double rate)
             throws InterruptedException {
         try (LoadGenerator load =
-                new LoadGenerator(true, targetAddresses(way == 1), count, "half" + way + count)) {
+                new LoadGenerator(
+                        true, targetAddresses(route == 1), linkCount, "half" + route + linkCount)) {
             load.run(rate, 3, false);
         }
         try (LoadGenerator load =
-                new LoadGenerator(true, targetAddresses(way == 1), count, "rate" + way + count)) {
+                new LoadGenerator(
+                        true, targetAddresses(route == 1), linkCount, "rate" + route + linkCount)) {
             load.run(rate, seconds, false);
-            var times = load.deliveryTracker().latencies();
+            var latencies = load.deliveryTracker().latencies();
             report.addRow(
-                    count,
-                    way == 1 ? "straight" : "relay",
-                    Math.round(max),
+                    linkCount,
+                    route == 1 ? "straight" : "relay",
+                    Math.round(maxRate),
                     Math.round(rate),
-                    formatMillis(times.getValueAtPercentile(50)),
-                    formatMillis(times.getValueAtPercentile(99)),
-                    formatMillis(times.getValueAtPercentile(99.9)),
-                    formatMillis(times.getMaxValue()));
+                    formatMillis(latencies.getValueAtPercentile(50)),
+                    formatMillis(latencies.getValueAtPercentile(99)),
+                    formatMillis(latencies.getValueAtPercentile(99.9)),
+                    formatMillis(latencies.getMaxValue()));
         }
     }
 
     private void warmUp() throws InterruptedException {
         long start = System.nanoTime();
         for (int round = 0; System.nanoTime() - start < warm * 1e9; round++) {
-            for (int way = 0; way < 2; way++) {
+            for (int route = 0; route < 2; route++) {
                 try (LoadGenerator load =
                         new LoadGenerator(
-                                true, targetAddresses(way == 1), 100, "warm" + way + "r" + round)) {
+                                true,
+                                targetAddresses(route == 1),
+                                100,
+                                "warm" + route + "r" + round)) {
                     load.run(WARM_UP_RATE_PER_SECOND, 2, false);
                 }
             }
@@ -226,25 +232,25 @@
     }
 
     /** Far more is due than can go: what is answered a second is the most. */
-    private double measureMaxRate(boolean straight, int count) throws InterruptedException {
-        double best = 0;
+    private double measureMaxRate(boolean straight, int linkCount) throws InterruptedException {
+        double maxRate = 0;
         for (int round = 0; round < 3; round++) {
             try (LoadGenerator load =
                     new LoadGenerator(
                             true,
                             targetAddresses(straight),
-                            count,
-                            "most" + straight + count + "r" + round)) {
+                            linkCount,
+                            "most" + straight + linkCount + "r" + round)) {
                 long start = System.nanoTime();
                 load.run(
                         UNLIMITED_RATE_PER_SECOND,
                         DELIVERIES_PER_ROUND / UNLIMITED_RATE_PER_SECOND,
                         false);
-                double took = (System.nanoTime() - start) / 1e9;
-                best = Math.max(best, load.deliveryTracker().sentCount() / took);
+                double elapsedSeconds = (System.nanoTime() - start) / 1e9;
+                maxRate = Math.max(maxRate, load.deliveryTracker().sentCount() / elapsedSeconds);
             }
         }
-        return best;
+        return maxRate;
     }
 
     private static String formatMillis(long nanos) {
@@ -253,13 +259,14 @@
 
     private void measureQuietLinks() throws IOException, InterruptedException {
         Report report = new Report("amqp-quiet", "quiet links", "heap in use KiB", "bytes a link");
-        long before = liveHeapKib();
-        report.addRow(0, before, "-");
-        for (int count : new int[] {2_000, 10_000}) {
+        long initialHeapKib = liveHeapKib();
+        report.addRow(0, initialHeapKib, "-");
+        for (int linkCount : new int[] {2_000, 10_000}) {
             try (LoadGenerator load =
-                    new LoadGenerator(true, targetAddresses(false), count, "quiet" + count)) {
-                long now = liveHeapKib();
-                report.addRow(count, now, (now - before) * 1024 / count);
+                    new LoadGenerator(
+                            true, targetAddresses(false), linkCount, "quiet" + linkCount)) {
+                long heapKib = liveHeapKib();
+                report.addRow(linkCount, heapKib, (heapKib - initialHeapKib) * 1024 / linkCount);
             }
             Thread.sleep(3_000);
         }
@@ -269,13 +276,13 @@
     /** Live bytes on the heap, after a collection. */
     private long liveHeapKib() throws IOException, InterruptedException {
         Thread.sleep(1_000);
-        Process histogram =
+        Process jcmd =
                 new ProcessBuilder("jcmd", Long.toString(relay.pid()), "GC.class_histogram")
                         .redirectErrorStream(true)
                         .start();
-        List<String> lines = new String(histogram.getInputStream().readAllBytes()).lines().toList();
-        String[] total = lines.get(lines.size() - 1).trim().split("\\s+");
-        return Long.parseLong(total[2]) / 1024;
+        List<String> lines = new String(jcmd.getInputStream().readAllBytes()).lines().toList();
+        String[] totalFields = lines.get(lines.size() - 1).trim().split("\\s+");
+        return Long.parseLong(totalFields[2]) / 1024;
     }
 
     private void measureDrain() throws IOException, InterruptedException {
@@ -287,11 +294,11 @@
                         "last new link ms after the drain",
                         "all links away ms after the drain");
         for (int round = 0; round < 5; round++) {
-            String g = "g" + round % BACKENDS;
-            FakeAmqpBackend gateway = fleet.amqpBackends().get(round % BACKENDS);
+            String backendId = "g" + round % BACKENDS;
+            FakeAmqpBackend backend = fleet.amqpBackends().get(round % BACKENDS);
             try (LoadGenerator load =
                     new LoadGenerator(true, targetAddresses(false), 400, "drain" + round)) {
-                Thread traffic =
+                Thread loadThread =
                         new Thread(
                                 () -> {
                                     try {
@@ -300,20 +307,24 @@
                                         Thread.currentThread().interrupt();
                                     }
                                 });
-                traffic.start();
+                loadThread.start();
                 Thread.sleep(500);
-                int stood = gateway.linkCount();
-                long told = System.currentTimeMillis();
-                fleet.runCommand("drain " + g);
-                long away = -1;
-                while (away < 0 && System.currentTimeMillis() < told + 5_000) {
-                    away = gateway.linkCount() == 0 ? System.currentTimeMillis() - told : -1;
+                int linkCount = backend.linkCount();
+                long drainMillis = System.currentTimeMillis();
+                fleet.runCommand("drain " + backendId);
+                long detachMillis = -1;
+                while (detachMillis < 0 && System.currentTimeMillis() < drainMillis + 5_000) {
+                    detachMillis =
+                            backend.linkCount() == 0
+                                    ? System.currentTimeMillis() - drainMillis
+                                    : -1;
                     Thread.sleep(1);
                 }
-                traffic.join();
-                long last = gateway.lastLinkMillis() - told;
-                report.addRow(round, stood, last < 0 ? "none" : last, away);
-                fleet.runCommand("start " + g);
+                loadThread.join();
+                long attachMillis = backend.lastLinkMillis() - drainMillis;
+                report.addRow(
+                        round, linkCount, attachMillis < 0 ? "none" : attachMillis, detachMillis);
+                fleet.runCommand("start " + backendId);
             }
         }
         report.writeFiles(Installation.measurementsDirectory());
@@ -330,35 +341,35 @@
                         "released or modified",
                         "no outcome");
         for (int round = 0; round < 5; round++) {
-            String g = "g" + round % BACKENDS;
-            FakeAmqpBackend gateway = fleet.amqpBackends().get(round % BACKENDS);
+            String backendId = "g" + round % BACKENDS;
+            FakeAmqpBackend backend = fleet.amqpBackends().get(round % BACKENDS);
             try (LoadGenerator load =
                     new LoadGenerator(true, targetAddresses(false), 100, "kill" + round)) {
-                Thread killer =
+                Thread killThread =
                         new Thread(
                                 () -> {
                                     try {
                                         Thread.sleep(1_500);
-                                        fleet.runCommand("kill " + g);
+                                        fleet.runCommand("kill " + backendId);
                                     } catch (InterruptedException | IOException e) {
                                         Thread.currentThread().interrupt();
                                     }
                                 });
-                int stood = gateway.linkCount();
-                killer.start();
+                int initialLinks = backend.linkCount();
+                killThread.start();
                 load.run(2_000, 4, false);
-                killer.join();
+                killThread.join();
                 var counts = load.deliveryTracker().outcomeCounts();
                 report.addRow(
                         round,
-                        stood,
+                        initialLinks,
                         formatMillis(load.deliveryTracker().latencies().getMaxValue()),
                         counts.getOrDefault(DeliveryTracker.DeliveryOutcome.ACCEPTED, 0L),
                         counts.getOrDefault(DeliveryTracker.DeliveryOutcome.RELEASED, 0L)
                                 + counts.getOrDefault(DeliveryTracker.DeliveryOutcome.MODIFIED, 0L),
                         counts.getOrDefault(DeliveryTracker.DeliveryOutcome.NOTHING, 0L)
                                 + counts.getOrDefault(DeliveryTracker.DeliveryOutcome.WAITING, 0L));
-                fleet.runCommand("start " + g);
+                fleet.runCommand("start " + backendId);
                 Thread.sleep(2_000);
             }
         }
--- a/lab/src/main/java/saltstage/lab/amqp/AmqpLoadClient.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpLoadClient.java
@@ -63,28 +63,28 @@
     public AmqpLoadClient(
             Transport transport,
             Loop loop,
-            InetSocketAddress to,
+            InetSocketAddress target,
             String name,
-            int count,
+            int linkCount,
             String address,
-            int bytes,
-            DeliveryTracker ledger) {
+            int messageBytes,
+            DeliveryTracker deliveryTracker) {
         this.transport = transport;
         this.loop = loop;
-        this.target = to;
+        this.target = target;
         this.name = name;
-        this.deliveryTracker = ledger;
-        padding = new byte[bytes];
-        for (int i = 0; i < count; i++) {
+        this.deliveryTracker = deliveryTracker;
+        padding = new byte[messageBytes];
+        for (int i = 0; i < linkCount; i++) {
             links.add(new SenderLink(i, address + "/" + name + "-" + i));
         }
         loop.execute(this::connect);
     }
 
     /** Says that a delivery is due on a link, at this moment of the monotonic clock. */
-    public void scheduleDelivery(int link, String id, long at) {
+    public void scheduleDelivery(int link, String id, long dueNanos) {
         deliveryTracker.deliverySent(id);
-        loop.execute(() -> links.get(link).enqueue(new ScheduledDelivery(id, at)));
+        loop.execute(() -> links.get(link).enqueue(new ScheduledDelivery(id, dueNanos)));
     }
 
     /** How many links it has. */
@@ -167,7 +167,7 @@
                     }
 
                     @Override
-                    public void failed(IOException why) {
+                    public void failed(IOException cause) {
                         scheduleReconnect();
                     }
                 });
@@ -180,8 +180,8 @@
 
     /** The connection. */
     private final class LoadConnection extends AmqpConnection {
-        LoadConnection(Connection net) {
-            super(net, Instant::now, 1 << 20);
+        LoadConnection(Connection connection) {
+            super(connection, Instant::now, 1 << 20);
         }
 
         void open() {
@@ -202,16 +202,16 @@
         }
 
         @Override
-        protected void connectionEnded(String why) {
+        protected void connectionEnded(String reason) {
             links.forEach(SenderLink::markDetached);
-            countDetach("connection " + why);
+            countDetach("connection " + reason);
             scheduleReconnect();
         }
     }
 
-    private void countDetach(String what) {
+    private void countDetach(String condition) {
         synchronized (detachCounts) {
-            detachCounts.merge(what, 1L, Long::sum);
+            detachCounts.merge(condition, 1L, Long::sum);
         }
     }
 
@@ -227,8 +227,8 @@
         private int nextTag;
         private int attachCount;
 
-        SenderLink(int number, String address) {
-            this.index = number;
+        SenderLink(int index, String address) {
+            this.index = index;
             this.address = address;
         }
 
@@ -248,18 +248,18 @@
                             })
                     .closeHandler(this::detachReceived)
                     .detachHandler(this::detachReceived)
-                    .creditStateUpdateHandler(any -> sendPending())
+                    .creditStateUpdateHandler(ignored -> sendPending())
                     .deliveryStateUpdatedHandler(this::dispositionReceived)
                     .open();
         }
 
-        private void detachReceived(Sender closed) {
+        private void detachReceived(Sender detached) {
             countDetach(
-                    closed.getRemoteCondition() == null
+                    detached.getRemoteCondition() == null
                             ? "none"
-                            : closed.getRemoteCondition().getCondition().toString());
+                            : detached.getRemoteCondition().getCondition().toString());
             markDetached();
-            closed.close();
+            detached.close();
             loop.schedule(
                     Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::attach);
         }
@@ -272,14 +272,14 @@
             unsettledDeliveries
                     .values()
                     .forEach(
-                            due ->
+                            scheduled ->
                                     deliveryTracker.outcomeReceived(
-                                            due.id(), DeliveryOutcome.NOTHING, -1));
+                                            scheduled.id(), DeliveryOutcome.NOTHING, -1));
             unsettledDeliveries.clear();
         }
 
-        void enqueue(ScheduledDelivery due) {
-            pendingDeliveries.add(due);
+        void enqueue(ScheduledDelivery scheduled) {
+            pendingDeliveries.add(scheduled);
             unsentCount++;
             sendPending();
         }
@@ -290,17 +290,17 @@
                     && loadConnection.isWritable()
                     && sender.getCredit() > 0
                     && sender.isSendable()) {
-                ScheduledDelivery due = pendingDeliveries.poll();
+                ScheduledDelivery scheduled = pendingDeliveries.poll();
                 unsentCount--;
                 OutgoingDelivery delivery =
                         sender.next()
                                 .setTag(
                                         Integer.toString(nextTag++, 36)
                                                 .getBytes(StandardCharsets.ISO_8859_1));
-                unsettledDeliveries.put(delivery, due);
+                unsettledDeliveries.put(delivery, scheduled);
                 delivery.writeBytes(
                         ProtonByteArrayBufferAllocator.wrapped(
-                                MessageCodec.encode(due.id(), padding.length)));
+                                MessageCodec.encode(scheduled.id(), padding.length)));
             }
             if (attached
                     && sender.isDraining()
@@ -312,15 +312,15 @@
 
         private void dispositionReceived(OutgoingDelivery delivery) {
             DeliveryState state = delivery.getRemoteState();
-            ScheduledDelivery due = unsettledDeliveries.get(delivery);
-            if (due == null) {
+            ScheduledDelivery scheduled = unsettledDeliveries.get(delivery);
+            if (scheduled == null) {
                 countDetach("outcome for nothing");
                 return;
             }
             if (state == null && !delivery.isRemotelySettled()) {
                 return;
             }
-            DeliveryOutcome what =
+            DeliveryOutcome outcome =
                     state instanceof Accepted
                             ? DeliveryOutcome.ACCEPTED
                             : state instanceof Rejected
@@ -330,7 +330,8 @@
                                             : state instanceof Modified
                                                     ? DeliveryOutcome.MODIFIED
                                                     : DeliveryOutcome.OTHER;
-            deliveryTracker.outcomeReceived(due.id(), what, System.nanoTime() - due.dueNanos());
+            deliveryTracker.outcomeReceived(
+                    scheduled.id(), outcome, System.nanoTime() - scheduled.dueNanos());
             if (delivery.isRemotelySettled()) {
                 unsettledDeliveries.remove(delivery);
                 delivery.settle();
--- a/lab/src/main/java/saltstage/lab/amqp/AmqpServerConnection.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpServerConnection.java
@@ -23,44 +23,46 @@
     private byte[] receivedBytes = {};
 
     AmqpServerConnection(
-            Connection net, Consumer<Engine> setUp, Consumer<AmqpServerConnection> end) {
-        super(net, Instant::now, 1 << 20);
-        this.engineConfigurer = setUp;
-        this.endListener = end;
+            Connection connection,
+            Consumer<Engine> engineConfigurer,
+            Consumer<AmqpServerConnection> endListener) {
+        super(connection, Instant::now, 1 << 20);
+        this.engineConfigurer = engineConfigurer;
+        this.endListener = endListener;
     }
 
     @Override
-    public void received(Connection on, ByteBuffer bytes) {
-        byte[] all = Arrays.copyOf(receivedBytes, receivedBytes.length + bytes.remaining());
-        bytes.get(all, receivedBytes.length, bytes.remaining());
-        receivedBytes = all;
+    public void received(Connection connection, ByteBuffer bytes) {
+        byte[] combined = Arrays.copyOf(receivedBytes, receivedBytes.length + bytes.remaining());
+        bytes.get(combined, receivedBytes.length, bytes.remaining());
+        receivedBytes = combined;
         if (engine() == null) {
             if (receivedBytes.length < 8) {
                 return;
             }
-            Engine made =
+            Engine newEngine =
                     receivedBytes[4] == 0
                             ? EngineFactory.PROTON.createNonSaslEngine()
                             : EngineFactory.PROTON.createEngine();
             if (receivedBytes[4] != 0) {
-                made.saslDriver().server().setListener(new AnonymousSaslListener());
+                newEngine.saslDriver().server().setListener(new AnonymousSaslListener());
             }
-            engineConfigurer.accept(made);
-            startEngine(made);
+            engineConfigurer.accept(newEngine);
+            startEngine(newEngine);
         }
-        byte[] whole = receivedBytes;
+        byte[] pendingBytes = receivedBytes;
         receivedBytes = new byte[0];
-        ingest(whole);
+        ingest(pendingBytes);
     }
 
     /** Whether this engine is its own. */
-    boolean hasEngine(Engine one) {
-        return engine() == one;
+    boolean hasEngine(Engine candidate) {
+        return engine() == candidate;
     }
 
     /** Reads on, or lets what comes wait in the system. */
-    void setReading(boolean wanted) {
-        netConnection().setReading(wanted);
+    void setReading(boolean enabled) {
+        netConnection().setReading(enabled);
     }
 
     /** Ends as a process does that dies. */
@@ -82,7 +84,7 @@
     protected void onWritable() {}
 
     @Override
-    protected void connectionEnded(String why) {
+    protected void connectionEnded(String reason) {
         endListener.accept(this);
     }
 
--- a/lab/src/main/java/saltstage/lab/amqp/DeliveryTracker.java
+++ b/lab/src/main/java/saltstage/lab/amqp/DeliveryTracker.java
@@ -46,21 +46,22 @@
     }
 
     /** Its sender was told this, so long after it should have been sent. */
-    public synchronized void outcomeReceived(String id, DeliveryOutcome what, long nanos) {
-        DeliveryOutcome before = outcomes.put(id, what);
-        pendingCount -= before == DeliveryOutcome.WAITING ? 1 : 0;
-        if (before != DeliveryOutcome.WAITING) {
-            faults.add("a second outcome: " + id + " " + before + " then " + what);
+    public synchronized void outcomeReceived(
+            String id, DeliveryOutcome outcome, long latencyNanos) {
+        DeliveryOutcome previous = outcomes.put(id, outcome);
+        pendingCount -= previous == DeliveryOutcome.WAITING ? 1 : 0;
+        if (previous != DeliveryOutcome.WAITING) {
+            faults.add("a second outcome: " + id + " " + previous + " then " + outcome);
         }
-        if (nanos >= 0 && what == DeliveryOutcome.ACCEPTED) {
-            latencies.recordValue(Math.min(nanos, latencies.getHighestTrackableValue()));
+        if (latencyNanos >= 0 && outcome == DeliveryOutcome.ACCEPTED) {
+            latencies.recordValue(Math.min(latencyNanos, latencies.getHighestTrackableValue()));
         }
     }
 
     /** How many there are of each. */
     public synchronized Map<DeliveryOutcome, Long> outcomeCounts() {
         Map<DeliveryOutcome, Long> counts = new TreeMap<>();
-        outcomes.values().forEach(one -> counts.merge(one, 1L, Long::sum));
+        outcomes.values().forEach(outcome -> counts.merge(outcome, 1L, Long::sum));
         return counts;
     }
 
@@ -88,24 +89,24 @@
      * What cannot be, compared with the ids that the gateways have accepted; empty where all is
      * well.
      */
-    public synchronized List<String> findFaults(Collection<String> acceptedThere) {
-        List<String> all = new ArrayList<>(faults);
-        Set<String> there = new HashSet<>(acceptedThere);
+    public synchronized List<String> findFaults(Collection<String> backendAcceptedIds) {
+        List<String> allFaults = new ArrayList<>(faults);
+        Set<String> accepted = new HashSet<>(backendAcceptedIds);
         outcomes.forEach(
-                (id, what) -> {
-                    if (what == DeliveryOutcome.ACCEPTED && !there.contains(id)) {
-                        all.add("accepted by no gateway: " + id);
+                (id, outcome) -> {
+                    if (outcome == DeliveryOutcome.ACCEPTED && !accepted.contains(id)) {
+                        allFaults.add("accepted by no gateway: " + id);
                     }
-                    if ((what == DeliveryOutcome.RELEASED || what == DeliveryOutcome.REJECTED)
-                            && there.contains(id)) {
-                        all.add(what + " though a gateway accepted it: " + id);
+                    if ((outcome == DeliveryOutcome.RELEASED || outcome == DeliveryOutcome.REJECTED)
+                            && accepted.contains(id)) {
+                        allFaults.add(outcome + " though a gateway accepted it: " + id);
                     }
-                    if (what == DeliveryOutcome.WAITING || what == DeliveryOutcome.NOTHING) {
-                        all.add("no outcome: " + id);
+                    if (outcome == DeliveryOutcome.WAITING || outcome == DeliveryOutcome.NOTHING) {
+                        allFaults.add("no outcome: " + id);
                     }
                 });
-        there.removeAll(outcomes.keySet());
-        there.forEach(id -> all.add("accepted and never sent: " + id));
-        return all;
+        accepted.removeAll(outcomes.keySet());
+        accepted.forEach(id -> allFaults.add("accepted and never sent: " + id));
+        return allFaults;
     }
 }
--- a/lab/src/main/java/saltstage/lab/amqp/DuplicateDeliveryDetector.java
+++ b/lab/src/main/java/saltstage/lab/amqp/DuplicateDeliveryDetector.java
@@ -10,16 +10,16 @@
     private String example = "";
 
     /** A delivery has come whole. */
-    synchronized void deliveryReceived(String id, String at) {
+    synchronized void deliveryReceived(String id, String backendUid) {
         if (outstandingCopies.merge(id, 1, Integer::sum) > 1) {
             duplicateCount++;
-            example = id + " at " + at;
+            example = id + " at " + backendUid;
         }
     }
 
     /** It was answered, or its link is gone. */
     synchronized void deliveryEnded(String id) {
-        outstandingCopies.computeIfPresent(id, (any, count) -> count > 1 ? count - 1 : null);
+        outstandingCopies.computeIfPresent(id, (ignored, copies) -> copies > 1 ? copies - 1 : null);
     }
 
     /** How many second copies there were. */
--- a/lab/src/main/java/saltstage/lab/amqp/FakeAmqpBackend.java
+++ b/lab/src/main/java/saltstage/lab/amqp/FakeAmqpBackend.java
@@ -71,12 +71,15 @@
 
     /** A gateway at this address. */
     public FakeAmqpBackend(
-            String uid, Transport transport, InetSocketAddress at, DuplicateDeliveryDetector copies)
+            String uid,
+            Transport transport,
+            InetSocketAddress address,
+            DuplicateDeliveryDetector duplicateDetector)
             throws IOException {
         this.uid = uid;
         this.transport = transport;
-        this.address = at;
-        this.duplicateDetector = copies;
+        this.address = address;
+        this.duplicateDetector = duplicateDetector;
         listen();
     }
 
@@ -86,15 +89,15 @@
                         address,
                         1_024,
                         WRITE_LIMITS,
-                        net -> {
-                            AmqpServerConnection side =
+                        connection -> {
+                            AmqpServerConnection serverConnection =
                                     new AmqpServerConnection(
-                                            net, this::configureEngine, connections::remove);
-                            connections.add(side);
+                                            connection, this::configureEngine, connections::remove);
+                            connections.add(serverConnection);
                             if (state == State.SILENT) {
-                                net.loop().execute(() -> side.setReading(false));
+                                connection.loop().execute(() -> serverConnection.setReading(false));
                             }
-                            return side;
+                            return serverConnection;
                         });
     }
 
@@ -103,14 +106,14 @@
                 .setContainerId(uid)
                 .setMaxFrameSize(MAX_FRAME_BYTES)
                 .setChannelMax(65_535)
-                .openHandler(up -> up.open())
-                .closeHandler(up -> up.close())
+                .openHandler(connection -> connection.open())
+                .closeHandler(connection -> connection.close())
                 .sessionOpenHandler(
                         session -> { // usually without a window: all that comes is read at once
                             if (sessionWindowBytes > 0) {
                                 session.setIncomingCapacity(sessionWindowBytes);
                             }
-                            session.closeHandler(ended -> ended.close());
+                            session.closeHandler(closedSession -> closedSession.close());
                             sessionCount++;
                             session.open();
                         })
@@ -152,109 +155,117 @@
         if (rejectIfUnavailable(link)) {
             return;
         }
-        Set<String> out = ConcurrentHashMap.newKeySet();
-        Runnable letGo =
+        Set<String> outstandingIds = ConcurrentHashMap.newKeySet();
+        Runnable releaseOutstanding =
                 () -> {
-                    out.forEach(duplicateDetector::deliveryEnded);
-                    out.clear();
+                    outstandingIds.forEach(duplicateDetector::deliveryEnded);
+                    outstandingIds.clear();
                 };
-        outstandingCleanups.add(letGo);
-        Runnable over =
+        outstandingCleanups.add(releaseOutstanding);
+        Runnable endLink =
                 () -> {
                     links.remove(link);
                     linkKeys.remove(linkKey(link));
-                    outstandingCleanups.remove(letGo);
-                    letGo.run();
+                    outstandingCleanups.remove(releaseOutstanding);
+                    releaseOutstanding.run();
                     link.close();
                 };
-        boolean second = link.getRemoteReceiverSettleMode() == ReceiverSettleMode.SECOND;
+        boolean settlesSecond = link.getRemoteReceiverSettleMode() == ReceiverSettleMode.SECOND;
         link.setSource(link.getRemoteSource())
                 .setTarget(link.<Target>getRemoteTarget())
                 .setReceiverSettleMode(link.getRemoteReceiverSettleMode())
                 .setOfferedCapabilities(link.getRemoteDesiredCapabilities())
                 .deliveryStateUpdatedHandler(
-                        in -> {
-                            if (second && in.isRemotelySettled() && !in.isSettled()) {
+                        delivery -> {
+                            if (settlesSecond
+                                    && delivery.isRemotelySettled()
+                                    && !delivery.isSettled()) {
                                 senderSettledFirstCount++;
-                                in.settle();
+                                delivery.settle();
                             }
                         })
-                .closeHandler(any -> over.run())
-                .detachHandler(any -> over.run())
-                .parentEndpointClosedHandler(any -> over.run())
-                .engineShutdownHandler(any -> over.run())
-                .deliveryReadHandler(in -> deliveryReceived(link, in, out))
-                .deliveryAbortedHandler(in -> in.settle())
+                .closeHandler(ignored -> endLink.run())
+                .detachHandler(ignored -> endLink.run())
+                .parentEndpointClosedHandler(ignored -> endLink.run())
+                .engineShutdownHandler(ignored -> endLink.run())
+                .deliveryReadHandler(delivery -> deliveryReceived(link, delivery, outstandingIds))
+                .deliveryAbortedHandler(delivery -> delivery.settle())
                 .open();
         link.addCredit(LINK_CREDIT);
     }
 
-    private void deliveryReceived(Receiver link, IncomingDelivery in, Set<String> out) {
-        if (in.isPartial()) {
-            if (in.available()
+    private void deliveryReceived(
+            Receiver link, IncomingDelivery delivery, Set<String> outstandingIds) {
+        if (delivery.isPartial()) {
+            if (delivery.available()
                     > MAX_UNREAD_BYTES) { // a large one is read as it comes: its id came first
-                bufferHead(in);
+                bufferHead(delivery);
             }
             return;
         }
-        bufferHead(in);
-        ProtonBuffer whole = in.getLinkedResource();
-        String id = MessageCodec.readId(whole);
-        boolean settled = in.isRemotelySettled();
+        bufferHead(delivery);
+        ProtonBuffer message = delivery.getLinkedResource();
+        String id = MessageCodec.readId(message);
+        boolean settled = delivery.isRemotelySettled();
         if (settled) {
             countOutcome(id, "presettled");
-            in.settle();
+            delivery.settle();
             link.addCredit(1);
             return;
         }
         duplicateDetector.deliveryReceived(id, uid);
-        out.add(id);
+        outstandingIds.add(id);
         if (outcomeDelay.isZero()) {
-            sendOutcome(link, in, id, out);
+            sendOutcome(link, delivery, id, outstandingIds);
         } else {
-            connectionOf(link).loop().schedule(outcomeDelay, () -> sendOutcome(link, in, id, out));
+            connectionOf(link)
+                    .loop()
+                    .schedule(outcomeDelay, () -> sendOutcome(link, delivery, id, outstandingIds));
         }
     }
 
     /** The first bytes are enough for the id. */
-    private static void bufferHead(IncomingDelivery in) {
-        ProtonBuffer head = in.getLinkedResource();
-        ProtonBuffer got = in.available() > 0 ? in.readAll() : null;
+    private static void bufferHead(IncomingDelivery delivery) {
+        ProtonBuffer head = delivery.getLinkedResource();
+        ProtonBuffer received = delivery.available() > 0 ? delivery.readAll() : null;
         if (head == null) {
-            in.setLinkedResource(
-                    got == null ? ProtonBufferAllocator.defaultAllocator().allocate(0) : got);
-        } else if (got != null && head.getReadableBytes() < MAX_FRAME_BYTES) {
-            ProtonBuffer both =
+            delivery.setLinkedResource(
+                    received == null
+                            ? ProtonBufferAllocator.defaultAllocator().allocate(0)
+                            : received);
+        } else if (received != null && head.getReadableBytes() < MAX_FRAME_BYTES) {
+            ProtonBuffer combined =
                     ProtonBufferAllocator.defaultAllocator()
-                            .allocate(head.getReadableBytes() + got.getReadableBytes());
-            both.writeBytes(head).writeBytes(got);
-            in.setLinkedResource(both);
+                            .allocate(head.getReadableBytes() + received.getReadableBytes());
+            combined.writeBytes(head).writeBytes(received);
+            delivery.setLinkedResource(combined);
         }
     }
 
     private AmqpServerConnection connectionOf(Link<?> link) {
-        for (AmqpServerConnection one : connections) {
-            if (one.hasEngine(link.getEngine())) {
-                return one;
+        for (AmqpServerConnection connection : connections) {
+            if (connection.hasEngine(link.getEngine())) {
+                return connection;
             }
         }
         throw new IllegalStateException("a link of no connection");
     }
 
-    private void sendOutcome(Receiver link, IncomingDelivery in, String id, Set<String> out) {
-        if (!links.contains(link) || state == State.SILENT || !out.remove(id)) {
+    private void sendOutcome(
+            Receiver link, IncomingDelivery delivery, String id, Set<String> outstandingIds) {
+        if (!links.contains(link) || state == State.SILENT || !outstandingIds.remove(id)) {
             return; // its link has ended meanwhile, or the machine is frozen
         }
         duplicateDetector.deliveryEnded(id);
         boolean reject = ThreadLocalRandom.current().nextInt(100) < rejectPercent;
-        DeliveryState state =
+        DeliveryState outcome =
                 reject
                         ? new Rejected(
                                 new ErrorCondition(
                                         Symbol.valueOf("stand-in:rejected"), "as it was told"))
                         : Accepted.getInstance();
         countOutcome(id, reject ? "rejected" : "accepted");
-        in.disposition(state, link.getReceiverSettleMode() != ReceiverSettleMode.SECOND);
+        delivery.disposition(outcome, link.getReceiverSettleMode() != ReceiverSettleMode.SECOND);
         if (link.getCredit() <= LINK_CREDIT / 2) {
             link.addCredit(LINK_CREDIT - link.getCredit());
         }
@@ -273,8 +284,8 @@
         if (rejectIfUnavailable(link)) {
             return;
         }
-        int[] given = new int[1];
-        Runnable over =
+        int[] sentCount = new int[1];
+        Runnable endLink =
                 () -> {
                     links.remove(link);
                     linkKeys.remove(linkKey(link));
@@ -283,38 +294,40 @@
         link.setSource(link.getRemoteSource())
                 .setTarget(link.<Target>getRemoteTarget())
                 .setSenderSettleMode(link.getRemoteSenderSettleMode())
-                .closeHandler(any -> over.run())
-                .detachHandler(any -> over.run())
-                .parentEndpointClosedHandler(any -> over.run())
-                .engineShutdownHandler(any -> over.run())
-                .creditStateUpdateHandler(any -> sendMessages(link, given))
-                .deliveryStateUpdatedHandler(out -> outcomeReceived(out))
+                .closeHandler(ignored -> endLink.run())
+                .detachHandler(ignored -> endLink.run())
+                .parentEndpointClosedHandler(ignored -> endLink.run())
+                .engineShutdownHandler(ignored -> endLink.run())
+                .creditStateUpdateHandler(ignored -> sendMessages(link, sentCount))
+                .deliveryStateUpdatedHandler(delivery -> outcomeReceived(delivery))
                 .open();
     }
 
-    private void sendMessages(Sender link, int[] given) {
-        while (link.isSendable() && given[0] < messagesPerLink) {
-            byte[] message = MessageCodec.encode(uid + ":" + link.getName() + ":" + given[0]++, 64);
-            OutgoingDelivery out =
-                    link.next().setTag(new byte[] {(byte) (given[0] >> 8), (byte) given[0]});
-            out.writeBytes(ProtonByteArrayBufferAllocator.wrapped(message));
+    private void sendMessages(Sender link, int[] sentCount) {
+        while (link.isSendable() && sentCount[0] < messagesPerLink) {
+            byte[] message =
+                    MessageCodec.encode(uid + ":" + link.getName() + ":" + sentCount[0]++, 64);
+            OutgoingDelivery delivery =
+                    link.next()
+                            .setTag(new byte[] {(byte) (sentCount[0] >> 8), (byte) sentCount[0]});
+            delivery.writeBytes(ProtonByteArrayBufferAllocator.wrapped(message));
         }
         if (link.isDraining()) {
             link.drained();
         }
     }
 
-    private void outcomeReceived(OutgoingDelivery out) {
-        if (out.getRemoteState() != null) {
+    private void outcomeReceived(OutgoingDelivery delivery) {
+        if (delivery.getRemoteState() != null) {
             synchronized (acceptedIds) {
                 receivedOutcomeCounts.merge(
-                        out.getRemoteState().getType().name().toLowerCase(Locale.ROOT),
+                        delivery.getRemoteState().getType().name().toLowerCase(Locale.ROOT),
                         1L,
                         Long::sum);
             }
         }
-        if (out.isRemotelySettled()) {
-            out.settle();
+        if (delivery.isRemotelySettled()) {
+            delivery.settle();
         }
     }
 
@@ -329,20 +342,21 @@
     public void kill() {
         state = State.DEAD;
         listener.close();
-        connections.forEach(side -> side.loop().execute(side::reset));
+        connections.forEach(connection -> connection.loop().execute(connection::reset));
     }
 
     /**
      * Dies in the middle of a frame to each of its peers; a new process takes its place at once.
      */
     public void resetWithinFrame() {
-        connections.forEach(side -> side.loop().execute(side::resetWithinFrame));
+        connections.forEach(connection -> connection.loop().execute(connection::resetWithinFrame));
     }
 
     /** Freezes as a machine does that is cut off. */
     public void freeze() {
         state = State.SILENT;
-        connections.forEach(side -> side.loop().execute(() -> side.setReading(false)));
+        connections.forEach(
+                connection -> connection.loop().execute(() -> connection.setReading(false)));
         // Its peers can only give its connections up, which it does not see: what it holds counts
         // as that.
         List.copyOf(outstandingCleanups).forEach(Runnable::run);
@@ -356,13 +370,13 @@
         boolean frozen = state == State.SILENT;
         state = State.READY;
         if (frozen) { // what it had open is void: its peers have given it up
-            connections.forEach(side -> side.loop().execute(side::reset));
+            connections.forEach(connection -> connection.loop().execute(connection::reset));
         }
     }
 
     /** Gives outcomes that much later. */
-    public void setOutcomeDelay(Duration by) {
-        outcomeDelay = by;
+    public void setOutcomeDelay(Duration delay) {
+        outcomeDelay = delay;
     }
 
     /** Rejects so many of a hundred deliveries. */
--- a/lab/src/main/java/saltstage/lab/amqp/LineLoadClient.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LineLoadClient.java
@@ -30,10 +30,10 @@
     LineLoadClient(
             Transport transport,
             Loop loop,
-            InetSocketAddress to,
+            InetSocketAddress target,
             String name,
-            DeliveryTracker ledger) {
-        this.deliveryTracker = ledger;
+            DeliveryTracker deliveryTracker) {
+        this.deliveryTracker = deliveryTracker;
         this.loop = loop;
         openLine =
                 "OPEN "
@@ -43,7 +43,8 @@
                         + " c=status-report,t=kitaden-charge,d=2000,g="
                         + name
                         + "\r\n";
-        loop.execute(() -> transport.connect(loop, to, Duration.ofSeconds(5), WRITE_LIMITS, this));
+        loop.execute(
+                () -> transport.connect(loop, target, Duration.ofSeconds(5), WRITE_LIMITS, this));
     }
 
     boolean isEstablished() {
@@ -51,11 +52,11 @@
     }
 
     /** A line is due; it counts from this moment. */
-    void scheduleLine(String id, long at) {
+    void scheduleLine(String id, long dueNanos) {
         deliveryTracker.deliverySent(id);
         loop.execute(
                 () -> {
-                    pendingLines.add(new ScheduledLine(id, at));
+                    pendingLines.add(new ScheduledLine(id, dueNanos));
                     if (established) {
                         send(id + "\r\n");
                     }
@@ -76,52 +77,52 @@
     }
 
     @Override
-    public ConnectionHandler connected(Connection made) {
-        connection = made;
+    public ConnectionHandler connected(Connection newConnection) {
+        connection = newConnection;
         send(openLine);
         return this;
     }
 
     @Override
-    public void failed(IOException why) {
-        throw new IllegalStateException("cannot connect: " + why.getMessage());
+    public void failed(IOException cause) {
+        throw new IllegalStateException("cannot connect: " + cause.getMessage());
     }
 
     @Override
-    public void received(Connection on, ByteBuffer bytes) {
+    public void received(Connection source, ByteBuffer bytes) {
         while (bytes.hasRemaining()) {
             char c = (char) bytes.get();
             if (c != '\n') {
                 partialLine.append(c);
                 continue;
             }
-            String text = partialLine.toString().trim();
+            String line = partialLine.toString().trim();
             partialLine.setLength(0);
-            if (text.startsWith("UP ")) {
+            if (line.startsWith("UP ")) {
                 established = true;
-                pendingLines.forEach(due -> send(due.id() + "\r\n"));
-            } else if (!pendingLines.isEmpty() && pendingLines.peek().id().equals(text)) {
-                ScheduledLine due = pendingLines.poll();
+                pendingLines.forEach(scheduled -> send(scheduled.id() + "\r\n"));
+            } else if (!pendingLines.isEmpty() && pendingLines.peek().id().equals(line)) {
+                ScheduledLine scheduled = pendingLines.poll();
                 deliveryTracker.outcomeReceived(
-                        due.id(),
+                        scheduled.id(),
                         DeliveryTracker.DeliveryOutcome.ACCEPTED,
-                        System.nanoTime() - due.dueNanos());
+                        System.nanoTime() - scheduled.dueNanos());
             }
         }
     }
 
     @Override
-    public void inputEnded(Connection on) {
-        on.close();
+    public void inputEnded(Connection source) {
+        source.close();
     }
 
     @Override
-    public void closed(Connection on, Connection.Cause why) {
+    public void closed(Connection source, Connection.Cause cause) {
         established = false;
         pendingLines.forEach(
-                due ->
+                scheduled ->
                         deliveryTracker.outcomeReceived(
-                                due.id(), DeliveryTracker.DeliveryOutcome.NOTHING, -1));
+                                scheduled.id(), DeliveryTracker.DeliveryOutcome.NOTHING, -1));
         pendingLines.clear();
     }
 }
--- a/lab/src/main/java/saltstage/lab/amqp/LoadCommand.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LoadCommand.java
@@ -75,11 +75,12 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         JsonNode fleet = new ObjectMapper().readTree(dir.resolve("fleet.json").toFile());
-        List<InetSocketAddress> to = targetAddresses(fleet);
+        List<InetSocketAddress> targets = targetAddresses(fleet);
         Map<String, Object> result = new LinkedHashMap<>();
         List<String> faults;
         try (LoadGenerator load =
-                new LoadGenerator(protocol == Protocol.amqp, to, links, "l" + System.nanoTime())) {
+                new LoadGenerator(
+                        protocol == Protocol.amqp, targets, links, "l" + System.nanoTime())) {
             load.run(rate, seconds, true);
             result.put("protocol", protocol.name());
             result.put("links", links);
@@ -102,44 +103,44 @@
         }
         result.put("faults", faults.size());
         result.put("some_faults", faults.subList(0, Math.min(MAX_LISTED_FAULTS, faults.size())));
-        String text =
+        String report =
                 new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(result);
-        System.out.println(text);
+        System.out.println(report);
         if (json != null) {
-            Files.writeString(json, text + "\n");
+            Files.writeString(json, report + "\n");
         }
         return faults.isEmpty() ? 0 : 1;
     }
 
     private List<InetSocketAddress> targetAddresses(JsonNode fleet) {
-        List<InetSocketAddress> to = new ArrayList<>();
+        List<InetSocketAddress> targets = new ArrayList<>();
         if (straight) {
             ((ArrayNode) fleet.get(protocol + "_gateways"))
-                    .forEach(at -> to.add(parseAddress(at.asText())));
+                    .forEach(address -> targets.add(parseAddress(address.asText())));
         } else if (fleet.has(protocol.name())) {
-            to.add(parseAddress(fleet.get(protocol.name()).asText()));
+            targets.add(parseAddress(fleet.get(protocol.name()).asText()));
         } else {
             throw new IllegalArgumentException(
                     "the fleet in " + dir + " does not speak " + protocol);
         }
-        return to;
+        return targets;
     }
 
     /** What the gateways have accepted of this load's deliveries; those of others are left out. */
     private static List<String> acceptedIds(JsonNode fleet, LoadGenerator load) throws IOException {
-        List<String> all = new ArrayList<>();
-        InetSocketAddress at = parseAddress(fleet.get("status").asText());
-        try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
+        List<String> ids = new ArrayList<>();
+        InetSocketAddress statusAddress = parseAddress(fleet.get("status").asText());
+        try (Socket socket = new Socket(statusAddress.getAddress(), statusAddress.getPort())) {
             JsonNode status = new ObjectMapper().readTree(socket.getInputStream());
             status.forEach(
-                    gateway -> {
-                        if (gateway.has("accepted")) {
-                            gateway.get("accepted").forEach(id -> all.add(id.asText()));
+                    backend -> {
+                        if (backend.has("accepted")) {
+                            backend.get("accepted").forEach(id -> ids.add(id.asText()));
                         }
                     });
         }
-        all.removeIf(id -> !load.deliveryTracker().contains(id));
-        return all;
+        ids.removeIf(id -> !load.deliveryTracker().contains(id));
+        return ids;
     }
 
     private static InetSocketAddress parseAddress(String text) {
--- a/lab/src/main/java/saltstage/lab/amqp/LoadGenerator.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LoadGenerator.java
@@ -20,7 +20,7 @@
             new NettyTransport(
                     2,
                     true,
-                    (where, fault) -> System.err.println("fault in " + where + ": " + fault));
+                    (context, fault) -> System.err.println("fault in " + context + ": " + fault));
     private final List<AmqpLoadClient> amqpClients = new ArrayList<>();
     private final List<LineLoadClient> lineClients = new ArrayList<>();
     private final int linkCount;
@@ -29,46 +29,49 @@
     private long nextDeliveryNumber;
 
     /** So many links or line connections, spread over these addresses; returns once they stand. */
-    LoadGenerator(boolean speaksAmqp, List<InetSocketAddress> to, int links, String name)
+    LoadGenerator(boolean speaksAmqp, List<InetSocketAddress> targets, int linkCount, String name)
             throws InterruptedException {
-        this.linkCount = links;
+        this.linkCount = linkCount;
         this.name = name;
         if (speaksAmqp) {
             int connections =
-                    Math.max(to.size(), (links + LINKS_PER_CONNECTION - 1) / LINKS_PER_CONNECTION);
-            connections = Math.min(links, connections);
+                    Math.max(
+                            targets.size(),
+                            (linkCount + LINKS_PER_CONNECTION - 1) / LINKS_PER_CONNECTION);
+            connections = Math.min(linkCount, connections);
             for (int i = 0; i < connections; i++) {
-                int count = links / connections + (i < links % connections ? 1 : 0);
+                int clientLinks = linkCount / connections + (i < linkCount % connections ? 1 : 0);
                 amqpClients.add(
                         new AmqpLoadClient(
                                 transport,
                                 transport.loops().get(i % 2),
-                                to.get(i % to.size()),
+                                targets.get(i % targets.size()),
                                 name + i,
-                                count,
+                                clientLinks,
                                 "status-report",
                                 MESSAGE_BYTES,
                                 deliveryTracker));
             }
         } else {
-            for (int i = 0; i < links; i++) {
+            for (int i = 0; i < linkCount; i++) {
                 lineClients.add(
                         new LineLoadClient(
                                 transport,
                                 transport.loops().get(i % 2),
-                                to.get(i % to.size()),
+                                targets.get(i % targets.size()),
                                 name + i,
                                 deliveryTracker));
             }
         }
-        await(() -> attachedCount() == links, "all of " + links + " attached");
+        await(() -> attachedCount() == linkCount, "all of " + linkCount + " attached");
     }
 
-    private static void await(BooleanSupplier holds, String what) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-        while (!holds.getAsBoolean()) {
-            if (System.nanoTime() > until) {
-                throw new IllegalStateException("not within 60 s: " + what);
+    private static void await(BooleanSupplier condition, String description)
+            throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IllegalStateException("not within 60 s: " + description);
             }
             Thread.sleep(5);
         }
@@ -84,12 +87,14 @@
     }
 
     Map<String, Long> detachCounts() {
-        Map<String, Long> all = new TreeMap<>();
+        Map<String, Long> counts = new TreeMap<>();
         amqpClients.forEach(
-                one ->
-                        one.detachCounts()
-                                .forEach((what, count) -> all.merge(what, count, Long::sum)));
-        return all;
+                client ->
+                        client.detachCounts()
+                                .forEach(
+                                        (condition, count) ->
+                                                counts.merge(condition, count, Long::sum)));
+        return counts;
     }
 
     /**
@@ -98,18 +103,18 @@
      */
     void run(double rate, double seconds, boolean progress) throws InterruptedException {
         long start = System.nanoTime();
-        long all = (long) (rate * seconds);
-        long shown = 0;
-        for (long i = 0; i < all; i++) {
-            long due = start + (long) (i * 1e9 / rate);
-            long wait = due - System.nanoTime();
-            if (wait > 100_000) {
-                Thread.sleep(wait / 1_000_000, (int) (wait % 1_000_000));
+        long deliveryCount = (long) (rate * seconds);
+        long lastShownSecond = 0;
+        for (long i = 0; i < deliveryCount; i++) {
+            long dueNanos = start + (long) (i * 1e9 / rate);
+            long waitNanos = dueNanos - System.nanoTime();
+            if (waitNanos > 100_000) {
+                Thread.sleep(waitNanos / 1_000_000, (int) (waitNanos % 1_000_000));
             }
-            send((int) (i % linkCount), due);
-            long second = (due - start) / 1_000_000_000L;
-            if (progress && second > shown) {
-                shown = second;
+            send((int) (i % linkCount), dueNanos);
+            long second = (dueNanos - start) / 1_000_000_000L;
+            if (progress && second > lastShownSecond) {
+                lastShownSecond = second;
                 System.out.println(
                         second
                                 + " s: sent "
@@ -120,35 +125,35 @@
                                 + attachedCount());
             }
         }
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_TIMEOUT_SECONDS);
-        while (deliveryTracker.pendingCount() > 0 && System.nanoTime() < until) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_TIMEOUT_SECONDS);
+        while (deliveryTracker.pendingCount() > 0 && System.nanoTime() < deadlineNanos) {
             Thread.sleep(10);
         }
     }
 
-    private void send(int link, long due) {
+    private void send(int link, long dueNanos) {
         String id = name + "-" + nextDeliveryNumber++;
         if (lineClients.isEmpty()) {
             AmqpLoadClient client = amqpClients.get(link % amqpClients.size());
-            client.scheduleDelivery(link / amqpClients.size() % client.linkCount(), id, due);
+            client.scheduleDelivery(link / amqpClients.size() % client.linkCount(), id, dueNanos);
         } else {
-            lineClients.get(link).scheduleLine(id, due);
+            lineClients.get(link).scheduleLine(id, dueNanos);
         }
     }
 
     /** Percentiles in milliseconds. */
     Map<String, Object> latencyPercentilesMillis() {
-        Histogram times = deliveryTracker.latencies();
-        Map<String, Object> all = new TreeMap<>();
+        Histogram latencies = deliveryTracker.latencies();
+        Map<String, Object> percentiles = new TreeMap<>();
         for (double percentile : new double[] {50, 90, 99, 99.9, 100}) {
-            all.put(
+            percentiles.put(
                     "p"
                             + (percentile == Math.rint(percentile)
                                     ? String.valueOf((int) percentile)
                                     : String.valueOf(percentile)),
-                    times.getValueAtPercentile(percentile) / 1e6);
+                    latencies.getValueAtPercentile(percentile) / 1e6);
         }
-        return all;
+        return percentiles;
     }
 
     @Override
--- a/lab/src/test/java/saltstage/lab/amqp/AmqpFaultSoakTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/AmqpFaultSoakTest.java
@@ -34,25 +34,25 @@
     @ValueSource(longs = {1, 2})
     void eachDeliveryHasOneOutcomeDespiteBackendFaults(long seed) throws Exception {
         Random random = new Random(seed);
-        Map<String, Long> drained = new TreeMap<>();
-        List<String> late = new ArrayList<>();
-        try (AmqpTestEnvironment stage =
+        Map<String, Long> drainTimes = new TreeMap<>();
+        List<String> lateLinks = new ArrayList<>();
+        try (AmqpTestEnvironment env =
                         new AmqpTestEnvironment(BACKENDS, "  backend_idle = \"1s\"\n");
                 NettyTransport transport =
-                        new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
-            DeliveryTracker ledger = new DeliveryTracker();
-            List<AmqpLoadClient> clients = openClients(stage, transport, ledger);
-            stage.await(
+                        new NettyTransport(1, false, (context, fault) -> fault.printStackTrace())) {
+            DeliveryTracker tracker = new DeliveryTracker();
+            List<AmqpLoadClient> clients = openClients(env, transport, tracker);
+            env.await(
                     "all attached",
                     () ->
                             clients.stream()
                                     .allMatch(c -> c.attachedCount() == LINKS_PER_CONNECTION));
-            sendDeliveriesDespiteFaults(stage, clients, seed, random, drained, late);
-            restoreBackends(stage, drained, late);
-            awaitOutcomes(stage, clients, ledger);
+            sendDeliveriesDespiteFaults(env, clients, seed, random, drainTimes, lateLinks);
+            restoreBackends(env, drainTimes, lateLinks);
+            awaitOutcomes(env, clients, tracker);
             List<String> accepted = new ArrayList<>();
-            stage.fleet().amqpBackends().forEach(g -> accepted.addAll(g.acceptedIds()));
-            Map<DeliveryTracker.DeliveryOutcome, Long> counts = ledger.outcomeCounts();
+            env.fleet().amqpBackends().forEach(backend -> accepted.addAll(backend.acceptedIds()));
+            Map<DeliveryTracker.DeliveryOutcome, Long> counts = tracker.outcomeCounts();
             System.out.println(
                     "night "
                             + seed
@@ -60,25 +60,25 @@
                             + counts
                             + ", links detached "
                             + clients.stream().map(AmqpLoadClient::detachCounts).toList());
-            assertEquals(List.of(), ledger.findFaults(accepted));
+            assertEquals(List.of(), tracker.findFaults(accepted));
             assertEquals(
                     0,
-                    stage.fleet().duplicateDetector().duplicateCount(),
-                    stage.fleet().duplicateDetector().example());
-            assertEquals(List.of(), late);
+                    env.fleet().duplicateDetector().duplicateCount(),
+                    env.fleet().duplicateDetector().example());
+            assertEquals(List.of(), lateLinks);
             assertTrue(
                     counts.get(DeliveryTracker.DeliveryOutcome.ACCEPTED) > DELIVERIES / 2,
                     counts.toString());
             clients.forEach(AmqpLoadClient::close);
-            stage.await(
+            env.await(
                     "no link is left",
-                    () -> stage.fleet().amqpBackends().stream().allMatch(g -> g.linkCount() == 0));
-            assertTrue(!stage.readLog().contains("fault"), stage.readLog());
+                    () -> env.fleet().amqpBackends().stream().allMatch(b -> b.linkCount() == 0));
+            assertTrue(!env.readLog().contains("fault"), env.readLog());
         }
     }
 
     private static List<AmqpLoadClient> openClients(
-            AmqpTestEnvironment stage, NettyTransport transport, DeliveryTracker ledger)
+            AmqpTestEnvironment env, NettyTransport transport, DeliveryTracker tracker)
             throws Exception {
         List<AmqpLoadClient> clients = new ArrayList<>();
         for (int i = 0; i < CONNECTIONS; i++) {
@@ -86,23 +86,23 @@
                     new AmqpLoadClient(
                             transport,
                             transport.loops().get(0),
-                            stage.amqpAddress(),
+                            env.amqpAddress(),
                             "night" + i,
                             LINKS_PER_CONNECTION,
                             "status-report",
                             100,
-                            ledger));
+                            tracker));
         }
         return clients;
     }
 
     private static void sendDeliveriesDespiteFaults(
-            AmqpTestEnvironment stage,
+            AmqpTestEnvironment env,
             List<AmqpLoadClient> clients,
             long seed,
             Random random,
-            Map<String, Long> drained,
-            List<String> late)
+            Map<String, Long> drainTimes,
+            List<String> lateLinks)
             throws Exception {
         for (int sent = 0; sent < DELIVERIES; sent += BURST) {
             for (int i = 0; i < BURST; i++) {
@@ -113,49 +113,52 @@
                                 System.nanoTime());
             }
             if (sent % (BURST * 20) == 0) {
-                injectRandomFault(stage, random, drained, late);
+                injectRandomFault(env, random, drainTimes, lateLinks);
             }
             Thread.sleep(10);
         }
     }
 
     private static void restoreBackends(
-            AmqpTestEnvironment stage, Map<String, Long> drained, List<String> late)
+            AmqpTestEnvironment env, Map<String, Long> drainTimes, List<String> lateLinks)
             throws Exception {
         for (int i = 0; i < BACKENDS; i++) {
-            checkDrained(stage, i, drained, late);
-            stage.runCommand("start g" + i);
-            stage.runCommand("slow g" + i + " 0");
+            checkDrained(env, i, drainTimes, lateLinks);
+            env.runCommand("start g" + i);
+            env.runCommand("slow g" + i + " 0");
         }
     }
 
     private static void awaitOutcomes(
-            AmqpTestEnvironment stage, List<AmqpLoadClient> clients, DeliveryTracker ledger)
+            AmqpTestEnvironment env, List<AmqpLoadClient> clients, DeliveryTracker tracker)
             throws Exception {
-        stage.await(
+        env.await(
                 () ->
                         "all sent "
                                 + clients.stream()
                                         .map(AmqpLoadClient::describeBlockedLinks)
                                         .toList(),
-                () -> clients.stream().allMatch(c -> c.unsentCount() == 0));
-        stage.await("all answered", () -> ledger.pendingCount() == 0);
+                () -> clients.stream().allMatch(client -> client.unsentCount() == 0));
+        env.await("all answered", () -> tracker.pendingCount() == 0);
     }
 
     /** One thing happens to one gateway; two at least are left alone. */
     private static void injectRandomFault(
-            AmqpTestEnvironment stage, Random random, Map<String, Long> drained, List<String> late)
+            AmqpTestEnvironment env,
+            Random random,
+            Map<String, Long> drainTimes,
+            List<String> lateLinks)
             throws Exception {
-        int chosen = random.nextInt(BACKENDS);
-        FakeBackend gateway = stage.fleet().backends().get(chosen);
-        String g = gateway.uid();
+        int index = random.nextInt(BACKENDS);
+        FakeBackend backend = env.fleet().backends().get(index);
+        String uid = backend.uid();
         long ready =
-                stage.fleet().backends().stream()
-                        .filter(any -> any.state() == FakeBackend.State.READY)
+                env.fleet().backends().stream()
+                        .filter(candidate -> candidate.state() == FakeBackend.State.READY)
                         .count();
-        if (gateway.state() != FakeBackend.State.READY) {
-            checkDrained(stage, chosen, drained, late);
-            stage.runCommand("start " + g);
+        if (backend.state() != FakeBackend.State.READY) {
+            checkDrained(env, index, drainTimes, lateLinks);
+            env.runCommand("start " + uid);
             return;
         }
         if (ready <= 2) {
@@ -163,28 +166,31 @@
         }
         switch (random.nextInt(5)) {
             case 0 -> {
-                stage.runCommand("drain " + g);
-                drained.put(g, Instant.now().toEpochMilli());
+                env.runCommand("drain " + uid);
+                drainTimes.put(uid, Instant.now().toEpochMilli());
             }
-            case 1 -> stage.runCommand("kill " + g);
-            case 2 -> stage.runCommand("tear " + g);
-            case 3 -> stage.runCommand("stop " + g);
-            default -> stage.runCommand("slow " + g + " " + random.nextInt(100));
+            case 1 -> env.runCommand("kill " + uid);
+            case 2 -> env.runCommand("tear " + uid);
+            case 3 -> env.runCommand("stop " + uid);
+            default -> env.runCommand("slow " + uid + " " + random.nextInt(100));
         }
     }
 
     private static void checkDrained(
-            AmqpTestEnvironment stage, int chosen, Map<String, Long> drained, List<String> late) {
-        FakeAmqpBackend gateway = stage.fleet().amqpBackends().get(chosen);
-        Long since = drained.remove("g" + chosen);
-        if (since != null
-                && gateway.lastLinkMillis()
-                        > since + MAX_LINK_AFTER_DRAIN_MS + DISCOVERY_TOLERANCE_MS) {
-            late.add(
+            AmqpTestEnvironment env,
+            int index,
+            Map<String, Long> drainTimes,
+            List<String> lateLinks) {
+        FakeAmqpBackend backend = env.fleet().amqpBackends().get(index);
+        Long drainMillis = drainTimes.remove("g" + index);
+        if (drainMillis != null
+                && backend.lastLinkMillis()
+                        > drainMillis + MAX_LINK_AFTER_DRAIN_MS + DISCOVERY_TOLERANCE_MS) {
+            lateLinks.add(
                     "g"
-                            + chosen
+                            + index
                             + ": a link came "
-                            + (gateway.lastLinkMillis() - since)
+                            + (backend.lastLinkMillis() - drainMillis)
                             + " ms after the drain");
         }
     }
--- a/lab/src/test/java/saltstage/lab/amqp/AmqpFrontendTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/AmqpFrontendTest.java
@@ -46,53 +46,50 @@
         0, 0, 0, 17, 2, 0, 0, 0, 0, 0x53, 0x10, (byte) 0xc0, 4, 1, (byte) 0xa1, 1, 'x'
     };
 
-    private static String exchange(AmqpTestEnvironment stage, byte[]... pieces) throws IOException {
+    private static String exchange(AmqpTestEnvironment env, byte[]... pieces) throws IOException {
         try (Socket socket =
-                new Socket(stage.amqpAddress().getAddress(), stage.amqpAddress().getPort())) {
+                new Socket(env.amqpAddress().getAddress(), env.amqpAddress().getPort())) {
             socket.setSoTimeout(20_000);
-            ByteArrayOutputStream heard = new ByteArrayOutputStream();
+            ByteArrayOutputStream received = new ByteArrayOutputStream();
             try {
                 for (byte[] piece : pieces) {
                     socket.getOutputStream().write(piece);
                 }
                 InputStream in = socket.getInputStream();
                 for (int b = in.read(); b >= 0; b = in.read()) {
-                    heard.write(b);
+                    received.write(b);
                 }
-            } catch (SocketTimeoutException open) {
-                throw new AssertionError("the connection stays open", open);
-            } catch (IOException reset) { // an end as well
-                return heard.toString(StandardCharsets.ISO_8859_1);
+            } catch (SocketTimeoutException timeout) {
+                throw new AssertionError("the connection stays open", timeout);
+            } catch (IOException connectionReset) { // an end as well
+                return received.toString(StandardCharsets.ISO_8859_1);
             }
-            return heard.toString(StandardCharsets.ISO_8859_1);
+            return received.toString(StandardCharsets.ISO_8859_1);
         }
     }
 
     @Test
     void silentMalformedAndFloodingClientsAreDisconnected() throws Exception {
-        try (AmqpTestEnvironment stage =
+        try (AmqpTestEnvironment env =
                 new AmqpTestEnvironment(1, "  open_within = \"500ms\"\n  frame = \"4KiB\"\n")) {
-            exchange(stage);
-            exchange(stage, PROTOCOL_HEADER); // a header alone
+            exchange(env);
+            exchange(env, PROTOCOL_HEADER); // a header alone
             exchange(
-                    stage,
-                    "GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
+                    env, "GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
             exchange(
-                    stage,
+                    env,
                     PROTOCOL_HEADER,
                     new byte[] {0, 0, 0, 1, 2, 0, 0, 0, 0}); // a size below the least
             exchange(
-                    stage,
-                    PROTOCOL_HEADER,
-                    new byte[] {0x7f, 0, 0, 0, 2, 0, 0, 0}); // and a huge one
-            String flooded = exchange(stage, PROTOCOL_HEADER, OPEN_FRAME, emptyFrames(1_000));
+                    env, PROTOCOL_HEADER, new byte[] {0x7f, 0, 0, 0, 2, 0, 0, 0}); // and a huge one
+            String flooded = exchange(env, PROTOCOL_HEADER, OPEN_FRAME, emptyFrames(1_000));
             assertTrue(flooded.contains("amqp:resource-limit-exceeded"), flooded);
-            stage.await("amqp.flood", () -> hasLogged(stage, "amqp.flood"));
-            assertTrue(hasLogged(stage, "amqp.client.silent"));
+            env.await("amqp.flood", () -> hasLogged(env, "amqp.flood"));
+            assertTrue(hasLogged(env, "amqp.client.silent"));
             try (Client client = Client.create()) { // and it goes on serving
                 Connection connection =
                         client.connect(
-                                stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
+                                env.amqpAddress().getHostString(), env.amqpAddress().getPort());
                 assertEquals(
                         DeliveryState.Type.ACCEPTED,
                         connection
@@ -113,9 +110,9 @@
         return all;
     }
 
-    private static boolean hasLogged(AmqpTestEnvironment stage, String event) {
+    private static boolean hasLogged(AmqpTestEnvironment env, String event) {
         try {
-            return stage.readLog().contains(event);
+            return env.readLog().contains(event);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -123,40 +120,43 @@
 
     @Test
     void connectionsAndLinksBeyondTheLimitAreRejected() throws Exception {
-        try (AmqpTestEnvironment stage =
+        try (AmqpTestEnvironment env =
                         new AmqpTestEnvironment(
                                 1, "  connections = 2\n  links_per_connection = 1\n");
                 Client client = Client.create()) {
-            List<Connection> held = new ArrayList<>();
+            List<Connection> connections = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
-                held.add(
+                connections.add(
                         client.connect(
-                                stage.amqpAddress().getHostString(),
-                                stage.amqpAddress().getPort()));
-                held.get(i).openFuture().get(20, TimeUnit.SECONDS);
+                                env.amqpAddress().getHostString(), env.amqpAddress().getPort()));
+                connections.get(i).openFuture().get(20, TimeUnit.SECONDS);
             }
-            held.get(0).openSender("status-report").openFuture().get(20, TimeUnit.SECONDS);
-            Exception second =
+            connections.get(0).openSender("status-report").openFuture().get(20, TimeUnit.SECONDS);
+            Exception linkError =
                     assertThrows(
                             Exception.class,
                             () ->
-                                    held.get(0)
+                                    connections
+                                            .get(0)
                                             .openSender("status-report")
                                             .send(Message.create("x"))
                                             .awaitSettlement(20, TimeUnit.SECONDS));
             assertTrue(
-                    second.toString().contains("amqp:resource-limit-exceeded"), second.toString());
-            Exception third =
+                    linkError.toString().contains("amqp:resource-limit-exceeded"),
+                    linkError.toString());
+            Exception connectionError =
                     assertThrows(
                             Exception.class,
                             () ->
                                     client.connect(
-                                                    stage.amqpAddress().getHostString(),
-                                                    stage.amqpAddress().getPort())
+                                                    env.amqpAddress().getHostString(),
+                                                    env.amqpAddress().getPort())
                                             .openSender("status-report")
                                             .openFuture()
                                             .get(20, TimeUnit.SECONDS));
-            assertTrue(third.toString().contains("amqp:resource-limit-exceeded"), third.toString());
+            assertTrue(
+                    connectionError.toString().contains("amqp:resource-limit-exceeded"),
+                    connectionError.toString());
         }
     }
 
@@ -164,17 +164,18 @@
     void usersMustAuthenticateWithTheirSecret() throws Exception {
         Path secrets = Files.createTempFile("saltstage", "secrets");
         Files.writeString(secrets, "# users\ndosan-power:right\n");
-        try (AmqpTestEnvironment stage =
+        try (AmqpTestEnvironment env =
                         new AmqpTestEnvironment(1, "  secrets = \"" + secrets + "\"\n");
                 Client client = Client.create()) {
-            Connection right =
+            Connection authenticated =
                     client.connect(
-                            stage.amqpAddress().getHostString(),
-                            stage.amqpAddress().getPort(),
+                            env.amqpAddress().getHostString(),
+                            env.amqpAddress().getPort(),
                             new ConnectionOptions().user("dosan-power").password("right"));
             assertEquals(
                     DeliveryState.Type.ACCEPTED,
-                    right.openSender("session-check")
+                    authenticated
+                            .openSender("session-check")
                             .send(Message.create("x").messageId("m"))
                             .awaitSettlement(20, TimeUnit.SECONDS)
                             .remoteState()
@@ -193,29 +194,27 @@
                         ExecutionException.class,
                         () ->
                                 client.connect(
-                                                stage.amqpAddress().getHostString(),
-                                                stage.amqpAddress().getPort(),
+                                                env.amqpAddress().getHostString(),
+                                                env.amqpAddress().getPort(),
                                                 options)
                                         .openFuture()
                                         .get(20, TimeUnit.SECONDS),
                         wrong[0]);
             }
-            stage.await("amqp.login.failed", () -> hasLogged(stage, "amqp.login.failed"));
+            env.await("amqp.login.failed", () -> hasLogged(env, "amqp.login.failed"));
         } finally {
             Files.delete(secrets);
         }
     }
 
-    private static boolean canSend(Client client, AmqpTestEnvironment stage, String secret)
+    private static boolean canSend(Client client, AmqpTestEnvironment env, String secret)
             throws Exception {
         ConnectionOptions options = new ConnectionOptions().user("dosan-power").password(secret);
         options.saslOptions().addAllowedMechanism("PLAIN");
         options.reconnectEnabled(false);
         Connection connection =
                 client.connect(
-                        stage.amqpAddress().getHostString(),
-                        stage.amqpAddress().getPort(),
-                        options);
+                        env.amqpAddress().getHostString(), env.amqpAddress().getPort(), options);
         try {
             connection.openFuture().get(20, TimeUnit.SECONDS);
             connection
@@ -223,14 +222,14 @@
                     .send(Message.create("x"))
                     .awaitSettlement(20, TimeUnit.SECONDS);
             return true;
-        } catch (Exception refused) {
+        } catch (Exception rejected) {
             return false;
         }
     }
 
-    private static long countLogLines(AmqpTestEnvironment stage, String what) {
+    private static long countLogLines(AmqpTestEnvironment env, String text) {
         try {
-            return stage.readLog().lines().filter(line -> line.contains(what)).count();
+            return env.readLog().lines().filter(line -> line.contains(text)).count();
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -241,24 +240,23 @@
         Path secrets = Files.createTempFile("saltstage", "secrets");
         Files.writeString(secrets, "dosan-power:first\n");
         String access = "  secrets = \"" + secrets + "\"\n";
-        try (AmqpTestEnvironment stage =
-                        new AmqpTestEnvironment(1, access + "  connections = 1\n");
+        try (AmqpTestEnvironment env = new AmqpTestEnvironment(1, access + "  connections = 1\n");
                 Client client = Client.create()) {
-            assertTrue(canSend(client, stage, "first"));
-            assertFalse(canSend(client, stage, "first"), "one connection was allowed");
+            assertTrue(canSend(client, env, "first"));
+            assertFalse(canSend(client, env, "first"), "one connection was allowed");
             Files.writeString(secrets, "dosan-power:second\n");
-            stage.reloadSettings(access + "  connections = 20\n");
-            stage.await("reload.done", () -> countLogLines(stage, "reload.done") == 1);
-            assertTrue(canSend(client, stage, "second"));
-            assertFalse(canSend(client, stage, "first"));
+            env.reloadSettings(access + "  connections = 20\n");
+            env.await("reload.done", () -> countLogLines(env, "reload.done") == 1);
+            assertTrue(canSend(client, env, "second"));
+            assertFalse(canSend(client, env, "first"));
             Files.writeString(secrets, "no colon\n");
-            stage.reloadSettings(access + "  connections = 1\n");
-            stage.await("reload.refused", () -> countLogLines(stage, "reload.refused") == 1);
-            assertTrue(canSend(client, stage, "second"), "nothing of a bad change is in force");
+            env.reloadSettings(access + "  connections = 1\n");
+            env.await("reload.refused", () -> countLogLines(env, "reload.refused") == 1);
+            assertTrue(canSend(client, env, "second"), "nothing of a bad change is in force");
             Files.writeString(secrets, "dosan-power:second\n");
-            stage.reloadSettings(access + "  connections = 20\n  loops = 2\n");
-            stage.await("what waits for a restart", () -> countLogLines(stage, "amqp.loops") == 1);
-            assertTrue(canSend(client, stage, "second"));
+            env.reloadSettings(access + "  connections = 20\n  loops = 2\n");
+            env.await("what waits for a restart", () -> countLogLines(env, "amqp.loops") == 1);
+            assertTrue(canSend(client, env, "second"));
         } finally {
             Files.delete(secrets);
         }
@@ -266,21 +264,22 @@
 
     @Test
     void largeDeliveryIsForwardedAndAnAbortedOneIsNotDelivered() throws Exception {
-        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(2, "  link_bytes = \"128KiB\"\n");
+        try (AmqpTestEnvironment env = new AmqpTestEnvironment(2, "  link_bytes = \"128KiB\"\n");
                 Client client = Client.create()) {
             Connection connection =
-                    client.connect(
-                            stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
+                    client.connect(env.amqpAddress().getHostString(), env.amqpAddress().getPort());
             StreamSender sender = connection.openStreamSender("status-report");
             startDelivery(sender, "large", 12 << 20).close();
-            stage.await("accepted", () -> acceptedIds(stage).contains("large"));
+            env.await("accepted", () -> acceptedIds(env).contains("large"));
             OutputStream half = startDelivery(sender, "half", 1 << 20);
             half.flush();
             connection.close();
-            stage.await(
+            env.await(
                     "no links",
-                    () -> stage.fleet().amqpBackends().stream().allMatch(g -> g.linkCount() == 0));
-            assertEquals(List.of("large"), acceptedIds(stage));
+                    () ->
+                            env.fleet().amqpBackends().stream()
+                                    .allMatch(backend -> backend.linkCount() == 0));
+            assertEquals(List.of("large"), acceptedIds(env));
         }
     }
 
@@ -296,16 +295,16 @@
         return out;
     }
 
-    private static List<String> acceptedIds(AmqpTestEnvironment stage) {
-        return stage.fleet().amqpBackends().stream()
-                .flatMap(g -> g.acceptedIds().stream())
+    private static List<String> acceptedIds(AmqpTestEnvironment env) {
+        return env.fleet().amqpBackends().stream()
+                .flatMap(backend -> backend.acceptedIds().stream())
                 .toList();
     }
 
-    private static SimulatedClients startLineClients(AmqpTestEnvironment stage) {
-        String[] at = stage.fleet().listenAddress().split(":");
+    private static SimulatedClients startLineClients(AmqpTestEnvironment env) {
+        String[] address = env.fleet().listenAddress().split(":");
         return new SimulatedClients(
-                new InetSocketAddress(at[0], Integer.parseInt(at[1])),
+                new InetSocketAddress(address[0], Integer.parseInt(address[1])),
                 50,
                 Duration.ofMillis(200),
                 Duration.ofSeconds(30));
@@ -322,38 +321,38 @@
 
     @Test
     void relayThatShutsDownDetachesItsLinksAndLosesNoDelivery() throws Exception {
-        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(3, "");
+        try (AmqpTestEnvironment env = new AmqpTestEnvironment(3, "");
                 NettyTransport transport =
-                        new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
-            SimulatedClients lines = startLineClients(stage);
-            DeliveryTracker ledger = new DeliveryTracker();
+                        new NettyTransport(1, false, (context, fault) -> fault.printStackTrace())) {
+            SimulatedClients lineClients = startLineClients(env);
+            DeliveryTracker tracker = new DeliveryTracker();
             AmqpLoadClient client =
                     new AmqpLoadClient(
                             transport,
                             transport.loops().get(0),
-                            stage.amqpAddress(),
+                            env.amqpAddress(),
                             "leave",
                             20,
                             "session-check",
                             64,
-                            ledger);
-            stage.await("attached", () -> client.attachedCount() == 20);
-            stage.await(
+                            tracker);
+            env.await("attached", () -> client.attachedCount() == 20);
+            env.await(
                     "lines stand",
                     () ->
-                            stage.fleet().backends().stream()
-                                            .mapToInt(g -> g.establishedCount())
+                            env.fleet().backends().stream()
+                                            .mapToInt(backend -> backend.establishedCount())
                                             .sum()
                                     >= 45);
             sendDeliveries(client);
-            stage.await("answered", () -> ledger.pendingCount() == 0);
-            assertEquals(List.of(), ledger.findFaults(acceptedIds(stage)));
+            env.await("answered", () -> tracker.pendingCount() == 0);
+            assertEquals(List.of(), tracker.findFaults(acceptedIds(env)));
             assertEquals(
-                    2_000, ledger.outcomeCounts().get(DeliveryTracker.DeliveryOutcome.ACCEPTED));
-            assertEquals(0, lines.brokenCount());
-            stage.relay().destroy();
-            assertTrue(stage.relay().waitFor(10, TimeUnit.SECONDS), "it does not leave");
-            lines.stop();
+                    2_000, tracker.outcomeCounts().get(DeliveryTracker.DeliveryOutcome.ACCEPTED));
+            assertEquals(0, lineClients.brokenCount());
+            env.relay().destroy();
+            assertTrue(env.relay().waitFor(10, TimeUnit.SECONDS), "it does not leave");
+            lineClients.stop();
             assertEquals(
                     20,
                     client.detachCounts().getOrDefault("amqp:link:detach-forced", 0L).intValue(),
--- a/lab/src/test/java/saltstage/lab/amqp/AmqpTestEnvironment.java
+++ b/lab/src/test/java/saltstage/lab/amqp/AmqpTestEnvironment.java
@@ -17,10 +17,10 @@
     private final FakeFleet fleet;
     private final Process relay;
 
-    AmqpTestEnvironment(int gateways, String amqpSettings)
+    AmqpTestEnvironment(int backends, String amqpSettings)
             throws IOException, InterruptedException {
         dir = Files.createTempDirectory("saltstage-amqp");
-        fleet = new FakeFleet(gateways, true, 0);
+        fleet = new FakeFleet(backends, true, 0);
         fleet.writeFiles(dir, fleet.operatorSettings(amqpSettings));
         relay =
                 new ProcessBuilder(
@@ -33,9 +33,9 @@
                         .redirectErrorStream(true)
                         .redirectOutput(dir.resolve("log").toFile())
                         .start();
-        String[] at = fleet.listenAddress().split(":");
+        String[] address = fleet.listenAddress().split(":");
         Installation.awaitPong(
-                new InetSocketAddress(at[0], Integer.parseInt(at[1])),
+                new InetSocketAddress(address[0], Integer.parseInt(address[1])),
                 relay,
                 Duration.ofSeconds(60));
     }
@@ -49,18 +49,18 @@
     }
 
     InetSocketAddress amqpAddress() {
-        String[] at = fleet.amqpListenAddress().split(":");
-        return new InetSocketAddress(at[0], Integer.parseInt(at[1]));
+        String[] address = fleet.amqpListenAddress().split(":");
+        return new InetSocketAddress(address[0], Integer.parseInt(address[1]));
     }
 
     String readLog() throws IOException {
         return Files.readString(dir.resolve("log"));
     }
 
-    void runCommand(String line) throws IOException {
-        String answer = fleet.runCommand(line);
-        if (!answer.startsWith("ok")) {
-            throw new IllegalArgumentException(line + ": " + answer);
+    void runCommand(String command) throws IOException {
+        String response = fleet.runCommand(command);
+        if (!response.startsWith("ok")) {
+            throw new IllegalArgumentException(command + ": " + response);
         }
     }
 
@@ -71,21 +71,22 @@
     }
 
     /** The same with a description that is made when it is needed. */
-    void await(Supplier<String> what, BooleanSupplier holds)
+    void await(Supplier<String> description, BooleanSupplier condition)
             throws InterruptedException, IOException {
         try {
-            await("", holds);
-        } catch (AssertionError never) {
-            throw new AssertionError(what.get() + never.getMessage(), never);
+            await("", condition);
+        } catch (AssertionError timeout) {
+            throw new AssertionError(description.get() + timeout.getMessage(), timeout);
         }
     }
 
     /** Waits until it holds; says what it waited for where it never does. */
-    void await(String what, BooleanSupplier holds) throws InterruptedException, IOException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-        while (!holds.getAsBoolean()) {
-            if (System.nanoTime() > until) {
-                throw new AssertionError("never: " + what + "\n" + readLog());
+    void await(String description, BooleanSupplier condition)
+            throws InterruptedException, IOException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() > deadlineNanos) {
+                throw new AssertionError("never: " + description + "\n" + readLog());
             }
             Thread.sleep(10);
         }
--- a/lab/src/test/java/saltstage/lab/amqp/ProtocolDriverTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/ProtocolDriverTest.java
@@ -59,10 +59,10 @@
             try {
                 script.run();
                 return;
-            } catch (AssertionError failed) {
+            } catch (AssertionError failure) {
                 if (i == MAX_ATTEMPTS
-                        || !String.valueOf(failed.getMessage()).contains("come again")) {
-                    throw failed;
+                        || !String.valueOf(failure.getMessage()).contains("come again")) {
+                    throw failure;
                 }
                 end();
             }
@@ -84,8 +84,8 @@
     /** A relay that has just begun may refuse at first: links are taken from here on. */
     private void awaitFirstLink() throws Exception {
         try (NettyTransport transport =
-                new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
-            AmqpLoadClient first =
+                new NettyTransport(1, false, (context, fault) -> fault.printStackTrace())) {
+            AmqpLoadClient client =
                     new AmqpLoadClient(
                             transport,
                             transport.loops().get(0),
@@ -95,8 +95,8 @@
                             "session-check",
                             64,
                             new DeliveryTracker());
-            environment.await("a first link", () -> first.attachedCount() == 1);
-            first.close();
+            environment.await("a first link", () -> client.attachedCount() == 1);
+            client.close();
             environment.await("it is gone", () -> backend().linkCount() == 0);
         }
     }
@@ -131,7 +131,7 @@
         return environment.fleet().amqpBackends().get(0);
     }
 
-    private void attachSender(boolean second) {
+    private void attachSender(boolean settlesSecond) {
         driver.expectAttach().ofReceiver().withHandle(0);
         driver.expectFlow().withHandle(nullValue()).optional();
         driver.expectFlow().withHandle(0).withLinkCredit(notNullValue());
@@ -141,7 +141,7 @@
                         .withName("out")
                         .withHandle(0)
                         .withInitialDeliveryCount(0);
-        if (second) {
+        if (settlesSecond) {
             attach.withReceivervSettlesSecond();
         }
         attach.withSource().withAddress("driver").also();
--- a/lab/src/test/java/saltstage/lab/amqp/SharedSessionTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/SharedSessionTest.java
@@ -20,58 +20,57 @@
 /** How clients' links lie on sessions towards backends: shared, and nobody's harm. */
 @Timeout(120)
 class SharedSessionTest {
-    private static List<String> acceptedIds(AmqpTestEnvironment stage) {
-        return stage.fleet().amqpBackends().stream()
-                .flatMap(g -> g.acceptedIds().stream())
+    private static List<String> acceptedIds(AmqpTestEnvironment env) {
+        return env.fleet().amqpBackends().stream()
+                .flatMap(backend -> backend.acceptedIds().stream())
                 .toList();
     }
 
     private static AmqpLoadClient openClient(
-            AmqpTestEnvironment stage,
+            AmqpTestEnvironment env,
             NettyTransport transport,
             String name,
             int links,
-            DeliveryTracker ledger)
+            DeliveryTracker tracker)
             throws Exception {
         return new AmqpLoadClient(
                 transport,
                 transport.loops().get(0),
-                stage.amqpAddress(),
+                env.amqpAddress(),
                 name,
                 links,
                 "session-check",
                 64,
-                ledger);
+                tracker);
     }
 
     @Test
     void linksOfAClientSessionShareABackendSessionAndAClosedWindowBlocksNobody() throws Exception {
-        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, "");
+        try (AmqpTestEnvironment env = new AmqpTestEnvironment(1, "");
                 NettyTransport transport =
-                        new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
-            FakeAmqpBackend gateway = stage.fleet().amqpBackends().get(0);
-            gateway.setSessionWindowBytes(32 << 10); // two frames
-            DeliveryTracker ledger = new DeliveryTracker();
-            AmqpLoadClient client = openClient(stage, transport, "shared", 40, ledger);
-            AmqpLoadClient other = openClient(stage, transport, "other", 1, ledger);
-            stage.await(
-                    "attached", () -> client.attachedCount() == 40 && other.attachedCount() == 1);
-            assertTrue(gateway.sessionCount() <= 4, "sessions: " + gateway.sessionCount());
+                        new NettyTransport(1, false, (context, fault) -> fault.printStackTrace())) {
+            FakeAmqpBackend backend = env.fleet().amqpBackends().get(0);
+            backend.setSessionWindowBytes(32 << 10); // two frames
+            DeliveryTracker tracker = new DeliveryTracker();
+            AmqpLoadClient client = openClient(env, transport, "shared", 40, tracker);
+            AmqpLoadClient other = openClient(env, transport, "other", 1, tracker);
+            env.await("attached", () -> client.attachedCount() == 40 && other.attachedCount() == 1);
+            assertTrue(backend.sessionCount() <= 4, "sessions: " + backend.sessionCount());
             for (int round = 0; round < 5; round++) {
                 for (int i = 0; i < 1_000; i++) {
                     client.scheduleDelivery(i % 40, "s" + round + "-" + i, System.nanoTime());
                 }
                 other.scheduleDelivery(0, "o" + round, System.nanoTime());
-                stage.await(
-                        () -> ledger.pendingCount() + " wait, " + client.describeBlockedLinks(),
-                        () -> ledger.pendingCount() == 0);
+                env.await(
+                        () -> tracker.pendingCount() + " wait, " + client.describeBlockedLinks(),
+                        () -> tracker.pendingCount() == 0);
             }
-            assertEquals(List.of(), ledger.findFaults(acceptedIds(stage)));
+            assertEquals(List.of(), tracker.findFaults(acceptedIds(env)));
             assertEquals(
-                    5_005, ledger.outcomeCounts().get(DeliveryTracker.DeliveryOutcome.ACCEPTED));
+                    5_005, tracker.outcomeCounts().get(DeliveryTracker.DeliveryOutcome.ACCEPTED));
             client.close();
             other.close();
-            stage.await("no links left", () -> gateway.linkCount() == 0);
+            env.await("no links left", () -> backend.linkCount() == 0);
         }
     }
 
@@ -81,49 +80,56 @@
      */
     @Test
     void unresponsiveBackendBlocksOnlyItsOwnLinks() throws Exception {
-        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(2, "  unsettled = 50\n");
+        try (AmqpTestEnvironment env = new AmqpTestEnvironment(2, "  unsettled = 50\n");
                 NettyTransport transport =
-                        new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
-            DeliveryTracker ledger = new DeliveryTracker();
+                        new NettyTransport(1, false, (context, fault) -> fault.printStackTrace())) {
+            DeliveryTracker tracker = new DeliveryTracker();
             AmqpLoadClient client =
                     new AmqpLoadClient(
                             transport,
                             transport.loops().get(0),
-                            stage.amqpAddress(),
+                            env.amqpAddress(),
                             "slow",
                             40,
                             "session-check",
                             64,
-                            ledger);
-            stage.await("attached", () -> client.attachedCount() == 40);
-            FakeAmqpBackend slow = stage.fleet().amqpBackends().get(0);
-            FakeAmqpBackend other = stage.fleet().amqpBackends().get(1);
-            int stood = slow.linkCount();
-            assertTrue(stood > 0 && other.linkCount() > 0, "links at both: " + stood + " of 40");
+                            tracker);
+            env.await("attached", () -> client.attachedCount() == 40);
+            FakeAmqpBackend slow = env.fleet().amqpBackends().get(0);
+            FakeAmqpBackend other = env.fleet().amqpBackends().get(1);
+            int slowLinks = slow.linkCount();
+            assertTrue(
+                    slowLinks > 0 && other.linkCount() > 0,
+                    "links at both: " + slowLinks + " of 40");
             slow.setOutcomeDelay(
                     Duration.ofSeconds(60)); // takes what its credit allows, and answers nothing
             for (int i = 0; i < 40 * 500; i++) {
                 client.scheduleDelivery(i % 40, "w" + i, System.nanoTime());
             }
-            int neighbours = (40 - stood) * 500;
-            stage.await(
-                    () -> other.acceptedIds().size() + " of " + neighbours + " at the neighbour",
-                    () -> other.acceptedIds().size() == neighbours);
-            stage.await("all else waits at its sender", () -> client.unsentCount() == stood * 450);
+            int otherDeliveries = (40 - slowLinks) * 500;
+            env.await(
+                    () ->
+                            other.acceptedIds().size()
+                                    + " of "
+                                    + otherDeliveries
+                                    + " at the neighbour",
+                    () -> other.acceptedIds().size() == otherDeliveries);
+            env.await(
+                    "all else waits at its sender", () -> client.unsentCount() == slowLinks * 450);
             assertEquals(0, slow.acceptedIds().size());
-            assertEquals(stood * 500, ledger.pendingCount());
+            assertEquals(slowLinks * 500, tracker.pendingCount());
         }
     }
 
     @Test
     void clientsWithTheSameLinkNameDoNotStealEachOthersLink() throws Exception {
-        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, "");
+        try (AmqpTestEnvironment env = new AmqpTestEnvironment(1, "");
                 Client client = Client.create()) {
             List<Sender> senders = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 Connection connection =
                         client.connect(
-                                stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
+                                env.amqpAddress().getHostString(), env.amqpAddress().getPort());
                 senders.add(
                         connection.openSender(
                                 "status-report/one",
@@ -138,8 +144,8 @@
                                 .remoteState()
                                 .getType());
             }
-            assertEquals(0, stage.fleet().amqpBackends().get(0).stolenLinkCount());
-            assertEquals(9, acceptedIds(stage).size());
+            assertEquals(0, env.fleet().amqpBackends().get(0).stolenLinkCount());
+            assertEquals(9, acceptedIds(env).size());
         }
     }
 }
--- a/lab/src/test/java/saltstage/lab/amqp/ThirdPartyClientTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/ThirdPartyClientTest.java
@@ -33,23 +33,22 @@
 
     @Test
     void sendsReceivesAndGetsTheOutcomesOfBackends() throws Exception {
-        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(3, "");
+        try (AmqpTestEnvironment env = new AmqpTestEnvironment(3, "");
                 Client client = Client.create(new ClientOptions().id("back-office"))) {
             Connection connection =
-                    client.connect(
-                            stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
+                    client.connect(env.amqpAddress().getHostString(), env.amqpAddress().getPort());
             connection.openFuture().get(20, TimeUnit.SECONDS);
             Sender sender = connection.openSender("status-report/station-7");
             sender.openFuture().get(20, TimeUnit.SECONDS);
             Set<String> sent = sendAndAwaitAcceptance(sender);
             List<String> accepted =
-                    stage.fleet().amqpBackends().stream()
-                            .flatMap(g -> g.acceptedIds().stream())
+                    env.fleet().amqpBackends().stream()
+                            .flatMap(backend -> backend.acceptedIds().stream())
                             .toList();
             assertEquals(500, accepted.size());
             assertEquals(sent, new HashSet<>(accepted));
             for (int i = 0; i < 3; i++) {
-                stage.runCommand("reject g" + i + " 100");
+                env.runCommand("reject g" + i + " 100");
             }
             assertEquals(
                     DeliveryState.Type.REJECTED,
@@ -58,22 +57,24 @@
                             .remoteState()
                             .getType());
             Receiver receiver = receiveInOrder(connection);
-            stage.await(
+            env.await(
                     "ten accepted",
                     () ->
-                            stage.fleet().amqpBackends().stream()
+                            env.fleet().amqpBackends().stream()
                                             .mapToLong(
-                                                    g ->
-                                                            g.receivedOutcomeCounts()
+                                                    backend ->
+                                                            backend.receivedOutcomeCounts()
                                                                     .getOrDefault("accepted", 0L))
                                             .sum()
                                     == 10);
             receiver.close();
             sender.close();
             connection.close();
-            stage.await(
+            env.await(
                     "no links left",
-                    () -> stage.fleet().amqpBackends().stream().allMatch(g -> g.linkCount() == 0));
+                    () ->
+                            env.fleet().amqpBackends().stream()
+                                    .allMatch(backend -> backend.linkCount() == 0));
         }
     }
 
@@ -93,19 +94,18 @@
         Receiver receiver =
                 connection.openReceiver("session-check", new ReceiverOptions().creditWindow(4));
         for (int i = 0; i < 10; i++) {
-            Delivery got = receiver.receive(20, TimeUnit.SECONDS);
-            assertTrue(got.message().property("id").toString().endsWith(":" + i), "order");
+            Delivery delivery = receiver.receive(20, TimeUnit.SECONDS);
+            assertTrue(delivery.message().property("id").toString().endsWith(":" + i), "order");
         }
         return receiver;
     }
 
     @Test
     void unknownClassesAndUnsupportedFeaturesAreRejectedWithAnError() throws Exception {
-        try (AmqpTestEnvironment stage = new AmqpTestEnvironment(1, "");
+        try (AmqpTestEnvironment env = new AmqpTestEnvironment(1, "");
                 Client client = Client.create()) {
             Connection connection =
-                    client.connect(
-                            stage.amqpAddress().getHostString(), stage.amqpAddress().getPort());
+                    client.connect(env.amqpAddress().getHostString(), env.amqpAddress().getPort());
             ClientException unknown =
                     assertThrows(
                             ClientException.class,
