--- a/lab/src/test/java/saltstage/lab/amqp/ProtocolDriverTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/ProtocolDriverTest.java
@@ -64,12 +64,12 @@
                         || !String.valueOf(failure.getMessage()).contains("come again")) {
                     throw failure;
                 }
-                end();
+                tearDown();
             }
         }
     }
 
-    private void start(String settings) throws Exception {
+    private void startRelay(String settings) throws Exception {
         environment = new AmqpTestEnvironment(1, settings);
         awaitFirstLink();
         driver = new ProtonTestClient();
@@ -101,8 +101,8 @@
         }
     }
 
-    private void open() throws Exception {
-        start("  idle = \"2s\"\n");
+    private void openSession() throws Exception {
+        startRelay("  idle = \"2s\"\n");
         driver.expectOpen();
         driver.expectBegin();
         driver.remoteOpen().withContainerId("driver").now();
@@ -158,7 +158,7 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         driver.close();
         environment.close();
     }
@@ -169,7 +169,7 @@
     }
 
     private void echoRequestsOfLinkAndSessionAreAnsweredScript() throws Exception {
-        open();
+        openSession();
         attachSender(false);
         driver.expectFlow().withHandle(0).withLinkCredit(notNullValue());
         flow().withHandle(0).withDeliveryCount(0).withLinkCredit(0).withEcho(true).now();
@@ -185,7 +185,7 @@
     }
 
     private void drainReturnsUnusedCreditScript() throws Exception {
-        open();
+        openSession();
         backend().setMessagesPerLink(0);
         attachReceiver();
         flow().withHandle(0).withDeliveryCount(0).withLinkCredit(7).now();
@@ -202,7 +202,7 @@
     }
 
     private void reducedCreditIsReducedAtTheBackendScript() throws Exception {
-        open();
+        openSession();
         backend().setMessagesPerLink(0);
         attachReceiver();
         for (int credit : new int[] {50, 3, 0, 4}) {
@@ -217,7 +217,7 @@
     }
 
     private void inModeSecondTheBackendSettlesAfterTheClientScript() throws Exception {
-        open();
+        openSession();
         attachSender(true);
         driver.expectDisposition().withFirst(0).withState().accepted();
         driver.remoteTransfer()
@@ -244,7 +244,7 @@
     }
 
     private void sessionEndDuringATransferLeavesNothingBehindScript() throws Exception {
-        open();
+        openSession();
         attachSender(false);
         driver.expectEnd();
         driver.remoteTransfer()
@@ -282,7 +282,7 @@
     }
 
     private void detachDuringATransferLeavesNothingBehindAndNoOutcomeScript() throws Exception {
-        open();
+        openSession();
         attachSender(false);
         driver.expectDetach().withHandle(0);
         driver.expectFlow()
@@ -306,7 +306,7 @@
     }
 
     private void transactionsAreRejectedWithAnErrorScript() throws Exception {
-        open();
+        openSession();
         driver.expectAttach().withTarget(nullValue()).optional();
         driver.expectDetach().withError("amqp:not-implemented", "transactions");
         var attach =
@@ -327,7 +327,7 @@
 
     private void heartbeatsFollowTheIdleTimeoutAndAHalfOpenClientIsDisconnectedScript()
             throws Exception {
-        start("  idle = \"2s\"\n");
+        startRelay("  idle = \"2s\"\n");
         driver.expectOpen();
         driver.expectEmptyFrame();
         driver.expectEmptyFrame();
