--- a/lab/src/main/java/saltstage/lab/amqp/AmqpBenchmark.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpBenchmark.java
@@ -15,24 +15,26 @@
 import saltstage.lab.fleet.FakeFleet;
 import saltstage.lab.store.Report;
 
-/** The relay's AMQP front against the gateways themselves, in one run. */
+/** Compares the AMQP frontend of the relay with direct connections to the backends, in one run. */
 @Command(
         name = "amqp",
         mixinStandardHelpOptions = true,
         description = {
-            "Deliveries a second and latencies through a relay on one core and straight to the"
-                    + " gateways, at several",
-            "numbers of links; then bytes a quiet link, the last new link after a drain, and the"
-                    + " time that a killed",
-            "gateway costs. Written to docs/measurements as tables and a chart."
+            "Measures deliveries per second and latencies through a relay on one core and directly"
+                    + " to the backends, at several",
+            "numbers of links; then the bytes per idle link, the last new link after a drain, and"
+                    + " the time that a killed",
+            "backend costs. Writes tables and a chart to docs/measurements."
         })
 public final class AmqpBenchmark implements Callable<Integer> {
     private static final int BACKENDS = 4;
 
-    /** Deliveries a round, and a rate at which nothing takes them: there is always one more due. */
+    /** Deliveries sent in each round of the maximum rate measurement. */
     private static final double DELIVERIES_PER_ROUND = 120_000;
 
+    /** A rate that no route can sustain, so that there is always another delivery due. */
     private static final double UNLIMITED_RATE_PER_SECOND = 1_000_000;
+
     private static final double WARM_UP_RATE_PER_SECOND = 60_000;
 
     @Option(
@@ -42,7 +44,10 @@
             description = "numbers of links")
     private List<Integer> links;
 
-    @Option(names = "--seconds", defaultValue = "4", description = "each measurement (default 4)")
+    @Option(
+            names = "--seconds",
+            defaultValue = "4",
+            description = "length of each measurement (default 4)")
     private double seconds;
 
     @Option(names = "--cpu", defaultValue = "0", description = "the relay's core (default 0)")
@@ -51,7 +56,7 @@
     @Option(
             names = "--others",
             defaultValue = "1-7",
-            description = "cores of all else (default 1-7)")
+            description = "cores of everything else (default 1-7)")
     private String others;
 
     @Option(
@@ -64,9 +69,9 @@
             names = "--warm",
             defaultValue = "30",
             description = {
-                "seconds of load before the rates (default 30): the machine's compiler takes its"
-                        + " turns on the",
-                "relay's only core until it has done its work"
+                "seconds of load before the rates (default 30): the JIT compiler competes"
+                        + " for the",
+                "relay's only core until it has compiled the hot code"
             })
     private double warm;
 
@@ -74,7 +79,7 @@
             names = "--parts",
             split = ",",
             defaultValue = "rates,quiet,drain,kill",
-            description = "what is measured (default ${DEFAULT-VALUE})")
+            description = "the measurements to run (default ${DEFAULT-VALUE})")
     private List<String> parts;
 
     private Path dir;
@@ -83,8 +88,8 @@
 
     @Override
     public Integer call() throws Exception {
-        // The relay has its core to itself: clients and gateways keep off it, with all their
-        // threads.
+        // The relay has its core to itself: all threads of this process, clients and backends, run
+        // on the other cores.
         new ProcessBuilder("taskset", "-acp", others, Long.toString(ProcessHandle.current().pid()))
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
@@ -146,7 +151,7 @@
             case "kill" -> measureKill();
             default ->
                     throw new IllegalArgumentException(
-                            "no part '" + part + "': rates, quiet, drain, kill");
+                            "unknown part '" + part + "': use rates, quiet, drain or kill");
         }
     }
 
@@ -171,7 +176,7 @@
                         "worst ms");
         for (int linkCount : links) {
             double[] maxRates = new double[2];
-            for (int route = 0; route < 2; route++) { // a first run warms the machine's compiler up
+            for (int route = 0; route < 2; route++) { // also warms up the JIT compiler
                 maxRates[route] = measureMaxRate(route == 1, linkCount);
             }
             double halfRate = maxRates[0] / 2;
@@ -189,7 +194,9 @@
         report.writeFiles(Installation.measurementsDirectory());
     }
 
-    /** Latencies at a rate; a first run at that rate is not counted. */
+    /**
+     * Measures latencies at a fixed rate, after a first run at the same rate that isn't counted.
+     */
     private void measureLatencies(
             Report report, int linkCount, int route, double maxRate, double rate)
             throws InterruptedException {
@@ -231,7 +238,10 @@
         }
     }
 
-    /** Far more is due than can go: what is answered a second is the most. */
+    /**
+     * Returns the maximum rate of three rounds: more deliveries are due than can be sent, so the
+     * deliveries completed per second are the maximum.
+     */
     private double measureMaxRate(boolean straight, int linkCount) throws InterruptedException {
         double maxRate = 0;
         for (int round = 0; round < 3; round++) {
@@ -273,7 +283,9 @@
         report.writeFiles(Installation.measurementsDirectory());
     }
 
-    /** Live bytes on the heap, after a collection. */
+    /**
+     * Returns the size of the relay's live objects; the class histogram runs a collection first.
+     */
     private long liveHeapKib() throws IOException, InterruptedException {
         Thread.sleep(1_000);
         Process jcmd =
--- a/lab/src/main/java/saltstage/lab/amqp/AmqpLoadClient.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpLoadClient.java
@@ -34,9 +34,9 @@
 import saltstage.net.Transport;
 
 /**
- * One connection of a client and its sending links. Each delivery is due at a time and is measured
- * from then, whether its link had credit or not. A link that is detached attaches again, and so
- * does the connection.
+ * A client with one connection and a number of sender links. The latency of a delivery counts from
+ * the time at which it was due, whether its link had credit then or not. Detached links attach
+ * again, and a lost connection is opened again.
  */
 public final class AmqpLoadClient {
     private static final Connection.WriteLimits WRITE_LIMITS =
@@ -59,7 +59,12 @@
 
     private record ScheduledDelivery(String id, long dueNanos) {}
 
-    /** So many links to addresses of this class, with messages of so many bytes. */
+    /**
+     * Connects to the target and attaches the links.
+     *
+     * @param address prefix of the links' target addresses: the service class
+     * @param messageBytes size of each message's body
+     */
     public AmqpLoadClient(
             Transport transport,
             Loop loop,
@@ -81,38 +86,38 @@
         loop.execute(this::connect);
     }
 
-    /** Says that a delivery is due on a link, at this moment of the monotonic clock. */
+    /**
+     * Queues a delivery on a link. Its latency counts from {@code dueNanos}, a time of {@link
+     * System#nanoTime}.
+     */
     public void scheduleDelivery(int link, String id, long dueNanos) {
         deliveryTracker.deliverySent(id);
         loop.execute(() -> links.get(link).enqueue(new ScheduledDelivery(id, dueNanos)));
     }
 
-    /** How many links it has. */
+    /** Returns the number of links, attached or not. */
     public int linkCount() {
         return links.size();
     }
 
-    /** How many links are attached. */
+    /** Returns the number of attached links. */
     public int attachedCount() {
         return attachedCount;
     }
 
-    /** How many deliveries are due and were not sent, for want of credit or of a link. */
+    /** Returns the number of deliveries that are due and wait for credit or for their link. */
     public int unsentCount() {
         return unsentCount;
     }
 
-    /** How many times links were detached, by condition. */
+    /** Returns how often links were detached and the connection ended, by condition. */
     public Map<String, Long> detachCounts() {
         synchronized (detachCounts) {
             return Map.copyOf(detachCounts);
         }
     }
 
-    /**
-     * What keeps it, for a message: each link with deliveries that are due, its credit and its
-     * session's.
-     */
+    /** Describes the state and credit of each link with unsent deliveries, for messages. */
     public String describeBlockedLinks() {
         StringBuilder text = new StringBuilder();
         for (SenderLink link : links) {
@@ -138,7 +143,7 @@
         return text.toString();
     }
 
-    /** Ends politely; what has no outcome by then has none. */
+    /** Closes the connection; deliveries without an outcome stay without one. */
     public void close() {
         closing = true;
         loop.execute(
@@ -178,7 +183,7 @@
                 Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::connect);
     }
 
-    /** The connection. */
+    /** The AMQP connection; when it ends, the client connects again. */
     private final class LoadConnection extends AmqpConnection {
         LoadConnection(Connection connection) {
             super(connection, Instant::now, 1 << 20);
@@ -215,7 +220,7 @@
         }
     }
 
-    /** One link and what is due on it. */
+    /** A sender link with its unsent and unsettled deliveries. */
     private final class SenderLink {
         private final int index;
         private final String address;
--- a/lab/src/main/java/saltstage/lab/amqp/AmqpServerConnection.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpServerConnection.java
@@ -16,7 +16,7 @@
 import saltstage.amqp.AmqpConnection;
 import saltstage.net.Connection;
 
-/** A server's side of a connection: with SASL ANONYMOUS or without SASL, as the client begins. */
+/** The server side of a connection, with SASL ANONYMOUS or without SASL as the client chooses. */
 class AmqpServerConnection extends AmqpConnection {
     private final Consumer<Engine> engineConfigurer;
     private final Consumer<AmqpServerConnection> endListener;
@@ -55,26 +55,27 @@
         ingest(pendingBytes);
     }
 
-    /** Whether this engine is its own. */
+    /** Returns whether this connection uses the engine. */
     boolean hasEngine(Engine candidate) {
         return engine() == candidate;
     }
 
-    /** Reads on, or lets what comes wait in the system. */
+    /** Resumes reading, or leaves received bytes in the operating system's buffers. */
     void setReading(boolean enabled) {
         netConnection().setReading(enabled);
     }
 
-    /** Ends as a process does that dies. */
+    /** Resets the connection, as the death of the process would. */
     void reset() {
         if (engine() != null) {
-            engine().shutdown(); // its links are over before its peer can know: no copy is out
-            // there any more
+            // The links must end before the peer can see the reset: it may then send a delivery to
+            // another backend, and the copy here must no longer count as outstanding.
+            engine().shutdown();
         }
         netConnection().reset();
     }
 
-    /** Begins a frame that it does not end, and dies. */
+    /** Writes the beginning of a frame and resets the connection a moment later. */
     void resetWithinFrame() {
         netConnection().write(ByteBuffer.wrap(new byte[] {0, 0, 1, 0, 2, 0, 0, 0, 0, 0x53}));
         loop().schedule(Duration.ofMillis(5), this::reset);
--- a/lab/src/main/java/saltstage/lab/amqp/DeliveryTracker.java
+++ b/lab/src/main/java/saltstage/lab/amqp/DeliveryTracker.java
@@ -12,11 +12,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Every delivery sent and what its sender was told of it, to be compared with what the gateways
- * say.
+ * Records each delivery sent and the outcome that its sender received, to compare them with the
+ * deliveries that the backends accepted.
  */
 public final class DeliveryTracker {
-    /** What a sender was told, or that its link ended without a word. */
+    /**
+     * The outcome that a sender received; {@code WAITING} until then, {@code NOTHING} if its link
+     * ended without an outcome.
+     */
     public enum DeliveryOutcome {
         WAITING,
         ACCEPTED,
@@ -27,17 +30,14 @@
         NOTHING
     }
 
-    /**
-     * Room beforehand: a map that grows keeps all threads of a measurement waiting for
-     * milliseconds.
-     */
+    /** Sized in advance: a resize would block all threads of a measurement for milliseconds. */
     private final Map<String, DeliveryOutcome> outcomes = new HashMap<>(1 << 20);
 
     private long pendingCount;
     private final List<String> faults = new ArrayList<>();
     private final Histogram latencies = new Histogram(TimeUnit.MINUTES.toNanos(2), 3);
 
-    /** It was sent. */
+    /** Records that a delivery was sent or is about to be. */
     public synchronized void deliverySent(String id) {
         pendingCount++;
         if (outcomes.put(id, DeliveryOutcome.WAITING) != null) {
@@ -45,7 +45,11 @@
         }
     }
 
-    /** Its sender was told this, so long after it should have been sent. */
+    /**
+     * Records the outcome of a delivery.
+     *
+     * @param latencyNanos time since the delivery was due; negative if unknown
+     */
     public synchronized void outcomeReceived(
             String id, DeliveryOutcome outcome, long latencyNanos) {
         DeliveryOutcome previous = outcomes.put(id, outcome);
@@ -58,36 +62,36 @@
         }
     }
 
-    /** How many there are of each. */
+    /** Returns the number of deliveries with each outcome. */
     public synchronized Map<DeliveryOutcome, Long> outcomeCounts() {
         Map<DeliveryOutcome, Long> counts = new TreeMap<>();
         outcomes.values().forEach(outcome -> counts.merge(outcome, 1L, Long::sum));
         return counts;
     }
 
-    /** Whether it was sent here. */
+    /** Returns whether this delivery was recorded as sent. */
     public synchronized boolean contains(String id) {
         return outcomes.containsKey(id);
     }
 
-    /** How many were sent. */
+    /** Returns the number of deliveries sent. */
     public synchronized int sentCount() {
         return outcomes.size();
     }
 
-    /** How many wait for their outcome. */
+    /** Returns the number of deliveries that wait for their outcome. */
     public synchronized long pendingCount() {
         return pendingCount;
     }
 
-    /** Times from when an accepted one was due to its outcome, in nanoseconds. */
+    /** Returns the times in nanoseconds from when accepted deliveries were due to their outcome. */
     public synchronized Histogram latencies() {
         return latencies.copy();
     }
 
     /**
-     * What cannot be, compared with the ids that the gateways have accepted; empty where all is
-     * well.
+     * Returns the contradictions within the recorded outcomes and between them and the ids that the
+     * backends accepted; empty if there are none.
      */
     public synchronized List<String> findFaults(Collection<String> backendAcceptedIds) {
         List<String> allFaults = new ArrayList<>(faults);
--- a/lab/src/main/java/saltstage/lab/amqp/FakeAmqpBackend.java
+++ b/lab/src/main/java/saltstage/lab/amqp/FakeAmqpBackend.java
@@ -34,9 +34,9 @@
 import saltstage.net.Transport;
 
 /**
- * A stand-in for a gateway that speaks AMQP 1.0: takes links on any address, accepts or rejects
- * deliveries, gives messages to who receives, and keeps count of all of it. It drains, dies,
- * freezes and answers late.
+ * A simulated backend that speaks AMQP 1.0. It takes links on any address, accepts or rejects
+ * deliveries, sends messages to receivers and counts all of it. On command it drains, dies, freezes
+ * or delays its outcomes.
  */
 public final class FakeAmqpBackend {
     private static final int LINK_CREDIT = 200;
@@ -69,7 +69,7 @@
     private volatile long lastLinkMillis;
     private volatile long servedLinkCount;
 
-    /** A gateway at this address. */
+    /** Starts a backend that listens on this address. */
     public FakeAmqpBackend(
             String uid,
             Transport transport,
@@ -109,7 +109,8 @@
                 .openHandler(connection -> connection.open())
                 .closeHandler(connection -> connection.close())
                 .sessionOpenHandler(
-                        session -> { // usually without a window: all that comes is read at once
+                        session -> {
+                            // By default there is no window: everything received is read at once.
                             if (sessionWindowBytes > 0) {
                                 session.setIncomingCapacity(sessionWindowBytes);
                             }
@@ -123,8 +124,8 @@
 
     private boolean rejectIfUnavailable(Link<?> link) {
         lastLinkMillis = System.currentTimeMillis();
-        if (!linkKeys.add(
-                linkKey(link))) { // a second one of this name between two containers (2.6.1)
+        // A link name may be in use only once between two containers (AMQP 1.0, 2.6.1).
+        if (!linkKeys.add(linkKey(link))) {
             stolenLinkCount++;
             link.setSource(null).setTarget((Target) null).open();
             link.setCondition(new ErrorCondition(LinkError.STOLEN, "link " + link.getName()))
@@ -197,8 +198,8 @@
     private void deliveryReceived(
             Receiver link, IncomingDelivery delivery, Set<String> outstandingIds) {
         if (delivery.isPartial()) {
-            if (delivery.available()
-                    > MAX_UNREAD_BYTES) { // a large one is read as it comes: its id came first
+            // A large delivery is read while it arrives; its id is in the first bytes.
+            if (delivery.available() > MAX_UNREAD_BYTES) {
                 bufferHead(delivery);
             }
             return;
@@ -224,7 +225,7 @@
         }
     }
 
-    /** The first bytes are enough for the id. */
+    /** Reads the available bytes and keeps only the first ones, which contain the id. */
     private static void bufferHead(IncomingDelivery delivery) {
         ProtonBuffer head = delivery.getLinkedResource();
         ProtonBuffer received = delivery.available() > 0 ? delivery.readAll() : null;
@@ -248,13 +249,13 @@
                 return connection;
             }
         }
-        throw new IllegalStateException("a link of no connection");
+        throw new IllegalStateException("link belongs to no connection");
     }
 
     private void sendOutcome(
             Receiver link, IncomingDelivery delivery, String id, Set<String> outstandingIds) {
         if (!links.contains(link) || state == State.SILENT || !outstandingIds.remove(id)) {
-            return; // its link has ended meanwhile, or the machine is frozen
+            return; // the link has ended in the meantime, or the backend is frozen
         }
         duplicateDetector.deliveryEnded(id);
         boolean reject = ThreadLocalRandom.current().nextInt(100) < rejectPercent;
@@ -331,14 +332,12 @@
         }
     }
 
-    // ---- what is done to it
-
-    /** Wants no new links; those that it has go on. */
+    /** Rejects new links; existing links continue. */
     public void drain() {
         state = State.DRAINING;
     }
 
-    /** Dies as a process does. */
+    /** Stops listening and resets all connections, as the death of the process would. */
     public void kill() {
         state = State.DEAD;
         listener.close();
@@ -346,111 +345,115 @@
     }
 
     /**
-     * Dies in the middle of a frame to each of its peers; a new process takes its place at once.
+     * Resets each connection in the middle of a frame. The backend keeps listening, as if a new
+     * process had taken its place at once.
      */
     public void resetWithinFrame() {
         connections.forEach(connection -> connection.loop().execute(connection::resetWithinFrame));
     }
 
-    /** Freezes as a machine does that is cut off. */
+    /** Stops reading and answering without closing anything, as a machine that is cut off does. */
     public void freeze() {
         state = State.SILENT;
         connections.forEach(
                 connection -> connection.loop().execute(() -> connection.setReading(false)));
-        // Its peers can only give its connections up, which it does not see: what it holds counts
-        // as that.
+        // The peers can only give up on these connections, and a frozen backend does not see it,
+        // so its outstanding deliveries count as ended from here on.
         List.copyOf(outstandingCleanups).forEach(Runnable::run);
     }
 
-    /** Serves again; a killed one as a new process. */
+    /** Returns to service; after a kill, listens again as a new process. */
     public void start() throws IOException {
         if (state == State.DEAD) {
             listen();
         }
         boolean frozen = state == State.SILENT;
         state = State.READY;
-        if (frozen) { // what it had open is void: its peers have given it up
+        if (frozen) { // the peers have given up on the connections from before the freeze
             connections.forEach(connection -> connection.loop().execute(connection::reset));
         }
     }
 
-    /** Gives outcomes that much later. */
+    /** Sets the delay between receiving a delivery and sending its outcome. */
     public void setOutcomeDelay(Duration delay) {
         outcomeDelay = delay;
     }
 
-    /** Rejects so many of a hundred deliveries. */
+    /** Sets the percentage of deliveries that are rejected. */
     public void setRejectPercent(int percent) {
         rejectPercent = percent;
     }
 
-    /** Gives so many messages to each link that receives. */
+    /** Sets the number of messages sent to each receiving client link. */
     public void setMessagesPerLink(int messages) {
         messagesPerLink = messages;
     }
 
-    /** Takes so many bytes a session before it has read them; 0: any number. */
+    /** Sets the incoming window of each new session in bytes; 0 means no limit. */
     public void setSessionWindowBytes(int bytes) {
         sessionWindowBytes = bytes;
     }
 
-    // ---- what is seen of it
-
-    /** How many sessions it has taken. */
+    /** Returns the number of sessions opened so far. */
     public int sessionCount() {
         return sessionCount;
     }
 
-    /** How many deliveries were settled by their sender first, in the mode 'second' (2.6.12). */
+    /**
+     * Returns the number of deliveries that their sender settled first, as receiver settle mode
+     * 'second' asks for (AMQP 1.0, 2.6.12).
+     */
     public int senderSettledFirstCount() {
         return senderSettledFirstCount;
     }
 
-    /** How many messages its links that send may send now. */
+    /** Returns the credit of the links on which this backend sends, summed up. */
     public int availableCredit() {
         return links.stream().filter(Link::isSender).mapToInt(Link::getCredit).sum();
     }
 
-    /** How many links were turned away as their name was taken. */
+    /** Returns the number of links rejected because their name was in use. */
     public int stolenLinkCount() {
         return stolenLinkCount;
     }
 
-    /** Where it listens. */
+    /** Returns the address on which the backend listens. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** How many links are open. */
+    /** Returns the number of open links. */
     public int linkCount() {
         return links.size();
     }
 
-    /** How many links it has taken. */
+    /** Returns the number of links accepted so far. */
     public long servedLinkCount() {
         return servedLinkCount;
     }
 
-    /** When the last new link came, in Unix milliseconds; 0 for never. */
+    /**
+     * Returns the time of the last attach, rejected ones included, in Unix milliseconds; 0 if none.
+     */
     public long lastLinkMillis() {
         return lastLinkMillis;
     }
 
-    /** The ids of the deliveries accepted, each time that one was. */
+    /** Returns the ids of all accepted deliveries; an id accepted twice is in it twice. */
     public List<String> acceptedIds() {
         synchronized (acceptedIds) {
             return List.copyOf(acceptedIds);
         }
     }
 
-    /** How many outcomes of each kind it has given. */
+    /** Returns the number of outcomes of each kind that this backend sent. */
     public Map<String, Long> outcomeCounts() {
         synchronized (acceptedIds) {
             return Map.copyOf(outcomeCounts);
         }
     }
 
-    /** How many outcomes of each kind its receivers have told it. */
+    /** Returns the number of outcomes of each kind that receivers sent to this backend. */
     public Map<String, Long> receivedOutcomeCounts() {
         synchronized (acceptedIds) {
             return Map.copyOf(receivedOutcomeCounts);
--- a/lab/src/main/java/saltstage/lab/amqp/LineLoadClient.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LineLoadClient.java
@@ -12,7 +12,7 @@
 import saltstage.net.Loop;
 import saltstage.net.Transport;
 
-/** One client that speaks lines: opens, then says numbered lines that its backend says back. */
+/** A client of the line protocol: opens a request, then sends numbered lines that are echoed. */
 final class LineLoadClient implements ConnectionHandler, Transport.ConnectListener {
     private static final Connection.WriteLimits WRITE_LIMITS =
             new Connection.WriteLimits(1 << 16, 1 << 24);
@@ -51,7 +51,7 @@
         return established;
     }
 
-    /** A line is due; it counts from this moment. */
+    /** Queues a line; its latency counts from {@code dueNanos}. */
     void scheduleLine(String id, long dueNanos) {
         deliveryTracker.deliverySent(id);
         loop.execute(
--- a/lab/src/main/java/saltstage/lab/amqp/LoadCommand.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LoadCommand.java
@@ -17,29 +17,26 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Load on a relay that serves in front of a fleet. */
+/** Sends load through the relay of a running fleet, or directly to the fleet's backends. */
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
         description = {
-            "Sends deliveries (or lines) at a rate through the relay of a fleet, each measured"
-                    + " from",
-            "when it was due, and compares what senders were told with what the gateways say."
+            "Sends deliveries (or lines) at a fixed rate through the relay of a fleet, measures"
+                    + " each from",
+            "when it was due, and compares the senders' outcomes with what the backends accepted."
         },
-        footer = {
-            "",
-            "Exits with 0 where each delivery is accounted for at both ends, else with 1."
-        })
+        footer = {"", "Exits with 0 if each delivery is accounted for at both ends, else with 1."})
 public final class LoadCommand implements Callable<Integer> {
     private static final int MAX_LISTED_FAULTS = 20;
 
-    /** What is spoken. */
+    /** The protocol of the load; the constants are the values of the option. */
     public enum Protocol {
         lines,
         amqp
     }
 
-    @Parameters(paramLabel = "DIR", description = "the folder that 'lab fleet' has written")
+    @Parameters(paramLabel = "DIR", description = "the directory that 'lab fleet' has written")
     private Path dir;
 
     @Option(names = "--protocol", defaultValue = "amqp", description = "amqp (default) or lines")
@@ -63,13 +60,15 @@
             names = "--seconds",
             paramLabel = "S",
             defaultValue = "10",
-            description = "how long (default 10)")
+            description = "how long to send (default 10)")
     private double seconds;
 
-    @Option(names = "--straight", description = "to the gateways themselves, past the relay")
+    @Option(
+            names = "--straight",
+            description = "connect to the backends directly, without the relay")
     private boolean straight;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "where the result goes as JSON")
+    @Option(names = "--json", paramLabel = "FILE", description = "file for the result as JSON")
     private Path json;
 
     @Override
@@ -98,7 +97,7 @@
                                             : List.of());
         }
         if (protocol == Protocol.lines) {
-            // Lines come back as they are: there is no second end to compare with.
+            // Lines are only echoed: there are no backend records to compare with.
             faults.removeIf(fault -> fault.startsWith("accepted by no gateway"));
         }
         result.put("faults", faults.size());
@@ -126,7 +125,7 @@
         return targets;
     }
 
-    /** What the gateways have accepted of this load's deliveries; those of others are left out. */
+    /** Returns the ids that the backends accepted, without the deliveries of other senders. */
     private static List<String> acceptedIds(JsonNode fleet, LoadGenerator load) throws IOException {
         List<String> ids = new ArrayList<>();
         InetSocketAddress statusAddress = parseAddress(fleet.get("status").asText());
--- a/lab/src/main/java/saltstage/lab/amqp/LoadGenerator.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LoadGenerator.java
@@ -10,7 +10,10 @@
 import org.HdrHistogram.Histogram;
 import saltstage.net.NettyTransport;
 
-/** A load of deliveries or lines at a rate, each measured from when it was due. */
+/**
+ * Sends deliveries or lines at a fixed rate; the latency of each counts from the time at which it
+ * was due.
+ */
 final class LoadGenerator implements AutoCloseable {
     private static final int LINKS_PER_CONNECTION = 250;
     private static final int MESSAGE_BYTES = 128;
@@ -28,7 +31,10 @@
     private final DeliveryTracker deliveryTracker = new DeliveryTracker();
     private long nextDeliveryNumber;
 
-    /** So many links or line connections, spread over these addresses; returns once they stand. */
+    /**
+     * Opens this many links or line connections, spread over the targets, and waits until all are
+     * attached.
+     */
     LoadGenerator(boolean speaksAmqp, List<InetSocketAddress> targets, int linkCount, String name)
             throws InterruptedException {
         this.linkCount = linkCount;
@@ -71,7 +77,7 @@
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadlineNanos) {
-                throw new IllegalStateException("not within 60 s: " + description);
+                throw new IllegalStateException("timed out after 60 s: " + description);
             }
             Thread.sleep(5);
         }
@@ -98,8 +104,9 @@
     }
 
     /**
-     * Sends at this rate for so long, then waits for the outcomes; shows a line a second where
-     * asked to.
+     * Sends at this rate per second for the given time, then waits for the outcomes.
+     *
+     * @param progress whether to print a line of counts every second
      */
     void run(double rate, double seconds, boolean progress) throws InterruptedException {
         long start = System.nanoTime();
@@ -141,7 +148,7 @@
         }
     }
 
-    /** Percentiles in milliseconds. */
+    /** Returns latency percentiles in milliseconds, by names such as {@code p99.9}. */
     Map<String, Object> latencyPercentilesMillis() {
         Histogram latencies = deliveryTracker.latencies();
         Map<String, Object> percentiles = new TreeMap<>();
--- a/lab/src/main/java/saltstage/lab/amqp/MessageCodec.java
+++ b/lab/src/main/java/saltstage/lab/amqp/MessageCodec.java
@@ -10,7 +10,7 @@
 import org.apache.qpid.protonj2.types.messaging.Data;
 import org.apache.qpid.protonj2.types.messaging.Properties;
 
-/** Messages with an id, made and read. */
+/** Encodes messages that carry an id, and reads the id of received messages. */
 final class MessageCodec {
     private static final ThreadLocal<Encoder> ENCODER =
             ThreadLocal.withInitial(CodecFactory::getDefaultEncoder);
@@ -19,7 +19,7 @@
 
     private MessageCodec() {}
 
-    /** A message with this id and a body of so many bytes. */
+    /** Encodes a message with this id and a body of {@code size} bytes. */
     static byte[] encode(String id, int size) {
         Encoder encoder = ENCODER.get();
         ProtonBuffer buffer = ProtonBufferAllocator.defaultAllocator().allocate(64 + size);
@@ -33,7 +33,7 @@
         return bytes;
     }
 
-    /** The application property id, else the message id, else null. */
+    /** Returns the application property {@code id}, else the message id, else null. */
     static String readId(ProtonBuffer message) {
         Decoder decoder = DECODER.get();
         String id = null;
--- a/lab/src/test/java/saltstage/lab/amqp/AmqpFaultSoakTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/AmqpFaultSoakTest.java
@@ -16,9 +16,10 @@
 import saltstage.net.NettyTransport;
 
 /**
- * Nights of trouble from seeds: gateways drain, die, reset in the middle of a frame, freeze, slow
- * down and come back while tens of thousands of deliveries pass. Each has one outcome, none is out
- * twice, and a gateway that drains gets no link later than a second after it was told.
+ * Injects random backend faults from a seed while thousands of deliveries pass: backends drain,
+ * die, reset connections in the middle of a frame, freeze, slow down and return. The test guards
+ * against deliveries that get no outcome or more than one, or that are outstanding at two backends
+ * at once, and against new links at a backend later than a second after its drain.
  */
 @Timeout(180)
 class AmqpFaultSoakTest {
@@ -54,7 +55,7 @@
             env.fleet().amqpBackends().forEach(backend -> accepted.addAll(backend.acceptedIds()));
             Map<DeliveryTracker.DeliveryOutcome, Long> counts = tracker.outcomeCounts();
             System.out.println(
-                    "night "
+                    "seed "
                             + seed
                             + ": "
                             + counts
@@ -87,7 +88,7 @@
                             transport,
                             transport.loops().get(0),
                             env.amqpAddress(),
-                            "night" + i,
+                            "soak" + i,
                             LINKS_PER_CONNECTION,
                             "status-report",
                             100,
@@ -142,7 +143,7 @@
         env.await("all answered", () -> tracker.pendingCount() == 0);
     }
 
-    /** One thing happens to one gateway; two at least are left alone. */
+    /** Applies a random fault to one backend, or restores it; at least two backends stay ready. */
     private static void injectRandomFault(
             AmqpTestEnvironment env,
             Random random,
--- a/lab/src/test/java/saltstage/lab/amqp/AmqpFrontendTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/AmqpFrontendTest.java
@@ -34,14 +34,16 @@
 import saltstage.net.NettyTransport;
 
 /**
- * What the front makes of clients that are hostile, unknown, large, sudden, or speak lines beside.
+ * Tests the AMQP frontend with malformed and flooding clients, limits, authentication, settings
+ * reloads, large and aborted deliveries, and a shutdown under load while line clients are
+ * connected.
  */
 @Timeout(150)
 class AmqpFrontendTest {
     private static final byte[] PROTOCOL_HEADER = {'A', 'M', 'Q', 'P', 0, 1, 0, 0};
     private static final byte[] EMPTY_FRAME = {0, 0, 0, 8, 2, 0, 0, 0};
 
-    /** An open with the container id "x" (2.7.1). */
+    /** An open frame with the container id "x" (AMQP 1.0, 2.7.1). */
     private static final byte[] OPEN_FRAME = {
         0, 0, 0, 17, 2, 0, 0, 0, 0, 0x53, 0x10, (byte) 0xc0, 4, 1, (byte) 0xa1, 1, 'x'
     };
@@ -61,7 +63,7 @@
                 }
             } catch (SocketTimeoutException timeout) {
                 throw new AssertionError("the connection stays open", timeout);
-            } catch (IOException connectionReset) { // an end as well
+            } catch (IOException connectionReset) { // a reset ends the connection as well
                 return received.toString(StandardCharsets.ISO_8859_1);
             }
             return received.toString(StandardCharsets.ISO_8859_1);
@@ -73,20 +75,22 @@
         try (AmqpTestEnvironment env =
                 new AmqpTestEnvironment(1, "  open_within = \"500ms\"\n  frame = \"4KiB\"\n")) {
             exchange(env);
-            exchange(env, PROTOCOL_HEADER); // a header alone
+            exchange(env, PROTOCOL_HEADER); // the protocol header and nothing else
             exchange(
                     env, "GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
             exchange(
                     env,
                     PROTOCOL_HEADER,
-                    new byte[] {0, 0, 0, 1, 2, 0, 0, 0, 0}); // a size below the least
+                    new byte[] {0, 0, 0, 1, 2, 0, 0, 0, 0}); // a frame size below the minimum of 8
             exchange(
-                    env, PROTOCOL_HEADER, new byte[] {0x7f, 0, 0, 0, 2, 0, 0, 0}); // and a huge one
+                    env,
+                    PROTOCOL_HEADER,
+                    new byte[] {0x7f, 0, 0, 0, 2, 0, 0, 0}); // a frame size far above the maximum
             String flooded = exchange(env, PROTOCOL_HEADER, OPEN_FRAME, emptyFrames(1_000));
             assertTrue(flooded.contains("amqp:resource-limit-exceeded"), flooded);
             env.await("amqp.flood", () -> hasLogged(env, "amqp.flood"));
             assertTrue(hasLogged(env, "amqp.client.silent"));
-            try (Client client = Client.create()) { // and it goes on serving
+            try (Client client = Client.create()) { // the relay still serves other clients
                 Connection connection =
                         client.connect(
                                 env.amqpAddress().getHostString(), env.amqpAddress().getPort());
@@ -243,7 +247,7 @@
         try (AmqpTestEnvironment env = new AmqpTestEnvironment(1, access + "  connections = 1\n");
                 Client client = Client.create()) {
             assertTrue(canSend(client, env, "first"));
-            assertFalse(canSend(client, env, "first"), "one connection was allowed");
+            assertFalse(canSend(client, env, "first"), "only one connection is allowed");
             Files.writeString(secrets, "dosan-power:second\n");
             env.reloadSettings(access + "  connections = 20\n");
             env.await("reload.done", () -> countLogLines(env, "reload.done") == 1);
@@ -252,10 +256,13 @@
             Files.writeString(secrets, "no colon\n");
             env.reloadSettings(access + "  connections = 1\n");
             env.await("reload.refused", () -> countLogLines(env, "reload.refused") == 1);
-            assertTrue(canSend(client, env, "second"), "nothing of a bad change is in force");
+            assertTrue(
+                    canSend(client, env, "second"), "a rejected reload must not change anything");
             Files.writeString(secrets, "dosan-power:second\n");
             env.reloadSettings(access + "  connections = 20\n  loops = 2\n");
-            env.await("what waits for a restart", () -> countLogLines(env, "amqp.loops") == 1);
+            env.await(
+                    "the log names the setting that needs a restart",
+                    () -> countLogLines(env, "amqp.loops") == 1);
             assertTrue(canSend(client, env, "second"));
         } finally {
             Files.delete(secrets);
@@ -338,7 +345,7 @@
                             tracker);
             env.await("attached", () -> client.attachedCount() == 20);
             env.await(
-                    "lines stand",
+                    "line clients established",
                     () ->
                             env.fleet().backends().stream()
                                             .mapToInt(backend -> backend.establishedCount())
@@ -351,7 +358,9 @@
                     2_000, tracker.outcomeCounts().get(DeliveryTracker.DeliveryOutcome.ACCEPTED));
             assertEquals(0, lineClients.brokenCount());
             env.relay().destroy();
-            assertTrue(env.relay().waitFor(10, TimeUnit.SECONDS), "it does not leave");
+            assertTrue(
+                    env.relay().waitFor(10, TimeUnit.SECONDS),
+                    "the relay did not shut down within 10 s");
             lineClients.stop();
             assertEquals(
                     20,
--- a/lab/src/test/java/saltstage/lab/amqp/AmqpTestEnvironment.java
+++ b/lab/src/test/java/saltstage/lab/amqp/AmqpTestEnvironment.java
@@ -11,7 +11,7 @@
 import saltstage.lab.Installation;
 import saltstage.lab.fleet.FakeFleet;
 
-/** The built relay as a process, in front of a fleet of stand-ins that speak AMQP. */
+/** Runs the built relay as a process in front of a fleet of simulated AMQP backends. */
 final class AmqpTestEnvironment implements AutoCloseable {
     private final Path dir;
     private final FakeFleet fleet;
@@ -64,13 +64,13 @@
         }
     }
 
-    /** Writes other settings and sends SIGHUP. */
+    /** Writes new AMQP settings and sends SIGHUP to the relay. */
     void reloadSettings(String amqpSettings) throws IOException, InterruptedException {
         Files.writeString(dir.resolve("saltstage.hcl"), fleet.operatorSettings(amqpSettings));
         new ProcessBuilder("kill", "-HUP", Long.toString(relay.pid())).start().waitFor();
     }
 
-    /** The same with a description that is made when it is needed. */
+    /** Waits for a condition; the description is built only if the wait times out. */
     void await(Supplier<String> description, BooleanSupplier condition)
             throws InterruptedException, IOException {
         try {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Waits until it holds; says what it waited for where it never does. */
+    /** Waits up to 30 s for a condition, and fails with the description and the relay's log. */
     void await(String description, BooleanSupplier condition)
             throws InterruptedException, IOException {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
--- a/lab/src/test/java/saltstage/lab/amqp/ProtocolDriverTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/ProtocolDriverTest.java
@@ -15,12 +15,13 @@
 import saltstage.net.NettyTransport;
 
 /**
- * Frame by frame, by a driver that nobody here wrote: what comes back must be what it was told to
- * expect.
+ * Tests the AMQP frontend frame by frame with the third-party protonj2 test driver: each frame that
+ * the relay sends must be one that the script expects. Guards against protocol faults that clients
+ * tolerate, such as a flow that is not answered or an outcome after a detach.
  */
 @Timeout(120)
 class ProtocolDriverTest {
-    /** Properties with the message id "d1" (3.2.4) and a data section of one byte (3.2.6). */
+    /** A message with the message id "d1" (AMQP 1.0, 3.2.4) and one byte of data (3.2.6). */
     private static final byte[] MESSAGE = {
         0,
         0x53,
@@ -45,14 +46,14 @@
     private AmqpTestEnvironment environment;
     private ProtonTestClient driver;
 
-    /** What a peer does and waits for. */
+    /** The frames that the driver sends and expects in one test. */
     private interface Script {
         void run() throws Exception;
     }
 
     /**
-     * An attach may be refused for now, as on a machine that is slow just then: that is played
-     * anew.
+     * Runs a script, and runs it again with a new relay if an attach was rejected with "come
+     * again", as happens on a slow machine.
      */
     private void runWithRetries(Script script) throws Exception {
         for (int i = 1; ; i++) {
@@ -81,7 +82,7 @@
         driver.waitForScriptToComplete(20, TimeUnit.SECONDS);
     }
 
-    /** A relay that has just begun may refuse at first: links are taken from here on. */
+    /** Waits until the relay takes links; it may reject them shortly after its start. */
     private void awaitFirstLink() throws Exception {
         try (NettyTransport transport =
                 new NettyTransport(1, false, (context, fault) -> fault.printStackTrace())) {
@@ -95,9 +96,9 @@
                             "session-check",
                             64,
                             new DeliveryTracker());
-            environment.await("a first link", () -> client.attachedCount() == 1);
+            environment.await("the first link is attached", () -> client.attachedCount() == 1);
             client.close();
-            environment.await("it is gone", () -> backend().linkCount() == 0);
+            environment.await("the first link is closed", () -> backend().linkCount() == 0);
         }
     }
 
@@ -118,7 +119,7 @@
         driver.waitForScriptToComplete(20, TimeUnit.SECONDS);
     }
 
-    /** A flow with the session's state as it is while nothing was transferred. */
+    /** Returns a flow with the session state that applies while nothing has been transferred. */
     private FlowInjectAction flow() {
         return driver.remoteFlow()
                 .withIncomingWindow(100)
@@ -193,7 +194,7 @@
         driver.expectFlow().withHandle(0).withDeliveryCount(7).withLinkCredit(0).withDrain(true);
         flow().withHandle(0).withDeliveryCount(0).withLinkCredit(7).withDrain(true).now();
         awaitScript();
-        environment.await("and none after it", () -> backend().availableCredit() == 0);
+        environment.await("the backend has no credit left", () -> backend().availableCredit() == 0);
     }
 
     @Test
@@ -258,7 +259,7 @@
         awaitScript();
         environment.await("no link", () -> backend().linkCount() == 0);
         assertEquals(List.of(), backend().acceptedIds());
-        driver.expectBegin(); // the connection goes on
+        driver.expectBegin(); // the connection stays usable
         driver.remoteBegin()
                 .withNextOutgoingId(0)
                 .withIncomingWindow(100)
@@ -285,8 +286,8 @@
         openSession();
         attachSender(false);
         driver.expectDetach().withHandle(0);
-        driver.expectFlow()
-                .withHandle(nullValue()); // the session's window, which the link's bytes had used
+        // The session window, which the bytes of the detached link had used, is opened again.
+        driver.expectFlow().withHandle(nullValue());
         driver.remoteTransfer()
                 .withHandle(0)
                 .withDeliveryId(0)
@@ -333,7 +334,8 @@
         driver.expectEmptyFrame();
         driver.remoteOpen().withContainerId("driver").withIdleTimeOut(400).now();
         awaitScript();
-        // The peer goes silent now: beats still come, until the relay ends what it takes for dead.
+        // The driver is silent from here on: the relay sends heartbeats until its idle timeout,
+        // then closes the connection.
         for (int i = 0; i < 30; i++) {
             driver.expectEmptyFrame().optional();
         }
--- a/lab/src/test/java/saltstage/lab/amqp/SharedSessionTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/SharedSessionTest.java
@@ -17,7 +17,11 @@
 import org.junit.jupiter.api.Timeout;
 import saltstage.net.NettyTransport;
 
-/** How clients' links lie on sessions towards backends: shared, and nobody's harm. */
+/**
+ * Tests that client links share sessions towards backends without affecting each other: a closed
+ * session window, a backend that does not respond or an equal link name must not block the links of
+ * others.
+ */
 @Timeout(120)
 class SharedSessionTest {
     private static List<String> acceptedIds(AmqpTestEnvironment env) {
@@ -50,7 +54,7 @@
                 NettyTransport transport =
                         new NettyTransport(1, false, (context, fault) -> fault.printStackTrace())) {
             FakeAmqpBackend backend = env.fleet().amqpBackends().get(0);
-            backend.setSessionWindowBytes(32 << 10); // two frames
+            backend.setSessionWindowBytes(32 << 10); // the size of two frames
             DeliveryTracker tracker = new DeliveryTracker();
             AmqpLoadClient client = openClient(env, transport, "shared", 40, tracker);
             AmqpLoadClient other = openClient(env, transport, "other", 1, tracker);
@@ -75,8 +79,8 @@
     }
 
     /**
-     * Its own links wait, with a bounded number of deliveries each; those of the others go on as
-     * before.
+     * The links of the unresponsive backend wait with a bounded number of deliveries each; the
+     * links of the other backend continue.
      */
     @Test
     void unresponsiveBackendBlocksOnlyItsOwnLinks() throws Exception {
@@ -101,8 +105,8 @@
             assertTrue(
                     slowLinks > 0 && other.linkCount() > 0,
                     "links at both: " + slowLinks + " of 40");
-            slow.setOutcomeDelay(
-                    Duration.ofSeconds(60)); // takes what its credit allows, and answers nothing
+            // The backend takes as many deliveries as its credit allows and sends no outcome.
+            slow.setOutcomeDelay(Duration.ofSeconds(60));
             for (int i = 0; i < 40 * 500; i++) {
                 client.scheduleDelivery(i % 40, "w" + i, System.nanoTime());
             }
@@ -112,10 +116,11 @@
                             other.acceptedIds().size()
                                     + " of "
                                     + otherDeliveries
-                                    + " at the neighbour",
+                                    + " at the other backend",
                     () -> other.acceptedIds().size() == otherDeliveries);
             env.await(
-                    "all else waits at its sender", () -> client.unsentCount() == slowLinks * 450);
+                    "the remaining deliveries wait at their sender",
+                    () -> client.unsentCount() == slowLinks * 450);
             assertEquals(0, slow.acceptedIds().size());
             assertEquals(slowLinks * 500, tracker.pendingCount());
         }
--- a/lab/src/test/java/saltstage/lab/amqp/ThirdPartyClientTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/ThirdPartyClientTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A public client that nobody here wrote meets the relay as it would meet any server. */
+/** Tests that an unmodified third-party AMQP client works with the relay as with any server. */
 @Timeout(120)
 class ThirdPartyClientTest {
 
