--- a/lab/src/main/java/saltstage/lab/amqp/AmqpBenchmark.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpBenchmark.java
@@ -15,24 +15,26 @@
 import saltstage.lab.fleet.FakeFleet;
 import saltstage.lab.store.Report;
 
-/** The relay's AMQP front against the gateways themselves, in one run. */
+/** Compares the AMQP frontend of the relay with direct connections to the backends, in one run. */
 @Command(
         name = "amqp",
         mixinStandardHelpOptions = true,
         description = {
-            "Deliveries a second and latencies through a relay on one core and straight to the"
-                    + " gateways, at several",
-            "numbers of links; then bytes a quiet link, the last new link after a drain, and the"
-                    + " time that a killed",
-            "gateway costs. Written to docs/measurements as tables and a chart."
+            "Measures deliveries per second and latencies through a relay on one core and directly"
+                    + " to the backends, at several",
+            "numbers of links; then the bytes per idle link, the last new link after a drain, and"
+                    + " the time that a killed",
+            "backend costs. Writes tables and a chart to docs/measurements."
         })
 public final class AmqpBenchmark implements Callable<Integer> {
     private static final int BACKENDS = 4;
 
-    /** Deliveries a round, and a rate at which nothing takes them: there is always one more due. */
+    /** Deliveries sent in each round of the maximum rate measurement. */
     private static final double DELIVERIES_PER_ROUND = 120_000;
 
+    /** A rate that no route can sustain, so that there is always another delivery due. */
     private static final double UNLIMITED_RATE_PER_SECOND = 1_000_000;
+
     private static final double WARM_UP_RATE_PER_SECOND = 60_000;
 
     @Option(
@@ -42,7 +44,10 @@
             description = "numbers of links")
     private List<Integer> links;
 
-    @Option(names = "--seconds", defaultValue = "4", description = "each measurement (default 4)")
+    @Option(
+            names = "--seconds",
+            defaultValue = "4",
+            description = "length of each measurement (default 4)")
     private double seconds;
 
     @Option(names = "--cpu", defaultValue = "0", description = "the relay's core (default 0)")
@@ -51,7 +56,7 @@
     @Option(
             names = "--others",
             defaultValue = "1-7",
-            description = "cores of all else (default 1-7)")
+            description = "cores of everything else (default 1-7)")
     private String others;
 
     @Option(
@@ -64,9 +69,9 @@
             names = "--warm",
             defaultValue = "30",
             description = {
-                "seconds of load before the rates (default 30): the machine's compiler takes its"
-                        + " turns on the",
-                "relay's only core until it has done its work"
+                "seconds of load before the rates (default 30): the JIT compiler competes"
+                        + " for the",
+                "relay's only core until it has compiled the hot code"
             })
     private double warm;
 
@@ -74,7 +79,7 @@
             names = "--parts",
             split = ",",
             defaultValue = "rates,quiet,drain,kill",
-            description = "what is measured (default ${DEFAULT-VALUE})")
+            description = "the measurements to run (default ${DEFAULT-VALUE})")
     private List<String> parts;
 
     private Path dir;
@@ -83,8 +88,8 @@
 
     @Override
     public Integer call() throws Exception {
-        // The relay has its core to itself: clients and gateways keep off it, with all their
-        // threads.
+        // The relay has its core to itself: all threads of this process, clients and backends, run
+        // on the other cores.
         new ProcessBuilder("taskset", "-acp", others, Long.toString(ProcessHandle.current().pid()))
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
@@ -146,7 +151,7 @@
             case "kill" -> measureKill();
             default ->
                     throw new IllegalArgumentException(
-                            "no part '" + part + "': rates, quiet, drain, kill");
+                            "unknown part '" + part + "': use rates, quiet, drain or kill");
         }
     }
 
@@ -169,14 +174,14 @@
                         "p99 ms",
                         "p99.9 ms",
                         "worst ms");
-        for (int count : links) {
-            double[] most = new double[2];
-            for (int way = 0; way < 2; way++) { // a first run warms the machine's compiler up
-                most[way] = measureMaxRate(way == 1, count);
+        for (int linkCount : links) {
+            double[] maxRates = new double[2];
+            for (int route = 0; route < 2; route++) { // also warms up the JIT compiler
+                maxRates[route] = measureMaxRate(route == 1, linkCount);
             }
-            double half = most[0] / 2;
-            for (int way = 0; way < 2; way++) {
-                measureLatencies(report, count, way, most[way], half);
+            double halfRate = maxRates[0] / 2;
+            for (int route = 0; route < 2; route++) {
+                measureLatencies(report, linkCount, route, maxRates[route], halfRate);
             }
         }
         report.setBarChart(
@@ -189,62 +194,73 @@
         report.writeFiles(Installation.measurementsDirectory());
     }
 
-    /** Latencies at a rate; a first run at that rate is not counted. */
-    private void measureLatencies(Report report, int count, int way, double max, double rate)
+    /**
+     * Measures latencies at a fixed rate, after a first run at the same rate that isn't counted.
+     */
+    private void measureLatencies(
+            Report report, int linkCount, int route, double maxRate, double rate)
             throws InterruptedException {
         try (LoadGenerator load =
-                new LoadGenerator(true, targetAddresses(way == 1), count, "half" + way + count)) {
+                new LoadGenerator(
+                        true, targetAddresses(route == 1), linkCount, "half" + route + linkCount)) {
             load.run(rate, 3, false);
         }
         try (LoadGenerator load =
-                new LoadGenerator(true, targetAddresses(way == 1), count, "rate" + way + count)) {
+                new LoadGenerator(
+                        true, targetAddresses(route == 1), linkCount, "rate" + route + linkCount)) {
             load.run(rate, seconds, false);
-            var times = load.deliveryTracker().latencies();
+            var latencies = load.deliveryTracker().latencies();
             report.addRow(
-                    count,
-                    way == 1 ? "straight" : "relay",
-                    Math.round(max),
+                    linkCount,
+                    route == 1 ? "straight" : "relay",
+                    Math.round(maxRate),
                     Math.round(rate),
-                    formatMillis(times.getValueAtPercentile(50)),
-                    formatMillis(times.getValueAtPercentile(99)),
-                    formatMillis(times.getValueAtPercentile(99.9)),
-                    formatMillis(times.getMaxValue()));
+                    formatMillis(latencies.getValueAtPercentile(50)),
+                    formatMillis(latencies.getValueAtPercentile(99)),
+                    formatMillis(latencies.getValueAtPercentile(99.9)),
+                    formatMillis(latencies.getMaxValue()));
         }
     }
 
     private void warmUp() throws InterruptedException {
         long start = System.nanoTime();
         for (int round = 0; System.nanoTime() - start < warm * 1e9; round++) {
-            for (int way = 0; way < 2; way++) {
+            for (int route = 0; route < 2; route++) {
                 try (LoadGenerator load =
                         new LoadGenerator(
-                                true, targetAddresses(way == 1), 100, "warm" + way + "r" + round)) {
+                                true,
+                                targetAddresses(route == 1),
+                                100,
+                                "warm" + route + "r" + round)) {
                     load.run(WARM_UP_RATE_PER_SECOND, 2, false);
                 }
             }
         }
     }
 
-    /** Far more is due than can go: what is answered a second is the most. */
-    private double measureMaxRate(boolean straight, int count) throws InterruptedException {
-        double best = 0;
+    /**
+     * Returns the maximum rate of three rounds: more deliveries are due than can be sent, so the
+     * deliveries completed per second are the maximum.
+     */
+    private double measureMaxRate(boolean straight, int linkCount) throws InterruptedException {
+        double maxRate = 0;
         for (int round = 0; round < 3; round++) {
             try (LoadGenerator load =
                     new LoadGenerator(
                             true,
                             targetAddresses(straight),
-                            count,
-                            "most" + straight + count + "r" + round)) {
+                            linkCount,
+                            "most" + straight + linkCount + "r" + round)) {
                 long start = System.nanoTime();
                 load.run(
                         UNLIMITED_RATE_PER_SECOND,
                         DELIVERIES_PER_ROUND / UNLIMITED_RATE_PER_SECOND,
                         false);
-                double took = (System.nanoTime() - start) / 1e9;
-                best = Math.max(best, load.deliveryTracker().sentCount() / took);
+                double elapsedSeconds = (System.nanoTime() - start) / 1e9;
+                maxRate = Math.max(maxRate, load.deliveryTracker().sentCount() / elapsedSeconds);
             }
         }
-        return best;
+        return maxRate;
     }
 
     private static String formatMillis(long nanos) {
@@ -253,29 +269,32 @@
 
     private void measureQuietLinks() throws IOException, InterruptedException {
         Report report = new Report("amqp-quiet", "quiet links", "heap in use KiB", "bytes a link");
-        long before = liveHeapKib();
-        report.addRow(0, before, "-");
-        for (int count : new int[] {2_000, 10_000}) {
+        long initialHeapKib = liveHeapKib();
+        report.addRow(0, initialHeapKib, "-");
+        for (int linkCount : new int[] {2_000, 10_000}) {
             try (LoadGenerator load =
-                    new LoadGenerator(true, targetAddresses(false), count, "quiet" + count)) {
-                long now = liveHeapKib();
-                report.addRow(count, now, (now - before) * 1024 / count);
+                    new LoadGenerator(
+                            true, targetAddresses(false), linkCount, "quiet" + linkCount)) {
+                long heapKib = liveHeapKib();
+                report.addRow(linkCount, heapKib, (heapKib - initialHeapKib) * 1024 / linkCount);
             }
             Thread.sleep(3_000);
         }
         report.writeFiles(Installation.measurementsDirectory());
     }
 
-    /** Live bytes on the heap, after a collection. */
+    /**
+     * Returns the size of the relay's live objects; the class histogram runs a collection first.
+     */
     private long liveHeapKib() throws IOException, InterruptedException {
         Thread.sleep(1_000);
-        Process histogram =
+        Process jcmd =
                 new ProcessBuilder("jcmd", Long.toString(relay.pid()), "GC.class_histogram")
                         .redirectErrorStream(true)
                         .start();
-        List<String> lines = new String(histogram.getInputStream().readAllBytes()).lines().toList();
-        String[] total = lines.get(lines.size() - 1).trim().split("\\s+");
-        return Long.parseLong(total[2]) / 1024;
+        List<String> lines = new String(jcmd.getInputStream().readAllBytes()).lines().toList();
+        String[] totalFields = lines.get(lines.size() - 1).trim().split("\\s+");
+        return Long.parseLong(totalFields[2]) / 1024;
     }
 
     private void measureDrain() throws IOException, InterruptedException {
@@ -287,11 +306,11 @@
                         "last new link ms after the drain",
                         "all links away ms after the drain");
         for (int round = 0; round < 5; round++) {
-            String g = "g" + round % BACKENDS;
-            FakeAmqpBackend gateway = fleet.amqpBackends().get(round % BACKENDS);
+            String backendId = "g" + round % BACKENDS;
+            FakeAmqpBackend backend = fleet.amqpBackends().get(round % BACKENDS);
             try (LoadGenerator load =
                     new LoadGenerator(true, targetAddresses(false), 400, "drain" + round)) {
-                Thread traffic =
+                Thread loadThread =
                         new Thread(
                                 () -> {
                                     try {
@@ -300,20 +319,24 @@
                                         Thread.currentThread().interrupt();
                                     }
                                 });
-                traffic.start();
+                loadThread.start();
                 Thread.sleep(500);
-                int stood = gateway.linkCount();
-                long told = System.currentTimeMillis();
-                fleet.runCommand("drain " + g);
-                long away = -1;
-                while (away < 0 && System.currentTimeMillis() < told + 5_000) {
-                    away = gateway.linkCount() == 0 ? System.currentTimeMillis() - told : -1;
+                int linkCount = backend.linkCount();
+                long drainMillis = System.currentTimeMillis();
+                fleet.runCommand("drain " + backendId);
+                long detachMillis = -1;
+                while (detachMillis < 0 && System.currentTimeMillis() < drainMillis + 5_000) {
+                    detachMillis =
+                            backend.linkCount() == 0
+                                    ? System.currentTimeMillis() - drainMillis
+                                    : -1;
                     Thread.sleep(1);
                 }
-                traffic.join();
-                long last = gateway.lastLinkMillis() - told;
-                report.addRow(round, stood, last < 0 ? "none" : last, away);
-                fleet.runCommand("start " + g);
+                loadThread.join();
+                long attachMillis = backend.lastLinkMillis() - drainMillis;
+                report.addRow(
+                        round, linkCount, attachMillis < 0 ? "none" : attachMillis, detachMillis);
+                fleet.runCommand("start " + backendId);
             }
         }
         report.writeFiles(Installation.measurementsDirectory());
@@ -330,35 +353,35 @@
                         "released or modified",
                         "no outcome");
         for (int round = 0; round < 5; round++) {
-            String g = "g" + round % BACKENDS;
-            FakeAmqpBackend gateway = fleet.amqpBackends().get(round % BACKENDS);
+            String backendId = "g" + round % BACKENDS;
+            FakeAmqpBackend backend = fleet.amqpBackends().get(round % BACKENDS);
             try (LoadGenerator load =
                     new LoadGenerator(true, targetAddresses(false), 100, "kill" + round)) {
-                Thread killer =
+                Thread killThread =
                         new Thread(
                                 () -> {
                                     try {
                                         Thread.sleep(1_500);
-                                        fleet.runCommand("kill " + g);
+                                        fleet.runCommand("kill " + backendId);
                                     } catch (InterruptedException | IOException e) {
                                         Thread.currentThread().interrupt();
                                     }
                                 });
-                int stood = gateway.linkCount();
-                killer.start();
+                int initialLinks = backend.linkCount();
+                killThread.start();
                 load.run(2_000, 4, false);
-                killer.join();
+                killThread.join();
                 var counts = load.deliveryTracker().outcomeCounts();
                 report.addRow(
                         round,
-                        stood,
+                        initialLinks,
                         formatMillis(load.deliveryTracker().latencies().getMaxValue()),
                         counts.getOrDefault(DeliveryTracker.DeliveryOutcome.ACCEPTED, 0L),
                         counts.getOrDefault(DeliveryTracker.DeliveryOutcome.RELEASED, 0L)
                                 + counts.getOrDefault(DeliveryTracker.DeliveryOutcome.MODIFIED, 0L),
                         counts.getOrDefault(DeliveryTracker.DeliveryOutcome.NOTHING, 0L)
                                 + counts.getOrDefault(DeliveryTracker.DeliveryOutcome.WAITING, 0L));
-                fleet.runCommand("start " + g);
+                fleet.runCommand("start " + backendId);
                 Thread.sleep(2_000);
             }
         }
--- a/lab/src/main/java/saltstage/lab/amqp/AmqpLoadClient.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpLoadClient.java
@@ -34,9 +34,9 @@
 import saltstage.net.Transport;
 
 /**
- * One connection of a client and its sending links. Each delivery is due at a time and is measured
- * from then, whether its link had credit or not. A link that is detached attaches again, and so
- * does the connection.
+ * A client with one connection and a number of sender links. The latency of a delivery counts from
+ * the time at which it was due, whether its link had credit then or not. Detached links attach
+ * again, and a lost connection is opened again.
  */
 public final class AmqpLoadClient {
     private static final Connection.WriteLimits WRITE_LIMITS =
@@ -59,60 +59,65 @@
 
     private record ScheduledDelivery(String id, long dueNanos) {}
 
-    /** So many links to addresses of this class, with messages of so many bytes. */
+    /**
+     * Connects to the target and attaches the links.
+     *
+     * @param address prefix of the links' target addresses: the service class
+     * @param messageBytes size of each message's body
+     */
     public AmqpLoadClient(
             Transport transport,
             Loop loop,
-            InetSocketAddress to,
+            InetSocketAddress target,
             String name,
-            int count,
+            int linkCount,
             String address,
-            int bytes,
-            DeliveryTracker ledger) {
+            int messageBytes,
+            DeliveryTracker deliveryTracker) {
         this.transport = transport;
         this.loop = loop;
-        this.target = to;
+        this.target = target;
         this.name = name;
-        this.deliveryTracker = ledger;
-        padding = new byte[bytes];
-        for (int i = 0; i < count; i++) {
+        this.deliveryTracker = deliveryTracker;
+        padding = new byte[messageBytes];
+        for (int i = 0; i < linkCount; i++) {
             links.add(new SenderLink(i, address + "/" + name + "-" + i));
         }
         loop.execute(this::connect);
     }
 
-    /** Says that a delivery is due on a link, at this moment of the monotonic clock. */
-    public void scheduleDelivery(int link, String id, long at) {
+    /**
+     * Queues a delivery on a link. Its latency counts from {@code dueNanos}, a time of {@link
+     * System#nanoTime}.
+     */
+    public void scheduleDelivery(int link, String id, long dueNanos) {
         deliveryTracker.deliverySent(id);
-        loop.execute(() -> links.get(link).enqueue(new ScheduledDelivery(id, at)));
+        loop.execute(() -> links.get(link).enqueue(new ScheduledDelivery(id, dueNanos)));
     }
 
-    /** How many links it has. */
+    /** Returns the number of links, attached or not. */
     public int linkCount() {
         return links.size();
     }
 
-    /** How many links are attached. */
+    /** Returns the number of attached links. */
     public int attachedCount() {
         return attachedCount;
     }
 
-    /** How many deliveries are due and were not sent, for want of credit or of a link. */
+    /** Returns the number of deliveries that are due and wait for credit or for their link. */
     public int unsentCount() {
         return unsentCount;
     }
 
-    /** How many times links were detached, by condition. */
+    /** Returns how often links were detached and the connection ended, by condition. */
     public Map<String, Long> detachCounts() {
         synchronized (detachCounts) {
             return Map.copyOf(detachCounts);
         }
     }
 
-    /**
-     * What keeps it, for a message: each link with deliveries that are due, its credit and its
-     * session's.
-     */
+    /** Describes the state and credit of each link with unsent deliveries, for messages. */
     public String describeBlockedLinks() {
         StringBuilder text = new StringBuilder();
         for (SenderLink link : links) {
@@ -138,7 +143,7 @@
         return text.toString();
     }
 
-    /** Ends politely; what has no outcome by then has none. */
+    /** Closes the connection; deliveries without an outcome stay without one. */
     public void close() {
         closing = true;
         loop.execute(
@@ -167,7 +172,7 @@
                     }
 
                     @Override
-                    public void failed(IOException why) {
+                    public void failed(IOException cause) {
                         scheduleReconnect();
                     }
                 });
@@ -178,10 +183,10 @@
                 Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::connect);
     }
 
-    /** The connection. */
+    /** The AMQP connection; when it ends, the client connects again. */
     private final class LoadConnection extends AmqpConnection {
-        LoadConnection(Connection net) {
-            super(net, Instant::now, 1 << 20);
+        LoadConnection(Connection connection) {
+            super(connection, Instant::now, 1 << 20);
         }
 
         void open() {
@@ -202,20 +207,20 @@
         }
 
         @Override
-        protected void connectionEnded(String why) {
+        protected void connectionEnded(String reason) {
             links.forEach(SenderLink::markDetached);
-            countDetach("connection " + why);
+            countDetach("connection " + reason);
             scheduleReconnect();
         }
     }
 
-    private void countDetach(String what) {
+    private void countDetach(String condition) {
         synchronized (detachCounts) {
-            detachCounts.merge(what, 1L, Long::sum);
+            detachCounts.merge(condition, 1L, Long::sum);
         }
     }
 
-    /** One link and what is due on it. */
+    /** A sender link with its unsent and unsettled deliveries. */
     private final class SenderLink {
         private final int index;
         private final String address;
@@ -227,8 +232,8 @@
         private int nextTag;
         private int attachCount;
 
-        SenderLink(int number, String address) {
-            this.index = number;
+        SenderLink(int index, String address) {
+            this.index = index;
             this.address = address;
         }
 
@@ -248,18 +253,18 @@
                             })
                     .closeHandler(this::detachReceived)
                     .detachHandler(this::detachReceived)
-                    .creditStateUpdateHandler(any -> sendPending())
+                    .creditStateUpdateHandler(ignored -> sendPending())
                     .deliveryStateUpdatedHandler(this::dispositionReceived)
                     .open();
         }
 
-        private void detachReceived(Sender closed) {
+        private void detachReceived(Sender detached) {
             countDetach(
-                    closed.getRemoteCondition() == null
+                    detached.getRemoteCondition() == null
                             ? "none"
-                            : closed.getRemoteCondition().getCondition().toString());
+                            : detached.getRemoteCondition().getCondition().toString());
             markDetached();
-            closed.close();
+            detached.close();
             loop.schedule(
                     Duration.ofMillis(50 + ThreadLocalRandom.current().nextInt(150)), this::attach);
         }
@@ -272,14 +277,14 @@
             unsettledDeliveries
                     .values()
                     .forEach(
-                            due ->
+                            scheduled ->
                                     deliveryTracker.outcomeReceived(
-                                            due.id(), DeliveryOutcome.NOTHING, -1));
+                                            scheduled.id(), DeliveryOutcome.NOTHING, -1));
             unsettledDeliveries.clear();
         }
 
-        void enqueue(ScheduledDelivery due) {
-            pendingDeliveries.add(due);
+        void enqueue(ScheduledDelivery scheduled) {
+            pendingDeliveries.add(scheduled);
             unsentCount++;
             sendPending();
         }
@@ -290,17 +295,17 @@
                     && loadConnection.isWritable()
                     && sender.getCredit() > 0
                     && sender.isSendable()) {
-                ScheduledDelivery due = pendingDeliveries.poll();
+                ScheduledDelivery scheduled = pendingDeliveries.poll();
                 unsentCount--;
                 OutgoingDelivery delivery =
                         sender.next()
                                 .setTag(
                                         Integer.toString(nextTag++, 36)
                                                 .getBytes(StandardCharsets.ISO_8859_1));
-                unsettledDeliveries.put(delivery, due);
+                unsettledDeliveries.put(delivery, scheduled);
                 delivery.writeBytes(
                         ProtonByteArrayBufferAllocator.wrapped(
-                                MessageCodec.encode(due.id(), padding.length)));
+                                MessageCodec.encode(scheduled.id(), padding.length)));
             }
             if (attached
                     && sender.isDraining()
@@ -312,15 +317,15 @@
 
         private void dispositionReceived(OutgoingDelivery delivery) {
             DeliveryState state = delivery.getRemoteState();
-            ScheduledDelivery due = unsettledDeliveries.get(delivery);
-            if (due == null) {
+            ScheduledDelivery scheduled = unsettledDeliveries.get(delivery);
+            if (scheduled == null) {
                 countDetach("outcome for nothing");
                 return;
             }
             if (state == null && !delivery.isRemotelySettled()) {
                 return;
             }
-            DeliveryOutcome what =
+            DeliveryOutcome outcome =
                     state instanceof Accepted
                             ? DeliveryOutcome.ACCEPTED
                             : state instanceof Rejected
@@ -330,7 +335,8 @@
                                             : state instanceof Modified
                                                     ? DeliveryOutcome.MODIFIED
                                                     : DeliveryOutcome.OTHER;
-            deliveryTracker.outcomeReceived(due.id(), what, System.nanoTime() - due.dueNanos());
+            deliveryTracker.outcomeReceived(
+                    scheduled.id(), outcome, System.nanoTime() - scheduled.dueNanos());
             if (delivery.isRemotelySettled()) {
                 unsettledDeliveries.remove(delivery);
                 delivery.settle();
--- a/lab/src/main/java/saltstage/lab/amqp/AmqpServerConnection.java
+++ b/lab/src/main/java/saltstage/lab/amqp/AmqpServerConnection.java
@@ -16,63 +16,66 @@
 import saltstage.amqp.AmqpConnection;
 import saltstage.net.Connection;
 
-/** A server's side of a connection: with SASL ANONYMOUS or without SASL, as the client begins. */
+/** The server side of a connection, with SASL ANONYMOUS or without SASL as the client chooses. */
 class AmqpServerConnection extends AmqpConnection {
     private final Consumer<Engine> engineConfigurer;
     private final Consumer<AmqpServerConnection> endListener;
     private byte[] receivedBytes = {};
 
     AmqpServerConnection(
-            Connection net, Consumer<Engine> setUp, Consumer<AmqpServerConnection> end) {
-        super(net, Instant::now, 1 << 20);
-        this.engineConfigurer = setUp;
-        this.endListener = end;
+            Connection connection,
+            Consumer<Engine> engineConfigurer,
+            Consumer<AmqpServerConnection> endListener) {
+        super(connection, Instant::now, 1 << 20);
+        this.engineConfigurer = engineConfigurer;
+        this.endListener = endListener;
     }
 
     @Override
-    public void received(Connection on, ByteBuffer bytes) {
-        byte[] all = Arrays.copyOf(receivedBytes, receivedBytes.length + bytes.remaining());
-        bytes.get(all, receivedBytes.length, bytes.remaining());
-        receivedBytes = all;
+    public void received(Connection connection, ByteBuffer bytes) {
+        byte[] combined = Arrays.copyOf(receivedBytes, receivedBytes.length + bytes.remaining());
+        bytes.get(combined, receivedBytes.length, bytes.remaining());
+        receivedBytes = combined;
         if (engine() == null) {
             if (receivedBytes.length < 8) {
                 return;
             }
-            Engine made =
+            Engine newEngine =
                     receivedBytes[4] == 0
                             ? EngineFactory.PROTON.createNonSaslEngine()
                             : EngineFactory.PROTON.createEngine();
             if (receivedBytes[4] != 0) {
-                made.saslDriver().server().setListener(new AnonymousSaslListener());
+                newEngine.saslDriver().server().setListener(new AnonymousSaslListener());
             }
-            engineConfigurer.accept(made);
-            startEngine(made);
+            engineConfigurer.accept(newEngine);
+            startEngine(newEngine);
         }
-        byte[] whole = receivedBytes;
+        byte[] pendingBytes = receivedBytes;
         receivedBytes = new byte[0];
-        ingest(whole);
+        ingest(pendingBytes);
     }
 
-    /** Whether this engine is its own. */
-    boolean hasEngine(Engine one) {
-        return engine() == one;
+    /** Returns whether this connection uses the engine. */
+    boolean hasEngine(Engine candidate) {
+        return engine() == candidate;
     }
 
-    /** Reads on, or lets what comes wait in the system. */
-    void setReading(boolean wanted) {
-        netConnection().setReading(wanted);
+    /** Resumes reading, or leaves received bytes in the operating system's buffers. */
+    void setReading(boolean enabled) {
+        netConnection().setReading(enabled);
     }
 
-    /** Ends as a process does that dies. */
+    /** Resets the connection, as the death of the process would. */
     void reset() {
         if (engine() != null) {
-            engine().shutdown(); // its links are over before its peer can know: no copy is out
-            // there any more
+            // The links must end before the peer can see the reset: it may then send a delivery to
+            // another backend, and the copy here must no longer count as outstanding.
+            engine().shutdown();
         }
         netConnection().reset();
     }
 
-    /** Begins a frame that it does not end, and dies. */
+    /** Writes the beginning of a frame and resets the connection a moment later. */
     void resetWithinFrame() {
         netConnection().write(ByteBuffer.wrap(new byte[] {0, 0, 1, 0, 2, 0, 0, 0, 0, 0x53}));
         loop().schedule(Duration.ofMillis(5), this::reset);
@@ -82,7 +85,7 @@
     protected void onWritable() {}
 
     @Override
-    protected void connectionEnded(String why) {
+    protected void connectionEnded(String reason) {
         endListener.accept(this);
     }
 
--- a/lab/src/main/java/saltstage/lab/amqp/LoadCommand.java
+++ b/lab/src/main/java/saltstage/lab/amqp/LoadCommand.java
@@ -17,29 +17,26 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Load on a relay that serves in front of a fleet. */
+/** Sends load through the relay of a running fleet, or directly to the fleet's backends. */
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
         description = {
-            "Sends deliveries (or lines) at a rate through the relay of a fleet, each measured"
-                    + " from",
-            "when it was due, and compares what senders were told with what the gateways say."
+            "Sends deliveries (or lines) at a fixed rate through the relay of a fleet, measures"
+                    + " each from",
+            "when it was due, and compares the senders' outcomes with what the backends accepted."
         },
-        footer = {
-            "",
-            "Exits with 0 where each delivery is accounted for at both ends, else with 1."
-        })
+        footer = {"", "Exits with 0 if each delivery is accounted for at both ends, else with 1."})
 public final class LoadCommand implements Callable<Integer> {
     private static final int MAX_LISTED_FAULTS = 20;
 
-    /** What is spoken. */
+    /** The protocol of the load; the constants are the values of the option. */
     public enum Protocol {
         lines,
         amqp
     }
 
-    @Parameters(paramLabel = "DIR", description = "the folder that 'lab fleet' has written")
+    @Parameters(paramLabel = "DIR", description = "the directory that 'lab fleet' has written")
     private Path dir;
 
     @Option(names = "--protocol", defaultValue = "amqp", description = "amqp (default) or lines")
@@ -63,23 +60,26 @@
             names = "--seconds",
             paramLabel = "S",
             defaultValue = "10",
-            description = "how long (default 10)")
+            description = "how long to send (default 10)")
     private double seconds;
 
-    @Option(names = "--straight", description = "to the gateways themselves, past the relay")
+    @Option(
+            names = "--straight",
+            description = "connect to the backends directly, without the relay")
     private boolean straight;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "where the result goes as JSON")
+    @Option(names = "--json", paramLabel = "FILE", description = "file for the result as JSON")
     private Path json;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         JsonNode fleet = new ObjectMapper().readTree(dir.resolve("fleet.json").toFile());
-        List<InetSocketAddress> to = targetAddresses(fleet);
+        List<InetSocketAddress> targets = targetAddresses(fleet);
         Map<String, Object> result = new LinkedHashMap<>();
         List<String> faults;
         try (LoadGenerator load =
-                new LoadGenerator(protocol == Protocol.amqp, to, links, "l" + System.nanoTime())) {
+                new LoadGenerator(
+                        protocol == Protocol.amqp, targets, links, "l" + System.nanoTime())) {
             load.run(rate, seconds, true);
             result.put("protocol", protocol.name());
             result.put("links", links);
@@ -97,49 +97,49 @@
                                             : List.of());
         }
         if (protocol == Protocol.lines) {
-            // Lines come back as they are: there is no second end to compare with.
+            // Lines are only echoed: there are no backend records to compare with.
             faults.removeIf(fault -> fault.startsWith("accepted by no gateway"));
         }
         result.put("faults", faults.size());
         result.put("some_faults", faults.subList(0, Math.min(MAX_LISTED_FAULTS, faults.size())));
-        String text =
+        String report =
                 new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(result);
-        System.out.println(text);
+        System.out.println(report);
         if (json != null) {
-            Files.writeString(json, text + "\n");
+            Files.writeString(json, report + "\n");
         }
         return faults.isEmpty() ? 0 : 1;
     }
 
     private List<InetSocketAddress> targetAddresses(JsonNode fleet) {
-        List<InetSocketAddress> to = new ArrayList<>();
+        List<InetSocketAddress> targets = new ArrayList<>();
         if (straight) {
             ((ArrayNode) fleet.get(protocol + "_gateways"))
-                    .forEach(at -> to.add(parseAddress(at.asText())));
+                    .forEach(address -> targets.add(parseAddress(address.asText())));
         } else if (fleet.has(protocol.name())) {
-            to.add(parseAddress(fleet.get(protocol.name()).asText()));
+            targets.add(parseAddress(fleet.get(protocol.name()).asText()));
         } else {
             throw new IllegalArgumentException(
                     "the fleet in " + dir + " does not speak " + protocol);
         }
-        return to;
+        return targets;
     }
 
-    /** What the gateways have accepted of this load's deliveries; those of others are left out. */
+    /** Returns the ids that the backends accepted, without the deliveries of other senders. */
     private static List<String> acceptedIds(JsonNode fleet, LoadGenerator load) throws IOException {
-        List<String> all = new ArrayList<>();
-        InetSocketAddress at = parseAddress(fleet.get("status").asText());
-        try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
+        List<String> ids = new ArrayList<>();
+        InetSocketAddress statusAddress = parseAddress(fleet.get("status").asText());
+        try (Socket socket = new Socket(statusAddress.getAddress(), statusAddress.getPort())) {
             JsonNode status = new ObjectMapper().readTree(socket.getInputStream());
             status.forEach(
-                    gateway -> {
-                        if (gateway.has("accepted")) {
-                            gateway.get("accepted").forEach(id -> all.add(id.asText()));
+                    backend -> {
+                        if (backend.has("accepted")) {
+                            backend.get("accepted").forEach(id -> ids.add(id.asText()));
                         }
                     });
         }
-        all.removeIf(id -> !load.deliveryTracker().contains(id));
-        return all;
+        ids.removeIf(id -> !load.deliveryTracker().contains(id));
+        return ids;
     }
 
     private static InetSocketAddress parseAddress(String text) {
--- a/lab/src/test/java/saltstage/lab/amqp/ProtocolDriverTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/ProtocolDriverTest.java
@@ -15,12 +15,13 @@
 import saltstage.net.NettyTransport;
 
 /**
- * Frame by frame, by a driver that nobody here wrote: what comes back must be what it was told to
- * expect.
+ * Tests the AMQP frontend frame by frame with the third-party protonj2 test driver: each frame that
+ * the relay sends must be one that the script expects. Guards against protocol faults that clients
+ * tolerate, such as a flow that is not answered or an outcome after a detach.
  */
 @Timeout(120)
 class ProtocolDriverTest {
-    /** Properties with the message id "d1" (3.2.4) and a data section of one byte (3.2.6). */
+    /** A message with the message id "d1" (AMQP 1.0, 3.2.4) and one byte of data (3.2.6). */
     private static final byte[] MESSAGE = {
         0,
         0x53,
@@ -45,31 +46,31 @@
     private AmqpTestEnvironment environment;
     private ProtonTestClient driver;
 
-    /** What a peer does and waits for. */
+    /** The frames that the driver sends and expects in one test. */
     private interface Script {
         void run() throws Exception;
     }
 
     /**
-     * An attach may be refused for now, as on a machine that is slow just then: that is played
-     * anew.
+     * Runs a script, and runs it again with a new relay if an attach was rejected with "come
+     * again", as happens on a slow machine.
      */
     private void runWithRetries(Script script) throws Exception {
         for (int i = 1; ; i++) {
             try {
                 script.run();
                 return;
-            } catch (AssertionError failed) {
+            } catch (AssertionError failure) {
                 if (i == MAX_ATTEMPTS
-                        || !String.valueOf(failed.getMessage()).contains("come again")) {
-                    throw failed;
+                        || !String.valueOf(failure.getMessage()).contains("come again")) {
+                    throw failure;
                 }
-                end();
+                tearDown();
             }
         }
     }
 
-    private void start(String settings) throws Exception {
+    private void startRelay(String settings) throws Exception {
         environment = new AmqpTestEnvironment(1, settings);
         awaitFirstLink();
         driver = new ProtonTestClient();
@@ -81,11 +82,11 @@
         driver.waitForScriptToComplete(20, TimeUnit.SECONDS);
     }
 
-    /** A relay that has just begun may refuse at first: links are taken from here on. */
+    /** Waits until the relay takes links; it may reject them shortly after its start. */
     private void awaitFirstLink() throws Exception {
         try (NettyTransport transport =
-                new NettyTransport(1, false, (at, fault) -> fault.printStackTrace())) {
-            AmqpLoadClient first =
+                new NettyTransport(1, false, (context, fault) -> fault.printStackTrace())) {
+            AmqpLoadClient client =
                     new AmqpLoadClient(
                             transport,
                             transport.loops().get(0),
@@ -95,14 +96,14 @@
                             "session-check",
                             64,
                             new DeliveryTracker());
-            environment.await("a first link", () -> first.attachedCount() == 1);
-            first.close();
-            environment.await("it is gone", () -> backend().linkCount() == 0);
+            environment.await("the first link is attached", () -> client.attachedCount() == 1);
+            client.close();
+            environment.await("the first link is closed", () -> backend().linkCount() == 0);
         }
     }
 
-    private void open() throws Exception {
-        start("  idle = \"2s\"\n");
+    private void openSession() throws Exception {
+        startRelay("  idle = \"2s\"\n");
         driver.expectOpen();
         driver.expectBegin();
         driver.remoteOpen().withContainerId("driver").now();
@@ -118,7 +119,7 @@
         driver.waitForScriptToComplete(20, TimeUnit.SECONDS);
     }
 
-    /** A flow with the session's state as it is while nothing was transferred. */
+    /** Returns a flow with the session state that applies while nothing has been transferred. */
     private FlowInjectAction flow() {
         return driver.remoteFlow()
                 .withIncomingWindow(100)
@@ -131,7 +132,7 @@
         return environment.fleet().amqpBackends().get(0);
     }
 
-    private void attachSender(boolean second) {
+    private void attachSender(boolean settlesSecond) {
         driver.expectAttach().ofReceiver().withHandle(0);
         driver.expectFlow().withHandle(nullValue()).optional();
         driver.expectFlow().withHandle(0).withLinkCredit(notNullValue());
@@ -141,7 +142,7 @@
                         .withName("out")
                         .withHandle(0)
                         .withInitialDeliveryCount(0);
-        if (second) {
+        if (settlesSecond) {
             attach.withReceivervSettlesSecond();
         }
         attach.withSource().withAddress("driver").also();
@@ -158,7 +159,7 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         driver.close();
         environment.close();
     }
@@ -169,7 +170,7 @@
     }
 
     private void echoRequestsOfLinkAndSessionAreAnsweredScript() throws Exception {
-        open();
+        openSession();
         attachSender(false);
         driver.expectFlow().withHandle(0).withLinkCredit(notNullValue());
         flow().withHandle(0).withDeliveryCount(0).withLinkCredit(0).withEcho(true).now();
@@ -185,7 +186,7 @@
     }
 
     private void drainReturnsUnusedCreditScript() throws Exception {
-        open();
+        openSession();
         backend().setMessagesPerLink(0);
         attachReceiver();
         flow().withHandle(0).withDeliveryCount(0).withLinkCredit(7).now();
@@ -193,7 +194,7 @@
         driver.expectFlow().withHandle(0).withDeliveryCount(7).withLinkCredit(0).withDrain(true);
         flow().withHandle(0).withDeliveryCount(0).withLinkCredit(7).withDrain(true).now();
         awaitScript();
-        environment.await("and none after it", () -> backend().availableCredit() == 0);
+        environment.await("the backend has no credit left", () -> backend().availableCredit() == 0);
     }
 
     @Test
@@ -202,7 +203,7 @@
     }
 
     private void reducedCreditIsReducedAtTheBackendScript() throws Exception {
-        open();
+        openSession();
         backend().setMessagesPerLink(0);
         attachReceiver();
         for (int credit : new int[] {50, 3, 0, 4}) {
@@ -217,7 +218,7 @@
     }
 
     private void inModeSecondTheBackendSettlesAfterTheClientScript() throws Exception {
-        open();
+        openSession();
         attachSender(true);
         driver.expectDisposition().withFirst(0).withState().accepted();
         driver.remoteTransfer()
@@ -244,7 +245,7 @@
     }
 
     private void sessionEndDuringATransferLeavesNothingBehindScript() throws Exception {
-        open();
+        openSession();
         attachSender(false);
         driver.expectEnd();
         driver.remoteTransfer()
@@ -258,7 +259,7 @@
         awaitScript();
         environment.await("no link", () -> backend().linkCount() == 0);
         assertEquals(List.of(), backend().acceptedIds());
-        driver.expectBegin(); // the connection goes on
+        driver.expectBegin(); // the connection stays usable
         driver.remoteBegin()
                 .withNextOutgoingId(0)
                 .withIncomingWindow(100)
@@ -282,11 +283,11 @@
     }
 
     private void detachDuringATransferLeavesNothingBehindAndNoOutcomeScript() throws Exception {
-        open();
+        openSession();
         attachSender(false);
         driver.expectDetach().withHandle(0);
-        driver.expectFlow()
-                .withHandle(nullValue()); // the session's window, which the link's bytes had used
+        // The session window, which the bytes of the detached link had used, is opened again.
+        driver.expectFlow().withHandle(nullValue());
         driver.remoteTransfer()
                 .withHandle(0)
                 .withDeliveryId(0)
@@ -306,7 +307,7 @@
     }
 
     private void transactionsAreRejectedWithAnErrorScript() throws Exception {
-        open();
+        openSession();
         driver.expectAttach().withTarget(nullValue()).optional();
         driver.expectDetach().withError("amqp:not-implemented", "transactions");
         var attach =
@@ -327,13 +328,14 @@
 
     private void heartbeatsFollowTheIdleTimeoutAndAHalfOpenClientIsDisconnectedScript()
             throws Exception {
-        start("  idle = \"2s\"\n");
+        startRelay("  idle = \"2s\"\n");
         driver.expectOpen();
         driver.expectEmptyFrame();
         driver.expectEmptyFrame();
         driver.remoteOpen().withContainerId("driver").withIdleTimeOut(400).now();
         awaitScript();
-        // The peer goes silent now: beats still come, until the relay ends what it takes for dead.
+        // The driver is silent from here on: the relay sends heartbeats until its idle timeout,
+        // then closes the connection.
         for (int i = 0; i < 30; i++) {
             driver.expectEmptyFrame().optional();
         }
