--- a/lab/src/main/java/saltstage/lab/Installation.java
+++ b/lab/src/main/java/saltstage/lab/Installation.java
@@ -34,15 +34,15 @@
     }
 
     /** Waits until the relay at this address answers PING with PONG; returns how long it took. */
-    public static Duration awaitPong(InetSocketAddress at, Process relay, Duration most)
+    public static Duration awaitPong(InetSocketAddress address, Process relay, Duration timeout)
             throws IOException, InterruptedException {
         long start = System.nanoTime();
-        while (System.nanoTime() - start < most.toNanos()) {
+        while (System.nanoTime() - start < timeout.toNanos()) {
             if (!relay.isAlive()) {
                 throw new IOException("the relay ended with " + relay.exitValue());
             }
             try (Socket socket = new Socket()) {
-                socket.connect(at, 500);
+                socket.connect(address, 500);
                 socket.setSoTimeout(2_000);
                 socket.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.ISO_8859_1));
                 String answer =
@@ -54,18 +54,18 @@
                 if ("PONG".equals(answer)) {
                     return Duration.ofNanos(System.nanoTime() - start);
                 }
-            } catch (IOException notYet) {
+            } catch (IOException notReady) {
                 Thread.sleep(2);
             }
         }
-        throw new IOException("the relay did not answer PING within " + most.toMillis() + " ms");
+        throw new IOException("the relay did not answer PING within " + timeout.toMillis() + " ms");
     }
 
     /** Deletes a folder with all that is in it. */
     public static void deleteRecursively(Path dir) throws IOException {
         List<Path> files;
-        try (Stream<Path> below = Files.walk(dir)) {
-            files = below.sorted(Comparator.reverseOrder()).toList();
+        try (Stream<Path> paths = Files.walk(dir)) {
+            files = paths.sorted(Comparator.reverseOrder()).toList();
         }
         for (Path file : files) {
             Files.delete(file);
--- a/lab/src/main/java/saltstage/lab/Lab.java
+++ b/lab/src/main/java/saltstage/lab/Lab.java
@@ -44,15 +44,16 @@
 
     /** Exits 0 when done, 1 on a failure, 2 on a wrong command line. */
     public static void main(String[] args) {
-        CommandLine line = new CommandLine(new Lab());
-        line.setParameterExceptionHandler((e, words) -> reportError(e.getMessage(), EXIT_USAGE));
-        line.setExecutionExceptionHandler(
-                (e, at, all) -> reportError(String.valueOf(e.getMessage()), EXIT_FAILED));
-        System.exit(line.execute(args));
+        CommandLine commandLine = new CommandLine(new Lab());
+        commandLine.setParameterExceptionHandler(
+                (e, arguments) -> reportError(e.getMessage(), EXIT_USAGE));
+        commandLine.setExecutionExceptionHandler(
+                (e, command, parsed) -> reportError(String.valueOf(e.getMessage()), EXIT_FAILED));
+        System.exit(commandLine.execute(args));
     }
 
-    static int reportError(String what, int code) {
-        System.err.println("lab: " + what.replaceAll("\\s+", " "));
+    static int reportError(String message, int code) {
+        System.err.println("lab: " + message.replaceAll("\\s+", " "));
         return code;
     }
 
--- a/lab/src/main/java/saltstage/lab/fleet/DemoCommand.java
+++ b/lab/src/main/java/saltstage/lab/fleet/DemoCommand.java
@@ -38,8 +38,9 @@
             FakeFleet fleet = new FakeFleet(gateways);
             fleet.writeFiles(dir, "log {\n  level = \"warn\"\n}\n");
             relay = startRelay(dir);
-            String[] at = fleet.listenAddress().split(":");
-            InetSocketAddress address = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
+            String[] hostAndPort = fleet.listenAddress().split(":");
+            InetSocketAddress address =
+                    new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
             Installation.awaitPong(address, relay, Duration.ofSeconds(30));
             System.out.println(
                     "relay at "
@@ -51,20 +52,20 @@
                             + " clients; the log is "
                             + dir.resolve("log")
                             + " until the end");
-            SimulatedClients all =
+            SimulatedClients simulated =
                     new SimulatedClients(
                             address, clients, Duration.ofMillis(500), Duration.ofSeconds(20));
-            printProgress(fleet, all);
-            long cut = all.brokenCount();
+            printProgress(fleet, simulated);
+            long broken = simulated.brokenCount();
             System.out.println(
                     "served "
                             + fleet.backends().stream().mapToLong(FakeBackend::servedCount).sum()
                             + " connections, moved "
-                            + all.movedCount()
+                            + simulated.movedCount()
                             + ", cut off "
-                            + cut);
-            all.stop();
-            return cut == 0 ? 0 : 1;
+                            + broken);
+            simulated.stop();
+            return broken == 0 ? 0 : 1;
         } finally {
             stopRelay(relay, dir);
         }
@@ -82,12 +83,13 @@
                 .start();
     }
 
-    private void printProgress(FakeFleet fleet, SimulatedClients all)
+    private void printProgress(FakeFleet fleet, SimulatedClients simulated)
             throws IOException, InterruptedException {
         System.out.println("  s " + SimulatedClients.ROW_HEADER + "  at the gateways");
         for (int second = 1; second <= seconds; second++) {
             Thread.sleep(1_000);
-            System.out.printf("%3d %s  %s%n", second, all.statusRow(), fleet.runCommand("row"));
+            System.out.printf(
+                    "%3d %s  %s%n", second, simulated.statusRow(), fleet.runCommand("row"));
             if (second == seconds / 2) {
                 System.out.println("    g0 drains: its clients are to be moved, none cut off");
                 fleet.runCommand("drain g0");
--- a/lab/src/main/java/saltstage/lab/fleet/FakeBackend.java
+++ b/lab/src/main/java/saltstage/lab/fleet/FakeBackend.java
@@ -51,31 +51,31 @@
     }
 
     /** The same, at an address of its own. */
-    public FakeBackend(String uid, String zone, InetAddress at) throws IOException {
+    public FakeBackend(String uid, String zone, InetAddress ipAddress) throws IOException {
         this.uid = uid;
         this.zone = zone;
-        listener = listen(new InetSocketAddress(at, 0));
+        listener = listen(new InetSocketAddress(ipAddress, 0));
         address = (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    private ServerSocket listen(InetSocketAddress at) throws IOException {
-        ServerSocket heard = new ServerSocket();
-        heard.setReuseAddress(true);
-        heard.bind(at, ACCEPT_BACKLOG);
-        startDaemon(uid + " accepts", () -> acceptAll(heard));
-        return heard;
+    private ServerSocket listen(InetSocketAddress bindAddress) throws IOException {
+        ServerSocket socket = new ServerSocket();
+        socket.setReuseAddress(true);
+        socket.bind(bindAddress, ACCEPT_BACKLOG);
+        startDaemon(uid + " accepts", () -> acceptAll(socket));
+        return socket;
     }
 
-    static void startDaemon(String name, Runnable work) {
-        Thread thread = new Thread(null, work, name, 256 << 10);
+    static void startDaemon(String name, Runnable task) {
+        Thread thread = new Thread(null, task, name, 256 << 10);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void acceptAll(ServerSocket heard) {
+    private void acceptAll(ServerSocket serverSocket) {
         try {
             while (true) {
-                Socket socket = heard.accept();
+                Socket socket = serverSocket.accept();
                 openSockets.add(socket);
                 startDaemon(uid, () -> serve(socket));
             }
@@ -101,7 +101,7 @@
                     return;
                 }
             }
-        } catch (IOException gone) { // the relay left, or this gateway was killed
+        } catch (IOException disconnected) { // the relay left, or this gateway was killed
             return;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -131,8 +131,8 @@
         if (!line.startsWith("OPEN ")) {
             return line;
         }
-        String[] parts = line.split(" ");
-        if (parts.length != 4) {
+        String[] fields = line.split(" ");
+        if (fields.length != 4) {
             return "SYNTAX";
         }
         if (state == State.DRAINING || establishedSockets.size() >= MAX_CLIENTS) {
@@ -167,7 +167,7 @@
         try {
             socket.getOutputStream().write("MOVE\r\n".getBytes(StandardCharsets.ISO_8859_1));
             socket.shutdownOutput();
-        } catch (IOException gone) { // it left by itself
+        } catch (IOException disconnected) { // it left by itself
             return;
         }
     }
@@ -202,8 +202,8 @@
     }
 
     /** Answers everything that much later. */
-    public void setAnswerDelay(Duration by) {
-        answerDelay = by;
+    public void setAnswerDelay(Duration delay) {
+        answerDelay = delay;
     }
 
     /** Where it listens. */
@@ -238,7 +238,7 @@
 
     /** Its entry in discovery's list. */
     String listEntry() {
-        String told =
+        String listedState =
                 switch (state) {
                     case READY, SILENT -> "ready"; // discovery knows only whether a process runs
                     case DRAINING -> "draining";
@@ -253,7 +253,7 @@
                 + "\",\"az\":\""
                 + zone
                 + "\",\"model\":\"stand-in\",\"pod_group\":0,\"state\":\""
-                + told
+                + listedState
                 + "\",\"capacity_hint\":1.0,\"boot_ms\":"
                 + startedAtMillis
                 + "}";
--- a/lab/src/main/java/saltstage/lab/fleet/FakeDiscovery.java
+++ b/lab/src/main/java/saltstage/lab/fleet/FakeDiscovery.java
@@ -22,8 +22,8 @@
     private volatile Duration answerDelay = Duration.ZERO;
 
     /** Discovery of these gateways, listening on a free port of loopback. */
-    public FakeDiscovery(List<FakeBackend> gateways) throws IOException {
-        this.backends = gateways;
+    public FakeDiscovery(List<FakeBackend> backends) throws IOException {
+        this.backends = backends;
         listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
         FakeBackend.startDaemon("discovery", this::acceptAll);
     }
@@ -61,7 +61,7 @@
                         socket,
                         "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
             }
-        } catch (IOException gone) { // the relay ended the call
+        } catch (IOException disconnected) { // the relay ended the call
             return;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -69,16 +69,19 @@
     }
 
     private void sendChanges(Socket socket) throws IOException, InterruptedException {
-        String told = fullList();
-        long last = revision();
+        String update = fullList();
+        long sentRevision = revision();
         while (true) {
-            send(socket, Integer.toHexString(told.length() + 1) + "\r\n" + told + "\n\r\n");
+            send(socket, Integer.toHexString(update.length() + 1) + "\r\n" + update + "\n\r\n");
             synchronized (this) {
-                if (revision == last) {
+                if (revision == sentRevision) {
                     wait(EMPTY_LINE_INTERVAL_MS);
                 }
-                told = revision == last ? "" : revision == last + 1 ? lastChange : fullList();
-                last = revision;
+                update =
+                        revision == sentRevision
+                                ? ""
+                                : revision == sentRevision + 1 ? lastChange : fullList();
+                sentRevision = revision;
             }
         }
     }
@@ -92,13 +95,13 @@
     }
 
     /** Something has changed at this gateway: all watches are told. */
-    public synchronized void backendChanged(FakeBackend gateway) {
+    public synchronized void backendChanged(FakeBackend backend) {
         revision++;
         lastChange =
                 "{\"rev\":"
                         + revision
                         + ",\"all\":false,\"targets\":["
-                        + gateway.listEntry()
+                        + backend.listEntry()
                         + "]}";
         notifyAll();
     }
@@ -109,21 +112,21 @@
     }
 
     /** The list as it was when there were only the first so many. */
-    synchronized String fullList(int first) {
+    synchronized String fullList(int count) {
         return "{\"rev\":"
                 + revision
                 + ",\"all\":true,\"targets\":["
                 + backends.stream()
-                        .limit(first)
-                        .filter(g -> g.state() != FakeBackend.State.DEAD)
+                        .limit(count)
+                        .filter(backend -> backend.state() != FakeBackend.State.DEAD)
                         .map(FakeBackend::listEntry)
                         .collect(Collectors.joining(","))
                 + "]}";
     }
 
     /** From now on each call is answered that much later. */
-    void setAnswerDelay(Duration by) {
-        answerDelay = by;
+    void setAnswerDelay(Duration delay) {
+        answerDelay = delay;
     }
 
     /** Where it listens, as the configuration has it. */
--- a/lab/src/main/java/saltstage/lab/fleet/FakeFleet.java
+++ b/lab/src/main/java/saltstage/lab/fleet/FakeFleet.java
@@ -44,10 +44,10 @@
      * So many gateways, each at a loopback address of its own; with amqp they speak that too, all
      * at one port, and the relay is to listen for it at this port, or at any where that is 0.
      */
-    public FakeFleet(int size, boolean speakAmqp, int relayPort) throws IOException {
+    public FakeFleet(int size, boolean speakAmqp, int relayAmqpPort) throws IOException {
         for (int i = 0; i < size; i++) {
-            byte[] own = {127, 0, (byte) (1 + i / 250), (byte) (1 + i % 250)};
-            backends.add(new FakeBackend("g" + i, "a", InetAddress.getByAddress(own)));
+            byte[] ipAddress = {127, 0, (byte) (1 + i / 250), (byte) (1 + i % 250)};
+            backends.add(new FakeBackend("g" + i, "a", InetAddress.getByAddress(ipAddress)));
         }
         discovery = new FakeDiscovery(backends);
         listenAddress = "127.0.0.1:" + freePort();
@@ -59,22 +59,22 @@
                             (where, fault) ->
                                     System.err.println("fault in " + where + ": " + fault));
             amqpBackendPort = freePort();
-            for (FakeBackend lines : backends) {
+            for (FakeBackend backend : backends) {
                 amqpBackends.add(
                         new FakeAmqpBackend(
-                                lines.uid(),
+                                backend.uid(),
                                 transport,
                                 new InetSocketAddress(
-                                        lines.address().getAddress(), amqpBackendPort),
+                                        backend.address().getAddress(), amqpBackendPort),
                                 duplicateDetector));
             }
-            amqpListenAddress = "127.0.0.1:" + (relayPort == 0 ? freePort() : relayPort);
+            amqpListenAddress = "127.0.0.1:" + (relayAmqpPort == 0 ? freePort() : relayAmqpPort);
         }
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getByAddress(new byte[4]))) {
-            return any.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByAddress(new byte[4]))) {
+            return socket.getLocalPort();
         }
     }
 
@@ -94,7 +94,7 @@
     }
 
     /** The operator's settings that go with this fleet; lines may be added to its block amqp. */
-    public String operatorSettings(String more) {
+    public String operatorSettings(String extraLines) {
         return amqpBackends.isEmpty()
                 ? ""
                 : "amqp {\n  listen = \""
@@ -102,7 +102,7 @@
                         + "\"\n  backend_port = "
                         + amqpBackendPort
                         + "\n  anonymous_tenant = \"kitaden-charge\"\n"
-                        + more
+                        + extraLines
                         + "}\n";
     }
 
@@ -117,8 +117,8 @@
     }
 
     /** From now on discovery answers each call that much later. */
-    public void setDiscoveryDelay(Duration by) {
-        discovery.setAnswerDelay(by);
+    public void setDiscoveryDelay(Duration delay) {
+        discovery.setAnswerDelay(delay);
     }
 
     /** Writes config.json and saltstage.hcl into the folder; settings lines go into the latter. */
@@ -127,9 +127,9 @@
     }
 
     /** The same, with a list of known backends from when there were only the first so many. */
-    public void writeFiles(Path dir, String settings, int known) throws IOException {
+    public void writeFiles(Path dir, String settings, int knownBackends) throws IOException {
         Files.createDirectories(dir);
-        Files.writeString(dir.resolve("config.json"), relayConfiguration(known));
+        Files.writeString(dir.resolve("config.json"), relayConfiguration(knownBackends));
         Files.writeString(dir.resolve("saltstage.hcl"), settings);
         Files.writeString(
                 dir.resolve("fleet.json"), new ObjectMapper().writeValueAsString(addresses()));
@@ -137,50 +137,50 @@
 
     /** Where all is that a load tool has to know. */
     private Map<String, Object> addresses() throws IOException {
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("lines", listenAddress);
+        Map<String, Object> json = new LinkedHashMap<>();
+        json.put("lines", listenAddress);
         if (!amqpBackends.isEmpty()) {
-            all.put("amqp", amqpListenAddress);
-            all.put(
+            json.put("amqp", amqpListenAddress);
+            json.put(
                     "amqp_gateways",
                     amqpBackends.stream()
                             .map(
-                                    g ->
-                                            g.address().getAddress().getHostAddress()
+                                    backend ->
+                                            backend.address().getAddress().getHostAddress()
                                                     + ":"
-                                                    + g.address().getPort())
+                                                    + backend.address().getPort())
                             .toList());
         }
-        all.put(
+        json.put(
                 "lines_gateways",
                 backends.stream()
                         .map(
-                                g ->
-                                        g.address().getAddress().getHostAddress()
+                                backend ->
+                                        backend.address().getAddress().getHostAddress()
                                                 + ":"
-                                                + g.address().getPort())
+                                                + backend.address().getPort())
                         .toList());
         if (statusListener == null) {
             statusListener = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
             FakeBackend.startDaemon("status", this::serveStatus);
         }
-        all.put("status", "127.0.0.1:" + statusListener.getLocalPort());
-        return all;
+        json.put("status", "127.0.0.1:" + statusListener.getLocalPort());
+        return json;
     }
 
     /** One line of status to whoever connects. */
     private void serveStatus() {
         while (true) {
-            try (Socket asker = statusListener.accept()) {
-                asker.getOutputStream()
+            try (Socket client = statusListener.accept()) {
+                client.getOutputStream()
                         .write((statusJson() + "\n").getBytes(StandardCharsets.UTF_8));
-            } catch (IOException gone) { // who asked has left: the next one may not
+            } catch (IOException disconnected) { // who asked has left: the next one may not
                 continue;
             }
         }
     }
 
-    private String relayConfiguration(int known) {
+    private String relayConfiguration(int knownBackends) {
         return ("{'name':'relay','listen':'"
                         + listenAddress
                         + "','discovery':'"
@@ -191,7 +191,7 @@
                         + "'sockets':"
                         + MAX_SOCKETS
                         + "},'known':"
-                        + discovery.fullList(known)
+                        + discovery.fullList(knownBackends)
                         + ",'settings':{"
                         + "'Discovery':'on_request','FleetSize':1,'Zone':0,'Zones':['a'],"
                         + "'Limits':{'MaxAttempts':6,'ConnectTimeout':250000,'RetryAfter':true,"
@@ -225,36 +225,36 @@
             setDiscoveryDelay(Duration.ofMillis(Long.parseLong(words[1])));
             return "ok discovery answers " + words[1] + " ms late";
         }
-        FakeBackend named =
+        FakeBackend backend =
                 words.length < 2
                         ? null
                         : backends.stream()
-                                .filter(g -> g.uid().equals(words[1]))
+                                .filter(candidate -> candidate.uid().equals(words[1]))
                                 .findFirst()
                                 .orElse(null);
-        boolean figure = List.of("slow", "reject", "feed").contains(words[0]);
-        if (named == null || words.length != (figure ? 3 : 2)) {
+        boolean takesNumber = List.of("slow", "reject", "feed").contains(words[0]);
+        if (backend == null || words.length != (takesNumber ? 3 : 2)) {
             return "error: say drain|kill|stop|start|tear G, slow G MS, reject G PERCENT, feed G"
                     + " MESSAGES, late MS, status or quit; G is one of g0 to g"
                     + (backends.size() - 1);
         }
-        return applyToBackend(words, named);
+        return applyToBackend(words, backend);
     }
 
-    private String applyToBackend(String[] words, FakeBackend named) throws IOException {
+    private String applyToBackend(String[] words, FakeBackend backend) throws IOException {
         if (words.length == 3 && !words[2].matches("\\d{1,6}")) {
             return "error: not a number: " + words[2];
         }
-        FakeAmqpBackend second =
-                amqpBackends.isEmpty() ? null : amqpBackends.get(backends.indexOf(named));
+        FakeAmqpBackend amqpBackend =
+                amqpBackends.isEmpty() ? null : amqpBackends.get(backends.indexOf(backend));
         switch (words[0]) {
-            case "drain" -> named.drain();
-            case "kill" -> named.kill();
-            case "stop" -> named.freeze();
-            case "start" -> named.start();
-            case "slow" -> named.setAnswerDelay(Duration.ofMillis(Long.parseLong(words[2])));
+            case "drain" -> backend.drain();
+            case "kill" -> backend.kill();
+            case "stop" -> backend.freeze();
+            case "start" -> backend.start();
+            case "slow" -> backend.setAnswerDelay(Duration.ofMillis(Long.parseLong(words[2])));
             case "reject", "feed", "tear" -> {
-                if (second == null) {
+                if (amqpBackend == null) {
                     return "error: the gateways speak lines only";
                 }
             }
@@ -262,63 +262,63 @@
                 return "error: unknown command " + words[0];
             }
         }
-        if (second != null) {
-            applyToAmqpBackend(words, second);
+        if (amqpBackend != null) {
+            applyToAmqpBackend(words, amqpBackend);
         }
         if (List.of("drain", "kill", "start").contains(words[0])) {
-            discovery.backendChanged(named);
+            discovery.backendChanged(backend);
         }
-        return "ok " + named.uid() + " " + named.state().name().toLowerCase(Locale.ROOT);
+        return "ok " + backend.uid() + " " + backend.state().name().toLowerCase(Locale.ROOT);
     }
 
-    private static void applyToAmqpBackend(String[] words, FakeAmqpBackend second)
+    private static void applyToAmqpBackend(String[] words, FakeAmqpBackend amqpBackend)
             throws IOException {
         switch (words[0]) {
-            case "drain" -> second.drain();
-            case "kill" -> second.kill();
-            case "stop" -> second.freeze();
-            case "start" -> second.start();
-            case "tear" -> second.resetWithinFrame();
-            case "slow" -> second.setOutcomeDelay(Duration.ofMillis(Long.parseLong(words[2])));
-            case "reject" -> second.setRejectPercent(Integer.parseInt(words[2]));
-            default -> second.setMessagesPerLink(Integer.parseInt(words[2]));
+            case "drain" -> amqpBackend.drain();
+            case "kill" -> amqpBackend.kill();
+            case "stop" -> amqpBackend.freeze();
+            case "start" -> amqpBackend.start();
+            case "tear" -> amqpBackend.resetWithinFrame();
+            case "slow" -> amqpBackend.setOutcomeDelay(Duration.ofMillis(Long.parseLong(words[2])));
+            case "reject" -> amqpBackend.setRejectPercent(Integer.parseInt(words[2]));
+            default -> amqpBackend.setMessagesPerLink(Integer.parseInt(words[2]));
         }
     }
 
     /** One line of JSON for scripts. */
     private String statusJson() throws IOException {
-        Map<String, Object> all = new LinkedHashMap<>();
+        Map<String, Object> json = new LinkedHashMap<>();
         for (int i = 0; i < backends.size(); i++) {
-            FakeBackend lines = backends.get(i);
-            Map<String, Object> one = new LinkedHashMap<>();
-            one.put("state", lines.state().name().toLowerCase(Locale.ROOT));
-            one.put("standing", lines.establishedCount());
-            one.put("served", lines.servedCount());
+            FakeBackend backend = backends.get(i);
+            Map<String, Object> entry = new LinkedHashMap<>();
+            entry.put("state", backend.state().name().toLowerCase(Locale.ROOT));
+            entry.put("standing", backend.establishedCount());
+            entry.put("served", backend.servedCount());
             if (!amqpBackends.isEmpty()) {
-                FakeAmqpBackend second = amqpBackends.get(i);
-                one.put("links", second.linkCount());
-                one.put("accepted", second.acceptedIds());
-                one.put("outcomes", second.outcomeCounts());
-                one.put("told", second.receivedOutcomeCounts());
-                one.put("last_link_ms", second.lastLinkMillis());
+                FakeAmqpBackend amqpBackend = amqpBackends.get(i);
+                entry.put("links", amqpBackend.linkCount());
+                entry.put("accepted", amqpBackend.acceptedIds());
+                entry.put("outcomes", amqpBackend.outcomeCounts());
+                entry.put("told", amqpBackend.receivedOutcomeCounts());
+                entry.put("last_link_ms", amqpBackend.lastLinkMillis());
             }
-            all.put(lines.uid(), one);
+            json.put(backend.uid(), entry);
         }
-        all.put("second_copies", duplicateDetector.duplicateCount());
-        return new ObjectMapper().writeValueAsString(all);
+        json.put("second_copies", duplicateDetector.duplicateCount());
+        return new ObjectMapper().writeValueAsString(json);
     }
 
     /** A short line for people. */
     private String statusRow() {
-        StringBuilder told = new StringBuilder();
-        for (FakeBackend g : backends) {
-            told.append(g.uid())
+        StringBuilder row = new StringBuilder();
+        for (FakeBackend backend : backends) {
+            row.append(backend.uid())
                     .append('=')
-                    .append(g.state().name().toLowerCase(Locale.ROOT))
+                    .append(backend.state().name().toLowerCase(Locale.ROOT))
                     .append(':')
-                    .append(g.establishedCount())
+                    .append(backend.establishedCount())
                     .append(' ');
         }
-        return told.toString().trim();
+        return row.toString().trim();
     }
 }
--- a/lab/src/main/java/saltstage/lab/fleet/SimulatedClients.java
+++ b/lab/src/main/java/saltstage/lab/fleet/SimulatedClients.java
@@ -35,30 +35,33 @@
     /**
      * So many clients of the relay, each open for about this life and speaking at this interval.
      */
-    public SimulatedClients(InetSocketAddress relay, int count, Duration between, Duration life) {
+    public SimulatedClients(
+            InetSocketAddress relay, int count, Duration lineInterval, Duration meanLifetime) {
         this.relay = relay;
-        this.lineInterval = between;
-        this.meanLifetime = life;
+        this.lineInterval = lineInterval;
+        this.meanLifetime = meanLifetime;
         for (int i = 0; i < count; i++) {
-            int number = i;
-            FakeBackend.startDaemon("client " + i, () -> runClient(number));
+            int clientNumber = i;
+            FakeBackend.startDaemon("client " + i, () -> runClient(clientNumber));
         }
     }
 
-    private void runClient(int number) {
+    private void runClient(int clientNumber) {
         Random random = ThreadLocalRandom.current();
-        boolean again = false;
+        boolean reconnecting = false;
         try {
             Thread.sleep(random.nextInt(2_000));
             while (!stopped) {
-                long pause = 80 + random.nextInt(400);
+                long pauseMillis = 80 + random.nextInt(400);
                 try {
-                    pause = Math.max(pause, runConnection(number, random, again));
+                    pauseMillis =
+                            Math.max(
+                                    pauseMillis, runConnection(clientNumber, random, reconnecting));
                 } catch (IOException broken) {
                     brokenCount.incrementAndGet();
                 }
-                again = true;
-                Thread.sleep(pause);
+                reconnecting = true;
+                Thread.sleep(pauseMillis);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -66,7 +69,7 @@
     }
 
     /** One connection; returns how long to stay away at least. */
-    private long runConnection(int number, Random random, boolean again)
+    private long runConnection(int clientNumber, Random random, boolean reconnecting)
             throws IOException, InterruptedException {
         try (Socket socket = new Socket()) {
             socket.connect(relay, CONNECT_TIMEOUT_MS);
@@ -77,22 +80,22 @@
                             new InputStreamReader(
                                     socket.getInputStream(), StandardCharsets.ISO_8859_1),
                             512);
-            boolean report = random.nextInt(100) < 79;
+            boolean statusReport = random.nextInt(100) < 79;
             sendLine(
                     socket,
                     "OPEN "
                             + Long.toHexString(random.nextLong())
                             + " c"
-                            + number
+                            + clientNumber
                             + " c="
-                            + (report ? "status-report" : "session-check")
+                            + (statusReport ? "status-report" : "session-check")
                             + ",t="
-                            + (number % 2 == 0 ? "kitaden-charge" : "dosan-power")
+                            + (clientNumber % 2 == 0 ? "kitaden-charge" : "dosan-power")
                             + ",d="
                             + CLIENT_TIMEOUT_MS
                             + ",g=s"
-                            + number / 10
-                            + (again ? ",again=1" : ""));
+                            + clientNumber / 10
+                            + (reconnecting ? ",again=1" : ""));
             String answer = in.readLine();
             if (answer == null || !answer.startsWith("UP ")) {
                 return countUnserved(answer);
@@ -119,19 +122,19 @@
 
     private void exchangeLines(Socket socket, BufferedReader in, Random random)
             throws IOException, InterruptedException {
-        long until =
+        long end =
                 System.nanoTime()
                         + (long) (meanLifetime.toNanos() * -Math.log(1 - random.nextDouble()));
         socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
-        while (!stopped && System.nanoTime() < until) {
-            long sent = System.nanoTime();
-            sendLine(socket, "STATUS " + sent);
+        while (!stopped && System.nanoTime() < end) {
+            long sentAt = System.nanoTime();
+            sendLine(socket, "STATUS " + sentAt);
             String line = in.readLine();
             if (line == null || line.equals("MOVE")) {
                 (line == null ? brokenCount : movedCount).incrementAndGet();
                 return;
             }
-            echoMicros.recordValue((System.nanoTime() - sent) / 1_000);
+            echoMicros.recordValue((System.nanoTime() - sentAt) / 1_000);
             Thread.sleep(lineInterval.toMillis());
         }
     }
--- a/lab/src/main/java/saltstage/lab/measure/RestartCommand.java
+++ b/lab/src/main/java/saltstage/lab/measure/RestartCommand.java
@@ -78,13 +78,13 @@
                         "set-up p50 in ms",
                         "set-up p99 in ms",
                         "most in ms");
-        for (boolean kept : new boolean[] {false, true}) {
-            List<RequestResult> all = new ArrayList<>();
+        for (boolean withStore : new boolean[] {false, true}) {
+            List<RequestResult> results = new ArrayList<>();
             for (int round = 0; round < rounds; round++) {
-                all.addAll(runRound(kept));
+                results.addAll(runRound(withStore));
             }
             for (int second = -1; second < seconds; second++) {
-                addRow(report, kept, second, all);
+                addRow(report, withStore, second, results);
             }
         }
         report.writeFiles(Installation.measurementsDirectory());
@@ -92,35 +92,36 @@
     }
 
     /** Second -1 is the time before the kill. */
-    private static void addRow(Report report, boolean kept, int second, List<RequestResult> all) {
+    private static void addRow(
+            Report report, boolean withStore, int second, List<RequestResult> results) {
         Histogram times = new Histogram(3);
-        long asked = 0;
+        long requests = 0;
         long unserved = 0;
-        for (RequestResult one : all) {
-            if (one.second() == second) {
-                asked++;
-                unserved += one.served() ? 0 : 1;
-                if (one.served()) {
-                    times.recordValue(one.millis());
+        for (RequestResult result : results) {
+            if (result.second() == second) {
+                requests++;
+                unserved += result.served() ? 0 : 1;
+                if (result.served()) {
+                    times.recordValue(result.millis());
                 }
             }
         }
         report.addRow(
-                kept ? "on" : "off",
+                withStore ? "on" : "off",
                 second < 0 ? "before" : second,
-                asked,
+                requests,
                 unserved,
                 times.getValueAtPercentile(50),
                 times.getValueAtPercentile(99),
                 times.getMaxValue());
     }
 
-    private List<RequestResult> runRound(boolean kept) throws Exception {
+    private List<RequestResult> runRound(boolean withStore) throws Exception {
         Path dir = Files.createTempDirectory("saltstage-restart");
         FakeFleet fleet = new FakeFleet(BACKENDS);
         fleet.writeFiles(
                 dir,
-                kept
+                withStore
                         ? "store {\n  dir = \""
                                 + dir.resolve("state")
                                 + "\"\n  every = \"500ms\"\n}\n"
@@ -135,12 +136,12 @@
         try {
             relay = startRelay(dir, fleet);
             sendRequests(fleet, clients, 4, -2); // it learns
-            List<RequestResult> all = new ArrayList<>(sendRequests(fleet, clients, 3, -1));
+            List<RequestResult> results = new ArrayList<>(sendRequests(fleet, clients, 3, -1));
             relay.destroyForcibly().waitFor();
             fleet.setDiscoveryDelay(Duration.ofMillis(late));
             relay = startRelay(dir, fleet);
-            all.addAll(sendRequests(fleet, clients, seconds, 0));
-            return all;
+            results.addAll(sendRequests(fleet, clients, seconds, 0));
+            return results;
         } finally {
             clients.shutdownNow();
             if (relay != null) {
@@ -167,8 +168,8 @@
     }
 
     private static InetSocketAddress relayAddress(FakeFleet fleet) {
-        String[] at = fleet.listenAddress().split(":");
-        return new InetSocketAddress(at[0], Integer.parseInt(at[1]));
+        String[] hostAndPort = fleet.listenAddress().split(":");
+        return new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
     }
 
     /**
@@ -176,20 +177,21 @@
      * second.
      */
     private List<RequestResult> sendRequests(
-            FakeFleet fleet, ExecutorService clients, int forSeconds, int from) throws Exception {
-        List<Future<RequestResult>> asked = new ArrayList<>();
+            FakeFleet fleet, ExecutorService clients, int durationSeconds, int firstSecond)
+            throws Exception {
+        List<Future<RequestResult>> pending = new ArrayList<>();
         long start = System.nanoTime();
-        for (int i = 0; i < forSeconds * rate; i++) {
+        for (int i = 0; i < durationSeconds * rate; i++) {
             long due = start + i * 1_000_000_000L / rate;
             Thread.sleep(Math.max(0, (due - System.nanoTime()) / 1_000_000));
-            int second = from < 0 ? from : i / rate;
-            asked.add(clients.submit(() -> sendRequest(relayAddress(fleet), second)));
+            int second = firstSecond < 0 ? firstSecond : i / rate;
+            pending.add(clients.submit(() -> sendRequest(relayAddress(fleet), second)));
         }
-        List<RequestResult> all = new ArrayList<>();
-        for (Future<RequestResult> one : asked) {
-            all.add(one.get());
+        List<RequestResult> results = new ArrayList<>();
+        for (Future<RequestResult> result : pending) {
+            results.add(result.get());
         }
-        return all;
+        return results;
     }
 
     private static RequestResult sendRequest(InetSocketAddress relay, int second) {
--- a/lab/src/main/java/saltstage/lab/measure/StartupCommand.java
+++ b/lab/src/main/java/saltstage/lab/measure/StartupCommand.java
@@ -59,19 +59,20 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        List<Path> all = jars.isEmpty() ? List.of(Installation.relayJar()) : jars;
-        long[][][] figures = new long[all.size()][3][runs];
+        List<Path> comparedJars = jars.isEmpty() ? List.of(Installation.relayJar()) : jars;
+        long[][][] figures = new long[comparedJars.size()][3][runs];
         for (int run = -1; run < runs; run++) { // one warm-up
-            for (int i = 0; i < all.size(); i++) {
-                long[] got = measureOnce(all.get(i), i < flags.size() ? flags.get(i) : "");
-                for (int f = 0; run >= 0 && f < got.length; f++) {
-                    figures[i][f][run] = got[f];
+            for (int i = 0; i < comparedJars.size(); i++) {
+                long[] measured =
+                        measureOnce(comparedJars.get(i), i < flags.size() ? flags.get(i) : "");
+                for (int f = 0; run >= 0 && f < measured.length; f++) {
+                    figures[i][f][run] = measured[f];
                 }
             }
         }
         System.out.printf("%-10s %-22s %8s %8s %8s%n", "jar", "figure", "min", "median", "max");
         String[] names = {"wall until PONG, ms", "cpu until PONG, ms", "resident, KiB"};
-        for (int i = 0; i < all.size(); i++) {
+        for (int i = 0; i < comparedJars.size(); i++) {
             for (int f = 0; f < names.length; f++) {
                 long[] sorted = figures[i][f];
                 Arrays.sort(sorted);
@@ -83,21 +84,22 @@
         return 0;
     }
 
-    private long[] measureOnce(Path jar, String more) throws IOException, InterruptedException {
+    private long[] measureOnce(Path jar, String extraFlags)
+            throws IOException, InterruptedException {
         Path dir = Files.createTempDirectory("saltstage-startup");
         FakeFleet fleet = new FakeFleet(12);
         fleet.writeFiles(dir, "store {\n  dir = \"" + dir.resolve("state") + "\"\n}\n");
-        List<String> command = relayCommand(jar, more, dir);
+        List<String> command = relayCommand(jar, extraFlags, dir);
         if (store) {
             command.addAll(List.of("--settings", dir.resolve("saltstage.hcl").toString()));
-            Process before =
+            Process earlierRelay =
                     new ProcessBuilder(command)
                             .redirectErrorStream(true)
                             .redirectOutput(dir.resolve("log").toFile())
                             .start();
-            Installation.awaitPong(relayAddress(fleet), before, Duration.ofSeconds(30));
+            Installation.awaitPong(relayAddress(fleet), earlierRelay, Duration.ofSeconds(30));
             Thread.sleep(1_000); // the list is heard and kept within that
-            before.destroyForcibly().waitFor();
+            earlierRelay.destroyForcibly().waitFor();
         }
         Process relay =
                 new ProcessBuilder(command)
@@ -110,25 +112,26 @@
             Path proc = Path.of("/proc", Long.toString(relay.pid()));
             String stat = Files.readString(proc.resolve("stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            long cpu = (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * CLOCK_TICK_MS;
-            long resident =
+            long cpuMillis =
+                    (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * CLOCK_TICK_MS;
+            long residentKib =
                     Files.readAllLines(proc.resolve("status")).stream()
                             .filter(line -> line.startsWith("VmRSS:"))
                             .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
                             .findFirst()
                             .orElse(0);
-            return new long[] {wall.toMillis(), cpu, resident};
+            return new long[] {wall.toMillis(), cpuMillis, residentKib};
         } finally {
             relay.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
             Installation.deleteRecursively(dir);
         }
     }
 
-    private List<String> relayCommand(Path jar, String more, Path dir) {
+    private List<String> relayCommand(Path jar, String extraFlags, Path dir) {
         List<String> command = new ArrayList<>(List.of("taskset", "-c", "1", "java"));
         command.addAll(jvm);
-        if (!more.isBlank()) {
-            command.addAll(List.of(more.trim().split(" ")));
+        if (!extraFlags.isBlank()) {
+            command.addAll(List.of(extraFlags.trim().split(" ")));
         }
         command.addAll(
                 List.of(
@@ -141,7 +144,7 @@
     }
 
     private static InetSocketAddress relayAddress(FakeFleet fleet) {
-        String[] at = fleet.listenAddress().split(":");
-        return new InetSocketAddress(at[0], Integer.parseInt(at[1]));
+        String[] hostAndPort = fleet.listenAddress().split(":");
+        return new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
     }
 }
--- a/lab/src/main/java/saltstage/lab/store/Report.java
+++ b/lab/src/main/java/saltstage/lab/store/Report.java
@@ -35,24 +35,30 @@
 
     /** Bars of a column by the values of another, one colour for each value of the first. */
     public void setBarChart(
-            String title, String x, String y, int series, int category, int figure) {
+            String title,
+            String xTitle,
+            String yTitle,
+            int seriesColumn,
+            int categoryColumn,
+            int valueColumn) {
         chart =
                 new CategoryChartBuilder()
                         .width(900)
                         .height(500)
                         .title(title)
-                        .xAxisTitle(x)
-                        .yAxisTitle(y)
+                        .xAxisTitle(xTitle)
+                        .yAxisTitle(yTitle)
                         .build();
-        Map<String, Map<String, Double>> all = new LinkedHashMap<>();
+        Map<String, Map<String, Double>> valuesBySeries = new LinkedHashMap<>();
         for (List<String> row : rows) {
-            all.computeIfAbsent(row.get(series), k -> new LinkedHashMap<>())
-                    .put(row.get(category), Double.valueOf(row.get(figure)));
+            valuesBySeries
+                    .computeIfAbsent(row.get(seriesColumn), key -> new LinkedHashMap<>())
+                    .put(row.get(categoryColumn), Double.valueOf(row.get(valueColumn)));
         }
-        all.forEach(
-                (one, values) ->
+        valuesBySeries.forEach(
+                (seriesName, values) ->
                         chart.addSeries(
-                                one,
+                                seriesName,
                                 new ArrayList<>(values.keySet()),
                                 new ArrayList<>(values.values())));
     }
--- a/lab/src/main/java/saltstage/lab/store/StorageEngine.java
+++ b/lab/src/main/java/saltstage/lab/store/StorageEngine.java
@@ -61,23 +61,23 @@
         private final long filledBytes;
         private long position;
 
-        RawFileEngine(Path path, int fill) throws IOException {
+        RawFileEngine(Path path, int fillBytes) throws IOException {
             file = FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-            filledBytes = fill;
-            for (int at = 0; at < fill; at += 1 << 20) {
-                file.write(ByteBuffer.allocate(1 << 20), at);
+            filledBytes = fillBytes;
+            for (int offset = 0; offset < fillBytes; offset += 1 << 20) {
+                file.write(ByteBuffer.allocate(1 << 20), offset);
             }
             file.force(true);
         }
 
         @Override
         public synchronized void put(byte[] key, byte[] value) throws IOException {
-            ByteBuffer out = ByteBuffer.allocate(key.length + value.length);
-            out.put(key).put(value).flip();
-            if (filledBytes > 0 && position + out.remaining() > filledBytes) {
+            ByteBuffer pair = ByteBuffer.allocate(key.length + value.length);
+            pair.put(key).put(value).flip();
+            if (filledBytes > 0 && position + pair.remaining() > filledBytes) {
                 position = 0;
             }
-            position += file.write(out, position);
+            position += file.write(pair, position);
             file.force(false);
         }
 
@@ -123,9 +123,9 @@
         @Override
         public void put(byte[] key, byte[] value) {
             map.put(key, value);
-            long mine = store.getCurrentVersion();
+            long version = store.getCurrentVersion();
             synchronized (this) {
-                if (store.getCurrentVersion() == mine) {
+                if (store.getCurrentVersion() == version) {
                     store.commit();
                     store.sync();
                 }
--- a/lab/src/main/java/saltstage/lab/store/StoreBenchmark.java
+++ b/lab/src/main/java/saltstage/lab/store/StoreBenchmark.java
@@ -67,30 +67,31 @@
 
     /** Runs so many writers for this time; returns the steps done a second. */
     private static long measureRate(
-            int writers, double seconds, Histogram latency, StoreOperation step) throws Exception {
-        LongAdder done = new LongAdder();
-        AtomicReference<Exception> failed = new AtomicReference<>();
+            int writers, double seconds, Histogram latency, StoreOperation operation)
+            throws Exception {
+        LongAdder completed = new LongAdder();
+        AtomicReference<Exception> failure = new AtomicReference<>();
         long start = System.nanoTime();
-        long until = start + (long) (seconds * 1e9);
+        long end = start + (long) (seconds * 1e9);
         List<Thread> threads = new ArrayList<>();
-        for (int w = 0; w < writers; w++) {
-            SplittableRandom random = new SplittableRandom(w + 1);
+        for (int writer = 0; writer < writers; writer++) {
+            SplittableRandom random = new SplittableRandom(writer + 1);
             threads.add(
                     new Thread(
                             () -> {
                                 try {
-                                    for (long at = System.nanoTime();
-                                            at < until && failed.get() == null; ) {
-                                        step.run(random.nextLong(100_000));
+                                    for (long begin = System.nanoTime();
+                                            begin < end && failure.get() == null; ) {
+                                        operation.run(random.nextLong(100_000));
                                         long now = System.nanoTime();
                                         if (latency != null) {
-                                            latency.recordValue((now - at) / 1_000);
+                                            latency.recordValue((now - begin) / 1_000);
                                         }
-                                        at = now;
-                                        done.increment();
+                                        begin = now;
+                                        completed.increment();
                                     }
                                 } catch (Exception e) {
-                                    failed.set(e);
+                                    failure.set(e);
                                 }
                             }));
         }
@@ -98,10 +99,10 @@
         for (Thread thread : threads) {
             thread.join();
         }
-        if (failed.get() != null) {
-            throw failed.get();
+        if (failure.get() != null) {
+            throw failure.get();
         }
-        return Math.round(done.sum() / ((System.nanoTime() - start) / 1e9));
+        return Math.round(completed.sum() / ((System.nanoTime() - start) / 1e9));
     }
 
     /** Durable commits a second, engines in turn. */
@@ -129,19 +130,23 @@
 
         @Override
         public Integer call() throws Exception {
-            int[] writers = {1, 8, 64};
+            int[] writerCounts = {1, 8, 64};
             Map<String, List<Long>> rates = new LinkedHashMap<>();
             for (int round = 0; round < rounds; round++) {
-                for (int n : writers) {
+                for (int writers : writerCounts) {
                     for (StorageEngine.Kind kind : StorageEngine.Kind.values()) {
-                        Path at = dir.resolve(kind + "-" + n + "-" + round);
-                        try (StorageEngine engine = kind.open(at)) {
+                        Path engineDir = dir.resolve(kind + "-" + writers + "-" + round);
+                        try (StorageEngine engine = kind.open(engineDir)) {
                             long rate =
                                     measureRate(
-                                            n, seconds, null, k -> engine.put(key(k), value(k)));
-                            rates.computeIfAbsent(kind + " " + n, k -> new ArrayList<>()).add(rate);
+                                            writers,
+                                            seconds,
+                                            null,
+                                            number -> engine.put(key(number), value(number)));
+                            rates.computeIfAbsent(kind + " " + writers, name -> new ArrayList<>())
+                                    .add(rate);
                         }
-                        Installation.deleteRecursively(at);
+                        Installation.deleteRecursively(engineDir);
                     }
                 }
                 System.err.println("round " + (round + 1) + " of " + rounds);
@@ -155,17 +160,17 @@
                             "least",
                             "most",
                             "to growing file");
-            for (int n : writers) {
+            for (int writers : writerCounts) {
                 long limit = median(rates.get(StorageEngine.Kind.RAW_GROWING + " 1"));
                 for (StorageEngine.Kind kind : StorageEngine.Kind.values()) {
-                    List<Long> all = rates.get(kind + " " + n);
+                    List<Long> figures = rates.get(kind + " " + writers);
                     report.addRow(
                             kind.title(),
-                            n,
-                            median(all),
-                            all.stream().min(Long::compare).get(),
-                            all.stream().max(Long::compare).get(),
-                            String.format("%.2f", (double) median(all) / limit));
+                            writers,
+                            median(figures),
+                            figures.stream().min(Long::compare).get(),
+                            figures.stream().max(Long::compare).get(),
+                            String.format("%.2f", (double) median(figures) / limit));
                 }
             }
             report.setBarChart(
@@ -206,42 +211,47 @@
                             "open in ms",
                             "heap bytes a key",
                             "files in MiB");
-            StoreOptions byHand = new StoreOptions(64 << 20, false, 1 << 30);
+            StoreOptions manualOptions = new StoreOptions(64 << 20, false, 1 << 30);
             for (int keys : sizes) {
-                Path at = dir.resolve("keys-" + keys);
-                for (boolean checkpoint : new boolean[] {false, true}) {
-                    if (!checkpoint) {
-                        writeKeys(at, keys, byHand);
+                Path storeDir = dir.resolve("keys-" + keys);
+                for (boolean fromCheckpoint : new boolean[] {false, true}) {
+                    if (!fromCheckpoint) {
+                        writeKeys(storeDir, keys, manualOptions);
                     }
-                    long before = usedHeapBytes();
+                    long heapBefore = usedHeapBytes();
                     long start = System.nanoTime();
                     Store store =
-                            Store.open(FileDisk.openOrCreate(at), byHand, StoreEventListener.NONE);
-                    long millis = (System.nanoTime() - start) / 1_000_000;
-                    long bytes = usedHeapBytes() - before;
+                            Store.open(
+                                    FileDisk.openOrCreate(storeDir),
+                                    manualOptions,
+                                    StoreEventListener.NONE);
+                    long openMillis = (System.nanoTime() - start) / 1_000_000;
+                    long heapBytes = usedHeapBytes() - heapBefore;
                     if (store.statistics().liveKeys() != keys) {
                         throw new IOException(
                                 store.statistics().liveKeys() + " keys came back of " + keys);
                     }
                     report.addRow(
                             keys,
-                            checkpoint ? "checkpoint" : "log",
-                            millis,
-                            String.format("%.1f", (double) bytes / keys),
+                            fromCheckpoint ? "checkpoint" : "log",
+                            openMillis,
+                            String.format("%.1f", (double) heapBytes / keys),
                             store.statistics().fileBytes() >> 20);
-                    if (!checkpoint) {
+                    if (!fromCheckpoint) {
                         store.checkpoint();
                     }
                     store.close();
                 }
-                Installation.deleteRecursively(at);
+                Installation.deleteRecursively(storeDir);
             }
             report.writeFiles(Installation.measurementsDirectory());
             return 0;
         }
 
-        private static void writeKeys(Path at, int keys, StoreOptions options) throws IOException {
-            Store store = Store.open(FileDisk.openOrCreate(at), options, StoreEventListener.NONE);
+        private static void writeKeys(Path storeDir, int keys, StoreOptions options)
+                throws IOException {
+            Store store =
+                    Store.open(FileDisk.openOrCreate(storeDir), options, StoreEventListener.NONE);
             for (int i = 0; i < keys; ) {
                 Batch batch = new Batch();
                 for (int end = Math.min(keys, i + 1_000); i < end; i++) {
@@ -249,17 +259,17 @@
                 }
                 store.commit(batch);
             }
-            Path copy = at.resolveSibling(at.getFileName() + "-copy");
+            Path copy = storeDir.resolveSibling(storeDir.getFileName() + "-copy");
             Files.createDirectories(copy);
             try (Stream<Path> files =
-                    Files.list(at)) { // as a crash leaves it: closing writes a checkpoint
+                    Files.list(storeDir)) { // as a crash leaves it: closing writes a checkpoint
                 for (Path file : files.toList()) {
                     Files.copy(file, copy.resolve(file.getFileName()));
                 }
             }
             store.close();
-            Installation.deleteRecursively(at);
-            Files.move(copy, at);
+            Installation.deleteRecursively(storeDir);
+            Files.move(copy, storeDir);
         }
 
         private static long usedHeapBytes() {
@@ -302,20 +312,21 @@
                             "copied a byte",
                             "files in MiB");
             for (int writers : new int[] {1, 8, 64}) {
-                for (boolean beside : new boolean[] {false, true}) {
-                    measureRun(report, writers, beside);
+                for (boolean withCompaction : new boolean[] {false, true}) {
+                    measureRun(report, writers, withCompaction);
                 }
             }
             report.writeFiles(Installation.measurementsDirectory());
             return 0;
         }
 
-        private void measureRun(Report report, int writers, boolean beside) throws Exception {
-            Path at = dir.resolve("c-" + writers + beside);
+        private void measureRun(Report report, int writers, boolean withCompaction)
+                throws Exception {
+            Path storeDir = dir.resolve("c-" + writers + withCompaction);
             Histogram latency = new ConcurrentHistogram(3);
-            StoreOptions options = new StoreOptions(8 << 20, beside, 32L << 20);
+            StoreOptions options = new StoreOptions(8 << 20, withCompaction, 32L << 20);
             try (Store store =
-                    Store.open(FileDisk.openOrCreate(at), options, StoreEventListener.NONE)) {
+                    Store.open(FileDisk.openOrCreate(storeDir), options, StoreEventListener.NONE)) {
                 for (long i = 0; i < 100_000; ) {
                     Batch batch = new Batch();
                     for (long end = i + 1_000; i < end; i++) {
@@ -324,20 +335,24 @@
                     store.commit(batch);
                 }
                 long rate =
-                        measureRate(writers, seconds, latency, k -> store.put(key(k), value(k)));
-                double user = rate * seconds * (VALUE_BYTES + 16);
+                        measureRate(
+                                writers,
+                                seconds,
+                                latency,
+                                number -> store.put(key(number), value(number)));
+                double userBytes = rate * seconds * (VALUE_BYTES + 16);
                 report.addRow(
                         writers,
-                        beside ? "on" : "off",
+                        withCompaction ? "on" : "off",
                         rate,
                         latency.getValueAtPercentile(50),
                         latency.getValueAtPercentile(99),
                         latency.getValueAtPercentile(99.9),
                         String.format("%.1f", latency.getMaxValue() / 1e3),
-                        String.format("%.2f", store.copiedBytes() / user),
+                        String.format("%.2f", store.copiedBytes() / userBytes),
                         store.statistics().fileBytes() >> 20);
             }
-            Installation.deleteRecursively(at);
+            Installation.deleteRecursively(storeDir);
         }
     }
 }
