--- a/lab/src/main/java/saltstage/lab/measure/StartupCommand.java
+++ b/lab/src/main/java/saltstage/lab/measure/StartupCommand.java
@@ -55,7 +55,7 @@
     private List<String> flags = List.of();
 
     @Option(names = "--store", description = "with a store of its own that has kept a list before")
-    private boolean store;
+    private boolean withStore;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
@@ -90,7 +90,7 @@
         FakeFleet fleet = new FakeFleet(12);
         fleet.writeFiles(dir, "store {\n  dir = \"" + dir.resolve("state") + "\"\n}\n");
         List<String> command = relayCommand(jar, extraFlags, dir);
-        if (store) {
+        if (withStore) {
             command.addAll(List.of("--settings", dir.resolve("saltstage.hcl").toString()));
             Process earlierRelay =
                     new ProcessBuilder(command)
