--- a/lab/src/main/java/saltstage/lab/Installation.java
+++ b/lab/src/main/java/saltstage/lab/Installation.java
@@ -13,33 +13,39 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Where the built relay is, and how it is met. */
+/** Locates the built relay and the measurements folder, and waits for a relay to be ready. */
 public final class Installation {
     private Installation() {}
 
-    /** The root of the repository: bin/lab names it. */
+    /**
+     * The root of the repository: SALTSTAGE_HOME, which bin/lab sets, or else the working
+     * directory.
+     */
     public static Path repositoryRoot() {
         String home = System.getenv("SALTSTAGE_HOME");
         return Path.of(home == null ? "." : home).toAbsolutePath().normalize();
     }
 
-    /** The script that starts the relay. */
+    /** The script that starts the relay, bin/saltstage. */
     public static Path relayScript() {
         return repositoryRoot().resolve("bin/saltstage");
     }
 
-    /** The service jar. */
+    /** The relay's jar. */
     public static Path relayJar() {
         return repositoryRoot().resolve("relay/target/saltstage.jar");
     }
 
-    /** Waits until the relay at this address answers PING with PONG; returns how long it took. */
+    /**
+     * Waits until the relay at this address answers PING with PONG and returns how long that took.
+     * Fails if the relay process exits first or the timeout passes.
+     */
     public static Duration awaitPong(InetSocketAddress address, Process relay, Duration timeout)
             throws IOException, InterruptedException {
         long start = System.nanoTime();
         while (System.nanoTime() - start < timeout.toNanos()) {
             if (!relay.isAlive()) {
-                throw new IOException("the relay ended with " + relay.exitValue());
+                throw new IOException("the relay exited with status " + relay.exitValue());
             }
             try (Socket socket = new Socket()) {
                 socket.connect(address, 500);
@@ -61,7 +67,7 @@
         throw new IOException("the relay did not answer PING within " + timeout.toMillis() + " ms");
     }
 
-    /** Deletes a folder with all that is in it. */
+    /** Deletes a folder and everything in it. */
     public static void deleteRecursively(Path dir) throws IOException {
         List<Path> files;
         try (Stream<Path> paths = Files.walk(dir)) {
@@ -72,7 +78,7 @@
         }
     }
 
-    /** The folder where measurements are kept. */
+    /** The folder that measurements are written to, docs/measurements; created if missing. */
     public static Path measurementsDirectory() throws IOException {
         return Files.createDirectories(repositoryRoot().resolve("docs/measurements"));
     }
--- a/lab/src/main/java/saltstage/lab/Lab.java
+++ b/lab/src/main/java/saltstage/lab/Lab.java
@@ -17,10 +17,11 @@
 import saltstage.lab.trial.TrialCommand;
 import saltstage.lab.trial.TrialFollowersCommand;
 
-/** The laboratory's command line. */
+/** The entry point of the lab's command line, with all its commands. */
 @Command(
         name = "lab",
-        description = "Stand-ins, load and measurements for saltstage; never in service.",
+        description =
+                "Fake backends, load, benchmarks and trials for saltstage; not for production.",
         mixinStandardHelpOptions = true,
         subcommands = {
             FleetCommand.class,
@@ -42,7 +43,7 @@
     static final int EXIT_FAILED = 1;
     static final int EXIT_USAGE = 2;
 
-    /** Exits 0 when done, 1 on a failure, 2 on a wrong command line. */
+    /** Runs a command; exits with 0 on success, 1 on a failure, 2 on an invalid command line. */
     public static void main(String[] args) {
         CommandLine commandLine = new CommandLine(new Lab());
         commandLine.setParameterExceptionHandler(
@@ -52,6 +53,7 @@
         System.exit(commandLine.execute(args));
     }
 
+    /** Prints the message as one line on standard error and returns the exit code. */
     static int reportError(String message, int code) {
         System.err.println("lab: " + message.replaceAll("\\s+", " "));
         return code;
--- a/lab/src/main/java/saltstage/lab/fleet/DemoCommand.java
+++ b/lab/src/main/java/saltstage/lab/fleet/DemoCommand.java
@@ -11,23 +11,32 @@
 import picocli.CommandLine.Option;
 import saltstage.lab.Installation;
 
-/** The relay at work, for someone who has never seen it. */
+/** Shows a relay at work: fake backends, simulated clients and a drained backend. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
         description = {
-            "Starts a fleet, the built relay and some hundred clients, shows what is served each"
-                    + " second,",
-            "drains a gateway on the way, and ends everything. Exits 1 if a client was cut off."
+            "Starts fake backends, the built relay and some hundred clients, prints a row of counts"
+                    + " each second,",
+            "drains a backend halfway through and ends. Exits with 1 if a client was cut off."
         })
 public final class DemoCommand implements Callable<Integer> {
-    @Option(names = "--gateways", defaultValue = "4", description = "stand-in gateways (default 4)")
+    @Option(
+            names = "--gateways",
+            defaultValue = "4",
+            description = "number of fake backends (default 4)")
     private int gateways;
 
-    @Option(names = "--clients", defaultValue = "300", description = "clients (default 300)")
+    @Option(
+            names = "--clients",
+            defaultValue = "300",
+            description = "number of clients (default 300)")
     private int clients;
 
-    @Option(names = "--seconds", defaultValue = "15", description = "how long (default 15)")
+    @Option(
+            names = "--seconds",
+            defaultValue = "15",
+            description = "duration in seconds (default 15)")
     private int seconds;
 
     @Override
--- a/lab/src/main/java/saltstage/lab/fleet/FakeBackend.java
+++ b/lab/src/main/java/saltstage/lab/fleet/FakeBackend.java
@@ -16,12 +16,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A stand-in for a gateway on loopback: takes OPEN lines, answers UP, echoes what clients say,
- * tells its load when it is probed. It can drain (BUSY for newcomers, clients sent away one by
- * one), be killed (resets and refuses), fall silent as a frozen machine does, and answer late.
+ * A fake backend on loopback that speaks the line protocol: it answers OPEN with UP, echoes the
+ * lines of established clients and reports its load when it is probed with STATS. It can drain
+ * (rejects new clients with BUSY and moves the established ones one by one), be killed (resets open
+ * connections and refuses new ones), freeze (stops answering while its connections stay open) and
+ * delay its answers.
  */
 public final class FakeBackend {
-    /** What it is doing. */
+    /** The state of a fake backend. */
     public enum State {
         READY,
         DRAINING,
@@ -45,12 +47,12 @@
     private volatile Duration answerDelay = Duration.ZERO;
     private volatile long startedAtMillis;
 
-    /** A gateway that listens on a free port from the return on. */
+    /** Starts a backend that listens on a free port of the loopback address. */
     public FakeBackend(String uid, String zone) throws IOException {
         this(uid, zone, InetAddress.getLoopbackAddress());
     }
 
-    /** The same, at an address of its own. */
+    /** Starts a backend that listens on a free port of the given address. */
     public FakeBackend(String uid, String zone, InetAddress ipAddress) throws IOException {
         this.uid = uid;
         this.zone = zone;
@@ -66,6 +68,7 @@
         return socket;
     }
 
+    /** Starts a daemon thread with a 256 KiB stack. */
     static void startDaemon(String name, Runnable task) {
         Thread thread = new Thread(null, task, name, 256 << 10);
         thread.setDaemon(true);
@@ -79,7 +82,7 @@
                 openSockets.add(socket);
                 startDaemon(uid, () -> serve(socket));
             }
-        } catch (IOException closed) { // it was killed
+        } catch (IOException closed) { // kill() closed the listener
             return;
         }
     }
@@ -101,7 +104,7 @@
                     return;
                 }
             }
-        } catch (IOException disconnected) { // the relay left, or this gateway was killed
+        } catch (IOException disconnected) { // by the relay or by kill()
             return;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -143,7 +146,7 @@
         return "UP " + uid + "-" + servedCount.incrementAndGet();
     }
 
-    /** Wants nothing new; sends its clients away one after the other. */
+    /** Rejects new clients from now on and sends MOVE to the established ones one after another. */
     public void drain() {
         state = State.DRAINING;
         startDaemon(
@@ -167,19 +170,19 @@
         try {
             socket.getOutputStream().write("MOVE\r\n".getBytes(StandardCharsets.ISO_8859_1));
             socket.shutdownOutput();
-        } catch (IOException disconnected) { // it left by itself
+        } catch (IOException disconnected) { // the client has already left
             return;
         }
     }
 
-    /** Dies as a process does: what is open is reset, what comes is refused. */
+    /** Simulates the death of the process: open connections are reset and new ones are refused. */
     public void kill() throws IOException {
         state = State.DEAD;
         listener.close();
         for (Socket socket : openSockets) {
             try {
                 socket.setSoLinger(true, 0);
-            } catch (SocketException closed) { // it ended meanwhile
+            } catch (SocketException closed) { // the connection has ended in the meantime
                 continue;
             } finally {
                 socket.close();
@@ -187,12 +190,12 @@
         }
     }
 
-    /** Freezes as a machine does that is cut off: everything stays open and nothing is said. */
+    /** Simulates a frozen machine: connections stay open, but nothing is sent on them any more. */
     public void freeze() {
         state = State.SILENT;
     }
 
-    /** Serves again; a killed one as a new process at the same address. */
+    /** Serves again; a killed backend restarts as a new process at the same address. */
     public void start() throws IOException {
         if (state == State.DEAD) {
             listener = listen(address);
@@ -201,46 +204,46 @@
         state = State.READY;
     }
 
-    /** Answers everything that much later. */
+    /** Delays every answer by this time. */
     public void setAnswerDelay(Duration delay) {
         answerDelay = delay;
     }
 
-    /** Where it listens. */
+    /** The address that the backend listens on. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Its name. */
+    /** The backend's unique id, as in the backend list. */
     public String uid() {
         return uid;
     }
 
-    /** What it is doing. */
+    /** The backend's current state. */
     public State state() {
         return state;
     }
 
-    /** How many clients stand here. */
+    /** The number of clients that are established now. */
     public int establishedCount() {
         return establishedSockets.size();
     }
 
-    /** How many it has served since its first start. */
+    /** The number of clients that were accepted since the first start. */
     public long servedCount() {
         return servedCount.get();
     }
 
-    /** How many newcomers it has refused. */
+    /** The number of clients that were rejected since the first start. */
     public long rejectedCount() {
         return rejectedCount.get();
     }
 
-    /** Its entry in discovery's list. */
+    /** The backend's entry in the backend list, as JSON. */
     String listEntry() {
         String listedState =
                 switch (state) {
-                    case READY, SILENT -> "ready"; // discovery knows only whether a process runs
+                    case READY, SILENT -> "ready"; // discovery cannot see that it is frozen
                     case DRAINING -> "draining";
                     case DEAD -> "gone";
                 };
--- a/lab/src/main/java/saltstage/lab/fleet/FakeDiscovery.java
+++ b/lab/src/main/java/saltstage/lab/fleet/FakeDiscovery.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A stand-in for discovery: the whole list on demand, and watches that tell each change. */
+/**
+ * A fake discovery service over HTTP: it serves the full backend list, and watches that deliver
+ * each change.
+ */
 public final class FakeDiscovery {
     private static final long EMPTY_LINE_INTERVAL_MS = 2_000;
 
@@ -21,7 +24,7 @@
     private String lastChange = "";
     private volatile Duration answerDelay = Duration.ZERO;
 
-    /** Discovery of these gateways, listening on a free port of loopback. */
+    /** Starts a discovery service for these backends on a free loopback port. */
     public FakeDiscovery(List<FakeBackend> backends) throws IOException {
         this.backends = backends;
         listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
@@ -61,13 +64,17 @@
                         socket,
                         "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
             }
-        } catch (IOException disconnected) { // the relay ended the call
+        } catch (IOException disconnected) { // the relay closed the connection
             return;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
+    /**
+     * Sends the full list, then each change as a chunk: a delta after one new revision, the full
+     * list after several, and an empty line every two seconds without a change.
+     */
     private void sendChanges(Socket socket) throws IOException, InterruptedException {
         String update = fullList();
         long sentRevision = revision();
@@ -94,7 +101,7 @@
         return revision;
     }
 
-    /** Something has changed at this gateway: all watches are told. */
+    /** Publishes a change of this backend to all watches as a new revision. */
     public synchronized void backendChanged(FakeBackend backend) {
         revision++;
         lastChange =
@@ -106,12 +113,12 @@
         notifyAll();
     }
 
-    /** The whole list as discovery tells it; dead gateways are not in it. */
+    /** The full backend list as JSON; dead backends are left out. */
     public String fullList() {
         return fullList(backends.size());
     }
 
-    /** The list as it was when there were only the first so many. */
+    /** The full backend list as JSON, restricted to the first {@code count} backends. */
     synchronized String fullList(int count) {
         return "{\"rev\":"
                 + revision
@@ -124,12 +131,12 @@
                 + "]}";
     }
 
-    /** From now on each call is answered that much later. */
+    /** Delays the answer to each later call by this time. */
     void setAnswerDelay(Duration delay) {
         answerDelay = delay;
     }
 
-    /** Where it listens, as the configuration has it. */
+    /** The address that the service listens on, as IP:PORT for the relay's configuration. */
     public String address() {
         return listener.getInetAddress().getHostAddress() + ":" + listener.getLocalPort();
     }
--- a/lab/src/main/java/saltstage/lab/fleet/FakeFleet.java
+++ b/lab/src/main/java/saltstage/lab/fleet/FakeFleet.java
@@ -21,7 +21,8 @@
 import saltstage.net.Transport;
 
 /**
- * Stand-in gateways with their discovery, and the files with which a relay serves in front of them.
+ * Fake backends with a fake discovery service, and the configuration files for a relay in front of
+ * them.
  */
 public final class FakeFleet {
     private static final int MAX_SOCKETS = 4096;
@@ -35,14 +36,15 @@
     private int amqpBackendPort;
     private ServerSocket statusListener;
 
-    /** So many gateways, g0, g1 and so on, that speak lines. */
+    /** Starts backends named g0, g1 and so on that speak the line protocol only. */
     public FakeFleet(int size) throws IOException {
         this(size, false, 0);
     }
 
     /**
-     * So many gateways, each at a loopback address of its own; with amqp they speak that too, all
-     * at one port, and the relay is to listen for it at this port, or at any where that is 0.
+     * Starts backends, each at its own loopback address. With {@code speakAmqp} they also speak
+     * AMQP, all on one port number, and the relay is configured to listen for AMQP on {@code
+     * relayAmqpPort}, or on a free port if that is 0.
      */
     public FakeFleet(int size, boolean speakAmqp, int relayAmqpPort) throws IOException {
         for (int i = 0; i < size; i++) {
@@ -78,22 +80,25 @@
         }
     }
 
-    /** Where the relay is to listen for AMQP, or null. */
+    /** The address that the relay is to listen on for AMQP, or null without AMQP. */
     public String amqpListenAddress() {
         return amqpListenAddress;
     }
 
-    /** The AMQP sides of the gateways, in order. */
+    /** The AMQP backends in the order of {@link #backends}; empty without AMQP. */
     public List<FakeAmqpBackend> amqpBackends() {
         return List.copyOf(amqpBackends);
     }
 
-    /** What was out at two gateways at once. */
+    /** Detects deliveries that were outstanding at two backends at once. */
     public DuplicateDeliveryDetector duplicateDetector() {
         return duplicateDetector;
     }
 
-    /** The operator's settings that go with this fleet; lines may be added to its block amqp. */
+    /**
+     * The operator settings for this fleet: a block amqp, with these extra lines in it, or an empty
+     * text without AMQP.
+     */
     public String operatorSettings(String extraLines) {
         return amqpBackends.isEmpty()
                 ? ""
@@ -106,27 +111,30 @@
                         + "}\n";
     }
 
-    /** Where the relay is to listen. */
+    /** The address that the relay is to listen on for the line protocol. */
     public String listenAddress() {
         return listenAddress;
     }
 
-    /** The gateways, in order. */
+    /** The line backends in the order of their names. */
     public List<FakeBackend> backends() {
         return List.copyOf(backends);
     }
 
-    /** From now on discovery answers each call that much later. */
+    /** Makes discovery delay the answer to each later call by this time. */
     public void setDiscoveryDelay(Duration delay) {
         discovery.setAnswerDelay(delay);
     }
 
-    /** Writes config.json and saltstage.hcl into the folder; settings lines go into the latter. */
+    /**
+     * Writes config.json, saltstage.hcl with these settings, and fleet.json with the addresses of
+     * the fleet into the folder.
+     */
     public void writeFiles(Path dir, String settings) throws IOException {
         writeFiles(dir, settings, backends.size());
     }
 
-    /** The same, with a list of known backends from when there were only the first so many. */
+    /** Writes the same files, with only the first {@code knownBackends} backends in config.json. */
     public void writeFiles(Path dir, String settings, int knownBackends) throws IOException {
         Files.createDirectories(dir);
         Files.writeString(dir.resolve("config.json"), relayConfiguration(knownBackends));
@@ -135,7 +143,7 @@
                 dir.resolve("fleet.json"), new ObjectMapper().writeValueAsString(addresses()));
     }
 
-    /** Where all is that a load tool has to know. */
+    /** The content of fleet.json: the addresses that load generators need. */
     private Map<String, Object> addresses() throws IOException {
         Map<String, Object> json = new LinkedHashMap<>();
         json.put("lines", listenAddress);
@@ -168,13 +176,13 @@
         return json;
     }
 
-    /** One line of status to whoever connects. */
+    /** Sends one line of status JSON to each connection. */
     private void serveStatus() {
         while (true) {
             try (Socket client = statusListener.accept()) {
                 client.getOutputStream()
                         .write((statusJson() + "\n").getBytes(StandardCharsets.UTF_8));
-            } catch (IOException disconnected) { // who asked has left: the next one may not
+            } catch (IOException disconnected) { // this client has left; the next one may stay
                 continue;
             }
         }
@@ -206,7 +214,7 @@
                 .replace('\'', '"');
     }
 
-    /** Does what a line says; the answer is one line, or null for the end. */
+    /** Runs a command line; returns a one-line answer, or null for quit. */
     public String runCommand(String line) throws IOException {
         String[] words = line.trim().split("\\s+");
         switch (words[0]) {
@@ -285,7 +293,7 @@
         }
     }
 
-    /** One line of JSON for scripts. */
+    /** The state and counters of each backend as one line of JSON, for scripts. */
     private String statusJson() throws IOException {
         Map<String, Object> json = new LinkedHashMap<>();
         for (int i = 0; i < backends.size(); i++) {
@@ -308,7 +316,7 @@
         return new ObjectMapper().writeValueAsString(json);
     }
 
-    /** A short line for people. */
+    /** The state and the number of established clients of each backend as a short text. */
     private String statusRow() {
         StringBuilder row = new StringBuilder();
         for (FakeBackend backend : backends) {
--- a/lab/src/main/java/saltstage/lab/fleet/SimulatedClients.java
+++ b/lab/src/main/java/saltstage/lab/fleet/SimulatedClients.java
@@ -14,7 +14,10 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Clients after the protocol: each asks, stays, says a line every so often, and comes again. */
+/**
+ * Simulated clients of the line protocol. Each one sends a request, stays connected while it sends
+ * a line at each interval, leaves, and connects again after a pause.
+ */
 public final class SimulatedClients {
     private static final int CONNECT_TIMEOUT_MS = 2_000;
     private static final int CLIENT_TIMEOUT_MS = 2_000;
@@ -33,7 +36,8 @@
     private volatile boolean stopped;
 
     /**
-     * So many clients of the relay, each open for about this life and speaking at this interval.
+     * Starts clients of the relay that send a line at this interval; the lifetimes of their
+     * connections are exponentially distributed with this mean.
      */
     public SimulatedClients(
             InetSocketAddress relay, int count, Duration lineInterval, Duration meanLifetime) {
@@ -68,7 +72,7 @@
         }
     }
 
-    /** One connection; returns how long to stay away at least. */
+    /** Runs one connection; returns the minimum pause in milliseconds before the next. */
     private long runConnection(int clientNumber, Random random, boolean reconnecting)
             throws IOException, InterruptedException {
         try (Socket socket = new Socket()) {
@@ -111,6 +115,9 @@
         }
     }
 
+    /**
+     * Counts an answer other than UP; returns the delay in milliseconds that BUSY asks for, or 0.
+     */
     private long countUnserved(String answer) {
         if (answer != null && answer.startsWith("BUSY")) {
             rejectedCount.incrementAndGet();
@@ -143,12 +150,12 @@
         socket.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** No client comes again. */
+    /** Stops the clients: none of them connects again. */
     public void stop() {
         stopped = true;
     }
 
-    /** What they have met since the start, as a row of numbers under {@link #ROW_HEADER}. */
+    /** The counters since the start as a row of numbers under {@link #ROW_HEADER}. */
     public String statusRow() {
         return String.format(
                 "%8d %8d %8d %8d %8d %8d %9.2f",
@@ -162,23 +169,26 @@
     }
 
     /**
-     * The names over {@link #statusRow}; the last is the 99th percentile of a line and its echo, in
-     * ms.
+     * The column names of {@link #statusRow}. The last column is the 99th percentile of the time
+     * from a line to its echo, in milliseconds.
      */
     public static final String ROW_HEADER =
             "standing   served  refused   failed    moved      cut  p99 in ms";
 
-    /** How many stand now. */
+    /** The number of connections that are established now. */
     public int establishedCount() {
         return establishedCount.get();
     }
 
-    /** How many connections ended without MOVE, were refused by the system, or broke. */
+    /**
+     * The number of connections that ended without MOVE, failed, or were refused by the operating
+     * system.
+     */
     public long brokenCount() {
         return brokenCount.get();
     }
 
-    /** How many were told to move. */
+    /** The number of connections that the relay ended with MOVE. */
     public long movedCount() {
         return movedCount.get();
     }
--- a/lab/src/main/java/saltstage/lab/measure/RestartCommand.java
+++ b/lab/src/main/java/saltstage/lab/measure/RestartCommand.java
@@ -24,17 +24,18 @@
 import saltstage.lab.store.Report;
 
 /**
- * A relay killed outright in front of a fleet in trouble, started again with and without its store.
+ * Measures what clients experience after a relay is killed and restarted in front of a fleet in
+ * trouble, with and without a store.
  */
 @Command(
         name = "restart",
         mixinStandardHelpOptions = true,
         description = {
-            "A deploy has replaced the two gateways that the platform's list names by six others,"
-                    + " of which one is",
-            "frozen, and discovery answers late.",
-            "The relay is killed and started anew, with and without a store: what clients meet,"
-                    + " second by second."
+            "A deploy has replaced the two backends in the platform's list by six others,"
+                    + " one of which is",
+            "frozen, and discovery answers slowly.",
+            "The relay is killed and restarted, with and without a store: reports served and failed"
+                    + " requests second by second."
         })
 public final class RestartCommand implements Callable<Integer> {
     private static final int BACKENDS = 8;
@@ -43,13 +44,13 @@
     @Option(
             names = "--rounds",
             defaultValue = "5",
-            description = "restarts of each kind (default 5)")
+            description = "restarts with and without a store, each (default 5)")
     private int rounds;
 
     @Option(
             names = "--seconds",
             defaultValue = "10",
-            description = "watched after each start (default 10)")
+            description = "seconds of requests after each restart (default 10)")
     private int seconds;
 
     @Option(
@@ -61,7 +62,7 @@
     @Option(
             names = "--late",
             defaultValue = "4000",
-            description = "ms until discovery answers (default 4000)")
+            description = "delay of discovery's answers after the restart, in ms (default 4000)")
     private int late;
 
     private record RequestResult(int second, int millis, boolean served) {}
@@ -91,7 +92,7 @@
         return 0;
     }
 
-    /** Second -1 is the time before the kill. */
+    /** Adds the row of one second; second -1 is the time before the kill. */
     private static void addRow(
             Report report, boolean withStore, int second, List<RequestResult> results) {
         Histogram times = new Histogram(3);
@@ -127,15 +128,14 @@
                                 + "\"\n  every = \"500ms\"\n}\n"
                         : "",
                 2);
-        fleet.runCommand(
-                "kill g0"); // the file that the relay starts from names these two and no other
+        fleet.runCommand("kill g0"); // config.json names only g0 and g1, which no longer exist
         fleet.runCommand("kill g1");
         fleet.runCommand("stop g2");
         ExecutorService clients = Executors.newCachedThreadPool();
         Process relay = null;
         try {
             relay = startRelay(dir, fleet);
-            sendRequests(fleet, clients, 4, -2); // it learns
+            sendRequests(fleet, clients, 4, -2); // lets the relay learn the backends
             List<RequestResult> results = new ArrayList<>(sendRequests(fleet, clients, 3, -1));
             relay.destroyForcibly().waitFor();
             fleet.setDiscoveryDelay(Duration.ofMillis(late));
@@ -173,8 +173,9 @@
     }
 
     /**
-     * Asks at the rate for so long, whatever comes back; from second -2 and -1 all count as that
-     * second.
+     * Sends requests at the configured rate for this many seconds, regardless of the answers.
+     * Results are counted by second from 0 on; with a negative {@code firstSecond} all of them
+     * count as that second.
      */
     private List<RequestResult> sendRequests(
             FakeFleet fleet, ExecutorService clients, int durationSeconds, int firstSecond)
--- a/lab/src/main/java/saltstage/lab/measure/StartupCommand.java
+++ b/lab/src/main/java/saltstage/lab/measure/StartupCommand.java
@@ -15,28 +15,27 @@
 import saltstage.lab.Installation;
 import saltstage.lab.fleet.FakeFleet;
 
-/** How long a relay takes from its start to the first PONG, and what it then holds. */
+/** Measures the time from a relay's start to its first PONG, and its resident memory then. */
 @Command(
         name = "startup",
         mixinStandardHelpOptions = true,
         description = {
-            "Starts relays in turn, each pinned to one processor with the flags of service, and"
+            "Starts relays in turn, each pinned to one processor with the flags of production, and"
                     + " prints wall time",
-            "and processor time until the first PONG and the resident memory then, as minimum,"
+            "and processor time until the first PONG and resident memory at that time, as minimum,"
                     + " median, maximum.",
-            "On half a core the processor time is the half of what it takes."
+            "On half a core the start takes twice the processor time."
         })
 public final class StartupCommand implements Callable<Integer> {
-    private static final long CLOCK_TICK_MS =
-            10; // Linux counts processor time in hundredths of a second
+    private static final long CLOCK_TICK_MS = 10; // /proc counts in hundredths of a second
 
-    @Option(names = "--runs", defaultValue = "9", description = "runs of each (default 9)")
+    @Option(
+            names = "--runs",
+            defaultValue = "9",
+            description = "measured runs of each jar (default 9)")
     private int runs;
 
-    @Option(
-            names = "--jvm",
-            split = " ",
-            description = "flags of the JVM (default: those of deploy/)")
+    @Option(names = "--jvm", split = " ", description = "JVM flags (default: those of deploy/)")
     private List<String> jvm =
             List.of(
                     "-Xms24m",
@@ -51,17 +50,22 @@
     @Option(names = "--jars", split = ",", description = "jars to compare (default: the built one)")
     private List<Path> jars = List.of();
 
-    @Option(names = "--flags", description = "for each jar, further JVM flags, given once a jar")
+    @Option(
+            names = "--flags",
+            description =
+                    "additional JVM flags for one jar; repeat the option once per jar, in order")
     private List<String> flags = List.of();
 
-    @Option(names = "--store", description = "with a store of its own that has kept a list before")
+    @Option(
+            names = "--store",
+            description = "start with a store in which an earlier run has persisted a backend list")
     private boolean withStore;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         List<Path> comparedJars = jars.isEmpty() ? List.of(Installation.relayJar()) : jars;
         long[][][] figures = new long[comparedJars.size()][3][runs];
-        for (int run = -1; run < runs; run++) { // one warm-up
+        for (int run = -1; run < runs; run++) { // run -1 warms up and is not recorded
             for (int i = 0; i < comparedJars.size(); i++) {
                 long[] measured =
                         measureOnce(comparedJars.get(i), i < flags.size() ? flags.get(i) : "");
@@ -98,7 +102,7 @@
                             .redirectOutput(dir.resolve("log").toFile())
                             .start();
             Installation.awaitPong(relayAddress(fleet), earlierRelay, Duration.ofSeconds(30));
-            Thread.sleep(1_000); // the list is heard and kept within that
+            Thread.sleep(1_000); // time for the relay to receive and persist the backend list
             earlierRelay.destroyForcibly().waitFor();
         }
         Process relay =
--- a/lab/src/main/java/saltstage/lab/store/Report.java
+++ b/lab/src/main/java/saltstage/lab/store/Report.java
@@ -13,27 +13,30 @@
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
 
-/** A result as CSV, as a table for people, and if wanted as a chart. */
+/** A benchmark result that is written as CSV, as a Markdown table and optionally as a chart. */
 public final class Report {
     private final String name;
     private final List<String> header;
     private final List<List<String>> rows = new ArrayList<>();
     private CategoryChart chart;
 
-    /** A result of this name with these columns. */
+    /** Creates a report with the base name of its files and its column names. */
     public Report(String name, String... columns) {
         this.name = name;
         header = List.of(columns);
     }
 
-    /** Adds a row and says it. */
+    /** Adds a row and prints it. */
     public void addRow(Object... cells) {
         List<String> row = Arrays.stream(cells).map(String::valueOf).toList();
         rows.add(row);
         System.out.println(String.join("  ", row));
     }
 
-    /** Bars of a column by the values of another, one colour for each value of the first. */
+    /**
+     * Adds a bar chart of the rows so far: the bars show the value column, grouped by the category
+     * column, with one colour for each value of the series column.
+     */
     public void setBarChart(
             String title,
             String xTitle,
@@ -63,7 +66,7 @@
                                 new ArrayList<>(values.values())));
     }
 
-    /** Writes NAME.csv, NAME.md and, where there is one, NAME.png. */
+    /** Writes NAME.csv, NAME.table.md and, if there is a chart, NAME.png. */
     public void writeFiles(Path dir) throws IOException {
         Files.writeString(
                 dir.resolve(name + ".csv"),
--- a/lab/src/main/java/saltstage/lab/store/StorageEngine.java
+++ b/lab/src/main/java/saltstage/lab/store/StorageEngine.java
@@ -17,7 +17,7 @@
 import saltstage.store.StoreEventListener;
 import saltstage.store.StoreOptions;
 
-/** Something that makes one pair durable at a time; used by many threads. */
+/** A storage engine under comparison: makes one pair durable at a time, for many threads. */
 interface StorageEngine extends AutoCloseable {
     /** Returns once the pair is durable. */
     void put(byte[] key, byte[] value) throws Exception;
@@ -55,7 +55,7 @@
         }
     }
 
-    /** The limit: each record alone appended and forced. */
+    /** The baseline: appends each record to a raw file and forces it to disk on its own. */
     final class RawFileEngine implements StorageEngine {
         private final FileChannel file;
         private final long filledBytes;
@@ -87,7 +87,7 @@
         }
     }
 
-    /** This repository's. */
+    /** This repository's store. */
     final class SaltstageEngine implements StorageEngine {
         private final Store store;
 
@@ -110,7 +110,10 @@
         }
     }
 
-    /** MVStore; who waits while another commits is covered by the next commit, as in the others. */
+    /**
+     * H2 MVStore with group commit: a writer that waits while another one commits is covered by the
+     * next commit, as in the other engines.
+     */
     final class MvStoreEngine implements StorageEngine {
         private final MVStore store;
         private final MVMap<byte[], byte[]> map;
--- a/lab/src/main/java/saltstage/lab/store/StoreBenchmark.java
+++ b/lab/src/main/java/saltstage/lab/store/StoreBenchmark.java
@@ -26,7 +26,7 @@
 import saltstage.store.StoreEventListener;
 import saltstage.store.StoreOptions;
 
-/** Measurements of the store; results go to docs/measurements as CSV, table and chart. */
+/** Benchmarks of the store; results go to docs/measurements as CSV, table and chart. */
 @Command(
         name = "store",
         mixinStandardHelpOptions = true,
@@ -61,11 +61,15 @@
         return figures.stream().sorted().skip(figures.size() / 2).findFirst().orElseThrow();
     }
 
+    /** A write to the store, with a number from which its key and value are derived. */
     private interface StoreOperation {
         void run(long n) throws Exception;
     }
 
-    /** Runs so many writers for this time; returns the steps done a second. */
+    /**
+     * Runs the operation in a loop on this many threads for this time and returns the operations
+     * per second. Latencies are recorded in microseconds unless {@code latency} is null.
+     */
     private static long measureRate(
             int writers, double seconds, Histogram latency, StoreOperation operation)
             throws Exception {
@@ -105,13 +109,13 @@
         return Math.round(completed.sum() / ((System.nanoTime() - start) / 1e9));
     }
 
-    /** Durable commits a second, engines in turn. */
+    /** Measures durable commits per second, with the engines taking turns. */
     @Command(
             name = "commits",
             mixinStandardHelpOptions = true,
             description =
-                    "Durable commits a second of 128-byte values, against other engines on the same"
-                            + " disk.")
+                    "Durable commits per second of 128-byte values, compared with other engines on"
+                            + " the same disk.")
     static final class Commits implements Callable<Integer> {
         @Option(
                 names = "--dir",
@@ -122,10 +126,13 @@
         @Option(
                 names = "--rounds",
                 defaultValue = "5",
-                description = "rounds of all engines in turn (5)")
+                description = "number of rounds; each runs all engines in turn (5)")
         private int rounds;
 
-        @Option(names = "--seconds", defaultValue = "1.5", description = "of each run (1.5)")
+        @Option(
+                names = "--seconds",
+                defaultValue = "1.5",
+                description = "duration of each run (1.5)")
         private double seconds;
 
         @Override
@@ -133,18 +140,14 @@
             int[] writerCounts = {1, 8, 64};
             Map<String, List<Long>> rates = new LinkedHashMap<>();
             for (int round = 0; round < rounds; round++) {
-                for (int writers : writerCounts) {
+                for (int n : writerCounts) {
                     for (StorageEngine.Kind kind : StorageEngine.Kind.values()) {
-                        Path engineDir = dir.resolve(kind + "-" + writers + "-" + round);
+                        Path engineDir = dir.resolve(kind + "-" + n + "-" + round);
                         try (StorageEngine engine = kind.open(engineDir)) {
                             long rate =
                                     measureRate(
-                                            writers,
-                                            seconds,
-                                            null,
-                                            number -> engine.put(key(number), value(number)));
-                            rates.computeIfAbsent(kind + " " + writers, name -> new ArrayList<>())
-                                    .add(rate);
+                                            n, seconds, null, k -> engine.put(key(k), value(k)));
+                            rates.computeIfAbsent(kind + " " + n, k -> new ArrayList<>()).add(rate);
                         }
                         Installation.deleteRecursively(engineDir);
                     }
@@ -180,12 +183,12 @@
         }
     }
 
-    /** Opening and memory. */
+    /** Measures the time to open a store and its heap use per key. */
     @Command(
             name = "recovery",
             mixinStandardHelpOptions = true,
             description =
-                    "Time to open and bytes of heap a key, from a checkpoint and from the log"
+                    "Time to open and heap bytes per key, from a checkpoint and from the log"
                             + " alone.")
     static final class Recovery implements Callable<Integer> {
         @Option(
@@ -198,7 +201,7 @@
                 names = "--keys",
                 split = ",",
                 defaultValue = "1000000,5000000",
-                description = "sizes")
+                description = "numbers of keys")
         private List<Integer> sizes;
 
         @Override
@@ -211,25 +214,25 @@
                             "open in ms",
                             "heap bytes a key",
                             "files in MiB");
-            StoreOptions manualOptions = new StoreOptions(64 << 20, false, 1 << 30);
+            StoreOptions manual = new StoreOptions(64 << 20, false, 1 << 30);
             for (int keys : sizes) {
                 Path storeDir = dir.resolve("keys-" + keys);
                 for (boolean fromCheckpoint : new boolean[] {false, true}) {
                     if (!fromCheckpoint) {
-                        writeKeys(storeDir, keys, manualOptions);
+                        writeKeys(storeDir, keys, manual);
                     }
                     long heapBefore = usedHeapBytes();
                     long start = System.nanoTime();
                     Store store =
                             Store.open(
                                     FileDisk.openOrCreate(storeDir),
-                                    manualOptions,
+                                    manual,
                                     StoreEventListener.NONE);
                     long openMillis = (System.nanoTime() - start) / 1_000_000;
                     long heapBytes = usedHeapBytes() - heapBefore;
                     if (store.statistics().liveKeys() != keys) {
                         throw new IOException(
-                                store.statistics().liveKeys() + " keys came back of " + keys);
+                                store.statistics().liveKeys() + " live keys, expected " + keys);
                     }
                     report.addRow(
                             keys,
@@ -259,10 +262,11 @@
                 }
                 store.commit(batch);
             }
+            // The files are copied before close() writes a checkpoint, which is missing after a
+            // crash.
             Path copy = storeDir.resolveSibling(storeDir.getFileName() + "-copy");
             Files.createDirectories(copy);
-            try (Stream<Path> files =
-                    Files.list(storeDir)) { // as a crash leaves it: closing writes a checkpoint
+            try (Stream<Path> files = Files.list(storeDir)) {
                 for (Path file : files.toList()) {
                     Files.copy(file, copy.resolve(file.getFileName()));
                 }
@@ -272,6 +276,7 @@
             Files.move(copy, storeDir);
         }
 
+        /** Collects garbage three times before it reads the heap's use. */
         private static long usedHeapBytes() {
             for (int i = 0; i < 3; i++) {
                 System.gc();
@@ -280,13 +285,13 @@
         }
     }
 
-    /** Stalls and amplification. */
+    /** Measures commit latency and write amplification with and without compaction. */
     @Command(
             name = "compaction",
             mixinStandardHelpOptions = true,
             description =
-                    "Commit latency and bytes written while 100,000 keys are overwritten, with and"
-                            + " without compaction beside.")
+                    "Commit latency and bytes copied while 100,000 keys are overwritten, with and"
+                            + " without compaction in the background.")
     static final class Compaction implements Callable<Integer> {
         @Option(
                 names = "--dir",
@@ -294,7 +299,7 @@
                 description = "a new folder on the disk to measure")
         private Path dir;
 
-        @Option(names = "--seconds", defaultValue = "20", description = "of each run (20)")
+        @Option(names = "--seconds", defaultValue = "20", description = "duration of each run (20)")
         private double seconds;
 
         @Override
@@ -335,11 +340,7 @@
                     store.commit(batch);
                 }
                 long rate =
-                        measureRate(
-                                writers,
-                                seconds,
-                                latency,
-                                number -> store.put(key(number), value(number)));
+                        measureRate(writers, seconds, latency, n -> store.put(key(n), value(n)));
                 double userBytes = rate * seconds * (VALUE_BYTES + 16);
                 report.addRow(
                         writers,
