--- a/lab/src/main/java/saltstage/lab/Lab.java
+++ b/lab/src/main/java/saltstage/lab/Lab.java
@@ -17,10 +17,11 @@
 import saltstage.lab.trial.TrialCommand;
 import saltstage.lab.trial.TrialFollowersCommand;
 
-/** The laboratory's command line. */
+/** The entry point of the lab's command line, with all its commands. */
 @Command(
         name = "lab",
-        description = "Stand-ins, load and measurements for saltstage; never in service.",
+        description =
+                "Fake backends, load, benchmarks and trials for saltstage; not for production.",
         mixinStandardHelpOptions = true,
         subcommands = {
             FleetCommand.class,
@@ -42,17 +43,19 @@
     static final int EXIT_FAILED = 1;
     static final int EXIT_USAGE = 2;
 
-    /** Exits 0 when done, 1 on a failure, 2 on a wrong command line. */
+    /** Runs a command; exits with 0 on success, 1 on a failure, 2 on an invalid command line. */
     public static void main(String[] args) {
-        CommandLine line = new CommandLine(new Lab());
-        line.setParameterExceptionHandler((e, words) -> reportError(e.getMessage(), EXIT_USAGE));
-        line.setExecutionExceptionHandler(
-                (e, at, all) -> reportError(String.valueOf(e.getMessage()), EXIT_FAILED));
-        System.exit(line.execute(args));
+        CommandLine commandLine = new CommandLine(new Lab());
+        commandLine.setParameterExceptionHandler(
+                (e, arguments) -> reportError(e.getMessage(), EXIT_USAGE));
+        commandLine.setExecutionExceptionHandler(
+                (e, command, parsed) -> reportError(String.valueOf(e.getMessage()), EXIT_FAILED));
+        System.exit(commandLine.execute(args));
     }
 
-    static int reportError(String what, int code) {
-        System.err.println("lab: " + what.replaceAll("\\s+", " "));
+    /** Prints the message as one line on standard error and returns the exit code. */
+    static int reportError(String message, int code) {
+        System.err.println("lab: " + message.replaceAll("\\s+", " "));
         return code;
     }
 
--- a/lab/src/main/java/saltstage/lab/fleet/DemoCommand.java
+++ b/lab/src/main/java/saltstage/lab/fleet/DemoCommand.java
@@ -11,23 +11,32 @@
 import picocli.CommandLine.Option;
 import saltstage.lab.Installation;
 
-/** The relay at work, for someone who has never seen it. */
+/** Shows a relay at work: fake backends, simulated clients and a drained backend. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
         description = {
-            "Starts a fleet, the built relay and some hundred clients, shows what is served each"
-                    + " second,",
-            "drains a gateway on the way, and ends everything. Exits 1 if a client was cut off."
+            "Starts fake backends, the built relay and some hundred clients, prints a row of counts"
+                    + " each second,",
+            "drains a backend halfway through and ends. Exits with 1 if a client was cut off."
         })
 public final class DemoCommand implements Callable<Integer> {
-    @Option(names = "--gateways", defaultValue = "4", description = "stand-in gateways (default 4)")
+    @Option(
+            names = "--gateways",
+            defaultValue = "4",
+            description = "number of fake backends (default 4)")
     private int gateways;
 
-    @Option(names = "--clients", defaultValue = "300", description = "clients (default 300)")
+    @Option(
+            names = "--clients",
+            defaultValue = "300",
+            description = "number of clients (default 300)")
     private int clients;
 
-    @Option(names = "--seconds", defaultValue = "15", description = "how long (default 15)")
+    @Option(
+            names = "--seconds",
+            defaultValue = "15",
+            description = "duration in seconds (default 15)")
     private int seconds;
 
     @Override
@@ -38,8 +47,9 @@
             FakeFleet fleet = new FakeFleet(gateways);
             fleet.writeFiles(dir, "log {\n  level = \"warn\"\n}\n");
             relay = startRelay(dir);
-            String[] at = fleet.listenAddress().split(":");
-            InetSocketAddress address = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
+            String[] hostAndPort = fleet.listenAddress().split(":");
+            InetSocketAddress address =
+                    new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
             Installation.awaitPong(address, relay, Duration.ofSeconds(30));
             System.out.println(
                     "relay at "
@@ -51,20 +61,20 @@
                             + " clients; the log is "
                             + dir.resolve("log")
                             + " until the end");
-            SimulatedClients all =
+            SimulatedClients simulated =
                     new SimulatedClients(
                             address, clients, Duration.ofMillis(500), Duration.ofSeconds(20));
-            printProgress(fleet, all);
-            long cut = all.brokenCount();
+            printProgress(fleet, simulated);
+            long broken = simulated.brokenCount();
             System.out.println(
                     "served "
                             + fleet.backends().stream().mapToLong(FakeBackend::servedCount).sum()
                             + " connections, moved "
-                            + all.movedCount()
+                            + simulated.movedCount()
                             + ", cut off "
-                            + cut);
-            all.stop();
-            return cut == 0 ? 0 : 1;
+                            + broken);
+            simulated.stop();
+            return broken == 0 ? 0 : 1;
         } finally {
             stopRelay(relay, dir);
         }
@@ -82,12 +92,13 @@
                 .start();
     }
 
-    private void printProgress(FakeFleet fleet, SimulatedClients all)
+    private void printProgress(FakeFleet fleet, SimulatedClients simulated)
             throws IOException, InterruptedException {
         System.out.println("  s " + SimulatedClients.ROW_HEADER + "  at the gateways");
         for (int second = 1; second <= seconds; second++) {
             Thread.sleep(1_000);
-            System.out.printf("%3d %s  %s%n", second, all.statusRow(), fleet.runCommand("row"));
+            System.out.printf(
+                    "%3d %s  %s%n", second, simulated.statusRow(), fleet.runCommand("row"));
             if (second == seconds / 2) {
                 System.out.println("    g0 drains: its clients are to be moved, none cut off");
                 fleet.runCommand("drain g0");
--- a/lab/src/main/java/saltstage/lab/fleet/FakeDiscovery.java
+++ b/lab/src/main/java/saltstage/lab/fleet/FakeDiscovery.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A stand-in for discovery: the whole list on demand, and watches that tell each change. */
+/**
+ * A fake discovery service over HTTP: it serves the full backend list, and watches that deliver
+ * each change.
+ */
 public final class FakeDiscovery {
     private static final long EMPTY_LINE_INTERVAL_MS = 2_000;
 
@@ -21,9 +24,9 @@
     private String lastChange = "";
     private volatile Duration answerDelay = Duration.ZERO;
 
-    /** Discovery of these gateways, listening on a free port of loopback. */
-    public FakeDiscovery(List<FakeBackend> gateways) throws IOException {
-        this.backends = gateways;
+    /** Starts a discovery service for these backends on a free loopback port. */
+    public FakeDiscovery(List<FakeBackend> backends) throws IOException {
+        this.backends = backends;
         listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
         FakeBackend.startDaemon("discovery", this::acceptAll);
     }
@@ -61,24 +64,31 @@
                         socket,
                         "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
             }
-        } catch (IOException gone) { // the relay ended the call
+        } catch (IOException disconnected) { // the relay closed the connection
             return;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
+    /**
+     * Sends the full list, then each change as a chunk: a delta after one new revision, the full
+     * list after several, and an empty line every two seconds without a change.
+     */
     private void sendChanges(Socket socket) throws IOException, InterruptedException {
-        String told = fullList();
-        long last = revision();
+        String update = fullList();
+        long sentRevision = revision();
         while (true) {
-            send(socket, Integer.toHexString(told.length() + 1) + "\r\n" + told + "\n\r\n");
+            send(socket, Integer.toHexString(update.length() + 1) + "\r\n" + update + "\n\r\n");
             synchronized (this) {
-                if (revision == last) {
+                if (revision == sentRevision) {
                     wait(EMPTY_LINE_INTERVAL_MS);
                 }
-                told = revision == last ? "" : revision == last + 1 ? lastChange : fullList();
-                last = revision;
+                update =
+                        revision == sentRevision
+                                ? ""
+                                : revision == sentRevision + 1 ? lastChange : fullList();
+                sentRevision = revision;
             }
         }
     }
@@ -91,42 +101,42 @@
         return revision;
     }
 
-    /** Something has changed at this gateway: all watches are told. */
-    public synchronized void backendChanged(FakeBackend gateway) {
+    /** Publishes a change of this backend to all watches as a new revision. */
+    public synchronized void backendChanged(FakeBackend backend) {
         revision++;
         lastChange =
                 "{\"rev\":"
                         + revision
                         + ",\"all\":false,\"targets\":["
-                        + gateway.listEntry()
+                        + backend.listEntry()
                         + "]}";
         notifyAll();
     }
 
-    /** The whole list as discovery tells it; dead gateways are not in it. */
+    /** The full backend list as JSON; dead backends are left out. */
     public String fullList() {
         return fullList(backends.size());
     }
 
-    /** The list as it was when there were only the first so many. */
-    synchronized String fullList(int first) {
+    /** The full backend list as JSON, restricted to the first {@code count} backends. */
+    synchronized String fullList(int count) {
         return "{\"rev\":"
                 + revision
                 + ",\"all\":true,\"targets\":["
                 + backends.stream()
-                        .limit(first)
-                        .filter(g -> g.state() != FakeBackend.State.DEAD)
+                        .limit(count)
+                        .filter(backend -> backend.state() != FakeBackend.State.DEAD)
                         .map(FakeBackend::listEntry)
                         .collect(Collectors.joining(","))
                 + "]}";
     }
 
-    /** From now on each call is answered that much later. */
-    void setAnswerDelay(Duration by) {
-        answerDelay = by;
+    /** Delays the answer to each later call by this time. */
+    void setAnswerDelay(Duration delay) {
+        answerDelay = delay;
     }
 
-    /** Where it listens, as the configuration has it. */
+    /** The address that the service listens on, as IP:PORT for the relay's configuration. */
     public String address() {
         return listener.getInetAddress().getHostAddress() + ":" + listener.getLocalPort();
     }
--- a/lab/src/main/java/saltstage/lab/fleet/SimulatedClients.java
+++ b/lab/src/main/java/saltstage/lab/fleet/SimulatedClients.java
@@ -14,7 +14,10 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Clients after the protocol: each asks, stays, says a line every so often, and comes again. */
+/**
+ * Simulated clients of the line protocol. Each one sends a request, stays connected while it sends
+ * a line at each interval, leaves, and connects again after a pause.
+ */
 public final class SimulatedClients {
     private static final int CONNECT_TIMEOUT_MS = 2_000;
     private static final int CLIENT_TIMEOUT_MS = 2_000;
@@ -33,40 +36,44 @@
     private volatile boolean stopped;
 
     /**
-     * So many clients of the relay, each open for about this life and speaking at this interval.
+     * Starts clients of the relay that send a line at this interval; the lifetimes of their
+     * connections are exponentially distributed with this mean.
      */
-    public SimulatedClients(InetSocketAddress relay, int count, Duration between, Duration life) {
+    public SimulatedClients(
+            InetSocketAddress relay, int count, Duration lineInterval, Duration meanLifetime) {
         this.relay = relay;
-        this.lineInterval = between;
-        this.meanLifetime = life;
+        this.lineInterval = lineInterval;
+        this.meanLifetime = meanLifetime;
         for (int i = 0; i < count; i++) {
-            int number = i;
-            FakeBackend.startDaemon("client " + i, () -> runClient(number));
+            int clientNumber = i;
+            FakeBackend.startDaemon("client " + i, () -> runClient(clientNumber));
         }
     }
 
-    private void runClient(int number) {
+    private void runClient(int clientNumber) {
         Random random = ThreadLocalRandom.current();
-        boolean again = false;
+        boolean reconnecting = false;
         try {
             Thread.sleep(random.nextInt(2_000));
             while (!stopped) {
-                long pause = 80 + random.nextInt(400);
+                long pauseMillis = 80 + random.nextInt(400);
                 try {
-                    pause = Math.max(pause, runConnection(number, random, again));
+                    pauseMillis =
+                            Math.max(
+                                    pauseMillis, runConnection(clientNumber, random, reconnecting));
                 } catch (IOException broken) {
                     brokenCount.incrementAndGet();
                 }
-                again = true;
-                Thread.sleep(pause);
+                reconnecting = true;
+                Thread.sleep(pauseMillis);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** One connection; returns how long to stay away at least. */
-    private long runConnection(int number, Random random, boolean again)
+    /** Runs one connection; returns the minimum pause in milliseconds before the next. */
+    private long runConnection(int clientNumber, Random random, boolean reconnecting)
             throws IOException, InterruptedException {
         try (Socket socket = new Socket()) {
             socket.connect(relay, CONNECT_TIMEOUT_MS);
@@ -77,22 +84,22 @@
                             new InputStreamReader(
                                     socket.getInputStream(), StandardCharsets.ISO_8859_1),
                             512);
-            boolean report = random.nextInt(100) < 79;
+            boolean statusReport = random.nextInt(100) < 79;
             sendLine(
                     socket,
                     "OPEN "
                             + Long.toHexString(random.nextLong())
                             + " c"
-                            + number
+                            + clientNumber
                             + " c="
-                            + (report ? "status-report" : "session-check")
+                            + (statusReport ? "status-report" : "session-check")
                             + ",t="
-                            + (number % 2 == 0 ? "kitaden-charge" : "dosan-power")
+                            + (clientNumber % 2 == 0 ? "kitaden-charge" : "dosan-power")
                             + ",d="
                             + CLIENT_TIMEOUT_MS
                             + ",g=s"
-                            + number / 10
-                            + (again ? ",again=1" : ""));
+                            + clientNumber / 10
+                            + (reconnecting ? ",again=1" : ""));
             String answer = in.readLine();
             if (answer == null || !answer.startsWith("UP ")) {
                 return countUnserved(answer);
@@ -108,6 +115,9 @@
         }
     }
 
+    /**
+     * Counts an answer other than UP; returns the delay in milliseconds that BUSY asks for, or 0.
+     */
     private long countUnserved(String answer) {
         if (answer != null && answer.startsWith("BUSY")) {
             rejectedCount.incrementAndGet();
@@ -119,19 +129,19 @@
 
     private void exchangeLines(Socket socket, BufferedReader in, Random random)
             throws IOException, InterruptedException {
-        long until =
+        long end =
                 System.nanoTime()
                         + (long) (meanLifetime.toNanos() * -Math.log(1 - random.nextDouble()));
         socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
-        while (!stopped && System.nanoTime() < until) {
-            long sent = System.nanoTime();
-            sendLine(socket, "STATUS " + sent);
+        while (!stopped && System.nanoTime() < end) {
+            long sentAt = System.nanoTime();
+            sendLine(socket, "STATUS " + sentAt);
             String line = in.readLine();
             if (line == null || line.equals("MOVE")) {
                 (line == null ? brokenCount : movedCount).incrementAndGet();
                 return;
             }
-            echoMicros.recordValue((System.nanoTime() - sent) / 1_000);
+            echoMicros.recordValue((System.nanoTime() - sentAt) / 1_000);
             Thread.sleep(lineInterval.toMillis());
         }
     }
@@ -140,12 +150,12 @@
         socket.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** No client comes again. */
+    /** Stops the clients: none of them connects again. */
     public void stop() {
         stopped = true;
     }
 
-    /** What they have met since the start, as a row of numbers under {@link #ROW_HEADER}. */
+    /** The counters since the start as a row of numbers under {@link #ROW_HEADER}. */
     public String statusRow() {
         return String.format(
                 "%8d %8d %8d %8d %8d %8d %9.2f",
@@ -159,23 +169,26 @@
     }
 
     /**
-     * The names over {@link #statusRow}; the last is the 99th percentile of a line and its echo, in
-     * ms.
+     * The column names of {@link #statusRow}. The last column is the 99th percentile of the time
+     * from a line to its echo, in milliseconds.
      */
     public static final String ROW_HEADER =
             "standing   served  refused   failed    moved      cut  p99 in ms";
 
-    /** How many stand now. */
+    /** The number of connections that are established now. */
     public int establishedCount() {
         return establishedCount.get();
     }
 
-    /** How many connections ended without MOVE, were refused by the system, or broke. */
+    /**
+     * The number of connections that ended without MOVE, failed, or were refused by the operating
+     * system.
+     */
     public long brokenCount() {
         return brokenCount.get();
     }
 
-    /** How many were told to move. */
+    /** The number of connections that the relay ended with MOVE. */
     public long movedCount() {
         return movedCount.get();
     }
--- a/lab/src/main/java/saltstage/lab/measure/RestartCommand.java
+++ b/lab/src/main/java/saltstage/lab/measure/RestartCommand.java
@@ -24,17 +24,18 @@
 import saltstage.lab.store.Report;
 
 /**
- * A relay killed outright in front of a fleet in trouble, started again with and without its store.
+ * Measures what clients experience after a relay is killed and restarted in front of a fleet in
+ * trouble, with and without a store.
  */
 @Command(
         name = "restart",
         mixinStandardHelpOptions = true,
         description = {
-            "A deploy has replaced the two gateways that the platform's list names by six others,"
-                    + " of which one is",
-            "frozen, and discovery answers late.",
-            "The relay is killed and started anew, with and without a store: what clients meet,"
-                    + " second by second."
+            "A deploy has replaced the two backends in the platform's list by six others,"
+                    + " one of which is",
+            "frozen, and discovery answers slowly.",
+            "The relay is killed and restarted, with and without a store: reports served and failed"
+                    + " requests second by second."
         })
 public final class RestartCommand implements Callable<Integer> {
     private static final int BACKENDS = 8;
@@ -43,13 +44,13 @@
     @Option(
             names = "--rounds",
             defaultValue = "5",
-            description = "restarts of each kind (default 5)")
+            description = "restarts with and without a store, each (default 5)")
     private int rounds;
 
     @Option(
             names = "--seconds",
             defaultValue = "10",
-            description = "watched after each start (default 10)")
+            description = "seconds of requests after each restart (default 10)")
     private int seconds;
 
     @Option(
@@ -61,7 +62,7 @@
     @Option(
             names = "--late",
             defaultValue = "4000",
-            description = "ms until discovery answers (default 4000)")
+            description = "delay of discovery's answers after the restart, in ms (default 4000)")
     private int late;
 
     private record RequestResult(int second, int millis, boolean served) {}
@@ -78,69 +79,69 @@
                         "set-up p50 in ms",
                         "set-up p99 in ms",
                         "most in ms");
-        for (boolean kept : new boolean[] {false, true}) {
-            List<RequestResult> all = new ArrayList<>();
+        for (boolean withStore : new boolean[] {false, true}) {
+            List<RequestResult> results = new ArrayList<>();
             for (int round = 0; round < rounds; round++) {
-                all.addAll(runRound(kept));
+                results.addAll(runRound(withStore));
             }
             for (int second = -1; second < seconds; second++) {
-                addRow(report, kept, second, all);
+                addRow(report, withStore, second, results);
             }
         }
         report.writeFiles(Installation.measurementsDirectory());
         return 0;
     }
 
-    /** Second -1 is the time before the kill. */
-    private static void addRow(Report report, boolean kept, int second, List<RequestResult> all) {
+    /** Adds the row of one second; second -1 is the time before the kill. */
+    private static void addRow(
+            Report report, boolean withStore, int second, List<RequestResult> results) {
         Histogram times = new Histogram(3);
-        long asked = 0;
+        long requests = 0;
         long unserved = 0;
-        for (RequestResult one : all) {
-            if (one.second() == second) {
-                asked++;
-                unserved += one.served() ? 0 : 1;
-                if (one.served()) {
-                    times.recordValue(one.millis());
+        for (RequestResult result : results) {
+            if (result.second() == second) {
+                requests++;
+                unserved += result.served() ? 0 : 1;
+                if (result.served()) {
+                    times.recordValue(result.millis());
                 }
             }
         }
         report.addRow(
-                kept ? "on" : "off",
+                withStore ? "on" : "off",
                 second < 0 ? "before" : second,
-                asked,
+                requests,
                 unserved,
                 times.getValueAtPercentile(50),
                 times.getValueAtPercentile(99),
                 times.getMaxValue());
     }
 
-    private List<RequestResult> runRound(boolean kept) throws Exception {
+    private List<RequestResult> runRound(boolean withStore) throws Exception {
         Path dir = Files.createTempDirectory("saltstage-restart");
         FakeFleet fleet = new FakeFleet(BACKENDS);
         fleet.writeFiles(
                 dir,
-                kept
+                withStore
                         ? "store {\n  dir = \""
                                 + dir.resolve("state")
                                 + "\"\n  every = \"500ms\"\n}\n"
                         : "",
                 2);
-        fleet.runCommand(
-                "kill g0"); // the file that the relay starts from names these two and no other
+        fleet.runCommand("kill g0"); // config.json names only g0 and g1, which no longer exist
         fleet.runCommand("kill g1");
         fleet.runCommand("stop g2");
         ExecutorService clients = Executors.newCachedThreadPool();
         Process relay = null;
         try {
             relay = startRelay(dir, fleet);
-            sendRequests(fleet, clients, 4, -2); // it learns
-            List<RequestResult> all = new ArrayList<>(sendRequests(fleet, clients, 3, -1));
+            sendRequests(fleet, clients, 4, -2); // lets the relay learn the backends
+            List<RequestResult> results = new ArrayList<>(sendRequests(fleet, clients, 3, -1));
             relay.destroyForcibly().waitFor();
             fleet.setDiscoveryDelay(Duration.ofMillis(late));
             relay = startRelay(dir, fleet);
-            all.addAll(sendRequests(fleet, clients, seconds, 0));
-            return all;
+            results.addAll(sendRequests(fleet, clients, seconds, 0));
+            return results;
         } finally {
             clients.shutdownNow();
             if (relay != null) {
@@ -167,29 +168,31 @@
     }
 
     private static InetSocketAddress relayAddress(FakeFleet fleet) {
-        String[] at = fleet.listenAddress().split(":");
-        return new InetSocketAddress(at[0], Integer.parseInt(at[1]));
+        String[] hostAndPort = fleet.listenAddress().split(":");
+        return new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
     }
 
     /**
-     * Asks at the rate for so long, whatever comes back; from second -2 and -1 all count as that
-     * second.
+     * Sends requests at the configured rate for this many seconds, regardless of the answers.
+     * Results are counted by second from 0 on; with a negative {@code firstSecond} all of them
+     * count as that second.
      */
     private List<RequestResult> sendRequests(
-            FakeFleet fleet, ExecutorService clients, int forSeconds, int from) throws Exception {
-        List<Future<RequestResult>> asked = new ArrayList<>();
+            FakeFleet fleet, ExecutorService clients, int durationSeconds, int firstSecond)
+            throws Exception {
+        List<Future<RequestResult>> pending = new ArrayList<>();
         long start = System.nanoTime();
-        for (int i = 0; i < forSeconds * rate; i++) {
+        for (int i = 0; i < durationSeconds * rate; i++) {
             long due = start + i * 1_000_000_000L / rate;
             Thread.sleep(Math.max(0, (due - System.nanoTime()) / 1_000_000));
-            int second = from < 0 ? from : i / rate;
-            asked.add(clients.submit(() -> sendRequest(relayAddress(fleet), second)));
+            int second = firstSecond < 0 ? firstSecond : i / rate;
+            pending.add(clients.submit(() -> sendRequest(relayAddress(fleet), second)));
         }
-        List<RequestResult> all = new ArrayList<>();
-        for (Future<RequestResult> one : asked) {
-            all.add(one.get());
+        List<RequestResult> results = new ArrayList<>();
+        for (Future<RequestResult> result : pending) {
+            results.add(result.get());
         }
-        return all;
+        return results;
     }
 
     private static RequestResult sendRequest(InetSocketAddress relay, int second) {
--- a/lab/src/main/java/saltstage/lab/store/StorageEngine.java
+++ b/lab/src/main/java/saltstage/lab/store/StorageEngine.java
@@ -17,7 +17,7 @@
 import saltstage.store.StoreEventListener;
 import saltstage.store.StoreOptions;
 
-/** Something that makes one pair durable at a time; used by many threads. */
+/** A storage engine under comparison: makes one pair durable at a time, for many threads. */
 interface StorageEngine extends AutoCloseable {
     /** Returns once the pair is durable. */
     void put(byte[] key, byte[] value) throws Exception;
@@ -55,29 +55,29 @@
         }
     }
 
-    /** The limit: each record alone appended and forced. */
+    /** The baseline: appends each record to a raw file and forces it to disk on its own. */
     final class RawFileEngine implements StorageEngine {
         private final FileChannel file;
         private final long filledBytes;
         private long position;
 
-        RawFileEngine(Path path, int fill) throws IOException {
+        RawFileEngine(Path path, int fillBytes) throws IOException {
             file = FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-            filledBytes = fill;
-            for (int at = 0; at < fill; at += 1 << 20) {
-                file.write(ByteBuffer.allocate(1 << 20), at);
+            filledBytes = fillBytes;
+            for (int offset = 0; offset < fillBytes; offset += 1 << 20) {
+                file.write(ByteBuffer.allocate(1 << 20), offset);
             }
             file.force(true);
         }
 
         @Override
         public synchronized void put(byte[] key, byte[] value) throws IOException {
-            ByteBuffer out = ByteBuffer.allocate(key.length + value.length);
-            out.put(key).put(value).flip();
-            if (filledBytes > 0 && position + out.remaining() > filledBytes) {
+            ByteBuffer pair = ByteBuffer.allocate(key.length + value.length);
+            pair.put(key).put(value).flip();
+            if (filledBytes > 0 && position + pair.remaining() > filledBytes) {
                 position = 0;
             }
-            position += file.write(out, position);
+            position += file.write(pair, position);
             file.force(false);
         }
 
@@ -87,7 +87,7 @@
         }
     }
 
-    /** This repository's. */
+    /** This repository's store. */
     final class SaltstageEngine implements StorageEngine {
         private final Store store;
 
@@ -110,7 +110,10 @@
         }
     }
 
-    /** MVStore; who waits while another commits is covered by the next commit, as in the others. */
+    /**
+     * H2 MVStore with group commit: a writer that waits while another one commits is covered by the
+     * next commit, as in the other engines.
+     */
     final class MvStoreEngine implements StorageEngine {
         private final MVStore store;
         private final MVMap<byte[], byte[]> map;
@@ -123,9 +126,9 @@
         @Override
         public void put(byte[] key, byte[] value) {
             map.put(key, value);
-            long mine = store.getCurrentVersion();
+            long version = store.getCurrentVersion();
             synchronized (this) {
-                if (store.getCurrentVersion() == mine) {
+                if (store.getCurrentVersion() == version) {
                     store.commit();
                     store.sync();
                 }
--- a/lab/src/main/java/saltstage/lab/store/StoreBenchmark.java
+++ b/lab/src/main/java/saltstage/lab/store/StoreBenchmark.java
@@ -26,7 +26,7 @@
 import saltstage.store.StoreEventListener;
 import saltstage.store.StoreOptions;
 
-/** Measurements of the store; results go to docs/measurements as CSV, table and chart. */
+/** Benchmarks of the store; results go to docs/measurements as CSV, table and chart. */
 @Command(
         name = "store",
         mixinStandardHelpOptions = true,
@@ -61,36 +61,41 @@
         return figures.stream().sorted().skip(figures.size() / 2).findFirst().orElseThrow();
     }
 
+    /** A write to the store, with a number from which its key and value are derived. */
     private interface StoreOperation {
         void run(long n) throws Exception;
     }
 
-    /** Runs so many writers for this time; returns the steps done a second. */
+    /**
+     * Runs the operation in a loop on this many threads for this time and returns the operations
+     * per second. Latencies are recorded in microseconds unless {@code latency} is null.
+     */
     private static long measureRate(
-            int writers, double seconds, Histogram latency, StoreOperation step) throws Exception {
-        LongAdder done = new LongAdder();
-        AtomicReference<Exception> failed = new AtomicReference<>();
+            int writers, double seconds, Histogram latency, StoreOperation operation)
+            throws Exception {
+        LongAdder completed = new LongAdder();
+        AtomicReference<Exception> failure = new AtomicReference<>();
         long start = System.nanoTime();
-        long until = start + (long) (seconds * 1e9);
+        long end = start + (long) (seconds * 1e9);
         List<Thread> threads = new ArrayList<>();
-        for (int w = 0; w < writers; w++) {
-            SplittableRandom random = new SplittableRandom(w + 1);
+        for (int writer = 0; writer < writers; writer++) {
+            SplittableRandom random = new SplittableRandom(writer + 1);
             threads.add(
                     new Thread(
                             () -> {
                                 try {
-                                    for (long at = System.nanoTime();
-                                            at < until && failed.get() == null; ) {
-                                        step.run(random.nextLong(100_000));
+                                    for (long begin = System.nanoTime();
+                                            begin < end && failure.get() == null; ) {
+                                        operation.run(random.nextLong(100_000));
                                         long now = System.nanoTime();
                                         if (latency != null) {
-                                            latency.recordValue((now - at) / 1_000);
+                                            latency.recordValue((now - begin) / 1_000);
                                         }
-                                        at = now;
-                                        done.increment();
+                                        begin = now;
+                                        completed.increment();
                                     }
                                 } catch (Exception e) {
-                                    failed.set(e);
+                                    failure.set(e);
                                 }
                             }));
         }
@@ -98,19 +103,19 @@
         for (Thread thread : threads) {
             thread.join();
         }
-        if (failed.get() != null) {
-            throw failed.get();
+        if (failure.get() != null) {
+            throw failure.get();
         }
-        return Math.round(done.sum() / ((System.nanoTime() - start) / 1e9));
+        return Math.round(completed.sum() / ((System.nanoTime() - start) / 1e9));
     }
 
-    /** Durable commits a second, engines in turn. */
+    /** Measures durable commits per second, with the engines taking turns. */
     @Command(
             name = "commits",
             mixinStandardHelpOptions = true,
             description =
-                    "Durable commits a second of 128-byte values, against other engines on the same"
-                            + " disk.")
+                    "Durable commits per second of 128-byte values, compared with other engines on"
+                            + " the same disk.")
     static final class Commits implements Callable<Integer> {
         @Option(
                 names = "--dir",
@@ -121,27 +126,30 @@
         @Option(
                 names = "--rounds",
                 defaultValue = "5",
-                description = "rounds of all engines in turn (5)")
+                description = "number of rounds; each runs all engines in turn (5)")
         private int rounds;
 
-        @Option(names = "--seconds", defaultValue = "1.5", description = "of each run (1.5)")
+        @Option(
+                names = "--seconds",
+                defaultValue = "1.5",
+                description = "duration of each run (1.5)")
         private double seconds;
 
         @Override
         public Integer call() throws Exception {
-            int[] writers = {1, 8, 64};
+            int[] writerCounts = {1, 8, 64};
             Map<String, List<Long>> rates = new LinkedHashMap<>();
             for (int round = 0; round < rounds; round++) {
-                for (int n : writers) {
+                for (int n : writerCounts) {
                     for (StorageEngine.Kind kind : StorageEngine.Kind.values()) {
-                        Path at = dir.resolve(kind + "-" + n + "-" + round);
-                        try (StorageEngine engine = kind.open(at)) {
+                        Path engineDir = dir.resolve(kind + "-" + n + "-" + round);
+                        try (StorageEngine engine = kind.open(engineDir)) {
                             long rate =
                                     measureRate(
                                             n, seconds, null, k -> engine.put(key(k), value(k)));
                             rates.computeIfAbsent(kind + " " + n, k -> new ArrayList<>()).add(rate);
                         }
-                        Installation.deleteRecursively(at);
+                        Installation.deleteRecursively(engineDir);
                     }
                 }
                 System.err.println("round " + (round + 1) + " of " + rounds);
@@ -155,17 +163,17 @@
                             "least",
                             "most",
                             "to growing file");
-            for (int n : writers) {
+            for (int writers : writerCounts) {
                 long limit = median(rates.get(StorageEngine.Kind.RAW_GROWING + " 1"));
                 for (StorageEngine.Kind kind : StorageEngine.Kind.values()) {
-                    List<Long> all = rates.get(kind + " " + n);
+                    List<Long> figures = rates.get(kind + " " + writers);
                     report.addRow(
                             kind.title(),
-                            n,
-                            median(all),
-                            all.stream().min(Long::compare).get(),
-                            all.stream().max(Long::compare).get(),
-                            String.format("%.2f", (double) median(all) / limit));
+                            writers,
+                            median(figures),
+                            figures.stream().min(Long::compare).get(),
+                            figures.stream().max(Long::compare).get(),
+                            String.format("%.2f", (double) median(figures) / limit));
                 }
             }
             report.setBarChart(
@@ -175,12 +183,12 @@
         }
     }
 
-    /** Opening and memory. */
+    /** Measures the time to open a store and its heap use per key. */
     @Command(
             name = "recovery",
             mixinStandardHelpOptions = true,
             description =
-                    "Time to open and bytes of heap a key, from a checkpoint and from the log"
+                    "Time to open and heap bytes per key, from a checkpoint and from the log"
                             + " alone.")
     static final class Recovery implements Callable<Integer> {
         @Option(
@@ -193,7 +201,7 @@
                 names = "--keys",
                 split = ",",
                 defaultValue = "1000000,5000000",
-                description = "sizes")
+                description = "numbers of keys")
         private List<Integer> sizes;
 
         @Override
@@ -206,42 +214,47 @@
                             "open in ms",
                             "heap bytes a key",
                             "files in MiB");
-            StoreOptions byHand = new StoreOptions(64 << 20, false, 1 << 30);
+            StoreOptions manual = new StoreOptions(64 << 20, false, 1 << 30);
             for (int keys : sizes) {
-                Path at = dir.resolve("keys-" + keys);
-                for (boolean checkpoint : new boolean[] {false, true}) {
-                    if (!checkpoint) {
-                        writeKeys(at, keys, byHand);
+                Path storeDir = dir.resolve("keys-" + keys);
+                for (boolean fromCheckpoint : new boolean[] {false, true}) {
+                    if (!fromCheckpoint) {
+                        writeKeys(storeDir, keys, manual);
                     }
-                    long before = usedHeapBytes();
+                    long heapBefore = usedHeapBytes();
                     long start = System.nanoTime();
                     Store store =
-                            Store.open(FileDisk.openOrCreate(at), byHand, StoreEventListener.NONE);
-                    long millis = (System.nanoTime() - start) / 1_000_000;
-                    long bytes = usedHeapBytes() - before;
+                            Store.open(
+                                    FileDisk.openOrCreate(storeDir),
+                                    manual,
+                                    StoreEventListener.NONE);
+                    long openMillis = (System.nanoTime() - start) / 1_000_000;
+                    long heapBytes = usedHeapBytes() - heapBefore;
                     if (store.statistics().liveKeys() != keys) {
                         throw new IOException(
-                                store.statistics().liveKeys() + " keys came back of " + keys);
+                                store.statistics().liveKeys() + " live keys, expected " + keys);
                     }
                     report.addRow(
                             keys,
-                            checkpoint ? "checkpoint" : "log",
-                            millis,
-                            String.format("%.1f", (double) bytes / keys),
+                            fromCheckpoint ? "checkpoint" : "log",
+                            openMillis,
+                            String.format("%.1f", (double) heapBytes / keys),
                             store.statistics().fileBytes() >> 20);
-                    if (!checkpoint) {
+                    if (!fromCheckpoint) {
                         store.checkpoint();
                     }
                     store.close();
                 }
-                Installation.deleteRecursively(at);
+                Installation.deleteRecursively(storeDir);
             }
             report.writeFiles(Installation.measurementsDirectory());
             return 0;
         }
 
-        private static void writeKeys(Path at, int keys, StoreOptions options) throws IOException {
-            Store store = Store.open(FileDisk.openOrCreate(at), options, StoreEventListener.NONE);
+        private static void writeKeys(Path storeDir, int keys, StoreOptions options)
+                throws IOException {
+            Store store =
+                    Store.open(FileDisk.openOrCreate(storeDir), options, StoreEventListener.NONE);
             for (int i = 0; i < keys; ) {
                 Batch batch = new Batch();
                 for (int end = Math.min(keys, i + 1_000); i < end; i++) {
@@ -249,19 +262,21 @@
                 }
                 store.commit(batch);
             }
-            Path copy = at.resolveSibling(at.getFileName() + "-copy");
+            // The files are copied before close() writes a checkpoint, which is missing after a
+            // crash.
+            Path copy = storeDir.resolveSibling(storeDir.getFileName() + "-copy");
             Files.createDirectories(copy);
-            try (Stream<Path> files =
-                    Files.list(at)) { // as a crash leaves it: closing writes a checkpoint
+            try (Stream<Path> files = Files.list(storeDir)) {
                 for (Path file : files.toList()) {
                     Files.copy(file, copy.resolve(file.getFileName()));
                 }
             }
             store.close();
-            Installation.deleteRecursively(at);
-            Files.move(copy, at);
+            Installation.deleteRecursively(storeDir);
+            Files.move(copy, storeDir);
         }
 
+        /** Collects garbage three times before it reads the heap's use. */
         private static long usedHeapBytes() {
             for (int i = 0; i < 3; i++) {
                 System.gc();
@@ -270,13 +285,13 @@
         }
     }
 
-    /** Stalls and amplification. */
+    /** Measures commit latency and write amplification with and without compaction. */
     @Command(
             name = "compaction",
             mixinStandardHelpOptions = true,
             description =
-                    "Commit latency and bytes written while 100,000 keys are overwritten, with and"
-                            + " without compaction beside.")
+                    "Commit latency and bytes copied while 100,000 keys are overwritten, with and"
+                            + " without compaction in the background.")
     static final class Compaction implements Callable<Integer> {
         @Option(
                 names = "--dir",
@@ -284,7 +299,7 @@
                 description = "a new folder on the disk to measure")
         private Path dir;
 
-        @Option(names = "--seconds", defaultValue = "20", description = "of each run (20)")
+        @Option(names = "--seconds", defaultValue = "20", description = "duration of each run (20)")
         private double seconds;
 
         @Override
@@ -302,20 +317,21 @@
                             "copied a byte",
                             "files in MiB");
             for (int writers : new int[] {1, 8, 64}) {
-                for (boolean beside : new boolean[] {false, true}) {
-                    measureRun(report, writers, beside);
+                for (boolean withCompaction : new boolean[] {false, true}) {
+                    measureRun(report, writers, withCompaction);
                 }
             }
             report.writeFiles(Installation.measurementsDirectory());
             return 0;
         }
 
-        private void measureRun(Report report, int writers, boolean beside) throws Exception {
-            Path at = dir.resolve("c-" + writers + beside);
+        private void measureRun(Report report, int writers, boolean withCompaction)
+                throws Exception {
+            Path storeDir = dir.resolve("c-" + writers + withCompaction);
             Histogram latency = new ConcurrentHistogram(3);
-            StoreOptions options = new StoreOptions(8 << 20, beside, 32L << 20);
+            StoreOptions options = new StoreOptions(8 << 20, withCompaction, 32L << 20);
             try (Store store =
-                    Store.open(FileDisk.openOrCreate(at), options, StoreEventListener.NONE)) {
+                    Store.open(FileDisk.openOrCreate(storeDir), options, StoreEventListener.NONE)) {
                 for (long i = 0; i < 100_000; ) {
                     Batch batch = new Batch();
                     for (long end = i + 1_000; i < end; i++) {
@@ -324,20 +340,20 @@
                     store.commit(batch);
                 }
                 long rate =
-                        measureRate(writers, seconds, latency, k -> store.put(key(k), value(k)));
-                double user = rate * seconds * (VALUE_BYTES + 16);
+                        measureRate(writers, seconds, latency, n -> store.put(key(n), value(n)));
+                double userBytes = rate * seconds * (VALUE_BYTES + 16);
                 report.addRow(
                         writers,
-                        beside ? "on" : "off",
+                        withCompaction ? "on" : "off",
                         rate,
                         latency.getValueAtPercentile(50),
                         latency.getValueAtPercentile(99),
                         latency.getValueAtPercentile(99.9),
                         String.format("%.1f", latency.getMaxValue() / 1e3),
-                        String.format("%.2f", store.copiedBytes() / user),
+                        String.format("%.2f", store.copiedBytes() / userBytes),
                         store.statistics().fileBytes() >> 20);
             }
-            Installation.deleteRecursively(at);
+            Installation.deleteRecursively(storeDir);
         }
     }
 }
