--- a/lab/src/main/java/saltstage/lab/scale/CapacityRequirements.java
+++ b/lab/src/main/java/saltstage/lab/scale/CapacityRequirements.java
@@ -63,7 +63,7 @@
                                 CONTROL_PROCESSOR,
                                 processor.multipliedBy(
                                         SECONDS_PER_MILLI * CapacityTarget.CHANGES_PER_SECOND))
-                        .withBudget(CapacityTarget.CONTROL_PROCESSOR_SHARE, "wire.HostList"),
+                        .withBudget(CapacityTarget.CONTROL_PROCESSOR_SHARE, "wire.BackendList"),
                 CapacityRequirement.of(
                                 role, "entries that it follows", followedEntries("whole_followed"))
                         .withImplementation("wire.DiscoveryClient"));
@@ -91,9 +91,11 @@
                                 CONTROL_PROCESSOR,
                                 processor.multipliedBy(
                                         SECONDS_PER_MILLI * CapacityTarget.CHANGES_PER_SECOND))
-                        .withBudget(CapacityTarget.CONTROL_PROCESSOR_SHARE, "wire.HostList"),
+                        .withBudget(CapacityTarget.CONTROL_PROCESSOR_SHARE, "wire.BackendList"),
                 CapacityRequirement.of(role, CONTROL_MEMORY, memory.withoutIntercept())
-                        .withBudget(CapacityTarget.CONTROL_MEGABYTES, "memory.Peers, Logic"),
+                        .withBudget(
+                                CapacityTarget.CONTROL_MEGABYTES,
+                                "session.BackendRegistry, LoadBalancer"),
                 CapacityRequirement.of(
                                 role,
                                 "entries that it follows",
@@ -103,7 +105,7 @@
                                 role,
                                 "entries, with load asked for",
                                 followedEntries("probing_followed"))
-                        .withImplementation("stage.Probe, memory.Peers"));
+                        .withImplementation("stage.BackendProber, session.BackendRegistry"));
     }
 
     private static MeasuredLimit followedEntries(String figure) {
@@ -126,14 +128,16 @@
         return List.of(
                 CapacityRequirement.of(role, "memory in MB", memory)
                         .withBudget(
-                                CapacityTarget.RELAY_MEGABYTES, "stage.LineRelay, stage.Threads"),
+                                CapacityTarget.RELAY_MEGABYTES,
+                                "stage.LineForwarder, stage.Threads"),
                 CapacityRequirement.of(role, "threads", threads)
                         .withBudget(MAX_THREADS, "stage.Threads"),
                 CapacityRequirement.of(role, "connections, deployed flags", reached)
-                        .withImplementation("stage.Admit (heap of 48 MB)"),
+                        .withImplementation("stage.AdmissionControl (heap of 48 MB)"),
                 CapacityRequirement.of(
                                 "relay, control", "processor share, quiet connections", quiet)
-                        .withBudget(CapacityTarget.CONTROL_PROCESSOR_SHARE, "lifecycle.Program"));
+                        .withBudget(
+                                CapacityTarget.CONTROL_PROCESSOR_SHARE, "lifecycle.RelayServer"));
     }
 
     private static List<CapacityRequirement> connectionSetups() {
@@ -146,7 +150,7 @@
                                 "relay, data path",
                                 "set-ups a second, a zone back in a minute",
                                 setupRate)
-                        .withImplementation("stage.TakeIn, stage.Route"));
+                        .withImplementation("stage.LineFrontend, stage.Router"));
     }
 
     private static List<CapacityRequirement> deliveries() {
@@ -156,13 +160,13 @@
         Extrapolation processor = Extrapolation.of("deliveries", "processor_share", rate, target);
         return List.of(
                 CapacityRequirement.of(role, "processor share of deliveries", processor)
-                        .withBudget(CapacityTarget.ONE_CORE_PROCESSOR_SHARE, "stage.LineRelay"),
+                        .withBudget(CapacityTarget.ONE_CORE_PROCESSOR_SHARE, "stage.LineForwarder"),
                 CapacityRequirement.of(
                                 role,
                                 "deliveries a second, p99 in 110 ms",
                                 new MeasuredLimit(
                                         CapacityRequirements::maxInTimeDeliveryRate, target))
-                        .withImplementation("stage.LineRelay"));
+                        .withImplementation("stage.LineForwarder"));
     }
 
     private static double maxInTimeDeliveryRate(MeasuredData data) {
@@ -281,9 +285,11 @@
                 MeasuredFigure.of("real-relays", "changing_real_processor_share", 3);
         return List.of(
                 CapacityRequirement.of(role, resource + ", quiet", quiet)
-                        .withBudget(CapacityTarget.CONTROL_PROCESSOR_SHARE, "lifecycle.Program"),
+                        .withBudget(
+                                CapacityTarget.CONTROL_PROCESSOR_SHARE, "lifecycle.RelayServer"),
                 CapacityRequirement.of(role, resource + FIFTY_FOLD_CHANGES, changing)
-                        .withBudget(CapacityTarget.CONTROL_PROCESSOR_SHARE, "lifecycle.Program"));
+                        .withBudget(
+                                CapacityTarget.CONTROL_PROCESSOR_SHARE, "lifecycle.RelayServer"));
     }
 
     private static List<CapacityRequirement> distribution() {
