--- a/relay/src/main/java/saltstage/Api.java
+++ b/relay/src/main/java/saltstage/Api.java
@@ -299,7 +299,10 @@
         /** Starts the next attempt; with timeout 0 it lasts until the client gives up. */
         void sendAttempt(long id, String backendId, long timeout);
 
-        /** Rejects the request for good: a retry is harmless; retryAfter 0 gives no advice. */
+        /**
+         * Rejects the request as its final answer: a retry is harmless; retryAfter 0 gives no
+         * advice.
+         */
         void reject(long id, long retryAfter);
 
         /** Fails the request as its final answer: its effect is unknown. */
--- a/relay/src/main/java/saltstage/BalancerState.java
+++ b/relay/src/main/java/saltstage/BalancerState.java
@@ -55,8 +55,9 @@
         int arrivals;
 
         /**
-         * RAP: in a full table, a new client replaces the one with the smallest counter with a
-         * probability that depends on its weight (paper, II-C).
+         * Counts an arrival of a client. By the paper's randomized admission policy (RAP, II-C), a
+         * new client replaces the one with the smallest counter in a full table with the
+         * probability of its weight divided by the sum of that counter and the weight.
          */
         void add(long clientKey, double weight, Random random) {
             int smallest = 0;
@@ -75,7 +76,9 @@
         }
     }
 
-    /** A backend as this relay knows it. */
+    /**
+     * A backend as the load balancer knows it; the rest of the relay has {@code session.Backend}.
+     */
     static final class BackendState {
         ListedBackend listEntry;
         final long hash;
@@ -157,7 +160,10 @@
         }
     }
 
-    /** A request with its attempts, and the connection that it becomes. */
+    /**
+     * A request with its attempts, and the connection that it becomes, as the load balancer knows
+     * it; the rest of the relay has {@code session.RequestContext}.
+     */
     static final class RequestState {
         final Request request;
         final ServiceClass serviceClass;
@@ -166,7 +172,13 @@
         final Set<BackendState> triedBackends = new HashSet<>();
         BackendState backend;
         int attempts;
+
+        /**
+         * When the first attempt that may have had an effect was started or, if it got that far,
+         * established.
+         */
         long firstUncertainAttemptAt = Api.NONE;
+
         BackendState firstUncertainBackend;
         boolean attemptActive;
         boolean established;
@@ -178,6 +190,8 @@
         boolean probationAttempt;
 
         double load;
+
+        /** When the current attempt was started or, if it got that far, established. */
         long stateChangedAt;
 
         RequestState(Request request, ServiceClass serviceClass, long placementHash) {
--- a/relay/src/main/java/saltstage/LoadBalancer.java
+++ b/relay/src/main/java/saltstage/LoadBalancer.java
@@ -101,7 +101,7 @@
     /** Limits an ejection to 8 s, since outages last tens of seconds. */
     private static final int MAX_EJECTION_DOUBLINGS = 3;
 
-    /** Outcomes that are failures of the backend. */
+    /** Outcomes that are failures of the backend: full, timeout, unreachable and reset. */
     private static final Set<Outcome> BACKEND_FAILURES = EnumSet.range(Outcome.FULL, Outcome.RESET);
 
     /**
@@ -109,7 +109,7 @@
      */
     private static final double THROTTLE_ATTEMPTS_PER_ESTABLISHED = 2;
 
-    /** Attempts allowed in addition, since one relay sees few of them. */
+    /** Attempts allowed in addition, since one relay sees few attempts. */
     private static final double THROTTLE_RESERVE_ATTEMPTS = 5;
 
     /**
@@ -121,12 +121,15 @@
     private static final long LIST_RETRY_DELAY_MICROS = 500_000;
 
     /**
-     * Shorter than the time after which idle connections are closed. Each probe has a cost, so only
-     * backends that may need it are probed more often.
+     * Interval between the probes of a backend, shorter than the time after which idle connections
+     * are closed. Each probe has a cost, so only backends that may need it are probed more often.
      */
     private static final long PROBE_INTERVAL_MICROS = 3_000_000;
 
-    /** Load reports are refreshed about as often. */
+    /**
+     * Interval between the probes of a cold, busy or overloaded backend: load reports are refreshed
+     * about as often.
+     */
     private static final long FREQUENT_PROBE_INTERVAL_MICROS = 1_000_000;
 
     /** Utilization, load over capacity, from which a backend is probed frequently. */
@@ -147,6 +150,7 @@
      */
     private static final double FLEET_HEADROOM_UTILIZATION = 0.7;
 
+    /** Interval of the timer at which the backends due for a probe are selected. */
     private static final long PROBE_TICK_MICROS = 250_000;
 
     /**
@@ -207,7 +211,10 @@
     private final ProbeSelection probeSelection =
             new ProbeSelection(backend -> warmUpFraction(backend) < 1);
 
-    /** Only these are ranked, so that a relay with little traffic ranks few backends. */
+    /**
+     * Listed backends to which this relay has started an attempt. Only these are ranked, so that a
+     * relay with little traffic ranks few backends.
+     */
     private final Set<BackendState> usedBackends = new LinkedHashSet<>();
 
     private final Map<Long, Integer> connectionsByGroup = new HashMap<>();
--- a/relay/src/main/java/saltstage/session/RequestContext.java
+++ b/relay/src/main/java/saltstage/session/RequestContext.java
@@ -81,7 +81,7 @@
         return possibleExecutionSince;
     }
 
-    /** Marks the request as established. Only the first UP returns true. */
+    /** Marks the request as established; returns false if it no longer waits for its answer. */
     public synchronized boolean establish() {
         if (phase != Phase.WAITING) {
             return false;
--- a/relay/src/main/java/saltstage/stage/Frontend.java
+++ b/relay/src/main/java/saltstage/stage/Frontend.java
@@ -2,7 +2,7 @@
 
 /** Accepts clients; each protocol has its own frontend. */
 public interface Frontend {
-    /** Starts draining: new clients are told to go elsewhere, as far as the protocol can say so. */
+    /** Starts draining: new clients are directed to other relays if the protocol permits. */
     void startDraining();
 
     /**
