--- a/relay/src/main/java/saltstage/configuration/follower/SourceResponseParser.java
+++ b/relay/src/main/java/saltstage/configuration/follower/SourceResponseParser.java
@@ -19,53 +19,53 @@
     private SourceResponseParser() {}
 
     static FollowerEvent parseChanges(
-            long request, HttpResponse<byte[]> response, Duration elapsed) {
+            long requestId, HttpResponse<byte[]> response, Duration elapsed) {
         if (response.statusCode() != OK) {
-            return parseError(request, response);
+            return parseError(requestId, response);
         }
         try {
             return new FollowerEvent.ChangesReceived(
-                    request, ConfigurationJson.parseChanges(bodyText(response)), elapsed);
+                    requestId, ConfigurationJson.parseChanges(bodyText(response)), elapsed);
         } catch (MalformedException | RuntimeException malformed) {
-            return malformedResponse(request, malformed);
+            return malformedResponse(requestId, malformed);
         }
     }
 
-    static FollowerEvent parseSnapshotPage(long request, HttpResponse<byte[]> response) {
+    static FollowerEvent parseSnapshotPage(long requestId, HttpResponse<byte[]> response) {
         if (response.statusCode() != OK) {
-            return parseError(request, response);
+            return parseError(requestId, response);
         }
         try {
             return new FollowerEvent.SnapshotPageReceived(
-                    request, ConfigurationJson.parseSnapshotPage(bodyText(response)));
+                    requestId, ConfigurationJson.parseSnapshotPage(bodyText(response)));
         } catch (MalformedException | RuntimeException malformed) {
-            return malformedResponse(request, malformed);
+            return malformedResponse(requestId, malformed);
         }
     }
 
-    private static FollowerEvent parseError(long request, HttpResponse<byte[]> response) {
+    private static FollowerEvent parseError(long requestId, HttpResponse<byte[]> response) {
         int status = response.statusCode();
         ErrorResponse error;
         try {
             error = ConfigurationJson.parseError(bodyText(response));
         } catch (MalformedException | RuntimeException malformed) {
-            return new FollowerEvent.RequestFailed(request, "status " + status);
+            return new FollowerEvent.RequestFailed(requestId, "status " + status);
         }
         if (status == CONFLICT && error.error().equals(ErrorResponse.DIVERGED)) {
-            return new FollowerEvent.Diverged(request);
+            return new FollowerEvent.Diverged(requestId);
         } else if (status == GONE && error.error().equals(ErrorResponse.TRUNCATED)) {
-            return new FollowerEvent.Truncated(request);
+            return new FollowerEvent.Truncated(requestId);
         } else if (status == MISDIRECTED_REQUEST && error.error().equals(ErrorResponse.BEHIND)) {
-            return new FollowerEvent.Behind(request, error.revision());
+            return new FollowerEvent.Behind(requestId, error.revision());
         } else if (status == SERVICE_UNAVAILABLE && error.error().equals(ErrorResponse.BUSY)) {
-            return new FollowerEvent.Busy(request, Duration.ofMillis(error.retryMs()));
+            return new FollowerEvent.Busy(requestId, Duration.ofMillis(error.retryMs()));
         }
         String detail = status == BAD_REQUEST ? ": " + error.error() : "";
-        return new FollowerEvent.RequestFailed(request, "status " + status + detail);
+        return new FollowerEvent.RequestFailed(requestId, "status " + status + detail);
     }
 
-    private static FollowerEvent malformedResponse(long request, Exception malformed) {
-        return new FollowerEvent.RequestFailed(request, "malformed: " + malformed.getMessage());
+    private static FollowerEvent malformedResponse(long requestId, Exception malformed) {
+        return new FollowerEvent.RequestFailed(requestId, "malformed: " + malformed.getMessage());
     }
 
     private static String bodyText(HttpResponse<byte[]> response) {
--- a/relay/src/main/java/saltstage/persistence/RelayStateCodec.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateCodec.java
@@ -109,13 +109,13 @@
                 bytes,
                 "list entry",
                 in -> {
-                    String uid = in.readUTF();
+                    String backendId = in.readUTF();
                     byte[] ip = in.readNBytes(in.readByte());
                     InetSocketAddress endpoint =
                             new InetSocketAddress(
                                     InetAddress.getByAddress(ip), in.readUnsignedShort());
                     return new BackendList.Entry(
-                            uid,
+                            backendId,
                             endpoint,
                             in.readUTF(),
                             in.readInt(),
--- a/relay/src/main/java/saltstage/session/BackendRegistry.java
+++ b/relay/src/main/java/saltstage/session/BackendRegistry.java
@@ -18,7 +18,7 @@
 
     /** Creates an empty registry in which no backend is suspended. */
     public BackendRegistry() {
-        this(uid -> false);
+        this(backendId -> false);
     }
 
     /** Creates an empty registry in which operators may have suspended some backends. */
@@ -27,8 +27,8 @@
     }
 
     /** Returns whether operators have suspended this backend, listed or not. */
-    public boolean isSuspended(String uid) {
-        return suspensionCheck.test(uid);
+    public boolean isSuspended(String backendId) {
+        return suspensionCheck.test(backendId);
     }
 
     /** Returns the revision of the current list. */
@@ -36,9 +36,9 @@
         return revision;
     }
 
-    /** Returns the backend with this uid, or null. */
-    public Backend find(String uid) {
-        return backends.get(uid);
+    /** Returns the backend with this id, or null. */
+    public Backend find(String backendId) {
+        return backends.get(backendId);
     }
 
     /** Returns all listed backends. */
@@ -56,9 +56,9 @@
     public synchronized List<Backend> update(BackendList list) {
         revision = list.revision();
         List<Backend> ended = new ArrayList<>();
-        Set<String> listedUids = new HashSet<>();
+        Set<String> listedIds = new HashSet<>();
         for (BackendList.Entry entry : list.entries()) {
-            listedUids.add(entry.uid());
+            listedIds.add(entry.uid());
             Backend known = backends.get(entry.uid());
             boolean restarted =
                     known != null && !known.entry().startedAt().equals(entry.startedAt());
@@ -67,13 +67,14 @@
                 ended.add(known);
             }
             if (entry.state() != BackendList.State.GONE) {
-                backends.computeIfAbsent(entry.uid(), uid -> new Backend(entry, suspensionCheck))
+                backends.computeIfAbsent(
+                                entry.uid(), backendId -> new Backend(entry, suspensionCheck))
                         .update(entry);
             }
         }
         if (list.full()) {
             for (Backend known : List.copyOf(backends.values())) {
-                if (!listedUids.contains(known.entry().uid())) {
+                if (!listedIds.contains(known.entry().uid())) {
                     backends.remove(known.entry().uid());
                     ended.add(known);
                 }
--- a/relay/src/main/java/saltstage/stage/AdmissionControl.java
+++ b/relay/src/main/java/saltstage/stage/AdmissionControl.java
@@ -120,9 +120,10 @@
                         line.field("g"),
                         line.numericField("h", Api.NONE),
                         line.hasFlag("again"));
-        String uid = line.field("at");
+        String backendId = line.field("at");
         Duration timeout = line.clientTimeout(config.clientTimeout(serviceClass));
-        Instant deadline = now.plus(uid != null ? RESTORE_TIMEOUT : timeout).minus(DEADLINE_MARGIN);
+        Instant deadline =
+                now.plus(backendId != null ? RESTORE_TIMEOUT : timeout).minus(DEADLINE_MARGIN);
         if (client.reader().hasMoreInput()) {
             // The client sent several commands at once. The first would be established, and the
             // others would be passed to its backend.
@@ -145,8 +146,8 @@
         } else if (openRequestIds.size() > maxRequests(descriptorLimit - reservedDescriptors)) {
             logFull();
             outcomeRecorder.reject(context, config.maxRetryAfter());
-        } else if (uid != null) {
-            attemptRunner.restore(context, uid);
+        } else if (backendId != null) {
+            attemptRunner.restore(context, backendId);
         } else {
             startRouting(context, now);
         }
--- a/relay/src/main/java/saltstage/stage/AttemptStarter.java
+++ b/relay/src/main/java/saltstage/stage/AttemptStarter.java
@@ -23,15 +23,15 @@
         this.outcomeRecorder = outcomeRecorder;
     }
 
-    /** Starts the next attempt of a request. A limit of zero means the client's deadline. */
-    void start(RequestContext context, String uid, Duration limit) {
+    /** Starts the next attempt of a request. A timeout of zero means the client's deadline. */
+    void start(RequestContext context, String backendId, Duration timeout) {
         Instant now = clock.now();
-        Instant limitEnd = now.plus(limit);
+        Instant timeoutEnd = now.plus(timeout);
         Instant attemptDeadline =
-                limit.isZero() || limitEnd.isAfter(context.deadline())
+                timeout.isZero() || timeoutEnd.isAfter(context.deadline())
                         ? context.deadline()
-                        : limitEnd;
-        Backend backend = backends.find(uid);
+                        : timeoutEnd;
+        Backend backend = backends.find(backendId);
         Attempt attempt = backend == null ? null : context.beginAttempt(backend, now);
         if (attempt == null) {
             outcomeRecorder.attemptNotSent(context);
--- a/relay/src/main/java/saltstage/stage/BackendProber.java
+++ b/relay/src/main/java/saltstage/stage/BackendProber.java
@@ -68,8 +68,8 @@
      * Requests a probe of a backend; a backend that still owes an answer is not probed again. If no
      * thread could be started, or the thread ended by a fault, the next call tries to start one.
      */
-    void requestProbe(String uid) {
-        Backend backend = backends.find(uid);
+    void requestProbe(String backendId) {
+        Backend backend = backends.find(backendId);
         if (backend == null) {
             return;
         }
@@ -161,7 +161,7 @@
         }
         try {
             connections.put(backend, new ProbeConnection(backend, selector, PROBE_TIMEOUT));
-        } catch (IOException refused) {
+        } catch (IOException failure) {
             router.probeCompleted(backend.entry().uid(), Outcome.TIMEOUT, Api.NONE);
         }
     }
@@ -237,7 +237,7 @@
         connection.close();
     }
 
-    private void reportOutcome(ProbeConnection connection, Outcome outcome, double load) {
-        router.probeCompleted(connection.backend().entry().uid(), outcome, load);
+    private void reportOutcome(ProbeConnection connection, Outcome outcome, double utilization) {
+        router.probeCompleted(connection.backend().entry().uid(), outcome, utilization);
     }
 }
--- a/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
+++ b/relay/src/main/java/saltstage/stage/LineAttemptRunner.java
@@ -166,15 +166,16 @@
      * Restores a connection that was open before the relay started: retries at its backend until it
      * is established.
      */
-    void restore(RequestContext context, String uid) {
-        if (!threadBudget.start("restore", () -> restoreOrFail(context, uid))) {
+    void restore(RequestContext context, String backendId) {
+        if (!threadBudget.start("restore", () -> restoreOrFail(context, backendId))) {
             outcomeRecorder.fail(context);
         }
     }
 
-    private void restoreOrFail(RequestContext context, String uid) throws InterruptedException {
+    private void restoreOrFail(RequestContext context, String backendId)
+            throws InterruptedException {
         try {
-            retryRestore(context, uid);
+            retryRestore(context, backendId);
         } finally {
             // This has no effect if the request was established or has ended; it also covers
             // faults.
@@ -182,10 +183,11 @@
         }
     }
 
-    private void retryRestore(RequestContext context, String uid) throws InterruptedException {
+    private void retryRestore(RequestContext context, String backendId)
+            throws InterruptedException {
         String lastReason = null;
         while (context.phase() == Phase.WAITING && clock.now().isBefore(context.deadline())) {
-            Backend backend = backends.find(uid);
+            Backend backend = backends.find(backendId);
             Attempt attempt = backend == null ? null : context.beginAttempt(backend, clock.now());
             Outcome outcome =
                     attempt == null ? Outcome.MOOT : runAttempt(attempt, context.deadline(), true);
@@ -203,14 +205,14 @@
                         "id",
                         context.attributes().clientRequestId(),
                         "peer",
-                        uid,
+                        backendId,
                         "why",
                         reason);
             }
             lastReason = reason;
             Thread.sleep(RESTORE_RETRY_PAUSE.toMillis());
         }
-        Log.warn("restore.failed", "id", context.attributes().clientRequestId(), "peer", uid);
+        Log.warn("restore.failed", "id", context.attributes().clientRequestId(), "peer", backendId);
     }
 
     private static LineClient client(RequestContext context) {
--- a/relay/src/main/java/saltstage/stage/RelayPipeline.java
+++ b/relay/src/main/java/saltstage/stage/RelayPipeline.java
@@ -109,8 +109,8 @@
             AttemptStarter attemptStarter, BackendProber prober, Runnable watchStarter) {
         return new Router.RoutingActions() {
             @Override
-            public void sendAttempt(RequestContext context, String uid, Duration limit) {
-                attemptStarter.start(context, uid, limit);
+            public void sendAttempt(RequestContext context, String backendId, Duration timeout) {
+                attemptStarter.start(context, backendId, timeout);
             }
 
             @Override
@@ -129,8 +129,8 @@
             }
 
             @Override
-            public void probe(String uid) {
-                prober.requestProbe(uid);
+            public void probe(String backendId) {
+                prober.requestProbe(backendId);
             }
 
             @Override
--- a/relay/src/main/java/saltstage/stage/Router.java
+++ b/relay/src/main/java/saltstage/stage/Router.java
@@ -50,8 +50,8 @@
 
     /** The actions of the other stages that carry out decisions. */
     public interface RoutingActions {
-        /** Starts the next attempt; a limit of zero means the client's deadline. */
-        void sendAttempt(RequestContext context, String uid, Duration limit);
+        /** Starts the next attempt; a timeout of zero means the client's deadline. */
+        void sendAttempt(RequestContext context, String backendId, Duration timeout);
 
         /** Rejects the request immediately. */
         void reject(RequestContext context, Duration retryAfter);
@@ -63,7 +63,7 @@
         void moveClient(RequestContext context);
 
         /** Probes a backend for its load; never blocks. */
-        void probe(String uid);
+        void probe(String backendId);
 
         /** Subscribes to discovery. */
         void watchBackendList();
@@ -197,8 +197,8 @@
     }
 
     /** Handles the result of a probe. */
-    public void probeCompleted(String uid, Outcome outcome, double load) {
-        deliver((balancer, now) -> balancer.probeCompleted(now, uid, outcome, load));
+    public void probeCompleted(String backendId, Outcome outcome, double utilization) {
+        deliver((balancer, now) -> balancer.probeCompleted(now, backendId, outcome, utilization));
     }
 
     /** Returns what the load balancer has learned, as plain data. */
@@ -306,8 +306,8 @@
         }
 
         @Override
-        public void sendAttempt(long id, String backendUid, long timeout) {
-            collect(id, context -> actions.sendAttempt(context, backendUid, toDuration(timeout)));
+        public void sendAttempt(long id, String backendId, long timeout) {
+            collect(id, context -> actions.sendAttempt(context, backendId, toDuration(timeout)));
         }
 
         @Override
@@ -335,8 +335,8 @@
         }
 
         @Override
-        public void probe(String backendUid) {
-            collectedActions.add(() -> actions.probe(backendUid));
+        public void probe(String backendId) {
+            collectedActions.add(() -> actions.probe(backendId));
         }
 
         @Override
