--- a/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
+++ b/relay/src/main/java/saltstage/stage/OutcomeRecorder.java
@@ -116,8 +116,8 @@
 
     /**
      * Ends a waiting request because the relay is shutting down, and cancels its current attempt. A
-     * request that may have run is rejected only if it can simply be repeated, and fails otherwise.
-     * The load balancer gets no event that it could act on.
+     * request with an attempt may have run: it is rejected only if it can simply be repeated, and
+     * fails otherwise. The load balancer gets no event that it could act on.
      */
     void endForShutdown(RequestContext context) {
         if (!context.end(Phase.WAITING)) {
