--- a/relay/src/main/java/saltstage/amqp/BackendConnectionPool.java
+++ b/relay/src/main/java/saltstage/amqp/BackendConnectionPool.java
@@ -37,7 +37,7 @@
     }
 
     /** Attaches the link over a connection that has room, or starts a new connection for it. */
-    void attach(BackendLink link, Duration connectWithin) {
+    void attach(BackendLink link, Duration timeout) {
         Backend backend = link.backend();
         for (AmqpBackendConnection established : connections.getOrDefault(backend, List.of())) {
             if (!established.isClosed() && established.linkCount() < MAX_LINKS_PER_CONNECTION) {
@@ -53,7 +53,7 @@
         pending = new PendingConnect(backend);
         pending.links.add(link);
         pendingConnects.put(backend, pending);
-        transport.connect(loop, addressOf(backend), connectWithin, WRITE_LIMITS, pending);
+        transport.connect(loop, addressOf(backend), timeout, WRITE_LIMITS, pending);
     }
 
     private InetSocketAddress addressOf(Backend backend) {
--- a/relay/src/main/java/saltstage/amqp/BackendLink.java
+++ b/relay/src/main/java/saltstage/amqp/BackendLink.java
@@ -31,10 +31,10 @@
         Object sessionKey();
 
         /** The backend has attached the link. Returns false if the client no longer wants it. */
-        boolean linkAttached(BackendLink link);
+        boolean linkAttached(BackendLink attachedLink);
 
         /** The link was attached and has ended. */
-        void linkEnded(BackendLink link, Outcome outcome);
+        void linkEnded(BackendLink endedLink, Outcome outcome);
 
         /** The connection or the session window may have room again. */
         void resume();
--- a/relay/src/main/java/saltstage/lifecycle/RelayOperations.java
+++ b/relay/src/main/java/saltstage/lifecycle/RelayOperations.java
@@ -236,8 +236,8 @@
         Set<String> previous = appliedSuspensions;
         appliedSuspensions = current;
         for (Backend backend : backends.all()) {
-            String uid = backend.entry().uid();
-            if (current.contains(uid) != previous.contains(uid)) {
+            String backendId = backend.entry().uid();
+            if (current.contains(backendId) != previous.contains(backendId)) {
                 pipeline.router().suspensionChanged(backend);
             }
         }
@@ -250,9 +250,9 @@
     private void moveClientsOffSuspended() {
         suspendedSince.keySet().retainAll(suspensions.all());
         Instant now = clock.now();
-        for (String uid : suspensions.all()) {
-            Instant until = suspendedSince.computeIfAbsent(uid, key -> now).plus(MOVE_PERIOD);
-            Backend backend = backends.find(uid);
+        for (String backendId : suspensions.all()) {
+            Instant until = suspendedSince.computeIfAbsent(backendId, key -> now).plus(MOVE_PERIOD);
+            Backend backend = backends.find(backendId);
             if (backend == null || backend.establishedAttempts().isEmpty()) {
                 continue;
             }
--- a/relay/src/main/java/saltstage/stage/AdmissionControl.java
+++ b/relay/src/main/java/saltstage/stage/AdmissionControl.java
@@ -92,11 +92,11 @@
      * number of requests that are about to be admitted. The last descriptors are reserved for the
      * backend connections of requests that are already here.
      */
-    boolean rejectIfFull(OpenRequest line, int arriving) throws MalformedException {
+    boolean rejectIfFull(OpenRequest openRequest, int arriving) throws MalformedException {
         if (openRequestIds.size() + arriving < maxRequests(descriptorLimit - reservedDescriptors)) {
             return false;
         }
-        int serviceClass = config.serviceClassIndex(line.field("c"));
+        int serviceClass = config.serviceClassIndex(openRequest.field("c"));
         logFull();
         outcomeRecorder.rejectedBeforeAdmission(serviceClass);
         return true;
@@ -107,21 +107,21 @@
     }
 
     /** Admits a request and hands it to the router. */
-    RequestContext admit(LineClient client, OpenRequest line)
+    RequestContext admit(LineClient client, OpenRequest openRequest)
             throws MalformedException, IOException {
         Instant now = clock.now();
-        int serviceClass = config.serviceClassIndex(line.field("c"));
+        int serviceClass = config.serviceClassIndex(openRequest.field("c"));
         RequestAttributes attributes =
                 new RequestAttributes(
-                        line.id(),
+                        openRequest.id(),
                         serviceClass,
-                        config.tenantIndex(line.field("t")),
-                        line.key(),
-                        line.field("g"),
-                        line.numericField("h", Api.NONE),
-                        line.hasFlag("again"));
-        String backendId = line.field("at");
-        Duration timeout = line.clientTimeout(config.clientTimeout(serviceClass));
+                        config.tenantIndex(openRequest.field("t")),
+                        openRequest.key(),
+                        openRequest.field("g"),
+                        openRequest.numericField("h", Api.NONE),
+                        openRequest.hasFlag("again"));
+        String backendId = openRequest.field("at");
+        Duration timeout = openRequest.clientTimeout(config.clientTimeout(serviceClass));
         Instant deadline =
                 now.plus(backendId != null ? RESTORE_TIMEOUT : timeout).minus(DEADLINE_MARGIN);
         if (client.reader().hasMoreInput()) {
@@ -129,12 +129,12 @@
             // others would be passed to its backend.
             throw new MalformedException(OutcomeRecorder.ONE_LINE_ONLY_ERROR);
         }
-        if (!openRequestIds.add(line.id())) {
+        if (!openRequestIds.add(openRequest.id())) {
             // A second request with the same id would look like a duplicate of the first one to a
             // backend.
             throw new MalformedException("id is in use");
         }
-        client.setOpenRequest(line);
+        client.setOpenRequest(openRequest);
         RequestContext context =
                 new RequestContext(lastRequestId.incrementAndGet(), attributes, deadline, client);
         outcomeRecorder.requestReceived();
--- a/relay/src/main/java/saltstage/stage/BackendProber.java
+++ b/relay/src/main/java/saltstage/stage/BackendProber.java
@@ -200,10 +200,10 @@
     }
 
     private void handleReport(ProbeConnection connection, boolean wasAwaitingAnswer, byte[] line) {
-        double load = Api.NONE;
+        double utilization = Api.NONE;
         try {
             LoadReport report = LoadReport.parse(line);
-            load = report == null ? Api.NONE : report.field("x0");
+            utilization = report == null ? Api.NONE : report.field("x0");
         } catch (MalformedException e) {
             Log.warn(
                     "probe.malformed",
@@ -212,12 +212,12 @@
                     "why",
                     e.getMessage());
         }
-        boolean reported = wasAwaitingAnswer && load != Api.NONE;
+        boolean reported = wasAwaitingAnswer && utilization != Api.NONE;
         if (!reported) {
             closeConnection(connection);
         }
         if (wasAwaitingAnswer) {
-            reportOutcome(connection, reported ? Outcome.SERVED : Outcome.ERROR, load);
+            reportOutcome(connection, reported ? Outcome.SERVED : Outcome.ERROR, utilization);
         }
     }
 
--- a/relay/src/main/java/saltstage/stage/LineFrontend.java
+++ b/relay/src/main/java/saltstage/stage/LineFrontend.java
@@ -31,7 +31,7 @@
     private volatile boolean draining;
 
     /** A client whose request has arrived, with that request. */
-    private record ReceivedRequest(PendingClient client, OpenRequest line) {}
+    private record ReceivedRequest(PendingClient client, OpenRequest openRequest) {}
 
     /**
      * Creates a client from a connection whose request has arrived, with the input that followed
@@ -70,7 +70,7 @@
         Threads.startLoop("starter", () -> startRequest(receivedRequests.take()));
     }
 
-    /** Stops answering PING with PONG, so that the caller sends new clients elsewhere. */
+    /** Answers PING with an error from now on, so that its sender directs new clients elsewhere. */
     @Override
     public void startDraining() {
         draining = true;
@@ -114,13 +114,13 @@
         return false;
     }
 
-    private boolean tryQueueRequest(PendingClient client, OpenRequest line)
+    private boolean tryQueueRequest(PendingClient client, OpenRequest openRequest)
             throws MalformedException {
-        if (admissionControl.rejectIfFull(line, unadmittedCount.get())) {
+        if (admissionControl.rejectIfFull(openRequest, unadmittedCount.get())) {
             acceptor.answer(client, admissionControl.busyLine());
             return false;
         }
-        parsedLines.add(line);
+        parsedLines.add(openRequest);
         unadmittedCount.incrementAndGet();
         return true;
     }
@@ -172,7 +172,7 @@
         }
         if (!threadBudget.tryAcquire()) {
             rejectForThreads(client);
-        } else if (!threadBudget.start("client", () -> serve(client, request.line()))) {
+        } else if (!threadBudget.start("client", () -> serve(client, request.openRequest()))) {
             threadBudget.release();
             rejectForThreads(client);
         }
@@ -187,11 +187,11 @@
         unadmittedCount.decrementAndGet();
     }
 
-    private void serve(LineClient client, OpenRequest line) throws InterruptedException {
+    private void serve(LineClient client, OpenRequest openRequest) throws InterruptedException {
         RequestContext context = null;
         boolean completed = false;
         try {
-            context = admitOrReject(client, line);
+            context = admitOrReject(client, openRequest);
             if (context != null && client.isAnswered()) {
                 acceptor.lingerAndClose(client.channel());
             } else if (context != null) {
@@ -224,9 +224,10 @@
         }
     }
 
-    private RequestContext admitOrReject(LineClient client, OpenRequest line) throws IOException {
+    private RequestContext admitOrReject(LineClient client, OpenRequest openRequest)
+            throws IOException {
         try {
-            return admissionControl.admit(client, line);
+            return admissionControl.admit(client, openRequest);
         } catch (MalformedException e) {
             Log.warn(
                     "client.malformed",
--- a/relay/src/main/java/saltstage/wire/BackendMessage.java
+++ b/relay/src/main/java/saltstage/wire/BackendMessage.java
@@ -34,11 +34,11 @@
         return new BackendMessage(Kind.OTHER, line);
     }
 
-    /** The load that a LOAD line reports, or a negative number if it is malformed. */
+    /** The load or message delay that a LOAD line reports; a negative number if it is malformed. */
     public double load() {
         try {
-            double level = Double.parseDouble(argument);
-            return Double.isFinite(level) ? level : -1;
+            double value = Double.parseDouble(argument);
+            return Double.isFinite(value) ? value : -1;
         } catch (NumberFormatException e) {
             return -1;
         }
