--- a/relay/src/main/java/saltstage/admin/AdminListener.java
+++ b/relay/src/main/java/saltstage/admin/AdminListener.java
@@ -16,12 +16,15 @@
 import saltstage.log.Log;
 
 /**
- * Accepts operator connections and serves them with one non-blocking thread. A client that sends
+ * Accepts operator connections and serves them with one non-blocking thread. An operator that sends
  * nothing, sends byte by byte or reads nothing costs a few hundred bytes and one entry here, and
- * does not delay other clients.
+ * does not delay other operators.
  */
 public final class AdminListener {
-    /** Descriptors that it may use: the listener, three for the selector, and the connections. */
+    /**
+     * Descriptors that this class may use: the listener, three for the selector, and the
+     * connections.
+     */
     public static final int MAX_DESCRIPTORS = 28;
 
     private static final int MAX_CONNECTIONS = 24;
--- a/relay/src/main/java/saltstage/admin/OperatorConnection.java
+++ b/relay/src/main/java/saltstage/admin/OperatorConnection.java
@@ -14,8 +14,8 @@
  */
 final class OperatorConnection {
     /**
-     * Longer than a person needs who types at a terminal that sends whole lines; a script needs
-     * milliseconds.
+     * Time for the complete line. A script needs milliseconds, and a person who types at a terminal
+     * that sends whole lines needs less than this.
      */
     private static final Duration LINE_TIMEOUT = Duration.ofSeconds(6);
 
@@ -48,7 +48,7 @@
         key.attach(this);
     }
 
-    /** The channel can be read or written. */
+    /** Called when the channel can be read or written. */
     void ready() {
         try {
             if (phase == Phase.READING) {
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerEffect.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerEffect.java
@@ -6,7 +6,11 @@
 import saltstage.configuration.ConfigurationView;
 import saltstage.configuration.EntryKey;
 
-/** An action that the follower's state machine requests; actions are performed in order. */
+/**
+ * An action that the follower's state machine requests; actions are performed in order. The
+ * components {@code request}, {@code write} and {@code timer} are ids of operations, which the
+ * resulting events carry.
+ */
 public sealed interface FollowerEffect {
     /**
      * Request the changes after a revision from a source.
--- a/relay/src/main/java/saltstage/configuration/follower/FollowerEvent.java
+++ b/relay/src/main/java/saltstage/configuration/follower/FollowerEvent.java
@@ -5,8 +5,9 @@
 import saltstage.configuration.SnapshotPage;
 
 /**
- * An event of a follower. Events of requests, writes and timers carry the number of their
- * operation; an event of an operation that is no longer awaited changes nothing.
+ * An event of a follower. Events of requests, writes and timers carry the id of their operation
+ * ({@code request}, {@code write} or {@code timer}); an event of an operation that is no longer
+ * awaited changes nothing.
  */
 public sealed interface FollowerEvent {
     /** A source responded with changes, or with none after the requested wait. */
--- a/relay/src/main/java/saltstage/metrics/ProcessUsage.java
+++ b/relay/src/main/java/saltstage/metrics/ProcessUsage.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * Operating system resources that this process uses, and connections that its host has dropped
+ * Operating system resources that this process uses, and connections that its machine has dropped
  * before any process could accept them.
  */
 public final class ProcessUsage {
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Returns the number of connections that the host has dropped since its start because the
+     * Returns the number of connections that the machine has dropped since its start because the
      * accept queue of a listening socket was full.
      */
     public static long listenOverflows() {
--- a/relay/src/main/java/saltstage/sim/SimulatorAdapter.java
+++ b/relay/src/main/java/saltstage/sim/SimulatorAdapter.java
@@ -137,7 +137,7 @@
                             utilization(message));
             case "REMINDER" -> loadBalancer.timerFired(now, message.require("Token"));
             case "EXIT" -> instances.remove(instanceId);
-            default -> {} // messages between peers are not used, and unknown types are ignored
+            default -> {} // messages between relays are not used, and unknown types are ignored
         }
     }
 
