--- a/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
+++ b/relay/src/main/java/saltstage/lifecycle/SharedConfiguration.java
@@ -244,11 +244,11 @@
         }
     }
 
-    private void setSuspended(String backend, boolean suspend) {
+    private void setSuspended(String backendId, boolean suspend) {
         if (suspend) {
-            suspendedBackendIds.add(backend);
+            suspendedBackendIds.add(backendId);
         } else {
-            suspendedBackendIds.remove(backend);
+            suspendedBackendIds.remove(backendId);
         }
     }
 
--- a/relay/src/main/java/saltstage/persistence/RelayStateStore.java
+++ b/relay/src/main/java/saltstage/persistence/RelayStateStore.java
@@ -156,15 +156,15 @@
         List<LearnedBackend> backends =
                 learnedState.backends().stream()
                         .map(
-                                s ->
+                                backend ->
                                         new LearnedBackend(
-                                                s.id(),
-                                                s.startedAt(),
-                                                s.setupLatency(),
-                                                s.setupLatencyDeviation(),
-                                                s.minSetupLatency(),
-                                                s.consecutiveFailures(),
-                                                Math.max(0, s.remainingEjection() - micros)))
+                                                backend.id(),
+                                                backend.startedAt(),
+                                                backend.setupLatency(),
+                                                backend.setupLatencyDeviation(),
+                                                backend.minSetupLatency(),
+                                                backend.consecutiveFailures(),
+                                                Math.max(0, backend.remainingEjection() - micros)))
                         .toList();
         return new LearnedState(
                 learnedState.setupLatency(),
@@ -193,7 +193,7 @@
         }
     }
 
-    /** Starts writing, and reading the learned state at the interval of the settings. */
+    /** Starts the writer, which also saves the learned state at the interval of the settings. */
     public synchronized void start(Supplier<LearnedState> learnedState) {
         learnedStateSource = learnedState;
         if (store != null) {
--- a/relay/src/main/java/saltstage/stage/ClientAcceptor.java
+++ b/relay/src/main/java/saltstage/stage/ClientAcceptor.java
@@ -87,7 +87,7 @@
          * true, the listener takes the client over by {@link #requestReceived}; otherwise the
          * client has been answered or may send another line.
          */
-        boolean firstLineReceived(PendingClient client, byte[] line);
+        boolean firstLineReceived(PendingClient client, byte[] piece);
 
         /**
          * Takes over a client whose request has arrived. From now on its channel is in blocking
