--- a/coordinator/src/main/java/saltstage/coordinator/api/ApiHandler.java
+++ b/coordinator/src/main/java/saltstage/coordinator/api/ApiHandler.java
@@ -59,12 +59,12 @@
 
     private CompletableFuture<ApiResponse> dispatch(FullHttpRequest request) {
         try {
-            ApiRequest parsed = ApiRequest.parse(request);
-            Route route = routes.get(parsed.routeKey());
+            ApiRequest apiRequest = ApiRequest.parse(request);
+            Route route = routes.get(apiRequest.routeKey());
             return route != null
-                    ? route.handle(parsed)
+                    ? route.handle(apiRequest)
                     : CompletableFuture.completedFuture(
-                            ApiResponse.notFound("no such call: " + parsed.routeKey()));
+                            ApiResponse.notFound("no such call: " + apiRequest.routeKey()));
         } catch (RuntimeException failure) { // reported by the future, which ends the request
             return CompletableFuture.failedFuture(failure);
         }
--- a/relay/src/test/java/saltstage/store/FaultInjectingDisk.java
+++ b/relay/src/test/java/saltstage/store/FaultInjectingDisk.java
@@ -121,9 +121,9 @@
             }
         }
         survivors.forEach(
-                (name, node) -> {
-                    byte[] content = node.durableContent;
-                    for (PendingWrite write : node.unforcedWrites) {
+                (name, inode) -> {
+                    byte[] content = inode.durableContent;
+                    for (PendingWrite write : inode.unforcedWrites) {
                         for (int start = 0; start < write.bytes().length; ) {
                             int end =
                                     Math.min(
@@ -151,7 +151,7 @@
     /** Returns a copy in which all current content is durable. */
     FaultInjectingDisk durableCopy() {
         FaultInjectingDisk next = new FaultInjectingDisk();
-        files.forEach((name, node) -> next.putFile(name, node.content));
+        files.forEach((name, inode) -> next.putFile(name, inode.content));
         return next;
     }
 
@@ -160,11 +160,11 @@
     }
 
     void putFile(String name, byte[] content) {
-        Inode node = new Inode();
-        node.content = content.clone();
-        node.durableContent = node.content;
-        files.put(name, node);
-        durableFiles.put(name, node);
+        Inode inode = new Inode();
+        inode.content = content.clone();
+        inode.durableContent = inode.content;
+        files.put(name, inode);
+        durableFiles.put(name, inode);
     }
 
     void removeFile(String name) {
@@ -216,37 +216,37 @@
         if (diskFull) {
             throw new FullException("no room for " + name);
         }
-        Inode node = new Inode();
-        if (files.putIfAbsent(name, node) != null) {
+        Inode inode = new Inode();
+        if (files.putIfAbsent(name, inode) != null) {
             throw new IOException("the file exists: " + name);
         }
-        unsyncedNameChanges.add(new NameChange(null, name, node));
-        return new FileHandle(node);
+        unsyncedNameChanges.add(new NameChange(null, name, inode));
+        return new FileHandle(inode);
     }
 
     @Override
     public synchronized File open(String name, boolean toWrite) throws IOException {
-        Inode node = files.get(name);
-        if (node == null) {
+        Inode inode = files.get(name);
+        if (inode == null) {
             throw new FileNotFoundException(name);
         }
-        return new FileHandle(node);
+        return new FileHandle(inode);
     }
 
     @Override
     public synchronized void rename(String from, String to) throws IOException {
         injectFault();
-        Inode node = files.remove(from);
-        files.put(to, node);
-        unsyncedNameChanges.add(new NameChange(from, to, node));
+        Inode inode = files.remove(from);
+        files.put(to, inode);
+        unsyncedNameChanges.add(new NameChange(from, to, inode));
     }
 
     @Override
     public synchronized void delete(String name) throws IOException {
         injectFault();
-        Inode node = files.remove(name);
-        if (node != null) {
-            unsyncedNameChanges.add(new NameChange(name, null, node));
+        Inode inode = files.remove(name);
+        if (inode != null) {
+            unsyncedNameChanges.add(new NameChange(name, null, inode));
         }
     }
 
