--- a/coordinator/src/main/java/saltstage/coordinator/advice/NodeSnapshot.java
+++ b/coordinator/src/main/java/saltstage/coordinator/advice/NodeSnapshot.java
@@ -6,11 +6,10 @@
  * The load report of a node. Its size is bounded, because small tenants are combined into one
  * figure.
  *
- * @param incarnation grows with each start of the node's process
- * @param seq grows with each snapshot of one incarnation
+ * @param incarnation a number that increases with each start of the node's process
+ * @param seq a number that increases with each snapshot of one incarnation
  * @param capacity the load that the node can hold, in thousandths of a mean connection load
- * @param delayMs how much longer a set-up takes at the node than the shortest one seen; W in the
- *     design
+ * @param delayMs how much longer a set-up takes at the node than the shortest one seen
  * @param setupMs the mean duration of a set-up
  * @param tenants the node's largest tenants
  * @param others the total load of all other tenants
--- a/coordinator/src/main/java/saltstage/coordinator/replica/RaftCodec.java
+++ b/coordinator/src/main/java/saltstage/coordinator/replica/RaftCodec.java
@@ -27,7 +27,7 @@
 
 /**
  * Encodes the consensus engine's messages and log records as CBOR. All messages share one flat
- * form, {@code Packet}; the methods that create and read a kind of message define which fields it
+ * form, {@link Packet}; the methods that create and read a kind of message define which fields it
  * uses.
  */
 final class RaftCodec {
--- a/coordinator/src/main/java/saltstage/coordinator/window/CapacityTable.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/CapacityTable.java
@@ -9,7 +9,7 @@
  * The capacity left above each floor, slot by slot, from now to a horizon. The planner uses it to
  * find free slots. A slot counts the largest loss at any moment of it. The loss of a window never
  * rises while the window runs, so the largest loss is the one at the first moment of the slot, or
- * at the begin of a window that begins within the slot. Such a window counts for the whole slot.
+ * at the start of a window that starts within the slot. Such a window counts for the whole slot.
  */
 final class CapacityTable {
     /** Five weeks of five-minute slots; nothing beyond them is planned yet. */
--- a/coordinator/src/main/java/saltstage/coordinator/window/Planner.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Planner.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * Finds a begin for one window, given the capacity that is missing already and the windows that are
+ * Finds a start for one window, given the capacity that is missing already and the windows that are
  * planned. The caller decides the order in which windows are placed: the planning is greedy, by
  * urgency.
  */
--- a/coordinator/src/main/java/saltstage/coordinator/window/Window.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/Window.java
@@ -8,7 +8,7 @@
  * @param since when the present state began
  * @param proven how much of the capacity was proven to be back, in thousandths of a mean connection
  *     load
- * @param why reason for the present state or start
+ * @param why the reason for the present state or start
  */
 public record Window(
         long id,
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowProgress.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowProgress.java
@@ -6,7 +6,7 @@
 import saltstage.coordinator.window.Window.State;
 import saltstage.coordinator.window.WindowCommands.Step;
 
-/** Advances a window from its begin to its end, as the agent of its region reports. */
+/** Advances a window from its start to its end, as the agent of its region reports. */
 final class WindowProgress {
     private final WindowStore store;
     private final Replanner replanner;
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowProposals.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowProposals.java
@@ -8,7 +8,7 @@
 import saltstage.coordinator.model.Reply;
 import saltstage.coordinator.window.Window.State;
 
-/** Handles requests for windows: finds a start for each, or tells why there is none. */
+/** Handles requests for windows: finds a start for each, or gives the reason why there is none. */
 final class WindowProposals {
     private static final int MAX_WAITING_WINDOWS = 5_000;
 
--- a/coordinator/src/main/java/saltstage/coordinator/window/WindowRequest.java
+++ b/coordinator/src/main/java/saltstage/coordinator/window/WindowRequest.java
@@ -6,19 +6,20 @@
 /**
  * A request for a maintenance window.
  *
- * @param nodes the nodes of the region that shall be out
+ * @param nodes the nodes of the region that are to be taken out of service
  * @param drainMs how long moving their connections out may take
  * @param workMs how long the nodes are out
  * @param warmMs how long the nodes take to warm up
- * @param earliest earliest begin, in milliseconds since 1970
- * @param latest latest end, with all nodes warm again, in milliseconds since 1970
+ * @param earliest the earliest start, in milliseconds since 1970
+ * @param latest the latest end, with all nodes warm again, in milliseconds since 1970
  * @param priority windows of higher priority are planned first
- * @param emergency may displace planned windows of any priority, but never breaches a floor
+ * @param emergency whether the window may displace planned windows of any priority, although it
+ *     never breaches a floor
  * @param split whether the nodes may go in several windows
  * @param after numbers of the windows that must be over before this one begins
  * @param apart exclusion words; windows that share one never overlap
  * @param by who requests the window
- * @param purpose reason for the window; the same nodes and purpose mean the same window
+ * @param purpose the reason for the window; the same nodes and purpose mean the same window
  */
 public record WindowRequest(
         String region,
--- a/coordinator/src/test/java/saltstage/coordinator/window/WindowsTest.java
+++ b/coordinator/src/test/java/saltstage/coordinator/window/WindowsTest.java
@@ -173,7 +173,7 @@
                 plannedWindow(
                         windows.propose(request("b", 1, MONDAY, MONDAY + 90 * HOUR, 0), MONDAY));
         currentWindow(windows.begin(first.id(), MONDAY));
-        long overdueTime = MONDAY + 5 * HOUR; // no report came since the begin
+        long overdueTime = MONDAY + 5 * HOUR; // no report has arrived since the start
         windows.advance(overdueTime);
         assertTrue(windows.find(first.id()).isOverdue(overdueTime));
         assertInstanceOf(Rejection.class, windows.begin(second.id(), overdueTime));
--- a/lab/src/main/java/saltstage/lab/trial/ConfigurationObserver.java
+++ b/lab/src/main/java/saltstage/lab/trial/ConfigurationObserver.java
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Records the report of a follower; {@code event} tells how it applied the revision. */
+    /** Records the report of a follower; {@code event} names how it applied the revision. */
     synchronized void observe(String follower, String event, long revision, String digest) {
         Observation observation =
                 new Observation(follower, revision, digest, elapsedMs(), event.equals("start"));
--- a/relay/src/main/java/saltstage/handover/ProcessSlots.java
+++ b/relay/src/main/java/saltstage/handover/ProcessSlots.java
@@ -63,7 +63,8 @@
     /**
      * Claims a slot for this process.
      *
-     * @param limit the number of descriptors that this process and the other may hold together
+     * @param maxDescriptors the number of descriptors that this process and the other may hold
+     *     together
      */
     public static ProcessSlots claim(Path path, int maxDescriptors) throws IOException {
         Files.createDirectories(path.toAbsolutePath().getParent());
--- a/relay/src/main/java/saltstage/stage/BackendProber.java
+++ b/relay/src/main/java/saltstage/stage/BackendProber.java
@@ -65,8 +65,9 @@
     }
 
     /**
-     * Requests a probe of a backend; a backend that still owes an answer is not probed again. If no
-     * thread could be started, or the thread ended by a fault, the next call tries to start one.
+     * Requests a probe of a backend; a backend whose previous probe has not completed yet is not
+     * probed again. If no thread could be started, or the thread ended by a fault, the next call
+     * tries to start one.
      */
     void requestProbe(String uid) {
         Backend backend = backends.find(uid);
