--- a/lab/src/test/java/saltstage/lab/amqp/ProtocolDriverTest.java
+++ b/lab/src/test/java/saltstage/lab/amqp/ProtocolDriverTest.java
@@ -43,7 +43,7 @@
 
     private static final int MAX_ATTEMPTS = 5;
 
-    private AmqpTestEnvironment environment;
+    private AmqpTestEnvironment env;
     private ProtonTestClient driver;
 
     /** The frames that the driver sends and expects in one test. */
@@ -71,12 +71,11 @@
     }
 
     private void startRelay(String settings) throws Exception {
-        environment = new AmqpTestEnvironment(1, settings);
+        env = new AmqpTestEnvironment(1, settings);
         awaitFirstLink();
         driver = new ProtonTestClient();
         driver.connect(
-                environment.amqpAddress().getAddress().getHostAddress(),
-                environment.amqpAddress().getPort());
+                env.amqpAddress().getAddress().getHostAddress(), env.amqpAddress().getPort());
         driver.expectAMQPHeader();
         driver.remoteAMQPHeader().now();
         driver.waitForScriptToComplete(20, TimeUnit.SECONDS);
@@ -90,15 +89,15 @@
                     new AmqpLoadClient(
                             transport,
                             transport.loops().get(0),
-                            environment.amqpAddress(),
+                            env.amqpAddress(),
                             "first",
                             1,
                             "session-check",
                             64,
                             new DeliveryTracker());
-            environment.await("the first link is attached", () -> client.attachedCount() == 1);
+            env.await("the first link is attached", () -> client.attachedCount() == 1);
             client.close();
-            environment.await("the first link is closed", () -> backend().linkCount() == 0);
+            env.await("the first link is closed", () -> backend().linkCount() == 0);
         }
     }
 
@@ -129,7 +128,7 @@
     }
 
     private FakeAmqpBackend backend() {
-        return environment.fleet().amqpBackends().get(0);
+        return env.fleet().amqpBackends().get(0);
     }
 
     private void attachSender(boolean settlesSecond) {
@@ -161,7 +160,7 @@
     @AfterEach
     void tearDown() throws Exception {
         driver.close();
-        environment.close();
+        env.close();
     }
 
     @Test
@@ -190,11 +189,11 @@
         backend().setMessagesPerLink(0);
         attachReceiver();
         flow().withHandle(0).withDeliveryCount(0).withLinkCredit(7).now();
-        environment.await("the backend has the credit", () -> backend().availableCredit() == 7);
+        env.await("the backend has the credit", () -> backend().availableCredit() == 7);
         driver.expectFlow().withHandle(0).withDeliveryCount(7).withLinkCredit(0).withDrain(true);
         flow().withHandle(0).withDeliveryCount(0).withLinkCredit(7).withDrain(true).now();
         awaitScript();
-        environment.await("the backend has no credit left", () -> backend().availableCredit() == 0);
+        env.await("the backend has no credit left", () -> backend().availableCredit() == 0);
     }
 
     @Test
@@ -208,7 +207,7 @@
         attachReceiver();
         for (int credit : new int[] {50, 3, 0, 4}) {
             flow().withHandle(0).withDeliveryCount(0).withLinkCredit(credit).now();
-            environment.await("credit " + credit, () -> backend().availableCredit() == credit);
+            env.await("credit " + credit, () -> backend().availableCredit() == credit);
         }
     }
 
@@ -236,7 +235,7 @@
                 .withState()
                 .accepted()
                 .now();
-        environment.await("settled at the backend", () -> backend().senderSettledFirstCount() == 1);
+        env.await("settled at the backend", () -> backend().senderSettledFirstCount() == 1);
     }
 
     @Test
@@ -257,7 +256,7 @@
                 .now();
         driver.remoteEnd().now();
         awaitScript();
-        environment.await("no link", () -> backend().linkCount() == 0);
+        env.await("no link", () -> backend().linkCount() == 0);
         assertEquals(List.of(), backend().acceptedIds());
         driver.expectBegin(); // the connection stays usable
         driver.remoteBegin()
@@ -297,7 +296,7 @@
                 .now();
         driver.remoteDetach().withHandle(0).withClosed(true).now();
         awaitScript();
-        environment.await("no link", () -> backend().linkCount() == 0);
+        env.await("no link", () -> backend().linkCount() == 0);
         assertEquals(List.of(), backend().acceptedIds());
     }
 
