--- a/relay/src/test/java/saltstage/ColdBackendTest.java
+++ b/relay/src/test/java/saltstage/ColdBackendTest.java
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void coldBackendRelievesAnOverloadedOneWithinItsBudget() {
+    void coldBackendTakesLoadOfAnOverloadedOneWithinItsBudget() {
         assertEquals(
                 200,
                 countSentToColdBesideOverloaded(2 * LoadBalancerHarness.SECOND_MICROS),
--- a/relay/src/test/java/saltstage/process/StartupSignalsTest.java
+++ b/relay/src/test/java/saltstage/process/StartupSignalsTest.java
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void hangupBeforeTheConfigurationIsReadIsObeyedAfterTheStart() throws Exception {
+    void hangupBeforeTheConfigurationIsReadIsHandledAfterTheStart() throws Exception {
         TestServer newDiscovery = environment.startBackend();
         runCommand("mkfifo", file.toString());
         launch();
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void relayThatIsStartedWithHangupsIgnoredSaysThatItDoesNotReload() throws Exception {
+    void relayStartedWithHangupsIgnoredLogsThatItDoesNotReload() throws Exception {
         Files.writeString(
                 file, environment.config(4096, RelayTestEnvironment.backendList(1, true)));
         ProcessBuilder relay =
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void terminationIsHeardWhileAReloadWaitsForItsFile() throws Exception {
+    void terminationIsHandledWhileAReloadWaitsForItsFile() throws Exception {
         Files.writeString(
                 file, environment.config(4096, RelayTestEnvironment.backendList(1, true)));
         launch();
--- a/relay/src/test/java/saltstage/process/SuspendTest.java
+++ b/relay/src/test/java/saltstage/process/SuspendTest.java
@@ -106,7 +106,7 @@
     }
 
     @Test
-    public void clientsEstablishedThereAreMovedSoon() throws Exception {
+    public void clientsOfASuspendedBackendAreMovedSoon() throws Exception {
         environment.start(RelayTestEnvironment.backendList(1, true, suspendedEntry("ready")));
         TestConnection client = environment.sendOpen("m1", 20_000);
         TestConnection backendSide = environment.establish(suspended, client);
