--- a/coordinator/src/main/java/saltstage/coordinator/advice/Advisor.java
+++ b/coordinator/src/main/java/saltstage/coordinator/advice/Advisor.java
@@ -13,8 +13,9 @@
  * Recommends which part of which tenant to move to which node. Each move is evaluated on the fleet
  * as it would be after the moves before it, so that moves that are harmless alone do not cause harm
  * together. A node is a source only if its delay is above that of most other nodes and above the
- * lowest delay by more than the cost of a connection set-up. A move must be worth more than its
- * reconnects by a margin, and is not undone for a while.
+ * lowest delay by more than the cost of a connection set-up, as in the relay's test for diverting a
+ * request. A move must be worth more than its reconnects by a margin, and is not undone for a
+ * while.
  */
 public final class Advisor {
     /**
--- a/coordinator/src/main/java/saltstage/coordinator/advice/NodeSnapshot.java
+++ b/coordinator/src/main/java/saltstage/coordinator/advice/NodeSnapshot.java
@@ -9,7 +9,8 @@
  * @param incarnation a number that increases with each start of the node's process
  * @param seq a number that increases with each snapshot of one incarnation
  * @param capacity the load that the node can hold, in thousandths of a mean connection load
- * @param delayMs how much longer a set-up takes at the node than the shortest one seen
+ * @param delayMs the queueing delay: how much longer a set-up takes at the node than the shortest
+ *     one seen
  * @param setupMs the mean duration of a set-up
  * @param tenants the node's largest tenants
  * @param others the total load of all other tenants
--- a/relay/src/main/java/saltstage/BalancerState.java
+++ b/relay/src/main/java/saltstage/BalancerState.java
@@ -55,8 +55,8 @@
         int arrivals;
 
         /**
-         * RAP: in a full table, a new client replaces the one with the smallest counter with a
-         * probability that depends on its weight (paper, II-C).
+         * Randomized admission policy (RAP): in a full table, a new client replaces the one with
+         * the smallest counter with a probability that depends on its weight (paper, II-C).
          */
         void add(long clientKey, double weight, Random random) {
             int smallest = 0;
